--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.fleet_count LOGS [--every SECONDS]
 
-LOGS is a folder with one file a limiter (`*.log`), each line beginning with its time in seconds, as the
-benches leave them by `--logs`. Prints a row a cause: its name, its sum, one figure a span of time. What each
-limiter does seldom, and all do together, shows here and in no limiter's own file.
+LOGS is a folder with one file a limiter (`*.log`), each line beginning with its time in seconds, as
+the benches leave them by `--logs`. Prints a row a cause: its name, its sum, one figure a span of
+time. What each limiter does seldom, and all do together, shows here and in no limiter's own file.
 """
 
 from __future__ import annotations
@@ -20,7 +20,8 @@
 
 
 def count(lines: list[str], every: float, spans: dict[int, Counter[str]]) -> None:
-    """Adds one limiter's lines; a line tells of the time since the last one, and counts where it stands."""
+    """Adds one limiter's lines; a line tells of the time since the last one, and counts where it
+    stands."""
     for line in lines:
         if not (found := LINE.match(line)):
             continue
@@ -31,7 +32,9 @@
             what = text.partition("; ended: ")[2].partition(";")[0]
         elif text.startswith("discovery: "):
             what = (
-                "discovery turned away 1" if "status 503" in text else "discovery said what can't be read 1"
+                "discovery turned away 1"
+                if "status 503" in text
+                else "discovery said what can't be read 1"
             )
         elif text.startswith(("listens ", "told to stop")):
             what = "starts 1" if text.startswith("listens ") else "stops 1"
--- a/benchmarks/lab_calibrate.py
+++ b/benchmarks/lab_calibrate.py
@@ -1,10 +1,11 @@
-"""Calibration of the lab: one small scenario in simulated time and on loopback sockets, side by side.
+"""Calibration of the lab: one small scenario in simulated time and on loopback sockets, side by
+side.
 
-The sockets' side runs `loomstand serve` as its own process, with stand-ins written here from the wire the
-limiter speaks: servers that are M/M/c queues like the lab's (`capacity` at once, a bounded queue, exponential
-work, 503 with `Not-Started: 1` when full), a counter that keeps totals by name for `expire_ms`, a discovery
-watch that lists nothing new, and Poisson clients, one connection a req. Both sides count G and the denial
-share the same way (`docs/lab.md`). Run by hand, never in CI:
+The sockets' side runs `loomstand serve` as its own process, with stand-ins written here from the
+wire the limiter speaks: servers that are M/M/c queues like the lab's (`capacity` at once, a bounded
+queue, exponential work, 503 with `Not-Started: 1` when full), a counter that keeps totals by name
+for `expire_ms`, a discovery watch that lists nothing new, and Poisson clients, one connection a
+req. Both sides count G and the denial share the same way (`docs/lab.md`). Run by hand, never in CI:
 
     .venv/bin/python -m benchmarks.lab_calibrate --seconds 20 [--seed N] [--work-ms 60]
 """
@@ -32,7 +33,9 @@
     "fleet": {"limiters": 1, "servers": 3, "capacity": 4, "queue": 4, "try_limit": 2},
     "net": {"delay_ms": 0.1, "jitter_ms": 0.1, "zone_delay_ms": 0.0},
     "counter": {"latency_ms": 0.5, "timeout_ms": 100},
-    "frontends": [{"name": "look", "response_target_ms": 300, "client_timeout_ms": 1000, "work_ms": 20}],
+    "frontends": [
+        {"name": "look", "response_target_ms": 300, "client_timeout_ms": 1000, "work_ms": 20}
+    ],
     "plans": [{"name": "basic", "rate": 20, "burst": 40, "customers": 6, "demand": 1.5}],
 }
 
@@ -120,25 +123,49 @@
         "discovery": at(watch),
         "counter": at(counter),
         "seed": "1",
-        "known": {"complete": True, "members": [
-            {"id": f"s-{n}", "host_port": at(s), "locality": "a"} for n, s in enumerate(listening)]},
+        "known": {
+            "complete": True,
+            "members": [
+                {"id": f"s-{n}", "host_port": at(s), "locality": "a"}
+                for n, s in enumerate(listening)
+            ],
+        },
         "settings": {
-            "balancers": 1, "me": 0, "az": "a", "zones": ["a"],
-            "grades": [{"name": g.name, "effect": g.effect, "on_time": g.response_target_ms,
-                        "deadline": g.client_timeout_ms, "points": g.value}],
+            "balancers": 1,
+            "me": 0,
+            "az": "a",
+            "zones": ["a"],
+            "grades": [
+                {
+                    "name": g.name,
+                    "effect": g.effect,
+                    "on_time": g.response_target_ms,
+                    "deadline": g.client_timeout_ms,
+                    "points": g.value,
+                }
+            ],
             "plans": [{"name": p.name, "refill": p.rate, "store_size": p.burst}],
             "allowed": {"try_limit": f.try_limit},
-            "specifics": {"has_counter": True, "count_limit": scenario.counter.timeout_ms,
-                          "metering": scenario.counter.refresh_s * 1000},
+            "specifics": {
+                "has_counter": True,
+                "count_limit": scenario.counter.timeout_ms,
+                "metering": scenario.counter.refresh_s * 1000,
+            },
             "rules": {"answer_slack": f.answer_slack_ms, "drain_grace": f.drain_grace_ms},
         },
-    }  # fmt: skip
+    }
     with tempfile.NamedTemporaryFile("w", suffix=".json", delete=False) as file:
         json.dump(conf, file)
     proc = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "loomstand", "serve", "--config", file.name,
-        stderr=asyncio.subprocess.DEVNULL, env={**os.environ},
-    )  # fmt: skip
+        sys.executable,
+        "-m",
+        "loomstand",
+        "serve",
+        "--config",
+        file.name,
+        stderr=asyncio.subprocess.DEVNULL,
+        env={**os.environ},
+    )
     for _ in range(400):
         try:
             reader, writer = await asyncio.open_connection(HOST, port)
@@ -163,13 +190,17 @@
         held[0] -= 1.0 if inside else 0.0
         offered += g.value if inside else 0.0
         counts["taken"] += 1
-        raw = (f"GET /{g.name}?account={customer:016x} HTTP/1.1\r\nHost: x\r\nRequest-Id: {n}\r\n"
-               f"Request-Class: {g.name}\r\nX-Tier: {p.name}\r\n"
-               f"Request-Timeout-Ms: {g.client_timeout_ms:.0f}\r\nContent-Length: 0\r\n\r\n")  # fmt: skip
+        raw = (
+            f"GET /{g.name}?account={customer:016x} HTTP/1.1\r\nHost: x\r\nRequest-Id: {n}\r\n"
+            f"Request-Class: {g.name}\r\nX-Tier: {p.name}\r\n"
+            f"Request-Timeout-Ms: {g.client_timeout_ms:.0f}\r\nContent-Length: 0\r\n\r\n"
+        )
         try:
             reader, writer = await asyncio.open_connection(HOST, port)
             writer.write(raw.encode())
-            head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), g.client_timeout_ms / 1000 + 0.5)
+            head = await asyncio.wait_for(
+                reader.readuntil(b"\r\n\r\n"), g.client_timeout_ms / 1000 + 0.5
+            )
             writer.close()
         except (TimeoutError, OSError, asyncio.IncompleteReadError):
             counts["other"] += 1
@@ -186,7 +217,8 @@
     tasks, n, began = set(), 0, time.monotonic()
     rate, due = p.rate * p.demand * p.customers, 0.0
     while due < scenario.seconds:
-        due += rng.expovariate(rate)  # by the clock, so that the loop's own lag does not thin the traffic
+        # by the clock, so that the loop's own lag does not thin the traffic
+        due += rng.expovariate(rate)
         await asyncio.sleep(max(0.0, began + due - time.monotonic()))
         n += 1
         task = asyncio.create_task(one(n, rng.randrange(p.customers)))
@@ -196,8 +228,11 @@
     proc.terminate()
     await proc.wait()
     os.unlink(file.name)
-    return {"counts": counts, "G": worth / offered if offered else 0.0,
-            "denied_share": counts["denied"] / max(1, counts["taken"])}  # fmt: skip
+    return {
+        "counts": counts,
+        "G": worth / offered if offered else 0.0,
+        "denied_share": counts["denied"] / max(1, counts["taken"]),
+    }
 
 
 def main() -> None:
@@ -206,8 +241,10 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--work-ms", type=float, default=20.0, help="mean work a req at a server")
     args = parser.parse_args()
-    table = sc.with_values({**SCENARIO, "seconds": args.seconds}, {"frontends": [
-        {**SCENARIO["frontends"][0], "work_ms": args.work_ms}]})  # fmt: skip
+    table = sc.with_values(
+        {**SCENARIO, "seconds": args.seconds},
+        {"frontends": [{**SCENARIO["frontends"][0], "work_ms": args.work_ms}]},
+    )
     scenario = sc.from_table(table)
     lab = runner.run(scenario, args.seed)["runs"]["brain"]
     real = asyncio.run(sockets(scenario, args.seed))
--- a/benchmarks/lab_scale.py
+++ b/benchmarks/lab_scale.py
@@ -1,8 +1,9 @@
 """The lab's cost against its size: wall time and events a second for N limiters x 60 s simulated.
 
-Traffic grows with the fleet (ten customers a limiter at 2 reqs a second each, one server for two limiters),
-so each limiter sees about 20 reqs a second at every size, as on a mass day, and a cost linear in limiters
-shows as a flat `us a req`. Only the module is played (no baselines). Not a timed test: run by hand,
+Traffic grows with the fleet (ten customers a limiter at 2 reqs a second each, one server for two
+limiters), so each limiter sees about 20 reqs a second at every size, as on a mass day, and a cost
+linear in limiters shows as a flat `us a req`. Only the module is played (no baselines). Not a timed
+test: run by hand,
 
     .venv/bin/python -m benchmarks.lab_scale 10 100 1000 --seconds 60 --json scale.json
 
@@ -28,9 +29,18 @@
             "name": f"scale-{limiters}",
             "seconds": seconds,
             "baselines": [],
-            "fleet": {"limiters": limiters, "servers": max(2, limiters // 2), "zones": ["a", "b", "c"]},
+            "fleet": {
+                "limiters": limiters,
+                "servers": max(2, limiters // 2),
+                "zones": ["a", "b", "c"],
+            },
             "frontends": [
-                {"name": "quote", "response_target_ms": 400, "client_timeout_ms": 1500, "work_ms": 40}
+                {
+                    "name": "quote",
+                    "response_target_ms": 400,
+                    "client_timeout_ms": 1500,
+                    "work_ms": 40,
+                }
             ],
             "plans": [{"name": "basic", "rate": 2, "burst": 6, "customers": 10 * limiters}],
         }
@@ -58,7 +68,9 @@
     parser.add_argument("sizes", type=int, nargs="+")
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--json", default="")
-    parser.add_argument("--plot", default="", help="a PNG of wall time and cost a req against limiters")
+    parser.add_argument(
+        "--plot", default="", help="a PNG of wall time and cost a req against limiters"
+    )
     parser.add_argument("--rows", default="", help="draw rows from this JSON instead of running")
     args = parser.parse_args()
     if args.rows:
--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -1,8 +1,9 @@
-"""The pure parts of peers at sizes that processes don't reach: list calls, time to a list, messages.
+"""The pure parts of peers at sizes that processes don't reach: list calls, time to a list,
+messages.
 
-All limiters start within a second, each given eight others' addresses; discovery bears ten calls a second and
-refuses others, after which a limiter asks again as its rank says. Datagrams take 0.2 to 2 ms, one in 100 is
-lost. By hand, never in CI:
+All limiters start within a second, each given eight others' addresses; discovery bears ten calls a
+second and refuses others, after which a limiter asks again as its rank says. Datagrams take 0.2 to
+2 ms, one in 100 is lost. By hand, never in CI:
 
     python -m benchmarks.peers_scale 200 1000 5000 --plot docs/peers-scale.png
 """
--- a/benchmarks/scale_fit.py
+++ b/benchmarks/scale_fit.py
@@ -14,8 +14,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Slope:
-    """A line `start + slope * by`. `off` is the worst residual as a share of what was measured there; `bend`
-    the last step's slope by the first's, 1 where the line is one."""
+    """A line `start + slope * by`. `off` is the worst residual as a share of what was measured
+    there; `bend` the last step's slope by the first's, 1 where the line is one."""
 
     what: str
     by: str
@@ -27,7 +27,8 @@
 
 
 def fit(what: str, by: str, points: list[tuple[float, float]]) -> Slope | None:
-    """Least squares of the relative distance, so that small sizes count as much; None under two points."""
+    """Least squares of the relative distance, so that small sizes count as much; None under two
+    points."""
     points = sorted(points)
     if len({x for x, _ in points}) < 2:
         return None
@@ -39,7 +40,13 @@
     last = (y[-1] - y[-2]) / (x[-1] - x[-2]) if x[-1] > x[-2] else 0.0
     bend = float(last / first) if first else float("nan")
     return Slope(
-        what, by, float(slope), float(start), off, bend, tuple((float(a), float(b)) for a, b in points)
+        what,
+        by,
+        float(slope),
+        float(start),
+        off,
+        bend,
+        tuple((float(a), float(b)) for a, b in points),
     )
 
 
@@ -51,35 +58,41 @@
     return lambda one: one[window][role][key]
 
 
-MEASURED: dict[str, Callable[[Point], float]] = {
-    f"{role} {window}, ms/s": _cpu(window, role)
-    for window in ("rest", "counting", "changing")
-    for role in ("proxy", "registry", "counter", "store", "primary")
-} | {
-    f"{role}, MB": _of("rest", role, "resident_mb") for role in ("proxy", "registry", "store")
-} | {
-    f"{role} {window}, messages/s in": _of(window, role, "taken")
-    for window, role in (("rest", "registry"), ("counting", "counter"), ("rest", "store"))
-} | {
-    f"{role} rest, kB/s {way}": _of("rest", role, f"kb_{way}")
-    for role in ("registry", "store")
-    for way in ("in", "out")
-} | {
-    "limiter rest, ms/s": lambda one: one["rest"]["hollow"]["each_ms"],
-    "limiter rest, kB/s in": lambda one: one["rest"]["limiter"]["kb_in"],
-    "limiter changing, kB/s in": lambda one: one["changing"]["limiter"]["kb_in"],
-    "change in force, median ms": lambda one: one["change"]["in force"]["median"],
-    "change in force, worst ms": lambda one: one["change"]["in force"]["worst"],
-    "change acknowledged, worst ms": lambda one: one["change"]["acknowledged"]["worst"],
-    "drain known, worst ms": lambda one: one["drain"]["known"]["worst"],
-    "limiters start, worst ms": lambda one: one["limiters start"]["worst"],
-    "cold start, limiters, worst ms": lambda one: one["cold start"]["limiters"]["worst"],
-    "primary lost, s": lambda one: one["primary lost"]["s"],
-    "counter lost, s": lambda one: one["counter lost"]["s"],
-}  # fmt: skip
-
-
-def values(points: list[Point], by: str, get: Callable[[Point], float]) -> list[tuple[float, float]]:
+MEASURED: dict[str, Callable[[Point], float]] = (
+    {
+        f"{role} {window}, ms/s": _cpu(window, role)
+        for window in ("rest", "counting", "changing")
+        for role in ("proxy", "registry", "counter", "store", "primary")
+    }
+    | {f"{role}, MB": _of("rest", role, "resident_mb") for role in ("proxy", "registry", "store")}
+    | {
+        f"{role} {window}, messages/s in": _of(window, role, "taken")
+        for window, role in (("rest", "registry"), ("counting", "counter"), ("rest", "store"))
+    }
+    | {
+        f"{role} rest, kB/s {way}": _of("rest", role, f"kb_{way}")
+        for role in ("registry", "store")
+        for way in ("in", "out")
+    }
+    | {
+        "limiter rest, ms/s": lambda one: one["rest"]["hollow"]["each_ms"],
+        "limiter rest, kB/s in": lambda one: one["rest"]["limiter"]["kb_in"],
+        "limiter changing, kB/s in": lambda one: one["changing"]["limiter"]["kb_in"],
+        "change in force, median ms": lambda one: one["change"]["in force"]["median"],
+        "change in force, worst ms": lambda one: one["change"]["in force"]["worst"],
+        "change acknowledged, worst ms": lambda one: one["change"]["acknowledged"]["worst"],
+        "drain known, worst ms": lambda one: one["drain"]["known"]["worst"],
+        "limiters start, worst ms": lambda one: one["limiters start"]["worst"],
+        "cold start, limiters, worst ms": lambda one: one["cold start"]["limiters"]["worst"],
+        "primary lost, s": lambda one: one["primary lost"]["s"],
+        "counter lost, s": lambda one: one["counter lost"]["s"],
+    }
+)
+
+
+def values(
+    points: list[Point], by: str, get: Callable[[Point], float]
+) -> list[tuple[float, float]]:
     """What was measured at each size, where it was."""
     got = []
     for one in points:
@@ -109,10 +122,13 @@
     "use": "counting",
 }
 PANELS = {
-    "work": ("ms of processor a second", lambda what, by: what.endswith(f"{WINDOW.get(by, 'rest')}, ms/s")),
+    "work": (
+        "ms of processor a second",
+        lambda what, by: what.endswith(f"{WINDOW.get(by, 'rest')}, ms/s"),
+    ),
     "times": ("ms", lambda what, by: what.endswith(" ms")),
     "memory": ("MB resident", lambda what, by: what.endswith(", MB")),
-}  # fmt: skip
+}
 ACROSS = 4  # panels in a row
 
 
@@ -127,7 +143,9 @@
     swept = [(by, points) for by, points in sweeps.items() if len(points) > 1]
     down = max(1, -(-len(swept) // ACROSS))
     for kind, (unit, shows) in PANELS.items():
-        figure, axes = pyplot.subplots(down, ACROSS, figsize=(3.6 * ACROSS, 3.2 * down), squeeze=False)
+        figure, axes = pyplot.subplots(
+            down, ACROSS, figsize=(3.6 * ACROSS, 3.2 * down), squeeze=False
+        )
         for axis in axes.flat[len(swept) :]:
             axis.set_axis_off()
         for axis, (by, points) in zip(axes.flat, swept, strict=False):
--- a/benchmarks/scale_hollow.py
+++ b/benchmarks/scale_hollow.py
@@ -1,10 +1,12 @@
-"""Hollow limiters and servers: the real wire, sessions, news, heartbeats and counts, but no traffic path.
-
-Many in one process (`python -m benchmarks.scale_hollow`, started by `scale_run`). A hollow limiter is the
-proxy's own `Sessions`, `InstanceView`, `SharedClock`, `Told` and counting, on a `Sockets` of its own, so with
-connections of its own; it has no listener, no module and no request. A hollow server is its heartbeats by
-HTTP/1.1 on a connection that it keeps. Orders come as lines of JSON on standard input and are answered on
-standard output; the process ends with its input. Besides, servers that answer at once, and clients.
+"""Hollow limiters and servers: the real wire, sessions, news, heartbeats and counts, but no traffic
+path.
+
+Many in one process (`python -m benchmarks.scale_hollow`, started by `scale_run`). A hollow limiter
+is the proxy's own `Sessions`, `InstanceView`, `SharedClock`, `Told` and counting, on a `Sockets` of
+its own, so with connections of its own; it has no listener, no module and no request. A hollow
+server is its heartbeats by HTTP/1.1 on a connection that it keeps. Orders come as lines of JSON on
+standard input and are answered on standard output; the process ends with its input. Besides,
+servers that answer at once, and clients.
 """
 
 from __future__ import annotations
@@ -43,7 +45,8 @@
 
 
 class Wire:
-    """Messages and bytes of this process's hollow limiters, by operation; frames, without TCP's own."""
+    """Messages and bytes of this process's hollow limiters, by operation; frames, without TCP's
+    own."""
 
     def __init__(self) -> None:
         self.calls: Counter[str] = Counter()
@@ -52,9 +55,11 @@
 
     def figures(self) -> Figures:
         return {
-            "calls": dict(self.calls), "failed": dict(self.failed), "bytes_out": self.bytes_out,
+            "calls": dict(self.calls),
+            "failed": dict(self.failed),
+            "bytes_out": self.bytes_out,
             "bytes_in": self.bytes_in,
-        }  # fmt: skip
+        }
 
 
 class CountedLine(sockets.Line):
@@ -158,7 +163,8 @@
 
 
 class Seen:
-    """When the limiters of this process had what; times by the machine's steady clock, which all share."""
+    """When the limiters of this process had what; times by the machine's steady clock, which all
+    share."""
 
     def __init__(self) -> None:
         self.servers = 0  # that a limiter must know to be whole
@@ -178,7 +184,8 @@
             self.gone_at[id_].append(time.monotonic())
 
     def look(self, limiter: HollowLimiter) -> None:
-        """Notes when a limiter has the configuration, all servers, and that these are the newest."""
+        """Notes when a limiter has the configuration, all servers, and that these are the
+        newest."""
         known = limiter.sure and limiter.sessions.version >= self.version
         if limiter not in self.whole and known and len(limiter.served) >= self.servers:
             self.whole[limiter] = time.monotonic()
@@ -195,7 +202,8 @@
 
 
 class HollowServer:
-    """One server: its heartbeats. Calls go to the next registry where one fails, as the protocol has it."""
+    """One server: its heartbeats. Calls go to the next registry where one fails, as the protocol
+    has it."""
 
     def __init__(
         self, n: int, service: str, zone: str, place: str, controls: list[Address], every: float
@@ -224,11 +232,14 @@
             {
                 "address": self.place,
                 "information": {
-                    "service_name": self.service, "version": "v1", "zone": self.zone, "capacity_slots": 2,
+                    "service_name": self.service,
+                    "version": "v1",
+                    "zone": self.zone,
+                    "capacity_slots": 2,
                 },
                 "status": {"state": self.state, "sequence": self.sequence, "cold_remaining": "0ms"},
             }
-        ).encode()  # fmt: skip
+        ).encode()
         for _ in range(3):
             try:
                 async with asyncio.timeout(SERVER_WAITS):
@@ -265,7 +276,8 @@
 
 
 async def origin(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A server's end of one connection: each request is answered at once, as the protocol has it."""
+    """A server's end of one connection: each request is answered at once, as the protocol has
+    it."""
     body = b"x" * 400
     try:
         while True:
@@ -273,9 +285,11 @@
             at = head.lower().find(b"loomstand-request-id:")
             id_ = head[at + 21 : head.find(b"\r", at)].strip() if at >= 0 else b"none"
             writer.write(
-                b"HTTP/1.1 200 OK\r\nLoomstand-Request-Id: " + id_
-                + b"\r\nLoomstand-Response-Stamp: 1.2.3\r\nContent-Length: 400\r\n\r\n" + body
-            )  # fmt: skip
+                b"HTTP/1.1 200 OK\r\nLoomstand-Request-Id: "
+                + id_
+                + b"\r\nLoomstand-Response-Stamp: 1.2.3\r\nContent-Length: 400\r\n\r\n"
+                + body
+            )
     except (OSError, asyncio.IncompleteReadError):
         writer.close()
 
@@ -345,7 +359,8 @@
     async def do_limiters(
         self, settings: str, first: int, many: int, spread: float, servers: int, version: int
     ) -> Figures:
-        """Starts limiters, by chance over `spread` seconds; whole once they know so many servers."""
+        """Starts limiters, by chance over `spread` seconds; whole once they know so many
+        servers."""
         self.rng = Random(first)
         known, self.seen.servers, self.seen.version = parse(settings), servers, version
         for n in range(first, first + many):
@@ -356,20 +371,30 @@
         return {}
 
     async def do_servers(
-        self, first: int, many: int, services: int, zones: list[str], controls: list[list[Any]],
-        every: float, spread: float, places: list[str] | None = None,
-    ) -> Figures:  # fmt: skip
+        self,
+        first: int,
+        many: int,
+        services: int,
+        zones: list[str],
+        controls: list[list[Any]],
+        every: float,
+        spread: float,
+        places: list[str] | None = None,
+    ) -> Figures:
         where = [(str(ip), int(port)) for ip, port in controls]
         for n in range(first, first + many):
             place = address_text((f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}", 8080))
             place = places[n - first] if places else place
-            server = HollowServer(n, f"service-{n % services}", zones[n % len(zones)], place, where, every)
+            server = HollowServer(
+                n, f"service-{n % services}", zones[n % len(zones)], place, where, every
+            )
             self.servers[server.id] = server
             server.start(self.rng.uniform(0, spread))
         return {}
 
     async def do_counts(self, rate: float, tenants: int) -> Figures:
-        """Steps a second and limiter from now on, of tenants of which a few are large; 0 ends them."""
+        """Steps a second and limiter from now on, of tenants of which a few are large; 0 ends
+        them."""
         if self.steps is not None:
             self.steps.cancel()
             self.steps = None
@@ -404,8 +429,8 @@
     async def do_load(
         self, ip: str, port: int, rate: float, seconds: float, routes: int, tenants: int, seed: int
     ) -> Figures:
-        """Requests at a rate, whatever comes back, on kept connections: statuses, and times in ms from when
-        each was due."""
+        """Requests at a rate, whatever comes back, on kept connections: statuses, and times in ms
+        from when each was due."""
         load = Load((ip, port), routes, tenants, Random(seed))
         return await load.run(rate, seconds)
 
@@ -434,21 +459,25 @@
         use, seen = resource.getrusage(resource.RUSAGE_SELF), self.seen
         passed = sum(limiter.counts["passed"] for limiter in self.limiters)
         said = self.wire.figures() | {
-            "limiters": len(self.limiters), "servers": len(self.servers),
+            "limiters": len(self.limiters),
+            "servers": len(self.servers),
             "whole": sorted(at - limiter.begun for limiter, at in seen.whole.items()),
-            "whole_at": sorted(seen.whole.values()), "passed_at": seen.passed_at,
+            "whole_at": sorted(seen.whole.values()),
+            "passed_at": seen.passed_at,
             "forced": {str(version): sorted(at) for version, at in seen.forced_at.items()},
             "gone": {id_: sorted(at) for id_, at in seen.gone_at.items()},
             "known": sum(len(limiter.served) for limiter in self.limiters),
             "standing": sum(len(limiter.sessions.standing) for limiter in self.limiters),
             "fleet": max((limiter.fleet[1] for limiter in self.limiters), default=0),
-            "counted": passed, "uncounted": sum(limiter.counts["failed"] for limiter in self.limiters),
-            "count_ms": seen.counts[:20_000], "size": seen.size,
+            "counted": passed,
+            "uncounted": sum(limiter.counts["failed"] for limiter in self.limiters),
+            "count_ms": seen.counts[:20_000],
+            "size": seen.size,
             "beats": sum(server.acked for server in self.servers.values()),
             "beats_failed": sum(server.failed for server in self.servers.values()),
             "opened": sum(server.opened for server in self.servers.values()),
             "cpu": [use.ru_utime, use.ru_stime],
-        }  # fmt: skip
+        }
         if clear:
             seen.counts.clear()
             seen.forced_at.clear()
--- a/benchmarks/scale_role.py
+++ b/benchmarks/scale_role.py
@@ -1,8 +1,10 @@
-"""One real program of the system, with its messages counted: `python -m benchmarks.scale_role PROGRAM FILE`.
+"""One real program of the system, with its messages counted: `python -m benchmarks.scale_role
+PROGRAM FILE`.
 
-The program runs unchanged by its own `__main__`. Counted are the calls that it makes and takes by operation,
-and the bytes of frames and of calls from outside; at SIGUSR1 they are written to FILE as JSON, at once and
-whole. With `--profile STATS` the program's work is profiled (`cProfile`), and its times are no measure then.
+The program runs unchanged by its own `__main__`. Counted are the calls that it makes and takes by
+operation, and the bytes of frames and of calls from outside; at SIGUSR1 they are written to FILE as
+JSON, at once and whole. With `--profile STATS` the program's work is profiled (`cProfile`), and its
+times are no measure then.
 """
 
 from __future__ import annotations
@@ -28,8 +30,11 @@
 def counted() -> None:
     """Puts the counts between the program and its network."""
     pack, received, answer, serve = (
-        sockets.pack, sockets.Line.data_received, sockets.Line.answer, Outside.serve,
-    )  # fmt: skip
+        sockets.pack,
+        sockets.Line.data_received,
+        sockets.Line.answer,
+        Outside.serve,
+    )
 
     def packed(item: list[Any]) -> bytes:
         raw = pack(item)
@@ -62,7 +67,8 @@
         use = resource.getrusage(resource.RUSAGE_SELF)  # finer than the ticks that others see
         with open(out + ".new", "w", encoding="utf-8") as file:
             json.dump(
-                {"taken": taken, "made": made, "bytes": size, "cpu": [use.ru_utime, use.ru_stime]}, file
+                {"taken": taken, "made": made, "bytes": size, "cpu": [use.ru_utime, use.ru_stime]},
+                file,
             )
         os.replace(out + ".new", out)
 
@@ -70,11 +76,15 @@
     counted()
     sys.argv = [f"loomstand.{program}"]
     if more[:1] != ["--profile"]:
-        runpy.run_module(f"loomstand.{program}.__main__", run_name="loomstand_main", alter_sys=False)
+        runpy.run_module(
+            f"loomstand.{program}.__main__", run_name="loomstand_main", alter_sys=False
+        )
         return
     profile = cProfile.Profile()
     try:
-        profile.runcall(runpy.run_module, f"loomstand.{program}.__main__", run_name="loomstand_main")
+        profile.runcall(
+            runpy.run_module, f"loomstand.{program}.__main__", run_name="loomstand_main"
+        )
     finally:
         profile.dump_stats(more[1])
 
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -1,13 +1,15 @@
 """What the system costs at a size, by real processes on loopback: `python -m benchmarks.scale_run`.
 
-Real registries, stores and proxies beside hollow limiters and servers (`scale_hollow`). Each size is measured
-at rest, while limiters count, and while the configuration changes; then come drains, the loss of the primary
-store, the loss of the registry that counts, and a cold start of the whole core (`scale_measure`). One figure
-of the size is swept at a time. The run says beforehand what it needs and refuses what is beyond a limit.
-
-    python -m benchmarks.scale_run --sweep limiters=30,100,300 --sweep servers=60,300,1000 --out scale.json
-    python -m benchmarks.scale_run --sweep limiters=3000 --need          # only what it would need
-    python -m benchmarks.scale_run --read a.json b.json --plots docs     # slopes and plots of earlier runs
+Real registries, stores and proxies beside hollow limiters and servers (`scale_hollow`). Each size
+is measured at rest, while limiters count, and while the configuration changes; then come drains,
+the loss of the primary store, the loss of the registry that counts, and a cold start of the whole
+core (`scale_measure`). One figure of the size is swept at a time. The run says beforehand what it
+needs and refuses what is beyond a limit.
+
+    python -m benchmarks.scale_run --sweep limiters=30,100,300 --sweep servers=60,300,1000 --out
+    scale.json python -m benchmarks.scale_run --sweep limiters=3000 --need          # only what it
+    would need python -m benchmarks.scale_run --read a.json b.json --plots docs     # slopes and
+    plots of earlier runs
 """
 
 from __future__ import annotations
@@ -61,10 +63,15 @@
         for role in ("proxy", "registry", "counter", "store", "primary", "hollow", "keeper"):
             row(f"{window}: {role}, ms/s user+kernel", lambda one, w=window, r=role: cpu(one, w, r))
         for role in ("registry", "counter"):
-            row(f"{window}: {role}, messages/s in", lambda one, w=window, r=role: round(one[w][r]["taken"]))
+            row(
+                f"{window}: {role}, messages/s in",
+                lambda one, w=window, r=role: round(one[w][r]["taken"]),
+            )
             row(
                 f"{window}: {role}, kB/s in, out",
-                lambda one, w=window, r=role: f"{one[w][r]['kb_in']:.1f}, {one[w][r]['kb_out']:.1f}",
+                lambda one, w=window, r=role: (
+                    f"{one[w][r]['kb_in']:.1f}, {one[w][r]['kb_out']:.1f}"
+                ),
             )
         row(
             f"{window}: limiter, kB/s",
@@ -81,16 +88,20 @@
     for role in ("proxy", "registry", "store"):
         row(
             f"{role}, MB resident",
-            lambda one, r=role: round(one["counting" if "counting" in one else "rest"][r]["resident_mb"]),
+            lambda one, r=role: round(
+                one["counting" if "counting" in one else "rest"][r]["resident_mb"]
+            ),
         )
 
     def spread(at: Figures) -> str:
-        return f"{at['median']:.0f} {at['p99']:.0f} {at['worst']:.0f} ({at['n']}/{at.get('of', at['n'])})"
+        times = f"{at['median']:.0f} {at['p99']:.0f} {at['worst']:.0f}"
+        return f"{times} ({at['n']}/{at.get('of', at['n'])})"
 
     def requests(one: Figures) -> str:
         return "; ".join(
             f"{r['rate']:g}: {r['through']['median'] - r['straight']['median']:.1f} "
-            f"{r['through']['p99'] - r['straight']['p99']:.1f}; {r['user_ms']:.2f}+{r['kernel_ms']:.2f}"
+            f"{r['through']['p99'] - r['straight']['p99']:.1f}; "
+            f"{r['user_ms']:.2f}+{r['kernel_ms']:.2f}"
             for r in one["requests"]
         )
 
@@ -145,31 +156,51 @@
 def shown(told: Figures, console: Console) -> None:
     for name, points in told["sweeps"].items():
         console.print(table([one for one in points if one], name))
-    lines = Table("what", "by", "a unit", "at none", "fit off by, %", "last step / first", title="slopes")
+    lines = Table(
+        "what", "by", "a unit", "at none", "fit off by, %", "last step / first", title="slopes"
+    )
     for slope in slopes(told["sweeps"]):
         lines.add_row(
-            slope.what, slope.by, f"{slope.slope:.4g}", f"{slope.start:.4g}", f"{100 * slope.off:.0f}",
+            slope.what,
+            slope.by,
+            f"{slope.slope:.4g}",
+            f"{slope.start:.4g}",
+            f"{100 * slope.off:.0f}",
             f"{slope.bend:.2f}",
-        )  # fmt: skip
+        )
     console.print(lines)
 
 
 def main(arguments: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawTextHelpFormatter
+    )
     parser.add_argument(
         "--sweep", type=asked, action="append", help="a figure and its values: limiters=30,100"
     )
-    parser.add_argument("--base", type=asked, action="append", help="a figure that isn't swept: servers=60")
+    parser.add_argument(
+        "--base", type=asked, action="append", help="a figure that isn't swept: servers=60"
+    )
     parser.add_argument("--cores", type=int, default=3)
     parser.add_argument("--proxies", type=int, default=2, help="real ones")
     parser.add_argument("--seconds", type=float, default=4.0, help="of each window")
-    parser.add_argument("--memory", type=float, help="MB at the most; half of the machine's if not given")
-    parser.add_argument("--requests", type=float, nargs="+", help="rates a second through a real proxy")
-    parser.add_argument("--no-events", action="store_true", help="only the windows at rest and counting")
-    parser.add_argument("--profile", choices=("registry", "store", "proxy"), help="the first one of a role")
+    parser.add_argument(
+        "--memory", type=float, help="MB at the most; half of the machine's if not given"
+    )
+    parser.add_argument(
+        "--requests", type=float, nargs="+", help="rates a second through a real proxy"
+    )
+    parser.add_argument(
+        "--no-events", action="store_true", help="only the windows at rest and counting"
+    )
+    parser.add_argument(
+        "--profile", choices=("registry", "store", "proxy"), help="the first one of a role"
+    )
     parser.add_argument("--need", action="store_true", help="only say what it would need")
     parser.add_argument("--out", type=Path, help="a file for all figures, as JSON")
-    parser.add_argument("--read", type=Path, nargs="+", help="files of earlier runs, instead of a run")
+    parser.add_argument(
+        "--read", type=Path, nargs="+", help="files of earlier runs, instead of a run"
+    )
     parser.add_argument("--plots", type=Path, help="a folder for the plots")
     args = parser.parse_args(arguments)
     console = Console(width=max(120, Console().width))
@@ -199,11 +230,18 @@
     for name, values in args.base or ():
         base = at(base, name, values[0])
     sizes = [
-        (name, at(base, name, v)) for name, values in args.sweep or [("limiters", [30.0])] for v in values
+        (name, at(base, name, v))
+        for name, values in args.sweep or [("limiters", [30.0])]
+        for v in values
     ]
     limits = Limits.of_machine(args.memory)
     wants = Table(
-        "size", "processes", "memory, MB", "descriptors of one", title="needed", title_justify="left"
+        "size",
+        "processes",
+        "memory, MB",
+        "descriptors of one",
+        title="needed",
+        title_justify="left",
     )
     for name, size in sizes:
         one = need(size)
@@ -213,16 +251,19 @@
         )
     console.print(wants)
     console.print(
-        f"limits: {limits.processes} processes, {limits.memory_mb:.0f} MB, {limits.descriptors} descriptors"
+        f"limits: {limits.processes} processes, {limits.memory_mb:.0f} MB, {limits.descriptors} "
+        "descriptors"
     )
     for _, size in sizes:
         limits.check(size)
     if args.need:
         return None
     machine = {
-        "python": platform.python_version(), "processors": os.cpu_count(), "load_before": os.getloadavg(),
+        "python": platform.python_version(),
+        "processors": os.cpu_count(),
+        "load_before": os.getloadavg(),
         "memory_mb": round(psutil.virtual_memory().total / 1e6),
-    }  # fmt: skip
+    }
     told: Figures = {"machine": machine, "sweeps": {}}
     columns = SpinnerColumn(), TextColumn("{task.description}"), TimeElapsedColumn()
     with Progress(*columns, console=console, disable=not console.is_terminal) as progress:
@@ -234,15 +275,24 @@
                 progress.update(task, description=f"{title}: {text}")
 
             work = measure(
-                size, limits, args.seconds, say, not args.no_events, args.profile or "",
+                size,
+                limits,
+                args.seconds,
+                say,
+                not args.no_events,
+                args.profile or "",
                 rates=tuple(args.requests or ()),
-            )  # fmt: skip
+            )
             found = asyncio.run(signalled(work))
             found["load"] = os.getloadavg()
             told["sweeps"].setdefault(name, []).append(found)
-            progress.update(task, description=f"{title}: {found.get('failed', 'done')}", completed=1, total=1)
+            progress.update(
+                task, description=f"{title}: {found.get('failed', 'done')}", completed=1, total=1
+            )
             if not console.is_terminal:
-                console.print(f"{title}: {found.get('failed', 'done')}, {found['took_s']} s", markup=False)
+                console.print(
+                    f"{title}: {found.get('failed', 'done')}, {found['took_s']} s", markup=False
+                )
             if args.out:  # after each size: a run that is stopped has what it measured
                 args.out.write_text(json.dumps(told, indent=1) + "\n")
     if args.profile:
@@ -252,7 +302,8 @@
 
 
 async def signalled(work: Any) -> Figures:
-    """The work, called off at SIGINT or SIGTERM: it ends what it started, then KeyboardInterrupt."""
+    """The work, called off at SIGINT or SIGTERM: it ends what it started, then
+    KeyboardInterrupt."""
     loop, task = asyncio.get_running_loop(), asyncio.ensure_future(work)
     for sig in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(sig, task.cancel)
--- a/benchmarks/scale_target.py
+++ b/benchmarks/scale_target.py
@@ -1,9 +1,11 @@
 """What today's ways come to at other sizes, from the slopes of scale runs.
 
-    python -m benchmarks.scale_target limiters.json servers.json routes.json tenants.json counts.json
+    python -m benchmarks.scale_target limiters.json servers.json routes.json tenants.json
+    counts.json
 
-Figures are computed, not measured: a slope times a count. Each slope is the least squares of one sweep; what
-a unit is (an ask, a heartbeat, a count, a route in a change) follows from the rates that the sweep had.
+Figures are computed, not measured: a slope times a count. Each slope is the least squares of one
+sweep; what a unit is (an ask, a heartbeat, a count, a route in a change) follows from the rates
+that the sweep had.
 """
 
 from __future__ import annotations
@@ -20,12 +22,13 @@
 ASK, BEAT = 0.6, 1.5  # s between a limiter's askings of a registry, and a server's heartbeats
 # Counts of a request (`system_scale 150`), and kB of a row as it goes to a limiter.
 COUNTS_A_REQUEST, ROW_KB = 1.48, 0.08
-# us of a heartbeat that another registry tells of, at both together: coded, decoded, `InstanceTable.alive`;
-# 50 times 3,000 of them in one process.
+# us of a heartbeat that another registry tells of, at both together: coded, decoded,
+# `InstanceTable.alive`; 50 times 3,000 of them in one process.
 TOLD_US = 4.4
 RESTARTS, CHANGES_A_DAY = 27_000, 37_000
 # The ways of docs/CAPACITY.md. Measured: us of one entry of a batch of counts (`Counters.add` and
-# `QuotaBuckets.counted`, 200,000 of them among 5,000 tenants). The rest is decided or assumed there.
+# `QuotaBuckets.counted`, 200,000 of them among 5,000 tenants). The rest is decided or assumed
+# there.
 ENTRY_US, ENTRY_KB = 1.95, 0.010
 REGIONS, SESSIONS, CONTROL_A_REGION = 7, 2, 3
 BATCH = 0.25  # s between a limiter's batches to each counter of its region
@@ -57,7 +60,9 @@
     """A system of so many limiters, made up as the target is."""
     share = limiters / TARGET.limiters
     counts = [round(share * n) for n in (TARGET.servers, TARGET.routes, TARGET.tenants)]
-    return System(f"{limiters:,}", limiters, *counts, share * TARGET.requests, share * TARGET.changes, cores)
+    return System(
+        f"{limiters:,}", limiters, *counts, share * TARGET.requests, share * TARGET.changes, cores
+    )
 
 
 SYSTEMS = (
@@ -105,7 +110,9 @@
         asks = [one["rest"]["limiter"]["calls"]["ask"] for one in sweeps["limiters"]]
         last = sweeps["limiters"][-1]["rest"]
         got["limiter, ms an ask"] = last["hollow"]["each_ms"] / asks[-1]
-        got["limiter, kB an ask"] = (last["limiter"]["kb_in"] + last["limiter"]["kb_out"]) / asks[-1]
+        got["limiter, kB an ask"] = (last["limiter"]["kb_in"] + last["limiter"]["kb_out"]) / asks[
+            -1
+        ]
         got["proxy, ms with 3 registries"] = line("servers", cpu("rest", "proxy"))[1]
         cores = sweeps["servers"][0]["size"]["cores"]
         each = line("servers", cpu("rest", "registry"))[0]
@@ -120,20 +127,32 @@
         for by in ("routes", "tenants"):
             rate = np.mean([changed(one) for one in sweeps[by]])
             for role in ("proxy", "registry", "store", "primary"):
-                got[f"{role}, us of {by} a change"] = 1000 * line(by, cpu("changing", role))[0] / rate
+                got[f"{role}, us of {by} a change"] = (
+                    1000 * line(by, cpu("changing", role))[0] / rate
+                )
             got[f"bytes of {by}"] = line(by, lambda one: one["configuration bytes"])[0]
-            got[f"ms to force of {by}, worst"] = line(by, lambda one: one["change"]["in force"]["worst"])[0]
-        rates = lambda one: one["counting"]["counter"]["ops"]["count"]  # noqa: E731  one fetch of a figure
+            got[f"ms to force of {by}, worst"] = line(
+                by, lambda one: one["change"]["in force"]["worst"]
+            )[0]
+
+        def rates(one):
+            return one["counting"]["counter"]["ops"]["count"]
+
         got["counter, ms a count"] = line("counts", cpu("counting", "counter"), rates)[0]
-        limiter = lambda one: one["counting"]["limiter"]  # noqa: E731
+
+        def limiter(one):
+            return one["counting"]["limiter"]
+
         got["limiter, kB a count"] = line(
-            "counts", lambda one: limiter(one)["kb_in"] + limiter(one)["kb_out"],
+            "counts",
+            lambda one: limiter(one)["kb_in"] + limiter(one)["kb_out"],
             lambda one: limiter(one)["calls"]["count"],
-        )[0]  # fmt: skip
+        )[0]
         got["limiter, ms a count"] = line(
-            "counts", lambda one: one["counting"]["hollow"]["each_ms"],
+            "counts",
+            lambda one: one["counting"]["hollow"]["each_ms"],
             lambda one: limiter(one)["calls"]["count"],
-        )[0]  # fmt: skip
+        )[0]
         return Slopes(got)
 
 
@@ -186,7 +205,7 @@
         "store: MB resident": f"{memory('store'):,.0f}",
         "store: MB written a second at the primary": f"{body * at.changes:,.2f}",
         "change in force, worst ms, if there were 30 limiters": f"{force:,.0f}",
-    }  # fmt: skip
+    }
 
 
 def planned(s: Slopes) -> dict[str, float]:
@@ -212,22 +231,29 @@
         + 1.1 * requests * ENTRY_KB,
         "limiter: kB/s of changes": t.changes * (0.1 + HELD * chunk_kb),
         "limiter: kB/s of servers' rows, an ordinary day": SESSIONS * rows * ROW_KB,
-        "limiter: MB": s["proxy, MB with none"] + COLD_MB
+        "limiter: MB": s["proxy, MB with none"]
+        + COLD_MB
         + sum(s[f"proxy, kB memory of {by}"] * many / 1000 for by, many in WARM.items()),
         "registry: asks a second": region * asks / machines,
         "registry: ms/s of asks": region * asks / machines * s["registry, ms an ask"],
         "registry: heartbeats a second": beats,
         "registry: ms/s of heartbeats": beats * s["registry, ms a heartbeat"],
         "registry: MB of rows": t.servers * s["registry, kB memory of servers"] / 1000,
-        "registry: MB/s of chunks to limiters": t.changes * HELD * region * chunk_kb / machines / 1000,
+        "registry: MB/s of chunks to limiters": t.changes
+        * HELD
+        * region
+        * chunk_kb
+        / machines
+        / 1000,
         "counter: batches a second": batches,
         "counter: entries a second": counted,
         "counter: ms/s": batches * s["counter, ms a count"] + counted * ENTRY_US / 1000,
         "store: kB written a change": 2 * chunk_kb + MANIFEST_KB,
-        "store: MB on disk": (s["bytes of routes"] * t.routes + s["bytes of tenants"] * t.tenants) / 1e6,
+        "store: MB on disk": (s["bytes of routes"] * t.routes + s["bytes of tenants"] * t.tenants)
+        / 1e6,
         "chunk of routes: kB": chunk_kb,
         "chunk of routes: ms to parse": parsed,
-    }  # fmt: skip
+    }
 
 
 def main() -> None:
--- a/benchmarks/sites_plot.py
+++ b/benchmarks/sites_plot.py
@@ -3,9 +3,8 @@
 for s in 1 2 3 4 5; do
     loomstand rehearse examples/rehearse/site-loss.toml --seed $s --out out/on$s
     loomstand rehearse examples/rehearse/site-loss.toml --seed $s --no-plan --out out/off$s
-done
-python -m benchmarks.sites_plot rig out docs/sites-rig.png
-python -m benchmarks.sites_plot lab docs/sites-lab.png     # ten runs at 1,000 limiters, some minutes
+done python -m benchmarks.sites_plot rig out docs/sites-rig.png python -m benchmarks.sites_plot lab
+docs/sites-lab.png     # ten runs at 1,000 limiters, some minutes
 """
 
 from __future__ import annotations
@@ -50,11 +49,15 @@
             print(
                 name,
                 (a, b),
-                "worth", [round(worth(r, a, b), 3) for r in reports],
-                "mean", round(mean(worth(r, a, b) for r in reports), 3),
-                "of best", round(mean(of_best(r, a, b) for r in reports), 3),
-                "fronts", [round(mean(worth(r, a, b, n) for r in reports), 3) for n in range(3)],
-            )  # fmt: skip
+                "worth",
+                [round(worth(r, a, b), 3) for r in reports],
+                "mean",
+                round(mean(worth(r, a, b) for r in reports), 3),
+                "of best",
+                round(mean(of_best(r, a, b) for r in reports), 3),
+                "fronts",
+                [round(mean(worth(r, a, b, n) for r in reports), 3) for n in range(3)],
+            )
         print(name, "worth 10 from 14 on", [round(worth(r, 14, 36, 2), 3) for r in reports])
         print(
             name,
@@ -63,7 +66,9 @@
             "ran again",
             [r["ran_again"] for r in reports],
         )
-        most = [[round(max(x[1] for x in rows[15:27])) for rows in r["zones"].values()] for r in reports]
+        most = [
+            [round(max(x[1] for x in rows[15:27])) for rows in r["zones"].values()] for r in reports
+        ]
         print(name, "rules", [r["held"] for r in reports], "most in hand", most)
         xs = range(36)
         for r in reports:
@@ -100,13 +105,21 @@
         sum(r[4] for r in rows[a:b]) / sum(r[5] for r in rows[a:b])
         for a, b in ((3, 8), (8, 11), (11, 16), (16, 24))
     ]
-    return {"load": load, "sited": sited, "G": played["runs"]["brain"]["G"], "spans": spans,
-            "rules": played["runs"]["brain"]["rules"]}  # fmt: skip
+    return {
+        "load": load,
+        "sited": sited,
+        "G": played["runs"]["brain"]["G"],
+        "spans": spans,
+        "rules": played["runs"]["brain"]["rules"],
+    }
 
 
 def lab(place: str) -> None:
     with ProcessPoolExecutor(4) as pool:
-        draw(list(pool.map(point, [(load, sited) for load in LOADS for sited in (False, True)])), place)
+        draw(
+            list(pool.map(point, [(load, sited) for load in LOADS for sited in (False, True)])),
+            place,
+        )
 
 
 def draw(points: list[dict], place: str) -> None:
--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -1,8 +1,10 @@
-"""The system's own traffic and work by the number of proxies, on the simulated network, without sockets.
+"""The system's own traffic and work by the number of proxies, on the simulated network, without
+sockets.
 
-Whole clusters of N proxies, four core machines, and servers and tenants in the proportion of the grown sites.
-Counted: calls and bytes (frames of cbor2, both ways, without TCP's own) that each program takes part in, by
-operation; processor time in each machine's own callbacks, coding of frames included, sockets not. By hand:
+Whole clusters of N proxies, four core machines, and servers and tenants in the proportion of the
+grown sites. Counted: calls and bytes (frames of cbor2, both ways, without TCP's own) that each
+program takes part in, by operation; processor time in each machine's own callbacks, coding of
+frames included, sockets not. By hand:
 
     python -m benchmarks.system_scale 8 20 75 150 --out /tmp/scale.json
 """
@@ -42,7 +44,8 @@
 
 @dataclass(slots=True)
 class Meter:
-    """What went on since the last `take`: by host, program and operation; and work by host, in seconds."""
+    """What went on since the last `take`: by host, program and operation; and work by host, in
+    seconds."""
 
     calls: Counter[tuple[str, str, str]] = field(default_factory=Counter)
     bytes: Counter[tuple[str, str, str]] = field(default_factory=Counter)
@@ -98,7 +101,10 @@
         meter.work[gate.life] += time.process_time() - begun
 
     stack = ExitStack()
-    for thing, name, new in ((MachineNetwork, "call", calling), (MachineNetwork, "listen", listening)):
+    for thing, name, new in (
+        (MachineNetwork, "call", calling),
+        (MachineNetwork, "listen", listening),
+    ):
         stack.enter_context(mock.patch.object(thing, name, new))
     stack.enter_context(mock.patch.object(simulation._Gate, "__call__", running))
     return stack
@@ -129,14 +135,16 @@
         name, method = rng.choice((("a", "GET"), ("b", "GET"), ("once", "POST")))
         key = rng.choices(keys, weights)[0]
         what = (method, "town.example", f"/{name}/x", key, b"" if method == "GET" else b"body" * 50)
-        tasks.append(town.loop.create_task(town.client.go(*what, idempotent=method == "GET", tries=1)))
+        tasks.append(
+            town.loop.create_task(town.client.go(*what, idempotent=method == "GET", tries=1))
+        )
         await asyncio.sleep(rng.expovariate(rate))
     return Counter(reply.status for reply in await asyncio.gather(*tasks))
 
 
 def looked(town: Cluster, meter: Meter, seconds: float, alone: bool = False) -> dict[str, Any]:
-    """Per second and machine: calls, bytes, work; `counter` is the registry that counts. Where `alone`, sums
-    for an event rather than rates."""
+    """Per second and machine: calls, bytes, work; `counter` is the registry that counts. Where
+    `alone`, sums for an event rather than rates."""
     counter = town.counting()
     rows: dict[str, Any] = {}
     groups: dict[str, tuple[str, list[str]]] = {
@@ -150,10 +158,19 @@
         many = len(hosts) * over
         ops = sorted({op for host, who, op in meter.calls if who == program and host in hosts})
         each = {
-            op: [round(sum(m[h, program, op] for h in hosts) / many, 2) for m in (meter.calls, meter.bytes)]
+            op: [
+                round(sum(m[h, program, op] for h in hosts) / many, 2)
+                for m in (meter.calls, meter.bytes)
+            ]
             for op in ops
         }
-        machines = town.proxies if label == "proxy" else town.stores if label == "store" else town.registries
+        machines = (
+            town.proxies
+            if label == "proxy"
+            else town.stores
+            if label == "store"
+            else town.registries
+        )
         lives = [machines[host].life for host in hosts]
         rows[label] = {
             "ops": each,
@@ -232,15 +249,26 @@
 
 def table(all_: list[dict[str, Any]]) -> str:
     lines = []
-    for phase in ("start", "idle", "loaded", "drain", "configuration", "proxy lost", "proxy back",
-                  "flap of a tenth", "all start"):  # fmt: skip
+    for phase in (
+        "start",
+        "idle",
+        "loaded",
+        "drain",
+        "configuration",
+        "proxy lost",
+        "proxy back",
+        "flap of a tenth",
+        "all start",
+    ):
         unit = "a second" if phase in ("idle", "loaded") else "in all, a machine"
         lines.append(f"\n{phase} ({unit}): calls / kB / ms of work")
         for program in ("proxy", "registry", "counter", "store"):
             cells = []
             for said in all_:
                 row = said[phase][program]
-                cells.append(f"{row['calls']:8.1f} {row['bytes'] / 1000:8.1f} {row['work_ms']:8.1f}")
+                cells.append(
+                    f"{row['calls']:8.1f} {row['bytes'] / 1000:8.1f} {row['work_ms']:8.1f}"
+                )
             lines.append(f"  {program:8} " + " |".join(cells))
             if phase in ("idle", "loaded"):
                 for op in sorted({op for said in all_ for op in said[phase][program]["ops"]}):
@@ -251,9 +279,13 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawTextHelpFormatter
+    )
     parser.add_argument("proxies", type=int, nargs="*", default=[8, 20, 75, 150])
-    parser.add_argument("--seconds", type=float, default=5.0, help="of simulated time, idle and loaded")
+    parser.add_argument(
+        "--seconds", type=float, default=5.0, help="of simulated time, idle and loaded"
+    )
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--out", type=Path, help="a file for all figures, as JSON")
     args = parser.parse_args()
@@ -262,10 +294,13 @@
     for n in args.proxies:
         all_.append(said := measure(n, args.seconds, args.seed))
         asks = n / ASK
-        print(f"N {n}, M {said['M']}, T {said['T']}: took {said['took']} s; asks a registry N/{ASK} = "
-              f"{asks:.0f} a second, a proxy {CORES / ASK:.1f}; beats a core M/{1.5 * CORES} = "
-              f"{said['M'] / 1.5 / CORES:.1f}; sizes {said['sizes']}; {said['loaded']['replies']}",
-              flush=True)  # fmt: skip
+        print(
+            f"N {n}, M {said['M']}, T {said['T']}: took {said['took']} s; asks a registry N/{ASK} "
+            "= "
+            f"{asks:.0f} a second, a proxy {CORES / ASK:.1f}; beats a core M/{1.5 * CORES} = "
+            f"{said['M'] / 1.5 / CORES:.1f}; sizes {said['sizes']}; {said['loaded']['replies']}",
+            flush=True,
+        )
     print(table(all_))
     if args.out:
         args.out.write_text(json.dumps(all_, indent=1) + "\n")
--- a/loomstand/actors.py
+++ b/loomstand/actors.py
@@ -1,5 +1,5 @@
-"""Parts that change each other by notes alone, the loop that hands the notes out, and plain records and
-counts for them. Nothing here decides."""
+"""Parts that change each other by notes alone, the loop that hands the notes out, and plain records
+and counts for them. Nothing here decides."""
 
 from __future__ import annotations
 
@@ -52,7 +52,8 @@
 
 
 class Counting(Protocol):
-    """What calls to the counter are made for: `report` adds its use, `counted` gets a total or none."""
+    """What calls to the counter are made for: `report` adds its use, `counted` gets a total or
+    none."""
 
     digest: int
     length: int
@@ -63,7 +64,8 @@
 
 @dataclass(slots=True, eq=False)
 class Job(Generic[A]):
-    """A req that is owed its answer, or whose dispatches are still out; `A` is the account's type."""
+    """A req that is owed its answer, or whose dispatches are still out; `A` is the account's
+    type."""
 
     note: api.Arrived
     account: A
--- a/loomstand/adapter/__main__.py
+++ b/loomstand/adapter/__main__.py
@@ -49,7 +49,10 @@
             case w.Inbound():
                 customer = self.customers.get(ev.user_key)
                 if customer is None:
-                    customer = self.customers[ev.user_key] = len(self.customers), digest(ev.user_key)
+                    customer = self.customers[ev.user_key] = (
+                        len(self.customers),
+                        digest(ev.user_key),
+                    )
                 plan = self.plans.index.get(ev.terms, -1)
                 return i.Arrived(
                     ev.txn,
@@ -108,7 +111,12 @@
         match act:
             case i.Dispatch():
                 server = self.servers.names[act.srv]
-                said = {"op": "attempt", "txn": act.req, "server": server, "expire_at": act.expire / 10}
+                said = {
+                    "op": "attempt",
+                    "txn": act.req,
+                    "server": server,
+                    "expire_at": act.expire / 10,
+                }
             case i.Deny():
                 said = {"op": "overload_reply", "txn": act.req, "wait": act.wait / 10}
             case i.Abort():
@@ -118,7 +126,12 @@
             case i.Wake():
                 said = {"op": "wake_me", "after": act.after / 10, "tag": act.tag}
             case i.Count():
-                said = {"op": "bump", "step": act.step, "cname": act.name, "keep_for": act.keep / 10}
+                said = {
+                    "op": "bump",
+                    "step": act.step,
+                    "cname": act.name,
+                    "keep_for": act.keep / 10,
+                }
             case i.Probe():
                 said = {"op": "poll", "server": self.servers.names[act.srv]}
             case i.Log():
--- a/loomstand/almanac/draw.py
+++ b/loomstand/almanac/draw.py
@@ -12,15 +12,17 @@
 from loomstand.almanac import dense
 from loomstand.almanac.site import FOR_S, Site, Trouble, hundredths, span
 
-# How strong troubles are beside the site's own figures. Standing days go from 0.6 of them (scale_in) to 1.8
-# (node_cut); the outer two with the spread below span the same.
+# How strong troubles are beside the site's own figures. Standing days go from 0.6 of them
+# (scale_in) to 1.8 (node_cut); the outer two with the spread below span the same.
 SEVERITY = {"mild": 0.6, "usual": 1.0, "harsh": 1.5}
 SPREAD = 0.2  # of a figure, to both sides
 # Troubles of one day. Standing days hold 5 to 11, some of them changes that ask for nothing.
 SIZE = {"mild": 4, "usual": 6, "harsh": 8}
-TRIES = 20  # mixes tried for a day: on the four sites a fortieth fewer days than one try; 60 spare no more
+# mixes tried for a day: on the four sites a fortieth fewer days than one try; 60 spare no more
+TRIES = 20
 MOST_SHARE = 0.9  # of things that a trouble strikes, unless the site itself says more
-EDGE = 4  # a meeting keeps off this part of the time for faults at both ends, else all begin or end at once
+# a meeting keeps off this part of the time for faults at both ends, else all begin or end at once
+EDGE = 4
 DENSE_DAYS = 10  # unless a number is wished
 LEAST = 10  # hundredths of a second; a shorter trouble would be none
 
@@ -60,8 +62,10 @@
     def met(self) -> set[Pair]:
         """Kinds whose troubles overlap in time, each pair in the order of the alphabet."""
         return {
-            pair(a.trouble.kind, b.trouble.kind) for a, b in combinations(self.placed, 2) if a.meets(b)
-        }  # fmt: skip
+            pair(a.trouble.kind, b.trouble.kind)
+            for a, b in combinations(self.placed, 2)
+            if a.meets(b)
+        }
 
 
 def pair(a: str, b: str) -> Pair:
@@ -94,7 +98,9 @@
         together = covering or rng.random() < 0.5
         meeting = rng.randint(site.lead + edge, site.quiet - edge) if together else None
         factor = SEVERITY[wish.severity]
-        placed = [_place(site, _varied(site, next(ways[kind]), factor, rng), meeting, rng) for kind in mix]
+        placed = [
+            _place(site, _varied(site, next(ways[kind]), factor, rng), meeting, rng) for kind in mix
+        ]
         placed.sort(key=lambda p: (p.at, p.trouble.kind))
         name = f"{site.name}-{wish.severity}-{wish.seed}-{len(days) + 1:02d}"
         base = next(bases)
@@ -103,8 +109,8 @@
     return days
 
 
-# Draws of a dense day until it has several troubles at once, half as many meetings as troubles: 2 first draws
-# of 5,436 hadn't. A few kinds that are short may never.
+# Draws of a dense day until it has several troubles at once, half as many meetings as troubles: 2
+# first draws of 5,436 hadn't. A few kinds that are short may never.
 DRAWS = 20
 
 
@@ -121,13 +127,15 @@
         name = f"{site.name}-{wish.dense}-{wish.severity}-{wish.seed}-{n + 1:02d}"
         base, closing = next(bases), dense.closing(next(closings), rng)
         fields = _fields(base, name, placed, closing, wish.load, rng)
-        days.append(Drawn(name, base["name"], None, tuple(placed), fields | {"length_s": float(length)}))
+        days.append(
+            Drawn(name, base["name"], None, tuple(placed), fields | {"length_s": float(length)})
+        )
     return days
 
 
 def mixes(kinds: list[str], size: int, rng: Random) -> Iterator[tuple[bool, tuple[str, ...]]]:
-    """Without end: whether the mix has pairs that no mix before had, and its kinds. First, greedily, until
-    every two kinds have been in one mix; then by lot."""
+    """Without end: whether the mix has pairs that no mix before had, and its kinds. First,
+    greedily, until every two kinds have been in one mix; then by lot."""
     size = min(size, len(kinds))
     still = {pair(*two) for two in combinations(kinds, 2)}
     while still:
@@ -142,7 +150,8 @@
 
 
 def _greedy(kinds: list[str], size: int, still: set[Pair], rng: Random) -> tuple[str, ...]:
-    """Begins with the kind that has most pairs to go; then adds the one with most among those taken."""
+    """Begins with the kind that has most pairs to go; then adds the one with most among those
+    taken."""
     left = rng.sample(kinds, len(kinds))  # ties fall by lot
     mix = [max(left, key=lambda kind: sum(kind in two for two in still))]
     while len(mix) < size:
@@ -162,7 +171,8 @@
 
 
 def _varied(site: Site, trouble: Trouble, factor: float, rng: Random) -> Trouble:
-    """The trouble with its figures by severity, short enough to fit between the lead and the end."""
+    """The trouble with its figures by severity, short enough to fit between the lead and the
+    end."""
     fields = dict(trouble.fields)
     by_steps = trouble.planned and "gap_s" in fields  # then x is so many at a time, count so many
     for key in sorted(fields.keys() & {"share", "x", "for_s", "gap_s", "count"}):
@@ -223,5 +233,7 @@
             if p.trouble.planned == (where == "plan")
         ]
     if "traffic" in base:
-        day["traffic"] = [line | {"per_s": _short(line["per_s"] * load)} for line in base["traffic"]]
+        day["traffic"] = [
+            line | {"per_s": _short(line["per_s"] * load)} for line in base["traffic"]
+        ]
     return day
--- a/loomstand/almanac/entry.py
+++ b/loomstand/almanac/entry.py
@@ -85,10 +85,15 @@
         raise EntryError("damaged: at or argv")
     site = told.get("site") or ", ".join(sorted({str(day.get("site", "unknown")) for day in days}))
     return Entry(
-        _text(told, "id"), str(at[0]), _text(told, "cmd"), str(site), str(told.get("why") or ""),
+        _text(told, "id"),
+        str(at[0]),
+        _text(told, "cmd"),
+        str(site),
+        str(told.get("why") or ""),
         None if told.get("score") is None else _figure(told["score"], "score"),
-        tuple(map(str, argv)), tuple(_day(day, f"days[{n}]") for n, day in enumerate(days)),
-    )  # fmt: skip
+        tuple(map(str, argv)),
+        tuple(_day(day, f"days[{n}]") for n, day in enumerate(days)),
+    )
 
 
 def _day(told: dict[str, Any], place: str) -> Day:
@@ -99,17 +104,26 @@
     if not isinstance(rules, dict) or not isinstance(told.get("gate"), bool):
         raise EntryError(f"damaged: {place}: rules or gate")
     return Day(
-        _text(told, "name", place), str(told.get("day", "")), _text(told, "slot", place),
+        _text(told, "name", place),
+        str(told.get("day", "")),
+        _text(told, "slot", place),
         None if told.get("seed") is None else int(figure("seed")),
-        figure("score"), figure("G"), figure("naive"), figure("top"), told["gate"],
-        figure("served"), figure("refused"), figure("failed"),
+        figure("score"),
+        figure("G"),
+        figure("naive"),
+        figure("top"),
+        told["gate"],
+        figure("served"),
+        figure("refused"),
+        figure("failed"),
         None if told.get("fault") is None else str(told["fault"]),
         {str(rule): int(_figure(n, f"{place}.rules")) for rule, n in rules.items()},
         tuple(map(str, _list(told, "short", place))),
         tuple(Part(*row) for row in _rows(told, "parts", place)),
         tuple(Price(*row) for row in _rows(told, "prices", place)),
-        _shares(told, "by_class", place), _shares(told, "by_zone", place),
-    )  # fmt: skip
+        _shares(told, "by_class", place),
+        _shares(told, "by_zone", place),
+    )
 
 
 def _rows(told: dict, key: str, place: str) -> list[tuple[str, float, float]]:
@@ -122,7 +136,9 @@
 
 
 def _shares(told: dict, key: str, place: str) -> tuple[float | None, ...]:
-    return tuple(None if v is None else _figure(v, f"{place}.{key}") for v in _list(told, key, place))
+    return tuple(
+        None if v is None else _figure(v, f"{place}.{key}") for v in _list(told, key, place)
+    )
 
 
 def _list(told: dict, key: str, place: str) -> list:
--- a/loomstand/almanac/losses.py
+++ b/loomstand/almanac/losses.py
@@ -1,4 +1,5 @@
-"""What was lost where, by the figures of an entry. Pure; all that is lost is shared out and nothing twice."""
+"""What was lost where, by the figures of an entry. Pure; all that is lost is shared out and nothing
+twice."""
 
 from __future__ import annotations
 
@@ -19,8 +20,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """What one cause took. Worth: of the day's worth, which lacks `1 - worth`. Score: of the day's score,
-    which lacks `1 - score`."""
+    """What one cause took. Worth: of the day's worth, which lacks `1 - worth`. Score: of the day's
+    score, which lacks `1 - score`."""
 
     cause: str
     kind: str  # of PART, PRICE, VERDICT
@@ -38,7 +39,8 @@
     new: Day
     worth: float
     score: float
-    causes: tuple[tuple[str, float], ...]  # worth lost more, the largest first; they add up to `-worth`
+    # worth lost more, the largest first; they add up to `-worth`
+    causes: tuple[tuple[str, float], ...]
 
     @property
     def noise(self) -> bool:
@@ -71,7 +73,8 @@
 
 
 def weights(entry: Entry) -> list[float]:
-    """What each day weighs in the score. They add up to 1: where a slot has no day, the others weigh more."""
+    """What each day weighs in the score. They add up to 1: where a slot has no day, the others
+    weigh more."""
     every = range(len(entry.days))
     counted = [n for n in every if not _fresh(entry, entry.days[n])] or list(every)
     slots = [day.slot if day.slot in SLOTS else "trouble" for day in entry.days]
@@ -121,7 +124,8 @@
 
 
 def means(days: list[Day]) -> dict[str, float]:
-    """Worth lost to each cause, the plain mean of the days: their weights would differ between entries."""
+    """Worth lost to each cause, the plain mean of the days: their weights would differ between
+    entries."""
     out: dict[str, float] = {}
     for day in days:
         for loss in of_day(day):
@@ -130,6 +134,11 @@
 
 
 def labelled(shares: Iterable[float | None], names: tuple[str, ...]) -> list[tuple[str, float]]:
-    """Kinds of request or zones with their share earned, the worst first; without names, by number."""
-    called = [(names[n] if n < len(names) else f"#{n + 1}", share) for n, share in enumerate(shares)]
-    return sorted(((name, share) for name, share in called if share is not None), key=lambda row: row[1])
+    """Kinds of request or zones with their share earned, the worst first; without names, by
+    number."""
+    called = [
+        (names[n] if n < len(names) else f"#{n + 1}", share) for n, share in enumerate(shares)
+    ]
+    return sorted(
+        ((name, share) for name, share in called if share is not None), key=lambda row: row[1]
+    )
--- a/loomstand/almanac/plots.py
+++ b/loomstand/almanac/plots.py
@@ -1,15 +1,18 @@
-"""What was lost on each day, as stacked bars. matplotlib is imported only when a plot is asked for."""
+"""What was lost on each day, as stacked bars. matplotlib is imported only when a plot is asked
+for."""
 
 from __future__ import annotations
 
 from loomstand.almanac.entry import Entry
 from loomstand.almanac.losses import of_day, over
 
-MOST = 9  # causes with a colour of their own; matplotlib's palette has ten, the last is for all others
+# causes with a colour of their own; matplotlib's palette has ten, the last is for all others
+MOST = 9
 
 
 def bars(entry: Entry, path: str) -> None:
-    """Writes a PNG. Raises ImportError without matplotlib, OSError where the file can't be written."""
+    """Writes a PNG. Raises ImportError without matplotlib, OSError where the file can't be
+    written."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/loomstand/almanac/site.py
+++ b/loomstand/almanac/site.py
@@ -1,5 +1,5 @@
-"""What drawing days needs of a bench's site file, checked. Times are whole hundredths of a second, so that
-sums and bounds are exact."""
+"""What drawing days needs of a bench's site file, checked. Times are whole hundredths of a second,
+so that sums and bounds are exact."""
 
 from __future__ import annotations
 
@@ -64,7 +64,8 @@
 
 
 def steps(trouble: Trouble, site_things: int) -> int:
-    """How many steps planned work takes at most: of a share it isn't known of which things, so of all."""
+    """How many steps planned work takes at most: of a share it isn't known of which things, so of
+    all."""
     fields = trouble.fields
     if "count" in fields:
         return int(fields["count"])
@@ -86,10 +87,14 @@
     days = _tables(told, "day")
     stands = Counter((k, w) for _, w, k, _ in _lines(days))
     kinds: dict[str, list[Trouble]] = {}
-    listed = [(_text(t, "kind", f"troubles[{n}]"), t) for n, t in enumerate(_tables(told, "troubles"))]
+    listed = [
+        (_text(t, "kind", f"troubles[{n}]"), t) for n, t in enumerate(_tables(told, "troubles"))
+    ]
     for n, (kind, line) in enumerate(listed):
         _sound(line, f"troubles[{n}]")
-        kinds.setdefault(kind, []).append(Trouble(kind, _planned(kind, listed, stands), _bare(line)))
+        kinds.setdefault(kind, []).append(
+            Trouble(kind, _planned(kind, listed, stands), _bare(line))
+        )
     if not kinds:
         raise SiteError("troubles: the site lists none")
     for place, _, kind, line in _lines(days):  # variants that only standing days show
@@ -104,31 +109,46 @@
         _text(day, "slot", f"day[{n}]"), _text(day, "name", f"day[{n}]")
         for line in _tables(day, "traffic"):
             _figure(line, "per_s", f"day {day['name']}: traffic")
-    closings = {str(sorted(c.items())): c for day in days if isinstance(c := day.get("closing"), dict)}
+    closings = {
+        str(sorted(c.items())): c for day in days if isinstance(c := day.get("closing"), dict)
+    }
     for closing in closings.values():
         _text(closing, "kind", "closing"), _figure({"down_s": 1.0} | closing, "down_s", "closing")
-    ends = [line["at"] + line.get("for_s", FOR_S) for _, where, _, line in _lines(days) if where == "faults"]
+    ends = [
+        line["at"] + line.get("for_s", FOR_S)
+        for _, where, _, line in _lines(days)
+        if where == "faults"
+    ]
     starts = [line["at"] for _, where, _, line in _lines(days) if where == "plan"]
     quiet = min(max(ends), length)
     if quiet - lead < LEAST_S:
-        raise SiteError(f"day: the standing days' faults end at {quiet:g}, too near to lead_s {lead:g}")
+        raise SiteError(
+            f"day: the standing days' faults end at {quiet:g}, too near to lead_s {lead:g}"
+        )
     groups = [s.get("servers", []) for s in _tables(told, "services")]
     servers = sum(int(z.get("count", 0)) for group in groups for z in group)
     machines = sum(int(m.get("count", 0)) for m in _tables(told, "machines"))
     bounds = told.get("bounds", {})
     return Site(
-        name, hundredths(lead), hundredths(length), hundredths(min([*starts, lead])), hundredths(quiet),
-        hundredths(bounds.get("config_ms", 1000 * FOR_S) / 1000), max(servers, machines, 1),
-        {kind: tuple(ways) for kind, ways in kinds.items()}, bases, tuple(closings.values()),
+        name,
+        hundredths(lead),
+        hundredths(length),
+        hundredths(min([*starts, lead])),
+        hundredths(quiet),
+        hundredths(bounds.get("config_ms", 1000 * FOR_S) / 1000),
+        max(servers, machines, 1),
+        {kind: tuple(ways) for kind, ways in kinds.items()},
+        bases,
+        tuple(closings.values()),
         tuple(str(c.get("name", "")) for c in _tables(told, "classes")),
         tuple(str(z.get("name", "")) for z in _tables(told, "zones")),
         tuple(map(str, told.get("contracts", ()))),
-    )  # fmt: skip
+    )
 
 
 def _planned(kind: str, listed: list[tuple[str, dict]], stands: Counter) -> bool:
-    """Where standing days have the kind. One that none has is a fault if a line of it says how long it lasts:
-    so it is with all that they have."""
+    """Where standing days have the kind. One that none has is a fault if a line of it says how long
+    it lasts: so it is with all that they have."""
     plan, faults = stands[kind, "plan"], stands[kind, "faults"]
     if plan or faults:
         return plan > faults
@@ -172,6 +192,11 @@
 
 def _figure(told: dict, key: str, place: str) -> float:
     value = told.get(key)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value) or value < 0:
+    if (
+        isinstance(value, bool)
+        or not isinstance(value, int | float)
+        or not isfinite(value)
+        or value < 0
+    ):
         raise SiteError(f"{place}: {key} is missing or not a figure of 0 or more")
     return float(value)
--- a/loomstand/almanac/write.py
+++ b/loomstand/almanac/write.py
@@ -1,5 +1,5 @@
-"""A drawn day as TOML, and the index of all. Only what a day holds is written: texts, figures, truth, lists
-and tables on one line."""
+"""A drawn day as TOML, and the index of all. Only what a day holds is written: texts, figures,
+truth, lists and tables on one line."""
 
 from __future__ import annotations
 
@@ -25,7 +25,11 @@
     if isinstance(value, list | tuple):
         return f"[{', '.join(map(toml, value))}]"
     if isinstance(value, dict):
-        return "{ " + ", ".join(f"{_key(k)} = {toml(v)}" for k, v in value.items()) + " }" if value else "{}"
+        return (
+            "{ " + ", ".join(f"{_key(k)} = {toml(v)}" for k, v in value.items()) + " }"
+            if value
+            else "{}"
+        )
     raise ValueError(f"a {type(value).__name__} can't be written")
 
 
@@ -45,7 +49,8 @@
 
 
 def index(site: Site, wish: Wish, days: list[Drawn]) -> dict[str, Any]:
-    """What each day mixes and which pairs of kinds met. Times in seconds from the start of traffic."""
+    """What each day mixes and which pairs of kinds met. Times in seconds from the start of
+    traffic."""
     kinds = kinds_of(site, wish)
     possible: list[Pair] = [pair(*two) for two in combinations(kinds, 2)]
     met: set[Pair] = set()
@@ -56,28 +61,44 @@
         met |= day.met()
         if all_met is None and len(met) == len(possible):
             all_met = n
-        rows.append({
-            "file": file_name(day), "name": day.name, "base": day.base, "slot": day.fields["slot"],
-            "seed": day.fields["seed"], "closing": day.fields.get("closing", {}).get("kind"),
-            "meeting_s": None if day.meeting is None else day.meeting / 100,
-            "troubles": [
-                {
-                    "kind": p.trouble.kind, "how": p.trouble.how, "planned": p.trouble.planned,
-                    "at_s": p.at / 100, "until_s": p.until / 100,
-                }
-                for p in day.placed
-            ],
-            "pairs_met": len(day.met()), "pairs_new": new,
-        })  # fmt: skip
+        rows.append(
+            {
+                "file": file_name(day),
+                "name": day.name,
+                "base": day.base,
+                "slot": day.fields["slot"],
+                "seed": day.fields["seed"],
+                "closing": day.fields.get("closing", {}).get("kind"),
+                "meeting_s": None if day.meeting is None else day.meeting / 100,
+                "troubles": [
+                    {
+                        "kind": p.trouble.kind,
+                        "how": p.trouble.how,
+                        "planned": p.trouble.planned,
+                        "at_s": p.at / 100,
+                        "until_s": p.until / 100,
+                    }
+                    for p in day.placed
+                ],
+                "pairs_met": len(day.met()),
+                "pairs_new": new,
+            }
+        )
     return {
-        "site": site.name, "severity": wish.severity, "seed": wish.seed, "load": wish.load,
-        "dense": wish.dense, "kinds": kinds,
+        "site": site.name,
+        "severity": wish.severity,
+        "seed": wish.seed,
+        "load": wish.load,
+        "dense": wish.dense,
+        "kinds": kinds,
         "pairs": {
-            "possible": len(possible), "met": len(met), "all_met_by_day": all_met,
+            "possible": len(possible),
+            "met": len(met),
+            "all_met_by_day": all_met,
             "never_met": sorted(set(possible) - met),
         },
         "days": rows,
-    }  # fmt: skip
+    }
 
 
 def file_name(day: Drawn) -> str:
--- a/loomstand/brain/account.py
+++ b/loomstand/brain/account.py
@@ -1,4 +1,5 @@
-"""A customer's smoothed bucket at this limiter, and its part of the quota. Thousands are held at once."""
+"""A customer's smoothed bucket at this limiter, and its part of the quota. Thousands are held at
+once."""
 
 from __future__ import annotations
 
@@ -9,9 +10,50 @@
 
 
 class Account(Part):
-    __slots__ = """asked asked_at blind cap cap_depth cap_rate confirmed costless customer depth digest firm
-        forgot given k keeper last least length level meter metered_at most n offset others out own pace place
-        plan rate scale split_at synced tries unit unsent used_at waste whole woken""".split()  # noqa: SIM905
+    __slots__ = [
+        "asked",
+        "asked_at",
+        "blind",
+        "cap",
+        "cap_depth",
+        "cap_rate",
+        "confirmed",
+        "costless",
+        "customer",
+        "depth",
+        "digest",
+        "firm",
+        "forgot",
+        "given",
+        "k",
+        "keeper",
+        "last",
+        "least",
+        "length",
+        "level",
+        "meter",
+        "metered_at",
+        "most",
+        "n",
+        "offset",
+        "others",
+        "out",
+        "own",
+        "pace",
+        "place",
+        "plan",
+        "rate",
+        "scale",
+        "split_at",
+        "synced",
+        "tries",
+        "unit",
+        "unsent",
+        "used_at",
+        "waste",
+        "whole",
+        "woken",
+    ]
 
     def __init__(self, loop: Loop, keeper: Keeper, note: api.Seen, plan: api.Plan | None) -> None:
         super().__init__(loop)
@@ -19,10 +61,19 @@
         self.given = (note.plan, note.set_size, note.first)
         self.synced = self.split_at = self.asked_at = self.metered_at = NEVER
         self.k = self.out = self.tries = self.waste = 0  # tries not yet told
-        self.whole = self.meter = self.own = self.unsent = self.confirmed = self.others = self.asked = 0.0
+        self.whole = self.meter = self.own = self.unsent = self.confirmed = self.others = (
+            self.asked
+        ) = 0.0
         self.last = (0.0, 0.0, 0.0, False)  # own, confirmed, others and forgot of the last interval
-        # A limiter's share of the ceiling is empty when the limiter starts, as it may have spent it before.
-        self.cap, self.used_at, self.forgot, self.woken, self.blind = 0.0, loop.started, False, False, False
+        # A limiter's share of the ceiling is empty when the limiter starts, as it may have spent it
+        # before.
+        self.cap, self.used_at, self.forgot, self.woken, self.blind = (
+            0.0,
+            loop.started,
+            False,
+            False,
+            False,
+        )
         self.figure(plan)
         self.pace = self.rate / self.n  # the part, as units a tenth: unseen customers start even
         self.level = max(0.0, min(self.part() - 1, self.part() * (1 - loop.settings.fresh)))
@@ -33,41 +84,58 @@
         self.n = max(1, sets or s.limiters)
         self.rate = plan.rate / api.TENTHS_PER_S if plan else 0.0  # units a tenth of a millisecond
         self.depth = max(plan.burst, 1.0) if plan else 1.0  # one req and the burst count beyond it
-        # With less trust in totals than a split's life all limiters together keep to the quota without them.
-        # Use that several passed at once beyond it is remembered, and edges are rare: use there is seen late.
+        # With less trust in totals than a split's life all limiters together keep to the quota
+        # without them. Use that several passed at once beyond it is remembered, and edges are rare:
+        # use there is seen late.
         self.firm = s.trust < 3
-        self.length = max(1, self.firm * api.TENTHS_PER_S, round(self.depth / self.rate)) if self.rate else 0
-        self.offset = self.digest % self.length + s.shift if self.length else 0  # spreads customers' edges
-        # Use beyond the quota that costs nothing: a doubt is the customer's, a count known full is not.
+        self.length = (
+            max(1, self.firm * api.TENTHS_PER_S, round(self.depth / self.rate)) if self.rate else 0
+        )
+        # spreads customers' edges
+        self.offset = self.digest % self.length + s.shift if self.length else 0
+        # Use beyond the quota that costs nothing: a doubt is the customer's, a count known full is
+        # not.
         self.costless = plan is not None and plan.excess_cost <= plan.excess_value
         self.cap_rate = plan.ceiling_rate / api.TENTHS_PER_S if plan else 0.0
         self.cap_depth = plan.ceiling_depth / self.n if self.cap_rate else 0.0
-        self.unit = min(1.0, plan.ceiling_slack) if self.cap_rate else 0.0  # a turn's; so far ahead is fine
+        # a turn's; so far ahead is fine
+        self.unit = min(1.0, plan.ceiling_slack) if self.cap_rate else 0.0
         self.place = (s.me - first) % max(1, s.limiters) % self.n
-        self.most, self.scale = self.depth + self.firm * (self.depth + 2 * self.n), TRY ** (1 + self.firm)
-        self.least = min(1.0 + self.firm, self.depth)  # room that a total leaves: reqs often come in pairs
+        self.most, self.scale = (
+            self.depth + self.firm * (self.depth + 2 * self.n),
+            TRY ** (1 + self.firm),
+        )
+        # room that a total leaves: reqs often come in pairs
+        self.least = min(1.0 + self.firm, self.depth)
 
     def ruled(self) -> None:
         """Other figures: what was spent stays spent, so that a changed quota is no new burst."""
         self.roll()
         rate, n, edges = self.rate, self.n, (self.length, self.offset)
         self.figure(self.loop.settings.plan(self.given[0]))
-        # where limiters come, all parts stay within the rate; what those that went had comes with a split
-        self.pace = self.pace * (self.rate / rate) * min(1.0, n / self.n) if rate else self.rate / self.n
+        # where limiters come, all parts stay within the rate; what those that went had comes with a
+        # split
+        self.pace = (
+            self.pace * (self.rate / rate) * min(1.0, n / self.n) if rate else self.rate / self.n
+        )
         self.level, self.whole = min(self.level, self.most), min(self.whole, self.most)
-        self.k = self.k if edges == (self.length, self.offset) else NEVER  # others; `whole` knows the rest
+        # others; `whole` knows the rest
+        self.k = self.k if edges == (self.length, self.offset) else NEVER
         self.roll()
 
     def part(self) -> float:
-        """Of the burst; firm parts are even, as a split is known to some limiters later than to others."""
+        """Of the burst; firm parts are even, as a split is known to some limiters later than to
+        others."""
         share = 1 / self.n if self.firm or not self.rate else min(1.0, self.pace / self.rate)
         return max(self.least, self.depth * share)
 
     def roll(self) -> None:
-        """Lets the burst counts and the ceiling move with the clock, and turns to a new interval."""
+        """Lets the burst counts and the ceiling move with the clock, and turns to a new
+        interval."""
         now, gone = self.loop.now, self.loop.now - self.used_at
         self.level = max(0.0, self.level - self.pace * gone)
-        room = self.rate * gone / (self.n if self.blind else 1)  # without totals others take their parts
+        # without totals others take their parts
+        room = self.rate * gone / (self.n if self.blind else 1)
         self.waste += max(0.0, room - self.whole)  # room that nobody took, as far as is known
         self.whole, self.used_at = max(0.0, self.whole - room), now
         if self.cap_rate:
@@ -79,24 +147,28 @@
                 self.last = (0.0, 0.0, 0.0, True)
             elif self.unsent and self.keeper.take():
                 self.tell(self.k)
-            self.own, self.confirmed, self.others = self.unsent, 0.0, 0.0  # the rest goes with this interval
+            # the rest goes with this interval
+            self.own, self.confirmed, self.others = self.unsent, 0.0, 0.0
             self.forgot, self.k = False, k
             if now - self.split_at > min(3, self.loop.settings.trust) * self.length:
                 self.pace = self.rate / self.n
 
     def turns(self, at: int) -> float:
-        """What has come from the ceiling to this limiter by a clock reading: a unit at a time, in turn with
-        the others: shares that trickle to all at once hold no whole req for long after a start."""
+        """What has come from the ceiling to this limiter by a clock reading: a unit at a time, in
+        turn with the others: shares that trickle to all at once hold no whole req for long after a
+        start."""
         if not (unit := self.unit):
             return at * self.cap_rate / self.n
         return unit * ((at * self.cap_rate / unit - self.place) // self.n)
 
     def held(self, at: int) -> float:
-        """The most that this limiter may hold of the ceiling. Where a share holds no whole unit, the unit of
-        its turn, until so many turns of the others have come that all held would be more than the ceiling."""
+        """The most that this limiter may hold of the ceiling. Where a share holds no whole unit,
+        the unit of its turn, until so many turns of the others have come that all held would be
+        more than the ceiling."""
         if self.cap_depth >= self.unit or not self.unit:
             return self.cap_depth
-        gone = (at * self.cap_rate / self.unit - self.place) % self.n  # the turns since its own, of all
+        # the turns since its own, of all
+        gone = (at * self.cap_rate / self.unit - self.place) % self.n
         return self.unit if (gone + 1) * self.unit <= self.cap_depth * self.n else 0.0
 
     def ask(self, job: Job[Account], granted: Handler, denied: Handler) -> None:
@@ -116,17 +188,22 @@
             self.loop.post(denied, job, round(min(1e9, units / self.pace)), why)
 
     def lets(self, units: float, retry: bool) -> bool:
-        """Whether the part has room, one too small for a req by chance; a req that comes again was denied."""
+        """Whether the part has room, one too small for a req by chance; a req that comes again was
+        denied."""
         since, small = self.loop.now - self.synced, self.depth < self.n
         fits = self.whole + units <= self.depth + 1e-9
         if self.firm:
             return fits and self.level + units <= max(self.part(), units) + 1e-9
-        if self.asked <= 0.8 * self.rate and (small or since < self.loop.settings.trust * self.length):
-            # its denial elsewhere tells of a full count where a part is far below a req, else of servers
+        if self.asked <= 0.8 * self.rate and (
+            small or since < self.loop.settings.trust * self.length
+        ):
+            # its denial elsewhere tells of a full count where a part is far below a req, else of
+            # servers
             return fits and not (retry and self.doubt())
         if small:
-            # Guards against denials with quota left, which come again, are counted as asked, and deny more:
-            # whatever the others passed since the total came, there is room, and one more for a race
+            # Guards against denials with quota left, which come again, are counted as asked, and
+            # deny more: whatever the others passed since the total came, there is room, and one
+            # more for a race
             if self.whole + min(self.asked, self.rate) * since + units + 1 <= self.depth:
                 return True
             lucky = self.costless or self.loop.chance() < self.rate / self.asked
@@ -135,8 +212,11 @@
         return self.level + units <= (self.depth if since <= self.length else self.part()) + 1e-9
 
     def doubt(self) -> bool:
-        """Whether nothing tells if the customer is beyond its quota: unseen, a part of half a req or less."""
-        return 2 * self.depth < self.n and self.synced == NEVER and self.rate > 0 and not self.costless
+        """Whether nothing tells if the customer is beyond its quota: unseen, a part of half a req
+        or less."""
+        return (
+            2 * self.depth < self.n and self.synced == NEVER and self.rate > 0 and not self.costless
+        )
 
     def taken(self, units: float) -> None:
         self.out, self.cap = self.out + 1, self.cap - units if self.cap_rate else 0.0
@@ -145,12 +225,17 @@
         self.level += units
         self.whole = min(self.most, self.whole + units)
         self.own, self.unsent = self.own + units, self.unsent + units
-        if not self.woken:  # a timer past the next edge, by when every limiter's last add has come or failed
+        # a timer past the next edge, by when every limiter's last add has come or failed
+        if not self.woken:
             self.woken, edge = True, self.length - (self.loop.now + self.offset) % self.length
-            after = min(edge, 2400 * api.TENTHS_PER_S) + self.loop.settings.count_timeout + 1  # 40 min
+            # 40 min
+            after = min(edge, 2400 * api.TENTHS_PER_S) + self.loop.settings.count_timeout + 1
             self.loop.actions.append(api.Wake(after, self.digest))
-        unknown = self.synced == NEVER and self.loop.settings.fresh < 1  # its room comes with a total
-        if unknown or self.unsent >= max(self.depth - self.whole, self.firm * self.depth / 10) / (2 * self.n):
+        # its room comes with a total
+        unknown = self.synced == NEVER and self.loop.settings.fresh < 1
+        if unknown or self.unsent >= max(self.depth - self.whole, self.firm * self.depth / 10) / (
+            2 * self.n
+        ):
             self.loop.post(self.keeper.want, self)
 
     def free(self) -> None:
@@ -168,7 +253,11 @@
 
     def idle(self, many: bool) -> bool:
         """Whether nothing spent is left to remember, and for long; where many are held, at once."""
-        now, gone, least = self.loop.now, self.loop.now - self.used_at, (1 if many else 10) * self.length
+        now, gone, least = (
+            self.loop.now,
+            self.loop.now - self.used_at,
+            (1 if many else 10) * self.length,
+        )
         come = self.turns(now) - self.turns(now - gone) if self.cap_rate else 0.0
         return not self.out and gone > least and self.cap + come >= max(self.cap_depth, self.unit)
 
@@ -186,7 +275,8 @@
         if self.rate and self.loop.now - self.metered_at >= period:
             self.metered_at = self.loop.now
             self.meter += (percent / 100 * self.depth - self.meter) * min(1.0, period / self.length)
-            if self.keeper.failed >= 4:  # in a row: a crowded counter fails some calls, one that is down all
+            # in a row: a crowded counter fails some calls, one that is down all
+            if self.keeper.failed >= 4:
                 self.split(min(self.last[0], self.meter), self.meter)
                 self.asked, self.synced = self.meter / self.length, self.loop.now - 2 * self.length
 
@@ -198,27 +288,38 @@
                 self.pace, self.blind = min(self.pace, self.rate / self.n), True
             if got.outcome is not api.Outcome.NO_ANSWER and k == self.k:
                 self.tries += int(step // self.scale)
-                self.unsent += step % self.scale  # surely not added; one with no answer may have been
+                # surely not added; one with no answer may have been
+                self.unsent += step % self.scale
             return
         step, total = step % self.scale, got.total % self.scale
         if k == self.k:
             self.confirmed += step
-            sure, own, known, forgot = self.confirmed, self.own - self.unsent, self.others, self.forgot
+            sure, own, known, forgot = (
+                self.confirmed,
+                self.own - self.unsent,
+                self.others,
+                self.forgot,
+            )
         elif k == self.k - 1:
             own, sure, known, forgot = self.last
         else:
             return
-        if forgot or total < sure - 1e-6 or total < known - 1e-6:  # the counter forgot: no part may swell
+        # the counter forgot: no part may swell
+        if forgot or total < sure - 1e-6 or total < known - 1e-6:
             self.forgot = self.forgot or k == self.k
             return
         others = max(known, total - own)
         # firmly half of that was theirs: all of it if they came evenly, none if all came just now
         theirs = min(self.waste / 2, others - known) if self.firm else 0.0
         self.whole, self.waste = min(self.most, self.whole + others - known - theirs), 0.0
-        # Well under quota all that is unused may be used here, else an even share: all would take one unit.
+        # Well under quota all that is unused may be used here, else an even share: all would take
+        # one unit.
         mine = self.depth - (self.depth - self.whole) / self.n
-        self.level = self.whole if self.asked <= 0.8 * self.rate else max(self.whole, min(self.level, mine))
-        if self.firm:  # an even share of what this total left unused, less the own use it doesn't hold
+        self.level = (
+            self.whole if self.asked <= 0.8 * self.rate else max(self.whole, min(self.level, mine))
+        )
+        # an even share of what this total left unused, less the own use it doesn't hold
+        if self.firm:
             loose = min(self.whole, self.own - self.confirmed)
             self.level = loose + min((self.whole - loose) / self.n, self.part() - self.least)
         if self.blind:  # the use of others meanwhile may be in the last interval
--- a/loomstand/brain/desk.py
+++ b/loomstand/brain/desk.py
@@ -9,7 +9,8 @@
 from loomstand.brain.keeper import Keeper
 from loomstand.sites.guide import Guide
 
-NOT_RUN = {api.Outcome.TURNED_AWAY, api.Outcome.NO_CONNECTION, api.Outcome.NOT_SENT}  # these prove it
+# these prove it
+NOT_RUN = {api.Outcome.TURNED_AWAY, api.Outcome.NO_CONNECTION, api.Outcome.NOT_SENT}
 
 
 class Desk(Part):
@@ -21,7 +22,9 @@
         self.jobs, self.tally = dict[int, Job[Account]](), Tally(5 * api.TENTHS_PER_S, loop.now)
 
     def listed(self, note: api.Listed) -> None:
-        parts: dict[int, list[api.Entry]] = {s: [] for s in self.fleets if note.whole or not note.entries}
+        parts: dict[int, list[api.Entry]] = {
+            s: [] for s in self.fleets if note.whole or not note.entries
+        }
         for entry in note.entries:
             parts.setdefault(entry.service, []).append(entry)
         for service, entries in parts.items():
@@ -44,8 +47,13 @@
         self.loop.post(self.account(note).told, note)
 
     def arrived(self, note: api.Arrived) -> None:
-        account, s, plan = self.account(note), self.loop.settings, self.loop.settings.plan(note.plan)
-        eldest = self.accounts.pop(next(iter(self.accounts)))  # one is looked at for each req; many fill a MB
+        account, s, plan = (
+            self.account(note),
+            self.loop.settings,
+            self.loop.settings.plan(note.plan),
+        )
+        # one is looked at for each req; many fill a MB
+        eldest = self.accounts.pop(next(iter(self.accounts)))
         if eldest is account or not eldest.idle(len(self.accounts) > 1000):
             self.accounts[eldest.customer] = eldest
         else:
@@ -53,7 +61,9 @@
         row, left = self.fleets[note.service].rows[note.frontend], note.give_up - self.loop.now
         age = max(0, row.front.client_timeout - left) if note.retry else 0
         worth = row.front.value * (plan.value_factor if plan else 1.0) * note.units
-        job = Job(note, account, self.loop.now + row.target - age, worth, row.front.tries or s.try_limit)
+        job = Job(
+            note, account, self.loop.now + row.target - age, worth, row.front.tries or s.try_limit
+        )
         self.jobs[note.req] = job
         if left <= 0 or (age > row.target and row.front.late_value <= 0):
             self.loop.post(self.denied, job, 0, "too old")
@@ -77,7 +87,12 @@
             self.loop.actions.append(api.Log(", ".join([*said, f"window {windows}"])))
 
     def forget(self, job: Job[Account]) -> None:
-        if job.done and job.ended == len(job.sent) and self.jobs.pop(job.note.req, None) and job.sent:
+        if (
+            job.done
+            and job.ended == len(job.sent)
+            and self.jobs.pop(job.note.req, None)
+            and job.sent
+        ):
             self.loop.post(job.account.free)
 
     def granted(self, job: Job[Account]) -> None:
@@ -99,18 +114,27 @@
             self.loop.post(job.account.metered, note.metered - 1)
         if note.outcome not in NOT_RUN:
             job.maybe.append(note.dispatch)
-        job.turned, job.done = job.turned or note.outcome is api.Outcome.TURNED_AWAY, job.done or note.final
+        job.turned, job.done = (
+            job.turned or note.outcome is api.Outcome.TURNED_AWAY,
+            job.done or note.final,
+        )
         if job.done or job.ended < len(job.sent):
             self.forget(job)
         else:
             self.again(job)
 
     def again(self, job: Job[Account]) -> None:
-        """Another dispatch where it is allowed and can still be in time, else the final answer at once."""
+        """Another dispatch where it is allowed and can still be in time, else the final answer at
+        once."""
         fleet, now = self.fleets[job.note.service], self.loop.now
         row = fleet.rows[job.note.frontend]
         late = now + row.times.quantile(0.25, 0) > job.target and row.front.late_value <= 0
-        if not late and now < job.note.give_up and len(job.sent) < job.tries and (srv := fleet.again(job)):
+        if (
+            not late
+            and now < job.note.give_up
+            and len(job.sent) < job.tries
+            and (srv := fleet.again(job))
+        ):
             fleet.dispatch(job, srv)
             return
         anywhere = row.front.effect is api.Effect.UNIQUED and row.front.group is api.Group.ALL
--- a/loomstand/brain/fleet.py
+++ b/loomstand/brain/fleet.py
@@ -1,4 +1,5 @@
-"""One service's servers: those in use, how many dispatches may be out, and which of them a req goes to."""
+"""One service's servers: those in use, how many dispatches may be out, and which of them a req goes
+to."""
 
 from dataclasses import replace
 from math import log
@@ -16,20 +17,27 @@
 class Row:  # a frontend and its answers
     def __init__(self, front: api.Frontend) -> None:
         self.front, self.target = front, front.response_target
-        self.times = Histogram(400)  # some ten seconds of answers, enough for a tail of two in a hundred
-        self.least = Histogram(100)  # those that came while the window was at its least: work, no waiting
+        # some ten seconds of answers, enough for a tail of two in a hundred
+        self.times = Histogram(400)
+        # those that came while the window was at its least: work, no waiting
+        self.least = Histogram(100)
 
 
 class Fleet:
     def __init__(self, loop: Loop, guide: Guide | None = None) -> None:
         self.loop, self.guide, self.spare = loop, guide, loop.settings.spare_first
         self.rows = [Row(f) for f in loop.settings.frontends]
-        self.flying: dict[tuple[int, int], int] = {}  # when each dispatch was sent, the oldest first
-        self.servers, self.ring = dict[int, Server](), Ring[Server]()  # the live ones, alike at all limiters
-        self.near, self.off = list[list[Server]](), list[list[Server]]()  # by frontend: in use; set aside
+        # when each dispatch was sent, the oldest first
+        self.flying: dict[tuple[int, int], int] = {}
+        # the live ones, alike at all limiters
+        self.servers, self.ring = dict[int, Server](), Ring[Server]()
+        # by frontend: in use; set aside
+        self.near, self.off = list[list[Server]](), list[list[Server]]()
         # window: dispatches out at once over all servers: seven a server by all limiters at first
         self.times, self.best, self.window, self.near_at = Histogram(400), 1e-9, 0.0, NEVER
-        self.flows = [Rate(h, u, loop.now) for h, u in ((20_000, 28_854), (160_000, 230_831), (5_000, 7_213))]
+        self.flows = [
+            Rate(h, u, loop.now) for h, u in ((20_000, 28_854), (160_000, 230_831), (5_000, 7_213))
+        ]
 
     def listed(self, entries: list[api.Entry], whole: bool) -> None:
         named, before = {e.srv for e in entries}, len(self.ring)
@@ -43,8 +51,11 @@
             self.loop.post(srv.listed, entry)
         self.near_at = NEVER
         if self.guide:
-            self.guide.listed(self.loop.now, ((v.srv, v.entry.hall, v.entry.booted) for v in self.ring))
-        if before and self.loop.settings.window_follows:  # servers that come one by one each bring their room
+            self.guide.listed(
+                self.loop.now, ((v.srv, v.entry.hall, v.entry.booted) for v in self.ring)
+            )
+        # servers that come one by one each bring their room
+        if before and self.loop.settings.window_follows:
             self.window *= len(self.ring) / before
         self.window = self.window or 7 * len(self.ring) / max(1, self.loop.settings.limiters)
 
@@ -61,25 +72,34 @@
         many, every = len(ring), max(len(self.ring), self.guide.usual if self.guide else 0)
         able = sum(v.warmth() for v in ring) if self.guide else many  # of cold ones it takes more
         reach = min(many, max(int(6 * every / max(1.0, able)), 4 * every // max(1, s.limiters)))
-        self.near, self.off, self.near_at = *used(ring, lost, s, reach, len(self.rows)), self.loop.now
+        self.near, self.off, self.near_at = (
+            *used(ring, lost, s, reach, len(self.rows)),
+            self.loop.now,
+        )
 
     def room(self, job: Job[Account]) -> bool:
-        """The fuller the servers, the more value for its work a req must bring, beside the best lately."""
+        """The fuller the servers, the more value for its work a req must bring, beside the best
+        lately."""
         work = self.rows[job.note.frontend].times.mean(2000, 4)
         worth = job.worth / work
         self.best = max(worth, self.best * 0.999)  # halved in some 700 reqs
-        late = self.loop.now - 10 * self.times.quantile(0.9, TENTHS_PER_S)  # nearly all would have answered
+        # nearly all would have answered
+        late = self.loop.now - 10 * self.times.quantile(0.9, TENTHS_PER_S)
         drop_before(self.flying, late)  # held by silence, no load of servers
         window = self.window + self.loop.settings.window_more
         pressure = (len(self.flying) + self.loop.chance()) / max(1e-9, window)
-        # Denying starts above what a limiter of many has out by mere chance; a doubtful req goes first.
+        # Denying starts above what a limiter of many has out by mere chance; a doubtful req goes
+        # first.
         floor = 0.45 if job.account.doubt() else 0.6
         if self.guide:
-            return self.guide.admits(self.loop.now, self.rank(job), work, self.window, self.loop.chance())
+            return self.guide.admits(
+                self.loop.now, self.rank(job), work, self.window, self.loop.chance()
+            )
         return pressure <= floor + (1 - floor) * worth / self.best
 
     def again(self, job: Job[Account]) -> Server | None:
-        s = self.loop.settings  # a further dispatch has a price: what never ran costs the servers little
+        # a further dispatch has a price: what never ran costs the servers little
+        s = self.loop.settings
         price = 1.0 if job.maybe else s.turned_price if job.turned else s.unsent_price
         srv = self.pick(job) if self.spare >= price else None
         self.spare -= price if srv else 0.0
@@ -88,21 +108,26 @@
     def rank(self, job: Job[Account]) -> int:
         """The site plan's: 0 is refused first."""
         note, account = job.note, job.account
-        return self.guide.rank(note.frontend, note.plan, note.retry, account.asked > account.rate > 0)
+        return self.guide.rank(
+            note.frontend, note.plan, note.retry, account.asked > account.rate > 0
+        )
 
     def heed(self) -> None:
-        """What the guide found of zones: room goes with a lost one at once, not answer by late answer."""
+        """What the guide found of zones: room goes with a lost one at once, not answer by late
+        answer."""
         for line in self.guide.moved(self.loop.now):
             self.near_at = NEVER
             self.loop.actions.append(api.Log(line))
         self.window *= self.guide.scale
 
     def pick(self, job: Job[Account]) -> Server | None:
-        """One of the servers in use, the shorter the expected wait, the likelier: the more limiters share the
-        servers, the less the own dispatches tell and the more chance decides."""
+        """One of the servers in use, the shorter the expected wait, the likelier: the more limiters
+        share the servers, the less the own dispatches tell and the more chance decides."""
         s, front = self.loop.settings, job.note.frontend
         old = self.loop.now - self.near_at  # who has just failed is passed over without waiting
-        if old > 20_000 or (s.patient and old > 500 and any(v.aside(front) for v in self.near[front])):
+        if old > 20_000 or (
+            s.patient and old > 500 and any(v.aside(front) for v in self.near[front])
+        ):
             self.look()
         near, off, row = self.near[front], self.off[front], self.rows[front]
         if off and row.front.effect is Effect.REPLAYABLE:
@@ -123,26 +148,30 @@
             warmth = 1.0 if self.guide else v.warmth()  # the guide leaves cold ones out by chance
             cost = v.times.mean(mean, 3) / warmth * (1 + v.out) * (100 if v.srv in tried else 1)
             cost *= s.far if v.entry.hall != s.hall else 1.0  # it decides between equals
-            cost *= (-log(1 - self.loop.chance())) ** blur * (1 + 9 * v.full.get(front, 0.0))  # looks idle
+            # looks idle
+            cost *= (-log(1 - self.loop.chance())) ** blur * (1 + 9 * v.full.get(front, 0.0))
             if (best is None or cost < least) and self.cold_ok(v):
                 best, least = v, cost
         return best
 
     def cold_ok(self, srv: Server) -> bool:
-        """Against what one of this limiter's servers answers to it; if all are cold, what they just answered
-        at their warmth, and one req at a time by all limiters: none carried a thing, so none would be let."""
+        """Against what one of this limiter's servers answers to it; if all are cold, what they just
+        answered at their warmth, and one req at a time by all limiters: none carried a thing, so
+        none would be let."""
         if srv.warmth() >= 1.0:
             return True
         near, carried = self.near[0], self.passed(0) / max(1, len(self.near[0]))
         if (able := [v.warmth() for v in near]) and max(able) < 1.0:
-            users = max(1.0, self.loop.settings.limiters * len(near) / len(self.ring))  # of a server
+            # of a server
+            users = max(1.0, self.loop.settings.limiters * len(near) / len(self.ring))
             work = self.times.mean(max(row.target for row in self.rows), 1)
             carried = max(self.flows[2].add(0, self.loop.now) / sum(able), 1 / work / users)
         return srv.cold_room(carried)
 
     def passed(self, more: int) -> float:
-        """Answers a tenth, with a half-life of 2 s or of 16 s, whichever is more: what servers carried lately
-        they can carry. By the first alone budgets fall with the reqs denied for want of budget, and so on."""
+        """Answers a tenth, with a half-life of 2 s or of 16 s, whichever is more: what servers
+        carried lately they can carry. By the first alone budgets fall with the reqs denied for want
+        of budget, and so on."""
         return max([flow.add(more, self.loop.now) for flow in self.flows][:2])
 
     def may_repeat(self, job: Job[Account], srv: Server) -> bool:
@@ -150,21 +179,29 @@
         front, here = self.rows[job.note.frontend].front, srv.entry
         if not job.maybe or front.effect is Effect.REPLAYABLE:
             return True
-        if front.effect is not Effect.UNIQUED or any(job.sent[n][0] not in self.servers for n in job.maybe):
+        if front.effect is not Effect.UNIQUED or any(
+            job.sent[n][0] not in self.servers for n in job.maybe
+        ):
             return False
         before = [(self.servers[job.sent[n][0]].entry, job.sent[n][1]) for n in job.maybe]
         known = all(self.loop.now - at < front.repeat_window for _, at in before)
-        part = {Group.ALL: lambda e: 0, Group.HALL: lambda e: e.hall, Group.POD: lambda e: e.pod}[front.group]
+        part = {Group.ALL: lambda e: 0, Group.HALL: lambda e: e.hall, Group.POD: lambda e: e.pod}[
+            front.group
+        ]
         return known and all(part(e) == part(here) for e, _ in before)
 
     def dispatch(self, job: Job[Account], srv: Server) -> None:
         s, now, row = self.loop.settings, self.loop.now, self.rows[job.note.frontend]
         expire = job.note.give_up
-        self.spare = min(s.spare_most, self.spare + s.spare_share * (not job.sent))  # a first one earns it
+        # a first one earns it
+        self.spare = min(s.spare_most, self.spare + s.spare_share * (not job.sent))
         if row.front.effect is Effect.REPLAYABLE and len(job.sent) + 1 < job.tries:
-            # three times what nearly all answers take: whoever is silent so long leaves time for another
+            # three times what nearly all answers take: whoever is silent so long leaves time for
+            # another
             wait = 3 * row.times.quantile(0.97, row.target / 4)
-            if now + wait + row.times.mean(row.target / 4, 1) < (expire if s.patient else job.target):
+            if now + wait + row.times.mean(row.target / 4, 1) < (
+                expire if s.patient else job.target
+            ):
                 expire = min(expire, now + round(wait))
         self.flying[job.note.req, len(job.sent)] = now
         if self.guide:
@@ -191,11 +228,13 @@
         return True
 
     def judge(self, note: api.Ended, row: Row, hall: int = 0) -> None:
-        """The window aims at a short queue over all servers, known from all answers together. Silence is a
-        single server's more often, and counts less; so does a req turned away while answers are quick."""
+        """The window aims at a short queue over all servers, known from all answers together.
+        Silence is a single server's more often, and counts less; so does a req turned away while
+        answers are quick."""
         target = row.target
         slow = min(1.0, (self.times.mean(target, 1) / (0.3 * target)) ** 2)
-        # Waiting is judged, not work. With work of a fifth of the target or less: 0.5 and 0.8 of it.
+        # Waiting is judged, not work. With work of a fifth of the target or less: 0.5 and 0.8 of
+        # it.
         work = max(0.2 * target, min(h.quantile(0.25, 0) for h in (row.least, row.times)))
         quick, late = (work + share * max(0.0, target - work) for share in (0.375, 0.75))
         bad = {Outcome.TURNED_AWAY: slow, Outcome.NO_ANSWER: 0.3, Outcome.PASSED: note.took > late}
--- a/loomstand/brain/keeper.py
+++ b/loomstand/brain/keeper.py
@@ -1,5 +1,6 @@
-"""Makes the calls to the counter, as often as this limiter's share of it bears: one that is crowded,
-slow, silent or refusing shows by calls that fail or take long, and all limiters slow down together."""
+"""Makes the calls to the counter, as often as this limiter's share of it bears: one that is
+crowded, slow, silent or refusing shows by calls that fail or take long, and all limiters slow down
+together."""
 
 from loomstand import interface as api
 from loomstand.actors import NEVER, Counting, Lines, Loop, Part
@@ -9,8 +10,10 @@
     def __init__(self, loop: Loop) -> None:
         super().__init__(loop)
         self.waiting = Lines[tuple[Counting, int, float]]()
-        self.due: dict[Counting, None] = {}  # whose use or question waits for a call, the newest last
-        self.start = self.pace = 300 / api.TENTHS_PER_S / max(1, loop.settings.limiters)  # soon right
+        # whose use or question waits for a call, the newest last
+        self.due: dict[Counting, None] = {}
+        # soon right
+        self.start = self.pace = 300 / api.TENTHS_PER_S / max(1, loop.settings.limiters)
         self.left, self.left_at, self.failed, self.cut_at = 1.0, loop.now, 0, NEVER
 
     def take(self) -> bool:
@@ -21,7 +24,8 @@
         return going
 
     def want(self, account: Counting) -> None:
-        """The newest go first; one that has waited long is of little use, its use goes with its next call."""
+        """The newest go first; one that has waited long is of little use, its use goes with its
+        next call."""
         self.due.pop(account, None)
         self.due[account] = None
         if len(self.due) > 10 + 20_000 * self.pace:  # two seconds' calls
--- a/loomstand/brain/server.py
+++ b/loomstand/brain/server.py
@@ -12,7 +12,8 @@
 class Server(Part):
     def __init__(self, loop: Loop, entry: api.Entry) -> None:
         super().__init__(loop)
-        self.srv, self.out, self.place = entry.srv, 0, entry.srv * 0x9E3779B1 & 0xFFFFFFFF  # on the ring
+        # on the ring
+        self.srv, self.out, self.place = entry.srv, 0, entry.srv * 0x9E3779B1 & 0xFFFFFFFF
         self.fresh(entry)
 
     def fresh(self, entry: api.Entry) -> None:
@@ -21,8 +22,10 @@
         self.times = Histogram(32)  # some ten seconds of one server's answers
         # the last few outcomes, by frontend; at -1 whether there was any sign of life
         self.recent: dict[int, deque[bool]] = defaultdict(lambda: deque(maxlen=4))
-        self.failed_at, self.full = NEVER, dict[int, float]()  # by frontend: what share it turns away
-        # by chance, so that limiters which hear of it together don't reach their first dispatch together
+        # by frontend: what share it turns away
+        self.failed_at, self.full = NEVER, dict[int, float]()
+        # by chance, so that limiters which hear of it together don't reach their first dispatch
+        # together
         self.cold_left, self.cold_at = self.loop.chance(), self.loop.now
         self.trickle = TRICKLE
 
@@ -38,9 +41,12 @@
         return 1.0 if warm else s.cold_from + (1 - s.cold_from) * max(0, age) / s.cold
 
     def aside(self, front: int) -> bool:
-        """Whether most of its last few outcomes failed, for this frontend or for want of any sign of life."""
+        """Whether most of its last few outcomes failed, for this frontend or for want of any sign
+        of life."""
         # after long it gets another chance: reqs that must not run twice make no trickle
-        rows = (self.recent.get(n, ()) for n in (front, -1) if self.loop.now - self.failed_at <= 200_000)
+        rows = (
+            self.recent.get(n, ()) for n in (front, -1) if self.loop.now - self.failed_at <= 200_000
+        )
         return any(len(r) - sum(r) >= max(2, sum(r)) for r in rows)
 
     def cold_room(self, carried: float) -> bool:
--- a/loomstand/cli.py
+++ b/loomstand/cli.py
@@ -24,7 +24,9 @@
         raise click.ClickException(str(why)) from None
 
 
-file_option = click.option("--config", "path", type=click.Path(dir_okay=False), help="default: $PROXY_CONFIG")
+file_option = click.option(
+    "--config", "path", type=click.Path(dir_okay=False), help="default: $PROXY_CONFIG"
+)
 
 
 @main.command()
@@ -67,7 +69,9 @@
     click.echo(f"{config.name}: limiter {told.me} of {told.limiters}, listens at {host}:{port}")
     click.echo(f"frontends: {', '.join(g.name for g in config.conf.grades)}")
     click.echo(f"plans: {', '.join(p.name for p in config.conf.plans) or 'none'}")
-    click.echo(f"servers known: {len(config.known.members)}, as of revision {config.known.revision}")
+    click.echo(
+        f"servers known: {len(config.known.members)}, as of revision {config.known.revision}"
+    )
 
 
 @main.command()
@@ -78,7 +82,8 @@
 
 @main.group()
 def lab() -> None:
-    """Play the fleet in simulated time: the real module at sizes sockets don't reach (docs/lab.md)."""
+    """Play the fleet in simulated time: the real module at sizes sockets don't reach
+    (docs/lab.md)."""
 
 
 def scenario_table(path: str) -> dict:
@@ -93,7 +98,9 @@
 @lab.command("run")
 @click.argument("scenario_file", metavar="SCENARIO", type=click.Path(dir_okay=False))
 @click.option("--seed", type=int, default=None, help="default: the scenario's")
-@click.option("--out", type=click.Path(file_okay=False), default=None, help="where report.json goes")
+@click.option(
+    "--out", type=click.Path(file_okay=False), default=None, help="where report.json goes"
+)
 @click.option("--plot/--no-plot", default=False, help="draw the PNGs into --out as well")
 def lab_run(scenario_file: str, seed: int | None, out: str | None, plot: bool) -> None:
     """Play SCENARIO with the module and its baselines; exit 1 if the module broke a rule."""
@@ -124,12 +131,17 @@
 
 @lab.command("sweep")
 @click.argument("scenario_file", metavar="SCENARIO", type=click.Path(dir_okay=False))
-@click.option("--set", "setting", required=True, help="KEY=V1,V2,... e.g. fleet.limiters=10,100,1000")
+@click.option(
+    "--set", "setting", required=True, help="KEY=V1,V2,... e.g. fleet.limiters=10,100,1000"
+)
 @click.option("--seed", type=int, default=None)
 @click.option("--out", type=click.Path(file_okay=False), required=True)
-@click.option("--workers", type=click.IntRange(1, 64), default=os.cpu_count() or 1, show_default=True)
+@click.option(
+    "--workers", type=click.IntRange(1, 64), default=os.cpu_count() or 1, show_default=True
+)
 def lab_sweep(scenario_file: str, setting: str, seed: int | None, out: str, workers: int) -> None:
-    """Play SCENARIO once a value of KEY, in parallel; a report a point in OUT/point-N, plots at the end."""
+    """Play SCENARIO once a value of KEY, in parallel; a report a point in OUT/point-N, plots at the
+    end."""
     import json
     from pathlib import Path
 
@@ -151,7 +163,9 @@
         result["swept"] = value
         report.write(result, Path(out) / f"point-{n}")
         points.append(f"point-{n}")
-    (Path(out) / "sweep.json").write_text(json.dumps({"key": key, "values": vals, "points": points}))
+    (Path(out) / "sweep.json").write_text(
+        json.dumps({"key": key, "values": vals, "points": points})
+    )
     report.sweep_table(key, results)
     report.plot(out)
 
@@ -185,7 +199,8 @@
     out: str | None,
     plot: bool,
 ) -> None:
-    """Play SCENARIO on limiter processes among stand-ins (docs/rehearse.md); exit 0 only if all holds."""
+    """Play SCENARIO on limiter processes among stand-ins (docs/rehearse.md); exit 0 only if all
+    holds."""
     import tempfile
     from pathlib import Path
 
@@ -212,7 +227,9 @@
             task = bar.add_task(f"rehearsing {told.name}", total=told.seconds)
 
             async def play() -> None:
-                asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
+                asyncio.get_running_loop().add_signal_handler(
+                    signal.SIGTERM, asyncio.current_task().cancel
+                )
                 await stage(told, seed, place, plan, lambda s: bar.update(task, completed=s))
 
             try:
@@ -220,7 +237,9 @@
             except StageError as why:
                 raise click.ClickException(str(why)) from None
             except (KeyboardInterrupt, asyncio.CancelledError):
-                raise click.ClickException("ended before its time; all processes are ended") from None
+                raise click.ClickException(
+                    "ended before its time; all processes are ended"
+                ) from None
         result = report.make(told, seed, place)
         report.table(result, Console())
         if out and plot:
@@ -256,21 +275,26 @@
 @plan.command("show")
 @click.argument("path", metavar="FILE", type=click.Path(dir_okay=False))
 def plan_show(path: str) -> None:
-    """Tell for the loss of each zone of the plan in FILE where its load goes and what is refused; exit 1 if
-    the fleet does not bear one."""
+    """Tell for the loss of each zone of the plan in FILE where its load goes and what is refused;
+    exit 1 if the fleet does not bear one."""
     from loomstand.sites.plan import forecast
 
     told, borne = site_plan(path), True
     if not told.zones or not told.demand:
-        raise click.ClickException(f"{path}: key 'zones' and key 'demand' are needed to tell anything")
+        raise click.ClickException(
+            f"{path}: key 'zones' and key 'demand' are needed to tell anything"
+        )
     for lost in ["", *(z.name for z in told.zones)]:
         f = forecast(told, lost)
         click.echo(f"zone {lost} lost:" if lost else "no zone lost:")
         click.echo(
-            f"  asked {f.asked:.1f} slots, room for {f.room:.1f}; use {f.use:.2f}; worth {f.worth:.3f}"
+            f"  asked {f.asked:.1f} slots, room for {f.room:.1f}; use {f.use:.2f}; worth "
+            f"{f.worth:.3f}"
         )
         if lost:
-            click.echo("  its load goes to " + ", ".join(f"{z} {n:.1f} slots" for z, n in f.goes.items()))
+            click.echo(
+                "  its load goes to " + ", ".join(f"{z} {n:.1f} slots" for z, n in f.goes.items())
+            )
         for r in f.ranks:
             if r.share > 0:
                 click.echo(f"  refused: {r.share:.0%} of {r.name} ({r.asked - r.given:.1f} slots)")
--- a/loomstand/config.py
+++ b/loomstand/config.py
@@ -1,7 +1,8 @@
 """Configuration: the one place that reads it, checks it and gives defaults.
 
-A limiter is told where it listens by the environment and the rest by a JSON file; the settings in that file
-are the object that the bench's wire brings in its first message, and `settings` is the one translation of it.
+A limiter is told where it listens by the environment and the rest by a JSON file; the settings in
+that file are the object that the bench's wire brings in its first message, and `settings` is the
+one translation of it.
 """
 
 from __future__ import annotations
@@ -19,7 +20,11 @@
 from loomstand.sites import plan
 from loomstand.sites.plan import SitePlan
 
-EFFECTS = {"pure": i.Effect.REPLAYABLE, "token": i.Effect.UNIQUED, "side_effect": i.Effect.NON_REPLAYABLE}
+EFFECTS = {
+    "pure": i.Effect.REPLAYABLE,
+    "token": i.Effect.UNIQUED,
+    "side_effect": i.Effect.NON_REPLAYABLE,
+}
 GROUPS = {"all": i.Group.ALL, "zone": i.Group.HALL, "cell": i.Group.POD}
 Span = Annotated[float, Meta(ge=0)]  # milliseconds
 Whole = Annotated[int, Meta(ge=0)]
@@ -173,8 +178,9 @@
 
 
 def load(env: Mapping[str, str], path: str | None = None, again: bool = False) -> Config:
-    """The configuration from the environment and the JSON file it names; the environment wins, but not over a
-    file that is read again: a running program's environment can't follow what has moved."""
+    """The configuration from the environment and the JSON file it names; the environment wins, but
+    not over a file that is read again: a running program's environment can't follow what has
+    moved."""
     path = path or env.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("key 'PROXY_CONFIG': not set, and no file was named")
@@ -191,14 +197,18 @@
         file = msgspec.json.decode(raw, type=File)
     except msgspec.ValidationError as why:
         what, _, where = str(why).partition(" - at `$.")
-        missing = what.rpartition("missing required field ")[2] if "missing required" in what else ""
+        missing = (
+            what.rpartition("missing required field ")[2] if "missing required" in what else ""
+        )
         key = ".".join(filter(None, [where.rstrip("`"), missing.strip("`")]))
         raise ConfigError(f"key '{key}': {what}") from None
     except msgspec.DecodeError as why:
         raise ConfigError(f"the file is not JSON: {why}") from None
     conf = file.settings
     if conf.me >= conf.balancers:
-        raise ConfigError(f"key 'settings.me': {conf.me} is not below settings.balancers, {conf.balancers}")
+        raise ConfigError(
+            f"key 'settings.me': {conf.me} is not below settings.balancers, {conf.balancers}"
+        )
     if conf.specifics.has_counter and not file.counter:
         raise ConfigError("key 'counter': the settings allow calls, but no address is given")
     for n, text in enumerate(file.peers):
--- a/loomstand/ctl/advice.py
+++ b/loomstand/ctl/advice.py
@@ -58,7 +58,9 @@
     for tenant in config.tenants or ():
         out += _tenant(tenant, places)
     if config.tenants and sum(tenant.rate for tenant in config.tenants) == 0:
-        out.append(Warning("tenants", "their quotas add up to 0: nobody is held to any", "set rate_per_s"))
+        out.append(
+            Warning("tenants", "their quotas add up to 0: nobody is held to any", "set rate_per_s")
+        )
     return out
 
 
@@ -67,26 +69,34 @@
         return places.of("routes", route.name, where)
 
     if route.target_latency == 0:
-        yield Warning(at("target_latency"), "0: no answer can come within it", "set what clients expect")
+        yield Warning(
+            at("target_latency"), "0: no answer can come within it", "set what clients expect"
+        )
     if route.timeout == 0:
-        yield Warning(at("timeout"), "0: no request can be answered", "set how long one may be held")
+        yield Warning(
+            at("timeout"), "0: no request can be answered", "set how long one may be held"
+        )
     elif route.timeout < route.target_latency:
         yield Warning(
             at("timeout"),
-            f"{time(route.timeout)} is shorter than the target latency, {time(route.target_latency)}: "
+            f"{time(route.timeout)} is shorter than the target latency, "
+            f"{time(route.target_latency)}: "
             "requests are given up that would still earn their full worth",
             "raise it, to some times the target, or lower the target",
         )
     if route.attempts > 1 and not route.idempotent:
         yield Warning(
             at("maximum_attempts"),
-            f"{route.attempts} on a non-idempotent route means servers asked, not runs: another is asked "
+            f"{route.attempts} on a non-idempotent route means servers asked, not runs: another "
+            "is asked "
             "only where the one before surely didn't run the request",
             "keep it if that is meant, else set 1; it doesn't repeat what may have run",
         )
     if any(c in route.prefix for c in "?# "):
         yield Warning(
-            at("path_prefix"), "has a character that no path has: it is never reached", "take it out"
+            at("path_prefix"),
+            "has a character that no path has: it is never reached",
+            "take it out",
         )
     yield from _split(route, places)
 
@@ -107,12 +117,15 @@
             what = f"weight 0: {service[:_SHOWN]} gets nothing"
             yield Warning(place, what, "give it a weight, or take it out")
         if service in seen:
-            yield Warning(place, f"{service[:_SHOWN]} once more: its weights add up", "make it one entry")
+            yield Warning(
+                place, f"{service[:_SHOWN]} once more: its weights add up", "make it one entry"
+            )
         seen.add(service)
 
 
 def _nested(routes: tuple[Route, ...], places: _Places) -> Iterator[Warning]:
-    """Routes of a host and kind inside each other; one of another kind is how kinds are told apart."""
+    """Routes of a host and kind inside each other; one of another kind is how kinds are told
+    apart."""
     found = {(route.host, route.prefix): route for route in routes}
     for route in routes:
         end = route.prefix.rfind("/", 0, len(route.prefix) - 1) + 1
@@ -123,19 +136,25 @@
         if outer is None or outer.idempotent != route.idempotent:
             continue
         same = all(
-            getattr(route, f) == getattr(outer, f) for f in Route.__slots__ if f not in ("name", "prefix")
+            getattr(route, f) == getattr(outer, f)
+            for f in Route.__slots__
+            if f not in ("name", "prefix")
         )
         yield Warning(
             places.of("routes", route.name, "path_prefix"),
             f"hides a part of route {outer.name[:_SHOWN]}, of the same host and kind"
             + (", and says the same" if same else ""),
-            "take out this one: the other serves its paths too" if same else "keep it if that part is meant",
+            "take out this one: the other serves its paths too"
+            if same
+            else "keep it if that part is meant",
         )
 
 
 def _service(service: Service, used: bool, places: _Places) -> Iterator[Warning]:
     if not used:
-        yield Warning(places.of("services", service.name), "no route names it", "add a route, or take it out")
+        yield Warning(
+            places.of("services", service.name), "no route names it", "add a route, or take it out"
+        )
     if service.connection_limit == 0:
         yield Warning(
             places.of("services", service.name, "connection_limit"),
@@ -147,10 +166,14 @@
 def _tenant(tenant: Tenant, places: _Places) -> Iterator[Warning]:
     if not any(tenant.keys):  # an empty key is never one that a request shows
         yield Warning(
-            places.of("tenants", tenant.name, "api_keys"), "none: it can't ask", "add a key, or take it out"
+            places.of("tenants", tenant.name, "api_keys"),
+            "none: it can't ask",
+            "add a key, or take it out",
         )
     if tenant.rate == 0:
         burst = ", and its burst_size says nothing" if tenant.burst else ""
         yield Warning(
-            places.of("tenants", tenant.name, "rate_per_s"), f"no quota: it is unlimited{burst}", "set one"
+            places.of("tenants", tenant.name, "rate_per_s"),
+            f"no quota: it is unlimited{burst}",
+            "set one",
         )
--- a/loomstand/ctl/calls.py
+++ b/loomstand/ctl/calls.py
@@ -24,8 +24,8 @@
 FINAL = (400, 409, 412, 413, 422)  # these end a call at once, by the protocol
 ELSEWHERE = (408, 429)  # of 4xx: the next address, by the protocol
 OTHERS = 3  # other 4xx end a call at this try, by the protocol
-# Between two tries: short at first, as most failures are one registry's; then long enough that operators who
-# all wait for a start are no load.
+# Between two tries: short at first, as most failures are one registry's; then long enough that
+# operators who all wait for a start are no load.
 FIRST_PAUSE, GROWS, MOST_PAUSE = 0.1, 1.6, 2.0
 MOST_BODY = 64 << 20  # bytes of an answer; a registry takes configurations of 8 MiB
 CHUNK = 1 << 16
@@ -61,7 +61,9 @@
     where, path = address, f"/api/rpc?call={call}"
     silence = SILENCE if silence is None else silence
     for _ in range(FOLLOWED + 1):
-        status, location, got = _exchange(where, path, body, silence + PER_MEBIBYTE * len(body) / (1 << 20))
+        status, location, got = _exchange(
+            where, path, body, silence + PER_MEBIBYTE * len(body) / (1 << 20)
+        )
         at = f"{where[0]}:{where[1]}"
         if status != 307:
             return Answer(status, got, at)
@@ -79,9 +81,12 @@
 def _exchange(where: Address, path: str, body: bytes, silence: float) -> tuple[int, str, bytes]:
     line, at = http.client.HTTPConnection(*where, timeout=silence), f"{where[0]}:{where[1]}"
     try:
-        line.request("POST", path, body, {"Content-Type": "application/json", "Connection": "close"})
+        line.request(
+            "POST", path, body, {"Content-Type": "application/json", "Connection": "close"}
+        )
         answer = line.getresponse()
-        got, until = bytearray(), time.monotonic() + 10 * silence  # one that trickles is as good as silent
+        # one that trickles is as good as silent
+        got, until = bytearray(), time.monotonic() + 10 * silence
         while piece := answer.read1(CHUNK):
             got += piece
             if len(got) > MOST_BODY or time.monotonic() > until:
@@ -98,8 +103,8 @@
 
 
 def asked(addresses: list[Address], call: str, body: bytes, within: float) -> Answer:
-    """The 200 that a call came to; it is repeated unchanged, from address to address, until then. Raises
-    Wrong, code 1, when it is refused or the time is over."""
+    """The 200 that a call came to; it is repeated unchanged, from address to address, until then.
+    Raises Wrong, code 1, when it is refused or the time is over."""
     until, pause, others, at = time.monotonic() + within, FIRST_PAUSE, 0, 0
     while True:
         try:
@@ -141,14 +146,21 @@
     raw = held(asks.file)
     mine = configuration(asks.file, raw)
     if any(masked(key) for tenant in mine.tenants or () for key in tenant.keys):
-        raise Wrong(f"{asks.file}: its keys are masked, and would lock tenants out; read it with --keys")
+        raise Wrong(
+            f"{asks.file}: its keys are masked, and would lock tenants out; read it with --keys"
+        )
     try:
         got = asked(asks.at, "configuration.replace", raw, asks.within)
     except Wrong as why:
-        unclear = "" if isinstance(why, Refused) else "; it may be in force all the same: push it again"
-        raise Wrong(f"{version_text(mine.version)} is not acknowledged: {why}{unclear}", 1) from None
+        unclear = (
+            "" if isinstance(why, Refused) else "; it may be in force all the same: push it again"
+        )
+        raise Wrong(
+            f"{version_text(mine.version)} is not acknowledged: {why}{unclear}", 1
+        ) from None
     number, wrong = _in_force(got), ""
-    # A version that another operator has taken is acknowledged like our own: only reading tells them apart.
+    # A version that another operator has taken is acknowledged like our own: only reading tells
+    # them apart.
     try:
         read, _ = _read(asks.at, asks.within)
         if read.version == mine.version and read.raw != raw:
@@ -160,7 +172,12 @@
         wrong = f"and {version_text(mine.version)} is not, as it isn't higher"
     text = version_text(mine.version if number is None else number)
     if asks.json:
-        told = {"pushed": version_text(mine.version), "in_force": text, "by": got.at, "wrong": wrong}
+        told = {
+            "pushed": version_text(mine.version),
+            "in_force": text,
+            "by": got.at,
+            "wrong": wrong,
+        }
         print(json.dumps(told, indent=2))
     else:
         print(f"{text} is in force" + (f" {wrong}" if wrong else f", acknowledged by {got.at}"))
--- a/loomstand/ctl/commands.py
+++ b/loomstand/ctl/commands.py
@@ -17,7 +17,8 @@
 WIDTH = 80
 # An error stays one line however narrow the terminal is; whoever reads it in a log wants it whole.
 UNBROKEN = 100_000
-# Longer than any single loss in the system lasts: a takeover of the store takes 3 s, a start of all some 10.
+# Longer than any single loss in the system lasts: a takeover of the store takes 3 s, a start of all
+# some 10.
 WITHIN = 20.0
 MOST_DAYS = 10_000  # far more than can be played
 MOST_LOAD = 100  # times a standing day's requests, or a part of them; far beyond what was played
@@ -72,39 +73,55 @@
 
 # First in the usage, as `--at` takes all words that follow it.
 FIRST = cappa.Group(-1, "Arguments")
-File = Annotated[str, cappa.Arg(value_name="FILE", group=FIRST, help="a file, or `-` for standard input")]
+File = Annotated[
+    str, cappa.Arg(value_name="FILE", group=FIRST, help="a file, or `-` for standard input")
+]
 At = Annotated[
     list[tuple[str, int]],
     cappa.Arg(
-        long="--at", value_name="HOST:PORT", num_args=-1, parse=lambda texts: [_place(t) for t in texts],
-        required=True, help="registries (`control_plane`), one or more, asked in this order",
+        long="--at",
+        value_name="HOST:PORT",
+        num_args=-1,
+        parse=lambda texts: [_place(t) for t in texts],
+        required=True,
+        help="registries (`control_plane`), one or more, asked in this order",
     ),
-]  # fmt: skip
+]
 Gone = Annotated[
     list[str],
     cappa.Arg(
-        long="--gone", value_name="HOST", num_args=-1, parse=lambda texts: [_host(t) for t in texts],
-        show_default=False, help="core machines whose disks are gone for good, by the address shown",
+        long="--gone",
+        value_name="HOST",
+        num_args=-1,
+        parse=lambda texts: [_host(t) for t in texts],
+        show_default=False,
+        help="core machines whose disks are gone for good, by the address shown",
     ),
-]  # fmt: skip
+]
 Json = Annotated[bool, cappa.Arg(long="--json", show_default=False, help="print JSON")]
 Keys = Annotated[
-    bool, cappa.Arg(long="--keys", show_default=False, help="the bytes as they are held, keys included")
+    bool,
+    cappa.Arg(long="--keys", show_default=False, help="the bytes as they are held, keys included"),
 ]
 Within = Annotated[
     float,
     cappa.Arg(
-        long="--within", value_name="TIME", parse=_time, show_default=False,
+        long="--within",
+        value_name="TIME",
+        parse=_time,
+        show_default=False,
         help="go on trying for so long, as in `5s` or `900ms` (default 20s)",
     ),
-]  # fmt: skip
+]
 
 
 @cappa.command(
     name="check",
     invoke="loomstand.ctl.files.settings_check",
     help="Read a settings file as the daemons do, and say what it holds.",
-    epilog=_ends("settings check /etc/loomstand/core-1.properties", codes="0 fine, 2 can't be used"),
+    epilog=_ends(
+        "settings check /etc/loomstand/core-1.properties", codes="0 fine, 2 can't be used"
+    ),
 )
 @dataclass
 class SettingsCheck:
@@ -139,7 +156,8 @@
     help="Say what NEW adds, takes away and changes. Keys are counted and never printed.",
     epilog=_ends(
         "config diff r12.json r13.json",
-        codes="0 fine, 1 they differ but NEW's version isn't higher, so that it would change nothing, "
+        codes="0 fine, 1 they differ but NEW's version isn't higher, so that it would change "
+        "nothing, "
         "2 bad usage or an invalid file",
     ),
 )
@@ -210,13 +228,16 @@
 @cappa.command(
     name="rescue",
     invoke="loomstand.ctl.rescue.rescue",
-    help="Say what is left of the store where more was lost than it bears, and found it anew with `--yes`.",
-    description="Read docs/rescue.md first. Who is named by `--gone` must never come back: operators vouch "
+    help="Say what is left of the store where more was lost than it bears, and found it anew with "
+    "`--yes`.",
+    description="Read docs/rescue.md first. Who is named by `--gone` must never come back: "
+    "operators vouch "
     "for it, and the programs can't know. Without `--yes` nothing is changed.",
     epilog=_ends(
         "core rescue --at 10.1.0.33:8783",
         "core rescue --at 10.1.0.33:8783 --gone 10.2.0.25 10.3.0.14 --yes",
-        codes="0 founded anew, or without `--yes` a primary serves; 1 a rescue is due, waits or was refused; "
+        codes="0 founded anew, or without `--yes` a primary serves; 1 a rescue is due, waits or "
+        "was refused; "
         "2 bad usage",
     ),
 )
@@ -225,7 +246,8 @@
     at: At
     gone: Gone = field(default_factory=list)
     yes: Annotated[
-        bool, cappa.Arg(long="--yes", show_default=False, help="found the store anew from what is shown")
+        bool,
+        cappa.Arg(long="--yes", show_default=False, help="found the store anew from what is shown"),
     ] = False
     json: Json = False
 
@@ -239,8 +261,10 @@
 @cappa.command(
     name="draw",
     invoke="loomstand.ctl.days.days_draw",
-    help="Draw days of our own for the bench's `run SITE FILE`, which mix the troubles that SITE lists.",
-    description="Until every two kinds have met, unless `--days` says otherwise. The same words give the "
+    help="Draw days of our own for the bench's `run SITE FILE`, which mix the troubles that SITE "
+    "lists.",
+    description="Until every two kinds have met, unless `--days` says otherwise. The same words "
+    "give the "
     "same files.",
     epilog=_ends(
         "days draw nakhla-loom.toml --severity harsh --seed 7 --out /tmp/days",
@@ -251,34 +275,51 @@
 class DaysDraw:
     site: Annotated[str, cappa.Arg(value_name="SITE", group=FIRST, help="a site file of the bench")]
     out: Annotated[
-        str, cappa.Arg(long="--out", value_name="DIR", required=True, help="where to; made if it isn't there")
+        str,
+        cappa.Arg(
+            long="--out", value_name="DIR", required=True, help="where to; made if it isn't there"
+        ),
     ]
     days: Annotated[
         int | None,
         cappa.Arg(
-            long="--days", value_name="N", parse=_days, show_default=False,
+            long="--days",
+            value_name="N",
+            parse=_days,
+            show_default=False,
             help="so many; after all pairs have met, by lot",
         ),
-    ] = None  # fmt: skip
-    seed: Annotated[int, cappa.Arg(long="--seed", value_name="S", help="other days for another number")] = 0
+    ] = None
+    seed: Annotated[
+        int, cappa.Arg(long="--seed", value_name="S", help="other days for another number")
+    ] = 0
     severity: Annotated[
         Literal["mild", "usual", "harsh"],
-        cappa.Arg(long="--severity", help="how strong the troubles are, and how many a day: 4, 6 or 8"),
+        cappa.Arg(
+            long="--severity", help="how strong the troubles are, and how many a day: 4, 6 or 8"
+        ),
     ] = "usual"
     kinds: Annotated[
-        str, cappa.Arg(long="--kinds", value_name="A,B", show_default=False, help="only these kinds")
+        str,
+        cappa.Arg(long="--kinds", value_name="A,B", show_default=False, help="only these kinds"),
     ] = ""
     load: Annotated[
         float,
-        cappa.Arg(long="--load", value_name="X", parse=_load, help="times the requests of the standing days"),
+        cappa.Arg(
+            long="--load",
+            value_name="X",
+            parse=_load,
+            help="times the requests of the standing days",
+        ),
     ] = 1.0
     dense: Annotated[
         Literal["", "cut", "orders", "losses", "changes", "answers", "quotas", "all"],
         cappa.Arg(
-            long="--dense", show_default=False,
+            long="--dense",
+            show_default=False,
             help="many troubles of every kind at once, most of them of this aim",
         ),
-    ] = ""  # fmt: skip
+    ] = ""
     json: Json = False
 
 
@@ -289,7 +330,8 @@
 
 
 Journal = Annotated[
-    str, cappa.Arg(long="--journal", value_name="DIR", help="where entries are looked up by their ids")
+    str,
+    cappa.Arg(long="--journal", value_name="DIR", help="where entries are looked up by their ids"),
 ]
 
 
@@ -299,25 +341,34 @@
     help="Say what was lost where in an entry of the bench's journal.",
     epilog=_ends(
         "journal show 4a9d421e",
-        codes="0 fine, 1 a rule is broken or the gate failed, 2 bad usage, or not an entry of this bench",
+        codes="0 fine, 1 a rule is broken or the gate failed, 2 bad usage, or not an entry of "
+        "this bench",
     ),
 )
 @dataclass
 class JournalShow:
     entry: Annotated[
-        str, cappa.Arg(value_name="ENTRY", group=FIRST, help="a file, or an id as at the end of its name")
+        str,
+        cappa.Arg(
+            value_name="ENTRY", group=FIRST, help="a file, or an id as at the end of its name"
+        ),
     ]
     journal: Journal = "journal"
     site: Annotated[
         str | None,
         cappa.Arg(
-            long="--site", value_name="SITE", show_default=False,
-            help="the site file that names kinds of request and zones; else the one that the bench was given",
+            long="--site",
+            value_name="SITE",
+            show_default=False,
+            help="the site file that names kinds of request and zones; else the one that the "
+            "bench was given",
         ),
-    ] = None  # fmt: skip
+    ] = None
     plot: Annotated[
         str | None,
-        cappa.Arg(long="--plot", value_name="OUT.png", show_default=False, help="draw it too (matplotlib)"),
+        cappa.Arg(
+            long="--plot", value_name="OUT.png", show_default=False, help="draw it too (matplotlib)"
+        ),
     ] = None
     json: Json = False
 
@@ -334,8 +385,12 @@
 )
 @dataclass
 class JournalCompare:
-    old: Annotated[str, cappa.Arg(value_name="OLD", group=FIRST, help="the entry before: a file or an id")]
-    new: Annotated[str, cappa.Arg(value_name="NEW", group=FIRST, help="the entry after: a file or an id")]
+    old: Annotated[
+        str, cappa.Arg(value_name="OLD", group=FIRST, help="the entry before: a file or an id")
+    ]
+    new: Annotated[
+        str, cappa.Arg(value_name="NEW", group=FIRST, help="the entry after: a file or an id")
+    ]
     journal: Journal = "journal"
     json: Json = False
 
@@ -345,17 +400,20 @@
     invoke="loomstand.ctl.journal.journal_list",
     help="List this bench's entries, the newest last.",
     epilog=_ends(
-        "journal list --verb score --site nakhla-loom", codes="0 fine, 2 bad usage or no such directory"
+        "journal list --verb score --site nakhla-loom",
+        codes="0 fine, 2 bad usage or no such directory",
     ),
 )
 @dataclass
 class JournalList:
     journal: Journal = "journal"
     site: Annotated[
-        str | None, cappa.Arg(long="--site", value_name="S", show_default=False, help="only of this site")
+        str | None,
+        cappa.Arg(long="--site", value_name="S", show_default=False, help="only of this site"),
     ] = None
     verb: Annotated[
-        str | None, cappa.Arg(long="--verb", value_name="V", show_default=False, help="only of this verb")
+        str | None,
+        cappa.Arg(long="--verb", value_name="V", show_default=False, help="only of this verb"),
     ] = None
     json: Json = False
 
@@ -376,8 +434,12 @@
     """Runs a command; its exit code."""
     plain = os.environ.get("NO_COLOR") is not None
     output = cappa.Output(
-        output_console=Console(file=sys.stdout, width=WIDTH, theme=cappa.output.theme, no_color=plain),
-        error_console=Console(file=sys.stderr, width=UNBROKEN, theme=cappa.output.theme, highlight=False),
+        output_console=Console(
+            file=sys.stdout, width=WIDTH, theme=cappa.output.theme, no_color=plain
+        ),
+        error_console=Console(
+            file=sys.stderr, width=UNBROKEN, theme=cappa.output.theme, highlight=False
+        ),
         error_format="{prog}: {message}",
     )
     try:
--- a/loomstand/ctl/compare.py
+++ b/loomstand/ctl/compare.py
@@ -13,9 +13,14 @@
 Item = Route | Service | Tenant | Limits
 # What the configuration itself calls a field.
 _NAMES = {
-    "prefix": "path_prefix", "idempotent": "route_kind", "split": "traffic_split", "keys": "api_keys",
-    "attempts": "maximum_attempts", "rate": "rate_per_s", "burst": "burst_size",
-}  # fmt: skip
+    "prefix": "path_prefix",
+    "idempotent": "route_kind",
+    "split": "traffic_split",
+    "keys": "api_keys",
+    "attempts": "maximum_attempts",
+    "rate": "rate_per_s",
+    "burst": "burst_size",
+}
 _TIMES = ("timeout", "target_latency", "header_timeout", "idle_timeout")
 
 
@@ -31,7 +36,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """`prevails`: the new one's version is the higher. `keys` says if requests begin or cease to need one."""
+    """`prevails`: the new one's version is the higher. `keys` says if requests begin or cease to
+    need one."""
 
     old: str
     new: str
@@ -50,7 +56,11 @@
 def difference(old: Configuration, new: Configuration) -> Difference:
     keys = ""
     if (old.tenants is None) != (new.tenants is None):
-        keys = "no request needs a key any more" if new.tenants is None else "requests need a key from now on"
+        keys = (
+            "no request needs a key any more"
+            if new.tenants is None
+            else "requests need a key from now on"
+        )
     return Difference(
         version_text(old.version),
         version_text(new.version),
@@ -83,10 +93,15 @@
 
 
 def _keys(was: set[str], now: set[str]) -> list[Any]:
-    """What came and went. Masked keys can't be told apart: of them only the number says something."""
+    """What came and went. Masked keys can't be told apart: of them only the number says
+    something."""
     if any(map(masked, was | now)):
         return [f"{len(was)}", f"{len(now)}"] if len(was) != len(now) else []
-    return [f"{len(was)}", f"{len(now)}: {len(now - was)} new, {len(was - now)} gone"] if was != now else []
+    return (
+        [f"{len(was)}", f"{len(now)}: {len(now - was)} new, {len(was - now)} gone"]
+        if was != now
+        else []
+    )
 
 
 def _split(split: tuple[tuple[str, float], ...]) -> str:
@@ -116,8 +131,15 @@
     out = [f"{found.old} -> {found.new}"]
     for kind in ("routes", "services", "tenants"):
         part: Part = getattr(found, kind)
-        counts = [(len(part.added), "added"), (len(part.removed), "removed"), (len(part.changed), "changed")]
-        out.append(f"{kind}: " + ", ".join(f"{n} {what}" for n, what in [*counts, (part.same, "as before")]))
+        counts = [
+            (len(part.added), "added"),
+            (len(part.removed), "removed"),
+            (len(part.changed), "changed"),
+        ]
+        out.append(
+            f"{kind}: "
+            + ", ".join(f"{n} {what}" for n, what in [*counts, (part.same, "as before")])
+        )
         out += [f"  + {name}" for name in part.added]
         out += [f"  - {name}" for name in part.removed]
         for name, changes in part.changed.items():
--- a/loomstand/ctl/days.py
+++ b/loomstand/ctl/days.py
@@ -28,7 +28,9 @@
     if asked.json:
         print(json.dumps(told, indent=2))
         return 0
-    table = show.table("day", "like", "closing", "meet at", "troubles", whole=("closing", "meet at"))
+    table = show.table(
+        "day", "like", "closing", "meet at", "troubles", whole=("closing", "meet at")
+    )
     for n, day in enumerate(told["days"], 1):
         meeting = "" if day["meeting_s"] is None else f"{day['meeting_s']:g} s"
         counts = Counter(one["kind"] for one in day["troubles"])
@@ -50,7 +52,9 @@
         for name, text in files.items():
             path = os.path.join(out, name)
             if os.path.exists(path) and held(path) != text.encode():
-                raise Wrong(f"{path}: holds something else; take it away, or name another directory")
+                raise Wrong(
+                    f"{path}: holds something else; take it away, or name another directory"
+                )
         for name, text in files.items():
             with open(os.path.join(out, name), "wb") as file:
                 file.write(text.encode())
--- a/loomstand/ctl/files.py
+++ b/loomstand/ctl/files.py
@@ -42,13 +42,17 @@
         f"system's own calls: registry {address_text(told.registry(told.ip_address))}, "
         f"store {address_text(told.store(told.ip_address))}",
         f"seeds: {', '.join(map(address_text, told.seeds))}",
-        f"zones: {', '.join(f'{zone} ({region})' for zone, region in told.zones.items()) or 'none named'}",
-        f"first start: {'yes' if told.first_start else 'no'}; data in {told.data_directory or 'memory only'}",
+        "zones: "
+        f"{', '.join(f'{zone} ({region})' for zone, region in told.zones.items()) or 'none named'}",
+        f"first start: {'yes' if told.first_start else 'no'}; data in "
+        f"{told.data_directory or 'memory only'}",
         f"may use {short(limits.cpu_share)} of a core of {short(limits.cpu_cores)}, "
         f"{limits.memory_mb} MB, {limits.file_descriptors} descriptors, "
         f"{short(limits.link_mbps)} Mbit/s, {limits.disk_mb} MB of disk",
-        f"heartbeats every {time(told.heartbeat)}; contracts: {', '.join(told.contracts) or 'none'}",
-        f"bears the loss of {many(told.losses.machines, 'machine')}, {many(told.losses.zones, 'zone')}, "
+        f"heartbeats every {time(told.heartbeat)}; contracts: "
+        f"{', '.join(told.contracts) or 'none'}",
+        f"bears the loss of {many(told.losses.machines, 'machine')}, "
+        f"{many(told.losses.zones, 'zone')}, "
         f"{many(told.losses.regions, 'region')}",
         "bounds:",
     ]
@@ -65,8 +69,10 @@
     tenants = len(found.tenants or ())
     return {
         "version": version_text(found.version),
-        "routes": len(found.routes), "services": len(found.services), "tenants": tenants,
-    }  # fmt: skip
+        "routes": len(found.routes),
+        "services": len(found.services),
+        "tenants": tenants,
+    }
 
 
 def config_check(asked: ConfigCheck) -> int:
@@ -86,7 +92,9 @@
         print(json.dumps({"valid": True, **_counts(found), "warnings": data(warnings)}, indent=2))
         return 0
     told = _counts(found)
-    parts = ", ".join(many(told[kind], kind.removesuffix("s")) for kind in ("routes", "services", "tenants"))
+    parts = ", ".join(
+        many(told[kind], kind.removesuffix("s")) for kind in ("routes", "services", "tenants")
+    )
     print(f"valid: {told['version']}, {parts}; {many(len(warnings), 'warning')}")
     for warning in warnings:
         print(f"{warning.place}: {warning.what}\n    mend: {warning.mend}")
--- a/loomstand/ctl/journal.py
+++ b/loomstand/ctl/journal.py
@@ -31,7 +31,9 @@
 
 def _found(text: str, journal: str) -> str:
     stem = glob.escape(text.removesuffix(".json"))
-    paths = glob.glob(f"{stem}.json", root_dir=journal) or glob.glob(f"*-{stem}*.json", root_dir=journal)
+    paths = glob.glob(f"{stem}.json", root_dir=journal) or glob.glob(
+        f"*-{stem}*.json", root_dir=journal
+    )
     if len(paths) != 1 or not text:
         which = f"fits {len(paths)} entries" if paths else "is no file and no entry's id"
         raise Wrong(f"{said(text) or 'nothing'} {which} in {journal}")
@@ -39,7 +41,8 @@
 
 
 def _labels(asked: JournalShow, found: Entry) -> tuple[tuple[str, ...], tuple[str, ...]]:
-    """Names of kinds of request and zones by the site's file: the one given, or one that the bench had."""
+    """Names of kinds of request and zones by the site's file: the one given, or one that the bench
+    had."""
     had = [word for word in found.argv if word.endswith(".toml") and os.path.isfile(word)]
     paths = [asked.site] if asked.site else had
     for path in paths:
@@ -84,12 +87,20 @@
     kinds, zones = labels
     days = []
     for weight, day in zip(losses.weights(found), found.days, strict=True):
-        days.append(data(day) | {
-            "weight": weight, "losses": data(losses.of_day(day)),
-            "by_class": dict(losses.labelled(day.by_class, kinds)),
-            "by_zone": dict(losses.labelled(day.by_zone, zones)),
-        })  # fmt: skip
-    return data(found) | {"score_by_days": losses.score(found), "losses": data(totals), "days": days}
+        days.append(
+            data(day)
+            | {
+                "weight": weight,
+                "losses": data(losses.of_day(day)),
+                "by_class": dict(losses.labelled(day.by_class, kinds)),
+                "by_zone": dict(losses.labelled(day.by_zone, zones)),
+            }
+        )
+    return data(found) | {
+        "score_by_days": losses.score(found),
+        "losses": data(totals),
+        "days": days,
+    }
 
 
 def _show(found: Entry, labels: tuple, totals: list[Loss]) -> None:
@@ -97,19 +108,34 @@
     if found.why:
         print(textwrap.fill(said(f"why: {found.why}"), WIDTH, subsequent_indent="    "))
     table = show.table(
-        "day", "slot", "weighs", "score", "worth", "served", "prices", "most lost to",
+        "day",
+        "slot",
+        "weighs",
+        "score",
+        "worth",
+        "served",
+        "prices",
+        "most lost to",
         right=("weighs", "score", "worth", "served", "prices"),
-    )  # fmt: skip
+    )
     for weight, day in zip(losses.weights(found), found.days, strict=True):
         priced, most = sum(price.worth for price in day.prices), losses.of_day(day)[0]
         verdict = "".join(f"{what}; " for what in _verdicts(day))
         table.add_row(
-            said(day.name), said(day.slot), f"{weight:.2f}", f"{day.score:.3f}", f"{day.worth:.3f}",
-            f"{day.served:.3f}", f"{priced:.3f}", said(f"{verdict}{most.cause} {most.worth:.3f}"),
-        )  # fmt: skip
+            said(day.name),
+            said(day.slot),
+            f"{weight:.2f}",
+            f"{day.score:.3f}",
+            f"{day.worth:.3f}",
+            f"{day.served:.3f}",
+            f"{priced:.3f}",
+            said(f"{verdict}{most.cause} {most.worth:.3f}"),
+        )
     console = show.console()
     console.print(table)
-    table = show.table("lost over all days to", "of worth", "of score", right=("of worth", "of score"))
+    table = show.table(
+        "lost over all days to", "of worth", "of score", right=("of worth", "of score")
+    )
     shown = [loss for loss in totals if max(loss.worth, loss.score) >= SHOWN]
     for loss in shown:
         table.add_row(said(_named(loss)), f"{loss.worth:.3f}", f"{loss.score:.3f}")
@@ -128,7 +154,9 @@
     own = losses.score(found)
     if found.score is None or abs(found.score - own) < SHOWN:
         return f"score by these days: {own:.3f}"
-    return f"score by these days: {own:.3f}; the bench's estimate by an earlier one: {found.score:.3f}"
+    return (
+        f"score by these days: {own:.3f}; the bench's estimate by an earlier one: {found.score:.3f}"
+    )
 
 
 def _named(loss: Loss) -> str:
@@ -137,7 +165,11 @@
 
 def _verdicts(day: Day) -> list[str]:
     broken = [f"{rule} broken" for rule in sorted(day.rules)]
-    return broken + ([f"fault: {day.fault}"] if day.fault else []) + ([] if day.gate else ["gate failed"])
+    return (
+        broken
+        + ([f"fault: {day.fault}"] if day.fault else [])
+        + ([] if day.gate else ["gate failed"])
+    )
 
 
 def _in_full(day: Day, labels: tuple) -> None:
@@ -156,7 +188,11 @@
     print(textwrap.fill(said(head), WIDTH))
     for head, words in rows.items():
         if words:
-            print(textwrap.fill(said(f"  {head:6} {', '.join(words)}"), WIDTH, subsequent_indent=" " * 9))
+            print(
+                textwrap.fill(
+                    said(f"  {head:6} {', '.join(words)}"), WIDTH, subsequent_indent=" " * 9
+                )
+            )
 
 
 def journal_compare(asked: JournalCompare) -> int:
@@ -166,16 +202,24 @@
     changes = losses.changes(old, new)
     if not changes:
         raise Wrong(f"{said(old.id)} and {said(new.id)} have no day in common")
-    worse = any(c.score <= -losses.NOISE or c.new.rules.keys() - c.old.rules.keys() for c in changes)
+    worse = any(
+        c.score <= -losses.NOISE or c.new.rules.keys() - c.old.rules.keys() for c in changes
+    )
     if asked.json:
         rows = [
             {
-                "day": c.name, "same": c.same, "score": [c.old.score, c.new.score], "score_change": c.score,
-                "worth": [c.old.worth, c.new.worth], "worth_change": c.worth, "noise": c.noise,
-                "rules": [c.old.rules, c.new.rules], "lost_more": dict(c.causes),
+                "day": c.name,
+                "same": c.same,
+                "score": [c.old.score, c.new.score],
+                "score_change": c.score,
+                "worth": [c.old.worth, c.new.worth],
+                "worth_change": c.worth,
+                "noise": c.noise,
+                "rules": [c.old.rules, c.new.rules],
+                "lost_more": dict(c.causes),
             }
             for c in changes
-        ]  # fmt: skip
+        ]
         told = {"site": new.site, "old": old.id, "new": new.id, "worse": worse, "days": rows}
         print(json.dumps(told, indent=2))
     else:
@@ -189,18 +233,27 @@
     heads = ("day", "score", "then", "", "worth", "then", "lost more (+) or less (-) to")
     table = show.table(*heads, right=("score", "then", "worth"))
     for c in changes:
-        causes = [f"{cause} {value:+.3f}" for cause, value in c.causes[:NAMED] if abs(value) >= SHOWN]
+        causes = [
+            f"{cause} {value:+.3f}" for cause, value in c.causes[:NAMED] if abs(value) >= SHOWN
+        ]
         words = [] if c.same else ["not the same day"]
         words += [f"{rule} broken" for rule in sorted(c.new.rules.keys() - c.old.rules.keys())]
         words += [f"{rule} kept" for rule in sorted(c.old.rules.keys() - c.new.rules.keys())]
         mark = "noise" if c.noise else "better" if c.score > 0 else "worse"
         table.add_row(
-            said(c.name), f"{c.old.score:.3f}", f"{c.new.score:.3f}", mark,
-            f"{c.old.worth:.3f}", f"{c.new.worth:.3f}", said(", ".join([*words, *causes])),
-        )  # fmt: skip
+            said(c.name),
+            f"{c.old.score:.3f}",
+            f"{c.new.score:.3f}",
+            mark,
+            f"{c.old.worth:.3f}",
+            f"{c.new.worth:.3f}",
+            said(", ".join([*words, *causes])),
+        )
     console = show.console()
     console.print(table)
-    table = show.table("worth lost, mean of a day, to", "", "then", "more", right=("", "then", "more"))
+    table = show.table(
+        "worth lost, mean of a day, to", "", "then", "more", right=("", "then", "more")
+    )
     was, now = (losses.means(days) for days in ([c.old for c in changes], [c.new for c in changes]))
     rows = [(cause, was.get(cause, 0.0), now.get(cause, 0.0)) for cause in now | was]
     for cause, before, after in sorted(rows, key=lambda row: -abs(row[2] - row[1])):
@@ -231,13 +284,21 @@
     wanted.sort(key=lambda e: e.at)
     rows = [
         {
-            "at": e.at, "id": e.id, "verb": e.verb, "site": e.site, "days": len(e.days),
-            "score": losses.score(e), "gate": all(day.gate for day in e.days), "why": e.why,
+            "at": e.at,
+            "id": e.id,
+            "verb": e.verb,
+            "site": e.site,
+            "days": len(e.days),
+            "score": losses.score(e),
+            "gate": all(day.gate for day in e.days),
+            "why": e.why,
         }
         for e in wanted
-    ]  # fmt: skip
+    ]
     if asked.json:
-        print(json.dumps({"entries": rows, "of_other_benches": foreign, "not_read": passed}, indent=2))
+        print(
+            json.dumps({"entries": rows, "of_other_benches": foreign, "not_read": passed}, indent=2)
+        )
         return 0
     for row in rows:
         gate = "" if row["gate"] else "  gate failed"
--- a/loomstand/ctl/rescue.py
+++ b/loomstand/ctl/rescue.py
@@ -48,7 +48,9 @@
 def rescue(asked: CoreRescue) -> int:
     cases, failed = _cases(asked)
     if not cases:
-        raise Wrong("no registry answers: " + "; ".join(f"{at}: {why}" for at, why in failed.items()), 1)
+        raise Wrong(
+            "no registry answers: " + "; ".join(f"{at}: {why}" for at, why in failed.items()), 1
+        )
     at, case = next(iter(cases.items()))
     wrong = [str(why) for why in case["waits"]]
     apart = len({one["token"] for one in cases.values()}) > 1
@@ -57,7 +59,9 @@
     done = _found(asked, at, case) if asked.yes and not wrong else None
     serves = any(_serves(one) for one in cases.values())
     if asked.json:
-        print(json.dumps({"cases": cases, "failed": failed, "waits": wrong, "done": done}, indent=2))
+        print(
+            json.dumps({"cases": cases, "failed": failed, "waits": wrong, "done": done}, indent=2)
+        )
     else:
         _show(cases if apart else {"": case}, failed, wrong, done)
     return 0 if done is not None or (serves and not asked.yes) else 1
@@ -67,7 +71,9 @@
     return any("serves" in str(why) for why in case["waits"])
 
 
-def _show(cases: dict[str, Case], failed: dict[str, str], wrong: list[str], done: Case | None) -> None:
+def _show(
+    cases: dict[str, Case], failed: dict[str, str], wrong: list[str], done: Case | None
+) -> None:
     for at, case in cases.items():
         if at:
             print(f"as {at} sees it:")
@@ -78,11 +84,15 @@
     for why in wrong:
         print(f"waits: {said(why)}")
     if done is not None:
-        print(f"founded: epoch {done['epoch']}, {said(str(done['version']))} in force, {said(_places(done))}")
+        print(
+            f"founded: epoch {done['epoch']}, {said(str(done['version']))} in force, "
+            f"{said(_places(done))}"
+        )
         print("push the next configuration under a version well above any that was ever sent")
     elif not wrong:
         print(
-            f"`--yes` founds the store anew at {said(str(case['chosen']))}, with {said(str(case['version']))}"
+            f"`--yes` founds the store anew at {said(str(case['chosen']))}, with "
+            f"{said(str(case['version']))}"
         )
 
 
@@ -101,7 +111,9 @@
         int(done["epoch"]), done["version"], _places(done)
         return done
     except Failure as why:
-        raise Wrong(f"no clear answer, it may be founded all the same: look at `status`: {why}", 1) from None
+        raise Wrong(
+            f"no clear answer, it may be founded all the same: look at `status`: {why}", 1
+        ) from None
     except (ValueError, KeyError, TypeError, RecursionError):
         raise Wrong(f"{at} gives an answer that isn't understood; look at `status`", 1) from None
 
@@ -128,7 +140,8 @@
     for t in case["reach"]:
         held = f"in force {t['in_force']}, given back {t['given_back']}, on disk {t['on_disk']}"
         lines.append(
-            f"  {t['host']} ({t['id']}): {held}" + "; its disk is in trouble" * bool(t["disk_in_trouble"])
+            f"  {t['host']} ({t['id']}): {held}"
+            + "; its disk is in trouble" * bool(t["disk_in_trouble"])
         )
     newest = str(case["version"])
     if _serves(case):
@@ -138,6 +151,7 @@
     else:
         lines.append(f"the newest found: {newest}, to be put in force by {case['chosen']}")
     lines.append(
-        "a later one that was acknowledged and that nobody in reach holds can't be known, and is lost"
+        "a later one that was acknowledged and that nobody in reach holds can't be known, and is "
+        "lost"
     )
     return lines
--- a/loomstand/ctl/show.py
+++ b/loomstand/ctl/show.py
@@ -20,6 +20,9 @@
     made = Table(box=box.SIMPLE_HEAD, padding=(0, 1, 0, 0), pad_edge=False)
     for head in heads:
         made.add_column(
-            head, overflow="fold", no_wrap=head in whole, justify="right" if head in right else "left"
+            head,
+            overflow="fold",
+            no_wrap=head in whole,
+            justify="right" if head in right else "left",
         )
     return made
--- a/loomstand/ctl/status.py
+++ b/loomstand/ctl/status.py
@@ -14,7 +14,8 @@
 from loomstand.ctl.plain import said
 from loomstand.shared.units import UnitError, address, address_text
 
-AGAIN = 0.5  # seconds until a second look where versions differ: news takes up to 0.3 s to all registries
+# seconds until a second look where versions differ: news takes up to 0.3 s to all registries
+AGAIN = 0.5
 MOST = 64  # registries asked; a core has a handful
 
 Found = dict[str, dict[str, Any]]  # by address: what a registry said, or {"failed": why}
@@ -115,7 +116,9 @@
         line += "" if store["ready"] else ", not ready"
     lines = [line, *([f"limiters missing: {', '.join(map(str, missing))}"] if missing else [])]
     services = sorted(told["servers"].items())
-    lines += [f"{service}: " + ", ".join(f"{n} {s}" for s, n in by.items()) for service, by in services]
+    lines += [
+        f"{service}: " + ", ".join(f"{n} {s}" for s, n in by.items()) for service, by in services
+    ]
     return [said(line) for line in lines]
 
 
--- a/loomstand/door.py
+++ b/loomstand/door.py
@@ -1,12 +1,13 @@
-"""What a front needs to speak in the module's terms: small indices, tenths of a millisecond, digests."""
+"""What a front needs to speak in the module's terms: small indices, tenths of a millisecond,
+digests."""
 
 from __future__ import annotations
 
 from hashlib import blake2b
 from math import ceil, floor
 
-# What the counter keeps under one name: a customer's use in units and its tries in thousands (firmly in
-# millions), so that one total shows both.
+# What the counter keeps under one name: a customer's use in units and its tries in thousands
+# (firmly in millions), so that one total shows both.
 TRY = 1000
 
 
--- a/loomstand/interface.py
+++ b/loomstand/interface.py
@@ -1,9 +1,9 @@
 """Plain types between a front (`adapter` or `net`) and the decision module.
 
-Times are whole tenths of a millisecond. Servers, customers, frontends, plans, halls and kinds are small
-indices that the front hands out; a customer also brings a digest that is the same at every limiter.
-Nothing here decides anything. Notes and actions are made for each req and never changed after; they are not
-frozen, as that makes their making five times as dear.
+Times are whole tenths of a millisecond. Servers, customers, frontends, plans, halls and kinds are
+small indices that the front hands out; a customer also brings a digest that is the same at every
+limiter. Nothing here decides anything. Notes and actions are made for each req and never changed
+after; they are not frozen, as that makes their making five times as dear.
 """
 
 from __future__ import annotations
@@ -106,19 +106,24 @@
     fall_multiple: float
     tip_after: int
     answer_slack: int
-    trust: float = 10.0  # intervals for which a total lets one be judged by the whole burst; under 3: firmly
+    # intervals for which a total lets one be judged by the whole burst; under 3: firmly
+    trust: float = 10.0
     fresh: float = 1.0  # the share of its part of the burst that an unseen customer has room for
     spare_share: float = 0.25  # further dispatches that a first one earns, by service
     spare_most: float = 10.0
     spare_first: float = 3.0
-    turned_price: float = 0.2  # of a further dispatch where one was turned away, and none may have run
+    # of a further dispatch where one was turned away, and none may have run
+    turned_price: float = 0.2
     unsent_price: float = 0.2  # where nothing arrived at any server
     window_follows: bool = False  # the window goes with the number of a service's servers
-    patient: bool = False  # a silent server is given up for another until the client goes, not the target
+    # a silent server is given up for another until the client goes, not the target
+    patient: bool = False
     far: float = 1.05  # what a server of another hall costs, beside one of the own
     shift: int = 0  # tenths by which the clock that names intervals is ahead of the own one
-    homes: float = 0.0  # the share of the own hall among the servers that are used; 0: halls don't matter
-    window_more: float = 0.0  # dispatches out beside the window: where it is a few, chance alone brings them
+    # the share of the own hall among the servers that are used; 0: halls don't matter
+    homes: float = 0.0
+    # dispatches out beside the window: where it is a few, chance alone brings them
+    window_more: float = 0.0
 
     def plan(self, at: int) -> Plan | None:
         """The plan at that place, if there is one."""
@@ -212,8 +217,8 @@
 
 @dataclass(slots=True)
 class Told:
-    """The counter tells the running total of a customer near its quota unasked, also where its reqs were
-    never seen. `name` is as in a Count."""
+    """The counter tells the running total of a customer near its quota unasked, also where its reqs
+    were never seen. `name` is as in a Count."""
 
     name: int
     total: float
@@ -235,8 +240,8 @@
 
 @dataclass(slots=True)
 class Ruled:
-    """Other settings from now on, swapped whole. Frontends and plans keep their places and only grow in
-    number; a plan's figures may change, a frontend's may not."""
+    """Other settings from now on, swapped whole. Frontends and plans keep their places and only
+    grow in number; a plan's figures may change, a frontend's may not."""
 
     settings: Settings
 
@@ -256,7 +261,8 @@
 
 @dataclass(slots=True)
 class Deny:
-    """Final answer: declined, trying again is harmless; `wait` 0 gives no advice, `why` is as counted."""
+    """Final answer: declined, trying again is harmless; `wait` 0 gives no advice, `why` is as
+    counted."""
 
     req: int
     wait: int = 0
--- a/loomstand/lab/baselines.py
+++ b/loomstand/lab/baselines.py
@@ -1,16 +1,17 @@
 """Policies to hold the module against, with the module's call `handle(now, note) -> actions`.
 
-`naive`: each limiter keeps every customer to quota/N with a bucket of its own (burst/N, at least one unit),
-sends to a listed live server by chance, never tries again, and asks nobody. It is what a limiter does that
-knows only how many limiters there are.
-
-`oracle`: sees the true global state at once: each customer's one bucket over all limiters, and every
-server's load, warmth and health as the model holds them. It sends to the least loaded server that can take
-the req now, keeps cold servers under what they bear, and tries again where the req may run again. An upper
-mark, not a policy that could be deployed: G/oracle is the module's figure in a lab report.
-
-Both keep the rules by construction except where their blindness breaks them (naive and cold servers),
-which the checker then names.
+`naive`: each limiter keeps every customer to quota/N with a bucket of its own (burst/N, at least
+one unit), sends to a listed live server by chance, never tries again, and asks nobody. It is what a
+limiter does that knows only how many limiters there are.
+
+`oracle`: sees the true global state at once: each customer's one bucket over all limiters, and
+every server's load, warmth and health as the model holds them. It sends to the least loaded server
+that can take the req now, keeps cold servers under what they bear, and tries again where the req
+may run again. An upper mark, not a policy that could be deployed: G/oracle is the module's figure
+in a lab report.
+
+Both keep the rules by construction except where their blindness breaks them (naive and cold
+servers), which the checker then names.
 """
 
 from __future__ import annotations
@@ -46,7 +47,9 @@
                     self.known = {}
                 for e in note.entries:
                     self.known[e.srv] = e.phase
-                self.live = sorted(srv for srv, phase in self.known.items() if phase is api.Phase.LIVE)
+                self.live = sorted(
+                    srv for srv, phase in self.known.items() if phase is api.Phase.LIVE
+                )
             case api.Arrived():
                 if not 0 <= note.plan < len(self.s.plans) or not self.live:
                     return [api.Deny(note.req)]
@@ -76,7 +79,8 @@
 
     def __init__(self, fleet: Fleet, me: int, settings: api.Settings, seed: int) -> None:
         self.fleet, self.s, self.me = fleet, settings, me
-        self.jobs: dict[int, tuple[api.Arrived, list[int], bool]] = {}  # note, servers tried, may have run
+        # note, servers tried, may have run
+        self.jobs: dict[int, tuple[api.Arrived, list[int], bool]] = {}
 
     def handle(self, now: int, note: api.Note) -> list[api.Action]:
         match note:
@@ -87,7 +91,8 @@
                 held = self.fleet.oracle_buckets.setdefault(note.customer, [plan.burst, now])
                 refill(held, plan.rate, plan.burst, now, api.TENTHS_PER_S)
                 cap = None
-                if plan.ceiling_rate:  # the ceiling's one bucket over all limiters, without its slack
+                # the ceiling's one bucket over all limiters, without its slack
+                if plan.ceiling_rate:
                     depth = plan.ceiling_depth or plan.ceiling_rate
                     cap = self.fleet.oracle_ceilings.setdefault(note.customer, [depth, now])
                     refill(cap, plan.ceiling_rate, depth, now, api.TENTHS_PER_S)
@@ -115,7 +120,9 @@
                         self.jobs[note.req] = (arrived, [*tried, srv], ran)
                         return [api.Dispatch(note.req, srv, arrived.give_up)]
                 return [
-                    api.Abort(note.req) if ran and effect is not api.Effect.REPLAYABLE else api.Deny(note.req)
+                    api.Abort(note.req)
+                    if ran and effect is not api.Effect.REPLAYABLE
+                    else api.Deny(note.req)
                 ]
             case api.Vanished():
                 self.jobs.pop(note.req, None)
--- a/loomstand/lab/checker.py
+++ b/loomstand/lab/checker.py
@@ -1,12 +1,17 @@
-"""The five rules, checked over a whole lab history; each break is named by rule, req id and limiter.
+"""The five rules, checked over a whole lab history; each break is named by rule, req id and
+limiter.
 
-1. Every req taken gets exactly one final answer before its client timeout (plus the answer slack). A req
+1. Every req taken gets exactly one final answer before its client timeout (plus the answer slack).
+A req
    whose limiter was killed under it, or whose client left first, is owed nothing.
-2. No effect twice: a non-replayable req runs at most once; a uniqued one at most once outside its group and
+2. No effect twice: a non-replayable req runs at most once; a uniqued one at most once outside its
+group and
    repeat window; and a req has at most one dispatch out at any moment.
-3. Nothing new to a server past the drain grace after its limiter was told that it drains or is gone.
+3. Nothing new to a server past the drain grace after its limiter was told that it drains or is
+gone.
 4. No cold server falls over under what all limiters together send it.
-5. No customer's use passes its plan's hard ceiling (a bucket of `ceiling_rate` and `ceiling_depth`) by more
+5. No customer's use passes its plan's hard ceiling (a bucket of `ceiling_rate` and `ceiling_depth`)
+by more
    than the slack.
 """
 
@@ -30,7 +35,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Break:
-    """One broken rule: which, for which req (or server or customer), at which limiter, and what was seen."""
+    """One broken rule: which, for which req (or server or customer), at which limiter, and what was
+    seen."""
 
     rule: int
     req: int
@@ -68,7 +74,13 @@
     verdict.breaks += effects(history, scenario)
     verdict.breaks += leaving(history, scenario)
     verdict.breaks += [
-        Break(4, -1, -1, at, f"server {srv} fell: {sent:.0f} sent in the tip window, it bears {bears:.1f}")
+        Break(
+            4,
+            -1,
+            -1,
+            at,
+            f"server {srv} fell: {sent:.0f} sent in the tip window, it bears {bears:.1f}",
+        )
         for srv, at, sent, bears in history.falls
     ]
     verdict.breaks += ceilings(history, scenario)
@@ -88,7 +100,13 @@
         elif r.final_at > r.give_up + slack:
             late = (r.final_at - r.give_up) / MS
             out.append(
-                Break(1, r.req, r.limiter, r.final_at, f"{r.final} {late:.1f} ms after the client timeout")
+                Break(
+                    1,
+                    r.req,
+                    r.limiter,
+                    r.final_at,
+                    f"{r.final} {late:.1f} ms after the client timeout",
+                )
             )
     return out
 
@@ -114,14 +132,16 @@
                 )
                 break
         before.append((srv, at, effect, group))
-    # at most one dispatch out at once: each dispatch is open from its send to its end at the limiter
+    # at most one dispatch out at once: each dispatch is open from its send to its end at the
+    # limiter
     for req, limiter, at in history.overlaps:
         out.append(Break(2, req, limiter, at, "a second dispatch while one was out"))
     return out
 
 
 def leaving(history: History, scenario: sc.Scenario) -> list[Break]:
-    grace = round(scenario.fleet.drain_grace_ms * MS) + 50 * MS  # the protocol adds 50 ms to time limits
+    # the protocol adds 50 ms to time limits
+    grace = round(scenario.fleet.drain_grace_ms * MS) + 50 * MS
     told: dict[tuple[int, int], list[tuple[int, int]]] = {}
     for limiter, srv, at, until in history.told_leaving:
         told.setdefault((limiter, srv), []).append((at, until))
@@ -131,7 +151,13 @@
             if at + grace < sent < until:
                 late = (sent - at) / MS
                 out.append(
-                    Break(3, req, limiter, sent, f"dispatch {n} to server {srv} {late:.0f} ms after told")
+                    Break(
+                        3,
+                        req,
+                        limiter,
+                        sent,
+                        f"dispatch {n} to server {srv} {late:.0f} ms after told",
+                    )
                 )
                 break
     return out
@@ -151,6 +177,12 @@
         if held < -p.ceiling_slack - 1e-9:
             broken.add(customer)
             out.append(
-                Break(5, -1, -1, at, f"customer {customer} of {p.name} {-held:.1f} units over its ceiling")
+                Break(
+                    5,
+                    -1,
+                    -1,
+                    at,
+                    f"customer {customer} of {p.name} {-held:.1f} units over its ceiling",
+                )
             )
     return out
