--- a/loomstand/lab/fleet.py
+++ b/loomstand/lab/fleet.py
@@ -1,9 +1,11 @@
-"""The fleet that a lab run plays: clients, limiters, servers, the counter, discovery and the network.
+"""The fleet that a lab run plays: clients, limiters, servers, the counter, discovery and the
+network.
 
 Each part is an actor of `engine.Engine`; a limiter holds a policy with the module's one call,
-`handle(now, note) -> actions`, fed the notes of `loomstand.interface` exactly as the adapter feeds them, so
-that the real `Brain` decides and nothing of its decisions is copied here. What the model decides itself
-(which servers a fault hits, when a client comes again) draws on one seeded `random.Random`.
+`handle(now, note) -> actions`, fed the notes of `loomstand.interface` exactly as the adapter feeds
+them, so that the real `Brain` decides and nothing of its decisions is copied here. What the model
+decides itself (which servers a fault hits, when a client comes again) draws on one seeded
+`random.Random`.
 
 Times are tenths of a millisecond (`T`); rates are per second.
 """
@@ -32,7 +34,8 @@
 OC = api.Outcome
 LIST_DELAY = 50 * MS  # discovery's usual lag behind a change: a watch answered within a few RTTs
 WHOLE_EVERY = 10 * T  # a whole list to every limiter, as a poll of discovery would bring it
-CONNECT = 250 * MS  # what a connect to a cut-off peer takes to fail; the settings' default connect timeout
+# what a connect to a cut-off peer takes to fail; the settings' default connect timeout
+CONNECT = 250 * MS
 
 
 class Policy:
@@ -45,7 +48,8 @@
 PolicyMaker = Callable[["Fleet", int, api.Settings, int], Policy]
 
 
-# notes between the parts ------------------------------------------------------------------------------------
+# notes between the parts
+# ------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
@@ -123,13 +127,15 @@
 
 @dataclass(slots=True)
 class Later:
-    """A note that a limiter posts to itself, so that no answer is fed back inside a call of its policy."""
+    """A note that a limiter posts to itself, so that no answer is fed back inside a call of its
+    policy."""
 
     lgen: int
     note: api.Note
 
 
-# the parts -------------------------------------------------------------------------------------------
+# the parts
+# -------------------------------------------------------------------------------------------
 
 
 class Server:
@@ -184,7 +190,8 @@
                 self.fallen = True
                 fleet.crash(self, back_after=-1)
                 return self.answer(work, OC.CONNECTION_LOST)
-        fleet.queued.record_value(len(self.queue) + 1)  # what a dispatch finds waiting before it, plus one
+        # what a dispatch finds waiting before it, plus one
+        fleet.queued.record_value(len(self.queue) + 1)
         if self.hand() >= self.room() + fleet.scenario.fleet.queue:
             return self.answer(work, OC.TURNED_AWAY)
         if len(self.working) < self.room():
@@ -209,7 +216,9 @@
         delay = fleet.delay(self.zone, limiter.zone)
         if delay is None:
             return  # lost: the limiter's expiry answers it
-        fleet.engine.post(delay, limiter, Reply(work.req, work.dispatch, work.lgen, self.srv, outcome))
+        fleet.engine.post(
+            delay, limiter, Reply(work.req, work.dispatch, work.lgen, self.srv, outcome)
+        )
 
     def crash(self) -> None:
         """Everything in hand is cut off; the limiters hear of it as connections lost."""
@@ -224,7 +233,8 @@
 
 
 class Counter:
-    """The shared counter: totals by name that last `keep`; latency, silence, loss of all, split in parts."""
+    """The shared counter: totals by name that last `keep`; latency, silence, loss of all, split in
+    parts."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -242,12 +252,15 @@
         back = fleet.delay(0, limiter.zone)
         if back is None:
             return
-        took = round(fleet.scenario.counter.latency_ms * MS * self.slow * (0.5 + fleet.rng.random()))
+        took = round(
+            fleet.scenario.counter.latency_ms * MS * self.slow * (0.5 + fleet.rng.random())
+        )
         fleet.engine.post(back + took, limiter, CountReply(note.call, note.lgen, OC.PASSED, total))
 
 
 class Discovery:
-    """Tells every limiter of each change in the list, late by a little, and the whole list now and then."""
+    """Tells every limiter of each change in the list, late by a little, and the whole list now and
+    then."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -329,14 +342,20 @@
                 took = fleet.since_sent(note.req, note.dispatch)
                 if passed:
                     self.final(note.req, PASSED)
-                self.feed(api.Ended(note.req, note.dispatch, note.srv, note.outcome, took, passed, 0, 0.0))
+                self.feed(
+                    api.Ended(note.req, note.dispatch, note.srv, note.outcome, took, passed, 0, 0.0)
+                )
             case Expire():
                 if (srv := self.open.pop((note.req, note.dispatch), None)) is not None:
                     took = fleet.since_sent(note.req, note.dispatch)
-                    self.feed(api.Ended(note.req, note.dispatch, srv, OC.NO_ANSWER, took, False, 0, 0.0))
+                    self.feed(
+                        api.Ended(note.req, note.dispatch, srv, OC.NO_ANSWER, took, False, 0, 0.0)
+                    )
             case CountReply():
                 if (call := self.calls.pop(note.call, None)) is not None:
-                    self.feed(api.Counted(call[0], note.outcome, note.total, fleet.engine.now - call[2]))
+                    self.feed(
+                        api.Counted(call[0], note.outcome, note.total, fleet.engine.now - call[2])
+                    )
             case Timer():
                 self.feed(api.Woke(note.tag))
             case ListNote():
@@ -398,7 +417,9 @@
             case api.Probe():
                 srv = fleet.servers[act.srv] if act.srv < len(fleet.servers) else None
                 outcome = OC.PASSED if srv is not None and srv.up else OC.NO_CONNECTION
-                fleet.engine.post(2 * MS, self, Later(self.gen, api.Probed(act.srv, outcome, 2 * MS)))
+                fleet.engine.post(
+                    2 * MS, self, Later(self.gen, api.Probed(act.srv, outcome, 2 * MS))
+                )
             case api.Log():
                 fleet.log_lines += 1
 
@@ -416,7 +437,8 @@
 
 
 class Clients:
-    """Open-loop arrivals by plan, hot callers, bursts and floods; clients that come again or leave early."""
+    """Open-loop arrivals by plan, hot callers, bursts and floods; clients that come again or leave
+    early."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -429,7 +451,9 @@
         s, now = self.fleet.scenario, self.fleet.engine.now
         c = s.clients
         burst = (
-            c.burst_factor if c.burst_for and c.burst_at * T <= now < (c.burst_at + c.burst_for) * T else 1.0
+            c.burst_factor
+            if c.burst_for and c.burst_at * T <= now < (c.burst_at + c.burst_for) * T
+            else 1.0
         )
         return self.traffic.rate(plan) * burst
 
@@ -441,7 +465,8 @@
         plan = note
         assert isinstance(plan, int)
         rng, now = self.fleet.rng, self.fleet.engine.now
-        # arrival times are kept in fractions of a tenth: above 10,000 a second several fall in one tenth
+        # arrival times are kept in fractions of a tenth: above 10,000 a second several fall in one
+        # tenth
         while self.due[plan] <= now:
             rate = self.rate(plan)
             if rate > 0:
@@ -475,7 +500,9 @@
     def take(self, note: object) -> None:
         fleet = self.fleet
         up = [s for s in fleet.servers if s.up]
-        fleet.history.load.append((float(sum(s.hand() for s in up)), float(sum(s.room() for s in up))))
+        fleet.history.load.append(
+            (float(sum(s.hand() for s in up)), float(sum(s.room() for s in up)))
+        )
         fleet.engine.post(T, self, note)
 
 
@@ -520,7 +547,8 @@
     def settings_for(self, me: int, zone: int) -> api.Settings:
         return settings(sc.conf(self.scenario, me, zone), zone)
 
-    # the network -----------------------------------------------------------------------------------------
+    # the network
+    # -----------------------------------------------------------------------------------------
 
     def delay(self, a: int, b: int) -> int | None:
         """One way from zone a to zone b, or None where the note is lost."""
@@ -532,7 +560,8 @@
         base = n.delay_ms + (n.zone_delay_ms if a != b else 0.0) + self.rng.random() * n.jitter_ms
         return max(1, round(base * MS))
 
-    # what limiters do ------------------------------------------------------------------------------------
+    # what limiters do
+    # ------------------------------------------------------------------------------------
 
     def send(self, limiter: Limiter, act: api.Dispatch, n: int) -> None:
         srv = self.servers[act.srv] if 0 <= act.srv < len(self.servers) else None
@@ -540,7 +569,9 @@
         self.history.dispatches.append([act.req, n, limiter.idx, act.srv, self.engine.now, -1])
         req = self.req_rows.get(act.req)
         if req is not None:
-            self.history.plan_second(self.engine.now, len(self.scenario.plans))[req.plan] += req.units
+            self.history.plan_second(self.engine.now, len(self.scenario.plans))[req.plan] += (
+                req.units
+            )
         limiter.open[act.req, n] = act.srv
         self.engine.at(act.expire, limiter, Expire(act.req, n, limiter.gen))
         if srv is None:
@@ -550,7 +581,9 @@
         there = self.delay(limiter.zone, srv.zone)
         if there is None:
             if srv.zone in self.cut or limiter.zone in self.cut:
-                self.engine.post(CONNECT, limiter, Reply(act.req, n, limiter.gen, act.srv, OC.NO_CONNECTION))
+                self.engine.post(
+                    CONNECT, limiter, Reply(act.req, n, limiter.gen, act.srv, OC.NO_CONNECTION)
+                )
             return
         self.engine.post(there, srv, work)
 
@@ -563,7 +596,9 @@
         there = self.delay(limiter.zone, 0)
         if there is not None and self.scenario.counter.present:
             self.engine.post(
-                there, self.counter, CountCall(limiter.idx, limiter.gen, call, act.name, act.step, act.keep)
+                there,
+                self.counter,
+                CountCall(limiter.idx, limiter.gen, call, act.name, act.step, act.keep),
             )
 
     def take(self, note: object) -> None:
@@ -595,13 +630,18 @@
         if (row := self.told_gone.pop((limiter, srv), None)) is not None:
             self.history.told_leaving[row][3] = self.engine.now
 
-    # what clients do -------------------------------------------------------------------------------------
+    # what clients do
+    # -------------------------------------------------------------------------------------
 
     def arrive(self, plan: int, customer: int, front: int, retry: bool) -> None:
         s, now = self.scenario, self.engine.now
-        if self.live is None:  # made again only when a limiter starts or stops: a req must not cost N
+        # made again only when a limiter starts or stops: a req must not cost N
+        if self.live is None:
             every = [lim for lim in self.limiters if lim.alive]
-            self.live = (every, [[lim for lim in every if lim.zone == z] for z in range(len(s.fleet.zones))])
+            self.live = (
+                every,
+                [[lim for lim in every if lim.zone == z] for z in range(len(s.fleet.zones))],
+            )
         every, zoned = self.live
         if not every:
             return
@@ -617,7 +657,17 @@
         self.next_req += 1
         timeout = round(g.client_timeout_ms * MS)
         req = Req(
-            self.next_req, limiter.idx, customer, plan, front, now, now + timeout, 1.0, g.value, inside, retry
+            self.next_req,
+            limiter.idx,
+            customer,
+            plan,
+            front,
+            now,
+            now + timeout,
+            1.0,
+            g.value,
+            inside,
+            retry,
         )
         self.history.reqs.append(req)
         self.req_rows[req.req] = req
@@ -626,7 +676,9 @@
         self.engine.post(self.delay(limiter.zone, limiter.zone) or 1, limiter, Come(req))
         c = s.clients
         if c.give_up and self.rng.random() < c.give_up:
-            self.engine.post(round(self.rng.random() * timeout), limiter, Leave(req.req, limiter.gen))
+            self.engine.post(
+                round(self.rng.random() * timeout), limiter, Leave(req.req, limiter.gen)
+            )
 
     def answered(self, req: Req) -> None:
         g = self.scenario.frontends[req.frontend]
@@ -641,7 +693,8 @@
         else:
             row[2] += 1
 
-    # servers' lives --------------------------------------------------------------------------------------
+    # servers' lives
+    # --------------------------------------------------------------------------------------
 
     def crash(self, srv: Server, back_after: int) -> None:
         srv.crash()
@@ -663,8 +716,8 @@
         self.discovery.tell((srv.entry(), new.entry()), False)
 
     def play(self, tick: Callable[[float], None] | None = None) -> History:
-        """Plays the whole scenario; the history is the run's result. `tick(seconds)` after each simulated
-        second, for a progress bar."""
+        """Plays the whole scenario; the history is the run's result. `tick(seconds)` after each
+        simulated second, for a progress bar."""
         s = self.scenario
         for limiter in self.limiters:
             limiter.start()
@@ -680,7 +733,9 @@
             if tick:
                 tick(min(second, s.seconds))
         # the clients that are still waiting: their limiter has this long to answer
-        self.engine.run(round(s.seconds * T) + max(round(f.client_timeout_ms * MS) for f in s.frontends) + T)
+        self.engine.run(
+            round(s.seconds * T) + max(round(f.client_timeout_ms * MS) for f in s.frontends) + T
+        )
         return self.history
 
 
@@ -724,7 +779,9 @@
                     srv.phase = api.Phase.DRAINING
                     fleet.discovery.tell((srv.entry(),), False)
                     fleet.engine.post(
-                        2 * round(fleet.scenario.fleet.drain_grace_ms * MS), self, ("leave", srv.srv)
+                        2 * round(fleet.scenario.fleet.drain_grace_ms * MS),
+                        self,
+                        ("leave", srv.srv),
                     )
             case "slow_servers":
                 self.hit = self.pick(up, fault.share)
@@ -757,9 +814,9 @@
             case "partial_lists":
                 fleet.discovery.partial = fault.share
             case "flood_plan":
-                fleet.clients.traffic.factor[[p.name for p in fleet.scenario.plans].index(fault.plan)] = (
-                    fault.factor
-                )
+                fleet.clients.traffic.factor[
+                    [p.name for p in fleet.scenario.plans].index(fault.plan)
+                ] = fault.factor
             case "shift_zone":
                 fleet.shift = (fleet.zones[fault.zone], fault.share)
 
@@ -784,6 +841,8 @@
             case "partial_lists":
                 fleet.discovery.partial = 1.0
             case "flood_plan":
-                fleet.clients.traffic.factor[[p.name for p in fleet.scenario.plans].index(fault.plan)] = 1.0
+                fleet.clients.traffic.factor[
+                    [p.name for p in fleet.scenario.plans].index(fault.plan)
+                ] = 1.0
             case "shift_zone":
                 fleet.shift = None
--- a/loomstand/lab/history.py
+++ b/loomstand/lab/history.py
@@ -1,7 +1,8 @@
-"""What happened in a lab run, as the checker and the report read it: plain rows, appended in time order.
+"""What happened in a lab run, as the checker and the report read it: plain rows, appended in time
+order.
 
-Ids are the model's small indices: a req is numbered at its arrival over the whole fleet, a limiter and a
-server by their place in the scenario. Times are tenths of a millisecond.
+Ids are the model's small indices: a req is numbered at its arrival over the whole fleet, a limiter
+and a server by their place in the scenario. Times are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -41,11 +42,13 @@
     reqs: list[Req] = field(default_factory=list)
     # (req, dispatch number, limiter, server, sent at, arrived at the server or -1)
     dispatches: list[list[int]] = field(default_factory=list)
-    # (req, server, at, effect, group key, repeat window) for each dispatch that a server began to work on
+    # (req, server, at, effect, group key, repeat window) for each dispatch that a server began to
+    # work on
     runs: list[tuple[int, int, int, str, int, int]] = field(default_factory=list)
     # (req, limiter, at) where a req got a dispatch while another of its was out
     overlaps: list[tuple[int, int, int]] = field(default_factory=list)
-    # [limiter, server, at, until]: a limiter was told that a server drains or is gone, until told it is live
+    # [limiter, server, at, until]: a limiter was told that a server drains or is gone, until told
+    # it is live
     told_leaving: list[list[int]] = field(default_factory=list)
     # (server, at, sent in the window, what it could bear) where a cold server fell
     falls: list[tuple[int, int, float, float]] = field(default_factory=list)
@@ -57,7 +60,8 @@
     admitted: list[list[float]] = field(default_factory=list)
     # per second: in hand over all servers, capacity of live servers
     load: list[tuple[float, float]] = field(default_factory=list)
-    broken: list[tuple[int, str]] = field(default_factory=list)  # (limiter, what) where a policy raised
+    # (limiter, what) where a policy raised
+    broken: list[tuple[int, str]] = field(default_factory=list)
 
     def second(self, at: int) -> list[float]:
         n = at // 10_000
--- a/loomstand/lab/report.py
+++ b/loomstand/lab/report.py
@@ -1,7 +1,8 @@
-"""A lab run's report: JSON on disk, a table on the terminal (rich) and PNG plots (matplotlib, no screen).
+"""A lab run's report: JSON on disk, a table on the terminal (rich) and PNG plots (matplotlib, no
+screen).
 
-`write(report, out)` leaves `report.json` in `out`; `plot(out)` reads every `report.json` below `out` (one
-run, or the points of a sweep with `sweep.json`) and draws:
+`write(report, out)` leaves `report.json` in `out`; `plot(out)` reads every `report.json` below
+`out` (one run, or the points of a sweep with `sweep.json`) and draws:
 
 - `goodput.png`: reqs served in time and denied, per second, for each policy;
 - `plans.png`: units admitted a second against the quota, per plan, for the module;
@@ -129,15 +130,27 @@
         ax.plot(secs, [row[0] for row in s["seconds"]], label=f"{name} served in time")
         ax.plot(secs, [row[1] for row in s["seconds"]], "--", label=f"{name} denied")
     made.append(
-        finish(fig, ax, "reqs a second", f"{report['scenario']}: goodput and denials", where / "goodput.png")
+        finish(
+            fig,
+            ax,
+            "reqs a second",
+            f"{report['scenario']}: goodput and denials",
+            where / "goodput.png",
+        )
     )
 
     main = series[report["policy"]]
     fig, ax = plt.subplots(figsize=(8, 4))
     for n, p in enumerate(report["runs"][report["policy"]]["plans"]):
-        ax.plot([row[n] if n < len(row) else 0 for row in main["admitted"]], label=f"{p['plan']} admitted")
+        ax.plot(
+            [row[n] if n < len(row) else 0 for row in main["admitted"]],
+            label=f"{p['plan']} admitted",
+        )
         ax.axhline(
-            p["quota_per_s"], linestyle=":", color=ax.lines[-1].get_color(), label=f"{p['plan']} quota"
+            p["quota_per_s"],
+            linestyle=":",
+            color=ax.lines[-1].get_color(),
+            label=f"{p['plan']} quota",
         )
     title = f"{report['scenario']}: admitted against quota ({report['policy']})"
     made.append(finish(fig, ax, "units a second", title, where / "plans.png"))
@@ -147,7 +160,13 @@
         ax.plot([h for h, _ in s["load"]], label=f"{name} in hand")
     ax.plot([c for _, c in main["load"]], "k:", label="capacity of servers up")
     made.append(
-        finish(fig, ax, "reqs", f"{report['scenario']}: server load against capacity", where / "load.png")
+        finish(
+            fig,
+            ax,
+            "reqs",
+            f"{report['scenario']}: server load against capacity",
+            where / "load.png",
+        )
     )
     return made
 
--- a/loomstand/lab/runner.py
+++ b/loomstand/lab/runner.py
@@ -1,7 +1,8 @@
-"""Plays a scenario with the module and its baselines, checks the rules and sums up; sweeps over values.
+"""Plays a scenario with the module and its baselines, checks the rules and sums up; sweeps over
+values.
 
-A summary is a plain JSON-able dict; its `digest` is the SHA-256 of its canonical JSON without wall times, so
-the same scenario and seed give the same digest on any machine with the same versions.
+A summary is a plain JSON-able dict; its `digest` is the SHA-256 of its canonical JSON without wall
+times, so the same scenario and seed give the same digest on any machine with the same versions.
 """
 
 from __future__ import annotations
@@ -28,7 +29,8 @@
 
 
 def brain(fleet: Fleet, me: int, settings: api.Settings, seed: int) -> Policy:
-    """The module itself, made as the adapter makes it; under the scenario's site plan, if it is to be."""
+    """The module itself, made as the adapter makes it; under the scenario's site plan, if it is to
+    be."""
     s, now = fleet.scenario, fleet.engine.now
     guide = None
     if s.site is not None and s.sited:
@@ -59,19 +61,29 @@
     maker: PolicyMaker | None = None,
     tick: Callable[[float], None] | None = None,
 ) -> Played:
-    """One run. `maker` stands in for the named policy (tests give faulty ones); `tick(s)` each second."""
+    """One run. `maker` stands in for the named policy (tests give faulty ones); `tick(s)` each
+    second."""
     fleet = Fleet(scenario, maker or MAKERS[policy], seed)
     began = time.perf_counter()
     history = fleet.play(tick)
     wall = time.perf_counter() - began
     verdict = check(history, scenario)
-    return Played(policy, history, verdict, summarise(fleet, history, verdict), fleet.engine.events, wall)
+    return Played(
+        policy, history, verdict, summarise(fleet, history, verdict), fleet.engine.events, wall
+    )
 
 
 def summarise(fleet: Fleet, history: History, verdict: Verdict) -> dict:
     s = fleet.scenario
     taken = [r for r in history.reqs if not r.orphaned]
-    counts = {"taken": len(taken), "passed": 0, "denied": 0, "aborted": 0, "unanswered": 0, "vanished": 0}
+    counts = {
+        "taken": len(taken),
+        "passed": 0,
+        "denied": 0,
+        "aborted": 0,
+        "unanswered": 0,
+        "vanished": 0,
+    }
     latency = HdrHistogram(1, 60_000, 3)  # 0.1 ms to 6 s, three digits
     worth = offered = beyond = 0.0
     for r in taken:
@@ -108,8 +120,12 @@
         "G": round(g, 6),
         "denied_share": round(counts["denied"] / max(1, counts["taken"]), 6),
         "beyond_quota_worth": round(beyond / offered if offered else 0.0, 6),
-        "latency_ms": {f"p{q}": latency.get_value_at_percentile(q) / MS for q in (50, 90, 99, 99.9)},
-        "queue_found": {f"p{q}": fleet.queued.get_value_at_percentile(q) - 1 for q in (50, 90, 99, 99.9)},
+        "latency_ms": {
+            f"p{q}": latency.get_value_at_percentile(q) / MS for q in (50, 90, 99, 99.9)
+        },
+        "queue_found": {
+            f"p{q}": fleet.queued.get_value_at_percentile(q) - 1 for q in (50, 90, 99, 99.9)
+        },
         "plans": plans,
         "rules": {str(rule): n for rule, n in verdict.by_rule().items()},
         "breaks": [msgspec.to_builtins(b) for b in verdict.first()],
@@ -122,7 +138,9 @@
 
 
 def run(
-    scenario: sc.Scenario, seed: int | None = None, progress: Callable[[str, float], None] | None = None
+    scenario: sc.Scenario,
+    seed: int | None = None,
+    progress: Callable[[str, float], None] | None = None,
 ) -> dict:
     """The module (or the scenario's policy) and each baseline on the same scenario and seed."""
     seed = scenario.seed if seed is None else seed
@@ -195,7 +213,8 @@
 
 
 def sweep(table: dict, key: str, vals: list[object], seed: int | None, workers: int) -> list[dict]:
-    """One run a value of `key`, in parallel processes; each point checked as its own scenario first."""
+    """One run a value of `key`, in parallel processes; each point checked as its own scenario
+    first."""
     points = [(table, {key: v}, seed) for v in vals]
     for _, sets, _ in points:
         sc.from_table(sc.with_values(table, sets))  # a bad value is named before anything runs
--- a/loomstand/lab/scenario.py
+++ b/loomstand/lab/scenario.py
@@ -1,8 +1,8 @@
 """A lab scenario: the fleet, its traffic and a timeline of faults, read from TOML and checked.
 
-Times in a scenario file are seconds (floats) or milliseconds where the key ends in `_ms`; the model works in
-the interface's tenths of a millisecond. Every key is checked by msgspec; a fault names the key at fault, with
-its path, as `ScenarioError("key 'faults[2].share': ...")`.
+Times in a scenario file are seconds (floats) or milliseconds where the key ends in `_ms`; the model
+works in the interface's tenths of a millisecond. Every key is checked by msgspec; a fault names the
+key at fault, with its path, as `ScenarioError("key 'faults[2].share': ...")`.
 """
 
 from __future__ import annotations
@@ -40,7 +40,8 @@
 
 
 class Plan(Struct):
-    """A plan: the quota of each of its customers over all limiters, and how many customers use it."""
+    """A plan: the quota of each of its customers over all limiters, and how many customers use
+    it."""
 
     name: str
     rate: Positive  # units a second, per customer
@@ -50,7 +51,8 @@
     ceiling_rate: Seconds = 0.0  # a hard ceiling, units a second; 0 for none
     ceiling_depth: Seconds = 0.0
     ceiling_slack: Seconds = 0.0
-    excess_cost: Seconds = 1.0  # what a req passed beyond its customer's quota costs, times its worth
+    # what a req passed beyond its customer's quota costs, times its worth
+    excess_cost: Seconds = 1.0
     hot: Share = 0.0  # share of its customers that ask at `hot_demand` instead
     hot_demand: Positive = 5.0
 
@@ -65,7 +67,8 @@
     queue: Count = 16  # reqs it holds beyond those before it turns new ones away
     cold_s: Seconds = 10.0  # how long a new server is cold
     cold_from: Share = 0.3  # the share of its capacity it has when it starts
-    fall_multiple: Positive = 2.0  # a cold server falls with more than this times its cold capacity in hand
+    # a cold server falls with more than this times its cold capacity in hand
+    fall_multiple: Positive = 2.0
     drain_grace_ms: Seconds = 500.0
     try_limit: Annotated[int, Meta(ge=1)] = 2
     answer_slack_ms: Seconds = 50.0
@@ -115,9 +118,11 @@
 
 
 Kind = Literal[
-    "kill_limiters",  # share of limiters, or all of `zone`, stop; back after `for_s` if it is above 0, empty
+    # share of limiters, or all of `zone`, stop; back after `for_s` if it is above 0, empty
+    "kill_limiters",
     "crash_servers",  # share of servers crash; back cold after `for_s` if it is above 0
-    "drain_servers",  # share of servers are told to drain, then leave after the grace, replaced cold
+    # share of servers are told to drain, then leave after the grace, replaced cold
+    "drain_servers",
     "slow_servers",  # share of servers work `factor` times slower for `for_s`
     "fail_servers",  # share of servers answer with an error for `for_s`
     "bad_release",  # share of servers restart cold and then fail for `for_s`
@@ -126,7 +131,8 @@
     "counter_down",  # the counter answers nothing for `for_s`
     "counter_slow",  # the counter takes `factor` times its latency for `for_s`
     "counter_wipe",  # the counter forgets every total
-    "counter_split",  # the counter splits into `parts` that don't see each other's adds, for `for_s`
+    # the counter splits into `parts` that don't see each other's adds, for `for_s`
+    "counter_split",
     "late_lists",  # discovery's lists come `factor` seconds late for `for_s`
     "partial_lists",  # discovery lists only `share` of the servers for `for_s`
     "flood_plan",  # one plan's customers ask `factor` times their demand for `for_s`
@@ -154,7 +160,9 @@
     seconds: Positive = 30.0
     seed: int = 0
     policy: Literal["brain", "naive", "oracle"] = "brain"
-    baselines: list[Literal["naive", "oracle"]] = msgspec.field(default_factory=lambda: ["naive", "oracle"])
+    baselines: list[Literal["naive", "oracle"]] = msgspec.field(
+        default_factory=lambda: ["naive", "oracle"]
+    )
     fleet: Fleet = msgspec.field(default_factory=Fleet)
     net: Net = msgspec.field(default_factory=Net)
     counter: Counter = msgspec.field(default_factory=Counter)
@@ -177,7 +185,9 @@
             if fault.kind in ("lose_zone", "cut_zone", "shift_zone") and not fault.zone:
                 raise ScenarioError(f"key 'faults[{n}].zone': {fault.kind} needs a zone")
             if fault.kind == "flood_plan" and fault.plan not in names:
-                raise ScenarioError(f"key 'faults[{n}].plan': '{fault.plan}' is not a plan of this scenario")
+                raise ScenarioError(
+                    f"key 'faults[{n}].plan': '{fault.plan}' is not a plan of this scenario"
+                )
         if len(set(names)) != len(names):
             raise ScenarioError("key 'plans': two plans have the same name")
 
@@ -247,12 +257,14 @@
 
 
 def load(path: str) -> Scenario:
-    """The scenario in a file. Raises ScenarioError naming the file, and the key where one is at fault."""
+    """The scenario in a file. Raises ScenarioError naming the file, and the key where one is at
+    fault."""
     return from_table(read(path))
 
 
 def read(path: str) -> dict:
-    """The table of a scenario file, checked (for sweeps, which set keys in it). Raises as `load`."""
+    """The table of a scenario file, checked (for sweeps, which set keys in it). Raises as
+    `load`."""
     table = table_of(path)
     try:
         from_table(table)
--- a/loomstand/lab/traffic.py
+++ b/loomstand/lab/traffic.py
@@ -1,6 +1,7 @@
 """Who asks what: open-loop arrivals by plan, hot customers, frontends by their shares, true quotas.
 
-Shared by the lab's clients and the rehearsal's driver; it knows no clock and draws on its caller's chance.
+Shared by the lab's clients and the rehearsal's driver; it knows no clock and draws on its caller's
+chance.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 def refill(held: list[float], rate: float, depth: float, now: float, second: float = 1.0) -> float:
-    """A bucket `[level, when]` filled at `rate` a second up to `depth` until `now`, where a second is
-    `second` of the clock's units; returns the level."""
+    """A bucket `[level, when]` filled at `rate` a second up to `depth` until `now`, where a second
+    is `second` of the clock's units; returns the level."""
     held[0], held[1] = min(depth, held[0] + rate * (now - held[1]) / second), now
     return held[0]
--- a/loomstand/model_checker/member.py
+++ b/loomstand/model_checker/member.py
@@ -1,7 +1,9 @@
-"""One member at one moment, as a value: the store's own Replica and Ballot are set up from it, take one event
-and are written back. Only the order of calls (store/election.py and program.py) is told again here.
+"""One member at one moment, as a value: the store's own Replica and Ballot are set up from it, take
+one event and are written back. Only the order of calls (store/election.py and program.py) is told
+again here.
 
-The clock stands at 0 all the time: what is past has negative times, and a tick moves everything back.
+The clock stands at 0 all the time: what is past has negative times, and a tick moves everything
+back.
 """
 
 from __future__ import annotations
@@ -24,9 +26,18 @@
 from loomstand.store.views import Member, Record, View
 
 GRACE = 6.0  # s, of which none has passed: the end of a member's patience isn't walked
-TICK = HOLD / 2  # s: a grant stands after one of them and has run out after two, for both of its ends
+# s: a grant stands after one of them and has run out after two, for both of its ends
+TICK = HOLD / 2
 LONG = -1e9  # s: any moment whose distance no longer matters
-FILL = {"state": 0, "founder": False, "epoch": 0, "seen": 0, "promised": 0, "version": 0, "known": []}
+FILL = {
+    "state": 0,
+    "founder": False,
+    "epoch": 0,
+    "seen": 0,
+    "promised": 0,
+    "version": 0,
+    "known": [],
+}
 RNG = Random(1)  # nothing that is driven here draws from it
 
 
@@ -44,7 +55,8 @@
 
 
 class Work(NamedTuple):
-    """What a primary or candidate is about; a campaign if `plan` is there, else a put or a settling."""
+    """What a primary or candidate is about; a campaign if `plan` is there, else a put or a
+    settling."""
 
     stage: str
     epoch: int
@@ -116,7 +128,8 @@
 
 
 class Plot:
-    """`cell` come to life for one event; `out` and `marks` are what comes of it besides the next cell."""
+    """`cell` come to life for one event; `out` and `marks` are what comes of it besides the next
+    cell."""
 
     def __init__(self, rules: Rules, seeds: tuple[Member, ...], cell: Cell) -> None:
         self.rules, self.seeds, self.cell = rules, seeds, cell
@@ -129,7 +142,8 @@
         t.informed = True
         for m in seeds:  # as a founder knows the others
             if m != me:
-                t.peers[m.address] = Peer(m.id, answered=0.0, founder=True)  # so it may ask for its lease
+                # so it may ask for its lease
+                t.peers[m.address] = Peer(m.id, answered=0.0, founder=True)
         self.replica, self.pen, self.work, self.copy = t, cell.pen, cell.work, cell.copy
         self.out: list[Message] = []
         self.marks: list[Mark] = []
@@ -148,10 +162,23 @@
         stands = t.hold > 0.0
         granted = tuple(sorted((i, e, s) for i, (e, s) in t.granted.items() if s + LEASE > 0.0))
         return Cell(
-            self.cell.index, t.record, self.cell.started, t.promised, t.promised_to, t.seen,
-            t.holder if stands else "", t.hold if stands else LONG, granted, t.settled, t.reign,
-            t.version, t.data, self.pen, self.work, self.copy,
-        )  # fmt: skip
+            self.cell.index,
+            t.record,
+            self.cell.started,
+            t.promised,
+            t.promised_to,
+            t.seen,
+            t.holder if stands else "",
+            t.hold if stands else LONG,
+            granted,
+            t.settled,
+            t.reign,
+            t.version,
+            t.data,
+            self.pen,
+            self.work,
+            self.copy,
+        )
 
     def commit(self, version: int, data: bytes) -> None:
         self.replica.commit(version, data)
@@ -227,7 +254,11 @@
         t.mine(m.name)
         if m.op == "lead":
             base = t.base()
-            if base and (base.epoch, base.primary.id) == (body["under"], body["by"]) and self.pen is None:
+            if (
+                base
+                and (base.epoch, base.primary.id) == (body["under"], body["by"])
+                and self.pen is None
+            ):
                 plan = Plan(Step.TAKE, "its primary leaves", base.voters, base.former)
                 late = t.promised >= body["epoch"]
                 epoch = t.promised + 1 if late else body["epoch"]
@@ -240,14 +271,19 @@
                 view, by, epoch = t.base(), body["asker"], body["epoch"]
                 answer = {"ok": True, "epoch": epoch, "view": view.body() if view else None}
                 self.ink(
-                    lambda: t.promise(0.0, epoch, by, body["released"]), "answer", m, cbor2.dumps(answer)
+                    lambda: t.promise(0.0, epoch, by, body["released"]),
+                    "answer",
+                    m,
+                    cbor2.dumps(answer),
                 )
             case "keep":
                 epoch, version, data = body["epoch"], body["version"], body["data"]
                 self.ink(lambda: t.keep(epoch, body["asker"], version, data), "answer", m, m.body)
             case "fetch":
                 held = {"epoch": body["epoch"], "version": t.record.version, "data": t.record.data}
-                self.ink(lambda: t.fetch(body["epoch"], body["asker"]), "answer", m, cbor2.dumps(held))
+                self.ink(
+                    lambda: t.fetch(body["epoch"], body["asker"]), "answer", m, cbor2.dumps(held)
+                )
             case "install":
                 view = View.read(body["view"])
                 assert view is not None
@@ -307,7 +343,8 @@
         self.ink(lambda: t.promise(0.0, epoch, t.me.id, 0), "work", "promise", epoch)
 
     def greet(self, view: View) -> None:
-        """At its start all in reach answer before it asks for a lease, and tell of the newest view."""
+        """At its start all in reach answer before it asks for a lease, and tell of the newest
+        view."""
         self.replica.notice(view)
         record = self.replica.fenced()
         if record is not None:
@@ -328,7 +365,9 @@
                 self.work = work._replace(stage="poll")
                 for m in self.ballot().electors(t):
                     if m.id not in work.ids:
-                        self.ask(m, "promise", epoch=work.epoch, asker=t.me.id, released=work.released)
+                        self.ask(
+                            m, "promise", epoch=work.epoch, asker=t.me.id, released=work.released
+                        )
                 self.polled()
             case "owning":
                 self.work = work._replace(stage="backup", asked=())
@@ -396,13 +435,20 @@
     def backup(self, member: Member) -> None:
         """Has another member write the data; an earlier one that was asked may still do so."""
         work = self.work
-        if work is None or work.stage != "backup" or member in work.asked or member == self.replica.me:
+        if (
+            work is None
+            or work.stage != "backup"
+            or member in work.asked
+            or member == self.replica.me
+        ):
             raise Refused("not now")
         if not self.ballot().takes(member, work.ids):
             raise Refused("didn't promise")
         self.work = work._replace(asked=(*work.asked, member))
         version, data = work.held
-        self.ask(member, "keep", epoch=work.epoch, asker=self.replica.me.id, version=version, data=data)
+        self.ask(
+            member, "keep", epoch=work.epoch, asker=self.replica.me.id, version=version, data=data
+        )
 
     # --- a change, as in store/program.py
 
@@ -410,7 +456,8 @@
         t, view = self.replica, self.replica.record.view
         if not t.writes(0.0) or version <= t.version or self.pen is not None:
             raise Refused("not now")
-        if self.work is not None and self.work.stage not in ("put", "settle"):  # which may run out of time
+        # which may run out of time
+        if self.work is not None and self.work.stage not in ("put", "settle"):
             raise Refused("busy")
         assert view is not None and view.backup is not None
         self.work = Work("put", view.epoch, held=(version, data))
@@ -447,7 +494,8 @@
         self.replica.commit(version, data)
 
     def learn(self) -> None:
-        """What is in force goes to its disk too, though it's neither the primary's nor the backup's."""
+        """What is in force goes to its disk too, though it's neither the primary's nor the
+        backup's."""
         held = self.rules.learner(self.copy).due(self.replica)
         if held is None or self.pen is not None:
             raise Refused("nothing to write")
@@ -473,17 +521,22 @@
         t.reign, backup = False, view.backup
         self.work = None
         lead = {"by": t.me.id, "epoch": epoch, "under": view.epoch}
-        self.ink(lambda: t.promise(0.0, epoch, backup.id, view.epoch), "lead", backup, cbor2.dumps(lead))
+        self.ink(
+            lambda: t.promise(0.0, epoch, backup.id, view.epoch), "lead", backup, cbor2.dumps(lead)
+        )
 
     # --- what the code would do next
 
     def plans(self, members: tuple[Member, ...]) -> list[Plan]:
-        """All that `due` may say, whoever of `members` seems to be there, and however late it is."""
+        """All that `due` may say, whoever of `members` seems to be there, and however late it
+        is."""
         t, found = self.replica, {}
         others = [m for m in members if m.id != t.me.id]
         stands = t.lease_left(0.0) > 0.0 or t.leads(0.0)
         now = 0.0 if stands else 100.0
-        for there, leaves, outbid in product(product((True, False), repeat=len(others)), (0, 1), (0, 1)):
+        for there, leaves, outbid in product(
+            product((True, False), repeat=len(others)), (0, 1), (0, 1)
+        ):
             t.peers, t.heard = {}, {}
             t.state = State.LEAVING if leaves else State.FIT
             for m, is_there in zip(others, there, strict=True):
--- a/loomstand/model_checker/mutants.py
+++ b/loomstand/model_checker/mutants.py
@@ -1,4 +1,5 @@
-"""Steps left out, one at a time: the model_checker is worth something only if it finds every one of them."""
+"""Steps left out, one at a time: the model_checker is worth something only if it finds every one of
+them."""
 
 from __future__ import annotations
 
@@ -21,7 +22,9 @@
 
     def keep(self, epoch: int, asker: str, version: int, data: bytes) -> Record:
         self._raise(epoch, asker)
-        return replace(self.record, promised=self.promised, version=version, data=data, written=epoch)
+        return replace(
+            self.record, promised=self.promised, version=version, data=data, written=epoch
+        )
 
 
 class KeepsEarlier(Replica):
@@ -109,7 +112,9 @@
 class AtOneGo(Ballot):
     """Changes the voters without the agreement of those before."""
 
-    def view(self, replica: Replica, epoch: int, backup: Member | None, promised: Collection[str]) -> View:
+    def view(
+        self, replica: Replica, epoch: int, backup: Member | None, promised: Collection[str]
+    ) -> View:
         return replace(Ballot.view(self, replica, epoch, backup, promised), former=())
 
 
@@ -193,7 +198,8 @@
 
 
 RESCUE = brief("restart", epochs=1, faults=2, wipes=2, rescues=1)
-# one is read, and cut off; one that was told to stop ends for good beside a lost disk; two end at once
+# one is read, and cut off; one that was told to stop ends for good beside a lost disk; two end at
+# once
 READ = brief("cut", takers="b", halves=True, versions=0, reads=1)
 LEAVE = brief(wipes=1, epochs=4, changes=1, leavers="b", takers="c", versions=0)
 TWO_LEAVE = brief(members=4, faults=0, epochs=4, changes=1, leavers="ab", takers="c", versions=0)
@@ -208,7 +214,9 @@
         Rules(ForgetsEarlierLife), brief("restart", "lost", faults=2, takers="c", versions=0), "b"
     ),
     "leases-from-receipt": Mutant(
-        Rules(LeasesFromReceipt), brief("late", "lost", faults=2, takers="c", halves=True, versions=0), "b"
+        Rules(LeasesFromReceipt),
+        brief("late", "lost", faults=2, takers="c", halves=True, versions=0),
+        "b",
     ),
     "installs-old": Mutant(Rules(InstallsOld), brief("slow", epochs=3, takers="ab"), "a", False),
     "any-disk": Mutant(Rules(AnyDisk), brief(wipes=1), "d"),
--- a/loomstand/model_checker/search.py
+++ b/loomstand/model_checker/search.py
@@ -1,4 +1,5 @@
-"""Walks through a land: breadth first through all of it, so that a violation's trace is the shortest."""
+"""Walks through a land: breadth first through all of it, so that a violation's trace is the
+shortest."""
 
 from __future__ import annotations
 
@@ -11,7 +12,8 @@
 
 @dataclass(slots=True)
 class Search:
-    """What a search has seen. `whole`: it ended for want of new states, so all within bounds are known."""
+    """What a search has seen. `whole`: it ended for want of new states, so all within bounds are
+    known."""
 
     states: int = 0
     transitions: int = 0
@@ -23,10 +25,11 @@
 
 
 def survey(land: StateSpace, states: int = 1_000_000, seconds: float = 300.0) -> Search:
-    """Breadth first, until `states` are known, `seconds` are over, nothing is left or something is broken.
+    """Breadth first, until `states` are known, `seconds` are over, nothing is left or something is
+    broken.
 
-    Of a state only its 64-bit hash is kept: among 10 million the odds that any two are taken for one are
-    3 in a million, and what that hides is one state.
+    Of a state only its 64-bit hash is kept: among 10 million the odds that any two are taken for
+    one are 3 in a million, and what that hides is one state.
     """
     begun, out = time.perf_counter(), Search(states=1)
     first = land.first()
--- a/loomstand/model_checker/state_space.py
+++ b/loomstand/model_checker/state_space.py
@@ -1,4 +1,5 @@
-"""All members and what is under way between them: the states, their successors, and what must always hold."""
+"""All members and what is under way between them: the states, their successors, and what must
+always hold."""
 
 from __future__ import annotations
 
@@ -34,13 +35,15 @@
 class Bounds:
     """What keeps the space finite.
 
-    Without a fault a message is dealt with before anything else happens, and a write is done at once. Faults
-    are a message lost, late or doubled, a write that is slow, a restart, a lost disk, and a cut that keeps
-    one member from all others until it's mended. All runs with up to `faults` of them are walked.
+    Without a fault a message is dealt with before anything else happens, and a write is done at
+    once. Faults are a message lost, late or doubled, a write that is slow, a restart, a lost disk,
+    and a cut that keeps one member from all others until it's mended. All runs with up to `faults`
+    of them are walked.
     """
 
     members: int = 3  # the first three are seeds and voters
-    founding: bool = False  # from empty disks, else from a primary at work whose grants have just run out
+    # from empty disks, else from a primary at work whose grants have just run out
+    founding: bool = False
     epochs: int = 3
     versions: int = 2
     faults: int = 2
@@ -68,7 +71,8 @@
 
 
 class Read(NamedTuple):
-    """An answer that isn't passed on yet; `asked` as the one who passes it on counts, at the latest."""
+    """An answer that isn't passed on yet; `asked` as the one who passes it on counts, at the
+    latest."""
 
     by: int
     asked: float
@@ -96,7 +100,8 @@
 
 
 Outcome = tuple[int, tuple[int, ...], tuple[Mark, ...]]
-Label = tuple[str, tuple[Any, ...]]  # a step's form of words and what goes into it, worded in traces
+# a step's form of words and what goes into it, worded in traces
+Label = tuple[str, tuple[Any, ...]]
 
 
 @dataclass(slots=True)
@@ -109,7 +114,9 @@
     # every step of one member is worked out once: few cells make up all the states
     known: dict[tuple[int, Event], Outcome | None] = field(default_factory=dict)
     facts: list[tuple[float, int, tuple[View, ...]]] = field(default_factory=list)
-    own: dict[tuple[int, tuple[Member, ...], tuple[Member, ...]], list[Event]] = field(default_factory=dict)
+    own: dict[tuple[int, tuple[Member, ...], tuple[Member, ...]], list[Event]] = field(
+        default_factory=dict
+    )
     older: dict[int, int] = field(default_factory=dict)
     dull: dict[tuple[int, int], bool] = field(default_factory=dict)
 
@@ -173,8 +180,11 @@
                 self.known[key] = (self.cell(plot.frozen()), out, tuple(plot.marks))
         return self.known[key]
 
-    def events(self, number: int, members: tuple[Member, ...], stay: tuple[Member, ...]) -> list[Event]:
-        """What a member may do of itself, by its own code's leave; the epoch is any that it may choose.
+    def events(
+        self, number: int, members: tuple[Member, ...], stay: tuple[Member, ...]
+    ) -> list[Event]:
+        """What a member may do of itself, by its own code's leave; the epoch is any that it may
+        choose.
 
         `stay`: those of `members` that weren't told to stop."""
         key = (number, members, stay)
@@ -200,9 +210,16 @@
         if work and work.stage == "fetch":
             found.append(("fetch",))
         if view is not None and view.primary.id == me.id:
-            fresh = {me.id, *(i for i, epoch, sent in cell.granted if sent == 0.0 and epoch == view.epoch)}
+            fresh = {
+                me.id,
+                *(i for i, epoch, sent in cell.granted if sent == 0.0 and epoch == view.epoch),
+            }
             # no more of them once the lease is as long as it can be
-            asked = [] if view.agreed(fresh) else [m for m in view.electors().values() if m.id not in fresh]
+            asked = (
+                []
+                if view.agreed(fresh)
+                else [m for m in view.electors().values() if m.id not in fresh]
+            )
             found += [("beat", m) for m in asked]
         self.own[key] = [e for e in found if self.step(number, e) is not None]
         return self.own[key]
@@ -213,7 +230,8 @@
         return Plan(Step.MOVE, "", view.voters, view.former)
 
     def is_dull(self, cell: int, number: int) -> bool:
-        """Whether a message can never matter again at a member; asked of the code, so mutants differ."""
+        """Whether a message can never matter again at a member; asked of the code, so mutants
+        differ."""
         key = (cell, number)
         found = self.dull.get(key)
         if found is None:
@@ -265,7 +283,8 @@
                 fewer = self._fault(state)
                 yield from self._take(fewer, at, ("deliver", number))
         members = self.members(state)
-        stay = tuple(m for i, m in enumerate(members) if i not in state.going)  # who may take a place
+        # who may take a place
+        stay = tuple(m for i, m in enumerate(members) if i not in state.going)
         for i, number in enumerate(state.cells):
             if i in state.gone:
                 continue
@@ -306,7 +325,10 @@
         at = self.messages[number].at
         if self.step(state.cells[at], ("deliver", number)) is None:
             if self.cells[state.cells[at]].pen is not None:  # it waits until the disk is done
-                yield ("{} waits", (number,)), without._replace(late=tuple(sorted({*state.late, number})))
+                yield (
+                    ("{} waits", (number,)),
+                    without._replace(late=tuple(sorted({*state.late, number}))),
+                )
             else:
                 yield ("{} is refused", (number,)), without
         yield from self._take(without, at, ("deliver", number))
@@ -315,7 +337,10 @@
             if "lost" in self.bounds.kinds:
                 yield ("{} is lost", (number,)), without
             if "late" in self.bounds.kinds:
-                yield ("{} is late", (number,)), without._replace(late=tuple(sorted({*state.late, number})))
+                yield (
+                    ("{} is late", (number,)),
+                    without._replace(late=tuple(sorted({*state.late, number}))),
+                )
 
     @staticmethod
     def _fault(state: Plain) -> Plain:
@@ -324,13 +349,19 @@
     def _allowed(self, state: Plain, event: Event) -> Plain | None:
         left = state.left
         if event[0] == "hand_over":
-            return state._replace(left=left._replace(yields=left.yields - 1)) if left.yields else None
+            return (
+                state._replace(left=left._replace(yields=left.yields - 1)) if left.yields else None
+            )
         if event[0] == "start" and event[1].former and len(event[1].former) <= len(event[1].voters):
             begins = all(
                 v.voters != event[1].voters for c in state.cells for v in self.facts[c][2]
             )  # a set that no view has yet
             if begins:
-                return state._replace(left=left._replace(changes=left.changes - 1)) if left.changes else None
+                return (
+                    state._replace(left=left._replace(changes=left.changes - 1))
+                    if left.changes
+                    else None
+                )
         return state
 
     def _puts(self, state: Plain, i: int, number: int) -> Iterator[tuple[Label, Plain]]:
@@ -361,16 +392,21 @@
             fewer = left._replace(wipes=left.wipes - 1, faults=left.faults - 1)
             aside = ((i, cell.record),) if left.rescues else ()
             lost = state._replace(left=fewer, aside=state.aside + aside)
-            yield from self._restart(lost, i, Record(id, False), "has lost its disk and starts", True)
+            yield from self._restart(
+                lost, i, Record(id, False), "has lost its disk and starts", True
+            )
 
-    def _leaves(self, state: Plain, i: int, stay: tuple[Member, ...]) -> Iterator[tuple[Label, Plain]]:
+    def _leaves(
+        self, state: Plain, i: int, stay: tuple[Member, ...]
+    ) -> Iterator[tuple[Label, Plain]]:
         """It is told to stop; or ends, once its own code lets it, with all in reach answering."""
         if "abcd"[i] not in self.bounds.leavers:
             return
         if i not in state.going:
             if len(state.going) < 2:
-                yield ("{} is told to stop", (self.cells[state.cells[i]].record.id,)), state._replace(
-                    going=tuple(sorted((*state.going, i)))
+                yield (
+                    ("{} is told to stop", (self.cells[state.cells[i]].record.id,)),
+                    state._replace(going=tuple(sorted((*state.going, i)))),
                 )
             return
         cut = state.away if state.away != i else -1
@@ -378,32 +414,39 @@
         if self.step(state.cells[i], ("ends", there)) is None:
             return
         gone = tuple(sorted((*state.gone, i)))
-        yield ("{} ends, its disk with it", (self.cells[state.cells[i]].record.id,)), self._tidy(
-            state._replace(gone=gone)
+        yield (
+            ("{} ends, its disk with it", (self.cells[state.cells[i]].record.id,)),
+            self._tidy(state._replace(gone=gone)),
         )
 
     def _rescued(self, state: Plain) -> Iterator[tuple[Label, Plain]]:
-        """Operators' word, where the code's own judgement lets them; later what they gave up comes back."""
+        """Operators' word, where the code's own judgement lets them; later what they gave up comes
+        back."""
         if not state.left.rescues:
             for k, (i, record) in enumerate(state.aside):
                 rest = state._replace(aside=(*state.aside[:k], *state.aside[k + 1 :]))
                 yield from self._restart(rest, i, record, "is back with its old disk", True)
             return
         tenures = [Plot(self.rules, self.seeds(), self.cells[c]).replica for c in state.cells]
-        found = case((told(t, 0.0, (0, b"")) for t in tenures), (), [m.address for m in self.seeds()])
+        found = case(
+            (told(t, 0.0, (0, b"")) for t in tenures), (), [m.address for m in self.seeds()]
+        )
         chosen = found.chosen()
         if chosen is None or found.waits():
             return
         # what nobody in reach holds is lost
         force = tuple(d if v < found.version() else None for v, d in enumerate(state.force))
-        after = state._replace(left=state.left._replace(rescues=state.left.rescues - 1), force=force)
+        after = state._replace(
+            left=state.left._replace(rescues=state.left.rescues - 1), force=force
+        )
         i = next(i for i, t in enumerate(tenures) if t.me == chosen.member)
         yield from self._take(after, i, ("rescue", found, MARGIN))
 
     def _restart(
         self, state: Plain, i: int, record: Record, words: str, empty: bool = False
     ) -> Iterator[tuple[Label, Plain]]:
-        """Who wakes hears no answers to what it asked before, also not to what is still being written."""
+        """Who wakes hears no answers to what it asked before, also not to what is still being
+        written."""
         cells, late = list(state.cells), list[int]()
         for k, number in enumerate(cells):
             match self.cells[number].pen:
@@ -435,7 +478,10 @@
         while True:
             number, out, marks = outcome
             after = self._after(state, i, number, out, marks)
-            if self.cells[number].pen is None or self.cells[number].pen == self.cells[state.cells[i]].pen:
+            if (
+                self.cells[number].pen is None
+                or self.cells[number].pen == self.cells[state.cells[i]].pen
+            ):
                 yield (words, (before, event)), after
                 return
             if state.left.faults and "slow" in self.bounds.kinds:
@@ -461,7 +507,9 @@
                     raise Broken(f"(c) version {version} has two contents in force")
                 force = (*force[: version - 1], data, *force[version:])
         if state.away >= 0 and out:
-            out = tuple(n for n in out if state.away not in (self.messages[n].by, self.messages[n].at))
+            out = tuple(
+                n for n in out if state.away not in (self.messages[n].by, self.messages[n].at)
+            )
         return self._tidy(state._replace(cells=cells, fresh=state.fresh + out, force=force))
 
     def _tidy(self, state: Plain) -> Plain:
@@ -481,34 +529,47 @@
         for number in state.late:
             m = self.messages[number]
             timed = m.op in ("beat", "install")
-            late.append(self.message(m._replace(sent=max(m.sent - TICK, -2 * TICK))) if timed else number)
+            late.append(
+                self.message(m._replace(sent=max(m.sent - TICK, -2 * TICK))) if timed else number
+            )
         cells = []
         for c in state.cells:
             if c not in self.older:
                 self.older[c] = self.cell(aged(self.cells[c]))
             cells.append(self.older[c])
-        reads = tuple(r for r in (r._replace(asked=r.asked - TICK) for r in state.reads) if self._passes(r))
-        return self._tidy(state._replace(cells=tuple(cells), late=tuple(sorted({*late})), reads=reads))
+        reads = tuple(
+            r for r in (r._replace(asked=r.asked - TICK) for r in state.reads) if self._passes(r)
+        )
+        return self._tidy(
+            state._replace(cells=tuple(cells), late=tuple(sorted({*late})), reads=reads)
+        )
 
     def _passes(self, read: Read) -> bool:
         """Whether that may be passed on now, however long its asker waited."""
-        return read.asked > -4 * TICK and self.rules.passes({LEFT: read.left}, read.asked, 0.0, 1e9) > 0.0
+        return (
+            read.asked > -4 * TICK
+            and self.rules.passes({LEFT: read.left}, read.asked, 0.0, 1e9) > 0.0
+        )
 
     # --- what must hold
 
     def check(self, state: Plain) -> None:
         """Raises Broken unless, in this state and the step to it:
 
-        (a) Whoever serves (its lease stands, so it answers reads and may acknowledge) holds at least the
-            newest version that a primary has put in force, though one disk be lost and members be away.
-        (b) No two members serve at one moment, and no two views of one epoch are known: one primary an epoch.
-        (c) A member's committed version never goes back in a life (looked at in Plot.frozen), and a version
+        (a) Whoever serves (its lease stands, so it answers reads and may acknowledge) holds at
+        least the
+            newest version that a primary has put in force, though one disk be lost and members be
+            away.
+        (b) No two members serve at one moment, and no two views of one epoch are known: one primary
+        an epoch. (c) A member's committed version never goes back in a life (looked at in
+        Plot.frozen), and a version
             put in force never has a second content (looked at as marks are taken in).
-        (d) No disk answers in the name of another one, nor under the id of one that was lost (looked at in
+        (d) No disk answers in the name of another one, nor under the id of one that was lost
+        (looked at in
             Plot.reply; a new disk under the old id is found here).
-        (e) What was read of one member isn't passed on while another one serves.
-        (f) A copy beside the view's disks has only what was in force (looked at as marks are taken in).
-        (g) Once members were told to stop, those that are left can agree on a view, and one has its data.
+        (e) What was read of one member isn't passed on while another one serves. (f) A copy beside
+        the view's disks has only what was in force (looked at as marks are taken in). (g) Once
+        members were told to stop, those that are left can agree on a view, and one has its data.
         """
         facts = [self.facts[c] for c in state.cells]
         for read in state.reads:
@@ -535,10 +596,13 @@
     def _left(self, state: Plain) -> tuple[View | None, list[str]]:
         """The newest view that those know who didn't end, and their disks."""
         cells = [self.cells[c] for i, c in enumerate(state.cells) if i not in state.gone]
-        return newest(*(v for c in cells for v in (c.record.view, c.seen))), [c.record.id for c in cells]
+        return newest(*(v for c in cells for v in (c.record.view, c.seen))), [
+            c.record.id for c in cells
+        ]
 
     def _missed(self, state: Plain) -> bool:
-        """Whether a member that ended has nobody in its place: it counts as the one loss that is borne."""
+        """Whether a member that ended has nobody in its place: it counts as the one loss that is
+        borne."""
         view, _ = self._left(state)
         names = replace(view, former=()).named() if view else {}
         return any(self.cells[state.cells[i]].record.id in names for i in state.gone)
--- a/loomstand/net/clients.py
+++ b/loomstand/net/clients.py
@@ -45,7 +45,8 @@
         self.read_at = self.front.limiter.turns.came(self.made, self.made_at)
         if self.begun_at is None:
             self.begun_at, machine, front = self.read_at, self.machine, self.front
-            machine.most, machine.most_head = front.most_body, front.most_head  # of now, not of its opening
+            # of now, not of its opening
+            machine.most, machine.most_head = front.most_body, front.most_head
             self.wire.inbound.most = front.most_body + front.most_head
         if self.req is None:
             self.take()
@@ -142,8 +143,8 @@
 
     def __init__(self, limiter: Takes, at_once: int, sockets: int) -> None:
         self.limiter, self.at_once, self.sockets = limiter, at_once, sockets
-        # PROTOCOL: for reqs clients hold a third of the descriptors at most, which those that ask once and
-        # stay would use up; half of it is left to usual ones
+        # PROTOCOL: for reqs clients hold a third of the descriptors at most, which those that ask
+        # once and stay would use up; half of it is left to usual ones
         self.most_held = sockets // 6
         self.stays, self.own_paths = STAYS, True
         self.most_body, self.most_head = http.MOST_BODY, http.MOST_HEAD
@@ -154,7 +155,9 @@
 
     async def listen(self, address: tuple[str, int]) -> None:
         loop = self.limiter.loop
-        self.server = await self.bind(loop, lambda: Client(self).wire, address, self.at_once, self.sockets)
+        self.server = await self.bind(
+            loop, lambda: Client(self).wire, address, self.at_once, self.sockets
+        )
 
     def let_in(self, client: Client) -> None:
         self.clients[client] = None
@@ -163,19 +166,22 @@
             if len(self.clients) > self.most_held:
                 self.close_idle(client)
         elif not self.limiter.make_room(client):
-            # it is turned away once its req is read: an answer ahead of it could not be told from a lost one
+            # it is turned away once its req is read: an answer ahead of it could not be told from a
+            # lost one
             client.surplus = True
             self.limiter.endings["client surplus"] += 1
             if short > self.at_once:
                 client.wire.stop(Ending.NO_ROOM)
 
     def answered(self, client: Client) -> None:
-        """Keeps them in the order of their last answer: who asks once and stays comes to the front."""
+        """Keeps them in the order of their last answer: who asks once and stays comes to the
+        front."""
         if self.clients.pop(client, self) is None:
             self.clients[client] = None
 
     def close_idle(self, spared: Client | None = None) -> bool:
-        """Closes the connection that has been idle longest, if there is one on which nothing has come."""
+        """Closes the connection that has been idle longest, if there is one on which nothing has
+        come."""
         for client in self.clients:
             if client is not spared and client.free:
                 client.wire.stop(Ending.IDLE)
@@ -183,7 +189,8 @@
         return False
 
     def close_silent(self, spared: Client | None, within: float) -> bool:
-        """Closes the oldest connection that has never sent anything, if there is one older than that."""
+        """Closes the oldest connection that has never sent anything, if there is one older than
+        that."""
         since = self.limiter.loop.time() - within
         for client in self.clients:
             if client.busy_at > since:
@@ -194,7 +201,8 @@
         return False
 
     def close_stuck(self, within: float) -> bool:
-        """Closes the connection that has been within a message, or lingers, longest, and longer than that."""
+        """Closes the connection that has been within a message, or lingers, longest, and longer
+        than that."""
         since = self.limiter.loop.time() - within
         stuck = [c for c in self.clients if c.began < since and c.stuck]
         if stuck:
@@ -210,8 +218,8 @@
             self.limiter.vanished(req)
 
     def sweep(self, patience: float) -> None:
-        """Ends connections that stopped within a message, don't take their answer, linger, or stay idle: some
-        clients ask once, or nothing, and keep their connection for good."""
+        """Ends connections that stopped within a message, don't take their answer, linger, or stay
+        idle: some clients ask once, or nothing, and keep their connection for good."""
         now = self.limiter.loop.time()
         for client in list(self.clients):
             if now - client.busy_at > self.stays and client.free:
--- a/loomstand/net/counter.py
+++ b/loomstand/net/counter.py
@@ -71,7 +71,8 @@
     ) -> None:
         self.limiter, self.address = limiter, address
         self.timeout, self.connect_timeout = timeout, connect_timeout
-        # with a silent connection; doubled each time in a row, up to four times what a connect may take
+        # with a silent connection; doubled each time in a row, up to four times what a connect may
+        # take
         self.patience = timeout
         self.line: Line | None = None
         self.queue: deque[tuple[Call, bytes]] = deque()  # calls for a connection that is coming up
@@ -81,7 +82,10 @@
     def call(self, act: Count) -> None:
         loop = self.limiter.loop
         keep = max(1, min(60_000, -(-act.keep // 10)))
-        raw = b"POST /counters/%d?by=%.9g&expire_ms=%d HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n"
+        raw = (
+            b"POST /counters/%d?by=%.9g&expire_ms=%d HTTP/1.1\r\n"
+            b"Host: counter\r\nContent-Length: 0\r\n\r\n"
+        )
         call = Call(act.name, loop.time())
         self.queue.append((call, raw % (act.name, act.step, keep)))
         self.open.append(call)
@@ -97,7 +101,8 @@
         connect(self.limiter.loop, self.line.wire, self.address, self.connect_timeout)
 
     def move(self, address: tuple[str, int]) -> None:
-        """The counter listens elsewhere from now on; what the old one was sent is still waited for."""
+        """The counter listens elsewhere from now on; what the old one was sent is still waited
+        for."""
         old, self.line, self.address = self.line, None, address
         self.patience = self.timeout
         if old is not None and old.calls:
@@ -126,7 +131,8 @@
             line.calls.append(call)
 
     def arm(self) -> None:
-        """One timer, for the oldest call; none where no call is open, as each turn of the loop costs."""
+        """One timer, for the oldest call; none where no call is open, as each turn of the loop
+        costs."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -139,15 +145,21 @@
         while self.open and now - self.open[0].at >= self.timeout - 1e-4:
             self.tell(self.open[0], call_outcome(Ending.EXPIRED, self.open[0].written))
         line = self.line
-        if line is not None and line.up and line.calls and now - line.heard_at > self.patience - 1e-3:
-            # nothing comes any more, or an answer never ends: a new connection shows whether the machine is
-            # there, and a machine that only stands still would hold the old ones too
+        if (
+            line is not None
+            and line.up
+            and line.calls
+            and now - line.heard_at > self.patience - 1e-3
+        ):
+            # nothing comes any more, or an answer never ends: a new connection shows whether the
+            # machine is there, and a machine that only stands still would hold the old ones too
             self.patience = min(2 * self.patience, 4 * self.connect_timeout)
             line.wire.stop(Ending.STALLED)
         self.arm()
 
     def answered(self, call: Call, status: int, body: bytes) -> bool:
-        """Whether this is an answer that the counter gives: after any other its connection is of no use."""
+        """Whether this is an answer that the counter gives: after any other its connection is of no
+        use."""
         outcome, total = called(status), 0.0
         if outcome is Outcome.PASSED:
             if TOTAL(body) and isfinite(float(body)):
--- a/loomstand/net/discovery.py
+++ b/loomstand/net/discovery.py
@@ -37,7 +37,12 @@
     """Keeps one watch open, and hands every list and change to the limiter."""
 
     def __init__(
-        self, limiter: Told, where: tuple[str, int], revision: int, connect_timeout: float, seed: int
+        self,
+        limiter: Told,
+        where: tuple[str, int],
+        revision: int,
+        connect_timeout: float,
+        seed: int,
     ) -> None:
         self.limiter, self.where, self.revision = limiter, where, revision
         self.connect_timeout = connect_timeout
@@ -73,7 +78,8 @@
     def opened(self) -> None:
         self.heard_at = self.limiter.loop.time()
         self.wire.send(
-            b"GET /api/targets?stream=1&index=%d HTTP/1.1\r\nHost: discovery\r\n\r\n" % self.revision
+            b"GET /api/targets?stream=1&index=%d HTTP/1.1\r\nHost: discovery\r\n\r\n"
+            % self.revision
         )
 
     def received(self) -> None:
--- a/loomstand/net/driver.py
+++ b/loomstand/net/driver.py
@@ -1,4 +1,5 @@
-"""The thin driver under every connection: reads into one ring, writes from another, and says how it ended."""
+"""The thin driver under every connection: reads into one ring, writes from another, and says how it
+ended."""
 
 from __future__ import annotations
 
@@ -21,7 +22,8 @@
 
 
 class Turns(selectors.DefaultSelector):
-    """The loop's selector, which also keeps what bounds the time at which the bytes now read had come."""
+    """The loop's selector, which also keeps what bounds the time at which the bytes now read had
+    come."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -43,13 +45,14 @@
         return ready
 
     def came(self, made: int, made_at: float) -> float:
-        """The earliest at which bytes now read can have come, on a connection made in turn `made`: what is
-        there when it is first looked at can have come with it."""
+        """The earliest at which bytes now read can have come, on a connection made in turn `made`:
+        what is there when it is first looked at can have come with it."""
         return made_at if self.count <= made + 1 else self.since
 
 
 class Untimed:
-    """In its place on a loop of somebody else's: bytes are taken to have come when they are read."""
+    """In its place on a loop of somebody else's: bytes are taken to have come when they are
+    read."""
 
     count, longest = 0, 0.0
 
@@ -62,11 +65,20 @@
 
 
 class Wire(asyncio.BufferedProtocol):
-    """One connection. Its user gives `received` and `ended`, which is called once; neither after `drop`."""
+    """One connection. Its user gives `received` and `ended`, which is called once; neither after
+    `drop`."""
 
     __slots__ = (
-        "ending", "inbound", "lingering", "off", "outbound", "paused", "reading", "transport", "user",
-    )  # fmt: skip
+        "ending",
+        "inbound",
+        "lingering",
+        "off",
+        "outbound",
+        "paused",
+        "reading",
+        "transport",
+        "user",
+    )
 
     def __init__(self, user: object, room: Room, most: int, most_out: int = 0) -> None:
         self.user = user
@@ -105,7 +117,8 @@
         self.stop(Ending.RESET)
         self.inbound.close()
         self.outbound.close()
-        self.user = None  # it refers back: what is closed goes at once, not when the collector comes
+        # it refers back: what is closed goes at once, not when the collector comes
+        self.user = None
 
     def pause_writing(self) -> None:
         self.paused = True
@@ -137,7 +150,8 @@
     @property
     def unread(self) -> bool:
         """Whether bytes, or an end, wait in the system."""
-        if (asked := self.transport.get_extra_info("unread")) is not None:  # there is no socket beneath it
+        # there is no socket beneath it
+        if (asked := self.transport.get_extra_info("unread")) is not None:
             return asked()
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -159,8 +173,8 @@
                 self.off()
 
     def sever(self) -> None:
-        """Makes the coming end a reset: what the system still holds of the sending is thrown away, so that
-        it isn't delivered seconds later, where a cut heals."""
+        """Makes the coming end a reset: what the system still holds of the sending is thrown away,
+        so that it isn't delivered seconds later, where a cut heals."""
         if self.transport is not None:
             reset_on_close(self.transport)
 
@@ -191,8 +205,10 @@
 
 
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
-    """Has the system forget what it holds to send when the transport closes, and reset the connection."""
-    if (asked := transport.get_extra_info("reset_on_close")) is not None:  # there is no socket beneath it
+    """Has the system forget what it holds to send when the transport closes, and reset the
+    connection."""
+    # there is no socket beneath it
+    if (asked := transport.get_extra_info("reset_on_close")) is not None:
         asked()
     elif (sock := transport.get_extra_info("socket")) is not None:
         with suppress(OSError):
@@ -209,14 +225,20 @@
 class Streams(Protocol):
     """How connections come to be, where a program isn't to use real sockets."""
 
-    def connect(self, loop: asyncio.AbstractEventLoop, wire: Wire, address: Address, within: float) -> None:
+    def connect(
+        self, loop: asyncio.AbstractEventLoop, wire: Wire, address: Address, within: float
+    ) -> None:
         """As `connect` below."""
         ...
 
     async def listen(
-        self, loop: asyncio.AbstractEventLoop, make: Callable[[], Wire], address: Address, at_once: int,
+        self,
+        loop: asyncio.AbstractEventLoop,
+        make: Callable[[], Wire],
+        address: Address,
+        at_once: int,
         most: int,
-    ) -> Listens:  # fmt: skip
+    ) -> Listens:
         """As `listen` below."""
         ...
 
@@ -228,18 +250,26 @@
 
 
 async def listen(
-    loop: asyncio.AbstractEventLoop, make: Callable[[], Wire], address: Address, at_once: int, most: int
+    loop: asyncio.AbstractEventLoop,
+    make: Callable[[], Wire],
+    address: Address,
+    at_once: int,
+    most: int,
 ) -> Listens:
-    """Takes in connections, `at_once` of them in one turn of the loop; the system may hold `most`."""
+    """Takes in connections, `at_once` of them in one turn of the loop; the system may hold
+    `most`."""
     sock = socket.create_server(address, family=family(address))
-    server = await loop.create_server(make, sock=sock, backlog=at_once)  # that is what a turn takes in
+    # that is what a turn takes in
+    server = await loop.create_server(make, sock=sock, backlog=at_once)
     sock.listen(most)
     return server
 
 
-def connect(loop: asyncio.AbstractEventLoop, wire: Wire, address: tuple[str, int], within: float) -> None:
-    """Opens a connection for `wire`, whose user gets `opened`, or `ended` if it does not come up within that
-    many seconds."""
+def connect(
+    loop: asyncio.AbstractEventLoop, wire: Wire, address: tuple[str, int], within: float
+) -> None:
+    """Opens a connection for `wire`, whose user gets `opened`, or `ended` if it does not come up
+    within that many seconds."""
 
     async def run() -> None:
         sock = None
--- a/loomstand/net/http.py
+++ b/loomstand/net/http.py
@@ -68,8 +68,9 @@
 
 
 class Receiver:
-    """Takes one message after another from a ring. `step` goes as far as the bytes do. Its state is a plain
-    function: a bound one would refer back, and what is closed would wait for the collector."""
+    """Takes one message after another from a ring. `step` goes as far as the bytes do. Its state is
+    a plain function: a bound one would refer back, and what is closed would wait for the
+    collector."""
 
     __slots__ = ("body", "close", "fields", "left", "most", "most_head", "searched", "state")
     read = staticmethod(read_head)
@@ -150,7 +151,8 @@
 
     def counted(self, ring: Ring) -> bool:
         if ring.used < self.left:
-            ring.grow(self.left)  # at once, not by doubling; where there is no room the driver will say so
+            # at once, not by doubling; where there is no room the driver will say so
+            ring.grow(self.left)
             return False
         self.body, self.state = ring.take(self.left), None
         return False
@@ -226,7 +228,8 @@
     """The client's side of a connection."""
 
     __slots__ = ("status",)
-    read = staticmethod(lru_cache(256)(read_head))  # answers have few different heads, and 2 MiB hold these
+    # answers have few different heads, and 2 MiB hold these
+    read = staticmethod(lru_cache(256)(read_head))
 
     def start_line(self, line: bytes) -> None:
         said = STATUS_LINE(line)
@@ -250,5 +253,6 @@
 def answer(status: int, body: bytes = b"", extra: str = "", close: bool = False) -> bytes:
     """An answer to a client; `extra` holds whole field lines."""
     end = "Connection: close\r\n\r\n" if close else "\r\n"
-    head = f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\nContent-Length: {len(body)}\r\n{extra}{end}"
+    first = f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\n"
+    head = f"{first}Content-Length: {len(body)}\r\n{extra}{end}"
     return head.encode("latin-1") + body
--- a/loomstand/net/limiter.py
+++ b/loomstand/net/limiter.py
@@ -44,7 +44,9 @@
 
             self.guide = Guide(config.plan, self.settings, names, started)
         self.brain = Brain(self.settings, config.seed, started, self.guide)
-        self.names = Names([g.name for g in conf.grades], [p.name for p in conf.plans], self.settings)
+        self.names = Names(
+            [g.name for g in conf.grades], [p.name for p in conf.plans], self.settings
+        )
         within, idle = conf.allowed.connect_timeout / 1000, conf.allowed.idle_close / 1000
         self.front, self.pool = Front(self, self.spare, limits.sockets), Pool(self, within, idle)
         self.counter: Counter | None = None
@@ -53,10 +55,13 @@
         self.watch = Watch(self, config.discovery, config.known.revision, within, config.seed)
         self.peers = None
         if config.peers:
-            from loomstand.peers.driver import Peers  # only where there are any: a start counts its CPU
+            # only where there are any: a start counts its CPU
+            from loomstand.peers.driver import Peers
 
             own, fleet, known = self.settings.me, self.settings.limiters, config.known
-            self.peers = Peers(self, self.watch, own, fleet, config.peer, config.peers, known, config.seed)
+            self.peers = Peers(
+                self, self.watch, own, fleet, config.peer, config.peers, known, config.seed
+            )
         self.patience = max(g.deadline for g in conf.grades) / 1000
 
     # life
@@ -132,7 +137,9 @@
         entries = []
         for m in list_.members:
             srv, phase = self.servers.at(m.id), PHASES[m.phase]
-            self.pool.told(srv, None if phase is i.Phase.GONE else address(m.host_port, "host_port"))
+            self.pool.told(
+                srv, None if phase is i.Phase.GONE else address(m.host_port, "host_port")
+            )
             hall, kind = self.halls.at(m.locality), self.kinds.at(m.flavor)
             entries.append(i.Entry(srv, phase, hall, kind, m.cell, m.size, up(m.up_since_ms)))
             if phase is i.Phase.GONE:
@@ -166,7 +173,9 @@
     def deny(self, act: i.Deny) -> None:
         req = self.reqs.get(act.req)
         if req is not None and req.client is not None:
-            self.answer(req, 429, extra=f"Retry-After: {act.wait / 10_000:.3f}\r\n" if act.wait else "")
+            self.answer(
+                req, 429, extra=f"Retry-After: {act.wait / 10_000:.3f}\r\n" if act.wait else ""
+            )
             self.forget(req)
 
     def abort(self, act: i.Abort) -> None:
--- a/loomstand/net/req.py
+++ b/loomstand/net/req.py
@@ -15,9 +15,16 @@
 DECIMAL = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?").fullmatch
 # fields of one connection, or that are written anew
 HOP_FIELDS = {
-    b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-    b"expect", b"content-length",
-}  # fmt: skip
+    b"connection",
+    b"keep-alive",
+    b"proxy-connection",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+    b"expect",
+    b"content-length",
+}
 OWN_FIELDS = HOP_FIELDS | {b"request-timeout-ms"}
 
 
@@ -28,7 +35,8 @@
         self.frontends = {name.encode(): n for n, name in enumerate(frontends)}
         self.plans = {name.encode(): n for n, name in enumerate(plans)}
         self.told = told
-        # few lines of X-Call-Terms differ; some customers come again soon, others are not kept for long
+        # few lines of X-Call-Terms differ; some customers come again soon, others are not kept for
+        # long
         self.terms, self.customer = lru_cache(1 << 8)(self.terms), lru_cache(1 << 10)(self.customer)
 
     def terms(self, raw: bytes) -> tuple[float, int, int]:
@@ -62,9 +70,12 @@
         self.flights: list[Flight | None] = []
 
     def onward(self, left_out: Container[bytes]) -> bytes:
-        """The head for a server, without its last line; `left_out` names the fields that don't go on."""
+        """The head for a server, without its last line; `left_out` names the fields that don't go
+        on."""
         if not self.head:
-            lines = [b"%b: %b\r\n" % pair for pair in self.fields.items() if pair[0] not in left_out]
+            lines = [
+                b"%b: %b\r\n" % pair for pair in self.fields.items() if pair[0] not in left_out
+            ]
             if self.body or self.line[0] != b"GET":
                 lines.append(b"content-length: %d\r\n" % len(self.body))
             self.head = b"%b %b HTTP/1.1\r\n%b" % (*self.line, b"".join(lines))
@@ -109,7 +120,13 @@
     __slots__ = ("expire", "link", "number", "req", "sent_at", "srv", "timer")
 
     def __init__(self, req: Req, number: int, srv: int, sent_at: int, expire: int) -> None:
-        self.req, self.number, self.srv, self.sent_at, self.expire = req, number, srv, sent_at, expire
+        self.req, self.number, self.srv, self.sent_at, self.expire = (
+            req,
+            number,
+            srv,
+            sent_at,
+            expire,
+        )
         self.link: Carrier | None = None
         self.timer = None
 
--- a/loomstand/net/ring.py
+++ b/loomstand/net/ring.py
@@ -48,7 +48,8 @@
         return True
 
     def space(self) -> memoryview:
-        """The next free stretch to write into; empty when full. `wrote` says how much of it was used."""
+        """The next free stretch to write into; empty when full. `wrote` says how much of it was
+        used."""
         if self.used == self.size and not self.grow(self.size + 1):
             return memoryview(b"")
         tail = self.head + self.used
@@ -90,7 +91,8 @@
             self.head = 0
 
     def take(self, n: int) -> bytes:
-        if n == self.used <= self.size - self.head and self.size <= FIRST:  # as usual: a whole message
+        # as usual: a whole message
+        if n == self.used <= self.size - self.head and self.size <= FIRST:
             data = bytes(self.buf[self.head : self.head + n])
             self.head = self.used = 0
             return data
--- a/loomstand/net/roles.py
+++ b/loomstand/net/roles.py
@@ -1,5 +1,5 @@
-"""What the parts of a limiter may ask of it: narrow types, so that no part knows the whole and none is known
-by it. A further part (a link to peers, say) stands beside them with a role of its own."""
+"""What the parts of a limiter may ask of it: narrow types, so that no part knows the whole and none
+is known by it. A further part (a link to peers, say) stands beside them with a role of its own."""
 
 from __future__ import annotations
 
@@ -26,7 +26,8 @@
 
 
 class Host(Protocol):
-    """What every part needs: the loop, room for buffers, and a place to count how connections end."""
+    """What every part needs: the loop, room for buffers, and a place to count how connections
+    end."""
 
     loop: asyncio.AbstractEventLoop
     room: Room
@@ -83,7 +84,9 @@
 
     req: Asked | None
 
-    def answer(self, status: int, body: bytes = b"", extra: str = "", close: bool = False) -> None: ...
+    def answer(
+        self, status: int, body: bytes = b"", extra: str = "", close: bool = False
+    ) -> None: ...
 
     def next(self) -> None: ...
 
--- a/loomstand/net/servers.py
+++ b/loomstand/net/servers.py
@@ -54,13 +54,16 @@
         self.done(close)
         used = fields.get(b"x-ratelimit-used", b"")
         metered = int(used) + 1 if http.number(used) else 0
-        self.pool.limiter.came(flight, answered(status, fields.get(b"not-started") == b"1"), metered, body)
+        self.pool.limiter.came(
+            flight, answered(status, fields.get(b"not-started") == b"1"), metered, body
+        )
 
     def done(self, close: bool) -> None:
         """The dispatch has its answer: the connection is kept, or closed."""
         self.flight = None
         self.machine.reset()
-        if close or self.wire.inbound.used or not self.wire.written:  # nothing may follow an early answer
+        # nothing may follow an early answer
+        if close or self.wire.inbound.used or not self.wire.written:
             self.pool.shut(self, Ending.FINISHED)
         else:
             self.pool.keep(self)
@@ -81,11 +84,13 @@
 
     def __init__(self, limiter: Sends, connect_timeout: float, idle_close: float) -> None:
         self.limiter, self.connect_timeout = limiter, connect_timeout
-        # A connection is not used again so near its idle close that a req could cross it; a server that
-        # can't be reached within the time for a connect is taken for gone, so no req travels longer.
+        # A connection is not used again so near its idle close that a req could cross it; a server
+        # that can't be reached within the time for a connect is taken for gone, so no req travels
+        # longer.
         self.idle_most = max(0.0, idle_close - connect_timeout)
         self.addresses: dict[int, tuple[str, int]] = {}
-        self.idle: dict[int, list[Link]] = {}  # by server, as another may come to its address; last used last
+        # by server, as another may come to its address; last used last
+        self.idle: dict[int, list[Link]] = {}
         self.links: dict[Link, None] = {}
 
     def told(self, srv: int, address: tuple[str, int] | None) -> None:
@@ -125,14 +130,19 @@
 
     def close_idle(self) -> bool:
         """Closes the connection that has been idle longest, if there is one."""
-        old = min((links[0] for links in self.idle.values() if links), key=lambda v: v.idle_at, default=None)
+        old = min(
+            (links[0] for links in self.idle.values() if links),
+            key=lambda v: v.idle_at,
+            default=None,
+        )
         if old is not None:
             self.shut(old, Ending.IDLE)
         return old is not None
 
     def give_up(self, flight: Flight, why: Ending) -> None:
-        """Stops waiting: its connection is closed, and those on which nothing came since it was sent: the
-        machine may be gone, which a new connect proves, while what is written to an old one may have run."""
+        """Stops waiting: its connection is closed, and those on which nothing came since it was
+        sent: the machine may be gone, which a new connect proves, while what is written to an old
+        one may have run."""
         link, limiter = flight.link, self.limiter
         if link is not None and link.flight is flight:
             if why is Ending.EXPIRED and link.sent:
--- a/loomstand/net/trunk.py
+++ b/loomstand/net/trunk.py
@@ -1,4 +1,5 @@
-"""What every limiter on sockets does, whatever its clients speak: reqs, their dispatches and their ends."""
+"""What every limiter on sockets does, whatever its clients speak: reqs, their dispatches and their
+ends."""
 
 from __future__ import annotations
 
@@ -22,36 +23,45 @@
 
 
 class Trunk:
-    """The front, the pool and the module of one limiter, and the reqs between them. A limiter gives `front`,
-    `pool`, `brain` and how its answers look."""
+    """The front, the pool and the module of one limiter, and the reqs between them. A limiter gives
+    `front`, `pool`, `brain` and how its answers look."""
 
     front: Front
     pool: Pool
     brain: Brain
     patience: float  # seconds for a message that is slow to come in, or an answer that isn't taken
 
-    def __init__(self, log: Callable[[str], None], turns: Turns | None, memory_mb: int, sockets: int) -> None:
+    def __init__(
+        self, log: Callable[[str], None], turns: Turns | None, memory_mb: int, sockets: int
+    ) -> None:
         self.log = log
         self.loop = asyncio.get_running_loop()
         self.turns = turns or Untimed()
         # one clock at all limiters, that never goes back here
         self.epoch = time.time_ns() - time.monotonic_ns()
-        # Half of the memory for buffers, the rest for program and module. A tenth of the sockets for clients
-        # that are being taken in, as many for those that are turned away.
-        # An answer may be as long as a 64th of that, as answers come that are longer than a body should be.
+        # Half of the memory for buffers, the rest for program and module. A tenth of the sockets
+        # for clients that are being taken in, as many for those that are turned away. An answer may
+        # be as long as a 64th of that, as answers come that are longer than a body should be.
         self.room = Room(int(memory_mb * (1 << 20) / 2))
         self.most_answer = max(http.MOST_BODY, self.room.left // 64)
         self.spare = sockets // 10
         self.sockets = sockets - 2 * self.spare
         self.reqs: dict[int, Req] = {}
         self.last, self.able = 0, False
-        self.endings: Tally[str] = Tally()  # of connections to others since the last line about them
+        # of connections to others since the last line about them
+        self.endings: Tally[str] = Tally()
         self.swept = 0
         self.stopped = asyncio.Event()
         self.kinds_of_action: dict[type, Callable] = {
-            i.Dispatch: self.dispatch, i.Deny: self.deny, i.Abort: self.abort, i.CallOff: self.call_off,
-            i.Wake: self.wake, i.Count: self.count, i.Probe: self.probe, i.Log: self.tell,
-        }  # fmt: skip
+            i.Dispatch: self.dispatch,
+            i.Deny: self.deny,
+            i.Abort: self.abort,
+            i.CallOff: self.call_off,
+            i.Wake: self.wake,
+            i.Count: self.count,
+            i.Probe: self.probe,
+            i.Log: self.tell,
+        }
 
     def now(self) -> int:
         """The common clock, in tenths of a millisecond."""
@@ -104,14 +114,19 @@
         return self.sockets - len(self.front.clients) - len(self.pool.links)
 
     def make_room(self, spared: Client | None = None) -> bool:
-        """Closes a connection: of a client that has said nothing so far, else an idle one, to a server rather
-        than of a client, which may be about to use it, else of a client that is stuck within a message."""
-        front, within = self.front, self.pool.connect_timeout  # by then a usual client has sent something
-        idle = front.close_silent(spared, within) or self.pool.close_idle() or front.close_idle(spared)
+        """Closes a connection: of a client that has said nothing so far, else an idle one, to a
+        server rather than of a client, which may be about to use it, else of a client that is stuck
+        within a message."""
+        # by then a usual client has sent something
+        front, within = self.front, self.pool.connect_timeout
+        idle = (
+            front.close_silent(spared, within) or self.pool.close_idle() or front.close_idle(spared)
+        )
         return idle or front.close_stuck(within)
 
     def stop(self) -> None:
-        """Serves on, closes what is idle, and ends when nothing is left and nothing more can come."""
+        """Serves on, closes what is idle, and ends when nothing is left and nothing more can
+        come."""
         if self.front.stopping:
             return
         self.log("told to stop")
@@ -135,8 +150,10 @@
     # from clients
 
     def owed(self, req: Req, client: Client, timeout: int, at: float) -> None:
-        """From here on the req is owed an answer; it is given up `timeout` tenths after its sending."""
-        # the wait counts from the sending; this limiter's own late turns must not make the answer late
+        """From here on the req is owed an answer; it is given up `timeout` tenths after its
+        sending."""
+        # the wait counts from the sending; this limiter's own late turns must not make the answer
+        # late
         lost = self.loop.time() - at + min(self.turns.longest, timeout / 20_000)
         req.give_up = self.now() + timeout - int(max(0.0, lost) * 10_000) - 1
         self.last += 1
@@ -206,7 +223,11 @@
 
     def call_off(self, act: i.CallOff) -> None:
         req = self.reqs.get(act.req)
-        if req is not None and act.dispatch < len(req.flights) and req.flights[act.dispatch] is not None:
+        if (
+            req is not None
+            and act.dispatch < len(req.flights)
+            and req.flights[act.dispatch] is not None
+        ):
             self.pool.give_up(req.flights[act.dispatch], Ending.CALLED_OFF)
 
     def answer(self, req: Req, status: int, body: bytes = b"", extra: str = "") -> None:
--- a/loomstand/peers/driver.py
+++ b/loomstand/peers/driver.py
@@ -42,9 +42,16 @@
     """The link of limiter `me` (of so many) at `at` to the others that `given` names."""
 
     def __init__(
-        self, limiter: Fleet, watch: Watching, me: int, limiters: int, at: str, given: Sequence[str],
-        known: Members, seed: int,
-    ) -> None:  # fmt: skip
+        self,
+        limiter: Fleet,
+        watch: Watching,
+        me: int,
+        limiters: int,
+        at: str,
+        given: Sequence[str],
+        known: Members,
+        seed: int,
+    ) -> None:
         now = limiter.loop.time()
         self.limiter, self.watch, self.at = limiter, watch, at
         # where all are named nothing has to be found, and an address may hold for one pair alone
@@ -70,7 +77,8 @@
         now = self.limiter.loop.time()
         self.members.revision, self.members.age = self.lists.revision, self.lists.age(now)
         self.members.tick(now)
-        # a start: whoever has a newer list than none, or than an old one of the configuration, hands it on
+        # a start: whoever has a newer list than none, or than an old one of the configuration,
+        # hands it on
         if self.ticks % 2 == 0 and (not self.lists.revision or now - self.lists.began < 1.0):
             here = [p.at for p in self.members.peers.values() if p.at and p.state is State.ALIVE]
             some = here or self.members.given
@@ -119,13 +127,17 @@
             case Part():
                 refused, told = self.lists.refused, self.lists.from_peer(now, message)
                 if self.lists.refused > refused:
-                    self.limiter.log(f"peers: a list from limiter {message.id} is none: changes nothing")
+                    self.limiter.log(
+                        f"peers: a list from limiter {message.id} is none: changes nothing"
+                    )
                 if told is not None:
                     self.told(told, message)
             case Want() if message.revision < self.lists.revision:
                 for part in self.lists.whole():
                     part.inc, part.age = self.members.inc, self.lists.age(now)
-                    self.members.send(message.id if message.id in self.members.peers else place, part)
+                    self.members.send(
+                        message.id if message.id in self.members.peers else place, part
+                    )
         if self.lists.wants(now, message.revision):
             self.members.send(message.id, Want(*self.members.head()))
         self.flush()
@@ -155,7 +167,9 @@
     def pass_on(self, part: Part) -> None:
         others = [p.id for p in self.members.peers.values() if p.state is State.ALIVE]
         head = self.members.head()
-        mine = Part(*head, n=part.n, of=part.of, whole=part.whole, since=part.since, members=part.members)
+        mine = Part(
+            *head, n=part.n, of=part.of, whole=part.whole, since=part.since, members=part.members
+        )
         mine.revision = part.revision
         for whom in self.members.rng.sample(others, min(PASS_ON, len(others))):
             self.members.send(whom, mine)
--- a/loomstand/peers/lists.py
+++ b/loomstand/peers/lists.py
@@ -1,8 +1,10 @@
-"""Lists of servers from one limiter to the next: who asks discovery, what is believed and passed on; pure.
+"""Lists of servers from one limiter to the next: who asks discovery, what is believed and passed
+on; pure.
 
-A few limiters, the first of those alive by number, hold a watch on discovery; the others get lists and
-changes from peers. Each message says which revision its sender holds and how old discovery's last word is;
-one that holds less wants more, and where the word gets old for all, further ones ask discovery in turn.
+A few limiters, the first of those alive by number, hold a watch on discovery; the others get lists
+and changes from peers. Each message says which revision its sender holds and how old discovery's
+last word is; one that holds less wants more, and where the word gets old for all, further ones ask
+discovery in turn.
 
 Times are seconds on the caller's monotonic clock.
 """
@@ -15,8 +17,10 @@
 from loomstand.peers.messages import Part
 
 WATCHERS = 3  # two can die together and a third still has every change at once
-STEP = 0.25  # s between two limiters that begin to ask discovery: four a second, under any discovery's room
-OLD = 10.0  # s: discovery beats every 2 s, and word of it takes some log2(N) pings of 1 s to reach all
+# s between two limiters that begin to ask discovery: four a second, under any discovery's room
+STEP = 0.25
+# s: discovery beats every 2 s, and word of it takes some log2(N) pings of 1 s to reach all
+OLD = 10.0
 PIECE = 40  # members a datagram: some 5 KB
 MOST = 20_000  # members of a list: larger ones are no list
 TORN = 2.0  # s that the pieces of a list may take
@@ -25,7 +29,8 @@
 
 
 class Lists:
-    """What one limiter holds of the list, and its part in passing it on. `me` is its number, of so many."""
+    """What one limiter holds of the list, and its part in passing it on. `me` is its number, of so
+    many."""
 
     def __init__(self, me: int, now: float, limiters: int = 0) -> None:
         self.me, self.began, self.limiters = me, now, limiters
@@ -39,9 +44,9 @@
     # who asks discovery
 
     def watching(self, now: float, alive: Sequence[int]) -> bool:
-        """Whether this limiter is to ask discovery now. Until others have had the time to be heard of, the
-        rank is the number that the settings give: a whole fleet that starts knows nobody, and one that knows
-        a fourth of the others would take itself for one of the first three."""
+        """Whether this limiter is to ask discovery now. Until others have had the time to be heard
+        of, the rank is the number that the settings give: a whole fleet that starts knows nobody,
+        and one that knows a fourth of the others would take itself for one of the first three."""
         young = now - self.began < 2.0 or len(alive) < max(2, self.limiters / 2)
         rank = self.me if young else list(alive).index(self.me)
         if rank < WATCHERS:
@@ -67,8 +72,8 @@
     # what is believed
 
     def from_discovery(self, now: float, told: Members) -> Part | None:
-        """Discovery itself is always believed, also when it goes back. What is to be passed on, if anything
-        changed."""
+        """Discovery itself is always believed, also when it goes back. What is to be passed on, if
+        anything changed."""
         since, self.fresh = self.revision, now
         if told.complete:
             gone = [self.members[i] for i in self.members.keys() - {m.id for m in told.members}]
@@ -77,7 +82,9 @@
         changed, self.revision = told.revision != since or told.complete, told.revision
         if not changed:
             return None
-        return Part(self.me, 0, self.revision, [], whole=told.complete, since=since, members=told.members)
+        return Part(
+            self.me, 0, self.revision, [], whole=told.complete, since=since, members=told.members
+        )
 
     def put(self, members: Sequence[Member], revision: int) -> None:
         for m in members:
@@ -89,10 +96,14 @@
                 self.left.pop(m.id, None)
 
     def from_peer(self, now: float, part: Part) -> Members | None:
-        """What the limiter is to be told, if a piece of a list makes one that is newer than what is held.
-        Never backwards: a server that left comes back by discovery's own word or a higher revision, and from
-        a peer alone no server is believed to be gone because it is not named."""
-        if not 0 <= part.n < part.of <= MOST // PIECE or len(part.members) > 2 * PIECE or part.revision < 1:
+        """What the limiter is to be told, if a piece of a list makes one that is newer than what is
+        held. Never backwards: a server that left comes back by discovery's own word or a higher
+        revision, and from a peer alone no server is believed to be gone because it is not named."""
+        if (
+            not 0 <= part.n < part.of <= MOST // PIECE
+            or len(part.members) > 2 * PIECE
+            or part.revision < 1
+        ):
             self.refused += 1
             return None
         if part.revision <= self.revision:
@@ -124,11 +135,20 @@
         every = [*self.members.values(), *gone]
         of = max(1, -(-len(every) // PIECE))
         return [
-            Part(self.me, 0, self.revision, [], n=n, of=of, members=every[n * PIECE : (n + 1) * PIECE])
+            Part(
+                self.me,
+                0,
+                self.revision,
+                [],
+                n=n,
+                of=of,
+                members=every[n * PIECE : (n + 1) * PIECE],
+            )
             for n in range(of)
         ]
 
     def known(self, told: Members) -> None:
-        """The list of the configuration, which may be old: its revision counts, it is nobody's fresh word."""
+        """The list of the configuration, which may be old: its revision counts, it is nobody's
+        fresh word."""
         self.put(told.members, told.revision)
         self.revision = told.revision
--- a/loomstand/peers/members.py
+++ b/loomstand/peers/members.py
@@ -1,14 +1,14 @@
 """Who is there: a membership machine after SWIM (Das, Gupta and Motivala, 2002), pure.
 
-Every period a limiter pings one other, in a shuffled round; one that does not answer is asked for through
-three others, then suspected, and dead when a suspicion has stood for so many periods that it could have
-refuted it. One that hears that it is suspected or dead says a higher incarnation; only it may raise it, and
-a start takes the clock's, so that a restart counts as another life. News rides on pings and answers, each so
-often that all have it. Sent a period and a limiter: one ping and one answer, whatever the number; four more
-for each that does not answer.
-
-Times are seconds on the caller's monotonic clock; incarnations are Unix milliseconds. `out` holds what is to
-be sent, as (limiter number or address, message).
+Every period a limiter pings one other, in a shuffled round; one that does not answer is asked for
+through three others, then suspected, and dead when a suspicion has stood for so many periods that
+it could have refuted it. One that hears that it is suspected or dead says a higher incarnation;
+only it may raise it, and a start takes the clock's, so that a restart counts as another life. News
+rides on pings and answers, each so often that all have it. Sent a period and a limiter: one ping
+and one answer, whatever the number; four more for each that does not answer.
+
+Times are seconds on the caller's monotonic clock; incarnations are Unix milliseconds. `out` holds
+what is to be sent, as (limiter number or address, message).
 """
 
 from __future__ import annotations
@@ -21,10 +21,12 @@
 
 from loomstand.peers.messages import Ack, Base, Check, Ping, Word
 
-PERIOD = 1.0  # s: SWIM's; a death is known to all some log2(N) periods later, soon beside the 6 s of a list
+# s: SWIM's; a death is known to all some log2(N) periods later, soon beside the 6 s of a list
+PERIOD = 1.0
 ANSWER = 0.3 * PERIOD  # direct; the rest of the period is for those asked in between
 ASKED = 3  # that are asked to ping for us: one lossy path of ours is then no suspicion
-WORDS = 40  # a message, a kilobyte of them: six took a minute and a half to tell of a thousand that start
+# a message, a kilobyte of them: six took a minute and a half to tell of a thousand that start
+WORDS = 40
 SPREAD = 3  # times log2(N) that a word rides along
 DOUBT = 3  # times log2(N) periods that a suspicion stands: a refutation takes about one times that
 FORGET = 60.0  # s that the dead are remembered, so that old words of them revive nobody
@@ -55,7 +57,9 @@
 class Members:
     """The view of one limiter. `given` are the addresses that the configuration names."""
 
-    def __init__(self, me: int, at: str, inc: int, given: Iterable[str], seed: int, now: float) -> None:
+    def __init__(
+        self, me: int, at: str, inc: int, given: Iterable[str], seed: int, now: float
+    ) -> None:
         self.me, self.at, self.inc = me, at, inc
         self.rng = Random(seed)
         self.given = [a for a in given if a != at]
@@ -84,7 +88,8 @@
         return sorted([*there, self.me])
 
     def knows(self, id_: int, source: str) -> bool:
-        """Whether a message that says it is from a limiter came from where that one is known to be."""
+        """Whether a message that says it is from a limiter came from where that one is known to
+        be."""
         peer = self.peers.get(id_)
         return source in self.given or (peer is not None and peer.at == source)
 
@@ -95,7 +100,8 @@
     # time
 
     def tick(self, now: float) -> None:
-        """Called some ten times a second: overdue answers, suspicions that have stood, the next ping."""
+        """Called some ten times a second: overdue answers, suspicions that have stood, the next
+        ping."""
         for seq, (whom, since, asked) in list(self.waiting.items()):
             peer = self.peers.get(whom)
             if now - since >= PERIOD or peer is None:
@@ -104,7 +110,9 @@
                     self.learn(now, Word(whom, peer.at, peer.inc, State.SUSPECTED))
             elif now - since >= ANSWER and not asked:
                 self.waiting[seq] = (whom, since, True)
-                others = [p.id for p in self.peers.values() if p.id != whom and p.state is State.ALIVE]
+                others = [
+                    p.id for p in self.peers.values() if p.id != whom and p.state is State.ALIVE
+                ]
                 for other in self.rng.sample(others, min(ASKED, len(others))):
                     self.send(other, Check(*self.head(), seq, whom))
         self.relayed = {seq: r for seq, r in self.relayed.items() if now - r[2] < PERIOD}
@@ -130,7 +138,11 @@
             self.seq += 1
             self.waiting[self.seq] = (whom, now, False)
             self.send(whom, Ping(*self.head(), self.seq))
-        here = {p.at for p in self.peers.values() if p.heard and p.state in (State.ALIVE, State.SUSPECTED)}
+        here = {
+            p.at
+            for p in self.peers.values()
+            if p.heard and p.state in (State.ALIVE, State.SUSPECTED)
+        }
         unknown = [a for a in self.given if a not in here]
         if unknown:  # also those that were given up: a cut that heals is found from either side
             self.seq += 1
@@ -175,7 +187,10 @@
             self.learn(now, word)
         match message:
             case Ping():
-                self.send(message.id if message.id in self.peers else source, Ack(*self.head(), message.seq))
+                self.send(
+                    message.id if message.id in self.peers else source,
+                    Ack(*self.head(), message.seq),
+                )
             case Ack(of=-1):
                 self.answered(message.seq, message.id)
             case Ack():
@@ -204,8 +219,8 @@
                 self.tell(Word(peer.id, peer.at, peer.inc, peer.state))
 
     def learn(self, now: float, word: Word) -> None:
-        """News of a limiter, by the rules that make all views the same: the higher incarnation, and at the
-        same one the worse state."""
+        """News of a limiter, by the rules that make all views the same: the higher incarnation, and
+        at the same one the worse state."""
         if word.id == self.me:
             if word.state != State.ALIVE and word.inc >= self.inc and not self.left:
                 self.inc = word.inc + 1  # refuted
--- a/loomstand/proxy/instance_view.py
+++ b/loomstand/proxy/instance_view.py
@@ -28,17 +28,20 @@
 
 
 class InstanceView:
-    """The union over registries. One that started anew says nothing of a server until it hears of it."""
+    """The union over registries. One that started anew says nothing of a server until it hears of
+    it."""
 
     def __init__(self) -> None:
         self.servers: dict[str, Known] = {}
 
     def told(self, registry: str, rows: list[Row], anew: bool = False) -> list[str]:
-        """Rows from one registry; `anew` where it is its first word in a new life. Gives the ids of those
-        whose use or place has changed."""
+        """Rows from one registry; `anew` where it is its first word in a new life. Gives the ids of
+        those whose use or place has changed."""
         before = {}
         if anew:
-            before = {id_: known.use for id_, known in self.servers.items() if registry in known.said}
+            before = {
+                id_: known.use for id_, known in self.servers.items() if registry in known.said
+            }
             for id_ in before:
                 del self.servers[id_].said[registry]
         for id_, address, service, zone, slots, state, sequence, _cold in rows:
@@ -50,7 +53,9 @@
             before.setdefault(id_, known.use if known.sequence >= 0 else "")
             known.said[registry] = state
             # an end is an end, whoever says so; else the newer row is right
-            if state == GONE or (known.state != GONE and sequence > known.sequence and state != SILENT):
+            if state == GONE or (
+                known.state != GONE and sequence > known.sequence and state != SILENT
+            ):
                 known.state = state
             if sequence > known.sequence:
                 known.sequence, known.address = sequence, address
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -35,28 +35,35 @@
 from loomstand.shared.units import address
 from loomstand.shared.verdict import Verdict
 
-# Within a region a connection comes up in 3 ms and a server takes one more; where it doesn't in this time the
-# machine is gone or cut off, and the request has time for another server.
+# Within a region a connection comes up in 3 ms and a server takes one more; where it doesn't in
+# this time the machine is gone or cut off, and the request has time for another server.
 CONNECT_WITHIN = 0.25
 IDLE_MOST = 60.0  # seconds that a connection to a server is kept idle, whatever it states
 FIXED_SOCKETS = 300  # 200 are reserved; sessions, files, the loop's own, and room for errors
 # After SIGTERM new connections come until the platform has missed two answers, a second apart.
 LINGER = 2.5
 FEW = 0.15  # seconds after which a client may ask again whose request there was no memory for
-# One that found the servers full may ask again after this share of its route's aim, more or less by chance:
-# the queue has moved on by then, and those refused together don't come back together.
+# One that found the servers full may ask again after this share of its route's aim, more or less by
+# chance: the queue has moved on by then, and those refused together don't come back together.
 BACK = (0.35, 0.65)
 NOT_YET = 0.3  # and one that came before there was a configuration
-# A request that meets a starting limiter waits so many seconds at most, and half of its client's time: when
-# all start at once the configuration comes within 0.6 s, and servers' heartbeats 1.5 s apart.
+# A request that meets a starting limiter waits so many seconds at most, and half of its client's
+# time: when all start at once the configuration comes within 0.6 s, and servers' heartbeats 1.5 s
+# apart.
 HOLD = 0.8
-# After a start of all, the counter too, credits come by the rate alone: a request waits for one for less than
-# the quarter of its route's aim in which nothing is lost by it.
+# After a start of all, the counter too, credits come by the rate alone: a request waits for one for
+# less than the quarter of its route's aim in which nothing is lost by it.
 OFFERED = 0.2
 SETTLED = 4.0  # seconds after its start by when a limiter knows all servers that there are
 QUOTA = {"full count", "old total", "ceiling"}
-PHASES = {READY: i.Phase.LIVE, DRAINING: i.Phase.DRAINING, SILENT: i.Phase.DRAINING, GONE: i.Phase.GONE}
-# A limiter that started while no registry knew of a primary serves with what it has after so many seconds.
+PHASES = {
+    READY: i.Phase.LIVE,
+    DRAINING: i.Phase.DRAINING,
+    SILENT: i.Phase.DRAINING,
+    GONE: i.Phase.GONE,
+}
+# A limiter that started while no registry knew of a primary serves with what it has after so many
+# seconds.
 UNSURE = 3.0
 CALL = {
     Verdict.NEVER_RAN: Outcome.NO_CONNECTION,
@@ -69,12 +76,18 @@
     """One proxy."""
 
     def __init__(
-        self, settings: Settings, network: Network, rng: Random, turns: Turns | None = None,
+        self,
+        settings: Settings,
+        network: Network,
+        rng: Random,
+        turns: Turns | None = None,
         streams: Streams | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`streams` where connections are not by real sockets."""
         limits = settings.limits
-        super().__init__(logging.info, turns, limits.memory_mb // 2, limits.file_descriptors - FIXED_SOCKETS)
+        super().__init__(
+            logging.info, turns, limits.memory_mb // 2, limits.file_descriptors - FIXED_SOCKETS
+        )
         self.conf, self.rng, self.room_at_all = settings, rng, self.room.left
         self.front = Front(self, self.spare, limits.file_descriptors)
         self.front.own_paths = False
@@ -137,9 +150,12 @@
         return (200 if self.able else 503), b""
 
     def look(self) -> None:
-        """Ready once there is a configuration that is the newest for sure, and somebody to send to."""
+        """Ready once there is a configuration that is the newest for sure, and somebody to send
+        to."""
         known = self.sure_at is not None and (self.loop.time() >= self.sure_at)
-        able = self.table is not None and known and bool(self.by_service) and not self.front.stopping
+        able = (
+            self.table is not None and known and bool(self.by_service) and not self.front.stopping
+        )
         if able != self.able:
             self.able = able
             logging.info("ready" if able else "not ready")
@@ -206,8 +222,9 @@
         return True
 
     def bound(self, limits: Limits) -> None:
-        """What clients may send from their next request on, and how long they may idle. A body is held whole,
-        so it may take an eighth of the memory for buffers at most, whatever the configuration allows."""
+        """What clients may send from their next request on, and how long they may idle. A body is
+        held whole, so it may take an eighth of the memory for buffers at most, whatever the
+        configuration allows."""
         self.stays, before = limits.idle_timeout + 1, self.front.stays
         if self.stays >= before:
             self.front.stays = self.stays
@@ -221,8 +238,8 @@
         self.front.stays = max(stays, self.stays)  # it may have become longer since
 
     def full(self, totals: list[list[float]]) -> None:
-        """Tenants near the brim of their quota, by the names of their counts; those whose bucket is half full
-        are let in by credits alone."""
+        """Tenants near the brim of their quota, by the names of their counts; those whose bucket is
+        half full are let in by credits alone."""
         for name, total, *closed in totals:
             if any(closed):
                 self.credits.full(int(name) >> SLOTS, self.loop.time())
@@ -231,8 +248,8 @@
                 self.note(i.Told(int(name), float(total), plan, plan, int(name) >> SLOTS))
 
     def clock_told(self, clock: int | None, sure: bool) -> None:
-        """The common clock as a registry has it: intervals follow it, while time doesn't jump here. `sure`:
-        the configuration held is known to be the newest."""
+        """The common clock as a registry has it: intervals follow it, while time doesn't jump here.
+        `sure`: the configuration held is known to be the newest."""
         if self.sure_at is None:
             if sure:
                 self.sure_at = self.loop.time()
@@ -264,7 +281,8 @@
             self.admit(req, at)
 
     def staffed(self, req: ProxyRequest) -> bool:
-        """Whether somebody is known who could serve it; later on, whoever isn't known isn't there."""
+        """Whether somebody is known who could serve it; later on, whoever isn't known isn't
+        there."""
         if self.loop.time() - self.begun > SETTLED:  # first, as each request asks
             return True
         route = self.table.find(req.host, req.path)
@@ -274,7 +292,11 @@
 
     def granted(self, req: ProxyRequest) -> bool:
         """Whether the first credits have come, for a request that may need one."""
-        return self.credits.answered or self.loop.time() - self.begun > SETTLED or not self.credits.credits
+        return (
+            self.credits.answered
+            or self.loop.time() - self.begun > SETTLED
+            or not self.credits.credits
+        )
 
     def lacks(self, req: ProxyRequest) -> bool:
         """Whether it waits for a credit."""
@@ -282,8 +304,8 @@
         return bool(name) and not self.credits.has(name, self.loop.time())
 
     def hold(self, req: ProxyRequest, at: float, most: float = HOLD) -> None:
-        """At a start the configuration, the first heartbeats and credits are under way: a request waits for
-        them, as all limiters would refuse it alike."""
+        """At a start the configuration, the first heartbeats and credits are under way: a request
+        waits for them, as all limiters would refuse it alike."""
         self.held[req] = at
         most = most if req.wait is None else min(most, req.wait / 2000)
         self.loop.call_later(most, self.release, req)
@@ -296,7 +318,12 @@
     def settle(self) -> None:
         """Something came that held requests wait for."""
         for req in [*self.held]:
-            waits = self.table is None or not self.staffed(req) or not self.granted(req) or self.lacks(req)
+            waits = (
+                self.table is None
+                or not self.staffed(req)
+                or not self.granted(req)
+                or self.lacks(req)
+            )
             if req.client is None or not waits:
                 self.release(req)
 
@@ -335,7 +362,9 @@
         self.owed(req, req.client, req.timeout(), at)
         at_service = self.terms.services.at(req.service)
         self.note(
-            i.Arrived(req.id, front, plan, plan, name, req.give_up, 1.0, 0, False, service=at_service)
+            i.Arrived(
+                req.id, front, plan, plan, name, req.give_up, 1.0, 0, False, service=at_service
+            )
         )
         if req.flights:  # the module let it in
             self.credits.used(name, now)
@@ -343,11 +372,14 @@
                 self.short.set()
 
     def service(self, table: Table, req: ProxyRequest) -> str:
-        """One of the route's services by weight; where that has no server, another that the route allows."""
+        """One of the route's services by weight; where that has no server, another that the route
+        allows."""
         service = table.pick(req.route, self.rng.random())
         if self.by_service.get(service):
             return service
-        return next((s for s, weight in req.route.split if weight > 0 and self.by_service.get(s)), service)
+        return next(
+            (s for s, weight in req.route.split if weight > 0 and self.by_service.get(s)), service
+        )
 
     # from servers and the counter
 
@@ -374,7 +406,9 @@
             lacks = self.told.added(act.name, act.step, keep, self.loop.time(), counts)
             # another counts now, without what this limiter had added: a total without it is too low
             for name, added in self.told.lacking(act.name, counts) if counts is not None else ():
-                more = self.sessions.count(said | {"name": name, "step": added}, COUNT_WITHIN / 1000)
+                more = self.sessions.count(
+                    said | {"name": name, "step": added}, COUNT_WITHIN / 1000
+                )
                 if (await more).is_error():
                     self.told.untold(name)
             if lacks:
@@ -388,15 +422,19 @@
         self.counted(act.name, outcome, total, self.now() - asked)
 
     async def crediting(self) -> None:
-        """Asks the counter for credits, one call at a time: when some run short, else to keep them good."""
+        """Asks the counter for credits, one call at a time: when some run short, else to keep them
+        good."""
         while True:
             self.short.clear()
             sent = self.loop.time()
             number, alone, entries = self.credits.call(sent)
             said = {
-                "name": self.conf.node_name, "life": self.credits.life, "number": number, "alone": alone,
+                "name": self.conf.node_name,
+                "life": self.credits.life,
+                "number": number,
+                "alone": alone,
                 "entries": entries,
-            }  # fmt: skip
+            }
             got = await self.sessions.count(said, COUNT_WITHIN / 1000, "grant")
             if got.is_ok():
                 pause, more = APART, got.ok.get("grants")
@@ -416,7 +454,8 @@
         return Dispatch(req, len(req.flights), srv, self.now(), expire, self.identifiers[srv])
 
     def try_limit(self, req: Req) -> int:
-        """None more for what must not run twice and may have run, or may yet: whatever the module thinks."""
+        """None more for what must not run twice and may have run, or may yet: whatever the module
+        thinks."""
         if not req.route.idempotent and (req.ran or sum(f is not None for f in req.flights) > 1):
             return 0
         return req.route.attempts
--- a/loomstand/proxy/quota_credits.py
+++ b/loomstand/proxy/quota_credits.py
@@ -1,8 +1,9 @@
-"""What this limiter may let in of each tenant: credits that the counter granted ahead, charged to the quota
-when they were granted (`registry/quota_grants.py`). Without word of the counter a part of the even share.
+"""What this limiter may let in of each tenant: credits that the counter granted ahead, charged to
+the quota when they were granted (`registry/quota_grants.py`). Without word of the counter a part of
+the even share.
 
-The module decides by its smoothed buckets as ever; credits are the bound that holds whatever it believes.
-Pure: the clock is given, in seconds, steady.
+The module decides by its smoothed buckets as ever; credits are the bound that holds whatever it
+believes. Pure: the clock is given, in seconds, steady.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 from loomstand.shared.configuration import Tenant
 from loomstand.shared.settings import Bounds
 
-# Credits that are held of a tenant that asks little, as requests often come in pairs; more where a limiter's
-# part of this share of the bucket is more.
+# Credits that are held of a tenant that asks little, as requests often come in pairs; more where a
+# limiter's part of this share of the bucket is more.
 LEAST, IDLE = 2.0, 0.2
 # and the seconds of its requests lately beside: a call takes some ms, a counter that moves a second
 AHEAD = 1.0
@@ -27,15 +28,15 @@
 AGAIN = 0.1  # after one that failed
 STARVED = 0.05  # after which a tenant that got nothing is asked for again
 CLOSED = 1.0  # for which a word that a tenant is near its brim closes it
-# Seconds alone after which the part shrinks to DIM of it: the counter forgets a limiter after 30 s, and goes
-# on without it.
+# Seconds alone after which the part shrinks to DIM of it: the counter forgets a limiter after 30 s,
+# and goes on without it.
 LONG, DIM = 25.0, 0.2
 
 
 @dataclass(slots=True)
 class Credit:
-    """One tenant's. `left`: granted; `spent`: let in while open, and not told; `own`: what came of the even
-    share while alone."""
+    """One tenant's. `left`: granted; `spent`: let in while open, and not told; `own`: what came of
+    the even share while alone."""
 
     rate: float
     depth: float
@@ -59,7 +60,9 @@
 
     def most(self, now: float, many: int) -> float:
         """What is to be held of it."""
-        return max(LEAST, IDLE * self.depth / many) + AHEAD * self.pace * exp((self.pace_at - now) / PACE)
+        return max(LEAST, IDLE * self.depth / many) + AHEAD * self.pace * exp(
+            (self.pace_at - now) / PACE
+        )
 
 
 class QuotaCredits:
@@ -150,7 +153,9 @@
     def wait(self, name: int, now: float) -> float:
         """Seconds after which one that wasn't let in may ask again."""
         credit = self.credits[name]
-        return STARVED if now >= credit.hungry_at else max(STARVED, min(2.0, self.many / credit.rate))
+        return (
+            STARVED if now >= credit.hungry_at else max(STARVED, min(2.0, self.many / credit.rate))
+        )
 
     def full(self, name: int, now: float) -> None:
         """The counter says that a tenant is near its brim."""
@@ -163,7 +168,11 @@
         most = credit.most(now, self.many)
         if self.few(credit):
             most = 0.0 if self.open(credit, now) or not credit.asked(now) else 1.0  # on demand
-        return most - credit.left if most and credit.left <= MORE * most and now >= credit.hungry_at else 0.0
+        return (
+            most - credit.left
+            if most and credit.left <= MORE * most and now >= credit.hungry_at
+            else 0.0
+        )
 
     def due(self, name: int, now: float) -> bool:
         """Whether a call should be made for a tenant, without waiting for the next."""
@@ -177,16 +186,21 @@
             if now - self.heard > GOOD:
                 credit.left = 0.0
             before = credit.left
-            credit.left = min(before, max(LEAST, 2 * credit.most(now, self.many)))  # others may want the rest
+            # others may want the rest
+            credit.left = min(before, max(LEAST, 2 * credit.most(now, self.many)))
             want = self.wants(credit, now)
             if not self.told_all or want > 0 or credit.spent or credit.left != before:
-                entries.append([name, credit.left, credit.spent, max(0.0, want), int(credit.asked(now))])
+                entries.append(
+                    [name, credit.left, credit.spent, max(0.0, want), int(credit.asked(now))]
+                )
                 self.calling[name] = credit.spent
         return self.number, self.alone(now), entries
 
-    def granted(self, sent: float, now: float, number: int, grants: Iterable[list[float]] | None) -> bool:
-        """The answer to a call that was sent then. Whether another must be made at once: these are other
-        grants, of which the counter must know all that is held."""
+    def granted(
+        self, sent: float, now: float, number: int, grants: Iterable[list[float]] | None
+    ) -> bool:
+        """The answer to a call that was sent then. Whether another must be made at once: these are
+        other grants, of which the counter must know all that is held."""
         if number != self.number or grants is None:
             self.number, self.told_all = number, False
             return True
--- a/loomstand/proxy/request.py
+++ b/loomstand/proxy/request.py
@@ -8,20 +8,33 @@
 
 # Fields that a server gets from us alone, or never.
 KEPT = HOP_FIELDS | {
-    b"authorization", b"loomstand-deadline-remaining", b"loomstand-expected-instance",
+    b"authorization",
+    b"loomstand-deadline-remaining",
+    b"loomstand-expected-instance",
     b"loomstand-tenant-name",
-}  # fmt: skip
+}
 SLACK_MS = 20  # of a client's time: its answer travels back within this
 
 
 class ProxyRequest(Req):
-    """A request with its route. `got` is the last whole answer of a server; `ran` whether it may have run;
-    `afresh` whether it goes by new connections only; `met` the servers that it was sent to."""
+    """A request with its route. `got` is the last whole answer of a server; `ran` whether it may
+    have run; `afresh` whether it goes by new connections only; `met` the servers that it was sent
+    to."""
 
     __slots__ = (
-        "afresh", "got", "hops", "key", "late", "met", "ran", "request_id", "route", "service", "tenant",
+        "afresh",
+        "got",
+        "hops",
+        "key",
+        "late",
+        "met",
+        "ran",
+        "request_id",
+        "route",
+        "service",
+        "tenant",
         "wait",
-    )  # fmt: skip
+    )
 
     def __init__(self, machine: RequestReceiver) -> None:
         """What is no proper request is a 400."""
@@ -63,13 +76,20 @@
         return max(1, int(most))
 
     def raw_for(self, identifier: bytes, wait: int) -> bytes:
-        """The bytes for the server of that identifier, which is waited for that many milliseconds."""
+        """The bytes for the server of that identifier, which is waited for that many
+        milliseconds."""
         name = b""
         if self.tenant is not None:
             name = b"loomstand-tenant-name: %b\r\n" % self.tenant.name.encode()
         head = self.onward(self.hops)
         left = b"loomstand-deadline-remaining: %d\r\n" % wait
-        return b"%b%b%bloomstand-expected-instance: %b\r\n\r\n%b" % (head, left, name, identifier, self.body)
+        return b"%b%b%bloomstand-expected-instance: %b\r\n\r\n%b" % (
+            head,
+            left,
+            name,
+            identifier,
+            self.body,
+        )
 
 
 class Dispatch(Flight):
@@ -77,7 +97,9 @@
 
     __slots__ = ("identifier",)
 
-    def __init__(self, req: Req, number: int, srv: int, sent_at: int, expire: int, identifier: str) -> None:
+    def __init__(
+        self, req: Req, number: int, srv: int, sent_at: int, expire: int, identifier: str
+    ) -> None:
         super().__init__(req, number, srv, sent_at, expire)
         self.identifier = identifier.encode()
 
--- a/loomstand/proxy/sessions.py
+++ b/loomstand/proxy/sessions.py
@@ -1,4 +1,5 @@
-"""The limiter's sessions with the registries: it asks each with the versions that it has, and hears news."""
+"""The limiter's sessions with the registries: it asks each with the versions that it has, and hears
+news."""
 
 from __future__ import annotations
 
@@ -17,17 +18,22 @@
 from loomstand.shared.verdict import Verdict
 
 ASK_WITHIN = 1.0  # seconds; a registry answers after 0.6 where there is no news
-# Seconds between two askings of one registry. Where much changes at once, as when all start, each change was
-# an answer to every limiter; so they come together. The first is heard at once, others by this later.
+# Seconds between two askings of one registry. Where much changes at once, as when all start, each
+# change was an answer to every limiter; so they come together. The first is heard at once, others
+# by this later.
 APART = 0.1
 HEARD = 2.0  # seconds for which a registry's last word on limiters counts
 FETCH_WITHIN, FETCH_MOST = 0.8, 3.2  # seconds; the longest after tries in vain
-MOST_UNPACKED = 16 << 20  # bytes: the most that a frame holds, so a registry has none that is larger
-# Seconds after which another session may bring it too. On links that lose one packet in twenty the one that
-# was first to fetch held up all others for the whole of its 0.8 s; usual answers take some ms.
+# bytes: the most that a frame holds, so a registry has none that is larger
+MOST_UNPACKED = 16 << 20
+# Seconds after which another session may bring it too. On links that lose one packet in twenty the
+# one that was first to fetch held up all others for the whole of its 0.8 s; usual answers take some
+# ms.
 HEDGE = 0.15
-AGAIN = (0.1, 0.5)  # the first and the longest pause, in seconds, before a registry that fails is asked again
-# Seconds for which a registry that nobody lists and that doesn't answer is asked on: seeds may be exchanged.
+# the first and the longest pause, in seconds, before a registry that fails is asked again
+AGAIN = (0.1, 0.5)
+# Seconds for which a registry that nobody lists and that doesn't answer is asked on: seeds may be
+# exchanged.
 FORGOTTEN = 10.0
 
 T = TypeVar("T")
@@ -64,14 +70,28 @@
     """One session for each core machine."""
 
     def __init__(
-        self, settings: Settings, network: Network, clock: Callable[[], float], rng: Random, user: Hears
+        self,
+        settings: Settings,
+        network: Network,
+        clock: Callable[[], float],
+        rng: Random,
+        user: Hears,
     ) -> None:
-        self.settings, self.network, self.clock, self.rng, self.user = settings, network, clock, rng, user
+        self.settings, self.network, self.clock, self.rng, self.user = (
+            settings,
+            network,
+            clock,
+            rng,
+            user,
+        )
         self.version, self.data = 0, b""
-        self.counters: dict[str, tuple[tuple[int, ...], Address]] = {}  # by registry: who counts, by its term
-        self.sets: dict[str, tuple[int, int, int]] = {}  # by registry: how many limiters, -silent, own place
+        # by registry: who counts, by its term
+        self.counters: dict[str, tuple[tuple[int, ...], Address]] = {}
+        # by registry: how many limiters, -silent, own place
+        self.sets: dict[str, tuple[int, int, int]] = {}
         self.cores: dict[str, asyncio.Task[None]] = {}
-        self.listed: dict[str, float] = {}  # when a core machine was last listed by a registry, or answered
+        # when a core machine was last listed by a registry, or answered
+        self.listed: dict[str, float] = {}
         self.standing: dict[str, float] = {}  # when each registry last answered
         self.fetching = -HEDGE  # since when
         self.within = FETCH_WITHIN
@@ -98,7 +118,9 @@
         for task in tasks:
             task.cancel()
         said = {"name": self.settings.node_name}
-        calls = [self.network.call(self.settings.registry(ip), "bye", said, 0.2) for ip in self.standing]
+        calls = [
+            self.network.call(self.settings.registry(ip), "bye", said, 0.2) for ip in self.standing
+        ]
         await asyncio.gather(*calls)
 
     async def session(self, ip: str) -> None:
@@ -153,8 +175,9 @@
                 await asyncio.sleep(early)
 
     def facts(self, ip: str, body: Body) -> None:
-        """What a registry says beside servers. Of limiters the one that knows most is right: one that just
-        started doesn't know those that are cut off; of two, one that still hears a limiter."""
+        """What a registry says beside servers. Of limiters the one that knows most is right: one
+        that just started doesn't know those that are cut off; of two, one that still hears a
+        limiter."""
         for core in body["cores"]:
             self.add(core)
         if body["counter"]:
@@ -177,7 +200,8 @@
         asked = self.fetching = self.clock()
         got = await self.network.call(address, "fetch", {"z": True}, self.within)
         self.fetching = -HEDGE
-        # of thousands of routes to many limiters at once it may take longer: each try in vain is given more
+        # of thousands of routes to many limiters at once it may take longer: each try in vain is
+        # given more
         took = self.clock() - asked if got.is_ok() else self.within
         self.within = max(FETCH_WITHIN, min(FETCH_MOST, 2 * took))
         if got.is_ok() and got.ok["version"] > self.version:
@@ -186,7 +210,9 @@
                 self.version, self.data = version, data
                 logging.info("configuration r%d in force", version)
 
-    async def count(self, body: dict[str, Any], within: float, op: str = "count") -> Result[Body, Verdict]:
+    async def count(
+        self, body: dict[str, Any], within: float, op: str = "count"
+    ) -> Result[Body, Verdict]:
         """A call to the counter, wherever it is."""
         if not (said := self.stand(self.counters) or [*self.counters.values()]):
             return Error(Verdict.NEVER_RAN)
--- a/loomstand/proxy/shared_clock.py
+++ b/loomstand/proxy/shared_clock.py
@@ -1,8 +1,10 @@
-"""The clock by which all limiters name intervals, as this one knows it. Pure: its own clock is given.
+"""The clock by which all limiters name intervals, as this one knows it. Pure: its own clock is
+given.
 
-Limiters whose clocks differ count under different names: each sees only some of a tenant's use, and all of
-them together let it have its quota twice. That came of limiters that started while no registry could be
-reached, or whose time of day had jumped: they kept the clock that they first served by.
+Limiters whose clocks differ count under different names: each sees only some of a tenant's use, and
+all of them together let it have its quota twice. That came of limiters that started while no
+registry could be reached, or whose time of day had jumped: they kept the clock that they first
+served by.
 """
 
 from __future__ import annotations
@@ -11,8 +13,8 @@
 
 OFF = 50  # tenths of a millisecond by which it may be off: an answer waits its turn for some
 ONE_WAY = 10  # tenths that an answer is under way, between zones
-# Tenths after which word that the common clock is behind counts. Late answers make it look so, on lossy links
-# by a fifth of a second; registries tell a clock that moved for three seconds.
+# Tenths after which word that the common clock is behind counts. Late answers make it look so, on
+# lossy links by a fifth of a second; registries tell a clock that moved for three seconds.
 LATE = 8_000
 
 
@@ -22,11 +24,13 @@
 
     shift: int = 0
     known: bool = False  # whether anybody told of it
-    behind: int | None = None  # the furthest ahead that it looked since `since`, where that was behind
+    # the furthest ahead that it looked since `since`, where that was behind
+    behind: int | None = None
     since: int = 0
 
     def heard(self, clock: int, now: int) -> bool:
-        """What a registry told, at `now` of the own clock, both in tenths. Whether the shift is another one.
+        """What a registry told, at `now` of the own clock, both in tenths. Whether the shift is
+        another one.
 
         What comes late makes the common clock look behind, never ahead.
         """
--- a/loomstand/proxy/stale_connections.py
+++ b/loomstand/proxy/stale_connections.py
@@ -1,18 +1,21 @@
 """Which kept connections may carry a request that must not run twice. Pure: the clock is given.
 
-Servers may forget idle connections without a word, many at once; what is sent on one then is reset, and
-nobody knows for sure that it didn't run. A repeatable request goes on by a new connection; another is lost.
+Servers may forget idle connections without a word, many at once; what is sent on one then is reset,
+and nobody knows for sure that it didn't run. A repeatable request goes on by a new connection;
+another is lost.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-# A machine that forgot a connection resets it within a round trip, some 3 ms between zones, or it waits its
-# turn on a busy core; a request that ran takes longer.
+# A machine that forgot a connection resets it within a round trip, some 3 ms between zones, or it
+# waits its turn on a busy core; a request that ran takes longer.
 QUICK = 0.03
-SHARE = 0.5  # of the idle time after which one broke: the first that does was idle longer than need be
-MEMORY = 8.0  # seconds for which that counts: such times last some six, and a new connection costs little
+# of the idle time after which one broke: the first that does was idle longer than need be
+SHARE = 0.5
+# seconds for which that counts: such times last some six, and a new connection costs little
+MEMORY = 8.0
 
 
 class StaleConnections:
--- a/loomstand/proxy/terms.py
+++ b/loomstand/proxy/terms.py
@@ -10,26 +10,29 @@
 from loomstand.shared.configuration import Configuration, Route, Tenant
 from loomstand.shared.settings import Bounds
 
-# Late answers have a worth that the configuration doesn't tell: a tenth and three tenths at the sites known.
+# Late answers have a worth that the configuration doesn't tell: a tenth and three tenths at the
+# sites known.
 LATE = 0.15
-# A total is trusted for a customer well under its quota for so many intervals. Use beyond the quota breaks a
-# rule here, so the last split takes over as soon as one total is missing.
+# A total is trusted for a customer well under its quota for so many intervals. Use beyond the quota
+# breaks a rule here, so the last split takes over as soon as one total is missing.
 TRUST = 1.5
-# Of the retry budget (ratio and slack a window, for each service and all limiters) each limiter takes this
-# share of the ratio for what it sends itself, and its even part of this share of the slack, at once.
+# Of the retry budget (ratio and slack a window, for each service and all limiters) each limiter
+# takes this share of the ratio for what it sends itself, and its even part of this share of the
+# slack, at once.
 RATIO_SHARE, SLACK_SHARE = 0.6, 0.6
-# A limiter that starts may have spent its part of the burst just before: it has half of it, so that six in
-# ten limiters that are killed at once and come back stay within the overshoot, and all of them serve what
-# waits.
+# A limiter that starts may have spent its part of the burst just before: it has half of it, so that
+# six in ten limiters that are killed at once and come back stay within the overshoot, and all of
+# them serve what waits.
 FRESH = 0.5
-# A limiter's window is its part of what its service's servers hold, some three; two more come by chance
-# while the servers are idle.
+# A limiter's window is its part of what its service's servers hold, some three; two more come by
+# chance while the servers are idle.
 CHANCE = 2.0
-# What a server of another zone costs beside one of the own, and the own zone's share among the servers that a
-# limiter uses: bytes between zones are the dearest price. Tried on the bureaus' grown quiet day: 1.4 and none
-# of its own: 0.058 of the worth paid for them, 0.981 in time; 2.0 and 0.8: 0.016, 0.985; 2.5 and 0.5: 0.022,
-# 0.984. Under high load zones differ, and 2.0 and 0.8 leave the busiest one to its own servers: grown scale-1
-# 0.898 and the outlet's scale-2 0.798; 0.900 and 0.813 with 0.67; 0.907 and 0.816 with these.
+# What a server of another zone costs beside one of the own, and the own zone's share among the
+# servers that a limiter uses: bytes between zones are the dearest price. Tried on the bureaus'
+# grown quiet day: 1.4 and none of its own: 0.058 of the worth paid for them, 0.981 in time; 2.0 and
+# 0.8: 0.016, 0.985; 2.5 and 0.5: 0.022, 0.984. Under high load zones differ, and 2.0 and 0.8 leave
+# the busiest one to its own servers: grown scale-1 0.898 and the outlet's scale-2 0.798; 0.900 and
+# 0.813 with 0.67; 0.907 and 0.816 with these.
 FAR = 2.5
 HOMES = 0.5
 COUNT_WITHIN = 300  # ms for a call to the counter: its turn and back is under 5 where it is there
@@ -38,7 +41,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Fleet:
-    """The limiters, as registries tell: this one's place, how many there are, how many of them are silent."""
+    """The limiters, as registries tell: this one's place, how many there are, how many of them are
+    silent."""
 
     me: int = 0
     all: int = 1
@@ -74,7 +78,8 @@
             self.by_digest[self.digests[n]] = n
 
     def settings(self, fleet: Fleet, shift: int = 0) -> Settings:
-        """The module's settings, as a snapshot; `shift` of its clock to the one that all count by."""
+        """The module's settings, as a snapshot; `shift` of its clock to the one that all count
+        by."""
         scale = 1 - ALONE * fleet.silent / fleet.all
         plans = []
         for n in range(self.tenants.next):
@@ -85,16 +90,41 @@
             plans.append(Plan(rate, burst, 0, value_of(tenant), 0.0, 1.0, 0.0, 0.0, 0.0))
         b = self.bounds
         return Settings(
-            me=fleet.me, limiters=fleet.all, hall=self.hall, frontends=tuple(self.fronts), plans=tuple(plans),
-            try_limit=16, may_cancel=False, may_probe=False, second_copies=False, retry_after=True,
-            max_retry_after=10_000_000, has_counter=True, count_timeout=COUNT_WITHIN * 10,
-            meter_period=10_000, max_units=1, drain_grace=0, cold=0, cold_from=1.0, fall_multiple=0.0,
-            tip_after=0, answer_slack=0,
-            trust=TRUST, fresh=FRESH, spare_share=RATIO_SHARE * b.retry_budget_ratio,
-            spare_most=max(1.0, SLACK_SHARE * b.budget_slack / fleet.all), spare_first=1.0, turned_price=1.0,
-            unsent_price=0.0, window_follows=True, window_more=CHANCE, patient=True, far=FAR, homes=HOMES,
+            me=fleet.me,
+            limiters=fleet.all,
+            hall=self.hall,
+            frontends=tuple(self.fronts),
+            plans=tuple(plans),
+            try_limit=16,
+            may_cancel=False,
+            may_probe=False,
+            second_copies=False,
+            retry_after=True,
+            max_retry_after=10_000_000,
+            has_counter=True,
+            count_timeout=COUNT_WITHIN * 10,
+            meter_period=10_000,
+            max_units=1,
+            drain_grace=0,
+            cold=0,
+            cold_from=1.0,
+            fall_multiple=0.0,
+            tip_after=0,
+            answer_slack=0,
+            trust=TRUST,
+            fresh=FRESH,
+            spare_share=RATIO_SHARE * b.retry_budget_ratio,
+            spare_most=max(1.0, SLACK_SHARE * b.budget_slack / fleet.all),
+            spare_first=1.0,
+            turned_price=1.0,
+            unsent_price=0.0,
+            window_follows=True,
+            window_more=CHANCE,
+            patient=True,
+            far=FAR,
+            homes=HOMES,
             shift=shift,
-        )  # fmt: skip
+        )
 
 
 def frontend(route: Route) -> Frontend:
@@ -102,9 +132,12 @@
     effect = Effect.REPLAYABLE if route.idempotent else Effect.NON_REPLAYABLE
     target, timeout = down(route.target_latency * 1000), down(route.timeout * 1000)
     value = 2.0 ** (2 - min(8, route.priority))
-    return Frontend(effect, Group.ALL, 0, target, timeout, value, LATE * value, False, tries=route.attempts)
+    return Frontend(
+        effect, Group.ALL, 0, target, timeout, value, LATE * value, False, tries=route.attempts
+    )
 
 
 def value_of(tenant: Tenant | None) -> float:
-    """How much more a tenant's requests count: its priority goes first, but tells little of worth."""
+    """How much more a tenant's requests count: its priority goes first, but tells little of
+    worth."""
     return 1.0 if tenant is None else 1.1 ** (2 - min(8, tenant.priority))
--- a/loomstand/proxy/upstream.py
+++ b/loomstand/proxy/upstream.py
@@ -13,19 +13,21 @@
 from loomstand.proxy.stale_connections import StaleConnections
 
 STAYS = re.compile(rb"timeout=([0-9]{1,6})").search
-# A server's idle close and our next request may cross on the way; of a request that can't be repeated nothing
-# is left then. The stated time is in whole seconds, so it may be rounded.
+# A server's idle close and our next request may cross on the way; of a request that can't be
+# repeated nothing is left then. The stated time is in whole seconds, so it may be rounded.
 MARGIN = 1.0
 BROKEN = {Ending.CLOSED, Ending.RESET}
 PROMISES = {408, 421, 429, 503}  # to clients: not run, and never will
-# Surplus answers that are passed over for one request. A server sends one or two by mistake; where more come
-# each costs a turn of the parser within one piece of bytes.
+# Surplus answers that are passed over for one request. A server sends one or two by mistake; where
+# more come each costs a turn of the parser within one piece of bytes.
 MOST_SURPLUS = 8
-UNSTATED = 4.0  # seconds that a connection is kept where the server states nothing: those seen keep ten
+# seconds that a connection is kept where the server states nothing: those seen keep ten
+UNSTATED = 4.0
 
 
 class UpstreamConnection(Link):
-    """One connection to a server. Answers carry the id of their request; a surplus one is passed over."""
+    """One connection to a server. Answers carry the id of their request; a surplus one is passed
+    over."""
 
     __slots__ = ("surplus",)
 
@@ -52,7 +54,8 @@
             return
         not_run = b"loomstand-not-executed" in fields or status == 421
         if id_ != req.request_id or not own(status, fields, not_run):
-            self.wire.stop(Ending.MALFORMED)  # no server's own answer to this request: it may have run
+            # no server's own answer to this request: it may have run
+            self.wire.stop(Ending.MALFORMED)
             return
         if (said := STAYS(fields.get(b"keep-alive", b""))) is not None:
             self.stays = max(0.0, int(said[1]) - MARGIN)
@@ -81,10 +84,15 @@
 
 
 def own(status: int, fields: dict[bytes, bytes], not_run: bool) -> bool:
-    """Whether a server of the system can have said this. A success has its stamp, ran, and has no coding that
-    nobody asked for; what clients take for a promise says by another field that it is one."""
+    """Whether a server of the system can have said this. A success has its stamp, ran, and has no
+    coding that nobody asked for; what clients take for a promise says by another field that it is
+    one."""
     if 200 <= status < 300:
-        return not not_run and b"loomstand-response-stamp" in fields and b"content-encoding" not in fields
+        return (
+            not not_run
+            and b"loomstand-response-stamp" in fields
+            and b"content-encoding" not in fields
+        )
     return not_run or status not in PROMISES
 
 
@@ -98,8 +106,8 @@
         self.kept = StaleConnections()
 
     def send(self, flight: Flight) -> None:
-        """A request that was lost on a kept connection goes on by a new one, as does one that was sent to
-        that server before; one that must not run twice uses none that may be forgotten."""
+        """A request that was lost on a kept connection goes on by a new one, as does one that was
+        sent to that server before; one that must not run twice uses none that may be forgotten."""
         req, now, trusted = flight.req, self.limiter.loop.time(), inf
         if req.afresh or flight.srv in req.met:  # a second copy of its first answer has the same id
             trusted = 0.0
@@ -115,15 +123,16 @@
         self.idle[flight.srv] = older + self.idle.get(flight.srv, [])
 
     def give_up(self, flight: Flight, why: Ending) -> None:
-        """What of it wasn't delivered never is: behind a cut the system would send it again for minutes."""
+        """What of it wasn't delivered never is: behind a cut the system would send it again for
+        minutes."""
         if flight.link is not None and flight.link.flight is flight:
             flight.link.wire.sever()
         super().give_up(flight, why)
 
     def forgotten(self, lane: UpstreamConnection) -> None:
-        """What was sent on a kept connection broke it. Servers may forget idle connections without a word,
-        and many at once: those that were idle longer aren't used again, and the request's other tries, which
-        are few, meet no other one that was kept."""
+        """What was sent on a kept connection broke it. Servers may forget idle connections without
+        a word, and many at once: those that were idle longer aren't used again, and the request's
+        other tries, which are few, meet no other one that was kept."""
         flight, limiter = lane.flight, self.limiter
         flight.req.afresh = True
         after = (limiter.now() - flight.sent_at) / 10_000
--- a/loomstand/registry/counters.py
+++ b/loomstand/registry/counters.py
@@ -3,22 +3,25 @@
 from __future__ import annotations
 
 MOST = 200_000  # names held at once: a minute of five hundred tenants' intervals, some 30 MB
-# Seconds for which sums that began anew give no totals: limiters that call often have told theirs again by
-# then. Tried with a tenant at five times its quota, six runs, the counting registry killed or frozen: of 284
-# that are allowed in 5 s 279 ran at the most with 0, 281 with 0.5, 274 with 0.7, 258 with 1.5.
+# Seconds for which sums that began anew give no totals: limiters that call often have told theirs
+# again by then. Tried with a tenant at five times its quota, six runs, the counting registry killed
+# or frozen: of 284 that are allowed in 5 s 279 ran at the most with 0, 281 with 0.5, 274 with 0.7,
+# 258 with 1.5.
 YOUNG = 0.7
 
 
 class Counters:
     """Sums that live as long as their last caller asked for.
 
-    `number`: another one where they begin anew. `moved`: another registry counted before, so that they lack
-    what limiters have not told again. Where all start, those have long gone without totals and needn't wait.
+    `number`: another one where they begin anew. `moved`: another registry counted before, so that
+    they lack what limiters have not told again. Where all start, those have long gone without
+    totals and needn't wait.
     """
 
     def __init__(self, number: int, moved: bool = False) -> None:
         self.number, self.whole = number, None if moved else 0.0
-        self.sums: dict[int, tuple[float, float]] = {}  # by name: the sum, and until when it is kept
+        # by name: the sum, and until when it is kept
+        self.sums: dict[int, tuple[float, float]] = {}
 
     def add(self, name: int, step: float, keep: float, now: float) -> float:
         """Adds `step` to a sum, keeps it `keep` seconds more, and gives the total."""
--- a/loomstand/registry/counting_lease.py
+++ b/loomstand/registry/counting_lease.py
@@ -1,5 +1,5 @@
-"""The registry's side of the counting duty: whether it counts, whether it asks, and whom. Pure: the clock is
-given."""
+"""The registry's side of the counting duty: whether it counts, whether it asks, and whom. Pure: the
+clock is given."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from loomstand.rpc.network import Address, Body
 
 RENEW = 0.4  # s between two askings of the one that has it: a third of the span
-STALE = 3.0  # s after which a term that nobody repeats makes way for a lower one: the store began anew
+# s after which a term that nobody repeats makes way for a lower one: the store began anew
+STALE = 3.0
 AGAIN = 0.2  # s after an asking in vain: stores hold it back for as long as nobody serves
 
 
@@ -32,8 +33,8 @@
         return now < self.until
 
     def heard(self, now: float, primary: Address | None, duty: list[Any] | None) -> bool:
-        """What a store or another registry says: the primary, and [epoch, number, who] of the duty. Whether
-        limiters need to hear of it."""
+        """What a store or another registry says: the primary, and [epoch, number, who] of the duty.
+        Whether limiters need to hear of it."""
         if primary is not None and primary != self.primary:
             self.primary, self.lost = primary, False
         if not duty:
@@ -48,8 +49,8 @@
         return self.counter != before
 
     def _goes_on(self, term: tuple[int, int], named: str) -> bool:
-        """Whether nobody else can have counted between the term known and that one. Another one takes two
-        numbers: its own, and that of the name let go after it."""
+        """Whether nobody else can have counted between the term known and that one. Another one
+        takes two numbers: its own, and that of the name let go after it."""
         if named and named != self.host:
             return False
         same, numbers = term[0] == self.term[0], term[1] - self.term[1]
--- a/loomstand/registry/heartbeats.py
+++ b/loomstand/registry/heartbeats.py
@@ -24,7 +24,11 @@
         address(where)
         field = "information"
         info = said["information"]
-        service, zone, slots = str(info["service_name"]), str(info["zone"]), int(info["capacity_slots"])
+        service, zone, slots = (
+            str(info["service_name"]),
+            str(info["zone"]),
+            int(info["capacity_slots"]),
+        )
         field = "status"
         status = said["status"]
         state, sequence = str(status["state"]), int(status["sequence"])
--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -1,7 +1,8 @@
-"""The servers that a registry knows, by their heartbeats or by other registries. Pure: the clock is given.
+"""The servers that a registry knows, by their heartbeats or by other registries. Pure: the clock is
+given.
 
-A row, as it goes to other programs, is [id, address, service, zone, slots, state, sequence, cold], cold in
-milliseconds left. Of two rows of one server the one of the higher sequence is the newer."""
+A row, as it goes to other programs, is [id, address, service, zone, slots, state, sequence, cold],
+cold in milliseconds left. Of two rows of one server the one of the higher sequence is the newer."""
 
 from __future__ import annotations
 
@@ -11,8 +12,9 @@
 
 READY, DRAINING, SILENT, GONE = "ready", "draining", "silent", "gone"
 LAST = 1 << 60  # the sequence of a server that left: nothing that it ever sent comes after it
-# Beats that a server may miss before it counts as silent: one call may go to three limiters in a row at a
-# second each, which is two beats; a wrong silence costs a server for a second, a late one some requests.
+# Beats that a server may miss before it counts as silent: one call may go to three limiters in a
+# row at a second each, which is two beats; a wrong silence costs a server for a second, a late one
+# some requests.
 MISSED = 3.0
 # Seconds for which the end of a server is remembered: any late call of its has come by then.
 REMEMBERED = 120.0
@@ -36,7 +38,16 @@
 
     def row(self, now: float) -> Row:
         cold = max(0, round(1000 * (self.cold_until - now)))
-        return [self.id, self.address, self.service, self.zone, self.slots, self.state, self.sequence, cold]
+        return [
+            self.id,
+            self.address,
+            self.service,
+            self.zone,
+            self.slots,
+            self.state,
+            self.sequence,
+            cold,
+        ]
 
 
 def from_row(row: Row, now: float) -> Instance:
@@ -59,7 +70,8 @@
         self.at: dict[str, str] = {}  # by address: who has it
 
     def take(self, instance: Instance, heard_at: float) -> bool:
-        """A server spoke, or another registry tells of it. True if limiters must hear of what changed."""
+        """A server spoke, or another registry tells of it. True if limiters must hear of what
+        changed."""
         old = self.instances.get(instance.id)
         if old is not None and instance.sequence <= old.sequence:
             return False  # a late call
@@ -90,8 +102,8 @@
         return self.take(replace(old, state=GONE, sequence=LAST), self.heard.get(id_, 0.0))
 
     def alive(self, id_: str, sequence: int, heard_at: float) -> bool:
-        """Another registry heard this beat. False if the server isn't known here, or as silent: its row is
-        needed."""
+        """Another registry heard this beat. False if the server isn't known here, or as silent: its
+        row is needed."""
         old = self.instances.get(id_)
         if old is None:
             return False
@@ -105,7 +117,8 @@
         return True
 
     def sweep(self, now: float) -> bool:
-        """Servers that have been quiet too long are silent, or gone if they were leaving; True if any is."""
+        """Servers that have been quiet too long are silent, or gone if they were leaving; True if
+        any is."""
         before = self.version
         for instance in list(self.instances.values()):
             quiet = now - self.heard.get(instance.id, now)
@@ -124,8 +137,12 @@
 
     def news(self, have: int, now: float) -> list[Row]:
         """The rows that changed after the version `have`."""
-        return [instance.row(now) for instance in self.instances.values() if instance.changed > have]
+        return [
+            instance.row(now) for instance in self.instances.values() if instance.changed > have
+        ]
 
     def rows(self, ids: Iterable[str], now: float) -> Iterator[Row]:
         """The rows of these servers, as far as they are known."""
-        return (instance.row(now) for id_ in ids if (instance := self.instances.get(id_)) is not None)
+        return (
+            instance.row(now) for id_ in ids if (instance := self.instances.get(id_)) is not None
+        )
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -1,4 +1,5 @@
-"""The registry: drives its tables by what limiters, other registries and the calls from outside say."""
+"""The registry: drives its tables by what limiters, other registries and the calls from outside
+say."""
 
 from __future__ import annotations
 
@@ -32,30 +33,38 @@
 from loomstand.store import answers
 
 TELL = 1.0  # seconds between what registries tell each other unasked
-TOLD_WITHIN = 0.35  # a drain's acknowledgement waits so long for the others; servers wait a second for it
+# a drain's acknowledgement waits so long for the others; servers wait a second for it
+TOLD_WITHIN = 0.35
 STATUS = 0.4  # seconds in which the store answers
 SETTLED = 3.0  # seconds after its start by when it doesn't start together with others
 WAITS = 0.8  # seconds for which the store beside it holds back an answer without news
 KNOWN = 1.2  # seconds for which the store's last word counts: the length of its lease
 STORE_WITHIN = 0.95  # operators wait a second
 READ_WITHIN = 0.8
-# Bytes from which a configuration is packed for limiters. A usual one of 7 KB comes to a fifth, thousands of
-# routes, which a hundred limiters ask for at once, to a twentieth; packing 3 MB takes 15 ms, once a version.
+# Bytes from which a configuration is packed for limiters. A usual one of 7 KB comes to a fifth,
+# thousands of routes, which a hundred limiters ask for at once, to a twentieth; packing 3 MB takes
+# 15 ms, once a version.
 PACKED = 2_000
-# Bytes from which quotas are learnt only once the limiters had the time to ask, and those seconds: to read
-# thousands of routes takes longer here than to hand them out.
+# Bytes from which quotas are learnt only once the limiters had the time to ask, and those seconds:
+# to read thousands of routes takes longer here than to hand them out.
 LATER = 500_000, 0.2
-# Bytes of orders in hand at once: each costs twenty times its size while it is read, and is held until the
-# store has it. Eight of 8 MB at once took this process to 330 MB of its 296; so they take it to 201.
+# Bytes of orders in hand at once: each costs twenty times its size while it is read, and is held
+# until the store has it. Eight of 8 MB at once took this process to 330 MB of its 296; so they take
+# it to 201.
 IN_HAND = 12 << 20
 ASK = 0.6  # seconds that a limiter's call waits for news: half of what a session stands
 
 
 class Registry:
-    """One registry. `clock` is steady, in seconds; `wall` is the time of day at the start, in seconds."""
+    """One registry. `clock` is steady, in seconds; `wall` is the time of day at the start, in
+    seconds."""
 
     def __init__(
-        self, settings: Settings, network: Network, clock: Callable[[], float], wall: float | None = None
+        self,
+        settings: Settings,
+        network: Network,
+        clock: Callable[[], float],
+        wall: float | None = None,
     ) -> None:
         self.settings, self.network, self.clock = settings, network, clock
         self.life = f"{time.time_ns() if wall is None else int(wall * 1e9):x}-{settings.ip_address}"
@@ -66,7 +75,8 @@
         self.empty_at = -SETTLED  # when the store last said that there never was a configuration
         self.common = Clock((time.time() if wall is None else wall) - clock())
         self.own: dict[str, int] = {}  # the servers that spoke here lately, with their sequence
-        # Servers that another registry wasn't told of, as where it was cut off: it is told with the rounds.
+        # Servers that another registry wasn't told of, as where it was cut off: it is told with the
+        # rounds.
         self.owed: dict[Address, set[str]] = {}
         self.rng = Random(self.life)
         self.sessions: dict[int, str] = {}  # limiters by the number of their session
@@ -78,12 +88,16 @@
         self.parsed: Configuration | None = None  # the last that was read
         self.packed = 0, b""  # the version held, as `fetch` sends it
         self.in_hand = 0  # bytes of orders that wait for the store
-        self.said_sure = False  # whether the store last said that it is the newest: a primary was heard of
-        self.sure_until = clock()  # that word counts no longer; it may come from before this process froze
+        # whether the store last said that it is the newest: a primary was heard of
+        self.said_sure = False
+        # that word counts no longer; it may come from before this process froze
+        self.sure_until = clock()
         self.holding = CountingLease(settings.ip_address, self.rng.getrandbits(32))
         self.settled = clock() + SETTLED
         self.turn = asyncio.Event()  # something has changed about who counts
-        self.cores: tuple[str, ...] = tuple(sorted({settings.ip_address, *(ip for ip, _ in settings.seeds)}))
+        self.cores: tuple[str, ...] = tuple(
+            sorted({settings.ip_address, *(ip for ip, _ in settings.seeds)})
+        )
         self.waiting: dict[asyncio.Future[None], None] = {}  # the longest first
         self.tasks: set[asyncio.Task[Any]] = set()
         self.stopping = False
@@ -108,9 +122,15 @@
             }
         )
         self.ops = {
-            "ask": self.ask, "fetch": self.fetch, "count": self.count, "grant": self.grant, "bye": self.bye,
-            "offer": self.offer, "tell": self.told, "whole": self.whole,
-        }  # fmt: skip
+            "ask": self.ask,
+            "fetch": self.fetch,
+            "count": self.count,
+            "grant": self.grant,
+            "bye": self.bye,
+            "offer": self.offer,
+            "tell": self.told,
+            "whole": self.whole,
+        }
 
     # life
 
@@ -162,7 +182,8 @@
             raise Refused(f"{op}: {type(why).__name__}: {why}") from None
 
     async def ask(self, body: Body) -> Body:
-        """A limiter's session: what is newer than what it has, at once, else when there is something."""
+        """A limiter's session: what is newer than what it has, at once, else when there is
+        something."""
         session, have, facts = int(body.get("s", 0)), int(body["h"]), int(body["f"])
         anew = session not in self.sessions
         if anew:
@@ -172,12 +193,15 @@
         name = self.sessions[session]
         self.limiters.spoke(name, self.clock())
         self.heed()
-        if not self.common.timed and body.get("clock"):  # all registries started anew: the clock goes on
+        # all registries started anew: the clock goes on
+        if not self.common.timed and body.get("clock"):
             self.common.told(float(body["clock"]) / 1e4, self.clock())
         theirs, full = int(body["c"]), int(body.get("q", 0)) if not anew else 0
 
         def there() -> bool:
-            known = self.instances.version <= have and self.facts == facts and self.version <= theirs
+            known = (
+                self.instances.version <= have and self.facts == facts and self.version <= theirs
+            )
             return not known or self.quota_buckets.version > full
 
         await self.news(there, ASK)
@@ -190,12 +214,18 @@
             who = self.holding.counter
             counter = [*self.settings.registry(who), *self.holding.term] if who else None
             said |= {
-                "f": self.facts, "fleet": self.limiters.fleet(name), "counter": counter,
-                "cores": list(self.cores), "sure": self.sure,
+                "f": self.facts,
+                "fleet": self.limiters.fleet(name),
+                "counter": counter,
+                "cores": list(self.cores),
+                "sure": self.sure,
                 "clock": self.common.tenths(now, self.holding.counts(now)),
-            }  # fmt: skip
+            }
         if self.quota_buckets.version > full:
-            news = [[n, total, self.grants.closed(n >> SLOTS)] for n, total in self.quota_buckets.news(full)]
+            news = [
+                [n, total, self.grants.closed(n >> SLOTS)]
+                for n, total in self.quota_buckets.news(full)
+            ]
             said |= {"q": self.quota_buckets.version, "full": news}
         if self.version > theirs:
             said["c"] = self.version
@@ -204,11 +234,13 @@
         return said
 
     def begin(self, name: str) -> int:
-        """A session under a number of its own: calls a second to every limiter are kept short by it."""
+        """A session under a number of its own: calls a second to every limiter are kept short by
+        it."""
         for old in [number for number, other in self.sessions.items() if other == name]:
             del self.sessions[old]
         self.began += 1
-        number = self.began << 16 | self.rng.getrandbits(16)  # not one of this registry's former life
+        # not one of this registry's former life
+        number = self.began << 16 | self.rng.getrandbits(16)
         self.sessions[number] = name
         return number
 
@@ -230,7 +262,9 @@
         """A limiter holds a newer configuration than this registry: the store may have lost it."""
         version, data = int(body["version"]), bytes(body["data"])
         if version > self.version:
-            await self.store("offer", {"version": version, "data": data}, STORE_WITHIN + carry(len(data)))
+            await self.store(
+                "offer", {"version": version, "data": data}, STORE_WITHIN + carry(len(data))
+            )
         return {}
 
     async def count(self, body: Body) -> Body:
@@ -238,7 +272,10 @@
         if not self.holding.counts(now):
             raise Refused("another counts")
         name, step = int(body["name"]), float(body["step"])
-        total, young = self.counters.add(name, step, float(body["keep"]), now), self.counters.young(now)
+        total, young = (
+            self.counters.add(name, step, float(body["keep"]), now),
+            self.counters.young(now),
+        )
         if self.quota_buckets.counted(name, step, total, now, not young):
             self.wake()
         return {"total": total, "counts": self.counters.number} | ({"young": True} if young else {})
@@ -293,7 +330,8 @@
             self.wake()
 
     async def spread(self, id_: str, within: float) -> None:
-        """Tells the other registries of a server that changed; those not reached hear it in later rounds."""
+        """Tells the other registries of a server that changed; those not reached hear it in later
+        rounds."""
         said = {"rows": list(self.instances.rows([id_], self.clock()))}
 
         async def one(to: Address) -> None:
@@ -358,7 +396,8 @@
             now = self.clock()
             ages = {i: now - self.instances.heard.get(i, now) for i in unknown}
             more = {"rows": list(self.instances.rows(unknown, now)), "ages": ages}
-        if not got.ok.get("same"):  # it has no session with some limiter that has one here, or the reverse
+        # it has no session with some limiter that has one here, or the reverse
+        if not got.ok.get("same"):
             more["hands"] = self.limiters.told_of(self.clock())
         if more:
             await self.network.call(to, "tell", more, TELL)
@@ -379,7 +418,8 @@
                 heard, mark = asked, int(got.ok.get("mark", 0))
                 self.heard_store(got.ok, asked)
                 continue
-            if self.said_sure and self.clock() - heard >= KNOWN:  # it may be cut off, as far as is known here
+            # it may be cut off, as far as is known here
+            if self.said_sure and self.clock() - heard >= KNOWN:
                 self.said_sure = False
                 self.fact()
             await asyncio.sleep(0.1)
@@ -444,18 +484,24 @@
         if int(said["version"]) == 0 == self.version and said.get("ready") and said.get("primary"):
             self.empty_at = self.clock()
         if int(said["version"]) < self.version and not self.offering:
-            self.offering = True  # its store has lost it, and may be the one that is asked what is left
+            # its store has lost it, and may be the one that is asked what is left
+            self.offering = True
             self.spawn(self.give())
         primary = said.get("primary")
         self.named((str(primary[0]), int(primary[1])) if primary else None, said.get("duty"))
-        sure = bool(said.get("ready")) and primary is not None and int(said["version"]) <= self.version
-        cores = tuple(sorted({self.settings.ip_address, *(str(a[0]) for a in said.get("cores", ()))}))
+        sure = (
+            bool(said.get("ready")) and primary is not None and int(said["version"]) <= self.version
+        )
+        cores = tuple(
+            sorted({self.settings.ip_address, *(str(a[0]) for a in said.get("cores", ()))})
+        )
         if (sure, cores) != (self.said_sure, self.cores):
             self.said_sure, self.cores = sure, cores
             self.fact()
 
     async def give(self) -> None:
-        """Gives the store beside it the configuration held here, which that doesn't know to be in force."""
+        """Gives the store beside it the configuration held here, which that doesn't know to be in
+        force."""
         here = self.settings.store(self.settings.ip_address)
         try:
             said = {"version": self.version, "data": self.data}
@@ -479,7 +525,8 @@
             logging.error("configuration r%d can't be used: %s", self.version, why)
 
     async def store(self, op: str, body: Body, within: float) -> Result[Body, Verdict]:
-        """Calls the store: the one beside this registry hands on to the primary; others where it is down."""
+        """Calls the store: the one beside this registry hands on to the primary; others where it is
+        down."""
         here, asked, until = self.settings.ip_address, self.clock(), self.clock() + within
         got = await self.network.call(self.settings.store(here), op, body, within)
         for ip in self.cores:
@@ -489,7 +536,8 @@
             if ip != here:
                 got = await self.network.call(self.settings.store(ip), op, body, left)
         if got.is_ok() and not answers.left(got.ok, asked, self.clock(), within):
-            return Error(Verdict.MAY_HAVE_RUN)  # this process froze meanwhile, or the answer lay in a socket
+            # this process froze meanwhile, or the answer lay in a socket
+            return Error(Verdict.MAY_HAVE_RUN)
         return got
 
     # calls from outside
@@ -499,7 +547,9 @@
         asked = Asked.of(method, target)
         found = self.calls.match(asked)
         if isinstance(found, int):
-            return found, problem(f"no call {asked.method} {asked.path} call={asked.query.get('call', '')}")
+            return found, problem(
+                f"no call {asked.method} {asked.path} call={asked.query.get('call', '')}"
+            )
         try:
             return await found(asked, body)
         except BadCall as why:
@@ -545,7 +595,9 @@
         if got.is_ok():
             held = f"r{int(got.ok['version'])}"
             if got.ok.get("conflict"):
-                said = f"r{configuration.version} was taken with another content; {held} is in force"
+                said = (
+                    f"r{configuration.version} was taken with another content; {held} is in force"
+                )
                 return 409, problem(said)
             return 200, json.dumps({"version": held}).encode()
         return 503, problem(f"not stored: {got.error.value}")
@@ -568,28 +620,41 @@
                 states = servers.setdefault(instance.service, {})
                 states[instance.state] = states.get(instance.state, 0) + 1
         said = {
-            "name": self.settings.node_name, "life": self.life,
+            "name": self.settings.node_name,
+            "life": self.life,
             "configuration": {"version": f"r{self.version}", "sure": self.sure},
             "counting": {
-                "by": self.holding.counter or None, "here": left > 0, "left": f"{round(1000 * left)}ms",
+                "by": self.holding.counter or None,
+                "here": left > 0,
+                "left": f"{round(1000 * left)}ms",
+            },
+            "limiters": {
+                "present": list(self.limiters.present),
+                "missing": list(self.limiters.missing),
             },
-            "limiters": {"present": list(self.limiters.present), "missing": list(self.limiters.missing)},
-            "servers": servers, "cores": self.controls(),
-            "store": store and {
-                "version": f"r{int(store['version'])}", "epoch": int(store["epoch"]),
-                "primary": text(store["primary"]), "backup": text(store.get("backup")),
-                "ready": bool(store["ready"]), "conflicts": int(store.get("conflicts", 0)),
+            "servers": servers,
+            "cores": self.controls(),
+            "store": store
+            and {
+                "version": f"r{int(store['version'])}",
+                "epoch": int(store["epoch"]),
+                "primary": text(store["primary"]),
+                "backup": text(store.get("backup")),
+                "ready": bool(store["ready"]),
+                "conflicts": int(store.get("conflicts", 0)),
             },
-        }  # fmt: skip
+        }
         return 200, json.dumps(said).encode()
 
     async def rescue(self, asked: Asked, body: bytes) -> tuple[int, bytes]:
-        status, said = await rescue(self.network, self.settings.store(self.settings.ip_address), body)
+        status, said = await rescue(
+            self.network, self.settings.store(self.settings.ip_address), body
+        )
         return status, json.dumps(said).encode()
 
     def controls(self) -> list[str]:
-        """Where each core machine takes these calls: the seeds are told with their ports, the others are
-        taken to have this one's."""
+        """Where each core machine takes these calls: the seeds are told with their ports, the
+        others are taken to have this one's."""
         known, own = dict(self.settings.seeds), self.settings.listen.control_plane
         if own is not None:
             known = {**dict.fromkeys(self.cores, own[1]), **known, own[0]: own[1]}
--- a/loomstand/registry/quota_buckets.py
+++ b/loomstand/registry/quota_buckets.py
@@ -1,8 +1,10 @@
-"""Which tenants' buckets are near the brim, as the counting registry sees them: limiters are told of those.
+"""Which tenants' buckets are near the brim, as the counting registry sees them: limiters are told
+of those.
 
-A limiter learns of the others' use by its own calls, so by its own requests. Where a tenant's requests are
-few at each of many limiters, all are blind between two of them, and each lets its next one in: 75 limiters
-took one and a third request each beyond a quota that allowed 498 in five seconds. Pure: the clock is given.
+A limiter learns of the others' use by its own calls, so by its own requests. Where a tenant's
+requests are few at each of many limiters, all are blind between two of them, and each lets its next
+one in: 75 limiters took one and a third request each beyond a quota that allowed 498 in five
+seconds. Pure: the clock is given.
 """
 
 from __future__ import annotations
@@ -13,8 +15,9 @@
 from loomstand.door import TRY, digest
 from loomstand.shared.configuration import Tenant
 
-# A bucket is near its brim above this share of its burst. At the usual six tenths of a quota, one of a burst
-# of ten requests is there now and then; at a half, what limiters let in before they hear of it still fits.
+# A bucket is near its brim above this share of its burst. At the usual six tenths of a quota, one
+# of a burst of ten requests is there now and then; at a half, what limiters let in before they hear
+# of it still fits.
 NEAR = 0.5
 SLOTS = 15  # the lowest bits of a count's name tell its interval
 UNITS = TRY * TRY  # a total's lower part is use; above it stand the tries
@@ -22,7 +25,8 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """A tenant's use beyond its rate, over all limiters; `name` and `total` are the running interval's."""
+    """A tenant's use beyond its rate, over all limiters; `name` and `total` are the running
+    interval's."""
 
     rate: float
     burst: float
@@ -61,8 +65,8 @@
             bucket.level = 0.0
 
     def counted(self, name: int, step: float, total: float, now: float, whole: bool = True) -> bool:
-        """A limiter added to a name. True if all must hear of it: not if totals aren't whole, as limiters
-        would take a low one for a counter that forgot."""
+        """A limiter added to a name. True if all must hear of it: not if totals aren't whole, as
+        limiters would take a low one for a counter that forgot."""
         bucket = self.buckets.get(name >> SLOTS)
         if bucket is None:
             return False
@@ -75,5 +79,6 @@
         return True
 
     def news(self, have: int) -> list[list[float]]:
-        """The running totals by name, of the tenants that there was a word of after the version `have`."""
+        """The running totals by name, of the tenants that there was a word of after the version
+        `have`."""
         return [[b.name, b.total] for b in self.buckets.values() if b.changed > have]
--- a/loomstand/registry/service.py
+++ b/loomstand/registry/service.py
@@ -11,8 +11,9 @@
 from loomstand.rpc.outside import Outside
 from loomstand.shared.settings import Settings
 
-# Bytes of a call: a configuration of 24,000 routes. With it a registry or a limiter takes 160 MB of some 300,
-# a store's file 40 of its disk's 256, and a frame of ours (rpc/frames.py) holds it with room to spare.
+# Bytes of a call: a configuration of 24,000 routes. With it a registry or a limiter takes 160 MB of
+# some 300, a store's file 40 of its disk's 256, and a frame of ours (rpc/frames.py) holds it with
+# room to spare.
 MOST_BODY = 8 << 20
 
 
@@ -20,12 +21,19 @@
     """A registry that takes the calls from outside."""
 
     def __init__(
-        self, settings: Settings, network: Network, turns: Turns | None,
-        clock: Callable[[], float] | None = None, wall: float | None = None, streams: Streams | None = None,
-    ) -> None:  # fmt: skip
-        """`clock` and `wall` as the registry's; `streams` where calls don't come by real sockets."""
+        self,
+        settings: Settings,
+        network: Network,
+        turns: Turns | None,
+        clock: Callable[[], float] | None = None,
+        wall: float | None = None,
+        streams: Streams | None = None,
+    ) -> None:
+        """`clock` and `wall` as the registry's; `streams` where calls don't come by real
+        sockets."""
         super().__init__(settings, network, clock or asyncio.get_running_loop().time, wall)
-        sockets = settings.limits.file_descriptors - 400  # 200 are reserved; the rest is for the system's own
+        # 200 are reserved; the rest is for the system's own
+        sockets = settings.limits.file_descriptors - 400
         memory = settings.limits.memory_mb << 18
         self.desk = Outside(self.outside, turns, memory, sockets, MOST_BODY, streams)
 
--- a/loomstand/rehearse/checker.py
+++ b/loomstand/rehearse/checker.py
@@ -1,9 +1,10 @@
-"""What the driver and the stand-ins saw, put on one clock; the five rules over it, the bounds, the report.
+"""What the driver and the stand-ins saw, put on one clock; the five rules over it, the bounds, the
+report.
 
-The rules are the lab's (`lab/checker.py`) over the same History, built here from trails. What only sockets
-show is added: an answer that no server made, a req lost by a limiter that lived, a denial of a
-non-replayable that ran. Where a fault held bytes back, the time at which they could pass counts: a path that
-was cut tells neither the limiter nor us anything in the meantime.
+The rules are the lab's (`lab/checker.py`) over the same History, built here from trails. What only
+sockets show is added: an answer that no server made, a req lost by a limiter that lived, a denial
+of a non-replayable that ran. Where a fault held bytes back, the time at which they could pass
+counts: a path that was cut tells neither the limiter nor us anything in the meantime.
 """
 
 from __future__ import annotations
@@ -29,7 +30,8 @@
 
 @dataclass(slots=True)
 class Seen:
-    """Every trail of a rehearsal, by what was seen, each row [Unix s, ...]; and what is made of it."""
+    """Every trail of a rehearsal, by what was seen, each row [Unix s, ...]; and what is made of
+    it."""
 
     told: Rehearsal
     rows: dict[str, list[list]] = field(default_factory=dict)
@@ -37,7 +39,8 @@
     cuts: dict[tuple[str, str, str], list[tuple[float, float]]] = field(default_factory=dict)
     lives: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
     history: History = field(default_factory=History)
-    # dispatches that a cut may have held back: when it began, the earliest at which they can have been sent
+    # dispatches that a cut may have held back: when it began, the earliest at which they can have
+    # been sent
     held: dict[tuple[int, int], int] = field(default_factory=dict)
 
     def at(self, unix: float) -> int:
@@ -112,7 +115,8 @@
         seen.cuts.setdefault(key, []).append((since, end))
     up: dict[str, float] = {}
     for at, what, name in sorted(
-        [(r[0], "up", r[1]) for r in seen.all("up")] + [(r[0], "down", r[1]) for r in seen.all("down")]
+        [(r[0], "up", r[1]) for r in seen.all("up")]
+        + [(r[0], "down", r[1]) for r in seen.all("down")]
     ):
         if what == "up":
             up[name] = at
@@ -138,7 +142,17 @@
     for at, req, limiter, customer, plan, front, timeout, inside, retry, zone in seen.all("sent"):
         value, sent = told.frontends[front].value, seen.at(at)
         row = Req(
-            req, limiter, customer, plan, front, sent, sent + round(timeout * T), 1.0, value, inside, retry
+            req,
+            limiter,
+            customer,
+            plan,
+            front,
+            sent,
+            sent + round(timeout * T),
+            1.0,
+            value,
+            inside,
+            retry,
         )
         reqs[req] = row
         history.reqs.append(row)
@@ -153,7 +167,9 @@
         if final == PASSED:
             row.took = row.final_at - row.arrived
             if not own:
-                history.broken.append((row.limiter, f"req {req} was served what no server made for it"))
+                history.broken.append(
+                    (row.limiter, f"req {req} was served what no server made for it")
+                )
     # what servers ran
     first: set[int] = set()
     out: dict[tuple[int, int], int] = {}
@@ -171,13 +187,15 @@
         if req in reqs and req not in first:
             first.add(req)
             history.used.append((reqs[req].customer, reqs[req].plan, now, 1.0))
-    history.falls += [(s, seen.at(at), float(sent), bears) for at, s, sent, bears in seen.all("fall")]
+    history.falls += [
+        (s, seen.at(at), float(sent), bears) for at, s, sent, bears in seen.all("fall")
+    ]
     told_rows(seen)
 
 
 def held_since(seen: Seen, path: tuple[str, str], came: float) -> float | None:
-    """When the cut began that may have held back what came to a server at a time; None where none did. Right
-    after a cut has healed what comes may be new as well, so both times count."""
+    """When the cut began that may have held back what came to a server at a time; None where none
+    did. Right after a cut has healed what comes may be new as well, so both times count."""
     for since, until in seen.cuts.get((*path, "forth"), ()):
         if since <= came < until + SETTLE:
             return since
@@ -185,7 +203,8 @@
 
 
 def told_rows(seen: Seen) -> None:
-    """When each limiter was told that a server drains or is gone, until it was told that it is live."""
+    """When each limiter was told that a server drains or is gone, until it was told that it is
+    live."""
     history, open_ = seen.history, {}
     for at, limiter, whole, rows in seen.all("told"):
         path = (f"l{limiter}", "discovery")
@@ -198,7 +217,8 @@
                 open_[key] = len(history.told_leaving)
                 history.told_leaving.append([limiter, server, when, 1 << 62])
             elif phase == "active" and key in open_:
-                # the row's own time: a limiter that was told earlier than we know must not look late
+                # the row's own time: a limiter that was told earlier than we know must not look
+                # late
                 history.told_leaving[open_.pop(key)][3] = seen.at(at)
     # a limiter that started again knows only what it was told since; its configuration may be older
     for row in history.told_leaving:
@@ -226,13 +246,17 @@
     terms = Terms(seen.told)
     verdict = rules.check(seen.history, terms)
     # what a cut may have held back is a break of rule 3 only if it is one whenever it was sent
-    rows = [[r, n, lim, srv, seen.held[r, n], at] for r, n, lim, srv, _, at in seen.history.dispatches
-            if (r, n) in seen.held]  # fmt: skip
+    rows = [
+        [r, n, lim, srv, seen.held[r, n], at]
+        for r, n, lim, srv, _, at in seen.history.dispatches
+        if (r, n) in seen.held
+    ]
     early = History(dispatches=rows, told_leaving=seen.history.told_leaving)
     surely = {b.req for b in rules.leaving(early, terms)}
     doubtful = {r for r, _ in seen.held} - surely
     verdict.breaks = [b for b in verdict.breaks if b.rule != 3 or b.req not in doubtful]
-    # the lab's rule 1 reads "no final answer"; a broken connection to a limiter that lived is one too
+    # the lab's rule 1 reads "no final answer"; a broken connection to a limiter that lived is one
+    # too
     ran: dict[int, list[int]] = {}
     for req, server, *_ in seen.history.runs:
         ran.setdefault(req, []).append(server)
@@ -242,7 +266,9 @@
             what = f"denied, but ran at server {ran[r.req][0]}"
             verdict.breaks.append(Break(2, r.req, r.limiter, r.final_at, what))
         if r.final == PASSED and r.req not in ran:
-            verdict.breaks.append(Break(1, r.req, r.limiter, r.final_at, "passed, but no server ran it"))
+            verdict.breaks.append(
+                Break(1, r.req, r.limiter, r.final_at, "passed, but no server ran it")
+            )
     for limiter, what in seen.history.broken:
         verdict.breaks.append(Break(1, -1, limiter, -1, what))
     return verdict
@@ -257,7 +283,8 @@
     ]
 
 
-# what came of it ---------------------------------------------------------------------------------------
+# what came of it
+# ---------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
@@ -312,7 +339,9 @@
 def best(told: Rehearsal, offered: list[float], slots: float) -> float:
     """The worth that so many slots can serve of what is offered, the dearest for its work first."""
     total = 0.0
-    for n in sorted(range(len(offered)), key=lambda n: -told.frontends[n].value / told.frontends[n].work_ms):
+    for n in sorted(
+        range(len(offered)), key=lambda n: -told.frontends[n].value / told.frontends[n].work_ms
+    ):
         g = told.frontends[n]
         need = offered[n] / g.value * g.work_ms / 1000
         share = min(1.0, slots / need) if need else 0.0
@@ -324,7 +353,9 @@
 def load_by_zone(seen: Seen) -> dict[str, list[tuple[float, float, float]]]:
     """For each zone by second: reqs in hand and room over its servers, means of the samples."""
     told, many = seen.told, int(seen.told.seconds) + 1
-    sums: dict[str, list[list[float]]] = {z: [[0.0, 0.0] for _ in range(many)] for z in told.fleet.zones}
+    sums: dict[str, list[list[float]]] = {
+        z: [[0.0, 0.0] for _ in range(many)] for z in told.fleet.zones
+    }
     for at, server, working, waiting, room in seen.all("load"):
         k = int(at - seen.began)
         if at >= seen.began and k < many:
--- a/loomstand/rehearse/child.py
+++ b/loomstand/rehearse/child.py
@@ -1,8 +1,8 @@
 """What all processes of a rehearsal but the limiters share: orders on their input, and a trail.
 
-`python -m loomstand.rehearse.child ROLE` reads its configuration from the first line of its input, writes one
-line when it is ready (servers say in it since when each listens), and takes an order a line. The end of its
-input ends it: none outlives the rehearsal, whichever way that ends.
+`python -m loomstand.rehearse.child ROLE` reads its configuration from the first line of its input,
+writes one line when it is ready (servers say in it since when each listens), and takes an order a
+line. The end of its input ends it: none outlives the rehearsal, whichever way that ends.
 """
 
 from __future__ import annotations
@@ -26,13 +26,16 @@
 
 
 class Trail:
-    """Rows written as they happen, a JSON array a line, [what, Unix time in s, ...]: a SIGKILL loses none."""
+    """Rows written as they happen, a JSON array a line, [what, Unix time in s, ...]: a SIGKILL
+    loses none."""
 
     def __init__(self, path: str) -> None:
         self.file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
 
     def __call__(self, what: str, *more: object, at: float | None = None) -> None:
-        os.write(self.file, msgspec.json.encode([what, time.time() if at is None else at, *more]) + b"\n")
+        os.write(
+            self.file, msgspec.json.encode([what, time.time() if at is None else at, *more]) + b"\n"
+        )
 
 
 Order = Callable[[dict], None]
--- a/loomstand/rehearse/counter.py
+++ b/loomstand/rehearse/counter.py
@@ -1,4 +1,5 @@
-"""The stand-in counter: the lab's totals behind PROTOCOL's wire. It can be slow, silent, wiped or split.
+"""The stand-in counter: the lab's totals behind PROTOCOL's wire. It can be slow, silent, wiped or
+split.
 
 Each limiter has a port of its own, which tells who calls (a split goes by limiter).
 Trail rows: `calls` (how many in the last second), once a second with any.
