--- a/loomstand/rehearse/discovery.py
+++ b/loomstand/rehearse/discovery.py
@@ -1,4 +1,5 @@
-"""The stand-in discovery: whole lists and watches, each limiter with its own addresses, as PROTOCOL has it.
+"""The stand-in discovery: whole lists and watches, each limiter with its own addresses, as PROTOCOL
+has it.
 
 It can be late, silent, overbooked, and hold only half of the list.
 Says to the stage whom it has told a list, the first time each.
@@ -43,13 +44,19 @@
     def list_for(self, limiter: int, since: int, whole: bool) -> dict:
         """What changed after a revision, or all that is there."""
         here = range(ceil(len(self.members) * self.share)) if whole else self.members
-        named = [n for n in here if (self.members[n]["phase"] != GONE if whole else self.changed[n] > since)]
+        named = [
+            n
+            for n in here
+            if (self.members[n]["phase"] != GONE if whole else self.changed[n] > since)
+        ]
         rows = [(n, self.members[n]) for n in named]
         self.trail("told", limiter, whole, [[n, m["phase"], m["up_since_ms"]] for n, m in rows])
         members = [{**m, "host_port": self.addresses[limiter][n]} for n, m in rows]
         return {"revision": self.revision, "complete": whole, "members": members}
 
-    async def talk(self, limiter: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def talk(
+        self, limiter: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
                 head, _ = await read_message(reader)
--- a/loomstand/rehearse/driver.py
+++ b/loomstand/rehearse/driver.py
@@ -1,10 +1,11 @@
 """The load: clients of all zones behind a front, open loop, seeded, bounded in time and count.
 
-Each customer has a home zone and a set of limiters; the front deals its reqs out among those of the set that
-answer health calls, the home zone's first. Where the whole set is gone the customer moves on to the next
-zone's. Trail rows: `sent` (req, limiter, customer, plan, frontend, client timeout in s, inside its quota,
-retry, zone), `got` (req, status or 0 for a broken connection and -1 for nothing, whether the body is the
-req's own), `front` (zone, limiter, in or out), `lag` (worst lateness of an arrival, once a second).
+Each customer has a home zone and a set of limiters; the front deals its reqs out among those of the
+set that answer health calls, the home zone's first. Where the whole set is gone the customer moves
+on to the next zone's. Trail rows: `sent` (req, limiter, customer, plan, frontend, client timeout in
+s, inside its quota, retry, zone), `got` (req, status or 0 for a broken connection and -1 for
+nothing, whether the body is the req's own), `front` (zone, limiter, in or out), `lag` (worst
+lateness of an arrival, once a second).
 """
 
 from __future__ import annotations
@@ -70,7 +71,8 @@
     def __init__(self, driver: Driver, zone: int, limiter: int, port: int) -> None:
         self.driver, self.zone, self.limiter, self.port = driver, zone, limiter, port
         self.idle: list[Conn] = []
-        self.open, self.heard = driver.told.known, 0.0  # a limiter that starts is let in when it is ready
+        # a limiter that starts is let in when it is ready
+        self.open, self.heard = driver.told.known, 0.0
 
     async def dial(self, timeout: float) -> Conn:
         loop = asyncio.get_running_loop()
@@ -91,7 +93,8 @@
                 except ConnectionResetError:
                     if conn.used == 1 or conn.raw:  # the first req on it, or half an answer
                         return BROKEN, b""
-                    conn = None  # closed between reqs as this one crossed: once more, on a new connection
+                    # closed between reqs as this one crossed: once more, on a new connection
+                    conn = None
                     timeout = max(0.01, end - time.monotonic())
                     self.idle.clear()
                     continue
@@ -129,7 +132,8 @@
         self.rng = Random(f"{config['seed']}-{self.part}")
         self.trail = Trail(config["trail"])
         self.doors = [
-            [Door(self, z, n, port) for n, port in enumerate(row)] for z, row in enumerate(config["ports"])
+            [Door(self, z, n, port) for n, port in enumerate(row)]
+            for z, row in enumerate(config["ports"])
         ]
         self.traffic = Traffic(told.plans, told.frontends, self.rng)
         plan_of = [n for n, p in enumerate(told.plans) for _ in range(p.customers)]
@@ -143,8 +147,8 @@
         self.out = 0
 
     def set_of(self, customer: int, plan: int) -> tuple[int, int, list[int]]:
-        """First limiter and size of a customer's set, and those of it that the front uses now. A set whose
-        limiters are all gone moves on to the next zone's."""
+        """First limiter and size of a customer's set, and those of it that the front uses now. A
+        set whose limiters are all gone moves on to the next zone's."""
         n, size = self.told.fleet.limiters, self.told.plans[plan].spread or self.told.fleet.limiters
         home = customer % self.zones
         for step in range(self.zones):
@@ -170,7 +174,10 @@
         held[0] -= 1.0 if inside else 0.0
         self.next += 1
         req = (self.part + 1) * 10_000_000 + self.next
-        method, again = "POST" if g.effect == "side_effect" else "GET", "Client-Retry: 1\r\n" if retry else ""
+        method, again = (
+            "POST" if g.effect == "side_effect" else "GET",
+            "Client-Retry: 1\r\n" if retry else "",
+        )
         raw = (
             f"{method} /{g.name}?account={customer:016x} HTTP/1.1\r\nHost: backend.local\r\n"
             f"Request-Id: {req}\r\nRequest-Class: {g.name}\r\nX-Tier: {p.name}\r\n"
@@ -185,7 +192,12 @@
             status, body = await self.doors[zone][limiter].ask(raw, timeout + WAIT_ON)
         self.out -= 1
         self.trail("got", req, status, status != 200 or body.startswith(b"%d ran at " % req))
-        if status in (429, 503) and told.load.retry and self.rng.random() < told.load.retry and not self.over:
+        if (
+            status in (429, 503)
+            and told.load.retry
+            and self.rng.random() < told.load.retry
+            and not self.over
+        ):
             await asyncio.sleep(self.rng.expovariate(1000 / max(1.0, told.load.retry_after_ms)))
             await self.one(plan, customer, front, True)
 
@@ -241,6 +253,6 @@
 
 
 async def start(config: dict):
-    """`rehearsal`, `host`, `seed`, `part` of all drivers, `ports` by client zone and limiter, `trail`. Starts
-    at the order `begin` with `at` (Unix s); writes a line when all is over."""
+    """`rehearsal`, `host`, `seed`, `part` of all drivers, `ports` by client zone and limiter,
+    `trail`. Starts at the order `begin` with `at` (Unix s); writes a line when all is over."""
     return Driver(config).order
--- a/loomstand/rehearse/links.py
+++ b/loomstand/rehearse/links.py
@@ -1,9 +1,10 @@
 """The paths between processes, as links that can be cut silently, reset, delayed or made one-way.
 
-A link listens on loopback and carries each connection to one place. Cut both ways it behaves as a machine
-that is gone: open connections stay open and silent, and new ones never come up. No privileges are needed for
-the latter: the listener's queue is made as short as it goes and filled by ourselves, and the kernel drops
-what else wants to connect. What was sent into a cut comes through when it heals, as TCP would send it again.
+A link listens on loopback and carries each connection to one place. Cut both ways it behaves as a
+machine that is gone: open connections stay open and silent, and new ones never come up. No
+privileges are needed for the latter: the listener's queue is made as short as it goes and filled by
+ourselves, and the kernel drops what else wants to connect. What was sent into a cut comes through
+when it heals, as TCP would send it again.
 """
 
 from __future__ import annotations
@@ -168,18 +169,25 @@
 
 
 class Relay(asyncio.DatagramProtocol):
-    """The datagrams of one limiter to another: they leave from the relay of the way back, so that the
-    receiver knows the sender by the address that it has for it."""
+    """The datagrams of one limiter to another: they leave from the relay of the way back, so that
+    the receiver knows the sender by the address that it has for it."""
 
     def __init__(self, spec: dict, host: str, all_: dict[str, Relay]) -> None:
-        self.name, self.host, self.port, self.to = spec["name"], host, spec["port"], tuple(spec["to"])
+        self.name, self.host, self.port, self.to = (
+            spec["name"],
+            host,
+            spec["port"],
+            tuple(spec["to"]),
+        )
         self.back, self.all = spec["back"], all_
         self.cut, self.delay = False, 0.0
         self.transport: asyncio.DatagramTransport | None = None
 
     async def listen(self) -> None:
         loop = asyncio.get_running_loop()
-        self.transport, _ = await loop.create_datagram_endpoint(lambda: self, (self.host, self.port))
+        self.transport, _ = await loop.create_datagram_endpoint(
+            lambda: self, (self.host, self.port)
+        )
 
     def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
         if not self.cut:
@@ -225,8 +233,8 @@
 
 
 async def start(config: dict):
-    """`links`: each with `name`, `port` and `to` [host, port]; `relays`, with the name of the one `back` as
-    well; `host` to listen on."""
+    """`links`: each with `name`, `port` and `to` [host, port]; `relays`, with the name of the one
+    `back` as well; `host` to listen on."""
     relays: dict[str, Relay] = {}
     relays |= {spec["name"]: Relay(spec, config["host"], relays) for spec in config["relays"]}
     links = {spec["name"]: Link(spec, config["host"]) for spec in config["links"]} | relays
--- a/loomstand/rehearse/report.py
+++ b/loomstand/rehearse/report.py
@@ -1,4 +1,5 @@
-"""One rehearsal from its scenario to its verdict: report.json, the table on the terminal, the plots."""
+"""One rehearsal from its scenario to its verdict: report.json, the table on the terminal, the
+plots."""
 
 from __future__ import annotations
 
@@ -10,7 +11,8 @@
 from loomstand.rehearse import checker
 from loomstand.rehearse.scenario import Rehearsal
 
-LATE_DRIVER = 0.25  # s: an arrival so late means that the machine was too busy for the run to tell anything
+# s: an arrival so late means that the machine was too busy for the run to tell anything
+LATE_DRIVER = 0.25
 
 
 def make(told: Rehearsal, seed: int, out: Path) -> dict:
@@ -42,7 +44,9 @@
         "bounds": bounds,
         "driver_lag_s": round(lag, 3),
         "ready_s": [round(t, 3) for t in sorted(checker.ready_after(seen))],
-        "calls_for_lists": [[round(at - seen.began, 3), status] for at, _, status in seen.all("call")],
+        "calls_for_lists": [
+            [round(at - seen.began, 3), status] for at, _, status in seen.all("call")
+        ],
         "opened": opened(seen),
         "moves": [[round(at - seen.began, 2), *more] for at, *more in seen.all("move")],
         "series": [msgspec.to_builtins(row) for row in by],
@@ -60,7 +64,10 @@
         if 0 <= at - seen.began < many:
             row = by[int(at - seen.began)]
             row[server] = row.get(server, 0) + count
-    return {"all": [sum(row.values()) for row in by], "most": [max(row.values(), default=0) for row in by]}
+    return {
+        "all": [sum(row.values()) for row in by],
+        "most": [max(row.values(), default=0) for row in by],
+    }
 
 
 def worth(report: dict, since: float, until: float, front: int = -1) -> float:
@@ -82,12 +89,15 @@
     from loomstand.lab.checker import NAMES
 
     t = Table(
-        title=f"{report['scenario']}, seed {report['seed']}: {report['reqs']} reqs, {report['ran']} runs"
+        title=f"{report['scenario']}, seed {report['seed']}: {report['reqs']} reqs, "
+        f"{report['ran']} runs"
     )
     for column in ("what", "figure", "wanted", "verdict"):
         t.add_column(column)
     for rule, broken in report["rules"].items():
-        t.add_row(f"rule {rule}: {NAMES[int(rule)]}", str(broken), "0", "held" if not broken else "BROKEN")
+        t.add_row(
+            f"rule {rule}: {NAMES[int(rule)]}", str(broken), "0", "held" if not broken else "BROKEN"
+        )
     for b in report["bounds"]:
         span = f" {b['since']:g} to {b['until'] or report['seconds']:g} s"
         wanted = [
@@ -100,11 +110,15 @@
     console.print(t)
     for b in report["breaks"]:
         who = f"req {b['req']}, " if b["req"] >= 0 else ""
-        console.print(f"rule {b['rule']}: {who}limiter {b['limiter']}, {b['at'] / 10_000:.3f} s: {b['what']}")
+        console.print(
+            f"rule {b['rule']}: {who}limiter {b['limiter']}, {b['at'] / 10_000:.3f} s: {b['what']}"
+        )
     for line in report["crashes"]:
         console.print(f"crash: {line}")
     if report["driver_lag_s"] > LATE_DRIVER:
-        console.print(f"the driver ran up to {report['driver_lag_s']} s late: the machine was too busy")
+        console.print(
+            f"the driver ran up to {report['driver_lag_s']} s late: the machine was too busy"
+        )
     console.print("passed" if passed(report) else "FAILED")
 
 
@@ -124,7 +138,9 @@
     ax.set_ylabel("worth a second")
     ax.legend()
     made = [save(fig, out / "worth.png")]
-    fig, axes = plt.subplots(len(report["zones"]), 1, figsize=(9, 2.2 * len(report["zones"])), squeeze=False)
+    fig, axes = plt.subplots(
+        len(report["zones"]), 1, figsize=(9, 2.2 * len(report["zones"])), squeeze=False
+    )
     for ax, (zone, rows) in zip(axes[:, 0], report["zones"].items(), strict=True):
         ax.plot([r[0] for r in rows], [r[1] for r in rows], label="in hand")
         ax.plot([r[0] for r in rows], [r[2] for r in rows], "--", label="room")
--- a/loomstand/rehearse/scenario.py
+++ b/loomstand/rehearse/scenario.py
@@ -1,8 +1,10 @@
-"""A rehearsal's scenario: the fleet, its traffic, a timeline of faults and the bounds, from TOML, checked.
+"""A rehearsal's scenario: the fleet, its traffic, a timeline of faults and the bounds, from TOML,
+checked.
 
-The tables for fleet, frontends, plans and counter are the lab's (`lab/scenario.py`), so that one description
-can be played in simulated time and on processes. A fault names its key: `ScenarioError("key 'faults[2].who':
-...")`. Times are seconds from the first traffic, or milliseconds where the key ends in `_ms`.
+The tables for fleet, frontends, plans and counter are the lab's (`lab/scenario.py`), so that one
+description can be played in simulated time and on processes. A fault names its key:
+`ScenarioError("key 'faults[2].who': ...")`. Times are seconds from the first traffic, or
+milliseconds where the key ends in `_ms`.
 """
 
 from __future__ import annotations
@@ -32,11 +34,13 @@
 
 
 class Fleet(lab.Fleet):
-    """The lab's, with what only sockets have. Zones hold limiters and servers of neighbouring numbers."""
+    """The lab's, with what only sockets have. Zones hold limiters and servers of neighbouring
+    numbers."""
 
     connections: Count = 0  # that a server holds at most; 0 for no limit
     peers: bool = False  # limiters know of each other (docs/peers.md)
-    shared: bool = False  # one path to each server for all limiters, and so one address; peers need it
+    # one path to each server for all limiters, and so one address; peers need it
+    shared: bool = False
     cold: bool = False  # servers have just started as the rehearsal begins, else long ago
     apart: bool = False  # each server a process of its own, else one process a zone
     sockets: Annotated[int, Meta(ge=48)] = 512  # what a limiter may hold
@@ -58,7 +62,8 @@
 
 
 Do = Literal[
-    "vanish",  # `who` falls silent, then dies; back cold after `for_s`; the list says so after `told_s`
+    # `who` falls silent, then dies; back cold after `for_s`; the list says so after `told_s`
+    "vanish",
     "kill",  # SIGKILL; started again after `for_s`
     "stop",  # SIGSTOP; SIGCONT after `for_s`
     "term",  # SIGTERM; started again after `for_s`
@@ -79,16 +84,30 @@
     "discovery_bears",  # `factor` calls a second
     "flood",  # the customers of `plan` ask `factor` times as much for `for_s`
 ]
-NEEDS_WHO = {"vanish", "kill", "stop", "term", "hup", "cut", "reset", "delay", "list", "slow", "fail"}
+NEEDS_WHO = {
+    "vanish",
+    "kill",
+    "stop",
+    "term",
+    "hup",
+    "cut",
+    "reset",
+    "delay",
+    "list",
+    "slow",
+    "fail",
+}
 
 
 class Fault(Struct):
-    """One step of the timeline. `who` and `other` hold names: `limiters`, `servers`, `clients`, `zone` (both
-    of the first two), each with `:ZONE` or for all; `l0`, `s3`, `counter`, `discovery`."""
+    """One step of the timeline. `who` and `other` hold names: `limiters`, `servers`, `clients`,
+    `zone` (both of the first two), each with `:ZONE` or for all; `l0`, `s3`, `counter`,
+    `discovery`."""
 
     at: Seconds
     do: Do
-    once: Literal["", "told"] = ""  # `told`: and not before discovery has told each limiter of `who` a list
+    # `told`: and not before discovery has told each limiter of `who` a list
+    once: Literal["", "told"] = ""
     who: list[str] = msgspec.field(default_factory=list)
     other: list[str] = msgspec.field(
         default_factory=list
@@ -107,7 +126,16 @@
     """Something that a span of the run must show."""
 
     what: Literal[
-        "worth", "of_best", "passed", "denied", "aborted", "taken", "ran", "moves", "ready_s", "list_calls"
+        "worth",
+        "of_best",
+        "passed",
+        "denied",
+        "aborted",
+        "taken",
+        "ran",
+        "moves",
+        "ready_s",
+        "list_calls",
     ]
     since: Seconds = 0.0
     until: Seconds = 0.0  # 0 for the end
@@ -148,10 +176,14 @@
             if len(set(names)) != len(names):
                 raise ScenarioError(f"key '{kind}': two have the same name")
         if fleet.peers and not fleet.shared:
-            raise ScenarioError("key 'fleet.shared': peers hand on lists, whose addresses must hold for all")
+            raise ScenarioError(
+                "key 'fleet.shared': peers hand on lists, whose addresses must hold for all"
+            )
         for n, plan in enumerate(self.plans):
             if plan.spread > fleet.limiters:
-                raise ScenarioError(f"key 'plans[{n}].spread': more than fleet.limiters, {fleet.limiters}")
+                raise ScenarioError(
+                    f"key 'plans[{n}].spread': more than fleet.limiters, {fleet.limiters}"
+                )
         for n, fault in enumerate(self.faults):
             where = f"key 'faults[{n}]"
             if fault.do in NEEDS_WHO and not fault.who:
@@ -172,7 +204,8 @@
                     for x in nodes(fleet, other):
                         if self.process(x) in part and x not in whole:
                             raise ScenarioError(
-                                f"{where}.who': {x} shares a process with it; set fleet.apart = true"
+                                f"{where}.who': {x} shares a process with it; set fleet.apart = "
+                                "true"
                             )
         for n, bound in enumerate(self.bounds):
             if bound.frontend and bound.frontend not in [f.name for f in self.frontends]:
@@ -202,7 +235,12 @@
     limiters = [x for n in range(fleet.limiters) if zone_of(fleet, x := f"l{n}") in zones]
     servers = [x for n in range(fleet.servers) if zone_of(fleet, x := f"s{n}") in zones]
     clients = [f"clients:{fleet.zones[z]}" for z in zones]
-    groups = {"limiters": limiters, "servers": servers, "clients": clients, "zone": limiters + servers}
+    groups = {
+        "limiters": limiters,
+        "servers": servers,
+        "clients": clients,
+        "zone": limiters + servers,
+    }
     if kind in groups:
         return groups[kind]
     every = [*nodes(fleet, "zone"), "counter", "discovery"] if not zone and kind != "zone" else []
@@ -217,13 +255,16 @@
     try:
         if quick and not isinstance(short, dict):
             raise ScenarioError("key 'quick': Expected a table")
-        return lab.from_table(lab.with_values(table, {**(short if quick else {}), **(sets or {})}), Rehearsal)
+        return lab.from_table(
+            lab.with_values(table, {**(short if quick else {}), **(sets or {})}), Rehearsal
+        )
     except ScenarioError as why:
         raise ScenarioError(f"{path}: {why}") from None
 
 
 def plan_of(told: Rehearsal, path: str) -> bytes:
-    """The text of the site plan that a rehearsal names, beside its own file; empty where it names none."""
+    """The text of the site plan that a rehearsal names, beside its own file; empty where it names
+    none."""
     if not told.plan:
         return b""
     try:
--- a/loomstand/rehearse/servers.py
+++ b/loomstand/rehearse/servers.py
@@ -1,10 +1,10 @@
-"""Stand-in servers, one process for a zone or for each: slots, a queue, cold starts, slowness, errors, a
-connection limit; as PROTOCOL has them.
+"""Stand-in servers, one process for a zone or for each: slots, a queue, cold starts, slowness,
+errors, a connection limit; as PROTOCOL has them.
 
-Trail rows: `run` (req, server, effect's frontend, first byte's time), `end` (req, server, how, whether the
-caller was still there), `gone` (req, server: its caller's connection ended while the req was in hand),
-`fall` (server, sent, bears); twice a second `load` (server, at work, waiting, room) and `opened` (server,
-connections since).
+Trail rows: `run` (req, server, effect's frontend, first byte's time), `end` (req, server, how,
+whether the caller was still there), `gone` (req, server: its caller's connection ended while the
+req was in hand), `fall` (server, sent, bears); twice a second `load` (server, at work, waiting,
+room) and `opened` (server, connections since).
 """
 
 from __future__ import annotations
@@ -89,8 +89,8 @@
         self.listener: asyncio.AbstractServer | None = None
 
     async def listen(self, cold: bool) -> float:
-        """When it started (Unix s; 0 for long ago). A cold one is as old as its listening: counted from
-        before its process, a busy machine's start of Python would warm it unseen."""
+        """When it started (Unix s; 0 for long ago). A cold one is as old as its listening: counted
+        from before its process, a busy machine's start of Python would warm it unseen."""
         loop = asyncio.get_running_loop()
         self.booted = time.time() if cold else 0.0
         self.listener = await loop.create_server(lambda: Caller(self), self.play.host, self.port)
@@ -174,9 +174,7 @@
         self.trail = Trail(config["trail"])
         self.fronts = {f.name.encode(): n for n, f in enumerate(self.told.frontends)}
         self.mean_work = mean_work(self.told)
-        self.servers = {
-            s["index"]: Server(s["index"], s["port"], self) for s in config["servers"]
-        }
+        self.servers = {s["index"]: Server(s["index"], s["port"], self) for s in config["servers"]}
 
     def sample(self) -> None:
         asyncio.get_running_loop().call_later(0.5, self.sample)
@@ -196,10 +194,12 @@
 
 
 async def start(config: dict):
-    """`rehearsal`, `host`, `seed`, `trail`, and `servers`: each with `index`, `port`, `cold` (whether
-    it starts now, else long ago). Puts into `booted` when each started (Unix s, or 0), by index."""
+    """`rehearsal`, `host`, `seed`, `trail`, and `servers`: each with `index`, `port`, `cold`
+    (whether it starts now, else long ago). Puts into `booted` when each started (Unix s, or 0), by
+    index."""
     play = Play(config)
-    config["booted"] = {str(s["index"]): await play.servers[s["index"]].listen(s["cold"])
-                        for s in config["servers"]}  # fmt: skip
+    config["booted"] = {
+        str(s["index"]): await play.servers[s["index"]].listen(s["cold"]) for s in config["servers"]
+    }
     play.sample()
     return play.order
--- a/loomstand/rehearse/stage.py
+++ b/loomstand/rehearse/stage.py
@@ -1,8 +1,8 @@
 """The stage: starts every process of a rehearsal, plays the timeline of faults, and ends them all.
 
-Whatever ends the rehearsal (its end, Ctrl-C, a child that dies unplanned, the death of this process), no
-process is left: children end with their input, limiters get SIGKILL with their parent (prctl, which the
-kernel keeps also for a stopped one), and `close` waits for each.
+Whatever ends the rehearsal (its end, Ctrl-C, a child that dies unplanned, the death of this
+process), no process is left: children end with their input, limiters get SIGKILL with their parent
+(prctl, which the kernel keeps also for a stopped one), and `close` waits for each.
 """
 
 from __future__ import annotations
@@ -27,13 +27,17 @@
 from loomstand.rehearse.child import Trail
 from loomstand.rehearse.scenario import SHARED, Fault, Rehearsal, nodes, zone_of
 
-START_WITHIN = 30.0  # seconds for a process to say that it is ready: the largest stage starts in some ten
-END_WITHIN = 4.0  # for a limiter to end after SIGTERM: the longest client timeout, and what PROTOCOL adds
+# seconds for a process to say that it is ready: the largest stage starts in some ten
+START_WITHIN = 30.0
+# for a limiter to end after SIGTERM: the longest client timeout, and what PROTOCOL adds
+END_WITHIN = 4.0
 PR_SET_PDEATHSIG = 1
 MOST_RELAYED = 24  # limiters: 552 relays; beyond that peers talk to each other directly
 ROOT = Path(__file__).parents[2]
 # of a limiter: our own environment must not stand in for the configuration it is given
-ENVIRONMENT = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")} | {"PYTHONPATH": str(ROOT)}
+ENVIRONMENT = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")} | {
+    "PYTHONPATH": str(ROOT)
+}
 LIMITER = (sys.executable, "-m", "loomstand", "serve")
 LIBC = ctypes.CDLL(None, use_errno=True)
 
@@ -76,12 +80,18 @@
 
 
 class Stage:
-    """One rehearsal's processes; `out` is the folder that their trails, logs and configurations go to."""
+    """One rehearsal's processes; `out` is the folder that their trails, logs and configurations go
+    to."""
 
     count = 0
 
     def __init__(
-        self, told: Rehearsal, seed: int, out: Path, plan: bytes = b"", program: tuple[str, ...] = LIMITER
+        self,
+        told: Rehearsal,
+        seed: int,
+        out: Path,
+        plan: bytes = b"",
+        program: tuple[str, ...] = LIMITER,
     ) -> None:
         self.told, self.seed, self.out, self.plan, self.program = told, seed, out, plan, program
         Stage.count += 1
@@ -99,7 +109,8 @@
         self.began = 0.0
         self.failed: asyncio.Future[None] | None = None
         self.cuts: list[Fault] = []  # that stand now
-        self.awaited = {n for n, fault in enumerate(told.faults) if fault.once}  # by number: not come yet
+        # by number: not come yet
+        self.awaited = {n for n, fault in enumerate(told.faults) if fault.once}
         self.tasks: set[asyncio.Task] = set()
         self.lay_out()
 
@@ -118,9 +129,14 @@
         ports = wire.free_ports(self.host, len(pairs) + len(ends))
         self.listens = dict(zip(ends, ports, strict=False))
         self.link_port = dict(zip(pairs, ports[len(ends) :], strict=True))
-        self.link_port |= {(f"l{n}", f"s{m}"): self.link_port[SHARED, f"s{m}"] for n in limiters
-                           for m in servers if f.shared}  # fmt: skip
-        # between peers: relays for each pair, or where those would be too many the peers' own addresses
+        self.link_port |= {
+            (f"l{n}", f"s{m}"): self.link_port[SHARED, f"s{m}"]
+            for n in limiters
+            for m in servers
+            if f.shared
+        }
+        # between peers: relays for each pair, or where those would be too many the peers' own
+        # addresses
         self.relays = [(f"l{n}", f"l{m}") for n in limiters for m in limiters if n != m and f.peers]
         if f.limiters > MOST_RELAYED:
             self.relays = []
@@ -154,8 +170,13 @@
                 *command, stderr=log, start_new_session=True, cwd=ROOT, env=ENVIRONMENT, **more
             )
 
-    async def child(self, role: str, name: str, nodes_: list[str], config: Callable[[], dict]) -> None:
-        command, pipe = [sys.executable, "-m", "loomstand.rehearse.child", role], asyncio.subprocess.PIPE
+    async def child(
+        self, role: str, name: str, nodes_: list[str], config: Callable[[], dict]
+    ) -> None:
+        command, pipe = (
+            [sys.executable, "-m", "loomstand.rehearse.child", role],
+            asyncio.subprocess.PIPE,
+        )
 
         async def start() -> asyncio.subprocess.Process:
             life = await self.spawn_process(name, command, stdin=pipe, stdout=pipe, limit=1 << 24)
@@ -187,7 +208,9 @@
         told, f, name = self.told, self.told.fleet, f"l{n}"
         conf = msgspec.to_builtins(lab.conf(told, n, zone_of(f, name)))
         conf["allowed"]["connect_timeout"] = f.connect_timeout_ms
-        known = [{**self.member(m), "host_port": self.address(name, f"s{m}")} for m in range(f.servers)]
+        known = [
+            {**self.member(m), "host_port": self.address(name, f"s{m}")} for m in range(f.servers)
+        ]
         self.lives[name] = self.lives.get(name, 0) + 1
         config = {
             "name": name,
@@ -249,8 +272,8 @@
         return task
 
     async def set_up(self) -> None:
-        """All processes, until each limiter listens (and has a list, where it starts with one). Servers come
-        first: what is told of them names when they started."""
+        """All processes, until each limiter listens (and has a list, where it starts with one).
+        Servers come first: what is told of them names when they started."""
         self.failed = asyncio.get_running_loop().create_future()
         told, f = self.told, self.told.fleet
         rehearsal = msgspec.to_builtins(told)
@@ -260,44 +283,77 @@
             if pair not in self.relays
         ]
         relays = [
-            {"name": self.paths[a, b], "port": self.link_port[a, b], "back": self.paths[b, a],
-             "to": [self.host, self.peer_port[int(b[1:])]]}
+            {
+                "name": self.paths[a, b],
+                "port": self.link_port[a, b],
+                "back": self.paths[b, a],
+                "to": [self.host, self.peer_port[int(b[1:])]],
+            }
             for a, b in self.relays
-        ]  # fmt: skip
+        ]
         await self.child("links", "links", [], lambda: {"links": links, "relays": relays})
-        await self.child("counter", "counter", ["counter"], lambda: {
-            "ports": [self.listens[f"counter{n}"] for n in range(f.limiters)],
-            "latency_s": told.counter.latency_ms / 1000,
-        })  # fmt: skip
+        await self.child(
+            "counter",
+            "counter",
+            ["counter"],
+            lambda: {
+                "ports": [self.listens[f"counter{n}"] for n in range(f.limiters)],
+                "latency_s": told.counter.latency_ms / 1000,
+            },
+        )
         groups: dict[str, list[int]] = {}
         for m in range(f.servers):
             groups.setdefault(told.process(f"s{m}"), []).append(m)
         for name, group in groups.items():
-            await self.child("servers", name, [f"s{m}" for m in group], lambda group=group: {
-                "rehearsal": rehearsal,
-                "servers": [
-                    {"index": m, "port": self.listens[f"s{m}"], "cold": self.cold[m]} for m in group],
-            })  # fmt: skip
-        await self.child("discovery", "discovery", ["discovery"], lambda: {
-            "ports": [self.listens[f"discovery{n}"] for n in range(f.limiters)],
-            "addresses": [
-                [self.address(f"l{n}", f"s{m}") for m in range(f.servers)] for n in range(f.limiters)],
-            "members": [self.member(m) for m in range(f.servers)],
-            "late_s": told.discovery.late_s, "bears": told.discovery.bears,
-        })  # fmt: skip
+            await self.child(
+                "servers",
+                name,
+                [f"s{m}" for m in group],
+                lambda group=group: {
+                    "rehearsal": rehearsal,
+                    "servers": [
+                        {"index": m, "port": self.listens[f"s{m}"], "cold": self.cold[m]}
+                        for m in group
+                    ],
+                },
+            )
+        await self.child(
+            "discovery",
+            "discovery",
+            ["discovery"],
+            lambda: {
+                "ports": [self.listens[f"discovery{n}"] for n in range(f.limiters)],
+                "addresses": [
+                    [self.address(f"l{n}", f"s{m}") for m in range(f.servers)]
+                    for n in range(f.limiters)
+                ],
+                "members": [self.member(m) for m in range(f.servers)],
+                "late_s": told.discovery.late_s,
+                "bears": told.discovery.bears,
+            },
+        )
         for n in range(told.load.drivers):
-            await self.child("driver", f"driver{n}", [], lambda n=n: {
-                "rehearsal": rehearsal, "part": n, "seed": self.seed,
-                "ports": [
-                    [self.link_port[f"clients:{z}", f"l{k}"] for k in range(f.limiters)] for z in f.zones],
-            })  # fmt: skip
+            await self.child(
+                "driver",
+                f"driver{n}",
+                [],
+                lambda n=n: {
+                    "rehearsal": rehearsal,
+                    "part": n,
+                    "seed": self.seed,
+                    "ports": [
+                        [self.link_port[f"clients:{z}", f"l{k}"] for k in range(f.limiters)]
+                        for z in f.zones
+                    ],
+                },
+            )
         if told.known:
             await asyncio.gather(*(self.limiter(n) for n in range(f.limiters)))
             await asyncio.gather(*(self.ready(n, START_WITHIN) for n in range(f.limiters)))
 
     async def ready(self, n: int, within: float) -> None:
-        """Waits until a limiter answers its health call with 200; no longer where this life is ended by a
-        fault of the timeline, which may come before it is ready."""
+        """Waits until a limiter answers its health call with 200; no longer where this life is
+        ended by a fault of the timeline, which may come before it is ready."""
         end, proc = time.monotonic() + within, self.procs[f"l{n}"]
         life = proc.life
         while time.monotonic() < end:
@@ -335,7 +391,9 @@
         longest = max(g.client_timeout_ms for g in told.frontends) / 1000
         limit = self.began + told.seconds + longest + 10
         while not ends.done():
-            await asyncio.wait([ends, self.failed], timeout=0.25, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                [ends, self.failed], timeout=0.25, return_when=asyncio.FIRST_COMPLETED
+            )
             if self.failed.done():
                 ends.cancel()
                 self.failed.result()
@@ -346,7 +404,9 @@
                 tick(min(told.seconds, max(0.0, time.time() - self.began)))
         for n in self.awaited:
             names = ", ".join(told.faults[n].who)
-            raise StageError(f"faults[{n}] never came: discovery did not tell all of {names} a list")
+            raise StageError(
+                f"faults[{n}] never came: discovery did not tell all of {names} a list"
+            )
 
     async def limiter_cold(self, n: int) -> None:
         await self.limiter(n)
@@ -357,7 +417,9 @@
             await work
         except Exception as why:
             if not self.failed.done():
-                self.failed.set_exception(why if isinstance(why, StageError) else StageError(repr(why)))
+                self.failed.set_exception(
+                    why if isinstance(why, StageError) else StageError(repr(why))
+                )
 
     async def until(self, second: float) -> None:
         await asyncio.sleep(max(0.0, self.began + second - time.time()))
@@ -369,7 +431,8 @@
             await asyncio.gather(*(self.procs[name].told.wait() for name in self.who(fault)))
             since = max(since, time.time() - self.began)
             self.awaited.discard(n)
-        if fault.do in ("kill", "term", "stop", "hup"):  # on a busy machine it may not have started yet
+        # on a busy machine it may not have started yet
+        if fault.do in ("kill", "term", "stop", "hup"):
             await asyncio.gather(*(proc.started.wait() for proc in self.procs_of(fault)))
         self.trail("fault", n, fault.do, True)
         after = getattr(self, f"do_{fault.do}", None)
@@ -390,7 +453,10 @@
         return [x for name in getattr(fault, key) for x in nodes(f, name)]
 
     def procs_of(self, fault: Fault) -> list[Proc]:
-        return [self.procs[name] for name in dict.fromkeys(self.told.process(x) for x in self.who(fault))]
+        return [
+            self.procs[name]
+            for name in dict.fromkeys(self.told.process(x) for x in self.who(fault))
+        ]
 
     def servers_of(self, fault: Fault) -> list[int]:
         return [int(x[1:]) for x in self.who(fault) if x[0] == "s"]
@@ -407,11 +473,15 @@
             case "discovery_silent":
                 self.procs["discovery"].order(do=fault.do, on=on)
             case "discovery_late":
-                self.procs["discovery"].order(do=fault.do, s=factor if on else told.discovery.late_s)
+                self.procs["discovery"].order(
+                    do=fault.do, s=factor if on else told.discovery.late_s
+                )
             case "discovery_half":
                 self.procs["discovery"].order(do=fault.do, share=fault.share if on else 1.0)
             case "discovery_bears":
-                self.procs["discovery"].order(do=fault.do, bears=factor if on else told.discovery.bears)
+                self.procs["discovery"].order(
+                    do=fault.do, bears=factor if on else told.discovery.bears
+                )
             case "flood":
                 for p in self.procs.values():
                     if p.name.startswith("driver"):
@@ -419,15 +489,21 @@
             case "slow" | "fail":
                 for p in self.procs_of(fault):
                     mine = [m for m in self.servers_of(fault) if f"s{m}" in p.nodes]
-                    p.order(do=fault.do, servers=mine, factor=factor if on else 1.0,
-                            share=fault.share if on else 0.0)  # fmt: skip
+                    p.order(
+                        do=fault.do,
+                        servers=mine,
+                        factor=factor if on else 1.0,
+                        share=fault.share if on else 0.0,
+                    )
 
     # links
 
     def between(self, some: set[str], others: set[str]) -> list[tuple[str, str]]:
         """The paths with one end here and one there."""
         return [
-            p for p in self.paths if (p[0] in some and p[1] in others) or (p[1] in some and p[0] in others)
+            p
+            for p in self.paths
+            if (p[0] in some and p[1] in others) or (p[1] in some and p[0] in others)
         ]
 
     def paths_of(self, fault: Fault) -> list[tuple[str, str]]:
@@ -452,8 +528,11 @@
             for pair in self.paths_of(fault):
                 if pair in held:
                     to_some = pair[1] in some
-                    held[pair] |= {"both": {"forth", "back"}, "to": {"forth" if to_some else "back"},
-                                   "from": {"back" if to_some else "forth"}}[fault.way]  # fmt: skip
+                    held[pair] |= {
+                        "both": {"forth", "back"},
+                        "to": {"forth" if to_some else "back"},
+                        "from": {"back" if to_some else "forth"},
+                    }[fault.way]
         ways: dict[tuple[bool, bool], list[tuple[str, str]]] = {}
         for pair, directions in held.items():
             ways.setdefault(("forth" in directions, "back" in directions), []).append(pair)
@@ -493,7 +572,8 @@
         self.tell_list(self.servers_of(fault), "active")
 
     async def back(self, proc: Proc) -> None:
-        """A process starts again; its servers are cold, its limiter knows nothing but its configuration."""
+        """A process starts again; its servers are cold, its limiter knows nothing but its
+        configuration."""
         if proc.life is not None:
             await proc.life.wait()
         for node in proc.nodes:
@@ -570,14 +650,17 @@
             proc.signal(signal.SIGCONT)
             proc.signal(signal.SIGTERM)
         if limiters:
-            await asyncio.wait([asyncio.ensure_future(p.life.wait()) for p in limiters], timeout=END_WITHIN)
+            await asyncio.wait(
+                [asyncio.ensure_future(p.life.wait()) for p in limiters], timeout=END_WITHIN
+            )
         for proc in self.procs.values():
             proc.planned = True
             proc.signal(signal.SIGKILL)
         for proc in self.procs.values():
             if proc.life is not None:
                 await proc.life.wait()
-                proc.life._transport.close()  # its pipes too, at once and not when the collector comes
+                # its pipes too, at once and not when the collector comes
+                proc.life._transport.close()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         if self.failed is not None and self.failed.done() and not self.failed.cancelled():
             self.failed.exception()  # taken note of
@@ -591,7 +674,8 @@
     tick: Callable[[float], None] | None = None,
     program: tuple[str, ...] = LIMITER,
 ) -> None:
-    """One rehearsal from first to last process; a cancelled one ends all of its processes as well."""
+    """One rehearsal from first to last process; a cancelled one ends all of its processes as
+    well."""
     held = Stage(told, seed, out, plan, program)
     try:
         await held.set_up()
--- a/loomstand/rehearse/wire.py
+++ b/loomstand/rehearse/wire.py
@@ -1,4 +1,5 @@
-"""What the stand-ins and our tests say and read on loopback: whole HTTP/1.1 messages in the protocol's shape.
+"""What the stand-ins and our tests say and read on loopback: whole HTTP/1.1 messages in the
+protocol's shape.
 
 Plain and trusting, as the peers are our own; the limiter's parsers in `net/http.py` trust nobody.
 """
--- a/loomstand/rpc/__init__.py
+++ b/loomstand/rpc/__init__.py
@@ -1,4 +1,5 @@
-"""Calls between the system's own processes: `cbor2` in frames over TCP. Operators' words: docs/system.md."""
+"""Calls between the system's own processes: `cbor2` in frames over TCP. Operators' words:
+docs/system.md."""
 
 from loomstand.rpc.network import Address, Network, Serve
 
--- a/loomstand/rpc/frames.py
+++ b/loomstand/rpc/frames.py
@@ -1,8 +1,8 @@
 """Frames: four bytes of length, one `cbor2` item, its CRC-32. A state machine that knows no socket.
 
-The checksum of TCP is sixteen bits, and some faults of memory and of network cards come before it is made. A
-peer of before the CRC sends none, and its reader passes over what follows the item: so one is asked for from
-the first frame on that has it.
+The checksum of TCP is sixteen bits, and some faults of memory and of network cards come before it
+is made. A peer of before the CRC sends none, and its reader passes over what follows the item: so
+one is asked for from the first frame on that has it.
 """
 
 from __future__ import annotations
@@ -37,7 +37,8 @@
         self.buf, self.summed = bytearray(), False
 
     def feed(self, data: bytes) -> Iterator[list[Any]]:
-        """Every whole item. Raises Foreign at bytes that can't be one: the connection is of no use then."""
+        """Every whole item. Raises Foreign at bytes that can't be one: the connection is of no use
+        then."""
         self.buf += data
         while len(self.buf) >= HEAD:
             size = int.from_bytes(self.buf[:HEAD], "big")
@@ -53,7 +54,9 @@
                 raise Foreign("a frame that was changed on its way")
             try:
                 item = cbor2.loads(raw)
-            except Exception as why:  # the library raises several kinds at bytes that are none of its own
+            except (
+                Exception
+            ) as why:  # the library raises several kinds at bytes that are none of its own
                 raise Foreign(f"no item: {type(why).__name__}") from None
             if not isinstance(item, list) or len(item) != 3 or not isinstance(item[0], int):
                 raise Foreign("no call and no answer")
--- a/loomstand/rpc/network.py
+++ b/loomstand/rpc/network.py
@@ -1,4 +1,5 @@
-"""What a program of the system is handed to call others: real sockets (`sockets.py`) or `simulation`."""
+"""What a program of the system is handed to call others: real sockets (`sockets.py`) or
+`simulation`."""
 
 from __future__ import annotations
 
@@ -9,8 +10,9 @@
 
 from loomstand.shared.verdict import Verdict
 
-# Bytes a second that a call's body is given at least: encoded, sent, decoded and written, on a slow link with
-# other calls beside it. Ten thousand routes are 3.4 MB; a usual configuration adds a millisecond.
+# Bytes a second that a call's body is given at least: encoded, sent, decoded and written, on a slow
+# link with other calls beside it. Ten thousand routes are 3.4 MB; a usual configuration adds a
+# millisecond.
 CARRIED = 8e6
 
 Address = tuple[str, int]
@@ -26,7 +28,9 @@
 class Network(Protocol):
     """Calls by name with plain bodies (numbers, text, bytes, lists, dicts, None)."""
 
-    async def call(self, address: Address, op: str, body: Body, within: float) -> Result[Body, Verdict]:
+    async def call(
+        self, address: Address, op: str, body: Body, within: float
+    ) -> Result[Body, Verdict]:
         """The answer, or what the failure proves; it never takes longer than `within` seconds."""
         ...
 
--- a/loomstand/rpc/outside.py
+++ b/loomstand/rpc/outside.py
@@ -1,4 +1,5 @@
-"""A small HTTP interface for calls from outside, on the limiter's own listener and parser (`net/`)."""
+"""A small HTTP interface for calls from outside, on the limiter's own listener and parser
+(`net/`)."""
 
 from __future__ import annotations
 
@@ -14,22 +15,30 @@
 from loomstand.net.driver import Streams, Turns, Untimed
 from loomstand.net.ring import Room
 
-# Of the sockets, those that callers may keep between calls; the others are for new calls and, in a registry,
-# for limiters' sessions. With a sixth, a limiter's rule for its clients, beyond 616 servers a registry each
-# heartbeat needed a new connection: the one idle longest was closed, which was the next to be used.
+# Of the sockets, those that callers may keep between calls; the others are for new calls and, in a
+# registry, for limiters' sessions. With a sixth, a limiter's rule for its clients, beyond 616
+# servers a registry each heartbeat needed a new connection: the one idle longest was closed, which
+# was the next to be used.
 KEPT = 0.5
 
-Handler = Callable[[bytes, bytes, bytes], Awaitable[tuple[int, bytes]]]  # method, target, body: status, body
+# method, target, body: status, body
+Handler = Callable[[bytes, bytes, bytes], Awaitable[tuple[int, bytes]]]
 
 
 class Outside:
     """Answers each call with what the handler gives; bodies of answers are JSON."""
 
     def __init__(
-        self, handler: Handler, turns: Turns | None, memory: int, sockets: int, body: int,
+        self,
+        handler: Handler,
+        turns: Turns | None,
+        memory: int,
+        sockets: int,
+        body: int,
         streams: Streams | None = None,
-    ) -> None:  # fmt: skip
-        """`memory` and `body` in bytes: for all buffers, and for one call. `streams` where not by sockets."""
+    ) -> None:
+        """`memory` and `body` in bytes: for all buffers, and for one call. `streams` where not by
+        sockets."""
         self.handler = handler
         self.loop = asyncio.get_running_loop()
         self.turns: Any = turns or Untimed()
@@ -61,14 +70,18 @@
     def take(self, client: Client, machine: http.RequestReceiver, at: float) -> None:
         held = Held(client)
         client.req = held
-        task = self.loop.create_task(self.serve(held, machine.method, machine.target, bytes(machine.body)))
+        task = self.loop.create_task(
+            self.serve(held, machine.method, machine.target, bytes(machine.body))
+        )
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def serve(self, held: Held, method: bytes, target: bytes, body: bytes) -> None:
         try:
             status, said = await self.handler(method, target, body)
-        except Exception as why:  # a fault of ours in one call: it gets its answer, the rest goes on
+        except (
+            Exception
+        ) as why:  # a fault of ours in one call: it gets its answer, the rest goes on
             logging.error("call %s failed: %s: %s", target[:80], type(why).__name__, why)
             status, said = 500, b""
         client, held.client = held.client, None
--- a/loomstand/rpc/sockets.py
+++ b/loomstand/rpc/sockets.py
@@ -15,16 +15,19 @@
 from loomstand.rpc.network import Address, Body, Serve
 from loomstand.shared.verdict import Refused, Verdict
 
-# Within a region a connection comes up in 3 ms; where it doesn't in this time the machine is gone or cut off.
+# Within a region a connection comes up in 3 ms; where it doesn't in this time the machine is gone
+# or cut off.
 CONNECT_WITHIN = 0.5
-# What was sent and not taken by the other machine for so long is lost: calls fail by their time-outs first.
+# What was sent and not taken by the other machine for so long is lost: calls fail by their
+# time-outs first.
 SILENT_MS = 2000
-# Calls that in a row had no answer before the connection is replaced: behind a cut TCP sends again ever more
-# rarely, and goes on seconds after the cut has healed; a new connection comes up at once.
+# Calls that in a row had no answer before the connection is replaced: behind a cut TCP sends again
+# ever more rarely, and goes on seconds after the cut has healed; a new connection comes up at once.
 PATIENCE = 2
 TOLD_EVERY = 100  # connections with foreign bytes for one line in the log, after the first
 
-Answer = tuple[bool, Body] | None  # whether it is one or a refusal, and what it says; None: there is none
+# whether it is one or a refusal, and what it says; None: there is none
+Answer = tuple[bool, Body] | None
 
 
 class Line(asyncio.Protocol):
@@ -51,7 +54,9 @@
     def data_received(self, data: bytes) -> None:
         try:
             for number, what, body in self.reader.feed(data):
-                if not isinstance(body, dict) or not isinstance(what, bool if self.serve is None else str):
+                if not isinstance(body, dict) or not isinstance(
+                    what, bool if self.serve is None else str
+                ):
                     raise Foreign("neither a call nor an answer")
                 if self.serve is not None:
                     task = asyncio.get_running_loop().create_task(self.answer(number, what, body))
@@ -82,14 +87,16 @@
             give(waits, None)
 
     def close(self) -> None:
-        """Ends it by a reset: calls that wait in the system are not delivered later, when a cut heals."""
+        """Ends it by a reset: calls that wait in the system are not delivered later, when a cut
+        heals."""
         if self.transport is not None:
             reset_on_close(self.transport)
             self.transport.abort()
 
 
 def give(waits: asyncio.Future[Answer] | None, answer: Answer) -> None:
-    """Ends the wait of a call, if it still waits. Not by cancelling: that is how its caller is called off."""
+    """Ends the wait of a call, if it still waits. Not by cancelling: that is how its caller is
+    called off."""
     if waits is not None and not waits.done():
         waits.set_result(answer)
 
@@ -108,7 +115,9 @@
         loop = asyncio.get_running_loop()
         self.servers.append(await loop.create_server(lambda: Line(self, serve), *address))
 
-    async def call(self, address: Address, op: str, body: Body, within: float) -> Result[Body, Verdict]:
+    async def call(
+        self, address: Address, op: str, body: Body, within: float
+    ) -> Result[Body, Verdict]:
         loop = asyncio.get_running_loop()
         until = loop.time() + within
         line = self.lines.get(address)
@@ -158,8 +167,11 @@
     def foreign(self, why: Foreign) -> None:
         """Bytes came that are none of ours."""
         if self.counts["foreign"] % TOLD_EVERY == 0:
-            logging.error("bytes that are none of ours end a connection, the %d. so far: %s",
-                          self.counts["foreign"] + 1, why)  # fmt: skip
+            logging.error(
+                "bytes that are none of ours end a connection, the %d. so far: %s",
+                self.counts["foreign"] + 1,
+                why,
+            )
         self.counts["foreign"] += 1
 
     def gone(self, line: Line) -> None:
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -19,7 +19,8 @@
 
 
 class Program(Protocol):
-    """What a program gives: `reload` at changed settings, `stop` at SIGTERM; `run` ends once it stopped."""
+    """What a program gives: `reload` at changed settings, `stop` at SIGTERM; `run` ends once it
+    stopped."""
 
     async def run(self) -> None: ...
 
@@ -48,7 +49,10 @@
 
 
 async def serve(
-    path: str, settings: Settings, turns: Turns, make: Callable[[Settings, Turns], Awaitable[Program]]
+    path: str,
+    settings: Settings,
+    turns: Turns,
+    make: Callable[[Settings, Turns], Awaitable[Program]],
 ) -> None:
     loop = asyncio.get_running_loop()
     program = await make(settings, turns)
--- a/loomstand/shared/__init__.py
+++ b/loomstand/shared/__init__.py
@@ -1,1 +1,2 @@
-"""What the three programs share, and what decides nothing: settings, the checked configuration, verdicts."""
+"""What the three programs share, and what decides nothing: settings, the checked configuration,
+verdicts."""
--- a/loomstand/shared/configuration.py
+++ b/loomstand/shared/configuration.py
@@ -1,8 +1,10 @@
-"""The operator's configuration, read and checked by hand before anything is written or put in force.
+"""The operator's configuration, read and checked by hand before anything is written or put in
+force.
 
-`parse` either gives the whole of it or raises ConfigurationError; nothing else comes out, whatever the bytes.
-Fields and kinds of resource that nobody here knows are skipped. A field that is absent, or null, has the
-default that stands beside it below; what a route can't be understood without is needed.
+`parse` either gives the whole of it or raises ConfigurationError; nothing else comes out, whatever
+the bytes. Fields and kinds of resource that nobody here knows are skipped. A field that is absent,
+or null, has the default that stands beside it below; what a route can't be understood without is
+needed.
 """
 
 from __future__ import annotations
@@ -32,8 +34,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Where requests of a host (in small letters) under a prefix go. Times are in seconds; of `split`, each
-    is a service and its weight, the weights of 0 or more and not all 0; `priority` 0 is the highest."""
+    """Where requests of a host (in small letters) under a prefix go. Times are in seconds; of
+    `split`, each is a service and its weight, the weights of 0 or more and not all 0; `priority` 0
+    is the highest."""
 
     name: str
     host: str
@@ -49,7 +52,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """How a service's servers are asked about their health, and how many connections each takes from all."""
+    """How a service's servers are asked about their health, and how many connections each takes
+    from all."""
 
     name: str
     health_check_path: str
@@ -58,7 +62,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A customer: `rate` requests a second and `burst` beyond, over all limiters; 0 is unlimited."""
+    """A customer: `rate` requests a second and `burst` beyond, over all limiters; 0 is
+    unlimited."""
 
     name: str
     keys: tuple[str, ...] = field(repr=False)  # never in a log
@@ -79,8 +84,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """A whole configuration and the bytes it came in. `tenants` is None where that kind doesn't appear at
-    all: then no request needs a key."""
+    """A whole configuration and the bytes it came in. `tenants` is None where that kind doesn't
+    appear at all: then no request needs a key."""
 
     version: int
     routes: tuple[Route, ...]
@@ -97,7 +102,9 @@
 
     def __init__(self, values: Any, place: str, path: str) -> None:
         if not isinstance(values, dict):
-            raise ConfigurationError(f"{(place + path).removesuffix(': ') or 'JSON'}: not an object")
+            raise ConfigurationError(
+                f"{(place + path).removesuffix(': ') or 'JSON'}: not an object"
+            )
         self.values: dict[str, Any] = values
         self.place, self.path = place, path + "." if path else ""
 
@@ -168,7 +175,9 @@
     found = dict(pairs)
     if len(found) < len(pairs):
         keys = [key for key, _ in pairs]
-        raise ConfigurationError(f"JSON: key {shown(next(k for k in keys if keys.count(k) > 1))} given twice")
+        raise ConfigurationError(
+            f"JSON: key {shown(next(k for k in keys if keys.count(k) > 1))} given twice"
+        )
     return found
 
 
@@ -220,7 +229,8 @@
     timeout = spec.seconds("timeout")
     if timeout > MOST_TIMEOUT:
         raise spec.wrong("timeout", "over ten minutes")
-    if timeout <= 0:  # no request could be served in it; the operators' days send it as an invalid one
+    # no request could be served in it; the operators' days send it as an invalid one
+    if timeout <= 0:
         raise spec.wrong("timeout", "0")
     attempts = spec.whole("maximum_attempts", 1)
     if attempts < 1:
@@ -247,9 +257,15 @@
 
 
 def _tenant(name: str, spec: _Part) -> Tenant:
-    keys = tuple(spec.fit(f"api_keys[{n}]", key) for n, key in enumerate(spec.items("api_keys", ())))
+    keys = tuple(
+        spec.fit(f"api_keys[{n}]", key) for n, key in enumerate(spec.items("api_keys", ()))
+    )
     return Tenant(
-        name, keys, spec.whole("priority", 0), spec.number("rate_per_s", 0), spec.number("burst_size", 0)
+        name,
+        keys,
+        spec.whole("priority", 0),
+        spec.number("rate_per_s", 0),
+        spec.number("burst_size", 0),
     )
 
 
@@ -280,10 +296,14 @@
     if kind not in ("routes", "services", "tenants", "limits"):
         return None
     if kind == "limits":
-        spec = _Part(whole.get("specification", _NEEDED), f"resources[{at}] limits: ", "specification")
+        spec = _Part(
+            whole.get("specification", _NEEDED), f"resources[{at}] limits: ", "specification"
+        )
         return _Found(kind, "", _limits(spec))
     one = kind.removesuffix("s")
-    name = _Part(whole.get("metadata", _NEEDED), f"resources[{at}] {one}: ", "metadata").name("name")
+    name = _Part(whole.get("metadata", _NEEDED), f"resources[{at}] {one}: ", "metadata").name(
+        "name"
+    )
     place = f"resources[{at}] {one} {name[:_SHOWN]}: "
     spec = _Part(whole.get("specification", _NEEDED), place, "specification")
     if kind == "routes":
@@ -346,17 +366,22 @@
     def known(self) -> None:
         """Every service that a route names is there; only now, as they stand in any order."""
         for route, single in zip(self.routes, self.singles, strict=True):
-            named = [("service_name", single)] if single else []  # beside a split too, though that prevails
-            named += [(f"traffic_split[{n}].service_name", s) for n, (s, _) in enumerate(route.split)]
+            # beside a split too, though that prevails
+            named = [("service_name", single)] if single else []
+            named += [
+                (f"traffic_split[{n}].service_name", s) for n, (s, _) in enumerate(route.split)
+            ]
             for key, service in named:
                 if service not in self.services:
                     found = _Found("routes", route.name, route)
-                    raise self.wrong(found, f"specification.{key}", f"unknown service {shown(service)}")
+                    raise self.wrong(
+                        found, f"specification.{key}", f"unknown service {shown(service)}"
+                    )
 
 
 class Reader:
-    """Reads one configuration after another. Of thousands of routes a change alters few: what stood in the
-    last one, to the byte of its values, isn't read anew."""
+    """Reads one configuration after another. Of thousands of routes a change alters few: what stood
+    in the last one, to the byte of its values, isn't read anew."""
 
     __slots__ = ("last",)
 
--- a/loomstand/shared/routes.py
+++ b/loomstand/shared/routes.py
@@ -1,4 +1,5 @@
-"""The routes of a configuration as a snapshot that is built once, never changed and swapped whole."""
+"""The routes of a configuration as a snapshot that is built once, never changed and swapped
+whole."""
 
 from __future__ import annotations
 
@@ -19,8 +20,8 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Table:
-    """What is asked for each request. `ways` has, for each host and prefix, the services that its requests
-    may go to: those with a weight over 0."""
+    """What is asked for each request. `ways` has, for each host and prefix, the services that its
+    requests may go to: those with a weight over 0."""
 
     configuration: Configuration
     ways: Mapping[tuple[str, str], frozenset[str]]
@@ -52,15 +53,16 @@
         return self.configuration.version
 
     def find(self, host: bytes, path: bytes) -> Route | None:
-        """The route with the longest prefix that begins `path` (without its query), of the host in a Host
-        header: any case, with or without a port."""
+        """The route with the longest prefix that begins `path` (without its query), of the host in
+        a Host header: any case, with or without a port."""
         host = host.lower()
         found = self._hosts.get(host)
         if found is None:
             found = self._hosts.get(host[: host.rfind(b":")]) if b":" in host else None
             if found is None:
                 return None
-        # Nothing beyond the longest prefix is looked at: a long path of slashes alone would be dear.
+        # Nothing beyond the longest prefix is looked at: a long path of slashes alone would be
+        # dear.
         end = path.rfind(b"/", 0, found.longest) + 1
         while end > 0:
             route = found.routes.get(path[:end])
--- a/loomstand/shared/settings.py
+++ b/loomstand/shared/settings.py
@@ -1,9 +1,9 @@
 """What a process is told: the settings file, read and checked by hand.
 
-The file has lines `a.b=value`; commas join lists. Fields that nobody here knows are skipped, as the file may
-gain some. What a program can't do without is needed; the rest has the value of the example in DEPLOY.md. The
-file is read again at SIGHUP and when its contents change: its reader then keeps the old settings if the new
-ones fail.
+The file has lines `a.b=value`; commas join lists. Fields that nobody here knows are skipped, as the
+file may gain some. What a program can't do without is needed; the rest has the value of the example
+in DEPLOY.md. The file is read again at SIGHUP and when its contents change: its reader then keeps
+the old settings if the new ones fail.
 """
 
 from __future__ import annotations
@@ -27,7 +27,8 @@
 
 
 class SettingsError(ValueError):
-    """Settings that can't be used: one line that begins with the key, as in `network.seed_nodes: missing`."""
+    """Settings that can't be used: one line that begins with the key, as in `network.seed_nodes:
+    missing`."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -89,9 +90,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The settings that the programs use. `internal_ports` are the first and the last; `heartbeat` is in
-    seconds; `data_directory` is empty where there is no disk; `serves` is empty for a role that only the
-    system's own call."""
+    """The settings that the programs use. `internal_ports` are the first and the last; `heartbeat`
+    is in seconds; `data_directory` is empty where there is no disk; `serves` is empty for a role
+    that only the system's own call."""
 
     node_name: str
     role: str
--- a/loomstand/shared/verdict.py
+++ b/loomstand/shared/verdict.py
@@ -1,4 +1,5 @@
-"""Whether what was asked may have run: the one thing that everything in the system asks of a failure."""
+"""Whether what was asked may have run: the one thing that everything in the system asks of a
+failure."""
 
 from __future__ import annotations
 
--- a/loomstand/simulation/bounds.py
+++ b/loomstand/simulation/bounds.py
@@ -1,6 +1,7 @@
 """What a day showed, put beside what the rules allow. Pure: a `History` in, `Figure`s out.
 
-Times are seconds on the day's clock; limiters and core machines are named by their addresses. A limiter is
+Times are seconds on the day's clock; limiters and core machines are named by their addresses. A
+limiter is
 *in touch* once all trouble of its own and of the core is `contact` past (RULES).
 """
 
@@ -20,9 +21,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Span:
-    """Trouble from its beginning to its end, on these machines. `core`: it unsettles the core, and so
-    touches every limiter; `most`: more than half of the core ran and was connected through it. `kind` is
-    cut, started, slow or core: what a limiter is called whose last trouble it was."""
+    """Trouble from its beginning to its end, on these machines. `core`: it unsettles the core, and
+    so touches every limiter; `most`: more than half of the core ran and was connected through it.
+    `kind` is cut, started, slow or core: what a limiter is called whose last trouble it was."""
 
     kind: str
     what: str
@@ -35,8 +36,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Told:
-    """A limiter changed what it goes by, in its life of that number. `server` is "" where it is a version
-    that came into force, else that server's use began (`value` 1) or ended (0)."""
+    """A limiter changed what it goes by, in its life of that number. `server` is "" where it is a
+    version that came into force, else that server's use began (`value` 1) or ended (0)."""
 
     at: float
     host: str
@@ -47,8 +48,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """A version of the configuration. `acked` is inf where no acknowledgement came; `quotas` by tenant: rate
-    in requests a second and burst."""
+    """A version of the configuration. `acked` is inf where no acknowledgement came; `quotas` by
+    tenant: rate in requests a second and burst."""
 
     version: int
     sent: float
@@ -58,8 +59,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """A server's end that was acknowledged, by the core machine `by`; from `left` on it is gone, and who
-    still lists it breaks nothing."""
+    """A server's end that was acknowledged, by the core machine `by`; from `left` on it is gone,
+    and who still lists it breaks nothing."""
 
     server: str
     acked: float
@@ -69,8 +70,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Ran:
-    """An arrival at a server of a request that a client had sent to the limiter `front`; `ran`: not turned
-    away."""
+    """An arrival at a server of a request that a client had sent to the limiter `front`; `ran`: not
+    turned away."""
 
     id: str
     tenant: str
@@ -94,16 +95,19 @@
     changes: list[Change] = field(default_factory=list)
     drains: list[Drain] = field(default_factory=list)
     arrivals: list[Ran] = field(default_factory=list)
-    asked: dict[str, list[float]] = field(default_factory=dict)  # by service: when clients sent requests
-    unserved: list[tuple[float, float]] = field(default_factory=list)  # from, to: no serving primary
+    # by service: when clients sent requests
+    asked: dict[str, list[float]] = field(default_factory=dict)
+    # from, to: no serving primary
+    unserved: list[tuple[float, float]] = field(default_factory=list)
     twins: list[float] = field(default_factory=list)  # looks that found two registries counting
-    faults: list[str] = field(default_factory=list)  # rules broken whatever the day (the people's book)
+    # rules broken whatever the day (the people's book)
+    faults: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True, frozen=True)
 class Figure:
-    """The worst of one kind in a day: `value` beside the `allowed` of that very moment (inf: none is set), of
-    `many`; `broken` of them were over theirs."""
+    """The worst of one kind in a day: `value` beside the `allowed` of that very moment (inf: none
+    is set), of `many`; `broken` of them were over theirs."""
 
     name: str
     value: float
@@ -147,9 +151,12 @@
 
 
 def quota(history: History, bounds: Bounds) -> list[Figure]:
-    """QUOTA. The value is the share of the leeway used: 0 at rate x window + burst, 1 at the allowed. Of
-    small quotas most is slack, so they are a figure of their own."""
-    large, small = Worst("quota: share of the leeway used"), Worst("quota, small: share of the leeway used")
+    """QUOTA. The value is the share of the leeway used: 0 at rate x window + burst, 1 at the
+    allowed. Of small quotas most is slack, so they are a figure of their own."""
+    large, small = (
+        Worst("quota: share of the leeway used"),
+        Worst("quota, small: share of the leeway used"),
+    )
     window = bounds.quota_window
     first: dict[str, Ran] = {}
     for run in history.arrivals:
@@ -173,7 +180,8 @@
             most = max(limits, default=inf)
             if most < inf:
                 leeway = bounds.quota_overshoot * most + bounds.quota_slack
-                who = f"{tenant}: {count} where {most + leeway:.1f} are allowed and {most:.0f} the quota"
+                allowed = f"{most + leeway:.1f} are allowed"
+                who = f"{tenant}: {count} where {allowed} and {most:.0f} the quota"
                 (large if most >= SMALL else small).add((count - most) / leeway, 1.0, start, who)
     return large.figure() + small.figure()
 
@@ -181,8 +189,9 @@
 def in_force(
     history: History, bounds: Bounds
 ) -> Iterator[tuple[float, float, Mapping[str, tuple[float, float]]]]:
-    """Versions with the span in which a window may begin that still has their quotas. A version may be in
-    force once it is sent; a higher one binds when all limiters were in touch for `configuration_apply`."""
+    """Versions with the span in which a window may begin that still has their quotas. A version may
+    be in force once it is sent; a higher one binds when all limiters were in touch for
+    `configuration_apply`."""
     until = inf
     for change in sorted(history.changes, key=lambda c: -c.version):
         yield change.sent, until, change.quotas
@@ -204,7 +213,8 @@
 
 
 def trouble(history: History, host: str, since: float, until: float, bounds: Bounds) -> Span | None:
-    """The trouble of a limiter, or of the core, that ended last among those within `contact` of a span."""
+    """The trouble of a limiter, or of the core, that ended last among those within `contact` of a
+    span."""
     near = [
         s
         for s in history.spans
@@ -221,8 +231,9 @@
         self.kinds: dict[str, Worst] = {}
 
     def add(self, host: str, acked: float, known: float, who: str, free: bool = False) -> None:
-        """News acknowledged at one time was in force at another. Where there was trouble the delay counts
-        from the end of that. `free`: no bound holds, as whoever acknowledged it was in trouble."""
+        """News acknowledged at one time was in force at another. Where there was trouble the delay
+        counts from the end of that. `free`: no bound holds, as whoever acknowledged it was in
+        trouble."""
         span = trouble(self.history, host, acked, known, self.bounds)
         if span is not None and span.ended >= known > acked:
             return  # still in it, whatever it went by
@@ -233,11 +244,16 @@
         if span is not None and span.kind == CORE and span.most:
             limit = min(limit, acked + self.within + self.bounds.stretch_limit)
             # the stretch is the core's: one that was cut off until just now has its own time
-            near = (s for s in self.history.spans if not s.core and host in s.hosts and s.begun <= known)
+            near = (
+                s for s in self.history.spans if not s.core and host in s.hosts and s.begun <= known
+            )
             limit = max([limit, *(s.ended + self.bounds.contact for s in near if s.ended < known)])
         worst = self.kinds.setdefault(kind, Worst(f"{self.name}, {kind}"))
         worst.add(
-            max(0.0, known - since), inf if free else max(0.0, limit - since), since, f"{who} at {host}"
+            max(0.0, known - since),
+            inf if free else max(0.0, limit - since),
+            since,
+            f"{who} at {host}",
         )
 
     def figures(self) -> list[Figure]:
@@ -254,8 +270,8 @@
 
 
 def news(history: History, bounds: Bounds) -> list[Figure]:
-    """CONFIG: from the acknowledgement of a version to its force, or that of a later one, at each limiter.
-    One that starts must have what was acknowledged before too."""
+    """CONFIG: from the acknowledgement of a version to its force, or that of a later one, at each
+    limiter. One that starts must have what was acknowledged before too."""
     found = News("version in force", bounds.configuration_apply, history, bounds)
     words = by_life(history.told, False)
     for host in history.limiters:
@@ -264,7 +280,9 @@
             if change.acked < inf:
                 known = since_when(mine, change, history.ended)
                 found.add(host, change.acked, known, f"r{change.version}")
-        starts = [s for s in history.spans if s.kind == "started" and host in s.hosts and s.ended < inf]
+        starts = [
+            s for s in history.spans if s.kind == "started" and host in s.hosts and s.ended < inf
+        ]
         for begun, start in [(s.begun, s.ended) for s in starts]:
             before = [c for c in history.changes if c.acked <= start]
             if before:
@@ -274,19 +292,22 @@
                 within = [w for w in mine if begun < w.at < start and w.value >= newest.version]
                 if within and all(w.life == within[-1].life for w in later):
                     later = [replace(within[-1], at=start)]
-                known = min((w.at for w in later if w.value >= newest.version), default=history.ended)
+                known = min(
+                    (w.at for w in later if w.value >= newest.version), default=history.ended
+                )
                 found.add(host, start, known, f"r{newest.version}")
     return found.figures()
 
 
 def since_when(mine: list[Told], change: Change, ended: float) -> float:
-    """When a limiter first held that version or a later one; lives after that one are told of by their
-    starts."""
+    """When a limiter first held that version or a later one; lives after that one are told of by
+    their starts."""
     return min((w.at for w in mine if w.value >= change.version), default=ended)
 
 
 def drains(history: History, bounds: Bounds) -> list[Figure]:
-    """DRAIN, as the limiters know of it: from the acknowledgement to the end of a server's use at each."""
+    """DRAIN, as the limiters know of it: from the acknowledgement to the end of a server's use at
+    each."""
     found = News("drain known", bounds.drain, history, bounds)
     words = by_life(history.told, True)
     for drain in history.drains:
@@ -306,7 +327,9 @@
 
 def life_end(history: History, host: str, at: float) -> float:
     """When the life of a limiter ended that was on at that time."""
-    ends = [s.begun for s in history.spans if s.kind == "started" and host in s.hosts and s.begun >= at]
+    ends = [
+        s.begun for s in history.spans if s.kind == "started" and host in s.hosts and s.begun >= at
+    ]
     return min(ends, default=history.ended)
 
 
@@ -328,7 +351,8 @@
             continue
         # what a link held up, or a process that was frozen, isn't late (Held up)
         held = any(
-            run.front in s.hosts and s.begun <= run.at < s.ended + bounds.contact for s in history.spans
+            run.front in s.hosts and s.begun <= run.at < s.ended + bounds.contact
+            for s in history.spans
         )
         found.add(
             run.front,
@@ -344,7 +368,8 @@
 
 
 def budget(history: History, bounds: Bounds) -> list[Figure]:
-    """BUDGET. The value is the share of `budget_slack` that further tries took beyond the ratio's part."""
+    """BUDGET. The value is the share of `budget_slack` that further tries took beyond the ratio's
+    part."""
     worst, window = Worst("further tries: share of the slack used"), bounds.budget_window
     seen: set[str] = set()
     again: dict[str, list[float]] = {}
@@ -364,12 +389,14 @@
 
 
 def orders(history: History, bounds: Bounds) -> list[Figure]:
-    """Acks: how long a change took that was sent and acknowledged with no trouble near, or `acknowledge` past
-    where none came."""
+    """Acks: how long a change took that was sent and acknowledged with no trouble near, or
+    `acknowledge` past where none came."""
     worst = Worst("acknowledgement of a change in settled times")
     for change in history.changes:
         until = min(change.acked, change.sent + bounds.acknowledge)
-        calm = all(s.ended + bounds.contact <= change.sent or s.begun > until for s in history.spans)
+        calm = all(
+            s.ended + bounds.contact <= change.sent or s.begun > until for s in history.spans
+        )
         if calm and change.sent >= history.begun:
             worst.add(
                 min(change.acked, history.ended) - change.sent,
@@ -381,9 +408,12 @@
 
 
 def unserved(history: History) -> list[Figure]:
-    """Spans without a serving primary; those in which half of the core was gone count from their end."""
+    """Spans without a serving primary; those in which half of the core was gone count from their
+    end."""
     worst = Worst("without a serving primary")
     for since, until in history.unserved:
-        gone = [s.ended for s in history.spans if not s.most and s.begun <= until and s.ended > since]
+        gone = [
+            s.ended for s in history.spans if not s.most and s.begun <= until and s.ended > since
+        ]
         worst.add(max(0.0, until - max([since, *gone])), inf, since, "")
     return worst.figure()
--- a/loomstand/simulation/cluster.py
+++ b/loomstand/simulation/cluster.py
@@ -69,9 +69,16 @@
     """A proxy on the loop's clock, whose own troubles fail the test."""
 
     def __init__(
-        self, settings: Settings, network: Any, rng: Random, streams: Streams, wall: float, book: Book,
-        told: list[Told], life: int,
-    ) -> None:  # fmt: skip
+        self,
+        settings: Settings,
+        network: Any,
+        rng: Random,
+        streams: Streams,
+        wall: float,
+        book: Book,
+        told: list[Told],
+        life: int,
+    ) -> None:
         """`told` takes what comes into force here, in the life of that number."""
         self.wall, self.faults, self.marks, self.life = wall, book.faults, told, life
         super().__init__(settings, network, rng, Virtual(), streams)  # type: ignore[arg-type]
@@ -122,7 +129,8 @@
 
 
 class Cluster:
-    """`cores` core machines with a registry and a store each, `proxies`, and the servers of each service."""
+    """`cores` core machines with a registry and a store each, `proxies`, and the servers of each
+    service."""
 
     def __init__(self, seed: int = 1, cores: int = 3, proxies: int = 4, servers: int = 3) -> None:
         self.loop = VirtualLoop()
@@ -151,9 +159,13 @@
 
     def host(self, ip: str, make: Factory) -> Host:
         made = Host(
-            ip, self.sky, Random(self.rng.getrandbits(64)), [make], Platter(Random(self.rng.getrandbits(64))),
+            ip,
+            self.sky,
+            Random(self.rng.getrandbits(64)),
+            [make],
+            Platter(Random(self.rng.getrandbits(64))),
             self.rng.uniform(0, 1e4),
-        )  # fmt: skip
+        )
         made.cables = self.cables
         return made
 
@@ -171,7 +183,10 @@
         def make(air: Any, disk: Any, clock: Any, rng: Random) -> Any:
             streams = Streams(self.cables, ip, air.life)
             return Runs(
-                RegistryService(self.settings(ip), air, Virtual(), clock, self.wall(ip, rng), streams)  # type: ignore[arg-type]
+                # type: ignore[arg-type]
+                RegistryService(
+                    self.settings(ip), air, Virtual(), clock, self.wall(ip, rng), streams
+                )
             )
 
         return make
@@ -190,7 +205,9 @@
             streams = Streams(self.cables, ip, air.life)
             self.lives += 1
             wall = self.wall(ip, rng)
-            made = SimProxy(self.settings(ip), air, rng, streams, wall, self.book, self.told, self.lives)
+            made = SimProxy(
+                self.settings(ip), air, rng, streams, wall, self.book, self.told, self.lives
+            )
             return Runs(made)
 
         return make
@@ -253,7 +270,8 @@
     # life
 
     async def begin(self) -> None:
-        """All start; the operator sends the first configuration; the platform finds all proxies ready."""
+        """All start; the operator sends the first configuration; the platform finds all proxies
+        ready."""
         for host in (*self.stores.values(), *self.registries.values(), *self.proxies.values()):
             host.start()
         for server in (s for many in self.servers.values() for s in many):
@@ -301,7 +319,9 @@
 
     def counters(self) -> list[str]:
         """All that would count, the frozen ones as they thaw."""
-        up = [self.registry(ip) for ip, host in self.registries.items() if host.up and host.programs]
+        up = [
+            self.registry(ip) for ip, host in self.registries.items() if host.up and host.programs
+        ]
         return [r.holding.host for r in up if r.holding.counts(r.clock())]
 
     def counts(self, ip: str) -> bool:
@@ -336,20 +356,32 @@
     def route(self, name: str, service: str, kind: str = "idempotent", **more: Any) -> None:
         """Of host `town.example`, under /NAME/."""
         self.resources["routes", name] = {
-            "host": "town.example", "path_prefix": f"/{name}/", "route_kind": kind, "timeout": "5000ms",
-            "target_latency": "800ms", "priority": 1, "service_name": service, "maximum_attempts": 3,
+            "host": "town.example",
+            "path_prefix": f"/{name}/",
+            "route_kind": kind,
+            "timeout": "5000ms",
+            "target_latency": "800ms",
+            "priority": 1,
+            "service_name": service,
+            "maximum_attempts": 3,
             "public": False,
-        } | more  # fmt: skip
+        } | more
 
     def tenant(self, name: str, key: str, rate: float = 0, burst: float = 0) -> None:
         self.resources["tenants", name] = {
-            "api_keys": [key], "priority": 1, "rate_per_s": rate, "burst_size": burst
-        }  # fmt: skip
+            "api_keys": [key],
+            "priority": 1,
+            "rate_per_s": rate,
+            "burst_size": burst,
+        }
         self.book.owners[key] = name
 
     def usual(self) -> None:
         for service in self.servers:
-            self.resources["services", service] = {"health_check_path": "/health", "connection_limit": 130}
+            self.resources["services", service] = {
+                "health_check_path": "/health",
+                "connection_limit": 130,
+            }
         self.route("a", "alpha")
         self.route("once", "alpha", "non_idempotent")
         self.route("b", "beta")
@@ -373,15 +405,22 @@
     # requests
 
     async def get(self, name: str = "a", key: str = "key-of-ann", **more: Any) -> Any:
-        return await self.client.go("GET", "town.example", f"/{name}/x?n=1", key, idempotent=True, **more)
-
-    async def once(self, name: str = "once", key: str = "key-of-ann", at: str = "", **more: Any) -> Any:
-        """One try of a request that can't be repeated, or of whatever route; gives ask and reply."""
+        return await self.client.go(
+            "GET", "town.example", f"/{name}/x?n=1", key, idempotent=True, **more
+        )
+
+    async def once(
+        self, name: str = "once", key: str = "key-of-ann", at: str = "", **more: Any
+    ) -> Any:
+        """One try of a request that can't be repeated, or of whatever route; gives ask and
+        reply."""
         ask = self.client.ask("POST", "town.example", f"/{name}/x", key, b"body " * 20, **more)
         front = (at, FRONT) if at else self.rng.choice(self.inside)
         return ask, await self.client.once(ask, front)
 
-    async def flow(self, client: Client, rate: float, seconds: float, *what: Any, **more: Any) -> list[Any]:
+    async def flow(
+        self, client: Client, rate: float, seconds: float, *what: Any, **more: Any
+    ) -> list[Any]:
         """So many requests a second, each going its own way; what came of each."""
         begun, tasks = self.loop.time(), []
         rng = Random(self.rng.getrandbits(64))
--- a/loomstand/simulation/control_plane.py
+++ b/loomstand/simulation/control_plane.py
@@ -1,6 +1,8 @@
-"""Core machines alone under drawn troubles, and operators who note what they sent, heard and were promised.
+"""Core machines alone under drawn troubles, and operators who note what they sent, heard and were
+promised.
 
-    python -m loomstand.simulation.control_plane 1000 300    # 300 runs from seed 1000 on; 1 if one breaks
+    python -m loomstand.simulation.control_plane 1000 300    # 300 runs from seed 1000 on; 1 if one
+    breaks
 """
 
 from __future__ import annotations
@@ -17,7 +19,8 @@
 from loomstand.store.replica import LEASE
 
 PATIENT = 30.0  # s that these operators wait, so that late answers are seen too
-PASSED = LEASE + 0.1  # s by which what is read may be older than its answer: passing on, and the way back
+# s by which what is read may be older than its answer: passing on, and the way back
+PASSED = LEASE + 0.1
 
 
 class ControlPlane(Cluster):
@@ -26,7 +29,8 @@
     def __init__(self, seed: int, cores: int = 3) -> None:
         super().__init__(seed, cores, proxies=0, servers=0)
         self.usual()
-        self.acked: list[tuple[float, int]] = [(0.0, 0)]  # when it was heard, and the newest by then
+        # when it was heard, and the newest by then
+        self.acked: list[tuple[float, int]] = [(0.0, 0)]
         self.sent: dict[int, bytes] = {}
         self.reads, self.unclear = 0, 0
 
@@ -48,7 +52,8 @@
         return await exchange(self.operator.streams, (ip, CONTROL), post(call, body), within)
 
     async def order(self, ip: str, within: float = PATIENT, version: int = 0) -> int:
-        """One sending of an order, a new one or one that was sent before; its status, 0 without an answer."""
+        """One sending of an order, a new one or one that was sent before; its status, 0 without an
+        answer."""
         if not version:
             self.version += self.rng.choice((1, 1, 3))
             version = self.version
@@ -71,7 +76,9 @@
             return 0
         version = int(json.loads(got.body)["version"][1:])
         owed = self.newest(max(asked, self.loop.time() - PASSED))
-        assert version >= owed, f"{ip} handed out r{version} at {self.loop.time():.3f}, r{owed} was in force"
+        assert version >= owed, (
+            f"{ip} handed out r{version} at {self.loop.time():.3f}, r{owed} was in force"
+        )
         assert got.body == self.sent[version]
         self.reads += 1
         return version
@@ -117,7 +124,19 @@
         hosts = plane.hosts(ip)
         hosts = rng.choice((hosts, hosts, hosts[:1], hosts[1:]))
         kind = rng.choice(
-            ("kill", "power", "wipe", "wipe", "freeze", "freeze", "cut", "deaf", "dumb", "third", "leave")
+            (
+                "kill",
+                "power",
+                "wipe",
+                "wipe",
+                "freeze",
+                "freeze",
+                "cut",
+                "deaf",
+                "dumb",
+                "third",
+                "leave",
+            )
             + ("exchange",) * (len(plane.core_ips) > 3)
         )
         if kind in ("kill", "freeze"):
@@ -132,7 +151,8 @@
             await asyncio.sleep(lasts)
             for host in plane.hosts(ip):
                 host.start()
-            await asyncio.sleep(4.0 * (kind == "wipe"))  # `catch_up`, after which another may be lost
+            # `catch_up`, after which another may be lost
+            await asyncio.sleep(4.0 * (kind == "wipe"))
         elif kind in ("cut", "deaf", "dumb", "third"):
             for other in plane.core_ips[: 2 if kind == "third" else None]:
                 if other != ip:
--- a/loomstand/simulation/faults.py
+++ b/loomstand/simulation/faults.py
@@ -1,10 +1,9 @@
 """What may befall a town, each drawn from a random generator and over when its method returns.
 
-Kinds of limiters: proxy, herd, term, part, freeze_proxy, slow_proxy, step, roll. Of the core: core, registry,
-freeze_core, cut, disk, step_core, slow_core, all_core, lossy. Of servers: server, trouble, wave, swap,
-leave, release.
-`alone` cuts any machine off from everyone, `freeze` stops any process. All but those of servers leave their
-spans in the history.
+Kinds of limiters: proxy, herd, term, part, freeze_proxy, slow_proxy, step, roll. Of the core: core,
+registry, freeze_core, cut, disk, step_core, slow_core, all_core, lossy. Of servers: server,
+trouble, wave, swap, leave, release. `alone` cuts any machine off from everyone, `freeze` stops any
+process. All but those of servers leave their spans in the history.
 """
 
 from __future__ import annotations
@@ -19,7 +18,18 @@
 from loomstand.simulation.streams import Host
 from loomstand.simulation.workload import Server
 
-LIMITERS = ["proxy", "herd", "herd", "term", "part", "part", "part", "freeze_proxy", "slow_proxy", "step"]
+LIMITERS = [
+    "proxy",
+    "herd",
+    "herd",
+    "term",
+    "part",
+    "part",
+    "part",
+    "freeze_proxy",
+    "slow_proxy",
+    "step",
+]
 # Of dense days, on which several of these go on at once.
 DENSE = [*LIMITERS, "roll", "roll", "herd", "step", "part"]
 CORES = [
@@ -141,7 +151,9 @@
 
     async def core(self) -> None:
         ip, wipe = self.a_core(), self.rng.random() < 0.25
-        async with self.span(CORE, "core machine wiped" if wipe else "core machine killed", [ip], True):
+        async with self.span(
+            CORE, "core machine wiped" if wipe else "core machine killed", [ip], True
+        ):
             await self.down([*self.town.core(ip)], wipe or self.rng.random() < 0.5, wipe)
 
     async def step_core(self) -> None:
--- a/loomstand/simulation/http_log.py
+++ b/loomstand/simulation/http_log.py
@@ -1,7 +1,7 @@
 """What people say and see: HTTP messages on simulated streams, and the book of a day's requests.
 
-Messages are read and written here by themselves, so that nothing of the programs' own parsers is trusted. A
-`Book` has in `faults` what breaks a rule whatever the day.
+Messages are read and written here by themselves, so that nothing of the programs' own parsers is
+trusted. A `Book` has in `faults` what breaks a rule whatever the day.
 """
 
 from __future__ import annotations
@@ -182,7 +182,9 @@
         if 200 <= reply.status < 300:
             stamp = reply.fields.get("loomstand-response-stamp", "")
             if stamp != stamp_of(ask.id, reply.body):
-                self.faults.append(f"{ask.id}: a success with {reply.body[:40]!r}, stamped {stamp!r}")
+                self.faults.append(
+                    f"{ask.id}: a success with {reply.body[:40]!r}, stamped {stamp!r}"
+                )
 
     def check(self) -> None:
         """What breaks a rule on any day (MIXED, UNASKED, TWICE, REFUSED)."""
--- a/loomstand/simulation/hunt.py
+++ b/loomstand/simulation/hunt.py
@@ -32,7 +32,10 @@
         for figure in figures:
             had = worst.get(figure.name)
             broke = int(figure.broken > 0) + (had[2] if had else 0)
-            if had is None or (bool(figure.broken), figure.value) > (bool(had[0].broken), had[0].value):
+            if had is None or (bool(figure.broken), figure.value) > (
+                bool(had[0].broken),
+                had[0].value,
+            ):
                 worst[figure.name] = figure, seed, broke
             else:
                 worst[figure.name] = *had[:2], broke
@@ -56,12 +59,22 @@
         for s in history.spans
     ]
     for before, change in zip([None, *history.changes], history.changes, strict=False):
-        new = {t: q for t, q in change.quotas.items() if before is None or before.quotas.get(t) != q}
-        what = "".join(f", {tenant} {rate:g}/s and {burst:g}" for tenant, (rate, burst) in new.items())
+        new = {
+            t: q for t, q in change.quotas.items() if before is None or before.quotas.get(t) != q
+        }
+        what = "".join(
+            f", {tenant} {rate:g}/s and {burst:g}" for tenant, (rate, burst) in new.items()
+        )
         lines.append(
-            (change.sent, f"r{change.version} sent, acknowledged at {change.acked:.2f}{what}", change.acked)
+            (
+                change.sent,
+                f"r{change.version} sent, acknowledged at {change.acked:.2f}{what}",
+                change.acked,
+            )
         )
-    lines += [(d.acked, f"drain of {d.server} acknowledged by {d.by}", d.acked) for d in history.drains]
+    lines += [
+        (d.acked, f"drain of {d.server} acknowledged by {d.by}", d.acked) for d in history.drains
+    ]
     lines += [(a, f"no primary until {b:.2f}", b) for a, b in history.unserved]
     for at, line, until in sorted(lines):
         if at < chosen.at + NEAR and until > chosen.at - NEAR:
@@ -100,12 +113,20 @@
 
 def main(words: list[str] | None = None) -> int:
     """1 if a judged bound is broken, else 0."""
-    parser = argparse.ArgumentParser(prog="python -m loomstand.simulation.hunt", description=__doc__)
+    parser = argparse.ArgumentParser(
+        prog="python -m loomstand.simulation.hunt", description=__doc__
+    )
     parser.add_argument("--days", type=whole, default=20, help="how many to play")
-    parser.add_argument("--seed", type=int, default=1, help="of the first day; the others follow by one")
+    parser.add_argument(
+        "--seed", type=int, default=1, help="of the first day; the others follow by one"
+    )
     parser.add_argument("--limiters", type=whole, default=12)
-    parser.add_argument("--quotas", type=float, default=1.0, help="times the usual ones, as sites grow")
-    parser.add_argument("--dense", action="store_true", help="several troubles at once, within seconds")
+    parser.add_argument(
+        "--quotas", type=float, default=1.0, help="times the usual ones, as sites grow"
+    )
+    parser.add_argument(
+        "--dense", action="store_true", help="several troubles at once, within seconds"
+    )
     parser.add_argument("--jobs", type=whole, default=4, help="processes side by side")
     parser.add_argument("--json", metavar="FILE", help="all days' figures")
     parser.add_argument("--plot", metavar="PNG", help="each day's worst over its allowed")
@@ -132,7 +153,11 @@
     try:
         if asked.json:
             with open(asked.json, "w") as file:
-                json.dump([{"seed": s, "figures": [asdict(f) for f in fs]} for s, fs in days], file, indent=1)
+                json.dump(
+                    [{"seed": s, "figures": [asdict(f) for f in fs]} for s, fs in days],
+                    file,
+                    indent=1,
+                )
         if asked.plot:
             plot(asked.plot, days)
     except OSError as why:
--- a/loomstand/simulation/loop.py
+++ b/loomstand/simulation/loop.py
@@ -1,7 +1,8 @@
-"""An event loop whose time is made up: waiting takes none, and machines in it can be frozen or killed.
+"""An event loop whose time is made up: waiting takes none, and machines in it can be frozen or
+killed.
 
-What runs belongs to the `Life` in whose context it was started, and whatever it starts or waits for does too.
-A frozen life's callbacks wait until it thaws; a dead one's never run.
+What runs belongs to the `Life` in whose context it was started, and whatever it starts or waits for
+does too. A frozen life's callbacks wait until it thaws; a dead one's never run.
 """
 
 from __future__ import annotations
@@ -115,7 +116,9 @@
         gate.handle = super().call_soon(gate, context=_NOBODY)
         return gate.handle
 
-    def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> asyncio.TimerHandle:
+    def call_at(
+        self, when: float, callback: Any, *args: Any, context: Any = None
+    ) -> asyncio.TimerHandle:
         context = contextvars.copy_context() if context is None else context
         life = context.get(LIFE)
         if life is None:
--- a/loomstand/simulation/machine.py
+++ b/loomstand/simulation/machine.py
@@ -64,7 +64,8 @@
         life.context().run(begin)
 
     def kill(self) -> None:
-        """Its processes end this moment; its ports refuse calls, its disk keeps what was written."""
+        """Its processes end this moment; its ports refuse calls, its disk keeps what was
+        written."""
         if self.life is not None:
             self.life.alive = False
         for address in [a for a, at in self.sky.listeners.items() if at.life is self.life]:
@@ -106,7 +107,12 @@
     """Machines by host, each with an empty disk and a clock of its own; none is started."""
     return {
         host: Machine(
-            host, sky, rng, factories(host), Platter(Random(rng.getrandbits(64))), rng.uniform(0, 1e4)
+            host,
+            sky,
+            rng,
+            factories(host),
+            Platter(Random(rng.getrandbits(64))),
+            rng.uniform(0, 1e4),
         )
         for host in hosts
     }
--- a/loomstand/simulation/network.py
+++ b/loomstand/simulation/network.py
@@ -1,8 +1,9 @@
-"""The sky over all machines: who reaches whom and how fast. Calls go over it as over TCP connections.
+"""The sky over all machines: who reaches whom and how fast. Calls go over it as over TCP
+connections.
 
-A call first needs a connection to the listener's present life: one round trip. Where nobody listens, it's
-refused at once; a machine that is off, or behind a cut, stays silent. Bytes that meet a cut are lost, or held
-up until it's mended; the caller has long given up by then.
+A call first needs a connection to the listener's present life: one round trip. Where nobody
+listens, it's refused at once; a machine that is off, or behind a cut, stays silent. Bytes that meet
+a cut are lost, or held up until it's mended; the caller has long given up by then.
 """
 
 from __future__ import annotations
@@ -64,7 +65,9 @@
     async def carry(self, one: str, other: str) -> bool:
         """Bytes on their way; whether they arrive."""
         low, high = DELAY
-        await asyncio.sleep(self.rng.uniform(low, high) + self.slow.get(one, 0.0) + self.slow.get(other, 0.0))
+        await asyncio.sleep(
+            self.rng.uniform(low, high) + self.slow.get(one, 0.0) + self.slow.get(other, 0.0)
+        )
         if self.open(one, other):
             return self.rng.random() >= self.lost
         if (one, other) in self.cuts and self.rng.random() < 0.5:
@@ -87,7 +90,9 @@
     async def listen(self, address: Address, serve: Serve) -> None:
         self.sky.listeners[address] = Listener(self.life, serve)
 
-    async def call(self, address: Address, op: str, body: Body, within: float) -> Result[Body, Verdict]:
+    async def call(
+        self, address: Address, op: str, body: Body, within: float
+    ) -> Result[Body, Verdict]:
         loop = asyncio.get_running_loop()
         answer: asyncio.Future[Result[Body, Verdict]] = loop.create_future()
         sent: list[bool] = []  # whether the request's bytes are under way
@@ -101,11 +106,14 @@
             del run  # goes on: what is under way may still arrive
             return Error(Verdict.MAY_HAVE_RUN if sent else Verdict.NEVER_RAN)
 
-    async def _run(self, address: Address, op: str, body: Body, sent: list[bool], answer: Any) -> None:
+    async def _run(
+        self, address: Address, op: str, body: Body, sent: list[bool], answer: Any
+    ) -> None:
         there = self.sky.listeners.get(address)
         if self.met.get(address) is not (there.life if there else None) or there is None:
             if not (
-                await self.sky.carry(self.host, address[0]) and await self.sky.carry(address[0], self.host)
+                await self.sky.carry(self.host, address[0])
+                and await self.sky.carry(address[0], self.host)
             ):
                 return
             there = self.sky.listeners.get(address)
@@ -123,7 +131,9 @@
             return
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[Result[Body, Verdict]] = loop.create_future()
-        served = loop.create_task(_serve(there.serve, op, body, reply), context=there.life.context())
+        served = loop.create_task(
+            _serve(there.serve, op, body, reply), context=there.life.context()
+        )
         result = await reply
         del served
         if there.life.alive and await self.sky.carry(address[0], self.host):
--- a/loomstand/simulation/scenario.py
+++ b/loomstand/simulation/scenario.py
@@ -1,4 +1,5 @@
-"""A day drawn from a seed: tenants at or above their quotas, troubles side by side, and what came of it."""
+"""A day drawn from a seed: tenants at or above their quotas, troubles side by side, and what came
+of it."""
 
 from __future__ import annotations
 
@@ -16,18 +17,20 @@
 LOOK = 0.01  # s between looks at who serves and who counts
 # s of calm at the end: what is under way comes into force, or is late beyond every bound.
 CALM = 6.0
-# Lengths of troubles in s: from what hardly anybody sees to the 10 s for which a part is usually cut off.
+# Lengths of troubles in s: from what hardly anybody sees to the 10 s for which a part is usually
+# cut off.
 LENGTHS = (0.3, 1.0, 2.0, 4.0, 10.0)
-# Requests a second and burst over rate. The share of a tenant at one of 12 limiters goes from a tenth of a
-# request a second to four, so that both small and large parts of a quota are seen.
+# Requests a second and burst over rate. The share of a tenant at one of 12 limiters goes from a
+# tenth of a request a second to four, so that both small and large parts of a quota are seen.
 RATES, BURSTS = (1.0, 4.0, 12.0, 30.0, 50.0), (0.5, 1.0, 2.0)
 HOT = 8.0  # a hot tenant sends so many times its usual
 
 
 @dataclass(slots=True, frozen=True)
 class Setup:
-    """The size of a day: `length` in seconds; `cores` 0 draws 3 or 4; `quotas` is a factor on RATES. `dense`:
-    troubles come within seconds of each other, several at once, with two tenants hot and quotas lowered."""
+    """The size of a day: `length` in seconds; `cores` 0 draws 3 or 4; `quotas` is a factor on
+    RATES. `dense`: troubles come within seconds of each other, several at once, with two tenants
+    hot and quotas lowered."""
 
     limiters: int = 12
     cores: int = 0
@@ -59,7 +62,9 @@
         self.history = History([*self.town.proxies])
         self.troubles = Faults(self.town, Random(rng.getrandbits(32)), self.history, LENGTHS)
         rates = [rate * self.setup.quotas for rate in RATES]
-        self.loads = [Load(f"t{n}", rate, rate * rng.uniform(0.8, 1.4)) for n, rate in enumerate(rates)]
+        self.loads = [
+            Load(f"t{n}", rate, rate * rng.uniform(0.8, 1.4)) for n, rate in enumerate(rates)
+        ]
         self.town.usual()
         for load in self.loads:
             self.key(load)
@@ -134,7 +139,13 @@
         client, rng, tasks = self.town.someone(), Random(self.rng.getrandbits(32)), []
         while self.town.loop.time() < until:
             method, name = rng.choice((("GET", "a"), ("GET", "b"), ("POST", "once")))
-            what = (method, "town.example", f"/{name}/x", load.key, b"" if method == "GET" else b"body")
+            what = (
+                method,
+                "town.example",
+                f"/{name}/x",
+                load.key,
+                b"" if method == "GET" else b"body",
+            )
             asked = client.go(*what, tries=rng.choice((1, 3)), idempotent=method == "GET")
             tasks.append(self.town.loop.create_task(asked))
             await asyncio.sleep(rng.expovariate(load.usual * (HOT if load.hot else 1.0)))
@@ -150,13 +161,18 @@
     # the operator
 
     def quotas(self) -> dict[str, tuple[float, float]]:
-        named = {name: spec for (kind, name), spec in self.town.resources.items() if kind == "tenants"}
+        named = {
+            name: spec for (kind, name), spec in self.town.resources.items() if kind == "tenants"
+        }
         return {name: (spec["rate_per_s"], spec["burst_size"]) for name, spec in named.items()}
 
     async def order(self) -> None:
         """A change of the configuration: a quota, a key taken away, or a route."""
         town, rng, load = self.town, self.rng, self.rng.choice(self.loads)
-        what, spec = rng.choice(("quota", "quota", "key", "route")), town.resources["tenants", load.name]
+        what, spec = (
+            rng.choice(("quota", "quota", "key", "route")),
+            town.resources["tenants", load.name],
+        )
         if what == "quota":
             x = rng.choice((0.4, 0.7, 1.5, 2.5))
             most = max(RATES) * self.setup.quotas
@@ -197,14 +213,26 @@
             book.check()
         except AssertionError:
             history.faults = book.faults
-        route = {f"/{name}/x": spec["service_name"] for (kind, name), spec in self.town.resources.items()
-                 if kind == "routes"}  # fmt: skip
+        route = {
+            f"/{name}/x": spec["service_name"]
+            for (kind, name), spec in self.town.resources.items()
+            if kind == "routes"
+        }
         for ask in book.asks.values():
             history.asked.setdefault(route[ask.path], []).append(ask.sent)
         for run in book.arrivals:
             ask = book.asks[run.id]
             history.arrivals.append(
-                Ran(run.id, run.tenant, run.service, run.server, ask.front[0], ask.sent, run.at, run.ran)
+                Ran(
+                    run.id,
+                    run.tenant,
+                    run.service,
+                    run.server,
+                    ask.front[0],
+                    ask.sent,
+                    run.at,
+                    run.ran,
+                )
             )
         history.told = self.town.told
         return history
--- a/loomstand/simulation/sim_disk.py
+++ b/loomstand/simulation/sim_disk.py
@@ -20,7 +20,8 @@
     hangs: bool = False
     unread: bool = False  # it can't be opened
     writes: int = 0
-    turn: int = 0  # counts losses of power and wipes: a write that began before one isn't heard of again
+    # counts losses of power and wipes: a write that began before one isn't heard of again
+    turn: int = 0
 
     def power_off(self) -> None:
         self.turn += 1
@@ -50,7 +51,8 @@
             if platter.refuses:
                 await asyncio.sleep(COMMIT)
                 raise OSError("the disk refuses")
-            share = platter.rng.random()  # somewhere in it the pages are there, though nobody knows yet
+            # somewhere in it the pages are there, though nobody knows yet
+            share = platter.rng.random()
             await self._spin(share)
             if platter.turn == turn:
                 platter.pages.update(pages)
--- a/loomstand/simulation/stream_network.py
+++ b/loomstand/simulation/stream_network.py
@@ -1,4 +1,5 @@
-"""Calls between the system's processes on simulated streams: the code of `rpc.sockets`, byte by byte."""
+"""Calls between the system's processes on simulated streams: the code of `rpc.sockets`, byte by
+byte."""
 
 from __future__ import annotations
 
--- a/loomstand/simulation/streams.py
+++ b/loomstand/simulation/streams.py
@@ -1,8 +1,10 @@
-"""Simulated TCP: byte streams under the sky, as transports for protocols of asyncio (`net.driver.Wire`).
+"""Simulated TCP: byte streams under the sky, as transports for protocols of asyncio
+(`net.driver.Wire`).
 
-A connection's two ends are its machines' kernels'; what their processes are told runs in their lives. Bytes
-come in order, whole, in pieces. What meets a cut is sent again, ever more rarely, until it comes through or
-its sender's kernel forgets it; resets are sent once. A write waits where the other end's window is full.
+A connection's two ends are its machines' kernels'; what their processes are told runs in their
+lives. Bytes come in order, whole, in pieces. What meets a cut is sent again, ever more rarely,
+until it comes through or its sender's kernel forgets it; resets are sent once. A write waits where
+the other end's window is full.
 """
 
 from __future__ import annotations
@@ -25,7 +27,8 @@
 
 Address = tuple[str, int]
 WINDOW = 16384  # bytes that an end takes which its process hasn't read: windows are small
-AGAIN = 0.2, 1.0, 3.0  # s until what meets a cut is sent again: of bytes at first, of an opening, and at most
+# s until what meets a cut is sent again: of bytes at first, of an opening, and at most
+AGAIN = 0.2, 1.0, 3.0
 SPLIT = 0.15  # share of writes that come in two pieces
 _KERNEL = contextvars.Context()  # in no life: kernels go on where processes are frozen or killed
 
@@ -57,15 +60,16 @@
 
 @dataclass(slots=True)
 class Cables:
-    """All connections under a sky. `ends` has each until its process and its kernel are done with it."""
+    """All connections under a sky. `ends` has each until its process and its kernel are done with
+    it."""
 
     sky: SimNetwork
     rng: Random
     ends: set[End] = field(default_factory=set)
 
     def died(self, life: Life) -> None:
-        """A process ended: its machine's kernel closes what it had, by a reset where bytes are unread, and
-        often by one otherwise."""
+        """A process ended: its machine's kernel closes what it had, by a reset where bytes are
+        unread, and often by one otherwise."""
         for end in sorted((e for e in self.ends if e.life is life), key=lambda e: e.number):
             end.forsaken()
 
@@ -90,7 +94,8 @@
         self.timer: asyncio.TimerHandle | None = None
         self.last, self.pause = 0.0, AGAIN[0]
         # sending
-        self.buffer, self.credit = bytearray(), WINDOW  # what waits in the process; what the other end takes
+        # what waits in the process; what the other end takes
+        self.buffer, self.credit = bytearray(), WINDOW
         self.full = self.ending = self.ended = False  # writing paused; its end is wanted; is sent
         # receiving
         self.came: deque[bytes] = deque()  # read by the kernel, not by the process
@@ -168,7 +173,8 @@
             self.push()
 
     def abort(self) -> None:
-        """As a socket's close: what the kernel has is still sent, but bytes left unread make it a reset."""
+        """As a socket's close: what the kernel has is still sent, but bytes left unread make it a
+        reset."""
         self.buffer.clear()
         if not self.closed:
             self.finish(None)
@@ -260,7 +266,9 @@
     def put(self, kind: Kind, data: Any = b"") -> None:
         """On the way, behind what is there."""
         sky, (low, high) = self.cables.sky, DELAY
-        took = sky.rng.uniform(low, high) + sky.slow.get(self.host, 0.0) + sky.slow.get(self.far, 0.0)
+        took = (
+            sky.rng.uniform(low, high) + sky.slow.get(self.host, 0.0) + sky.slow.get(self.far, 0.0)
+        )
         if sky.lost and sky.rng.random() < sky.lost:
             took += AGAIN[0]
         self.last = max(self.last, self.loop.time() + took)
@@ -338,8 +346,8 @@
         self.settle()
 
     def reset(self) -> None:
-        """The kernel breaks it off, once; what is on the way comes before that. What met a cut never comes,
-        nor what was sent after it: no byte is read over a gap."""
+        """The kernel breaks it off, once; what is on the way comes before that. What met a cut
+        never comes, nor what was sent after it: no byte is read over a gap."""
         if not self.gone:
             if self.way and self.way[0][0] <= self.loop.time():
                 self.way.clear()
@@ -378,7 +386,8 @@
             self.cables.died(self.life)
 
     def power_off(self, wipe: bool = False) -> None:
-        """Falls silent: nothing says that its connections are over until somebody writes to it later."""
+        """Falls silent: nothing says that its connections are over until somebody writes to it
+        later."""
         self.sky.off.add(self.host)
         super().power_off(wipe)
 
@@ -400,7 +409,9 @@
     host: str
     life: Life
 
-    async def listen(self, loop: Any, make: Callable[[], Any], address: Address, *bounds: int) -> Port:
+    async def listen(
+        self, loop: Any, make: Callable[[], Any], address: Address, *bounds: int
+    ) -> Port:
         port = Port(self.life, _nothing, make=make, sky=self.cables.sky)
         self.cables.sky.listeners[address] = port
         return port
--- a/loomstand/simulation/workload.py
+++ b/loomstand/simulation/workload.py
@@ -32,16 +32,23 @@
 class Server:
     """A server of a service. `trouble` is what befalls its requests: "" or one of
 
-    `full` (Not-Executed), `error` (its own 500), `bare` (a success without its stamp); and, after the run:
-    `close`, `silent`, `reset`, `cut` (within the answer), `spoilt` (bytes that are no answer), `surplus` (a
-    second answer at once), `late` (the second answer comes where the next is due), `slow` (a second more).
-    `refuses` resets new connections. `dark` hears and says nothing, runs nothing.
+    `full` (Not-Executed), `error` (its own 500), `bare` (a success without its stamp); and, after
+    the run: `close`, `silent`, `reset`, `cut` (within the answer), `spoilt` (bytes that are no
+    answer), `surplus` (a second answer at once), `late` (the second answer comes where the next is
+    due), `slow` (a second more). `refuses` resets new connections. `dark` hears and says nothing,
+    runs nothing.
     """
 
     def __init__(
-        self, cables: Cables, book: Book, rng: Random, address: Address, service: str, zone: str,
+        self,
+        cables: Cables,
+        book: Book,
+        rng: Random,
+        address: Address,
+        service: str,
+        zone: str,
         cores: list[Address],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.cables, self.book, self.rng, self.cores = cables, book, rng, cores
         self.address, self.service, self.zone = address, service, zone
         self.slots, self.queue, self.work, self.keep = 8, 8, (0.005, 0.02), 10
@@ -133,7 +140,9 @@
         trouble = self.trouble if hit else ""
         wait = int(fields.get("loomstand-deadline-remaining", 60_000)) / 1000
         until = loop.time() + wait
-        run = Run(loop.time(), self.service, self.id, id_, fields.get("loomstand-tenant-name", ""), False)
+        run = Run(
+            loop.time(), self.service, self.id, id_, fields.get("loomstand-tenant-name", ""), False
+        )
         if trouble == "dark":
             await asyncio.Event().wait()
         if fields.get("loomstand-expected-instance", self.id) != self.id:
@@ -199,8 +208,14 @@
     def say(self, talk: Served, status: int, id_: str, body: bytes, turned: bool = False) -> None:
         talk.transport.write(self.said(status, id_, body, turned))
 
-    def said(self, status: int, id_: str, body: bytes, turned: bool = False, stamp: bool = True) -> bytes:
-        lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", f"Keep-Alive: timeout={self.keep}"]
+    def said(
+        self, status: int, id_: str, body: bytes, turned: bool = False, stamp: bool = True
+    ) -> bytes:
+        lines = [
+            f"HTTP/1.1 {status} X",
+            f"Content-Length: {len(body)}",
+            f"Keep-Alive: timeout={self.keep}",
+        ]
         if id_:
             lines.append(f"Loomstand-Request-Id: {id_}")
         if turned:
@@ -237,7 +252,13 @@
         self.keep, self.chunked = True, False
 
     def ask(
-        self, method: str, host: str, path: str, key: str = "", body: bytes = b"", idempotent: bool = False
+        self,
+        method: str,
+        host: str,
+        path: str,
+        key: str = "",
+        body: bytes = b"",
+        idempotent: bool = False,
     ) -> Ask:
         ask = Ask(f"{self.rng.getrandbits(64):016x}", method, host, path, key, body, idempotent)
         self.book.asks[ask.id] = ask
@@ -245,9 +266,12 @@
 
     def raw(self, ask: Ask, left: float) -> bytes:
         lines = [
-            f"{ask.method} {ask.path} HTTP/1.1", f"Host: {ask.host}", f"Loomstand-Request-Id: {ask.id}",
-            f"Loomstand-Deadline-Remaining: {int(left * 1000)}", "Loomstand-Tenant-Name: somebody",
-        ]  # fmt: skip
+            f"{ask.method} {ask.path} HTTP/1.1",
+            f"Host: {ask.host}",
+            f"Loomstand-Request-Id: {ask.id}",
+            f"Loomstand-Deadline-Remaining: {int(left * 1000)}",
+            "Loomstand-Tenant-Name: somebody",
+        ]
         lines += [f"Authorization: Bearer {ask.key}"] if ask.key else []
         body = ask.body
         if self.chunked and body:
--- a/loomstand/simulation/wrong_answers.py
+++ b/loomstand/simulation/wrong_answers.py
@@ -1,4 +1,5 @@
-"""Servers and clients that send wrong, late, doubled and half answers, byte by byte, and what comes of them.
+"""Servers and clients that send wrong, late, doubled and half answers, byte by byte, and what comes
+of them.
 
 `Stage` has a proxy's connections to one server, without its decisions; `OddCluster` a whole proxy.
 """
@@ -38,14 +39,16 @@
 
 
 class Played(Talk):
-    """A server's connection: runs each whole request and answers as its play says: bytes, seconds to wait,
-    or "reset", "close", "half" (its sending ends); it runs nothing where that begins with "refuse". `early`
-    answers once a head is there."""
+    """A server's connection: runs each whole request and answers as its play says: bytes, seconds
+    to wait, or "reset", "close", "half" (its sending ends); it runs nothing where that begins with
+    "refuse". `early` answers once a head is there."""
 
     def __init__(self, stage: Stage) -> None:
         super().__init__()
         self.stage = stage
-        self.task = asyncio.get_running_loop().create_task(self.serve(), context=stage.life.context())
+        self.task = asyncio.get_running_loop().create_task(
+            self.serve(), context=stage.life.context()
+        )
 
     async def serve(self) -> None:
         try:
@@ -85,7 +88,8 @@
 
 
 class Stage:
-    """A pool of connections to one server, and in place of the proxy a book of what came of each request."""
+    """A pool of connections to one server, and in place of the proxy a book of what came of each
+    request."""
 
     def __init__(self) -> None:
         self.sky = SimNetwork(Random(1))
@@ -101,7 +105,8 @@
         self.bodies: dict[str, tuple[int, bytes, str]] = {}
         self.talks: list[Played] = []
         self.pool = UpstreamPool(self, 0.25, 60.0)  # type: ignore[arg-type]
-        self.pool.connect = Streams(self.cables, US, self.mine).connect  # type: ignore[method-assign]
+        # type: ignore[method-assign]
+        self.pool.connect = Streams(self.cables, US, self.mine).connect
         self.pool.told(0, (THEM, 80))
 
     async def open(self) -> Stage:
@@ -134,9 +139,8 @@
 
     def request(self, id_: str, body: bytes = b"", idempotent: bool = False) -> ProxyRequest:
         machine, ring = http.RequestReceiver(1 << 20), Ring(self.room, 1 << 21)
-        head = (
-            f"POST /x HTTP/1.1\r\nHost: h\r\nLoomstand-Request-Id: {id_}\r\nContent-Length: {len(body)}\r\n"
-        )
+        head = f"POST /x HTTP/1.1\r\nHost: h\r\nLoomstand-Request-Id: {id_}\r\n"
+        head += f"Content-Length: {len(body)}\r\n"
         ring.put(head.encode() + b"\r\n" + body)
         assert machine.step(ring)
         req = ProxyRequest(machine)
@@ -152,7 +156,8 @@
         return flight
 
     def check(self) -> None:
-        """No proof for what ran, one end for each sending, and only an own whole answer has passed."""
+        """No proof for what ran, one end for each sending, and only an own whole answer has
+        passed."""
         for id_, outcomes in self.came_of.items():
             proved = sum(o in PROOFS for o in outcomes)
             assert self.ran.count(id_) <= len(outcomes) - proved, (id_, outcomes)
@@ -166,15 +171,16 @@
 
 
 class Tricky(Server):
-    """A server whose requests meet what `script` says, one after the other: what befalls one, and at which
-    byte of its answer."""
+    """A server whose requests meet what `script` says, one after the other: what befalls one, and
+    at which byte of its answer."""
 
     script: list[tuple[str, int]]
 
     async def one(self, talk: Any, message: Message) -> None:
         talk.play = what, at = self.script.pop(0) if self.script else ("", 0)
         id_ = message.fields["loomstand-request-id"]
-        if talk.transport.ending:  # its sending ended after the answer before: it runs none, says nothing
+        # its sending ended after the answer before: it runs none, says nothing
+        if talk.transport.ending:
             self.book.arrived(Run(self.now(), self.service, self.id, id_, "", False), message)
             return
         if what in ("unread", "refuses twice"):
@@ -247,11 +253,15 @@
         many = 2 if how == "pipelined" else 1
         asks = [
             self.client.ask(
-                "PUT", "town.example", f"/{'a' if idempotent else 'once'}/x", "key-of-ann", bytes(size),
+                "PUT",
+                "town.example",
+                f"/{'a' if idempotent else 'once'}/x",
+                "key-of-ann",
+                bytes(size),
                 idempotent,
             )
             for _ in range(many)
-        ]  # fmt: skip
+        ]
         raw = b"".join(self.client.raw(ask, 2.0) for ask in asks)
         at = len(raw) * at // 400
         try:
@@ -273,7 +283,9 @@
                     return
                 for ask in asks:
                     got = await talk.message()
-                    self.book.got(ask, Reply(got.status, "", got.fields, got.body, self.loop.time()))
+                    self.book.got(
+                        ask, Reply(got.status, "", got.fields, got.body, self.loop.time())
+                    )
         except (Broken, OSError, TimeoutError):
             pass
 
@@ -306,8 +318,20 @@
 
 
 BEFALLS = [
-    "", "", "unread", "refuses twice", "again", "nobody", "bare", "instead", "reset", "half", "close",
-    "pause", "long pause", "silent",
-]  # fmt: skip
+    "",
+    "",
+    "unread",
+    "refuses twice",
+    "again",
+    "nobody",
+    "bare",
+    "instead",
+    "reset",
+    "half",
+    "close",
+    "pause",
+    "long pause",
+    "silent",
+]
 HOW = ["whole", "whole", "pieces", "pipelined", "half", "breaks", "leaves"]
 HAPPENS = ["cut", "deaf", "dumb", "away", "freeze", "server freezes", "server dies", "term"]
--- a/loomstand/simulation/wrong_calls.py
+++ b/loomstand/simulation/wrong_calls.py
@@ -17,11 +17,23 @@
 from loomstand.simulation.streams import Cables, Streams
 
 HERE, THERE = "10.0.0.1", ("10.0.0.2", 7340)
-WAYS = ["", "pause", "reset", "close", "half", "spoilt", "foreign", "no answer", "twice", "late twice"]
+WAYS = [
+    "",
+    "pause",
+    "reset",
+    "close",
+    "half",
+    "spoilt",
+    "foreign",
+    "no answer",
+    "twice",
+    "late twice",
+]
 
 
 class OddLine(StreamLine):
-    """A server's connection that sends its answers as `owner.plays` says: each a way, and at which byte."""
+    """A server's connection that sends its answers as `owner.plays` says: each a way, and at which
+    byte."""
 
     def __init__(self, owner: Any, serve: Any) -> None:
         super().__init__(owner, serve)
@@ -108,7 +120,8 @@
         return got
 
     def check(self) -> None:
-        """Each answer is the own one, nothing runs twice, and what is proved not to have run hasn't."""
+        """Each answer is the own one, nothing runs twice, and what is proved not to have run
+        hasn't."""
         for n, got in self.said.items():
             assert self.ran.count(n) <= 1
             if got.is_ok():
--- a/loomstand/sites/guide.py
+++ b/loomstand/sites/guide.py
@@ -1,7 +1,8 @@
 """What the decision module asks about sites: one object behind a narrow interface, or none at all.
 
-The module tells it the list, each dispatch and each end; it asks which servers to leave alone, whether a req
-is let in, and what to say to the operators. With no plan the module has no guide and decides as before.
+The module tells it the list, each dispatch and each end; it asks which servers to leave alone,
+whether a req is let in, and what to say to the operators. With no plan the module has no guide and
+decides as before.
 """
 
 from __future__ import annotations
@@ -14,8 +15,9 @@
 from loomstand.sites.plan import SitePlan
 from loomstand.sites.watch import State, Watch
 
-# Of what is refused first, to a lost zone: a limiter of eight such reqs a second has the two answers that
-# tell of a healed cut within five seconds, and meanwhile it costs a twentieth of those reqs.
+# Of what is refused first, to a lost zone: a limiter of eight such reqs a second has the two
+# answers that tell of a healed cut within five seconds, and meanwhile it costs a twentieth of those
+# reqs.
 PROBE = 1 / 20
 ALIVE = {api.Outcome.PASSED, api.Outcome.SERVER_ERROR, api.Outcome.TURNED_AWAY}
 SAYS_NOTHING = {api.Outcome.NOT_SENT, api.Outcome.CALLED_OFF}  # our own doing
@@ -71,8 +73,8 @@
             self.watch.ended(now, key, zone, srv, outcome in ALIVE, late)
 
     def limiters(self, gone: int = -1) -> float:
-        """The share of all limiters that is left: those of lost zones are taken for gone with them, as their
-        clients come to the others; `gone` is a zone that counts as lost too."""
+        """The share of all limiters that is left: those of lost zones are taken for gone with them,
+        as their clients come to the others; `gone` is a zone that counts as lost too."""
         count = {z.name: z.limiters for z in self.plan.zones}
         every, left = sum(count.values()), 0
         for n, name in enumerate(self.names[2]):
@@ -80,7 +82,8 @@
         return left / every if left else 1.0
 
     def least(self, limiters: int) -> float:
-        """The least room: five a server, by all limiters that are left together (as the module's)."""
+        """The least room: five a server, by all limiters that are left together (as the
+        module's)."""
         live = sum(len(z.live) for n, z in self.watch.zones.items() if not self.avoided(n))
         return 5 * live / max(1.0, limiters * self.limiters())
 
@@ -91,10 +94,10 @@
         return max(least, min(self.fair(), self.room.answered(size, least, bad, out)))
 
     def fair(self) -> float:
-        """The most room that this limiter may take: what the plan's zones that are left can do, in the share
-        that its clients ask of all that the plan says is asked. Found on the rig: by answers alone one of
-        eight limiters came to twice the room of the others, and let in what is refused first while those
-        refused what is worth five times as much."""
+        """The most room that this limiter may take: what the plan's zones that are left can do, in
+        the share that its clients ask of all that the plan says is asked. Found on the rig: by
+        answers alone one of eight limiters came to twice the room of the others, and let in what is
+        refused first while those refused what is worth five times as much."""
         if not self.stated:
             return float("inf")
         names = self.names[2]
@@ -108,24 +111,25 @@
         return self.watch.avoided(zone)
 
     def passes(self, zone: int, warmth: float, chance: float) -> bool:
-        """Whether a server may be chosen this time: a cold one by its warmth, so that all limiters together
-        send it what it can do; one of a returning zone by the zone's share, unless it is cold anyway and the
-        zone was not lost again after its last return."""
+        """Whether a server may be chosen this time: a cold one by its warmth, so that all limiters
+        together send it what it can do; one of a returning zone by the zone's share, unless it is
+        cold anyway and the zone was not lost again after its last return."""
         share = self.watch.share(zone)
         if warmth < 1.0 and share < 1.0 and self.watch.zones[zone].hold == 1:
             share = 1.0
         return chance < share * warmth
 
     def probes(self, zone: int, rank: int, trickle: float, chance: float) -> bool:
-        """Whether a req may be spent on a server set aside: only of what is refused first, and by the
-        server's own trickle unless its zone is lost."""
+        """Whether a req may be spent on a server set aside: only of what is refused first, and by
+        the server's own trickle unless its zone is lost."""
         return rank == 0 and chance < (PROBE if self.avoided(zone) else trickle)
 
     def admits(self, now: int, rank: int, work: float, room: float, chance: float) -> bool:
         return self.order.admits(now, rank, work, room, chance)
 
     def moved(self, now: int) -> list[str]:
-        """Judges the zones; what changed, as lines for the operators. `scale` is what is left of the room."""
+        """Judges the zones; what changed, as lines for the operators. `scale` is what is left of
+        the room."""
         self.now = now
         self.watch.look(now)
         self.scale, lines = 1.0, []
@@ -133,9 +137,12 @@
             zones = self.names[2]
             name = zones[move.zone] if move.zone < len(zones) else str(move.zone)
             lines.append(
-                f"{now / api.TENTHS_PER_S:.2f}: zone {name}: {move.old.value} to {move.new.value}, {move.why}"
+                f"{now / api.TENTHS_PER_S:.2f}: zone {name}: {move.old.value} to "
+                f"{move.new.value}, {move.why}"
             )
-            if move.new is State.DOUBTFUL or (move.new is State.LOST and move.old is not State.DOUBTFUL):
+            if move.new is State.DOUBTFUL or (
+                move.new is State.LOST and move.old is not State.DOUBTFUL
+            ):
                 self.scale *= (1 - move.part) / self.limiters(move.zone)
             elif move.old is State.DOUBTFUL and move.new is State.WHOLE:
                 self.scale /= max(0.1, 1 - move.part) / self.limiters(move.zone)
--- a/loomstand/sites/nearby.py
+++ b/loomstand/sites/nearby.py
@@ -1,4 +1,5 @@
-"""Which of a service's servers a limiter uses: a stretch of their ring, the same few for long. Pure."""
+"""Which of a service's servers a limiter uses: a stretch of their ring, the same few for long.
+Pure."""
 
 from __future__ import annotations
 
@@ -7,8 +8,9 @@
 
 from loomstand.interface import Settings
 
-# Places at this step apart lie evenly, whichever run of neighbours is looked at. Limiters' places go by their
-# names, so those of one zone are neighbours: at steps of 1/n they would all begin in one part of the ring.
+# Places at this step apart lie evenly, whichever run of neighbours is looked at. Limiters' places
+# go by their names, so those of one zone are neighbours: at steps of 1/n they would all begin in
+# one part of the ring.
 GOLDEN = 0.6180339887498949
 
 
@@ -29,8 +31,9 @@
 def stretch(ring: Sequence[S], settings: Settings, most: int) -> list[S]:
     """At most `most` servers of the ring, the ones to use first.
 
-    With `settings.homes` that share of any few is of the own hall, as long as it has any: bytes between halls
-    are dear. The rest stays in use a little, as its answers tell when the own hall is the busier one.
+    With `settings.homes` that share of any few is of the own hall, as long as it has any: bytes
+    between halls are dear. The rest stays in use a little, as its answers tell when the own hall is
+    the busier one.
     """
     if not settings.homes:
         first = settings.me * len(ring) // max(1, settings.limiters)
@@ -53,8 +56,8 @@
 ) -> tuple[list[list[S]], list[list[S]]]:
     """By frontend the servers to use, and those of them that are set aside, beside the `lost` ones.
 
-    Always the same `reach` servers, so that outcomes tell soon; those set aside are out, and others of the
-    stretch come in for them, unless it is most: then it is no server's fault.
+    Always the same `reach` servers, so that outcomes tell soon; those set aside are out, and others
+    of the stretch come in for them, unless it is most: then it is no server's fault.
     """
     found = stretch(ring, settings, 3 * reach)
     near, off = list[list[S]](), list[list[S]]()
--- a/loomstand/sites/order.py
+++ b/loomstand/sites/order.py
@@ -1,9 +1,10 @@
 """Who is let in when there is too little room: by rank, the same order at every limiter.
 
-Each limiter meters the work that each rank asks of it and fills its own room from the last rank down: what
-must not be refused first, then the ranks in order, and the one at which the room ends gets a share by chance.
-A bound on what is out at once can't do this where a limiter has some eight dispatches out: their number
-varies by a third, and at each peak it refuses what came last, not what is worth least.
+Each limiter meters the work that each rank asks of it and fills its own room from the last rank
+down: what must not be refused first, then the ranks in order, and the one at which the room ends
+gets a share by chance. A bound on what is out at once can't do this where a limiter has some eight
+dispatches out: their number varies by a third, and at each peak it refuses what came last, not what
+is worth least.
 """
 
 from __future__ import annotations
@@ -11,9 +12,10 @@
 from collections.abc import Sequence
 from math import exp
 
-# Demand is metered over two spans, and the larger counts. Over 2 s alone half as much again was let in for
-# as long when clients moved at once; over 0.6 s alone a limiter of 25 reqs a second knows it to a third, and
-# what is refused first was let in whenever the rest seemed to ask less (both found on the rig).
+# Demand is metered over two spans, and the larger counts. Over 2 s alone half as much again was let
+# in for as long when clients moved at once; over 0.6 s alone a limiter of 25 reqs a second knows it
+# to a third, and what is refused first was let in whenever the rest seemed to ask less (both found
+# on the rig).
 SPANS = (6_000, 30_000)
 EVERY = SPANS[0] // 5  # how often shares are worked out anew
 
@@ -53,7 +55,8 @@
         return [max(both) for both in zip(*(m.demand(now) for m in self.meters), strict=True)]
 
     def admits(self, now: int, rank: int, work: float, room: float, chance: float) -> bool:
-        """Whether a req that takes `work` (tenths) is let in, with room for so many dispatches at once."""
+        """Whether a req that takes `work` (tenths) is let in, with room for so many dispatches at
+        once."""
         for meter in self.meters:
             meter.add(now, rank, work)
         if now - self.worked_out >= EVERY:
@@ -63,7 +66,8 @@
 
 
 def shares(demand: Sequence[float], room: float, kept: float) -> list[float]:
-    """By rank: the share let in. Room goes to the last rank first; the others may not use what is kept."""
+    """By rank: the share let in. Room goes to the last rank first; the others may not use what is
+    kept."""
     out, last = [0.0] * len(demand), len(demand) - 1
     left = room
     for rank in range(last, -1, -1):
@@ -76,12 +80,14 @@
 
 
 class Room:
-    """How many dispatches may be out at once, in rounds of as many answers: a round with late ones takes off
-    a quarter of the share that is late lately, a clean one that used the room adds a twentieth of `least`,
-    the same at all limiters, so that their rooms become alike. (As DCTCP does for a link.)
-
-    The module's own window takes one off for each late answer: all of a peak come late together, the window
-    of a limiter of eight falls to half, and the fleet swings between half empty and overfull."""
+    """How many dispatches may be out at once, in rounds of as many answers: a round with late ones
+    takes off a quarter of the share that is late lately, a clean one that used the room adds a
+    twentieth of `least`, the same at all limiters, so that their rooms become alike. (As DCTCP does
+    for a link.)
+
+    The module's own window takes one off for each late answer: all of a peak come late together,
+    the window of a limiter of eight falls to half, and the fleet swings between half empty and
+    overfull."""
 
     GAIN = 1 / 16  # of the late share, an answer: DCTCP's
     GROW = 1 / 20  # of the least, a clean round: from two thirds to the whole in some ten rounds
--- a/loomstand/sites/plan.py
+++ b/loomstand/sites/plan.py
@@ -1,7 +1,8 @@
-"""The site plan: what each zone is worth, and in which order reqs are refused; and what it foretells.
+"""The site plan: what each zone is worth, and in which order reqs are refused; and what it
+foretells.
 
-A TOML file of the operators', checked; a fault names its key (`PlanError`). The same file at all limiters
-gives the same order at all of them.
+A TOML file of the operators', checked; a fault names its key (`PlanError`). The same file at all
+limiters gives the same order at all of them.
 """
 
 from __future__ import annotations
@@ -50,7 +51,9 @@
     beyond: bool = False  # only reqs of customers that ask more than their quota
 
     def fits(self, frontend: str, plan: str, retry: bool, beyond: bool) -> bool:
-        named = (not self.frontends or frontend in self.frontends) and (not self.plans or plan in self.plans)
+        named = (not self.frontends or frontend in self.frontends) and (
+            not self.plans or plan in self.plans
+        )
         return named and (retry or not self.retries) and (beyond or not self.beyond)
 
 
@@ -85,8 +88,8 @@
         return len(self.refuse) + 2
 
     def rank(self, frontend: str, plan: str, retry: bool, beyond: bool) -> int:
-        """The rank of a req, 0 for what is refused first. What `keep` fits has the last one; of `refuse` the
-        first entry that fits counts; what none fits is refused after all of those."""
+        """The rank of a req, 0 for what is refused first. What `keep` fits has the last one; of
+        `refuse` the first entry that fits counts; what none fits is refused after all of those."""
         if self.keep is not None and self.keep.fits(frontend, plan, retry, beyond):
             return len(self.refuse) + 1
         fitting = (n for n, r in enumerate(self.refuse) if r.fits(frontend, plan, retry, beyond))
@@ -94,8 +97,8 @@
 
 
 def parse(table: dict, frontends: Sequence[str] = (), plans: Sequence[str] = ()) -> SitePlan:
-    """The plan in a table. Where names of frontends and plans are given, it may name no other. Raises
-    PlanError naming the key."""
+    """The plan in a table. Where names of frontends and plans are given, it may name no other.
+    Raises PlanError naming the key."""
     plan = convert(table, SitePlan)
     places = [(f"refuse[{n}]", r) for n, r in enumerate(plan.refuse)]
     places += [("keep", plan.keep)] if plan.keep else []
@@ -103,10 +106,14 @@
         for key, known in (("frontends", frontends), ("plans", plans)):
             for n, name in enumerate(getattr(rank, key)):
                 if known and name not in known:
-                    raise PlanError(f"key '{where}.{key}[{n}]': there is no '{name}' in the settings")
+                    raise PlanError(
+                        f"key '{where}.{key}[{n}]': there is no '{name}' in the settings"
+                    )
     for n, d in enumerate(plan.demand):
         if frontends and d.frontend not in frontends:
-            raise PlanError(f"key 'demand[{n}].frontend': there is no '{d.frontend}' in the settings")
+            raise PlanError(
+                f"key 'demand[{n}].frontend': there is no '{d.frontend}' in the settings"
+            )
     return plan
 
 
@@ -119,7 +126,8 @@
         raise PlanError(f"{path}: {why}") from None
 
 
-# what it foretells ---------------------------------------------------------------------------------------
+# what it foretells
+# ---------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
@@ -152,8 +160,8 @@
 
 
 def forecast(plan: SitePlan, lost: str) -> Forecast:
-    """The loss of a zone, `lost` empty for none: its work goes to the survivors by the room that each has,
-    and what they have no room for is refused in the plan's order."""
+    """The loss of a zone, `lost` empty for none: its work goes to the survivors by the room that
+    each has, and what they have no room for is refused in the plan's order."""
     left = [z for z in plan.zones if z.name != lost]
     slots = sum(z.servers * z.slots for z in left)
     room = slots * plan.fill
@@ -171,7 +179,9 @@
         given[rank] = min(asked[rank], max(0.0, most))
         over -= given[rank]
     names = [r.name for r in plan.refuse] + ["the rest", plan.keep.name if plan.keep else "keep"]
-    ranks = tuple(Refused(n, names[n], asked[n], given[n]) for n in range(plan.ranks()) if asked[n] > 0)
+    ranks = tuple(
+        Refused(n, names[n], asked[n], given[n]) for n in range(plan.ranks()) if asked[n] > 0
+    )
     whole = sum(z.servers * z.slots for z in plan.zones)
     moved = sum(asked) * (1 - slots / whole) if whole else 0.0
     goes = {z.name: moved * z.servers * z.slots / slots for z in left} if slots else {}
@@ -185,7 +195,8 @@
         use=sum(given) / slots if slots else 0.0,
         goes=goes,
         ranks=ranks,
-        worth=sum(v * g / a for v, g, a in zip(value, given, asked, strict=True) if a) / (sum(value) or 1.0),
+        worth=sum(v * g / a for v, g, a in zip(value, given, asked, strict=True) if a)
+        / (sum(value) or 1.0),
         missing=max(0, ceil((must - room) / per - 1e-9)),
         missing_all=max(0, ceil((sum(asked) - room) / per - 1e-9)),
     )
--- a/loomstand/sites/watch.py
+++ b/loomstand/sites/watch.py
@@ -1,9 +1,10 @@
 """Evidence of the loss of a zone, as one limiter has it, and of its return.
 
-A zone is whole, doubtful (its servers are silent, most of those in use and all at once), lost, or returning.
-Nothing is sent to a doubtful or lost zone but probes; a returning one gets a share that grows. How soon is
-derived from the settings: an answer is overdue after its frontend's response target, when it is worth nothing
-any more; a zone comes back over the time for which a server is cold.
+A zone is whole, doubtful (its servers are silent, most of those in use and all at once), lost, or
+returning. Nothing is sent to a doubtful or lost zone but probes; a returning one gets a share that
+grows. How soon is derived from the settings: an answer is overdue after its frontend's response
+target, when it is worth nothing any more; a zone comes back over the time for which a server is
+cold.
 
 Every time is a clock reading or span in tenths of a millisecond, told by the caller.
 """
@@ -41,8 +42,10 @@
 class Zone:
     """What is known of one zone."""
 
-    live: dict[int, int] = field(default_factory=dict)  # servers that the list has, with their start
-    open: dict[tuple[int, int], tuple[int, int, int]] = field(default_factory=dict)  # sent, due, server
+    # servers that the list has, with their start
+    live: dict[int, int] = field(default_factory=dict)
+    # sent, due, server
+    open: dict[tuple[int, int], tuple[int, int, int]] = field(default_factory=dict)
     heard: dict[int, int] = field(default_factory=dict)  # by server: its last sign of life
     failed: dict[int, int] = field(default_factory=dict)  # by server: its last end without one
     heard_at: int = NEVER
@@ -58,9 +61,9 @@
 
 
 class Watch:
-    """All zones as one limiter sees them. `patience` is the response target (the longest of all frontends
-    where they differ: a zone is not lost because one frontend is slow), `ramp` how long a return takes and
-    `start` the share that it begins with."""
+    """All zones as one limiter sees them. `patience` is the response target (the longest of all
+    frontends where they differ: a zone is not lost because one frontend is slow), `ramp` how long a
+    return takes and `start` the share that it begins with."""
 
     def __init__(self, patience: int, ramp: int, start: float) -> None:
         self.patience, self.ramp, self.start = patience, max(ramp, 4 * patience), start
@@ -71,7 +74,8 @@
     # what happens
 
     def listed(self, now: int, servers: Iterable[tuple[int, int, int]]) -> None:
-        """The servers that the list has as live now: server, zone, when it started (0: long ago)."""
+        """The servers that the list has as live now: server, zone, when it started (0: long
+        ago)."""
         there: dict[int, dict[int, int]] = {}
         for srv, zone, booted in servers:
             there.setdefault(zone, {})[srv] = booted
@@ -81,7 +85,8 @@
                 zone.heard.pop(srv, None)
                 zone.failed.pop(srv, None)
             for srv, booted in live.items():
-                if zone.live.get(srv, booted) != booted:  # another process: what the old one did is over
+                # another process: what the old one did is over
+                if zone.live.get(srv, booted) != booted:
                     zone.heard.pop(srv, None)
                     zone.failed.pop(srv, None)
             had, zone.live = zone.live, live
@@ -94,8 +99,11 @@
     def sent(self, now: int, key: tuple[int, int], zone: int, srv: int) -> None:
         self.zones.setdefault(zone, Zone()).open[key] = (now, now + self.patience, srv)
 
-    def ended(self, now: int, key: tuple[int, int], zone: int, srv: int, alive: bool, late: bool) -> None:
-        """A dispatch ended; `alive` if something came from the server, `late` if after its target."""
+    def ended(
+        self, now: int, key: tuple[int, int], zone: int, srv: int, alive: bool, late: bool
+    ) -> None:
+        """A dispatch ended; `alive` if something came from the server, `late` if after its
+        target."""
         here = self.zones.setdefault(zone, Zone())
         here.open.pop(key, None)
         if srv not in here.live:
@@ -123,8 +131,9 @@
     # what follows
 
     def silent(self, now: int, zone: Zone) -> tuple[set[int], set[int]]:
-        """Servers that owe a sign of life since the zone's last one (an answer was due, or failed to come),
-        and all that were used lately. What was due before tells of single servers: others answered since."""
+        """Servers that owe a sign of life since the zone's last one (an answer was due, or failed
+        to come), and all that were used lately. What was due before tells of single servers: others
+        answered since."""
         out = {srv for srv, t in zone.failed.items() if t > zone.heard_at}
         for _, due, srv in zone.open.values():
             if due > now:
@@ -137,7 +146,8 @@
         return out & zone.live.keys(), used & zone.live.keys()
 
     def look(self, now: int) -> None:
-        """Judges all zones; called with whatever happens, it does something every eighth of the patience."""
+        """Judges all zones; called with whatever happens, it does something every eighth of the
+        patience."""
         if now - self.looked < self.patience // 8:
             return
         self.looked = now
@@ -172,7 +182,9 @@
     def move(self, now: int, n: int, new: State, why: str, had: int = 0) -> None:
         zone = self.zones[n]
         mine = had or len(zone.live)
-        others = sum(len(z.live) for z in self.zones.values() if z is not zone and z.state is not State.LOST)
+        others = sum(
+            len(z.live) for z in self.zones.values() if z is not zone and z.state is not State.LOST
+        )
         self.moves.append(Move(n, zone.state, new, why, mine / max(1, mine + others)))
         zone.state, zone.since = new, now
         zone.progress, zone.moved_at, zone.held_until = 0, now, NEVER
@@ -182,7 +194,8 @@
             # longer each time it is lost again within so long of the return before
             again = now - zone.lost_at < 8 * self.ramp * zone.hold
             zone.hold, zone.lost_at = min(MOST, 2 * zone.hold) if again else 1, now
-            zone.open.clear()  # they are given up by their own expiry; nothing new is learnt from that
+            # they are given up by their own expiry; nothing new is learnt from that
+            zone.open.clear()
             zone.heard.clear()
 
     # what the limiter asks
@@ -192,7 +205,9 @@
         here = self.zones.get(zone)
         if here is None or here.state not in (State.DOUBTFUL, State.LOST):
             return False
-        return any(z.live and z.state not in (State.DOUBTFUL, State.LOST) for z in self.zones.values())
+        return any(
+            z.live and z.state not in (State.DOUBTFUL, State.LOST) for z in self.zones.values()
+        )
 
     def share(self, zone: int) -> float:
         """Of the usual, what a zone gets now: 1 unless it returns."""
--- a/loomstand/store/__init__.py
+++ b/loomstand/store/__init__.py
@@ -1,1 +1,2 @@
-"""The store: the configuration on disk, its primary and backup, and the lease under which duties are done."""
+"""The store: the configuration on disk, its primary and backup, and the lease under which duties
+are done."""
--- a/loomstand/store/ballot.py
+++ b/loomstand/store/ballot.py
@@ -1,6 +1,7 @@
 """What decides a campaign, without its calls: whose promises, whose data, which view.
 
-Apart from campaign.py so that the model_checker drives these very decisions through all orders of events.
+Apart from campaign.py so that the model_checker drives these very decisions through all orders of
+events.
 """
 
 from __future__ import annotations
@@ -20,7 +21,8 @@
     base: View | None  # which the new view is to follow; None for the first of all
 
     def outdated(self, replica: Replica) -> bool:
-        """Whether a view newer than the base has shown up: its electors must be asked, not the base's."""
+        """Whether a view newer than the base has shown up: its electors must be asked, not the
+        base's."""
         known = replica.base()
         return known is not None and (self.base is None or known.epoch > self.base.epoch)
 
@@ -51,7 +53,11 @@
         """What this member holds of the base by itself; None if it has to be fetched."""
         if self.base is None:
             return 0, b""
-        return (replica.record.version, replica.record.data) if self.base.holds(replica.me.id) else None
+        return (
+            (replica.record.version, replica.record.data)
+            if self.base.holds(replica.me.id)
+            else None
+        )
 
     def sources(self) -> list[Member]:
         """Whom to ask for the data, in this order; the first answer will do."""
@@ -68,7 +74,9 @@
         """Whether it may be the backup, once those have promised."""
         return True
 
-    def view(self, replica: Replica, epoch: int, backup: Member | None, promised: Collection[str]) -> View:
+    def view(
+        self, replica: Replica, epoch: int, backup: Member | None, promised: Collection[str]
+    ) -> View:
         """The view to install once `backup` has the data."""
         voters = self.plan.voters if self.base else self._founders(replica, promised)
         rescue = self.base.rescue if self.base else 0
--- a/loomstand/store/disk.py
+++ b/loomstand/store/disk.py
@@ -1,4 +1,5 @@
-"""The disk of a store: named pages, written together or not at all, and synced before a write is over."""
+"""The disk of a store: named pages, written together or not at all, and synced before a write is
+over."""
 
 from __future__ import annotations
 
@@ -13,22 +14,26 @@
 import lmdb
 from absl import logging
 
-# Bytes mapped, half of the disk. A write needs the old value, the new one and those that the last two writes
-# freed, each in one piece: of configurations of up to 8 MB the file grew to 40 MB. It takes what it needs.
+# Bytes mapped, half of the disk. A write needs the old value, the new one and those that the last
+# two writes freed, each in one piece: of configurations of up to 8 MB the file grew to 40 MB. It
+# takes what it needs.
 SIZE = 128 * 2**20
 _CRC = 4  # bytes before each page
-# What lmdb says of bytes that are no database, or a torn one. All else it says, as that the disk refuses or
-# has no room, tells nothing of what is on it.
+# What lmdb says of bytes that are no database, or a torn one. All else it says, as that the disk
+# refuses or has no room, tells nothing of what is on it.
 DAMAGE = (
-    lmdb.InvalidError, lmdb.CorruptedError, lmdb.PageNotFoundError, lmdb.VersionMismatchError,
+    lmdb.InvalidError,
+    lmdb.CorruptedError,
+    lmdb.PageNotFoundError,
+    lmdb.VersionMismatchError,
     lmdb.BadChecksumError,
-)  # fmt: skip
+)
 
 
 class Disk(Protocol):
     async def load(self) -> dict[str, bytes]:
-        """All pages; none if the disk is empty or what is on it is proven damaged. OSError: it can't be read
-        now, and nothing is changed; another try may do."""
+        """All pages; none if the disk is empty or what is on it is proven damaged. OSError: it
+        can't be read now, and nothing is changed; another try may do."""
         ...
 
     async def save(self, pages: dict[str, bytes]) -> None:
@@ -37,7 +42,8 @@
 
 
 class LmdbDisk:
-    """A Disk in `folder`, over lmdb. One thread does all its work, so that writes keep their order."""
+    """A Disk in `folder`, over lmdb. One thread does all its work, so that writes keep their
+    order."""
 
     def __init__(self, folder: str | Path) -> None:
         self.folder = Path(folder)
@@ -58,7 +64,8 @@
     def _open(self) -> lmdb.Environment:
         if self.env is None:
             self.folder.mkdir(parents=True, exist_ok=True)
-            # the system's disks grant locks that do nothing, and this is the only process that opens it
+            # the system's disks grant locks that do nothing, and this is the only process that
+            # opens it
             env = lmdb.open(str(self.folder), map_size=SIZE, lock=False, max_readers=4)
             try:
                 self._names_last()
@@ -69,9 +76,9 @@
         return self.env
 
     def _names_last(self) -> None:
-        """Syncs the folder and the one that it is in. lmdb syncs its file's bytes but not its name: after a
-        loss of power a new file could be gone, and all that was acknowledged in it. At each opening,
-        as the process that made it may have ended before its sync."""
+        """Syncs the folder and the one that it is in. lmdb syncs its file's bytes but not its name:
+        after a loss of power a new file could be gone, and all that was acknowledged in it. At each
+        opening, as the process that made it may have ended before its sync."""
         for folder in (self.folder, self.folder.parent):
             names = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
             try:
--- a/loomstand/store/duty.py
+++ b/loomstand/store/duty.py
@@ -1,14 +1,16 @@
 """Who counts for the quotas: the duty that the serving primary lets out to one registry at a time.
 
-A machine without clock, disk or net; every store has one, as any may come to serve. `now` is always a
-steady clock's seconds. What holds it together:
-
-- The duty is let out for a span that ends within the primary's own lease. The registry counts the span from
-  when it sent its asking, the primary from when it answers, and longer by what clocks may differ. So whoever
-  serves next, after that lease, needs to know of no registry of before.
-- Where a primary goes on before its lease is over, it knows who had the duty: one that starts again by its
-  disk, written before a registry is given it, and others don't get it for a lease's length; one that was
-  handed the reign by word of the one before.
+A machine without clock, disk or net; every store has one, as any may come to serve. `now` is always
+a steady clock's seconds. What holds it together:
+
+- The duty is let out for a span that ends within the primary's own lease. The registry counts the
+  span from
+  when it sent its asking, the primary from when it answers, and longer by what clocks may differ.
+  So whoever serves next, after that lease, needs to know of no registry of before.
+- Where a primary goes on before its lease is over, it knows who had the duty: one that starts again
+  by its
+  disk, written before a registry is given it, and others don't get it for a lease's length; one
+  that was handed the reign by word of the one before.
 - At an address there is one registry: the new life of one that had it has it at once.
 """
 
@@ -21,11 +23,11 @@
 
 SPAN = LEASE  # s at the most: three askings, so that two may be lost
 LONGER = HOLD / LEASE  # the primary waits by so much longer: clocks' rates may differ by 4 %
-# s from when a primary begins for which the registry that had the duty before comes first, as it has the
-# counts, if it spoke lately: its asking is under way or comes within 0.2 s.
+# s from when a primary begins for which the registry that had the duty before comes first, as it
+# has the counts, if it spoke lately: its asking is under way or comes within 0.2 s.
 CHANCE = 0.5
-# s by which the registry beside the primary comes before others, as its askings cost no bytes between zones:
-# where both start together, it looks for its store every 0.1 s.
+# s by which the registry beside the primary comes before others, as its askings cost no bytes
+# between zones: where both start together, it looks for its store every 0.1 s.
 AHEAD = 0.15
 SPOKE = 1.0  # s that count as lately: one that asks in vain asks twice in that time
 
@@ -44,7 +46,8 @@
     chance: float = -1e9  # nor before that, for the counts' sake
     ahead: float = -1e9  # until when the one beside comes first where anybody may
     paged: list[Any] | None = None  # what is on disk for sure: see `page`
-    spoke: dict[str, float] = field(default_factory=dict)  # by host: when it last asked here in vain
+    # by host: when it last asked here in vain
+    spoke: dict[str, float] = field(default_factory=dict)
     epoch: int = 0  # of the primary that last told who has it
 
     # --- what carries over
@@ -54,13 +57,15 @@
         return [self.number + (host != self.named), host]
 
     def wake(self, started: float, epoch: int, page: list[Any]) -> None:
-        """After a start, as the primary of `epoch` by its disk: who had the duty may still have it."""
+        """After a start, as the primary of `epoch` by its disk: who had the duty may still have
+        it."""
         # numbers told go up to one above the page's: that somebody's span was over isn't written
         self.epoch, self.number, self.named = epoch, int(page[0]) + 2, str(page[1])
         self.until = started + HOLD
 
     def will(self, now: float) -> list[Any]:
-        """For the one that the reign is handed to; the last is the seconds that the span may last."""
+        """For the one that the reign is handed to; the last is the seconds that the span may
+        last."""
         left = max(0.0, self.until - now) if self.named else 0.0
         return [self.epoch, self.number, self.named, self.life, left]
 
@@ -111,8 +116,8 @@
         return host == self.named or now >= max(self.until, self.chance)
 
     def grant(self, now: float, host: str, life: int, lease_left: float) -> float:
-        """The span for which `host` has it from the sending of its asking, 0 if it doesn't. `page` is on disk
-        where another had it."""
+        """The span for which `host` has it from the sending of its asking, 0 if it doesn't. `page`
+        is on disk where another had it."""
         if lease_left <= 0.0 or not self.may(now, host):
             return 0.0
         if host != self.named:
--- a/loomstand/store/duty_calls.py
+++ b/loomstand/store/duty_calls.py
@@ -1,4 +1,5 @@
-"""The counting duty at a store: what it says and hears of it, and its answers to registries that ask."""
+"""The counting duty at a store: what it says and hears of it, and its answers to registries that
+ask."""
 
 from __future__ import annotations
 
@@ -18,7 +19,8 @@
 
 
 class Lending:
-    """`changed` waits until something has changed at the store; `tell` brings others what `says` does."""
+    """`changed` waits until something has changed at the store; `tell` brings others what `says`
+    does."""
 
     def __init__(
         self,
@@ -52,8 +54,8 @@
             self._let()
 
     def bars(self, released: int) -> bool:
-        """Whether nothing may be promised: this one let the duty out and handed the reign on, and who asks
-        doesn't know of it."""
+        """Whether nothing may be promised: this one let the duty out and handed the reign on, and
+        who asks doesn't know of it."""
         return self.duty.lent(self.desk.clock()) and released < self.duty.epoch
 
     def told(self) -> list[Any] | None:
@@ -74,19 +76,25 @@
         return bool(now) and (not said or said["duty"][:2] != now["duty"][:2])
 
     def heed(self, body: Body, at: float) -> None:
-        """A beat, or the answer to one that was sent at that time: whether the newest primary serves, and who
-        counts."""
+        """A beat, or the answer to one that was sent at that time: whether the newest primary
+        serves, and who counts."""
         view, said = self.desk.replica.base(), body.get("duty")
-        if view is None or (body["epoch"], body["member"][0]) != (view.epoch, view.primary.id) or not said:
+        if (
+            view is None
+            or (body["epoch"], body["member"][0]) != (view.epoch, view.primary.id)
+            or not said
+        ):
             return
         self.word, self.serves = max(self.word, at), max(self.serves, at + int(said[2]) / 1000)
         self.duty.hear(view.epoch, int(said[0]), str(said[1]))
 
     def fresh(self) -> bool:
-        """Whether nothing newer can be in force that isn't known here: for where this machine is cut off.
+        """Whether nothing newer can be in force that isn't known here: for where this machine is
+        cut off.
 
-        Either the primary has said that it serves for so long; or it's gone, but not for long, and so many
-        electors are in reach that nobody can have taken over unheard: nobody waits for a takeover then.
+        Either the primary has said that it serves for so long; or it's gone, but not for long, and
+        so many electors are in reach that nobody can have taken over unheard: nobody waits for a
+        takeover then.
         """
         replica, now = self.desk.replica, self.desk.clock()
         if self.left() > 0.0 or now < self.serves:
@@ -130,5 +138,7 @@
         return {"span": span, "duty": self.told()}
 
     def _let(self) -> None:
-        logging.info("store: %s", f"{self.duty.named} counts" if self.duty.named else "anybody may count")
+        logging.info(
+            "store: %s", f"{self.duty.named} counts" if self.duty.named else "anybody may count"
+        )
         self.tell()
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -1,4 +1,5 @@
-"""How a member becomes primary, or a primary changes its view: promises, data, backup, view, lease."""
+"""How a member becomes primary, or a primary changes its view: promises, data, backup, view,
+lease."""
 
 from __future__ import annotations
 
@@ -27,7 +28,8 @@
 
 
 async def campaign(desk: Desk, plan: Plan, release: Release | None = None) -> bool:
-    """Whether the plan's view stands and its primary, this member, leads. Only one may run at a time."""
+    """Whether the plan's view stands and its primary, this member, leads. Only one may run at a
+    time."""
     for _ in range(ROUNDS):
         base = desk.replica.base() if plan.step is not Step.FOUND else None
         if base is not None and plan.step is Step.TAKE:
@@ -49,7 +51,11 @@
 
     async def run(self) -> bool | None:
         """Whether it came off; None if a newer view has shown up."""
-        replica, plan, moves = self.desk.replica, self.ballot.plan, self.ballot.plan.step is Step.MOVE
+        replica, plan, moves = (
+            self.desk.replica,
+            self.ballot.plan,
+            self.ballot.plan.step is Step.MOVE,
+        )
         if not moves:
             replica.resign()
             if self.release is None and not await self._would():
@@ -82,7 +88,8 @@
         return self.ballot.outdated(self.desk.replica)
 
     async def _would(self) -> bool:
-        """Whether enough of them would promise: a member that is cut off mustn't raise epochs in vain."""
+        """Whether enough of them would promise: a member that is cut off mustn't raise epochs in
+        vain."""
         replica = self.desk.replica
         own = replica.may_promise(self.desk.clock(), replica.promised + 1, replica.me.id, 0)
         if not own:
@@ -92,7 +99,8 @@
             self.ballot.electors(replica),
             body,
             lambda a: (
-                self._newer() or self.ballot.agreed(replica, [replica.me.id, *(i for i in a if a[i]["ok"])])
+                self._newer()
+                or self.ballot.agreed(replica, [replica.me.id, *(i for i in a if a[i]["ok"])])
             ),
         )
         self._top(answers)
@@ -124,7 +132,10 @@
             electors,
             {"epoch": epoch, "released": released},
             # a founder would rather have all seeds, so that they all vote from the start
-            lambda a: self._newer() or (self.ballot.base is not None and self.ballot.agreed(replica, ids(a))),
+            lambda a: (
+                self._newer()
+                or (self.ballot.base is not None and self.ballot.agreed(replica, ids(a)))
+            ),
         )
         self._top(answers)
         self.promised = ids(answers)
@@ -134,7 +145,8 @@
         return epoch if self.ballot.won(replica, self.promised) else None
 
     async def _data(self, epoch: int) -> Held | None:
-        """What the view before had in force, or may have: of its primary or its backup, the backup first."""
+        """What the view before had in force, or may have: of its primary or its backup, the backup
+        first."""
         replica = self.desk.replica
         held, replica.fetched = self.ballot.own(replica), NONE
         for member in self.ballot.sources():
@@ -147,7 +159,8 @@
         return self.ballot.prevails(replica, held)
 
     async def _backup(self, epoch: int, version: int, data: bytes) -> tuple[bool, Member | None]:
-        """Who has written the configuration, and whether that will do: a core of one machine needs nobody."""
+        """Who has written the configuration, and whether that will do: a core of one machine needs
+        nobody."""
         replica = self.desk.replica
         for member in replica.backups(self.desk.clock(), self.ballot.base):
             if not self.ballot.takes(member, self.promised):
--- a/loomstand/store/learner.py
+++ b/loomstand/store/learner.py
@@ -1,14 +1,16 @@
-"""The third copy: what is in force, synced at every member that isn't primary or backup, after the answer.
-
-An acknowledgement stands for two disks. Should both be lost, one before the other was repaired, no disk had
-the newest version; it was in the others' memory, and gone with the next loss of power. So every other member
-writes what it hears to be in force to a page of its own. It hears it anyway: no byte goes between machines
-for it, and no acknowledgement waits for it. Decisions only; the store makes the writes.
-
-The page tells what was in force, it is no vote: elections go by the view's two disks, as before. It counts
-where both are gone: a rescue (rescue.py) finds it though all lost power, as if it had been given back. What
-was in force in an earlier life may be old, so it isn't told to registries. Programs that don't know the page
-pass over it.
+"""The third copy: what is in force, synced at every member that isn't primary or backup, after the
+answer.
+
+An acknowledgement stands for two disks. Should both be lost, one before the other was repaired, no
+disk had the newest version; it was in the others' memory, and gone with the next loss of power. So
+every other member writes what it hears to be in force to a page of its own. It hears it anyway: no
+byte goes between machines for it, and no acknowledgement waits for it. Decisions only; the store
+makes the writes.
+
+The page tells what was in force, it is no vote: elections go by the view's two disks, as before. It
+counts where both are gone: a rescue (rescue.py) finds it though all lost power, as if it had been
+given back. What was in force in an earlier life may be old, so it isn't told to registries.
+Programs that don't know the page pass over it.
 """
 
 from __future__ import annotations
@@ -21,8 +23,8 @@
 from loomstand.store.replica import Replica
 
 PAGE = "copy"
-# bytes of a larger one, which isn't copied: its write would hold up the disk that the next change may need.
-# Ten thousand routes take 2.7 MB.
+# bytes of a larger one, which isn't copied: its write would hold up the disk that the next change
+# may need. Ten thousand routes take 2.7 MB.
 MOST = 4 << 20
 
 
--- a/loomstand/store/program.py
+++ b/loomstand/store/program.py
@@ -37,8 +37,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a store stands: its own address, the stores' addresses at the seeds, whether all is new, and the
-    seconds from SIGTERM to SIGKILL."""
+    """Where a store stands: its own address, the stores' addresses at the seeds, whether all is
+    new, and the seconds from SIGTERM to SIGKILL."""
 
     address: Address
     seeds: tuple[Address, ...]
@@ -54,14 +54,16 @@
     ) -> None:
         self.place, self.network, self.disk, self.clock, self.rng = place, network, disk, clock, rng
         self._desk: Desk | None = None
-        self.busy = asyncio.Lock()  # over what a primary or candidate does: a put, a settling, a campaign
+        # over what a primary or candidate does: a put, a settling, a campaign
+        self.busy = asyncio.Lock()
         self.changed = asyncio.Event()
         self.shown: tuple[Any, ...] = ()
         self.mark = rng.getrandbits(24)  # of what is shown: another one in each life
         self.beating: set[Address] = set()
         self.pulling, self.slow = False, CALL
         self.stopped = asyncio.Event()
-        self.conflicts, self.clashed = 0, set[int]()  # orders refused for their number, and those told of
+        # orders refused for their number, and those told of
+        self.conflicts, self.clashed = 0, set[int]()
         self.aid = RescueCalls(lambda: self.desk, self.busy, rng, self._crown)
         self._lending: Lending | None = None
         self.learner = Learner()
@@ -97,12 +99,15 @@
         self._lending = Lending(self._desk, lambda: self.changed.wait(), self._let, pages)
         self.learner = Learner.wake(pages)
         self.aid.given(*self.learner.copy)
-        logging.info("store: member %s at %s, %s", me.id, me.address[0], record.view or "no view yet")
+        logging.info(
+            "store: member %s at %s, %s", me.id, me.address[0], record.view or "no view yet"
+        )
         await self.network.listen(self.place.address, self.serve)
         beat = -1e9
         while not self.stopped.is_set():
             now = self.clock()
-            # after a start of all, whoever is primary by its disk asks for the lease as others come up
+            # after a start of all, whoever is primary by its disk asks for the lease as others come
+            # up
             eager = replica.owns() and not replica.leads(now)
             if now - beat >= (TICK if eager else BEAT) - TICK / 2:
                 beat = now
@@ -148,7 +153,9 @@
 
     def _crown(self) -> None:
         if self.replica.crown(self.clock()):
-            logging.info("store: serves version %d, %s", self.replica.version, self.replica.record.view)
+            logging.info(
+                "store: serves version %d, %s", self.replica.version, self.replica.record.view
+            )
             self._tell()
             self.lending.begin()
 
@@ -173,9 +180,15 @@
                 self.lending.heed(answer, sent)
                 if self.lending.outdated(says):
                     self._beats()
-                self._tick(self.clock())  # what is due by this answer needn't wait for the next look
+                # what is due by this answer needn't wait for the next look
+                self._tick(self.clock())
                 view, member = replica.record.view, Member.read(answer["member"])
-                if view and replica.owns() and peer.epoch < view.epoch and member.id in view.named():
+                if (
+                    view
+                    and replica.owns()
+                    and peer.epoch < view.epoch
+                    and member.id in view.named()
+                ):
                     await self.desk.install(member, view)
                 if peer.version > (replica.version if replica.informed else -1):
                     await self._pull(address)
@@ -201,7 +214,8 @@
                 self.desk.spawn(self._copy())
 
     async def _copy(self) -> None:
-        """Writes what is in force to this disk too, though it's neither the primary's nor the backup's."""
+        """Writes what is in force to this disk too, though it's neither the primary's nor the
+        backup's."""
         if held := self.learner.due(self.replica):
             await self.desk.note(self.learner.page(held))
             self.learner.copy = held
@@ -241,7 +255,8 @@
 
     async def _campaign(self, plan: Plan, release: Release | None = None) -> bool:
         done = await campaign(self.desk, plan, release)
-        if done and self.replica.writes(self.clock()):  # it reigned before: its new backup has what it holds
+        # it reigned before: its new backup has what it holds
+        if done and self.replica.writes(self.clock()):
             self._commit()
         self._crown()
         self._bump()
@@ -257,7 +272,9 @@
         replica, held, view = self.replica, self.replica.record, self.replica.record.view
         if view is None or not replica.leads(self.clock()):
             return False
-        failed = view.backup and await self.desk.keep(view.backup, view.epoch, held.version, held.data)
+        failed = view.backup and await self.desk.keep(
+            view.backup, view.epoch, held.version, held.data
+        )
         if failed is Verdict.REFUSED:  # it has something later of this epoch, or can't write
             plan = Plan(Step.MOVE, "its backup doesn't follow", view.voters, view.former)
             return await self._campaign(plan)
@@ -274,7 +291,8 @@
         if view is None or view.backup is None:
             return False
         backup, epoch = view.backup, replica.promised + 1
-        # the promise ends its serving for good, a restart included: so nobody need wait for grants to end
+        # the promise ends its serving for good, a restart included: so nobody need wait for grants
+        # to end
         replica.reign = False
         await self.desk.ink(lambda now: replica.promise(now, epoch, backup.id, view.epoch))
         logging.info("store: hands over to %s", backup.address[0])
@@ -302,13 +320,14 @@
         """The answer to a call; Refused if it did nothing.
 
         Of stores: beat, promise, keep, fetch, install, lead, news, held. Of anybody: put and offer
-        {version, data} -> {version: the one in force, conflict: True if the number stands for another content
-        and this one is refused for good}; read {} -> {version, data, left: see answers.py}; status {} and
-        wait {have: version, mark: of the last answer, within: seconds} -> {version, mark, epoch, primary:
-        [host, port] or None, cores: [[host, port]], ready, duty: [epoch, number, host] or None} and, from
-        wait, data if there is a newer version than `have`; duty {host, life} -> {span: seconds from the
-        sending, duty} while this one serves and that registry may count, duty {host, life, back: True} ->
-        {}; rescue as `RescueCalls.serve` says, and told {} -> a `Told`."""
+        {version, data} -> {version: the one in force, conflict: True if the number stands for
+        another content and this one is refused for good}; read {} -> {version, data, left: see
+        answers.py}; status {} and wait {have: version, mark: of the last answer, within: seconds}
+        -> {version, mark, epoch, primary: [host, port] or None, cores: [[host, port]], ready, duty:
+        [epoch, number, host] or None} and, from wait, data if there is a newer version than `have`;
+        duty {host, life} -> {span: seconds from the sending, duty} while this one serves and that
+        registry may count, duty {host, life, back: True} -> {}; rescue as `RescueCalls.serve` says,
+        and told {} -> a `Told`."""
         replica = self.replica
         if "to" in body:
             replica.mine(body["to"])
@@ -321,7 +340,12 @@
             case "promise":
                 return await self._promise(body)
             case "keep":
-                epoch, asker, version, data = body["epoch"], body["asker"], body["version"], body["data"]
+                epoch, asker, version, data = (
+                    body["epoch"],
+                    body["asker"],
+                    body["version"],
+                    body["data"],
+                )
                 orders = Orders.read(body.get("orders"), version, data)
                 await self.desk.ink(lambda now: replica.keep(epoch, asker, version, data, orders))
                 return {}
@@ -362,12 +386,19 @@
         raise Refused(f"no such call: {op}")
 
     async def _promise(self, body: Body) -> Body:
-        replica, epoch, asker, released = self.replica, body["epoch"], body["asker"], body["released"]
+        replica, epoch, asker, released = (
+            self.replica,
+            body["epoch"],
+            body["asker"],
+            body["released"],
+        )
         if self.lending.bars(released):
             would = False
         elif epoch == 0:  # only whether it would
             would = replica.state is not State.SICK
-            would = would and replica.may_promise(self.clock(), replica.promised + 1, asker, released)
+            would = would and replica.may_promise(
+                self.clock(), replica.promised + 1, asker, released
+            )
         else:
             try:
                 await self.desk.ink(lambda now: replica.promise(now, epoch, asker, released))
@@ -392,10 +423,12 @@
             raise Refused("not in time") from None
 
     async def _take(self, version: int, data: bytes, order: bool) -> bool:
-        """Puts a version in force, if it's higher; False if it's an order whose number stands for another
-        content (see `Answer`). As the primary, under `busy`."""
+        """Puts a version in force, if it's higher; False if it's an order whose number stands for
+        another content (see `Answer`). As the primary, under `busy`."""
         replica = self.replica
-        if replica.leads(self.clock()) and (not replica.reign or replica.record.version > replica.version):
+        if replica.leads(self.clock()) and (
+            not replica.reign or replica.record.version > replica.version
+        ):
             await self._settle()
         if not replica.writes(self.clock()):
             raise Refused("not the primary")
@@ -410,7 +443,8 @@
         return True
 
     async def _note_passed(self, orders: Orders) -> None:
-        """Has on both disks that a lower number was acknowledged, unless it's too low to be remembered."""
+        """Has on both disks that a lower number was acknowledged, unless it's too low to be
+        remembered."""
         replica = self.replica
         if orders == replica.orders:
             return
@@ -420,7 +454,8 @@
         await self._write(replica.version, replica.data)
 
     async def _write(self, version: int, data: bytes) -> None:
-        """Has a configuration with its orders on its disk and the backup's, and puts it in force."""
+        """Has a configuration with its orders on its disk and the backup's, and puts it in
+        force."""
         replica, view = self.replica, self.replica.record.view
         assert view is not None
         backup = [self.desk.keep(view.backup, view.epoch, version, data)] if view.backup else []
@@ -429,7 +464,8 @@
         if isinstance(wrote, BaseException):
             raise Refused("its disk")
         if any(kept):
-            # what it wrote may be in force: another backup may settle it while the asker still waits
+            # what it wrote may be in force: another backup may settle it while the asker still
+            # waits
             plan = Plan(Step.MOVE, "its backup doesn't write", view.voters, view.former)
             if not await self._campaign(plan):
                 replica.postpone(self.clock())
@@ -456,7 +492,9 @@
             raise Refused("no primary")
         asked = self.clock()
         match await self.network.call(primary, op, body | {"hops": hops + 1}, within):
-            case Result(tag="ok", ok=answer) if (lasts := left(answer, asked, self.clock(), within)) > 0.0:
+            case Result(tag="ok", ok=answer) if (
+                lasts := left(answer, asked, self.clock(), within)
+            ) > 0.0:
                 return answer | ({LEFT: lasts} if LEFT in answer else {})
         raise Refused("the primary didn't answer")
 
@@ -469,7 +507,9 @@
         if view is None:
             return 0, None
         own = view.primary.id == replica.me.id
-        there = replica.lease_left(now) > 0.0 if own else replica.silence(now, view.primary) < ABSENT
+        there = (
+            replica.lease_left(now) > 0.0 if own else replica.silence(now, view.primary) < ABSENT
+        )
         return view.epoch, view.primary.address if there else None
 
     def status(self) -> Body:
@@ -492,7 +532,14 @@
         replica, now = self.replica, self.clock()
         serves = replica.lease_left(now) > 0.0
         ready = replica.informed and self.lending.fresh()
-        shown = (replica.version, ready, serves, self.lending.told(), *self._seat(), replica.cores(now))
+        shown = (
+            replica.version,
+            ready,
+            serves,
+            self.lending.told(),
+            *self._seat(),
+            replica.cores(now),
+        )
         if shown != self.shown:
             self.shown, self.mark = shown, self.mark + 1
             self.changed.set()
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -1,12 +1,15 @@
-"""One member's part in agreeing on primary, backup and voters: a machine without clock, disk or net.
+"""One member's part in agreeing on primary, backup and voters: a machine without clock, disk or
+net.
 
 `now` is always a steady clock's seconds. The driver writes each Record returned here to disk, gives
 it back by `wrote`, and only then answers. What holds it together:
 
-- A configuration is in force once primary and backup of a view have it on disk. Whoever wants to end that
-  view needs promises from its electors and the data of one of those two, who by handing it out promise to
-  write nothing more under it. So either of them has all that was ever acknowledged.
-- A voter grants the lease only to the primary of the view on its own disk, and only while it has promised
+- A configuration is in force once primary and backup of a view have it on disk. Whoever wants to
+  end that
+  view needs promises from its electors and the data of one of those two, who by handing it out
+  promise to write nothing more under it. So either of them has all that was ever acknowledged.
+- A voter grants the lease only to the primary of the view on its own disk, and only while it has
+  promised
   nothing higher. So a lease from the electors says besides that the view stands with them.
 - While a grant stands nobody else is promised anything: no two members serve at one moment.
 """
@@ -26,10 +29,12 @@
 
 BEAT = 0.25  # s between two beats to the same store: four fit into a lease
 LEASE = 1.2  # s from the sending of a beat for which its grant counts: a takeover ends within 3 s
-HOLD = 1.25  # s from its receipt for which the voter keeps it: longer, so that clocks' rates may differ by 4%
+# s from its receipt for which the voter keeps it: longer, so that clocks' rates may differ by 4%
+HOLD = 1.25
 SILENT = 0.8  # s without an answer after which a backup counts as gone: three beats
 ABSENT = 2.5  # s without an answer after which a voter is replaced: a restart is over by then
-FORGET = 30.0  # s after which an address that nobody answers at is dropped, but for seeds' and voters'
+# s after which an address that nobody answers at is dropped, but for seeds' and voters'
+FORGET = 30.0
 FOUNDING = 4.0  # s for which a founder waits for all seeds, before a majority of them is enough
 RANK = 0.6  # s between two voters' candidacies: two rounds and their writes, on a slow link
 DOUBT = 5.0  # s for which a member whose disk failed isn't chosen
@@ -53,7 +58,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a member should do next. `voters` and `former` are those of the view that would come of it."""
+    """What a member should do next. `voters` and `former` are those of the view that would come of
+    it."""
 
     step: Step
     why: str
@@ -90,7 +96,8 @@
     heard: dict[str, float] = field(default_factory=dict)  # id: when that very disk last answered
     holder: str = ""  # whom this voter has granted the lease, and until when
     hold: float = -1e9
-    granted: dict[str, tuple[int, float]] = field(default_factory=dict)  # id: epoch, when the beat was sent
+    # id: epoch, when the beat was sent
+    granted: dict[str, tuple[int, float]] = field(default_factory=dict)
     settled: int = 0  # the epoch under which the backup wrote, in this life, what the record holds
     reign: bool = False  # what a primary holds when it begins has been committed
     version: int = 0  # the newest committed
@@ -122,12 +129,18 @@
             self.touch(now, seeds)
 
     def forget(self, now: float) -> None:
-        keep = {*self.seeds, *(m.address for m in (self.seen.named().values() if self.seen else ()))}
-        for address in [a for a, p in self.peers.items() if a not in keep and now - p.known > FORGET]:
+        keep = {
+            *self.seeds,
+            *(m.address for m in (self.seen.named().values() if self.seen else ())),
+        }
+        for address in [
+            a for a, p in self.peers.items() if a not in keep and now - p.known > FORGET
+        ]:
             del self.peers[address]
 
     def silence(self, now: float, member: Member) -> float:
-        """Seconds since that disk answered; as good as for ever if another one answers in its place."""
+        """Seconds since that disk answered; as good as for ever if another one answers in its
+        place."""
         if member.id == self.me.id:
             return 0.0
         peer = self.peers.get(member.address)
@@ -158,7 +171,8 @@
         return sorted([*near, self.me.address])
 
     def backups(self, now: float, base: View | None) -> list[Member]:
-        """Whom to make the backup, best first: the present one, voters, another network than this one's."""
+        """Whom to make the backup, best first: the present one, voters, another network than this
+        one's."""
         votes = base.electors() if base else {}
         zone = self.me.address[0].rsplit(".", 2)[0]
 
@@ -174,14 +188,16 @@
     def notice(self, view: View | None) -> None:
         if view is not None and (self.seen is None or view.epoch > self.seen.epoch):
             self.seen = view
-            if view.rescue > self._rescue():  # its own view was given up: no more service or vote under it
+            # its own view was given up: no more service or vote under it
+            if view.rescue > self._rescue():
                 self._raise(view.epoch, view.primary.id)
 
     def _rescue(self) -> int:
         return self.record.view.rescue if self.record.view else 0
 
     def fenced(self) -> Record | None:
-        """What to write once it was fenced so, as a restart must not make it forget; None if that's done."""
+        """What to write once it was fenced so, as a restart must not make it forget; None if that's
+        done."""
         late = self.seen is not None and self.seen.rescue > self._rescue()
         if not late or self.record.promised >= self.promised:
             return None
@@ -207,7 +223,8 @@
         }
 
     def owns(self) -> bool:
-        """Whether the view on disk makes it primary and nothing higher was promised, not even by itself."""
+        """Whether the view on disk makes it primary and nothing higher was promised, not even by
+        itself."""
         view = self.record.view
         return view is not None and view.primary.id == self.me.id and self.promised == view.epoch
 
@@ -250,7 +267,8 @@
             self.granted[id] = (epoch, max(sent, self.granted.get(id, (0, -1e9))[1]))
 
     def _lease(self, now: float, epoch: int) -> float:
-        """Seconds that the grants given since `epoch` last, 0 if they aren't the electors' agreement."""
+        """Seconds that the grants given since `epoch` last, 0 if they aren't the electors'
+        agreement."""
         view = self.record.view
         if view is None or view.primary.id != self.me.id:
             return 0.0
@@ -269,8 +287,9 @@
     def lease_left(self, now: float) -> float:
         """Seconds for which nobody else can be serving, while this member is; 0 if it isn't.
 
-        Grants of an earlier epoch of the same reign count: they bar the others just as well while it changes
-        its own view, and nothing is written under the new one before the electors have that.
+        Grants of an earlier epoch of the same reign count: they bar the others just as well while
+        it changes its own view, and nothing is written under the new one before the electors have
+        that.
         """
         return self._lease(now, 0) if self.reign else 0.0
 
@@ -287,7 +306,8 @@
         if self.reign or not self.leads(now) or self.settled != self.promised:
             return False
         self.reign = True
-        self.orders = self.fetched = NONE  # of an earlier reign; its record has what was written with it
+        # of an earlier reign; its record has what was written with it
+        self.orders = self.fetched = NONE
         self.commit(self.record.version, self.record.data)
         return True
 
@@ -301,7 +321,8 @@
         return news
 
     def orders_with(self, version: int, data: bytes) -> Orders:
-        """What is to be written together with a configuration: what was acknowledged before, and it."""
+        """What is to be written together with a configuration: what was acknowledged before, and
+        it."""
         if not version:
             return NONE
         content, known = digest(data), self.orders if self.reign else NONE
@@ -313,7 +334,8 @@
         self.granted.clear()
         self.reign, self.settled = False, 0
 
-    # --- what other members ask: each returns the record that has to be on disk before the answer goes
+    # --- what other members ask: each returns the record that has to be on disk before the answer
+    # goes
 
     def may_promise(self, now: float, epoch: int, asker: str, released: int) -> bool:
         view = self.record.view
@@ -354,10 +376,16 @@
         if epoch < self.promised:
             raise Refused("a newer epoch")
         held = self.record
-        if epoch == held.written and version <= held.version and (version, data) != (held.version, held.data):
+        if (
+            epoch == held.written
+            and version <= held.version
+            and (version, data) != (held.version, held.data)
+        ):
             raise Refused("a later write")
         self._raise(epoch, asker)
-        return replace(held, promised=epoch, version=version, data=data, written=epoch, orders=orders)
+        return replace(
+            held, promised=epoch, version=version, data=data, written=epoch, orders=orders
+        )
 
     def own(self, epoch: int, version: int, data: bytes) -> Record:
         """The primary's write to its own disk."""
@@ -390,7 +418,8 @@
                 self.reign = False
 
     def renew(self, now: float, view: View) -> None:
-        """A view that was installed is a grant to its primary, unless more was promised meanwhile."""
+        """A view that was installed is a grant to its primary, unless more was promised
+        meanwhile."""
         if self.promised != view.epoch or self.record.view != view:
             raise Refused("a newer epoch")
         self.holder, self.hold = view.primary.id, now + HOLD
@@ -456,7 +485,9 @@
         gone = [m for m in view.voters if self.silence(now, m) >= ABSENT or self._leaves(m)]
         if gone:
             rest = tuple(m for m in view.voters if m != gone[0])
-            return Plan(Step.MOVE, f"{gone[0].address[0]} is replaced", (*rest, stand_by[0]), view.voters)
+            return Plan(
+                Step.MOVE, f"{gone[0].address[0]} is replaced", (*rest, stand_by[0]), view.voters
+            )
         if len(view.voters) < VOTERS:
             return Plan(Step.MOVE, "one more votes", (*view.voters, stand_by[0]), view.voters)
         return None
@@ -473,17 +504,22 @@
             return None
         free = max(self.hold, self.started + HOLD)
         if base.primary.id == self.me.id and self.owns() and not self._outbid(base):
-            return None  # its beats ask for the lease again; only a higher promise keeps it from coming
+            # its beats ask for the lease again; only a higher promise keeps it from coming
+            return None
         order = sorted(base.electors().values(), key=lambda m: (m.id != base.primary.id, m.address))
         rank = next((i for i, m in enumerate(order) if m.id == self.me.id), 0) + 1
         wait = 0.2 if self.me.id in self._first(base, order) else rank * RANK
         if self.state is State.LEAVING:
             wait += RANK * VOTERS
-        return Plan(Step.TAKE, "no lease stands", base.voters, base.former) if now >= free + wait else None
+        return (
+            Plan(Step.TAKE, "no lease stands", base.voters, base.former)
+            if now >= free + wait
+            else None
+        )
 
     def _first(self, base: View, order: list[Member]) -> set[str]:
-        """Who stands without waiting for its place: the backup; where that leaves, one that stays as well, so
-        that its copy, maybe the only one, is fetched before it ends."""
+        """Who stands without waiting for its place: the backup; where that leaves, one that stays
+        as well, so that its copy, maybe the only one, is fetched before it ends."""
         if base.backup is None:
             return set()
         stays = [m for m in order if not base.holds(m.id) and not self._leaves(m)]
@@ -498,7 +534,9 @@
         heard = [a for a in self.seeds if a == self.me.address or self._founds(now, a)]
         full = len(heard) == len(self.seeds)
         waited = now - self.started - FOUNDING - RANK * sorted(heard).index(self.me.address)
-        if (full and min(heard) == self.me.address) or (len(heard) * 2 > len(self.seeds) and waited >= 0.0):
+        if (full and min(heard) == self.me.address) or (
+            len(heard) * 2 > len(self.seeds) and waited >= 0.0
+        ):
             return Plan(Step.FOUND, "nobody has a view")
         return None
 
@@ -511,14 +549,15 @@
         self.quiet = max(self.quiet, now + 0.2 + 0.3 * self.rng.random())
 
     def free(self, now: float) -> bool:
-        """Whether a leaving member can go: no view known names it, or nobody is there to take its place and
-        the others need neither its data nor its vote."""
+        """Whether a leaving member can go: no view known names it, or nobody is there to take its
+        place and the others need neither its data nor its vote."""
         if self.promised > (self.seen.epoch if self.seen else 0):
             return False  # a view that names it may stand, of which it hasn't heard yet
         if self.seen is None or self.me.id not in self.seen.named():
             return True
         live, votes = self.live(now), self.seen.electors()
-        # a backup without a vote may take a place as well; a change under way needs those before it, too
+        # a backup without a vote may take a place as well; a change under way needs those before
+        # it, too
         if any(m.id not in votes for m in live) or self.seen.former:
             return False
         return not self.seen.holds(self.me.id) and self.seen.agreed([m.id for m in live])
