--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,5 @@
-"""The store of configuration in simulated simulation: stories, and random faults under its invariants."""
+"""The store of configuration in simulated simulation: stories, and random faults under its
+invariants."""
 
 from __future__ import annotations
 
@@ -23,7 +24,8 @@
 
 
 class World:
-    """A core with its operators, who keep what they sent and what was acknowledged; checked all the while."""
+    """A core with its operators, who keep what they sent and what was acknowledged; checked all the
+    while."""
 
     def __init__(self, seed: int = 1, hosts: tuple[str, ...] = (*HOSTS,)) -> None:
         self.loop = VirtualLoop()
@@ -82,10 +84,13 @@
         return [(m, g) for m in self.machines.values() if m.runs for g in m.programs if g._desk]
 
     def check(self) -> None:
-        """No two serve; what is in force was sent, has one content for good, and nothing goes back."""
+        """No two serve; what is in force was sent, has one content for good, and nothing goes
+        back."""
         serving = [g for _, g in self.stores() if g.replica.lease_left(g.clock()) > 0.0]
         assert len(serving) <= 1, f"two serve at {self.loop.time()}"
-        assert all(g.replica.version >= self.acked for g in serving), "an acknowledged version is lost"
+        assert all(g.replica.version >= self.acked for g in serving), (
+            "an acknowledged version is lost"
+        )
         for _, store in self.stores():
             version, data = store.replica.version, store.replica.data
             if version:
@@ -107,7 +112,10 @@
         voters = [m.address[0] for m in view.voters]
         named = {"the primary": view.primary.address[0], "the backup": view.backup.address[0]}
         rest = [h for h in voters if h not in named.values()]
-        named |= {"a voter": rest[0], "a stand-by": next(h for h in self.machines if h not in voters)}
+        named |= {
+            "a voter": rest[0],
+            "a stand-by": next(h for h in self.machines if h not in voters),
+        }
         return self.machines[named[words]]
 
     async def put(self, host: str, version: int = 0, mark: str = "") -> bool:
@@ -122,7 +130,8 @@
         return answer.is_ok()
 
     async def put_within(self, seconds: float, but: tuple[str, ...] = ()) -> bool:
-        """Whether a change is acknowledged in time, by whichever machine is asked; each try is sent anew."""
+        """Whether a change is acknowledged in time, by whichever machine is asked; each try is sent
+        anew."""
         until = self.loop.time() + seconds
         while self.loop.time() < until:
             hosts = [h for h, m in self.machines.items() if m.up and h not in but]
@@ -241,7 +250,10 @@
 
 
 @when(
-    parsers.re("a change is acknowledged and all (machines lose power|processes are killed) for (?P<s>.*) s")
+    parsers.re(
+        "a change is acknowledged and all (machines lose power|processes are killed) for "
+        "(?P<s>.*) s"
+    )
 )
 def _(world, request, s, step_text="x"):
     _all_down(world, float(s), None)
@@ -249,7 +261,8 @@
 
 @when(
     parsers.parse(
-        "a change is acknowledged, all machines lose power for {s:g} s and the disk of {whom} is empty"
+        "a change is acknowledged, all machines lose power for {s:g} s and the disk of {whom} is "
+        "empty"
     )
 )
 def _(world, s, whom):
@@ -389,7 +402,10 @@
         again.close()
 
 
-@when("the backup hears nothing from the primary, whose disk is lost after an acknowledgement with all power")
+@when(
+    "the backup hears nothing from the primary, whose disk is lost after an acknowledgement with "
+    "all power"
+)
 def _(world, old):
     world.sky.cut(old.host, world.whom("the backup").host)
 
@@ -475,14 +491,19 @@
     replica.settled = 3
     assert replica.crown(5.1) and replica.version == 7 and replica.writes(5.0 + LEASE - 0.01)
     assert not replica.may_promise(5.0 + LEASE - 0.01, 4, "b", 0)
-    replica.promise(5.2, 4, "a", 0)  # a change of its own view begins: it serves on, but writes nothing
+    # a change of its own view begins: it serves on, but writes nothing
+    replica.promise(5.2, 4, "a", 0)
     assert replica.lease_left(5.3) > 0.0 and not replica.writes(5.3)
     assert replica.lease_left(5.0 + LEASE) == 0.0 and not replica.writes(5.0 + LEASE)
 
 
 def test_a_changed_view_needs_both_sets_of_voters():
     changed = View(4, A, B, (A, B, D), (A, B, C))
-    assert not changed.agreed({"b", "d"}) and not changed.agreed({"a", "c"}) and changed.agreed({"a", "b"})
+    assert (
+        not changed.agreed({"b", "d"})
+        and not changed.agreed({"a", "c"})
+        and changed.agreed({"a", "b"})
+    )
     assert changed.agreed({"b", "c", "d"}) and VIEW.agreed({"a", "c"})
     with pytest.raises(Refused):
         member(C).mine("b")
@@ -502,8 +523,23 @@
 
 async def _fault(world: World, rng: Random, machine: Machine, alone: bool) -> None:
     """Something happens to a machine, and is over when this returns."""
-    lasts, others = rng.choice((0.1, 0.6, 1.5, 3.0)), [h for h in world.machines if h != machine.host]
-    kinds = ("kill", "power", "freeze", "cut", "in", "out", "hangs", "refuses", "slow", "leave", "wipe")
+    lasts, others = (
+        rng.choice((0.1, 0.6, 1.5, 3.0)),
+        [h for h in world.machines if h != machine.host],
+    )
+    kinds = (
+        "kill",
+        "power",
+        "freeze",
+        "cut",
+        "in",
+        "out",
+        "hangs",
+        "refuses",
+        "slow",
+        "leave",
+        "wipe",
+    )
     kind = rng.choice(kinds if alone else kinds[:-1])
     platter = machine.platter
     if kind in ("kill", "power", "wipe"):
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -31,7 +31,9 @@
     return next(iter(town.proxies))
 
 
-async def at_all(town: Cluster, name: str, wanted: int, key: str = "key-of-ann", only: str = "") -> None:
+async def at_all(
+    town: Cluster, name: str, wanted: int, key: str = "key-of-ann", only: str = ""
+) -> None:
     """What each proxy answers on a route."""
     for ip in [only] if only else town.proxies:
         _, reply = await town.once(name, key, ip)
@@ -41,9 +43,12 @@
 async def all_have(town: Cluster, within: float) -> float:
     newest = town.version
     return await town.until(
-        lambda: len(town.all_proxies()) == len(town.proxies)
-        and all(s.table is not None and s.table.version == newest for s in town.all_proxies()), within
-    )  # fmt: skip
+        lambda: (
+            len(town.all_proxies()) == len(town.proxies)
+            and all(s.table is not None and s.table.version == newest for s in town.all_proxies())
+        ),
+        within,
+    )
 
 
 async def add(town: Cluster) -> None:
@@ -66,8 +71,16 @@
         client = town.someone()
         client.keep, client.chunked = keep, bool(n)
         for method, name, again in (("GET", "a", True), ("POST", "once", False)):
-            what = (method, "town.example", f"/{name}/x", "key-of-ann", b"" if again else b"body" * 50)
-            town.flows.append(town.behind(town.flow(client, rate / 4, 8.0, *what, idempotent=again)))
+            what = (
+                method,
+                "town.example",
+                f"/{name}/x",
+                "key-of-ann",
+                b"" if again else b"body" * 50,
+            )
+            town.flows.append(
+                town.behind(town.flow(client, rate / 4, 8.0, *what, idempotent=again))
+            )
     town.wait(1.0)
 
 
@@ -157,7 +170,9 @@
 @when("the operator sends a route to an unknown service")
 def _(town):
     town.route("bad", "gamma")
-    town.said = town.do(town.operator.call("configuration.replace", town.body(town.version + 5), 3.0))
+    town.said = town.do(
+        town.operator.call("configuration.replace", town.body(town.version + 5), 3.0)
+    )
 
 
 @then("it is answered 400")
@@ -183,7 +198,9 @@
             registry.power_off()
             store.power_off()
         elif "cut off" in what:
-            town.sky.apart([core[0]], [ip for ip in (*town.core_ips, *town.proxies) if ip != core[0]])
+            town.sky.apart(
+                [core[0]], [ip for ip in (*town.core_ips, *town.proxies) if ip != core[0]]
+            )
         return at
 
     town.leaving, town.acked = server.id, town.do(drain())
@@ -218,7 +235,9 @@
             alone = next(core for core in town.core_ips if core != town.counting())
             town.sky.apart([alone], [core for core in town.core_ips if core != alone])
             town.operator.cores = [(c, port) for c, port in town.controls if c != alone]
-            others = {pair for core in town.core_ips if core != alone for pair in ((core, ip), (ip, core))}
+            others = {
+                pair for core in town.core_ips if core != alone for pair in ((core, ip), (ip, core))
+            }
             town.sky.cuts |= others
             await asyncio.sleep(3.7)  # nobody can know of a cut at once: the store takes 2.5 s
         await add(town)
@@ -356,7 +375,9 @@
     town.do(town.parting)
     assert town.loop.time() - town.asked < s
     said = [reply for flow in town.flows for reply in town.do(flow)]
-    assert all(reply.status in (200, 503) for reply in said), Counter((r.status, r.end) for r in said)
+    assert all(reply.status in (200, 503) for reply in said), Counter(
+        (r.status, r.end) for r in said
+    )
     refused = [r for r in town.book.replies.values() if r.status == 0]
     assert all(reply.end == "refused" for reply in refused), refused
     _, reply = town.do(town.once(at=first(town)))
@@ -417,7 +438,13 @@
         client = town.someone()
         client.keep = client.chunked = keep
         for method, name, again in (("GET", "a", True), ("POST", "once", False)):
-            what = (method, "town.example", f"/{name}/x", "key-of-ann", b"" if again else b"body" * 50)
+            what = (
+                method,
+                "town.example",
+                f"/{name}/x",
+                "key-of-ann",
+                b"" if again else b"body" * 50,
+            )
             flows.append(town.behind(town.flow(client, 15, 20, *what, idempotent=again)))
     troubles = Faults(town, rng)
     for _ in range(5):
