--- a/benchmarks/lab_calibrate.py
+++ b/benchmarks/lab_calibrate.py
@@ -22,9 +22,9 @@
 import tempfile
 import time
 
-from loomstand.lab import runner
-from loomstand.lab import scenario as sc
-from loomstand.rehearse.wire import free_port, read_message, said
+from loomstand.testing.emulator import runner
+from loomstand.testing.emulator import scenario as sc
+from loomstand.testing.rehearsal.wire import free_port, read_message, said
 
 HOST = "127.0.0.1"
 SCENARIO = {
--- a/benchmarks/lab_scale.py
+++ b/benchmarks/lab_scale.py
@@ -18,8 +18,8 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from loomstand.lab import runner
-from loomstand.lab import scenario as sc
+from loomstand.testing.emulator import runner
+from loomstand.testing.emulator import scenario as sc
 
 
 def one(args: tuple[int, float]) -> dict:
--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -15,11 +15,11 @@
 import time
 from random import Random
 
-from loomstand.config import Member, Members
-from loomstand.peers.driver import TICK
-from loomstand.peers.lists import Lists
-from loomstand.peers.members import Members as Membership
-from loomstand.peers.messages import Part, Want
+from loomstand.config.limiter import Member, Members
+from loomstand.membership.driver import TICK
+from loomstand.membership.endpoint_lists import Lists
+from loomstand.membership.members import Members as Membership
+from loomstand.membership.messages import Part, Want
 
 BEARS, LOSS, GIVEN, SERVERS = 10.0, 0.01, 8, 300
 
--- a/benchmarks/scale_hollow.py
+++ b/benchmarks/scale_hollow.py
@@ -23,18 +23,18 @@
 
 from absl import logging
 
-from loomstand import interface as i
-from loomstand.door import digest
+from loomstand.admission import interface as i
+from loomstand.admission.identifiers import digest
+from loomstand.config.settings import Settings, parse
+from loomstand.config.units import address_text
+from loomstand.proxy.counter_replay import CounterReplay
 from loomstand.proxy.instance_view import InstanceView
 from loomstand.proxy.program import Proxy
-from loomstand.proxy.recount import Told
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import SharedClock
 from loomstand.registry.instances import DRAINING, GONE, READY, Row
 from loomstand.rpc import sockets
 from loomstand.rpc.network import Address, Body
-from loomstand.shared.settings import Settings, parse
-from loomstand.shared.units import address_text
 
 INTERVAL = 2.0  # s, of a count's name: a burst of twice the rate, as at the sites
 KEEP = 7.0  # s that a sum is kept: three intervals and a second, as the module asks
@@ -93,7 +93,12 @@
 
     def __init__(self, settings: Settings, wire: Wire, seen: Seen, rng: Random) -> None:
         self.loop = asyncio.get_running_loop()
-        self.seen, self.lists, self.common, self.told = seen, InstanceView(), SharedClock(), Told()
+        self.seen, self.lists, self.common, self.told = (
+            seen,
+            InstanceView(),
+            SharedClock(),
+            CounterReplay(),
+        )
         self.network = HollowNetwork(wire)
         self.sessions = Sessions(settings, self.network, self.loop.time, rng, self)
         self.counting_tasks: set[asyncio.Task[None]] = set()
@@ -150,7 +155,7 @@
         """One step of a tenant's use, as the module would have it counted."""
         k = (self.now() + self.common.shift) // round(INTERVAL * 10_000)
         name = tenant << 15 | k % NAMES
-        self.count(i.Count(name, 1.0, round(KEEP * 10_000)))
+        self.count(i.IncrementCounter(name, 1.0, round(KEEP * 10_000)))
 
     def counted(self, name: int, outcome: i.Outcome, total: float, took: int) -> None:
         passed = outcome is i.Outcome.PASSED
--- a/benchmarks/scale_measure.py
+++ b/benchmarks/scale_measure.py
@@ -31,7 +31,7 @@
     TooLarge,
     free_net,
 )
-from loomstand.shared.units import address_text
+from loomstand.config.units import address_text
 
 WHOLE_WITHIN = 60.0  # s that limiters have to come to know everything
 SPREAD = 1.0  # s over which limiters start, and SPREAD_SERVERS servers
--- a/benchmarks/scale_role.py
+++ b/benchmarks/scale_role.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from loomstand.rpc import sockets
-from loomstand.rpc.outside import Outside
+from loomstand.rpc.outside import OperatorHttpServer
 
 taken: Counter[str] = Counter()
 made: Counter[str] = Counter()
@@ -33,7 +33,7 @@
         sockets.pack,
         sockets.Line.data_received,
         sockets.Line.answer,
-        Outside.serve,
+        OperatorHttpServer.serve,
     )
 
     def packed(item: list[Any]) -> bytes:
@@ -51,13 +51,15 @@
         taken[op] += 1
         return answer(line, number, op, body)
 
-    def served(outside: Outside, held: Any, method: bytes, target: bytes, body: bytes) -> Any:
+    def served(
+        outside: OperatorHttpServer, held: Any, method: bytes, target: bytes, body: bytes
+    ) -> Any:
         taken["outside"] += 1
         size["outside in"] += len(target) + len(body)
         return serve(outside, held, method, target, body)
 
     sockets.pack, sockets.Line.data_received = packed, data_received
-    sockets.Line.answer, Outside.serve = answered, served
+    sockets.Line.answer, OperatorHttpServer.serve = answered, served
 
 
 def main() -> None:
--- a/benchmarks/sites_plot.py
+++ b/benchmarks/sites_plot.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from statistics import mean
 
-from loomstand.lab import runner
-from loomstand.lab import scenario as sc
-from loomstand.rehearse.report import worth
+from loomstand.testing.emulator import runner
+from loomstand.testing.emulator import scenario as sc
+from loomstand.testing.rehearsal.report import worth
 
 SPANS = ((3, 12), (12, 15), (15, 27), (27, 33))
 LOADS = (0.5, 0.7, 0.85, 1.0, 1.1)
--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -29,9 +29,9 @@
 
 from loomstand.registry.program import ASK
 from loomstand.rpc.frames import Reader, pack
-from loomstand.simulation import loop as simulation
-from loomstand.simulation.cluster import Cluster
-from loomstand.simulation.network import MachineNetwork
+from loomstand.testing.simulation import loop as simulation
+from loomstand.testing.simulation.cluster import Cluster
+from loomstand.testing.simulation.network import MachineNetwork
 
 CORES = 4
 # A proxy's part of the grown sites' servers, tenants and requests a second, the mean of both.
--- a/loomstand/__main__.py
+++ b/loomstand/__main__.py
@@ -1,6 +1,6 @@
 """python -m loomstand"""
 
-from loomstand.cli import main
+from loomstand.cli.main import main
 
 if __name__ == "__main__":
     main()
--- a/loomstand/adapter/__init__.py
+++ b/loomstand/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: JSON lines in, JSON lines out."""
+"""Entry point of the bench's adapter; the code is in `loomstand.testing.bench_adapter`."""
--- a/loomstand/actors.py
+++ b/loomstand/admission/actors.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Generic, Protocol, TypeVar
 
-from loomstand import interface as api
+from loomstand.admission import interface as api
 
 NEVER = -(1 << 60)  # a clock reading before all others
 A = TypeVar("A")
@@ -18,14 +18,14 @@
 Handler = Callable[..., None]
 
 
-class Loop:
+class ActorLoop:
     """The inboxes' loop, and what all parts read: the clock, the settings, chance and the reply."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: int) -> None:
+    def __init__(self, settings: api.EngineSettings, seed: int, now: int) -> None:
         self.settings = settings
         self.chance = Random(seed).random
         self.now = self.started = now
-        self.ready: deque[Part] = deque()
+        self.ready: deque[Actor] = deque()
         self.actions: list[api.Action] = []
 
     def post(self, handler: Handler, *args: object) -> None:
@@ -41,17 +41,17 @@
         return done
 
 
-class Part:
+class Actor:
     """An actor: an inbox, short and so a list, and the loop that empties it."""
 
     __slots__ = ("inbox", "loop")
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: ActorLoop) -> None:
         self.loop = loop
         self.inbox: list[tuple[Handler, tuple[object, ...]]] = []
 
 
-class Counting(Protocol):
+class CounterUser(Protocol):
     """What calls to the counter are made for: `report` adds its use, `counted` gets a total or
     none."""
 
@@ -59,15 +59,15 @@
     length: int
 
     def report(self) -> None: ...
-    def counted(self, k: int, step: float, got: api.Counted) -> None: ...
+    def counted(self, k: int, step: float, got: api.CounterReplied) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
-class Job(Generic[A]):
+class PendingRequest(Generic[A]):
     """A req that is owed its answer, or whose dispatches are still out; `A` is the account's
     type."""
 
-    note: api.Arrived
+    note: api.RequestArrived
     account: A
     target: int
     worth: float
@@ -79,7 +79,7 @@
     done: bool = False
 
 
-class Lines(Generic[A]):
+class WaitQueues(Generic[A]):
     """Lines of waiters by name, each served in its order; an empty one takes no memory."""
 
     def __init__(self) -> None:
@@ -98,7 +98,7 @@
         return waiter
 
 
-class Tally:
+class EventCounts:
     """Counts of what befell, said once every `every` of the clock."""
 
     def __init__(self, every: int, now: int) -> None:
@@ -119,7 +119,7 @@
     place: int
 
 
-class Ring(list[P]):
+class SortedRing(list[P]):
     """Things in the order of their places, no two of which are alike."""
 
     def hold(self, thing: P, there: bool) -> None:
--- a/loomstand/brain/desk.py
+++ b/loomstand/admission/admission_control.py
@@ -2,27 +2,30 @@
 
 from collections import defaultdict
 
-from loomstand import interface as api
-from loomstand.actors import Job, Loop, Part, Tally
-from loomstand.brain.account import Account
-from loomstand.brain.fleet import Fleet
-from loomstand.brain.keeper import Keeper
-from loomstand.sites.guide import Guide
+from loomstand.admission import interface as api
+from loomstand.admission.actors import Actor, ActorLoop, EventCounts, PendingRequest
+from loomstand.admission.counter_client import CounterClient
+from loomstand.admission.load_balancer import LoadBalancer
+from loomstand.admission.tenant_limiter import TenantLimiter
+from loomstand.failover.engine_view import Guide
 
 # these prove it
 NOT_RUN = {api.Outcome.TURNED_AWAY, api.Outcome.NO_CONNECTION, api.Outcome.NOT_SENT}
 
 
-class Desk(Part):
-    def __init__(self, loop: Loop, keeper: Keeper, guide: Guide | None) -> None:
+class AdmissionControl(Actor):
+    def __init__(self, loop: ActorLoop, keeper: CounterClient, guide: Guide | None) -> None:
         super().__init__(loop)
-        self.keeper, self.accounts = keeper, dict[int, Account]()
-        self.by_tag: dict[int, Account] = {}
-        self.fleets = defaultdict(lambda: Fleet(loop), {0: Fleet(loop, guide)})
-        self.jobs, self.tally = dict[int, Job[Account]](), Tally(5 * api.TENTHS_PER_S, loop.now)
+        self.keeper, self.accounts = keeper, dict[int, TenantLimiter]()
+        self.by_tag: dict[int, TenantLimiter] = {}
+        self.fleets = defaultdict(lambda: LoadBalancer(loop), {0: LoadBalancer(loop, guide)})
+        self.jobs, self.tally = (
+            dict[int, PendingRequest[TenantLimiter]](),
+            EventCounts(5 * api.TICKS_PER_SECOND, loop.now),
+        )
 
-    def listed(self, note: api.Listed) -> None:
-        parts: dict[int, list[api.Entry]] = {
+    def listed(self, note: api.EndpointsUpdated) -> None:
+        parts: dict[int, list[api.Endpoint]] = {
             s: [] for s in self.fleets if note.whole or not note.entries
         }
         for entry in note.entries:
@@ -30,23 +33,25 @@
         for service, entries in parts.items():
             self.fleets[service].listed(entries, note.whole)
 
-    def ruled(self, note: api.Ruled) -> None:
+    def ruled(self, note: api.SettingsChanged) -> None:
         before, self.loop.settings = self.loop.settings, note.settings
         for fleet in self.fleets.values():
             fleet.ruled(before.limiters)
         for account in self.accounts.values():
             self.loop.post(account.ruled)
 
-    def account(self, note: api.Seen) -> Account:
+    def account(self, note: api.TenantEvent) -> TenantLimiter:
         if (account := self.accounts.get(note.customer)) is None:
-            account = Account(self.loop, self.keeper, note, self.loop.settings.plan(note.plan))
+            account = TenantLimiter(
+                self.loop, self.keeper, note, self.loop.settings.plan(note.plan)
+            )
             self.accounts[note.customer] = self.by_tag[note.digest] = account
         return account
 
-    def told(self, note: api.Told) -> None:
+    def told(self, note: api.TenantTotalUpdated) -> None:
         self.loop.post(self.account(note).told, note)
 
-    def arrived(self, note: api.Arrived) -> None:
+    def arrived(self, note: api.RequestArrived) -> None:
         account, s, plan = (
             self.account(note),
             self.loop.settings,
@@ -61,7 +66,7 @@
         row, left = self.fleets[note.service].rows[note.frontend], note.give_up - self.loop.now
         age = max(0, row.front.client_timeout - left) if note.retry else 0
         worth = row.front.value * (plan.value_factor if plan else 1.0) * note.units
-        job = Job(
+        job = PendingRequest(
             note, account, self.loop.now + row.target - age, worth, row.front.tries or s.try_limit
         )
         self.jobs[note.req] = job
@@ -70,12 +75,12 @@
         else:
             self.loop.post(account.ask, job, self.granted, self.denied)
 
-    def denied(self, job: Job[Account], wait: int, why: str) -> None:
+    def denied(self, job: PendingRequest[TenantLimiter], wait: int, why: str) -> None:
         s = self.loop.settings
         wait = min(wait, s.max_retry_after) if s.retry_after else 0
-        self.answer(job, why, api.Deny(job.note.req, wait, why))
+        self.answer(job, why, api.Reject(job.note.req, wait, why))
 
-    def answer(self, job: Job[Account], why: str, final: api.Action) -> None:
+    def answer(self, job: PendingRequest[TenantLimiter], why: str, final: api.Action) -> None:
         self.note(why)
         job.done = True
         self.loop.actions.append(final)
@@ -84,9 +89,9 @@
     def note(self, why: str) -> None:
         if said := self.tally.add(why, self.loop.now):
             windows = " ".join(f"{fleet.window:.1f}" for fleet in self.fleets.values())
-            self.loop.actions.append(api.Log(", ".join([*said, f"window {windows}"])))
+            self.loop.actions.append(api.LogMessage(", ".join([*said, f"window {windows}"])))
 
-    def forget(self, job: Job[Account]) -> None:
+    def forget(self, job: PendingRequest[TenantLimiter]) -> None:
         if (
             job.done
             and job.ended == len(job.sent)
@@ -95,7 +100,7 @@
         ):
             self.loop.post(job.account.free)
 
-    def granted(self, job: Job[Account]) -> None:
+    def granted(self, job: PendingRequest[TenantLimiter]) -> None:
         fleet = self.fleets[job.note.service]
         srv = fleet.pick(job) if fleet.room(job) else None
         if srv is None:
@@ -105,7 +110,7 @@
             self.loop.post(job.account.taken, job.note.units)
             fleet.dispatch(job, srv)
 
-    def ended(self, note: api.Ended) -> None:
+    def ended(self, note: api.AttemptEnded) -> None:
         job = self.jobs.get(note.req)
         if job is None or not self.fleets[job.note.service].ended(job, note):
             return
@@ -123,7 +128,7 @@
         else:
             self.again(job)
 
-    def again(self, job: Job[Account]) -> None:
+    def again(self, job: PendingRequest[TenantLimiter]) -> None:
         """Another dispatch where it is allowed and can still be in time, else the final answer at
         once."""
         fleet, now = self.fleets[job.note.service], self.loop.now
@@ -137,17 +142,19 @@
         ):
             fleet.dispatch(job, srv)
             return
-        anywhere = row.front.effect is api.Effect.UNIQUED and row.front.group is api.Group.ALL
+        anywhere = (
+            row.front.effect is api.Effect.UNIQUED and row.front.group is api.DeduplicationScope.ALL
+        )
         if not job.maybe or row.front.effect is api.Effect.REPLAYABLE or anywhere:
             self.denied(job, 0, "given up")
         else:
             self.answer(job, "aborted", api.Abort(job.note.req))
 
-    def vanished(self, note: api.Vanished) -> None:
+    def vanished(self, note: api.ClientDisconnected) -> None:
         if job := self.jobs.get(note.req):
             job.done = True
             self.forget(job)
 
-    def woke(self, note: api.Woke) -> None:
+    def woke(self, note: api.TimerFired) -> None:
         if account := self.by_tag.get(note.tag):
             self.loop.post(account.read)
--- a/loomstand/brain/server.py
+++ b/loomstand/admission/backend.py
@@ -2,21 +2,21 @@
 
 from collections import defaultdict, deque
 
-from loomstand import interface as api
-from loomstand.actors import NEVER, Loop, Part
-from loomstand.histogram import Histogram
+from loomstand.admission import interface as api
+from loomstand.admission.actors import NEVER, Actor, ActorLoop
+from loomstand.admission.histogram import Histogram
 
 TRICKLE = 1 / 60  # of the reqs, to servers set aside: little is lost if all of them fail
 
 
-class Server(Part):
-    def __init__(self, loop: Loop, entry: api.Entry) -> None:
+class Backend(Actor):
+    def __init__(self, loop: ActorLoop, entry: api.Endpoint) -> None:
         super().__init__(loop)
         # on the ring
         self.srv, self.out, self.place = entry.srv, 0, entry.srv * 0x9E3779B1 & 0xFFFFFFFF
         self.fresh(entry)
 
-    def fresh(self, entry: api.Entry) -> None:
+    def fresh(self, entry: api.Endpoint) -> None:
         """A process that has just started is judged anew."""
         self.entry = entry
         self.times = Histogram(32)  # some ten seconds of one server's answers
@@ -29,7 +29,7 @@
         self.cold_left, self.cold_at = self.loop.chance(), self.loop.now
         self.trickle = TRICKLE
 
-    def listed(self, entry: api.Entry) -> None:
+    def listed(self, entry: api.Endpoint) -> None:
         if entry.booted != self.entry.booted:
             self.fresh(entry)
         self.entry = entry
@@ -60,9 +60,9 @@
     def send(self, req: int, expire: int) -> None:
         self.cold_left -= 1
         self.out += 1
-        self.loop.actions.append(api.Dispatch(req, self.srv, expire))
+        self.loop.actions.append(api.SendAttempt(req, self.srv, expire))
 
-    def ended(self, note: api.Ended, front: int) -> None:
+    def ended(self, note: api.AttemptEnded, front: int) -> None:
         self.out -= 1
         now, outcome = self.loop.now, note.outcome
         full = self.full.get(front, 0.0)
--- a/loomstand/brain/keeper.py
+++ b/loomstand/admission/counter_client.py
@@ -2,18 +2,18 @@
 crowded, slow, silent or refusing shows by calls that fail or take long, and all limiters slow down
 together."""
 
-from loomstand import interface as api
-from loomstand.actors import NEVER, Counting, Lines, Loop, Part
+from loomstand.admission import interface as api
+from loomstand.admission.actors import NEVER, Actor, ActorLoop, CounterUser, WaitQueues
 
 
-class Keeper(Part):
-    def __init__(self, loop: Loop) -> None:
+class CounterClient(Actor):
+    def __init__(self, loop: ActorLoop) -> None:
         super().__init__(loop)
-        self.waiting = Lines[tuple[Counting, int, float]]()
+        self.waiting = WaitQueues[tuple[CounterUser, int, float]]()
         # whose use or question waits for a call, the newest last
-        self.due: dict[Counting, None] = {}
+        self.due: dict[CounterUser, None] = {}
         # soon right
-        self.start = self.pace = 300 / api.TENTHS_PER_S / max(1, loop.settings.limiters)
+        self.start = self.pace = 300 / api.TICKS_PER_SECOND / max(1, loop.settings.limiters)
         self.left, self.left_at, self.failed, self.cut_at = 1.0, loop.now, 0, NEVER
 
     def take(self) -> bool:
@@ -23,7 +23,7 @@
         self.left -= (going := self.loop.settings.has_counter and self.left >= 1)
         return going
 
-    def want(self, account: Counting) -> None:
+    def want(self, account: CounterUser) -> None:
         """The newest go first; one that has waited long is of little use, its use goes with its
         next call."""
         self.due.pop(account, None)
@@ -36,13 +36,13 @@
         while self.due and self.take():
             self.loop.post(self.due.popitem()[0].report)
 
-    def call(self, account: Counting, k: int, step: float) -> None:
+    def call(self, account: CounterUser, k: int, step: float) -> None:
         name = account.digest << 15 | k & 0x7FFF
         self.waiting.put(name, (account, k, step))
-        keep = min(3 * account.length + api.TENTHS_PER_S, 60 * api.TENTHS_PER_S)
-        self.loop.actions.append(api.Count(name, step, keep))
+        keep = min(3 * account.length + api.TICKS_PER_SECOND, 60 * api.TICKS_PER_SECOND)
+        self.loop.actions.append(api.IncrementCounter(name, step, keep))
 
-    def counted(self, got: api.Counted) -> None:
+    def counted(self, got: api.CounterReplied) -> None:
         if (waiter := self.waiting.take(got.name)) is None:
             return
         limit = self.loop.settings.count_timeout
--- /dev/null
+++ b/loomstand/admission/decision_engine.py
@@ -0,0 +1,39 @@
+"""A front makes one Brain for each limiter and calls `handle(now, note)` for every note in order;
+it gets back the actions to carry out, in order. Parts (Desk, Keeper, Accounts, Servers) change each
+other only by notes put into inboxes; they may read each other's figures. Fleets are the Desk's
+own."""
+
+from loomstand.admission import interface as api
+from loomstand.admission.actors import ActorLoop
+from loomstand.admission.admission_control import AdmissionControl
+from loomstand.admission.counter_client import CounterClient
+from loomstand.failover.engine_view import Guide
+
+
+class DecisionEngine:
+    def __init__(
+        self, settings: api.EngineSettings, seed: int, now: int, guide: Guide | None = None
+    ) -> None:
+        self.loop = ActorLoop(settings, seed, now)
+        self.keeper = CounterClient(self.loop)
+        self.desk = desk = AdmissionControl(self.loop, self.keeper, guide)
+        self.first = desk.fleets[0]
+        self.handlers = {
+            api.EndpointsUpdated: desk.listed,
+            api.RequestArrived: desk.arrived,
+            api.AttemptEnded: desk.ended,
+            api.TimerFired: desk.woke,
+            api.ClientDisconnected: desk.vanished,
+            api.SettingsChanged: desk.ruled,
+            api.CounterReplied: self.keeper.counted,
+            api.TenantTotalUpdated: desk.told,
+        }
+
+    def handle(self, now: int, note: api.Event) -> list[api.Action]:
+        self.loop.now = max(self.loop.now, now)
+        if self.first.guide:
+            self.first.heed()
+        if handler := self.handlers.get(type(note)):
+            self.loop.post(handler, note)
+        self.loop.post(self.keeper.serve)
+        return self.loop.run()
--- a/loomstand/interface.py
+++ b/loomstand/admission/interface.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-TENTHS_PER_S = 10_000
+TICKS_PER_SECOND = 10_000
 
 
 class Effect(Enum):
@@ -22,7 +22,7 @@
     NON_REPLAYABLE = "non-replayable"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which servers drop repeats of a uniqued req."""
 
     ALL = "all"
@@ -43,7 +43,7 @@
     NOT_SENT = "not sent"
 
 
-class Phase(Enum):
+class EndpointState(Enum):
     """What the list says of a server."""
 
     LIVE = "live"
@@ -56,7 +56,7 @@
     """A frontend's figures."""
 
     effect: Effect
-    group: Group
+    group: DeduplicationScope
     repeat_window: int
     response_target: int
     client_timeout: int
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
+class QuotaPlan:
     """A plan's quota for each customer, over all limiters."""
 
     rate: float
@@ -82,14 +82,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Settings:
+class EngineSettings:
     """All that a limiter is told at its start, and again whenever it changes (`Ruled`)."""
 
     me: int
     limiters: int
     hall: int
     frontends: tuple[Frontend, ...]
-    plans: tuple[Plan, ...]
+    plans: tuple[QuotaPlan, ...]
     try_limit: int
     may_cancel: bool
     may_probe: bool
@@ -125,17 +125,17 @@
     # dispatches out beside the window: where it is a few, chance alone brings them
     window_more: float = 0.0
 
-    def plan(self, at: int) -> Plan | None:
+    def plan(self, at: int) -> QuotaPlan | None:
         """The plan at that place, if there is one."""
         return self.plans[at] if 0 <= at < len(self.plans) else None
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
+class Endpoint:
     """One server of a list."""
 
     srv: int
-    phase: Phase
+    phase: EndpointState
     hall: int
     kind: int
     pod: int
@@ -145,15 +145,15 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class EndpointsUpdated:
     """The list of servers of all services, whole or changes only."""
 
-    entries: tuple[Entry, ...]
+    entries: tuple[Endpoint, ...]
     whole: bool
 
 
 @dataclass(slots=True)
-class Arrived:
+class RequestArrived:
     """A req came in; it is owed one final answer."""
 
     req: int
@@ -170,7 +170,7 @@
 
 
 @dataclass(slots=True)
-class Started:
+class ResponseStarted:
     """The answer of a streamed req began."""
 
     req: int
@@ -178,7 +178,7 @@
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptEnded:
     """A dispatch ended; `final` when the req has its answer."""
 
     req: int
@@ -192,21 +192,21 @@
 
 
 @dataclass(slots=True)
-class Vanished:
+class ClientDisconnected:
     """The client left; nothing is owed any more."""
 
     req: int
 
 
 @dataclass(slots=True)
-class Woke:
+class TimerFired:
     """A timer set by Wake is due."""
 
     tag: int
 
 
 @dataclass(slots=True)
-class Counted:
+class CounterReplied:
     """The answer to one Count."""
 
     name: int
@@ -216,7 +216,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class TenantTotalUpdated:
     """The counter tells the running total of a customer near its quota unasked, also where its reqs
     were never seen. `name` is as in a Count."""
 
@@ -230,7 +230,7 @@
 
 
 @dataclass(slots=True)
-class Probed:
+class HealthCheckFinished:
     """The answer to one Probe."""
 
     srv: int
@@ -239,19 +239,30 @@
 
 
 @dataclass(slots=True)
-class Ruled:
+class SettingsChanged:
     """Other settings from now on, swapped whole. Frontends and plans keep their places and only
     grow in number; a plan's figures may change, a frontend's may not."""
 
-    settings: Settings
+    settings: EngineSettings
 
 
-Seen = Arrived | Told  # what shows a customer
-Note = Listed | Arrived | Started | Ended | Vanished | Woke | Counted | Told | Probed | Ruled
+TenantEvent = RequestArrived | TenantTotalUpdated  # what shows a customer
+Event = (
+    EndpointsUpdated
+    | RequestArrived
+    | ResponseStarted
+    | AttemptEnded
+    | ClientDisconnected
+    | TimerFired
+    | CounterReplied
+    | TenantTotalUpdated
+    | HealthCheckFinished
+    | SettingsChanged
+)
 
 
 @dataclass(slots=True)
-class Dispatch:
+class SendAttempt:
     """Send the req to a server; `expire` is a clock reading."""
 
     req: int
@@ -260,7 +271,7 @@
 
 
 @dataclass(slots=True)
-class Deny:
+class Reject:
     """Final answer: declined, trying again is harmless; `wait` 0 gives no advice, `why` is as
     counted."""
 
@@ -277,7 +288,7 @@
 
 
 @dataclass(slots=True)
-class CallOff:
+class CancelAttempt:
     """Stop waiting for a dispatch."""
 
     req: int
@@ -285,7 +296,7 @@
 
 
 @dataclass(slots=True)
-class Wake:
+class SetTimer:
     """Ask for a Woke."""
 
     after: int
@@ -293,7 +304,7 @@
 
 
 @dataclass(slots=True)
-class Count:
+class IncrementCounter:
     """Add to a named count shared by all limiters and get its total."""
 
     name: int
@@ -302,17 +313,26 @@
 
 
 @dataclass(slots=True)
-class Probe:
+class CheckHealth:
     """Ask a server for a sign of life."""
 
     srv: int
 
 
 @dataclass(slots=True)
-class Log:
+class LogMessage:
     """A line for the operators."""
 
     text: str
 
 
-Action = Dispatch | Deny | Abort | CallOff | Wake | Count | Probe | Log
+Action = (
+    SendAttempt
+    | Reject
+    | Abort
+    | CancelAttempt
+    | SetTimer
+    | IncrementCounter
+    | CheckHealth
+    | LogMessage
+)
--- a/loomstand/brain/fleet.py
+++ b/loomstand/admission/load_balancer.py
@@ -4,14 +4,20 @@
 from dataclasses import replace
 from math import log
 
-from loomstand import interface as api
-from loomstand.actors import NEVER, Job, Loop, Ring, drop_before
-from loomstand.brain.account import Account
-from loomstand.brain.server import Server
-from loomstand.histogram import Histogram, Rate
-from loomstand.interface import TENTHS_PER_S, Effect, Group, Outcome, Phase
-from loomstand.sites.guide import Guide
-from loomstand.sites.nearby import used
+from loomstand.admission import interface as api
+from loomstand.admission.actors import NEVER, ActorLoop, PendingRequest, SortedRing, drop_before
+from loomstand.admission.backend import Backend
+from loomstand.admission.histogram import Histogram, Rate
+from loomstand.admission.interface import (
+    TICKS_PER_SECOND,
+    DeduplicationScope,
+    Effect,
+    EndpointState,
+    Outcome,
+)
+from loomstand.admission.tenant_limiter import TenantLimiter
+from loomstand.failover.engine_view import Guide
+from loomstand.failover.subset_selection import used
 
 
 class Row:  # a frontend and its answers
@@ -23,30 +29,30 @@
         self.least = Histogram(100)
 
 
-class Fleet:
-    def __init__(self, loop: Loop, guide: Guide | None = None) -> None:
+class LoadBalancer:
+    def __init__(self, loop: ActorLoop, guide: Guide | None = None) -> None:
         self.loop, self.guide, self.spare = loop, guide, loop.settings.spare_first
         self.rows = [Row(f) for f in loop.settings.frontends]
         # when each dispatch was sent, the oldest first
         self.flying: dict[tuple[int, int], int] = {}
         # the live ones, alike at all limiters
-        self.servers, self.ring = dict[int, Server](), Ring[Server]()
+        self.servers, self.ring = dict[int, Backend](), SortedRing[Backend]()
         # by frontend: in use; set aside
-        self.near, self.off = list[list[Server]](), list[list[Server]]()
+        self.near, self.off = list[list[Backend]](), list[list[Backend]]()
         # window: dispatches out at once over all servers: seven a server by all limiters at first
         self.times, self.best, self.window, self.near_at = Histogram(400), 1e-9, 0.0, NEVER
         self.flows = [
             Rate(h, u, loop.now) for h, u in ((20_000, 28_854), (160_000, 230_831), (5_000, 7_213))
         ]
 
-    def listed(self, entries: list[api.Entry], whole: bool) -> None:
+    def listed(self, entries: list[api.Endpoint], whole: bool) -> None:
         named, before = {e.srv for e in entries}, len(self.ring)
         lost = [v.entry for v in self.servers.values() if whole and v.srv not in named]
-        for entry in (*entries, *(replace(e, phase=Phase.GONE) for e in lost)):
-            srv = self.servers.get(entry.srv) or Server(self.loop, entry)
+        for entry in (*entries, *(replace(e, phase=EndpointState.GONE) for e in lost)):
+            srv = self.servers.get(entry.srv) or Backend(self.loop, entry)
             self.servers[entry.srv] = srv
-            self.ring.hold(srv, entry.phase is Phase.LIVE)
-            if entry.phase is Phase.GONE and not srv.out:
+            self.ring.hold(srv, entry.phase is EndpointState.LIVE)
+            if entry.phase is EndpointState.GONE and not srv.out:
                 del self.servers[entry.srv]
             self.loop.post(srv.listed, entry)
         self.near_at = NEVER
@@ -77,14 +83,14 @@
             self.loop.now,
         )
 
-    def room(self, job: Job[Account]) -> bool:
+    def room(self, job: PendingRequest[TenantLimiter]) -> bool:
         """The fuller the servers, the more value for its work a req must bring, beside the best
         lately."""
         work = self.rows[job.note.frontend].times.mean(2000, 4)
         worth = job.worth / work
         self.best = max(worth, self.best * 0.999)  # halved in some 700 reqs
         # nearly all would have answered
-        late = self.loop.now - 10 * self.times.quantile(0.9, TENTHS_PER_S)
+        late = self.loop.now - 10 * self.times.quantile(0.9, TICKS_PER_SECOND)
         drop_before(self.flying, late)  # held by silence, no load of servers
         window = self.window + self.loop.settings.window_more
         pressure = (len(self.flying) + self.loop.chance()) / max(1e-9, window)
@@ -97,7 +103,7 @@
             )
         return pressure <= floor + (1 - floor) * worth / self.best
 
-    def again(self, job: Job[Account]) -> Server | None:
+    def again(self, job: PendingRequest[TenantLimiter]) -> Backend | None:
         # a further dispatch has a price: what never ran costs the servers little
         s = self.loop.settings
         price = 1.0 if job.maybe else s.turned_price if job.turned else s.unsent_price
@@ -105,7 +111,7 @@
         self.spare -= price if srv else 0.0
         return srv
 
-    def rank(self, job: Job[Account]) -> int:
+    def rank(self, job: PendingRequest[TenantLimiter]) -> int:
         """The site plan's: 0 is refused first."""
         note, account = job.note, job.account
         return self.guide.rank(
@@ -117,10 +123,10 @@
         answer."""
         for line in self.guide.moved(self.loop.now):
             self.near_at = NEVER
-            self.loop.actions.append(api.Log(line))
+            self.loop.actions.append(api.LogMessage(line))
         self.window *= self.guide.scale
 
-    def pick(self, job: Job[Account]) -> Server | None:
+    def pick(self, job: PendingRequest[TenantLimiter]) -> Backend | None:
         """One of the servers in use, the shorter the expected wait, the likelier: the more limiters
         share the servers, the less the own dispatches tell and the more chance decides."""
         s, front = self.loop.settings, job.note.frontend
@@ -154,7 +160,7 @@
                 best, least = v, cost
         return best
 
-    def cold_ok(self, srv: Server) -> bool:
+    def cold_ok(self, srv: Backend) -> bool:
         """Against what one of this limiter's servers answers to it; if all are cold, what they just
         answered at their warmth, and one req at a time by all limiters: none carried a thing, so
         none would be let."""
@@ -174,7 +180,7 @@
         of budget, and so on."""
         return max([flow.add(more, self.loop.now) for flow in self.flows][:2])
 
-    def may_repeat(self, job: Job[Account], srv: Server) -> bool:
+    def may_repeat(self, job: PendingRequest[TenantLimiter], srv: Backend) -> bool:
         """Whether no effect can come twice if the req goes to this server."""
         front, here = self.rows[job.note.frontend].front, srv.entry
         if not job.maybe or front.effect is Effect.REPLAYABLE:
@@ -185,12 +191,14 @@
             return False
         before = [(self.servers[job.sent[n][0]].entry, job.sent[n][1]) for n in job.maybe]
         known = all(self.loop.now - at < front.repeat_window for _, at in before)
-        part = {Group.ALL: lambda e: 0, Group.HALL: lambda e: e.hall, Group.POD: lambda e: e.pod}[
-            front.group
-        ]
+        part = {
+            DeduplicationScope.ALL: lambda e: 0,
+            DeduplicationScope.HALL: lambda e: e.hall,
+            DeduplicationScope.POD: lambda e: e.pod,
+        }[front.group]
         return known and all(part(e) == part(here) for e, _ in before)
 
-    def dispatch(self, job: Job[Account], srv: Server) -> None:
+    def dispatch(self, job: PendingRequest[TenantLimiter], srv: Backend) -> None:
         s, now, row = self.loop.settings, self.loop.now, self.rows[job.note.frontend]
         expire = job.note.give_up
         # a first one earns it
@@ -209,13 +217,13 @@
         self.loop.post(srv.send, job.note.req, expire)
         job.sent.append((srv.srv, now))
 
-    def ended(self, job: Job[Account], note: api.Ended) -> bool:
+    def ended(self, job: PendingRequest[TenantLimiter], note: api.AttemptEnded) -> bool:
         """Whether the dispatch went to a server that is known."""
         if (srv := self.servers.get(note.srv)) is None:
             return False
         row = self.rows[job.note.frontend]
         self.loop.post(srv.ended, note, job.note.frontend)
-        if srv.entry.phase is Phase.GONE and srv.out == 1:
+        if srv.entry.phase is EndpointState.GONE and srv.out == 1:
             del self.servers[srv.srv]
         self.flying.pop((note.req, note.dispatch), None)
         if self.guide:
@@ -227,7 +235,7 @@
             self.times.add(note.took)
         return True
 
-    def judge(self, note: api.Ended, row: Row, hall: int = 0) -> None:
+    def judge(self, note: api.AttemptEnded, row: Row, hall: int = 0) -> None:
         """The window aims at a short queue over all servers, known from all answers together.
         Silence is a single server's more often, and counts less; so does a req turned away while
         answers are quick."""
--- a/loomstand/brain/account.py
+++ b/loomstand/admission/tenant_limiter.py
@@ -3,13 +3,13 @@
 
 from __future__ import annotations
 
-from loomstand import interface as api
-from loomstand.actors import NEVER, Handler, Job, Loop, Part
-from loomstand.brain.keeper import Keeper
-from loomstand.door import TRY
+from loomstand.admission import interface as api
+from loomstand.admission.actors import NEVER, Actor, ActorLoop, Handler, PendingRequest
+from loomstand.admission.counter_client import CounterClient
+from loomstand.admission.identifiers import TRY
 
 
-class Account(Part):
+class TenantLimiter(Actor):
     __slots__ = [
         "asked",
         "asked_at",
@@ -55,7 +55,13 @@
         "woken",
     ]
 
-    def __init__(self, loop: Loop, keeper: Keeper, note: api.Seen, plan: api.Plan | None) -> None:
+    def __init__(
+        self,
+        loop: ActorLoop,
+        keeper: CounterClient,
+        note: api.TenantEvent,
+        plan: api.QuotaPlan | None,
+    ) -> None:
         super().__init__(loop)
         self.keeper, self.digest, self.customer = keeper, note.digest, note.customer
         self.given = (note.plan, note.set_size, note.first)
@@ -78,25 +84,29 @@
         self.pace = self.rate / self.n  # the part, as units a tenth: unseen customers start even
         self.level = max(0.0, min(self.part() - 1, self.part() * (1 - loop.settings.fresh)))
 
-    def figure(self, plan: api.Plan | None) -> None:
+    def figure(self, plan: api.QuotaPlan | None) -> None:
         """What follows from the plan and from the set of limiters."""
         s, (_, sets, first), self.plan = self.loop.settings, self.given, plan
         self.n = max(1, sets or s.limiters)
-        self.rate = plan.rate / api.TENTHS_PER_S if plan else 0.0  # units a tenth of a millisecond
+        self.rate = (
+            plan.rate / api.TICKS_PER_SECOND if plan else 0.0
+        )  # units a tenth of a millisecond
         self.depth = max(plan.burst, 1.0) if plan else 1.0  # one req and the burst count beyond it
         # With less trust in totals than a split's life all limiters together keep to the quota
         # without them. Use that several passed at once beyond it is remembered, and edges are rare:
         # use there is seen late.
         self.firm = s.trust < 3
         self.length = (
-            max(1, self.firm * api.TENTHS_PER_S, round(self.depth / self.rate)) if self.rate else 0
+            max(1, self.firm * api.TICKS_PER_SECOND, round(self.depth / self.rate))
+            if self.rate
+            else 0
         )
         # spreads customers' edges
         self.offset = self.digest % self.length + s.shift if self.length else 0
         # Use beyond the quota that costs nothing: a doubt is the customer's, a count known full is
         # not.
         self.costless = plan is not None and plan.excess_cost <= plan.excess_value
-        self.cap_rate = plan.ceiling_rate / api.TENTHS_PER_S if plan else 0.0
+        self.cap_rate = plan.ceiling_rate / api.TICKS_PER_SECOND if plan else 0.0
         self.cap_depth = plan.ceiling_depth / self.n if self.cap_rate else 0.0
         # a turn's; so far ahead is fine
         self.unit = min(1.0, plan.ceiling_slack) if self.cap_rate else 0.0
@@ -171,7 +181,7 @@
         gone = (at * self.cap_rate / self.unit - self.place) % self.n
         return self.unit if (gone + 1) * self.unit <= self.cap_depth * self.n else 0.0
 
-    def ask(self, job: Job[Account], granted: Handler, denied: Handler) -> None:
+    def ask(self, job: PendingRequest[TenantLimiter], granted: Handler, denied: Handler) -> None:
         """One req per emission interval and a burst count; a full count denies at once."""
         units, most = job.note.units, self.plan.at_once if self.plan else 0
         self.roll()
@@ -229,8 +239,8 @@
         if not self.woken:
             self.woken, edge = True, self.length - (self.loop.now + self.offset) % self.length
             # 40 min
-            after = min(edge, 2400 * api.TENTHS_PER_S) + self.loop.settings.count_timeout + 1
-            self.loop.actions.append(api.Wake(after, self.digest))
+            after = min(edge, 2400 * api.TICKS_PER_SECOND) + self.loop.settings.count_timeout + 1
+            self.loop.actions.append(api.SetTimer(after, self.digest))
         # its room comes with a total
         unknown = self.synced == NEVER and self.loop.settings.fresh < 1
         if unknown or self.unsent >= max(self.depth - self.whole, self.firm * self.depth / 10) / (
@@ -280,7 +290,7 @@
                 self.split(min(self.last[0], self.meter), self.meter)
                 self.asked, self.synced = self.meter / self.length, self.loop.now - 2 * self.length
 
-    def counted(self, k: int, step: float, got: api.Counted) -> None:
+    def counted(self, k: int, step: float, got: api.CounterReplied) -> None:
         """A total came, or none."""
         self.roll()
         if got.outcome is not api.Outcome.PASSED:
@@ -337,10 +347,12 @@
             if not step:  # a read at the edge
                 self.split(own, max(total, own))
 
-    def told(self, note: api.Told) -> None:
+    def told(self, note: api.TenantTotalUpdated) -> None:
         self.roll()
         if note.name & 0x7FFF == self.k & 0x7FFF:
-            self.counted(self.k, 0.0, api.Counted(note.name, api.Outcome.PASSED, note.total, 0))
+            self.counted(
+                self.k, 0.0, api.CounterReplied(note.name, api.Outcome.PASSED, note.total, 0)
+            )
 
     def split(self, own: float, total: float) -> None:
         """The design's re-split of the quota of one interval, which is the burst."""
--- a/loomstand/cli.py
+++ b/loomstand/cli/main.py
@@ -9,7 +9,7 @@
 import click
 
 from loomstand import __version__
-from loomstand.config import Config, ConfigError, load, settings
+from loomstand.config.limiter import Config, ConfigError, load, settings
 
 
 @click.group()
@@ -33,8 +33,8 @@
 @file_option
 def serve(path: str | None) -> None:
     """Run one limiter until SIGTERM; SIGHUP makes it read its configuration again."""
-    from loomstand.net.driver import Turns
-    from loomstand.net.limiter import Limiter
+    from loomstand.limiter.event_loop import Turns
+    from loomstand.limiter.limiter import Limiter
 
     config, turns = configured(path), Turns()
 
@@ -87,7 +87,7 @@
 
 
 def scenario_table(path: str) -> dict:
-    from loomstand.lab import scenario as sc
+    from loomstand.testing.emulator import scenario as sc
 
     try:
         return sc.read(path)
@@ -107,8 +107,8 @@
     from rich.console import Console
     from rich.progress import Progress
 
-    from loomstand.lab import report, runner
-    from loomstand.lab import scenario as sc
+    from loomstand.testing.emulator import report, runner
+    from loomstand.testing.emulator import scenario as sc
 
     scenario = sc.from_table(scenario_table(scenario_file))
     policies = runner.policies(scenario)
@@ -147,8 +147,8 @@
 
     from rich.progress import Progress
 
-    from loomstand.lab import report, runner
-    from loomstand.lab import scenario as sc
+    from loomstand.testing.emulator import report, runner
+    from loomstand.testing.emulator import scenario as sc
 
     table = scenario_table(scenario_file)
     try:
@@ -174,7 +174,7 @@
 @click.argument("out", type=click.Path(file_okay=False, exists=True))
 def lab_plot(out: str) -> None:
     """Draw the PNGs of the run or sweep in OUT."""
-    from loomstand.lab import report
+    from loomstand.testing.emulator import report
 
     for path in report.plot(out):
         click.echo(path)
@@ -207,10 +207,10 @@
     from rich.console import Console
     from rich.progress import Progress
 
-    from loomstand.lab.runner import values
-    from loomstand.lab.scenario import ScenarioError
-    from loomstand.rehearse import report, scenario
-    from loomstand.rehearse.stage import StageError, stage
+    from loomstand.testing.emulator.runner import values
+    from loomstand.testing.emulator.scenario import ScenarioError
+    from loomstand.testing.rehearsal import report, scenario
+    from loomstand.testing.rehearsal.stage import StageError, stage
 
     try:
         given = {key: vals[0] for key, vals in map(values, sets)}
@@ -254,7 +254,7 @@
 
 
 def site_plan(path: str):
-    from loomstand.sites import plan as plans
+    from loomstand.failover import zone_plan as plans
 
     try:
         return plans.load(path)
@@ -277,7 +277,7 @@
 def plan_show(path: str) -> None:
     """Tell for the loss of each zone of the plan in FILE where its load goes and what is refused;
     exit 1 if the fleet does not bear one."""
-    from loomstand.sites.plan import forecast
+    from loomstand.failover.zone_plan import forecast
 
     told, borne = site_plan(path), True
     if not told.zones or not told.demand:
--- a/loomstand/shared/configuration.py
+++ b/loomstand/config/configuration.py
@@ -17,7 +17,7 @@
 from types import MappingProxyType
 from typing import Any, Final
 
-from loomstand.shared.units import UnitError, seconds, shown, version
+from loomstand.config.units import UnitError, seconds, shown, version
 
 MOST_TIMEOUT = 600.0  # seconds: ten minutes, by the protocol
 MOST = 2.0**63  # no figure of a configuration comes near; sums of those under it stay finite
--- a/loomstand/config.py
+++ b/loomstand/config/limiter.py
@@ -15,17 +15,21 @@
 import msgspec
 from msgspec import Meta
 
-from loomstand import interface as i
-from loomstand.door import down, up
-from loomstand.sites import plan
-from loomstand.sites.plan import SitePlan
+from loomstand.admission import interface as i
+from loomstand.admission.identifiers import down, up
+from loomstand.failover import zone_plan
+from loomstand.failover.zone_plan import SitePlan
 
 EFFECTS = {
     "pure": i.Effect.REPLAYABLE,
     "token": i.Effect.UNIQUED,
     "side_effect": i.Effect.NON_REPLAYABLE,
 }
-GROUPS = {"all": i.Group.ALL, "zone": i.Group.HALL, "cell": i.Group.POD}
+GROUPS = {
+    "all": i.DeduplicationScope.ALL,
+    "zone": i.DeduplicationScope.HALL,
+    "cell": i.DeduplicationScope.POD,
+}
 Span = Annotated[float, Meta(ge=0)]  # milliseconds
 Whole = Annotated[int, Meta(ge=0)]
 
@@ -243,15 +247,15 @@
 def site_plan(path: str, conf: Conf) -> SitePlan:
     """The site plan in a file, which may name what these settings have."""
     try:
-        return plan.load(path, [g.name for g in conf.grades], [p.name for p in conf.plans])
-    except plan.PlanError as why:
+        return zone_plan.load(path, [g.name for g in conf.grades], [p.name for p in conf.plans])
+    except zone_plan.PlanError as why:
         raise ConfigError(f"key 'plan': {why}") from None
 
 
-def settings(conf: Conf, hall: int) -> i.Settings:
+def settings(conf: Conf, hall: int) -> i.EngineSettings:
     """The settings in our words."""
     allowed, specifics, rules = conf.allowed, conf.specifics, conf.rules
-    return i.Settings(
+    return i.EngineSettings(
         me=conf.me,
         limiters=conf.balancers,
         hall=hall,
@@ -269,7 +273,7 @@
             for g in conf.grades
         ),
         plans=tuple(
-            i.Plan(
+            i.QuotaPlan(
                 p.refill,
                 p.store_size,
                 int(p.at_once),
--- a/loomstand/shared/routes.py
+++ b/loomstand/config/routes.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from types import MappingProxyType
 
-from loomstand.shared.configuration import Configuration, Route, Tenant
+from loomstand.config.configuration import Configuration, Route, Tenant
 
 
 @dataclass(slots=True, frozen=True)
--- a/loomstand/shared/settings.py
+++ b/loomstand/config/settings.py
@@ -14,7 +14,7 @@
 from types import MappingProxyType
 from typing import Any, Final, TypeVar
 
-from loomstand.shared.units import Address, UnitError, address, ip, port, seconds, shown
+from loomstand.config.units import Address, UnitError, address, ip, port, seconds, shown
 
 T = TypeVar("T")
 _NEEDED: Final[Any] = object()
--- a/loomstand/ctl/advice.py
+++ b/loomstand/ctl/advice.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from loomstand.config.configuration import Configuration, Route, Service, Tenant
 from loomstand.ctl.plain import time
-from loomstand.shared.configuration import Configuration, Route, Service, Tenant
 
 _SHOWN = 60  # characters of a name; as in the messages of what is invalid
 
--- a/loomstand/ctl/calls.py
+++ b/loomstand/ctl/calls.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from urllib.parse import urlsplit
 
+from loomstand.config.configuration import Configuration, ConfigurationError, parse
+from loomstand.config.units import UnitError, port, version, version_text
 from loomstand.ctl.commands import ConfigPush, ConfigRead
 from loomstand.ctl.masks import mask, masked
 from loomstand.ctl.plain import Wrong, configuration, held, said
 from loomstand.ctl.plain import time as lasting
-from loomstand.shared.configuration import Configuration, ConfigurationError, parse
-from loomstand.shared.units import UnitError, port, version, version_text
 
 Address = tuple[str, int]
 
--- a/loomstand/ctl/commands.py
+++ b/loomstand/ctl/commands.py
@@ -10,8 +10,8 @@
 import cappa
 from rich.console import Console
 
+from loomstand.config.units import UnitError, port, seconds, shown
 from loomstand.ctl.plain import Wrong, said
-from loomstand.shared.units import UnitError, port, seconds, shown
 
 PROG = "loomstand.ctl"
 WIDTH = 80
--- a/loomstand/ctl/compare.py
+++ b/loomstand/ctl/compare.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, fields
 from typing import Any
 
+from loomstand.config.configuration import Configuration, Limits, Route, Service, Tenant
+from loomstand.config.units import version_text
 from loomstand.ctl.masks import masked
 from loomstand.ctl.plain import short, time
-from loomstand.shared.configuration import Configuration, Limits, Route, Service, Tenant
-from loomstand.shared.units import version_text
 
 Item = Route | Service | Tenant | Limits
 # What the configuration itself calls a field.
--- a/loomstand/ctl/days.py
+++ b/loomstand/ctl/days.py
@@ -6,10 +6,10 @@
 import os
 from collections import Counter
 
-from loomstand.almanac import draw, site, write
 from loomstand.ctl import show
 from loomstand.ctl.commands import DaysDraw
 from loomstand.ctl.plain import Wrong, held, many, said
+from loomstand.testing.fault_schedules import draw, site, write
 
 INDEX = "index.json"
 
--- a/loomstand/ctl/files.py
+++ b/loomstand/ctl/files.py
@@ -5,11 +5,11 @@
 import json
 from typing import Any
 
+from loomstand.config.configuration import Configuration
+from loomstand.config.settings import Settings, SettingsError, parse
+from loomstand.config.units import address_text, version_text
 from loomstand.ctl.commands import ConfigCheck, ConfigDiff, SettingsCheck
 from loomstand.ctl.plain import Wrong, configuration, data, held, many, said, short, time
-from loomstand.shared.configuration import Configuration
-from loomstand.shared.settings import Settings, SettingsError, parse
-from loomstand.shared.units import address_text, version_text
 
 
 def settings_check(asked: SettingsCheck) -> int:
--- a/loomstand/ctl/journal.py
+++ b/loomstand/ctl/journal.py
@@ -8,12 +8,12 @@
 import textwrap
 from typing import Any
 
-from loomstand.almanac import entry, losses, site
-from loomstand.almanac.entry import Day, Entry
-from loomstand.almanac.losses import Change, Loss
 from loomstand.ctl import show
 from loomstand.ctl.commands import WIDTH, JournalCompare, JournalList, JournalShow
 from loomstand.ctl.plain import Wrong, data, held, many, said
+from loomstand.testing.fault_schedules import entry, losses, site
+from loomstand.testing.fault_schedules.entry import Day, Entry
+from loomstand.testing.fault_schedules.losses import Change, Loss
 
 IN_FULL = 8  # days of which all is said; a hunt has more, and is read by its table
 SHOWN = 0.0005  # losses that three digits would show as 0 are left out
@@ -73,7 +73,7 @@
 
 
 def _plot(found: Entry, path: str) -> None:
-    from loomstand.almanac import plots
+    from loomstand.testing.fault_schedules import plots
 
     try:
         plots.bars(found, path)
--- a/loomstand/ctl/plain.py
+++ b/loomstand/ctl/plain.py
@@ -8,7 +8,7 @@
 from dataclasses import fields, is_dataclass
 from typing import Any
 
-from loomstand.shared.configuration import Configuration, ConfigurationError, parse
+from loomstand.config.configuration import Configuration, ConfigurationError, parse
 
 _BREAKS = re.compile("[\x00-\x1f\x7f-\x9f\u2028\u2029\ud800-\udfff]+")
 
--- a/loomstand/ctl/rescue.py
+++ b/loomstand/ctl/rescue.py
@@ -5,12 +5,12 @@
 import json
 from typing import Any
 
+from loomstand.config.units import address
 from loomstand.ctl import calls
 from loomstand.ctl.calls import Address, Answer, Failure
 from loomstand.ctl.commands import CoreRescue
 from loomstand.ctl.plain import Wrong, said
 from loomstand.ctl.status import look
-from loomstand.shared.units import address
 
 # Seconds without an answer: the registry gives its store five for all of a rescue.
 SILENCE = 6.0
--- a/loomstand/ctl/status.py
+++ b/loomstand/ctl/status.py
@@ -8,11 +8,11 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
+from loomstand.config.units import UnitError, address, address_text
 from loomstand.ctl import calls
 from loomstand.ctl.calls import Address, Failure
 from loomstand.ctl.commands import Status
 from loomstand.ctl.plain import said
-from loomstand.shared.units import UnitError, address, address_text
 
 # seconds until a second look where versions differ: news takes up to 0.3 s to all registries
 AGAIN = 0.5
--- a/loomstand/sites/guide.py
+++ b/loomstand/failover/engine_view.py
@@ -10,10 +10,10 @@
 from collections.abc import Iterable, Sequence
 from functools import lru_cache
 
-from loomstand import interface as api
-from loomstand.sites.order import Order, Room
-from loomstand.sites.plan import SitePlan
-from loomstand.sites.watch import State, Watch
+from loomstand.admission import interface as api
+from loomstand.failover.shedding_order import Order, Room
+from loomstand.failover.zone_loss_detector import State, Watch
+from loomstand.failover.zone_plan import SitePlan
 
 # Of what is refused first, to a lost zone: a limiter of eight such reqs a second has the two
 # answers that tell of a healed cut within five seconds, and meanwhile it costs a twentieth of those
@@ -29,7 +29,7 @@
     def __init__(
         self,
         plan: SitePlan,
-        settings: api.Settings,
+        settings: api.EngineSettings,
         names: tuple[Sequence[str], Sequence[str], Sequence[str]],
         now: int,
     ) -> None:
@@ -137,7 +137,7 @@
             zones = self.names[2]
             name = zones[move.zone] if move.zone < len(zones) else str(move.zone)
             lines.append(
-                f"{now / api.TENTHS_PER_S:.2f}: zone {name}: {move.old.value} to "
+                f"{now / api.TICKS_PER_SECOND:.2f}: zone {name}: {move.old.value} to "
                 f"{move.new.value}, {move.why}"
             )
             if move.new is State.DOUBTFUL or (
--- a/loomstand/sites/nearby.py
+++ b/loomstand/failover/subset_selection.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import Protocol, TypeVar
 
-from loomstand.interface import Settings
+from loomstand.admission.interface import EngineSettings
 
 # Places at this step apart lie evenly, whichever run of neighbours is looked at. Limiters' places
 # go by their names, so those of one zone are neighbours: at steps of 1/n they would all begin in
@@ -28,7 +28,7 @@
 S = TypeVar("S", bound=Placed)
 
 
-def stretch(ring: Sequence[S], settings: Settings, most: int) -> list[S]:
+def stretch(ring: Sequence[S], settings: EngineSettings, most: int) -> list[S]:
     """At most `most` servers of the ring, the ones to use first.
 
     With `settings.homes` that share of any few is of the own hall, as long as it has any: bytes
@@ -52,7 +52,7 @@
 
 
 def used(
-    ring: Sequence[S], lost: list[S], settings: Settings, reach: int, fronts: int
+    ring: Sequence[S], lost: list[S], settings: EngineSettings, reach: int, fronts: int
 ) -> tuple[list[list[S]], list[list[S]]]:
     """By frontend the servers to use, and those of them that are set aside, beside the `lost` ones.
 
--- a/loomstand/sites/plan.py
+++ b/loomstand/failover/zone_plan.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Meta
 
-from loomstand.tables import Struct, TableError, convert, read
+from loomstand.config.toml_tables import Struct, TableError, convert, read
 
 PlanError = TableError
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
--- a/loomstand/net/__init__.py
+++ b/loomstand/limiter/__init__.py
@@ -1,5 +1,5 @@
 """The real limiter: clients, servers, counter and discovery on sockets, joined to the Brain."""
 
-from loomstand.net.limiter import Limiter
+from loomstand.limiter.limiter import Limiter
 
 __all__ = ["Limiter"]
--- a/loomstand/net/clients.py
+++ b/loomstand/limiter/client_connection.py
@@ -4,10 +4,10 @@
 
 from math import inf
 
-from loomstand.net import driver, http
-from loomstand.net.driver import Listens, Wire
-from loomstand.net.endings import Ending
-from loomstand.net.roles import Asked, Takes
+from loomstand.limiter import event_loop, http_parser
+from loomstand.limiter.endings import Ending
+from loomstand.limiter.event_loop import Listens, Wire
+from loomstand.limiter.protocols import Asked, Takes
 
 STAYS = 2.0  # LATER: a connection with no open req may be closed after 2 s
 
@@ -29,9 +29,14 @@
     )
 
     def __init__(self, front: Front) -> None:
-        self.front, self.machine = front, http.RequestReceiver(front.most_body, front.most_head)
+        self.front, self.machine = (
+            front,
+            http_parser.RequestReceiver(front.most_body, front.most_head),
+        )
         most = front.most_body + front.most_head
-        self.wire = Wire(self, front.limiter.room, most, front.limiter.most_answer + http.MOST_HEAD)
+        self.wire = Wire(
+            self, front.limiter.room, most, front.limiter.most_answer + http_parser.MOST_HEAD
+        )
         self.req: Asked | None = None
         self.made_at = self.read_at = self.busy_at = front.limiter.turns.since
         self.begun_at: float | None = None  # when the message that is coming in began
@@ -60,7 +65,7 @@
             try:
                 if not machine.step(wire.inbound):
                     return
-            except http.Malformed as why:
+            except http_parser.Malformed as why:
                 self.answer(why.status, f"{why}\n".encode(), close=True)
                 return
             self.handle()
@@ -78,7 +83,7 @@
             return
         try:
             limiter.take(self, machine, self.read_at)
-        except http.Malformed as why:
+        except http_parser.Malformed as why:
             # the message was whole: the connection can go on
             self.answer(why.status, f"{why}\n".encode())
 
@@ -89,7 +94,7 @@
         self.busy_at = self.front.limiter.loop.time()
         self.front.answered(self)
         self.machine.reset()
-        if not self.wire.send(http.answer(status, body, extra, close)):
+        if not self.wire.send(http_parser.answer(status, body, extra, close)):
             self.wire.stop(Ending.NO_ROOM)
         elif close:
             self.wire.finish()
@@ -139,7 +144,7 @@
 class Front:
     """Listens for clients and bounds their connections."""
 
-    bind = staticmethod(driver.listen)  # or another way, as `driver.Streams` has it
+    bind = staticmethod(event_loop.listen)  # or another way, as `driver.Streams` has it
 
     def __init__(self, limiter: Takes, at_once: int, sockets: int) -> None:
         self.limiter, self.at_once, self.sockets = limiter, at_once, sockets
@@ -147,7 +152,7 @@
         # once and stay would use up; half of it is left to usual ones
         self.most_held = sockets // 6
         self.stays, self.own_paths = STAYS, True
-        self.most_body, self.most_head = http.MOST_BODY, http.MOST_HEAD
+        self.most_body, self.most_head = http_parser.MOST_BODY, http_parser.MOST_HEAD
         self.heads = inf  # seconds that the head of a message may take, if fewer than the patience
         self.clients: dict[Client, None] = {}
         self.server: Listens | None = None
--- a/loomstand/net/counter.py
+++ b/loomstand/limiter/counter.py
@@ -6,11 +6,11 @@
 from collections import deque
 from math import isfinite
 
-from loomstand.interface import Count, Outcome
-from loomstand.net import http
-from loomstand.net.driver import Wire, connect
-from loomstand.net.endings import Ending, call_outcome, called
-from loomstand.net.roles import Counts
+from loomstand.admission.interface import IncrementCounter, Outcome
+from loomstand.limiter import http_parser
+from loomstand.limiter.endings import Ending, call_outcome, called
+from loomstand.limiter.event_loop import Wire, connect
+from loomstand.limiter.protocols import Counts
 
 TOTAL = re.compile(rb"\s*-?[0-9]+(?:\.[0-9]*)?(?:[eE][-+]?[0-9]{1,3})?\s*").fullmatch
 
@@ -32,8 +32,8 @@
 
     def __init__(self, counter: Counter) -> None:
         self.keeper, self.up = counter, False
-        self.machine = http.ResponseReceiver()
-        self.wire = Wire(self, counter.limiter.room, http.MOST_RING)
+        self.machine = http_parser.ResponseReceiver()
+        self.wire = Wire(self, counter.limiter.room, http_parser.MOST_RING)
         self.calls: deque[Call] = deque()
         self.heard_at = counter.limiter.loop.time()
 
@@ -47,7 +47,7 @@
         try:
             while self.wire.ending is None and self.machine.step(self.wire.inbound):
                 if not self.calls:
-                    raise http.Malformed(502, "an answer to no call")
+                    raise http_parser.Malformed(502, "an answer to no call")
                 status, body, close = self.machine.status, self.machine.body, self.machine.close
                 self.machine.reset()
                 fit = self.keeper.answered(self.calls.popleft(), status, body)
@@ -55,7 +55,7 @@
                     self.wire.stop(Ending.FINISHED if close else Ending.MALFORMED)
             if self.keeper.queue:
                 self.keeper.flush()
-        except http.Malformed:
+        except http_parser.Malformed:
             self.wire.stop(Ending.MALFORMED)
 
     def ended(self, why: Ending) -> None:
@@ -79,7 +79,7 @@
         self.open: deque[Call] = deque()  # all calls without an outcome, the oldest first
         self.timer = None
 
-    def call(self, act: Count) -> None:
+    def call(self, act: IncrementCounter) -> None:
         loop = self.limiter.loop
         keep = max(1, min(60_000, -(-act.keep // 10)))
         raw = (
--- a/loomstand/net/discovery.py
+++ b/loomstand/limiter/discovery.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from loomstand.config import Members
-from loomstand.net import http
-from loomstand.net.driver import Wire, connect
-from loomstand.net.endings import Ending
-from loomstand.net.roles import Told
+from loomstand.config.limiter import Members
+from loomstand.limiter import http_parser
+from loomstand.limiter.endings import Ending
+from loomstand.limiter.event_loop import Wire, connect
+from loomstand.limiter.protocols import Told
 
 BEAT = 2.0  # PROTOCOL: an empty line comes every 2 s while nothing changes
 SILENT = 2.5 * BEAT  # two beats missed; under the 6 s after which a change counts as told
@@ -20,7 +20,7 @@
 decode = msgspec.json.Decoder(Members).decode
 
 
-class WatchReceiver(http.ResponseReceiver):
+class WatchReceiver(http_parser.ResponseReceiver):
     """An answer without an end, whose body is taken out line by line."""
 
     __slots__ = ()
@@ -71,7 +71,7 @@
         if not self.stopped:
             self.timer = None
             self.machine = WatchReceiver(MOST_LINE)
-            self.wire = Wire(self, self.limiter.room, http.MOST_RING)
+            self.wire = Wire(self, self.limiter.room, http_parser.MOST_RING)
             self.heard_at = self.limiter.loop.time()
             connect(self.limiter.loop, self.wire, self.where, self.connect_timeout)
 
@@ -87,7 +87,7 @@
         try:
             over = self.machine.step(self.wire.inbound)
             if self.machine.begun and self.machine.status != 200:
-                raise http.Malformed(502, f"status {self.machine.status}")
+                raise http_parser.Malformed(502, f"status {self.machine.status}")
             for line in self.machine.lines():
                 if line.strip():
                     self.told(decode(line))
@@ -96,7 +96,7 @@
                     self.limiter.beat()
             if over:
                 self.wire.stop(Ending.CLOSED)
-        except (http.Malformed, msgspec.DecodeError) as why:
+        except (http_parser.Malformed, msgspec.DecodeError) as why:
             self.limiter.log(f"discovery: {why}")
             self.wire.stop(Ending.MALFORMED)
 
--- a/loomstand/net/endings.py
+++ b/loomstand/limiter/endings.py
@@ -5,7 +5,7 @@
 
 from enum import Enum, auto
 
-from loomstand.interface import Outcome
+from loomstand.admission.interface import Outcome
 
 
 class Ending(Enum):
--- a/loomstand/net/driver.py
+++ b/loomstand/limiter/event_loop.py
@@ -14,8 +14,8 @@
 from contextlib import suppress
 from typing import Protocol
 
-from loomstand.net.endings import Ending
-from loomstand.net.ring import Ring, Room
+from loomstand.limiter.buffers import Ring, Room
+from loomstand.limiter.endings import Ending
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
 NO_ROOM = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
--- a/loomstand/net/trunk.py
+++ b/loomstand/limiter/gateway_core.py
@@ -8,27 +8,27 @@
 from collections import Counter as Tally
 from collections.abc import Callable
 
-from loomstand import interface as i
-from loomstand.brain import Brain
-from loomstand.interface import Outcome
-from loomstand.net import http
-from loomstand.net.clients import Client, Front
-from loomstand.net.driver import Turns, Untimed
-from loomstand.net.endings import Ending
-from loomstand.net.req import Flight, Req
-from loomstand.net.ring import Room
-from loomstand.net.servers import Pool
+from loomstand.admission import interface as i
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.interface import Outcome
+from loomstand.limiter import http_parser
+from loomstand.limiter.buffers import Room
+from loomstand.limiter.client_connection import Client, Front
+from loomstand.limiter.endings import Ending
+from loomstand.limiter.event_loop import Turns, Untimed
+from loomstand.limiter.request import Flight, Req
+from loomstand.limiter.upstream import Pool
 
 TOLD_EVERY = 10  # seconds between lines about connections
 
 
-class Trunk:
+class GatewayCore:
     """The front, the pool and the module of one limiter, and the reqs between them. A limiter gives
     `front`, `pool`, `brain` and how its answers look."""
 
     front: Front
     pool: Pool
-    brain: Brain
+    brain: DecisionEngine
     patience: float  # seconds for a message that is slow to come in, or an answer that isn't taken
 
     def __init__(
@@ -43,7 +43,7 @@
         # for clients that are being taken in, as many for those that are turned away. An answer may
         # be as long as a 64th of that, as answers come that are longer than a body should be.
         self.room = Room(int(memory_mb * (1 << 20) / 2))
-        self.most_answer = max(http.MOST_BODY, self.room.left // 64)
+        self.most_answer = max(http_parser.MOST_BODY, self.room.left // 64)
         self.spare = sockets // 10
         self.sockets = sockets - 2 * self.spare
         self.reqs: dict[int, Req] = {}
@@ -53,14 +53,14 @@
         self.swept = 0
         self.stopped = asyncio.Event()
         self.kinds_of_action: dict[type, Callable] = {
-            i.Dispatch: self.dispatch,
-            i.Deny: self.deny,
+            i.SendAttempt: self.dispatch,
+            i.Reject: self.deny,
             i.Abort: self.abort,
-            i.CallOff: self.call_off,
-            i.Wake: self.wake,
-            i.Count: self.count,
-            i.Probe: self.probe,
-            i.Log: self.tell,
+            i.CancelAttempt: self.call_off,
+            i.SetTimer: self.wake,
+            i.IncrementCounter: self.count,
+            i.CheckHealth: self.probe,
+            i.LogMessage: self.tell,
         }
 
     def now(self) -> int:
@@ -73,13 +73,13 @@
         """Seconds for which new connections are still taken after the call to stop."""
         raise NotImplementedError
 
-    def deny(self, act: i.Deny) -> None:
+    def deny(self, act: i.Reject) -> None:
         raise NotImplementedError
 
     def abort(self, act: i.Abort) -> None:
         raise NotImplementedError
 
-    def count(self, act: i.Count) -> None:
+    def count(self, act: i.IncrementCounter) -> None:
         raise NotImplementedError
 
     def swept_more(self) -> None:
@@ -162,7 +162,7 @@
 
     def vanished(self, req: Req) -> None:
         req.client = None
-        self.note(i.Vanished(req.id))
+        self.note(i.ClientDisconnected(req.id))
         self.forget(req)
 
     # from servers
@@ -180,7 +180,9 @@
         req = flight.req
         took = max(0, self.now() - flight.sent_at)
         final = req.client is None
-        self.note(i.Ended(req.id, flight.number, flight.srv, outcome, took, final, metered, 0.0))
+        self.note(
+            i.AttemptEnded(req.id, flight.number, flight.srv, outcome, took, final, metered, 0.0)
+        )
         self.forget(req)
 
     def came(self, flight: Flight, outcome: Outcome, metered: int = 0, body: bytes = b"") -> None:
@@ -189,7 +191,7 @@
 
     # the module
 
-    def note(self, note: i.Note) -> None:
+    def note(self, note: i.Event) -> None:
         try:
             actions = self.brain.handle(self.now(), note)
         except Exception as why:  # the limiter goes on: only what the note was about is lost
@@ -202,7 +204,7 @@
     def flight(self, req: Req, srv: int, expire: int) -> Flight:
         return Flight(req, len(req.flights), srv, self.now(), expire)
 
-    def dispatch(self, act: i.Dispatch) -> None:
+    def dispatch(self, act: i.SendAttempt) -> None:
         req, now = self.reqs.get(act.req), self.now()
         if req is None:
             return
@@ -221,7 +223,7 @@
         """How many dispatches the req may have."""
         raise NotImplementedError
 
-    def call_off(self, act: i.CallOff) -> None:
+    def call_off(self, act: i.CancelAttempt) -> None:
         req = self.reqs.get(act.req)
         if (
             req is not None
@@ -240,15 +242,15 @@
         if req.client is None and not any(req.flights) and self.reqs.pop(req.id, None):
             self.room.give(len(req.body))
 
-    def wake(self, act: i.Wake) -> None:
-        self.loop.call_later(act.after / 10_000, self.note, i.Woke(act.tag))
+    def wake(self, act: i.SetTimer) -> None:
+        self.loop.call_later(act.after / 10_000, self.note, i.TimerFired(act.tag))
 
     def counted(self, name: int, outcome: Outcome, total: float, took: int) -> None:
-        self.note(i.Counted(name, outcome, total, took))
+        self.note(i.CounterReplied(name, outcome, total, took))
 
-    def probe(self, act: i.Probe) -> None:
+    def probe(self, act: i.CheckHealth) -> None:
         # the module makes none today, and the protocols name no path for it
-        self.loop.call_soon(self.note, i.Probed(act.srv, Outcome.NOT_SENT, 0))
+        self.loop.call_soon(self.note, i.HealthCheckFinished(act.srv, Outcome.NOT_SENT, 0))
 
-    def tell(self, act: i.Log) -> None:
+    def tell(self, act: i.LogMessage) -> None:
         self.log(act.text)
--- a/loomstand/net/http.py
+++ b/loomstand/limiter/http_parser.py
@@ -5,7 +5,7 @@
 import re
 from functools import lru_cache
 
-from loomstand.net.ring import Ring
+from loomstand.limiter.buffers import Ring
 
 MOST_BODY = 64 * 1024  # PROTOCOL: a body holds 64 KiB at most
 MOST_HEAD = 8 * 1024
--- a/loomstand/net/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -4,29 +4,33 @@
 
 import time
 
-from loomstand import interface as i
-from loomstand.brain import Brain
-from loomstand.config import Config, Members, address, settings
-from loomstand.door import Door, up
-from loomstand.interface import Outcome
-from loomstand.net import http
-from loomstand.net.clients import Client, Front
-from loomstand.net.counter import Counter
-from loomstand.net.discovery import Watch
-from loomstand.net.driver import Turns
-from loomstand.net.log import Log
-from loomstand.net.req import AccountReq, Flight, Names, Req
-from loomstand.net.servers import Pool
-from loomstand.net.trunk import Trunk
-
-PHASES = {"active": i.Phase.LIVE, "leaving": i.Phase.DRAINING, "left": i.Phase.GONE}
+from loomstand.admission import interface as i
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.identifiers import Door, up
+from loomstand.admission.interface import Outcome
+from loomstand.config.limiter import Config, Members, address, settings
+from loomstand.limiter import http_parser
+from loomstand.limiter.client_connection import Client, Front
+from loomstand.limiter.counter import Counter
+from loomstand.limiter.discovery import Watch
+from loomstand.limiter.event_loop import Turns
+from loomstand.limiter.gateway_core import GatewayCore
+from loomstand.limiter.log import Log
+from loomstand.limiter.request import AccountReq, Flight, Names, Req
+from loomstand.limiter.upstream import Pool
+
+PHASES = {
+    "active": i.EndpointState.LIVE,
+    "leaving": i.EndpointState.DRAINING,
+    "left": i.EndpointState.GONE,
+}
 LINGER = 0.7  # PROTOCOL: a req that comes later than this after SIGTERM may find nobody
 FIXED_SOCKETS = (
     16  # standard streams, the loop's own, the listener, the counter's, discovery's, and some files
 )
 
 
-class Limiter(Trunk):
+class Limiter(GatewayCore):
     """Everything of one limiter. `run` serves until it is told to stop."""
 
     def __init__(self, config: Config, turns: Turns | None = None) -> None:
@@ -40,10 +44,10 @@
         names = ([g.name for g in conf.grades], [p.name for p in conf.plans], conf.zones)
         self.guide = None
         if config.plan:
-            from loomstand.sites.guide import Guide
+            from loomstand.failover.engine_view import Guide
 
             self.guide = Guide(config.plan, self.settings, names, started)
-        self.brain = Brain(self.settings, config.seed, started, self.guide)
+        self.brain = DecisionEngine(self.settings, config.seed, started, self.guide)
         self.names = Names(
             [g.name for g in conf.grades], [p.name for p in conf.plans], self.settings
         )
@@ -56,7 +60,7 @@
         self.peers = None
         if config.peers:
             # only where there are any: a start counts its CPU
-            from loomstand.peers.driver import Peers
+            from loomstand.membership.driver import Peers
 
             own, fleet, known = self.settings.me, self.settings.limiters, config.known
             self.peers = Peers(
@@ -138,18 +142,18 @@
         for m in list_.members:
             srv, phase = self.servers.at(m.id), PHASES[m.phase]
             self.pool.told(
-                srv, None if phase is i.Phase.GONE else address(m.host_port, "host_port")
+                srv, None if phase is i.EndpointState.GONE else address(m.host_port, "host_port")
             )
             hall, kind = self.halls.at(m.locality), self.kinds.at(m.flavor)
-            entries.append(i.Entry(srv, phase, hall, kind, m.cell, m.size, up(m.up_since_ms)))
-            if phase is i.Phase.GONE:
+            entries.append(i.Endpoint(srv, phase, hall, kind, m.cell, m.size, up(m.up_since_ms)))
+            if phase is i.EndpointState.GONE:
                 self.servers.forget(srv)
-        self.note(i.Listed(tuple(entries), list_.complete))
+        self.note(i.EndpointsUpdated(tuple(entries), list_.complete))
         self.able = not self.front.stopping
 
     # from clients
 
-    def take(self, client: Client, machine: http.RequestReceiver, at: float) -> None:
+    def take(self, client: Client, machine: http_parser.RequestReceiver, at: float) -> None:
         """A req has come: if nothing is wrong with it, it is owed one answer from here on."""
         req = AccountReq(machine, self.names)
         if not self.room.take(len(req.body)):
@@ -158,7 +162,7 @@
         timeout = min(10 * req.timeout, self.settings.frontends[req.frontend].client_timeout)
         self.owed(req, client, timeout, at)
         who, turn = (req.plan, *req.customer), (req.units, req.set_size, req.retry, req.first)
-        self.note(i.Arrived(req.id, req.frontend, *who, req.give_up, *turn))
+        self.note(i.RequestArrived(req.id, req.frontend, *who, req.give_up, *turn))
 
     # from servers
 
@@ -170,7 +174,7 @@
 
     # the module
 
-    def deny(self, act: i.Deny) -> None:
+    def deny(self, act: i.Reject) -> None:
         req = self.reqs.get(act.req)
         if req is not None and req.client is not None:
             self.answer(
@@ -184,7 +188,7 @@
             self.answer(req, 502)
             self.forget(req)
 
-    def count(self, act: i.Count) -> None:
+    def count(self, act: i.IncrementCounter) -> None:
         if self.counter is None:
             self.loop.call_soon(self.counted, act.name, Outcome.NO_CONNECTION, 0.0, 0)
         else:
--- a/loomstand/net/roles.py
+++ b/loomstand/limiter/protocols.py
@@ -7,10 +7,10 @@
 from collections import Counter as Tally
 from typing import Protocol
 
-from loomstand.config import Members
-from loomstand.interface import Outcome
-from loomstand.net import http
-from loomstand.net.ring import Room
+from loomstand.admission.interface import Outcome
+from loomstand.config.limiter import Members
+from loomstand.limiter import http_parser
+from loomstand.limiter.buffers import Room
 
 
 class Clock(Protocol):
@@ -74,7 +74,7 @@
     turns: Clock
     able: bool
 
-    def take(self, client: Asker, machine: http.RequestReceiver, at: float) -> None: ...
+    def take(self, client: Asker, machine: http_parser.RequestReceiver, at: float) -> None: ...
 
     def vanished(self, req: Asked) -> None: ...
 
--- a/loomstand/net/req.py
+++ b/loomstand/limiter/request.py
@@ -6,10 +6,10 @@
 from collections.abc import Container
 from functools import lru_cache
 
-from loomstand.door import digest
-from loomstand.interface import Settings
-from loomstand.net.http import Malformed, RequestReceiver, number
-from loomstand.net.roles import Asker, Carrier
+from loomstand.admission.identifiers import digest
+from loomstand.admission.interface import EngineSettings
+from loomstand.limiter.http_parser import Malformed, RequestReceiver, number
+from loomstand.limiter.protocols import Asker, Carrier
 
 ACCOUNT = re.compile(rb"[?&]account=([0-9a-fA-F]{16})(?:&|$)").search
 DECIMAL = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?").fullmatch
@@ -31,7 +31,7 @@
 class Names:
     """The settings' names as they stand in a req."""
 
-    def __init__(self, frontends: list[str], plans: list[str], told: Settings) -> None:
+    def __init__(self, frontends: list[str], plans: list[str], told: EngineSettings) -> None:
         self.frontends = {name.encode(): n for n, name in enumerate(frontends)}
         self.plans = {name.encode(): n for n, name in enumerate(plans)}
         self.told = told
--- a/loomstand/net/servers.py
+++ b/loomstand/limiter/upstream.py
@@ -4,12 +4,12 @@
 
 from math import inf
 
-from loomstand.interface import Outcome
-from loomstand.net import driver, http
-from loomstand.net.driver import Wire
-from loomstand.net.endings import Ending, answered, outcome
-from loomstand.net.req import Flight
-from loomstand.net.roles import Sends
+from loomstand.admission.interface import Outcome
+from loomstand.limiter import event_loop, http_parser
+from loomstand.limiter.endings import Ending, answered, outcome
+from loomstand.limiter.event_loop import Wire
+from loomstand.limiter.protocols import Sends
+from loomstand.limiter.request import Flight
 
 
 class Link:
@@ -19,8 +19,8 @@
 
     def __init__(self, pool: Pool, srv: int) -> None:
         self.pool, self.srv, self.sent = pool, srv, False
-        self.machine = http.ResponseReceiver(pool.limiter.most_answer)
-        self.wire = Wire(self, pool.limiter.room, pool.limiter.most_answer + http.MOST_HEAD)
+        self.machine = http_parser.ResponseReceiver(pool.limiter.most_answer)
+        self.wire = Wire(self, pool.limiter.room, pool.limiter.most_answer + http_parser.MOST_HEAD)
         self.flight: Flight | None = None
         self.idle_at, self.stays = 0.0, inf  # as the server says, in seconds; it may not
 
@@ -42,7 +42,7 @@
         try:
             if not machine.step(self.wire.inbound):
                 return
-        except http.Malformed as why:
+        except http_parser.Malformed as why:
             self.wire.stop(Ending.OVERSIZED if why.status in (413, 431) else Ending.MALFORMED)
             return
         self.took()
@@ -53,7 +53,7 @@
         status, fields, body, close = machine.status, machine.fields, machine.body, machine.close
         self.done(close)
         used = fields.get(b"x-ratelimit-used", b"")
-        metered = int(used) + 1 if http.number(used) else 0
+        metered = int(used) + 1 if http_parser.number(used) else 0
         self.pool.limiter.came(
             flight, answered(status, fields.get(b"not-started") == b"1"), metered, body
         )
@@ -80,7 +80,7 @@
     """Connections to all servers."""
 
     link: type[Link] = Link
-    connect = staticmethod(driver.connect)  # or another way, as `driver.Streams` has it
+    connect = staticmethod(event_loop.connect)  # or another way, as `driver.Streams` has it
 
     def __init__(self, limiter: Sends, connect_timeout: float, idle_close: float) -> None:
         self.limiter, self.connect_timeout = limiter, connect_timeout
--- a/loomstand/peers/driver.py
+++ b/loomstand/membership/driver.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from loomstand.config import ConfigError, Members, address
-from loomstand.peers import messages
-from loomstand.peers.lists import PASS_ON, PIECE, Lists
-from loomstand.peers.members import Members as Membership
-from loomstand.peers.members import State
-from loomstand.peers.messages import Part, Want
+from loomstand.config.limiter import ConfigError, Members, address
+from loomstand.membership import messages
+from loomstand.membership.endpoint_lists import PASS_ON, PIECE, Lists
+from loomstand.membership.members import Members as Membership
+from loomstand.membership.members import State
+from loomstand.membership.messages import Part, Want
 
 TICK = 0.05  # s: a starting limiter that has no list asks at every other of these
 
--- a/loomstand/peers/lists.py
+++ b/loomstand/membership/endpoint_lists.py
@@ -13,8 +13,8 @@
 
 from collections.abc import Sequence
 
-from loomstand.config import Member, Members
-from loomstand.peers.messages import Part
+from loomstand.config.limiter import Member, Members
+from loomstand.membership.messages import Part
 
 WATCHERS = 3  # two can die together and a third still has every change at once
 # s between two limiters that begin to ask discovery: four a second, under any discovery's room
--- a/loomstand/peers/members.py
+++ b/loomstand/membership/members.py
@@ -19,7 +19,7 @@
 from math import ceil, log2
 from random import Random
 
-from loomstand.peers.messages import Ack, Base, Check, Ping, Word
+from loomstand.membership.messages import Ack, Base, Check, Ping, Word
 
 # s: SWIM's; a death is known to all some log2(N) periods later, soon beside the 6 s of a list
 PERIOD = 1.0
--- a/loomstand/peers/messages.py
+++ b/loomstand/membership/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from loomstand.config import Member
+from loomstand.config.limiter import Member
 
 MOST = 8192  # bytes a datagram: well under what loopback and fragmented networks carry
 
--- a/loomstand/model_checker/__init__.py
+++ b/loomstand/model_checker/__init__.py
@@ -1,1 +1,1 @@
-"""A model checker for the store: the store's own decisions, driven through all orders of events."""
+"""Entry point of the model checker; the code is in `loomstand.testing.model_checker`."""
--- a/loomstand/proxy/__main__.py
+++ b/loomstand/proxy/__main__.py
@@ -2,11 +2,11 @@
 
 from random import Random
 
-from loomstand.net.driver import Turns
+from loomstand.config.settings import Settings
+from loomstand.limiter.event_loop import Turns
 from loomstand.proxy.program import Proxy
 from loomstand.rpc.sockets import Sockets
 from loomstand.rpc.start import main
-from loomstand.shared.settings import Settings
 
 
 async def make(settings: Settings, turns: Turns) -> Proxy:
--- a/loomstand/proxy/recount.py
+++ b/loomstand/proxy/counter_replay.py
@@ -15,7 +15,7 @@
     until: float  # s; kept by the counter, too, until then
 
 
-class Told:
+class CounterReplay:
     """Sums by name. Counts go by a number: another one where they began anew."""
 
     def __init__(self) -> None:
--- a/loomstand/proxy/instance_view.py
+++ b/loomstand/proxy/instance_view.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class KnownInstance:
     """One server: its newest row, and what each registry says of it."""
 
     address: str
@@ -32,7 +32,7 @@
     it."""
 
     def __init__(self) -> None:
-        self.servers: dict[str, Known] = {}
+        self.servers: dict[str, KnownInstance] = {}
 
     def told(self, registry: str, rows: list[Row], anew: bool = False) -> list[str]:
         """Rows from one registry; `anew` where it is its first word in a new life. Gives the ids of
@@ -49,7 +49,7 @@
             if known is None:
                 if state == GONE:
                     continue
-                known = self.servers[id_] = Known(address, service, zone, slots, READY, -1)
+                known = self.servers[id_] = KnownInstance(address, service, zone, slots, READY, -1)
             before.setdefault(id_, known.use if known.sequence >= 0 else "")
             known.said[registry] = state
             # an end is an end, whoever says so; else the newer row is right
--- a/loomstand/proxy/terms.py
+++ b/loomstand/proxy/policy_compiler.py
@@ -4,11 +4,17 @@
 
 from dataclasses import dataclass
 
-from loomstand.door import Door, digest, down
-from loomstand.interface import Effect, Frontend, Group, Plan, Settings
+from loomstand.admission.identifiers import Door, digest, down
+from loomstand.admission.interface import (
+    DeduplicationScope,
+    Effect,
+    EngineSettings,
+    Frontend,
+    QuotaPlan,
+)
+from loomstand.config.configuration import Configuration, Route, Tenant
+from loomstand.config.settings import Bounds
 from loomstand.registry.quota_grants import ALONE
-from loomstand.shared.configuration import Configuration, Route, Tenant
-from loomstand.shared.settings import Bounds
 
 # Late answers have a worth that the configuration doesn't tell: a tenth and three tenths at the
 # sites known.
@@ -49,7 +55,7 @@
     silent: int = 0
 
 
-class Terms:
+class PolicyCompiler:
     """LimiterTable out the module's indices, and makes its settings."""
 
     def __init__(self, bounds: Bounds, zones: list[str], zone: str) -> None:
@@ -77,7 +83,7 @@
             self.digests[n] = digest(tenant.name)
             self.by_digest[self.digests[n]] = n
 
-    def settings(self, fleet: Fleet, shift: int = 0) -> Settings:
+    def settings(self, fleet: Fleet, shift: int = 0) -> EngineSettings:
         """The module's settings, as a snapshot; `shift` of its clock to the one that all count
         by."""
         scale = 1 - ALONE * fleet.silent / fleet.all
@@ -87,9 +93,9 @@
             rate = tenant.rate * scale if tenant else 0.0
             burst = max(tenant.burst * scale, 1.0) if tenant and tenant.rate else 0.0
             # use beyond the quota is worth nothing and breaks a rule
-            plans.append(Plan(rate, burst, 0, value_of(tenant), 0.0, 1.0, 0.0, 0.0, 0.0))
+            plans.append(QuotaPlan(rate, burst, 0, value_of(tenant), 0.0, 1.0, 0.0, 0.0, 0.0))
         b = self.bounds
-        return Settings(
+        return EngineSettings(
             me=fleet.me,
             limiters=fleet.all,
             hall=self.hall,
@@ -133,7 +139,15 @@
     target, timeout = down(route.target_latency * 1000), down(route.timeout * 1000)
     value = 2.0 ** (2 - min(8, route.priority))
     return Frontend(
-        effect, Group.ALL, 0, target, timeout, value, LATE * value, False, tries=route.attempts
+        effect,
+        DeduplicationScope.ALL,
+        0,
+        target,
+        timeout,
+        value,
+        LATE * value,
+        False,
+        tries=route.attempts,
     )
 
 
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -8,32 +8,32 @@
 
 from absl import logging
 
-from loomstand import interface as i
-from loomstand.brain import Brain
-from loomstand.door import digest
-from loomstand.interface import Outcome
-from loomstand.net import http
-from loomstand.net.clients import Client, Front
-from loomstand.net.driver import Streams, Turns
-from loomstand.net.req import Flight, Req
-from loomstand.net.trunk import Trunk
+from loomstand.admission import interface as i
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.identifiers import digest
+from loomstand.admission.interface import Outcome
+from loomstand.config.configuration import ConfigurationError, Limits, Reader
+from loomstand.config.routes import Table
+from loomstand.config.settings import Settings
+from loomstand.config.units import address
+from loomstand.limiter import http_parser
+from loomstand.limiter.client_connection import Client, Front
+from loomstand.limiter.event_loop import Streams, Turns
+from loomstand.limiter.gateway_core import GatewayCore
+from loomstand.limiter.request import Flight, Req
+from loomstand.proxy.counter_replay import CounterReplay
 from loomstand.proxy.instance_view import InstanceView
+from loomstand.proxy.policy_compiler import COUNT_WITHIN, Fleet, PolicyCompiler
 from loomstand.proxy.quota_credits import AGAIN, APART, CALLS, QuotaCredits
-from loomstand.proxy.recount import Told
 from loomstand.proxy.request import Dispatch, ProxyRequest
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import SharedClock
-from loomstand.proxy.terms import COUNT_WITHIN, Fleet, Terms
 from loomstand.proxy.upstream import UpstreamPool
 from loomstand.registry.instances import DRAINING, GONE, READY, SILENT, Row
 from loomstand.registry.quota_buckets import SLOTS
 from loomstand.rpc.network import Network
-from loomstand.rpc.outside import Outside
-from loomstand.shared.configuration import ConfigurationError, Limits, Reader
-from loomstand.shared.routes import Table
-from loomstand.shared.settings import Settings
-from loomstand.shared.units import address
-from loomstand.shared.verdict import Verdict
+from loomstand.rpc.outside import OperatorHttpServer
+from loomstand.rpc.verdict import Verdict
 
 # Within a region a connection comes up in 3 ms and a server takes one more; where it doesn't in
 # this time the machine is gone or cut off, and the request has time for another server.
@@ -57,10 +57,10 @@
 SETTLED = 4.0  # seconds after its start by when a limiter knows all servers that there are
 QUOTA = {"full count", "old total", "ceiling"}
 PHASES = {
-    READY: i.Phase.LIVE,
-    DRAINING: i.Phase.DRAINING,
-    SILENT: i.Phase.DRAINING,
-    GONE: i.Phase.GONE,
+    READY: i.EndpointState.LIVE,
+    DRAINING: i.EndpointState.DRAINING,
+    SILENT: i.EndpointState.DRAINING,
+    GONE: i.EndpointState.GONE,
 }
 # A limiter that started while no registry knew of a primary serves with what it has after so many
 # seconds.
@@ -72,7 +72,7 @@
 }
 
 
-class Proxy(Trunk):
+class Proxy(GatewayCore):
     """One proxy."""
 
     def __init__(
@@ -97,7 +97,7 @@
             self.front.bind, self.pool.connect = streams.listen, streams.connect
         self.patience = 10.0
         self.lists = InstanceView()
-        self.terms = Terms(settings.bounds, list(settings.zones), settings.zone)
+        self.terms = PolicyCompiler(settings.bounds, list(settings.zones), settings.zone)
         self.identifiers: dict[int, str] = {}
         self.indices: dict[str, int] = {}
         self.by_service: dict[str, set[int]] = {}  # the live servers of each service
@@ -106,18 +106,18 @@
         self.reader = Reader()
         self.sure_at: float | None = None
         self.sessions = Sessions(settings, network, self.loop.time, rng, self)
-        self.readiness = Outside(self.ready, turns, 4 << 20, 64, 4096, streams)
+        self.readiness = OperatorHttpServer(self.ready, turns, 4 << 20, 64, 4096, streams)
         self.begun, self.common = self.loop.time(), SharedClock()
         self.held: dict[ProxyRequest, float] = {}  # wait for the start's end, since
         self.brain = self.begin()
-        self.told = Told()
+        self.told = CounterReplay()
         self.credits = QuotaCredits(settings.bounds, rng.getrandbits(32), self.begun)
         self.short = asyncio.Event()  # a tenant's credits run short
         self.counting_tasks: set[asyncio.Task[None]] = set()
 
-    def begin(self) -> Brain:
+    def begin(self) -> DecisionEngine:
         """The module, from the start."""
-        return Brain(self.terms.settings(self.fleet), self.rng.getrandbits(64), self.now())
+        return DecisionEngine(self.terms.settings(self.fleet), self.rng.getrandbits(64), self.now())
 
     # life
 
@@ -176,17 +176,17 @@
                 self.identifiers[srv] = id_
             entries.append(self.entry(srv, known.use, known.service, known.zone, known.address))
         if entries:
-            self.note(i.Listed(tuple(entries), False))
+            self.note(i.EndpointsUpdated(tuple(entries), False))
             self.look()
             self.settle()
 
-    def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> i.Entry:
+    def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> i.Endpoint:
         phase = PHASES[use]
-        self.pool.told(srv, None if phase is i.Phase.GONE else address(where))
+        self.pool.told(srv, None if phase is i.EndpointState.GONE else address(where))
         live = self.by_service.setdefault(service, set())
-        (live.add if phase is i.Phase.LIVE else live.discard)(srv)
+        (live.add if phase is i.EndpointState.LIVE else live.discard)(srv)
         at = self.terms.services.at(service)
-        return i.Entry(srv, phase, self.terms.zones.at(zone), 0, 0, 1.0, 0, at)
+        return i.Endpoint(srv, phase, self.terms.zones.at(zone), 0, 0, 1.0, 0, at)
 
     def misdirected(self, flight: Dispatch) -> None:
         """Another server has the address: this one is over."""
@@ -195,7 +195,7 @@
         if known is not None and known.state != GONE:
             known.state = GONE
             entry = self.entry(flight.srv, GONE, known.service, known.zone, known.address)
-            self.loop.call_soon(self.note, i.Listed((entry,), False))
+            self.loop.call_soon(self.note, i.EndpointsUpdated((entry,), False))
 
     def limiters(self, me: int, many: int, silent: int) -> None:
         fleet = Fleet(me, max(1, many), silent)
@@ -245,7 +245,9 @@
                 self.credits.full(int(name) >> SLOTS, self.loop.time())
             plan = self.terms.by_digest.get(int(name) >> SLOTS)
             if plan is not None:
-                self.note(i.Told(int(name), float(total), plan, plan, int(name) >> SLOTS))
+                self.note(
+                    i.TenantTotalUpdated(int(name), float(total), plan, plan, int(name) >> SLOTS)
+                )
 
     def clock_told(self, clock: int | None, sure: bool) -> None:
         """The common clock as a registry has it: intervals follow it, while time doesn't jump here.
@@ -267,11 +269,11 @@
 
     def rule(self) -> None:
         """The module's settings are other ones."""
-        self.note(i.Ruled(self.terms.settings(self.fleet, self.common.shift)))
+        self.note(i.SettingsChanged(self.terms.settings(self.fleet, self.common.shift)))
 
     # from clients
 
-    def take(self, client: Client, machine: http.RequestReceiver, at: float) -> None:
+    def take(self, client: Client, machine: http_parser.RequestReceiver, at: float) -> None:
         """A request has come: if nothing is wrong with it, it is owed one answer from here on."""
         req = ProxyRequest(machine)
         req.client, client.req = client, req
@@ -362,7 +364,7 @@
         self.owed(req, req.client, req.timeout(), at)
         at_service = self.terms.services.at(req.service)
         self.note(
-            i.Arrived(
+            i.RequestArrived(
                 req.id, front, plan, plan, name, req.give_up, 1.0, 0, False, service=at_service
             )
         )
@@ -391,12 +393,12 @@
             self.answer(req, *req.got)
         self.ended(flight, outcome)
 
-    def count(self, act: i.Count) -> None:
+    def count(self, act: i.IncrementCounter) -> None:
         task = self.loop.create_task(self.counting(act))
         self.counting_tasks.add(task)
         task.add_done_callback(self.counting_tasks.discard)
 
-    async def counting(self, act: i.Count) -> None:
+    async def counting(self, act: i.IncrementCounter) -> None:
         asked, keep = self.now(), act.keep / 10_000
         said = {"name": act.name, "step": act.step, "keep": keep}
         got = await self.sessions.count(said, COUNT_WITHIN / 1000)
@@ -460,7 +462,7 @@
             return 0
         return req.route.attempts
 
-    def deny(self, act: i.Deny) -> None:
+    def deny(self, act: i.Reject) -> None:
         req = self.reqs.get(act.req)
         if req is None or req.client is None:
             return
--- a/loomstand/proxy/quota_credits.py
+++ b/loomstand/proxy/quota_credits.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from math import exp, inf
 
+from loomstand.config.configuration import Tenant
+from loomstand.config.settings import Bounds
 from loomstand.registry.quota_grants import ALONE, FEW, GOOD, SILENT, depth
-from loomstand.shared.configuration import Tenant
-from loomstand.shared.settings import Bounds
 
 # Credits that are held of a tenant that asks little, as requests often come in pairs; more where a
 # limiter's part of this share of the bucket is more.
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Credit:
+class TenantCredits:
     """One tenant's. `left`: granted; `spent`: let in while open, and not told; `own`: what came of
     the even share while alone."""
 
@@ -70,7 +70,7 @@
 
     def __init__(self, bounds: Bounds, life: int, now: float) -> None:
         self.bounds, self.life = bounds, life
-        self.credits: dict[int, Credit] = {}
+        self.credits: dict[int, TenantCredits] = {}
         self.many = 1
         self.number = -1  # of the grants that these credits are of
         self.told_all = False
@@ -83,7 +83,7 @@
         before, self.credits = self.credits, {}
         for name, tenant in quotas.items():
             most = depth(tenant.rate, tenant.burst, self.bounds)
-            credit = before.get(name) or Credit(tenant.rate, most)
+            credit = before.get(name) or TenantCredits(tenant.rate, most)
             if tenant.rate < credit.rate:  # parts of a quota that is no more
                 credit.left = min(credit.left, LEAST)
             credit.rate, credit.depth = tenant.rate, most
@@ -97,15 +97,15 @@
     def alone(self, now: float) -> bool:
         return now - self.heard > SILENT
 
-    def few(self, credit: Credit) -> bool:
+    def few(self, credit: TenantCredits) -> bool:
         """Whether the tenant's quota can't be shared out ahead."""
         return credit.depth < FEW * self.many
 
-    def open(self, credit: Credit, now: float) -> bool:
+    def open(self, credit: TenantCredits, now: float) -> bool:
         """Whether a request may be let in before it is told."""
         return self.few(credit) and now >= credit.closed_until
 
-    def roll(self, credit: Credit, now: float) -> None:
+    def roll(self, credit: TenantCredits, now: float) -> None:
         """What comes of the even share, from when it went alone; none is kept when it is back."""
         if not self.alone(now):
             credit.own, credit.own_at = 0.0, now
@@ -115,7 +115,7 @@
         credit.own = min(max(1.0, share), credit.own + share * max(0.0, now - since))
         credit.own_at = now
 
-    def source(self, credit: Credit, now: float) -> str:
+    def source(self, credit: TenantCredits, now: float) -> str:
         """What a request may be let in by, if anything."""
         self.roll(credit, now)
         if now - self.heard <= GOOD:
@@ -164,7 +164,7 @@
 
     # calls
 
-    def wants(self, credit: Credit, now: float) -> float:
+    def wants(self, credit: TenantCredits, now: float) -> float:
         most = credit.most(now, self.many)
         if self.few(credit):
             most = 0.0 if self.open(credit, now) or not credit.asked(now) else 1.0  # on demand
--- a/loomstand/proxy/request.py
+++ b/loomstand/proxy/request.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from loomstand.net.http import Malformed, RequestReceiver, number
-from loomstand.net.req import HOP_FIELDS, Flight, Req
-from loomstand.shared.configuration import Route, Tenant
+from loomstand.config.configuration import Route, Tenant
+from loomstand.limiter.http_parser import Malformed, RequestReceiver, number
+from loomstand.limiter.request import HOP_FIELDS, Flight, Req
 
 # Fields that a server gets from us alone, or never.
 KEPT = HOP_FIELDS | {
--- a/loomstand/proxy/sessions.py
+++ b/loomstand/proxy/sessions.py
@@ -12,10 +12,10 @@
 from absl import logging
 from expression import Error, Result
 
+from loomstand.config.settings import Settings
 from loomstand.registry.instances import Row
 from loomstand.rpc.network import Address, Body, Network
-from loomstand.shared.settings import Settings
-from loomstand.shared.verdict import Verdict
+from loomstand.rpc.verdict import Verdict
 
 ASK_WITHIN = 1.0  # seconds; a registry answers after 0.6 where there is no news
 # Seconds between two askings of one registry. Where much changes at once, as when all start, each
@@ -50,7 +50,7 @@
         return b""
 
 
-class Hears(Protocol):
+class SessionListener(Protocol):
     """Who uses the sessions."""
 
     def servers(self, registry: str, rows: list[Row], anew: bool) -> None: ...
@@ -75,7 +75,7 @@
         network: Network,
         clock: Callable[[], float],
         rng: Random,
-        user: Hears,
+        user: SessionListener,
     ) -> None:
         self.settings, self.network, self.clock, self.rng, self.user = (
             settings,
--- a/loomstand/proxy/upstream.py
+++ b/loomstand/proxy/upstream.py
@@ -5,11 +5,11 @@
 import re
 from math import inf
 
-from loomstand.interface import Outcome
-from loomstand.net.endings import Ending
-from loomstand.net.req import HOP_FIELDS, Flight
-from loomstand.net.roles import Sends
-from loomstand.net.servers import Link, Pool
+from loomstand.admission.interface import Outcome
+from loomstand.limiter.endings import Ending
+from loomstand.limiter.protocols import Sends
+from loomstand.limiter.request import HOP_FIELDS, Flight
+from loomstand.limiter.upstream import Link, Pool
 from loomstand.proxy.stale_connections import StaleConnections
 
 STAYS = re.compile(rb"timeout=([0-9]{1,6})").search
--- a/loomstand/registry/heartbeats.py
+++ b/loomstand/registry/heartbeats.py
@@ -4,8 +4,8 @@
 
 import json
 
+from loomstand.config.units import UnitError, address, seconds
 from loomstand.registry.instances import DRAINING, READY, Instance
-from loomstand.shared.units import UnitError, address, seconds
 
 
 class BadCall(Exception):
--- a/loomstand/registry/service.py
+++ b/loomstand/registry/process.py
@@ -5,11 +5,11 @@
 import asyncio
 from collections.abc import Callable
 
-from loomstand.net.driver import Streams, Turns
+from loomstand.config.settings import Settings
+from loomstand.limiter.event_loop import Streams, Turns
 from loomstand.registry.program import Registry
 from loomstand.rpc.network import Network
-from loomstand.rpc.outside import Outside
-from loomstand.shared.settings import Settings
+from loomstand.rpc.outside import OperatorHttpServer
 
 # Bytes of a call: a configuration of 24,000 routes. With it a registry or a limiter takes 160 MB of
 # some 300, a store's file 40 of its disk's 256, and a frame of ours (rpc/frames.py) holds it with
@@ -35,7 +35,7 @@
         # 200 are reserved; the rest is for the system's own
         sockets = settings.limits.file_descriptors - 400
         memory = settings.limits.memory_mb << 18
-        self.desk = Outside(self.outside, turns, memory, sockets, MOST_BODY, streams)
+        self.desk = OperatorHttpServer(self.outside, turns, memory, sockets, MOST_BODY, streams)
 
     async def run(self) -> None:
         assert self.settings.listen.control_plane is not None
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -15,22 +15,22 @@
 from absl import logging
 from expression import Error, Result
 
+from loomstand.config.configuration import Configuration, ConfigurationError, Reader
+from loomstand.config.settings import Settings
+from loomstand.config.units import address_text
 from loomstand.registry.clock import Clock
 from loomstand.registry.counters import Counters
 from loomstand.registry.counting_lease import CountingLease
 from loomstand.registry.heartbeats import BadCall, beat
+from loomstand.registry.http_routing import Asked, method, path, query
 from loomstand.registry.instances import DRAINING, GONE, InstanceTable, from_row
 from loomstand.registry.limiters import LimiterTable
-from loomstand.registry.matchers import Asked, method, path, query
 from loomstand.registry.quota_buckets import SLOTS, QuotaBuckets
 from loomstand.registry.quota_grants import QuotaGrants
 from loomstand.registry.rescue import rescue
 from loomstand.rpc.network import Address, Body, Network, carry
-from loomstand.shared.configuration import Configuration, ConfigurationError, Reader
-from loomstand.shared.settings import Settings
-from loomstand.shared.units import address_text
-from loomstand.shared.verdict import Refused, Verdict
-from loomstand.store import answers
+from loomstand.rpc.verdict import Refused, Verdict
+from loomstand.store import freshness
 
 TELL = 1.0  # seconds between what registries tell each other unasked
 # a drain's acknowledgement waits so long for the others; servers wait a second for it
@@ -535,7 +535,7 @@
                 break
             if ip != here:
                 got = await self.network.call(self.settings.store(ip), op, body, left)
-        if got.is_ok() and not answers.left(got.ok, asked, self.clock(), within):
+        if got.is_ok() and not freshness.left(got.ok, asked, self.clock(), within):
             # this process froze meanwhile, or the answer lay in a socket
             return Error(Verdict.MAY_HAVE_RUN)
         return got
--- a/loomstand/registry/quota_buckets.py
+++ b/loomstand/registry/quota_buckets.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from loomstand.door import TRY, digest
-from loomstand.shared.configuration import Tenant
+from loomstand.admission.identifiers import TRY, digest
+from loomstand.config.configuration import Tenant
 
 # A bucket is near its brim above this share of its burst. At the usual six tenths of a quota, one
 # of a burst of ten requests is there now and then; at a half, what limiters let in before they hear
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from loomstand.door import digest
-from loomstand.shared.configuration import Tenant
-from loomstand.shared.settings import Bounds
+from loomstand.admission.identifiers import digest
+from loomstand.config.configuration import Tenant
+from loomstand.config.settings import Bounds
 
 # A limiter without word of the counter admits this share of its even part: calm tenants use some
 # six tenths of their quotas. The counter leaves as much to those that it doesn't hear; with six in
--- a/loomstand/rpc/network.py
+++ b/loomstand/rpc/network.py
@@ -8,7 +8,7 @@
 
 from expression import Result
 
-from loomstand.shared.verdict import Verdict
+from loomstand.rpc.verdict import Verdict
 
 # Bytes a second that a call's body is given at least: encoded, sent, decoded and written, on a slow
 # link with other calls beside it. Ten thousand routes are 3.4 MB; a usual configuration adds a
--- a/loomstand/rpc/outside.py
+++ b/loomstand/rpc/outside.py
@@ -10,10 +10,10 @@
 
 from absl import logging
 
-from loomstand.net import http
-from loomstand.net.clients import Client, Front
-from loomstand.net.driver import Streams, Turns, Untimed
-from loomstand.net.ring import Room
+from loomstand.limiter import http_parser
+from loomstand.limiter.buffers import Room
+from loomstand.limiter.client_connection import Client, Front
+from loomstand.limiter.event_loop import Streams, Turns, Untimed
 
 # Of the sockets, those that callers may keep between calls; the others are for new calls and, in a
 # registry, for limiters' sessions. With a sixth, a limiter's rule for its clients, beyond 616
@@ -25,7 +25,7 @@
 Handler = Callable[[bytes, bytes, bytes], Awaitable[tuple[int, bytes]]]
 
 
-class Outside:
+class OperatorHttpServer:
     """Answers each call with what the handler gives; bodies of answers are JSON."""
 
     def __init__(
@@ -67,7 +67,7 @@
     def make_room(self, spared: Client | None = None) -> bool:
         return self.front.close_silent(spared, 1.0) or self.front.close_idle(spared)
 
-    def take(self, client: Client, machine: http.RequestReceiver, at: float) -> None:
+    def take(self, client: Client, machine: http_parser.RequestReceiver, at: float) -> None:
         held = Held(client)
         client.req = held
         task = self.loop.create_task(
--- a/loomstand/rpc/sockets.py
+++ b/loomstand/rpc/sockets.py
@@ -10,10 +10,10 @@
 from absl import logging
 from expression import Error, Ok, Result
 
-from loomstand.net.driver import reset_on_close
+from loomstand.limiter.event_loop import reset_on_close
 from loomstand.rpc.frames import Foreign, Reader, pack
 from loomstand.rpc.network import Address, Body, Serve
-from loomstand.shared.verdict import Refused, Verdict
+from loomstand.rpc.verdict import Refused, Verdict
 
 # Within a region a connection comes up in 3 ms; where it doesn't in this time the machine is gone
 # or cut off.
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -11,8 +11,8 @@
 
 from absl import logging
 
-from loomstand.net.driver import Turns
-from loomstand.shared.settings import Settings, SettingsError, read
+from loomstand.config.settings import Settings, SettingsError, read
+from loomstand.limiter.event_loop import Turns
 
 VARIABLE = "LOOMSTAND_CONFIG"
 LOOK = 1.0  # seconds between looks at the settings file, which may change without a signal
--- a/loomstand/simulation/__init__.py
+++ b/loomstand/simulation/__init__.py
@@ -1,2 +1,1 @@
-"""A simulated network, disks and clocks, on which tests run whole clusters in one process and no
-time."""
+"""Entry points of the simulation; the code is in `loomstand.testing.simulation`."""
--- a/loomstand/store/__main__.py
+++ b/loomstand/store/__main__.py
@@ -5,10 +5,10 @@
 import sys
 from random import Random
 
-from loomstand.net.driver import Turns
+from loomstand.config.settings import Settings
+from loomstand.limiter.event_loop import Turns
 from loomstand.rpc.sockets import Sockets
 from loomstand.rpc.start import main
-from loomstand.shared.settings import Settings
 from loomstand.store.disk import LmdbDisk
 from loomstand.store.program import Place, Store
 
--- a/loomstand/store/orders.py
+++ b/loomstand/store/change_history.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Orders:
+class ChangeHistory:
     """Numbers with the digests of their contents, ascending. The last is that of the configuration
     written with them. What stands in it may lack its acknowledgement yet: its sender has no answer
     then, and gets one when it sends again."""
@@ -87,14 +87,14 @@
     def ends(self, version: int, content: bytes) -> bool:
         return bool(self.taken) and self.taken[-1] == (version, content)
 
-    def after(self, version: int, content: bytes) -> Orders:
+    def after(self, version: int, content: bytes) -> ChangeHistory:
         """With one that is put in force, above which nothing is held."""
         older = tuple(entry for entry in self.taken if entry[0] < version)
-        return Orders((*older, (version, content))[-KEPT:])
+        return ChangeHistory((*older, (version, content))[-KEPT:])
 
-    def passed(self, version: int, content: bytes) -> Orders:
+    def passed(self, version: int, content: bytes) -> ChangeHistory:
         """With one that came too late, unless as many higher ones are known."""
-        return Orders(tuple(sorted((*self.taken, (version, content))))[-KEPT:])
+        return ChangeHistory(tuple(sorted((*self.taken, (version, content))))[-KEPT:])
 
     def body(self) -> list[Any]:
         return [
@@ -103,7 +103,7 @@
         ]
 
     @staticmethod
-    def read(body: Any, version: int, data: bytes) -> Orders:
+    def read(body: Any, version: int, data: bytes) -> ChangeHistory:
         """Those that came with a configuration, by call or from disk; nobody's where they aren't of
         that one: a program that doesn't know of them writes the configuration alone."""
         if not body:
@@ -112,9 +112,9 @@
         found = [
             (int(n), bytes(contents[i * DIGEST : (i + 1) * DIGEST])) for i, n in enumerate(numbers)
         ]
-        orders = Orders(tuple(found[-KEPT:]))
+        orders = ChangeHistory(tuple(found[-KEPT:]))
         whole = len(contents) == DIGEST * len(numbers) and numbers == sorted(set(numbers))
         return orders if whole and orders.ends(version, digest(data)) else NONE
 
 
-NONE = Orders()
+NONE = ChangeHistory()
--- a/loomstand/store/duty.py
+++ b/loomstand/store/counting_lease.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Duty:
+class CountingLease:
     """`named`: the host that has the duty or may have it first; "" where anybody may."""
 
     beside: str  # the host of this store
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -8,11 +8,11 @@
 from absl import logging
 
 from loomstand.rpc.network import carry
-from loomstand.shared.verdict import Verdict
+from loomstand.rpc.verdict import Verdict
 from loomstand.store.ballot import Ballot, Held
-from loomstand.store.orders import NONE, Orders
+from loomstand.store.change_history import NONE, ChangeHistory
 from loomstand.store.replica import FOUNDING, Plan, Step
-from loomstand.store.replica_io import CALL, Desk
+from loomstand.store.replica_io import CALL, ReplicaIO
 from loomstand.store.views import Member
 
 ROUNDS = 3  # views that may turn out to be newer in one campaign
@@ -27,7 +27,7 @@
     under: int
 
 
-async def campaign(desk: Desk, plan: Plan, release: Release | None = None) -> bool:
+async def campaign(desk: ReplicaIO, plan: Plan, release: Release | None = None) -> bool:
     """Whether the plan's view stands and its primary, this member, leads. Only one may run at a
     time."""
     for _ in range(ROUNDS):
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Election:
-    desk: Desk
+    desk: ReplicaIO
     ballot: Ballot
     release: Release | None
     promised: set[str] = field(default_factory=set)
@@ -155,7 +155,7 @@
                 answer = await self.desk.ask(member, "fetch", body, CALL + carry(len(replica.data)))
                 if not isinstance(answer, Verdict):
                     held = (answer["version"], answer["data"])
-                    replica.fetched = Orders.read(answer.get("orders"), *held)
+                    replica.fetched = ChangeHistory.read(answer.get("orders"), *held)
         return self.ballot.prevails(replica, held)
 
     async def _backup(self, epoch: int, version: int, data: bytes) -> tuple[bool, Member | None]:
--- a/loomstand/store/duty_calls.py
+++ b/loomstand/store/lease_service.py
@@ -10,28 +10,28 @@
 import cbor2
 from absl import logging
 
-from loomstand.shared.verdict import Refused
-from loomstand.store.duty import Duty
+from loomstand.rpc.verdict import Refused
+from loomstand.store.counting_lease import CountingLease
 from loomstand.store.replica import ABSENT, SILENT
-from loomstand.store.replica_io import Body, Desk
+from loomstand.store.replica_io import Body, ReplicaIO
 
 ASKED = 0.35  # s for which an asking waits until this store serves: the asker waits 0.4
 
 
-class Lending:
+class LeaseService:
     """`changed` waits until something has changed at the store; `tell` brings others what `says`
     does."""
 
     def __init__(
         self,
-        desk: Desk,
+        desk: ReplicaIO,
         changed: Callable[[], Awaitable[Any]],
         tell: Callable[[], None],
         pages: dict[str, bytes],
     ) -> None:
         """`pages`: what is on the disk at the start."""
         self.desk, self.changed, self.tell = desk, changed, tell
-        self.duty, self.turn = Duty(desk.replica.me.address[0]), asyncio.Lock()
+        self.duty, self.turn = CountingLease(desk.replica.me.address[0]), asyncio.Lock()
         # when the newest primary known last said that it serves, and until when nobody else does
         self.word, self.serves = -1e9, -1e9
         replica = desk.replica
--- a/loomstand/store/program.py
+++ b/loomstand/store/program.py
@@ -13,17 +13,17 @@
 
 from loomstand.rpc import Address, Network
 from loomstand.rpc.network import carry
-from loomstand.shared.verdict import Refused, Verdict
-from loomstand.store.answers import LEFT, left
+from loomstand.rpc.verdict import Refused, Verdict
+from loomstand.store.change_history import Answer, ChangeHistory, digest
 from loomstand.store.disk import Disk
-from loomstand.store.duty_calls import Lending
 from loomstand.store.election import Release, campaign
+from loomstand.store.freshness import LEFT, left
+from loomstand.store.graceful_shutdown import may_end
 from loomstand.store.learner import Learner
-from loomstand.store.leaving import may_end
-from loomstand.store.orders import Answer, Orders, digest
+from loomstand.store.lease_service import LeaseService
 from loomstand.store.recovery import wake
 from loomstand.store.replica import ABSENT, BEAT, Plan, Replica, State, Step
-from loomstand.store.replica_io import CALL, Body, Desk
+from loomstand.store.replica_io import CALL, Body, ReplicaIO
 from loomstand.store.rescue_calls import RescueCalls
 from loomstand.store.views import Member, Record, View
 
@@ -53,7 +53,7 @@
         self, place: Place, network: Network, disk: Disk, clock: Callable[[], float], rng: Random
     ) -> None:
         self.place, self.network, self.disk, self.clock, self.rng = place, network, disk, clock, rng
-        self._desk: Desk | None = None
+        self._desk: ReplicaIO | None = None
         # over what a primary or candidate does: a put, a settling, a campaign
         self.busy = asyncio.Lock()
         self.changed = asyncio.Event()
@@ -65,17 +65,17 @@
         # orders refused for their number, and those told of
         self.conflicts, self.clashed = 0, set[int]()
         self.aid = RescueCalls(lambda: self.desk, self.busy, rng, self._crown)
-        self._lending: Lending | None = None
+        self._lending: LeaseService | None = None
         self.learner = Learner()
 
     @property
-    def desk(self) -> Desk:
+    def desk(self) -> ReplicaIO:
         if self._desk is None:
             raise Refused("not begun")
         return self._desk
 
     @property
-    def lending(self) -> Lending:
+    def lending(self) -> LeaseService:
         if self._lending is None:
             raise Refused("not begun")
         return self._lending
@@ -95,8 +95,8 @@
         record, pages = woken
         me = Member(record.id, self.place.address)
         replica = Replica(me, self.place.seeds, record, started, self.rng)
-        self._desk = Desk(replica, self.network, self.disk, self.clock)
-        self._lending = Lending(self._desk, lambda: self.changed.wait(), self._let, pages)
+        self._desk = ReplicaIO(replica, self.network, self.disk, self.clock)
+        self._lending = LeaseService(self._desk, lambda: self.changed.wait(), self._let, pages)
         self.learner = Learner.wake(pages)
         self.aid.given(*self.learner.copy)
         logging.info(
@@ -346,7 +346,7 @@
                     body["version"],
                     body["data"],
                 )
-                orders = Orders.read(body.get("orders"), version, data)
+                orders = ChangeHistory.read(body.get("orders"), version, data)
                 await self.desk.ink(lambda now: replica.keep(epoch, asker, version, data, orders))
                 return {}
             case "fetch":
@@ -442,7 +442,7 @@
             await self._note_passed(replica.orders.passed(version, digest(data)))
         return True
 
-    async def _note_passed(self, orders: Orders) -> None:
+    async def _note_passed(self, orders: ChangeHistory) -> None:
         """Has on both disks that a lower number was acknowledged, unless it's too low to be
         remembered."""
         replica = self.replica
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -23,8 +23,8 @@
 from typing import Any
 
 from loomstand.rpc import Address
-from loomstand.shared.verdict import Refused
-from loomstand.store.orders import NONE, Orders, digest
+from loomstand.rpc.verdict import Refused
+from loomstand.store.change_history import NONE, ChangeHistory, digest
 from loomstand.store.views import Member, Record, View, newest
 
 BEAT = 0.25  # s between two beats to the same store: four fit into a lease
@@ -102,8 +102,8 @@
     reign: bool = False  # what a primary holds when it begins has been committed
     version: int = 0  # the newest committed
     data: bytes = b""
-    orders: Orders = NONE  # of what was acknowledged, while it reigns
-    fetched: Orders = NONE  # that came with the configuration that a candidate was handed
+    orders: ChangeHistory = NONE  # of what was acknowledged, while it reigns
+    fetched: ChangeHistory = NONE  # that came with the configuration that a candidate was handed
     informed: bool = False  # that is from a serving primary, if only by way of others
     state: State = State.FIT
     doubted: dict[str, float] = field(default_factory=dict)
@@ -320,7 +320,7 @@
         self.informed = True
         return news
 
-    def orders_with(self, version: int, data: bytes) -> Orders:
+    def orders_with(self, version: int, data: bytes) -> ChangeHistory:
         """What is to be written together with a configuration: what was acknowledged before, and
         it."""
         if not version:
@@ -367,7 +367,7 @@
             raise Refused("another disk")
 
     def keep(
-        self, epoch: int, asker: str, version: int, data: bytes, orders: Orders = NONE
+        self, epoch: int, asker: str, version: int, data: bytes, orders: ChangeHistory = NONE
     ) -> Record:
         """The primary's write, or a candidate's copy; `orders` as the asker has them.
 
--- a/loomstand/store/replica_io.py
+++ b/loomstand/store/replica_io.py
@@ -13,7 +13,7 @@
 
 from loomstand.rpc import Network
 from loomstand.rpc.network import carry
-from loomstand.shared.verdict import Refused, Verdict
+from loomstand.rpc.verdict import Refused, Verdict
 from loomstand.store.disk import Disk
 from loomstand.store.replica import Replica, State
 from loomstand.store.views import Member, Record, View
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Desk:
+class ReplicaIO:
     replica: Replica
     network: Network
     disk: Disk
--- a/loomstand/store/rescue.py
+++ b/loomstand/store/rescue.py
@@ -153,9 +153,8 @@
             if view.agreed(ids) and data and not bound:
                 why = f"a majority of the voters of epoch {view.epoch} answers"
                 holder = data[0].address[0]
-                return [
-                    f"{why}, and {holder} has the data: the store recovers by itself, within seconds"
-                ]
+                recovers = "the store recovers by itself, within seconds"
+                return [f"{why}, and {holder} has the data: {recovers}"]
         elif any(t.founder for t in self.told):
             out.append(
                 "this is the first start: the store founds itself once a majority of the seeds is "
--- a/loomstand/store/rescue_calls.py
+++ b/loomstand/store/rescue_calls.py
@@ -10,12 +10,12 @@
 from expression import Result
 
 from loomstand.rpc import Address
-from loomstand.shared.verdict import Refused
+from loomstand.rpc.verdict import Refused
 from loomstand.store import rescue
 from loomstand.store.ballot import Held
 from loomstand.store.election import Election
 from loomstand.store.replica import Replica
-from loomstand.store.replica_io import CALL, Body, Desk
+from loomstand.store.replica_io import CALL, Body, ReplicaIO
 from loomstand.store.rescue import Case, Told
 
 # s for a whole rescue at the member chosen: two looks, promises, a backup's write or two, and the
@@ -28,7 +28,11 @@
     begin."""
 
     def __init__(
-        self, desk: Callable[[], Desk], busy: asyncio.Lock, rng: Random, crown: Callable[[], None]
+        self,
+        desk: Callable[[], ReplicaIO],
+        busy: asyncio.Lock,
+        rng: Random,
+        crown: Callable[[], None],
     ) -> None:
         self.desk, self.busy, self.rng, self.crown = desk, busy, rng, crown
         # the highest that was given back and isn't known to be in force
--- a/loomstand/store/views.py
+++ b/loomstand/store/views.py
@@ -10,7 +10,7 @@
 import cbor2
 
 from loomstand.rpc import Address
-from loomstand.store.orders import NONE, Orders
+from loomstand.store.change_history import NONE, ChangeHistory
 
 # A rescue's epoch is in the next million above all that is known in reach, and views go on within
 # their million only (Ballot.epoch): so members that were given up, wherever they are, never get
@@ -123,7 +123,9 @@
     version: int = 0
     data: bytes = field(default=b"", repr=False)
     written: int = 0  # the epoch under which the configuration was written
-    orders: Orders = NONE  # the last of them is of this configuration; none where that isn't known
+    orders: ChangeHistory = (
+        NONE  # the last of them is of this configuration; none where that isn't known
+    )
 
     def pages(self, old: Record | None = None) -> dict[str, bytes]:
         """What differs from `old`, as it's written: a promise doesn't write the configuration
@@ -153,7 +155,7 @@
             id, founder = cbor2.loads(pages["member"])
             promised, view = cbor2.loads(pages["vote"])
             written, version, data = cbor2.loads(pages["configuration"])
-            orders = Orders.read(
+            orders = ChangeHistory.read(
                 cbor2.loads(pages["orders"]) if "orders" in pages else None, version, data
             )
             return Record(id, founder, promised, View.read(view), version, data, written, orders)
--- /dev/null
+++ b/loomstand/testing/bench_adapter/__init__.py
@@ -0,0 +1,1 @@
+"""The bench's wire: JSON lines in, JSON lines out."""
--- /dev/null
+++ b/loomstand/testing/bench_adapter/__main__.py
@@ -0,0 +1,225 @@
+"""Plays limiters over the bench's wire: one Brain an instance, nothing shared between them."""
+
+from __future__ import annotations
+
+import sys
+from typing import BinaryIO
+
+import msgspec
+
+from loomstand.admission import interface as i
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.identifiers import Door, Unknown, digest, down, up
+from loomstand.config.limiter import settings
+from loomstand.testing.bench_adapter import wire as w
+
+OUTCOMES = {
+    "served": i.Outcome.PASSED,
+    "server_error": i.Outcome.SERVER_ERROR,
+    "turned_away": i.Outcome.TURNED_AWAY,
+    "no_answer": i.Outcome.NO_ANSWER,
+    "no_connection": i.Outcome.NO_CONNECTION,
+    "connection_lost": i.Outcome.CONNECTION_LOST,
+    "called_off": i.Outcome.CALLED_OFF,
+    "not_sent": i.Outcome.NOT_SENT,
+}
+PHASES = {
+    "live": i.EndpointState.LIVE,
+    "quiescing": i.EndpointState.DRAINING,
+    "dead": i.EndpointState.GONE,
+}
+
+
+class BadLine(Exception):
+    """A line that can't be obeyed."""
+
+
+class Instance:
+    """One limiter: its Brain and the doors that name things for it."""
+
+    def __init__(self, start: w.Start, now: int) -> None:
+        conf = start.conf
+        self.frontends = Door([g.name for g in conf.grades])
+        self.plans = Door([p.name for p in conf.plans])
+        self.halls = Door(conf.zones)
+        self.kinds = Door(conf.kinds)
+        self.servers = Door()
+        self.customers: dict[str, tuple[int, int]] = {}
+        self.brain = DecisionEngine(settings(conf, self.halls.at(conf.az)), start.entropy, now)
+
+    def note(self, ev: w.Event, pools: dict[int, list[w.Item]]) -> i.Event | None:
+        """The event as a note of the interface; None where it holds nothing for the module."""
+        match ev:
+            case w.Inbound():
+                customer = self.customers.get(ev.user_key)
+                if customer is None:
+                    customer = self.customers[ev.user_key] = (
+                        len(self.customers),
+                        digest(ev.user_key),
+                    )
+                plan = self.plans.index.get(ev.terms, -1)
+                return i.RequestArrived(
+                    ev.txn,
+                    self.frontends.known(ev.priority, "priority"),
+                    plan,
+                    *customer,
+                    down(ev.give_up_at),
+                    ev.cost_units,
+                    ev.n_entries,
+                    ev.is_retry,
+                    ev.first,
+                )
+            case w.Returned():
+                return i.AttemptEnded(
+                    ev.txn,
+                    ev.send_no,
+                    self.servers.at(ev.server),
+                    OUTCOMES[ev.state_code],
+                    up(ev.took),
+                    ev.final,
+                    ev.fleet_use,
+                    ev.cost,
+                )
+            case w.TallyBack():
+                return i.CounterReplied(ev.cname, OUTCOMES[ev.state_code], ev.now_at, up(ev.took))
+            case w.Elapsed():
+                return i.TimerFired(ev.tag)
+            case w.VanishedEvent():
+                return i.ClientDisconnected(ev.txn)
+            case w.StartedEvent():
+                return i.ResponseStarted(ev.txn, ev.send_no)
+            case w.ProbeDone():
+                return i.HealthCheckFinished(
+                    self.servers.at(ev.server), OUTCOMES[ev.state_code], up(ev.took)
+                )
+            case w.Registry(scope="refused"):
+                return None
+            case w.Registry():
+                if ev.sheet not in pools:
+                    raise BadLine(f"field 'sheet': no pool {ev.sheet}")
+                entries = tuple(self.entry(item) for item in pools[ev.sheet])
+                return i.EndpointsUpdated(entries, ev.scope != "changes")
+        return None
+
+    def entry(self, item: w.Item) -> i.Endpoint:
+        return i.Endpoint(
+            self.servers.at(item.server),
+            PHASES[item.phase],
+            self.halls.at(item.hall),
+            self.kinds.at(item.flavor),
+            item.pod,
+            item.capacity_hint,
+            up(item.boot_time),
+        )
+
+    def line(self, inst: int, act: i.Action) -> dict[str, object]:
+        """The action in the wire's words."""
+        match act:
+            case i.SendAttempt():
+                server = self.servers.names[act.srv]
+                said = {
+                    "op": "attempt",
+                    "txn": act.req,
+                    "server": server,
+                    "expire_at": act.expire / 10,
+                }
+            case i.Reject():
+                said = {"op": "overload_reply", "txn": act.req, "wait": act.wait / 10}
+            case i.Abort():
+                said = {"op": "error", "txn": act.req}
+            case i.CancelAttempt():
+                said = {"op": "call_off", "txn": act.req, "send_no": act.dispatch}
+            case i.SetTimer():
+                said = {"op": "wake_me", "after": act.after / 10, "tag": act.tag}
+            case i.IncrementCounter():
+                said = {
+                    "op": "bump",
+                    "step": act.step,
+                    "cname": act.name,
+                    "keep_for": act.keep / 10,
+                }
+            case i.CheckHealth():
+                said = {"op": "poll", "server": self.servers.names[act.srv]}
+            case i.LogMessage():
+                said = {"op": "journal_line", "what": act.text}
+        said["limiter_id"] = inst
+        return said
+
+
+class Host:
+    """Reads batches, feeds each instance its own notes and writes one reply a batch."""
+
+    def __init__(self, out: BinaryIO) -> None:
+        self.out = out
+        self.instances: dict[int, Instance] = {}
+        self.pools: dict[int, list[w.Item]] = {}
+        self.now: int | None = None
+        self.batch = 0
+        self.reply: list[bytes] = []
+
+    def take(self, raw: bytes) -> None:
+        """One line of input."""
+        msg = w.line_decoder.decode(raw)
+        match msg:
+            case w.BeginBatch():
+                if self.now is not None:
+                    raise BadLine("a batch is still open")
+                self.now, self.batch = up(msg.wall), msg.batch
+                return
+            case _ if self.now is None:
+                raise BadLine("no batch is open")
+            case w.Flush():
+                self.reply.append(msgspec.json.encode({"op": "ok", "batch": self.batch}))
+                self.out.write(b"\n".join(self.reply) + b"\n")
+                self.out.flush()
+                self.reply.clear()
+                self.now = None
+            case w.Pool():
+                self.pools[msg.sheet] = msg.items
+            case w.Start():
+                self.instances[msg.limiter_id] = Instance(msg, self.now)
+            case w.Down():
+                self.instances.pop(msg.limiter_id, None)
+            case w.Event():
+                self.play(msg)
+
+    def play(self, ev: w.Event) -> None:
+        """An event of one instance."""
+        inst = self.instances.get(ev.limiter_id)
+        if inst is None:
+            raise BadLine(f"field 'limiter_id': instance {ev.limiter_id} has not started")
+        note = inst.note(ev, self.pools)
+        if note is None:
+            return
+        try:
+            lines = [inst.line(ev.limiter_id, act) for act in inst.brain.handle(self.now, note)]
+        except Exception as why:
+            text = f"{type(why).__name__}: {why}"
+            lines = [{"op": "broken", "limiter_id": ev.limiter_id, "what": text}]
+        self.reply += map(msgspec.json.encode, lines)
+
+
+def main() -> int:
+    """0 at the end of input, 1 after a bad line."""
+    host = Host(sys.stdout.buffer)
+    for raw in sys.stdin.buffer:
+        if not raw.strip():
+            continue
+        try:
+            host.take(raw)
+        except (BadLine, Unknown, msgspec.DecodeError, UnicodeDecodeError) as why:
+            print(f"loomstand: {message_name(raw)}: {why}", file=sys.stderr)
+            return 1
+    return 0
+
+
+def message_name(raw: bytes) -> str:
+    """The op of a bad line, as far as it can be read."""
+    try:
+        return f"message '{msgspec.json.decode(raw)['op']}'"
+    except Exception:
+        return "a line that is no message"
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/loomstand/adapter/wire.py
+++ b/loomstand/testing/bench_adapter/wire.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from loomstand.config import Conf, Part
+from loomstand.config.limiter import Conf, Part
 
 Outcomes = Literal[
     "served",
--- a/loomstand/lab/checker.py
+++ b/loomstand/testing/emulator/checker.py
@@ -19,8 +19,8 @@
 
 from dataclasses import dataclass, field
 
-from loomstand.lab import scenario as sc
-from loomstand.lab.history import History
+from loomstand.testing.emulator import scenario as sc
+from loomstand.testing.emulator.history import History
 
 T = 10_000
 MS = T // 1000
--- a/loomstand/lab/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -2,10 +2,10 @@
 network.
 
 Each part is an actor of `engine.Engine`; a limiter holds a policy with the module's one call,
-`handle(now, note) -> actions`, fed the notes of `loomstand.interface` exactly as the adapter feeds
-them, so that the real `Brain` decides and nothing of its decisions is copied here. What the model
-decides itself (which servers a fault hits, when a client comes again) draws on one seeded
-`random.Random`.
+`handle(now, note) -> actions`, fed the notes of `loomstand.admission.interface` exactly as the
+adapter feeds them, so that the real `Brain` decides and nothing of its decisions is copied here.
+What the model decides itself (which servers a fault hits, when a client comes again) draws on one
+seeded `random.Random`.
 
 Times are tenths of a millisecond (`T`); rates are per second.
 """
@@ -20,16 +20,16 @@
 
 from hdrh.histogram import HdrHistogram
 
-from loomstand import interface as api
-from loomstand.config import settings
-from loomstand.door import digest
-from loomstand.lab import scenario as sc
-from loomstand.lab.counts import Totals
-from loomstand.lab.engine import Engine
-from loomstand.lab.history import ABORTED, DENIED, PASSED, History, Req
-from loomstand.lab.traffic import Traffic, refill
+from loomstand.admission import interface as api
+from loomstand.admission.identifiers import digest
+from loomstand.config.limiter import settings
+from loomstand.testing.emulator import scenario as sc
+from loomstand.testing.emulator.counts import Totals
+from loomstand.testing.emulator.engine import Engine
+from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, Req
+from loomstand.testing.emulator.traffic import Traffic, refill
 
-T = api.TENTHS_PER_S
+T = api.TICKS_PER_SECOND
 MS = T // 1000
 OC = api.Outcome
 LIST_DELAY = 50 * MS  # discovery's usual lag behind a change: a watch answered within a few RTTs
@@ -41,11 +41,11 @@
 class Policy:
     """What a limiter runs: the module, or a baseline with the same call."""
 
-    def handle(self, now: int, note: api.Note) -> list[api.Action]:
+    def handle(self, now: int, note: api.Event) -> list[api.Action]:
         raise NotImplementedError
 
 
-PolicyMaker = Callable[["Fleet", int, api.Settings, int], Policy]
+PolicyMaker = Callable[["Fleet", int, api.EngineSettings, int], Policy]
 
 
 # notes between the parts
@@ -111,7 +111,7 @@
 @dataclass(slots=True)
 class ListNote:
     lgen: int
-    listed: api.Listed
+    listed: api.EndpointsUpdated
 
 
 @dataclass(slots=True)
@@ -131,7 +131,7 @@
     policy."""
 
     lgen: int
-    note: api.Note
+    note: api.Event
 
 
 # the parts
@@ -143,7 +143,7 @@
 
     def __init__(self, fleet: Fleet, srv: int, zone: int, booted: int) -> None:
         self.fleet, self.srv, self.zone = fleet, srv, zone
-        self.booted, self.up, self.phase, self.gen = booted, True, api.Phase.LIVE, 0
+        self.booted, self.up, self.phase, self.gen = booted, True, api.EndpointState.LIVE, 0
         self.working: list[Work] = []
         self.queue: deque[Work] = deque()
         self.slow, self.failing_until, self.fallen = 1.0, -1, False
@@ -176,7 +176,7 @@
     def arrive(self, work: Work) -> None:
         fleet, now = self.fleet, self.fleet.engine.now
         fleet.history.dispatches[fleet.dispatch_rows[work.req, work.dispatch]][5] = now
-        if not self.up or self.phase is api.Phase.GONE:
+        if not self.up or self.phase is api.EndpointState.GONE:
             return self.answer(work, OC.NO_CONNECTION)
         warmth = self.warmth()
         # the rule's cold server: more than fall_multiple times what it can do, for tip_after
@@ -228,8 +228,8 @@
         self.working, self.queue = [], deque()
         self.recent.clear()
 
-    def entry(self) -> api.Entry:
-        return api.Entry(self.srv, self.phase, self.zone, 0, 0, 1.0, self.booted)
+    def entry(self) -> api.Endpoint:
+        return api.Endpoint(self.srv, self.phase, self.zone, 0, 0, 1.0, self.booted)
 
 
 class Counter:
@@ -266,18 +266,22 @@
         self.fleet = fleet
         self.extra, self.partial = 0, 1.0
 
-    def entries(self) -> tuple[api.Entry, ...]:
-        known = [s.entry() for s in self.fleet.servers if s.phase is not api.Phase.GONE or s.up]
+    def entries(self) -> tuple[api.Endpoint, ...]:
+        known = [
+            s.entry() for s in self.fleet.servers if s.phase is not api.EndpointState.GONE or s.up
+        ]
         if self.partial < 1.0:
             known = known[: ceil(len(known) * self.partial)]
         return tuple(known)
 
-    def tell(self, entries: tuple[api.Entry, ...], whole: bool) -> None:
+    def tell(self, entries: tuple[api.Endpoint, ...], whole: bool) -> None:
         fleet = self.fleet
         for limiter in fleet.limiters:
             if limiter.alive:
                 lag = LIST_DELAY + self.extra + fleet.rng.randrange(LIST_DELAY)
-                fleet.engine.post(lag, limiter, ListNote(limiter.gen, api.Listed(entries, whole)))
+                fleet.engine.post(
+                    lag, limiter, ListNote(limiter.gen, api.EndpointsUpdated(entries, whole))
+                )
 
     def take(self, note: object) -> None:  # the periodic whole list
         self.tell(self.entries(), True)
@@ -303,7 +307,7 @@
         self.open, self.calls, self.owed, self.sent = {}, {}, {}, {}
         told = fleet.settings_for(self.idx, self.zone)
         self.policy = fleet.make_policy(fleet, self.idx, told, fleet.rng.getrandbits(64))
-        self.take(ListNote(self.gen, api.Listed(fleet.discovery.entries(), True)))
+        self.take(ListNote(self.gen, api.EndpointsUpdated(fleet.discovery.entries(), True)))
 
     def kill(self) -> None:
         self.alive, self.gen, self.policy = False, self.gen + 1, None
@@ -323,7 +327,7 @@
             case Come(req=req):
                 self.owed[req.req] = req
                 self.feed(
-                    api.Arrived(
+                    api.RequestArrived(
                         req.req,
                         req.frontend,
                         req.plan,
@@ -343,21 +347,27 @@
                 if passed:
                     self.final(note.req, PASSED)
                 self.feed(
-                    api.Ended(note.req, note.dispatch, note.srv, note.outcome, took, passed, 0, 0.0)
+                    api.AttemptEnded(
+                        note.req, note.dispatch, note.srv, note.outcome, took, passed, 0, 0.0
+                    )
                 )
             case Expire():
                 if (srv := self.open.pop((note.req, note.dispatch), None)) is not None:
                     took = fleet.since_sent(note.req, note.dispatch)
                     self.feed(
-                        api.Ended(note.req, note.dispatch, srv, OC.NO_ANSWER, took, False, 0, 0.0)
+                        api.AttemptEnded(
+                            note.req, note.dispatch, srv, OC.NO_ANSWER, took, False, 0, 0.0
+                        )
                     )
             case CountReply():
                 if (call := self.calls.pop(note.call, None)) is not None:
                     self.feed(
-                        api.Counted(call[0], note.outcome, note.total, fleet.engine.now - call[2])
+                        api.CounterReplied(
+                            call[0], note.outcome, note.total, fleet.engine.now - call[2]
+                        )
                     )
             case Timer():
-                self.feed(api.Woke(note.tag))
+                self.feed(api.TimerFired(note.tag))
             case ListNote():
                 live = fleet.told_live.setdefault(self.idx, set())
                 if note.listed.whole:
@@ -366,7 +376,7 @@
                         fleet.leaving(self.idx, srv)
                     live &= named
                 for entry in note.listed.entries:
-                    if entry.phase is api.Phase.LIVE:
+                    if entry.phase is api.EndpointState.LIVE:
                         live.add(entry.srv)
                         fleet.back(self.idx, entry.srv)
                     else:
@@ -376,11 +386,11 @@
             case Leave():
                 if (req := self.owed.pop(note.req, None)) is not None:
                     req.vanished = True
-                    self.feed(api.Vanished(note.req))
+                    self.feed(api.ClientDisconnected(note.req))
             case Later():
                 self.feed(note.note)
 
-    def feed(self, note: api.Note) -> None:
+    def feed(self, note: api.Event) -> None:
         fleet = self.fleet
         try:
             actions = self.policy.handle(fleet.engine.now, note)
@@ -394,33 +404,35 @@
     def act(self, act: api.Action) -> None:
         fleet, now = self.fleet, self.fleet.engine.now
         match act:
-            case api.Dispatch():
+            case api.SendAttempt():
                 n = self.sent.get(act.req, 0)
                 self.sent[act.req] = n + 1
                 if any((act.req, k) in self.open for k in range(n)):
                     fleet.history.overlaps.append((act.req, self.idx, now))
                 fleet.send(self, act, n)
-            case api.Deny():
+            case api.Reject():
                 self.final(act.req, DENIED)
                 if (req := fleet.req_rows.get(act.req)) is not None:
                     fleet.clients.denied(req)
             case api.Abort():
                 self.final(act.req, ABORTED)
-            case api.CallOff():
+            case api.CancelAttempt():
                 if (srv := self.open.pop((act.req, act.dispatch), None)) is not None:
-                    ended = api.Ended(act.req, act.dispatch, srv, OC.CALLED_OFF, 0, False, 0, 0.0)
+                    ended = api.AttemptEnded(
+                        act.req, act.dispatch, srv, OC.CALLED_OFF, 0, False, 0, 0.0
+                    )
                     fleet.engine.post(0, self, Later(self.gen, ended))
-            case api.Wake():
+            case api.SetTimer():
                 fleet.engine.post(act.after, self, Timer(act.tag, self.gen))
-            case api.Count():
+            case api.IncrementCounter():
                 fleet.count(self, act)
-            case api.Probe():
+            case api.CheckHealth():
                 srv = fleet.servers[act.srv] if act.srv < len(fleet.servers) else None
                 outcome = OC.PASSED if srv is not None and srv.up else OC.NO_CONNECTION
                 fleet.engine.post(
-                    2 * MS, self, Later(self.gen, api.Probed(act.srv, outcome, 2 * MS))
+                    2 * MS, self, Later(self.gen, api.HealthCheckFinished(act.srv, outcome, 2 * MS))
                 )
-            case api.Log():
+            case api.LogMessage():
                 fleet.log_lines += 1
 
     def final(self, req_id: int, what: str) -> None:
@@ -544,7 +556,7 @@
         self.life = Life(self)
         self.live: tuple[list[Limiter], list[list[Limiter]]] | None = None  # by zone
 
-    def settings_for(self, me: int, zone: int) -> api.Settings:
+    def settings_for(self, me: int, zone: int) -> api.EngineSettings:
         return settings(sc.conf(self.scenario, me, zone), zone)
 
     # the network
@@ -563,7 +575,7 @@
     # what limiters do
     # ------------------------------------------------------------------------------------
 
-    def send(self, limiter: Limiter, act: api.Dispatch, n: int) -> None:
+    def send(self, limiter: Limiter, act: api.SendAttempt, n: int) -> None:
         srv = self.servers[act.srv] if 0 <= act.srv < len(self.servers) else None
         self.dispatch_rows[act.req, n] = len(self.history.dispatches)
         self.history.dispatches.append([act.req, n, limiter.idx, act.srv, self.engine.now, -1])
@@ -587,7 +599,7 @@
             return
         self.engine.post(there, srv, work)
 
-    def count(self, limiter: Limiter, act: api.Count) -> None:
+    def count(self, limiter: Limiter, act: api.IncrementCounter) -> None:
         self.next_call += 1
         call = self.next_call
         limiter.calls[call] = (act.name, act.step, self.engine.now)
@@ -704,12 +716,12 @@
     def restart(self, srv: Server) -> None:
         if srv.fallen:
             return  # it stays down
-        srv.up, srv.booted, srv.phase = True, max(1, self.engine.now), api.Phase.LIVE
+        srv.up, srv.booted, srv.phase = True, max(1, self.engine.now), api.EndpointState.LIVE
         self.discovery.tell((srv.entry(),), False)
 
     def replace(self, srv: Server) -> None:
         """A drained server leaves; a new one, cold, takes its place under a new name."""
-        srv.phase = api.Phase.GONE
+        srv.phase = api.EndpointState.GONE
         srv.crash()
         new = Server(self, len(self.servers), srv.zone, max(1, self.engine.now))
         self.servers.append(new)
@@ -764,7 +776,7 @@
         span = round(fault.for_s * T)
         if fault.for_s > 0:
             fleet.engine.post(span, self, ("end", n))
-        up = [s for s in fleet.servers if s.up and s.phase is api.Phase.LIVE]
+        up = [s for s in fleet.servers if s.up and s.phase is api.EndpointState.LIVE]
         match fault.kind:
             case "kill_limiters":
                 live = [x for x in fleet.limiters if x.alive]
@@ -776,7 +788,7 @@
                     fleet.crash(srv, span if fault.for_s > 0 else -1)
             case "drain_servers":
                 for srv in self.pick(up, fault.share):
-                    srv.phase = api.Phase.DRAINING
+                    srv.phase = api.EndpointState.DRAINING
                     fleet.discovery.tell((srv.entry(),), False)
                     fleet.engine.post(
                         2 * round(fleet.scenario.fleet.drain_grace_ms * MS),
--- a/loomstand/lab/report.py
+++ b/loomstand/testing/emulator/report.py
@@ -20,7 +20,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from loomstand.lab.checker import NAMES
+from loomstand.testing.emulator.checker import NAMES
 
 
 def write(report: dict, out: str | os.PathLike) -> Path:
--- a/loomstand/lab/runner.py
+++ b/loomstand/testing/emulator/runner.py
@@ -16,19 +16,19 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from loomstand import interface as api
-from loomstand.brain import Brain
-from loomstand.lab import scenario as sc
-from loomstand.lab.baselines import POLICIES
-from loomstand.lab.checker import Verdict, check
-from loomstand.lab.fleet import Fleet, Policy, PolicyMaker
-from loomstand.lab.history import DENIED, PASSED, History
-from loomstand.sites.guide import Guide
+from loomstand.admission import interface as api
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.failover.engine_view import Guide
+from loomstand.testing.emulator import scenario as sc
+from loomstand.testing.emulator.baselines import POLICIES
+from loomstand.testing.emulator.checker import Verdict, check
+from loomstand.testing.emulator.fleet import Fleet, Policy, PolicyMaker
+from loomstand.testing.emulator.history import DENIED, PASSED, History
 
-MS = api.TENTHS_PER_S // 1000
+MS = api.TICKS_PER_SECOND // 1000
 
 
-def brain(fleet: Fleet, me: int, settings: api.Settings, seed: int) -> Policy:
+def brain(fleet: Fleet, me: int, settings: api.EngineSettings, seed: int) -> Policy:
     """The module itself, made as the adapter makes it; under the scenario's site plan, if it is to
     be."""
     s, now = fleet.scenario, fleet.engine.now
@@ -36,7 +36,7 @@
     if s.site is not None and s.sited:
         names = ([f.name for f in s.frontends], [p.name for p in s.plans], s.fleet.zones)
         guide = Guide(s.site, settings, names, now)
-    return Brain(settings, seed, now, guide)
+    return DecisionEngine(settings, seed, now, guide)
 
 
 MAKERS: dict[str, PolicyMaker] = {"brain": brain, **POLICIES}
--- a/loomstand/lab/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -12,10 +12,10 @@
 import msgspec
 from msgspec import Meta
 
-from loomstand.config import Allowed, Conf, Grade, PlanConf, Rules, Specifics
-from loomstand.sites.plan import SitePlan
-from loomstand.tables import Struct, TableError, convert, toml
-from loomstand.tables import read as table_of
+from loomstand.config.limiter import Allowed, Conf, Grade, PlanConf, Rules, Specifics
+from loomstand.config.toml_tables import Struct, TableError, convert, toml
+from loomstand.config.toml_tables import read as table_of
+from loomstand.failover.zone_plan import SitePlan
 
 T = TypeVar("T")
 ScenarioError = TableError  # a scenario that can't be played; the message names the key
--- a/loomstand/lab/traffic.py
+++ b/loomstand/testing/emulator/traffic.py
@@ -10,7 +10,7 @@
 from itertools import accumulate
 from random import Random
 
-from loomstand.lab.scenario import Frontend, Plan
+from loomstand.testing.emulator.scenario import Frontend, Plan
 
 
 class Traffic:
--- a/loomstand/almanac/dense.py
+++ b/loomstand/testing/fault_schedules/dense.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from loomstand.almanac.site import Site, Trouble, hundredths, span
+from loomstand.testing.fault_schedules.site import Site, Trouble, hundredths, span
 
 # A choice from each group, in the order in which the bench reads them.
 WHO = ("", "", "leader", "leader", "reader", "seed")
--- a/loomstand/almanac/draw.py
+++ b/loomstand/testing/fault_schedules/draw.py
@@ -9,8 +9,8 @@
 from random import Random
 from typing import Any
 
-from loomstand.almanac import dense
-from loomstand.almanac.site import FOR_S, Site, Trouble, hundredths, span
+from loomstand.testing.fault_schedules import dense
+from loomstand.testing.fault_schedules.site import FOR_S, Site, Trouble, hundredths, span
 
 # How strong troubles are beside the site's own figures. Standing days go from 0.6 of them
 # (scale_in) to 1.8 (node_cut); the outer two with the spread below span the same.
--- a/loomstand/almanac/losses.py
+++ b/loomstand/testing/fault_schedules/losses.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from loomstand.almanac.entry import Day, Entry
+from loomstand.testing.fault_schedules.entry import Day, Entry
 
 NOISE = 0.03  # a change under it says nothing, by the bench's page
 # What slots weigh in a site's score, and its two worst days together, by the rules' page.
--- a/loomstand/almanac/plots.py
+++ b/loomstand/testing/fault_schedules/plots.py
@@ -3,8 +3,8 @@
 
 from __future__ import annotations
 
-from loomstand.almanac.entry import Entry
-from loomstand.almanac.losses import of_day, over
+from loomstand.testing.fault_schedules.entry import Entry
+from loomstand.testing.fault_schedules.losses import of_day, over
 
 # causes with a colour of their own; matplotlib's palette has ten, the last is for all others
 MOST = 9
--- a/loomstand/almanac/site.py
+++ b/loomstand/testing/fault_schedules/site.py
@@ -9,7 +9,7 @@
 from math import ceil, isfinite
 from typing import Any
 
-from loomstand.tables import TableError, toml
+from loomstand.config.toml_tables import TableError, toml
 
 LEAST_S = 1.0  # between the lead and the end of faults; in less nothing could be told apart
 FOR_S = 5.0  # seconds of a trouble that names none, by the bench's page of kinds
--- a/loomstand/almanac/write.py
+++ b/loomstand/testing/fault_schedules/write.py
@@ -8,8 +8,8 @@
 from itertools import combinations
 from typing import Any
 
-from loomstand.almanac.draw import Drawn, Pair, Wish, kinds_of, pair
-from loomstand.almanac.site import Site
+from loomstand.testing.fault_schedules.draw import Drawn, Pair, Wish, kinds_of, pair
+from loomstand.testing.fault_schedules.site import Site
 
 _BARE = re.compile(r"[A-Za-z0-9_-]+")
 
--- /dev/null
+++ b/loomstand/testing/model_checker/__init__.py
@@ -0,0 +1,1 @@
+"""A model checker for the store: the store's own decisions, driven through all orders of events."""
--- a/loomstand/model_checker/member.py
+++ b/loomstand/testing/model_checker/member.py
@@ -17,8 +17,8 @@
 
 import cbor2
 
-from loomstand.shared.verdict import Refused
-from loomstand.store import answers, leaving, rescue
+from loomstand.rpc.verdict import Refused
+from loomstand.store import freshness, graceful_shutdown, rescue
 from loomstand.store.ballot import Ballot, Held
 from loomstand.store.learner import Learner
 from loomstand.store.replica import HOLD, LEASE, Peer, Plan, Replica, State, Step
@@ -121,8 +121,10 @@
     ballot: type[Ballot] = Ballot
     rescue: type[Rescue] = Rescue
     learner: type[Learner] = Learner
-    passes: Callable[..., float] = answers.left  # whether what was read may still be passed on
-    may_end: Callable[..., bool] = leaving.may_end  # whether a member that was told to stop ends
+    passes: Callable[..., float] = freshness.left  # whether what was read may still be passed on
+    may_end: Callable[..., bool] = (
+        graceful_shutdown.may_end
+    )  # whether a member that was told to stop ends
     hasty: bool = False  # commits before the backup wrote
     same_id: bool = False  # a wiped disk comes back under the old id
 
--- a/loomstand/model_checker/mutants.py
+++ b/loomstand/testing/model_checker/mutants.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from loomstand.model_checker.member import Rules
-from loomstand.model_checker.state_space import Bounds
-from loomstand.shared.verdict import Refused
+from loomstand.rpc.verdict import Refused
 from loomstand.store.ballot import Ballot, Held
 from loomstand.store.learner import Learner
 from loomstand.store.replica import Replica
 from loomstand.store.rescue import Rescue
 from loomstand.store.views import Member, Record, View
+from loomstand.testing.model_checker.member import Rules
+from loomstand.testing.model_checker.state_space import Bounds
 
 
 class KeepsOld(Replica):
--- a/loomstand/model_checker/search.py
+++ b/loomstand/testing/model_checker/search.py
@@ -7,7 +7,7 @@
 from array import array
 from dataclasses import dataclass
 
-from loomstand.model_checker.state_space import Broken, Plain, StateSpace
+from loomstand.testing.model_checker.state_space import Broken, Plain, StateSpace
 
 
 @dataclass(slots=True)
--- a/loomstand/model_checker/state_space.py
+++ b/loomstand/testing/model_checker/state_space.py
@@ -9,7 +9,12 @@
 
 import cbor2
 
-from loomstand.model_checker.member import (
+from loomstand.rpc.verdict import Refused
+from loomstand.store.freshness import LEFT
+from loomstand.store.replica import Plan, Step
+from loomstand.store.rescue import case, told
+from loomstand.store.views import MARGIN, Member, Record, View, newest
+from loomstand.testing.model_checker.member import (
     LEASE,
     TICK,
     Cell,
@@ -22,11 +27,6 @@
     aged,
     waking,
 )
-from loomstand.shared.verdict import Refused
-from loomstand.store.answers import LEFT
-from loomstand.store.replica import Plan, Step
-from loomstand.store.rescue import case, told
-from loomstand.store.views import MARGIN, Member, Record, View, newest
 
 KINDS = frozenset({"lost", "late", "twice", "slow", "restart", "cut"})
 
--- a/loomstand/rehearse/checker.py
+++ b/loomstand/testing/rehearsal/checker.py
@@ -16,10 +16,10 @@
 
 import msgspec
 
-from loomstand.lab import checker as rules
-from loomstand.lab.checker import Break, Verdict
-from loomstand.lab.history import ABORTED, DENIED, PASSED, History, Req
-from loomstand.rehearse.scenario import SHARED, Bound, Rehearsal, zone_of
+from loomstand.testing.emulator import checker as rules
+from loomstand.testing.emulator.checker import Break, Verdict
+from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, Req
+from loomstand.testing.rehearsal.scenario import SHARED, Bound, Rehearsal, zone_of
 
 T = 10_000
 MS = T // 1000
--- a/loomstand/rehearse/child.py
+++ b/loomstand/testing/rehearsal/child.py
@@ -1,8 +1,8 @@
 """What all processes of a rehearsal but the limiters share: orders on their input, and a trail.
 
-`python -m loomstand.rehearse.child ROLE` reads its configuration from the first line of its input,
-writes one line when it is ready (servers say in it since when each listens), and takes an order a
-line. The end of its input ends it: none outlives the rehearsal, whichever way that ends.
+`python -m loomstand.testing.rehearsal.child ROLE` reads its configuration from the first line of
+its input, writes one line when it is ready (servers say in it since when each listens), and takes
+an order a line. The end of its input ends it: none outlives the rehearsal, whichever way that ends.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 import msgspec
 
 ROLES = {
-    "servers": "loomstand.rehearse.servers",
-    "counter": "loomstand.rehearse.counter",
-    "discovery": "loomstand.rehearse.discovery",
-    "links": "loomstand.rehearse.links",
-    "driver": "loomstand.rehearse.driver",
+    "servers": "loomstand.testing.rehearsal.servers",
+    "counter": "loomstand.testing.rehearsal.counter",
+    "discovery": "loomstand.testing.rehearsal.discovery",
+    "links": "loomstand.testing.rehearsal.links",
+    "driver": "loomstand.testing.rehearsal.driver",
 }
 
 
--- a/loomstand/rehearse/counter.py
+++ b/loomstand/testing/rehearsal/counter.py
@@ -12,9 +12,9 @@
 import time
 from random import Random
 
-from loomstand.lab.counts import Totals
-from loomstand.rehearse.child import Trail
-from loomstand.rehearse.wire import length_of, said
+from loomstand.testing.emulator.counts import Totals
+from loomstand.testing.rehearsal.child import Trail
+from loomstand.testing.rehearsal.wire import length_of, said
 
 CALL = re.compile(rb"POST /counters/([!-~]{1,64})\?by=([0-9.e+-]+)&expire_ms=(\d+) ").match
 
--- a/loomstand/rehearse/discovery.py
+++ b/loomstand/testing/rehearsal/discovery.py
@@ -13,8 +13,8 @@
 import re
 from math import ceil
 
-from loomstand.rehearse.child import Trail, say
-from loomstand.rehearse.wire import BEAT, WATCHING, chunk, read_message, said
+from loomstand.testing.rehearsal.child import Trail, say
+from loomstand.testing.rehearsal.wire import BEAT, WATCHING, chunk, read_message, said
 
 BEAT_S = 2.0  # PROTOCOL: an empty line comes every 2 s while nothing changes
 INDEX = re.compile(rb"GET /api/targets\?stream=1&index=(\d+) ").match
--- a/loomstand/rehearse/driver.py
+++ b/loomstand/testing/rehearsal/driver.py
@@ -16,12 +16,12 @@
 
 import msgspec
 
-from loomstand.door import digest
-from loomstand.lab.traffic import Traffic, refill
-from loomstand.rehearse.child import Trail, say
-from loomstand.rehearse.links import spawn
-from loomstand.rehearse.scenario import Rehearsal, zone_of
-from loomstand.rehearse.wire import length_of
+from loomstand.admission.identifiers import digest
+from loomstand.testing.emulator.traffic import Traffic, refill
+from loomstand.testing.rehearsal.child import Trail, say
+from loomstand.testing.rehearsal.links import spawn
+from loomstand.testing.rehearsal.scenario import Rehearsal, zone_of
+from loomstand.testing.rehearsal.wire import length_of
 
 WAIT_ON = 0.5  # seconds past its timeout that a client still listens, so that a late answer is seen
 MOST = 500_000  # reqs
--- a/loomstand/rehearse/report.py
+++ b/loomstand/testing/rehearsal/report.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from loomstand.rehearse import checker
-from loomstand.rehearse.scenario import Rehearsal
+from loomstand.testing.rehearsal import checker
+from loomstand.testing.rehearsal.scenario import Rehearsal
 
 # s: an arrival so late means that the machine was too busy for the run to tell anything
 LATE_DRIVER = 0.25
@@ -86,7 +86,7 @@
     """The verdict on the terminal: rules, bounds, and the culprits by name."""
     from rich.table import Table
 
-    from loomstand.lab.checker import NAMES
+    from loomstand.testing.emulator.checker import NAMES
 
     t = Table(
         title=f"{report['scenario']}, seed {report['seed']}: {report['reqs']} reqs, "
--- a/loomstand/rehearse/scenario.py
+++ b/loomstand/testing/rehearsal/scenario.py
@@ -15,8 +15,15 @@
 import msgspec
 from msgspec import Meta
 
-from loomstand.lab import scenario as lab
-from loomstand.lab.scenario import Count, Positive, ScenarioError, Seconds, Share, Struct
+from loomstand.testing.emulator import scenario as lab
+from loomstand.testing.emulator.scenario import (
+    Count,
+    Positive,
+    ScenarioError,
+    Seconds,
+    Share,
+    Struct,
+)
 
 SHARED = "any"  # the near end of a path that all limiters share
 
--- a/loomstand/rehearse/servers.py
+++ b/loomstand/testing/rehearsal/servers.py
@@ -17,11 +17,11 @@
 
 import msgspec
 
-from loomstand.lab.scenario import mean_work
-from loomstand.rehearse.child import Trail
-from loomstand.rehearse.links import abort
-from loomstand.rehearse.scenario import Rehearsal
-from loomstand.rehearse.wire import length_of, said
+from loomstand.testing.emulator.scenario import mean_work
+from loomstand.testing.rehearsal.child import Trail
+from loomstand.testing.rehearsal.links import abort
+from loomstand.testing.rehearsal.scenario import Rehearsal
+from loomstand.testing.rehearsal.wire import length_of, said
 
 ID = re.compile(rb"(?i)\r\nrequest-id: *([^\r\n]*)").search
 CLASS = re.compile(rb"(?i)\r\nrequest-class: *([^\r\n]*)").search
--- a/loomstand/rehearse/stage.py
+++ b/loomstand/testing/rehearsal/stage.py
@@ -22,10 +22,10 @@
 
 import msgspec
 
-from loomstand.lab import scenario as lab
-from loomstand.rehearse import wire
-from loomstand.rehearse.child import Trail
-from loomstand.rehearse.scenario import SHARED, Fault, Rehearsal, nodes, zone_of
+from loomstand.testing.emulator import scenario as lab
+from loomstand.testing.rehearsal import wire
+from loomstand.testing.rehearsal.child import Trail
+from loomstand.testing.rehearsal.scenario import SHARED, Fault, Rehearsal, nodes, zone_of
 
 # seconds for a process to say that it is ready: the largest stage starts in some ten
 START_WITHIN = 30.0
@@ -174,7 +174,7 @@
         self, role: str, name: str, nodes_: list[str], config: Callable[[], dict]
     ) -> None:
         command, pipe = (
-            [sys.executable, "-m", "loomstand.rehearse.child", role],
+            [sys.executable, "-m", "loomstand.testing.rehearsal.child", role],
             asyncio.subprocess.PIPE,
         )
 
--- a/loomstand/simulation/bounds.py
+++ b/loomstand/testing/simulation/bounds.py
@@ -13,7 +13,7 @@
 from itertools import zip_longest
 from math import inf
 
-from loomstand.shared.settings import Bounds
+from loomstand.config.settings import Bounds
 
 CORE = "core"  # the kind of a pair that only trouble of the core touches
 SMALL = 60  # requests a window, under which a quota's leeway is mostly `quota_slack`: 6 of 26
--- a/loomstand/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -8,22 +8,22 @@
 from random import Random
 from typing import Any
 
-from loomstand.brain import Brain
-from loomstand.interface import Entry
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.interface import Endpoint
+from loomstand.config.settings import Settings, parse
 from loomstand.proxy.program import Proxy
 from loomstand.registry.instances import READY
-from loomstand.registry.service import RegistryService
-from loomstand.shared.settings import Settings, parse
-from loomstand.shared.verdict import Refused
-from loomstand.simulation.bounds import Told
-from loomstand.simulation.http_log import Book, exchange
-from loomstand.simulation.loop import Life, VirtualLoop
-from loomstand.simulation.machine import Factory
-from loomstand.simulation.network import SimNetwork
-from loomstand.simulation.sim_disk import Platter
-from loomstand.simulation.streams import Address, Cables, Host, Streams
-from loomstand.simulation.workload import Client, Operator, Server
+from loomstand.registry.process import RegistryService
+from loomstand.rpc.verdict import Refused
 from loomstand.store.program import Place, Store
+from loomstand.testing.simulation.bounds import Told
+from loomstand.testing.simulation.http_log import Book, exchange
+from loomstand.testing.simulation.loop import Life, VirtualLoop
+from loomstand.testing.simulation.machine import Factory
+from loomstand.testing.simulation.network import SimNetwork
+from loomstand.testing.simulation.sim_disk import Platter
+from loomstand.testing.simulation.streams import Address, Cables, Host, Streams
+from loomstand.testing.simulation.workload import Client, Operator, Server
 
 ZONES = "east", "west"
 CONTROL, FRONT, READINESS, SERVING = 8783, 8782, 8789, 8080
@@ -84,7 +84,7 @@
         super().__init__(settings, network, rng, Virtual(), streams)  # type: ignore[arg-type]
         self.log = self.hear
 
-    def begin(self) -> Brain:
+    def begin(self) -> DecisionEngine:
         if "brain" not in self.__dict__:  # at its start: the time of day as its machine has it
             self.epoch = int((self.wall - self.loop.time()) * 1e9)
         return super().begin()
@@ -98,7 +98,7 @@
             self.mark("", version)
         return taken
 
-    def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> Entry:
+    def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> Endpoint:
         self.mark(self.identifiers[srv], int(use == READY))
         return super().entry(srv, use, service, zone, where)
 
--- /dev/null
+++ b/loomstand/testing/simulation/control_plane.py
@@ -0,0 +1,227 @@
+"""Core machines alone under drawn troubles, and operators who note what they sent, heard and were
+promised.
+
+    python -m loomstand.testing.simulation.control_plane 1000 300    # 300 runs from seed 1000 on; 1
+    if one breaks
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import sys
+from collections.abc import Sequence
+from random import Random
+
+from loomstand.store.replica import LEASE
+from loomstand.testing.simulation.cluster import CONTROL, Cluster
+from loomstand.testing.simulation.http_log import Message, exchange, post
+from loomstand.testing.simulation.streams import Host
+
+PATIENT = 30.0  # s that these operators wait, so that late answers are seen too
+# s by which what is read may be older than its answer: passing on, and the way back
+PASSED = LEASE + 0.1
+
+
+class ControlPlane(Cluster):
+    """Core machines alone, and what operators sent, heard and were told to be in force."""
+
+    def __init__(self, seed: int, cores: int = 3) -> None:
+        super().__init__(seed, cores, proxies=0, servers=0)
+        self.usual()
+        # when it was heard, and the newest by then
+        self.acked: list[tuple[float, int]] = [(0.0, 0)]
+        self.sent: dict[int, bytes] = {}
+        self.reads, self.unclear = 0, 0
+
+    async def begin(self) -> None:
+        for host in self.hosts():
+            host.start()
+        while await self.order(self.core_ips[0], 1.0) != 200:
+            await asyncio.sleep(0.2)
+        self.first = False
+
+    def hosts(self, ip: str = "") -> list[Host]:
+        ips = [ip] if ip else self.core_ips
+        return [h for i in ips for h in self.core(i)]
+
+    def newest(self, at: float) -> int:
+        return max(v for t, v in self.acked if t <= at)
+
+    async def ask(self, ip: str, call: str, body: bytes, within: float) -> Message | None:
+        return await exchange(self.operator.streams, (ip, CONTROL), post(call, body), within)
+
+    async def order(self, ip: str, within: float = PATIENT, version: int = 0) -> int:
+        """One sending of an order, a new one or one that was sent before; its status, 0 without an
+        answer."""
+        if not version:
+            self.version += self.rng.choice((1, 1, 3))
+            version = self.version
+            self.sent[version] = self.body(version)
+        got = await self.ask(ip, "configuration.replace", self.sent[version], within)
+        status = got.status if got else 0
+        assert status in (0, 200, 503), f"{ip} refused r{version}, a valid order: {got}"
+        if status == 200:
+            self.acked.append((self.loop.time(), max(version, self.acked[-1][1])))
+        else:
+            self.unclear += 1
+        return status
+
+    async def read(self, ip: str, within: float = PATIENT) -> int:
+        """What is read, 0 if nothing is handed out."""
+        asked = self.loop.time()
+        got = await self.ask(ip, "configuration.read", b"", within)
+        if got is None or got.status != 200:
+            assert got is None or got.status == 503, got
+            return 0
+        version = int(json.loads(got.body)["version"][1:])
+        owed = self.newest(max(asked, self.loop.time() - PASSED))
+        assert version >= owed, (
+            f"{ip} handed out r{version} at {self.loop.time():.3f}, r{owed} was in force"
+        )
+        assert got.body == self.sent[version]
+        self.reads += 1
+        return version
+
+    def primary(self) -> str:
+        return next((ip for ip in self.core_ips if self.serves(ip)), "")
+
+    async def calm(self) -> None:
+        """An order is taken, and what is read is what was acknowledged."""
+        for ip in self.core_ips * 4:
+            if await self.order(ip, 1.0) == 200 and await self.read(ip, 1.0) >= self.acked[-1][1]:
+                return
+            await asyncio.sleep(0.1)
+        raise AssertionError("calm, and nothing is acknowledged or read")
+
+
+class Troubles:
+    """What befalls the core's machines at moments within orders; one disk at a time is lost."""
+
+    def __init__(self, plane: ControlPlane, rng: Random) -> None:
+        self.plane, self.rng, self.fresh = plane, rng, len(plane.core_ips)
+
+    async def operate(self) -> None:
+        """Orders and questions to any machine, orders sent again, two at one moment."""
+        plane, rng = self.plane, self.rng
+        while True:
+            await asyncio.sleep(rng.uniform(0.01, 0.4))
+            ips = rng.sample(plane.core_ips, 2)
+            plane.behind(plane.order(ips[0]))
+            if rng.random() < 0.4:
+                plane.behind(plane.order(ips[1]))
+            if rng.random() < 0.4:
+                plane.behind(plane.order(ips[1], version=rng.choice([*plane.sent][-4:])))
+            plane.behind(plane.read(rng.choice(plane.core_ips)))
+
+    def machine(self) -> str:
+        first = self.plane.primary()
+        return first if first and self.rng.random() < 0.5 else self.rng.choice(self.plane.core_ips)
+
+    async def one(self) -> None:
+        plane, rng, ip = self.plane, self.rng, self.machine()
+        lasts = rng.choice((0.3, 1.2, 2.0, 4.0))
+        hosts = plane.hosts(ip)
+        hosts = rng.choice((hosts, hosts, hosts[:1], hosts[1:]))
+        kind = rng.choice(
+            (
+                "kill",
+                "power",
+                "wipe",
+                "wipe",
+                "freeze",
+                "freeze",
+                "cut",
+                "deaf",
+                "dumb",
+                "third",
+                "leave",
+            )
+            + ("exchange",) * (len(plane.core_ips) > 3)
+        )
+        if kind in ("kill", "freeze"):
+            for host in hosts:
+                host.kill() if kind == "kill" else host.freeze()
+            await asyncio.sleep(lasts)
+            for host in hosts:
+                host.start() if kind == "kill" else host.thaw()
+        elif kind in ("power", "wipe"):
+            for host in plane.hosts(ip):
+                host.power_off(wipe=kind == "wipe")
+            await asyncio.sleep(lasts)
+            for host in plane.hosts(ip):
+                host.start()
+            # `catch_up`, after which another may be lost
+            await asyncio.sleep(4.0 * (kind == "wipe"))
+        elif kind in ("cut", "deaf", "dumb", "third"):
+            for other in plane.core_ips[: 2 if kind == "third" else None]:
+                if other != ip:
+                    ends = (other, ip) if kind == "deaf" else (ip, other)
+                    plane.sky.cut(*ends, both=kind in ("cut", "third"))
+            await asyncio.sleep(lasts)
+            plane.sky.mend()
+        elif kind == "leave":
+            await asyncio.gather(*(host.end() for host in plane.hosts(ip)))
+            for host in plane.hosts(ip):
+                host.start()
+        else:
+            await self.exchange(ip)
+
+    async def exchange(self, ip: str) -> None:
+        """A new machine comes, the old one leaves for good, and its disk with it."""
+        plane = self.plane
+        self.fresh += 1
+        new = f"10.1.0.{self.fresh}"
+        plane.registries[new] = plane.host(new, plane.registry_factory(new))
+        plane.stores[new] = plane.host(new, plane.store_factory(new))
+        plane.core_ips = [new if other == ip else other for other in plane.core_ips]
+        for host in plane.hosts(new):
+            host.start()
+        await asyncio.sleep(self.rng.choice((0.1, 1.0)))
+        await asyncio.gather(*(host.end() for host in plane.core(ip)))
+        for host in plane.core(ip):
+            host.power_off(wipe=True)
+        await asyncio.sleep(4.0)
+
+
+def drawn(seed: int, steps: int = 6) -> ControlPlane:
+    plane = ControlPlane(seed, 3 + seed % 2)
+    troubles = Troubles(plane, Random(seed))
+
+    async def day() -> None:
+        await plane.begin()
+        operators = plane.behind(troubles.operate())
+        for _ in range(steps):
+            await troubles.one()
+            await asyncio.sleep(troubles.rng.choice((0.05, 0.5, 2.0)))
+        operators.cancel()
+        await asyncio.sleep(5.0)
+        await plane.calm()
+
+    try:
+        plane.do(day())
+        for task in plane.background:
+            if task.done() and not task.cancelled():
+                task.result()
+    finally:
+        plane.close()
+    return plane
+
+
+def main(words: Sequence[str]) -> int:
+    first, count = int(words[0]), int(words[1])
+    broken, reads, acked = list[int](), 0, 0
+    for seed in range(first, first + count):
+        try:
+            plane = drawn(seed, 8)
+        except AssertionError as why:
+            broken.append(seed)
+            print(f"{seed}: {why}", flush=True)
+        else:
+            reads, acked = reads + plane.reads, acked + len(plane.acked) - 1
+    print(f"{count} runs, {acked} acknowledgements, {reads} reads, broken: {broken or 'none'}")
+    return int(bool(broken))
+
+
+if __name__ == "__main__":
+    sys.exit(main(sys.argv[1:]))
--- a/loomstand/simulation/faults.py
+++ b/loomstand/testing/simulation/faults.py
@@ -13,10 +13,10 @@
 from contextlib import asynccontextmanager
 from random import Random
 
-from loomstand.simulation.bounds import CORE, Drain, History, Span
-from loomstand.simulation.cluster import Cluster
-from loomstand.simulation.streams import Host
-from loomstand.simulation.workload import Server
+from loomstand.testing.simulation.bounds import CORE, Drain, History, Span
+from loomstand.testing.simulation.cluster import Cluster
+from loomstand.testing.simulation.streams import Host
+from loomstand.testing.simulation.workload import Server
 
 LIMITERS = [
     "proxy",
--- a/loomstand/simulation/http_log.py
+++ b/loomstand/testing/simulation/http_log.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from loomstand.simulation.streams import Address, End, Streams
+from loomstand.testing.simulation.streams import Address, End, Streams
 
 PROMISES = (408, 421, 429, 503)  # not run, and never will be
 Fields = dict[str, str]
--- a/loomstand/simulation/machine.py
+++ b/loomstand/testing/simulation/machine.py
@@ -8,9 +8,9 @@
 from random import Random
 from typing import Any, Protocol
 
-from loomstand.simulation.loop import Life
-from loomstand.simulation.network import MachineNetwork, SimNetwork
-from loomstand.simulation.sim_disk import Platter, SimDisk
+from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.network import MachineNetwork, SimNetwork
+from loomstand.testing.simulation.sim_disk import Platter, SimDisk
 
 
 class Program(Protocol):
--- a/loomstand/simulation/network.py
+++ b/loomstand/testing/simulation/network.py
@@ -16,8 +16,8 @@
 from expression import Error, Ok, Result
 
 from loomstand.rpc import Address, Serve
-from loomstand.shared.verdict import Refused, Verdict
-from loomstand.simulation.loop import LIFE, Life
+from loomstand.rpc.verdict import Refused, Verdict
+from loomstand.testing.simulation.loop import LIFE, Life
 
 DELAY = (0.0005, 0.004)  # s one way: machines of one region, and of neighbouring ones
 Body = dict[str, Any]
--- a/loomstand/simulation/scenario.py
+++ b/loomstand/testing/simulation/scenario.py
@@ -9,10 +9,10 @@
 from random import Random
 from typing import Any
 
-from loomstand.shared.settings import Bounds
-from loomstand.simulation.bounds import Change, History, Ran
-from loomstand.simulation.cluster import Cluster
-from loomstand.simulation.faults import CORES, DENSE, LIMITERS, SERVERS, Faults
+from loomstand.config.settings import Bounds
+from loomstand.testing.simulation.bounds import Change, History, Ran
+from loomstand.testing.simulation.cluster import Cluster
+from loomstand.testing.simulation.faults import CORES, DENSE, LIMITERS, SERVERS, Faults
 
 LOOK = 0.01  # s between looks at who serves and who counts
 # s of calm at the end: what is under way comes into force, or is late beyond every bound.
--- a/loomstand/simulation/stream_network.py
+++ b/loomstand/testing/simulation/stream_network.py
@@ -8,7 +8,7 @@
 
 from loomstand.rpc.network import Address, Serve
 from loomstand.rpc.sockets import CONNECT_WITHIN, Line, Sockets
-from loomstand.simulation.streams import Streams
+from loomstand.testing.simulation.streams import Streams
 
 
 class StreamLine(Line):
--- a/loomstand/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -18,12 +18,12 @@
 from random import Random
 from typing import Any
 
-from loomstand.net.driver import Wire
-from loomstand.net.endings import Ending
-from loomstand.shared.verdict import Refused
-from loomstand.simulation.loop import Life
-from loomstand.simulation.machine import Machine
-from loomstand.simulation.network import DELAY, Listener, SimNetwork
+from loomstand.limiter.endings import Ending
+from loomstand.limiter.event_loop import Wire
+from loomstand.rpc.verdict import Refused
+from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.machine import Machine
+from loomstand.testing.simulation.network import DELAY, Listener, SimNetwork
 
 Address = tuple[str, int]
 WINDOW = 16384  # bytes that an end takes which its process hasn't read: windows are small
--- a/loomstand/simulation/workload.py
+++ b/loomstand/testing/simulation/workload.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from loomstand.simulation.http_log import (
+from loomstand.testing.simulation.http_log import (
     PROMISES,
     Ask,
     Book,
@@ -22,8 +22,8 @@
     post,
     stamp_of,
 )
-from loomstand.simulation.loop import Life
-from loomstand.simulation.streams import Address, Cables, Port, Streams
+from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.streams import Address, Cables, Port, Streams
 
 ANSWER = re.compile(rb"HTTP/1\.1 ([1-5][0-9]{2}) [^\r\n]*")
 FINAL = (400, 401, 404, 413, 431)  # after these no further try is made
--- a/loomstand/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -13,18 +13,18 @@
 from types import SimpleNamespace
 from typing import Any
 
-from loomstand.interface import Outcome
-from loomstand.net import http
-from loomstand.net.endings import Ending
-from loomstand.net.ring import Ring, Room
+from loomstand.admission.interface import Outcome
+from loomstand.limiter import http_parser
+from loomstand.limiter.buffers import Ring, Room
+from loomstand.limiter.endings import Ending
 from loomstand.proxy.request import Dispatch, ProxyRequest
 from loomstand.proxy.upstream import UpstreamPool
-from loomstand.simulation.cluster import FRONT, Cluster
-from loomstand.simulation.http_log import Broken, Message, Reply, Run, Talk
-from loomstand.simulation.loop import Life
-from loomstand.simulation.network import SimNetwork
-from loomstand.simulation.streams import Cables, Streams
-from loomstand.simulation.workload import Server
+from loomstand.testing.simulation.cluster import FRONT, Cluster
+from loomstand.testing.simulation.http_log import Broken, Message, Reply, Run, Talk
+from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.network import SimNetwork
+from loomstand.testing.simulation.streams import Cables, Streams
+from loomstand.testing.simulation.workload import Server
 
 US, THEM = "10.2.0.1", "10.3.0.1"
 PROOFS = {Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT}
@@ -138,7 +138,7 @@
             self.bodies[id_] = flight.req.got
 
     def request(self, id_: str, body: bytes = b"", idempotent: bool = False) -> ProxyRequest:
-        machine, ring = http.RequestReceiver(1 << 20), Ring(self.room, 1 << 21)
+        machine, ring = http_parser.RequestReceiver(1 << 20), Ring(self.room, 1 << 21)
         head = f"POST /x HTTP/1.1\r\nHost: h\r\nLoomstand-Request-Id: {id_}\r\n"
         head += f"Content-Length: {len(body)}\r\n"
         ring.put(head.encode() + b"\r\n" + body)
--- a/loomstand/simulation/wrong_calls.py
+++ b/loomstand/testing/simulation/wrong_calls.py
@@ -10,11 +10,11 @@
 from expression import Result
 
 from loomstand.rpc.frames import pack
-from loomstand.shared.verdict import Refused, Verdict
-from loomstand.simulation.loop import Life
-from loomstand.simulation.network import SimNetwork
-from loomstand.simulation.stream_network import StreamLine, StreamSockets
-from loomstand.simulation.streams import Cables, Streams
+from loomstand.rpc.verdict import Refused, Verdict
+from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.network import SimNetwork
+from loomstand.testing.simulation.stream_network import StreamLine, StreamSockets
+from loomstand.testing.simulation.streams import Cables, Streams
 
 HERE, THERE = "10.0.0.1", ("10.0.0.2", 7340)
 WAYS = [
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -7,21 +7,22 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from loomstand import cli
-from loomstand import interface as api
-from loomstand.brain import Account, Brain
-from loomstand.brain.fleet import Fleet
-from loomstand.brain.server import Server
-from loomstand.net import limiter
+from loomstand.admission import interface as api
+from loomstand.admission.backend import Backend
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.load_balancer import LoadBalancer
+from loomstand.admission.tenant_limiter import TenantLimiter
+from loomstand.cli import main
+from loomstand.limiter import limiter
 
 
 def put_in(fault: str, patch: Callable[[object, str, object], None] = setattr) -> None:
     """Puts a fault into the limiter's classes by `patch`."""
-    usual = Brain.handle
+    usual = DecisionEngine.handle
 
     def handle(self, now, note):
-        if fault == "drain" and isinstance(note, api.Listed):
-            note.entries = tuple(replace(e, phase=api.Phase.LIVE) for e in note.entries)
+        if fault == "drain" and isinstance(note, api.EndpointsUpdated):
+            note.entries = tuple(replace(e, phase=api.EndpointState.LIVE) for e in note.entries)
         return usual(self, now, note)
 
     if fault == "answers":  # rule 1: every twentieth passed req is never answered
@@ -32,17 +33,17 @@
             lambda self, req, *more, **kw: req.id % 20 == 0 or answer(self, req, *more, **kw),
         )
     elif fault == "twice":  # rule 2: what may have run is sent again
-        patch(Fleet, "may_repeat", lambda self, job, srv: True)
+        patch(LoadBalancer, "may_repeat", lambda self, job, srv: True)
     elif fault == "cold":  # rule 4: no budget for cold servers
-        patch(Fleet, "cold_ok", lambda self, srv: True)
-        patch(Server, "warmth", lambda self: 1.0)
+        patch(LoadBalancer, "cold_ok", lambda self, srv: True)
+        patch(Backend, "warmth", lambda self: 1.0)
     elif fault == "ceiling":  # rule 5: the whole ceiling at each limiter, full at the start
-        patch(Account, "held", lambda self, at: self.plan.ceiling_depth)
-        patch(Account, "turns", lambda self, at: at * self.cap_rate)
-    patch(Brain, "handle", handle)
+        patch(TenantLimiter, "held", lambda self, at: self.plan.ceiling_depth)
+        patch(TenantLimiter, "turns", lambda self, at: at * self.cap_rate)
+    patch(DecisionEngine, "handle", handle)
 
 
 if __name__ == "__main__":
     put_in(sys.argv[1])
     sys.argv = ["loomstand", "serve", *sys.argv[2:]]
-    cli.main()
+    main.main()
