--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,21 +10,23 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from loomstand import interface as api
-from loomstand.brain import Brain
-from loomstand.config import parse
-from loomstand.interface import Effect, Group, Outcome, Phase
-from loomstand.net.endings import Ending
-from loomstand.net.limiter import Limiter
-from loomstand.rehearse import wire
-from loomstand.rehearse.wire import WATCHING, chunk, own_host, read_message, said
-
-S = api.TENTHS_PER_S
+from loomstand.admission import interface as api
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.interface import DeduplicationScope, Effect, EndpointState, Outcome
+from loomstand.config.limiter import parse
+from loomstand.limiter.endings import Ending
+from loomstand.limiter.limiter import Limiter
+from loomstand.testing.rehearsal import wire
+from loomstand.testing.rehearsal.wire import WATCHING, chunk, own_host, read_message, said
+
+S = api.TICKS_PER_SECOND
 NOT_RUN = (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
 
 
 def frontend(
-    effect: Effect = Effect.REPLAYABLE, group: Group = Group.ALL, late: float = 0.0
+    effect: Effect = Effect.REPLAYABLE,
+    group: DeduplicationScope = DeduplicationScope.ALL,
+    late: float = 0.0,
 ) -> api.Frontend:
     return api.Frontend(effect, group, 2 * S, S, 4 * S, 1.0, late, False)
 
@@ -32,19 +34,19 @@
 FRONTENDS = (
     frontend(),
     frontend(Effect.NON_REPLAYABLE),
-    frontend(Effect.UNIQUED, Group.HALL),
-    frontend(Effect.UNIQUED, Group.ALL),
+    frontend(Effect.UNIQUED, DeduplicationScope.HALL),
+    frontend(Effect.UNIQUED, DeduplicationScope.ALL),
 )
 PLANS = (
-    api.Plan(2.0, 4.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
-    api.Plan(5.0, 10.0, 0, 1.5, 0.0, 1.0, 10.0, 20.0, 2.0),
-    api.Plan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
-    api.Plan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 10.0, 12.0, 2.0),
+    api.QuotaPlan(2.0, 4.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
+    api.QuotaPlan(5.0, 10.0, 0, 1.5, 0.0, 1.0, 10.0, 20.0, 2.0),
+    api.QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
+    api.QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 10.0, 12.0, 2.0),
 )
 
 
-def settings(me: int = 0, limiters: int = 3, **changes: object) -> api.Settings:
-    base = api.Settings(
+def settings(me: int = 0, limiters: int = 3, **changes: object) -> api.EngineSettings:
+    base = api.EngineSettings(
         me,
         limiters,
         0,
@@ -70,21 +72,25 @@
     return replace(base, **changes)
 
 
-def entry(srv: int, phase: Phase = Phase.LIVE, booted: int = 0, hall: int = 0) -> api.Entry:
-    return api.Entry(srv, phase, hall, 0, srv % 2, 1.0, booted)
+def entry(
+    srv: int, phase: EndpointState = EndpointState.LIVE, booted: int = 0, hall: int = 0
+) -> api.Endpoint:
+    return api.Endpoint(srv, phase, hall, 0, srv % 2, 1.0, booted)
 
 
 def arrival(
     req: int, now: int, front: int = 0, plan: int = 2, customer: int = 0, sets: int = 3
-) -> api.Arrived:
+) -> api.RequestArrived:
     give_up = now + FRONTENDS[front].client_timeout
-    return api.Arrived(req, front, plan, customer, 1000 + customer, give_up, 1.0, sets, False)
+    return api.RequestArrived(
+        req, front, plan, customer, 1000 + customer, give_up, 1.0, sets, False
+    )
 
 
-def alone(now: int = 0, servers: int = 3, **changes: object) -> Brain:
+def alone(now: int = 0, servers: int = 3, **changes: object) -> DecisionEngine:
     """One limiter with some long-running servers."""
-    brain = Brain(settings(**changes), 7, now)
-    brain.handle(now, api.Listed(tuple(entry(n) for n in range(servers)), True))
+    brain = DecisionEngine(settings(**changes), 7, now)
+    brain.handle(now, api.EndpointsUpdated(tuple(entry(n) for n in range(servers)), True))
     return brain
 
 
@@ -99,12 +105,12 @@
         self.now = 1000 * S
         self.changes = {"limiters": limiters, **changes}
         self.entries = {n: entry(n, hall=n % 2) for n in range(servers)}
-        self.brains: list[Brain | None] = [None] * limiters
+        self.brains: list[DecisionEngine | None] = [None] * limiters
         self.counts: dict[int, float] = {}
-        self.calls: list[tuple[int, api.Count]] = []
+        self.calls: list[tuple[int, api.IncrementCounter]] = []
         self.timers: list[tuple[int, int, int]] = []
         # req: limiter, arrival, dispatches
-        self.open: dict[int, tuple[int, api.Arrived, list]] = {}
+        self.open: dict[int, tuple[int, api.RequestArrived, list]] = {}
         # limiter, server, sent, expiry
         self.out: dict[tuple[int, int], tuple[int, int, int, int]] = {}
         self.answered: set[int] = set()
@@ -116,17 +122,17 @@
             self.start(n)
 
     def start(self, n: int) -> None:
-        self.brains[n] = Brain(settings(n, **self.changes), n, self.now)
+        self.brains[n] = DecisionEngine(settings(n, **self.changes), n, self.now)
         self.told[n] = {}
         self.tell(n)
 
     def tell(self, n: int) -> None:
         for e in self.entries.values():
-            if e.phase is not Phase.LIVE:
+            if e.phase is not EndpointState.LIVE:
                 self.told[n].setdefault(e.srv, self.now)
             else:
                 self.told[n].pop(e.srv, None)
-        self.give(n, api.Listed(tuple(self.entries.values()), True))
+        self.give(n, api.EndpointsUpdated(tuple(self.entries.values()), True))
 
     def kill(self, n: int) -> None:
         """All that a killed limiter held is void."""
@@ -135,7 +141,7 @@
         self.open = {r: o for r, o in self.open.items() if o[0] != n}
         self.out = {k: o for k, o in self.out.items() if o[0] != n}
 
-    def give(self, n: int, note: api.Note) -> None:
+    def give(self, n: int, note: api.Event) -> None:
         for act in self.brains[n].handle(self.now, note):
             self.check(n, act)
 
@@ -146,7 +152,7 @@
 
     def check(self, n: int, act: api.Action) -> None:
         match act:
-            case api.Dispatch(req, srv, expire):
+            case api.SendAttempt(req, srv, expire):
                 self.check_dispatch(n, req, srv)
                 dispatches = self.open[req][2]
                 self.out[req, len(dispatches)] = (
@@ -157,19 +163,21 @@
                 )
                 dispatches.append([srv, self.now, None])
                 self.sends.append((self.now, srv))
-            case api.Deny(req) | api.Abort(req):
+            case api.Reject(req) | api.Abort(req):
                 _, note, dispatches = self.open[req]
                 front = FRONTENDS[note.frontend]
                 ran = any(d[2] not in NOT_RUN for d in dispatches)
                 # rule 2: a denial says that trying again is harmless
-                if isinstance(act, api.Deny) and ran:
-                    uniqued = front.effect is Effect.UNIQUED and front.group is Group.ALL
+                if isinstance(act, api.Reject) and ran:
+                    uniqued = (
+                        front.effect is Effect.UNIQUED and front.group is DeduplicationScope.ALL
+                    )
                     assert front.effect is Effect.REPLAYABLE or uniqued
                 self.answer(req)
-            case api.Wake(after, tag):
+            case api.SetTimer(after, tag):
                 assert after > 0
                 self.timers.append((self.now + after, n, tag))
-            case api.Count():
+            case api.IncrementCounter():
                 self.calls.append((n, act))
 
     def check_dispatch(self, n: int, req: int, srv: int) -> None:
@@ -185,7 +193,10 @@
                 continue
             assert front.effect is Effect.UNIQUED, "a non-replayable req sent twice"
             assert self.now < at + front.repeat_window
-            assert front.group is Group.ALL or self.entries[old].hall == self.entries[srv].hall
+            assert (
+                front.group is DeduplicationScope.ALL
+                or self.entries[old].hall == self.entries[srv].hall
+            )
         plan = PLANS[note.plan]
         if not before and plan.ceiling_rate:  # rule 5
             left, at = self.ceilings.get(note.customer, (plan.ceiling_depth, self.now))
@@ -203,7 +214,7 @@
             self.open[req][2][dispatch][2] = how
             if how is Outcome.PASSED:
                 self.answer(req)
-        self.give(n, api.Ended(req, dispatch, srv, how, self.now - sent, final, 0, 0.0))
+        self.give(n, api.AttemptEnded(req, dispatch, srv, how, self.now - sent, final, 0, 0.0))
 
     def pass_time(self, span: int) -> None:
         """Moves the clock, with timers, expiries and the end of each client's patience on the
@@ -219,7 +230,7 @@
             self.now = max(self.now, first)
             for due in [t for t in self.timers if t[0] <= self.now and t[1] != self.stalled]:
                 self.timers.remove(due)
-                self.give(due[1], api.Woke(due[2]))
+                self.give(due[1], api.TimerFired(due[2]))
             for key in [k for k, o in self.out.items() if o[3] <= self.now]:
                 self.finish(key, Outcome.NO_ANSWER)
         self.now = end
@@ -249,7 +260,7 @@
             self.counts.clear()
         if how in (Outcome.PASSED, Outcome.NO_ANSWER):
             self.counts[call.name] = self.counts.get(call.name, 0.0) + call.step
-        self.give(n, api.Counted(call.name, how, self.counts.get(call.name, 0.0), 30))
+        self.give(n, api.CounterReplied(call.name, how, self.counts.get(call.name, 0.0), 30))
 
 
 # Stand-ins on loopback, for the limiter on sockets.
--- a/tests/test_almanac.py
+++ b/tests/test_almanac.py
@@ -18,11 +18,11 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from loomstand.almanac import dense, entry, losses, site
-from loomstand.almanac.draw import SEVERITY, SIZE, Wish, draw, mixes
-from loomstand.almanac.site import SiteError
-from loomstand.almanac.write import day_text, index, toml
 from loomstand.ctl.commands import main
+from loomstand.testing.fault_schedules import dense, entry, losses, site
+from loomstand.testing.fault_schedules.draw import SEVERITY, SIZE, Wish, draw, mixes
+from loomstand.testing.fault_schedules.site import SiteError
+from loomstand.testing.fault_schedules.write import day_text, index, toml
 
 SITE = """
 name = "mill"
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,19 +11,19 @@
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 
-from loomstand import interface as i
-from loomstand.interface import Outcome
-from loomstand.net import servers
-from loomstand.net.clients import Client as FrontClient
-from loomstand.net.driver import Wire
-from loomstand.net.endings import Ending
-from loomstand.net.servers import Link
+from loomstand.admission import interface as i
+from loomstand.admission.interface import Outcome
+from loomstand.limiter import upstream as servers
+from loomstand.limiter.client_connection import Client as FrontClient
+from loomstand.limiter.endings import Ending
+from loomstand.limiter.event_loop import Wire
+from loomstand.limiter.upstream import Link
 from loomstand.proxy import upstream
 from loomstand.proxy.program import Proxy
 from loomstand.proxy.upstream import UpstreamConnection, UpstreamPool
-from loomstand.simulation.loop import play
-from loomstand.simulation.streams import WINDOW
-from loomstand.simulation.wrong_answers import (
+from loomstand.testing.simulation.loop import play
+from loomstand.testing.simulation.streams import WINDOW
+from loomstand.testing.simulation.wrong_answers import (
     BEFALLS,
     HAPPENS,
     HOW,
@@ -333,10 +333,10 @@
     async def work() -> None:
         proxy, req, task = await held_up(town)
         if act == "deny":
-            proxy.deny(i.Deny(req.id, "given up", 0))
+            proxy.deny(i.Reject(req.id, "given up", 0))
         else:
             for srv in proxy.identifiers:
-                proxy.dispatch(i.Dispatch(req.id, srv, req.give_up))
+                proxy.dispatch(i.SendAttempt(req.id, srv, req.give_up))
         reply = await task
         assert reply.status not in (408, 421, 429, 503)
         assert len(town.book.runs()) <= 1
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -7,13 +7,23 @@
 
 import pytest
 
+from loomstand.proxy.counter_replay import CounterReplay as Added
 from loomstand.proxy.quota_credits import QuotaCredits
-from loomstand.proxy.recount import Told as Added
 from loomstand.registry import counters, limiters
-from loomstand.simulation import hunt
-from loomstand.simulation.bounds import CORE, Change, Drain, Figure, History, Ran, Span, Told, judge
-from loomstand.simulation.cluster import Cluster
-from loomstand.simulation.scenario import Day, Setup
+from loomstand.testing.simulation import hunt
+from loomstand.testing.simulation.bounds import (
+    CORE,
+    Change,
+    Drain,
+    Figure,
+    History,
+    Ran,
+    Span,
+    Told,
+    judge,
+)
+from loomstand.testing.simulation.cluster import Cluster
+from loomstand.testing.simulation.scenario import Day, Setup
 
 BOUNDS = Cluster(1, 1, 1, 1).settings("10.1.0.1").bounds
 ANN = {"ann": (10.0, 20.0)}  # of which 50 + 20 are the quota of a window, and 97 are allowed
--- a/tests/test_brain_services.py
+++ b/tests/test_brain_services.py
@@ -10,9 +10,9 @@
 import pytest
 from helpers import FRONTENDS, PLANS, S, alone, arrival, entry, frontend, pick, settings
 
-from loomstand import interface as api
-from loomstand.brain import Brain
-from loomstand.interface import Outcome, Phase
+from loomstand.admission import interface as api
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.interface import EndpointState, Outcome
 
 GATEWAY = {
     "trust": 1.5,
@@ -26,82 +26,86 @@
 }
 
 
-def plan(rate: float, burst: float) -> api.Plan:
-    return api.Plan(rate, burst, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+def plan(rate: float, burst: float) -> api.QuotaPlan:
+    return api.QuotaPlan(rate, burst, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
 
 
-def listed(brain: Brain, now: int, **services: list[int]) -> None:
+def listed(brain: DecisionEngine, now: int, **services: list[int]) -> None:
     """The whole list; `s1=[3, 4]`: servers 3 and 4 are of service 1."""
     entries = [
         replace(entry(n), service=int(s[1:])) for s, servers in services.items() for n in servers
     ]
-    brain.handle(now, api.Listed(tuple(entries), True))
+    brain.handle(now, api.EndpointsUpdated(tuple(entries), True))
 
 
-def come(brain: Brain, req: int, now: int, service: int = 0, **more: int) -> list[api.Action]:
+def come(
+    brain: DecisionEngine, req: int, now: int, service: int = 0, **more: int
+) -> list[api.Action]:
     return brain.handle(now, replace(arrival(req, now, sets=0, **more), service=service))
 
 
 def test_a_req_goes_to_its_own_services_servers_and_a_whole_list_speaks_of_all_services() -> None:
-    brain = Brain(settings(limiters=1, **GATEWAY), 1, 0)
+    brain = DecisionEngine(settings(limiters=1, **GATEWAY), 1, 0)
     listed(brain, 0, s1=[1, 2, 3], s2=[4, 5])
     seen = {1: set(), 2: set()}
     for n in range(1, 13):  # all out at once
-        seen[1 + n % 2] |= {act.srv for act in pick(come(brain, n, n, 1 + n % 2), api.Dispatch)}
+        seen[1 + n % 2] |= {act.srv for act in pick(come(brain, n, n, 1 + n % 2), api.SendAttempt)}
     assert seen == {1: {1, 2, 3}, 2: {4, 5}}
     # none at all
-    assert pick(come(brain, 500, 2 * S, 7), api.Deny) == [api.Deny(500, 0, "servers full")]
+    assert pick(come(brain, 500, 2 * S, 7), api.Reject) == [api.Reject(500, 0, "servers full")]
     listed(brain, 2 * S, s2=[5])
-    assert pick(come(brain, 501, 2 * S, 1), api.Deny)[0].why == "servers full"
+    assert pick(come(brain, 501, 2 * S, 1), api.Reject)[0].why == "servers full"
     assert {
-        a.srv for n in range(3) for a in pick(come(brain, 510 + n, 2 * S, 2), api.Dispatch)
+        a.srv for n in range(3) for a in pick(come(brain, 510 + n, 2 * S, 2), api.SendAttempt)
     } == {5}
 
 
 def test_the_window_follows_servers_that_come_one_by_one() -> None:
-    brain = Brain(settings(limiters=2, **GATEWAY), 1, 0)
+    brain = DecisionEngine(settings(limiters=2, **GATEWAY), 1, 0)
     for n in range(6):
-        brain.handle(0, api.Listed((replace(entry(n), service=1),), False))
+        brain.handle(0, api.EndpointsUpdated((replace(entry(n), service=1),), False))
     assert brain.desk.fleets[1].window == pytest.approx(7 * 6 / 2)
-    brain.handle(0, api.Listed((replace(entry(0, Phase.DRAINING), service=1),), False))
-    brain.handle(0, api.Ruled(replace(brain.loop.settings, limiters=4)))
+    brain.handle(
+        0, api.EndpointsUpdated((replace(entry(0, EndpointState.DRAINING), service=1),), False)
+    )
+    brain.handle(0, api.SettingsChanged(replace(brain.loop.settings, limiters=4)))
     assert brain.desk.fleets[1].window == pytest.approx(7 * 5 / 4)
 
 
 def test_a_frontend_and_a_plan_that_come_at_run_time() -> None:
     brain = alone(servers=4, limiters=1)
     for n in range(8):  # what is known of servers stays: one fails
-        for act in pick(come(brain, n, 10 * n, front=1), api.Dispatch):
+        for act in pick(come(brain, n, 10 * n, front=1), api.SendAttempt):
             how = Outcome.SERVER_ERROR if act.srv == 0 else Outcome.PASSED
-            brain.handle(10 * n + 5, api.Ended(n, 0, act.srv, how, 5, True, 0, 0.0))
+            brain.handle(10 * n + 5, api.AttemptEnded(n, 0, act.srv, how, 5, True, 0, 0.0))
     servers = brain.desk.fleets[0].servers.values()
     before = [v.aside(1) for v in servers]
     more = replace(frontend(), tries=1)
     told = replace(
         settings(limiters=1), frontends=(*FRONTENDS, more), plans=(*PLANS, plan(1.0, 2.0))
     )
-    assert brain.handle(S, api.Ruled(told)) == []
+    assert brain.handle(S, api.SettingsChanged(told)) == []
     assert [v.aside(1) for v in servers] == before
     note = replace(arrival(20, S, plan=len(PLANS), customer=5), frontend=len(FRONTENDS))
-    srv = pick(brain.handle(S, note), api.Dispatch)[0].srv
-    got = brain.handle(S + 5, api.Ended(20, 0, srv, Outcome.TURNED_AWAY, 5, False, 0, 0.0))
-    assert pick(got, api.Deny)[0].why == "given up"  # the route's own number of dispatches
-    assert pick(brain.handle(S + 6, replace(note, req=21)), api.Dispatch)
+    srv = pick(brain.handle(S, note), api.SendAttempt)[0].srv
+    got = brain.handle(S + 5, api.AttemptEnded(20, 0, srv, Outcome.TURNED_AWAY, 5, False, 0, 0.0))
+    assert pick(got, api.Reject)[0].why == "given up"  # the route's own number of dispatches
+    assert pick(brain.handle(S + 6, replace(note, req=21)), api.SendAttempt)
     # its burst
-    assert pick(brain.handle(S + 6, replace(note, req=22)), api.Deny)[0].why == "old total"
+    assert pick(brain.handle(S + 6, replace(note, req=22)), api.Reject)[0].why == "old total"
 
 
 def test_a_quota_lowered_under_load_keeps_what_was_spent() -> None:
     told = settings(limiters=1, plans=(plan(100.0, 50.0),), has_counter=False, **GATEWAY)
-    brain = Brain(told, 1, 0)
+    brain = DecisionEngine(told, 1, 0)
     listed(brain, 0, s0=[*range(40)])
     passed = [0] * 10
     for n, now in enumerate(range(0, 10 * S, 20)):  # 500 a second
         if n == 1000:
-            brain.handle(now, api.Ruled(replace(told, plans=(plan(10.0, 20.0),))))
-        for act in pick(come(brain, n, now, plan=0), api.Dispatch):
+            brain.handle(now, api.SettingsChanged(replace(told, plans=(plan(10.0, 20.0),))))
+        for act in pick(come(brain, n, now, plan=0), api.SendAttempt):
             passed[now // S] += 1
-            brain.handle(now, api.Ended(n, 0, act.srv, Outcome.PASSED, 5, True, 0, 0.0))
+            brain.handle(now, api.AttemptEnded(n, 0, act.srv, Outcome.PASSED, 5, True, 0, 0.0))
     assert 150 <= sum(passed[:2]) <= 2 * 100 + 50
     assert passed[2] <= 10 and sum(passed[2:]) <= 80  # no new burst
     assert min(passed[6:]) >= 8  # the new rate
@@ -117,23 +121,25 @@
     """One tenant asks up to five times its quota, unevenly; it moves as the counter falls silent
     for ever."""
     rng, told = Random(1), settings(limiters=many, plans=(plan(rate, burst),), **GATEWAY)
-    brains = [Brain(replace(told, me=n), n, 0) for n in range(many)]
+    brains = [DecisionEngine(replace(told, me=n), n, 0) for n in range(many)]
     for brain in brains:
         listed(brain, 0, s0=[*range(60)])
     counts, due, times, now, silent = Counter(), [], [], 0, 12 * S
 
     def carry(n: int, acts: list[api.Action]) -> None:
         for act in acts:
-            if isinstance(act, api.Dispatch):
+            if isinstance(act, api.SendAttempt):
                 times.append(now)
-                done = api.Ended(act.req, 0, act.srv, Outcome.PASSED, 9, True, 0, 0.0)
+                done = api.AttemptEnded(act.req, 0, act.srv, Outcome.PASSED, 9, True, 0, 0.0)
                 carry(n, brains[n].handle(now, done))
-            elif isinstance(act, api.Count):
+            elif isinstance(act, api.IncrementCounter):
                 counts[act.name] += act.step if now < silent else 0.0
                 got, after = (Outcome.PASSED, 20) if now < silent else (Outcome.NO_ANSWER, 500)
-                due.append((now + after, n, api.Counted(act.name, got, counts[act.name], after)))
-            elif isinstance(act, api.Wake):
-                due.append((now + act.after, n, api.Woke(act.tag)))
+                due.append(
+                    (now + after, n, api.CounterReplied(act.name, got, counts[act.name], after))
+                )
+            elif isinstance(act, api.SetTimer):
+                due.append((now + act.after, n, api.TimerFired(act.tag)))
 
     for req in range(int(5 * rate * 25)):
         now = int(req * S / (5 * rate))
@@ -159,8 +165,12 @@
     users, kept = Counter(), []
     for me in range(75):
         hall = me * 4 // 75
-        brain = Brain(settings(me=me, limiters=75, hall=hall, homes=homes, **GATEWAY), me, 0)
-        brain.handle(0, api.Listed(tuple(entry(n, hall=h) for n, h in enumerate(halls)), True))
+        brain = DecisionEngine(
+            settings(me=me, limiters=75, hall=hall, homes=homes, **GATEWAY), me, 0
+        )
+        brain.handle(
+            0, api.EndpointsUpdated(tuple(entry(n, hall=h) for n, h in enumerate(halls)), True)
+        )
         come(brain, 1, 0)
         near = brain.desk.fleets[0].near[0]
         assert len({v.srv for v in near}) == 6
@@ -174,29 +184,34 @@
 
 def test_where_the_own_zones_servers_fail_others_take_their_place() -> None:
     halls = [0] * 6 + [1] * 6
-    brain = Brain(settings(limiters=20, homes=0.8, far=2.0, **GATEWAY), 1, 0)
-    brain.handle(0, api.Listed(tuple(entry(n, hall=h) for n, h in enumerate(halls)), True))
+    brain = DecisionEngine(settings(limiters=20, homes=0.8, far=2.0, **GATEWAY), 1, 0)
+    brain.handle(
+        0, api.EndpointsUpdated(tuple(entry(n, hall=h) for n, h in enumerate(halls)), True)
+    )
     passed = Counter()
     for req in range(400):
         acts, tries = come(brain, req, req * S // 50), 0
-        while sent := pick(acts, api.Dispatch):
+        while sent := pick(acts, api.SendAttempt):
             lost = sent[0].srv < 6
             passed[sent[0].srv] += not lost
             got = Outcome.NO_CONNECTION if lost else Outcome.PASSED
-            done = api.Ended(req, tries, sent[0].srv, got, 9, not lost, 0, 0.0)
+            done = api.AttemptEnded(req, tries, sent[0].srv, got, 9, not lost, 0, 0.0)
             acts, tries = brain.handle(req * S // 50 + 9, done), tries + 1
     assert sum(passed.values()) > 370
 
 
 def test_further_dispatches_are_priced_by_service() -> None:
-    brain = Brain(settings(limiters=1, **GATEWAY), 1, 0)
+    brain = DecisionEngine(settings(limiters=1, **GATEWAY), 1, 0)
     listed(brain, 0, s1=[1, 2, 3, 4], s2=[5, 6])
 
     def rounds(req: int, service: int, how: Outcome) -> int:
         """How many dispatches a req gets whose every dispatch ends like this."""
         acts, n = come(brain, req, 10, service), 0
-        while sent := pick(acts, api.Dispatch):
-            acts, n = brain.handle(20, api.Ended(req, n, sent[0].srv, how, 5, False, 0, 0.0)), n + 1
+        while sent := pick(acts, api.SendAttempt):
+            acts, n = (
+                brain.handle(20, api.AttemptEnded(req, n, sent[0].srv, how, 5, False, 0, 0.0)),
+                n + 1,
+            )
         return n
 
     assert [rounds(n, 1, Outcome.NO_CONNECTION) for n in range(5)] == [4] * 5  # costs nothing
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -16,20 +16,20 @@
 from hypothesis import strategies as st
 from test_store import World
 
+from loomstand.config import configuration
+from loomstand.config.configuration import ConfigurationError, Reader, parse
 from loomstand.proxy import sessions
 from loomstand.registry import program
-from loomstand.registry.service import MOST_BODY
+from loomstand.registry.process import MOST_BODY
 from loomstand.rpc.frames import Reader as Frames
 from loomstand.rpc.frames import pack
-from loomstand.shared import configuration
-from loomstand.shared.configuration import ConfigurationError, Reader, parse
-from loomstand.shared.verdict import Verdict
-from loomstand.simulation.cluster import Cluster
-from loomstand.simulation.loop import play
+from loomstand.rpc.verdict import Verdict
 from loomstand.store import disk
+from loomstand.store.change_history import KEPT
 from loomstand.store.disk import LmdbDisk
-from loomstand.store.orders import KEPT
 from loomstand.store.replica import Replica
+from loomstand.testing.simulation.cluster import Cluster
+from loomstand.testing.simulation.loop import play
 
 
 def resources(routes: int) -> list[dict[str, Any]]:
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -11,11 +11,11 @@
 from test_rescue import rescue
 from test_store import HOSTS, VIEW, A, B, C, World, member
 
-from loomstand.simulation.machine import Machine, machines
-from loomstand.store import leaving
+from loomstand.store import graceful_shutdown
 from loomstand.store.learner import MOST, PAGE, Learner
 from loomstand.store.replica import Replica, State
 from loomstand.store.views import Record
+from loomstand.testing.simulation.machine import Machine, machines
 
 
 class Copies(World):
@@ -188,7 +188,7 @@
     back = world.loop.create_task(returns(first, away))
     begun = world.loop.time()
     await leaving_
-    assert world.loop.time() - begun <= 6.0 - leaving.MARGIN + 0.3, (
+    assert world.loop.time() - begun <= 6.0 - graceful_shutdown.MARGIN + 0.3, (
         "a process is held past its grace period"
     )
     backup.platter.wipe()
@@ -252,9 +252,9 @@
 @pytest.mark.parametrize(
     "hosts, out",
     [
-        (3, {(leaving, "holds_only_copy"): no, (leaving, "must_vote"): no}),
+        (3, {(graceful_shutdown, "holds_only_copy"): no, (graceful_shutdown, "must_vote"): no}),
         (3, {(Replica, "free"): free_without_a_vote}),
-        (4, {(Replica, "_first"): only_the_backup, (leaving, "must_vote"): no}),
+        (4, {(Replica, "_first"): only_the_backup, (graceful_shutdown, "must_vote"): no}),
     ],
     ids=[
         "half of the grace period",
@@ -329,10 +329,10 @@
 def test_a_member_that_was_told_to_stop_is_never_held_past_its_grace_period():
     replica = member(B)
     replica.state = State.LEAVING
-    assert VIEW.holds("b") and leaving.holds_only_copy(replica, 10.0)
-    assert not leaving.may_end(replica, 14.9, 10.0, 6.0) and leaving.may_end(
+    assert VIEW.holds("b") and graceful_shutdown.holds_only_copy(replica, 10.0)
+    assert not graceful_shutdown.may_end(replica, 14.9, 10.0, 6.0) and graceful_shutdown.may_end(
         replica, 15.0, 10.0, 6.0
     )
     record = Record("d", False)
     # no view names it
-    assert leaving.may_end(Replica(replica.me, (), record, 0.0, Random(1)), 0.0, 0.0, 6.0)
+    assert graceful_shutdown.may_end(Replica(replica.me, (), record, 0.0, Random(1)), 0.0, 0.0, 6.0)
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -13,10 +13,10 @@
 
 from loomstand.ctl import calls, status
 from loomstand.ctl.commands import main
-from loomstand.simulation.cluster import Cluster
 from loomstand.store.replica import State
 from loomstand.store.rescue import Told, case
 from loomstand.store.views import Member, View
+from loomstand.testing.simulation.cluster import Cluster
 
 KEY = "ctnfzs989anu6wsjnban"
 
@@ -292,7 +292,7 @@
 
 def test_no_daemon_imports_it_and_a_command_only_what_it_needs():
     text = (  # in another process: this one has imported it all
-        "import sys, loomstand.proxy.program, loomstand.registry.service, loomstand.store.program\n"
+        "import sys, loomstand.proxy.program, loomstand.registry.process, loomstand.store.program\n"
         "assert not {m for m in sys.modules if m.startswith(('cappa', 'rich', 'loomstand.ctl'))}\n"
         "from loomstand.ctl.commands import main\n"
         "assert not {'loomstand.ctl.calls', 'loomstand.ctl.files'} & sys.modules.keys()\n"
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -10,11 +10,11 @@
 import pytest
 
 from loomstand.registry import program
-from loomstand.simulation.cluster import CONTROL, Cluster
-from loomstand.simulation.control_plane import PASSED, ControlPlane, drawn
-from loomstand.simulation.streams import Host
-from loomstand.store import answers
+from loomstand.store import freshness
 from loomstand.store.program import Store
+from loomstand.testing.simulation.cluster import CONTROL, Cluster
+from loomstand.testing.simulation.control_plane import PASSED, ControlPlane, drawn
+from loomstand.testing.simulation.streams import Host
 
 
 @pytest.fixture
@@ -64,7 +64,7 @@
 
 
 def test_a_lease_that_is_looked_at_only_as_the_store_answers_is_not_enough(monkeypatch):
-    monkeypatch.setattr(answers, "left", lambda answer, asked, now, within: within)
+    monkeypatch.setattr(freshness, "left", lambda answer, asked, now, within: within)
     plane = ControlPlane(3)
     plane.do(plane.begin())
     with pytest.raises(AssertionError, match="handed out"):
@@ -75,10 +75,10 @@
 
 def test_an_answer_may_be_passed_on_while_nobody_else_can_serve_counted_from_the_asking():
     said = {"version": 7, "left": 0.9}
-    assert answers.left(said, 10.0, 10.2, 5.0) == pytest.approx(0.7)
-    assert answers.left(said, 10.0, 10.9, 5.0) == 0.0 == answers.left(said, 10.0, 10.4, 0.4)
+    assert freshness.left(said, 10.0, 10.2, 5.0) == pytest.approx(0.7)
+    assert freshness.left(said, 10.0, 10.9, 5.0) == 0.0 == freshness.left(said, 10.0, 10.4, 0.4)
     # of a store before the rule
-    assert answers.left({"version": 7}, 10.0, 10.3, 0.8) == pytest.approx(0.5)
+    assert freshness.left({"version": 7}, 10.0, 10.3, 0.8) == pytest.approx(0.5)
 
 
 async def thaw(host: Host) -> None:
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from loomstand.interface import Count, Outcome
-from loomstand.simulation.cluster import Cluster
-from loomstand.simulation.streams import Host
-from loomstand.store.duty import Duty
+from loomstand.admission.interface import IncrementCounter, Outcome
+from loomstand.store.counting_lease import CountingLease
 from loomstand.store.replica import LEASE
+from loomstand.testing.simulation.cluster import Cluster
+from loomstand.testing.simulation.streams import Host
 
 
 class Core(Cluster):
@@ -109,7 +109,7 @@
     ],
 )
 def test_a_step_left_out_lets_two_count(monkeypatch, what, instead):
-    monkeypatch.setattr(Duty, what, instead)
+    monkeypatch.setattr(CountingLease, what, instead)
     with pytest.raises(AssertionError, match="count at"):
         for seed in range(40):
             played(seed)
@@ -272,7 +272,7 @@
 
     async def add(*steps: float) -> None:
         for proxy, step in zip(town.all_proxies(), steps, strict=False):
-            await proxy.counting(Count(7 << 15, step, 600_000))
+            await proxy.counting(IncrementCounter(7 << 15, step, 600_000))
 
     async def day() -> None:
         town.registries[town.counting()].kill()
--- a/tests/test_first_start.py
+++ b/tests/test_first_start.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loomstand.proxy import sessions
-from loomstand.simulation.cluster import Cluster
+from loomstand.testing.simulation.cluster import Cluster
 
 APART = 0.3  # seconds between the first machine's start and the last's, by the operators' page
 READY = 4.0  # seconds by which all proxies take requests: the traffic begins 10 s after the start
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from loomstand.simulation.cluster import Cluster
-from loomstand.simulation.http_log import Reply
-from loomstand.simulation.workload import Server
+from loomstand.testing.simulation.cluster import Cluster
+from loomstand.testing.simulation.http_log import Reply
+from loomstand.testing.simulation.workload import Server
 
 GET = ("GET", "town.example", "/a/x", "key-of-ann")
 POST = ("POST", "town.example", "/once/x", "key-of-ann", b"body")
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -52,7 +52,7 @@
 
 def test_no_import_circle():
     graph = modules()
-    assert len(graph) > 40 and "loomstand.net.limiter" in graph["loomstand.net"]
+    assert len(graph) > 40 and "loomstand.limiter.limiter" in graph["loomstand.limiter"]
     assert circle(graph) == []
 
 
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -7,7 +7,7 @@
 
 from loomstand.registry.instances import DRAINING, GONE
 from loomstand.registry.program import Registry
-from loomstand.simulation.cluster import Cluster
+from loomstand.testing.simulation.cluster import Cluster
 
 
 @pytest.fixture
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -8,11 +8,11 @@
 import pytest
 from click.testing import CliRunner
 
-from loomstand import interface as api
-from loomstand.cli import main
-from loomstand.lab import runner
-from loomstand.lab import scenario as sc
-from loomstand.lab.baselines import Naive
+from loomstand.admission import interface as api
+from loomstand.cli.main import main
+from loomstand.testing.emulator import runner
+from loomstand.testing.emulator import scenario as sc
+from loomstand.testing.emulator.baselines import Naive
 
 EXAMPLES = Path(__file__).parent.parent / "examples" / "lab"
 
@@ -41,11 +41,11 @@
     """Rule 1: every third req is never answered, every fifth answered twice."""
 
     def handle(self, now, note):
-        if isinstance(note, api.Arrived):
+        if isinstance(note, api.RequestArrived):
             if note.req % 3 == 0:
                 return []
             if note.req % 5 == 0:
-                return [api.Deny(note.req), api.Deny(note.req)]
+                return [api.Reject(note.req), api.Reject(note.req)]
         return super().handle(now, note)
 
 
@@ -53,11 +53,11 @@
     """Rule 2: a non-replayable req is sent again after its first dispatch ran."""
 
     def handle(self, now, note):
-        if isinstance(note, api.Arrived):
-            return [api.Dispatch(note.req, self.live[0], note.give_up)]
-        if isinstance(note, api.Ended) and note.dispatch == 0:
-            return [api.Dispatch(note.req, self.live[1], now + 10_000)]
-        if isinstance(note, api.Ended):
+        if isinstance(note, api.RequestArrived):
+            return [api.SendAttempt(note.req, self.live[0], note.give_up)]
+        if isinstance(note, api.AttemptEnded) and note.dispatch == 0:
+            return [api.SendAttempt(note.req, self.live[1], now + 10_000)]
+        if isinstance(note, api.AttemptEnded):
             return [] if note.final else [api.Abort(note.req)]
         return super().handle(now, note)
 
@@ -67,7 +67,7 @@
     draining."""
 
     def handle(self, now, note):
-        if isinstance(note, api.Listed) and self.live:
+        if isinstance(note, api.EndpointsUpdated) and self.live:
             return []
         return super().handle(now, note)
 
@@ -76,8 +76,8 @@
     """Rule 4: everything to server 0, however cold."""
 
     def handle(self, now, note):
-        if isinstance(note, api.Arrived):
-            return [api.Dispatch(note.req, 0, note.give_up)]
+        if isinstance(note, api.RequestArrived):
+            return [api.SendAttempt(note.req, 0, note.give_up)]
         return super().handle(now, note)
 
 
@@ -85,8 +85,8 @@
     """Rule 5: no quota at all."""
 
     def handle(self, now, note):
-        if isinstance(note, api.Arrived):
-            return [api.Dispatch(note.req, self.live[note.req % len(self.live)], note.give_up)]
+        if isinstance(note, api.RequestArrived):
+            return [api.SendAttempt(note.req, self.live[note.req % len(self.live)], note.give_up)]
         return super().handle(now, note)
 
 
@@ -100,7 +100,7 @@
 
 class Raising(Naive):
     def handle(self, now, note):
-        if isinstance(note, api.Arrived) and note.req == 4:
+        if isinstance(note, api.RequestArrived) and note.req == 4:
             raise KeyError("made to fail")
         return super().handle(now, note)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from loomstand.net.clients import Client
+from loomstand.limiter.client_connection import Client
 from loomstand.proxy.program import Proxy
-from loomstand.simulation.cluster import FRONT, Cluster
-from loomstand.simulation.http_log import Broken, Talk
-from loomstand.simulation.loop import Life
-from loomstand.simulation.streams import Streams
+from loomstand.testing.simulation.cluster import FRONT, Cluster
+from loomstand.testing.simulation.http_log import Broken, Talk
+from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.streams import Streams
 
 FIRST = {
     "max_header_bytes": 2048,
--- a/tests/test_model_checker.py
+++ b/tests/test_model_checker.py
@@ -10,11 +10,19 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule, run_state_machine_as_test
 
-from loomstand.model_checker.__main__ import main
-from loomstand.model_checker.member import Rules
-from loomstand.model_checker.mutants import LEARN, LEAVE, MUTANTS, READ, RESCUE, TWO_LEAVE, brief
-from loomstand.model_checker.search import survey
-from loomstand.model_checker.state_space import Bounds, Broken, StateSpace
+from loomstand.testing.model_checker.__main__ import main
+from loomstand.testing.model_checker.member import Rules
+from loomstand.testing.model_checker.mutants import (
+    LEARN,
+    LEAVE,
+    MUTANTS,
+    READ,
+    RESCUE,
+    TWO_LEAVE,
+    brief,
+)
+from loomstand.testing.model_checker.search import survey
+from loomstand.testing.model_checker.state_space import Bounds, Broken, StateSpace
 
 
 def test_all_runs_within_small_bounds_hold():
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -35,12 +35,12 @@
     until,
 )
 
-from loomstand.interface import Count, Outcome
-from loomstand.net.discovery import Watch
-from loomstand.net.driver import Turns, Untimed, Wire, connect
-from loomstand.net.endings import Ending
-from loomstand.net.http import Receiver
-from loomstand.net.ring import FIRST, Ring
+from loomstand.admission.interface import IncrementCounter, Outcome
+from loomstand.limiter.buffers import FIRST, Ring
+from loomstand.limiter.discovery import Watch
+from loomstand.limiter.endings import Ending
+from loomstand.limiter.event_loop import Turns, Untimed, Wire, connect
+from loomstand.limiter.http_parser import Receiver
 
 
 def sockets(test):
@@ -489,11 +489,11 @@
         site.limiter.counter.patience = 1.0
         site.limiter.counted = lambda *said: got.append(said[:3])
         for n in range(3):
-            site.limiter.counter.call(Count(n, 1.0, 10_000))
+            site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
         await until(lambda: len(got) == 3)
         assert [g[1] for g in got] == [Outcome.NO_ANSWER] * 3  # the first held up the others
         await asyncio.sleep(0.25)
-        site.limiter.counter.call(Count(7, 2.5, 10_000))
+        site.limiter.counter.call(IncrementCounter(7, 2.5, 10_000))
         await until(lambda: len(got) == 4)
         assert got[3] == (7, Outcome.PASSED, 103.0) and site.counter.connections == 1
         assert site.counter.heads[3].startswith(b"POST /counters/7?by=2.5&expire_ms=1000 ")
@@ -508,7 +508,7 @@
         got = []
         site.limiter.counted = lambda *said: got.append(said[1:3])
         for n in range(2):
-            site.limiter.counter.call(Count(n, 1.0, 10_000))
+            site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
             await until(lambda: len(got) == n + 1)  # noqa: B023
         first = (Outcome.PASSED, 3.0) if b"noise" in spoilt else (Outcome.NO_ANSWER, 0.0)
         assert got == [first, (Outcome.PASSED, 4.0)] and site.counter.connections == 2
@@ -521,7 +521,7 @@
         got = []
         site.limiter.counted = lambda *said: got.append(said[1:3])
         for n in range(2):
-            site.limiter.counter.call(Count(n, 1.0, 10_000))
+            site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
             await until(lambda: len(got) == n + 1)  # noqa: B023
         assert got == [(Outcome.NO_ANSWER, 0.0), (Outcome.PASSED, 4.0)]
 
@@ -531,11 +531,11 @@
     async with Site(counter=lambda n, head, body: None) as site:
         got = []
         site.limiter.counted = lambda *said: got.append(said[1])
-        site.limiter.counter.call(Count(1, 1.0, 10_000))
+        site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: got)
         site.counter.stop()
         await site.counter.server.wait_closed()
-        site.limiter.counter.call(Count(1, 1.0, 10_000))
+        site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: len(got) == 2)
         assert got == [Outcome.NO_ANSWER, Outcome.NO_CONNECTION]
 
@@ -547,7 +547,7 @@
         site.limiter.counted = lambda *said: got.append(said[1])
         counter.timeout, counter.patience = 0.01, 0.02
         for n in range(30):
-            counter.call(Count(n, 1.0, 10_000))
+            counter.call(IncrementCounter(n, 1.0, 10_000))
             await asyncio.sleep(0.02)
         assert set(got) == {Outcome.NO_ANSWER} and 2 <= site.counter.connections <= 6
 
@@ -561,7 +561,7 @@
         await until(lambda: site.discovery.open and limiter.counter.line is None)
         limiter.counted = lambda *said: got.append(said[:3])
         caller.writer.write(request())
-        limiter.counter.call(Count(1, 1.0, 10_000))
+        limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: site.counter.heads)
         agent, keeper = Peer(lambda n, head, body: WATCHING), Peer(counter)
         places = {"discovery": (HOST, await agent.start()), "counter": (HOST, await keeper.start())}
@@ -569,7 +569,7 @@
             limiter.reload(msgspec.structs.replace(limiter.config, **places))
         assert limiter.counter.line is None or not limiter.counter.line.up
         # and the old line's answer comes while it goes up
-        limiter.counter.call(Count(2, 1.0, 10_000))
+        limiter.counter.call(IncrementCounter(2, 1.0, 10_000))
         await until(lambda: len(got) >= 2 and agent.heads and not site.discovery.open)
         await until(lambda: not site.counter.open)
         assert sorted(got) == [(1, Outcome.PASSED, 7.0), (2, Outcome.PASSED, 7.0)]
@@ -585,7 +585,7 @@
     async with Site() as site:
         got = []
         site.limiter.counted = lambda *said: got.append(said[1])
-        site.limiter.counter.call(Count(1, 1.0, 10_000))  # its connection is not up yet
+        site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))  # its connection is not up yet
         other = Peer(site.counter.play)
         site.limiter.counter.move((HOST, await other.start()))
         await until(lambda: got)
@@ -626,7 +626,7 @@
 
 @sockets
 async def test_told_to_stop_it_serves_on_and_ends_when_empty(monkeypatch):
-    monkeypatch.setattr("loomstand.net.limiter.LINGER", 0.2)
+    monkeypatch.setattr("loomstand.limiter.limiter.LINGER", 0.2)
     slow = lambda n, head, body: asyncio.sleep(0.4, said(200))  # noqa: E731
     async with Site(slow) as site, Caller(site.port) as busy, Caller(site.port) as idle:
         busy.writer.write(request())
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -13,11 +13,11 @@
 from test_rescue import rescue
 from test_store import World, _fault
 
-from loomstand.simulation.cluster import Cluster
-from loomstand.store import orders
-from loomstand.store.orders import NONE, Answer, Orders, digest, same
+from loomstand.store import change_history
+from loomstand.store.change_history import NONE, Answer, ChangeHistory, digest, same
 from loomstand.store.replica import Replica
 from loomstand.store.views import Record
+from loomstand.testing.simulation.cluster import Cluster
 
 ORDERS = st.lists(st.tuples(st.integers(1, 12), st.sampled_from([b"a", b"b", b"c"])), max_size=60)
 
@@ -38,7 +38,7 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 def test_one_number_is_confirmed_to_one_content_and_what_was_confirmed_is_never_refused(sent, kept):
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(orders, "KEPT", kept)
+        patch.setattr(change_history, "KEPT", kept)
         confirmed: dict[int, set[bytes]] = {}
         for version, content, answer, held, known in served(sent):
             mine = confirmed.setdefault(version, set())
@@ -51,13 +51,13 @@
             assert len({n for n, _ in known.taken}) == len(known.taken)
             # beyond the bound only a number with that many higher ones may have two
             assert len(mine) < 2 or len([n for n in confirmed if n > version]) >= kept
-            assert Orders.read(known.body(), held, next(c for c in confirmed[held])) == known
+            assert ChangeHistory.read(known.body(), held, next(c for c in confirmed[held])) == known
 
 
 def test_what_comes_with_another_configuration_or_spoilt_is_not_taken_over():
     known = NONE.after(3, digest(b"x")).after(7, digest(b"seven"))
     numbers, contents = known.body()
-    assert Orders.read([numbers, contents], 7, b"seven") == known
+    assert ChangeHistory.read([numbers, contents], 7, b"seven") == known
     for body in (
         None,
         [],
@@ -66,8 +66,12 @@
         [numbers, contents[:-1]],
         [numbers, b""],
     ):
-        assert Orders.read(body, 7, b"seven") == NONE
-    assert Orders.read(known.body(), 8, b"seven") == Orders.read(known.body(), 7, b"other") == NONE
+        assert ChangeHistory.read(body, 7, b"seven") == NONE
+    assert (
+        ChangeHistory.read(known.body(), 8, b"seven")
+        == ChangeHistory.read(known.body(), 7, b"other")
+        == NONE
+    )
     record = Record("a", True, 3, None, 7, b"seven", 3, known)
     assert Record.read(record.pages()) == record
     ninth = Record("a", True, 3, None, 9, b"nine", 4).pages()["configuration"]
@@ -221,20 +225,24 @@
 
 
 def forgets_what_came_too_late(patch) -> None:
-    patch.setattr(Orders, "passed", lambda self, *_: self)
+    patch.setattr(ChangeHistory, "passed", lambda self, *_: self)
 
 
 def answers_all_the_same(patch) -> None:
-    judge = Orders.judge
+    judge = ChangeHistory.judge
     patch.setattr(
-        Orders, "judge", lambda *a: Answer.PASSED if judge(*a) is Answer.CONFLICT else judge(*a)
+        ChangeHistory,
+        "judge",
+        lambda *a: Answer.PASSED if judge(*a) is Answer.CONFLICT else judge(*a),
     )
 
 
 def refuses_what_it_does_not_know(patch) -> None:
-    judge = Orders.judge
+    judge = ChangeHistory.judge
     patch.setattr(
-        Orders, "judge", lambda *a: Answer.CONFLICT if judge(*a) is Answer.PASSED else judge(*a)
+        ChangeHistory,
+        "judge",
+        lambda *a: Answer.CONFLICT if judge(*a) is Answer.PASSED else judge(*a),
     )
 
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -9,11 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loomstand.config import ConfigError, parse
-from loomstand.config import settings as translated
-from loomstand.interface import Effect, Outcome
-from loomstand.net.endings import KEPT_HERE, Ending, answered, call_outcome, outcome
-from loomstand.net.http import (
+from loomstand.admission.interface import Effect, Outcome
+from loomstand.config.limiter import ConfigError, parse
+from loomstand.config.limiter import settings as translated
+from loomstand.limiter.buffers import FIRST, Ring, Room
+from loomstand.limiter.endings import KEPT_HERE, Ending, answered, call_outcome, outcome
+from loomstand.limiter.http_parser import (
     MOST_BODY,
     MOST_HEAD,
     MOST_RING,
@@ -21,7 +22,6 @@
     RequestReceiver,
     ResponseReceiver,
 )
-from loomstand.net.ring import FIRST, Ring, Room
 
 settings.register_profile("steady", derandomize=True, deadline=None, database=None)
 settings.load_profile("steady")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,16 +12,16 @@
 from hypothesis import strategies as st
 from test_rehearse import EXAMPLES, gone, played
 
-from loomstand.config import ConfigError, Member, Members, parse
-from loomstand.lab.scenario import ScenarioError, from_table
-from loomstand.peers import messages
-from loomstand.peers.driver import TICK, Peers
-from loomstand.peers.lists import OLD, STEP, WATCHERS, Lists
-from loomstand.peers.members import Members as Membership
-from loomstand.peers.members import State
-from loomstand.peers.messages import Part, Ping
-from loomstand.rehearse import checker, scenario
-from loomstand.rehearse.scenario import Rehearsal
+from loomstand.config.limiter import ConfigError, Member, Members, parse
+from loomstand.membership import messages
+from loomstand.membership.driver import TICK, Peers
+from loomstand.membership.endpoint_lists import OLD, STEP, WATCHERS, Lists
+from loomstand.membership.members import Members as Membership
+from loomstand.membership.members import State
+from loomstand.membership.messages import Part, Ping
+from loomstand.testing.emulator.scenario import ScenarioError, from_table
+from loomstand.testing.rehearsal import checker, scenario
+from loomstand.testing.rehearsal.scenario import Rehearsal
 
 
 class Net:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from loomstand.simulation.cluster import FRONT, SERVING, Cluster
-from loomstand.simulation.http_log import Talk
-from loomstand.simulation.loop import Life, play
-from loomstand.simulation.network import SimNetwork
-from loomstand.simulation.streams import WINDOW, Cables, Streams
-from loomstand.simulation.workload import Server
+from loomstand.testing.simulation.cluster import FRONT, SERVING, Cluster
+from loomstand.testing.simulation.http_log import Talk
+from loomstand.testing.simulation.loop import Life, play
+from loomstand.testing.simulation.network import SimNetwork
+from loomstand.testing.simulation.streams import WINDOW, Cables, Streams
+from loomstand.testing.simulation.workload import Server
 
 
 @pytest.fixture
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from loomstand.door import digest
+from loomstand.admission.identifiers import digest
+from loomstand.config.configuration import Tenant
 from loomstand.proxy import program, quota_credits
 from loomstand.proxy.quota_credits import QuotaCredits
 from loomstand.registry import limiters, quota_grants
 from loomstand.registry.quota_grants import QuotaGrants
-from loomstand.shared.configuration import Tenant
-from loomstand.simulation.cluster import Cluster
+from loomstand.testing.simulation.cluster import Cluster
 
 BOUNDS = Cluster(1, 1, 1, 1).settings("10.1.0.1").bounds
 STEP = 0.02  # s; a call takes one there and one back
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -7,9 +7,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from loomstand.door import TRY, digest
+from loomstand.admission.identifiers import TRY, digest
+from loomstand.config.configuration import Tenant
 from loomstand.proxy.instance_view import InstanceView
 from loomstand.registry.counters import Counters
+from loomstand.registry.http_routing import Asked, method, path, query
 from loomstand.registry.instances import (
     DRAINING,
     GONE,
@@ -20,10 +22,8 @@
     from_row,
 )
 from loomstand.registry.limiters import HELD, STANDS, LimiterTable
-from loomstand.registry.matchers import Asked, method, path, query
 from loomstand.registry.quota_buckets import SLOTS, QuotaBuckets
 from loomstand.rpc.frames import Foreign, Reader, pack
-from loomstand.shared.configuration import Tenant
 
 
 def instance(id_="i-1", sequence=1, state=READY, address="10.0.0.9:8080", service="a"):
--- a/tests/test_rehearse.py
+++ b/tests/test_rehearse.py
@@ -17,13 +17,13 @@
 import pytest
 from msgspec import to_builtins
 
-from loomstand.lab import runner
-from loomstand.lab import scenario as lab
-from loomstand.lab.scenario import ScenarioError, from_table
-from loomstand.rehearse import report, scenario, servers
-from loomstand.rehearse.scenario import Rehearsal
-from loomstand.rehearse.stage import LIMITER, Proc, Stage, StageError, alive, pids, stage
-from loomstand.rehearse.wire import free_port, own_host
+from loomstand.testing.emulator import runner
+from loomstand.testing.emulator import scenario as lab
+from loomstand.testing.emulator.scenario import ScenarioError, from_table
+from loomstand.testing.rehearsal import report, scenario, servers
+from loomstand.testing.rehearsal.scenario import Rehearsal
+from loomstand.testing.rehearsal.stage import LIMITER, Proc, Stage, StageError, alive, pids, stage
+from loomstand.testing.rehearsal.wire import free_port, own_host
 
 HERE = Path(__file__).parent
 EXAMPLES = HERE.parent / "examples" / "rehearse"
@@ -258,7 +258,7 @@
 def test_a_link_holds_no_connection_that_both_ends_have_closed(tmp_path):
     """Found by 200 limiters: two descriptors a closed connection, and after 34 s nothing passed any
     more."""
-    from loomstand.rehearse.links import Link
+    from loomstand.testing.rehearsal.links import Link
 
     async def run():
         async def serve(reader, writer):
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -13,12 +13,12 @@
 from pytest_bdd.steps import StepNamePrefix
 from test_store import HOSTS, MEMBERS, PORT, VIEW, World, member
 
-from loomstand.simulation.cluster import Cluster
-from loomstand.simulation.http_log import exchange, post
-from loomstand.simulation.machine import Machine
 from loomstand.store.replica import Replica, State
 from loomstand.store.rescue import Told, case
 from loomstand.store.views import MARGIN, Record, View
+from loomstand.testing.simulation.cluster import Cluster
+from loomstand.testing.simulation.http_log import exchange, post
+from loomstand.testing.simulation.machine import Machine
 
 # the steps that both features have
 globals().update(
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -15,9 +15,9 @@
 from loomstand.rpc import frames, sockets
 from loomstand.rpc.frames import pack
 from loomstand.rpc.sockets import Line
-from loomstand.shared.verdict import Verdict
-from loomstand.simulation.loop import play
-from loomstand.simulation.wrong_calls import HERE, THERE, WAYS, Pair
+from loomstand.rpc.verdict import Verdict
+from loomstand.testing.simulation.loop import play
+from loomstand.testing.simulation.wrong_calls import HERE, THERE, WAYS, Pair
 
 
 def paired(work: Callable[[Pair], Any], plays: list[tuple[str, int]] | None = None) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,8 +8,8 @@
 from hypothesis import Phase as Run
 from hypothesis import strategies as st
 
-from loomstand import interface as api
-from loomstand.interface import Outcome, Phase
+from loomstand.admission import interface as api
+from loomstand.admission.interface import EndpointState, Outcome
 
 SEEDED = settings(
     derandomize=True, deadline=None, phases=[Run.generate], suppress_health_check=list(HealthCheck)
@@ -56,9 +56,9 @@
                 stage.pass_time(10 + n % (3 * S))
             case "list":
                 srv = n % len(stage.entries)
-                phase = (Phase.LIVE, Phase.DRAINING, Phase.GONE)[n // 5 % 3]
+                phase = (EndpointState.LIVE, EndpointState.DRAINING, EndpointState.GONE)[n // 5 % 3]
                 stage.entries[srv] = entry(
-                    srv, phase, stage.now if phase is Phase.LIVE else 0, srv % 2
+                    srv, phase, stage.now if phase is EndpointState.LIVE else 0, srv % 2
                 )
                 for brain in range(len(stage.brains)):
                     stage.tell(brain)
@@ -76,7 +76,7 @@
                     gone = list(stage.open)[n % len(stage.open)]
                     owner = stage.open[gone][0]
                     stage.answer(gone)
-                    stage.give(owner, api.Vanished(gone))
+                    stage.give(owner, api.ClientDisconnected(gone))
     stage.pass_time(5 * S)
     assert not stage.open, "reqs were lost"
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -19,9 +19,9 @@
 from benchmarks import scale_fit, scale_measure, scale_run
 from benchmarks.scale_cluster import Cluster, Limits, Size, TooLarge, need
 from benchmarks.scale_measure import measure
-from loomstand.net.endings import Ending
+from loomstand.limiter.endings import Ending
 from loomstand.registry.limiters import LimiterTable
-from loomstand.rpc.outside import Outside
+from loomstand.rpc.outside import OperatorHttpServer
 
 TINY = Size(limiters=4, servers=5, routes=3, tenants=3, counts=5.0, cores=1, proxies=1)
 ROOT = Path(__file__).parent.parent
@@ -190,7 +190,7 @@
             self.stopped = True
 
     async def held(many: int) -> list[int]:
-        outside = Outside(lambda *_: None, None, 1 << 20, 600, 4096)
+        outside = OperatorHttpServer(lambda *_: None, None, 1 << 20, 600, 4096)
         callers = [Caller() for _ in range(many)]
         for caller in callers:
             outside.front.let_in(caller)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -10,9 +10,9 @@
 
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import ONE_WAY, SharedClock
-from loomstand.shared.verdict import Verdict
-from loomstand.simulation.cluster import Cluster
-from loomstand.simulation.loop import play
+from loomstand.rpc.verdict import Verdict
+from loomstand.testing.simulation.cluster import Cluster
+from loomstand.testing.simulation.loop import play
 
 
 class Registries:
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loomstand.shared import units
-from loomstand.shared.configuration import ConfigurationError, Limits, parse
-from loomstand.shared.routes import Table
-from loomstand.shared.settings import SettingsError, read
-from loomstand.shared.settings import parse as told
+from loomstand.config import units
+from loomstand.config.configuration import ConfigurationError, Limits, parse
+from loomstand.config.routes import Table
+from loomstand.config.settings import SettingsError, read
+from loomstand.config.settings import parse as told
 
 STEADY = settings(derandomize=True, deadline=None, database=None)
 # Both examples are those that the bench prints for a site, names included.
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -14,14 +14,14 @@
 from hypothesis import settings as bounds
 from hypothesis import strategies as st
 
-from loomstand import interface as api
-from loomstand.brain import Brain
-from loomstand.cli import main
-from loomstand.interface import Outcome
-from loomstand.sites import plan as plans
-from loomstand.sites.guide import Guide
-from loomstand.sites.order import Order, Room, shares
-from loomstand.sites.watch import State, Watch
+from loomstand.admission import interface as api
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.interface import Outcome
+from loomstand.cli.main import main
+from loomstand.failover import zone_plan as plans
+from loomstand.failover.engine_view import Guide
+from loomstand.failover.shedding_order import Order, Room, shares
+from loomstand.failover.zone_loss_detector import State, Watch
 
 DEPLOY = Path(__file__).parent.parent / "deploy" / "site-plan.toml"
 MS = S // 1000
@@ -335,17 +335,17 @@
 # the module with a guide
 
 
-def guided(**over) -> Brain:
+def guided(**over) -> DecisionEngine:
     told = settings(limiters=1, **over)
     names = (["look", "book", "uniqued", "any"], ["a", "b", "c", "d"], ["east", "west"])
     plan = plans.parse(table(refuse=[{"name": "cheap", "frontends": ["look"]}]))
-    brain = Brain(told, 7, 0, Guide(plan, told, names, 0))
-    brain.handle(0, api.Listed(tuple(entry(n, hall=n % 2) for n in range(8)), True))
+    brain = DecisionEngine(told, 7, 0, Guide(plan, told, names, 0))
+    brain.handle(0, api.EndpointsUpdated(tuple(entry(n, hall=n % 2) for n in range(8)), True))
     return brain
 
 
 def drive(
-    brain: Brain, seconds: float, dead: set[int], now: int, first: int, front: int = 0
+    brain: DecisionEngine, seconds: float, dead: set[int], now: int, first: int, front: int = 0
 ) -> dict:
     """Forty reqs a second, answered after 50 ms, by servers of a dead zone never."""
     out, sent = [], {}
@@ -355,8 +355,8 @@
             out.remove((due, act, outcome))
             took = 500 if outcome is Outcome.PASSED else 40_000
             final = outcome is Outcome.PASSED
-            brain.handle(now, api.Ended(act.req, 0, act.srv, outcome, took, final, 0, 0.0))
-        for act in pick(brain.handle(now, arrival(first + n, now, front)), api.Dispatch):
+            brain.handle(now, api.AttemptEnded(act.req, 0, act.srv, outcome, took, final, 0, 0.0))
+        for act in pick(brain.handle(now, arrival(first + n, now, front)), api.SendAttempt):
             gone = act.srv % 2 in dead
             out.append(
                 (now + (4 * S if gone else 500), act, Outcome.NO_ANSWER if gone else Outcome.PASSED)
--- a/tests/test_sites_processes.py
+++ b/tests/test_sites_processes.py
@@ -7,9 +7,9 @@
 import pytest
 from test_rehearse import EXAMPLES, gone, played
 
-from loomstand.lab.scenario import from_table
-from loomstand.rehearse import checker, scenario
-from loomstand.rehearse.scenario import Rehearsal
+from loomstand.testing.emulator.scenario import from_table
+from loomstand.testing.rehearsal import checker, scenario
+from loomstand.testing.rehearsal.scenario import Rehearsal
 
 PLAN = b"""
 [[refuse]]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -9,14 +9,14 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from loomstand.shared.verdict import Refused
-from loomstand.simulation.loop import Life, VirtualLoop
-from loomstand.simulation.machine import Machine, machines
-from loomstand.simulation.network import MachineNetwork, SimNetwork
+from loomstand.rpc.verdict import Refused
 from loomstand.store.disk import LmdbDisk
 from loomstand.store.program import Place, Store
 from loomstand.store.replica import HOLD, LEASE, Replica
 from loomstand.store.views import Member, Record, View
+from loomstand.testing.simulation.loop import Life, VirtualLoop
+from loomstand.testing.simulation.machine import Machine, machines
+from loomstand.testing.simulation.network import MachineNetwork, SimNetwork
 
 scenarios("features/store.feature")
 PORT, OPERATOR = 7341, "10.9.0.1"
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -10,8 +10,8 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from loomstand.simulation.cluster import FRONT, Cluster
-from loomstand.simulation.faults import Faults
+from loomstand.testing.simulation.cluster import FRONT, Cluster
+from loomstand.testing.simulation.faults import Faults
 
 scenarios("features/system.feature")
 APPLY = 2.5  # s: the rule's bound
