--- /dev/null
+++ b/tests/golden/names.py
@@ -0,0 +1,69 @@
+"""Every name of the code that the golden tests use. A rename of the code is followed here, and only here.
+
+The fixtures hold bytes and texts, none of these names: they stay as they are when the code is renamed.
+"""
+
+from __future__ import annotations
+
+from loomstand.registry.heartbeats import BadCall as BadHeartbeat
+from loomstand.registry.heartbeats import beat as read_heartbeat
+from loomstand.rpc.frames import Foreign as ForeignBytes
+from loomstand.rpc.frames import Reader as FrameReader
+from loomstand.rpc.frames import pack as pack_frame
+from loomstand.shared.configuration import ConfigurationError
+from loomstand.shared.configuration import parse as parse_configuration
+from loomstand.shared.settings import SettingsError
+from loomstand.shared.settings import read as read_settings
+from loomstand.shared.verdict import Refused
+from loomstand.simulation.cluster import CONTROL as OUTSIDE_PORT
+from loomstand.simulation.cluster import Cluster
+from loomstand.simulation.http_log import exchange
+from loomstand.simulation.loop import Life, VirtualLoop
+from loomstand.simulation.machine import machines as make_machines
+from loomstand.simulation.network import MachineNetwork, SimNetwork
+from loomstand.store.disk import LmdbDisk
+from loomstand.store.duty import Duty
+from loomstand.store.learner import Learner
+from loomstand.store.orders import NONE as NO_ORDERS
+from loomstand.store.orders import Orders, digest
+from loomstand.store.program import Place, Store
+from loomstand.store.recovery import wake as wake_disk
+from loomstand.store.views import Member, Record, View
+
+STORE_PORT, REGISTRY_PORT = 7341, 7340
+
+
+def store_record(store):
+    """The record of a store that runs."""
+    return store.replica.record
+
+
+def store_duty(store):
+    """What a store that runs knows of the counting duty: its epoch, number and host."""
+    duty = store.lending.duty
+    return [duty.epoch, duty.number, duty.named]
+
+
+def store_copy(store):
+    """The learner's copy of a store that runs."""
+    return store.learner.copy
+
+
+def store_in_force(store):
+    """Version and data that a store that runs knows to be in force."""
+    return store.replica.version, store.replica.data
+
+
+def platter_pages(machine):
+    """The pages on the simulated disk of a machine."""
+    return machine.platter.pages
+
+
+__all__ = [
+    "NO_ORDERS", "OUTSIDE_PORT", "REGISTRY_PORT", "STORE_PORT", "BadHeartbeat", "Cluster",
+    "ConfigurationError", "Duty", "ForeignBytes", "FrameReader", "Learner", "Life", "LmdbDisk",
+    "MachineNetwork", "Member", "Orders", "Place", "Record", "Refused", "SettingsError", "SimNetwork",
+    "Store", "View", "VirtualLoop", "digest", "exchange", "make_machines", "pack_frame",
+    "parse_configuration", "platter_pages", "read_heartbeat", "read_settings", "store_copy", "store_duty",
+    "store_in_force", "store_record", "wake_disk",
+]  # fmt: skip
--- /dev/null
+++ b/tests/golden/pages.py
@@ -0,0 +1,112 @@
+"""Frames and pages made from plain values, and folders of a real disk."""
+
+from __future__ import annotations
+
+import asyncio
+from itertools import pairwise
+from pathlib import Path
+from typing import Any
+
+import cbor2
+import lmdb
+
+from tests.golden import names
+
+FRAMES: dict[str, list[Any]] = {
+    "a call": [
+        7,
+        "keep",
+        {"epoch": 3, "asker": "ab", "version": 12, "data": b"{}", "orders": [[], b""]},
+    ],
+    "an answer": [
+        7,
+        True,
+        {"version": 12, "left": 0.75, "primary": ["10.1.0.1", 7341], "backup": None},
+    ],
+    "a refusal": [7, False, {"why": "not the primary"}],
+}
+
+
+def frames() -> dict[str, str]:
+    return {name: names.pack_frame(item).hex() for name, item in FRAMES.items()}
+
+
+def _member(n: int) -> names.Member:
+    return names.Member(f"{n:016x}", (f"10.1.0.{n}", names.STORE_PORT))
+
+
+def records() -> dict[str, names.Record]:
+    """Records of every form. The data and its orders fit each other, as in what a store writes."""
+    one, two, three = _member(1), _member(2), _member(3)
+    view = names.View(4, one, two, (one, two, three))
+    changed = names.View(6, two, None, (one, two), (one, two, three))
+    rescued = names.View(1_000_001, three, one, (one, three), (), 1_000_001)
+    data = b'{"version": "r12", "resources": []}'
+    orders = names.NO_ORDERS.after(9, names.digest(b"nine")).after(12, names.digest(data))
+    late = orders.passed(10, names.digest(b"ten, too late"))
+    return {
+        "new": names.Record(one.id, True),
+        "new, not of the first start": names.Record(one.id, False),
+        "promised": names.Record(one.id, True, 5),
+        "with a view": names.Record(one.id, True, 4, view, 12, data, 4, orders),
+        "with a late order": names.Record(one.id, True, 4, view, 12, data, 4, late),
+        "with a change of voters": names.Record(two.id, True, 6, changed, 12, data, 4, orders),
+        "after a rescue": names.Record(
+            three.id, False, 1_000_001, rescued, 12, data, 1_000_001, orders
+        ),
+        "without orders": names.Record(one.id, True, 4, view, 12, data, 4),
+    }
+
+
+def hexed(pages: dict[str, bytes]) -> dict[str, str]:
+    return {name: page.hex() for name, page in sorted(pages.items())}
+
+
+def unhexed(pages: dict[str, str]) -> dict[str, bytes]:
+    return {name: bytes.fromhex(page) for name, page in pages.items()}
+
+
+def other_pages() -> dict[str, bytes]:
+    """The pages beside the record: the duty's and the learner's."""
+    duty = names.Duty("10.1.0.1")
+    first = duty.page("10.1.0.1")
+    duty.number, duty.named = 4, "10.1.0.1"
+    pages = {"duty, the first": first, "duty, the same": duty.page("10.1.0.1")}
+    pages["duty, another"] = duty.page("10.1.0.2")
+    made = {name: cbor2.dumps(page) for name, page in pages.items()}
+    return made | {"copy": names.Learner.page((12, b'{"version": "r12"}'))["copy"]}
+
+
+def steps() -> dict[str, dict[str, str]]:
+    """Which pages a change of the record writes: from each form to the next one."""
+    many = list(records().items())
+    return {f"{a} -> {b}": hexed(new.pages(old)) for (a, old), (b, new) in pairwise(many)}
+
+
+def write_folder(pages: dict[str, bytes], folder: Path, work: Path) -> None:
+    """A store's folder with these pages, written by the code's disk and compacted by lmdb's own copy."""
+
+    async def write() -> None:
+        disk = names.LmdbDisk(work)
+        await disk.save(pages)
+        disk.close()
+
+    asyncio.run(write())
+    folder.mkdir(parents=True)
+    with lmdb.open(str(work), lock=False, readonly=True) as env:
+        env.copy(str(folder), compact=True)
+
+
+async def read_folder(folder: Path) -> tuple[names.Record, dict[str, bytes]]:
+    """The record of a folder and all its pages, as a store reads them at its start."""
+    disk = names.LmdbDisk(folder)
+
+    def new() -> names.Record:
+        raise AssertionError("the folder was taken for empty")
+
+    try:
+        found = await names.wake_disk(disk, new, asyncio.Event())
+    finally:
+        disk.close()
+    assert found is not None
+    return found
