--- a/tests/golden/make.py
+++ b/tests/golden/make.py
@@ -1,9 +1,13 @@
 """Makes the fixtures beside this file: `python -m tests.golden.make`, from the root.
 
-They were made once, by the code as it was before the great renames, and hold what the programs sent, wrote
-and answered then. They aren't made again to get a pass: where a test against them fails, the programs behave
-otherwise than before, and would not understand programs or disks of before. Only a change of behaviour that
-is meant, and has its entry in the change log, is a reason to make them anew.
+They were made once, by the code as it was before the great renames, and hold what the programs
+sent, wrote and answered then. They aren't made again to get a pass: where a test against them
+fails, the programs behave otherwise than before, and may not understand programs or disks of
+before. Only a change of behaviour that is meant, and has its entry in the change log, is a reason
+to make them anew.
+
+The files in `store-folder` are compacted copies that lmdb made of what the code wrote. The folder
+`older` has no pages of orders and of the learner's copy, as programs of before those wrote none.
 """
 
 from __future__ import annotations
--- a/tests/golden/names.py
+++ b/tests/golden/names.py
@@ -1,12 +1,11 @@
-"""Every name of the code that the golden tests use. A rename of the code is followed here, and only here.
+"""Every import from the code that the golden tests make: a rename is followed here first.
 
-The fixtures hold bytes and texts, none of these names: they stay as they are when the code is renamed.
+The attributes, methods and keyword arguments that `runs.py`, `pages.py` and the tests use of these
+are names of the code too. The fixtures hold bytes and texts, which stay when code is renamed.
 """
 
 from __future__ import annotations
 
-from loomstand.registry.heartbeats import BadCall as BadHeartbeat
-from loomstand.registry.heartbeats import beat as read_heartbeat
 from loomstand.rpc.frames import Foreign as ForeignBytes
 from loomstand.rpc.frames import Reader as FrameReader
 from loomstand.rpc.frames import pack as pack_frame
@@ -49,21 +48,44 @@
     return store.learner.copy
 
 
-def store_in_force(store):
-    """Version and data that a store that runs knows to be in force."""
-    return store.replica.version, store.replica.data
-
-
 def platter_pages(machine):
     """The pages on the simulated disk of a machine."""
     return machine.platter.pages
 
 
 __all__ = [
-    "NO_ORDERS", "OUTSIDE_PORT", "REGISTRY_PORT", "STORE_PORT", "BadHeartbeat", "Cluster",
-    "ConfigurationError", "Duty", "ForeignBytes", "FrameReader", "Learner", "Life", "LmdbDisk",
-    "MachineNetwork", "Member", "Orders", "Place", "Record", "Refused", "SettingsError", "SimNetwork",
-    "Store", "View", "VirtualLoop", "digest", "exchange", "make_machines", "pack_frame",
-    "parse_configuration", "platter_pages", "read_heartbeat", "read_settings", "store_copy", "store_duty",
-    "store_in_force", "store_record", "wake_disk",
-]  # fmt: skip
+    "NO_ORDERS",
+    "OUTSIDE_PORT",
+    "REGISTRY_PORT",
+    "STORE_PORT",
+    "Cluster",
+    "ConfigurationError",
+    "Duty",
+    "ForeignBytes",
+    "FrameReader",
+    "Learner",
+    "Life",
+    "LmdbDisk",
+    "MachineNetwork",
+    "Member",
+    "Orders",
+    "Place",
+    "Record",
+    "Refused",
+    "SettingsError",
+    "SimNetwork",
+    "Store",
+    "View",
+    "VirtualLoop",
+    "digest",
+    "exchange",
+    "make_machines",
+    "pack_frame",
+    "parse_configuration",
+    "platter_pages",
+    "read_settings",
+    "store_copy",
+    "store_duty",
+    "store_record",
+    "wake_disk",
+]
--- a/tests/golden/pages.py
+++ b/tests/golden/pages.py
@@ -84,7 +84,7 @@
 
 
 def write_folder(pages: dict[str, bytes], folder: Path, work: Path) -> None:
-    """A store's folder with these pages, written by the code's disk and compacted by lmdb's own copy."""
+    """A store's folder with these pages, written by the code and compacted by lmdb."""
 
     async def write() -> None:
         disk = names.LmdbDisk(work)
--- a/tests/golden/runs.py
+++ b/tests/golden/runs.py
@@ -1,6 +1,7 @@
-"""Simulated runs whose every message is recorded, and what the programs answer to calls from outside.
+"""Simulated runs whose every message is recorded, and the answers to calls from outside.
 
-All of it is on simulated time with seeded random numbers: a run gives the same bytes in every process.
+All of it is on simulated time with seeded random numbers: a run gives the same bytes in every
+process.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 
 
 class Recorder:
-    """Keeps examples of the exchanges of each role and call, and a digest over all bytes in their order.
+    """Keeps examples of the exchanges of each role and call, and a digest over all bytes in order.
 
-    Kept are the first exchange of each shape (the keys of the request and of the answer, and whether it
-    was refused), the second exchange of the call unless it is large, and its last one. The number of a
-    call is 1 in the examples; on a real connection it counts up.
+    Kept are the first exchange of each shape (the keys of the request and of the answer, and
+    whether it was refused), the second exchange of the call unless it is large, and its last one.
+    The number of a call is 1 in the examples; on a real connection it counts up.
     """
 
     def __init__(self) -> None:
@@ -54,9 +55,12 @@
 
     def result(self) -> dict[str, Any]:
         return {
-            "digest": self.log.hexdigest(), "messages": self.messages, "bytes": self.bytes,
-            "counts": dict(sorted(self.counts.items())), "exchanges": dict(sorted(self.kept.items())),
-        }  # fmt: skip
+            "digest": self.log.hexdigest(),
+            "messages": self.messages,
+            "bytes": self.bytes,
+            "counts": dict(sorted(self.counts.items())),
+            "exchanges": dict(sorted(self.kept.items())),
+        }
 
 
 @contextmanager
@@ -200,7 +204,7 @@
 
 
 def stores_run() -> dict[str, Any]:
-    """Stores alone: changes, a leave, a takeover, two disks lost, a rescue. Their disks at the end."""
+    """Stores alone: changes, a leave, a takeover, two lost disks, a rescue; disks at the end."""
     with recording() as recorder:
         world = Stores(11)
         try:
@@ -224,9 +228,11 @@
     town.usual()
     town.tenant("ann", "key-of-ann", 12.0, 10.0)
     await town.begin()
-    flow = town.behind(town.flow(
-        town.client, 30, 4.0, "GET", "town.example", "/a/x", "key-of-ann", idempotent=True
-    ))  # fmt: skip
+    flow = town.behind(
+        town.flow(
+            town.client, 30, 4.0, "GET", "town.example", "/a/x", "key-of-ann", idempotent=True
+        )
+    )
     await asyncio.sleep(1.0)
     for n in range(20):  # over 2,000 bytes: proxies fetch it packed
         town.route(f"more-{n}", "beta")
@@ -255,7 +261,7 @@
 
 
 async def _lose_all(town: names.Cluster) -> None:
-    """All of the core loses power, two stores their disks too: proxies give the configuration back."""
+    """All of the core loses power, two stores their disks: proxies give the configuration back."""
     for ip in town.core_ips:
         registry, store = town.core(ip)
         registry.power_off()
@@ -268,7 +274,7 @@
 
 
 def town_run() -> dict[str, Any]:
-    """All programs: requests, configurations, a drain, a takeover, the core's loss. Disks before that."""
+    """All programs: requests, a drain, a takeover, the core lost; the disks as before its loss."""
     with recording() as recorder:
         town = names.Cluster(7)
         try:
@@ -344,9 +350,11 @@
         assert got is not None, name
         shown = raw if len(raw) < 10_000 else raw[:200] + b"..."
         calls[name] = {
-            "request": shown.decode("latin-1"), "status": got.status, "fields": got.fields,
+            "request": shown.decode("latin-1"),
+            "status": got.status,
+            "fields": got.fields,
             "body": got.body.decode("latin-1"),
-        }  # fmt: skip
+        }
         return got
 
     first = json.dumps({"version": "r5", "resources": []}).encode()
@@ -416,9 +424,12 @@
 # --- bad input
 
 _ROUTE = {
-    "host": "a.example", "path_prefix": "/a/", "route_kind": "idempotent", "timeout": "1s",
+    "host": "a.example",
+    "path_prefix": "/a/",
+    "route_kind": "idempotent",
+    "timeout": "1s",
     "service_name": "s",
-}  # fmt: skip
+}
 
 
 def _configuration(*resources: Any, version: Any = "r9") -> str:
@@ -440,31 +451,49 @@
 
 _SERVICE = _resource("services", "s", {})
 BAD_CONFIGURATIONS: dict[str, str] = {
-    "empty": "", "not JSON": "{", "not UTF-8": '{"version": "\xff"}', "a list": "[]",
-    "a key twice": '{"version": "r9", "version": "r9"}', "not a number": '{"version": NaN}',
-    "many digits": '{"version": ' + "9" * 5000 + "}", "deep": "[" * 3000 + "]" * 3000,
-    "no version": '{"resources": []}', "a bad version": _configuration(version="9"),
-    "a version that is a number": _configuration(version=9), "no resources": '{"version": "r9"}',
+    "empty": "",
+    "not JSON": "{",
+    "not UTF-8": '{"version": "\xff"}',
+    "a list": "[]",
+    "a key twice": '{"version": "r9", "version": "r9"}',
+    "not a number": '{"version": NaN}',
+    "many digits": '{"version": ' + "9" * 5000 + "}",
+    "deep": "[" * 3000 + "]" * 3000,
+    "no version": '{"resources": []}',
+    "a bad version": _configuration(version="9"),
+    "a version that is a number": _configuration(version=9),
+    "no resources": '{"version": "r9"}',
     "resources no list": '{"version": "r9", "resources": {}}',
-    "a resource no object": _configuration(7), "no kind": _configuration({}),
+    "a resource no object": _configuration(7),
+    "no kind": _configuration({}),
     "no metadata": _configuration({"resource_kind": "routes"}),
     "no name": _configuration({"resource_kind": "routes", "metadata": {}}),
     "an empty name": _configuration(_resource("routes", " ", {})),
     "no specification": _configuration({"resource_kind": "services", "metadata": {"name": "s"}}),
-    "no host": _route(host=None), "a host no text": _route(host=7), "a host unfit": _route(host="a\n"),
-    "a bad prefix": _route(path_prefix="a"), "a bad kind": _route(route_kind="odd"),
-    "no timeout": _route(timeout=None), "a bad timeout": _route(timeout="1 s"),
-    "a timeout of 0": _route(timeout="0s"), "a long timeout": _route(timeout="601s"),
-    "attempts of 0": _route(maximum_attempts=0), "half an attempt": _route(maximum_attempts=1.5),
-    "a priority below 0": _route(priority=-1), "public no flag": _route(public="yes"),
-    "no service": _route(service_name=None), "an unknown service": _route(service_name="t"),
-    "a split no list": _route(traffic_split={}), "a share no object": _route(traffic_split=[1]),
+    "no host": _route(host=None),
+    "a host no text": _route(host=7),
+    "a host unfit": _route(host="a\n"),
+    "a bad prefix": _route(path_prefix="a"),
+    "a bad kind": _route(route_kind="odd"),
+    "no timeout": _route(timeout=None),
+    "a bad timeout": _route(timeout="1 s"),
+    "a timeout of 0": _route(timeout="0s"),
+    "a long timeout": _route(timeout="601s"),
+    "attempts of 0": _route(maximum_attempts=0),
+    "half an attempt": _route(maximum_attempts=1.5),
+    "a priority below 0": _route(priority=-1),
+    "public no flag": _route(public="yes"),
+    "no service": _route(service_name=None),
+    "an unknown service": _route(service_name="t"),
+    "a split no list": _route(traffic_split={}),
+    "a share no object": _route(traffic_split=[1]),
     "weights of 0": _route(traffic_split=[{"service_name": "s", "weight": 0}]),
     "a weight too large": _route(traffic_split=[{"service_name": "s", "weight": 1e30}]),
     "an unknown service in a split": _route(traffic_split=[{"service_name": "t", "weight": 1}]),
     "a bad health path": _of("services", {"health_check_path": "x"}),
     "a limit no number": _of("services", {"connection_limit": "x"}),
-    "keys no list": _of("tenants", {"api_keys": "x"}), "a key no text": _of("tenants", {"api_keys": [1]}),
+    "keys no list": _of("tenants", {"api_keys": "x"}),
+    "a key no text": _of("tenants", {"api_keys": [1]}),
     "a bad limit": _of("limits", {"max_body_bytes": -1}),
     "limits twice": _configuration(_resource("limits", "", {}), _resource("limits", "", {})),
     "a name twice": _configuration(_SERVICE, _SERVICE),
@@ -472,9 +501,10 @@
         _resource("routes", "r", _ROUTE), _resource("routes", "q", _ROUTE), _SERVICE
     ),
     "a key of two": _configuration(
-        _resource("tenants", "t", {"api_keys": ["k"]}), _resource("tenants", "u", {"api_keys": ["k"]})
+        _resource("tenants", "t", {"api_keys": ["k"]}),
+        _resource("tenants", "u", {"api_keys": ["k"]}),
     ),
-}  # fmt: skip
+}
 
 SETTINGS = """self.node_name=core-1
 self.role=my-core
@@ -500,11 +530,16 @@
 
 
 BAD_SETTINGS: dict[str, str] = {
-    "empty": "", "no equals sign": SETTINGS + "rule_terms.bo\n", "no key": SETTINGS + "=x\n",
+    "empty": "",
+    "no equals sign": SETTINGS + "rule_terms.bo\n",
+    "no key": SETTINGS + "=x\n",
     "not UTF-8": SETTINGS + "self.zone=\xff\n",
-    "a key twice": SETTINGS + "self.zone=west\n", "no name": _setting("self.node_name", None),
-    "an empty name": _setting("self.node_name", ""), "no role": _setting("self.role", None),
-    "a bad ip": _setting("self.ip_address", "10.1.0"), "no flag": _setting("self.first_start", "yes"),
+    "a key twice": SETTINGS + "self.zone=west\n",
+    "no name": _setting("self.node_name", None),
+    "an empty name": _setting("self.node_name", ""),
+    "no role": _setting("self.role", None),
+    "a bad ip": _setting("self.ip_address", "10.1.0"),
+    "no flag": _setting("self.first_start", "yes"),
     "no whole number": _setting("self.limits.memory_mb", "1.5"),
     "no number": _setting("self.limits.memory_mb", "x"),
     "a number below 0": _setting("self.limits.memory_mb", "-1"),
@@ -517,7 +552,7 @@
     "no address for a role": _setting("network.listen_addresses.control_plane", None),
     "a bad time": _setting("platform_settings.heartbeat", "1500"),
     "a bad bound": _setting("rule_terms.bounds.contact", "soon"),
-}  # fmt: skip
+}
 
 
 def configuration_errors(inputs: dict[str, str]) -> dict[str, str]:
--- a/tests/test_golden_programs.py
+++ b/tests/test_golden_programs.py
@@ -1,8 +1,9 @@
 """Golden tests of the programs: what they send, write and answer is, to the byte, what it was.
 
-The fixtures in `golden/` were made by `golden/make.py` at the code before the great renames. The digests of
-the simulated runs go over every byte of every message in its order. They were the same in processes with
-different hash seeds; nothing is masked, as ids and clocks come from the seeds of the runs.
+The fixtures in `golden/` were made by `golden/make.py` at the code before the great renames. The
+digests of the simulated runs go over every byte of every message in its order. They were the same
+in processes with different hash seeds; nothing is masked, as ids and clocks come from the seeds of
+the runs.
 """
 
 from __future__ import annotations
@@ -40,9 +41,23 @@
 
 
 STORE_CALLS = (
-    "beat", "duty", "fetch", "held", "install", "keep", "lead", "news", "offer", "promise", "put", "read",
-    "rescue", "status", "told", "wait",
-)  # fmt: skip
+    "beat",
+    "duty",
+    "fetch",
+    "held",
+    "install",
+    "keep",
+    "lead",
+    "news",
+    "offer",
+    "promise",
+    "put",
+    "read",
+    "rescue",
+    "status",
+    "told",
+    "wait",
+)
 REGISTRY_CALLS = "ask", "bye", "count", "fetch", "grant", "offer", "tell", "whole"
 
 
@@ -123,8 +138,8 @@
 
 
 def test_the_older_forms_of_pages_are_read():
-    """Before rescues a view had five items; before the orders there was no page of them, and a program that
-    doesn't know that page leaves one that isn't of its configuration."""
+    """Before rescues a view had five items; before the orders there was no page of them, and a
+    program that doesn't know that page leaves one that isn't of its configuration."""
     record = pages.records()["with a view"]
     whole = pages.unhexed(load("pages")["records"]["with a view"])
     bare = replace(record, orders=names.NO_ORDERS)
@@ -186,7 +201,7 @@
 
 @pytest.mark.parametrize("name", ["primary", "third", "older"])
 def test_a_store_starts_on_a_folder_of_before(name, tmp_path):
-    """It takes its record, the duty of the primary and the learner's copy from what is on the disk."""
+    """It takes its record, the duty of the primary and the learner's copy from the disk."""
     record, found = asyncio.run(pages.read_folder(folder(name, tmp_path)))
     host = record.view.primary.address[0] if name == "primary" else "10.1.0.3"
     world = runs.Stores(3, ["10.1.0.1", "10.1.0.2", "10.1.0.3"])
