--- /dev/null
+++ b/tests/golden/make_wire.py
@@ -0,0 +1,28 @@
+"""Writes the fixtures `wire-*.json` of tests/test_golden_wire.py anew, by what the code does now.
+
+Run by hand, and only where a change of behaviour is meant: `python tests/golden/make_wire.py`.
+"""
+
+from __future__ import annotations
+
+import json
+import sys
+from pathlib import Path
+
+HERE = Path(__file__).resolve().parent
+sys.path[:0] = [str(HERE.parent), str(HERE.parent.parent)]
+
+import test_golden_wire as golden  # noqa: E402
+
+
+def main() -> None:
+    session = golden.bench_input()
+    golden.save("wire-bench.json", {"input": session, "output": golden.bench_output(session)})
+    for name, make in golden.PARTS.items():
+        golden.save(name, make())
+    for path in sorted(HERE.glob("wire-*.json")):
+        print(path.name, path.stat().st_size, len(json.loads(path.read_text())))
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/tests/test_golden_wire.py
@@ -0,0 +1,1031 @@
+"""Golden tests of what goes over wires, and of decisions: exact bytes and digests.
+
+The fixtures are `tests/golden/wire-*.json`; `tests/golden/make_wire.py` writes them. A difference
+means that what the software does has changed. All clocks, seeds and ids are fixed, so nothing is
+masked.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import dataclasses
+import hashlib
+import io
+import json
+import time
+from collections.abc import Callable
+from pathlib import Path
+from random import Random
+from types import SimpleNamespace
+from typing import Any
+
+import helpers
+import msgspec
+import pytest
+from helpers import PLANS
+
+from loomstand import config
+from loomstand import interface as api
+from loomstand.adapter import __main__ as adapter
+from loomstand.adapter import wire as adapter_wire
+from loomstand.brain import Brain
+from loomstand.interface import Outcome, Phase
+from loomstand.net.limiter import Limiter
+from loomstand.peers import messages
+from loomstand.simulation.cluster import FRONT, READINESS, Cluster, Virtual
+from loomstand.simulation.http_log import Talk
+from loomstand.simulation.loop import Life, play
+from loomstand.simulation.network import SimNetwork
+from loomstand.simulation.streams import Cables, End, Streams
+
+HERE = Path(__file__).resolve().parent / "golden"
+S = api.TENTHS_PER_S
+ACTIONS = {
+    api.Dispatch: "dispatch",
+    api.Deny: "deny",
+    api.Abort: "abort",
+    api.CallOff: "call off",
+    api.Wake: "wake",
+    api.Count: "count",
+    api.Probe: "probe",
+    api.Log: "log",
+}
+
+
+def load(name: str) -> Any:
+    return json.loads((HERE / name).read_text())
+
+
+def save(name: str, what: Any) -> None:
+    HERE.mkdir(exist_ok=True)
+    (HERE / name).write_text(json.dumps(what, indent=1, ensure_ascii=True) + "\n")
+
+
+def text(raw: bytes) -> str:
+    return raw.decode("latin-1")
+
+
+# --- the bench's wire
+
+OUTCOMES = (
+    "served",
+    "server_error",
+    "turned_away",
+    "no_answer",
+    "no_connection",
+    "connection_lost",
+    "called_off",
+    "not_sent",
+)
+EVENTS = {
+    "begin_batch",
+    "flush",
+    "pool",
+    "start",
+    "down",
+    "registry",
+    "inbound",
+    "started",
+    "returned",
+    "vanished",
+    "elapsed",
+    "probe_done",
+    "message",
+    "tally_back",
+}
+# The module makes no `call_off` and no `poll` today: `every_action` has a line of each.
+OPS = {"ok", "attempt", "overload_reply", "error", "wake_me", "bump", "journal_line"}
+
+
+def bench_settings(me: int, **changes: Any) -> dict[str, Any]:
+    """Settings of the first kind; `changes` replace whole parts."""
+    grade = {"on_time": 200, "deadline": 1000, "points": 1.0}
+    return {
+        "balancers": 3,
+        "me": me,
+        "az": "east",
+        "zones": ["east", "west"],
+        "kinds": ["small", "large"],
+        "grades": [
+            grade | {"name": "look", "effect": "pure"},
+            grade | {"name": "pay", "effect": "side_effect"},
+            grade | {"name": "book", "effect": "token", "group": "zone", "repeat_window": 400},
+            grade | {"name": "feed", "effect": "pure", "stream": True, "late_value": 0.5},
+        ],
+        "plans": [
+            {"name": "small", "refill": 2.0, "store_size": 4.0},
+            {"name": "large", "refill": 40.0, "store_size": 60.0, "worth_factor": 1.5},
+            {"name": "open"},
+            {"name": "capped", "ceiling_rate": 10.0, "cap_depth": 12.0, "ceiling_slack": 2.0},
+            {"name": "few", "refill": 50.0, "store_size": 50.0, "at_once": 2},
+        ],
+        "allowed": {"try_limit": 3, "cancel": True, "may_probe": True, "second_copies": True}
+        | {"retry_after": True, "max_retry_after": 5000.0},
+        "specifics": {"has_counter": True, "count_limit": 50.0, "metering": 0.0, "max_units": 4},
+        "rules": {"answer_slack": 8, "drain_grace": 100, "cold": 1000, "cold_from": 0.2}
+        | {"fall_multiple": 3.0, "tip_after": 100},
+    } | changes
+
+
+class Bench:
+    """Plays the bench: writes lines in, reads lines out, and draws what comes next by a seed."""
+
+    def __init__(self, seed: int) -> None:
+        self.rng = Random(seed)
+        self.out = io.BytesIO()
+        self.host = adapter.Host(self.out)
+        self.lines: list[str] = []
+        self.wall, self.batch, self.txn, self.sheet = 5000.0, 0, 0, 0
+        self.up: set[int] = set()
+        self.open: dict[int, int] = {}  # request: limiter
+        self.attempts: dict[int, int] = {}
+        self.out_now: list[tuple[int, int, int, str, float]] = []
+        self.counts: dict[int, float] = {}
+        self.calls: list[tuple[int, dict[str, Any]]] = []
+        self.timers: list[tuple[float, int, int]] = []
+
+    def put(self, op: str, **fields: Any) -> None:
+        line = json.dumps({"op": op} | fields)
+        self.lines.append(line)
+        self.host.take(line.encode())
+
+    def play(self, *events: tuple[str, dict[str, Any]]) -> None:
+        """One batch, and what comes of it."""
+        self.batch += 1
+        self.put("begin_batch", wall=round(self.wall, 1), batch=self.batch)
+        for op, fields in events:
+            self.put(op, **fields)
+        self.put("flush")
+        said = self.out.getvalue().splitlines()
+        self.out.seek(0)
+        self.out.truncate()
+        for raw in said:
+            self.heard(json.loads(raw))
+
+    def heard(self, line: dict[str, Any]) -> None:
+        inst = line.get("limiter_id", -1)
+        match line["op"]:
+            case "attempt":
+                txn = line["txn"]
+                no = self.attempts.get(txn, -1) + 1
+                self.attempts[txn] = no
+                self.out_now.append((inst, txn, no, line["server"], self.wall))
+            case "overload_reply" | "error":
+                self.open.pop(line["txn"], None)
+            case "wake_me":
+                self.timers.append((self.wall + line["after"], inst, line["tag"]))
+            case "bump":
+                self.calls.append((inst, line))
+
+    def sheet_of(self, phases: dict[str, str], **more: Any) -> tuple[str, dict[str, Any]]:
+        self.sheet += 1
+        items = [
+            {
+                "server": name,
+                "phase": phase,
+                "hall": ("east", "west")[n % 2],
+                "flavor": "small",
+                "pod": n % 3,
+            }
+            | {"capacity_hint": 1.0 + n % 2, "boot_time": 0.0}
+            | more
+            for n, (name, phase) in enumerate(phases.items())
+        ]
+        return "pool", {"sheet": self.sheet, "items": items}
+
+    def start(self, inst: int, conf: dict[str, Any]) -> tuple[str, dict[str, Any]]:
+        self.up.add(inst)
+        return "start", {"limiter_id": inst, "entropy": 77 + inst, "conf": conf}
+
+    def gone(self, inst: int) -> None:
+        """All that a limiter held is void."""
+        self.open = {t: n for t, n in self.open.items() if n != inst}
+        self.out_now = [o for o in self.out_now if o[0] != inst]
+        self.calls = [c for c in self.calls if c[0] != inst]
+        self.timers = [t for t in self.timers if t[1] != inst]
+
+    def arrival(self) -> tuple[str, dict[str, Any]]:
+        rng, inst = self.rng, self.rng.choice(sorted(self.up))
+        self.txn += 1
+        self.open[self.txn] = inst
+        plan = rng.choice(["small", "large", "open", "open", "capped", "few", ""])
+        fields = {
+            "limiter_id": inst,
+            "txn": self.txn,
+            "priority": rng.choice(["look", "pay", "book", "feed"]),
+        }
+        fields |= {
+            "give_up_at": round(self.wall + rng.choice([1000, 1000, 300, 50]), 1),
+            "terms": plan,
+        }
+        fields |= {
+            "user_key": f"{plan}-{rng.randrange(3)}",
+            "cost_units": rng.choice([1.0, 1.0, 2.0]),
+        }
+        return "inbound", fields | {
+            "n_entries": 3,
+            "first": rng.randrange(3),
+            "is_retry": rng.random() < 0.1,
+        }
+
+    def step(self) -> None:
+        rng = self.rng
+        self.wall += rng.choice([0.3, 1.7, 5.0, 20.1, 60.0])
+        events: list[tuple[str, dict[str, Any]]] = []
+        for due in sorted(t for t in self.timers if t[0] <= self.wall):
+            self.timers.remove(due)
+            events.append(("elapsed", {"limiter_id": due[1], "tag": due[2]}))
+        events += [self.arrival() for _ in range(rng.choice([0, 1, 1, 2, 6]))]
+        for _ in range(rng.randrange(4)):
+            if self.out_now:
+                inst, txn, no, server, at = self.out_now.pop(rng.randrange(len(self.out_now)))
+                how = rng.choice(OUTCOMES[:1] * 8 + OUTCOMES)
+                if how == "served" and rng.random() < 0.3:
+                    events.append(("started", {"limiter_id": inst, "txn": txn, "send_no": no}))
+                final = how == "served" or txn not in self.open
+                if final:
+                    self.open.pop(txn, None)
+                said = {
+                    "limiter_id": inst,
+                    "txn": txn,
+                    "server": server,
+                    "state_code": how,
+                    "send_no": no,
+                }
+                said |= {
+                    "took": round(self.wall - at, 1),
+                    "final": final,
+                    "fleet_use": 1,
+                    "cost": 0.0,
+                }
+                events.append(("returned", said))
+        while self.calls and rng.random() < 0.7:
+            inst, call = self.calls.pop(0)
+            how = rng.choice(
+                ["served"] * 6 + ["no_answer", "turned_away", "no_connection", "not_sent"]
+            )
+            name = call["cname"]
+            if how in ("served", "no_answer"):
+                self.counts[name] = self.counts.get(name, 0.0) + call["step"]
+            said = {
+                "limiter_id": inst,
+                "cname": name,
+                "state_code": how,
+                "now_at": self.counts.get(name, 0.0),
+            }
+            events.append(("tally_back", said | {"took": 1.5}))
+        if self.open and rng.random() < 0.08:
+            txn = rng.choice(sorted(self.open))
+            events.append(("vanished", {"limiter_id": self.open.pop(txn), "txn": txn}))
+        if rng.random() < 0.05:
+            inst = rng.choice(sorted(self.up))
+            how = rng.choice(OUTCOMES)
+            said = {"limiter_id": inst, "server": "s1", "state_code": how, "took": 2.0}
+            events.append(("probe_done", said))
+            events.append(("message", {"limiter_id": inst, "src": 1}))
+        self.play(*events)
+
+
+def bench_input() -> list[str]:
+    """The session's input lines, drawn along what the adapter answers."""
+    bench = Bench(11)
+    phases = {f"s{n}": "live" for n in range(4)}
+
+    def lists(
+        scope: str, pool: tuple[str, dict[str, Any]], *insts: int
+    ) -> list[tuple[str, dict[str, Any]]]:
+        sheet = pool[1]["sheet"]
+        return [pool] + [
+            ("registry", {"limiter_id": n, "scope": scope, "sheet": sheet, "gen": sheet})
+            for n in insts
+        ]
+
+    bench.play(*(bench.start(n, bench_settings(n)) for n in range(3)))
+    bench.play(bench.arrival())  # nobody to send to yet
+    bench.play(*lists("all", bench.sheet_of(phases), 0, 1, 2))
+    for _ in range(60):
+        bench.step()
+    bench.play(("registry", {"limiter_id": 0, "scope": "refused"}))
+    cold = bench.sheet_of({"s4": "live"}, boot_time=round(bench.wall, 1))
+    bench.play(*lists("changes", cold, 0, 1, 2))
+    for _ in range(25):
+        bench.step()
+    bench.play(*lists("changes", bench.sheet_of({"s0": "quiescing", "s1": "dead"}), 0, 1, 2))
+    for _ in range(25):
+        bench.step()
+    bench.gone(2)
+    bench.up.discard(2)
+    bench.play(("down", {"limiter_id": 2}))
+    for _ in range(10):
+        bench.step()
+    other = bench_settings(
+        2,
+        specifics={"has_counter": False},
+        allowed={"try_limit": 2, "retry_after": False},
+        rules={"answer_slack": 20, "drain_grace": 0},
+    )
+    bench.play(bench.start(2, other), *lists("remembered", bench.sheet_of(phases), 2))
+    for _ in range(60):
+        bench.step()
+    bench.wall += 11_000.0  # counts are told in the journal
+    for _ in range(30):
+        bench.step()
+    return bench.lines
+
+
+def bench_output(lines: list[str]) -> list[str]:
+    out = io.BytesIO()
+    host = adapter.Host(out)
+    for line in lines:
+        host.take(line.encode())
+    return [text(raw) for raw in out.getvalue().splitlines()]
+
+
+def test_a_session_of_the_bench_has_exactly_these_lines() -> None:
+    held = load("wire-bench.json")
+    said = bench_output(held["input"])
+    assert said == held["output"]
+    assert {json.loads(line)["op"] for line in held["input"]} == EVENTS
+    assert {json.loads(line)["op"] for line in said} == OPS
+    events = [json.loads(line) for line in held["input"]]
+    assert {e["state_code"] for e in events if e["op"] == "returned"} == set(OUTCOMES)
+    assert {e["scope"] for e in events if e["op"] == "registry"} == {
+        "changes", "all", "remembered", "refused",
+    }  # fmt: skip
+
+
+def test_the_sessions_input_is_what_its_maker_draws() -> None:
+    """The input hangs on the output, so this too shows a change."""
+    assert bench_input() == load("wire-bench.json")["input"]
+
+
+def bad_lines() -> dict[str, Any]:
+    """What the program says of input that it can't obey: status, output and errors."""
+    begin, start = '{"op":"begin_batch","wall":1,"batch":1}', bench_settings(0)
+    started = json.dumps({"op": "start", "limiter_id": 0, "entropy": 1, "conf": start})
+    inbound = '{"op":"inbound","limiter_id":0,"txn":1,"priority":"%s","give_up_at":900.0}'
+    cases = {
+        "no JSON": ["nonsense"],
+        "not UTF-8": [begin, '{"op":"\xff"}'],
+        "no op": ["{}"],
+        "an unknown op": [begin, '{"op":"dance"}'],
+        "no batch": ['{"op":"flush"}'],
+        "two batches": [begin, begin],
+        "a field is missing": ['{"op":"begin_batch","wall":1}'],
+        "a field of another type": ['{"op":"begin_batch","wall":"x","batch":1}'],
+        "not started": [begin, inbound % "look"],
+        "an unknown grade": [begin, started, inbound % "walk"],
+        "an unknown pool": [
+            begin,
+            started,
+            '{"op":"registry","limiter_id":0,"scope":"all","sheet":9}',
+        ],
+        "an unknown scope": [
+            begin,
+            started,
+            '{"op":"registry","limiter_id":0,"scope":"some","sheet":9}',
+        ],
+        "an unknown phase": [
+            begin,
+            '{"op":"pool","sheet":1,"items":[{"server":"a","phase":"asleep"}]}',
+        ],
+        "an unknown outcome": [
+            begin,
+            '{"op":"tally_back","limiter_id":0,"cname":1,"state_code":"x"}',
+        ],
+        "settings without grades": [begin, started.replace('"grades": [', '"grades": [], "g": [')],
+        "an empty line": ["", begin, '{"op":"flush"}'],
+    }
+    said = {}
+    for name, lines in cases.items():
+        raw, out, err = "\n".join(lines).encode("latin-1"), io.BytesIO(), io.StringIO()
+        streams = SimpleNamespace(
+            stdout=SimpleNamespace(buffer=out),
+            stdin=SimpleNamespace(buffer=io.BytesIO(raw)),
+            stderr=err,
+        )
+        with pytest.MonkeyPatch.context() as patch:
+            patch.setattr(adapter.sys, "stdout", streams.stdout)
+            patch.setattr(adapter.sys, "stdin", streams.stdin)
+            patch.setattr(adapter.sys, "stderr", streams.stderr)
+            status = adapter.main()
+        said[name] = {"status": status, "out": text(out.getvalue()), "err": err.getvalue()}
+    return said
+
+
+def every_action() -> dict[str, str]:
+    """One line of each action, also of those that the module makes seldom or never."""
+    start = adapter_wire.line_decoder.decode(
+        json.dumps(
+            {"op": "start", "limiter_id": 3, "entropy": 1, "conf": bench_settings(0)}
+        ).encode()
+    )
+    inst = adapter.Instance(start, 0)
+    inst.servers.at("s0")
+    acts = [
+        api.Dispatch(7, 0, 12_345),
+        api.Deny(7, 250, "full"),
+        api.Abort(7),
+        api.CallOff(7, 1),
+        api.Wake(305, 2),
+        api.Count(9, 1.5, 7000),
+        api.Probe(0),
+        api.Log("a line"),
+    ]
+    lines = {ACTIONS[type(act)]: text(msgspec.json.encode(inst.line(3, act))) for act in acts}
+
+    class Fails:
+        def handle(self, now: int, note: Any) -> None:
+            raise ValueError("out of order")
+
+    out = io.BytesIO()
+    host = adapter.Host(out)
+    inst.brain = Fails()
+    host.instances[3] = inst
+    for line in (b'{"op":"begin_batch","wall":1,"batch":1}', b'{"op":"elapsed","limiter_id":3}'):
+        host.take(line)
+    host.take(b'{"op":"flush"}')
+    return lines | {"broken": text(out.getvalue())}
+
+
+# --- datagrams of peers
+
+
+def datagrams() -> dict[str, Any]:
+    words = [messages.Word(3, "10.0.0.3:7000", 2, 1), messages.Word(4, "10.0.0.4:7000", 1, 0)]
+    base = (1, 5, 42, words)
+    servers = [
+        config.Member(id="s1", host_port="10.0.1.1:80", phase="active", locality="east", cell=1),
+        config.Member(
+            id="s2", host_port="[::1]:81", phase="left", size=2.5, up_since_ms=12.5, flavor="x"
+        ),
+    ]
+    kinds = [
+        messages.Ping(*base, age=0.25, seq=9),
+        messages.Ack(*base, age=-1.0, seq=9, of=4),
+        messages.Check(*base, seq=10, whom=4),
+        messages.Want(1, 5, 0, [], age=3.5),
+        messages.Part(*base, n=1, of=3, whole=False, since=41, members=servers),
+        messages.Ping(0, 0, 0, []),
+        messages.Part(2, 1, 7, []),
+    ]
+    said: dict[str, Any] = {}
+    for number, kind in enumerate(kinds):
+        raw = messages.encode(kind)
+        back = messages.decode(raw)
+        assert back == kind and type(back) is type(kind)
+        assert messages.encode(back) == raw
+        said[f"{number} {type(kind).__name__}"] = {
+            "bytes": raw.hex(),
+            "values": msgspec.to_builtins(back),
+        }
+    whole = messages.encode(kinds[4])
+    spoilt = {
+        "nothing": b"",
+        "no msgpack": b"\xc1",
+        "JSON": b'{"id":1}',
+        "cut": whole[:-3],
+        "more after it": whole + b"\x00",
+        "no array": b"\x81\xa1a\x01",
+        "an unknown kind": whole.replace(b"\xa4Part", b"\xa4Port", 1),
+        "a text for a number": whole.replace(b"\xa4Part\x01", b"\xa4Part\xa1x", 1),
+        "too short": b"\x92\xa4Ping\x01",
+        "a spoilt address": whole.replace(b"10.0.1.1:80", b"10.0.1.1=80", 1),
+        "a spoilt phase": whole.replace(b"active", b"asleep", 1),
+        "not UTF-8": whole.replace(b"east", b"ea\xff\xfe", 1),
+    }
+    for name, raw in spoilt.items():
+        try:
+            said[name] = msgspec.to_builtins(messages.decode(raw))
+        except (msgspec.DecodeError, config.ConfigError, UnicodeDecodeError) as why:
+            said[name] = f"{type(why).__name__}: {why}"
+    return said | {"most bytes": messages.MOST}
+
+
+# --- the configuration of the stand-alone limiter
+
+
+def configurations() -> dict[str, Any]:
+    """The error of each faulty file, and the settings of one that is right."""
+    ports = {"listen": 8001, "discovery": 8002, "counter": 8003}
+    base = helpers.config_file(ports, []) | {
+        "listen": "10.0.0.1:8001",
+        "discovery": "10.0.0.1:8002",
+        "counter": "10.0.0.1:8003",
+    }
+
+    def settings(**changes: Any) -> dict[str, Any]:
+        return base | {"settings": base["settings"] | changes}
+
+    grade = base["settings"]["grades"][0]
+    no_me = {k: v for k, v in base["settings"].items() if k != "me"}
+    faulty = {
+        "no settings": {},
+        "no me": base | {"settings": no_me},
+        "me too high": settings(me=1),
+        "me below 0": settings(me=-1),
+        "no grades": settings(grades=[]),
+        "an unknown effect": settings(grades=[grade | {"effect": "odd"}]),
+        "a grade without a name": settings(
+            grades=[{k: v for k, v in grade.items() if k != "name"}]
+        ),
+        "a span below 0": settings(grades=[grade | {"deadline": -1}]),
+        "a text for a number": settings(balancers="3"),
+        "no counter": base | {"counter": ""},
+        "a spoilt counter": base | {"counter": "here:80"},
+        "no port": base | {"listen": "10.0.0.1"},
+        "no listen": base | {"listen": ""},
+        "port 0": base | {"discovery": "10.0.0.1:0"},
+        "a host by name": base | {"discovery": "localhost:80"},
+        "a spoilt seed": base | {"seed": "xyz"},
+        "little memory": base | {"limits": {"memory_mb": 8}},
+        "few sockets": base | {"limits": {"sockets": 4}},
+        "a spoilt peer": base | {"peers": ["10.0.0.1:1", "10.0.0.2"]},
+        "peers and no peer": base | {"peers": ["10.0.0.1:1"]},
+        "a spoilt member": base | {"known": {"members": [{"id": "a", "host_port": "a:b"}]}},
+        "an unknown phase": base
+        | {"known": {"members": [{"id": "a", "host_port": "10.0.0.1:1", "phase": "x"}]}},
+        "no plan there": base | {"plan": "there/is/none.json"},
+    }
+    raws = {name: json.dumps(file).encode() for name, file in faulty.items()}
+    raws |= {"no JSON": b"{", "empty": b"", "a list": b"[]", "trailing": b"{} x"}
+    raws |= {"not UTF-8": b'{"name":"\xff"}'}
+    said: dict[str, Any] = {}
+    for name, raw in raws.items():
+        with pytest.raises(config.ConfigError) as why:
+            config.parse(raw, {})
+        said[name] = str(why.value)
+    for name, env in {
+        "listen by environment": {"PROXY_LISTEN": "nowhere"},
+        "discovery by environment": {"PROXY_DISCOVERY": "10.0.0.1:99999"},
+    }.items():
+        with pytest.raises(config.ConfigError) as why:
+            config.parse(json.dumps(base).encode(), env)
+        said[name] = str(why.value)
+    for name, env in {"no file": {}, "not there": {"PROXY_CONFIG": "there/is/none.json"}}.items():
+        with pytest.raises(config.ConfigError) as why:
+            config.load(env)
+        said[name] = str(why.value)
+    right = config.parse(json.dumps(base).encode(), {"PROXY_NAME": "other"})
+    values = msgspec.to_builtins(
+        dataclasses.astuple(config.settings(right.conf, 0))
+    )  # enums by value
+    return said | {"right": [right.name, right.listen, right.counter, right.seed, values]}
+
+
+# --- decisions
+
+
+def digest_of_decisions(seed: int, services: int, events: int = 20_000) -> dict[str, Any]:
+    """Three modules driven by drawn events; digests of all actions, one after each fifth."""
+    rng, now = Random(seed), 1000 * S
+    told = helpers.settings(0)
+    if services > 1:
+        told = helpers.settings(
+            0,
+            trust=1.5,
+            fresh=0.5,
+            spare_share=0.12,
+            spare_most=4.0,
+            turned_price=1.0,
+            unsent_price=0.0,
+            window_follows=True,
+            patient=True,
+            homes=0.5,
+            retry_after=True,
+            max_retry_after=20_000,
+        )
+    brains = [Brain(dataclasses.replace(told, me=n), n + seed, now) for n in range(3)]
+    entries = {
+        n: dataclasses.replace(helpers.entry(n, hall=n % 2), service=n % services)
+        for n in range(6 * services)
+    }
+    counts: dict[int, float] = {}
+    calls: list[tuple[int, api.Count]] = []
+    timers: list[tuple[int, int, int, int]] = []
+    open_: dict[int, int] = {}
+    sent: dict[int, int] = {}
+    out: list[tuple[int, int, int, int, int, int]] = []
+    req = made = 0
+    tally: dict[str, int] = {}
+    sum_, marks = hashlib.sha256(), []
+
+    def give(n: int, note: Any) -> None:
+        nonlocal made
+        for act in brains[n].handle(now, note):
+            values = [ACTIONS[type(act)], *dataclasses.astuple(act)]
+            tally[values[0]] = tally.get(values[0], 0) + 1
+            sum_.update(repr((n, now, values)).encode())
+            match act:
+                case api.Dispatch():
+                    number = sent[act.req] = sent.get(act.req, -1) + 1
+                    out.append((n, act.req, number, act.srv, now, act.expire))
+                case api.Deny() | api.Abort():
+                    open_.pop(act.req, None)
+                case api.Wake():
+                    made += 1
+                    timers.append((now + act.after, made, n, act.tag))
+                case api.Count():
+                    calls.append((n, act))
+
+    def finish(at: int, how: Outcome) -> None:
+        n, id_, number, srv, since, _ = out.pop(at)
+        final = how is Outcome.PASSED or id_ not in open_
+        if final:
+            open_.pop(id_, None)
+        give(n, api.Ended(id_, number, srv, how, now - since, final, 0, 0.0))
+
+    for n in range(3):
+        give(n, api.Listed(tuple(entries.values()), True))
+    bad = [
+        Outcome.SERVER_ERROR,
+        Outcome.TURNED_AWAY,
+        Outcome.NO_CONNECTION,
+        Outcome.CONNECTION_LOST,
+        Outcome.NOT_SENT,
+        Outcome.CALLED_OFF,
+    ]
+    for step in range(events):
+        for due in sorted(t for t in timers if t[0] <= now):
+            timers.remove(due)
+            give(due[2], api.Woke(due[3]))
+        for at in reversed([k for k, o in enumerate(out) if o[5] <= now]):
+            finish(at, Outcome.NO_ANSWER)
+        what, n = rng.random(), rng.randrange(3)
+        if what < 0.42:
+            req += 1
+            open_[req] = n
+            plan = rng.randrange(len(PLANS))
+            note = helpers.arrival(req, now, rng.randrange(4), plan, 10 * plan + rng.randrange(4))
+            note = dataclasses.replace(
+                note, service=rng.randrange(services), first=rng.randrange(3)
+            )
+            give(n, note)
+        elif what < 0.72:
+            if out:
+                trouble = rng.random() < (0.5 if step % 4000 > 3000 else 0.05)
+                finish(rng.randrange(len(out)), rng.choice(bad) if trouble else Outcome.PASSED)
+        elif what < 0.82:
+            if calls:
+                n, call = calls.pop(rng.randrange(len(calls)))
+                how = rng.choice([Outcome.PASSED] * 6 + [Outcome.NO_ANSWER, Outcome.TURNED_AWAY])
+                if how is not Outcome.TURNED_AWAY:
+                    counts[call.name] = counts.get(call.name, 0.0) + call.step
+                give(n, api.Counted(call.name, how, counts.get(call.name, 0.0), 30))
+        elif what < 0.97:
+            now += rng.choice([3, 20, 100, 400, 900])
+        elif what < 0.98:
+            if open_:
+                gone = rng.choice(list(open_))
+                give(open_.pop(gone), api.Vanished(gone))
+        elif what < 0.985:
+            srv = rng.randrange(len(entries))
+            phase = rng.choice([Phase.LIVE, Phase.LIVE, Phase.DRAINING, Phase.GONE])
+            booted = now if phase is Phase.LIVE else 0
+            made_new = helpers.entry(srv, phase, booted, srv % 2)
+            entries[srv] = dataclasses.replace(made_new, service=srv % services)
+            for to in range(3):
+                give(to, api.Listed((entries[srv],), False))
+        elif what < 0.987:
+            give(n, api.Listed(tuple(entries.values()), True))
+        elif what < 0.989 and out:
+            give(out[0][0], api.Started(out[0][1], out[0][2]))
+        elif what < 0.991:
+            give(n, api.Probed(rng.randrange(len(entries)), rng.choice([*Outcome]), 40))
+        elif what < 0.994 and counts:
+            name = rng.choice(list(counts))
+            give(n, api.Told(name, counts[name] + 2.0, 0, rng.randrange(4), 1000, 3, 0))
+        elif what < 0.996:
+            limiters = rng.choice([3, 3, 4])
+            told = dataclasses.replace(told, limiters=limiters, shift=rng.randrange(50))
+            for to in range(3):
+                give(to, api.Ruled(dataclasses.replace(told, me=to)))
+        if step % (events // 5) == events // 5 - 1:
+            marks.append(sum_.hexdigest()[:16])
+    return {"actions": dict(sorted(tally.items())), "digests": marks, "whole": sum_.hexdigest()}
+
+
+def decisions() -> dict[str, Any]:
+    """Two seeds with one service, one with three."""
+    return {
+        "seed 1": digest_of_decisions(1, 1),
+        "seed 2": digest_of_decisions(2, 1),
+        "seed 3, three services": digest_of_decisions(3, 3),
+    }
+
+
+def test_the_drawn_events_bring_every_action_that_the_module_makes() -> None:
+    for run in load("wire-decisions.json").values():
+        assert set(run["actions"]) == {"dispatch", "deny", "abort", "wake", "count", "log"}
+
+
+# --- answers to clients, and requests as servers get them
+
+HOST, SERVER_IPS = "10.0.0.1", ("10.0.1.1", "10.0.1.2")
+MALFORMED = {
+    "no HTTP": b"nonsense\r\n\r\n",
+    "another version": b"GET / HTTP/2.0\r\nHost: a\r\n\r\n",
+    "a version of old": b"GET / HTTP/1.0\r\nHost: a\r\n\r\n",
+    "no host": b"GET / HTTP/1.1\r\n\r\n",
+    "a field without a colon": b"GET / HTTP/1.1\r\nHost a\r\n\r\n",
+    "a folded field": b"GET / HTTP/1.1\r\nHost: a\r\n b\r\n\r\n",
+    "two lengths": b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+    "a spoilt length": b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n",
+    "length and chunks": b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
+    b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+    "another coding": b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip\r\n\r\n",
+    "a spoilt chunk": b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+    "a long body": b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n",
+    "a long head": b"GET / HTTP/1.1\r\nHost: a\r\nA: %b\r\n\r\n" % (b"x" * 70_000),
+    "a spoilt target": b"GET a HTTP/1.1\r\nHost: a\r\n\r\n",
+    "cut": b"GET / HTTP/1.1\r\nHo",
+}
+
+
+class Watched:
+    """Notes what goes on from `host` to servers, as it is written to simulated streams."""
+
+    def __init__(self, patch: pytest.MonkeyPatch, host: str, servers: str) -> None:
+        self.sent: list[list[str]] = []
+        write = End.write
+
+        def noted(end: End, data: Any) -> None:
+            if end.host == host and end.far.startswith(servers):
+                self.sent.append([end.far, text(bytes(data))])
+            write(end, data)
+
+        patch.setattr(End, "write", noted)
+
+    def take(self) -> list[list[str]]:
+        sent, self.sent = self.sent, []
+        return sent
+
+
+async def say(
+    streams: Streams, address: tuple[str, int], raw: bytes, seconds: float
+) -> dict[str, Any]:
+    """What comes back on a new connection in so many seconds, and how that ended, if it did."""
+    talk = await streams.open(Talk, address, 1.0)
+    talk.transport.write(raw)
+    await asyncio.sleep(seconds)
+    got = {"answer": text(bytes(talk.buf)), "end": talk.over}
+    talk.transport.abort()
+    return got
+
+
+class StillLimiter(Limiter):
+    """A limiter on the loop's clock."""
+
+    def now(self) -> int:
+        return int(self.loop.time() * 10_000) + 18_000_000_000_000
+
+
+class SimulatedServer(asyncio.Protocol):
+    """A server that answers as its `how` says, the same for all of them."""
+
+    how = "ok"
+
+    def connection_made(self, transport: Any) -> None:
+        self.transport, self.buf = transport, b""
+
+    def data_received(self, data: bytes) -> None:
+        self.buf += data
+        head, end, body = self.buf.partition(b"\r\n\r\n")
+        if not end or len(body) < helpers.wire.length_of(head):
+            return
+        self.buf = b""
+        match SimulatedServer.how:
+            case "ok":
+                self.transport.write(
+                    helpers.said(200, b"hello", b"Metered-Units: 1\r\nX-More: 1\r\n")
+                )
+            case "chunks":
+                head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                self.transport.write(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
+            case "full":
+                self.transport.write(helpers.said(503, b"", b"Not-Started: 1\r\n"))
+            case "busy":
+                self.transport.write(helpers.said(503, b"busy"))
+            case "error":
+                self.transport.write(helpers.said(500, b"oh"))
+            case "missing":
+                self.transport.write(helpers.said(404, b"none"))
+            case "lost":
+                self.transport.abort()
+            case "spoilt":
+                self.transport.write(b"what is this\r\n\r\n")
+
+
+def limiter_answers() -> dict[str, Any]:
+    """Answers of the stand-alone limiter."""
+    said: dict[str, Any] = {}
+
+    async def work(patch: pytest.MonkeyPatch) -> None:
+        watched = Watched(patch, HOST, "10.0.1.")
+        cables = Cables(SimNetwork(Random(1)), Random(2))
+        loop = asyncio.get_running_loop()
+        members = [
+            {"id": f"s{n}", "host_port": f"{ip}:80", "locality": "east"}
+            for n, ip in enumerate(SERVER_IPS)
+        ]
+        file = helpers.config_file({"listen": 1, "discovery": 1, "counter": 1}, members)
+        file |= {"listen": f"{HOST}:80", "discovery": f"{HOST}:81", "counter": ""}
+        more = {
+            "plans": [{"name": "basic"}, {"name": "small", "refill": 1.0, "store_size": 1.0}],
+            "specifics": {"has_counter": False, "max_units": 4},
+        }
+        file["settings"] |= more
+        file["settings"]["allowed"] |= {"retry_after": True, "max_retry_after": 3000}
+        limiter = StillLimiter(config.parse(json.dumps(file).encode(), {}), Virtual())
+        here = Streams(cables, HOST, Life())
+        limiter.front.bind, limiter.pool.connect = here.listen, here.connect
+        for ip in SERVER_IPS:
+            await Streams(cables, ip, Life()).listen(loop, SimulatedServer, (ip, 80))
+        await limiter.front.listen((HOST, 80))
+        loop.call_later(1.0, limiter.sweep)
+        client = Streams(cables, "10.9.0.1", Life())
+
+        async def one(name: str, raw: bytes, seconds: float = 0.5, how: str = "ok") -> None:
+            SimulatedServer.how = how
+            said[name] = await say(client, (HOST, 80), raw, seconds) | {"sent on": watched.take()}
+
+        ready = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
+        await one("not ready", ready)
+        await one("no servers", helpers.request())
+        limiter.listed(limiter.config.known)
+        await one("ready", ready)
+        await one("ready by POST", ready.replace(b"GET", b"POST"))
+        await one("an own path that isn't", ready.replace(b"ready", b"other"))
+        await one("look", helpers.request())
+        await one("look with a body", helpers.request(body=b"some words"))
+        await one("book", helpers.request("book", extra="X-Other: 7\r\n"))
+        await one("book again", helpers.request("book", body=b"b", extra="Client-Retry: 1\r\n"))
+        await one("two at once", helpers.request(id_="r2") + helpers.request(id_="r3"))
+        await one("close", helpers.request(extra="Connection: close, X-Hop\r\nX-Hop: 1\r\n"))
+        await one("in chunks", helpers.request(), how="chunks")
+        small = helpers.request().replace(b"X-Tier: basic", b"X-Tier: small")
+        small = small.replace(
+            b"account=00000000", b"account=00000001"
+        )  # a plan stays with its account
+        for n in range(4):
+            await one(f"small {n}", small, 0.1)
+        usual = helpers.request()
+        for name, old, new in [
+            ("no account", b"account=", b"a="),
+            ("no id", b"Request-Id: r1\r\n", b""),
+            ("a spoilt time", b"Ms: 1000", b"Ms: x"),
+            ("no such frontend", b"Class: look", b"Class: walk"),
+            ("no such plan", b"Tier: basic", b"Tier: odd"),
+            ("spoilt terms", b"units=1,", b"units=x,"),
+            ("too many units", b"units=1,", b"units=9,"),
+            ("a set out of range", b"spread=1,", b"spread=9,"),
+        ]:
+            assert old in usual
+            await one(name, usual.replace(old, new))
+        for name, raw in MALFORMED.items():
+            await one(name, raw, 14.0 if name == "cut" else 0.5)
+        for how in ("full", "busy", "error", "missing", "lost", "spoilt", "silent"):
+            for front in ("look", "book"):
+                await one(f"{front}, {how}", helpers.request(front), 2.5, how)
+                await asyncio.sleep(20.0)  # what is held against servers is forgotten
+        limiter.stop()
+        await one("stopping", helpers.request())
+        await one("not ready as it stops", ready, 0.01)
+
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(time, "process_time", lambda: 0.0)
+        play(lambda: work(patch))
+    return said
+
+
+def proxy_request(
+    path: str = "/a/x?n=1", method: str = "GET", key: str = "key-of-ann", **more: Any
+) -> bytes:
+    body = more.pop("body", b"")
+    fields = {
+        "Host": "town.example",
+        "Loomstand-Request-Id": "r-1",
+        "Authorization": f"Bearer {key}",
+    }
+    fields |= {"Loomstand-Deadline-Remaining": "3000"} | more
+    if body:
+        fields["Content-Length"] = str(len(body))
+    lines = [
+        f"{method} {path} HTTP/1.1",
+        *(f"{k}: {v}" for k, v in fields.items() if v is not None),
+    ]
+    return "\r\n".join([*lines, "", ""]).encode() + body
+
+
+def proxy_answers() -> dict[str, Any]:
+    """Answers of the proxy in a small cluster."""
+    said: dict[str, Any] = {}
+    with pytest.MonkeyPatch.context() as patch:
+        town = Cluster(5, proxies=1, servers=2)
+        ip = next(iter(town.proxies))
+        watched = Watched(patch, ip, "10.3.")
+        client = town.streams("10.9.0.1")
+
+        def one(
+            name: str, raw: bytes, seconds: float = 0.5, trouble: str = "", port: int = FRONT
+        ) -> None:
+            for server in town.servers["alpha"]:
+                server.trouble = trouble
+            said[name] = town.do(say(client, (ip, port), raw, seconds)) | {
+                "sent on": watched.take()
+            }
+
+        def readiness(path: str) -> bytes:
+            return b"GET %b HTTP/1.1\r\nHost: a\r\n\r\n" % path.encode()
+
+        async def alone() -> None:
+            town.proxies[ip].start()
+
+        town.do(alone())
+        town.wait(0.1)
+        one("no configuration", proxy_request(), 2.0)
+        one("not ready", readiness("/api/readiness"), port=READINESS)
+        town.proxies[ip].kill()
+        town.usual()
+        town.route("open", "alpha", public=True)
+        town.route("single", "alpha", maximum_attempts=1)
+        town.route("short", "alpha", timeout="400ms", target_latency="100ms")
+        town.route("nobody", "gamma")
+        town.resources["services", "gamma"] = {
+            "health_check_path": "/health",
+            "connection_limit": 130,
+        }
+        town.tenant("poor", "key-of-poor", 1, 1)
+        town.do(town.begin())
+        town.wait(5.0)
+        one("ready", readiness("/api/readiness"), port=READINESS)
+        one("another path", readiness("/api/other"), port=READINESS)
+        one("an own path of the other limiter", readiness("/-/ready"))
+        one("get", proxy_request())
+        one("post", proxy_request("/once/x", "POST", body=b"some words"))
+        one("public", proxy_request("/open/x", key="", Authorization=None))
+        hop = {"Connection": "X-Hop", "X-Hop": "1", "X-Other": "2", "Loomstand-Tenant-Name": "me"}
+        one("fields", proxy_request("/a/y", "PUT", body=b"b", **hop))
+        one("close", proxy_request(Connection="close"))
+        one("two at once", proxy_request() + proxy_request(**{"Loomstand-Request-Id": "r-2"}))
+        one("no key", proxy_request(Authorization=None))
+        one("another key", proxy_request(key="odd"))
+        one("no route", proxy_request("/z/x"))
+        one("another host", proxy_request(Host="other.example"))
+        one("no id", proxy_request(**{"Loomstand-Request-Id": None}))
+        one("a spoilt time", proxy_request(**{"Loomstand-Deadline-Remaining": "soon"}))
+        one("a service without servers", proxy_request("/nobody/x"), 2.0)
+        for n in range(8):
+            one(f"poor {n}", proxy_request(key="key-of-poor"), 0.1)
+        for name, raw in MALFORMED.items():
+            one(name, raw, 14.0 if name == "cut" else 0.5)
+        for how in (
+            "full",
+            "error",
+            "bare",
+            "close",
+            "reset",
+            "cut",
+            "spoilt",
+            "surplus",
+            "late",
+            "silent",
+        ):
+            for path, method in (("/single/x", "GET"), ("/once/x", "POST"), ("/a/x", "GET")):
+                seconds = 3.2 if how == "silent" else 0.6
+                one(f"{method} {path}, {how}", proxy_request(path, method), seconds, how)
+                town.wait(3.0)
+        one("a short time", proxy_request("/short/x"), 2.0, "slow")
+        town.loop.close()
+    return said
+
+
+def statuses(name: str) -> set[int]:
+    answers = [one["answer"] for one in load(name).values()]
+    return {int(answer.split(" ")[1]) for answer in answers if answer}
+
+
+def test_answers_of_all_kinds_are_among_the_fixtures() -> None:
+    usual = {200, 400, 404, 408, 413, 429, 431, 502, 503}
+    assert statuses("wire-limiter.json") >= usual
+    advised = [
+        one for one in load("wire-limiter.json").values() if "\r\nRetry-After: " in one["answer"]
+    ]
+    assert advised and advised[0]["answer"].startswith("HTTP/1.1 429 ")
+    assert statuses("wire-proxy.json") >= usual | {401, 500, 504}
+
+
+PARTS: dict[str, Callable[[], Any]] = {
+    "wire-bad-lines.json": bad_lines,
+    "wire-actions.json": every_action,
+    "wire-datagrams.json": datagrams,
+    "wire-configurations.json": configurations,
+    "wire-decisions.json": decisions,
+    "wire-limiter.json": limiter_answers,
+    "wire-proxy.json": proxy_answers,
+}
+
+
+@pytest.mark.parametrize("name", PARTS)
+def test_as_in_the_fixture(name: str) -> None:
+    assert json.loads(json.dumps(PARTS[name]())) == load(name)
