--- a/benchmarks/hot_paths.py
+++ b/benchmarks/hot_paths.py
@@ -28,26 +28,26 @@
 
 import click
 
-from loomstand import interface as api
-from loomstand.brain import Brain
+from loomstand.admission import interface as api
+from loomstand.admission.decision_engine import DecisionEngine
 from loomstand.rpc.frames import Reader, pack
-from loomstand.simulation.cluster import Cluster
+from loomstand.testing.simulation.cluster import Cluster
 
-S = api.TENTHS_PER_S
+S = api.TICKS_PER_SECOND
 Serve = Callable[[str, dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
-def settings() -> api.Settings:
+def settings() -> api.EngineSettings:
     """One limiter of three, a frontend of each effect, and a plan with and one without a quota."""
     fronts = tuple(
-        api.Frontend(effect, api.Group.ALL, 2 * S, S, 4 * S, 1.0, 0.0, False)
+        api.Frontend(effect, api.DeduplicationScope.ALL, 2 * S, S, 4 * S, 1.0, 0.0, False)
         for effect in api.Effect
     )
     plans = (
-        api.Plan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
-        api.Plan(1e6, 1e6, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
+        api.QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
+        api.QuotaPlan(1e6, 1e6, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
     )
-    return api.Settings(
+    return api.EngineSettings(
         me=0,
         limiters=3,
         hall=0,
@@ -74,31 +74,31 @@
 
 def decisions(requests: int) -> float:
     """Seconds a request, over so many; all timers are kept, and each count is answered at once."""
-    brain, now = Brain(settings(), 7, 1000 * S), 1000 * S
-    entries = tuple(api.Entry(n, api.Phase.LIVE, 0, 0, 0, 1.0, 0) for n in range(12))
-    brain.handle(now, api.Listed(entries, True))
+    brain, now = DecisionEngine(settings(), 7, 1000 * S), 1000 * S
+    entries = tuple(api.Endpoint(n, api.EndpointState.LIVE, 0, 0, 0, 1.0, 0) for n in range(12))
+    brain.handle(now, api.EndpointsUpdated(entries, True))
     timers: list[tuple[int, int]] = []
     sent = 0
     begun = perf_counter()
     for req in range(1, requests + 1):
         now += 10
         if timers and timers[0][0] <= now:
-            brain.handle(now, api.Woke(timers.pop(0)[1]))
+            brain.handle(now, api.TimerFired(timers.pop(0)[1]))
         plan, customer = req & 1, req % 50
-        note = api.Arrived(
+        note = api.RequestArrived(
             req, req % 3, plan, 2 * customer + plan, 1000 + customer, now + 4 * S, 1.0, 0, False
         )
         for act in brain.handle(now, note):
             match act:
-                case api.Dispatch():
+                case api.SendAttempt():
                     sent += 1
-                    done = api.Ended(req, 0, act.srv, api.Outcome.PASSED, 5, True, 0, 0.0)
+                    done = api.AttemptEnded(req, 0, act.srv, api.Outcome.PASSED, 5, True, 0, 0.0)
                     brain.handle(now + 5, done)
-                case api.Wake():
+                case api.SetTimer():
                     timers.append((now + act.after, act.tag))
                     timers.sort()
-                case api.Count():
-                    got = api.Counted(act.name, api.Outcome.PASSED, act.step, 20)
+                case api.IncrementCounter():
+                    got = api.CounterReplied(act.name, api.Outcome.PASSED, act.step, 20)
                     brain.handle(now + 5, got)
     took = perf_counter() - begun
     assert sent > 0.9 * requests, f"only {sent} of {requests} were sent"
--- a/tests/golden/names.py
+++ b/tests/golden/names.py
@@ -6,28 +6,28 @@
 
 from __future__ import annotations
 
+from loomstand.config.configuration import ConfigurationError
+from loomstand.config.configuration import parse as parse_configuration
+from loomstand.config.settings import SettingsError
+from loomstand.config.settings import read as read_settings
 from loomstand.rpc.frames import Foreign as ForeignBytes
 from loomstand.rpc.frames import Reader as FrameReader
 from loomstand.rpc.frames import pack as pack_frame
-from loomstand.shared.configuration import ConfigurationError
-from loomstand.shared.configuration import parse as parse_configuration
-from loomstand.shared.settings import SettingsError
-from loomstand.shared.settings import read as read_settings
-from loomstand.shared.verdict import Refused
-from loomstand.simulation.cluster import CONTROL as OUTSIDE_PORT
-from loomstand.simulation.cluster import Cluster
-from loomstand.simulation.http_log import exchange
-from loomstand.simulation.loop import Life, VirtualLoop
-from loomstand.simulation.machine import machines as make_machines
-from loomstand.simulation.network import MachineNetwork, SimNetwork
+from loomstand.rpc.verdict import Refused
+from loomstand.store.change_history import NONE as NO_ORDERS
+from loomstand.store.change_history import ChangeHistory, digest
+from loomstand.store.counting_lease import CountingLease
 from loomstand.store.disk import LmdbDisk
-from loomstand.store.duty import Duty
 from loomstand.store.learner import Learner
-from loomstand.store.orders import NONE as NO_ORDERS
-from loomstand.store.orders import Orders, digest
 from loomstand.store.program import Place, Store
 from loomstand.store.recovery import wake as wake_disk
 from loomstand.store.views import Member, Record, View
+from loomstand.testing.simulation.cluster import CONTROL as OUTSIDE_PORT
+from loomstand.testing.simulation.cluster import Cluster
+from loomstand.testing.simulation.http_log import exchange
+from loomstand.testing.simulation.loop import Life, VirtualLoop
+from loomstand.testing.simulation.machine import machines as make_machines
+from loomstand.testing.simulation.network import MachineNetwork, SimNetwork
 
 STORE_PORT, REGISTRY_PORT = 7341, 7340
 
@@ -58,9 +58,10 @@
     "OUTSIDE_PORT",
     "REGISTRY_PORT",
     "STORE_PORT",
+    "ChangeHistory",
     "Cluster",
     "ConfigurationError",
-    "Duty",
+    "CountingLease",
     "ForeignBytes",
     "FrameReader",
     "Learner",
@@ -68,7 +69,6 @@
     "LmdbDisk",
     "MachineNetwork",
     "Member",
-    "Orders",
     "Place",
     "Record",
     "Refused",
--- a/tests/golden/pages.py
+++ b/tests/golden/pages.py
@@ -68,7 +68,7 @@
 
 def other_pages() -> dict[str, bytes]:
     """The pages beside the record: the duty's and the learner's."""
-    duty = names.Duty("10.1.0.1")
+    duty = names.CountingLease("10.1.0.1")
     first = duty.page("10.1.0.1")
     duty.number, duty.named = 4, "10.1.0.1"
     pages = {"duty, the first": first, "duty, the same": duty.page("10.1.0.1")}
--- a/tests/test_golden_programs.py
+++ b/tests/test_golden_programs.py
@@ -167,7 +167,7 @@
 
 def test_the_pages_of_the_duty_and_of_the_learner_are_read():
     others = pages.unhexed(load("pages")["others"])
-    duty = names.Duty("10.1.0.1")
+    duty = names.CountingLease("10.1.0.1")
     duty.wake(0.0, 4, cbor2.loads(others["duty, another"]))
     assert (duty.epoch, duty.number, duty.named) == (4, 7, "10.1.0.2")
     assert names.Learner.wake({"copy": others["copy"]}).copy == (12, b'{"version": "r12"}')
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -24,31 +24,31 @@
 import pytest
 from helpers import PLANS
 
-from loomstand import config
-from loomstand import interface as api
-from loomstand.adapter import __main__ as adapter
-from loomstand.adapter import wire as adapter_wire
-from loomstand.brain import Brain
-from loomstand.interface import Outcome, Phase
-from loomstand.net.limiter import Limiter
-from loomstand.peers import messages
-from loomstand.simulation.cluster import FRONT, READINESS, Cluster, Virtual
-from loomstand.simulation.http_log import Talk
-from loomstand.simulation.loop import Life, play
-from loomstand.simulation.network import SimNetwork
-from loomstand.simulation.streams import Cables, End, Streams
+from loomstand.admission import interface as api
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.interface import EndpointState, Outcome
+from loomstand.config import limiter as config
+from loomstand.limiter.limiter import Limiter
+from loomstand.membership import messages
+from loomstand.testing.bench_adapter import __main__ as adapter
+from loomstand.testing.bench_adapter import wire as adapter_wire
+from loomstand.testing.simulation.cluster import FRONT, READINESS, Cluster, Virtual
+from loomstand.testing.simulation.http_log import Talk
+from loomstand.testing.simulation.loop import Life, play
+from loomstand.testing.simulation.network import SimNetwork
+from loomstand.testing.simulation.streams import Cables, End, Streams
 
 HERE = Path(__file__).resolve().parent / "golden"
-S = api.TENTHS_PER_S
+S = api.TICKS_PER_SECOND
 ACTIONS = {
-    api.Dispatch: "dispatch",
-    api.Deny: "deny",
+    api.SendAttempt: "dispatch",
+    api.Reject: "deny",
     api.Abort: "abort",
-    api.CallOff: "call off",
-    api.Wake: "wake",
-    api.Count: "count",
-    api.Probe: "probe",
-    api.Log: "log",
+    api.CancelAttempt: "call off",
+    api.SetTimer: "wake",
+    api.IncrementCounter: "count",
+    api.CheckHealth: "probe",
+    api.LogMessage: "log",
 }
 
 
@@ -423,14 +423,14 @@
     inst = adapter.Instance(start, 0)
     inst.servers.at("s0")
     acts = [
-        api.Dispatch(7, 0, 12_345),
-        api.Deny(7, 250, "full"),
+        api.SendAttempt(7, 0, 12_345),
+        api.Reject(7, 250, "full"),
         api.Abort(7),
-        api.CallOff(7, 1),
-        api.Wake(305, 2),
-        api.Count(9, 1.5, 7000),
-        api.Probe(0),
-        api.Log("a line"),
+        api.CancelAttempt(7, 1),
+        api.SetTimer(305, 2),
+        api.IncrementCounter(9, 1.5, 7000),
+        api.CheckHealth(0),
+        api.LogMessage("a line"),
     ]
     lines = {ACTIONS[type(act)]: text(msgspec.json.encode(inst.line(3, act))) for act in acts}
 
@@ -595,13 +595,13 @@
             retry_after=True,
             max_retry_after=20_000,
         )
-    brains = [Brain(dataclasses.replace(told, me=n), n + seed, now) for n in range(3)]
+    brains = [DecisionEngine(dataclasses.replace(told, me=n), n + seed, now) for n in range(3)]
     entries = {
         n: dataclasses.replace(helpers.entry(n, hall=n % 2), service=n % services)
         for n in range(6 * services)
     }
     counts: dict[int, float] = {}
-    calls: list[tuple[int, api.Count]] = []
+    calls: list[tuple[int, api.IncrementCounter]] = []
     timers: list[tuple[int, int, int, int]] = []
     open_: dict[int, int] = {}
     sent: dict[int, int] = {}
@@ -617,15 +617,15 @@
             tally[values[0]] = tally.get(values[0], 0) + 1
             sum_.update(repr((n, now, values)).encode())
             match act:
-                case api.Dispatch():
+                case api.SendAttempt():
                     number = sent[act.req] = sent.get(act.req, -1) + 1
                     out.append((n, act.req, number, act.srv, now, act.expire))
-                case api.Deny() | api.Abort():
+                case api.Reject() | api.Abort():
                     open_.pop(act.req, None)
-                case api.Wake():
+                case api.SetTimer():
                     made += 1
                     timers.append((now + act.after, made, n, act.tag))
-                case api.Count():
+                case api.IncrementCounter():
                     calls.append((n, act))
 
     def finish(at: int, how: Outcome) -> None:
@@ -633,10 +633,10 @@
         final = how is Outcome.PASSED or id_ not in open_
         if final:
             open_.pop(id_, None)
-        give(n, api.Ended(id_, number, srv, how, now - since, final, 0, 0.0))
+        give(n, api.AttemptEnded(id_, number, srv, how, now - since, final, 0, 0.0))
 
     for n in range(3):
-        give(n, api.Listed(tuple(entries.values()), True))
+        give(n, api.EndpointsUpdated(tuple(entries.values()), True))
     bad = [
         Outcome.SERVER_ERROR,
         Outcome.TURNED_AWAY,
@@ -648,7 +648,7 @@
     for step in range(events):
         for due in sorted(t for t in timers if t[0] <= now):
             timers.remove(due)
-            give(due[2], api.Woke(due[3]))
+            give(due[2], api.TimerFired(due[3]))
         for at in reversed([k for k, o in enumerate(out) if o[5] <= now]):
             finish(at, Outcome.NO_ANSWER)
         what, n = rng.random(), rng.randrange(3)
@@ -671,35 +671,41 @@
                 how = rng.choice([Outcome.PASSED] * 6 + [Outcome.NO_ANSWER, Outcome.TURNED_AWAY])
                 if how is not Outcome.TURNED_AWAY:
                     counts[call.name] = counts.get(call.name, 0.0) + call.step
-                give(n, api.Counted(call.name, how, counts.get(call.name, 0.0), 30))
+                give(n, api.CounterReplied(call.name, how, counts.get(call.name, 0.0), 30))
         elif what < 0.97:
             now += rng.choice([3, 20, 100, 400, 900])
         elif what < 0.98:
             if open_:
                 gone = rng.choice(list(open_))
-                give(open_.pop(gone), api.Vanished(gone))
+                give(open_.pop(gone), api.ClientDisconnected(gone))
         elif what < 0.985:
             srv = rng.randrange(len(entries))
-            phase = rng.choice([Phase.LIVE, Phase.LIVE, Phase.DRAINING, Phase.GONE])
-            booted = now if phase is Phase.LIVE else 0
+            phase = rng.choice(
+                [EndpointState.LIVE, EndpointState.LIVE, EndpointState.DRAINING, EndpointState.GONE]
+            )
+            booted = now if phase is EndpointState.LIVE else 0
             made_new = helpers.entry(srv, phase, booted, srv % 2)
             entries[srv] = dataclasses.replace(made_new, service=srv % services)
             for to in range(3):
-                give(to, api.Listed((entries[srv],), False))
+                give(to, api.EndpointsUpdated((entries[srv],), False))
         elif what < 0.987:
-            give(n, api.Listed(tuple(entries.values()), True))
+            give(n, api.EndpointsUpdated(tuple(entries.values()), True))
         elif what < 0.989 and out:
-            give(out[0][0], api.Started(out[0][1], out[0][2]))
+            give(out[0][0], api.ResponseStarted(out[0][1], out[0][2]))
         elif what < 0.991:
-            give(n, api.Probed(rng.randrange(len(entries)), rng.choice([*Outcome]), 40))
+            give(
+                n, api.HealthCheckFinished(rng.randrange(len(entries)), rng.choice([*Outcome]), 40)
+            )
         elif what < 0.994 and counts:
             name = rng.choice(list(counts))
-            give(n, api.Told(name, counts[name] + 2.0, 0, rng.randrange(4), 1000, 3, 0))
+            give(
+                n, api.TenantTotalUpdated(name, counts[name] + 2.0, 0, rng.randrange(4), 1000, 3, 0)
+            )
         elif what < 0.996:
             limiters = rng.choice([3, 3, 4])
             told = dataclasses.replace(told, limiters=limiters, shift=rng.randrange(50))
             for to in range(3):
-                give(to, api.Ruled(dataclasses.replace(told, me=to)))
+                give(to, api.SettingsChanged(dataclasses.replace(told, me=to)))
         if step % (events // 5) == events // 5 - 1:
             marks.append(sum_.hexdigest()[:16])
     return {"actions": dict(sorted(tally.items())), "digests": marks, "whole": sum_.hexdigest()}
