--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -21,7 +21,8 @@
 
 def count(lines: list[str], every: float, spans: dict[int, Counter[str]]) -> None:
     """Adds one limiter's lines; a line tells of the time since the last one, and counts where it
-    stands."""
+    stands.
+    """
     for line in lines:
         if not (found := LINE.match(line)):
             continue
--- a/benchmarks/scale_cluster.py
+++ b/benchmarks/scale_cluster.py
@@ -52,7 +52,8 @@
 @dataclass(slots=True, frozen=True)
 class Size:
     """One point of a sweep. `changes` and `counts` are a second, counts for each limiter; `use` is
-    what each tenant uses of its quota, a few tenants being large."""
+    what each tenant uses of its quota, a few tenants being large.
+    """
 
     limiters: int = 30
     servers: int = 60
@@ -135,7 +136,8 @@
 
     def check(self, size: Size) -> Need:
         """What the size needs; TooLarge where that is beyond a limit, before anything is
-        started."""
+        started.
+        """
         wants = need(size)
         for name, has, most in (
             ("processes", wants.processes, self.processes),
@@ -149,7 +151,8 @@
 
 def bound() -> None:
     """In a child, before its program: it ends with the run, and may open as many descriptors as
-    allowed."""
+    allowed.
+    """
     ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
@@ -158,7 +161,8 @@
 @dataclass(slots=True, frozen=True)
 class Cost:
     """What a process holds: resident bytes, descriptors. Its processor time it tells itself, as the
-    ticks of others' view (10 ms) are too coarse for windows of seconds."""
+    ticks of others' view (10 ms) are too coarse for windows of seconds.
+    """
 
     resident: int
     descriptors: int
@@ -275,11 +279,13 @@
 
 class Cluster:
     """The system of one size: cores (a registry and a store each), real proxies, and hollow ones
-    beside."""
+    beside.
+    """
 
     def __init__(self, size: Size, limits: Limits, net: int, profile: str = "") -> None:
         """`net` is the second part of its addresses; `profile` the role whose first process is
-        profiled."""
+        profiled.
+        """
         self.size, self.net, self.profile = size, net, profile
         self.processes = Processes(limits)
         self.folder = Path(tempfile.mkdtemp(prefix="scale-run-"))
@@ -301,7 +307,8 @@
 
     def settings(self, name: str, role: str, ip: str, first: bool) -> str:
         """A settings file's text, with the descriptors of the sites' machines, and memory
-        enough."""
+        enough.
+        """
         zone = list(ZONES)[int(ip.rsplit(".", 1)[1]) % len(ZONES)]
         seeds = ",".join(f"{ip}:{port}" for ip, port in self.controls()[:3])
         lines = [
@@ -337,7 +344,8 @@
 
     async def program(self, role: str, n: int, first: bool = True) -> Child:
         """Starts the n-th program of a role; `first` where the whole system starts for the first
-        time."""
+        time.
+        """
         name, ip = f"{role}-{n}", self.core(n) if role != "proxy" else f"127.{self.net}.2.{n + 1}"
         conf, figures = self.folder / f"{name}.conf", self.folder / f"{name}.json"
         (self.folder / name).mkdir(exist_ok=True)
@@ -394,7 +402,8 @@
 
     async def replace(self, within: float) -> tuple[float, float, int]:
         """A new version, sent until it is taken: when it was sent first, when acknowledged,
-        tries."""
+        tries.
+        """
         self.version += 1
         body = configuration(self.version, self.size)
         began, tries = time.monotonic(), 0
@@ -469,7 +478,8 @@
 
 def quota(size: Size, n: int, whole: float) -> dict[str, float]:
     """A tenant's quota by its part of what limiters count, 5 a second at the least; where they
-    count nothing, more than requests of one proxy come to."""
+    count nothing, more than requests of one proxy come to.
+    """
     least = 5.0 if size.counts else 1000.0
     rate = max(least, round(size.limiters * size.counts / (n + 1) / whole / size.use, 1))
     return {"rate_per_s": rate, "burst_size": 2 * rate}
--- a/benchmarks/scale_fit.py
+++ b/benchmarks/scale_fit.py
@@ -15,7 +15,8 @@
 @dataclass(slots=True, frozen=True)
 class Slope:
     """A line `start + slope * by`. `off` is the worst residual as a share of what was measured
-    there; `bend` the last step's slope by the first's, 1 where the line is one."""
+    there; `bend` the last step's slope by the first's, 1 where the line is one.
+    """
 
     what: str
     by: str
@@ -28,7 +29,8 @@
 
 def fit(what: str, by: str, points: list[tuple[float, float]]) -> Slope | None:
     """Least squares of the relative distance, so that small sizes count as much; None under two
-    points."""
+    points.
+    """
     points = sorted(points)
     if len({x for x, _ in points}) < 2:
         return None
--- a/benchmarks/scale_hollow.py
+++ b/benchmarks/scale_hollow.py
@@ -46,7 +46,8 @@
 
 class Wire:
     """Messages and bytes of this process's hollow limiters, by operation; frames, without TCP's
-    own."""
+    own.
+    """
 
     def __init__(self) -> None:
         self.calls: Counter[str] = Counter()
@@ -169,7 +170,8 @@
 
 class Seen:
     """When the limiters of this process had what; times by the machine's steady clock, which all
-    share."""
+    share.
+    """
 
     def __init__(self) -> None:
         self.servers = 0  # that a limiter must know to be whole
@@ -190,7 +192,8 @@
 
     def look(self, limiter: HollowLimiter) -> None:
         """Notes when a limiter has the configuration, all servers, and that these are the
-        newest."""
+        newest.
+        """
         known = limiter.sure and limiter.sessions.version >= self.version
         if limiter not in self.whole and known and len(limiter.served) >= self.servers:
             self.whole[limiter] = time.monotonic()
@@ -208,7 +211,8 @@
 
 class HollowServer:
     """One server: its heartbeats. Calls go to the next registry where one fails, as the protocol
-    has it."""
+    has it.
+    """
 
     def __init__(
         self, n: int, service: str, zone: str, place: str, controls: list[Address], every: float
@@ -282,7 +286,8 @@
 
 async def origin(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """A server's end of one connection: each request is answered at once, as the protocol has
-    it."""
+    it.
+    """
     body = b"x" * 400
     try:
         while True:
@@ -365,7 +370,8 @@
         self, settings: str, first: int, many: int, spread: float, servers: int, version: int
     ) -> Figures:
         """Starts limiters, by chance over `spread` seconds; whole once they know so many
-        servers."""
+        servers.
+        """
         self.rng = Random(first)
         known, self.seen.servers, self.seen.version = parse(settings), servers, version
         for n in range(first, first + many):
@@ -399,7 +405,8 @@
 
     async def do_counts(self, rate: float, tenants: int) -> Figures:
         """Steps a second and limiter from now on, of tenants of which a few are large; 0 ends
-        them."""
+        them.
+        """
         if self.steps is not None:
             self.steps.cancel()
             self.steps = None
@@ -435,7 +442,8 @@
         self, ip: str, port: int, rate: float, seconds: float, routes: int, tenants: int, seed: int
     ) -> Figures:
         """Requests at a rate, whatever comes back, on kept connections: statuses, and times in ms
-        from when each was due."""
+        from when each was due.
+        """
         load = Load((ip, port), routes, tenants, Random(seed))
         return await load.run(rate, seconds)
 
--- a/benchmarks/scale_measure.py
+++ b/benchmarks/scale_measure.py
@@ -44,7 +44,8 @@
 
 def times(values: list[float]) -> Figures:
     """Median, 99th and worst of times in seconds, in milliseconds, by a histogram of three
-    digits."""
+    digits.
+    """
     histogram = HdrHistogram(1, 3_600_000_000, 3)
     for value in values:
         histogram.record_value(max(1, round(value * 1e6)))
@@ -146,7 +147,8 @@
 
     async def window(self, name: str, seconds: float) -> None:
         """What each role costs a second; the registry that counts and the primary store are told
-        apart."""
+        apart.
+        """
         counter, primary = await self.seats()
         before = await self.sample()
         await asyncio.sleep(seconds)
@@ -345,7 +347,8 @@
 
     async def changes(self) -> None:
         """Changes of the configuration at their rate; how long each is under way to each
-        limiter."""
+        limiter.
+        """
         cluster, size = self.cluster, self.size
         seconds = self.seconds if size.changes else 0.0
         many = max(LEAST_CHANGES, round(size.changes * seconds))
@@ -443,7 +446,8 @@
 
     async def cold_start(self) -> None:
         """SIGKILL to the whole core, and a start of all: until limiters are sure again of the
-        newest."""
+        newest.
+        """
         cluster, size = self.cluster, self.size
         core = [
             child for child in cluster.processes.running() if child.role in ("registry", "store")
@@ -462,7 +466,8 @@
 
     async def traffic(self, rate: float) -> None:
         """Requests through one real proxy to servers that answer at once, and to one of these
-        itself: what the proxy adds, and what a request costs it."""
+        itself: what the proxy adds, and what a request costs it.
+        """
         cluster, size = self.cluster, self.size
         if not self.clients:
             self.clients = [await cluster.worker("clients", 0)]
@@ -504,7 +509,8 @@
     """One size, from its start to the end of all its processes, however that comes. `began` is
     given the ids of all processes that were started; `rates` are of requests a second through a
     real proxy, one after the other. Raises TooLarge, before anything is started where that can be
-    known."""
+    known.
+    """
     wants = limits.check(size)
     cluster, at = Cluster(size, limits, free_net(), profile), time.monotonic()
     run = Run(cluster, seconds, say, events, rates)
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -303,7 +303,8 @@
 
 async def signalled(work: Any) -> Figures:
     """The work, called off at SIGINT or SIGTERM: it ends what it started, then
-    KeyboardInterrupt."""
+    KeyboardInterrupt.
+    """
     loop, task = asyncio.get_running_loop(), asyncio.ensure_future(work)
     for sig in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(sig, task.cancel)
--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -45,7 +45,8 @@
 @dataclass(slots=True)
 class Meter:
     """What went on since the last `take`: by host, program and operation; and work by host, in
-    seconds."""
+    seconds.
+    """
 
     calls: Counter[tuple[str, str, str]] = field(default_factory=Counter)
     bytes: Counter[tuple[str, str, str]] = field(default_factory=Counter)
@@ -144,7 +145,8 @@
 
 def looked(town: Cluster, meter: Meter, seconds: float, alone: bool = False) -> dict[str, Any]:
     """Per second and machine: calls, bytes, work; `counter` is the registry that counts. Where
-    `alone`, sums for an event rather than rates."""
+    `alone`, sums for an event rather than rates.
+    """
     counter = town.counting()
     rows: dict[str, Any] = {}
     groups: dict[str, tuple[str, list[str]]] = {
--- a/loomstand/admission/actors.py
+++ b/loomstand/admission/actors.py
@@ -1,5 +1,6 @@
 """Parts that change each other by notes alone, the loop that hands the notes out, and plain records
-and counts for them. Nothing here decides."""
+and counts for them. Nothing here decides.
+"""
 
 from __future__ import annotations
 
@@ -53,7 +54,8 @@
 
 class CounterUser(Protocol):
     """What calls to the counter are made for: `report` adds its use, `counted` gets a total or
-    none."""
+    none.
+    """
 
     digest: int
     length: int
@@ -65,7 +67,8 @@
 @dataclass(slots=True, eq=False)
 class PendingRequest(Generic[A]):
     """A req that is owed its answer, or whose dispatches are still out; `A` is the account's
-    type."""
+    type.
+    """
 
     note: api.RequestArrived
     account: A
--- a/loomstand/admission/admission_control.py
+++ b/loomstand/admission/admission_control.py
@@ -130,7 +130,8 @@
 
     def again(self, job: PendingRequest[TenantLimiter]) -> None:
         """Another dispatch where it is allowed and can still be in time, else the final answer at
-        once."""
+        once.
+        """
         fleet, now = self.fleets[job.note.service], self.loop.now
         row = fleet.rows[job.note.frontend]
         late = now + row.times.quantile(0.25, 0) > job.target and row.front.late_value <= 0
--- a/loomstand/admission/backend.py
+++ b/loomstand/admission/backend.py
@@ -42,7 +42,8 @@
 
     def aside(self, front: int) -> bool:
         """Whether most of its last few outcomes failed, for this frontend or for want of any sign
-        of life."""
+        of life.
+        """
         # after long it gets another chance: reqs that must not run twice make no trickle
         rows = (
             self.recent.get(n, ()) for n in (front, -1) if self.loop.now - self.failed_at <= 200_000
--- a/loomstand/admission/counter_client.py
+++ b/loomstand/admission/counter_client.py
@@ -1,6 +1,7 @@
 """Makes the calls to the counter, as often as this limiter's share of it bears: one that is
 crowded, slow, silent or refusing shows by calls that fail or take long, and all limiters slow down
-together."""
+together.
+"""
 
 from loomstand.admission import interface as api
 from loomstand.admission.actors import NEVER, Actor, ActorLoop, CounterUser, WaitQueues
@@ -25,7 +26,8 @@
 
     def want(self, account: CounterUser) -> None:
         """The newest go first; one that has waited long is of little use, its use goes with its
-        next call."""
+        next call.
+        """
         self.due.pop(account, None)
         self.due[account] = None
         if len(self.due) > 10 + 20_000 * self.pace:  # two seconds' calls
--- a/loomstand/admission/decision_engine.py
+++ b/loomstand/admission/decision_engine.py
@@ -1,7 +1,8 @@
 """A front makes one Brain for each limiter and calls `handle(now, note)` for every note in order;
 it gets back the actions to carry out, in order. Parts (Desk, Keeper, Accounts, Servers) change each
 other only by notes put into inboxes; they may read each other's figures. Fleets are the Desk's
-own."""
+own.
+"""
 
 from loomstand.admission import interface as api
 from loomstand.admission.actors import ActorLoop
--- a/loomstand/admission/histogram.py
+++ b/loomstand/admission/histogram.py
@@ -34,7 +34,8 @@
 
 class Rate:
     """A rate of events whose past fades: `half` is its half-life, `unit` the time of which its sum
-    is."""
+    is.
+    """
 
     def __init__(self, half: int, unit: int, now: int) -> None:
         self.half, self.unit, self.sum, self.at = half, unit, 0.0, now
--- a/loomstand/admission/identifiers.py
+++ b/loomstand/admission/identifiers.py
@@ -1,5 +1,6 @@
 """What a front needs to speak in the module's terms: small indices, tenths of a millisecond,
-digests."""
+digests.
+"""
 
 from __future__ import annotations
 
--- a/loomstand/admission/interface.py
+++ b/loomstand/admission/interface.py
@@ -218,7 +218,8 @@
 @dataclass(slots=True)
 class TenantTotalUpdated:
     """The counter tells the running total of a customer near its quota unasked, also where its reqs
-    were never seen. `name` is as in a Count."""
+    were never seen. `name` is as in a Count.
+    """
 
     name: int
     total: float
@@ -241,7 +242,8 @@
 @dataclass(slots=True)
 class SettingsChanged:
     """Other settings from now on, swapped whole. Frontends and plans keep their places and only
-    grow in number; a plan's figures may change, a frontend's may not."""
+    grow in number; a plan's figures may change, a frontend's may not.
+    """
 
     settings: EngineSettings
 
@@ -273,7 +275,8 @@
 @dataclass(slots=True)
 class Reject:
     """Final answer: declined, trying again is harmless; `wait` 0 gives no advice, `why` is as
-    counted."""
+    counted.
+    """
 
     req: int
     wait: int = 0
--- a/loomstand/admission/load_balancer.py
+++ b/loomstand/admission/load_balancer.py
@@ -1,5 +1,6 @@
 """One service's servers: those in use, how many dispatches may be out, and which of them a req goes
-to."""
+to.
+"""
 
 from dataclasses import replace
 from math import log
@@ -85,7 +86,8 @@
 
     def room(self, job: PendingRequest[TenantLimiter]) -> bool:
         """The fuller the servers, the more value for its work a req must bring, beside the best
-        lately."""
+        lately.
+        """
         work = self.rows[job.note.frontend].times.mean(2000, 4)
         worth = job.worth / work
         self.best = max(worth, self.best * 0.999)  # halved in some 700 reqs
@@ -120,7 +122,8 @@
 
     def heed(self) -> None:
         """What the guide found of zones: room goes with a lost one at once, not answer by late
-        answer."""
+        answer.
+        """
         for line in self.guide.moved(self.loop.now):
             self.near_at = NEVER
             self.loop.actions.append(api.LogMessage(line))
@@ -128,7 +131,8 @@
 
     def pick(self, job: PendingRequest[TenantLimiter]) -> Backend | None:
         """One of the servers in use, the shorter the expected wait, the likelier: the more limiters
-        share the servers, the less the own dispatches tell and the more chance decides."""
+        share the servers, the less the own dispatches tell and the more chance decides.
+        """
         s, front = self.loop.settings, job.note.frontend
         old = self.loop.now - self.near_at  # who has just failed is passed over without waiting
         if old > 20_000 or (
@@ -163,7 +167,8 @@
     def cold_ok(self, srv: Backend) -> bool:
         """Against what one of this limiter's servers answers to it; if all are cold, what they just
         answered at their warmth, and one req at a time by all limiters: none carried a thing, so
-        none would be let."""
+        none would be let.
+        """
         if srv.warmth() >= 1.0:
             return True
         near, carried = self.near[0], self.passed(0) / max(1, len(self.near[0]))
@@ -177,7 +182,8 @@
     def passed(self, more: int) -> float:
         """Answers a tenth, with a half-life of 2 s or of 16 s, whichever is more: what servers
         carried lately they can carry. By the first alone budgets fall with the reqs denied for want
-        of budget, and so on."""
+        of budget, and so on.
+        """
         return max([flow.add(more, self.loop.now) for flow in self.flows][:2])
 
     def may_repeat(self, job: PendingRequest[TenantLimiter], srv: Backend) -> bool:
@@ -238,7 +244,8 @@
     def judge(self, note: api.AttemptEnded, row: Row, hall: int = 0) -> None:
         """The window aims at a short queue over all servers, known from all answers together.
         Silence is a single server's more often, and counts less; so does a req turned away while
-        answers are quick."""
+        answers are quick.
+        """
         target = row.target
         slow = min(1.0, (self.times.mean(target, 1) / (0.3 * target)) ** 2)
         # Waiting is judged, not work. With work of a fifth of the target or less: 0.5 and 0.8 of
--- a/loomstand/admission/tenant_limiter.py
+++ b/loomstand/admission/tenant_limiter.py
@@ -1,5 +1,6 @@
 """A customer's smoothed bucket at this limiter, and its part of the quota. Thousands are held at
-once."""
+once.
+"""
 
 from __future__ import annotations
 
@@ -135,13 +136,15 @@
 
     def part(self) -> float:
         """Of the burst; firm parts are even, as a split is known to some limiters later than to
-        others."""
+        others.
+        """
         share = 1 / self.n if self.firm or not self.rate else min(1.0, self.pace / self.rate)
         return max(self.least, self.depth * share)
 
     def roll(self) -> None:
         """Lets the burst counts and the ceiling move with the clock, and turns to a new
-        interval."""
+        interval.
+        """
         now, gone = self.loop.now, self.loop.now - self.used_at
         self.level = max(0.0, self.level - self.pace * gone)
         # without totals others take their parts
@@ -166,7 +169,8 @@
     def turns(self, at: int) -> float:
         """What has come from the ceiling to this limiter by a clock reading: a unit at a time, in
         turn with the others: shares that trickle to all at once hold no whole req for long after a
-        start."""
+        start.
+        """
         if not (unit := self.unit):
             return at * self.cap_rate / self.n
         return unit * ((at * self.cap_rate / unit - self.place) // self.n)
@@ -174,7 +178,8 @@
     def held(self, at: int) -> float:
         """The most that this limiter may hold of the ceiling. Where a share holds no whole unit,
         the unit of its turn, until so many turns of the others have come that all held would be
-        more than the ceiling."""
+        more than the ceiling.
+        """
         if self.cap_depth >= self.unit or not self.unit:
             return self.cap_depth
         # the turns since its own, of all
@@ -199,7 +204,8 @@
 
     def lets(self, units: float, retry: bool) -> bool:
         """Whether the part has room, one too small for a req by chance; a req that comes again was
-        denied."""
+        denied.
+        """
         since, small = self.loop.now - self.synced, self.depth < self.n
         fits = self.whole + units <= self.depth + 1e-9
         if self.firm:
@@ -223,7 +229,8 @@
 
     def doubt(self) -> bool:
         """Whether nothing tells if the customer is beyond its quota: unseen, a part of half a req
-        or less."""
+        or less.
+        """
         return (
             2 * self.depth < self.n and self.synced == NEVER and self.rate > 0 and not self.costless
         )
--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -14,7 +14,7 @@
 
 @click.group()
 def main() -> None:
-    """loomstand holds customers to their quotas before a shared back end."""
+    """Loomstand holds customers to their quotas before a shared back end."""
 
 
 def configured(path: str | None) -> Config:
@@ -83,7 +83,8 @@
 @main.group()
 def lab() -> None:
     """Play the fleet in simulated time: the real module at sizes sockets don't reach
-    (docs/lab.md)."""
+    (docs/lab.md).
+    """
 
 
 def scenario_table(path: str) -> dict:
@@ -141,7 +142,8 @@
 )
 def lab_sweep(scenario_file: str, setting: str, seed: int | None, out: str, workers: int) -> None:
     """Play SCENARIO once a value of KEY, in parallel; a report a point in OUT/point-N, plots at the
-    end."""
+    end.
+    """
     import json
     from pathlib import Path
 
@@ -200,7 +202,8 @@
     plot: bool,
 ) -> None:
     """Play SCENARIO on limiter processes among stand-ins (docs/rehearse.md); exit 0 only if all
-    holds."""
+    holds.
+    """
     import tempfile
     from pathlib import Path
 
@@ -276,7 +279,8 @@
 @click.argument("path", metavar="FILE", type=click.Path(dir_okay=False))
 def plan_show(path: str) -> None:
     """Tell for the loss of each zone of the plan in FILE where its load goes and what is refused;
-    exit 1 if the fleet does not bear one."""
+    exit 1 if the fleet does not bear one.
+    """
     from loomstand.failover.zone_plan import forecast
 
     told, borne = site_plan(path), True
--- a/loomstand/config/__init__.py
+++ b/loomstand/config/__init__.py
@@ -1,2 +1,3 @@
 """What the three programs share, and what decides nothing: settings, the checked configuration,
-verdicts."""
+verdicts.
+"""
--- a/loomstand/config/configuration.py
+++ b/loomstand/config/configuration.py
@@ -36,7 +36,8 @@
 class Route:
     """Where requests of a host (in small letters) under a prefix go. Times are in seconds; of
     `split`, each is a service and its weight, the weights of 0 or more and not all 0; `priority` 0
-    is the highest."""
+    is the highest.
+    """
 
     name: str
     host: str
@@ -53,7 +54,8 @@
 @dataclass(slots=True, frozen=True)
 class Service:
     """How a service's servers are asked about their health, and how many connections each takes
-    from all."""
+    from all.
+    """
 
     name: str
     health_check_path: str
@@ -63,7 +65,8 @@
 @dataclass(slots=True, frozen=True)
 class Tenant:
     """A customer: `rate` requests a second and `burst` beyond, over all limiters; 0 is
-    unlimited."""
+    unlimited.
+    """
 
     name: str
     keys: tuple[str, ...] = field(repr=False)  # never in a log
@@ -85,7 +88,8 @@
 @dataclass(slots=True, frozen=True)
 class Configuration:
     """A whole configuration and the bytes it came in. `tenants` is None where that kind doesn't
-    appear at all: then no request needs a key."""
+    appear at all: then no request needs a key.
+    """
 
     version: int
     routes: tuple[Route, ...]
@@ -381,7 +385,8 @@
 
 class Reader:
     """Reads one configuration after another. Of thousands of routes a change alters few: what stood
-    in the last one, to the byte of its values, isn't read anew."""
+    in the last one, to the byte of its values, isn't read anew.
+    """
 
     __slots__ = ("last",)
 
--- a/loomstand/config/limiter.py
+++ b/loomstand/config/limiter.py
@@ -184,7 +184,8 @@
 def load(env: Mapping[str, str], path: str | None = None, again: bool = False) -> Config:
     """The configuration from the environment and the JSON file it names; the environment wins, but
     not over a file that is read again: a running program's environment can't follow what has
-    moved."""
+    moved.
+    """
     path = path or env.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("key 'PROXY_CONFIG': not set, and no file was named")
--- a/loomstand/config/routes.py
+++ b/loomstand/config/routes.py
@@ -1,5 +1,6 @@
 """The routes of a configuration as a snapshot that is built once, never changed and swapped
-whole."""
+whole.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +22,8 @@
 @dataclass(slots=True, frozen=True, eq=False)
 class Table:
     """What is asked for each request. `ways` has, for each host and prefix, the services that its
-    requests may go to: those with a weight over 0."""
+    requests may go to: those with a weight over 0.
+    """
 
     configuration: Configuration
     ways: Mapping[tuple[str, str], frozenset[str]]
@@ -54,7 +56,8 @@
 
     def find(self, host: bytes, path: bytes) -> Route | None:
         """The route with the longest prefix that begins `path` (without its query), of the host in
-        a Host header: any case, with or without a port."""
+        a Host header: any case, with or without a port.
+        """
         host = host.lower()
         found = self._hosts.get(host)
         if found is None:
--- a/loomstand/config/settings.py
+++ b/loomstand/config/settings.py
@@ -28,13 +28,15 @@
 
 class SettingsError(ValueError):
     """Settings that can't be used: one line that begins with the key, as in `network.seed_nodes:
-    missing`."""
+    missing`.
+    """
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
     """What the process may use: `cpu_share` of a core that is `cpu_cores` times as fast; megabytes;
-    descriptors, 200 of them reserved; megabits a second."""
+    descriptors, 200 of them reserved; megabits a second.
+    """
 
     cpu_share: float
     cpu_cores: float
@@ -92,7 +94,8 @@
 class Settings:
     """The settings that the programs use. `internal_ports` are the first and the last; `heartbeat`
     is in seconds; `data_directory` is empty where there is no disk; `serves` is empty for a role
-    that only the system's own call."""
+    that only the system's own call.
+    """
 
     node_name: str
     role: str
--- a/loomstand/config/units.py
+++ b/loomstand/config/units.py
@@ -62,7 +62,8 @@
 
 def ip(text: str) -> str:
     """An IPv4 number, as it stands; nothing here looks names up. A leading zero is refused, as some
-    read it in eights."""
+    read it in eights.
+    """
     parts = text.split(".")
     if len(parts) != 4 or not all(
         p.isascii() and p.isdigit() and len(p) <= 3 and int(p) <= 255 and str(int(p)) == p
--- a/loomstand/ctl/advice.py
+++ b/loomstand/ctl/advice.py
@@ -125,7 +125,8 @@
 
 def _nested(routes: tuple[Route, ...], places: _Places) -> Iterator[Warning]:
     """Routes of a host and kind inside each other; one of another kind is how kinds are told
-    apart."""
+    apart.
+    """
     found = {(route.host, route.prefix): route for route in routes}
     for route in routes:
         end = route.prefix.rfind("/", 0, len(route.prefix) - 1) + 1
--- a/loomstand/ctl/calls.py
+++ b/loomstand/ctl/calls.py
@@ -104,7 +104,8 @@
 
 def asked(addresses: list[Address], call: str, body: bytes, within: float) -> Answer:
     """The 200 that a call came to; it is repeated unchanged, from address to address, until then.
-    Raises Wrong, code 1, when it is refused or the time is over."""
+    Raises Wrong, code 1, when it is refused or the time is over.
+    """
     until, pause, others, at = time.monotonic() + within, FIRST_PAUSE, 0, 0
     while True:
         try:
--- a/loomstand/ctl/compare.py
+++ b/loomstand/ctl/compare.py
@@ -37,7 +37,8 @@
 @dataclass(slots=True, frozen=True)
 class Difference:
     """`prevails`: the new one's version is the higher. `keys` says if requests begin or cease to
-    need one."""
+    need one.
+    """
 
     old: str
     new: str
@@ -94,7 +95,8 @@
 
 def _keys(was: set[str], now: set[str]) -> list[Any]:
     """What came and went. Masked keys can't be told apart: of them only the number says
-    something."""
+    something.
+    """
     if any(map(masked, was | now)):
         return [f"{len(was)}", f"{len(now)}"] if len(was) != len(now) else []
     return (
--- a/loomstand/ctl/days.py
+++ b/loomstand/ctl/days.py
@@ -46,7 +46,8 @@
 
 def _keep(out: str, files: dict[str, str]) -> None:
     """Writes what isn't there yet. Raises Wrong, with nothing written, where a file
-    holds something else, as one of another draw."""
+    holds something else, as one of another draw.
+    """
     try:
         os.makedirs(out, exist_ok=True)
         for name, text in files.items():
--- a/loomstand/ctl/journal.py
+++ b/loomstand/ctl/journal.py
@@ -42,7 +42,8 @@
 
 def _labels(asked: JournalShow, found: Entry) -> tuple[tuple[str, ...], tuple[str, ...]]:
     """Names of kinds of request and zones by the site's file: the one given, or one that the bench
-    had."""
+    had.
+    """
     had = [word for word in found.argv if word.endswith(".toml") and os.path.isfile(word)]
     paths = [asked.site] if asked.site else had
     for path in paths:
--- a/loomstand/ctl/plain.py
+++ b/loomstand/ctl/plain.py
@@ -15,7 +15,8 @@
 
 class Wrong(Exception):
     """Ends a command with one line on standard error and an exit code: 1 something wrong was found,
-    2 the usage or the input is bad."""
+    2 the usage or the input is bad.
+    """
 
     def __init__(self, why: str, code: int = 2) -> None:
         super().__init__(why)
--- a/loomstand/failover/engine_view.py
+++ b/loomstand/failover/engine_view.py
@@ -74,7 +74,8 @@
 
     def limiters(self, gone: int = -1) -> float:
         """The share of all limiters that is left: those of lost zones are taken for gone with them,
-        as their clients come to the others; `gone` is a zone that counts as lost too."""
+        as their clients come to the others; `gone` is a zone that counts as lost too.
+        """
         count = {z.name: z.limiters for z in self.plan.zones}
         every, left = sum(count.values()), 0
         for n, name in enumerate(self.names[2]):
@@ -83,7 +84,8 @@
 
     def least(self, limiters: int) -> float:
         """The least room: five a server, by all limiters that are left together (as the
-        module's)."""
+        module's).
+        """
         live = sum(len(z.live) for n, z in self.watch.zones.items() if not self.avoided(n))
         return 5 * live / max(1.0, limiters * self.limiters())
 
@@ -97,7 +99,8 @@
         """The most room that this limiter may take: what the plan's zones that are left can do, in
         the share that its clients ask of all that the plan says is asked. Found on the rig: by
         answers alone one of eight limiters came to twice the room of the others, and let in what is
-        refused first while those refused what is worth five times as much."""
+        refused first while those refused what is worth five times as much.
+        """
         if not self.stated:
             return float("inf")
         names = self.names[2]
@@ -113,7 +116,8 @@
     def passes(self, zone: int, warmth: float, chance: float) -> bool:
         """Whether a server may be chosen this time: a cold one by its warmth, so that all limiters
         together send it what it can do; one of a returning zone by the zone's share, unless it is
-        cold anyway and the zone was not lost again after its last return."""
+        cold anyway and the zone was not lost again after its last return.
+        """
         share = self.watch.share(zone)
         if warmth < 1.0 and share < 1.0 and self.watch.zones[zone].hold == 1:
             share = 1.0
@@ -121,7 +125,8 @@
 
     def probes(self, zone: int, rank: int, trickle: float, chance: float) -> bool:
         """Whether a req may be spent on a server set aside: only of what is refused first, and by
-        the server's own trickle unless its zone is lost."""
+        the server's own trickle unless its zone is lost.
+        """
         return rank == 0 and chance < (PROBE if self.avoided(zone) else trickle)
 
     def admits(self, now: int, rank: int, work: float, room: float, chance: float) -> bool:
@@ -129,7 +134,8 @@
 
     def moved(self, now: int) -> list[str]:
         """Judges the zones; what changed, as lines for the operators. `scale` is what is left of
-        the room."""
+        the room.
+        """
         self.now = now
         self.watch.look(now)
         self.scale, lines = 1.0, []
--- a/loomstand/failover/shedding_order.py
+++ b/loomstand/failover/shedding_order.py
@@ -56,7 +56,8 @@
 
     def admits(self, now: int, rank: int, work: float, room: float, chance: float) -> bool:
         """Whether a req that takes `work` (tenths) is let in, with room for so many dispatches at
-        once."""
+        once.
+        """
         for meter in self.meters:
             meter.add(now, rank, work)
         if now - self.worked_out >= EVERY:
@@ -67,7 +68,8 @@
 
 def shares(demand: Sequence[float], room: float, kept: float) -> list[float]:
     """By rank: the share let in. Room goes to the last rank first; the others may not use what is
-    kept."""
+    kept.
+    """
     out, last = [0.0] * len(demand), len(demand) - 1
     left = room
     for rank in range(last, -1, -1):
@@ -87,7 +89,8 @@
 
     The module's own window takes one off for each late answer: all of a peak come late together,
     the window of a limiter of eight falls to half, and the fleet swings between half empty and
-    overfull."""
+    overfull.
+    """
 
     GAIN = 1 / 16  # of the late share, an answer: DCTCP's
     GROW = 1 / 20  # of the least, a clean round: from two thirds to the whole in some ten rounds
--- a/loomstand/failover/subset_selection.py
+++ b/loomstand/failover/subset_selection.py
@@ -1,5 +1,6 @@
 """Which of a service's servers a limiter uses: a stretch of their ring, the same few for long.
-Pure."""
+Pure.
+"""
 
 from __future__ import annotations
 
--- a/loomstand/failover/zone_loss_detector.py
+++ b/loomstand/failover/zone_loss_detector.py
@@ -63,7 +63,8 @@
 class Watch:
     """All zones as one limiter sees them. `patience` is the response target (the longest of all
     frontends where they differ: a zone is not lost because one frontend is slow), `ramp` how long a
-    return takes and `start` the share that it begins with."""
+    return takes and `start` the share that it begins with.
+    """
 
     def __init__(self, patience: int, ramp: int, start: float) -> None:
         self.patience, self.ramp, self.start = patience, max(ramp, 4 * patience), start
@@ -75,7 +76,8 @@
 
     def listed(self, now: int, servers: Iterable[tuple[int, int, int]]) -> None:
         """The servers that the list has as live now: server, zone, when it started (0: long
-        ago)."""
+        ago).
+        """
         there: dict[int, dict[int, int]] = {}
         for srv, zone, booted in servers:
             there.setdefault(zone, {})[srv] = booted
@@ -103,7 +105,8 @@
         self, now: int, key: tuple[int, int], zone: int, srv: int, alive: bool, late: bool
     ) -> None:
         """A dispatch ended; `alive` if something came from the server, `late` if after its
-        target."""
+        target.
+        """
         here = self.zones.setdefault(zone, Zone())
         here.open.pop(key, None)
         if srv not in here.live:
@@ -133,7 +136,8 @@
     def silent(self, now: int, zone: Zone) -> tuple[set[int], set[int]]:
         """Servers that owe a sign of life since the zone's last one (an answer was due, or failed
         to come), and all that were used lately. What was due before tells of single servers: others
-        answered since."""
+        answered since.
+        """
         out = {srv for srv, t in zone.failed.items() if t > zone.heard_at}
         for _, due, srv in zone.open.values():
             if due > now:
@@ -147,7 +151,8 @@
 
     def look(self, now: int) -> None:
         """Judges all zones; called with whatever happens, it does something every eighth of the
-        patience."""
+        patience.
+        """
         if now - self.looked < self.patience // 8:
             return
         self.looked = now
--- a/loomstand/failover/zone_plan.py
+++ b/loomstand/failover/zone_plan.py
@@ -89,7 +89,8 @@
 
     def rank(self, frontend: str, plan: str, retry: bool, beyond: bool) -> int:
         """The rank of a req, 0 for what is refused first. What `keep` fits has the last one; of
-        `refuse` the first entry that fits counts; what none fits is refused after all of those."""
+        `refuse` the first entry that fits counts; what none fits is refused after all of those.
+        """
         if self.keep is not None and self.keep.fits(frontend, plan, retry, beyond):
             return len(self.refuse) + 1
         fitting = (n for n, r in enumerate(self.refuse) if r.fits(frontend, plan, retry, beyond))
@@ -98,7 +99,8 @@
 
 def parse(table: dict, frontends: Sequence[str] = (), plans: Sequence[str] = ()) -> SitePlan:
     """The plan in a table. Where names of frontends and plans are given, it may name no other.
-    Raises PlanError naming the key."""
+    Raises PlanError naming the key.
+    """
     plan = convert(table, SitePlan)
     places = [(f"refuse[{n}]", r) for n, r in enumerate(plan.refuse)]
     places += [("keep", plan.keep)] if plan.keep else []
@@ -161,7 +163,8 @@
 
 def forecast(plan: SitePlan, lost: str) -> Forecast:
     """The loss of a zone, `lost` empty for none: its work goes to the survivors by the room that
-    each has, and what they have no room for is refused in the plan's order."""
+    each has, and what they have no room for is refused in the plan's order.
+    """
     left = [z for z in plan.zones if z.name != lost]
     slots = sum(z.servers * z.slots for z in left)
     room = slots * plan.fill
--- a/loomstand/limiter/buffers.py
+++ b/loomstand/limiter/buffers.py
@@ -49,7 +49,8 @@
 
     def space(self) -> memoryview:
         """The next free stretch to write into; empty when full. `wrote` says how much of it was
-        used."""
+        used.
+        """
         if self.used == self.size and not self.grow(self.size + 1):
             return memoryview(b"")
         tail = self.head + self.used
--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -180,13 +180,15 @@
 
     def answered(self, client: Client) -> None:
         """Keeps them in the order of their last answer: who asks once and stays comes to the
-        front."""
+        front.
+        """
         if self.clients.pop(client, self) is None:
             self.clients[client] = None
 
     def close_idle(self, spared: Client | None = None) -> bool:
         """Closes the connection that has been idle longest, if there is one on which nothing has
-        come."""
+        come.
+        """
         for client in self.clients:
             if client is not spared and client.free:
                 client.wire.stop(Ending.IDLE)
@@ -195,7 +197,8 @@
 
     def close_silent(self, spared: Client | None, within: float) -> bool:
         """Closes the oldest connection that has never sent anything, if there is one older than
-        that."""
+        that.
+        """
         since = self.limiter.loop.time() - within
         for client in self.clients:
             if client.busy_at > since:
@@ -207,7 +210,8 @@
 
     def close_stuck(self, within: float) -> bool:
         """Closes the connection that has been within a message, or lingers, longest, and longer
-        than that."""
+        than that.
+        """
         since = self.limiter.loop.time() - within
         stuck = [c for c in self.clients if c.began < since and c.stuck]
         if stuck:
@@ -224,7 +228,8 @@
 
     def sweep(self, patience: float) -> None:
         """Ends connections that stopped within a message, don't take their answer, linger, or stay
-        idle: some clients ask once, or nothing, and keep their connection for good."""
+        idle: some clients ask once, or nothing, and keep their connection for good.
+        """
         now = self.limiter.loop.time()
         for client in list(self.clients):
             if now - client.busy_at > self.stays and client.free:
--- a/loomstand/limiter/counter.py
+++ b/loomstand/limiter/counter.py
@@ -102,7 +102,8 @@
 
     def move(self, address: tuple[str, int]) -> None:
         """The counter listens elsewhere from now on; what the old one was sent is still waited
-        for."""
+        for.
+        """
         old, self.line, self.address = self.line, None, address
         self.patience = self.timeout
         if old is not None and old.calls:
@@ -132,7 +133,8 @@
 
     def arm(self) -> None:
         """One timer, for the oldest call; none where no call is open, as each turn of the loop
-        costs."""
+        costs.
+        """
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -159,7 +161,8 @@
 
     def answered(self, call: Call, status: int, body: bytes) -> bool:
         """Whether this is an answer that the counter gives: after any other its connection is of no
-        use."""
+        use.
+        """
         outcome, total = called(status), 0.0
         if outcome is Outcome.PASSED:
             if TOTAL(body) and isfinite(float(body)):
--- a/loomstand/limiter/endings.py
+++ b/loomstand/limiter/endings.py
@@ -1,5 +1,6 @@
 """Every way in which a connection, or what was sent on it, can end; and what that means to the
-module."""
+module.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +34,8 @@
 
 def outcome(ending: Ending, written: bool) -> Outcome:
     """What the end of its connection means to a dispatch; `written` if its last byte had been
-    written."""
+    written.
+    """
     if not written:
         # the server begins a req when its last byte has come: this one never ran
         return Outcome.NOT_SENT if ending in KEPT_HERE else Outcome.NO_CONNECTION
@@ -54,7 +56,8 @@
 
 def called(status: int) -> Outcome:
     """What the counter's whole answer means to a call: some say that nothing was added, others
-    nothing."""
+    nothing.
+    """
     if status == 200:
         return Outcome.PASSED
     return Outcome.TURNED_AWAY if status in (400, 404, 503) else Outcome.NO_ANSWER
--- a/loomstand/limiter/event_loop.py
+++ b/loomstand/limiter/event_loop.py
@@ -1,5 +1,6 @@
 """The thin driver under every connection: reads into one ring, writes from another, and says how it
-ended."""
+ended.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +24,8 @@
 
 class Turns(selectors.DefaultSelector):
     """The loop's selector, which also keeps what bounds the time at which the bytes now read had
-    come."""
+    come.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -46,13 +48,15 @@
 
     def came(self, made: int, made_at: float) -> float:
         """The earliest at which bytes now read can have come, on a connection made in turn `made`:
-        what is there when it is first looked at can have come with it."""
+        what is there when it is first looked at can have come with it.
+        """
         return made_at if self.count <= made + 1 else self.since
 
 
 class Untimed:
     """In its place on a loop of somebody else's: bytes are taken to have come when they are
-    read."""
+    read.
+    """
 
     count, longest = 0, 0.0
 
@@ -66,7 +70,8 @@
 
 class Wire(asyncio.BufferedProtocol):
     """One connection. Its user gives `received` and `ended`, which is called once; neither after
-    `drop`."""
+    `drop`.
+    """
 
     __slots__ = (
         "ending",
@@ -174,7 +179,8 @@
 
     def sever(self) -> None:
         """Makes the coming end a reset: what the system still holds of the sending is thrown away,
-        so that it isn't delivered seconds later, where a cut heals."""
+        so that it isn't delivered seconds later, where a cut heals.
+        """
         if self.transport is not None:
             reset_on_close(self.transport)
 
@@ -206,7 +212,8 @@
 
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
     """Has the system forget what it holds to send when the transport closes, and reset the
-    connection."""
+    connection.
+    """
     # there is no socket beneath it
     if (asked := transport.get_extra_info("reset_on_close")) is not None:
         asked()
@@ -257,7 +264,8 @@
     most: int,
 ) -> Listens:
     """Takes in connections, `at_once` of them in one turn of the loop; the system may hold
-    `most`."""
+    `most`.
+    """
     sock = socket.create_server(address, family=family(address))
     # that is what a turn takes in
     server = await loop.create_server(make, sock=sock, backlog=at_once)
@@ -269,7 +277,8 @@
     loop: asyncio.AbstractEventLoop, wire: Wire, address: tuple[str, int], within: float
 ) -> None:
     """Opens a connection for `wire`, whose user gets `opened`, or `ended` if it does not come up
-    within that many seconds."""
+    within that many seconds.
+    """
 
     async def run() -> None:
         sock = None
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -1,5 +1,6 @@
 """What every limiter on sockets does, whatever its clients speak: reqs, their dispatches and their
-ends."""
+ends.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +25,8 @@
 
 class GatewayCore:
     """The front, the pool and the module of one limiter, and the reqs between them. A limiter gives
-    `front`, `pool`, `brain` and how its answers look."""
+    `front`, `pool`, `brain` and how its answers look.
+    """
 
     front: Front
     pool: Pool
@@ -116,7 +118,8 @@
     def make_room(self, spared: Client | None = None) -> bool:
         """Closes a connection: of a client that has said nothing so far, else an idle one, to a
         server rather than of a client, which may be about to use it, else of a client that is stuck
-        within a message."""
+        within a message.
+        """
         # by then a usual client has sent something
         front, within = self.front, self.pool.connect_timeout
         idle = (
@@ -126,7 +129,8 @@
 
     def stop(self) -> None:
         """Serves on, closes what is idle, and ends when nothing is left and nothing more can
-        come."""
+        come.
+        """
         if self.front.stopping:
             return
         self.log("told to stop")
@@ -151,7 +155,8 @@
 
     def owed(self, req: Req, client: Client, timeout: int, at: float) -> None:
         """From here on the req is owed an answer; it is given up `timeout` tenths after its
-        sending."""
+        sending.
+        """
         # the wait counts from the sending; this limiter's own late turns must not make the answer
         # late
         lost = self.loop.time() - at + min(self.turns.longest, timeout / 20_000)
--- a/loomstand/limiter/http_parser.py
+++ b/loomstand/limiter/http_parser.py
@@ -70,7 +70,8 @@
 class Receiver:
     """Takes one message after another from a ring. `step` goes as far as the bytes do. Its state is
     a plain function: a bound one would refer back, and what is closed would wait for the
-    collector."""
+    collector.
+    """
 
     __slots__ = ("body", "close", "fields", "left", "most", "most_head", "searched", "state")
     read = staticmethod(read_head)
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -1,5 +1,6 @@
 """What the parts of a limiter may ask of it: narrow types, so that no part knows the whole and none
-is known by it. A further part (a link to peers, say) stands beside them with a role of its own."""
+is known by it. A further part (a link to peers, say) stands beside them with a role of its own.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +28,8 @@
 
 class Host(Protocol):
     """What every part needs: the loop, room for buffers, and a place to count how connections
-    end."""
+    end.
+    """
 
     loop: asyncio.AbstractEventLoop
     room: Room
--- a/loomstand/limiter/request.py
+++ b/loomstand/limiter/request.py
@@ -71,7 +71,8 @@
 
     def onward(self, left_out: Container[bytes]) -> bytes:
         """The head for a server, without its last line; `left_out` names the fields that don't go
-        on."""
+        on.
+        """
         if not self.head:
             lines = [
                 b"%b: %b\r\n" % pair for pair in self.fields.items() if pair[0] not in left_out
--- a/loomstand/limiter/upstream.py
+++ b/loomstand/limiter/upstream.py
@@ -142,7 +142,8 @@
     def give_up(self, flight: Flight, why: Ending) -> None:
         """Stops waiting: its connection is closed, and those on which nothing came since it was
         sent: the machine may be gone, which a new connect proves, while what is written to an old
-        one may have run."""
+        one may have run.
+        """
         link, limiter = flight.link, self.limiter
         if link is not None and link.flight is flight:
             if why is Ending.EXPIRED and link.sent:
--- a/loomstand/membership/endpoint_lists.py
+++ b/loomstand/membership/endpoint_lists.py
@@ -30,7 +30,8 @@
 
 class Lists:
     """What one limiter holds of the list, and its part in passing it on. `me` is its number, of so
-    many."""
+    many.
+    """
 
     def __init__(self, me: int, now: float, limiters: int = 0) -> None:
         self.me, self.began, self.limiters = me, now, limiters
@@ -46,7 +47,8 @@
     def watching(self, now: float, alive: Sequence[int]) -> bool:
         """Whether this limiter is to ask discovery now. Until others have had the time to be heard
         of, the rank is the number that the settings give: a whole fleet that starts knows nobody,
-        and one that knows a fourth of the others would take itself for one of the first three."""
+        and one that knows a fourth of the others would take itself for one of the first three.
+        """
         young = now - self.began < 2.0 or len(alive) < max(2, self.limiters / 2)
         rank = self.me if young else list(alive).index(self.me)
         if rank < WATCHERS:
@@ -73,7 +75,8 @@
 
     def from_discovery(self, now: float, told: Members) -> Part | None:
         """Discovery itself is always believed, also when it goes back. What is to be passed on, if
-        anything changed."""
+        anything changed.
+        """
         since, self.fresh = self.revision, now
         if told.complete:
             gone = [self.members[i] for i in self.members.keys() - {m.id for m in told.members}]
@@ -98,7 +101,8 @@
     def from_peer(self, now: float, part: Part) -> Members | None:
         """What the limiter is to be told, if a piece of a list makes one that is newer than what is
         held. Never backwards: a server that left comes back by discovery's own word or a higher
-        revision, and from a peer alone no server is believed to be gone because it is not named."""
+        revision, and from a peer alone no server is believed to be gone because it is not named.
+        """
         if (
             not 0 <= part.n < part.of <= MOST // PIECE
             or len(part.members) > 2 * PIECE
@@ -149,6 +153,7 @@
 
     def known(self, told: Members) -> None:
         """The list of the configuration, which may be old: its revision counts, it is nobody's
-        fresh word."""
+        fresh word.
+        """
         self.put(told.members, told.revision)
         self.revision = told.revision
--- a/loomstand/membership/members.py
+++ b/loomstand/membership/members.py
@@ -89,7 +89,8 @@
 
     def knows(self, id_: int, source: str) -> bool:
         """Whether a message that says it is from a limiter came from where that one is known to
-        be."""
+        be.
+        """
         peer = self.peers.get(id_)
         return source in self.given or (peer is not None and peer.at == source)
 
@@ -101,7 +102,8 @@
 
     def tick(self, now: float) -> None:
         """Called some ten times a second: overdue answers, suspicions that have stood, the next
-        ping."""
+        ping.
+        """
         for seq, (whom, since, asked) in list(self.waiting.items()):
             peer = self.peers.get(whom)
             if now - since >= PERIOD or peer is None:
@@ -220,7 +222,8 @@
 
     def learn(self, now: float, word: Word) -> None:
         """News of a limiter, by the rules that make all views the same: the higher incarnation, and
-        at the same one the worse state."""
+        at the same one the worse state.
+        """
         if word.id == self.me:
             if word.state != State.ALIVE and word.inc >= self.inc and not self.left:
                 self.inc = word.inc + 1  # refuted
--- a/loomstand/membership/messages.py
+++ b/loomstand/membership/messages.py
@@ -11,7 +11,8 @@
 
 class Word(msgspec.Struct, array_like=True):
     """What is said of one limiter: its number, where it listens to peers, its incarnation and
-    state."""
+    state.
+    """
 
     id: int
     at: str
@@ -21,7 +22,8 @@
 
 class Base(msgspec.Struct, array_like=True, tag=True):
     """Who sends, what list it holds (0 for none), news of others, and how many seconds old
-    discovery's last word is with it (below 0: it has none)."""
+    discovery's last word is with it (below 0: it has none).
+    """
 
     id: int
     inc: int
@@ -71,5 +73,6 @@
 
 def decode(raw: bytes) -> Message:
     """The message in a datagram. Raises msgspec.DecodeError (or ValidationError) where it is none,
-    and ConfigError where a member's address is none."""
+    and ConfigError where a member's address is none.
+    """
     return decoder.decode(raw)
--- a/loomstand/proxy/counter_replay.py
+++ b/loomstand/proxy/counter_replay.py
@@ -1,5 +1,6 @@
 """What this limiter added to each sum, for counts that don't have it: a registry that has just come
-to count begins with none, and limiters tell it theirs again. Pure: the clock is given."""
+to count begins with none, and limiters tell it theirs again. Pure: the clock is given.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +28,8 @@
         self, name: int, step: float, keep: float, now: float, counts: int | None = None
     ) -> float:
         """A step was added to `counts`, or may have been, without an answer; what these counts lack
-        of the steps before, which is taken to be told next."""
+        of the steps before, which is taken to be told next.
+        """
         self.counts = counts = self.counts if counts is None else counts
         known = self.sums.setdefault(name, Sum(0.0, counts, 0.0))
         lacks = known.added if known.counts != counts else 0.0
@@ -36,7 +38,8 @@
 
     def lacking(self, name: int, counts: int) -> list[tuple[int, float]]:
         """Names of a tenant's other intervals and what these counts lack of them, which is taken to
-        be told next: what limiters took while nobody counted may be in the last one."""
+        be told next: what limiters took while nobody counted may be in the last one.
+        """
         tenant = name >> SLOTS
         if self.whole.get(tenant) == counts:
             return []
--- a/loomstand/proxy/instance_view.py
+++ b/loomstand/proxy/instance_view.py
@@ -29,14 +29,16 @@
 
 class InstanceView:
     """The union over registries. One that started anew says nothing of a server until it hears of
-    it."""
+    it.
+    """
 
     def __init__(self) -> None:
         self.servers: dict[str, KnownInstance] = {}
 
     def told(self, registry: str, rows: list[Row], anew: bool = False) -> list[str]:
         """Rows from one registry; `anew` where it is its first word in a new life. Gives the ids of
-        those whose use or place has changed."""
+        those whose use or place has changed.
+        """
         before = {}
         if anew:
             before = {
--- a/loomstand/proxy/policy_compiler.py
+++ b/loomstand/proxy/policy_compiler.py
@@ -48,7 +48,8 @@
 @dataclass(slots=True, frozen=True)
 class Fleet:
     """The limiters, as registries tell: this one's place, how many there are, how many of them are
-    silent."""
+    silent.
+    """
 
     me: int = 0
     all: int = 1
@@ -85,7 +86,8 @@
 
     def settings(self, fleet: Fleet, shift: int = 0) -> EngineSettings:
         """The module's settings, as a snapshot; `shift` of its clock to the one that all count
-        by."""
+        by.
+        """
         scale = 1 - ALONE * fleet.silent / fleet.all
         plans = []
         for n in range(self.tenants.next):
@@ -153,5 +155,6 @@
 
 def value_of(tenant: Tenant | None) -> float:
     """How much more a tenant's requests count: its priority goes first, but tells little of
-    worth."""
+    worth.
+    """
     return 1.0 if tenant is None else 1.1 ** (2 - min(8, tenant.priority))
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -151,7 +151,8 @@
 
     def look(self) -> None:
         """Ready once there is a configuration that is the newest for sure, and somebody to send
-        to."""
+        to.
+        """
         known = self.sure_at is not None and (self.loop.time() >= self.sure_at)
         able = (
             self.table is not None and known and bool(self.by_service) and not self.front.stopping
@@ -224,7 +225,8 @@
     def bound(self, limits: Limits) -> None:
         """What clients may send from their next request on, and how long they may idle. A body is
         held whole, so it may take an eighth of the memory for buffers at most, whatever the
-        configuration allows."""
+        configuration allows.
+        """
         self.stays, before = limits.idle_timeout + 1, self.front.stays
         if self.stays >= before:
             self.front.stays = self.stays
@@ -239,7 +241,8 @@
 
     def full(self, totals: list[list[float]]) -> None:
         """Tenants near the brim of their quota, by the names of their counts; those whose bucket is
-        half full are let in by credits alone."""
+        half full are let in by credits alone.
+        """
         for name, total, *closed in totals:
             if any(closed):
                 self.credits.full(int(name) >> SLOTS, self.loop.time())
@@ -251,7 +254,8 @@
 
     def clock_told(self, clock: int | None, sure: bool) -> None:
         """The common clock as a registry has it: intervals follow it, while time doesn't jump here.
-        `sure`: the configuration held is known to be the newest."""
+        `sure`: the configuration held is known to be the newest.
+        """
         if self.sure_at is None:
             if sure:
                 self.sure_at = self.loop.time()
@@ -284,7 +288,8 @@
 
     def staffed(self, req: ProxyRequest) -> bool:
         """Whether somebody is known who could serve it; later on, whoever isn't known isn't
-        there."""
+        there.
+        """
         if self.loop.time() - self.begun > SETTLED:  # first, as each request asks
             return True
         route = self.table.find(req.host, req.path)
@@ -307,7 +312,8 @@
 
     def hold(self, req: ProxyRequest, at: float, most: float = HOLD) -> None:
         """At a start the configuration, the first heartbeats and credits are under way: a request
-        waits for them, as all limiters would refuse it alike."""
+        waits for them, as all limiters would refuse it alike.
+        """
         self.held[req] = at
         most = most if req.wait is None else min(most, req.wait / 2000)
         self.loop.call_later(most, self.release, req)
@@ -375,7 +381,8 @@
 
     def service(self, table: Table, req: ProxyRequest) -> str:
         """One of the route's services by weight; where that has no server, another that the route
-        allows."""
+        allows.
+        """
         service = table.pick(req.route, self.rng.random())
         if self.by_service.get(service):
             return service
@@ -425,7 +432,8 @@
 
     async def crediting(self) -> None:
         """Asks the counter for credits, one call at a time: when some run short, else to keep them
-        good."""
+        good.
+        """
         while True:
             self.short.clear()
             sent = self.loop.time()
@@ -457,7 +465,8 @@
 
     def try_limit(self, req: Req) -> int:
         """None more for what must not run twice and may have run, or may yet: whatever the module
-        thinks."""
+        thinks.
+        """
         if not req.route.idempotent and (req.ran or sum(f is not None for f in req.flights) > 1):
             return 0
         return req.route.attempts
--- a/loomstand/proxy/quota_credits.py
+++ b/loomstand/proxy/quota_credits.py
@@ -36,7 +36,8 @@
 @dataclass(slots=True)
 class TenantCredits:
     """One tenant's. `left`: granted; `spent`: let in while open, and not told; `own`: what came of
-    the even share while alone."""
+    the even share while alone.
+    """
 
     rate: float
     depth: float
@@ -200,7 +201,8 @@
         self, sent: float, now: float, number: int, grants: Iterable[list[float]] | None
     ) -> bool:
         """The answer to a call that was sent then. Whether another must be made at once: these are
-        other grants, of which the counter must know all that is held."""
+        other grants, of which the counter must know all that is held.
+        """
         if number != self.number or grants is None:
             self.number, self.told_all = number, False
             return True
--- a/loomstand/proxy/request.py
+++ b/loomstand/proxy/request.py
@@ -19,7 +19,8 @@
 class ProxyRequest(Req):
     """A request with its route. `got` is the last whole answer of a server; `ran` whether it may
     have run; `afresh` whether it goes by new connections only; `met` the servers that it was sent
-    to."""
+    to.
+    """
 
     __slots__ = (
         "afresh",
@@ -77,7 +78,8 @@
 
     def raw_for(self, identifier: bytes, wait: int) -> bytes:
         """The bytes for the server of that identifier, which is waited for that many
-        milliseconds."""
+        milliseconds.
+        """
         name = b""
         if self.tenant is not None:
             name = b"loomstand-tenant-name: %b\r\n" % self.tenant.name.encode()
--- a/loomstand/proxy/sessions.py
+++ b/loomstand/proxy/sessions.py
@@ -1,5 +1,6 @@
 """The limiter's sessions with the registries: it asks each with the versions that it has, and hears
-news."""
+news.
+"""
 
 from __future__ import annotations
 
@@ -177,7 +178,8 @@
     def facts(self, ip: str, body: Body) -> None:
         """What a registry says beside servers. Of limiters the one that knows most is right: one
         that just started doesn't know those that are cut off; of two, one that still hears a
-        limiter."""
+        limiter.
+        """
         for core in body["cores"]:
             self.add(core)
         if body["counter"]:
--- a/loomstand/proxy/upstream.py
+++ b/loomstand/proxy/upstream.py
@@ -27,7 +27,8 @@
 
 class UpstreamConnection(Link):
     """One connection to a server. Answers carry the id of their request; a surplus one is passed
-    over."""
+    over.
+    """
 
     __slots__ = ("surplus",)
 
@@ -86,7 +87,8 @@
 def own(status: int, fields: dict[bytes, bytes], not_run: bool) -> bool:
     """Whether a server of the system can have said this. A success has its stamp, ran, and has no
     coding that nobody asked for; what clients take for a promise says by another field that it is
-    one."""
+    one.
+    """
     if 200 <= status < 300:
         return (
             not not_run
@@ -107,7 +109,8 @@
 
     def send(self, flight: Flight) -> None:
         """A request that was lost on a kept connection goes on by a new one, as does one that was
-        sent to that server before; one that must not run twice uses none that may be forgotten."""
+        sent to that server before; one that must not run twice uses none that may be forgotten.
+        """
         req, now, trusted = flight.req, self.limiter.loop.time(), inf
         if req.afresh or flight.srv in req.met:  # a second copy of its first answer has the same id
             trusted = 0.0
@@ -124,7 +127,8 @@
 
     def give_up(self, flight: Flight, why: Ending) -> None:
         """What of it wasn't delivered never is: behind a cut the system would send it again for
-        minutes."""
+        minutes.
+        """
         if flight.link is not None and flight.link.flight is flight:
             flight.link.wire.sever()
         super().give_up(flight, why)
@@ -132,7 +136,8 @@
     def forgotten(self, lane: UpstreamConnection) -> None:
         """What was sent on a kept connection broke it. Servers may forget idle connections without
         a word, and many at once: those that were idle longer aren't used again, and the request's
-        other tries, which are few, meet no other one that was kept."""
+        other tries, which are few, meet no other one that was kept.
+        """
         flight, limiter = lane.flight, self.limiter
         flight.req.afresh = True
         after = (limiter.now() - flight.sent_at) / 10_000
--- a/loomstand/registry/__init__.py
+++ b/loomstand/registry/__init__.py
@@ -1,2 +1,3 @@
 """The registry: which servers and limiters there are, the calls from outside, the counts
-(docs/system.md)."""
+(docs/system.md).
+"""
--- a/loomstand/registry/clock.py
+++ b/loomstand/registry/clock.py
@@ -1,5 +1,6 @@
 """The limiters' common clock at a registry: it names the intervals of counts. Pure: readings are
-given."""
+given.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +14,8 @@
 @dataclass(slots=True)
 class Clock:
     """`ahead`: seconds by which it is ahead of the steady clock here. `timed`: whether it's known
-    to be theirs; else it is the time of day of this machine's start, which may be off."""
+    to be theirs; else it is the time of day of this machine's start, which may be off.
+    """
 
     ahead: float
     timed: bool = False
@@ -24,7 +26,8 @@
 
     def tenths(self, now: float, counts: bool) -> int | None:
         """For limiters, in tenths of a millisecond; None while it isn't known. Who counts first
-        sets it."""
+        sets it.
+        """
         self.timed = self.timed or counts
         return round(self.at(now) * 1e4) if self.timed else None
 
--- a/loomstand/registry/counting_lease.py
+++ b/loomstand/registry/counting_lease.py
@@ -1,5 +1,6 @@
 """The registry's side of the counting duty: whether it counts, whether it asks, and whom. Pure: the
-clock is given."""
+clock is given.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +35,8 @@
 
     def heard(self, now: float, primary: Address | None, duty: list[Any] | None) -> bool:
         """What a store or another registry says: the primary, and [epoch, number, who] of the duty.
-        Whether limiters need to hear of it."""
+        Whether limiters need to hear of it.
+        """
         if primary is not None and primary != self.primary:
             self.primary, self.lost = primary, False
         if not duty:
@@ -50,7 +52,8 @@
 
     def _goes_on(self, term: tuple[int, int], named: str) -> bool:
         """Whether nobody else can have counted between the term known and that one. Another one
-        takes two numbers: its own, and that of the name let go after it."""
+        takes two numbers: its own, and that of the name let go after it.
+        """
         if named and named != self.host:
             return False
         same, numbers = term[0] == self.term[0], term[1] - self.term[1]
--- a/loomstand/registry/http_routing.py
+++ b/loomstand/registry/http_routing.py
@@ -30,7 +30,8 @@
 @dataclass(slots=True, frozen=True)
 class Node(Generic[T]):
     """What each value of a part leads to: a handler, or the next part. `wrong` is the status of a
-    call that came here and matched nothing below."""
+    call that came here and matched nothing below.
+    """
 
     part: Callable[[Asked], str | None]
     below: dict[str, Node[T] | T] = field(default_factory=dict)
--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -2,7 +2,8 @@
 given.
 
 A row, as it goes to other programs, is [id, address, service, zone, slots, state, sequence, cold],
-cold in milliseconds left. Of two rows of one server the one of the higher sequence is the newer."""
+cold in milliseconds left. Of two rows of one server the one of the higher sequence is the newer.
+"""
 
 from __future__ import annotations
 
@@ -71,7 +72,8 @@
 
     def take(self, instance: Instance, heard_at: float) -> bool:
         """A server spoke, or another registry tells of it. True if limiters must hear of what
-        changed."""
+        changed.
+        """
         old = self.instances.get(instance.id)
         if old is not None and instance.sequence <= old.sequence:
             return False  # a late call
@@ -103,7 +105,8 @@
 
     def alive(self, id_: str, sequence: int, heard_at: float) -> bool:
         """Another registry heard this beat. False if the server isn't known here, or as silent: its
-        row is needed."""
+        row is needed.
+        """
         old = self.instances.get(id_)
         if old is None:
             return False
@@ -118,7 +121,8 @@
 
     def sweep(self, now: float) -> bool:
         """Servers that have been quiet too long are silent, or gone if they were leaving; True if
-        any is."""
+        any is.
+        """
         before = self.version
         for instance in list(self.instances.values()):
             quiet = now - self.heard.get(instance.id, now)
--- a/loomstand/registry/limiters.py
+++ b/loomstand/registry/limiters.py
@@ -1,5 +1,6 @@
 """The limiters that a registry knows. A limiter is a member while its session with a registry
-stands; the registries tell each other their sessions. Pure: the clock is given."""
+stands; the registries tell each other their sessions. Pure: the clock is given.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +35,8 @@
 
     def fleet(self, name: str) -> list[int]:
         """What a limiter hears of its set: its place, how many there are, and how many of them are
-        silent."""
+        silent.
+        """
         return [self.ranks.get(name, 0), len(self.ranks), len(self.missing)]
 
     def crew(self) -> int:
@@ -54,7 +56,8 @@
 
     def told(self, name: str, at: float, now: float) -> None:
         """Another registry saw a limiter at that reading of the clock. Where it spoke here too,
-        only that counts: limiters put together what all registries say."""
+        only that counts: limiters put together what all registries say.
+        """
         if name not in self.own and at > self.seen.get(name, now - HELD):
             self.seen[name] = at
             self.sweep(now)
@@ -68,7 +71,8 @@
     def sweep(self, now: float) -> None:
         """Lets sessions fall that stand no more. Times of those that speak only grow, so until the
         first that may fall by what is known now, only a limiter that comes or that was silent
-        changes anything."""
+        changes anything.
+        """
         for name, at in list(self.seen.items()):
             if now - at > HELD:
                 del self.seen[name]
--- a/loomstand/registry/process.py
+++ b/loomstand/registry/process.py
@@ -30,7 +30,8 @@
         streams: Streams | None = None,
     ) -> None:
         """`clock` and `wall` as the registry's; `streams` where calls don't come by real
-        sockets."""
+        sockets.
+        """
         super().__init__(settings, network, clock or asyncio.get_running_loop().time, wall)
         # 200 are reserved; the rest is for the system's own
         sockets = settings.limits.file_descriptors - 400
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -1,5 +1,6 @@
 """The registry: drives its tables by what limiters, other registries and the calls from outside
-say."""
+say.
+"""
 
 from __future__ import annotations
 
@@ -57,7 +58,8 @@
 
 class Registry:
     """One registry. `clock` is steady, in seconds; `wall` is the time of day at the start, in
-    seconds."""
+    seconds.
+    """
 
     def __init__(
         self,
@@ -183,7 +185,8 @@
 
     async def ask(self, body: Body) -> Body:
         """A limiter's session: what is newer than what it has, at once, else when there is
-        something."""
+        something.
+        """
         session, have, facts = int(body.get("s", 0)), int(body["h"]), int(body["f"])
         anew = session not in self.sessions
         if anew:
@@ -235,7 +238,8 @@
 
     def begin(self, name: str) -> int:
         """A session under a number of its own: calls a second to every limiter are kept short by
-        it."""
+        it.
+        """
         for old in [number for number, other in self.sessions.items() if other == name]:
             del self.sessions[old]
         self.began += 1
@@ -331,7 +335,8 @@
 
     async def spread(self, id_: str, within: float) -> None:
         """Tells the other registries of a server that changed; those not reached hear it in later
-        rounds."""
+        rounds.
+        """
         said = {"rows": list(self.instances.rows([id_], self.clock()))}
 
         async def one(to: Address) -> None:
@@ -501,7 +506,8 @@
 
     async def give(self) -> None:
         """Gives the store beside it the configuration held here, which that doesn't know to be in
-        force."""
+        force.
+        """
         here = self.settings.store(self.settings.ip_address)
         try:
             said = {"version": self.version, "data": self.data}
@@ -526,7 +532,8 @@
 
     async def store(self, op: str, body: Body, within: float) -> Result[Body, Verdict]:
         """Calls the store: the one beside this registry hands on to the primary; others where it is
-        down."""
+        down.
+        """
         here, asked, until = self.settings.ip_address, self.clock(), self.clock() + within
         got = await self.network.call(self.settings.store(here), op, body, within)
         for ip in self.cores:
@@ -654,7 +661,8 @@
 
     def controls(self) -> list[str]:
         """Where each core machine takes these calls: the seeds are told with their ports, the
-        others are taken to have this one's."""
+        others are taken to have this one's.
+        """
         known, own = dict(self.settings.seeds), self.settings.listen.control_plane
         if own is not None:
             known = {**dict.fromkeys(self.cores, own[1]), **known, own[0]: own[1]}
--- a/loomstand/registry/quota_buckets.py
+++ b/loomstand/registry/quota_buckets.py
@@ -26,7 +26,8 @@
 @dataclass(slots=True)
 class Bucket:
     """A tenant's use beyond its rate, over all limiters; `name` and `total` are the running
-    interval's."""
+    interval's.
+    """
 
     rate: float
     burst: float
@@ -66,7 +67,8 @@
 
     def counted(self, name: int, step: float, total: float, now: float, whole: bool = True) -> bool:
         """A limiter added to a name. True if all must hear of it: not if totals aren't whole, as
-        limiters would take a low one for a counter that forgot."""
+        limiters would take a low one for a counter that forgot.
+        """
         bucket = self.buckets.get(name >> SLOTS)
         if bucket is None:
             return False
@@ -80,5 +82,6 @@
 
     def news(self, have: int) -> list[list[float]]:
         """The running totals by name, of the tenants that there was a word of after the version
-        `have`."""
+        `have`.
+        """
         return [[b.name, b.total] for b in self.buckets.values() if b.changed > have]
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -56,7 +56,8 @@
 @dataclass(slots=True)
 class Bucket:
     """`level`: charged and not leaked; never under what is `held` at limiters, as that may be used
-    at any time. `at` is in the time by which buckets leak."""
+    at any time. `at` is in the time by which buckets leak.
+    """
 
     rate: float
     depth: float
@@ -67,7 +68,8 @@
 
     def leak(self, at: float, own: float = 0.0, before: float = 0.0) -> None:
         """Beside what is held: `own`, what limiters may have that go alone; `before`, what is left
-        of an earlier counter's, which was in the level from the first on."""
+        of an earlier counter's, which was in the level from the first on.
+        """
         floor = min(self.depth, sum(self.held.values()) + own)
         left = max(self.level - self.rate * (at - self.at), min(self.level, floor + before))
         self.level, self.at = max(left, floor), at
@@ -82,7 +84,8 @@
 
 class QuotaGrants:
     """All tenants' buckets, and the limiters that call. `number` is another one where they begin
-    anew."""
+    anew.
+    """
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
@@ -95,7 +98,8 @@
 
     def anew(self, number: int, now: float, unused: bool = False) -> None:
         """Counts begin anew: buckets are full, as the one before may have granted all. `unused`:
-        there was no configuration until now, so nobody was granted anything."""
+        there was no configuration until now, so nobody was granted anything.
+        """
         self.number, self.callers, self.at, self.began = number, {}, now, now
         for bucket in self.buckets.values():
             bucket.held = {}
@@ -103,7 +107,8 @@
 
     def learn(self, tenants: Iterable[Tenant], counts: bool) -> None:
         """Other quotas. A bucket keeps its level, at most full; one that wasn't there while this
-        registry counts is empty."""
+        registry counts is empty.
+        """
         before, self.buckets = self.buckets, {}
         for tenant in tenants:
             if tenant.rate <= 0:
@@ -128,7 +133,8 @@
 
     def tick(self, now: float, known: Iterable[str]) -> None:
         """Buckets leak by the rate less what limiters may take that go alone: `known`, or callers
-        once."""
+        once.
+        """
         gone_by = max(0.0, now - self.at)
         longer = max(0.0, gone_by - SILENT)  # nobody called, so all went alone
         self.time += self.scale * (gone_by - longer) + (1.0 - ALONE) * longer
@@ -141,7 +147,8 @@
 
     def unheard(self, bucket: Bucket) -> tuple[float, float]:
         """What limiters may hold that this counter doesn't hear: of their own shares and, at first,
-        of the counter before. Of quotas too small to share out it would be all, and is left out."""
+        of the counter before. Of quotas too small to share out it would be all, and is left out.
+        """
         if not self.gone or self.few(bucket):
             return 0.0, 0.0
         young = self.at - self.began < HELD
@@ -178,7 +185,8 @@
     ) -> list[list[float]] | None:
         """A limiter's call: by tenant's digest what it holds, what it let in while open and untold,
         and what it wants. Answers [digest, granted, whether open]; None if it went by another's
-        grants: it must tell all that it holds under this number."""
+        grants: it must tell all that it holds under this number.
+        """
         caller = self.callers.get(name)
         if caller is None or caller.life != life:
             for bucket in self.buckets.values():  # its former life's are lost with it
@@ -210,14 +218,16 @@
     def brim(self, bucket: Bucket) -> float:
         """The level from which a small quota's bucket is closed. Where limiters are as few as the
         leeway, a counter that begins doesn't open it: with 12 limiters and two moves 48 ran of 4 a
-        second and 4."""
+        second and 4.
+        """
         return min(bucket.depth, bucket.first if self.many <= self.bounds.quota_slack else inf) / 2
 
     def grant(self, bucket: Bucket, name: str, left: float, want: float, asked: bool) -> float:
         """Whole requests: fractions at many limiters would let nobody in. Where less than half is
         left, a limiter whose tenant doesn't ask gets none while it has one, nor soon after a start
         of all; where less than an eighth, only whoever has none gets some; where most is held
-        nobody more than its even part."""
+        nobody more than its even part.
+        """
         free, most = bucket.depth - bucket.level, MOST_HELD * bucket.depth
         spare = asked or free >= bucket.depth / 2 or (left < 1 and self.at - self.began > HELD)
         if free < 1 or not spare or (left >= 1 and free < bucket.depth / 8):
--- a/loomstand/registry/rescue.py
+++ b/loomstand/registry/rescue.py
@@ -12,7 +12,8 @@
 
 async def rescue(network: Network, store: Address, body: bytes) -> tuple[int, dict[str, Any]]:
     """Status and answer to {"gone": [host], "token": text or left out}: the case, or what was
-    founded; 409 with the reasons unless the token is that of the state as it is now."""
+    founded; 409 with the reasons unless the token is that of the state as it is now.
+    """
     try:
         said = json.loads(body or b"{}")
         gone, token = said.get("gone", []), said.get("token")
--- a/loomstand/rpc/__init__.py
+++ b/loomstand/rpc/__init__.py
@@ -1,5 +1,6 @@
 """Calls between the system's own processes: `cbor2` in frames over TCP. Operators' words:
-docs/system.md."""
+docs/system.md.
+"""
 
 from loomstand.rpc.network import Address, Network, Serve
 
--- a/loomstand/rpc/frames.py
+++ b/loomstand/rpc/frames.py
@@ -38,7 +38,8 @@
 
     def feed(self, data: bytes) -> Iterator[list[Any]]:
         """Every whole item. Raises Foreign at bytes that can't be one: the connection is of no use
-        then."""
+        then.
+        """
         self.buf += data
         while len(self.buf) >= HEAD:
             size = int.from_bytes(self.buf[:HEAD], "big")
--- a/loomstand/rpc/network.py
+++ b/loomstand/rpc/network.py
@@ -1,5 +1,6 @@
 """What a program of the system is handed to call others: real sockets (`sockets.py`) or
-`simulation`."""
+`simulation`.
+"""
 
 from __future__ import annotations
 
--- a/loomstand/rpc/outside.py
+++ b/loomstand/rpc/outside.py
@@ -1,5 +1,6 @@
 """A small HTTP interface for calls from outside, on the limiter's own listener and parser
-(`net/`)."""
+(`net/`).
+"""
 
 from __future__ import annotations
 
@@ -38,7 +39,8 @@
         streams: Streams | None = None,
     ) -> None:
         """`memory` and `body` in bytes: for all buffers, and for one call. `streams` where not by
-        sockets."""
+        sockets.
+        """
         self.handler = handler
         self.loop = asyncio.get_running_loop()
         self.turns: Any = turns or Untimed()
--- a/loomstand/rpc/sockets.py
+++ b/loomstand/rpc/sockets.py
@@ -88,7 +88,8 @@
 
     def close(self) -> None:
         """Ends it by a reset: calls that wait in the system are not delivered later, when a cut
-        heals."""
+        heals.
+        """
         if self.transport is not None:
             reset_on_close(self.transport)
             self.transport.abort()
@@ -96,7 +97,8 @@
 
 def give(waits: asyncio.Future[Answer] | None, answer: Answer) -> None:
     """Ends the wait of a call, if it still waits. Not by cancelling: that is how its caller is
-    called off."""
+    called off.
+    """
     if waits is not None and not waits.done():
         waits.set_result(answer)
 
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -20,7 +20,8 @@
 
 class Program(Protocol):
     """What a program gives: `reload` at changed settings, `stop` at SIGTERM; `run` ends once it
-    stopped."""
+    stopped.
+    """
 
     async def run(self) -> None: ...
 
--- a/loomstand/rpc/verdict.py
+++ b/loomstand/rpc/verdict.py
@@ -1,5 +1,6 @@
 """Whether what was asked may have run: the one thing that everything in the system asks of a
-failure."""
+failure.
+"""
 
 from __future__ import annotations
 
--- a/loomstand/store/__init__.py
+++ b/loomstand/store/__init__.py
@@ -1,2 +1,3 @@
 """The store: the configuration on disk, its primary and backup, and the lease under which duties
-are done."""
+are done.
+"""
--- a/loomstand/store/ballot.py
+++ b/loomstand/store/ballot.py
@@ -22,7 +22,8 @@
 
     def outdated(self, replica: Replica) -> bool:
         """Whether a view newer than the base has shown up: its electors must be asked, not the
-        base's."""
+        base's.
+        """
         known = replica.base()
         return known is not None and (self.base is None or known.epoch > self.base.epoch)
 
--- a/loomstand/store/change_history.py
+++ b/loomstand/store/change_history.py
@@ -43,7 +43,8 @@
 @lru_cache(maxsize=2)  # the order in hand and the one held: each of an order's writes asks for it
 def digest(data: bytes) -> bytes:
     """Of the bytes: an order is sent again unchanged, and of a configuration of 3 MB this costs 2
-    ms."""
+    ms.
+    """
     return sha256(data).digest()[:DIGEST]
 
 
@@ -51,7 +52,8 @@
     """Whether two configurations say the same: the order of keys, blanks, ways to escape a
     character, and 1.0 for 1 don't matter; the order of lists does. For the one held, whose bytes
     are there: a tool that reads it and writes it anew must not be refused. What isn't JSON is
-    compared by its bytes."""
+    compared by its bytes.
+    """
     try:
         return one == other or _meaning(one) == _meaning(other)
     except (ValueError, RecursionError):
@@ -66,7 +68,8 @@
 class ChangeHistory:
     """Numbers with the digests of their contents, ascending. The last is that of the configuration
     written with them. What stands in it may lack its acknowledgement yet: its sender has no answer
-    then, and gets one when it sends again."""
+    then, and gets one when it sends again.
+    """
 
     taken: tuple[tuple[int, bytes], ...] = ()
 
@@ -105,7 +108,8 @@
     @staticmethod
     def read(body: Any, version: int, data: bytes) -> ChangeHistory:
         """Those that came with a configuration, by call or from disk; nobody's where they aren't of
-        that one: a program that doesn't know of them writes the configuration alone."""
+        that one: a program that doesn't know of them writes the configuration alone.
+        """
         if not body:
             return NONE
         numbers, contents = body
--- a/loomstand/store/counting_lease.py
+++ b/loomstand/store/counting_lease.py
@@ -58,14 +58,16 @@
 
     def wake(self, started: float, epoch: int, page: list[Any]) -> None:
         """After a start, as the primary of `epoch` by its disk: who had the duty may still have
-        it."""
+        it.
+        """
         # numbers told go up to one above the page's: that somebody's span was over isn't written
         self.epoch, self.number, self.named = epoch, int(page[0]) + 2, str(page[1])
         self.until = started + HOLD
 
     def will(self, now: float) -> list[Any]:
         """For the one that the reign is handed to; the last is the seconds that the span may
-        last."""
+        last.
+        """
         left = max(0.0, self.until - now) if self.named else 0.0
         return [self.epoch, self.number, self.named, self.life, left]
 
@@ -117,7 +119,8 @@
 
     def grant(self, now: float, host: str, life: int, lease_left: float) -> float:
         """The span for which `host` has it from the sending of its asking, 0 if it doesn't. `page`
-        is on disk where another had it."""
+        is on disk where another had it.
+        """
         if lease_left <= 0.0 or not self.may(now, host):
             return 0.0
         if host != self.named:
--- a/loomstand/store/disk.py
+++ b/loomstand/store/disk.py
@@ -1,5 +1,6 @@
 """The disk of a store: named pages, written together or not at all, and synced before a write is
-over."""
+over.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +34,8 @@
 class Disk(Protocol):
     async def load(self) -> dict[str, bytes]:
         """All pages; none if the disk is empty or what is on it is proven damaged. OSError: it
-        can't be read now, and nothing is changed; another try may do."""
+        can't be read now, and nothing is changed; another try may do.
+        """
         ...
 
     async def save(self, pages: dict[str, bytes]) -> None:
@@ -43,7 +45,8 @@
 
 class LmdbDisk:
     """A Disk in `folder`, over lmdb. One thread does all its work, so that writes keep their
-    order."""
+    order.
+    """
 
     def __init__(self, folder: str | Path) -> None:
         self.folder = Path(folder)
@@ -78,7 +81,8 @@
     def _names_last(self) -> None:
         """Syncs the folder and the one that it is in. lmdb syncs its file's bytes but not its name:
         after a loss of power a new file could be gone, and all that was acknowledged in it. At each
-        opening, as the process that made it may have ended before its sync."""
+        opening, as the process that made it may have ended before its sync.
+        """
         for folder in (self.folder, self.folder.parent):
             names = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
             try:
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -1,5 +1,6 @@
 """How a member becomes primary, or a primary changes its view: promises, data, backup, view,
-lease."""
+lease.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +30,8 @@
 
 async def campaign(desk: ReplicaIO, plan: Plan, release: Release | None = None) -> bool:
     """Whether the plan's view stands and its primary, this member, leads. Only one may run at a
-    time."""
+    time.
+    """
     for _ in range(ROUNDS):
         base = desk.replica.base() if plan.step is not Step.FOUND else None
         if base is not None and plan.step is Step.TAKE:
@@ -89,7 +91,8 @@
 
     async def _would(self) -> bool:
         """Whether enough of them would promise: a member that is cut off mustn't raise epochs in
-        vain."""
+        vain.
+        """
         replica = self.desk.replica
         own = replica.may_promise(self.desk.clock(), replica.promised + 1, replica.me.id, 0)
         if not own:
@@ -146,7 +149,8 @@
 
     async def _data(self, epoch: int) -> Held | None:
         """What the view before had in force, or may have: of its primary or its backup, the backup
-        first."""
+        first.
+        """
         replica = self.desk.replica
         held, replica.fetched = self.ballot.own(replica), NONE
         for member in self.ballot.sources():
@@ -160,7 +164,8 @@
 
     async def _backup(self, epoch: int, version: int, data: bytes) -> tuple[bool, Member | None]:
         """Who has written the configuration, and whether that will do: a core of one machine needs
-        nobody."""
+        nobody.
+        """
         replica = self.desk.replica
         for member in replica.backups(self.desk.clock(), self.ballot.base):
             if not self.ballot.takes(member, self.promised):
--- a/loomstand/store/graceful_shutdown.py
+++ b/loomstand/store/graceful_shutdown.py
@@ -1,5 +1,6 @@
 """When a store that was told to stop may end: not before what only it holds stands elsewhere, and
-in time."""
+in time.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +32,8 @@
 
 def holds_only_copy(replica: Replica, now: float) -> bool:
     """Whether, as far as is known here, no other disk that stays has what is in force, or may
-    be."""
+    be.
+    """
     view = replica.base()
     if view is None or not view.holds(replica.me.id):
         return False
--- a/loomstand/store/lease_service.py
+++ b/loomstand/store/lease_service.py
@@ -1,5 +1,6 @@
 """The counting duty at a store: what it says and hears of it, and its answers to registries that
-ask."""
+ask.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +21,8 @@
 
 class LeaseService:
     """`changed` waits until something has changed at the store; `tell` brings others what `says`
-    does."""
+    does.
+    """
 
     def __init__(
         self,
@@ -55,7 +57,8 @@
 
     def bars(self, released: int) -> bool:
         """Whether nothing may be promised: this one let the duty out and handed the reign on, and
-        who asks doesn't know of it."""
+        who asks doesn't know of it.
+        """
         return self.duty.lent(self.desk.clock()) and released < self.duty.epoch
 
     def told(self) -> list[Any] | None:
@@ -77,7 +80,8 @@
 
     def heed(self, body: Body, at: float) -> None:
         """A beat, or the answer to one that was sent at that time: whether the newest primary
-        serves, and who counts."""
+        serves, and who counts.
+        """
         view, said = self.desk.replica.base(), body.get("duty")
         if (
             view is None
--- a/loomstand/store/program.py
+++ b/loomstand/store/program.py
@@ -38,7 +38,8 @@
 @dataclass(frozen=True, slots=True)
 class Place:
     """Where a store stands: its own address, the stores' addresses at the seeds, whether all is
-    new, and the seconds from SIGTERM to SIGKILL."""
+    new, and the seconds from SIGTERM to SIGKILL.
+    """
 
     address: Address
     seeds: tuple[Address, ...]
@@ -215,7 +216,8 @@
 
     async def _copy(self) -> None:
         """Writes what is in force to this disk too, though it's neither the primary's nor the
-        backup's."""
+        backup's.
+        """
         if held := self.learner.due(self.replica):
             await self.desk.note(self.learner.page(held))
             self.learner.copy = held
@@ -327,7 +329,8 @@
         [epoch, number, host] or None} and, from wait, data if there is a newer version than `have`;
         duty {host, life} -> {span: seconds from the sending, duty} while this one serves and that
         registry may count, duty {host, life, back: True} -> {}; rescue as `RescueCalls.serve` says,
-        and told {} -> a `Told`."""
+        and told {} -> a `Told`.
+        """
         replica = self.replica
         if "to" in body:
             replica.mine(body["to"])
@@ -424,7 +427,8 @@
 
     async def _take(self, version: int, data: bytes, order: bool) -> bool:
         """Puts a version in force, if it's higher; False if it's an order whose number stands for
-        another content (see `Answer`). As the primary, under `busy`."""
+        another content (see `Answer`). As the primary, under `busy`.
+        """
         replica = self.replica
         if replica.leads(self.clock()) and (
             not replica.reign or replica.record.version > replica.version
@@ -444,7 +448,8 @@
 
     async def _note_passed(self, orders: ChangeHistory) -> None:
         """Has on both disks that a lower number was acknowledged, unless it's too low to be
-        remembered."""
+        remembered.
+        """
         replica = self.replica
         if orders == replica.orders:
             return
@@ -455,7 +460,8 @@
 
     async def _write(self, version: int, data: bytes) -> None:
         """Has a configuration with its orders on its disk and the backup's, and puts it in
-        force."""
+        force.
+        """
         replica, view = self.replica, self.replica.record.view
         assert view is not None
         backup = [self.desk.keep(view.backup, view.epoch, version, data)] if view.backup else []
--- a/loomstand/store/recovery.py
+++ b/loomstand/store/recovery.py
@@ -1,5 +1,6 @@
 """A member's first look at its disk: it waits for one that is in trouble, never takes it for
-empty."""
+empty.
+"""
 
 from __future__ import annotations
 
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -59,7 +59,8 @@
 @dataclass(frozen=True, slots=True)
 class Plan:
     """What a member should do next. `voters` and `former` are those of the view that would come of
-    it."""
+    it.
+    """
 
     step: Step
     why: str
@@ -140,7 +141,8 @@
 
     def silence(self, now: float, member: Member) -> float:
         """Seconds since that disk answered; as good as for ever if another one answers in its
-        place."""
+        place.
+        """
         if member.id == self.me.id:
             return 0.0
         peer = self.peers.get(member.address)
@@ -172,7 +174,8 @@
 
     def backups(self, now: float, base: View | None) -> list[Member]:
         """Whom to make the backup, best first: the present one, voters, another network than this
-        one's."""
+        one's.
+        """
         votes = base.electors() if base else {}
         zone = self.me.address[0].rsplit(".", 2)[0]
 
@@ -197,7 +200,8 @@
 
     def fenced(self) -> Record | None:
         """What to write once it was fenced so, as a restart must not make it forget; None if that's
-        done."""
+        done.
+        """
         late = self.seen is not None and self.seen.rescue > self._rescue()
         if not late or self.record.promised >= self.promised:
             return None
@@ -224,7 +228,8 @@
 
     def owns(self) -> bool:
         """Whether the view on disk makes it primary and nothing higher was promised, not even by
-        itself."""
+        itself.
+        """
         view = self.record.view
         return view is not None and view.primary.id == self.me.id and self.promised == view.epoch
 
@@ -268,7 +273,8 @@
 
     def _lease(self, now: float, epoch: int) -> float:
         """Seconds that the grants given since `epoch` last, 0 if they aren't the electors'
-        agreement."""
+        agreement.
+        """
         view = self.record.view
         if view is None or view.primary.id != self.me.id:
             return 0.0
@@ -322,7 +328,8 @@
 
     def orders_with(self, version: int, data: bytes) -> ChangeHistory:
         """What is to be written together with a configuration: what was acknowledged before, and
-        it."""
+        it.
+        """
         if not version:
             return NONE
         content, known = digest(data), self.orders if self.reign else NONE
@@ -419,7 +426,8 @@
 
     def renew(self, now: float, view: View) -> None:
         """A view that was installed is a grant to its primary, unless more was promised
-        meanwhile."""
+        meanwhile.
+        """
         if self.promised != view.epoch or self.record.view != view:
             raise Refused("a newer epoch")
         self.holder, self.hold = view.primary.id, now + HOLD
@@ -519,7 +527,8 @@
 
     def _first(self, base: View, order: list[Member]) -> set[str]:
         """Who stands without waiting for its place: the backup; where that leaves, one that stays
-        as well, so that its copy, maybe the only one, is fetched before it ends."""
+        as well, so that its copy, maybe the only one, is fetched before it ends.
+        """
         if base.backup is None:
             return set()
         stays = [m for m in order if not base.holds(m.id) and not self._leaves(m)]
@@ -550,7 +559,8 @@
 
     def free(self, now: float) -> bool:
         """Whether a leaving member can go: no view known names it, or nobody is there to take its
-        place and the others need neither its data nor its vote."""
+        place and the others need neither its data nor its vote.
+        """
         if self.promised > (self.seen.epoch if self.seen else 0):
             return False  # a view that names it may stand, of which it hasn't heard yet
         if self.seen is None or self.me.id not in self.seen.named():
--- a/loomstand/store/replica_io.py
+++ b/loomstand/store/replica_io.py
@@ -1,5 +1,6 @@
 """Where a replica meets its disk and its peers: changes are on disk before anybody hears of
-them."""
+them.
+"""
 
 from __future__ import annotations
 
@@ -52,7 +53,8 @@
 
     async def ink(self, change: Callable[[float], Record]) -> Record:
         """Makes a change of the record and has it on disk. Refused: it may be there all the
-        same."""
+        same.
+        """
         return await asyncio.shield(self.spawn(self._ink(change)))  # not to be stopped in mid-word
 
     async def _ink(self, change: Callable[[float], Record]) -> Record:
@@ -105,7 +107,8 @@
 
     async def keep(self, member: Member, epoch: int, version: int, data: bytes) -> Verdict | None:
         """Has `member` write the configuration; None once it has. One that doesn't answer is
-        doubted."""
+        doubted.
+        """
         body = {"epoch": epoch, "asker": self.replica.me.id, "version": version, "data": data}
         body |= {"orders": self.replica.orders_with(version, data).body()}
         answer = await self.ask(member, "keep", body, KEEP + carry(len(data)))
--- a/loomstand/store/rescue.py
+++ b/loomstand/store/rescue.py
@@ -94,7 +94,8 @@
 
 def best(replica: Replica, offered: Held) -> Held:
     """The newest that a member holds; of one version what was in force goes before what is on disk
-    only."""
+    only.
+    """
     record = replica.record
     held = [(replica.version, replica.data), offered, (record.version, record.data)]
     return max(held, key=lambda h: h[0])
@@ -137,7 +138,8 @@
 
     def waits(self) -> list[str]:
         """Why nothing may be done; empty if a rescue is due and all that it gives up is vouched
-        for."""
+        for.
+        """
         out = [
             f"{t.member.address[0]} serves: nothing is lost" for t in self.told if t.serves > 0.0
         ]
--- a/loomstand/store/rescue_calls.py
+++ b/loomstand/store/rescue_calls.py
@@ -1,5 +1,6 @@
 """The calls of a rescue: all members are asked what they hold, the one chosen founds the view
-(rescue.py)."""
+(rescue.py).
+"""
 
 from __future__ import annotations
 
@@ -25,7 +26,8 @@
 
 class RescueCalls:
     """Of one store. `busy` is held by whatever a primary or candidate does; `crown` lets one
-    begin."""
+    begin.
+    """
 
     def __init__(
         self,
--- a/loomstand/store/views.py
+++ b/loomstand/store/views.py
@@ -1,5 +1,6 @@
 """Views: who is primary and backup, and whose votes decide on the next; and what a member has on
-disk."""
+disk.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +23,8 @@
 @dataclass(frozen=True, slots=True)
 class Member:
     """A disk: the id drawn when its folder was empty, and the address at which its store
-    listens."""
+    listens.
+    """
 
     id: str
     address: Address
@@ -75,7 +77,8 @@
 
     def holds(self, id: str) -> bool:
         """Whether that member has the configuration of this view: only its primary and its backup
-        do."""
+        do.
+        """
         return id == self.primary.id or (self.backup is not None and id == self.backup.id)
 
     def body(self) -> list[Any]:
@@ -114,7 +117,8 @@
 @dataclass(frozen=True, slots=True)
 class Record:
     """What is on a member's disk. `founder`: the id was drawn at the first start of the whole
-    system."""
+    system.
+    """
 
     id: str
     founder: bool
@@ -129,7 +133,8 @@
 
     def pages(self, old: Record | None = None) -> dict[str, bytes]:
         """What differs from `old`, as it's written: a promise doesn't write the configuration
-        anew."""
+        anew.
+        """
         pages: dict[str, bytes] = {}
         if old is None or (old.id, old.founder) != (self.id, self.founder):
             pages["member"] = cbor2.dumps([self.id, self.founder])
--- a/loomstand/testing/emulator/checker.py
+++ b/loomstand/testing/emulator/checker.py
@@ -36,7 +36,8 @@
 @dataclass(slots=True, frozen=True)
 class Break:
     """One broken rule: which, for which req (or server or customer), at which limiter, and what was
-    seen."""
+    seen.
+    """
 
     rule: int
     req: int
--- a/loomstand/testing/emulator/counts.py
+++ b/loomstand/testing/emulator/counts.py
@@ -1,5 +1,6 @@
 """The counter's totals as the lab and the rehearsal's stand-in keep them: by name, each with a
-life."""
+life.
+"""
 
 from __future__ import annotations
 
@@ -8,14 +9,16 @@
 
 class Totals:
     """Totals by name in one part, or in several that do not see each other's adds. Times are the
-    caller's."""
+    caller's.
+    """
 
     def __init__(self) -> None:
         self.parts: list[dict[Hashable, list[float]]] = [{}]
 
     def add(self, caller: int, name: Hashable, step: float, now: float, keep: float) -> float:
         """Adds to a name that lives for `keep` from now, in the part that this caller reaches; its
-        total."""
+        total.
+        """
         part = self.parts[caller % len(self.parts)]
         held = part.get(name)
         if held is None or held[1] < now:
@@ -32,7 +35,8 @@
 
     def join(self) -> None:
         """Parts that see each other again keep the larger total of each name: none is counted
-        twice."""
+        twice.
+        """
         whole: dict[Hashable, list[float]] = {}
         for part in self.parts:
             for name, held in part.items():
--- a/loomstand/testing/emulator/engine.py
+++ b/loomstand/testing/emulator/engine.py
@@ -22,7 +22,8 @@
 
 class Engine:
     """The clock and the heap. `post(after, actor, note)` hands `note` to `actor` `after` tenths
-    from now."""
+    from now.
+    """
 
     __slots__ = ("events", "heap", "now", "seq")
 
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -128,7 +128,8 @@
 @dataclass(slots=True)
 class Later:
     """A note that a limiter posts to itself, so that no answer is fed back inside a call of its
-    policy."""
+    policy.
+    """
 
     lgen: int
     note: api.Event
@@ -234,7 +235,8 @@
 
 class Counter:
     """The shared counter: totals by name that last `keep`; latency, silence, loss of all, split in
-    parts."""
+    parts.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -260,7 +262,8 @@
 
 class Discovery:
     """Tells every limiter of each change in the list, late by a little, and the whole list now and
-    then."""
+    then.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -450,7 +453,8 @@
 
 class Clients:
     """Open-loop arrivals by plan, hot callers, bursts and floods; clients that come again or leave
-    early."""
+    early.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -471,7 +475,7 @@
 
     def take(self, note: object) -> None:
         if self.fleet.engine.now >= self.fleet.scenario.seconds * T:
-            return  # the day's traffic is over; what was taken is still answered
+            return None  # the day's traffic is over; what was taken is still answered
         if isinstance(note, Again):
             return self.fleet.arrive(note.plan, note.customer, self.traffic.front(), True)
         plan = note
@@ -729,7 +733,8 @@
 
     def play(self, tick: Callable[[float], None] | None = None) -> History:
         """Plays the whole scenario; the history is the run's result. `tick(seconds)` after each
-        simulated second, for a progress bar."""
+        simulated second, for a progress bar.
+        """
         s = self.scenario
         for limiter in self.limiters:
             limiter.start()
@@ -766,10 +771,10 @@
         what, n = note
         if what == "back":
             fleet.restart(fleet.servers[n])
-            return
+            return None
         if what == "leave":
             fleet.replace(fleet.servers[n])
-            return
+            return None
         if what == "end":
             return self.end(fleet.scenario.faults[n])
         fault = fleet.scenario.faults[n]
--- a/loomstand/testing/emulator/runner.py
+++ b/loomstand/testing/emulator/runner.py
@@ -30,7 +30,8 @@
 
 def brain(fleet: Fleet, me: int, settings: api.EngineSettings, seed: int) -> Policy:
     """The module itself, made as the adapter makes it; under the scenario's site plan, if it is to
-    be."""
+    be.
+    """
     s, now = fleet.scenario, fleet.engine.now
     guide = None
     if s.site is not None and s.sited:
@@ -62,7 +63,8 @@
     tick: Callable[[float], None] | None = None,
 ) -> Played:
     """One run. `maker` stands in for the named policy (tests give faulty ones); `tick(s)` each
-    second."""
+    second.
+    """
     fleet = Fleet(scenario, maker or MAKERS[policy], seed)
     began = time.perf_counter()
     history = fleet.play(tick)
@@ -214,7 +216,8 @@
 
 def sweep(table: dict, key: str, vals: list[object], seed: int | None, workers: int) -> list[dict]:
     """One run a value of `key`, in parallel processes; each point checked as its own scenario
-    first."""
+    first.
+    """
     points = [(table, {key: v}, seed) for v in vals]
     for _, sets, _ in points:
         sc.from_table(sc.with_values(table, sets))  # a bad value is named before anything runs
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -41,7 +41,8 @@
 
 class Plan(Struct):
     """A plan: the quota of each of its customers over all limiters, and how many customers use
-    it."""
+    it.
+    """
 
     name: str
     rate: Positive  # units a second, per customer
@@ -258,13 +259,15 @@
 
 def load(path: str) -> Scenario:
     """The scenario in a file. Raises ScenarioError naming the file, and the key where one is at
-    fault."""
+    fault.
+    """
     return from_table(read(path))
 
 
 def read(path: str) -> dict:
     """The table of a scenario file, checked (for sweeps, which set keys in it). Raises as
-    `load`."""
+    `load`.
+    """
     table = table_of(path)
     try:
         from_table(table)
--- a/loomstand/testing/emulator/traffic.py
+++ b/loomstand/testing/emulator/traffic.py
@@ -45,6 +45,7 @@
 
 def refill(held: list[float], rate: float, depth: float, now: float, second: float = 1.0) -> float:
     """A bucket `[level, when]` filled at `rate` a second up to `depth` until `now`, where a second
-    is `second` of the clock's units; returns the level."""
+    is `second` of the clock's units; returns the level.
+    """
     held[0], held[1] = min(depth, held[0] + rate * (now - held[1]) / second), now
     return held[0]
--- a/loomstand/testing/fault_schedules/dense.py
+++ b/loomstand/testing/fault_schedules/dense.py
@@ -1,6 +1,7 @@
 """Dense days: many troubles of every kind that the contracts in force allow, several at once and
 more than once. Pure; the day is drawn from one Random. What a kind and its fields mean is the
-bench's list of kinds."""
+bench's list of kinds.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +24,8 @@
 @dataclass(frozen=True, slots=True)
 class Way:
     """A kind with the spans of its figures: from the mildest that standing days show, or that is a
-    trouble at all, to twice the strongest of them and more."""
+    trouble at all, to twice the strongest of them and more.
+    """
 
     kind: str
     planned: bool
@@ -248,7 +250,8 @@
     site: Site, aim: str, severity: str, only: tuple[str, ...], rng: Random
 ) -> tuple[int, list[tuple[Trouble, int, int]]]:
     """A day's length in seconds, and its troubles with their start and end in hundredths of a
-    second."""
+    second.
+    """
     open_ = ways(site, only)
     aimed = [[way for way in open_ if way.kind == kind] for kind in AIMS[aim]]
     aimed = [found for found in aimed if found]
@@ -282,7 +285,8 @@
 
 def _within(site: Site, trouble: Trouble, at: int, end: int) -> tuple[Trouble, int, int]:
     """The trouble from `at` on, over by the end of the time for troubles where its fields can say
-    so."""
+    so.
+    """
     fields = dict(trouble.fields)
     if "for_s" in fields:
         fields["for_s"] = max(0.1, min(fields["for_s"], (end - at) / 100))
--- a/loomstand/testing/fault_schedules/draw.py
+++ b/loomstand/testing/fault_schedules/draw.py
@@ -135,7 +135,8 @@
 
 def mixes(kinds: list[str], size: int, rng: Random) -> Iterator[tuple[bool, tuple[str, ...]]]:
     """Without end: whether the mix has pairs that no mix before had, and its kinds. First,
-    greedily, until every two kinds have been in one mix; then by lot."""
+    greedily, until every two kinds have been in one mix; then by lot.
+    """
     size = min(size, len(kinds))
     still = {pair(*two) for two in combinations(kinds, 2)}
     while still:
@@ -151,7 +152,8 @@
 
 def _greedy(kinds: list[str], size: int, still: set[Pair], rng: Random) -> tuple[str, ...]:
     """Begins with the kind that has most pairs to go; then adds the one with most among those
-    taken."""
+    taken.
+    """
     left = rng.sample(kinds, len(kinds))  # ties fall by lot
     mix = [max(left, key=lambda kind: sum(kind in two for two in still))]
     while len(mix) < size:
@@ -172,7 +174,8 @@
 
 def _varied(site: Site, trouble: Trouble, factor: float, rng: Random) -> Trouble:
     """The trouble with its figures by severity, short enough to fit between the lead and the
-    end."""
+    end.
+    """
     fields = dict(trouble.fields)
     by_steps = trouble.planned and "gap_s" in fields  # then x is so many at a time, count so many
     for key in sorted(fields.keys() & {"share", "x", "for_s", "gap_s", "count"}):
--- a/loomstand/testing/fault_schedules/losses.py
+++ b/loomstand/testing/fault_schedules/losses.py
@@ -1,5 +1,6 @@
 """What was lost where, by the figures of an entry. Pure; all that is lost is shared out and nothing
-twice."""
+twice.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +22,8 @@
 @dataclass(frozen=True, slots=True)
 class Loss:
     """What one cause took. Worth: of the day's worth, which lacks `1 - worth`. Score: of the day's
-    score, which lacks `1 - score`."""
+    score, which lacks `1 - score`.
+    """
 
     cause: str
     kind: str  # of PART, PRICE, VERDICT
@@ -74,7 +76,8 @@
 
 def weights(entry: Entry) -> list[float]:
     """What each day weighs in the score. They add up to 1: where a slot has no day, the others
-    weigh more."""
+    weigh more.
+    """
     every = range(len(entry.days))
     counted = [n for n in every if not _fresh(entry, entry.days[n])] or list(every)
     slots = [day.slot if day.slot in SLOTS else "trouble" for day in entry.days]
@@ -125,7 +128,8 @@
 
 def means(days: list[Day]) -> dict[str, float]:
     """Worth lost to each cause, the plain mean of the days: their weights would differ between
-    entries."""
+    entries.
+    """
     out: dict[str, float] = {}
     for day in days:
         for loss in of_day(day):
@@ -135,7 +139,8 @@
 
 def labelled(shares: Iterable[float | None], names: tuple[str, ...]) -> list[tuple[str, float]]:
     """Kinds of request or zones with their share earned, the worst first; without names, by
-    number."""
+    number.
+    """
     called = [
         (names[n] if n < len(names) else f"#{n + 1}", share) for n, share in enumerate(shares)
     ]
--- a/loomstand/testing/fault_schedules/plots.py
+++ b/loomstand/testing/fault_schedules/plots.py
@@ -1,5 +1,6 @@
 """What was lost on each day, as stacked bars. matplotlib is imported only when a plot is asked
-for."""
+for.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +13,8 @@
 
 def bars(entry: Entry, path: str) -> None:
     """Writes a PNG. Raises ImportError without matplotlib, OSError where the file can't be
-    written."""
+    written.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
--- a/loomstand/testing/fault_schedules/site.py
+++ b/loomstand/testing/fault_schedules/site.py
@@ -1,5 +1,6 @@
 """What drawing days needs of a bench's site file, checked. Times are whole hundredths of a second,
-so that sums and bounds are exact."""
+so that sums and bounds are exact.
+"""
 
 from __future__ import annotations
 
@@ -65,7 +66,8 @@
 
 def steps(trouble: Trouble, site_things: int) -> int:
     """How many steps planned work takes at most: of a share it isn't known of which things, so of
-    all."""
+    all.
+    """
     fields = trouble.fields
     if "count" in fields:
         return int(fields["count"])
@@ -148,7 +150,8 @@
 
 def _planned(kind: str, listed: list[tuple[str, dict]], stands: Counter) -> bool:
     """Where standing days have the kind. One that none has is a fault if a line of it says how long
-    it lasts: so it is with all that they have."""
+    it lasts: so it is with all that they have.
+    """
     plan, faults = stands[kind, "plan"], stands[kind, "faults"]
     if plan or faults:
         return plan > faults
--- a/loomstand/testing/fault_schedules/write.py
+++ b/loomstand/testing/fault_schedules/write.py
@@ -1,5 +1,6 @@
 """A drawn day as TOML, and the index of all. Only what a day holds is written: texts, figures,
-truth, lists and tables on one line."""
+truth, lists and tables on one line.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +51,8 @@
 
 def index(site: Site, wish: Wish, days: list[Drawn]) -> dict[str, Any]:
     """What each day mixes and which pairs of kinds met. Times in seconds from the start of
-    traffic."""
+    traffic.
+    """
     kinds = kinds_of(site, wish)
     possible: list[Pair] = [pair(*two) for two in combinations(kinds, 2)]
     met: set[Pair] = set()
--- a/loomstand/testing/model_checker/__main__.py
+++ b/loomstand/testing/model_checker/__main__.py
@@ -1,5 +1,6 @@
 """`python -m loomstand.testing.model_checker`: searches the store's states for one that breaks an
-invariant."""
+invariant.
+"""
 
 from __future__ import annotations
 
--- a/loomstand/testing/model_checker/member.py
+++ b/loomstand/testing/model_checker/member.py
@@ -56,7 +56,8 @@
 
 class Work(NamedTuple):
     """What a primary or candidate is about; a campaign if `plan` is there, else a put or a
-    settling."""
+    settling.
+    """
 
     stage: str
     epoch: int
@@ -131,7 +132,8 @@
 
 class Plot:
     """`cell` come to life for one event; `out` and `marks` are what comes of it besides the next
-    cell."""
+    cell.
+    """
 
     def __init__(self, rules: Rules, seeds: tuple[Member, ...], cell: Cell) -> None:
         self.rules, self.seeds, self.cell = rules, seeds, cell
@@ -346,7 +348,8 @@
 
     def greet(self, view: View) -> None:
         """At its start all in reach answer before it asks for a lease, and tell of the newest
-        view."""
+        view.
+        """
         self.replica.notice(view)
         record = self.replica.fenced()
         if record is not None:
@@ -497,7 +500,8 @@
 
     def learn(self) -> None:
         """What is in force goes to its disk too, though it's neither the primary's nor the
-        backup's."""
+        backup's.
+        """
         held = self.rules.learner(self.copy).due(self.replica)
         if held is None or self.pen is not None:
             raise Refused("nothing to write")
@@ -531,7 +535,8 @@
 
     def plans(self, members: tuple[Member, ...]) -> list[Plan]:
         """All that `due` may say, whoever of `members` seems to be there, and however late it
-        is."""
+        is.
+        """
         t, found = self.replica, {}
         others = [m for m in members if m.id != t.me.id]
         stands = t.lease_left(0.0) > 0.0 or t.leads(0.0)
--- a/loomstand/testing/model_checker/mutants.py
+++ b/loomstand/testing/model_checker/mutants.py
@@ -1,5 +1,6 @@
 """Steps left out, one at a time: the model_checker is worth something only if it finds every one of
-them."""
+them.
+"""
 
 from __future__ import annotations
 
--- a/loomstand/testing/model_checker/search.py
+++ b/loomstand/testing/model_checker/search.py
@@ -1,5 +1,6 @@
 """Walks through a land: breadth first through all of it, so that a violation's trace is the
-shortest."""
+shortest.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +14,8 @@
 @dataclass(slots=True)
 class Search:
     """What a search has seen. `whole`: it ended for want of new states, so all within bounds are
-    known."""
+    known.
+    """
 
     states: int = 0
     transitions: int = 0
--- a/loomstand/testing/model_checker/state_space.py
+++ b/loomstand/testing/model_checker/state_space.py
@@ -1,5 +1,6 @@
 """All members and what is under way between them: the states, their successors, and what must
-always hold."""
+always hold.
+"""
 
 from __future__ import annotations
 
@@ -72,7 +73,8 @@
 
 class Read(NamedTuple):
     """An answer that isn't passed on yet; `asked` as the one who passes it on counts, at the
-    latest."""
+    latest.
+    """
 
     by: int
     asked: float
@@ -186,7 +188,8 @@
         """What a member may do of itself, by its own code's leave; the epoch is any that it may
         choose.
 
-        `stay`: those of `members` that weren't told to stop."""
+        `stay`: those of `members` that weren't told to stop.
+        """
         key = (number, members, stay)
         if key in self.own:
             return self.own[key]
@@ -231,7 +234,8 @@
 
     def is_dull(self, cell: int, number: int) -> bool:
         """Whether a message can never matter again at a member; asked of the code, so mutants
-        differ."""
+        differ.
+        """
         key = (cell, number)
         found = self.dull.get(key)
         if found is None:
@@ -421,7 +425,8 @@
 
     def _rescued(self, state: Plain) -> Iterator[tuple[Label, Plain]]:
         """Operators' word, where the code's own judgement lets them; later what they gave up comes
-        back."""
+        back.
+        """
         if not state.left.rescues:
             for k, (i, record) in enumerate(state.aside):
                 rest = state._replace(aside=(*state.aside[:k], *state.aside[k + 1 :]))
@@ -446,7 +451,8 @@
         self, state: Plain, i: int, record: Record, words: str, empty: bool = False
     ) -> Iterator[tuple[Label, Plain]]:
         """Who wakes hears no answers to what it asked before, also not to what is still being
-        written."""
+        written.
+        """
         cells, late = list(state.cells), list[int]()
         for k, number in enumerate(cells):
             match self.cells[number].pen:
@@ -602,7 +608,8 @@
 
     def _missed(self, state: Plain) -> bool:
         """Whether a member that ended has nobody in its place: it counts as the one loss that is
-        borne."""
+        borne.
+        """
         view, _ = self._left(state)
         names = replace(view, former=()).named() if view else {}
         return any(self.cells[state.cells[i]].record.id in names for i in state.gone)
--- a/loomstand/testing/rehearsal/__init__.py
+++ b/loomstand/testing/rehearsal/__init__.py
@@ -1,2 +1,3 @@
 """The rehearsal kit: limiter processes among stand-ins, faults between them, a checker
-(docs/rehearse.md)."""
+(docs/rehearse.md).
+"""
--- a/loomstand/testing/rehearsal/checker.py
+++ b/loomstand/testing/rehearsal/checker.py
@@ -31,7 +31,8 @@
 @dataclass(slots=True)
 class Seen:
     """Every trail of a rehearsal, by what was seen, each row [Unix s, ...]; and what is made of
-    it."""
+    it.
+    """
 
     told: Rehearsal
     rows: dict[str, list[list]] = field(default_factory=dict)
@@ -195,7 +196,8 @@
 
 def held_since(seen: Seen, path: tuple[str, str], came: float) -> float | None:
     """When the cut began that may have held back what came to a server at a time; None where none
-    did. Right after a cut has healed what comes may be new as well, so both times count."""
+    did. Right after a cut has healed what comes may be new as well, so both times count.
+    """
     for since, until in seen.cuts.get((*path, "forth"), ()):
         if since <= came < until + SETTLE:
             return since
@@ -204,7 +206,8 @@
 
 def told_rows(seen: Seen) -> None:
     """When each limiter was told that a server drains or is gone, until it was told that it is
-    live."""
+    live.
+    """
     history, open_ = seen.history, {}
     for at, limiter, whole, rows in seen.all("told"):
         path = (f"l{limiter}", "discovery")
--- a/loomstand/testing/rehearsal/child.py
+++ b/loomstand/testing/rehearsal/child.py
@@ -27,7 +27,8 @@
 
 class Trail:
     """Rows written as they happen, a JSON array a line, [what, Unix time in s, ...]: a SIGKILL
-    loses none."""
+    loses none.
+    """
 
     def __init__(self, path: str) -> None:
         self.file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
--- a/loomstand/testing/rehearsal/driver.py
+++ b/loomstand/testing/rehearsal/driver.py
@@ -148,7 +148,8 @@
 
     def set_of(self, customer: int, plan: int) -> tuple[int, int, list[int]]:
         """First limiter and size of a customer's set, and those of it that the front uses now. A
-        set whose limiters are all gone moves on to the next zone's."""
+        set whose limiters are all gone moves on to the next zone's.
+        """
         n, size = self.told.fleet.limiters, self.told.plans[plan].spread or self.told.fleet.limiters
         home = customer % self.zones
         for step in range(self.zones):
@@ -254,5 +255,6 @@
 
 async def start(config: dict):
     """`rehearsal`, `host`, `seed`, `part` of all drivers, `ports` by client zone and limiter,
-    `trail`. Starts at the order `begin` with `at` (Unix s); writes a line when all is over."""
+    `trail`. Starts at the order `begin` with `at` (Unix s); writes a line when all is over.
+    """
     return Driver(config).order
--- a/loomstand/testing/rehearsal/links.py
+++ b/loomstand/testing/rehearsal/links.py
@@ -170,7 +170,8 @@
 
 class Relay(asyncio.DatagramProtocol):
     """The datagrams of one limiter to another: they leave from the relay of the way back, so that
-    the receiver knows the sender by the address that it has for it."""
+    the receiver knows the sender by the address that it has for it.
+    """
 
     def __init__(self, spec: dict, host: str, all_: dict[str, Relay]) -> None:
         self.name, self.host, self.port, self.to = (
@@ -234,7 +235,8 @@
 
 async def start(config: dict):
     """`links`: each with `name`, `port` and `to` [host, port]; `relays`, with the name of the one
-    `back` as well; `host` to listen on."""
+    `back` as well; `host` to listen on.
+    """
     relays: dict[str, Relay] = {}
     relays |= {spec["name"]: Relay(spec, config["host"], relays) for spec in config["relays"]}
     links = {spec["name"]: Link(spec, config["host"]) for spec in config["links"]} | relays
--- a/loomstand/testing/rehearsal/report.py
+++ b/loomstand/testing/rehearsal/report.py
@@ -1,5 +1,6 @@
 """One rehearsal from its scenario to its verdict: report.json, the table on the terminal, the
-plots."""
+plots.
+"""
 
 from __future__ import annotations
 
--- a/loomstand/testing/rehearsal/scenario.py
+++ b/loomstand/testing/rehearsal/scenario.py
@@ -42,7 +42,8 @@
 
 class Fleet(lab.Fleet):
     """The lab's, with what only sockets have. Zones hold limiters and servers of neighbouring
-    numbers."""
+    numbers.
+    """
 
     connections: Count = 0  # that a server holds at most; 0 for no limit
     peers: bool = False  # limiters know of each other (docs/peers.md)
@@ -109,7 +110,8 @@
 class Fault(Struct):
     """One step of the timeline. `who` and `other` hold names: `limiters`, `servers`, `clients`,
     `zone` (both of the first two), each with `:ZONE` or for all; `l0`, `s3`, `counter`,
-    `discovery`."""
+    `discovery`.
+    """
 
     at: Seconds
     do: Do
@@ -256,7 +258,8 @@
 
 def load(path: str, quick: bool = False, sets: dict[str, object] | None = None) -> Rehearsal:
     """The rehearsal in a file, with `quick` in its short form, and with dotted keys set. Raises
-    ScenarioError naming the file and the key."""
+    ScenarioError naming the file and the key.
+    """
     table = lab.table_of(path)
     short = table.get("quick", {})
     try:
@@ -271,7 +274,8 @@
 
 def plan_of(told: Rehearsal, path: str) -> bytes:
     """The text of the site plan that a rehearsal names, beside its own file; empty where it names
-    none."""
+    none.
+    """
     if not told.plan:
         return b""
     try:
--- a/loomstand/testing/rehearsal/servers.py
+++ b/loomstand/testing/rehearsal/servers.py
@@ -90,7 +90,8 @@
 
     async def listen(self, cold: bool) -> float:
         """When it started (Unix s; 0 for long ago). A cold one is as old as its listening: counted
-        from before its process, a busy machine's start of Python would warm it unseen."""
+        from before its process, a busy machine's start of Python would warm it unseen.
+        """
         loop = asyncio.get_running_loop()
         self.booted = time.time() if cold else 0.0
         self.listener = await loop.create_server(lambda: Caller(self), self.play.host, self.port)
@@ -196,7 +197,8 @@
 async def start(config: dict):
     """`rehearsal`, `host`, `seed`, `trail`, and `servers`: each with `index`, `port`, `cold`
     (whether it starts now, else long ago). Puts into `booted` when each started (Unix s, or 0), by
-    index."""
+    index.
+    """
     play = Play(config)
     config["booted"] = {
         str(s["index"]): await play.servers[s["index"]].listen(s["cold"]) for s in config["servers"]
--- a/loomstand/testing/rehearsal/stage.py
+++ b/loomstand/testing/rehearsal/stage.py
@@ -81,7 +81,8 @@
 
 class Stage:
     """One rehearsal's processes; `out` is the folder that their trails, logs and configurations go
-    to."""
+    to.
+    """
 
     count = 0
 
@@ -273,7 +274,8 @@
 
     async def set_up(self) -> None:
         """All processes, until each limiter listens (and has a list, where it starts with one).
-        Servers come first: what is told of them names when they started."""
+        Servers come first: what is told of them names when they started.
+        """
         self.failed = asyncio.get_running_loop().create_future()
         told, f = self.told, self.told.fleet
         rehearsal = msgspec.to_builtins(told)
@@ -353,7 +355,8 @@
 
     async def ready(self, n: int, within: float) -> None:
         """Waits until a limiter answers its health call with 200; no longer where this life is
-        ended by a fault of the timeline, which may come before it is ready."""
+        ended by a fault of the timeline, which may come before it is ready.
+        """
         end, proc = time.monotonic() + within, self.procs[f"l{n}"]
         life = proc.life
         while time.monotonic() < end:
@@ -573,7 +576,8 @@
 
     async def back(self, proc: Proc) -> None:
         """A process starts again; its servers are cold, its limiter knows nothing but its
-        configuration."""
+        configuration.
+        """
         if proc.life is not None:
             await proc.life.wait()
         for node in proc.nodes:
@@ -675,7 +679,8 @@
     program: tuple[str, ...] = LIMITER,
 ) -> None:
     """One rehearsal from first to last process; a cancelled one ends all of its processes as
-    well."""
+    well.
+    """
     held = Stage(told, seed, out, plan, program)
     try:
         await held.set_up()
--- a/loomstand/testing/simulation/bounds.py
+++ b/loomstand/testing/simulation/bounds.py
@@ -23,7 +23,8 @@
 class Span:
     """Trouble from its beginning to its end, on these machines. `core`: it unsettles the core, and
     so touches every limiter; `most`: more than half of the core ran and was connected through it.
-    `kind` is cut, started, slow or core: what a limiter is called whose last trouble it was."""
+    `kind` is cut, started, slow or core: what a limiter is called whose last trouble it was.
+    """
 
     kind: str
     what: str
@@ -37,7 +38,8 @@
 @dataclass(slots=True, frozen=True)
 class Told:
     """A limiter changed what it goes by, in its life of that number. `server` is "" where it is a
-    version that came into force, else that server's use began (`value` 1) or ended (0)."""
+    version that came into force, else that server's use began (`value` 1) or ended (0).
+    """
 
     at: float
     host: str
@@ -49,7 +51,8 @@
 @dataclass(slots=True, frozen=True)
 class Change:
     """A version of the configuration. `acked` is inf where no acknowledgement came; `quotas` by
-    tenant: rate in requests a second and burst."""
+    tenant: rate in requests a second and burst.
+    """
 
     version: int
     sent: float
@@ -60,7 +63,8 @@
 @dataclass(slots=True, frozen=True)
 class Drain:
     """A server's end that was acknowledged, by the core machine `by`; from `left` on it is gone,
-    and who still lists it breaks nothing."""
+    and who still lists it breaks nothing.
+    """
 
     server: str
     acked: float
@@ -71,7 +75,8 @@
 @dataclass(slots=True, frozen=True)
 class Ran:
     """An arrival at a server of a request that a client had sent to the limiter `front`; `ran`: not
-    turned away."""
+    turned away.
+    """
 
     id: str
     tenant: str
@@ -107,7 +112,8 @@
 @dataclass(slots=True, frozen=True)
 class Figure:
     """The worst of one kind in a day: `value` beside the `allowed` of that very moment (inf: none
-    is set), of `many`; `broken` of them were over theirs."""
+    is set), of `many`; `broken` of them were over theirs.
+    """
 
     name: str
     value: float
@@ -152,7 +158,8 @@
 
 def quota(history: History, bounds: Bounds) -> list[Figure]:
     """QUOTA. The value is the share of the leeway used: 0 at rate x window + burst, 1 at the
-    allowed. Of small quotas most is slack, so they are a figure of their own."""
+    allowed. Of small quotas most is slack, so they are a figure of their own.
+    """
     large, small = (
         Worst("quota: share of the leeway used"),
         Worst("quota, small: share of the leeway used"),
@@ -191,7 +198,8 @@
 ) -> Iterator[tuple[float, float, Mapping[str, tuple[float, float]]]]:
     """Versions with the span in which a window may begin that still has their quotas. A version may
     be in force once it is sent; a higher one binds when all limiters were in touch for
-    `configuration_apply`."""
+    `configuration_apply`.
+    """
     until = inf
     for change in sorted(history.changes, key=lambda c: -c.version):
         yield change.sent, until, change.quotas
@@ -214,7 +222,8 @@
 
 def trouble(history: History, host: str, since: float, until: float, bounds: Bounds) -> Span | None:
     """The trouble of a limiter, or of the core, that ended last among those within `contact` of a
-    span."""
+    span.
+    """
     near = [
         s
         for s in history.spans
@@ -233,7 +242,8 @@
     def add(self, host: str, acked: float, known: float, who: str, free: bool = False) -> None:
         """News acknowledged at one time was in force at another. Where there was trouble the delay
         counts from the end of that. `free`: no bound holds, as whoever acknowledged it was in
-        trouble."""
+        trouble.
+        """
         span = trouble(self.history, host, acked, known, self.bounds)
         if span is not None and span.ended >= known > acked:
             return  # still in it, whatever it went by
@@ -271,7 +281,8 @@
 
 def news(history: History, bounds: Bounds) -> list[Figure]:
     """CONFIG: from the acknowledgement of a version to its force, or that of a later one, at each
-    limiter. One that starts must have what was acknowledged before too."""
+    limiter. One that starts must have what was acknowledged before too.
+    """
     found = News("version in force", bounds.configuration_apply, history, bounds)
     words = by_life(history.told, False)
     for host in history.limiters:
@@ -301,13 +312,15 @@
 
 def since_when(mine: list[Told], change: Change, ended: float) -> float:
     """When a limiter first held that version or a later one; lives after that one are told of by
-    their starts."""
+    their starts.
+    """
     return min((w.at for w in mine if w.value >= change.version), default=ended)
 
 
 def drains(history: History, bounds: Bounds) -> list[Figure]:
     """DRAIN, as the limiters know of it: from the acknowledgement to the end of a server's use at
-    each."""
+    each.
+    """
     found = News("drain known", bounds.drain, history, bounds)
     words = by_life(history.told, True)
     for drain in history.drains:
@@ -369,7 +382,8 @@
 
 def budget(history: History, bounds: Bounds) -> list[Figure]:
     """BUDGET. The value is the share of `budget_slack` that further tries took beyond the ratio's
-    part."""
+    part.
+    """
     worst, window = Worst("further tries: share of the slack used"), bounds.budget_window
     seen: set[str] = set()
     again: dict[str, list[float]] = {}
@@ -390,7 +404,8 @@
 
 def orders(history: History, bounds: Bounds) -> list[Figure]:
     """Acks: how long a change took that was sent and acknowledged with no trouble near, or
-    `acknowledge` past where none came."""
+    `acknowledge` past where none came.
+    """
     worst = Worst("acknowledgement of a change in settled times")
     for change in history.changes:
         until = min(change.acked, change.sent + bounds.acknowledge)
@@ -409,7 +424,8 @@
 
 def unserved(history: History) -> list[Figure]:
     """Spans without a serving primary; those in which half of the core was gone count from their
-    end."""
+    end.
+    """
     worst = Worst("without a serving primary")
     for since, until in history.unserved:
         gone = [
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -130,7 +130,8 @@
 
 class Cluster:
     """`cores` core machines with a registry and a store each, `proxies`, and the servers of each
-    service."""
+    service.
+    """
 
     def __init__(self, seed: int = 1, cores: int = 3, proxies: int = 4, servers: int = 3) -> None:
         self.loop = VirtualLoop()
@@ -271,7 +272,8 @@
 
     async def begin(self) -> None:
         """All start; the operator sends the first configuration; the platform finds all proxies
-        ready."""
+        ready.
+        """
         for host in (*self.stores.values(), *self.registries.values(), *self.proxies.values()):
             host.start()
         for server in (s for many in self.servers.values() for s in many):
@@ -413,7 +415,8 @@
         self, name: str = "once", key: str = "key-of-ann", at: str = "", **more: Any
     ) -> Any:
         """One try of a request that can't be repeated, or of whatever route; gives ask and
-        reply."""
+        reply.
+        """
         ask = self.client.ask("POST", "town.example", f"/{name}/x", key, b"body " * 20, **more)
         front = (at, FRONT) if at else self.rng.choice(self.inside)
         return ask, await self.client.once(ask, front)
--- a/loomstand/testing/simulation/control_plane.py
+++ b/loomstand/testing/simulation/control_plane.py
@@ -53,7 +53,8 @@
 
     async def order(self, ip: str, within: float = PATIENT, version: int = 0) -> int:
         """One sending of an order, a new one or one that was sent before; its status, 0 without an
-        answer."""
+        answer.
+        """
         if not version:
             self.version += self.rng.choice((1, 1, 3))
             version = self.version
--- a/loomstand/testing/simulation/hunt.py
+++ b/loomstand/testing/simulation/hunt.py
@@ -1,5 +1,6 @@
 """`python -m loomstand.testing.simulation.hunt`: many drawn days of a whole cluster; the worst
-figures."""
+figures.
+"""
 
 from __future__ import annotations
 
--- a/loomstand/testing/simulation/machine.py
+++ b/loomstand/testing/simulation/machine.py
@@ -65,7 +65,8 @@
 
     def kill(self) -> None:
         """Its processes end this moment; its ports refuse calls, its disk keeps what was
-        written."""
+        written.
+        """
         if self.life is not None:
             self.life.alive = False
         for address in [a for a, at in self.sky.listeners.items() if at.life is self.life]:
--- a/loomstand/testing/simulation/network.py
+++ b/loomstand/testing/simulation/network.py
@@ -115,20 +115,20 @@
                 await self.sky.carry(self.host, address[0])
                 and await self.sky.carry(address[0], self.host)
             ):
-                return
+                return None
             there = self.sky.listeners.get(address)
             if there is None or not there.life.alive:
                 return _give(answer, Error(Verdict.NEVER_RAN))
             self.met[address] = there.life
         if answer.done():
-            return
+            return None
         sent.append(True)
         if not await self.sky.carry(self.host, address[0]):
-            return
+            return None
         if not there.life.alive:
             if self.sky.open(address[0], self.host):
                 _give(answer, Error(Verdict.MAY_HAVE_RUN))
-            return
+            return None
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[Result[Body, Verdict]] = loop.create_future()
         served = loop.create_task(
--- a/loomstand/testing/simulation/scenario.py
+++ b/loomstand/testing/simulation/scenario.py
@@ -1,5 +1,6 @@
 """A day drawn from a seed: tenants at or above their quotas, troubles side by side, and what came
-of it."""
+of it.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +31,8 @@
 class Setup:
     """The size of a day: `length` in seconds; `cores` 0 draws 3 or 4; `quotas` is a factor on
     RATES. `dense`: troubles come within seconds of each other, several at once, with two tenants
-    hot and quotas lowered."""
+    hot and quotas lowered.
+    """
 
     limiters: int = 12
     cores: int = 0
--- a/loomstand/testing/simulation/stream_network.py
+++ b/loomstand/testing/simulation/stream_network.py
@@ -1,5 +1,6 @@
 """Calls between the system's processes on simulated streams: the code of `rpc.sockets`, byte by
-byte."""
+byte.
+"""
 
 from __future__ import annotations
 
--- a/loomstand/testing/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -61,7 +61,8 @@
 @dataclass(slots=True)
 class Cables:
     """All connections under a sky. `ends` has each until its process and its kernel are done with
-    it."""
+    it.
+    """
 
     sky: SimNetwork
     rng: Random
@@ -69,7 +70,8 @@
 
     def died(self, life: Life) -> None:
         """A process ended: its machine's kernel closes what it had, by a reset where bytes are
-        unread, and often by one otherwise."""
+        unread, and often by one otherwise.
+        """
         for end in sorted((e for e in self.ends if e.life is life), key=lambda e: e.number):
             end.forsaken()
 
@@ -174,7 +176,8 @@
 
     def abort(self) -> None:
         """As a socket's close: what the kernel has is still sent, but bytes left unread make it a
-        reset."""
+        reset.
+        """
         self.buffer.clear()
         if not self.closed:
             self.finish(None)
@@ -347,7 +350,8 @@
 
     def reset(self) -> None:
         """The kernel breaks it off, once; what is on the way comes before that. What met a cut
-        never comes, nor what was sent after it: no byte is read over a gap."""
+        never comes, nor what was sent after it: no byte is read over a gap.
+        """
         if not self.gone:
             if self.way and self.way[0][0] <= self.loop.time():
                 self.way.clear()
@@ -387,7 +391,8 @@
 
     def power_off(self, wipe: bool = False) -> None:
         """Falls silent: nothing says that its connections are over until somebody writes to it
-        later."""
+        later.
+        """
         self.sky.off.add(self.host)
         super().power_off(wipe)
 
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -41,7 +41,8 @@
 class Played(Talk):
     """A server's connection: runs each whole request and answers as its play says: bytes, seconds
     to wait, or "reset", "close", "half" (its sending ends); it runs nothing where that begins with
-    "refuse". `early` answers once a head is there."""
+    "refuse". `early` answers once a head is there.
+    """
 
     def __init__(self, stage: Stage) -> None:
         super().__init__()
@@ -89,7 +90,8 @@
 
 class Stage:
     """A pool of connections to one server, and in place of the proxy a book of what came of each
-    request."""
+    request.
+    """
 
     def __init__(self) -> None:
         self.sky = SimNetwork(Random(1))
@@ -157,7 +159,8 @@
 
     def check(self) -> None:
         """No proof for what ran, one end for each sending, and only an own whole answer has
-        passed."""
+        passed.
+        """
         for id_, outcomes in self.came_of.items():
             proved = sum(o in PROOFS for o in outcomes)
             assert self.ran.count(id_) <= len(outcomes) - proved, (id_, outcomes)
@@ -172,7 +175,8 @@
 
 class Tricky(Server):
     """A server whose requests meet what `script` says, one after the other: what befalls one, and
-    at which byte of its answer."""
+    at which byte of its answer.
+    """
 
     script: list[tuple[str, int]]
 
--- a/loomstand/testing/simulation/wrong_calls.py
+++ b/loomstand/testing/simulation/wrong_calls.py
@@ -33,7 +33,8 @@
 
 class OddLine(StreamLine):
     """A server's connection that sends its answers as `owner.plays` says: each a way, and at which
-    byte."""
+    byte.
+    """
 
     def __init__(self, owner: Any, serve: Any) -> None:
         super().__init__(owner, serve)
@@ -121,7 +122,8 @@
 
     def check(self) -> None:
         """Each answer is the own one, nothing runs twice, and what is proved not to have run
-        hasn't."""
+        hasn't.
+        """
         for n, got in self.said.items():
             assert self.ran.count(n) <= 1
             if got.is_ok():
--- a/tests/alone.py
+++ b/tests/alone.py
@@ -30,7 +30,8 @@
 
     class Scheduling(LoadScopeScheduling):
         """Every test a work unit of its own, but those that run alone: these are one, and the
-        last."""
+        last.
+        """
 
         def _split_scope(self, nodeid: str) -> str:
             return SCOPE if nodeid.partition("::")[0].rpartition("/")[2] in ALONE else nodeid
@@ -71,7 +72,8 @@
         def remove_node(self, node) -> str | None:
             """The test during which a worker died, if any. With `--max-worker-restart 0` that ends
             the run, so nothing is given on; the base class gives on what was done as well, whose
-            end never comes."""
+            end never comes.
+            """
             units = self.assigned_work.pop(node)
             return next(
                 (test for unit in units.values() for test, done in unit.items() if not done), None
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -1,5 +1,6 @@
 """A limiter with a fault put in on purpose, for the checker to find: `faulty.py FAULT --config
-FILE`."""
+FILE`.
+"""
 
 from __future__ import annotations
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,6 @@
 """A small stage for the module, with checks of the five rules; and stand-ins for the limiter on
-sockets."""
+sockets.
+"""
 
 from __future__ import annotations
 
@@ -218,7 +219,8 @@
 
     def pass_time(self, span: int) -> None:
         """Moves the clock, with timers, expiries and the end of each client's patience on the
-        way."""
+        way.
+        """
         end = self.now + span
         while True:
             dues = [t[0] for t in self.timers if t[1] != self.stalled] + [
@@ -242,7 +244,8 @@
 
     def check_cold(self, srv: int, booted: int) -> None:
         """Rule 4, against what the busiest peer carried: a second's budget and one req a
-        limiter."""
+        limiter.
+        """
         peers = [n for n in self.entries if not self.entries[n].booted]
         carried = max(
             (sum(1 for t, s in self.sends if s == p and t > self.now - 4 * S) for p in peers),
@@ -313,7 +316,8 @@
 
 class Peer:
     """A stand-in that takes HTTP messages; `play(n, head, body)` answers the nth, or closes by
-    None."""
+    None.
+    """
 
     def __init__(self, play: Callable) -> None:
         self.play, self.heads, self.bodies, self.connections = play, [], [], 0
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -9,7 +9,8 @@
 
 class StandIn:
     """A registry that answers calls by `plan`, a status, body and header each, then as one that
-    holds."""
+    holds.
+    """
 
     def __init__(self, held=b"", *plan):
         self.held, self.plan, self.calls, self.over = held, list(plan), [], threading.Event()
--- a/tests/test_almanac.py
+++ b/tests/test_almanac.py
@@ -1,5 +1,6 @@
 """Days of our own and the journal's losses, on a site and entries made by hand: no bench is
-needed."""
+needed.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,5 +1,6 @@
 """Answers and their callers on simulated streams: each to its own, and none run twice that must
-not."""
+not.
+"""
 
 from __future__ import annotations
 
@@ -76,11 +77,12 @@
 
 def surplus(made: Callable[[str], bytes], *, ahead: bool) -> Callable[[Stage], Any]:
     """One request's second answer, cut at each byte: the rest of it comes where the next one's is
-    due."""
+    due.
+    """
 
     async def work(stage: Stage) -> None:
         size = len(made("r0000"))
-        for at in range(0, size + 1):
+        for at in range(size + 1):
             first, second = f"r{at:04}", f"n{at:04}"
             extra, own = made(first), whole(second)
             stage.plays = [
@@ -161,7 +163,8 @@
 
 async def behind_a_cut(stage: Stage) -> None:
     """Bodies below and above the window, cut off at several moments, given up, and the cut
-    healed."""
+    healed.
+    """
     for n, size in enumerate((0, 100, WINDOW - 400, WINDOW, 3 * WINDOW, 6 * WINDOW)):
         for after in (0.0, 0.001, 0.004, 0.006, 0.009, 0.013, 0.02):
             id_ = f"r{n}{after}"
@@ -317,7 +320,8 @@
 
 async def held_up(town: OddCluster) -> tuple[Any, Any, asyncio.Task[Any]]:
     """A request not to be repeated that is out at a server; the proxy, its request there, its
-    end."""
+    end.
+    """
     ask = town.client.ask("PUT", "town.example", "/once/x", "key-of-ann", b"body")
     task = town.loop.create_task(town.client.once(ask, town.front))
     await asyncio.sleep(0.05)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -209,7 +209,8 @@
 @pytest.mark.parametrize("held", [True, False])
 def test_a_place_that_is_not_held_for_a_silent_limiter_shows_in_the_gauges(held, monkeypatch):
     """With credits it takes more to break the quota: they are out, too (their own mutations are in
-    tests/test_quota_grants.py)."""
+    tests/test_quota_grants.py).
+    """
     if not held:
         monkeypatch.setattr(limiters, "HELD", limiters.STANDS)
         monkeypatch.setattr(QuotaCredits, "may", lambda *_: True)
--- a/tests/test_brain_services.py
+++ b/tests/test_brain_services.py
@@ -1,5 +1,6 @@
 """Several services, settings that change at run time, and quotas that hold when totals stop
-coming."""
+coming.
+"""
 
 from __future__ import annotations
 
@@ -119,7 +120,8 @@
     many: int, rate: int, burst: int, fraction: float
 ) -> None:
     """One tenant asks up to five times its quota, unevenly; it moves as the counter falls silent
-    for ever."""
+    for ever.
+    """
     rng, told = Random(1), settings(limiters=many, plans=(plan(rate, burst),), **GATEWAY)
     brains = [DecisionEngine(replace(told, me=n), n, 0) for n in range(many)]
     for brain in brains:
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -1,5 +1,6 @@
 """Hundreds of changes with members away for most of them, and configurations of thousands of
-routes."""
+routes.
+"""
 
 from __future__ import annotations
 
@@ -215,7 +216,8 @@
 
 def away_for(versions: int) -> float:
     """Seconds after a cut of so many versions until a limiter has the newest, while changes go
-    on."""
+    on.
+    """
     town = Cluster(5, proxies=2)
     town.do(town.begin())
     ip = next(iter(town.proxies))
--- a/tests/test_ci.py
+++ b/tests/test_ci.py
@@ -1,5 +1,6 @@
 """How the suite is run: KNOWN-RED.txt passes over what it lists and no more; what runs alone
-does."""
+does.
+"""
 
 from __future__ import annotations
 
@@ -154,7 +155,8 @@
 @pytest.mark.parametrize("simulated", [2, 14])
 def test_a_worker_that_dies_fails_the_run_with_the_name_of_its_test(simulated, tmp_path):
     """Found by trial: replaced, its tests given on by pytest-xdist, the run hung or ran the test
-    again."""
+    again.
+    """
     dies = LOGGED.replace("    began", "    if n == %d: os._exit(3)\n    began")
     (tmp_path / "test_net.py").write_text(dies % (6, 2))
     code, out = run(tmp_path, dies % (simulated, 3), "", "-n", "3", "--max-worker-restart", "0")
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -1,5 +1,6 @@
 """How many synced copies of what was acknowledged exist, through repairs, handing over and
-leaving."""
+leaving.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +22,8 @@
 class Copies(World):
     """A core whose disks are looked at every 2 ms. `few`: seconds for which fewer than that many
     disks had the newest acknowledged version, by any of their pages ("synced"), and as the newest
-    view's primary or backup alone ("elected")."""
+    view's primary or backup alone ("elected").
+    """
 
     def __init__(self, seed: int = 1, hosts: int = 4) -> None:
         super().__init__(seed, (*HOSTS[:hosts],))
@@ -176,7 +178,8 @@
 async def last_copy_leaves(world: Copies, after: float, away: float) -> None:
     """The primary's disk is lost `after` s after the backup was told to stop, right after an
     acknowledgement; the backup takes its disk with it. The other machine is back with an empty one
-    after `away` s."""
+    after `away` s.
+    """
     first, backup = world.whom("the primary"), world.whom("the backup")
     leaving_ = world.loop.create_task(backup.leave()) if after >= 0.0 else None
     await asyncio.sleep(max(0.0, after))
@@ -238,7 +241,8 @@
 
 def free_without_a_vote(self: Replica, now: float) -> bool:
     """Whoever is named, the backup without a vote too, takes nobody's place, and no vote is
-    needed."""
+    needed.
+    """
     if self.seen is None or self.me.id not in self.seen.named():
         return True
     stand_by = [m for m in self.live(now) if m.id not in self.seen.named()]
@@ -273,7 +277,8 @@
 
 async def lose_two_disks_with_all_power(world: World) -> None:
     """Right after an acknowledgement the others wrote, the disks of primary and backup go, and all
-    power."""
+    power.
+    """
     assert await world.put_within(0.5)
     await asyncio.sleep(0.05)
     both = [world.whom("the primary"), world.whom("the backup")]
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -1,6 +1,7 @@
 """A control machine that is cut off, frozen or empty hands out nothing old, refuses no order,
 confirms none that is lost: whole control planes on the simulated network, asked by operators who
-wait long."""
+wait long.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +33,8 @@
 def thawed_reads(plane: ControlPlane, who: str, asked: str) -> list[int]:
     """What is read by operators whose answers froze with a machine, at moments 0.5 ms apart;
     meanwhile others acknowledge more. `who`: the hosts of the primary's machine that freeze;
-    `asked`: through which one."""
+    `asked`: through which one.
+    """
 
     async def one(ms: float) -> int:
         first = plane.primary()
@@ -143,7 +145,8 @@
 def started_behind_a_cut() -> tuple[float, int, int, float]:
     """A proxy starts where it reaches one registry alone, which is cut off, as others acknowledge a
     change: s until it is ready, its version then, the newest by then, and s after the cut until it
-    has that."""
+    has that.
+    """
     town = Cluster(5, proxies=2, servers=2)
     town.do(town.begin())
     ip = next(iter(town.proxies))
@@ -187,7 +190,8 @@
 
 async def struck(plane: ControlPlane, how: str, ms: float) -> None:
     """An order, a question and another operator's order, the primary struck in the midst; then sent
-    again."""
+    again.
+    """
     first = plane.primary()
     others = [ip for ip in plane.core_ips if ip != first]
     late = [
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -1,5 +1,6 @@
 """The store's disk through losses of power that take names which were made without a sync of their
-folder."""
+folder.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -1,5 +1,6 @@
 """The duty to count, in simulated simulation: one registry has it at a time, whatever befalls the
-core."""
+core.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +18,8 @@
 
 class Core(Cluster):
     """Core machines alone, whose clocks run at rates that differ by 4 %, in simulation of all
-    kinds."""
+    kinds.
+    """
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed, proxies=0, servers=0)
--- a/tests/test_first_start.py
+++ b/tests/test_first_start.py
@@ -1,5 +1,6 @@
 """The first start: all machines within 0.3 s of each other, in any order, none of the seeds
-listening yet."""
+listening yet.
+"""
 
 from __future__ import annotations
 
@@ -54,7 +55,8 @@
 
 def test_it_is_caught_where_a_proxy_that_finds_nobody_is_in_no_hurry(monkeypatch):
     """The mutation: the pause after a seed that doesn't listen yet is that of a machine that is
-    gone."""
+    gone.
+    """
     monkeypatch.setattr(sessions, "AGAIN", (8.0, 8.0))
     town = Cluster(1, proxies=3)
     assert town.do(starts(town, True)) > READY
--- a/tests/test_golden_programs.py
+++ b/tests/test_golden_programs.py
@@ -146,7 +146,8 @@
 
 def test_the_older_forms_of_pages_are_read():
     """Before rescues a view had five items; before the orders there was no page of them, and a
-    program that doesn't know that page leaves one that isn't of its configuration."""
+    program that doesn't know that page leaves one that isn't of its configuration.
+    """
     record = pages.records()["with a view"]
     whole = pages.unhexed(load("pages")["records"]["with a view"])
     bare = replace(record, orders=names.NO_ORDERS)
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -1,5 +1,6 @@
 """The stranger failures of the grown sites, on whole clusters: servers that fail half of what they
-get, that go down and up by turns, that forget idle connections; links that lose packets."""
+get, that go down and up by turns, that forget idle connections; links that lose packets.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -1,5 +1,6 @@
 """Servers' heartbeats, drains and ends, between registries that were cut off from each other for a
-while."""
+while.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +26,8 @@
 
 async def leaves_in_a_cut(town: Cluster, ends: bool) -> str:
     """A server's drain, and its end if `ends`, are acknowledged by a registry that no other one
-    hears. After the cut the server speaks to that one alone."""
+    hears. After the cut the server speaks to that one alone.
+    """
     server = town.servers["alpha"][0]
     alone = town.core_ips[1]
     others = [ip for ip in town.core_ips if ip != alone]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,5 +1,6 @@
 """The lab: its checker names each rule broken on purpose, runs are deterministic, scenarios name
-bad keys."""
+bad keys.
+"""
 
 from __future__ import annotations
 
@@ -64,7 +65,8 @@
 
 class Deaf(Naive):
     """Rule 3: keeps the first list it was given and sends on to servers it was told are
-    draining."""
+    draining.
+    """
 
     def handle(self, now, note):
         if isinstance(note, api.EndpointsUpdated) and self.live:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -41,7 +41,8 @@
 
 def asked(town: Cluster, body: int = 0, path: str = "x") -> tuple[int, bool]:
     """The status of a request's one try, and whether it went on the connection kept from the
-    last."""
+    last.
+    """
     kept = town.client.idle.get(town.front)
     ask = town.client.ask("POST", "town.example", f"/once/{path}", "key-of-ann", b"b" * body)
     reply = town.do(town.client.once(ask, town.front))
--- a/tests/test_model_checker.py
+++ b/tests/test_model_checker.py
@@ -1,5 +1,6 @@
 """The store's decisions through all orders of events within small bounds, and by longer runs at
-random."""
+random.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,5 +1,6 @@
 """The limiter on sockets, among stand-ins on loopback: one test for each place where sockets
-bite."""
+bite.
+"""
 
 from __future__ import annotations
 
@@ -736,7 +737,8 @@
 
 def test_limiters_that_discovery_turned_away_together_ask_again_apart_and_ever_less_often():
     """Found on the fleet days: 28 limiters started in one second were turned away, and came again
-    in step."""
+    in step.
+    """
     waits: dict[int, list[float]] = {}
     for seed in (1, 2):
         told = waits.setdefault(seed, [])
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,5 +1,6 @@
 """What an order gets by its number and content: the pure decision, and whole cores under lost
-answers."""
+answers.
+"""
 
 from __future__ import annotations
 
@@ -138,7 +139,8 @@
 
 async def operate(ledger: Ledger, rng: Random, mark: str, pause: float) -> None:
     """An operator whose answers get lost, who sends again what was unclear, clear, and long
-    over."""
+    over.
+    """
     world = ledger.world
     while True:
         await asyncio.sleep(rng.uniform(0.0, pause))
@@ -340,7 +342,8 @@
 
 def leads_again() -> bool | None:
     """What another content gets of one that led before, was away while the first was acknowledged,
-    and leads anew."""
+    and leads anew.
+    """
     world = World(2, tuple(f"10.{zone}.0.1" for zone in range(1, 4)))
     ledger = Ledger(world)
     try:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,5 +1,6 @@
 """Peers: the membership machine and the lists under loss, restarts and lies; and limiters on
-processes."""
+processes.
+"""
 
 from __future__ import annotations
 
@@ -270,7 +271,8 @@
 
 def test_discovery_down_for_the_whole_start_and_lists_of_different_age(tmp_path):
     """All start from their configuration's list; a drain told before discovery falls silent reaches
-    all."""
+    all.
+    """
     faults = [
         {"at": 0.5, "do": "list", "who": ["s1"], "phase": "leaving"},
         {"at": 1.5, "do": "discovery_silent"},
@@ -314,7 +316,8 @@
 
 class Limiter:
     """The peers' driver of one limiter, its datagrams and its watch on discovery, which answers in
-    20 ms."""
+    20 ms.
+    """
 
     def __init__(self, me: int, all_: list[Limiter], loop: Clock, rng: Random) -> None:
         self.me, self.all, self.loop, self.rng = me, all_, loop, rng
@@ -362,7 +365,8 @@
 def without(seeds: range) -> list[int]:
     """The starts in which a limiter has no list in time, or asks discovery twice. Of the three that
     ask at once two die and one is cut off from discovery, each at any moment, from before it has
-    the list until it is handed on."""
+    the list until it is handed on.
+    """
     out = []
     for seed in seeds:
         rng, loop, fleet = Random(seed), Clock(), []
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -76,7 +76,8 @@
 
 def test_a_counter_that_loses_some_calls_is_not_down() -> None:
     """Found by i5a148d: a crowded counter fails some calls; calls slow down, but totals go on
-    counting."""
+    counting.
+    """
     acct = account(2.0, 4.0, has_counter=True)
     keeper = acct.keeper
     before = keeper.pace
@@ -90,7 +91,8 @@
 
 def test_the_meter_stands_in_while_the_counter_is_down() -> None:
     """Found by if0ee5e: with a silent counter a customer well under its quota had a third of its
-    burst."""
+    burst.
+    """
     acct = account(2.0, 6.0, sets=3, has_counter=True)
     acct.loop.settings = replace(acct.loop.settings, meter_period=S)
     acct.loop.now, acct.keeper.failed = 100 * S, 4
@@ -102,7 +104,8 @@
 
 def test_the_window_shrinks_before_answers_are_late() -> None:
     """Found by if6de07: windows that are cut only near the target hold a queue as long as the
-    target."""
+    target.
+    """
     brain = alone(servers=1)
     brain.desk.fleets[0].window, now, took = 6.0, 0, int(0.9 * S)
     for req in range(40):
@@ -120,7 +123,8 @@
 def test_the_window_finds_the_room_of_servers_whose_work_fills_the_target(share: float) -> None:
     """Found by issue 26: work of 270 ms against a target of 400 ms: no answer is ever under half of
     the target, some are over 0.8 of it on idle servers, and the window stood at its least, half of
-    the slots."""
+    the slots.
+    """
     brain, rng = alone(servers=4), Random(3)
     brain.desk.fleets[0].window = 5 * 4 / 3
     now, out, most = 0, [], 0
@@ -159,7 +163,8 @@
 
 def test_a_cold_server_gets_its_share_of_what_peers_carry() -> None:
     """Rule 4: multiple x cold share x what a warm peer carries here, from a bucket that starts
-    empty."""
+    empty.
+    """
     brain = alone(servers=2)
     now = 100 * S
     brain.handle(now, api.EndpointsUpdated((entry(2, booted=now),), False))
@@ -189,7 +194,8 @@
 
 def test_low_value_goes_first_as_servers_fill() -> None:
     """Found by i221f4c: reqs of little value for their work held the servers while dear ones were
-    denied."""
+    denied.
+    """
     plans = (replace(PLANS[2], value_factor=5.0), PLANS[2])
     brain = alone(plans=plans, servers=8)
     brain.desk.fleets[0].best, brain.desk.fleets[0].window = 5.0 / 2000, 10.0
@@ -202,7 +208,8 @@
 
 def test_a_doubtful_req_goes_before_another_of_the_same_value_as_servers_fill() -> None:
     """Found on the fleet days: half of the usual window denied first reqs of all plans, with quota
-    left."""
+    left.
+    """
     sure = api.QuotaPlan(4.0, 8.0, 0, 0.1, 0.2, 0.0, 0.0, 0.0, 0.0)
     plans = (replace(sure, rate=0.4, burst=2.0, excess_cost=1.0), sure)
     brain = alone(plans=plans, servers=8)
@@ -215,7 +222,8 @@
 
 def test_calls_of_all_limiters_stay_under_a_counters_capacity() -> None:
     """Found by main-campus later: one call out at least at each of hundreds of limiters jams a
-    counter."""
+    counter.
+    """
     calls = 0
     for me in range(200):
         brain = alone(servers=2, limiters=200, me=me)
@@ -244,7 +252,8 @@
 
 def test_budgets_of_cold_servers_do_not_fall_with_what_is_denied_for_want_of_them() -> None:
     """Found on the fleet days: half of the servers new, and fewer answers made budgets smaller
-    still."""
+    still.
+    """
     desk = alone(servers=6).desk.fleets[0]
     for n in range(400):
         desk.loop.now = n * S // 10
@@ -270,7 +279,8 @@
 
 def test_limiters_use_few_servers_and_all_servers_evenly() -> None:
     """Found by the twins: with figures by server over a whole fleet a limiter of few reqs knows
-    nothing."""
+    nothing.
+    """
     used = [0] * 60
     for me in range(300):
         desk = alone(servers=60, limiters=300, me=me).desk.fleets[0]
@@ -283,7 +293,8 @@
 
 def test_a_part_below_one_req_passes_by_chance() -> None:
     """Found by main-campus later: over 100 limiters a part is tiny and most of the quota lay
-    idle."""
+    idle.
+    """
     acct = account(1.0, 4.0, sets=100, has_counter=True)
     acct.asked, acct.synced, acct.loop.now = 4 * acct.rate, 0, 20 * S
     passed = sum(acct.lets(1.0, False) for _ in range(1000))
@@ -292,7 +303,8 @@
 
 def test_a_customer_asking_much_is_passed_while_its_store_has_room() -> None:
     """Found on the fleet days: sets of seven, a burst of six; after a spike most were denied by
-    chance."""
+    chance.
+    """
     acct = account(1.4, 6.0, sets=7, has_counter=True)
     acct.asked, acct.synced, acct.whole = 4 * acct.rate, 0, 1.0
     acct.loop.now = S // 2
@@ -310,7 +322,8 @@
 @pytest.mark.parametrize(("seed", "sets"), [(0, 7), (1, 7), (2, 7), (3, 13), (4, 38), (5, 38)])
 def test_turns_of_a_ceiling_keep_it_through_restarts_and_come_soon(seed: int, sets: int) -> None:
     """Found on the fleet days: after a start the even trickle held no whole req for 2.1 s at any
-    limiter; in the lab: with more limiters than the ceiling has units it never held one."""
+    limiter; in the lab: with more limiters than the ceiling has units it never held one.
+    """
     chance, plan = Random(seed), api.QuotaPlan(1.4, 6.0, 0, 1.0, 0.0, 1.0, 3.3, 14.0, 1.0)
     start = 17_961_586_410_000 + seed
 
@@ -457,7 +470,8 @@
 
 def test_servers_that_all_start_at_once_are_used_before_they_are_warm():
     """Found by the cold start of a whole fleet: no server carried anything, so none was let carry
-    anything, and nothing was passed for the ten seconds that servers are cold."""
+    anything, and nothing was passed for the ten seconds that servers are cold.
+    """
     many, servers = 6, 4
     brains = [DecisionEngine(settings(n, many), n, 0) for n in range(many)]
     for brain in brains:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,5 +1,6 @@
 """The proxy among whole clusters in simulated simulation: what must hold of a request, a quota, a
-budget."""
+budget.
+"""
 
 from __future__ import annotations
 
@@ -85,7 +86,8 @@
 
 def test_a_reset_after_a_cut_leaves_no_gap_in_what_is_read():
     """Bytes that met the cut are lost by the reset; those written after it came alone, as a
-    request."""
+    request.
+    """
 
     async def work() -> None:
         sky = SimNetwork(Random(1))
@@ -380,7 +382,8 @@
 @pytest.mark.parametrize(("rate", "usual", "hot"), [(40, 24, 130), (5, 3, 40)])
 def test_a_tenant_that_turns_hot_at_many_proxies_at_once_stays_within_its_quota(rate, usual, hot):
     """Each proxy sees some two of its requests a second, or less: what the others let in it hears
-    unasked."""
+    unasked.
+    """
     town = Cluster(3, proxies=60, servers=20)
     town.usual()
     town.tenant("greedy", "key-of-greedy", rate, rate)
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -1,5 +1,6 @@
 """Credits of quota: no worse than the rule in any window, whatever befalls limiters and the
-counter."""
+counter.
+"""
 
 from __future__ import annotations
 
@@ -156,7 +157,8 @@
 
     def play(self, length: float, troubles: Troubles) -> Play:
         """`troubles`: at what time what befalls, and when all tenants turn hot and cool; ANY draws
-        them."""
+        them.
+        """
         self.troubles = troubles
         coming, turns = list(troubles), 2.0
         hot, befalls = False, 3.0
@@ -182,7 +184,8 @@
 
     def worst(self) -> dict[str, float]:
         """By tenant the share of the leeway that the worst window used: 1 is what the rule
-        allows."""
+        allows.
+        """
         out = {}
         for name, at in self.ran.items():
             most = self.most[name].rate * BOUNDS.quota_window + self.most[name].burst
@@ -203,7 +206,8 @@
 )
 def test_no_window_of_a_hot_tenant_is_over_its_quota_whatever_befalls(size, seed):
     """Herds, rolls, cuts both ways and one way, counters that move, lower quotas; all take what
-    they may."""
+    they may.
+    """
     many, quotas = size
     play = Play(seed, many, quotas).play(24.0, ANY)
     assert max(play.worst().values()) <= 1
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,5 +1,6 @@
 """Disks that refuse for a while at a start: their member stays; only proven damage makes another
-one."""
+one.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +18,8 @@
 @pytest.fixture
 def shelf(tmp_path, monkeypatch):
     """A folder with member `old`, and `start`, which starts with databases that first fail to open
-    so."""
+    so.
+    """
     monkeypatch.setattr(recovery, "AGAIN", (0.0, 0.0))
     opened = lmdb.open
 
--- a/tests/test_rehearse.py
+++ b/tests/test_rehearse.py
@@ -1,5 +1,6 @@
 """Rehearsals on processes: what a checker must find is found, and no process outlives its
-rehearsal."""
+rehearsal.
+"""
 
 from __future__ import annotations
 
@@ -118,7 +119,8 @@
 
 def test_the_fault_of_cold_servers_is_named_on_a_clock_of_its_own_at_every_seed(monkeypatch):
     """The same fleet in simulated time, where no machine's speed counts; one of the three servers
-    is lost."""
+    is lost.
+    """
     usual = to_builtins(small(**FAULTS["cold"][1]))
     lab_fleet = {key: usual["fleet"][key] for key in lab.Fleet.__struct_fields__}
     fronts = [{key: f[key] for key in lab.Frontend.__struct_fields__} for f in usual["frontends"]]
@@ -147,7 +149,8 @@
 
 def test_a_cold_server_is_as_old_as_its_listening(monkeypatch, tmp_path):
     """Counted from before its process, a slow start of Python warmed it before the first req could
-    come."""
+    come.
+    """
     now = [100.0]
     monkeypatch.setattr(servers.time, "time", lambda: now[0])
     host, told = own_host(7), small(fleet={"cold_from": 0.25})
@@ -174,7 +177,8 @@
     planned, tmp_path
 ):
     """On a busy machine the timeline's kill came before the limiter was ready, and ended the
-    rehearsal."""
+    rehearsal.
+    """
     held = Stage(small(), 1, tmp_path)
     life = SimpleNamespace(returncode=-signal.SIGKILL)
     held.procs["l0"] = Proc("l0", ["l0"], lambda: None, life, planned)
@@ -257,7 +261,8 @@
 
 def test_a_link_holds_no_connection_that_both_ends_have_closed(tmp_path):
     """Found by 200 limiters: two descriptors a closed connection, and after 34 s nothing passed any
-    more."""
+    more.
+    """
     from loomstand.testing.rehearsal.links import Link
 
     async def run():
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -1,5 +1,6 @@
 """More lost than the store bears: operators' rescue in simulated weather, and how old members are
-fenced."""
+fenced.
+"""
 
 from __future__ import annotations
 
@@ -222,7 +223,8 @@
     class Cut(World):
         def check(self) -> None:
             """Two serve, as the operators' word was wrong: nothing can bar that before the cut is
-            mended."""
+            mended.
+            """
 
     world = Cut()
     _at_work(world)
@@ -316,7 +318,8 @@
 
 async def _lost_and_found(world: World, rng: Random) -> None:
     """Two voters are lost amid changes, one perhaps with a new disk in its place; a rescue; the old
-    disks come back at moments of their own, while links are slow and changes go on."""
+    disks come back at moments of their own, while links are slow and changes go on.
+    """
     for machine in world.machines.values():
         machine.start()
     await asyncio.sleep(2.0)
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -1,5 +1,6 @@
 """Calls between the system's processes on simulated streams: answers, and the proofs of
-failures."""
+failures.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,5 +1,6 @@
 """Seeded random runs: several limiters, any legal event, and the five rules checked at every
-step."""
+step.
+"""
 
 from __future__ import annotations
 
@@ -93,13 +94,15 @@
     steps: list[tuple[str, int]], servers: int, limiters: int
 ) -> None:
     """More limiters than servers, all started at once and told at once; a set of ten shares the
-    ceiling."""
+    ceiling.
+    """
     play(Stage(servers, limiters), steps, sets=10)
 
 
 def test_many_limiters_share_a_cold_servers_budget() -> None:
     """Rule 4 on the sum, when all limiters are told of a new server together and reqs go on
-    evenly."""
+    evenly.
+    """
     stage = Stage(4, limiters=30)
     for req in range(1, 3001):
         if req == 1500:
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,5 +1,6 @@
 """The scale run at a tiny size, on loopback: what it measures, what it refuses, and that nothing is
-left."""
+left.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +30,8 @@
 
 def left(ids: list[int]) -> list[int]:
     """Those of a run's processes that still run; ids that others have got since are none of
-    them."""
+    them.
+    """
     return [pid for pid in ids if psutil.pid_exists(pid) and "benchmarks.scale" in command(pid)]
 
 
@@ -178,7 +180,8 @@
 
 def test_callers_from_outside_keep_half_of_the_sockets() -> None:
     """Heartbeats come on kept connections; closing the one idle longest would close the next to be
-    used."""
+    used.
+    """
 
     class Caller:
         free, surplus, stopped = True, False, False
@@ -201,7 +204,8 @@
 
 def test_limiters_that_speak_are_looked_at_when_one_may_fall() -> None:
     """The same members, silent ones and versions at each step as where all are looked at in each
-    call."""
+    call.
+    """
 
     class All(LimiterTable):
         def spoke(self, name: str, now: float) -> None:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -71,7 +71,8 @@
 
 def test_a_limiter_is_missing_only_if_no_registry_that_stands_has_it():
     """A registry that has just started knows nothing of a limiter that is cut off; its word took
-    the place of the others', so that parts grew and the quota broke (scale-2 of the outlet)."""
+    the place of the others', so that parts grew and the quota broke (scale-2 of the outlet).
+    """
     said = {"c1": [answer(1, 3, 1)], "c2": [answer(1, 3, 2)], "c3": [answer(0, 1, 0)]}
     sets, cores = heard(said)
     assert cores == {"c1", "c2", "c3"}  # those that were told are asked as well
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,5 +1,6 @@
 """The site plan's pure parts: the file and its forecast, evidence of a loss, the order of
-refusal."""
+refusal.
+"""
 
 from __future__ import annotations
 
@@ -83,7 +84,8 @@
 
 def test_the_forecast_of_a_loss_by_hand():
     """96 slots of which 54 are asked for; without a zone 64, filled to 0.9: 57.6, so all fits. With
-    twice the looks 81 are asked for: 57.6 less 27 for book leaves 30.6 of 54 for looks."""
+    twice the looks 81 are asked for: 57.6 less 27 for book leaves 30.6 of 54 for looks.
+    """
     plan = plans.parse(table())
     now = plans.forecast(plan, "b")
     assert now.room == pytest.approx(57.6) and now.asked == pytest.approx(54.0)
@@ -145,7 +147,8 @@
 
 def test_clients_that_move_at_once_do_not_push_the_survivors_over():
     """Found on the rig: demand metered over 2 s let in half as much again for 2 s, then half of the
-    room."""
+    room.
+    """
     order, rng, now, worst = Order(2, 0.0, 0), Random(1), 0, 0.0
     out: list[int] = []
     for n in range(4000):
@@ -186,7 +189,7 @@
         self.slow: set[tuple[int, int]] = set()
         self.out: list[tuple[int, tuple[int, int], tuple[int, int], bool]] = []
         self.moves: list[tuple[int, int, State]] = []
-        self.sent = {z: 0 for z in range(zones)}
+        self.sent = dict.fromkeys(range(zones), 0)
         self.list()
 
     def list(self) -> None:
--- a/tests/test_sites_processes.py
+++ b/tests/test_sites_processes.py
@@ -24,7 +24,8 @@
 
 def trio(seconds: float, *faults: dict, **over) -> Rehearsal:
     """Three zones of one limiter and two servers each, half used; some customers under a
-    ceiling."""
+    ceiling.
+    """
     times = {"work_ms": 60, "response_target_ms": 300, "client_timeout_ms": 800}
     table = {
         "name": "trio",
@@ -63,7 +64,8 @@
 
 def seen(told: Rehearsal, out: Path, plan: bytes = PLAN, seed: int = 1):
     """The report and what was seen; the rules held and nothing is left behind, in every case
-    here."""
+    here.
+    """
     report = played(told, out, plan, seed=seed)
     assert report["held"], (report["breaks"], report["crashes"])
     assert gone(out)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,5 +1,6 @@
 """The store of configuration in simulated simulation: stories, and random faults under its
-invariants."""
+invariants.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +26,8 @@
 
 class World:
     """A core with its operators, who keep what they sent and what was acknowledged; checked all the
-    while."""
+    while.
+    """
 
     def __init__(self, seed: int = 1, hosts: tuple[str, ...] = (*HOSTS,)) -> None:
         self.loop = VirtualLoop()
@@ -85,7 +87,8 @@
 
     def check(self) -> None:
         """No two serve; what is in force was sent, has one content for good, and nothing goes
-        back."""
+        back.
+        """
         serving = [g for _, g in self.stores() if g.replica.lease_left(g.clock()) > 0.0]
         assert len(serving) <= 1, f"two serve at {self.loop.time()}"
         assert all(g.replica.version >= self.acked for g in serving), (
@@ -131,7 +134,8 @@
 
     async def put_within(self, seconds: float, but: tuple[str, ...] = ()) -> bool:
         """Whether a change is acknowledged in time, by whichever machine is asked; each try is sent
-        anew."""
+        anew.
+        """
         until = self.loop.time() + seconds
         while self.loop.time() < until:
             hosts = [h for h, m in self.machines.items() if m.up and h not in but]
