--- a/tests/alone.py
+++ b/tests/alone.py
@@ -14,12 +14,12 @@
 
 ALONE = {  # files whose tests open sockets or start processes that must keep up with real time
     "test_ctl.py",
-    "test_net.py",
-    "test_peers.py",
-    "test_rehearse.py",
+    "test_limiter_on_sockets.py",
+    "test_membership.py",
+    "test_rehearsal.py",
     "test_rpc.py",
     "test_scale_run.py",
-    "test_sites_processes.py",
+    "test_failover_processes.py",
 }
 SCOPE = "alone"
 
--- a/tests/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -8,8 +8,8 @@
 from dataclasses import replace
 
 import pytest
+from configuration_samples import CONFIG, FILE
 from standin import StandIn
-from test_shared import CONFIG, FILE
 
 from loomstand.ctl import calls, status
 from loomstand.ctl.commands import main
--- a/tests/test_sites.py
+++ b/tests/failover/test_failover.py
@@ -24,7 +24,7 @@
 from loomstand.failover.shedding_order import Order, Room, shares
 from loomstand.failover.zone_loss_detector import State, Watch
 
-DEPLOY = Path(__file__).parent.parent / "deploy" / "site-plan.toml"
+DEPLOY = Path(__file__).parents[2] / "deploy" / "site-plan.toml"
 MS = S // 1000
 TARGET = 400 * MS
 
--- a/tests/test_sites_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from test_rehearse import EXAMPLES, gone, played
+from rehearsals import EXAMPLES, gone, played
 
 from loomstand.testing.emulator.scenario import from_table
 from loomstand.testing.rehearsal import checker, scenario
--- a/tests/test_peers.py
+++ b/tests/membership/test_membership.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import settings as bounds
 from hypothesis import strategies as st
-from test_rehearse import EXAMPLES, gone, played
+from rehearsals import EXAMPLES, gone, played
 
 from loomstand.config.limiter import ConfigError, Member, Members, parse
 from loomstand.membership import messages
--- a/tests/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -26,7 +26,7 @@
     {k: v for k, v in vars(test_store).items() if k.startswith(StepNamePrefix.step_def.value)}
 )
 world = test_store.world
-scenarios("features/rescue.feature")
+scenarios("../features/rescue.feature")
 
 
 async def ask(world: World, gone=(), token=None, at: str = "") -> dict:
--- a/tests/test_store.py
+++ b/tests/store/test_store.py
@@ -19,7 +19,7 @@
 from loomstand.testing.simulation.machine import Machine, machines
 from loomstand.testing.simulation.network import MachineNetwork, SimNetwork
 
-scenarios("features/store.feature")
+scenarios("../features/store.feature")
 PORT, OPERATOR = 7341, "10.9.0.1"
 HOSTS = [f"10.{zone}.0.1" for zone in range(1, 5)]
 
--- a/tests/test_scale_run.py
+++ b/tests/system/test_scale_run.py
@@ -25,7 +25,7 @@
 from loomstand.rpc.outside import OperatorHttpServer
 
 TINY = Size(limiters=4, servers=5, routes=3, tenants=3, counts=5.0, cores=1, proxies=1)
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def left(ids: list[int]) -> list[int]:
--- a/tests/test_system.py
+++ b/tests/system/test_system.py
@@ -13,7 +13,7 @@
 from loomstand.testing.simulation.cluster import FRONT, Cluster
 from loomstand.testing.simulation.faults import Faults
 
-scenarios("features/system.feature")
+scenarios("../features/system.feature")
 APPLY = 2.5  # s: the rule's bound
 NEW = "new-route"
 
--- a/tests/test_ci.py
+++ b/tests/test_ci.py
@@ -106,19 +106,19 @@
 
 
 def test_what_is_said_to_run_alone_is_there_or_to_come():
-    assert {name for name in ALONE if (HERE / name).exists()} >= ALONE - {"test_scale_run.py"}
+    assert {path.name for path in HERE.rglob("test_*.py")} & ALONE >= ALONE - {"test_scale_run.py"}
 
 
 def test_every_file_whose_tests_use_sockets_or_processes_runs_alone():
     """But those that start a program and wait for its end, however long that takes."""
     real = re.compile(
         r"\b(Popen|start_server|create_server|ThreadingHTTPServer|StandIn|Site)\(|from "
-        r"test_rehearse import"
+        r"rehearsals import"
     )
     # it names them itself
-    others = [path for path in HERE.glob("test_*.py") if path != Path(__file__)]
+    others = [path for path in HERE.rglob("test_*.py") if path != Path(__file__)]
     found = {path.name for path in others if real.search(path.read_text())}
-    assert found <= ALONE and "test_net.py" in found and "test_ctl.py" in found
+    assert found <= ALONE and "test_limiter_on_sockets.py" in found and "test_ctl.py" in found
 
 
 LOGGED = """
@@ -137,9 +137,9 @@
 def test_what_runs_alone_does_so_after_all_others_and_red_ones_are_known_there_too(
     simulated, tmp_path
 ):
-    (tmp_path / "test_net.py").write_text(LOGGED % 8)
+    (tmp_path / "test_limiter_on_sockets.py").write_text(LOGGED % 8)
     (tmp_path / "test_ctl.py").write_text(LOGGED % 3)
-    red = "test_net.py::test_it[7], seven, issue 7"
+    red = "test_limiter_on_sockets.py::test_it[7], seven, issue 7"
     if simulated > 7:
         red += "\ntest_x.py::test_it[7], seven, issue 7"
     code, out = run(tmp_path, LOGGED % simulated, red, "-n", "3")
@@ -158,7 +158,7 @@
     again.
     """
     dies = LOGGED.replace("    began", "    if n == %d: os._exit(3)\n    began")
-    (tmp_path / "test_net.py").write_text(dies % (6, 2))
+    (tmp_path / "test_limiter_on_sockets.py").write_text(dies % (6, 2))
     code, out = run(tmp_path, dies % (simulated, 3), "", "-n", "3", "--max-worker-restart", "0")
-    file = "test_x.py::test_it[3]" if simulated > 3 else "test_net.py::test_it[2]"
+    file = "test_x.py::test_it[3]" if simulated > 3 else "test_limiter_on_sockets.py::test_it[2]"
     assert code == 1 and f"crashed while running '{file}'" in out and f"FAILED {file}" in out
--- a/tests/test_lab.py
+++ b/tests/testing/emulator/test_emulator.py
@@ -15,7 +15,7 @@
 from loomstand.testing.emulator import scenario as sc
 from loomstand.testing.emulator.baselines import Naive
 
-EXAMPLES = Path(__file__).parent.parent / "examples" / "lab"
+EXAMPLES = Path(__file__).parents[3] / "examples" / "lab"
 
 
 def small(**over) -> sc.Scenario:
--- a/tests/test_rehearse.py
+++ b/tests/testing/rehearsal/test_rehearsal.py
@@ -11,23 +11,21 @@
 import sys
 import time
 from contextlib import nullcontext
-from pathlib import Path
 from types import SimpleNamespace
 
 import faulty
 import pytest
 from msgspec import to_builtins
+from rehearsals import EXAMPLES, TESTS, gone, played
 
 from loomstand.testing.emulator import runner
 from loomstand.testing.emulator import scenario as lab
 from loomstand.testing.emulator.scenario import ScenarioError, from_table
 from loomstand.testing.rehearsal import report, scenario, servers
 from loomstand.testing.rehearsal.scenario import Rehearsal
-from loomstand.testing.rehearsal.stage import LIMITER, Proc, Stage, StageError, alive, pids, stage
+from loomstand.testing.rehearsal.stage import Proc, Stage, StageError, pids, stage
 from loomstand.testing.rehearsal.wire import free_port, own_host
 
-HERE = Path(__file__).parent
-EXAMPLES = HERE.parent / "examples" / "rehearse"
 BOOK = {"name": "book", "effect": "side_effect", "work_ms": 60, "client_timeout_ms": 600}
 
 
@@ -46,20 +44,6 @@
     return from_table(table, Rehearsal)
 
 
-def played(told: Rehearsal, out: Path, plan: bytes = b"", program=LIMITER, seed: int = 1) -> dict:
-    asyncio.run(stage(told, seed, out, plan, program=program))
-    return report.make(told, seed, out)
-
-
-def gone(out: Path) -> bool:
-    """Whether all processes of a rehearsal are gone, at once or within two seconds."""
-    for _ in range(100):
-        if not any(alive(pid) for pid in pids(out)):
-            return True
-        time.sleep(0.02)
-    return False
-
-
 FAULTS = {
     "answers": (1, {}),
     "twice": (
@@ -107,7 +91,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_fault_put_in_on_purpose_is_named(fault, tmp_path):
     rule, over = FAULTS[fault]
-    program = (sys.executable, str(HERE / "faulty.py"), fault)
+    program = (sys.executable, str(TESTS / "faulty.py"), fault)
     good = played(small(**over), tmp_path / "good")
     bad = played(small(**over), tmp_path / "bad", program=program)
     named = [b for b in bad["breaks"] if b["rule"] == rule]
@@ -224,7 +208,7 @@
     ]
     run = subprocess.Popen(
         [*command, "--out", str(tmp_path)],
-        cwd=HERE.parent,
+        cwd=TESTS.parent,
         stderr=subprocess.DEVNULL,
         # a background job ignores it
         preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
