--- a/benchmarks/hot_paths.py
+++ b/benchmarks/hot_paths.py
@@ -30,7 +30,7 @@
 
 from loomstand.admission import interface as api
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.rpc.frames import Reader, pack
+from loomstand.rpc.frames import FrameDecoder, encode_frame
 from loomstand.testing.simulation.cluster import Cluster
 
 S = api.TICKS_PER_SECOND
@@ -109,11 +109,11 @@
     """Seconds a call: its two frames packed and read."""
     body = {"name": "n-1", "s": 1 << 20, "h": 1234, "f": 17, "c": 3, "q": 9, "clock": 1.8e13}
     said = {"h": 1235, "rows": [["i-1", "10.0.0.1:80", "alpha", "east", 8, "ready", 9, 0]]}
-    there, back = Reader(), Reader()
+    there, back = FrameDecoder(), FrameDecoder()
     begun = perf_counter()
     for number in range(calls):
-        (call,) = there.feed(pack([number, "ask", body]))
-        (answer,) = back.feed(pack([call[0], True, said]))
+        (call,) = there.feed(encode_frame([number, "ask", body]))
+        (answer,) = back.feed(encode_frame([call[0], True, said]))
     took = perf_counter() - begun
     assert answer == [calls - 1, True, said]
     return took / calls
@@ -121,12 +121,12 @@
 
 async def calls(serve: Serve, op: str, bodies: list[dict[str, Any]]) -> float:
     """Seconds a call of the handler, with its frames."""
-    there, back = Reader(), Reader()
+    there, back = FrameDecoder(), FrameDecoder()
     begun = perf_counter()
     for number, body in enumerate(bodies):
-        (call,) = there.feed(pack([number, op, body]))
+        (call,) = there.feed(encode_frame([number, op, body]))
         said = await serve(call[1], call[2])
-        (answer,) = back.feed(pack([number, True, said]))
+        (answer,) = back.feed(encode_frame([number, True, said]))
     took = perf_counter() - begun
     assert answer[0] == len(bodies) - 1
     return took / len(bodies)
--- a/benchmarks/scale_hollow.py
+++ b/benchmarks/scale_hollow.py
@@ -2,8 +2,8 @@
 path.
 
 Many in one process (`python -m benchmarks.scale_hollow`, started by `scale_run`). A hollow limiter
-is the proxy's own `Sessions`, `InstanceView`, `SharedClock`, `Told` and counting, on a `Sockets` of
-its own, so with connections of its own; it has no listener, no module and no request. A hollow
+is the proxy's own `Sessions`, `InstanceView`, `SharedClock`, `Told` and counting, on a `TcpNetwork`
+of its own, so with connections of its own; it has no listener, no module and no request. A hollow
 server is its heartbeats by HTTP/1.1 on a connection that it keeps. Orders come as lines of JSON on
 standard input and are answered on standard output; the process ends with its input. Besides,
 servers that answer at once, and clients.
@@ -33,7 +33,7 @@
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import SharedClock
 from loomstand.registry.instances import DRAINING, GONE, READY, Row
-from loomstand.rpc import sockets
+from loomstand.rpc import tcp_network
 from loomstand.rpc.network import Address, Body
 
 INTERVAL = 2.0  # s, of a count's name: a burst of twice the rate, as at the sites
@@ -63,7 +63,7 @@
         }
 
 
-class CountedLine(sockets.Line):
+class CountedLine(tcp_network.TcpConnection):
     """A connection whose bytes are counted."""
 
     def data_received(self, data: bytes) -> None:
@@ -71,7 +71,7 @@
         super().data_received(data)
 
 
-class HollowNetwork(sockets.Sockets):
+class HollowNetwork(tcp_network.TcpNetwork):
     """The real network of sockets, counted."""
 
     def __init__(self, wire: Wire) -> None:
@@ -511,14 +511,16 @@
 
 async def main() -> None:
     logging.set_verbosity(logging.ERROR)
-    loop, worker, pack = asyncio.get_running_loop(), Worker(), sockets.pack
+    loop, worker, pack = asyncio.get_running_loop(), Worker(), tcp_network.encode_frame
 
     def packed(item: list[Any]) -> bytes:
         raw = pack(item)
         worker.wire.bytes_out += len(raw)
         return raw
 
-    sockets.Line, sockets.pack = CountedLine, packed  # of the hollow limiters' connections
+    # of the hollow limiters' connections
+    tcp_network.TcpConnection = CountedLine
+    tcp_network.encode_frame = packed
     reader = asyncio.StreamReader(limit=64 << 20)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
--- a/benchmarks/scale_role.py
+++ b/benchmarks/scale_role.py
@@ -19,8 +19,8 @@
 from collections import Counter
 from typing import Any
 
-from loomstand.rpc import sockets
-from loomstand.rpc.outside import OperatorHttpServer
+from loomstand.rpc import tcp_network
+from loomstand.rpc.operator_http import OperatorHttpServer
 
 taken: Counter[str] = Counter()
 made: Counter[str] = Counter()
@@ -30,9 +30,9 @@
 def counted() -> None:
     """Puts the counts between the program and its network."""
     pack, received, answer, serve = (
-        sockets.pack,
-        sockets.Line.data_received,
-        sockets.Line.answer,
+        tcp_network.encode_frame,
+        tcp_network.TcpConnection.data_received,
+        tcp_network.TcpConnection.answer,
         OperatorHttpServer.serve,
     )
 
@@ -43,11 +43,11 @@
             made[item[1]] += 1
         return raw
 
-    def data_received(line: sockets.Line, data: bytes) -> None:
+    def data_received(line: tcp_network.TcpConnection, data: bytes) -> None:
         size["in"] += len(data)
         received(line, data)
 
-    def answered(line: sockets.Line, number: int, op: str, body: Any) -> Any:
+    def answered(line: tcp_network.TcpConnection, number: int, op: str, body: Any) -> Any:
         taken[op] += 1
         return answer(line, number, op, body)
 
@@ -58,8 +58,8 @@
         size["outside in"] += len(target) + len(body)
         return serve(outside, held, method, target, body)
 
-    sockets.pack, sockets.Line.data_received = packed, data_received
-    sockets.Line.answer, OperatorHttpServer.serve = answered, served
+    tcp_network.encode_frame, tcp_network.TcpConnection.data_received = packed, data_received
+    tcp_network.TcpConnection.answer, OperatorHttpServer.serve = answered, served
 
 
 def main() -> None:
--- a/loomstand/proxy/__main__.py
+++ b/loomstand/proxy/__main__.py
@@ -5,12 +5,12 @@
 from loomstand.config.settings import Settings
 from loomstand.limiter.event_loop import Turns
 from loomstand.proxy.program import Proxy
-from loomstand.rpc.sockets import Sockets
-from loomstand.rpc.start import main
+from loomstand.rpc.start import run_program
+from loomstand.rpc.tcp_network import TcpNetwork
 
 
 async def make(settings: Settings, turns: Turns) -> Proxy:
-    return Proxy(settings, Sockets(), Random(), turns)
+    return Proxy(settings, TcpNetwork(), Random(), turns)
 
 
-main(make)
+run_program(make)
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -31,9 +31,9 @@
 from loomstand.proxy.upstream import UpstreamPool
 from loomstand.registry.instances import DRAINING, GONE, READY, SILENT, Row
 from loomstand.registry.quota_buckets import SLOTS
+from loomstand.rpc.errors import CallFailure
 from loomstand.rpc.network import Network
-from loomstand.rpc.outside import OperatorHttpServer
-from loomstand.rpc.verdict import Verdict
+from loomstand.rpc.operator_http import OperatorHttpServer
 
 # Within a region a connection comes up in 3 ms and a server takes one more; where it doesn't in
 # this time the machine is gone or cut off, and the request has time for another server.
@@ -66,9 +66,9 @@
 # seconds.
 UNSURE = 3.0
 CALL = {
-    Verdict.NEVER_RAN: Outcome.NO_CONNECTION,
-    Verdict.REFUSED: Outcome.TURNED_AWAY,
-    Verdict.MAY_HAVE_RUN: Outcome.NO_ANSWER,
+    CallFailure.NEVER_RAN: Outcome.NO_CONNECTION,
+    CallFailure.REFUSED: Outcome.TURNED_AWAY,
+    CallFailure.MAY_HAVE_RUN: Outcome.NO_ANSWER,
 }
 
 
--- a/loomstand/proxy/sessions.py
+++ b/loomstand/proxy/sessions.py
@@ -15,8 +15,8 @@
 
 from loomstand.config.settings import Settings
 from loomstand.registry.instances import Row
+from loomstand.rpc.errors import CallFailure
 from loomstand.rpc.network import Address, Body, Network
-from loomstand.rpc.verdict import Verdict
 
 ASK_WITHIN = 1.0  # seconds; a registry answers after 0.6 where there is no news
 # Seconds between two askings of one registry. Where much changes at once, as when all start, each
@@ -137,7 +137,7 @@
             asked = self.clock()
             got = await self.network.call(address, "ask", said, ASK_WITHIN)
             if got.is_error():
-                if got.error is Verdict.REFUSED and session:
+                if got.error is CallFailure.REFUSED and session:
                     session = 0  # the registry has started anew
                     continue
                 seed = any(ip == known for known, _ in self.settings.seeds)
@@ -214,8 +214,8 @@
 
     async def count(
         self, body: dict[str, Any], within: float, op: str = "count"
-    ) -> Result[Body, Verdict]:
+    ) -> Result[Body, CallFailure]:
         """A call to the counter, wherever it is."""
         if not (said := self.stand(self.counters) or [*self.counters.values()]):
-            return Error(Verdict.NEVER_RAN)
+            return Error(CallFailure.NEVER_RAN)
         return await self.network.call(max(said)[1], op, body, within)
--- a/loomstand/registry/__main__.py
+++ b/loomstand/registry/__main__.py
@@ -3,12 +3,12 @@
 from loomstand.config.settings import Settings
 from loomstand.limiter.event_loop import Turns
 from loomstand.registry.process import RegistryService
-from loomstand.rpc.sockets import Sockets
-from loomstand.rpc.start import main
+from loomstand.rpc.start import run_program
+from loomstand.rpc.tcp_network import TcpNetwork
 
 
 async def make(settings: Settings, turns: Turns) -> RegistryService:
-    return RegistryService(settings, Sockets(), turns)
+    return RegistryService(settings, TcpNetwork(), turns)
 
 
-main(make)
+run_program(make)
--- a/loomstand/registry/process.py
+++ b/loomstand/registry/process.py
@@ -9,7 +9,7 @@
 from loomstand.limiter.event_loop import Streams, Turns
 from loomstand.registry.program import Registry
 from loomstand.rpc.network import Network
-from loomstand.rpc.outside import OperatorHttpServer
+from loomstand.rpc.operator_http import OperatorHttpServer
 
 # Bytes of a call: a configuration of 24,000 routes. With it a registry or a limiter takes 160 MB of
 # some 300, a store's file 40 of its disk's 256, and a frame of ours (rpc/frames.py) holds it with
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -29,8 +29,8 @@
 from loomstand.registry.quota_buckets import SLOTS, QuotaBuckets
 from loomstand.registry.quota_grants import QuotaGrants
 from loomstand.registry.rescue import rescue
-from loomstand.rpc.network import Address, Body, Network, carry
-from loomstand.rpc.verdict import Refused, Verdict
+from loomstand.rpc.errors import CallFailure, CallRefusedError
+from loomstand.rpc.network import Address, Body, Network, transfer_seconds
 from loomstand.store import freshness
 
 TELL = 1.0  # seconds between what registries tell each other unasked
@@ -177,11 +177,11 @@
 
     async def serve(self, op: str, body: Body) -> Body:
         if (known := self.ops.get(op)) is None:
-            raise Refused(f"no call {op!r}")
+            raise CallRefusedError(f"no call {op!r}")
         try:
             return await known(body)
         except (KeyError, TypeError, ValueError) as why:
-            raise Refused(f"{op}: {type(why).__name__}: {why}") from None
+            raise CallRefusedError(f"{op}: {type(why).__name__}: {why}") from None
 
     async def ask(self, body: Body) -> Body:
         """A limiter's session: what is newer than what it has, at once, else when there is
@@ -191,7 +191,7 @@
         anew = session not in self.sessions
         if anew:
             if "name" not in body:
-                raise Refused("no such session")
+                raise CallRefusedError("no such session")
             session, have, facts = self.begin(str(body["name"])), -1, -1
         name = self.sessions[session]
         self.limiters.spoke(name, self.clock())
@@ -267,14 +267,16 @@
         version, data = int(body["version"]), bytes(body["data"])
         if version > self.version:
             await self.store(
-                "offer", {"version": version, "data": data}, STORE_WITHIN + carry(len(data))
+                "offer",
+                {"version": version, "data": data},
+                STORE_WITHIN + transfer_seconds(len(data)),
             )
         return {}
 
     async def count(self, body: Body) -> Body:
         now = self.clock()
         if not self.holding.counts(now):
-            raise Refused("another counts")
+            raise CallRefusedError("another counts")
         name, step = int(body["name"]), float(body["step"])
         total, young = (
             self.counters.add(name, step, float(body["keep"]), now),
@@ -288,7 +290,7 @@
         """A limiter's call for credits."""
         now = self.clock()
         if not self.holding.counts(now):
-            raise Refused("another counts")
+            raise CallRefusedError("another counts")
         name, life, number = str(body["name"]), int(body["life"]), int(body["number"])
         self.grants.tick(now, self.limiters.ranks)
         grants = self.grants.call(name, life, number, bool(body["alone"]), body["entries"], now)
@@ -348,7 +350,7 @@
     def owe(self, to: Address, ids: Iterable[str]) -> None:
         self.owed.setdefault(to, set()).update(ids)
 
-    async def tell_all(self, op: str, body: Body, within: float) -> list[Result[Body, Verdict]]:
+    async def tell_all(self, op: str, body: Body, within: float) -> list[Result[Body, CallFailure]]:
         others = self.others()
         return await asyncio.gather(*(self.network.call(to, op, body, within) for to in others))
 
@@ -511,7 +513,9 @@
         here = self.settings.store(self.settings.ip_address)
         try:
             said = {"version": self.version, "data": self.data}
-            await self.network.call(here, "offer", said, STORE_WITHIN + carry(len(self.data)))
+            await self.network.call(
+                here, "offer", said, STORE_WITHIN + transfer_seconds(len(self.data))
+            )
         finally:
             self.offering = False
 
@@ -530,7 +534,7 @@
         except ConfigurationError as why:  # it was checked before it was stored: a fault of ours
             logging.error("configuration r%d can't be used: %s", self.version, why)
 
-    async def store(self, op: str, body: Body, within: float) -> Result[Body, Verdict]:
+    async def store(self, op: str, body: Body, within: float) -> Result[Body, CallFailure]:
         """Calls the store: the one beside this registry hands on to the primary; others where it is
         down.
         """
@@ -538,13 +542,13 @@
         got = await self.network.call(self.settings.store(here), op, body, within)
         for ip in self.cores:
             left = until - self.clock()
-            if got.is_ok() or got.error is not Verdict.NEVER_RAN or left < 0.05:
+            if got.is_ok() or got.error is not CallFailure.NEVER_RAN or left < 0.05:
                 break
             if ip != here:
                 got = await self.network.call(self.settings.store(ip), op, body, left)
         if got.is_ok() and not freshness.left(got.ok, asked, self.clock(), within):
             # this process froze meanwhile, or the answer lay in a socket
-            return Error(Verdict.MAY_HAVE_RUN)
+            return Error(CallFailure.MAY_HAVE_RUN)
         return got
 
     # calls from outside
@@ -597,7 +601,7 @@
             configuration = self.parsed = self.reader.parse(body)
         except ConfigurationError as why:
             return 400, problem(str(why))
-        within = STORE_WITHIN + carry(len(body))
+        within = STORE_WITHIN + transfer_seconds(len(body))
         got = await self.store("put", {"version": configuration.version, "data": body}, within)
         if got.is_ok():
             held = f"r{int(got.ok['version'])}"
@@ -610,7 +614,7 @@
         return 503, problem(f"not stored: {got.error.value}")
 
     async def read(self, asked: Asked, body: bytes) -> tuple[int, bytes]:
-        got = await self.store("read", {}, READ_WITHIN + carry(len(self.data)))
+        got = await self.store("read", {}, READ_WITHIN + transfer_seconds(len(self.data)))
         if got.is_ok() and got.ok.get("data"):
             return 200, bytes(got.ok["data"])
         return 503, problem("no store that knows the newest is in reach")
--- a/loomstand/rpc/__init__.py
+++ b/loomstand/rpc/__init__.py
@@ -2,6 +2,6 @@
 docs/system.md.
 """
 
-from loomstand.rpc.network import Address, Network, Serve
+from loomstand.rpc.network import Address, CallHandler, Network
 
-__all__ = ["Address", "Network", "Serve"]
+__all__ = ["Address", "CallHandler", "Network"]
--- a/loomstand/rpc/verdict.py
+++ b/loomstand/rpc/errors.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 
-class Verdict(Enum):
+class CallFailure(Enum):
     """How a call failed, by what that proves."""
 
     NEVER_RAN = "never ran"  # nothing of it can have reached the other end
@@ -15,5 +15,5 @@
     REFUSED = "refused"  # the other end says that it did nothing
 
 
-class Refused(Exception):
+class CallRefusedError(Exception):
     """Raised by whoever serves a call: it did nothing, and the caller may ask elsewhere."""
--- a/loomstand/rpc/frames.py
+++ b/loomstand/rpc/frames.py
@@ -13,22 +13,28 @@
 
 import cbor2
 
-MOST = 16 << 20  # a configuration of thousands of routes is some MB; more is no frame of ours
-HEAD = 4
-SUM = 4
+MAX_FRAME_BYTES = (
+    16 << 20
+)  # a configuration of thousands of routes is some MB; more is no frame of ours
+LENGTH_BYTES = 4
+CHECKSUM_BYTES = 4
 
 
-class Foreign(Exception):
+class FrameError(Exception):
     """Bytes that are no frame of ours."""
 
 
-def pack(item: Any) -> bytes:
+def encode_frame(item: Any) -> bytes:
     """One frame."""
     raw = cbor2.dumps(item)
-    return (len(raw) + SUM).to_bytes(HEAD, "big") + raw + crc32(raw).to_bytes(SUM, "big")
+    return (
+        (len(raw) + CHECKSUM_BYTES).to_bytes(LENGTH_BYTES, "big")
+        + raw
+        + crc32(raw).to_bytes(CHECKSUM_BYTES, "big")
+    )
 
 
-class Reader:
+class FrameDecoder:
     """Fed with bytes as they come, gives the items that are whole."""
 
     __slots__ = ("buf", "summed")
@@ -37,28 +43,30 @@
         self.buf, self.summed = bytearray(), False
 
     def feed(self, data: bytes) -> Iterator[list[Any]]:
-        """Every whole item. Raises Foreign at bytes that can't be one: the connection is of no use
-        then.
+        """Every whole item. Raises FrameError at bytes that can't be one: the connection is of no
+        use then.
         """
         self.buf += data
-        while len(self.buf) >= HEAD:
-            size = int.from_bytes(self.buf[:HEAD], "big")
-            if not 0 < size <= MOST:
-                raise Foreign(f"a frame of {size} bytes")
-            if len(self.buf) < HEAD + size:
+        while len(self.buf) >= LENGTH_BYTES:
+            size = int.from_bytes(self.buf[:LENGTH_BYTES], "big")
+            if not 0 < size <= MAX_FRAME_BYTES:
+                raise FrameError(f"a frame of {size} bytes")
+            if len(self.buf) < LENGTH_BYTES + size:
                 return
-            raw = bytes(self.buf[HEAD : HEAD + size])
-            del self.buf[: HEAD + size]
-            if len(raw) > SUM and crc32(raw[:-SUM]) == int.from_bytes(raw[-SUM:], "big"):
-                raw, self.summed = raw[:-SUM], True
+            raw = bytes(self.buf[LENGTH_BYTES : LENGTH_BYTES + size])
+            del self.buf[: LENGTH_BYTES + size]
+            if len(raw) > CHECKSUM_BYTES and crc32(raw[:-CHECKSUM_BYTES]) == int.from_bytes(
+                raw[-CHECKSUM_BYTES:], "big"
+            ):
+                raw, self.summed = raw[:-CHECKSUM_BYTES], True
             elif self.summed:
-                raise Foreign("a frame that was changed on its way")
+                raise FrameError("a frame that was changed on its way")
             try:
                 item = cbor2.loads(raw)
             except (
                 Exception
             ) as why:  # the library raises several kinds at bytes that are none of its own
-                raise Foreign(f"no item: {type(why).__name__}") from None
+                raise FrameError(f"no item: {type(why).__name__}") from None
             if not isinstance(item, list) or len(item) != 3 or not isinstance(item[0], int):
-                raise Foreign("no call and no answer")
+                raise FrameError("no call and no answer")
             yield item
--- /dev/null
+++ b/loomstand/rpc/messages/base.py
@@ -0,0 +1,70 @@
+"""What all messages share: conversion from and to the mapping on the wire, and its error."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from typing import ClassVar, Self
+
+import msgspec
+
+from loomstand.rpc.network import Body
+
+# `msgspec` would write bytes as base64 text; frames carry them as they are.
+_NATIVE_TYPES = (bytes,)
+
+
+class MessageError(ValueError):
+    """A body isn't a message of the expected class.
+
+    The text is what a registry refuses the call with, after the operation's name. Callers see it,
+    so it stays as it was: `KeyError: 'name'` for a missing key.
+    """
+
+
+class Message(msgspec.Struct, frozen=True, kw_only=True):
+    """A request or an answer; each subclass documents its fields.
+
+    Keys that a class doesn't know are ignored, and fields with a default may be absent: so programs
+    of neighbouring releases understand each other. Numbers are read leniently (`"5"` and `5.0` are
+    5), as earlier releases do.
+    """
+
+    def to_wire(self) -> Body:
+        """Returns the mapping that `frames.encode_frame` takes."""
+        body: Body = msgspec.to_builtins(self, builtin_types=_NATIVE_TYPES)
+        return body
+
+    @classmethod
+    def from_wire(cls, body: Body) -> Self:
+        """Reads a body.
+
+        Raises:
+            MessageError: A key is missing, or a value has the wrong type.
+        """
+        try:
+            return msgspec.convert(body, cls, strict=False, builtin_types=_NATIVE_TYPES)
+        except msgspec.ValidationError as error:
+            missing = next(_missing_keys(cls, body), None)
+            if missing is not None:
+                raise MessageError(f"KeyError: {missing!r}") from error
+            raise MessageError(f"ValueError: {error}") from error
+
+
+def _missing_keys(message_type: type[Message], body: Mapping[str, object]) -> Iterator[str]:
+    for field in msgspec.structs.fields(message_type):
+        if field.required and field.encode_name not in body:
+            yield field.encode_name
+
+
+class Request(Message, frozen=True, kw_only=True):
+    """A call: the operation is sent beside the body, in the frame."""
+
+    operation: ClassVar[str]
+
+
+class EmptyRequest(Request, frozen=True, kw_only=True):
+    """A request whose body is empty."""
+
+
+class Acknowledgement(Message, frozen=True, kw_only=True):
+    """The empty answer: what was asked is done."""
--- /dev/null
+++ b/loomstand/rpc/messages/replication_messages.py
@@ -0,0 +1,256 @@
+"""Messages among the stores: heartbeats, elections, writes and what is committed.
+
+`recipient` in a request is the id of the member that it is meant for: a store whose disk is another
+one refuses it. It is absent where any member at that address may answer.
+"""
+
+from __future__ import annotations
+
+from typing import ClassVar
+
+import msgspec
+
+from loomstand.rpc.messages.base import EmptyRequest, Message, Request
+from loomstand.rpc.messages.rows import ChangeHistoryRow, MemberRow, Row, ViewRow
+from loomstand.rpc.network import Address, Body
+
+
+class ServingRow(Row, frozen=True, array_like=True):
+    """What the serving primary tells of itself and of the counting lease, in its heartbeats.
+
+    Attributes:
+        number: Number of the counting lease's holder under this primary.
+        holder: Host of the registry that holds the counting lease; empty if any may ask for it.
+        lease_ms: Milliseconds for which the primary still serves, from the sending.
+    """
+
+    number: int
+    holder: str
+    lease_ms: int
+
+
+class LeaseHandoverRow(Row, frozen=True, array_like=True):
+    """The counting lease as a primary that hands over knows it.
+
+    Attributes:
+        epoch: Epoch of the primary that granted it.
+        number: Number of the holder under that primary.
+        holder: Host of the registry that holds it; empty if nobody does.
+        incarnation: Number of that registry's start, as it told.
+        remaining_seconds: For how long the holder may still count.
+    """
+
+    epoch: int
+    number: int
+    holder: str
+    incarnation: int
+    remaining_seconds: float
+
+
+class ViewMessage(Message, frozen=True, kw_only=True):
+    """A message with a field `view`, whose last element is left out where it is 0."""
+
+    def to_wire(self) -> Body:
+        """Returns the mapping that `frames.encode_frame` takes; see `ViewRow.rescue_epoch`."""
+        body = super().to_wire()
+        view = body["view"]
+        if view is not None and not view[-1]:
+            view.pop()
+        return body
+
+
+class MemberStatus(ViewMessage, frozen=True, kw_only=True):
+    """What a store tells of itself in each heartbeat and in the answer to one.
+
+    Attributes:
+        member: The sender.
+        state: Number of its `loomstand.store.replica.State`: fit, sick disk, or leaving.
+        is_founder: Whether its disk was empty at the first start of the whole system.
+        view_epoch: Epoch of the view on its disk, 0 if there is none.
+        newest_view_epoch: Epoch of the newest view that it knows, 0 if it knows none.
+        promised_epoch: Highest epoch that it promised.
+        committed_version: Version of the newest committed configuration that it knows; -1 if it
+            hasn't heard of any since its start.
+        view: The newest view that it knows, where the receiver isn't known to have it.
+        requested_lease_epoch: Epoch under which it asks for the receiver's lease grant, 0 if it
+            doesn't.
+    """
+
+    member: MemberRow
+    state: int
+    is_founder: bool = msgspec.field(name="founder")
+    view_epoch: int = msgspec.field(name="epoch")
+    newest_view_epoch: int = msgspec.field(name="seen")
+    promised_epoch: int = msgspec.field(name="promised")
+    committed_version: int = msgspec.field(name="version")
+    view: ViewRow | None
+    requested_lease_epoch: int = msgspec.field(name="ask")
+
+
+class HeartbeatRequest(MemberStatus, Request, frozen=True, kw_only=True, omit_defaults=True):
+    """A store is alive, and asks for a lease grant where it is primary.
+
+    Attributes:
+        serving: Told by the primary while it serves.
+    """
+
+    operation: ClassVar[str] = "beat"
+    serving: ServingRow | None = msgspec.field(name="duty", default=None)
+
+
+class HeartbeatResponse(MemberStatus, frozen=True, kw_only=True, omit_defaults=True):
+    """The receiver's status, and its lease grant.
+
+    Attributes:
+        granted_epoch: Epoch under which the lease is granted to the sender, 0 if it isn't.
+        known_addresses: The other stores that lately answered.
+        serving: Told by the primary while it serves.
+    """
+
+    granted_epoch: int = msgspec.field(name="granted")
+    known_addresses: list[Address] = msgspec.field(name="known")
+    serving: ServingRow | None = msgspec.field(name="duty", default=None)
+
+
+class PrepareRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
+    """A candidate asks a voter to promise an epoch.
+
+    Attributes:
+        epoch: The epoch to promise; 0 asks only whether the voter would promise the next one.
+        released_epoch: Epoch of the view whose primary handed over to the candidate, 0 if none.
+        candidate_id: Member id of the candidate.
+        recipient: Member id of the voter.
+    """
+
+    operation: ClassVar[str] = "promise"
+    epoch: int
+    released_epoch: int = msgspec.field(name="released")
+    candidate_id: str = msgspec.field(name="asker")
+    recipient: str | None = msgspec.field(name="to", default=None)
+
+
+class PrepareResponse(ViewMessage, frozen=True, kw_only=True):
+    """A voter's answer to a candidate.
+
+    Attributes:
+        is_promised: Whether it promised, or would promise.
+        promised_epoch: Highest epoch that it promised.
+        view: The newest view that it knows.
+    """
+
+    is_promised: bool = msgspec.field(name="ok")
+    promised_epoch: int = msgspec.field(name="promised")
+    view: ViewRow | None
+
+
+class WriteRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
+    """A primary or candidate has the backup write a configuration.
+
+    Attributes:
+        epoch: Epoch under which it is written.
+        writer_id: Member id of the primary or candidate.
+        version: The configuration's version.
+        data: The configuration.
+        history: The changes acknowledged before, with this one; absent from earlier releases.
+        recipient: Member id of the backup.
+    """
+
+    operation: ClassVar[str] = "keep"
+    epoch: int
+    writer_id: str = msgspec.field(name="asker")
+    version: int
+    data: bytes
+    history: ChangeHistoryRow | None = msgspec.field(name="orders", default=None)
+    recipient: str | None = msgspec.field(name="to", default=None)
+
+
+class CandidateReadRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
+    """A candidate reads what the previous view's primary or backup has on disk.
+
+    Attributes:
+        epoch: The candidate's epoch; the member promises it by answering.
+        candidate_id: Member id of the candidate.
+        recipient: Member id of the member asked.
+    """
+
+    operation: ClassVar[str] = "fetch"
+    epoch: int
+    candidate_id: str = msgspec.field(name="asker")
+    recipient: str | None = msgspec.field(name="to", default=None)
+
+
+class CandidateReadResponse(Message, frozen=True, kw_only=True, omit_defaults=True):
+    """What a member has on disk, committed or not.
+
+    Attributes:
+        version: The configuration's version, 0 if there is none.
+        data: The configuration.
+        history: The changes acknowledged with it; absent from earlier releases.
+    """
+
+    version: int
+    data: bytes
+    history: ChangeHistoryRow | None = msgspec.field(name="orders", default=None)
+
+
+class InstallViewRequest(ViewMessage, Request, frozen=True, kw_only=True, omit_defaults=True):
+    """An elected primary has a member write its view, which is a lease grant as well.
+
+    Attributes:
+        view: The view; None does nothing.
+        recipient: Member id of the member that writes.
+    """
+
+    operation: ClassVar[str] = "install"
+    view: ViewRow | None
+    recipient: str | None = msgspec.field(name="to", default=None)
+
+
+class TransferLeadershipRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
+    """A primary that leaves tells its backup to take over.
+
+    Attributes:
+        primary_id: Member id of the primary that leaves.
+        epoch: Epoch that it promised to the backup.
+        released_epoch: Epoch of the view under which it serves no more.
+        counting_lease: The counting lease as it knows it; absent from earlier releases.
+        recipient: Member id of the backup.
+    """
+
+    operation: ClassVar[str] = "lead"
+    primary_id: str = msgspec.field(name="by")
+    epoch: int
+    released_epoch: int = msgspec.field(name="under")
+    counting_lease: LeaseHandoverRow | None = msgspec.field(name="duty", default=None)
+    recipient: str | None = msgspec.field(name="to", default=None)
+
+
+class CommitRequest(Request, frozen=True, kw_only=True):
+    """The primary tells the other stores what is committed.
+
+    Attributes:
+        version: The committed configuration's version.
+        data: The committed configuration.
+    """
+
+    operation: ClassVar[str] = "news"
+    version: int
+    data: bytes
+
+
+class CommittedRequest(EmptyRequest, frozen=True, kw_only=True):
+    """A store asks another one for the committed configuration that it knows."""
+
+    operation: ClassVar[str] = "held"
+
+
+class CommittedResponse(Message, frozen=True, kw_only=True):
+    """The newest committed configuration that a store knows.
+
+    Attributes:
+        version: Its version, 0 if there never was one.
+        data: The configuration.
+    """
+
+    version: int
+    data: bytes
--- a/loomstand/rpc/outside.py
+++ b/loomstand/rpc/operator_http.py
@@ -20,10 +20,10 @@
 # registry, for limiters' sessions. With a sixth, a limiter's rule for its clients, beyond 616
 # servers a registry each heartbeat needed a new connection: the one idle longest was closed, which
 # was the next to be used.
-KEPT = 0.5
+KEEP_ALIVE_SHARE = 0.5
 
 # method, target, body: status, body
-Handler = Callable[[bytes, bytes, bytes], Awaitable[tuple[int, bytes]]]
+HttpHandler = Callable[[bytes, bytes, bytes], Awaitable[tuple[int, bytes]]]
 
 
 class OperatorHttpServer:
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        handler: Handler,
+        handler: HttpHandler,
         turns: Turns | None,
         memory: int,
         sockets: int,
@@ -50,7 +50,7 @@
         self.front = Front(self, max(8, sockets // 10), sockets)
         if streams is not None:
             self.front.bind = streams.listen
-        self.front.most_held = int(sockets * KEPT)
+        self.front.most_held = int(sockets * KEEP_ALIVE_SHARE)
         self.front.stays, self.front.most_body, self.front.own_paths = 20.0, body, False
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -70,7 +70,7 @@
         return self.front.close_silent(spared, 1.0) or self.front.close_idle(spared)
 
     def take(self, client: Client, machine: http_parser.RequestReceiver, at: float) -> None:
-        held = Held(client)
+        held = PendingCall(client)
         client.req = held
         task = self.loop.create_task(
             self.serve(held, machine.method, machine.target, bytes(machine.body))
@@ -78,7 +78,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def serve(self, held: Held, method: bytes, target: bytes, body: bytes) -> None:
+    async def serve(self, held: PendingCall, method: bytes, target: bytes, body: bytes) -> None:
         try:
             status, said = await self.handler(method, target, body)
         except (
@@ -92,7 +92,7 @@
             if client.wire.inbound.used:
                 self.loop.call_soon(client.next)
 
-    def vanished(self, held: Held) -> None:
+    def vanished(self, held: PendingCall) -> None:
         held.client = None
 
     def stop(self) -> None:
@@ -100,7 +100,7 @@
         self.front.close()
 
 
-class Held:
+class PendingCall:
     """A call that is owed its answer."""
 
     __slots__ = ("client",)
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -15,7 +15,9 @@
 from loomstand.limiter.event_loop import Turns
 
 VARIABLE = "LOOMSTAND_CONFIG"
-LOOK = 1.0  # seconds between looks at the settings file, which may change without a signal
+SETTINGS_POLL_SECONDS = (
+    1.0  # seconds between looks at the settings file, which may change without a signal
+)
 
 
 class Program(Protocol):
@@ -30,7 +32,7 @@
     def reload(self, settings: Settings) -> None: ...
 
 
-def main(make: Callable[[Settings, Turns], Awaitable[Program]]) -> None:
+def run_program(make: Callable[[Settings, Turns], Awaitable[Program]]) -> None:
     """Runs the program that `make` gives; settings that can't be used end it with one line."""
     path = os.environ.get(VARIABLE, "")
     if not path:
@@ -72,10 +74,10 @@
     def look() -> None:
         if stamp(path) not in (seen, None):
             again()
-        loop.call_later(LOOK, look)
+        loop.call_later(SETTINGS_POLL_SECONDS, look)
 
     loop.add_signal_handler(signal.SIGHUP, again)
-    loop.call_later(LOOK, look)
+    loop.call_later(SETTINGS_POLL_SECONDS, look)
     await program.run()
 
 
--- a/loomstand/store/__main__.py
+++ b/loomstand/store/__main__.py
@@ -7,8 +7,8 @@
 
 from loomstand.config.settings import Settings
 from loomstand.limiter.event_loop import Turns
-from loomstand.rpc.sockets import Sockets
-from loomstand.rpc.start import main
+from loomstand.rpc.start import run_program
+from loomstand.rpc.tcp_network import TcpNetwork
 from loomstand.store.disk import LmdbDisk
 from loomstand.store.program import Place, Store
 
@@ -19,7 +19,7 @@
     def __init__(self, settings: Settings) -> None:
         shelf = LmdbDisk(os.path.join(settings.data_directory, "granary"))
         clock = asyncio.get_running_loop().time
-        self.store = Store(place(settings), Sockets(), shelf, clock, Random())
+        self.store = Store(place(settings), TcpNetwork(), shelf, clock, Random())
         self.parting: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
@@ -47,4 +47,4 @@
     return StoreProcess(settings)
 
 
-main(make)
+run_program(make)
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -8,8 +8,8 @@
 
 from absl import logging
 
-from loomstand.rpc.network import carry
-from loomstand.rpc.verdict import Verdict
+from loomstand.rpc.errors import CallFailure
+from loomstand.rpc.network import transfer_seconds
 from loomstand.store.ballot import Ballot, Held
 from loomstand.store.change_history import NONE, ChangeHistory
 from loomstand.store.replica import FOUNDING, Plan, Step
@@ -156,8 +156,10 @@
         for member in self.ballot.sources():
             if held is None:
                 body = {"epoch": epoch, "asker": replica.me.id}
-                answer = await self.desk.ask(member, "fetch", body, CALL + carry(len(replica.data)))
-                if not isinstance(answer, Verdict):
+                answer = await self.desk.ask(
+                    member, "fetch", body, CALL + transfer_seconds(len(replica.data))
+                )
+                if not isinstance(answer, CallFailure):
                     held = (answer["version"], answer["data"])
                     replica.fetched = ChangeHistory.read(answer.get("orders"), *held)
         return self.ballot.prevails(replica, held)
--- a/loomstand/store/lease_service.py
+++ b/loomstand/store/lease_service.py
@@ -11,7 +11,7 @@
 import cbor2
 from absl import logging
 
-from loomstand.rpc.verdict import Refused
+from loomstand.rpc.errors import CallRefusedError
 from loomstand.store.counting_lease import CountingLease
 from loomstand.store.replica import ABSENT, SILENT
 from loomstand.store.replica_io import Body, ReplicaIO
@@ -117,7 +117,7 @@
                         duty.spoke[host] = clock()
                     await self.changed()
         except TimeoutError:
-            raise Refused("it doesn't serve") from None
+            raise CallRefusedError("it doesn't serve") from None
         if body.get("back"):
             if duty.back(host, life):
                 self._let()
@@ -126,17 +126,17 @@
             await asyncio.sleep(early)
         async with self.turn:
             if not duty.may(clock(), host):
-                raise Refused("another has it")
+                raise CallRefusedError("another has it")
             if (page := duty.page(host)) != duty.paged:
                 duty.paged = None
                 await self.desk.note({"duty": cbor2.dumps(page)})
                 if page != duty.page(host):
-                    raise Refused("it has changed")
+                    raise CallRefusedError("it has changed")
                 duty.paged = page
             before = duty.named
             span = duty.grant(clock(), host, life, self.left())
             if not span:
-                raise Refused("it serves no more, or another has it")
+                raise CallRefusedError("it serves no more, or another has it")
         if before != host:
             self._let()
         return {"span": span, "duty": self.told()}
--- a/loomstand/store/program.py
+++ b/loomstand/store/program.py
@@ -12,8 +12,8 @@
 from expression import Result
 
 from loomstand.rpc import Address, Network
-from loomstand.rpc.network import carry
-from loomstand.rpc.verdict import Refused, Verdict
+from loomstand.rpc.errors import CallFailure, CallRefusedError
+from loomstand.rpc.network import transfer_seconds
 from loomstand.store.change_history import Answer, ChangeHistory, digest
 from loomstand.store.disk import Disk
 from loomstand.store.election import Release, campaign
@@ -72,13 +72,13 @@
     @property
     def desk(self) -> ReplicaIO:
         if self._desk is None:
-            raise Refused("not begun")
+            raise CallRefusedError("not begun")
         return self._desk
 
     @property
     def lending(self) -> LeaseService:
         if self._lending is None:
-            raise Refused("not begun")
+            raise CallRefusedError("not begun")
         return self._lending
 
     @property
@@ -229,7 +229,7 @@
         body = {"version": replica.version, "data": replica.data}
         for address, peer in replica.peers.items():
             if now - peer.answered < ABSENT:
-                within = CALL + carry(len(replica.data))
+                within = CALL + transfer_seconds(len(replica.data))
                 self.desk.spawn(self.network.call(address, "news", body, within))
 
     # --- what is due
@@ -277,7 +277,7 @@
         failed = view.backup and await self.desk.keep(
             view.backup, view.epoch, held.version, held.data
         )
-        if failed is Verdict.REFUSED:  # it has something later of this epoch, or can't write
+        if failed is CallFailure.REFUSED:  # it has something later of this epoch, or can't write
             plan = Plan(Step.MOVE, "its backup doesn't follow", view.voters, view.former)
             return await self._campaign(plan)
         if failed or not replica.leads(self.clock()) or replica.record is not held:
@@ -305,7 +305,7 @@
             "under": view.epoch,
             "duty": self.lending.duty.will(self.clock()),
         }
-        return not isinstance(await self.desk.ask(backup, "lead", body), Verdict)
+        return not isinstance(await self.desk.ask(backup, "lead", body), CallFailure)
 
     async def _lead(self, release: Release, will: list[Any] | None) -> None:
         async with self.busy:
@@ -319,7 +319,7 @@
     # --- calls
 
     async def serve(self, op: str, body: Body) -> Body:
-        """The answer to a call; Refused if it did nothing.
+        """The answer to a call; CallRefusedError if it did nothing.
 
         Of stores: beat, promise, keep, fetch, install, lead, news, held. Of anybody: put and offer
         {version, data} -> {version: the one in force, conflict: True if the number stands for
@@ -370,7 +370,7 @@
                 return {}
             case "held":
                 if not replica.informed:
-                    raise Refused("nothing known to be in force")
+                    raise CallRefusedError("nothing known to be in force")
                 return {"version": replica.version, "data": replica.data}
             case "put" | "offer":
                 return await self._put(op, body)
@@ -386,7 +386,7 @@
                 return await self._wait(body["have"], body["within"], body.get("mark", self.mark))
             case "duty":
                 return await self.lending.asked(body)
-        raise Refused(f"no such call: {op}")
+        raise CallRefusedError(f"no such call: {op}")
 
     async def _promise(self, body: Body) -> Body:
         replica, epoch, asker, released = (
@@ -406,7 +406,7 @@
             try:
                 await self.desk.ink(lambda now: replica.promise(now, epoch, asker, released))
                 would = True
-            except Refused:
+            except CallRefusedError:
                 would = False
         view = replica.base()
         return {"ok": would, "promised": replica.promised, "view": view.body() if view else None}
@@ -416,14 +416,16 @@
         if op == "offer":
             self.aid.given(version, data)
         try:
-            async with asyncio.timeout(ANSWER + carry(len(data))):
+            async with asyncio.timeout(ANSWER + transfer_seconds(len(data))):
                 if not replica.leads(self.clock()):
-                    return await self._hand_on(op, body, ANSWER - 0.05 + carry(len(data)))
+                    return await self._hand_on(
+                        op, body, ANSWER - 0.05 + transfer_seconds(len(data))
+                    )
                 async with self.busy:
                     taken = await self._take(version, data, op == "put")
                     return {"version": replica.version} | ({} if taken else {"conflict": True})
         except TimeoutError:
-            raise Refused("not in time") from None
+            raise CallRefusedError("not in time") from None
 
     async def _take(self, version: int, data: bytes, order: bool) -> bool:
         """Puts a version in force, if it's higher; False if it's an order whose number stands for
@@ -435,7 +437,7 @@
         ):
             await self._settle()
         if not replica.writes(self.clock()):
-            raise Refused("not the primary")
+            raise CallRefusedError("not the primary")
         answer = replica.orders.judge(replica.version, replica.data, version, data)
         if answer is Answer.TAKE:
             await self._write(version, data)
@@ -454,7 +456,7 @@
         if orders == replica.orders:
             return
         if replica.record.version != replica.version:
-            raise Refused("what it wrote last isn't settled")
+            raise CallRefusedError("what it wrote last isn't settled")
         replica.orders = orders
         await self._write(replica.version, replica.data)
 
@@ -468,16 +470,16 @@
         own = self.desk.ink(lambda now: replica.own(view.epoch, version, data))
         wrote, *kept = await asyncio.gather(own, *backup, return_exceptions=True)
         if isinstance(wrote, BaseException):
-            raise Refused("its disk")
+            raise CallRefusedError("its disk")
         if any(kept):
             # what it wrote may be in force: another backup may settle it while the asker still
             # waits
             plan = Plan(Step.MOVE, "its backup doesn't write", view.voters, view.former)
             if not await self._campaign(plan):
                 replica.postpone(self.clock())
-                raise Refused("no backup")
+                raise CallRefusedError("no backup")
         if not replica.writes(self.clock()) or replica.record.version != version:
-            raise Refused("the lease is over")
+            raise CallRefusedError("the lease is over")
         self._commit()
 
     def _conflict(self, version: int) -> None:
@@ -490,19 +492,19 @@
         replica = self.replica
         if (lasts := replica.lease_left(self.clock())) > 0.0:
             return {"version": replica.version, "data": replica.data, LEFT: lasts}
-        return await self._hand_on("read", body, CALL + carry(len(replica.data)))
+        return await self._hand_on("read", body, CALL + transfer_seconds(len(replica.data)))
 
     async def _hand_on(self, op: str, body: Body, within: float) -> Body:
         hops, primary = int(body.get("hops", 0)), self._seat()[1]
         if hops >= HOPS or primary is None or primary == self.place.address:
-            raise Refused("no primary")
+            raise CallRefusedError("no primary")
         asked = self.clock()
         match await self.network.call(primary, op, body | {"hops": hops + 1}, within):
             case Result(tag="ok", ok=answer) if (
                 lasts := left(answer, asked, self.clock(), within)
             ) > 0.0:
                 return answer | ({LEFT: lasts} if LEFT in answer else {})
-        raise Refused("the primary didn't answer")
+        raise CallRefusedError("the primary didn't answer")
 
     # --- what registries ask
 
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from loomstand.rpc import Address
-from loomstand.rpc.verdict import Refused
+from loomstand.rpc.errors import CallRefusedError
 from loomstand.store.change_history import NONE, ChangeHistory, digest
 from loomstand.store.views import Member, Record, View, newest
 
@@ -357,7 +357,7 @@
 
     def promise(self, now: float, epoch: int, asker: str, released: int) -> Record:
         if not self.may_promise(now, epoch, asker, released):
-            raise Refused("promises nothing now")
+            raise CallRefusedError("promises nothing now")
         self._raise(epoch, asker)
         if asker != self.me.id:
             self.quiet = max(self.quiet, now + RANK)
@@ -371,7 +371,7 @@
 
     def mine(self, to: str) -> None:
         if to != self.me.id:  # asked of the disk that was here before
-            raise Refused("another disk")
+            raise CallRefusedError("another disk")
 
     def keep(
         self, epoch: int, asker: str, version: int, data: bytes, orders: ChangeHistory = NONE
@@ -381,14 +381,14 @@
         Within an epoch versions only grow: bytes that a cut held up may come after later ones.
         """
         if epoch < self.promised:
-            raise Refused("a newer epoch")
+            raise CallRefusedError("a newer epoch")
         held = self.record
         if (
             epoch == held.written
             and version <= held.version
             and (version, data) != (held.version, held.data)
         ):
-            raise Refused("a later write")
+            raise CallRefusedError("a later write")
         self._raise(epoch, asker)
         return replace(
             held, promised=epoch, version=version, data=data, written=epoch, orders=orders
@@ -397,7 +397,7 @@
     def own(self, epoch: int, version: int, data: bytes) -> Record:
         """The primary's write to its own disk."""
         if epoch != self.promised:
-            raise Refused("a newer epoch")
+            raise CallRefusedError("a newer epoch")
         orders = self.orders_with(version, data)
         return replace(
             self.record, promised=epoch, version=version, data=data, written=epoch, orders=orders
@@ -405,13 +405,13 @@
 
     def fetch(self, epoch: int, asker: str) -> Record:
         if epoch < self.promised:
-            raise Refused("a newer epoch")
+            raise CallRefusedError("a newer epoch")
         self._raise(epoch, asker)
         return replace(self.record, promised=epoch)
 
     def install(self, view: View) -> Record:
         if view.epoch < self.promised or self.me.id not in view.named():
-            raise Refused("not its view")
+            raise CallRefusedError("not its view")
         self._raise(view.epoch, view.primary.id)
         return replace(self.record, promised=view.epoch, view=view)
 
@@ -429,7 +429,7 @@
         meanwhile.
         """
         if self.promised != view.epoch or self.record.view != view:
-            raise Refused("a newer epoch")
+            raise CallRefusedError("a newer epoch")
         self.holder, self.hold = view.primary.id, now + HOLD
 
     # --- what to do next
--- a/loomstand/store/replica_io.py
+++ b/loomstand/store/replica_io.py
@@ -13,8 +13,8 @@
 from expression import Result
 
 from loomstand.rpc import Network
-from loomstand.rpc.network import carry
-from loomstand.rpc.verdict import Refused, Verdict
+from loomstand.rpc.errors import CallFailure, CallRefusedError
+from loomstand.rpc.network import transfer_seconds
 from loomstand.store.disk import Disk
 from loomstand.store.replica import Replica, State
 from loomstand.store.views import Member, Record, View
@@ -48,12 +48,16 @@
 
     def _done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
-        if not task.cancelled() and (error := task.exception()) and not isinstance(error, Refused):
+        if (
+            not task.cancelled()
+            and (error := task.exception())
+            and not isinstance(error, CallRefusedError)
+        ):
             logging.error("store: %r", error)
 
     async def ink(self, change: Callable[[float], Record]) -> Record:
-        """Makes a change of the record and has it on disk. Refused: it may be there all the
-        same.
+        """Makes a change of the record and has it on disk. CallRefusedError: it may be there
+        all the same.
         """
         return await asyncio.shield(self.spawn(self._ink(change)))  # not to be stopped in mid-word
 
@@ -66,7 +70,7 @@
             return record
 
     async def note(self, pages: dict[str, bytes]) -> None:
-        """Has pages beside the record on disk. Refused: they may be there all the same."""
+        """Has pages beside the record on disk. CallRefusedError: they may be there all the same."""
         await asyncio.shield(self.spawn(self._note(pages)))
 
     async def _note(self, pages: dict[str, bytes]) -> None:
@@ -79,7 +83,7 @@
             await self.disk.save(pages)
         except OSError as error:
             self.failed = self.clock()
-            raise Refused(f"disk: {error}") from error
+            raise CallRefusedError(f"disk: {error}") from error
         finally:
             self.writing = None
 
@@ -98,30 +102,32 @@
 
     async def ask(
         self, member: Member, op: str, body: Body, within: float = CALL
-    ) -> Body | Verdict:
+    ) -> Body | CallFailure:
         match await self.network.call(member.address, op, body | {"to": member.id}, within):
             case Result(tag="ok", ok=answer):
                 return answer
             case Result(error=verdict):
                 return verdict
 
-    async def keep(self, member: Member, epoch: int, version: int, data: bytes) -> Verdict | None:
+    async def keep(
+        self, member: Member, epoch: int, version: int, data: bytes
+    ) -> CallFailure | None:
         """Has `member` write the configuration; None once it has. One that doesn't answer is
         doubted.
         """
         body = {"epoch": epoch, "asker": self.replica.me.id, "version": version, "data": data}
         body |= {"orders": self.replica.orders_with(version, data).body()}
-        answer = await self.ask(member, "keep", body, KEEP + carry(len(data)))
-        if not isinstance(answer, Verdict):
+        answer = await self.ask(member, "keep", body, KEEP + transfer_seconds(len(data)))
+        if not isinstance(answer, CallFailure):
             return None
-        if answer is not Verdict.REFUSED:
+        if answer is not CallFailure.REFUSED:
             self.replica.doubt(self.clock(), member)
         return answer
 
     async def install(self, member: Member, view: View) -> None:
         """Has `member` write the view, which is its grant as well."""
         sent = self.clock()
-        if not isinstance(await self.ask(member, "install", {"view": view.body()}), Verdict):
+        if not isinstance(await self.ask(member, "install", {"view": view.body()}), CallFailure):
             self.replica.on_grant(member.id, view.epoch, sent)
 
     async def until(
@@ -140,7 +146,7 @@
 
         async def one(member: Member) -> None:
             answer = await self.ask(member, "promise", body | {"asker": self.replica.me.id})
-            if not isinstance(answer, Verdict):
+            if not isinstance(answer, CallFailure):
                 answers[member.id] = answer
                 self.replica.notice(View.read(answer["view"]))
 
--- a/loomstand/store/rescue_calls.py
+++ b/loomstand/store/rescue_calls.py
@@ -11,7 +11,7 @@
 from expression import Result
 
 from loomstand.rpc import Address
-from loomstand.rpc.verdict import Refused
+from loomstand.rpc.errors import CallRefusedError
 from loomstand.store import rescue
 from loomstand.store.ballot import Held
 from loomstand.store.election import Election
@@ -107,7 +107,7 @@
             stands = await Election(
                 desk, rescue.ballot(found, rescue.best(replica, self.offered), self.rng), None
             ).run()
-        except Refused as why:
+        except CallRefusedError as why:
             return {"no": [f"nothing is founded: {why}"]}
         view = replica.record.view
         self.crown()
--- a/loomstand/testing/model_checker/member.py
+++ b/loomstand/testing/model_checker/member.py
@@ -17,7 +17,7 @@
 
 import cbor2
 
-from loomstand.rpc.verdict import Refused
+from loomstand.rpc.errors import CallRefusedError
 from loomstand.store import freshness, graceful_shutdown, rescue
 from loomstand.store.ballot import Ballot, Held
 from loomstand.store.learner import Learner
@@ -210,7 +210,7 @@
                 try:
                     self.replica.renew(0.0, view)
                     self.reply(call, body)
-                except Refused:
+                except CallRefusedError:
                     pass
             case ("lead", backup, body):
                 self.ask(backup, "lead", **cbor2.loads(body))
@@ -225,7 +225,7 @@
     def beat(self, member: Member) -> None:
         t = self.replica
         if not t.owns():
-            raise Refused("not the primary")
+            raise CallRefusedError("not the primary")
         body = t.beat(0.0, member.address)
         self.ask(member, "beat", **{k: body[k] for k in ("member", "view", "ask")})
 
@@ -269,7 +269,7 @@
                 self.campaign(plan, epoch, ("" if late else body["by"], body["under"]))
             return
         if self.pen is not None:
-            raise Refused("later")
+            raise CallRefusedError("later")
         match m.op:
             case "promise":
                 view, by, epoch = t.base(), body["asker"], body["epoch"]
@@ -327,20 +327,20 @@
         base = t.base() if plan.step is not Step.FOUND else None
         if base is not None and plan.step is Step.TAKE:
             if t.me.id not in base.named():
-                raise Refused("not named")
+                raise CallRefusedError("not named")
             plan = replace(plan, voters=base.voters, former=base.former)
         by, under = release or ("", 0)
         ids = frozenset({t.me.id, by} - {""})
         self.work = Work("promise", epoch, plan, base, ids, released=under)
         if self.ballot().epoch(epoch - 1) is None:
-            raise Refused("given up")
+            raise CallRefusedError("given up")
         self.ink(lambda: t.promise(0.0, epoch, t.me.id, under), "work", "promise", epoch)
 
     def rescue(self, case: Case, epoch: int) -> None:
         """As RescueCalls does by operators' word."""
         t = self.replica
         if self.pen is not None:
-            raise Refused("not now")
+            raise CallRefusedError("not now")
         t.resign()
         plan = Plan(Step.RESCUE, "")
         self.work = Work("promise", epoch, plan, case.view, frozenset({t.me.id}), case=case)
@@ -381,7 +381,7 @@
                 assert record.view is not None
                 try:
                     t.renew(0.0, record.view)
-                except Refused:
+                except CallRefusedError:
                     self.work = None
                     return
                 for m in record.view.named().values():
@@ -408,7 +408,7 @@
         work = self.work
         rest = [m for m in self.ballot().sources() if m not in work.asked]
         if not rest:
-            raise Refused("nobody left")
+            raise CallRefusedError("nobody left")
         self.work = work._replace(asked=(*work.asked, rest[0]))
         self.ask(rest[0], "fetch", epoch=work.epoch, asker=self.replica.me.id)
 
@@ -434,7 +434,7 @@
                 t.settled = work.epoch
                 self.work = work._replace(stage="installing")
                 self.ink(lambda: t.install(view), "work", "installing", work.epoch)
-        except Refused:
+        except CallRefusedError:
             self.work = None
 
     def backup(self, member: Member) -> None:
@@ -446,9 +446,9 @@
             or member in work.asked
             or member == self.replica.me
         ):
-            raise Refused("not now")
+            raise CallRefusedError("not now")
         if not self.ballot().takes(member, work.ids):
-            raise Refused("didn't promise")
+            raise CallRefusedError("didn't promise")
         self.work = work._replace(asked=(*work.asked, member))
         version, data = work.held
         self.ask(
@@ -460,10 +460,10 @@
     def put(self, version: int, data: bytes) -> None:
         t, view = self.replica, self.replica.record.view
         if not t.writes(0.0) or version <= t.version or self.pen is not None:
-            raise Refused("not now")
+            raise CallRefusedError("not now")
         # which may run out of time
         if self.work is not None and self.work.stage not in ("put", "settle"):
-            raise Refused("busy")
+            raise CallRefusedError("busy")
         assert view is not None and view.backup is not None
         self.work = Work("put", view.epoch, held=(version, data))
         self.ask(view.backup, "keep", epoch=view.epoch, asker=t.me.id, version=version, data=data)
@@ -472,7 +472,7 @@
     def settle(self) -> None:
         t, view = self.replica, self.replica.record.view
         if view is None or view.backup is None or not t.leads(0.0) or self.pen is not None:
-            raise Refused("not now")
+            raise CallRefusedError("not now")
         held = (t.record.version, t.record.data)
         self.work = Work("settle", view.epoch, held=held, ids=frozenset({"own"}))
         body = {"epoch": view.epoch, "asker": t.me.id, "version": held[0], "data": held[1]}
@@ -504,7 +504,7 @@
         """
         held = self.rules.learner(self.copy).due(self.replica)
         if held is None or self.pen is not None:
-            raise Refused("nothing to write")
+            raise CallRefusedError("nothing to write")
         self.copy = held
         self.marks.append(("copied", *held))
 
@@ -516,14 +516,14 @@
             t.peers[m.address] = Peer(m.id, answered=0.0)
             t.heard[m.id] = 0.0
         if not self.rules.may_end(t, 0.0, 0.0, GRACE):
-            raise Refused("it is needed")
+            raise CallRefusedError("it is needed")
         t.state = State.FIT
 
     def hand_over(self) -> None:
         t, view, epoch = self.replica, self.replica.record.view, self.replica.promised + 1
         assert view is not None and view.backup is not None
         if self.pen is not None:
-            raise Refused("not now")
+            raise CallRefusedError("not now")
         t.reign, backup = False, view.backup
         self.work = None
         lead = {"by": t.me.id, "epoch": epoch, "under": view.epoch}
--- a/loomstand/testing/model_checker/mutants.py
+++ b/loomstand/testing/model_checker/mutants.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from loomstand.rpc.verdict import Refused
+from loomstand.rpc.errors import CallRefusedError
 from loomstand.store.ballot import Ballot, Held
 from loomstand.store.learner import Learner
 from loomstand.store.replica import Replica
@@ -33,7 +33,7 @@
 
     def keep(self, epoch: int, asker: str, version: int, data: bytes) -> Record:
         if epoch < self.promised:
-            raise Refused("a newer epoch")
+            raise CallRefusedError("a newer epoch")
         self._raise(epoch, asker)
         return replace(self.record, promised=epoch, version=version, data=data, written=epoch)
 
@@ -67,7 +67,7 @@
 
     def install(self, view: View) -> Record:
         if self.me.id not in view.named():
-            raise Refused("not its view")
+            raise CallRefusedError("not its view")
         return replace(self.record, promised=view.epoch, view=view)
 
     def renew(self, now: float, view: View) -> None:
--- a/loomstand/testing/model_checker/state_space.py
+++ b/loomstand/testing/model_checker/state_space.py
@@ -10,7 +10,7 @@
 
 import cbor2
 
-from loomstand.rpc.verdict import Refused
+from loomstand.rpc.errors import CallRefusedError
 from loomstand.store.freshness import LEFT
 from loomstand.store.replica import Plan, Step
 from loomstand.store.rescue import case, told
@@ -175,7 +175,7 @@
                         plot.campaign(plan, epoch)
                     case (name, *parts):
                         getattr(plot, name)(*parts)
-            except Refused:
+            except CallRefusedError:
                 self.known[key] = None
             else:
                 out = tuple(self.message(m) for m in plot.out)
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -14,7 +14,7 @@
 from loomstand.proxy.program import Proxy
 from loomstand.registry.instances import READY
 from loomstand.registry.process import RegistryService
-from loomstand.rpc.verdict import Refused
+from loomstand.rpc.errors import CallRefusedError
 from loomstand.store.program import Place, Store
 from loomstand.testing.simulation.bounds import Told
 from loomstand.testing.simulation.http_log import Book, exchange
@@ -337,7 +337,7 @@
         store = self.stores[ip].programs[0]
         try:
             return store.replica.lease_left(store.clock()) > 0.0
-        except Refused:  # it reads its disk yet
+        except CallRefusedError:  # it reads its disk yet
             return False
 
     def core(self, ip: str) -> tuple[Host, Host]:
--- a/loomstand/testing/simulation/network.py
+++ b/loomstand/testing/simulation/network.py
@@ -15,8 +15,8 @@
 
 from expression import Error, Ok, Result
 
-from loomstand.rpc import Address, Serve
-from loomstand.rpc.verdict import Refused, Verdict
+from loomstand.rpc import Address, CallHandler
+from loomstand.rpc.errors import CallFailure, CallRefusedError
 from loomstand.testing.simulation.loop import LIFE, Life
 
 DELAY = (0.0005, 0.004)  # s one way: machines of one region, and of neighbouring ones
@@ -26,7 +26,7 @@
 @dataclass(slots=True)
 class Listener:
     life: Life
-    serve: Serve
+    serve: CallHandler
 
 
 @dataclass(slots=True)
@@ -87,14 +87,14 @@
     life: Life
     met: dict[Address, Life] = field(default_factory=dict)  # connections that stand
 
-    async def listen(self, address: Address, serve: Serve) -> None:
+    async def listen(self, address: Address, serve: CallHandler) -> None:
         self.sky.listeners[address] = Listener(self.life, serve)
 
     async def call(
         self, address: Address, op: str, body: Body, within: float
-    ) -> Result[Body, Verdict]:
+    ) -> Result[Body, CallFailure]:
         loop = asyncio.get_running_loop()
-        answer: asyncio.Future[Result[Body, Verdict]] = loop.create_future()
+        answer: asyncio.Future[Result[Body, CallFailure]] = loop.create_future()
         sent: list[bool] = []  # whether the request's bytes are under way
         # on the wire nothing is frozen or killed with the caller
         run = loop.create_task(self._run(address, op, body, sent, answer), context=_WIRE.copy())
@@ -104,7 +104,7 @@
         except TimeoutError:
             self.met.pop(address, None)
             del run  # goes on: what is under way may still arrive
-            return Error(Verdict.MAY_HAVE_RUN if sent else Verdict.NEVER_RAN)
+            return Error(CallFailure.MAY_HAVE_RUN if sent else CallFailure.NEVER_RAN)
 
     async def _run(
         self, address: Address, op: str, body: Body, sent: list[bool], answer: Any
@@ -118,7 +118,7 @@
                 return None
             there = self.sky.listeners.get(address)
             if there is None or not there.life.alive:
-                return _give(answer, Error(Verdict.NEVER_RAN))
+                return _give(answer, Error(CallFailure.NEVER_RAN))
             self.met[address] = there.life
         if answer.done():
             return None
@@ -127,10 +127,10 @@
             return None
         if not there.life.alive:
             if self.sky.open(address[0], self.host):
-                _give(answer, Error(Verdict.MAY_HAVE_RUN))
+                _give(answer, Error(CallFailure.MAY_HAVE_RUN))
             return None
         loop = asyncio.get_running_loop()
-        reply: asyncio.Future[Result[Body, Verdict]] = loop.create_future()
+        reply: asyncio.Future[Result[Body, CallFailure]] = loop.create_future()
         served = loop.create_task(
             _serve(there.serve, op, body, reply), context=there.life.context()
         )
@@ -140,11 +140,11 @@
             _give(answer, result)
 
 
-async def _serve(serve: Serve, op: str, body: Body, reply: Any) -> None:
+async def _serve(serve: CallHandler, op: str, body: Body, reply: Any) -> None:
     try:
         reply.set_result(Ok(await serve(op, body)))
-    except Refused:
-        reply.set_result(Error(Verdict.REFUSED))
+    except CallRefusedError:
+        reply.set_result(Error(CallFailure.REFUSED))
 
 
 def _give(answer: Any, result: Any) -> None:
--- a/loomstand/testing/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -20,7 +20,7 @@
 
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Wire
-from loomstand.rpc.verdict import Refused
+from loomstand.rpc.errors import CallRefusedError
 from loomstand.testing.simulation.loop import Life
 from loomstand.testing.simulation.machine import Machine
 from loomstand.testing.simulation.network import DELAY, Listener, SimNetwork
@@ -473,4 +473,4 @@
 
 
 async def _nothing(op: str, body: dict[str, Any]) -> dict[str, Any]:
-    raise Refused("no calls here")
+    raise CallRefusedError("no calls here")
--- a/loomstand/testing/simulation/wrong_calls.py
+++ b/loomstand/testing/simulation/wrong_calls.py
@@ -9,8 +9,8 @@
 
 from expression import Result
 
-from loomstand.rpc.frames import pack
-from loomstand.rpc.verdict import Refused, Verdict
+from loomstand.rpc.errors import CallFailure, CallRefusedError
+from loomstand.rpc.frames import encode_frame
 from loomstand.testing.simulation.loop import Life
 from loomstand.testing.simulation.network import SimNetwork
 from loomstand.testing.simulation.stream_network import StreamLine, StreamSockets
@@ -42,9 +42,9 @@
 
     async def answer(self, number: int, op: str, body: Any) -> None:
         try:
-            raw = pack([number, True, await self.serve(op, body)])
-        except Refused:
-            raw = pack([number, False, {}])
+            raw = encode_frame([number, True, await self.serve(op, body)])
+        except CallRefusedError:
+            raw = encode_frame([number, False, {}])
         how, at = self.owner.plays.pop(0) if self.owner.plays else ("", 0)
         async with self.whole:
             if not self.summed:  # the first frame may be of one that makes no sums yet
@@ -69,14 +69,14 @@
         elif how == "spoilt":
             self.say(raw[:at] + bytes([raw[at] ^ (1 << (at % 8))]) + raw[at + 1 :])
         elif how == "foreign":
-            self.say(pack([number + 10_000, True, {"n": "foreign"}]) + raw)
+            self.say(encode_frame([number + 10_000, True, {"n": "foreign"}]) + raw)
         elif how == "no answer":
-            self.say(pack([number, "x", {"n": "none"}]))
+            self.say(encode_frame([number, "x", {"n": "none"}]))
         else:
             self.say(raw)
         if how in ("twice", "late twice"):
             await asyncio.sleep(0.1 if how == "late twice" else 0.0)
-            self.say(pack([number, True, {"n": "again"}]))
+            self.say(encode_frame([number, True, {"n": "again"}]))
 
     def say(self, raw: bytes) -> None:
         if not self.transport.is_closing() and not self.ended:
@@ -97,7 +97,7 @@
     def __init__(self, plays: list[tuple[str, int]] | None = None) -> None:
         self.sky, self.loop = SimNetwork(Random(1)), asyncio.get_running_loop()
         self.cables = Cables(self.sky, Random(2))
-        self.life, self.ran, self.said = Life(), [], dict[int, Result[Any, Verdict]]()
+        self.life, self.ran, self.said = Life(), [], dict[int, Result[Any, CallFailure]]()
         self.caller = StreamSockets(Streams(self.cables, HERE, Life()))
         self.called = OddSockets(Streams(self.cables, THERE[0], self.life))
         self.called.plays = plays or []
@@ -109,7 +109,7 @@
 
     async def serve(self, op: str, body: Any) -> Any:
         if op == "refuse":
-            raise Refused("no")
+            raise CallRefusedError("no")
         self.ran.append(body["n"])
         self.ran_at[body["n"]] = self.loop.time()
         await asyncio.sleep(body["for"])
@@ -129,5 +129,5 @@
             if got.is_ok():
                 assert got.ok == {"n": n} and n in self.ran
             else:
-                assert got.error is not Verdict.NEVER_RAN or n not in self.ran, n
-                assert got.error is not Verdict.REFUSED, n
+                assert got.error is not CallFailure.NEVER_RAN or n not in self.ran, n
+                assert got.error is not CallFailure.REFUSED, n
--- a/tests/golden/names.py
+++ b/tests/golden/names.py
@@ -10,10 +10,8 @@
 from loomstand.config.configuration import parse as parse_configuration
 from loomstand.config.settings import SettingsError
 from loomstand.config.settings import read as read_settings
-from loomstand.rpc.frames import Foreign as ForeignBytes
-from loomstand.rpc.frames import Reader as FrameReader
-from loomstand.rpc.frames import pack as pack_frame
-from loomstand.rpc.verdict import Refused
+from loomstand.rpc.errors import CallRefusedError
+from loomstand.rpc.frames import FrameDecoder, FrameError, encode_frame
 from loomstand.store.change_history import NONE as NO_ORDERS
 from loomstand.store.change_history import ChangeHistory, digest
 from loomstand.store.counting_lease import CountingLease
@@ -58,12 +56,13 @@
     "OUTSIDE_PORT",
     "REGISTRY_PORT",
     "STORE_PORT",
+    "CallRefusedError",
     "ChangeHistory",
     "Cluster",
     "ConfigurationError",
     "CountingLease",
-    "ForeignBytes",
-    "FrameReader",
+    "FrameDecoder",
+    "FrameError",
     "Learner",
     "Life",
     "LmdbDisk",
@@ -71,16 +70,15 @@
     "Member",
     "Place",
     "Record",
-    "Refused",
     "SettingsError",
     "SimNetwork",
     "Store",
     "View",
     "VirtualLoop",
     "digest",
+    "encode_frame",
     "exchange",
     "make_machines",
-    "pack_frame",
     "parse_configuration",
     "platter_pages",
     "read_settings",
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -22,9 +22,9 @@
 from loomstand.proxy import sessions
 from loomstand.registry import program
 from loomstand.registry.process import MOST_BODY
-from loomstand.rpc.frames import Reader as Frames
-from loomstand.rpc.frames import pack
-from loomstand.rpc.verdict import Verdict
+from loomstand.rpc.errors import CallFailure
+from loomstand.rpc.frames import FrameDecoder as Frames
+from loomstand.rpc.frames import encode_frame
 from loomstand.store import disk
 from loomstand.store.change_history import KEPT
 from loomstand.store.disk import LmdbDisk
@@ -257,7 +257,7 @@
             return Ok({"s": 7, "h": 1, "rows": [], "c": new})
         if within < 2.0:
             await asyncio.sleep(within)
-            return Error(Verdict.MAY_HAVE_RUN)
+            return Error(CallFailure.MAY_HAVE_RUN)
         await asyncio.sleep(2.0)
         return Ok({"version": int(loop.time() / 0.3), "data": b"whole"})
 
@@ -345,7 +345,7 @@
 
 def test_the_largest_body_fits_into_a_frame_and_on_the_disk(tmp_path, monkeypatch):
     raw = os.urandom(MOST_BODY)
-    frame = pack(
+    frame = encode_frame(
         [1, "keep", {"version": 2**62, "data": raw, "orders": [[2**62] * KEPT, b"12345678" * KEPT]}]
     )
     assert next(Frames().feed(frame))[2]["data"] == raw
--- a/tests/test_golden_programs.py
+++ b/tests/test_golden_programs.py
@@ -83,8 +83,8 @@
     for call, kept in load(name)["exchanges"].items():
         for entry in kept.values():
             for frame in entry.values():
-                (item,) = names.FrameReader().feed(bytes.fromhex(frame))
-                assert names.pack_frame(item).hex() == frame, call
+                (item,) = names.FrameDecoder().feed(bytes.fromhex(frame))
+                assert names.encode_frame(item).hex() == frame, call
 
 
 def test_a_run_gives_the_same_bytes_in_processes_with_other_hash_seeds():
@@ -111,23 +111,23 @@
 def test_frames_are_as_they_were_and_read_back():
     assert pages.frames() == load("frames")
     for name, frame in load("frames").items():
-        assert list(names.FrameReader().feed(bytes.fromhex(frame))) == [pages.FRAMES[name]]
+        assert list(names.FrameDecoder().feed(bytes.fromhex(frame))) == [pages.FRAMES[name]]
 
 
 def test_a_frame_with_a_wrong_sum_is_foreign_once_one_with_a_sum_came():
     frame = bytes.fromhex(load("frames")["a call"])
-    reader = names.FrameReader()
+    reader = names.FrameDecoder()
     assert list(reader.feed(frame)) == [pages.FRAMES["a call"]]
-    with pytest.raises(names.ForeignBytes):
+    with pytest.raises(names.FrameError):
         list(reader.feed(frame[:-1] + bytes([frame[-1] ^ 1])))
 
 
 def test_a_frame_of_before_the_sums_is_read_until_one_with_a_sum_came():
     item = cbor2.dumps(pages.FRAMES["an answer"])
-    frame, reader = len(item).to_bytes(4, "big") + item, names.FrameReader()
+    frame, reader = len(item).to_bytes(4, "big") + item, names.FrameDecoder()
     assert list(reader.feed(frame)) == [pages.FRAMES["an answer"]]
     list(reader.feed(bytes.fromhex(load("frames")["an answer"])))
-    with pytest.raises(names.ForeignBytes):
+    with pytest.raises(names.FrameError):
         list(reader.feed(frame))
 
 
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -13,10 +13,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from loomstand.rpc import frames, sockets
-from loomstand.rpc.frames import pack
-from loomstand.rpc.sockets import Line
-from loomstand.rpc.verdict import Verdict
+from loomstand.rpc import frames, tcp_network
+from loomstand.rpc.errors import CallFailure
+from loomstand.rpc.frames import encode_frame
+from loomstand.rpc.tcp_network import TcpConnection
 from loomstand.testing.simulation.loop import play
 from loomstand.testing.simulation.wrong_calls import HERE, THERE, WAYS, Pair
 
@@ -35,7 +35,7 @@
 async def every_way(pair: Pair) -> None:
     n = 0
     for how in WAYS:
-        for at in range(len(pack([1, True, {"n": 1000}]))):
+        for at in range(len(encode_frame([1, True, {"n": 1000}]))):
             n += 1
             await pair.call(n + 20_000)  # the connection's first
             pair.called.plays = [(how, at)]
@@ -52,8 +52,8 @@
     async def work(pair: Pair) -> None:
         await pair.call(0)
         line = pair.caller.lines[THERE]
-        for at in range(len(pack([9, "do", {"n": 9, "for": 0.0, "fill": b""}]))):
-            raw = bytearray(pack([90 + at, "do", {"n": 90 + at, "for": 0.0, "fill": b""}]))
+        for at in range(len(encode_frame([9, "do", {"n": 9, "for": 0.0, "fill": b""}]))):
+            raw = bytearray(encode_frame([90 + at, "do", {"n": 90 + at, "for": 0.0, "fill": b""}]))
             raw[at] ^= 1 << (at % 8)
             await pair.call(1000 + at)
             line = pair.caller.lines[THERE]
@@ -103,7 +103,7 @@
         await pair.call(0)
         pair.life.frozen = True
         for n in range(1, 5):
-            assert (await pair.call(n, 0.0, 0.1)).error is Verdict.MAY_HAVE_RUN or n > 2
+            assert (await pair.call(n, 0.0, 0.1)).error is CallFailure.MAY_HAVE_RUN or n > 2
         pair.life.thaw()
         for n in range(5, 9):
             assert (await pair.call(n)).is_ok()
@@ -121,7 +121,7 @@
         async with asyncio.timeout(0.1):
             await pair.call(2, 1.0, 2.0)
     assert (await pair.call(3)).is_ok()
-    assert (await pair.caller.call(THERE, "refuse", {}, 0.2)).error is Verdict.REFUSED
+    assert (await pair.caller.call(THERE, "refuse", {}, 0.2)).error is CallFailure.REFUSED
 
 
 def test_a_caller_that_is_called_off_ends_and_does_not_take_it_for_a_silence():
@@ -130,12 +130,12 @@
 
 def test_on_real_sockets_a_given_up_connection_is_reset():
     async def run() -> None:
-        loop, net = asyncio.get_running_loop(), sockets.Sockets()
+        loop, net = asyncio.get_running_loop(), tcp_network.TcpNetwork()
         with socket.create_server(("127.0.0.1", 0)) as listening:
             listening.setblocking(False)
             address = listening.getsockname()
-            for _ in range(sockets.PATIENCE):
-                assert (await net.call(address, "do", {}, 0.02)).error is Verdict.MAY_HAVE_RUN
+            for _ in range(tcp_network.MAX_UNANSWERED_CALLS):
+                assert (await net.call(address, "do", {}, 0.02)).error is CallFailure.MAY_HAVE_RUN
             there, _ = await loop.sock_accept(listening)
             with there:
                 there.setblocking(False)
@@ -206,28 +206,28 @@
 # --- each defence taken out is noticed
 
 
-def by_position(line: Line, data: bytes, came: Any = Line.data_received) -> None:
+def by_position(line: TcpConnection, data: bytes, came: Any = TcpConnection.data_received) -> None:
     """The next answer is the oldest call's."""
     if line.serve is not None:
         came(line, data)
         return
     for _, what, body in line.reader.feed(data):
         if line.waiting:
-            sockets.give(line.waiting.pop(next(iter(line.waiting))), (what is True, body))
+            tcp_network.resolve(line.waiting.pop(next(iter(line.waiting))), (what is True, body))
 
 
-async def swallowed(net: Any, *said: Any, call: Any = sockets.Sockets.call) -> Any:
+async def swallowed(net: Any, *said: Any, call: Any = tcp_network.TcpNetwork.call) -> Any:
     try:
         return await call(net, *said)
     except asyncio.CancelledError:
-        return sockets.Error(Verdict.MAY_HAVE_RUN)
+        return tcp_network.Error(CallFailure.MAY_HAVE_RUN)
 
 
 MUTANTS: dict[str, tuple[Any, str, Any, Any]] = {
-    "match by position": (Line, "data_received", by_position, late_answers),
+    "match by position": (TcpConnection, "data_received", by_position, late_answers),
     "frames without their sum": (frames, "crc32", lambda raw: 0, every_way),
-    "close without a reset": (sockets, "reset_on_close", lambda transport: None, behind_a_cut),
-    "a cancelling is a silence": (sockets.Sockets, "call", swallowed, called_off),
+    "close without a reset": (tcp_network, "reset_on_close", lambda transport: None, behind_a_cut),
+    "a cancelling is a silence": (tcp_network.TcpNetwork, "call", swallowed, called_off),
 }
 
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -22,7 +22,7 @@
 from benchmarks.scale_measure import measure
 from loomstand.limiter.endings import Ending
 from loomstand.registry.limiters import LimiterTable
-from loomstand.rpc.outside import OperatorHttpServer
+from loomstand.rpc.operator_http import OperatorHttpServer
 
 TINY = Size(limiters=4, servers=5, routes=3, tenants=3, counts=5.0, cores=1, proxies=1)
 ROOT = Path(__file__).parent.parent
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -10,7 +10,7 @@
 
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import ONE_WAY, SharedClock
-from loomstand.rpc.verdict import Verdict
+from loomstand.rpc.errors import CallFailure
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.loop import play
 
@@ -25,7 +25,7 @@
         if self.said.get(address[0]) and op == "ask":
             return Ok(self.said[address[0]].pop(0))
         await asyncio.sleep(within)
-        return Error(Verdict.MAY_HAVE_RUN)
+        return Error(CallFailure.MAY_HAVE_RUN)
 
 
 class Heard:
@@ -91,7 +91,7 @@
         async def call(self, address, op, body, within):
             asked.append(body)
             if body.get("s") == 7 and len(asked) == 3:
-                return Error(Verdict.REFUSED)
+                return Error(CallFailure.REFUSED)
             return await super().call(address, op, body, within)
 
     asked = []
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from loomstand.rpc.verdict import Refused
+from loomstand.rpc.errors import CallRefusedError
 from loomstand.store.disk import LmdbDisk
 from loomstand.store.program import Place, Store
 from loomstand.store.replica import HOLD, LEASE, Replica
@@ -451,7 +451,7 @@
 
 def test_a_backup_writes_nothing_older_than_what_it_has():
     for stale in ((2, 8, b"eight"), (3, 6, b"six"), (3, 7, b"other")):
-        with pytest.raises(Refused):
+        with pytest.raises(CallRefusedError):
             member(B).keep(stale[0], "a", *stale[1:])
     assert member(B).keep(3, "a", 7, b"seven").version == 7
     assert member(B).keep(4, "c", 6, b"six").written == 4
@@ -460,11 +460,11 @@
 def test_who_hands_out_its_data_takes_nothing_more_of_that_epoch():
     replica = member(B)
     replica.fetch(5, "c")
-    with pytest.raises(Refused):
+    with pytest.raises(CallRefusedError):
         replica.keep(3, "a", 8, b"eight")
-    with pytest.raises(Refused):
+    with pytest.raises(CallRefusedError):
         replica.install(VIEW)
-    with pytest.raises(Refused):
+    with pytest.raises(CallRefusedError):
         replica.fetch(4, "d")
     assert replica.on_beat(9.0, member(A).beat(9.0, B.address))["granted"] == 0
     primary = member(A)
@@ -509,7 +509,7 @@
         and changed.agreed({"a", "b"})
     )
     assert changed.agreed({"b", "c", "d"}) and VIEW.agreed({"a", "c"})
-    with pytest.raises(Refused):
+    with pytest.raises(CallRefusedError):
         member(C).mine("b")
 
 
