--- a/benchmarks/hot_paths.py
+++ b/benchmarks/hot_paths.py
@@ -28,77 +28,94 @@
 
 import click
 
-from loomstand.admission import interface as api
+from loomstand.admission.actions import IncrementCounter, SendAttempt, SetTimer
 from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.endpoints import Endpoint, EndpointState
+from loomstand.admission.events import (
+    AttemptEnded,
+    CounterReplied,
+    EndpointsUpdated,
+    RequestArrived,
+    TimerFired,
+)
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.settings import (
+    DeduplicationScope,
+    Effect,
+    EngineSettings,
+    Frontend,
+    QuotaPlan,
+)
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.rpc.frames import Reader, pack
 from loomstand.testing.simulation.cluster import Cluster
 
-S = api.TICKS_PER_SECOND
+S = TICKS_PER_SECOND
 Serve = Callable[[str, dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
-def settings() -> api.EngineSettings:
+def settings() -> EngineSettings:
     """One limiter of three, a frontend of each effect, and a plan with and one without a quota."""
     fronts = tuple(
-        api.Frontend(effect, api.DeduplicationScope.ALL, 2 * S, S, 4 * S, 1.0, 0.0, False)
-        for effect in api.Effect
+        Frontend(effect, DeduplicationScope.ALL, 2 * S, S, 4 * S, 1.0, 0.0, False)
+        for effect in Effect
     )
     plans = (
-        api.QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
-        api.QuotaPlan(1e6, 1e6, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
+        QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
+        QuotaPlan(1e6, 1e6, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
     )
-    return api.EngineSettings(
-        me=0,
-        limiters=3,
-        hall=0,
+    return EngineSettings(
+        limiter_index=0,
+        limiter_count=3,
+        zone=0,
         frontends=fronts,
         plans=plans,
-        try_limit=3,
-        may_cancel=False,
-        may_probe=False,
-        second_copies=False,
-        retry_after=False,
+        attempt_limit=3,
+        can_cancel_attempts=False,
+        can_check_health=False,
+        can_hedge=False,
+        sends_retry_after=False,
         max_retry_after=0,
         has_counter=True,
-        count_timeout=500,
-        meter_period=0,
-        max_units=1,
-        drain_grace=S,
-        cold=10 * S,
-        cold_from=0.2,
-        fall_multiple=3.0,
-        tip_after=S,
-        answer_slack=80,
+        counter_timeout=500,
+        metering_period=0,
+        max_request_units=1,
+        drain_grace_period=S,
+        slow_start_period=10 * S,
+        slow_start_initial_capacity=0.2,
+        overload_multiple=3.0,
+        overload_period=S,
+        response_slack=80,
     )
 
 
 def decisions(requests: int) -> float:
     """Seconds a request, over so many; all timers are kept, and each count is answered at once."""
     brain, now = DecisionEngine(settings(), 7, 1000 * S), 1000 * S
-    entries = tuple(api.Endpoint(n, api.EndpointState.LIVE, 0, 0, 0, 1.0, 0) for n in range(12))
-    brain.handle(now, api.EndpointsUpdated(entries, True))
+    entries = tuple(Endpoint(n, EndpointState.LIVE, 0, 0, 0, 1.0, 0) for n in range(12))
+    brain.handle(now, EndpointsUpdated(entries, True))
     timers: list[tuple[int, int]] = []
     sent = 0
     begun = perf_counter()
     for req in range(1, requests + 1):
         now += 10
         if timers and timers[0][0] <= now:
-            brain.handle(now, api.TimerFired(timers.pop(0)[1]))
+            brain.handle(now, TimerFired(timers.pop(0)[1]))
         plan, customer = req & 1, req % 50
-        note = api.RequestArrived(
+        note = RequestArrived(
             req, req % 3, plan, 2 * customer + plan, 1000 + customer, now + 4 * S, 1.0, 0, False
         )
         for act in brain.handle(now, note):
             match act:
-                case api.SendAttempt():
+                case SendAttempt():
                     sent += 1
-                    done = api.AttemptEnded(req, 0, act.srv, api.Outcome.PASSED, 5, True, 0, 0.0)
+                    done = AttemptEnded(req, 0, act.endpoint_id, Outcome.SUCCEEDED, 5, True, 0, 0.0)
                     brain.handle(now + 5, done)
-                case api.SetTimer():
-                    timers.append((now + act.after, act.tag))
+                case SetTimer():
+                    timers.append((now + act.delay, act.tag))
                     timers.sort()
-                case api.IncrementCounter():
-                    got = api.CounterReplied(act.name, api.Outcome.PASSED, act.step, 20)
+                case IncrementCounter():
+                    got = CounterReplied(act.counter_name, Outcome.SUCCEEDED, act.amount, 20)
                     brain.handle(now + 5, got)
     took = perf_counter() - begun
     assert sent > 0.9 * requests, f"only {sent} of {requests} were sent"
--- a/benchmarks/scale_hollow.py
+++ b/benchmarks/scale_hollow.py
@@ -23,8 +23,9 @@
 
 from absl import logging
 
-from loomstand.admission import interface as i
-from loomstand.admission.identifiers import digest
+from loomstand.admission.actions import IncrementCounter
+from loomstand.admission.identifiers import stable_digest
+from loomstand.admission.outcome import Outcome
 from loomstand.config.settings import Settings, parse
 from loomstand.config.units import address_text
 from loomstand.proxy.counter_replay import CounterReplay
@@ -156,10 +157,10 @@
         """One step of a tenant's use, as the module would have it counted."""
         k = (self.now() + self.common.shift) // round(INTERVAL * 10_000)
         name = tenant << 15 | k % NAMES
-        self.count(i.IncrementCounter(name, 1.0, round(KEEP * 10_000)))
+        self.count(IncrementCounter(name, 1.0, round(KEEP * 10_000)))
 
-    def counted(self, name: int, outcome: i.Outcome, total: float, took: int) -> None:
-        passed = outcome is i.Outcome.PASSED
+    def counted(self, name: int, outcome: Outcome, total: float, took: int) -> None:
+        passed = outcome is Outcome.SUCCEEDED
         self.counts["passed" if passed else "failed"] += 1
         if passed:
             self.seen.counted(took)
@@ -419,7 +420,7 @@
         return {}
 
     async def count(self, rate: float, tenants: int) -> None:
-        rng, digests = Random(7), [digest(f"tenant-{n}") for n in range(tenants)]
+        rng, digests = Random(7), [stable_digest(f"tenant-{n}") for n in range(tenants)]
         weights = [1 / (n + 1) for n in range(tenants)]
         due = time.monotonic()
         while True:
--- a/loomstand/admission/actors.py
+++ b/loomstand/admission/actors.py
@@ -11,7 +11,9 @@
 from random import Random
 from typing import Generic, Protocol, TypeVar
 
-from loomstand.admission import interface as api
+from loomstand.admission.actions import Action
+from loomstand.admission.events import CounterReplied, RequestArrived
+from loomstand.admission.settings import EngineSettings
 
 NEVER = -(1 << 60)  # a clock reading before all others
 A = TypeVar("A")
@@ -22,19 +24,19 @@
 class ActorLoop:
     """The inboxes' loop, and what all parts read: the clock, the settings, chance and the reply."""
 
-    def __init__(self, settings: api.EngineSettings, seed: int, now: int) -> None:
+    def __init__(self, settings: EngineSettings, seed: int, now: int) -> None:
         self.settings = settings
         self.chance = Random(seed).random
         self.now = self.started = now
         self.ready: deque[Actor] = deque()
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
 
     def post(self, handler: Handler, *args: object) -> None:
         part = handler.__self__
         part.inbox.append((handler, args))
         self.ready.append(part)
 
-    def run(self) -> list[api.Action]:
+    def run(self) -> list[Action]:
         while self.ready:
             handler, args = self.ready.popleft().inbox.pop(0)
             handler(*args)
@@ -61,7 +63,7 @@
     length: int
 
     def report(self) -> None: ...
-    def counted(self, k: int, step: float, got: api.CounterReplied) -> None: ...
+    def counted(self, k: int, step: float, got: CounterReplied) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -70,7 +72,7 @@
     type.
     """
 
-    note: api.RequestArrived
+    note: RequestArrived
     account: A
     target: int
     worth: float
--- a/loomstand/admission/counter_client.py
+++ b/loomstand/admission/counter_client.py
@@ -3,8 +3,11 @@
 together.
 """
 
-from loomstand.admission import interface as api
+from loomstand.admission.actions import IncrementCounter
 from loomstand.admission.actors import NEVER, Actor, ActorLoop, CounterUser, WaitQueues
+from loomstand.admission.events import CounterReplied
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.ticks import TICKS_PER_SECOND
 
 
 class CounterClient(Actor):
@@ -14,7 +17,7 @@
         # whose use or question waits for a call, the newest last
         self.due: dict[CounterUser, None] = {}
         # soon right
-        self.start = self.pace = 300 / api.TICKS_PER_SECOND / max(1, loop.settings.limiters)
+        self.start = self.pace = 300 / TICKS_PER_SECOND / max(1, loop.settings.limiter_count)
         self.left, self.left_at, self.failed, self.cut_at = 1.0, loop.now, 0, NEVER
 
     def take(self) -> bool:
@@ -41,17 +44,17 @@
     def call(self, account: CounterUser, k: int, step: float) -> None:
         name = account.digest << 15 | k & 0x7FFF
         self.waiting.put(name, (account, k, step))
-        keep = min(3 * account.length + api.TICKS_PER_SECOND, 60 * api.TICKS_PER_SECOND)
-        self.loop.actions.append(api.IncrementCounter(name, step, keep))
+        keep = min(3 * account.length + TICKS_PER_SECOND, 60 * TICKS_PER_SECOND)
+        self.loop.actions.append(IncrementCounter(name, step, keep))
 
-    def counted(self, got: api.CounterReplied) -> None:
-        if (waiter := self.waiting.take(got.name)) is None:
+    def counted(self, got: CounterReplied) -> None:
+        if (waiter := self.waiting.take(got.counter_name)) is None:
             return
-        limit = self.loop.settings.count_timeout
-        self.failed = 0 if got.outcome is api.Outcome.PASSED else self.failed + 1
-        if (self.failed or got.took > limit / 2) and self.loop.now - self.cut_at > limit:
+        limit = self.loop.settings.counter_timeout
+        self.failed = 0 if got.outcome is Outcome.SUCCEEDED else self.failed + 1
+        if (self.failed or got.duration > limit / 2) and self.loop.now - self.cut_at > limit:
             # a fourth of the first pace is enough to find the counter back, and makes no wave then
             self.cut_at, self.pace = self.loop.now, max(self.start / 4, self.pace * 0.7)
-        elif not self.failed and self.left < 1 and got.took < limit / 4:
+        elif not self.failed and self.left < 1 and got.duration < limit / 4:
             self.pace *= 1.15  # so that about a fourth of the calls are slow where all want more
         self.loop.post(waiter[0].counted, *waiter[1:], got)
--- a/loomstand/admission/identifiers.py
+++ b/loomstand/admission/identifiers.py
@@ -1,56 +1,62 @@
-"""What a front needs to speak in the module's terms: small indices, tenths of a millisecond,
-digests.
-"""
+"""Identifiers that the decision engine's callers give names: indices and digests. Pure."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from hashlib import blake2b
-from math import ceil, floor
 
-# What the counter keeps under one name: a customer's use in units and its tries in thousands
-# (firmly in millions), so that one total shows both.
-TRY = 1000
+# One count holds a tenant's use in units in its lower part and the number of its requests, admitted
+# or not, above it, so that one total states both. Requests are counted in multiples of this factor,
+# or of its square where the quota is strict.
+ATTEMPT_FACTOR = 1000
 
+_DIGEST_BYTES = 6
 
-class Unknown(Exception):
-    """A name that nobody has told."""
 
+class UnknownNameError(Exception):
+    """A name that is neither in the settings nor in the endpoint lists."""
 
-def up(ms: float) -> int:
-    """Tenths, rounded so that no span or reading comes out too small."""
-    return ceil(round(ms * 10, 3))
 
+def stable_digest(text: str) -> int:
+    """Returns 48 bits that are the same for the same text at every limiter."""
+    return int.from_bytes(blake2b(text.encode(), digest_size=_DIGEST_BYTES).digest(), "big")
 
-def down(ms: float) -> int:
-    """Tenths, rounded so that no deadline comes out too late."""
-    return floor(round(ms * 10, 3))
 
+class NameIndex:
+    """Hands out small indices for names, in the order in which they are first seen.
 
-def digest(text: str) -> int:
-    """The same 48 bits for the same text at every limiter."""
-    return int.from_bytes(blake2b(text.encode(), digest_size=6).digest(), "big")
+    An index is never reused: a name that was forgotten gets another one.
 
+    Attributes:
+        names: Names by index.
+        indices: Indices by name.
+        next_index: The index that the next new name gets.
+    """
 
-class Door:
-    """Hands out small indices for names, in order of sight; one that was forgotten gets another."""
+    def __init__(self, names: Iterable[str] = ()) -> None:
+        self.names = dict(enumerate(names))
+        self.indices = {name: index for index, name in self.names.items()}
+        self.next_index = len(self.names)
 
-    def __init__(self, names: list[str] | None = None) -> None:
-        self.names = dict(enumerate(names or []))
-        self.index = {name: n for n, name in self.names.items()}
-        self.next = len(self.names)
+    def index_of(self, name: str) -> int:
+        """Returns the name's index, a new one for a new name."""
+        index = self.indices.get(name)
+        if index is None:
+            index = self.indices[name] = self.next_index
+            self.names[index] = name
+            self.next_index += 1
+        return index
 
-    def at(self, name: str) -> int:
-        n = self.index.get(name)
-        if n is None:
-            n = self.index[name] = self.next
-            self.names[n] = name
-            self.next += 1
-        return n
+    def forget(self, index: int) -> None:
+        """Forgets the name at an index."""
+        self.indices.pop(self.names.pop(index), None)
 
-    def forget(self, n: int) -> None:
-        self.index.pop(self.names.pop(n), None)
+    def require(self, name: str, field: str) -> int:
+        """Returns the index of a known name.
 
-    def known(self, name: str, field: str) -> int:
-        if name not in self.index:
-            raise Unknown(f"field '{field}': '{name}' is not in the settings or lists")
-        return self.index[name]
+        Raises:
+            UnknownNameError: The name is not known; `field` is where it was stated.
+        """
+        if name not in self.indices:
+            raise UnknownNameError(f"field '{field}': '{name}' is not in the settings or lists")
+        return self.indices[name]
--- /dev/null
+++ b/loomstand/admission/settings.py
@@ -0,0 +1,187 @@
+"""Settings of the decision engine: request classes, quota plans and tuning.
+
+Times are ticks (`loomstand.admission.ticks`), amounts are units of quota. Request classes and plans
+are known by their place in the settings. Pure.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+
+class Effect(Enum):
+    """Whether a request that may have been executed may be sent again.
+
+    The values are part of what the golden tests of the configuration hold.
+
+    Attributes:
+        IDEMPOTENT: Executing it again changes nothing, so it may always be sent again.
+        DEDUPLICATED: Servers recognise a repeat within a scope and a time window, and drop it.
+        NON_IDEMPOTENT: It must not be executed twice.
+    """
+
+    IDEMPOTENT = "replayable"
+    DEDUPLICATED = "uniqued"
+    NON_IDEMPOTENT = "non-replayable"
+
+
+class DeduplicationScope(Enum):
+    """Which servers share their record of executed requests with each other.
+
+    Attributes:
+        ALL: All servers of the service.
+        ZONE: The servers of one zone.
+        CELL: The servers of one cell (`Endpoint.cell`).
+    """
+
+    ALL = "all"
+    ZONE = "hall"
+    CELL = "pod"
+
+
+@dataclass(slots=True, frozen=True)
+class Frontend:
+    """A class of requests that share an effect, a latency target and a value.
+
+    Attributes:
+        effect: Whether a request may be sent again.
+        deduplication_scope: Where repeats are recognised, for `Effect.DEDUPLICATED`.
+        deduplication_window: How long after the first attempt repeats are recognised, in ticks.
+        latency_target: Time within which an answer has its full value (SLO), in ticks.
+        client_timeout: How long clients wait for the final answer, in ticks.
+        value: Value of an answer within the latency target (priority weight).
+        late_value: Value of an answer after the latency target.
+        is_streaming: Whether answers are streams.
+        attempt_limit: Most attempts for a request; 0 for `EngineSettings.attempt_limit`.
+    """
+
+    effect: Effect
+    deduplication_scope: DeduplicationScope
+    deduplication_window: int
+    latency_target: int
+    client_timeout: int
+    value: float
+    late_value: float
+    is_streaming: bool
+    attempt_limit: int = 0
+
+
+@dataclass(slots=True, frozen=True)
+class QuotaPlan:
+    """The quota that each tenant of a plan has, over all limiters together.
+
+    A tenant over its quota may be admitted at a cost; the rate limit must never be passed.
+
+    Attributes:
+        rate: Units a second; 0 for no quota.
+        burst: Units that may come at once.
+        concurrency_limit: Most requests in flight; 0 for no limit.
+        value_factor: Factor on the value of the tenant's requests.
+        excess_value: Value of a request beyond the quota.
+        excess_cost: Cost of admitting a request beyond the quota.
+        rate_limit: Hard limit in units a second; 0 for none.
+        rate_limit_burst: Units that may come at once under the hard limit.
+        rate_limit_slack: Units by which the hard limit may be passed for a moment.
+    """
+
+    rate: float
+    burst: float
+    concurrency_limit: int
+    value_factor: float
+    excess_value: float
+    excess_cost: float
+    rate_limit: float
+    rate_limit_burst: float
+    rate_limit_slack: float
+
+
+@dataclass(slots=True, frozen=True)
+class EngineSettings:
+    """All settings of one limiter's decision engine, replaced as a whole by `SettingsChanged`.
+
+    Attributes:
+        limiter_index: This limiter's number among all limiters, from 0.
+        limiter_count: How many limiters there are.
+        zone: Index of this limiter's own zone.
+        frontends: The request classes.
+        plans: The quota plans.
+        attempt_limit: Most attempts for a request whose request class states no limit.
+        can_cancel_attempts: Whether attempts may be cancelled. Not used by the engine today.
+        can_check_health: Whether health checks may be made. Not used by the engine today.
+        can_hedge: Whether hedged requests may be sent. Not used by the engine today.
+        sends_retry_after: Whether a rejection states when to come again.
+        max_retry_after: Longest such time, in ticks.
+        has_counter: Whether there is a shared counter.
+        counter_timeout: Time-out of a call to the counter, in ticks.
+        metering_period: Interval of the servers' metering of tenants, in ticks; 0 for none.
+        max_request_units: Most units a request may ask for.
+        drain_grace_period: How long a draining server still takes requests, in ticks. Not used by
+            the engine today, which sends it none.
+        slow_start_period: How long a server warms up after its start, in ticks.
+        slow_start_initial_capacity: Share of its capacity a server has at its start.
+        overload_multiple: Multiple of its capacity that makes a server in slow start fail.
+        overload_period: How long a server in slow start bears that, in ticks.
+        response_slack: How late after a deadline an answer may be, in ticks. Not used by the engine
+            today, which ends every request before its deadline.
+        total_trust_intervals: For how many quota intervals a total from the counter lets a tenant
+            well under its quota be judged by the whole burst. Below 3 the quota is strict: all
+            limiters together keep to it even without totals.
+        initial_burst_share: Share of its part of the burst that a tenant has when first seen.
+        retry_budget_ratio: Retries that a first attempt adds to the budget, by service.
+        retry_budget_max: Most retries in the budget.
+        retry_budget_initial: Retries in the budget at the start.
+        rejected_retry_cost: Cost of a retry, in retries, after a server rejected the request and no
+            attempt may have been executed.
+        unsent_retry_cost: Cost of a retry where no attempt reached a server.
+        window_follows_endpoints: Whether the concurrency window grows and shrinks with the number
+            of a service's servers.
+        retries_until_deadline: Whether a silent server is given up for another as long as the
+            client waits, instead of only within the latency target.
+        remote_zone_cost: Factor on the cost of a server in another zone.
+        clock_offset: How far the clock that names the counter's intervals is ahead of the limiter's
+            own, in ticks.
+        local_zone_share: Share of the servers in use that are of the limiter's own zone; 0 to
+            ignore zones.
+        window_headroom: Attempts in flight allowed beyond the concurrency window: a window of a few
+            is exceeded by chance alone.
+    """
+
+    limiter_index: int
+    limiter_count: int
+    zone: int
+    frontends: tuple[Frontend, ...]
+    plans: tuple[QuotaPlan, ...]
+    attempt_limit: int
+    can_cancel_attempts: bool
+    can_check_health: bool
+    can_hedge: bool
+    sends_retry_after: bool
+    max_retry_after: int
+    has_counter: bool
+    counter_timeout: int
+    metering_period: int
+    max_request_units: int
+    drain_grace_period: int
+    slow_start_period: int
+    slow_start_initial_capacity: float
+    overload_multiple: float
+    overload_period: int
+    response_slack: int
+    total_trust_intervals: float = 10.0
+    initial_burst_share: float = 1.0
+    retry_budget_ratio: float = 0.25
+    retry_budget_max: float = 10.0
+    retry_budget_initial: float = 3.0
+    rejected_retry_cost: float = 0.2
+    unsent_retry_cost: float = 0.2
+    window_follows_endpoints: bool = False
+    retries_until_deadline: bool = False
+    remote_zone_cost: float = 1.05
+    clock_offset: int = 0
+    local_zone_share: float = 0.0
+    window_headroom: float = 0.0
+
+    def plan(self, index: int) -> QuotaPlan | None:
+        """Returns the plan at that place, or None if there is none."""
+        return self.plans[index] if 0 <= index < len(self.plans) else None
--- a/loomstand/admission/tenant_limiter.py
+++ b/loomstand/admission/tenant_limiter.py
@@ -4,10 +4,14 @@
 
 from __future__ import annotations
 
-from loomstand.admission import interface as api
+from loomstand.admission.actions import SetTimer
 from loomstand.admission.actors import NEVER, Actor, ActorLoop, Handler, PendingRequest
 from loomstand.admission.counter_client import CounterClient
-from loomstand.admission.identifiers import TRY
+from loomstand.admission.events import CounterReplied, TenantEvent, TenantTotalUpdated
+from loomstand.admission.identifiers import ATTEMPT_FACTOR
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.settings import QuotaPlan
+from loomstand.admission.ticks import TICKS_PER_SECOND
 
 
 class TenantLimiter(Actor):
@@ -60,12 +64,12 @@
         self,
         loop: ActorLoop,
         keeper: CounterClient,
-        note: api.TenantEvent,
-        plan: api.QuotaPlan | None,
+        note: TenantEvent,
+        plan: QuotaPlan | None,
     ) -> None:
         super().__init__(loop)
-        self.keeper, self.digest, self.customer = keeper, note.digest, note.customer
-        self.given = (note.plan, note.set_size, note.first)
+        self.keeper, self.digest, self.customer = keeper, note.tenant_digest, note.tenant
+        self.given = (note.plan, note.limiter_set_size, note.limiter_set_start)
         self.synced = self.split_at = self.asked_at = self.metered_at = NEVER
         self.k = self.out = self.tries = self.waste = 0  # tries not yet told
         self.whole = self.meter = self.own = self.unsent = self.confirmed = self.others = (
@@ -83,38 +87,36 @@
         )
         self.figure(plan)
         self.pace = self.rate / self.n  # the part, as units a tenth: unseen customers start even
-        self.level = max(0.0, min(self.part() - 1, self.part() * (1 - loop.settings.fresh)))
+        self.level = max(
+            0.0, min(self.part() - 1, self.part() * (1 - loop.settings.initial_burst_share))
+        )
 
-    def figure(self, plan: api.QuotaPlan | None) -> None:
+    def figure(self, plan: QuotaPlan | None) -> None:
         """What follows from the plan and from the set of limiters."""
         s, (_, sets, first), self.plan = self.loop.settings, self.given, plan
-        self.n = max(1, sets or s.limiters)
-        self.rate = (
-            plan.rate / api.TICKS_PER_SECOND if plan else 0.0
-        )  # units a tenth of a millisecond
+        self.n = max(1, sets or s.limiter_count)
+        self.rate = plan.rate / TICKS_PER_SECOND if plan else 0.0  # units a tenth of a millisecond
         self.depth = max(plan.burst, 1.0) if plan else 1.0  # one req and the burst count beyond it
         # With less trust in totals than a split's life all limiters together keep to the quota
         # without them. Use that several passed at once beyond it is remembered, and edges are rare:
         # use there is seen late.
-        self.firm = s.trust < 3
+        self.firm = s.total_trust_intervals < 3
         self.length = (
-            max(1, self.firm * api.TICKS_PER_SECOND, round(self.depth / self.rate))
-            if self.rate
-            else 0
+            max(1, self.firm * TICKS_PER_SECOND, round(self.depth / self.rate)) if self.rate else 0
         )
         # spreads customers' edges
-        self.offset = self.digest % self.length + s.shift if self.length else 0
+        self.offset = self.digest % self.length + s.clock_offset if self.length else 0
         # Use beyond the quota that costs nothing: a doubt is the customer's, a count known full is
         # not.
         self.costless = plan is not None and plan.excess_cost <= plan.excess_value
-        self.cap_rate = plan.ceiling_rate / api.TICKS_PER_SECOND if plan else 0.0
-        self.cap_depth = plan.ceiling_depth / self.n if self.cap_rate else 0.0
+        self.cap_rate = plan.rate_limit / TICKS_PER_SECOND if plan else 0.0
+        self.cap_depth = plan.rate_limit_burst / self.n if self.cap_rate else 0.0
         # a turn's; so far ahead is fine
-        self.unit = min(1.0, plan.ceiling_slack) if self.cap_rate else 0.0
-        self.place = (s.me - first) % max(1, s.limiters) % self.n
+        self.unit = min(1.0, plan.rate_limit_slack) if self.cap_rate else 0.0
+        self.place = (s.limiter_index - first) % max(1, s.limiter_count) % self.n
         self.most, self.scale = (
             self.depth + self.firm * (self.depth + 2 * self.n),
-            TRY ** (1 + self.firm),
+            ATTEMPT_FACTOR ** (1 + self.firm),
         )
         # room that a total leaves: reqs often come in pairs
         self.least = min(1.0 + self.firm, self.depth)
@@ -163,7 +165,7 @@
             # the rest goes with this interval
             self.own, self.confirmed, self.others = self.unsent, 0.0, 0.0
             self.forgot, self.k = False, k
-            if now - self.split_at > min(3, self.loop.settings.trust) * self.length:
+            if now - self.split_at > min(3, self.loop.settings.total_trust_intervals) * self.length:
                 self.pace = self.rate / self.n
 
     def turns(self, at: int) -> float:
@@ -188,12 +190,12 @@
 
     def ask(self, job: PendingRequest[TenantLimiter], granted: Handler, denied: Handler) -> None:
         """One req per emission interval and a burst count; a full count denies at once."""
-        units, most = job.note.units, self.plan.at_once if self.plan else 0
+        units, most = job.note.units, self.plan.concurrency_limit if self.plan else 0
         self.roll()
         self.tries += 1
         if (self.cap_rate and self.cap < units) or (most and self.out >= max(1, most // self.n)):
             self.loop.post(denied, job, 0, "ceiling")
-        elif not self.rate or self.lets(units, job.note.retry):
+        elif not self.rate or self.lets(units, job.note.is_retry):
             self.loop.post(granted, job)
         else:
             gone = self.loop.now - self.asked_at
@@ -211,7 +213,7 @@
         if self.firm:
             return fits and self.level + units <= max(self.part(), units) + 1e-9
         if self.asked <= 0.8 * self.rate and (
-            small or since < self.loop.settings.trust * self.length
+            small or since < self.loop.settings.total_trust_intervals * self.length
         ):
             # its denial elsewhere tells of a full count where a part is far below a req, else of
             # servers
@@ -246,10 +248,10 @@
         if not self.woken:
             self.woken, edge = True, self.length - (self.loop.now + self.offset) % self.length
             # 40 min
-            after = min(edge, 2400 * api.TICKS_PER_SECOND) + self.loop.settings.count_timeout + 1
-            self.loop.actions.append(api.SetTimer(after, self.digest))
+            after = min(edge, 2400 * TICKS_PER_SECOND) + self.loop.settings.counter_timeout + 1
+            self.loop.actions.append(SetTimer(after, self.digest))
         # its room comes with a total
-        unknown = self.synced == NEVER and self.loop.settings.fresh < 1
+        unknown = self.synced == NEVER and self.loop.settings.initial_burst_share < 1
         if unknown or self.unsent >= max(self.depth - self.whole, self.firm * self.depth / 10) / (
             2 * self.n
         ):
@@ -288,7 +290,7 @@
     def metered(self, percent: int) -> None:
         """Where no total comes, the meter's use of the last period stands in for it."""
         self.roll()
-        period = self.loop.settings.meter_period
+        period = self.loop.settings.metering_period
         if self.rate and self.loop.now - self.metered_at >= period:
             self.metered_at = self.loop.now
             self.meter += (percent / 100 * self.depth - self.meter) * min(1.0, period / self.length)
@@ -297,13 +299,13 @@
                 self.split(min(self.last[0], self.meter), self.meter)
                 self.asked, self.synced = self.meter / self.length, self.loop.now - 2 * self.length
 
-    def counted(self, k: int, step: float, got: api.CounterReplied) -> None:
+    def counted(self, k: int, step: float, got: CounterReplied) -> None:
         """A total came, or none."""
         self.roll()
-        if got.outcome is not api.Outcome.PASSED:
+        if got.outcome is not Outcome.SUCCEEDED:
             if self.firm:  # others may know nothing of the last split
                 self.pace, self.blind = min(self.pace, self.rate / self.n), True
-            if got.outcome is not api.Outcome.NO_ANSWER and k == self.k:
+            if got.outcome is not Outcome.NO_RESPONSE and k == self.k:
                 self.tries += int(step // self.scale)
                 # surely not added; one with no answer may have been
                 self.unsent += step % self.scale
@@ -354,11 +356,11 @@
             if not step:  # a read at the edge
                 self.split(own, max(total, own))
 
-    def told(self, note: api.TenantTotalUpdated) -> None:
+    def told(self, note: TenantTotalUpdated) -> None:
         self.roll()
-        if note.name & 0x7FFF == self.k & 0x7FFF:
+        if note.counter_name & 0x7FFF == self.k & 0x7FFF:
             self.counted(
-                self.k, 0.0, api.CounterReplied(note.name, api.Outcome.PASSED, note.total, 0)
+                self.k, 0.0, CounterReplied(note.counter_name, Outcome.SUCCEEDED, note.total, 0)
             )
 
     def split(self, own: float, total: float) -> None:
--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -66,7 +66,10 @@
     """Read the configuration and say what it holds, without serving."""
     config = configured(path)
     told, (host, port) = settings(config.conf, 0), config.listen
-    click.echo(f"{config.name}: limiter {told.me} of {told.limiters}, listens at {host}:{port}")
+    click.echo(
+        f"{config.name}: limiter {told.limiter_index} of {told.limiter_count}, "
+        f"listens at {host}:{port}"
+    )
     click.echo(f"frontends: {', '.join(g.name for g in config.conf.grades)}")
     click.echo(f"plans: {', '.join(p.name for p in config.conf.plans) or 'none'}")
     click.echo(
--- a/loomstand/config/limiter.py
+++ b/loomstand/config/limiter.py
@@ -15,20 +15,26 @@
 import msgspec
 from msgspec import Meta
 
-from loomstand.admission import interface as i
-from loomstand.admission.identifiers import down, up
+from loomstand.admission.settings import (
+    DeduplicationScope,
+    Effect,
+    EngineSettings,
+    Frontend,
+    QuotaPlan,
+)
+from loomstand.admission.ticks import ticks_rounded_down, ticks_rounded_up
 from loomstand.failover import zone_plan
 from loomstand.failover.zone_plan import SitePlan
 
 EFFECTS = {
-    "pure": i.Effect.REPLAYABLE,
-    "token": i.Effect.UNIQUED,
-    "side_effect": i.Effect.NON_REPLAYABLE,
+    "pure": Effect.IDEMPOTENT,
+    "token": Effect.DEDUPLICATED,
+    "side_effect": Effect.NON_IDEMPOTENT,
 }
 GROUPS = {
-    "all": i.DeduplicationScope.ALL,
-    "zone": i.DeduplicationScope.HALL,
-    "cell": i.DeduplicationScope.POD,
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
 }
 Span = Annotated[float, Meta(ge=0)]  # milliseconds
 Whole = Annotated[int, Meta(ge=0)]
@@ -253,20 +259,20 @@
         raise ConfigError(f"key 'plan': {why}") from None
 
 
-def settings(conf: Conf, hall: int) -> i.EngineSettings:
+def settings(conf: Conf, hall: int) -> EngineSettings:
     """The settings in our words."""
     allowed, specifics, rules = conf.allowed, conf.specifics, conf.rules
-    return i.EngineSettings(
-        me=conf.me,
-        limiters=conf.balancers,
-        hall=hall,
+    return EngineSettings(
+        limiter_index=conf.me,
+        limiter_count=conf.balancers,
+        zone=hall,
         frontends=tuple(
-            i.Frontend(
+            Frontend(
                 EFFECTS[g.effect],
                 GROUPS[g.group],
-                down(g.repeat_window),
-                down(g.on_time),
-                down(g.deadline),
+                ticks_rounded_down(g.repeat_window),
+                ticks_rounded_down(g.on_time),
+                ticks_rounded_down(g.deadline),
                 g.points,
                 g.late_value,
                 g.stream,
@@ -274,7 +280,7 @@
             for g in conf.grades
         ),
         plans=tuple(
-            i.QuotaPlan(
+            QuotaPlan(
                 p.refill,
                 p.store_size,
                 int(p.at_once),
@@ -287,20 +293,20 @@
             )
             for p in conf.plans
         ),
-        try_limit=allowed.try_limit,
-        may_cancel=allowed.cancel,
-        may_probe=allowed.may_probe,
-        second_copies=allowed.second_copies,
-        retry_after=allowed.retry_after,
-        max_retry_after=down(allowed.max_retry_after),
+        attempt_limit=allowed.try_limit,
+        can_cancel_attempts=allowed.cancel,
+        can_check_health=allowed.may_probe,
+        can_hedge=allowed.second_copies,
+        sends_retry_after=allowed.retry_after,
+        max_retry_after=ticks_rounded_down(allowed.max_retry_after),
         has_counter=specifics.has_counter,
-        count_timeout=up(specifics.count_limit),
-        meter_period=up(specifics.metering),
-        max_units=max(1, ceil(specifics.max_units)),
-        drain_grace=down(rules.drain_grace),
-        cold=up(rules.cold),
-        cold_from=rules.cold_from,
-        fall_multiple=rules.fall_multiple,
-        tip_after=up(rules.tip_after),
-        answer_slack=down(rules.answer_slack),
+        counter_timeout=ticks_rounded_up(specifics.count_limit),
+        metering_period=ticks_rounded_up(specifics.metering),
+        max_request_units=max(1, ceil(specifics.max_units)),
+        drain_grace_period=ticks_rounded_down(rules.drain_grace),
+        slow_start_period=ticks_rounded_up(rules.cold),
+        slow_start_initial_capacity=rules.cold_from,
+        overload_multiple=rules.fall_multiple,
+        overload_period=ticks_rounded_up(rules.tip_after),
+        response_slack=ticks_rounded_down(rules.answer_slack),
     )
--- a/loomstand/failover/engine_view.py
+++ b/loomstand/failover/engine_view.py
@@ -10,7 +10,9 @@
 from collections.abc import Iterable, Sequence
 from functools import lru_cache
 
-from loomstand.admission import interface as api
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.settings import EngineSettings
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.failover.shedding_order import Order, Room
 from loomstand.failover.zone_loss_detector import State, Watch
 from loomstand.failover.zone_plan import SitePlan
@@ -19,8 +21,8 @@
 # answers that tell of a healed cut within five seconds, and meanwhile it costs a twentieth of those
 # reqs.
 PROBE = 1 / 20
-ALIVE = {api.Outcome.PASSED, api.Outcome.SERVER_ERROR, api.Outcome.TURNED_AWAY}
-SAYS_NOTHING = {api.Outcome.NOT_SENT, api.Outcome.CALLED_OFF}  # our own doing
+ALIVE = {Outcome.SUCCEEDED, Outcome.SERVER_ERROR, Outcome.REJECTED}
+SAYS_NOTHING = {Outcome.NOT_SENT, Outcome.CANCELLED}  # our own doing
 
 
 class Guide:
@@ -29,13 +31,15 @@
     def __init__(
         self,
         plan: SitePlan,
-        settings: api.EngineSettings,
+        settings: EngineSettings,
         names: tuple[Sequence[str], Sequence[str], Sequence[str]],
         now: int,
     ) -> None:
         self.names, self.now = names, now
-        patience = max(f.response_target for f in settings.frontends)
-        self.watch = Watch(patience, settings.cold, settings.cold_from)
+        patience = max(f.latency_target for f in settings.frontends)
+        self.watch = Watch(
+            patience, settings.slow_start_period, settings.slow_start_initial_capacity
+        )
         self.scale, self.room, self.usual = 1.0, Room(), 0
         self.take(plan)
 
@@ -65,7 +69,7 @@
         self.watch.sent(now, key, zone, srv)
 
     def ended(
-        self, now: int, key: tuple[int, int], zone: int, srv: int, outcome: api.Outcome, late: bool
+        self, now: int, key: tuple[int, int], zone: int, srv: int, outcome: Outcome, late: bool
     ) -> None:
         if outcome in SAYS_NOTHING:
             self.watch.zones[zone].open.pop(key, None)
@@ -143,7 +147,7 @@
             zones = self.names[2]
             name = zones[move.zone] if move.zone < len(zones) else str(move.zone)
             lines.append(
-                f"{now / api.TICKS_PER_SECOND:.2f}: zone {name}: {move.old.value} to "
+                f"{now / TICKS_PER_SECOND:.2f}: zone {name}: {move.old.value} to "
                 f"{move.new.value}, {move.why}"
             )
             if move.new is State.DOUBTFUL or (
--- a/loomstand/failover/subset_selection.py
+++ b/loomstand/failover/subset_selection.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import Protocol, TypeVar
 
-from loomstand.admission.interface import EngineSettings
+from loomstand.admission.settings import EngineSettings
 
 # Places at this step apart lie evenly, whichever run of neighbours is looked at. Limiters' places
 # go by their names, so those of one zone are neighbours: at steps of 1/n they would all begin in
@@ -16,7 +16,7 @@
 
 
 class Entry(Protocol):
-    hall: int
+    zone: int
 
 
 class Placed(Protocol):
@@ -32,19 +32,19 @@
 def stretch(ring: Sequence[S], settings: EngineSettings, most: int) -> list[S]:
     """At most `most` servers of the ring, the ones to use first.
 
-    With `settings.homes` that share of any few is of the own hall, as long as it has any: bytes
-    between halls are dear. The rest stays in use a little, as its answers tell when the own hall is
-    the busier one.
+    With `settings.local_zone_share` that share of any few is of the own zone, as long as it has
+    any: bytes between zones are dear. The rest stays in use a little, as its answers tell when the
+    own zone is the busier one.
     """
-    if not settings.homes:
-        first = settings.me * len(ring) // max(1, settings.limiters)
+    if not settings.local_zone_share:
+        first = settings.limiter_index * len(ring) // max(1, settings.limiter_count)
         return [ring[n % len(ring)] for n in range(first, first + min(len(ring), most))]
-    own = _from(settings.me, [v for v in ring if v.entry.hall == settings.hall])
-    far = _from(settings.me, [v for v in ring if v.entry.hall != settings.hall])
+    own = _from(settings.limiter_index, [v for v in ring if v.entry.zone == settings.zone])
+    far = _from(settings.limiter_index, [v for v in ring if v.entry.zone != settings.zone])
     found: list[S] = []
     owns = 0
     while len(found) < most and (own or far):
-        if own and (not far or owns <= len(found) * settings.homes):
+        if own and (not far or owns <= len(found) * settings.local_zone_share):
             found.append(own.pop())
             owns += 1
         else:
--- a/loomstand/limiter/counter.py
+++ b/loomstand/limiter/counter.py
@@ -6,7 +6,8 @@
 from collections import deque
 from math import isfinite
 
-from loomstand.admission.interface import IncrementCounter, Outcome
+from loomstand.admission.actions import IncrementCounter
+from loomstand.admission.outcome import Outcome
 from loomstand.limiter import http_parser
 from loomstand.limiter.endings import Ending, call_outcome, called
 from loomstand.limiter.event_loop import Wire, connect
@@ -81,13 +82,13 @@
 
     def call(self, act: IncrementCounter) -> None:
         loop = self.limiter.loop
-        keep = max(1, min(60_000, -(-act.keep // 10)))
+        keep = max(1, min(60_000, -(-act.time_to_live // 10)))
         raw = (
             b"POST /counters/%d?by=%.9g&expire_ms=%d HTTP/1.1\r\n"
             b"Host: counter\r\nContent-Length: 0\r\n\r\n"
         )
-        call = Call(act.name, loop.time())
-        self.queue.append((call, raw % (act.name, act.step, keep)))
+        call = Call(act.counter_name, loop.time())
+        self.queue.append((call, raw % (act.counter_name, act.amount, keep)))
         self.open.append(call)
         if len(self.open) == 1:
             self.arm()
@@ -164,14 +165,14 @@
         use.
         """
         outcome, total = called(status), 0.0
-        if outcome is Outcome.PASSED:
+        if outcome is Outcome.SUCCEEDED:
             if TOTAL(body) and isfinite(float(body)):
                 total = float(body)
             else:
-                outcome = Outcome.NO_ANSWER
+                outcome = Outcome.NO_RESPONSE
         if not call.told:
             self.tell(call, outcome, total)
-        return outcome is not Outcome.NO_ANSWER
+        return outcome is not Outcome.NO_RESPONSE
 
     def tell(self, call: Call, outcome: Outcome, total: float = 0.0) -> None:
         call.told = True
--- a/loomstand/limiter/endings.py
+++ b/loomstand/limiter/endings.py
@@ -6,7 +6,7 @@
 
 from enum import Enum, auto
 
-from loomstand.admission.interface import Outcome
+from loomstand.admission.outcome import Outcome
 
 
 class Ending(Enum):
@@ -29,7 +29,7 @@
 
 NEVER_UP = {Ending.REFUSED, Ending.SILENT_CONNECT}
 KEPT_HERE = {Ending.NO_ROOM, Ending.STOPPING}
-NOT_OUR_WAIT = {Ending.EXPIRED: Outcome.NO_ANSWER, Ending.CALLED_OFF: Outcome.CALLED_OFF}
+NOT_OUR_WAIT = {Ending.EXPIRED: Outcome.NO_RESPONSE, Ending.CALLED_OFF: Outcome.CANCELLED}
 
 
 def outcome(ending: Ending, written: bool) -> Outcome:
@@ -38,20 +38,20 @@
     """
     if not written:
         # the server begins a req when its last byte has come: this one never ran
-        return Outcome.NOT_SENT if ending in KEPT_HERE else Outcome.NO_CONNECTION
+        return Outcome.NOT_SENT if ending in KEPT_HERE else Outcome.CONNECT_FAILED
     return NOT_OUR_WAIT.get(ending, Outcome.CONNECTION_LOST)
 
 
 def call_outcome(ending: Ending, written: bool) -> Outcome:
     """The same for a call to the counter: one that was written may have been added."""
-    return Outcome.NO_ANSWER if written else Outcome.NO_CONNECTION
+    return Outcome.NO_RESPONSE if written else Outcome.CONNECT_FAILED
 
 
 def answered(status: int, not_started: bool) -> Outcome:
     """What a server's whole answer means to a dispatch."""
     if status == 200:
-        return Outcome.PASSED
-    return Outcome.TURNED_AWAY if status in (503, 504) and not_started else Outcome.SERVER_ERROR
+        return Outcome.SUCCEEDED
+    return Outcome.REJECTED if status in (503, 504) and not_started else Outcome.SERVER_ERROR
 
 
 def called(status: int) -> Outcome:
@@ -59,5 +59,5 @@
     nothing.
     """
     if status == 200:
-        return Outcome.PASSED
-    return Outcome.TURNED_AWAY if status in (400, 404, 503) else Outcome.NO_ANSWER
+        return Outcome.SUCCEEDED
+    return Outcome.REJECTED if status in (400, 404, 503) else Outcome.NO_RESPONSE
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -9,9 +9,26 @@
 from collections import Counter as Tally
 from collections.abc import Callable
 
-from loomstand.admission import interface as i
+from loomstand.admission.actions import (
+    Abort,
+    CancelAttempt,
+    CheckHealth,
+    IncrementCounter,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    SetTimer,
+)
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.interface import Outcome
+from loomstand.admission.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReplied,
+    Event,
+    HealthCheckFinished,
+    TimerFired,
+)
+from loomstand.admission.outcome import Outcome
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import Room
 from loomstand.limiter.client_connection import Client, Front
@@ -55,14 +72,14 @@
         self.swept = 0
         self.stopped = asyncio.Event()
         self.kinds_of_action: dict[type, Callable] = {
-            i.SendAttempt: self.dispatch,
-            i.Reject: self.deny,
-            i.Abort: self.abort,
-            i.CancelAttempt: self.call_off,
-            i.SetTimer: self.wake,
-            i.IncrementCounter: self.count,
-            i.CheckHealth: self.probe,
-            i.LogMessage: self.tell,
+            SendAttempt: self.dispatch,
+            Reject: self.deny,
+            Abort: self.abort,
+            CancelAttempt: self.call_off,
+            SetTimer: self.wake,
+            IncrementCounter: self.count,
+            CheckHealth: self.probe,
+            LogMessage: self.tell,
         }
 
     def now(self) -> int:
@@ -75,13 +92,13 @@
         """Seconds for which new connections are still taken after the call to stop."""
         raise NotImplementedError
 
-    def deny(self, act: i.Reject) -> None:
+    def deny(self, act: Reject) -> None:
         raise NotImplementedError
 
-    def abort(self, act: i.Abort) -> None:
+    def abort(self, act: Abort) -> None:
         raise NotImplementedError
 
-    def count(self, act: i.IncrementCounter) -> None:
+    def count(self, act: IncrementCounter) -> None:
         raise NotImplementedError
 
     def swept_more(self) -> None:
@@ -167,7 +184,7 @@
 
     def vanished(self, req: Req) -> None:
         req.client = None
-        self.note(i.ClientDisconnected(req.id))
+        self.note(ClientDisconnected(req.id))
         self.forget(req)
 
     # from servers
@@ -186,7 +203,7 @@
         took = max(0, self.now() - flight.sent_at)
         final = req.client is None
         self.note(
-            i.AttemptEnded(req.id, flight.number, flight.srv, outcome, took, final, metered, 0.0)
+            AttemptEnded(req.id, flight.number, flight.srv, outcome, took, final, metered, 0.0)
         )
         self.forget(req)
 
@@ -196,25 +213,25 @@
 
     # the module
 
-    def note(self, note: i.Event) -> None:
+    def note(self, note: Event) -> None:
         try:
             actions = self.brain.handle(self.now(), note)
         except Exception as why:  # the limiter goes on: only what the note was about is lost
             self.log(f"the module failed on {type(note).__name__}: {type(why).__name__}: {why}")
-            req = self.reqs.get(getattr(note, "req", -1))
-            actions = [i.Abort(req.id)] if req and not any(req.flights) else []
+            req = self.reqs.get(getattr(note, "request_id", -1))
+            actions = [Abort(req.id)] if req and not any(req.flights) else []
         for act in actions:
             self.kinds_of_action[type(act)](act)
 
     def flight(self, req: Req, srv: int, expire: int) -> Flight:
         return Flight(req, len(req.flights), srv, self.now(), expire)
 
-    def dispatch(self, act: i.SendAttempt) -> None:
-        req, now = self.reqs.get(act.req), self.now()
+    def dispatch(self, act: SendAttempt) -> None:
+        req, now = self.reqs.get(act.request_id), self.now()
         if req is None:
             return
-        expire = min(act.expire, req.give_up)
-        flight = self.flight(req, act.srv, expire)
+        expire = min(act.expires_at, req.give_up)
+        flight = self.flight(req, act.endpoint_id, expire)
         req.flights.append(flight)
         if req.client is None or expire <= now or len(req.flights) > self.try_limit(req):
             self.loop.call_soon(self.came, flight, Outcome.NOT_SENT)
@@ -228,14 +245,14 @@
         """How many dispatches the req may have."""
         raise NotImplementedError
 
-    def call_off(self, act: i.CancelAttempt) -> None:
-        req = self.reqs.get(act.req)
+    def call_off(self, act: CancelAttempt) -> None:
+        req = self.reqs.get(act.request_id)
         if (
             req is not None
-            and act.dispatch < len(req.flights)
-            and req.flights[act.dispatch] is not None
+            and act.attempt < len(req.flights)
+            and req.flights[act.attempt] is not None
         ):
-            self.pool.give_up(req.flights[act.dispatch], Ending.CALLED_OFF)
+            self.pool.give_up(req.flights[act.attempt], Ending.CALLED_OFF)
 
     def answer(self, req: Req, status: int, body: bytes = b"", extra: str = "") -> None:
         client, req.client = req.client, None
@@ -247,15 +264,15 @@
         if req.client is None and not any(req.flights) and self.reqs.pop(req.id, None):
             self.room.give(len(req.body))
 
-    def wake(self, act: i.SetTimer) -> None:
-        self.loop.call_later(act.after / 10_000, self.note, i.TimerFired(act.tag))
+    def wake(self, act: SetTimer) -> None:
+        self.loop.call_later(act.delay / 10_000, self.note, TimerFired(act.tag))
 
     def counted(self, name: int, outcome: Outcome, total: float, took: int) -> None:
-        self.note(i.CounterReplied(name, outcome, total, took))
+        self.note(CounterReplied(name, outcome, total, took))
 
-    def probe(self, act: i.CheckHealth) -> None:
+    def probe(self, act: CheckHealth) -> None:
         # the module makes none today, and the protocols name no path for it
-        self.loop.call_soon(self.note, i.HealthCheckFinished(act.srv, Outcome.NOT_SENT, 0))
+        self.loop.call_soon(self.note, HealthCheckFinished(act.endpoint_id, Outcome.NOT_SENT, 0))
 
-    def tell(self, act: i.LogMessage) -> None:
+    def tell(self, act: LogMessage) -> None:
         self.log(act.text)
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -4,10 +4,13 @@
 
 import time
 
-from loomstand.admission import interface as i
+from loomstand.admission.actions import Abort, IncrementCounter, Reject
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.identifiers import Door, up
-from loomstand.admission.interface import Outcome
+from loomstand.admission.endpoints import Endpoint, EndpointState
+from loomstand.admission.events import EndpointsUpdated, RequestArrived
+from loomstand.admission.identifiers import NameIndex
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.ticks import ticks_rounded_up
 from loomstand.config.limiter import Config, Members, address, settings
 from loomstand.limiter import http_parser
 from loomstand.limiter.client_connection import Client, Front
@@ -20,9 +23,9 @@
 from loomstand.limiter.upstream import Pool
 
 PHASES = {
-    "active": i.EndpointState.LIVE,
-    "leaving": i.EndpointState.DRAINING,
-    "left": i.EndpointState.GONE,
+    "active": EndpointState.LIVE,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
 }
 LINGER = 0.7  # PROTOCOL: a req that comes later than this after SIGTERM may find nobody
 FIXED_SOCKETS = (
@@ -37,8 +40,12 @@
         conf, limits = config.conf, config.limits
         self.config = config
         super().__init__(Log(config.name), turns, limits.memory_mb, limits.sockets - FIXED_SOCKETS)
-        self.halls, self.kinds, self.servers = Door(conf.zones), Door(conf.kinds), Door()
-        self.settings = settings(conf, self.halls.at(conf.az))
+        self.halls, self.kinds, self.servers = (
+            NameIndex(conf.zones),
+            NameIndex(conf.kinds),
+            NameIndex(),
+        )
+        self.settings = settings(conf, self.halls.index_of(conf.az))
         # this process has run at least as long as it has worked: so long it surely passed nothing
         started = self.now() - int(time.process_time() * 10_000)
         names = ([g.name for g in conf.grades], [p.name for p in conf.plans], conf.zones)
@@ -62,7 +69,11 @@
             # only where there are any: a start counts its CPU
             from loomstand.membership.driver import Peers
 
-            own, fleet, known = self.settings.me, self.settings.limiters, config.known
+            own, fleet, known = (
+                self.settings.limiter_index,
+                self.settings.limiter_count,
+                config.known,
+            )
             self.peers = Peers(
                 self, self.watch, own, fleet, config.peer, config.peers, known, config.seed
             )
@@ -87,7 +98,7 @@
         return LINGER
 
     def try_limit(self, req: Req) -> int:
-        return self.settings.try_limit
+        return self.settings.attempt_limit
 
     def swept_more(self) -> None:
         self.watch.sweep()
@@ -134,21 +145,23 @@
     def listed(self, list_: Members) -> None:
         if list_.complete:
             named = {m.id for m in list_.members}
-            for name, srv in list(self.servers.index.items()):
+            for name, srv in list(self.servers.indices.items()):
                 if name not in named:
                     self.pool.told(srv, None)
                     self.servers.forget(srv)
         entries = []
         for m in list_.members:
-            srv, phase = self.servers.at(m.id), PHASES[m.phase]
+            srv, phase = self.servers.index_of(m.id), PHASES[m.phase]
             self.pool.told(
-                srv, None if phase is i.EndpointState.GONE else address(m.host_port, "host_port")
+                srv, None if phase is EndpointState.GONE else address(m.host_port, "host_port")
+            )
+            hall, kind = self.halls.index_of(m.locality), self.kinds.index_of(m.flavor)
+            entries.append(
+                Endpoint(srv, phase, hall, kind, m.cell, m.size, ticks_rounded_up(m.up_since_ms))
             )
-            hall, kind = self.halls.at(m.locality), self.kinds.at(m.flavor)
-            entries.append(i.Endpoint(srv, phase, hall, kind, m.cell, m.size, up(m.up_since_ms)))
-            if phase is i.EndpointState.GONE:
+            if phase is EndpointState.GONE:
                 self.servers.forget(srv)
-        self.note(i.EndpointsUpdated(tuple(entries), list_.complete))
+        self.note(EndpointsUpdated(tuple(entries), list_.complete))
         self.able = not self.front.stopping
 
     # from clients
@@ -162,34 +175,36 @@
         timeout = min(10 * req.timeout, self.settings.frontends[req.frontend].client_timeout)
         self.owed(req, client, timeout, at)
         who, turn = (req.plan, *req.customer), (req.units, req.set_size, req.retry, req.first)
-        self.note(i.RequestArrived(req.id, req.frontend, *who, req.give_up, *turn))
+        self.note(RequestArrived(req.id, req.frontend, *who, req.give_up, *turn))
 
     # from servers
 
     def came(self, flight: Flight, outcome: Outcome, metered: int = 0, body: bytes = b"") -> None:
         req = self.landed(flight)
-        if outcome is Outcome.PASSED and req.client is not None:
+        if outcome is Outcome.SUCCEEDED and req.client is not None:
             self.answer(req, 200, body)
         self.ended(flight, outcome, metered)
 
     # the module
 
-    def deny(self, act: i.Reject) -> None:
-        req = self.reqs.get(act.req)
+    def deny(self, act: Reject) -> None:
+        req = self.reqs.get(act.request_id)
         if req is not None and req.client is not None:
             self.answer(
-                req, 429, extra=f"Retry-After: {act.wait / 10_000:.3f}\r\n" if act.wait else ""
+                req,
+                429,
+                extra=f"Retry-After: {act.retry_after / 10_000:.3f}\r\n" if act.retry_after else "",
             )
             self.forget(req)
 
-    def abort(self, act: i.Abort) -> None:
-        req = self.reqs.get(act.req)
+    def abort(self, act: Abort) -> None:
+        req = self.reqs.get(act.request_id)
         if req is not None and req.client is not None:
             self.answer(req, 502)
             self.forget(req)
 
-    def count(self, act: i.IncrementCounter) -> None:
+    def count(self, act: IncrementCounter) -> None:
         if self.counter is None:
-            self.loop.call_soon(self.counted, act.name, Outcome.NO_CONNECTION, 0.0, 0)
+            self.loop.call_soon(self.counted, act.counter_name, Outcome.CONNECT_FAILED, 0.0, 0)
         else:
             self.counter.call(act)
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -8,7 +8,7 @@
 from collections import Counter as Tally
 from typing import Protocol
 
-from loomstand.admission.interface import Outcome
+from loomstand.admission.outcome import Outcome
 from loomstand.config.limiter import Members
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import Room
--- a/loomstand/limiter/request.py
+++ b/loomstand/limiter/request.py
@@ -6,8 +6,8 @@
 from collections.abc import Container
 from functools import lru_cache
 
-from loomstand.admission.identifiers import digest
-from loomstand.admission.interface import EngineSettings
+from loomstand.admission.identifiers import stable_digest
+from loomstand.admission.settings import EngineSettings
 from loomstand.limiter.http_parser import Malformed, RequestReceiver, number
 from loomstand.limiter.protocols import Asker, Carrier
 
@@ -46,15 +46,15 @@
         spread, first = pairs.get(b"spread", b"0"), pairs.get(b"first", b"0")
         if not DECIMAL(units) or not number(spread) or not number(first):
             raise Malformed(400, "bad X-Call-Terms")
-        if not 0 < float(units) <= self.told.max_units:
+        if not 0 < float(units) <= self.told.max_request_units:
             raise Malformed(400, "X-Call-Terms: units out of the settings' range")
-        if int(spread) > self.told.limiters or int(first) >= self.told.limiters:
+        if int(spread) > self.told.limiter_count or int(first) >= self.told.limiter_count:
             raise Malformed(400, "X-Call-Terms: a set out of range")
         return float(units), int(spread), int(first)
 
     def customer(self, account: bytes) -> tuple[int, int]:
         """The customer's number, and the digest that is the same at every limiter."""
-        return int(account, 16), digest(account.decode().lower())
+        return int(account, 16), stable_digest(account.decode().lower())
 
 
 class Req:
--- a/loomstand/limiter/upstream.py
+++ b/loomstand/limiter/upstream.py
@@ -4,7 +4,7 @@
 
 from math import inf
 
-from loomstand.admission.interface import Outcome
+from loomstand.admission.outcome import Outcome
 from loomstand.limiter import event_loop, http_parser
 from loomstand.limiter.endings import Ending, answered, outcome
 from loomstand.limiter.event_loop import Wire
--- a/loomstand/proxy/policy_compiler.py
+++ b/loomstand/proxy/policy_compiler.py
@@ -4,14 +4,15 @@
 
 from dataclasses import dataclass
 
-from loomstand.admission.identifiers import Door, digest, down
-from loomstand.admission.interface import (
+from loomstand.admission.identifiers import NameIndex, stable_digest
+from loomstand.admission.settings import (
     DeduplicationScope,
     Effect,
     EngineSettings,
     Frontend,
     QuotaPlan,
 )
+from loomstand.admission.ticks import ticks_rounded_down
 from loomstand.config.configuration import Configuration, Route, Tenant
 from loomstand.config.settings import Bounds
 from loomstand.registry.quota_grants import ALONE
@@ -61,10 +62,10 @@
 
     def __init__(self, bounds: Bounds, zones: list[str], zone: str) -> None:
         self.bounds = bounds
-        self.zones, self.services, self.tenants = Door(zones), Door(), Door([NOBODY])
-        self.hall = self.zones.at(zone)
+        self.zones, self.services, self.tenants = NameIndex(zones), NameIndex(), NameIndex([NOBODY])
+        self.hall = self.zones.index_of(zone)
         self.fronts: dict[Frontend, int] = {}
-        self.digests = {0: digest(NOBODY)}
+        self.digests = {0: stable_digest(NOBODY)}
         self.by_digest: dict[int, int] = {}  # tenants under a quota
         self.by_route: dict[str, int] = {}
         self.quotas: dict[int, Tenant] = {}
@@ -76,12 +77,12 @@
             front = frontend(route)
             self.by_route[route.name] = self.fronts.setdefault(front, len(self.fronts))
             for service, _ in route.split:
-                self.services.at(service)
+                self.services.index_of(service)
         self.quotas = {}
         for tenant in configuration.tenants or ():
-            n = self.tenants.at(tenant.name)
+            n = self.tenants.index_of(tenant.name)
             self.quotas[n] = tenant
-            self.digests[n] = digest(tenant.name)
+            self.digests[n] = stable_digest(tenant.name)
             self.by_digest[self.digests[n]] = n
 
     def settings(self, fleet: Fleet, shift: int = 0) -> EngineSettings:
@@ -90,7 +91,7 @@
         """
         scale = 1 - ALONE * fleet.silent / fleet.all
         plans = []
-        for n in range(self.tenants.next):
+        for n in range(self.tenants.next_index):
             tenant = self.quotas.get(n)
             rate = tenant.rate * scale if tenant else 0.0
             burst = max(tenant.burst * scale, 1.0) if tenant and tenant.rate else 0.0
@@ -98,47 +99,50 @@
             plans.append(QuotaPlan(rate, burst, 0, value_of(tenant), 0.0, 1.0, 0.0, 0.0, 0.0))
         b = self.bounds
         return EngineSettings(
-            me=fleet.me,
-            limiters=fleet.all,
-            hall=self.hall,
+            limiter_index=fleet.me,
+            limiter_count=fleet.all,
+            zone=self.hall,
             frontends=tuple(self.fronts),
             plans=tuple(plans),
-            try_limit=16,
-            may_cancel=False,
-            may_probe=False,
-            second_copies=False,
-            retry_after=True,
+            attempt_limit=16,
+            can_cancel_attempts=False,
+            can_check_health=False,
+            can_hedge=False,
+            sends_retry_after=True,
             max_retry_after=10_000_000,
             has_counter=True,
-            count_timeout=COUNT_WITHIN * 10,
-            meter_period=10_000,
-            max_units=1,
-            drain_grace=0,
-            cold=0,
-            cold_from=1.0,
-            fall_multiple=0.0,
-            tip_after=0,
-            answer_slack=0,
-            trust=TRUST,
-            fresh=FRESH,
-            spare_share=RATIO_SHARE * b.retry_budget_ratio,
-            spare_most=max(1.0, SLACK_SHARE * b.budget_slack / fleet.all),
-            spare_first=1.0,
-            turned_price=1.0,
-            unsent_price=0.0,
-            window_follows=True,
-            window_more=CHANCE,
-            patient=True,
-            far=FAR,
-            homes=HOMES,
-            shift=shift,
+            counter_timeout=COUNT_WITHIN * 10,
+            metering_period=10_000,
+            max_request_units=1,
+            drain_grace_period=0,
+            slow_start_period=0,
+            slow_start_initial_capacity=1.0,
+            overload_multiple=0.0,
+            overload_period=0,
+            response_slack=0,
+            total_trust_intervals=TRUST,
+            initial_burst_share=FRESH,
+            retry_budget_ratio=RATIO_SHARE * b.retry_budget_ratio,
+            retry_budget_max=max(1.0, SLACK_SHARE * b.budget_slack / fleet.all),
+            retry_budget_initial=1.0,
+            rejected_retry_cost=1.0,
+            unsent_retry_cost=0.0,
+            window_follows_endpoints=True,
+            window_headroom=CHANCE,
+            retries_until_deadline=True,
+            remote_zone_cost=FAR,
+            local_zone_share=HOMES,
+            clock_offset=shift,
         )
 
 
 def frontend(route: Route) -> Frontend:
     """A route as the module sees it; routes that differ only in name and place are one."""
-    effect = Effect.REPLAYABLE if route.idempotent else Effect.NON_REPLAYABLE
-    target, timeout = down(route.target_latency * 1000), down(route.timeout * 1000)
+    effect = Effect.IDEMPOTENT if route.idempotent else Effect.NON_IDEMPOTENT
+    target, timeout = (
+        ticks_rounded_down(route.target_latency * 1000),
+        ticks_rounded_down(route.timeout * 1000),
+    )
     value = 2.0 ** (2 - min(8, route.priority))
     return Frontend(
         effect,
@@ -149,7 +153,7 @@
         value,
         LATE * value,
         False,
-        tries=route.attempts,
+        attempt_limit=route.attempts,
     )
 
 
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -8,10 +8,17 @@
 
 from absl import logging
 
-from loomstand.admission import interface as i
+from loomstand.admission.actions import Abort, IncrementCounter, Reject
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.identifiers import digest
-from loomstand.admission.interface import Outcome
+from loomstand.admission.endpoints import Endpoint, EndpointState
+from loomstand.admission.events import (
+    EndpointsUpdated,
+    RequestArrived,
+    SettingsChanged,
+    TenantTotalUpdated,
+)
+from loomstand.admission.identifiers import stable_digest
+from loomstand.admission.outcome import Outcome
 from loomstand.config.configuration import ConfigurationError, Limits, Reader
 from loomstand.config.routes import Table
 from loomstand.config.settings import Settings
@@ -57,18 +64,18 @@
 SETTLED = 4.0  # seconds after its start by when a limiter knows all servers that there are
 QUOTA = {"full count", "old total", "ceiling"}
 PHASES = {
-    READY: i.EndpointState.LIVE,
-    DRAINING: i.EndpointState.DRAINING,
-    SILENT: i.EndpointState.DRAINING,
-    GONE: i.EndpointState.GONE,
+    READY: EndpointState.LIVE,
+    DRAINING: EndpointState.DRAINING,
+    SILENT: EndpointState.DRAINING,
+    GONE: EndpointState.GONE,
 }
 # A limiter that started while no registry knew of a primary serves with what it has after so many
 # seconds.
 UNSURE = 3.0
 CALL = {
-    Verdict.NEVER_RAN: Outcome.NO_CONNECTION,
-    Verdict.REFUSED: Outcome.TURNED_AWAY,
-    Verdict.MAY_HAVE_RUN: Outcome.NO_ANSWER,
+    Verdict.NEVER_RAN: Outcome.CONNECT_FAILED,
+    Verdict.REFUSED: Outcome.REJECTED,
+    Verdict.MAY_HAVE_RUN: Outcome.NO_RESPONSE,
 }
 
 
@@ -177,17 +184,17 @@
                 self.identifiers[srv] = id_
             entries.append(self.entry(srv, known.use, known.service, known.zone, known.address))
         if entries:
-            self.note(i.EndpointsUpdated(tuple(entries), False))
+            self.note(EndpointsUpdated(tuple(entries), False))
             self.look()
             self.settle()
 
-    def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> i.Endpoint:
+    def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> Endpoint:
         phase = PHASES[use]
-        self.pool.told(srv, None if phase is i.EndpointState.GONE else address(where))
+        self.pool.told(srv, None if phase is EndpointState.GONE else address(where))
         live = self.by_service.setdefault(service, set())
-        (live.add if phase is i.EndpointState.LIVE else live.discard)(srv)
-        at = self.terms.services.at(service)
-        return i.Endpoint(srv, phase, self.terms.zones.at(zone), 0, 0, 1.0, 0, at)
+        (live.add if phase is EndpointState.LIVE else live.discard)(srv)
+        at = self.terms.services.index_of(service)
+        return Endpoint(srv, phase, self.terms.zones.index_of(zone), 0, 0, 1.0, 0, at)
 
     def misdirected(self, flight: Dispatch) -> None:
         """Another server has the address: this one is over."""
@@ -196,7 +203,7 @@
         if known is not None and known.state != GONE:
             known.state = GONE
             entry = self.entry(flight.srv, GONE, known.service, known.zone, known.address)
-            self.loop.call_soon(self.note, i.EndpointsUpdated((entry,), False))
+            self.loop.call_soon(self.note, EndpointsUpdated((entry,), False))
 
     def limiters(self, me: int, many: int, silent: int) -> None:
         fleet = Fleet(me, max(1, many), silent)
@@ -214,7 +221,9 @@
             return False
         self.terms.learn(configuration)
         self.table = Table.of(configuration)
-        self.credits.learn({digest(t.name): t for t in configuration.tenants or () if t.rate > 0})
+        self.credits.learn(
+            {stable_digest(t.name): t for t in configuration.tenants or () if t.rate > 0}
+        )
         self.short.set()
         self.bound(configuration.limits)
         self.rule()
@@ -249,7 +258,7 @@
             plan = self.terms.by_digest.get(int(name) >> SLOTS)
             if plan is not None:
                 self.note(
-                    i.TenantTotalUpdated(int(name), float(total), plan, plan, int(name) >> SLOTS)
+                    TenantTotalUpdated(int(name), float(total), plan, plan, int(name) >> SLOTS)
                 )
 
     def clock_told(self, clock: int | None, sure: bool) -> None:
@@ -273,7 +282,7 @@
 
     def rule(self) -> None:
         """The module's settings are other ones."""
-        self.note(i.SettingsChanged(self.terms.settings(self.fleet, self.common.shift)))
+        self.note(SettingsChanged(self.terms.settings(self.fleet, self.common.shift)))
 
     # from clients
 
@@ -307,7 +316,7 @@
 
     def lacks(self, req: ProxyRequest) -> bool:
         """Whether it waits for a credit."""
-        name = digest(req.tenant.name) if req.tenant else 0
+        name = stable_digest(req.tenant.name) if req.tenant else 0
         return bool(name) and not self.credits.has(name, self.loop.time())
 
     def hold(self, req: ProxyRequest, at: float, most: float = HOLD) -> None:
@@ -350,7 +359,7 @@
             if req.tenant is None:
                 self.answer(req, 401)
                 return
-        plan = self.terms.tenants.at(req.tenant.name) if req.tenant else 0
+        plan = self.terms.tenants.index_of(req.tenant.name) if req.tenant else 0
         front, name = self.terms.by_route[req.route.name], self.terms.digests[plan]
         now = self.loop.time()
         may = self.credits.may(name, now)
@@ -368,9 +377,9 @@
             return
         req.service = self.service(table, req)
         self.owed(req, req.client, req.timeout(), at)
-        at_service = self.terms.services.at(req.service)
+        at_service = self.terms.services.index_of(req.service)
         self.note(
-            i.RequestArrived(
+            RequestArrived(
                 req.id, front, plan, plan, name, req.give_up, 1.0, 0, False, service=at_service
             )
         )
@@ -394,27 +403,29 @@
 
     def came(self, flight: Flight, outcome: Outcome, metered: int = 0, body: bytes = b"") -> None:
         req = self.landed(flight)
-        if outcome not in (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT):
+        if outcome not in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
             req.ran = True
-        if outcome is Outcome.PASSED and req.client is not None:
+        if outcome is Outcome.SUCCEEDED and req.client is not None:
             self.answer(req, *req.got)
         self.ended(flight, outcome)
 
-    def count(self, act: i.IncrementCounter) -> None:
+    def count(self, act: IncrementCounter) -> None:
         task = self.loop.create_task(self.counting(act))
         self.counting_tasks.add(task)
         task.add_done_callback(self.counting_tasks.discard)
 
-    async def counting(self, act: i.IncrementCounter) -> None:
-        asked, keep = self.now(), act.keep / 10_000
-        said = {"name": act.name, "step": act.step, "keep": keep}
+    async def counting(self, act: IncrementCounter) -> None:
+        asked, keep = self.now(), act.time_to_live / 10_000
+        said = {"name": act.counter_name, "step": act.amount, "keep": keep}
         got = await self.sessions.count(said, COUNT_WITHIN / 1000)
-        outcome = Outcome.PASSED if got.is_ok() else CALL[got.error]
-        if outcome in (Outcome.PASSED, Outcome.NO_ANSWER):
+        outcome = Outcome.SUCCEEDED if got.is_ok() else CALL[got.error]
+        if outcome in (Outcome.SUCCEEDED, Outcome.NO_RESPONSE):
             counts = int(got.ok.get("counts", 0)) if got.is_ok() else None
-            lacks = self.told.added(act.name, act.step, keep, self.loop.time(), counts)
+            lacks = self.told.added(act.counter_name, act.amount, keep, self.loop.time(), counts)
             # another counts now, without what this limiter had added: a total without it is too low
-            for name, added in self.told.lacking(act.name, counts) if counts is not None else ():
+            for name, added in (
+                self.told.lacking(act.counter_name, counts) if counts is not None else ()
+            ):
                 more = self.sessions.count(
                     said | {"name": name, "step": added}, COUNT_WITHIN / 1000
                 )
@@ -423,12 +434,12 @@
             if lacks:
                 got = await self.sessions.count(said | {"step": lacks}, COUNT_WITHIN / 1000)
                 if got.is_error() or got.ok.get("counts") != counts:
-                    self.told.untold(act.name)
-                    outcome = Outcome.NO_ANSWER
+                    self.told.untold(act.counter_name)
+                    outcome = Outcome.NO_RESPONSE
         if got.is_ok() and got.ok.get("young"):  # other limiters may not have told theirs again
-            outcome = Outcome.NO_ANSWER
-        total = float(got.ok["total"]) if outcome is Outcome.PASSED else 0.0
-        self.counted(act.name, outcome, total, self.now() - asked)
+            outcome = Outcome.NO_RESPONSE
+        total = float(got.ok["total"]) if outcome is Outcome.SUCCEEDED else 0.0
+        self.counted(act.counter_name, outcome, total, self.now() - asked)
 
     async def crediting(self) -> None:
         """Asks the counter for credits, one call at a time: when some run short, else to keep them
@@ -471,22 +482,22 @@
             return 0
         return req.route.attempts
 
-    def deny(self, act: i.Reject) -> None:
-        req = self.reqs.get(act.req)
+    def deny(self, act: Reject) -> None:
+        req = self.reqs.get(act.request_id)
         if req is None or req.client is None:
             return
         if req.ran or any(req.flights):  # no promise while it may run yet
             self.over(req)
-        elif act.why in QUOTA:
-            wait = max(0.05, act.wait / 10_000)
+        elif act.reason in QUOTA:
+            wait = max(0.05, act.retry_after / 10_000)
             self.answer(req, 429, extra=f"Retry-After: {wait:.3f}\r\n")
         else:
             wait = self.rng.uniform(*BACK) * req.route.target_latency
             self.answer(req, 503, extra=f"Retry-After: {wait:.3f}\r\n")
         self.forget(req)
 
-    def abort(self, act: i.Abort) -> None:
-        req = self.reqs.get(act.req)
+    def abort(self, act: Abort) -> None:
+        req = self.reqs.get(act.request_id)
         if req is not None and req.client is not None:
             self.over(req)
             self.forget(req)
--- a/loomstand/proxy/upstream.py
+++ b/loomstand/proxy/upstream.py
@@ -5,7 +5,7 @@
 import re
 from math import inf
 
-from loomstand.admission.interface import Outcome
+from loomstand.admission.outcome import Outcome
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.protocols import Sends
 from loomstand.limiter.request import HOP_FIELDS, Flight
@@ -65,7 +65,7 @@
         if not_run:
             if status == 421:
                 limiter.misdirected(flight)
-            limiter.came(flight, Outcome.TURNED_AWAY)
+            limiter.came(flight, Outcome.REJECTED)
             return
         left_out = HOP_FIELDS
         if (listed := fields.get(b"connection")) is not None:
@@ -76,7 +76,7 @@
             if name not in left_out
         )
         req.got = (status, body, extra)
-        limiter.came(flight, Outcome.SERVER_ERROR if status >= 500 else Outcome.PASSED)
+        limiter.came(flight, Outcome.SERVER_ERROR if status >= 500 else Outcome.SUCCEEDED)
 
     def ended(self, why: Ending) -> None:
         if self.flight is not None and self.idle_at and why in BROKEN:
--- a/loomstand/registry/quota_buckets.py
+++ b/loomstand/registry/quota_buckets.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from loomstand.admission.identifiers import TRY, digest
+from loomstand.admission.identifiers import ATTEMPT_FACTOR, stable_digest
 from loomstand.config.configuration import Tenant
 
 # A bucket is near its brim above this share of its burst. At the usual six tenths of a quota, one
@@ -20,7 +20,7 @@
 # of it still fits.
 NEAR = 0.5
 SLOTS = 15  # the lowest bits of a count's name tell its interval
-UNITS = TRY * TRY  # a total's lower part is use; above it stand the tries
+UNITS = ATTEMPT_FACTOR * ATTEMPT_FACTOR  # a total's lower part is use; above it stand the tries
 
 
 @dataclass(slots=True)
@@ -56,9 +56,9 @@
         before, self.buckets = self.buckets, {}
         for tenant in tenants:
             if tenant.rate > 0:
-                old = before.get(digest(tenant.name), Bucket(0.0, 0.0))
+                old = before.get(stable_digest(tenant.name), Bucket(0.0, 0.0))
                 old.rate, old.burst = tenant.rate, max(1.0, tenant.burst)
-                self.buckets[digest(tenant.name)] = old
+                self.buckets[stable_digest(tenant.name)] = old
 
     def anew(self) -> None:
         """Counts begin anew: limiters tell again what they added."""
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from loomstand.admission.identifiers import digest
+from loomstand.admission.identifiers import stable_digest
 from loomstand.config.configuration import Tenant
 from loomstand.config.settings import Bounds
 
@@ -113,7 +113,7 @@
         for tenant in tenants:
             if tenant.rate <= 0:
                 continue
-            name, most = digest(tenant.name), depth(tenant.rate, tenant.burst, self.bounds)
+            name, most = stable_digest(tenant.name), depth(tenant.rate, tenant.burst, self.bounds)
             first = most - BEGINS * leeway(tenant.rate, tenant.burst, self.bounds)
             old = before.pop(name, None) or Bucket(
                 0.0, most, first, 0.0 if counts else first, self.time
--- a/loomstand/testing/bench_adapter/__main__.py
+++ b/loomstand/testing/bench_adapter/__main__.py
@@ -7,26 +7,50 @@
 
 import msgspec
 
-from loomstand.admission import interface as i
+from loomstand.admission.actions import (
+    Abort,
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    IncrementCounter,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    SetTimer,
+)
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.identifiers import Door, Unknown, digest, down, up
+from loomstand.admission.endpoints import Endpoint, EndpointState
+from loomstand.admission.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReplied,
+    EndpointsUpdated,
+    Event,
+    HealthCheckFinished,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
+from loomstand.admission.identifiers import NameIndex, UnknownNameError, stable_digest
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.ticks import ticks_rounded_down, ticks_rounded_up
 from loomstand.config.limiter import settings
 from loomstand.testing.bench_adapter import wire as w
 
 OUTCOMES = {
-    "served": i.Outcome.PASSED,
-    "server_error": i.Outcome.SERVER_ERROR,
-    "turned_away": i.Outcome.TURNED_AWAY,
-    "no_answer": i.Outcome.NO_ANSWER,
-    "no_connection": i.Outcome.NO_CONNECTION,
-    "connection_lost": i.Outcome.CONNECTION_LOST,
-    "called_off": i.Outcome.CALLED_OFF,
-    "not_sent": i.Outcome.NOT_SENT,
+    "served": Outcome.SUCCEEDED,
+    "server_error": Outcome.SERVER_ERROR,
+    "turned_away": Outcome.REJECTED,
+    "no_answer": Outcome.NO_RESPONSE,
+    "no_connection": Outcome.CONNECT_FAILED,
+    "connection_lost": Outcome.CONNECTION_LOST,
+    "called_off": Outcome.CANCELLED,
+    "not_sent": Outcome.NOT_SENT,
 }
 PHASES = {
-    "live": i.EndpointState.LIVE,
-    "quiescing": i.EndpointState.DRAINING,
-    "dead": i.EndpointState.GONE,
+    "live": EndpointState.LIVE,
+    "quiescing": EndpointState.DRAINING,
+    "dead": EndpointState.GONE,
 }
 
 
@@ -39,15 +63,17 @@
 
     def __init__(self, start: w.Start, now: int) -> None:
         conf = start.conf
-        self.frontends = Door([g.name for g in conf.grades])
-        self.plans = Door([p.name for p in conf.plans])
-        self.halls = Door(conf.zones)
-        self.kinds = Door(conf.kinds)
-        self.servers = Door()
+        self.frontends = NameIndex([g.name for g in conf.grades])
+        self.plans = NameIndex([p.name for p in conf.plans])
+        self.halls = NameIndex(conf.zones)
+        self.kinds = NameIndex(conf.kinds)
+        self.servers = NameIndex()
         self.customers: dict[str, tuple[int, int]] = {}
-        self.brain = DecisionEngine(settings(conf, self.halls.at(conf.az)), start.entropy, now)
+        self.brain = DecisionEngine(
+            settings(conf, self.halls.index_of(conf.az)), start.entropy, now
+        )
 
-    def note(self, ev: w.Event, pools: dict[int, list[w.Item]]) -> i.Event | None:
+    def note(self, ev: w.Event, pools: dict[int, list[w.Item]]) -> Event | None:
         """The event as a note of the interface; None where it holds nothing for the module."""
         match ev:
             case w.Inbound():
@@ -55,42 +81,46 @@
                 if customer is None:
                     customer = self.customers[ev.user_key] = (
                         len(self.customers),
-                        digest(ev.user_key),
+                        stable_digest(ev.user_key),
                     )
-                plan = self.plans.index.get(ev.terms, -1)
-                return i.RequestArrived(
+                plan = self.plans.indices.get(ev.terms, -1)
+                return RequestArrived(
                     ev.txn,
-                    self.frontends.known(ev.priority, "priority"),
+                    self.frontends.require(ev.priority, "priority"),
                     plan,
                     *customer,
-                    down(ev.give_up_at),
+                    ticks_rounded_down(ev.give_up_at),
                     ev.cost_units,
                     ev.n_entries,
                     ev.is_retry,
                     ev.first,
                 )
             case w.Returned():
-                return i.AttemptEnded(
+                return AttemptEnded(
                     ev.txn,
                     ev.send_no,
-                    self.servers.at(ev.server),
+                    self.servers.index_of(ev.server),
                     OUTCOMES[ev.state_code],
-                    up(ev.took),
+                    ticks_rounded_up(ev.took),
                     ev.final,
                     ev.fleet_use,
                     ev.cost,
                 )
             case w.TallyBack():
-                return i.CounterReplied(ev.cname, OUTCOMES[ev.state_code], ev.now_at, up(ev.took))
+                return CounterReplied(
+                    ev.cname, OUTCOMES[ev.state_code], ev.now_at, ticks_rounded_up(ev.took)
+                )
             case w.Elapsed():
-                return i.TimerFired(ev.tag)
+                return TimerFired(ev.tag)
             case w.VanishedEvent():
-                return i.ClientDisconnected(ev.txn)
+                return ClientDisconnected(ev.txn)
             case w.StartedEvent():
-                return i.ResponseStarted(ev.txn, ev.send_no)
+                return ResponseStarted(ev.txn, ev.send_no)
             case w.ProbeDone():
-                return i.HealthCheckFinished(
-                    self.servers.at(ev.server), OUTCOMES[ev.state_code], up(ev.took)
+                return HealthCheckFinished(
+                    self.servers.index_of(ev.server),
+                    OUTCOMES[ev.state_code],
+                    ticks_rounded_up(ev.took),
                 )
             case w.Registry(scope="refused"):
                 return None
@@ -98,49 +128,49 @@
                 if ev.sheet not in pools:
                     raise BadLine(f"field 'sheet': no pool {ev.sheet}")
                 entries = tuple(self.entry(item) for item in pools[ev.sheet])
-                return i.EndpointsUpdated(entries, ev.scope != "changes")
+                return EndpointsUpdated(entries, ev.scope != "changes")
         return None
 
-    def entry(self, item: w.Item) -> i.Endpoint:
-        return i.Endpoint(
-            self.servers.at(item.server),
+    def entry(self, item: w.Item) -> Endpoint:
+        return Endpoint(
+            self.servers.index_of(item.server),
             PHASES[item.phase],
-            self.halls.at(item.hall),
-            self.kinds.at(item.flavor),
+            self.halls.index_of(item.hall),
+            self.kinds.index_of(item.flavor),
             item.pod,
             item.capacity_hint,
-            up(item.boot_time),
+            ticks_rounded_up(item.boot_time),
         )
 
-    def line(self, inst: int, act: i.Action) -> dict[str, object]:
+    def line(self, inst: int, act: Action) -> dict[str, object]:
         """The action in the wire's words."""
         match act:
-            case i.SendAttempt():
-                server = self.servers.names[act.srv]
+            case SendAttempt():
+                server = self.servers.names[act.endpoint_id]
                 said = {
                     "op": "attempt",
-                    "txn": act.req,
+                    "txn": act.request_id,
                     "server": server,
-                    "expire_at": act.expire / 10,
+                    "expire_at": act.expires_at / 10,
                 }
-            case i.Reject():
-                said = {"op": "overload_reply", "txn": act.req, "wait": act.wait / 10}
-            case i.Abort():
-                said = {"op": "error", "txn": act.req}
-            case i.CancelAttempt():
-                said = {"op": "call_off", "txn": act.req, "send_no": act.dispatch}
-            case i.SetTimer():
-                said = {"op": "wake_me", "after": act.after / 10, "tag": act.tag}
-            case i.IncrementCounter():
+            case Reject():
+                said = {"op": "overload_reply", "txn": act.request_id, "wait": act.retry_after / 10}
+            case Abort():
+                said = {"op": "error", "txn": act.request_id}
+            case CancelAttempt():
+                said = {"op": "call_off", "txn": act.request_id, "send_no": act.attempt}
+            case SetTimer():
+                said = {"op": "wake_me", "after": act.delay / 10, "tag": act.tag}
+            case IncrementCounter():
                 said = {
                     "op": "bump",
-                    "step": act.step,
-                    "cname": act.name,
-                    "keep_for": act.keep / 10,
+                    "step": act.amount,
+                    "cname": act.counter_name,
+                    "keep_for": act.time_to_live / 10,
                 }
-            case i.CheckHealth():
-                said = {"op": "poll", "server": self.servers.names[act.srv]}
-            case i.LogMessage():
+            case CheckHealth():
+                said = {"op": "poll", "server": self.servers.names[act.endpoint_id]}
+            case LogMessage():
                 said = {"op": "journal_line", "what": act.text}
         said["limiter_id"] = inst
         return said
@@ -164,7 +194,7 @@
             case w.BeginBatch():
                 if self.now is not None:
                     raise BadLine("a batch is still open")
-                self.now, self.batch = up(msg.wall), msg.batch
+                self.now, self.batch = ticks_rounded_up(msg.wall), msg.batch
                 return
             case _ if self.now is None:
                 raise BadLine("no batch is open")
@@ -207,7 +237,7 @@
             continue
         try:
             host.take(raw)
-        except (BadLine, Unknown, msgspec.DecodeError, UnicodeDecodeError) as why:
+        except (BadLine, UnknownNameError, msgspec.DecodeError, UnicodeDecodeError) as why:
             print(f"loomstand: {message_name(raw)}: {why}", file=sys.stderr)
             return 1
     return 0
--- a/loomstand/testing/emulator/baselines.py
+++ b/loomstand/testing/emulator/baselines.py
@@ -19,123 +19,131 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from loomstand.admission import interface as api
+from loomstand.admission.actions import Abort, Action, Reject, SendAttempt
+from loomstand.admission.endpoints import EndpointState
+from loomstand.admission.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsUpdated,
+    Event,
+    RequestArrived,
+)
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.settings import Effect, EngineSettings
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.testing.emulator.traffic import refill
 
 if TYPE_CHECKING:
     from loomstand.testing.emulator.fleet import Fleet
 
-OC = api.Outcome
-NOT_RUN = (OC.TURNED_AWAY, OC.NO_CONNECTION, OC.NOT_SENT, OC.CALLED_OFF)
+OC = Outcome
+NOT_RUN = (OC.REJECTED, OC.CONNECT_FAILED, OC.NOT_SENT, OC.CANCELLED)
 
 
 class Naive:
     """quota/N at each limiter; one dispatch to a live server chosen by chance."""
 
-    def __init__(self, fleet: Fleet, me: int, settings: api.EngineSettings, seed: int) -> None:
+    def __init__(self, fleet: Fleet, me: int, settings: EngineSettings, seed: int) -> None:
         self.s, self.rng = settings, Random(seed)
-        self.share = 1 / max(1, settings.limiters)
+        self.share = 1 / max(1, settings.limiter_count)
         self.buckets: dict[int, list[float]] = {}
         self.live: list[int] = []
-        self.known: dict[int, api.EndpointState] = {}
+        self.known: dict[int, EndpointState] = {}
         self.fronts: dict[int, int] = {}  # req to frontend, while a dispatch is out
 
-    def handle(self, now: int, note: api.Event) -> list[api.Action]:
+    def handle(self, now: int, note: Event) -> list[Action]:
         match note:
-            case api.EndpointsUpdated():
-                if note.whole:
+            case EndpointsUpdated():
+                if note.complete:
                     self.known = {}
-                for e in note.entries:
-                    self.known[e.srv] = e.phase
+                for e in note.endpoints:
+                    self.known[e.endpoint_id] = e.state
                 self.live = sorted(
-                    srv for srv, phase in self.known.items() if phase is api.EndpointState.LIVE
+                    srv for srv, phase in self.known.items() if phase is EndpointState.LIVE
                 )
-            case api.RequestArrived():
+            case RequestArrived():
                 if not 0 <= note.plan < len(self.s.plans) or not self.live:
-                    return [api.Reject(note.req)]
+                    return [Reject(note.request_id)]
                 plan = self.s.plans[note.plan]
                 depth = max(1.0, plan.burst * self.share)
-                held = self.buckets.setdefault(note.customer, [depth, now])
-                if (
-                    refill(held, plan.rate * self.share, depth, now, api.TICKS_PER_SECOND)
-                    < note.units
-                ):
-                    return [api.Reject(note.req)]
+                held = self.buckets.setdefault(note.tenant, [depth, now])
+                if refill(held, plan.rate * self.share, depth, now, TICKS_PER_SECOND) < note.units:
+                    return [Reject(note.request_id)]
                 held[0] -= note.units
                 srv = self.live[self.rng.randrange(len(self.live))]
-                self.fronts[note.req] = note.frontend
-                return [api.SendAttempt(note.req, srv, note.give_up)]
-            case api.ClientDisconnected():
-                self.fronts.pop(note.req, None)
-            case api.AttemptEnded() if note.req in self.fronts:
-                front = self.s.frontends[self.fronts.pop(note.req)]
-                if note.final:
+                self.fronts[note.request_id] = note.frontend
+                return [SendAttempt(note.request_id, srv, note.deadline)]
+            case ClientDisconnected():
+                self.fronts.pop(note.request_id, None)
+            case AttemptEnded() if note.request_id in self.fronts:
+                front = self.s.frontends[self.fronts.pop(note.request_id)]
+                if note.is_final:
                     return []
-                if note.outcome in NOT_RUN or front.effect is api.Effect.REPLAYABLE:
-                    return [api.Reject(note.req)]
-                return [api.Abort(note.req)]
+                if note.outcome in NOT_RUN or front.effect is Effect.IDEMPOTENT:
+                    return [Reject(note.request_id)]
+                return [Abort(note.request_id)]
         return []
 
 
 class Oracle:
     """The true state at once; see the module's docstring."""
 
-    def __init__(self, fleet: Fleet, me: int, settings: api.EngineSettings, seed: int) -> None:
+    def __init__(self, fleet: Fleet, me: int, settings: EngineSettings, seed: int) -> None:
         self.fleet, self.s, self.me = fleet, settings, me
         # note, servers tried, may have run
-        self.jobs: dict[int, tuple[api.RequestArrived, list[int], bool]] = {}
+        self.jobs: dict[int, tuple[RequestArrived, list[int], bool]] = {}
 
-    def handle(self, now: int, note: api.Event) -> list[api.Action]:
+    def handle(self, now: int, note: Event) -> list[Action]:
         match note:
-            case api.RequestArrived():
+            case RequestArrived():
                 if not 0 <= note.plan < len(self.s.plans):
-                    return [api.Reject(note.req)]
+                    return [Reject(note.request_id)]
                 plan = self.s.plans[note.plan]
-                held = self.fleet.oracle_buckets.setdefault(note.customer, [plan.burst, now])
-                refill(held, plan.rate, plan.burst, now, api.TICKS_PER_SECOND)
+                held = self.fleet.oracle_buckets.setdefault(note.tenant, [plan.burst, now])
+                refill(held, plan.rate, plan.burst, now, TICKS_PER_SECOND)
                 cap = None
                 # the ceiling's one bucket over all limiters, without its slack
-                if plan.ceiling_rate:
-                    depth = plan.ceiling_depth or plan.ceiling_rate
-                    cap = self.fleet.oracle_ceilings.setdefault(note.customer, [depth, now])
-                    refill(cap, plan.ceiling_rate, depth, now, api.TICKS_PER_SECOND)
+                if plan.rate_limit:
+                    depth = plan.rate_limit_burst or plan.rate_limit
+                    cap = self.fleet.oracle_ceilings.setdefault(note.tenant, [depth, now])
+                    refill(cap, plan.rate_limit, depth, now, TICKS_PER_SECOND)
                 if held[0] < note.units or (cap is not None and cap[0] < note.units):
-                    return [api.Reject(note.req)]
+                    return [Reject(note.request_id)]
                 srv = self.pick(note, ())
                 if srv is None:
-                    return [api.Reject(note.req)]
+                    return [Reject(note.request_id)]
                 held[0] -= note.units
                 if cap is not None:
                     cap[0] -= note.units
-                self.jobs[note.req] = (note, [srv], False)
-                return [api.SendAttempt(note.req, srv, note.give_up)]
-            case api.AttemptEnded():
-                job = self.jobs.pop(note.req, None)
-                if job is None or note.final:
+                self.jobs[note.request_id] = (note, [srv], False)
+                return [SendAttempt(note.request_id, srv, note.deadline)]
+            case AttemptEnded():
+                job = self.jobs.pop(note.request_id, None)
+                if job is None or note.is_final:
                     return []
                 arrived, tried, ran = job
                 ran = ran or note.outcome not in NOT_RUN
                 effect = self.s.frontends[arrived.frontend].effect
-                again = effect is api.Effect.REPLAYABLE or not ran
-                if again and len(tried) < self.s.try_limit and now < arrived.give_up:
+                again = effect is Effect.IDEMPOTENT or not ran
+                if again and len(tried) < self.s.attempt_limit and now < arrived.deadline:
                     srv = self.pick(arrived, tried)
                     if srv is not None:
-                        self.jobs[note.req] = (arrived, [*tried, srv], ran)
-                        return [api.SendAttempt(note.req, srv, arrived.give_up)]
+                        self.jobs[note.request_id] = (arrived, [*tried, srv], ran)
+                        return [SendAttempt(note.request_id, srv, arrived.deadline)]
                 return [
-                    api.Abort(note.req)
-                    if ran and effect is not api.Effect.REPLAYABLE
-                    else api.Reject(note.req)
+                    Abort(note.request_id)
+                    if ran and effect is not Effect.IDEMPOTENT
+                    else Reject(note.request_id)
                 ]
-            case api.ClientDisconnected():
-                self.jobs.pop(note.req, None)
+            case ClientDisconnected():
+                self.jobs.pop(note.request_id, None)
         return []
 
-    def pick(self, note: api.RequestArrived, tried: tuple[int, ...] | list[int]) -> int | None:
+    def pick(self, note: RequestArrived, tried: tuple[int, ...] | list[int]) -> int | None:
         fleet, zone = self.fleet, self.fleet.limiters[self.me].zone
         best, least = None, 0.0
         for srv in fleet.servers:
-            if not srv.up or srv.phase is not api.EndpointState.LIVE or srv.srv in tried:
+            if not srv.up or srv.phase is not EndpointState.LIVE or srv.srv in tried:
                 continue
             if srv.zone != zone and (srv.zone in fleet.cut or zone in fleet.cut):
                 continue
--- a/loomstand/testing/emulator/engine.py
+++ b/loomstand/testing/emulator/engine.py
@@ -2,7 +2,7 @@
 
 Every part of the model is an actor with one method, `take(note)`; parts talk only by notes that the
 loop hands over at their time. Times are whole tenths of a millisecond, as in
-`loomstand.admission.interface`. Ties are broken by the order of posting, so that the same scenario
+`loomstand.admission.events`. Ties are broken by the order of posting, so that the same scenario
 and seed give the same history.
 
 Weighed against simpy in `docs/lab.md` (the probe's figures are there): the model needs no process
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -2,7 +2,7 @@
 network.
 
 Each part is an actor of `engine.Engine`; a limiter holds a policy with the module's one call,
-`handle(now, note) -> actions`, fed the notes of `loomstand.admission.interface` exactly as the
+`handle(now, note) -> actions`, fed the notes of `loomstand.admission.events` exactly as the
 adapter feeds them, so that the real `Brain` decides and nothing of its decisions is copied here.
 What the model decides itself (which servers a fault hits, when a client comes again) draws on one
 seeded `random.Random`.
@@ -20,8 +20,32 @@
 
 from hdrh.histogram import HdrHistogram
 
-from loomstand.admission import interface as api
-from loomstand.admission.identifiers import digest
+from loomstand.admission.actions import (
+    Abort,
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    IncrementCounter,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    SetTimer,
+)
+from loomstand.admission.endpoints import Endpoint, EndpointState
+from loomstand.admission.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReplied,
+    EndpointsUpdated,
+    Event,
+    HealthCheckFinished,
+    RequestArrived,
+    TimerFired,
+)
+from loomstand.admission.identifiers import stable_digest
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.settings import EngineSettings
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.config.limiter import settings
 from loomstand.testing.emulator import scenario as sc
 from loomstand.testing.emulator.counts import Totals
@@ -29,9 +53,9 @@
 from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, Req
 from loomstand.testing.emulator.traffic import Traffic, refill
 
-T = api.TICKS_PER_SECOND
+T = TICKS_PER_SECOND
 MS = T // 1000
-OC = api.Outcome
+OC = Outcome
 LIST_DELAY = 50 * MS  # discovery's usual lag behind a change: a watch answered within a few RTTs
 WHOLE_EVERY = 10 * T  # a whole list to every limiter, as a poll of discovery would bring it
 # what a connect to a cut-off peer takes to fail; the settings' default connect timeout
@@ -41,11 +65,11 @@
 class Policy:
     """What a limiter runs: the module, or a baseline with the same call."""
 
-    def handle(self, now: int, note: api.Event) -> list[api.Action]:
+    def handle(self, now: int, note: Event) -> list[Action]:
         raise NotImplementedError
 
 
-PolicyMaker = Callable[["Fleet", int, api.EngineSettings, int], Policy]
+PolicyMaker = Callable[["Fleet", int, EngineSettings, int], Policy]
 
 
 # notes between the parts
@@ -74,7 +98,7 @@
     dispatch: int
     lgen: int
     srv: int
-    outcome: api.Outcome
+    outcome: Outcome
 
 
 @dataclass(slots=True)
@@ -104,14 +128,14 @@
 class CountReply:
     call: int
     lgen: int
-    outcome: api.Outcome
+    outcome: Outcome
     total: float
 
 
 @dataclass(slots=True)
 class ListNote:
     lgen: int
-    listed: api.EndpointsUpdated
+    listed: EndpointsUpdated
 
 
 @dataclass(slots=True)
@@ -132,7 +156,7 @@
     """
 
     lgen: int
-    note: api.Event
+    note: Event
 
 
 # the parts
@@ -144,7 +168,7 @@
 
     def __init__(self, fleet: Fleet, srv: int, zone: int, booted: int) -> None:
         self.fleet, self.srv, self.zone = fleet, srv, zone
-        self.booted, self.up, self.phase, self.gen = booted, True, api.EndpointState.LIVE, 0
+        self.booted, self.up, self.phase, self.gen = booted, True, EndpointState.LIVE, 0
         self.working: list[Work] = []
         self.queue: deque[Work] = deque()
         self.slow, self.failing_until, self.fallen = 1.0, -1, False
@@ -170,15 +194,15 @@
             self.arrive(note)
         elif isinstance(note, Finish) and note.gen == self.gen and note.work in self.working:
             self.working.remove(note.work)
-            self.answer(note.work, OC.SERVER_ERROR if note.failed else OC.PASSED)
+            self.answer(note.work, OC.SERVER_ERROR if note.failed else OC.SUCCEEDED)
             if self.queue:
                 self.start(self.queue.popleft())
 
     def arrive(self, work: Work) -> None:
         fleet, now = self.fleet, self.fleet.engine.now
         fleet.history.dispatches[fleet.dispatch_rows[work.req, work.dispatch]][5] = now
-        if not self.up or self.phase is api.EndpointState.GONE:
-            return self.answer(work, OC.NO_CONNECTION)
+        if not self.up or self.phase is EndpointState.GONE:
+            return self.answer(work, OC.CONNECT_FAILED)
         warmth = self.warmth()
         # the rule's cold server: more than fall_multiple times what it can do, for tip_after
         if warmth < 1.0:
@@ -194,7 +218,7 @@
         # what a dispatch finds waiting before it, plus one
         fleet.queued.record_value(len(self.queue) + 1)
         if self.hand() >= self.room() + fleet.scenario.fleet.queue:
-            return self.answer(work, OC.TURNED_AWAY)
+            return self.answer(work, OC.REJECTED)
         if len(self.working) < self.room():
             self.start(work)
         else:
@@ -211,7 +235,7 @@
             max(1, round(fleet.rng.expovariate(1 / mean))), self, Finish(work, self.gen, failing)
         )
 
-    def answer(self, work: Work, outcome: api.Outcome) -> None:
+    def answer(self, work: Work, outcome: Outcome) -> None:
         fleet = self.fleet
         limiter = fleet.limiters[work.limiter]
         delay = fleet.delay(self.zone, limiter.zone)
@@ -229,8 +253,8 @@
         self.working, self.queue = [], deque()
         self.recent.clear()
 
-    def entry(self) -> api.Endpoint:
-        return api.Endpoint(self.srv, self.phase, self.zone, 0, 0, 1.0, self.booted)
+    def entry(self) -> Endpoint:
+        return Endpoint(self.srv, self.phase, self.zone, 0, 0, 1.0, self.booted)
 
 
 class Counter:
@@ -257,7 +281,9 @@
         took = round(
             fleet.scenario.counter.latency_ms * MS * self.slow * (0.5 + fleet.rng.random())
         )
-        fleet.engine.post(back + took, limiter, CountReply(note.call, note.lgen, OC.PASSED, total))
+        fleet.engine.post(
+            back + took, limiter, CountReply(note.call, note.lgen, OC.SUCCEEDED, total)
+        )
 
 
 class Discovery:
@@ -269,21 +295,19 @@
         self.fleet = fleet
         self.extra, self.partial = 0, 1.0
 
-    def entries(self) -> tuple[api.Endpoint, ...]:
-        known = [
-            s.entry() for s in self.fleet.servers if s.phase is not api.EndpointState.GONE or s.up
-        ]
+    def entries(self) -> tuple[Endpoint, ...]:
+        known = [s.entry() for s in self.fleet.servers if s.phase is not EndpointState.GONE or s.up]
         if self.partial < 1.0:
             known = known[: ceil(len(known) * self.partial)]
         return tuple(known)
 
-    def tell(self, entries: tuple[api.Endpoint, ...], whole: bool) -> None:
+    def tell(self, entries: tuple[Endpoint, ...], whole: bool) -> None:
         fleet = self.fleet
         for limiter in fleet.limiters:
             if limiter.alive:
                 lag = LIST_DELAY + self.extra + fleet.rng.randrange(LIST_DELAY)
                 fleet.engine.post(
-                    lag, limiter, ListNote(limiter.gen, api.EndpointsUpdated(entries, whole))
+                    lag, limiter, ListNote(limiter.gen, EndpointsUpdated(entries, whole))
                 )
 
     def take(self, note: object) -> None:  # the periodic whole list
@@ -310,7 +334,7 @@
         self.open, self.calls, self.owed, self.sent = {}, {}, {}, {}
         told = fleet.settings_for(self.idx, self.zone)
         self.policy = fleet.make_policy(fleet, self.idx, told, fleet.rng.getrandbits(64))
-        self.take(ListNote(self.gen, api.EndpointsUpdated(fleet.discovery.entries(), True)))
+        self.take(ListNote(self.gen, EndpointsUpdated(fleet.discovery.entries(), True)))
 
     def kill(self) -> None:
         self.alive, self.gen, self.policy = False, self.gen + 1, None
@@ -330,7 +354,7 @@
             case Come(req=req):
                 self.owed[req.req] = req
                 self.feed(
-                    api.RequestArrived(
+                    RequestArrived(
                         req.req,
                         req.frontend,
                         req.plan,
@@ -345,12 +369,12 @@
             case Reply():
                 if self.open.pop((note.req, note.dispatch), None) is None:
                     return
-                passed = note.outcome is OC.PASSED
+                passed = note.outcome is OC.SUCCEEDED
                 took = fleet.since_sent(note.req, note.dispatch)
                 if passed:
                     self.final(note.req, PASSED)
                 self.feed(
-                    api.AttemptEnded(
+                    AttemptEnded(
                         note.req, note.dispatch, note.srv, note.outcome, took, passed, 0, 0.0
                     )
                 )
@@ -358,42 +382,42 @@
                 if (srv := self.open.pop((note.req, note.dispatch), None)) is not None:
                     took = fleet.since_sent(note.req, note.dispatch)
                     self.feed(
-                        api.AttemptEnded(
-                            note.req, note.dispatch, srv, OC.NO_ANSWER, took, False, 0, 0.0
+                        AttemptEnded(
+                            note.req, note.dispatch, srv, OC.NO_RESPONSE, took, False, 0, 0.0
                         )
                     )
             case CountReply():
                 if (call := self.calls.pop(note.call, None)) is not None:
                     self.feed(
-                        api.CounterReplied(
+                        CounterReplied(
                             call[0], note.outcome, note.total, fleet.engine.now - call[2]
                         )
                     )
             case Timer():
-                self.feed(api.TimerFired(note.tag))
+                self.feed(TimerFired(note.tag))
             case ListNote():
                 live = fleet.told_live.setdefault(self.idx, set())
-                if note.listed.whole:
-                    named = {e.srv for e in note.listed.entries}
+                if note.listed.complete:
+                    named = {e.endpoint_id for e in note.listed.endpoints}
                     for srv in live - named:
                         fleet.leaving(self.idx, srv)
                     live &= named
-                for entry in note.listed.entries:
-                    if entry.phase is api.EndpointState.LIVE:
-                        live.add(entry.srv)
-                        fleet.back(self.idx, entry.srv)
+                for entry in note.listed.endpoints:
+                    if entry.state is EndpointState.LIVE:
+                        live.add(entry.endpoint_id)
+                        fleet.back(self.idx, entry.endpoint_id)
                     else:
-                        live.discard(entry.srv)
-                        fleet.leaving(self.idx, entry.srv)
+                        live.discard(entry.endpoint_id)
+                        fleet.leaving(self.idx, entry.endpoint_id)
                 self.feed(note.listed)
             case Leave():
                 if (req := self.owed.pop(note.req, None)) is not None:
                     req.vanished = True
-                    self.feed(api.ClientDisconnected(note.req))
+                    self.feed(ClientDisconnected(note.req))
             case Later():
                 self.feed(note.note)
 
-    def feed(self, note: api.Event) -> None:
+    def feed(self, note: Event) -> None:
         fleet = self.fleet
         try:
             actions = self.policy.handle(fleet.engine.now, note)
@@ -404,38 +428,42 @@
         for act in actions:
             self.act(act)
 
-    def act(self, act: api.Action) -> None:
+    def act(self, act: Action) -> None:
         fleet, now = self.fleet, self.fleet.engine.now
         match act:
-            case api.SendAttempt():
-                n = self.sent.get(act.req, 0)
-                self.sent[act.req] = n + 1
-                if any((act.req, k) in self.open for k in range(n)):
-                    fleet.history.overlaps.append((act.req, self.idx, now))
+            case SendAttempt():
+                n = self.sent.get(act.request_id, 0)
+                self.sent[act.request_id] = n + 1
+                if any((act.request_id, k) in self.open for k in range(n)):
+                    fleet.history.overlaps.append((act.request_id, self.idx, now))
                 fleet.send(self, act, n)
-            case api.Reject():
-                self.final(act.req, DENIED)
-                if (req := fleet.req_rows.get(act.req)) is not None:
+            case Reject():
+                self.final(act.request_id, DENIED)
+                if (req := fleet.req_rows.get(act.request_id)) is not None:
                     fleet.clients.denied(req)
-            case api.Abort():
-                self.final(act.req, ABORTED)
-            case api.CancelAttempt():
-                if (srv := self.open.pop((act.req, act.dispatch), None)) is not None:
-                    ended = api.AttemptEnded(
-                        act.req, act.dispatch, srv, OC.CALLED_OFF, 0, False, 0, 0.0
+            case Abort():
+                self.final(act.request_id, ABORTED)
+            case CancelAttempt():
+                if (srv := self.open.pop((act.request_id, act.attempt), None)) is not None:
+                    ended = AttemptEnded(
+                        act.request_id, act.attempt, srv, OC.CANCELLED, 0, False, 0, 0.0
                     )
                     fleet.engine.post(0, self, Later(self.gen, ended))
-            case api.SetTimer():
-                fleet.engine.post(act.after, self, Timer(act.tag, self.gen))
-            case api.IncrementCounter():
+            case SetTimer():
+                fleet.engine.post(act.delay, self, Timer(act.tag, self.gen))
+            case IncrementCounter():
                 fleet.count(self, act)
-            case api.CheckHealth():
-                srv = fleet.servers[act.srv] if act.srv < len(fleet.servers) else None
-                outcome = OC.PASSED if srv is not None and srv.up else OC.NO_CONNECTION
+            case CheckHealth():
+                srv = (
+                    fleet.servers[act.endpoint_id] if act.endpoint_id < len(fleet.servers) else None
+                )
+                outcome = OC.SUCCEEDED if srv is not None and srv.up else OC.CONNECT_FAILED
                 fleet.engine.post(
-                    2 * MS, self, Later(self.gen, api.HealthCheckFinished(act.srv, outcome, 2 * MS))
+                    2 * MS,
+                    self,
+                    Later(self.gen, HealthCheckFinished(act.endpoint_id, outcome, 2 * MS)),
                 )
-            case api.LogMessage():
+            case LogMessage():
                 fleet.log_lines += 1
 
     def final(self, req_id: int, what: str) -> None:
@@ -541,7 +569,7 @@
         self.discovery = Discovery(self)
         self.limiters = [Limiter(self, n, n % len(f.zones)) for n in range(f.limiters)]
         self.clients = Clients(self)
-        self.digests = [digest(f"customer-{c}") for c in range(self.clients.traffic.total)]
+        self.digests = [stable_digest(f"customer-{c}") for c in range(self.clients.traffic.total)]
         self.req_rows: dict[int, Req] = {}
         self.dispatch_rows: dict[tuple[int, int], int] = {}
         self.told_live: dict[int, set[int]] = {}
@@ -560,7 +588,7 @@
         self.life = Life(self)
         self.live: tuple[list[Limiter], list[list[Limiter]]] | None = None  # by zone
 
-    def settings_for(self, me: int, zone: int) -> api.EngineSettings:
+    def settings_for(self, me: int, zone: int) -> EngineSettings:
         return settings(sc.conf(self.scenario, me, zone), zone)
 
     # the network
@@ -579,34 +607,42 @@
     # what limiters do
     # ------------------------------------------------------------------------------------
 
-    def send(self, limiter: Limiter, act: api.SendAttempt, n: int) -> None:
-        srv = self.servers[act.srv] if 0 <= act.srv < len(self.servers) else None
-        self.dispatch_rows[act.req, n] = len(self.history.dispatches)
-        self.history.dispatches.append([act.req, n, limiter.idx, act.srv, self.engine.now, -1])
-        req = self.req_rows.get(act.req)
+    def send(self, limiter: Limiter, act: SendAttempt, n: int) -> None:
+        srv = self.servers[act.endpoint_id] if 0 <= act.endpoint_id < len(self.servers) else None
+        self.dispatch_rows[act.request_id, n] = len(self.history.dispatches)
+        self.history.dispatches.append(
+            [act.request_id, n, limiter.idx, act.endpoint_id, self.engine.now, -1]
+        )
+        req = self.req_rows.get(act.request_id)
         if req is not None:
             self.history.plan_second(self.engine.now, len(self.scenario.plans))[req.plan] += (
                 req.units
             )
-        limiter.open[act.req, n] = act.srv
-        self.engine.at(act.expire, limiter, Expire(act.req, n, limiter.gen))
+        limiter.open[act.request_id, n] = act.endpoint_id
+        self.engine.at(act.expires_at, limiter, Expire(act.request_id, n, limiter.gen))
         if srv is None:
-            self.engine.post(0, limiter, Reply(act.req, n, limiter.gen, act.srv, OC.NO_CONNECTION))
+            self.engine.post(
+                0,
+                limiter,
+                Reply(act.request_id, n, limiter.gen, act.endpoint_id, OC.CONNECT_FAILED),
+            )
             return
-        work = Work(act.req, n, limiter.idx, limiter.gen, req.frontend if req else 0)
+        work = Work(act.request_id, n, limiter.idx, limiter.gen, req.frontend if req else 0)
         there = self.delay(limiter.zone, srv.zone)
         if there is None:
             if srv.zone in self.cut or limiter.zone in self.cut:
                 self.engine.post(
-                    CONNECT, limiter, Reply(act.req, n, limiter.gen, act.srv, OC.NO_CONNECTION)
+                    CONNECT,
+                    limiter,
+                    Reply(act.request_id, n, limiter.gen, act.endpoint_id, OC.CONNECT_FAILED),
                 )
             return
         self.engine.post(there, srv, work)
 
-    def count(self, limiter: Limiter, act: api.IncrementCounter) -> None:
+    def count(self, limiter: Limiter, act: IncrementCounter) -> None:
         self.next_call += 1
         call = self.next_call
-        limiter.calls[call] = (act.name, act.step, self.engine.now)
+        limiter.calls[call] = (act.counter_name, act.amount, self.engine.now)
         timeout = round(self.scenario.counter.timeout_ms * MS)
         self.engine.post(timeout, self, (limiter, call, limiter.gen))
         there = self.delay(limiter.zone, 0)
@@ -614,14 +650,16 @@
             self.engine.post(
                 there,
                 self.counter,
-                CountCall(limiter.idx, limiter.gen, call, act.name, act.step, act.keep),
+                CountCall(
+                    limiter.idx, limiter.gen, call, act.counter_name, act.amount, act.time_to_live
+                ),
             )
 
     def take(self, note: object) -> None:
         """A count call's time is up: no answer."""
         limiter, call, lgen = note
         if limiter.gen == lgen and call in limiter.calls:
-            self.engine.post(0, limiter, CountReply(call, lgen, OC.NO_ANSWER, 0.0))
+            self.engine.post(0, limiter, CountReply(call, lgen, OC.NO_RESPONSE, 0.0))
 
     def since_sent(self, req: int, dispatch: int) -> int:
         """Tenths since the limiter sent this dispatch."""
@@ -720,12 +758,12 @@
     def restart(self, srv: Server) -> None:
         if srv.fallen:
             return  # it stays down
-        srv.up, srv.booted, srv.phase = True, max(1, self.engine.now), api.EndpointState.LIVE
+        srv.up, srv.booted, srv.phase = True, max(1, self.engine.now), EndpointState.LIVE
         self.discovery.tell((srv.entry(),), False)
 
     def replace(self, srv: Server) -> None:
         """A drained server leaves; a new one, cold, takes its place under a new name."""
-        srv.phase = api.EndpointState.GONE
+        srv.phase = EndpointState.GONE
         srv.crash()
         new = Server(self, len(self.servers), srv.zone, max(1, self.engine.now))
         self.servers.append(new)
@@ -781,7 +819,7 @@
         span = round(fault.for_s * T)
         if fault.for_s > 0:
             fleet.engine.post(span, self, ("end", n))
-        up = [s for s in fleet.servers if s.up and s.phase is api.EndpointState.LIVE]
+        up = [s for s in fleet.servers if s.up and s.phase is EndpointState.LIVE]
         match fault.kind:
             case "kill_limiters":
                 live = [x for x in fleet.limiters if x.alive]
@@ -793,7 +831,7 @@
                     fleet.crash(srv, span if fault.for_s > 0 else -1)
             case "drain_servers":
                 for srv in self.pick(up, fault.share):
-                    srv.phase = api.EndpointState.DRAINING
+                    srv.phase = EndpointState.DRAINING
                     fleet.discovery.tell((srv.entry(),), False)
                     fleet.engine.post(
                         2 * round(fleet.scenario.fleet.drain_grace_ms * MS),
--- a/loomstand/testing/emulator/runner.py
+++ b/loomstand/testing/emulator/runner.py
@@ -16,8 +16,9 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from loomstand.admission import interface as api
 from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.settings import EngineSettings
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.failover.engine_view import Guide
 from loomstand.testing.emulator import scenario as sc
 from loomstand.testing.emulator.baselines import POLICIES
@@ -25,10 +26,10 @@
 from loomstand.testing.emulator.fleet import Fleet, Policy, PolicyMaker
 from loomstand.testing.emulator.history import DENIED, PASSED, History
 
-MS = api.TICKS_PER_SECOND // 1000
+MS = TICKS_PER_SECOND // 1000
 
 
-def brain(fleet: Fleet, me: int, settings: api.EngineSettings, seed: int) -> Policy:
+def brain(fleet: Fleet, me: int, settings: EngineSettings, seed: int) -> Policy:
     """The module itself, made as the adapter makes it; under the scenario's site plan, if it is to
     be.
     """
--- a/loomstand/testing/rehearsal/driver.py
+++ b/loomstand/testing/rehearsal/driver.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from loomstand.admission.identifiers import digest
+from loomstand.admission.identifiers import stable_digest
 from loomstand.testing.emulator.traffic import Traffic, refill
 from loomstand.testing.rehearsal.child import Trail, say
 from loomstand.testing.rehearsal.links import spawn
@@ -155,7 +155,9 @@
         for step in range(self.zones):
             zone = (home + step) % self.zones
             here = self.by_zone[zone]
-            first = 0 if size == n or not here else here[digest(f"set-{customer}") % len(here)]
+            first = (
+                0 if size == n or not here else here[stable_digest(f"set-{customer}") % len(here)]
+            )
             members = [(first + k) % n for k in range(size)]
             up = [m for m in members if self.doors[home][m].open]
             near = [m for m in up if m in here]
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.interface import Endpoint
+from loomstand.admission.endpoints import Endpoint
 from loomstand.config.settings import Settings, parse
 from loomstand.proxy.program import Proxy
 from loomstand.registry.instances import READY
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from loomstand.admission.interface import Outcome
+from loomstand.admission.outcome import Outcome
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import Ring, Room
 from loomstand.limiter.endings import Ending
@@ -27,7 +27,7 @@
 from loomstand.testing.simulation.workload import Server
 
 US, THEM = "10.2.0.1", "10.3.0.1"
-PROOFS = {Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT}
+PROOFS = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 STAMP = "Loomstand-Response-Stamp: s"
 
 
@@ -164,7 +164,7 @@
         for id_, outcomes in self.came_of.items():
             proved = sum(o in PROOFS for o in outcomes)
             assert self.ran.count(id_) <= len(outcomes) - proved, (id_, outcomes)
-            if Outcome.PASSED in outcomes:
+            if Outcome.SUCCEEDED in outcomes:
                 _, body, extra = self.bodies[id_]
                 assert body == b"of " + id_.encode() and f"loomstand-request-id: {id_}\r\n" in extra
 
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -8,9 +8,10 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from loomstand.admission import interface as api
 from loomstand.admission.backend import Backend
 from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.endpoints import EndpointState
+from loomstand.admission.events import EndpointsUpdated
 from loomstand.admission.load_balancer import LoadBalancer
 from loomstand.admission.tenant_limiter import TenantLimiter
 from loomstand.cli import main
@@ -22,8 +23,8 @@
     usual = DecisionEngine.handle
 
     def handle(self, now, note):
-        if fault == "drain" and isinstance(note, api.EndpointsUpdated):
-            note.entries = tuple(replace(e, phase=api.EndpointState.LIVE) for e in note.entries)
+        if fault == "drain" and isinstance(note, EndpointsUpdated):
+            note.endpoints = tuple(replace(e, state=EndpointState.LIVE) for e in note.endpoints)
         return usual(self, now, note)
 
     if fault == "answers":  # rule 1: every twentieth passed req is never answered
@@ -39,7 +40,7 @@
         patch(LoadBalancer, "cold_ok", lambda self, srv: True)
         patch(Backend, "warmth", lambda self: 1.0)
     elif fault == "ceiling":  # rule 5: the whole ceiling at each limiter, full at the start
-        patch(TenantLimiter, "held", lambda self, at: self.plan.ceiling_depth)
+        patch(TenantLimiter, "held", lambda self, at: self.plan.rate_limit_burst)
         patch(TenantLimiter, "turns", lambda self, at: at * self.cap_rate)
     patch(DecisionEngine, "handle", handle)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,46 +8,72 @@
 import contextlib
 import json
 import re
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import replace
-
-from loomstand.admission import interface as api
+from typing import TypeVar
+
+from loomstand.admission.actions import (
+    Abort,
+    Action,
+    IncrementCounter,
+    Reject,
+    SendAttempt,
+    SetTimer,
+)
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.interface import DeduplicationScope, Effect, EndpointState, Outcome
+from loomstand.admission.endpoints import Endpoint, EndpointState
+from loomstand.admission.events import (
+    AttemptEnded,
+    CounterReplied,
+    EndpointsUpdated,
+    Event,
+    RequestArrived,
+    TimerFired,
+)
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.settings import (
+    DeduplicationScope,
+    Effect,
+    EngineSettings,
+    Frontend,
+    QuotaPlan,
+)
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.config.limiter import parse
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.limiter import Limiter
 from loomstand.testing.rehearsal import wire
 from loomstand.testing.rehearsal.wire import WATCHING, chunk, own_host, read_message, said
 
-S = api.TICKS_PER_SECOND
-NOT_RUN = (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
+S = TICKS_PER_SECOND
+ActionKind = TypeVar("ActionKind")
+NOT_RUN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 def frontend(
-    effect: Effect = Effect.REPLAYABLE,
+    effect: Effect = Effect.IDEMPOTENT,
     group: DeduplicationScope = DeduplicationScope.ALL,
     late: float = 0.0,
-) -> api.Frontend:
-    return api.Frontend(effect, group, 2 * S, S, 4 * S, 1.0, late, False)
+) -> Frontend:
+    return Frontend(effect, group, 2 * S, S, 4 * S, 1.0, late, False)
 
 
 FRONTENDS = (
     frontend(),
-    frontend(Effect.NON_REPLAYABLE),
-    frontend(Effect.UNIQUED, DeduplicationScope.HALL),
-    frontend(Effect.UNIQUED, DeduplicationScope.ALL),
+    frontend(Effect.NON_IDEMPOTENT),
+    frontend(Effect.DEDUPLICATED, DeduplicationScope.ZONE),
+    frontend(Effect.DEDUPLICATED, DeduplicationScope.ALL),
 )
 PLANS = (
-    api.QuotaPlan(2.0, 4.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
-    api.QuotaPlan(5.0, 10.0, 0, 1.5, 0.0, 1.0, 10.0, 20.0, 2.0),
-    api.QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
-    api.QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 10.0, 12.0, 2.0),
+    QuotaPlan(2.0, 4.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
+    QuotaPlan(5.0, 10.0, 0, 1.5, 0.0, 1.0, 10.0, 20.0, 2.0),
+    QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
+    QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 10.0, 12.0, 2.0),
 )
 
 
-def settings(me: int = 0, limiters: int = 3, **changes: object) -> api.EngineSettings:
-    base = api.EngineSettings(
+def settings(me: int = 0, limiters: int = 3, **changes: object) -> EngineSettings:
+    base = EngineSettings(
         me,
         limiters,
         0,
@@ -75,27 +101,25 @@
 
 def entry(
     srv: int, phase: EndpointState = EndpointState.LIVE, booted: int = 0, hall: int = 0
-) -> api.Endpoint:
-    return api.Endpoint(srv, phase, hall, 0, srv % 2, 1.0, booted)
+) -> Endpoint:
+    return Endpoint(srv, phase, hall, 0, srv % 2, 1.0, booted)
 
 
 def arrival(
     req: int, now: int, front: int = 0, plan: int = 2, customer: int = 0, sets: int = 3
-) -> api.RequestArrived:
+) -> RequestArrived:
     give_up = now + FRONTENDS[front].client_timeout
-    return api.RequestArrived(
-        req, front, plan, customer, 1000 + customer, give_up, 1.0, sets, False
-    )
+    return RequestArrived(req, front, plan, customer, 1000 + customer, give_up, 1.0, sets, False)
 
 
 def alone(now: int = 0, servers: int = 3, **changes: object) -> DecisionEngine:
     """One limiter with some long-running servers."""
     brain = DecisionEngine(settings(**changes), 7, now)
-    brain.handle(now, api.EndpointsUpdated(tuple(entry(n) for n in range(servers)), True))
+    brain.handle(now, EndpointsUpdated(tuple(entry(n) for n in range(servers)), True))
     return brain
 
 
-def pick(actions: list[api.Action], kind: type) -> list:
+def pick(actions: Sequence[Action], kind: type[ActionKind]) -> list[ActionKind]:
     return [a for a in actions if isinstance(a, kind)]
 
 
@@ -108,10 +132,10 @@
         self.entries = {n: entry(n, hall=n % 2) for n in range(servers)}
         self.brains: list[DecisionEngine | None] = [None] * limiters
         self.counts: dict[int, float] = {}
-        self.calls: list[tuple[int, api.IncrementCounter]] = []
+        self.calls: list[tuple[int, IncrementCounter]] = []
         self.timers: list[tuple[int, int, int]] = []
         # req: limiter, arrival, dispatches
-        self.open: dict[int, tuple[int, api.RequestArrived, list]] = {}
+        self.open: dict[int, tuple[int, RequestArrived, list]] = {}
         # limiter, server, sent, expiry
         self.out: dict[tuple[int, int], tuple[int, int, int, int]] = {}
         self.answered: set[int] = set()
@@ -129,11 +153,11 @@
 
     def tell(self, n: int) -> None:
         for e in self.entries.values():
-            if e.phase is not EndpointState.LIVE:
-                self.told[n].setdefault(e.srv, self.now)
+            if e.state is not EndpointState.LIVE:
+                self.told[n].setdefault(e.endpoint_id, self.now)
             else:
-                self.told[n].pop(e.srv, None)
-        self.give(n, api.EndpointsUpdated(tuple(self.entries.values()), True))
+                self.told[n].pop(e.endpoint_id, None)
+        self.give(n, EndpointsUpdated(tuple(self.entries.values()), True))
 
     def kill(self, n: int) -> None:
         """All that a killed limiter held is void."""
@@ -142,7 +166,7 @@
         self.open = {r: o for r, o in self.open.items() if o[0] != n}
         self.out = {k: o for k, o in self.out.items() if o[0] != n}
 
-    def give(self, n: int, note: api.Event) -> None:
+    def give(self, n: int, note: Event) -> None:
         for act in self.brains[n].handle(self.now, note):
             self.check(n, act)
 
@@ -151,71 +175,73 @@
         assert req in self.open, f"{req} answered twice"
         del self.open[req]
 
-    def check(self, n: int, act: api.Action) -> None:
+    def check(self, n: int, act: Action) -> None:
         match act:
-            case api.SendAttempt(req, srv, expire):
+            case SendAttempt(req, srv, expire):
                 self.check_dispatch(n, req, srv)
                 dispatches = self.open[req][2]
                 self.out[req, len(dispatches)] = (
                     n,
                     srv,
                     self.now,
-                    min(expire, self.open[req][1].give_up),
+                    min(expire, self.open[req][1].deadline),
                 )
                 dispatches.append([srv, self.now, None])
                 self.sends.append((self.now, srv))
-            case api.Reject(req) | api.Abort(req):
+            case Reject(req) | Abort(req):
                 _, note, dispatches = self.open[req]
                 front = FRONTENDS[note.frontend]
                 ran = any(d[2] not in NOT_RUN for d in dispatches)
                 # rule 2: a denial says that trying again is harmless
-                if isinstance(act, api.Reject) and ran:
+                if isinstance(act, Reject) and ran:
                     uniqued = (
-                        front.effect is Effect.UNIQUED and front.group is DeduplicationScope.ALL
+                        front.effect is Effect.DEDUPLICATED
+                        and front.deduplication_scope is DeduplicationScope.ALL
                     )
-                    assert front.effect is Effect.REPLAYABLE or uniqued
+                    assert front.effect is Effect.IDEMPOTENT or uniqued
                 self.answer(req)
-            case api.SetTimer(after, tag):
+            case SetTimer(after, tag):
                 assert after > 0
                 self.timers.append((self.now + after, n, tag))
-            case api.IncrementCounter():
+            case IncrementCounter():
                 self.calls.append((n, act))
 
     def check_dispatch(self, n: int, req: int, srv: int) -> None:
         assert req in self.open, f"{req} sent after its answer"
         _, note, before = self.open[req]
-        assert self.now < note.give_up
+        assert self.now < note.deadline
         grace = self.told[n].get(srv)
         assert grace is None or self.now <= grace + S, "sent to a draining server"  # rule 3
         front = FRONTENDS[note.frontend]
         for old, at, how in before:  # rule 2
             assert how is not None, "two dispatches out"
-            if how in NOT_RUN or front.effect is Effect.REPLAYABLE:
+            if how in NOT_RUN or front.effect is Effect.IDEMPOTENT:
                 continue
-            assert front.effect is Effect.UNIQUED, "a non-replayable req sent twice"
-            assert self.now < at + front.repeat_window
+            assert front.effect is Effect.DEDUPLICATED, "a non-replayable req sent twice"
+            assert self.now < at + front.deduplication_window
             assert (
-                front.group is DeduplicationScope.ALL
-                or self.entries[old].hall == self.entries[srv].hall
+                front.deduplication_scope is DeduplicationScope.ALL
+                or self.entries[old].zone == self.entries[srv].zone
             )
         plan = PLANS[note.plan]
-        if not before and plan.ceiling_rate:  # rule 5
-            left, at = self.ceilings.get(note.customer, (plan.ceiling_depth, self.now))
+        if not before and plan.rate_limit:  # rule 5
+            left, at = self.ceilings.get(note.tenant, (plan.rate_limit_burst, self.now))
             left = (
-                min(plan.ceiling_depth, left + plan.ceiling_rate * (self.now - at) / S) - note.units
+                min(plan.rate_limit_burst, left + plan.rate_limit * (self.now - at) / S)
+                - note.units
             )
-            assert left >= -plan.ceiling_slack, "the ceiling was passed"
-            self.ceilings[note.customer] = left, self.now
+            assert left >= -plan.rate_limit_slack, "the ceiling was passed"
+            self.ceilings[note.tenant] = left, self.now
 
     def finish(self, key: tuple[int, int], how: Outcome) -> None:
         n, srv, sent, _ = self.out.pop(key)
         req, dispatch = key
-        final = how is Outcome.PASSED or req not in self.open
+        final = how is Outcome.SUCCEEDED or req not in self.open
         if req in self.open:
             self.open[req][2][dispatch][2] = how
-            if how is Outcome.PASSED:
+            if how is Outcome.SUCCEEDED:
                 self.answer(req)
-        self.give(n, api.AttemptEnded(req, dispatch, srv, how, self.now - sent, final, 0, 0.0))
+        self.give(n, AttemptEnded(req, dispatch, srv, how, self.now - sent, final, 0, 0.0))
 
     def pass_time(self, span: int) -> None:
         """Moves the clock, with timers, expiries and the end of each client's patience on the
@@ -232,21 +258,21 @@
             self.now = max(self.now, first)
             for due in [t for t in self.timers if t[0] <= self.now and t[1] != self.stalled]:
                 self.timers.remove(due)
-                self.give(due[1], api.TimerFired(due[2]))
+                self.give(due[1], TimerFired(due[2]))
             for key in [k for k, o in self.out.items() if o[3] <= self.now]:
-                self.finish(key, Outcome.NO_ANSWER)
+                self.finish(key, Outcome.NO_RESPONSE)
         self.now = end
         for req, (_, note, _) in self.open.items():
-            assert self.now <= note.give_up + 80, f"{req} got no answer in time"  # rule 1
+            assert self.now <= note.deadline + 80, f"{req} got no answer in time"  # rule 1
         for srv, e in self.entries.items():
-            if e.booted and self.now - e.booted < 10 * S:
-                self.check_cold(srv, e.booted)
+            if e.started_at and self.now - e.started_at < 10 * S:
+                self.check_cold(srv, e.started_at)
 
     def check_cold(self, srv: int, booted: int) -> None:
         """Rule 4, against what the busiest peer carried: a second's budget and one req a
         limiter.
         """
-        peers = [n for n in self.entries if not self.entries[n].booted]
+        peers = [n for n in self.entries if not self.entries[n].started_at]
         carried = max(
             (sum(1 for t, s in self.sends if s == p and t > self.now - 4 * S) for p in peers),
             default=0,
@@ -261,9 +287,11 @@
         n, call = self.calls.pop(at)
         if empty:
             self.counts.clear()
-        if how in (Outcome.PASSED, Outcome.NO_ANSWER):
-            self.counts[call.name] = self.counts.get(call.name, 0.0) + call.step
-        self.give(n, api.CounterReplied(call.name, how, self.counts.get(call.name, 0.0), 30))
+        if how in (Outcome.SUCCEEDED, Outcome.NO_RESPONSE):
+            self.counts[call.counter_name] = self.counts.get(call.counter_name, 0.0) + call.amount
+        self.give(
+            n, CounterReplied(call.counter_name, how, self.counts.get(call.counter_name, 0.0), 30)
+        )
 
 
 # Stand-ins on loopback, for the limiter on sockets.
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -12,8 +12,8 @@
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 
-from loomstand.admission import interface as i
-from loomstand.admission.interface import Outcome
+from loomstand.admission.actions import Reject, SendAttempt
+from loomstand.admission.outcome import Outcome
 from loomstand.limiter import upstream as servers
 from loomstand.limiter.client_connection import Client as FrontClient
 from loomstand.limiter.endings import Ending
@@ -63,8 +63,8 @@
                 stage.plays = [[raw[:at], *steps]]
                 stage.send(stage.request(id_), 0.2)
                 await asyncio.sleep(0.25)
-                passes = Outcome.PASSED if how == "pause" else None
-                lost = Outcome.NO_ANSWER if how == "silence" else Outcome.CONNECTION_LOST
+                passes = Outcome.SUCCEEDED if how == "pause" else None
+                lost = Outcome.NO_RESPONSE if how == "silence" else Outcome.CONNECTION_LOST
                 assert stage.came_of[id_] == [passes or lost], (how, at)
                 stage.plays = []
 
@@ -93,8 +93,8 @@
             await asyncio.sleep(0.008 if at % 2 else 0.02)
             stage.send(stage.request(second))
             await asyncio.sleep(0.1)
-            assert stage.came_of[first] == [Outcome.PASSED]
-            assert set(stage.came_of[second]) <= {Outcome.PASSED, Outcome.CONNECTION_LOST}
+            assert stage.came_of[first] == [Outcome.SUCCEEDED]
+            assert set(stage.came_of[second]) <= {Outcome.SUCCEEDED, Outcome.CONNECTION_LOST}
             for links in list(stage.pool.idle.values()):
                 for link in list(links):
                     stage.pool.shut(link, Ending.IDLE)
@@ -130,7 +130,7 @@
         await asyncio.sleep(0.012)
         stage.send(req)  # as where no other server has room
         await asyncio.sleep(0.2)
-        assert stage.came_of[id_] == [Outcome.TURNED_AWAY, Outcome.PASSED]
+        assert stage.came_of[id_] == [Outcome.REJECTED, Outcome.SUCCEEDED]
 
 
 def test_a_second_copy_of_a_refusal_is_not_the_answer_to_the_second_sending():
@@ -147,8 +147,8 @@
             ]
             stage.send(stage.request(id_))
             await asyncio.sleep(0.1)
-            expected = Outcome.TURNED_AWAY if proof else Outcome.CONNECTION_LOST
-            assert stage.came_of[id_] == [Outcome.PASSED if success and not lines else expected]
+            expected = Outcome.REJECTED if proof else Outcome.CONNECTION_LOST
+            assert stage.came_of[id_] == [Outcome.SUCCEEDED if success and not lines else expected]
 
     return work
 
@@ -198,7 +198,7 @@
     flight.timer.cancel()
     flight.expire = stage.now()  # this process stood still until after that
     await asyncio.sleep(0.5)
-    assert stage.came_of == {"r": [Outcome.NO_CONNECTION]} and stage.ran == []
+    assert stage.came_of == {"r": [Outcome.CONNECT_FAILED]} and stage.ran == []
 
 
 def test_a_process_that_stood_still_past_the_deadline_sends_nothing():
@@ -214,13 +214,13 @@
     stage.life.frozen = True
     stage.send(stage.request("c"), 0.2)
     await asyncio.sleep(0.3)
-    assert stage.came_of["c"] == [Outcome.NO_ANSWER]
+    assert stage.came_of["c"] == [Outcome.NO_RESPONSE]
     stage.life.thaw()  # and it runs what is in its buffers
     await asyncio.sleep(0.1)
     assert stage.ran == ["a", "b", "c"]
     stage.send(stage.request("d"))
     await asyncio.sleep(0.1)
-    assert stage.came_of["d"] == [Outcome.PASSED] and len(stage.talks) == 3, (
+    assert stage.came_of["d"] == [Outcome.SUCCEEDED] and len(stage.talks) == 3, (
         "a connection of before a silence"
     )
 
@@ -235,11 +235,11 @@
         stage.plays = [[raw], [whole("n")]]
         stage.send(stage.request("r", bytes(5 * WINDOW)))
         await asyncio.sleep(0.2)
-        assert stage.came_of["r"] == [Outcome.PASSED if status == 200 else Outcome.TURNED_AWAY]
+        assert stage.came_of["r"] == [Outcome.SUCCEEDED if status == 200 else Outcome.REJECTED]
         assert "r" not in stage.ran and not stage.pool.links
         stage.send(stage.request("n"))
         await asyncio.sleep(0.2)
-        assert stage.came_of["n"] == [Outcome.PASSED] and len(stage.talks) == 2
+        assert stage.came_of["n"] == [Outcome.SUCCEEDED] and len(stage.talks) == 2
 
     return work
 
@@ -337,10 +337,10 @@
     async def work() -> None:
         proxy, req, task = await held_up(town)
         if act == "deny":
-            proxy.deny(i.Reject(req.id, "given up", 0))
+            proxy.deny(Reject(req.id, "given up", 0))
         else:
             for srv in proxy.identifiers:
-                proxy.dispatch(i.SendAttempt(req.id, srv, req.give_up))
+                proxy.dispatch(SendAttempt(req.id, srv, req.give_up))
         reply = await task
         assert reply.status not in (408, 421, 429, 503)
         assert len(town.book.runs()) <= 1
@@ -449,11 +449,13 @@
 
 
 def reset_proves(ending: Ending, written: bool) -> Outcome:
-    return Outcome.NO_CONNECTION if ending in (Ending.RESET, Ending.CLOSED) else Outcome.NO_ANSWER
+    return (
+        Outcome.CONNECT_FAILED if ending in (Ending.RESET, Ending.CLOSED) else Outcome.NO_RESPONSE
+    )
 
 
 def refused_anyhow(proxy: Any, act: Any) -> None:
-    proxy.answer(proxy.reqs[act.req], 503)
+    proxy.answer(proxy.reqs[act.request_id], 503)
 
 
 AHEAD = surplus(SURPLUS["again"], ahead=True)
--- a/tests/test_brain_services.py
+++ b/tests/test_brain_services.py
@@ -11,24 +11,33 @@
 import pytest
 from helpers import FRONTENDS, PLANS, S, alone, arrival, entry, frontend, pick, settings
 
-from loomstand.admission import interface as api
+from loomstand.admission.actions import Action, IncrementCounter, Reject, SendAttempt, SetTimer
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.interface import EndpointState, Outcome
+from loomstand.admission.endpoints import EndpointState
+from loomstand.admission.events import (
+    AttemptEnded,
+    CounterReplied,
+    EndpointsUpdated,
+    SettingsChanged,
+    TimerFired,
+)
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.settings import QuotaPlan
 
 GATEWAY = {
-    "trust": 1.5,
-    "fresh": 0.5,
-    "spare_share": 0.12,
-    "spare_most": 4.0,
-    "spare_first": 3.0,
-    "turned_price": 1.0,
-    "unsent_price": 0.0,
-    "window_follows": True,
+    "total_trust_intervals": 1.5,
+    "initial_burst_share": 0.5,
+    "retry_budget_ratio": 0.12,
+    "retry_budget_max": 4.0,
+    "retry_budget_initial": 3.0,
+    "rejected_retry_cost": 1.0,
+    "unsent_retry_cost": 0.0,
+    "window_follows_endpoints": True,
 }
 
 
-def plan(rate: float, burst: float) -> api.QuotaPlan:
-    return api.QuotaPlan(rate, burst, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+def plan(rate: float, burst: float) -> QuotaPlan:
+    return QuotaPlan(rate, burst, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
 
 
 def listed(brain: DecisionEngine, now: int, **services: list[int]) -> None:
@@ -36,12 +45,10 @@
     entries = [
         replace(entry(n), service=int(s[1:])) for s, servers in services.items() for n in servers
     ]
-    brain.handle(now, api.EndpointsUpdated(tuple(entries), True))
+    brain.handle(now, EndpointsUpdated(tuple(entries), True))
 
 
-def come(
-    brain: DecisionEngine, req: int, now: int, service: int = 0, **more: int
-) -> list[api.Action]:
+def come(brain: DecisionEngine, req: int, now: int, service: int = 0, **more: int) -> list[Action]:
     return brain.handle(now, replace(arrival(req, now, sets=0, **more), service=service))
 
 
@@ -50,50 +57,52 @@
     listed(brain, 0, s1=[1, 2, 3], s2=[4, 5])
     seen = {1: set(), 2: set()}
     for n in range(1, 13):  # all out at once
-        seen[1 + n % 2] |= {act.srv for act in pick(come(brain, n, n, 1 + n % 2), api.SendAttempt)}
+        seen[1 + n % 2] |= {
+            act.endpoint_id for act in pick(come(brain, n, n, 1 + n % 2), SendAttempt)
+        }
     assert seen == {1: {1, 2, 3}, 2: {4, 5}}
     # none at all
-    assert pick(come(brain, 500, 2 * S, 7), api.Reject) == [api.Reject(500, 0, "servers full")]
+    assert pick(come(brain, 500, 2 * S, 7), Reject) == [Reject(500, 0, "servers full")]
     listed(brain, 2 * S, s2=[5])
-    assert pick(come(brain, 501, 2 * S, 1), api.Reject)[0].why == "servers full"
+    assert pick(come(brain, 501, 2 * S, 1), Reject)[0].reason == "servers full"
     assert {
-        a.srv for n in range(3) for a in pick(come(brain, 510 + n, 2 * S, 2), api.SendAttempt)
+        a.endpoint_id for n in range(3) for a in pick(come(brain, 510 + n, 2 * S, 2), SendAttempt)
     } == {5}
 
 
 def test_the_window_follows_servers_that_come_one_by_one() -> None:
     brain = DecisionEngine(settings(limiters=2, **GATEWAY), 1, 0)
     for n in range(6):
-        brain.handle(0, api.EndpointsUpdated((replace(entry(n), service=1),), False))
+        brain.handle(0, EndpointsUpdated((replace(entry(n), service=1),), False))
     assert brain.desk.fleets[1].window == pytest.approx(7 * 6 / 2)
     brain.handle(
-        0, api.EndpointsUpdated((replace(entry(0, EndpointState.DRAINING), service=1),), False)
+        0, EndpointsUpdated((replace(entry(0, EndpointState.DRAINING), service=1),), False)
     )
-    brain.handle(0, api.SettingsChanged(replace(brain.loop.settings, limiters=4)))
+    brain.handle(0, SettingsChanged(replace(brain.loop.settings, limiter_count=4)))
     assert brain.desk.fleets[1].window == pytest.approx(7 * 5 / 4)
 
 
 def test_a_frontend_and_a_plan_that_come_at_run_time() -> None:
     brain = alone(servers=4, limiters=1)
     for n in range(8):  # what is known of servers stays: one fails
-        for act in pick(come(brain, n, 10 * n, front=1), api.SendAttempt):
-            how = Outcome.SERVER_ERROR if act.srv == 0 else Outcome.PASSED
-            brain.handle(10 * n + 5, api.AttemptEnded(n, 0, act.srv, how, 5, True, 0, 0.0))
+        for act in pick(come(brain, n, 10 * n, front=1), SendAttempt):
+            how = Outcome.SERVER_ERROR if act.endpoint_id == 0 else Outcome.SUCCEEDED
+            brain.handle(10 * n + 5, AttemptEnded(n, 0, act.endpoint_id, how, 5, True, 0, 0.0))
     servers = brain.desk.fleets[0].servers.values()
     before = [v.aside(1) for v in servers]
-    more = replace(frontend(), tries=1)
+    more = replace(frontend(), attempt_limit=1)
     told = replace(
         settings(limiters=1), frontends=(*FRONTENDS, more), plans=(*PLANS, plan(1.0, 2.0))
     )
-    assert brain.handle(S, api.SettingsChanged(told)) == []
+    assert brain.handle(S, SettingsChanged(told)) == []
     assert [v.aside(1) for v in servers] == before
     note = replace(arrival(20, S, plan=len(PLANS), customer=5), frontend=len(FRONTENDS))
-    srv = pick(brain.handle(S, note), api.SendAttempt)[0].srv
-    got = brain.handle(S + 5, api.AttemptEnded(20, 0, srv, Outcome.TURNED_AWAY, 5, False, 0, 0.0))
-    assert pick(got, api.Reject)[0].why == "given up"  # the route's own number of dispatches
-    assert pick(brain.handle(S + 6, replace(note, req=21)), api.SendAttempt)
+    srv = pick(brain.handle(S, note), SendAttempt)[0].endpoint_id
+    got = brain.handle(S + 5, AttemptEnded(20, 0, srv, Outcome.REJECTED, 5, False, 0, 0.0))
+    assert pick(got, Reject)[0].reason == "given up"  # the route's own number of dispatches
+    assert pick(brain.handle(S + 6, replace(note, request_id=21)), SendAttempt)
     # its burst
-    assert pick(brain.handle(S + 6, replace(note, req=22)), api.Reject)[0].why == "old total"
+    assert pick(brain.handle(S + 6, replace(note, request_id=22)), Reject)[0].reason == "old total"
 
 
 def test_a_quota_lowered_under_load_keeps_what_was_spent() -> None:
@@ -103,10 +112,12 @@
     passed = [0] * 10
     for n, now in enumerate(range(0, 10 * S, 20)):  # 500 a second
         if n == 1000:
-            brain.handle(now, api.SettingsChanged(replace(told, plans=(plan(10.0, 20.0),))))
-        for act in pick(come(brain, n, now, plan=0), api.SendAttempt):
+            brain.handle(now, SettingsChanged(replace(told, plans=(plan(10.0, 20.0),))))
+        for act in pick(come(brain, n, now, plan=0), SendAttempt):
             passed[now // S] += 1
-            brain.handle(now, api.AttemptEnded(n, 0, act.srv, Outcome.PASSED, 5, True, 0, 0.0))
+            brain.handle(
+                now, AttemptEnded(n, 0, act.endpoint_id, Outcome.SUCCEEDED, 5, True, 0, 0.0)
+            )
     assert 150 <= sum(passed[:2]) <= 2 * 100 + 50
     assert passed[2] <= 10 and sum(passed[2:]) <= 80  # no new burst
     assert min(passed[6:]) >= 8  # the new rate
@@ -123,25 +134,31 @@
     for ever.
     """
     rng, told = Random(1), settings(limiters=many, plans=(plan(rate, burst),), **GATEWAY)
-    brains = [DecisionEngine(replace(told, me=n), n, 0) for n in range(many)]
+    brains = [DecisionEngine(replace(told, limiter_index=n), n, 0) for n in range(many)]
     for brain in brains:
         listed(brain, 0, s0=[*range(60)])
     counts, due, times, now, silent = Counter(), [], [], 0, 12 * S
 
-    def carry(n: int, acts: list[api.Action]) -> None:
+    def carry(n: int, acts: list[Action]) -> None:
         for act in acts:
-            if isinstance(act, api.SendAttempt):
+            if isinstance(act, SendAttempt):
                 times.append(now)
-                done = api.AttemptEnded(act.req, 0, act.srv, Outcome.PASSED, 9, True, 0, 0.0)
+                done = AttemptEnded(
+                    act.request_id, 0, act.endpoint_id, Outcome.SUCCEEDED, 9, True, 0, 0.0
+                )
                 carry(n, brains[n].handle(now, done))
-            elif isinstance(act, api.IncrementCounter):
-                counts[act.name] += act.step if now < silent else 0.0
-                got, after = (Outcome.PASSED, 20) if now < silent else (Outcome.NO_ANSWER, 500)
+            elif isinstance(act, IncrementCounter):
+                counts[act.counter_name] += act.amount if now < silent else 0.0
+                got, after = (Outcome.SUCCEEDED, 20) if now < silent else (Outcome.NO_RESPONSE, 500)
                 due.append(
-                    (now + after, n, api.CounterReplied(act.name, got, counts[act.name], after))
+                    (
+                        now + after,
+                        n,
+                        CounterReplied(act.counter_name, got, counts[act.counter_name], after),
+                    )
                 )
-            elif isinstance(act, api.SetTimer):
-                due.append((now + act.after, n, api.TimerFired(act.tag)))
+            elif isinstance(act, SetTimer):
+                due.append((now + act.delay, n, TimerFired(act.tag)))
 
     for req in range(int(5 * rate * 25)):
         now = int(req * S / (5 * rate))
@@ -168,16 +185,16 @@
     for me in range(75):
         hall = me * 4 // 75
         brain = DecisionEngine(
-            settings(me=me, limiters=75, hall=hall, homes=homes, **GATEWAY), me, 0
+            settings(me=me, limiters=75, zone=hall, local_zone_share=homes, **GATEWAY), me, 0
         )
         brain.handle(
-            0, api.EndpointsUpdated(tuple(entry(n, hall=h) for n, h in enumerate(halls)), True)
+            0, EndpointsUpdated(tuple(entry(n, hall=h) for n, h in enumerate(halls)), True)
         )
         come(brain, 1, 0)
         near = brain.desk.fleets[0].near[0]
         assert len({v.srv for v in near}) == 6
-        kept.append(sum(v.entry.hall == hall for v in near))
-        users.update(v.srv for v in near if v.entry.hall == hall or not homes)
+        kept.append(sum(v.entry.zone == hall for v in near))
+        users.update(v.srv for v in near if v.entry.zone == hall or not homes)
     assert min(kept) == max(kept) == round(6 * homes) if homes else sum(kept) < 0.5 * 6 * 75
     for hall in range(4):
         by_server = [users[n] for n, h in enumerate(halls) if h == hall]
@@ -186,18 +203,18 @@
 
 def test_where_the_own_zones_servers_fail_others_take_their_place() -> None:
     halls = [0] * 6 + [1] * 6
-    brain = DecisionEngine(settings(limiters=20, homes=0.8, far=2.0, **GATEWAY), 1, 0)
-    brain.handle(
-        0, api.EndpointsUpdated(tuple(entry(n, hall=h) for n, h in enumerate(halls)), True)
+    brain = DecisionEngine(
+        settings(limiters=20, local_zone_share=0.8, remote_zone_cost=2.0, **GATEWAY), 1, 0
     )
+    brain.handle(0, EndpointsUpdated(tuple(entry(n, hall=h) for n, h in enumerate(halls)), True))
     passed = Counter()
     for req in range(400):
         acts, tries = come(brain, req, req * S // 50), 0
-        while sent := pick(acts, api.SendAttempt):
-            lost = sent[0].srv < 6
-            passed[sent[0].srv] += not lost
-            got = Outcome.NO_CONNECTION if lost else Outcome.PASSED
-            done = api.AttemptEnded(req, tries, sent[0].srv, got, 9, not lost, 0, 0.0)
+        while sent := pick(acts, SendAttempt):
+            lost = sent[0].endpoint_id < 6
+            passed[sent[0].endpoint_id] += not lost
+            got = Outcome.CONNECT_FAILED if lost else Outcome.SUCCEEDED
+            done = AttemptEnded(req, tries, sent[0].endpoint_id, got, 9, not lost, 0, 0.0)
             acts, tries = brain.handle(req * S // 50 + 9, done), tries + 1
     assert sum(passed.values()) > 370
 
@@ -209,16 +226,16 @@
     def rounds(req: int, service: int, how: Outcome) -> int:
         """How many dispatches a req gets whose every dispatch ends like this."""
         acts, n = come(brain, req, 10, service), 0
-        while sent := pick(acts, api.SendAttempt):
+        while sent := pick(acts, SendAttempt):
             acts, n = (
-                brain.handle(20, api.AttemptEnded(req, n, sent[0].srv, how, 5, False, 0, 0.0)),
+                brain.handle(20, AttemptEnded(req, n, sent[0].endpoint_id, how, 5, False, 0, 0.0)),
                 n + 1,
             )
         return n
 
-    assert [rounds(n, 1, Outcome.NO_CONNECTION) for n in range(5)] == [4] * 5  # costs nothing
+    assert [rounds(n, 1, Outcome.CONNECT_FAILED) for n in range(5)] == [4] * 5  # costs nothing
     assert brain.desk.fleets[1].spare == pytest.approx(3.0 + 5 * 0.12)
-    assert [rounds(10 + n, 1, Outcome.TURNED_AWAY) for n in range(3)] == [4, 1, 1]
-    assert rounds(20, 1, Outcome.NO_CONNECTION) == 4
-    assert rounds(21, 2, Outcome.NO_ANSWER) == 4  # the other's own budget
-    assert rounds(22, 2, Outcome.NO_ANSWER) == 1
+    assert [rounds(10 + n, 1, Outcome.REJECTED) for n in range(3)] == [4, 1, 1]
+    assert rounds(20, 1, Outcome.CONNECT_FAILED) == 4
+    assert rounds(21, 2, Outcome.NO_RESPONSE) == 4  # the other's own budget
+    assert rounds(22, 2, Outcome.NO_RESPONSE) == 1
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from loomstand.admission.interface import IncrementCounter, Outcome
+from loomstand.admission.actions import IncrementCounter
+from loomstand.admission.outcome import Outcome
 from loomstand.store.counting_lease import CountingLease
 from loomstand.store.replica import LEASE
 from loomstand.testing.simulation.cluster import Cluster
@@ -293,8 +294,8 @@
     town.do(add(10.0, 20.0))
     town.do(day())
     late, whole = (
-        (Outcome.NO_ANSWER, 0.0),
-        [(Outcome.PASSED, t) for t in (10.0, 30.0, 32.0, 38.0, 38.0)],
+        (Outcome.NO_RESPONSE, 0.0),
+        [(Outcome.SUCCEEDED, t) for t in (10.0, 30.0, 32.0, 38.0, 38.0)],
     )
     assert heard == [*whole[:2], late, late, whole[2], late, late, late, *whole[3:]]
     town.close()
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -24,9 +24,31 @@
 import pytest
 from helpers import PLANS
 
-from loomstand.admission import interface as api
+from loomstand.admission.actions import (
+    Abort,
+    CancelAttempt,
+    CheckHealth,
+    IncrementCounter,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    SetTimer,
+)
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.interface import EndpointState, Outcome
+from loomstand.admission.endpoints import EndpointState
+from loomstand.admission.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReplied,
+    EndpointsUpdated,
+    HealthCheckFinished,
+    ResponseStarted,
+    SettingsChanged,
+    TenantTotalUpdated,
+    TimerFired,
+)
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.config import limiter as config
 from loomstand.limiter.limiter import Limiter
 from loomstand.membership import messages
@@ -39,16 +61,16 @@
 from loomstand.testing.simulation.streams import Cables, End, Streams
 
 HERE = Path(__file__).resolve().parent / "golden"
-S = api.TICKS_PER_SECOND
+S = TICKS_PER_SECOND
 ACTIONS = {
-    api.SendAttempt: "dispatch",
-    api.Reject: "deny",
-    api.Abort: "abort",
-    api.CancelAttempt: "call off",
-    api.SetTimer: "wake",
-    api.IncrementCounter: "count",
-    api.CheckHealth: "probe",
-    api.LogMessage: "log",
+    SendAttempt: "dispatch",
+    Reject: "deny",
+    Abort: "abort",
+    CancelAttempt: "call off",
+    SetTimer: "wake",
+    IncrementCounter: "count",
+    CheckHealth: "probe",
+    LogMessage: "log",
 }
 
 
@@ -421,16 +443,16 @@
         ).encode()
     )
     inst = adapter.Instance(start, 0)
-    inst.servers.at("s0")
+    inst.servers.index_of("s0")
     acts = [
-        api.SendAttempt(7, 0, 12_345),
-        api.Reject(7, 250, "full"),
-        api.Abort(7),
-        api.CancelAttempt(7, 1),
-        api.SetTimer(305, 2),
-        api.IncrementCounter(9, 1.5, 7000),
-        api.CheckHealth(0),
-        api.LogMessage("a line"),
+        SendAttempt(7, 0, 12_345),
+        Reject(7, 250, "full"),
+        Abort(7),
+        CancelAttempt(7, 1),
+        SetTimer(305, 2),
+        IncrementCounter(9, 1.5, 7000),
+        CheckHealth(0),
+        LogMessage("a line"),
     ]
     lines = {ACTIONS[type(act)]: text(msgspec.json.encode(inst.line(3, act))) for act in acts}
 
@@ -583,25 +605,27 @@
     if services > 1:
         told = helpers.settings(
             0,
-            trust=1.5,
-            fresh=0.5,
-            spare_share=0.12,
-            spare_most=4.0,
-            turned_price=1.0,
-            unsent_price=0.0,
-            window_follows=True,
-            patient=True,
-            homes=0.5,
-            retry_after=True,
+            total_trust_intervals=1.5,
+            initial_burst_share=0.5,
+            retry_budget_ratio=0.12,
+            retry_budget_max=4.0,
+            rejected_retry_cost=1.0,
+            unsent_retry_cost=0.0,
+            window_follows_endpoints=True,
+            retries_until_deadline=True,
+            local_zone_share=0.5,
+            sends_retry_after=True,
             max_retry_after=20_000,
         )
-    brains = [DecisionEngine(dataclasses.replace(told, me=n), n + seed, now) for n in range(3)]
+    brains = [
+        DecisionEngine(dataclasses.replace(told, limiter_index=n), n + seed, now) for n in range(3)
+    ]
     entries = {
         n: dataclasses.replace(helpers.entry(n, hall=n % 2), service=n % services)
         for n in range(6 * services)
     }
     counts: dict[int, float] = {}
-    calls: list[tuple[int, api.IncrementCounter]] = []
+    calls: list[tuple[int, IncrementCounter]] = []
     timers: list[tuple[int, int, int, int]] = []
     open_: dict[int, int] = {}
     sent: dict[int, int] = {}
@@ -617,40 +641,40 @@
             tally[values[0]] = tally.get(values[0], 0) + 1
             sum_.update(repr((n, now, values)).encode())
             match act:
-                case api.SendAttempt():
-                    number = sent[act.req] = sent.get(act.req, -1) + 1
-                    out.append((n, act.req, number, act.srv, now, act.expire))
-                case api.Reject() | api.Abort():
-                    open_.pop(act.req, None)
-                case api.SetTimer():
+                case SendAttempt():
+                    number = sent[act.request_id] = sent.get(act.request_id, -1) + 1
+                    out.append((n, act.request_id, number, act.endpoint_id, now, act.expires_at))
+                case Reject() | Abort():
+                    open_.pop(act.request_id, None)
+                case SetTimer():
                     made += 1
-                    timers.append((now + act.after, made, n, act.tag))
-                case api.IncrementCounter():
+                    timers.append((now + act.delay, made, n, act.tag))
+                case IncrementCounter():
                     calls.append((n, act))
 
     def finish(at: int, how: Outcome) -> None:
         n, id_, number, srv, since, _ = out.pop(at)
-        final = how is Outcome.PASSED or id_ not in open_
+        final = how is Outcome.SUCCEEDED or id_ not in open_
         if final:
             open_.pop(id_, None)
-        give(n, api.AttemptEnded(id_, number, srv, how, now - since, final, 0, 0.0))
+        give(n, AttemptEnded(id_, number, srv, how, now - since, final, 0, 0.0))
 
     for n in range(3):
-        give(n, api.EndpointsUpdated(tuple(entries.values()), True))
+        give(n, EndpointsUpdated(tuple(entries.values()), True))
     bad = [
         Outcome.SERVER_ERROR,
-        Outcome.TURNED_AWAY,
-        Outcome.NO_CONNECTION,
+        Outcome.REJECTED,
+        Outcome.CONNECT_FAILED,
         Outcome.CONNECTION_LOST,
         Outcome.NOT_SENT,
-        Outcome.CALLED_OFF,
+        Outcome.CANCELLED,
     ]
     for step in range(events):
         for due in sorted(t for t in timers if t[0] <= now):
             timers.remove(due)
-            give(due[2], api.TimerFired(due[3]))
+            give(due[2], TimerFired(due[3]))
         for at in reversed([k for k, o in enumerate(out) if o[5] <= now]):
-            finish(at, Outcome.NO_ANSWER)
+            finish(at, Outcome.NO_RESPONSE)
         what, n = rng.random(), rng.randrange(3)
         if what < 0.42:
             req += 1
@@ -658,26 +682,29 @@
             plan = rng.randrange(len(PLANS))
             note = helpers.arrival(req, now, rng.randrange(4), plan, 10 * plan + rng.randrange(4))
             note = dataclasses.replace(
-                note, service=rng.randrange(services), first=rng.randrange(3)
+                note, service=rng.randrange(services), limiter_set_start=rng.randrange(3)
             )
             give(n, note)
         elif what < 0.72:
             if out:
                 trouble = rng.random() < (0.5 if step % 4000 > 3000 else 0.05)
-                finish(rng.randrange(len(out)), rng.choice(bad) if trouble else Outcome.PASSED)
+                finish(rng.randrange(len(out)), rng.choice(bad) if trouble else Outcome.SUCCEEDED)
         elif what < 0.82:
             if calls:
                 n, call = calls.pop(rng.randrange(len(calls)))
-                how = rng.choice([Outcome.PASSED] * 6 + [Outcome.NO_ANSWER, Outcome.TURNED_AWAY])
-                if how is not Outcome.TURNED_AWAY:
-                    counts[call.name] = counts.get(call.name, 0.0) + call.step
-                give(n, api.CounterReplied(call.name, how, counts.get(call.name, 0.0), 30))
+                how = rng.choice([Outcome.SUCCEEDED] * 6 + [Outcome.NO_RESPONSE, Outcome.REJECTED])
+                if how is not Outcome.REJECTED:
+                    counts[call.counter_name] = counts.get(call.counter_name, 0.0) + call.amount
+                give(
+                    n,
+                    CounterReplied(call.counter_name, how, counts.get(call.counter_name, 0.0), 30),
+                )
         elif what < 0.97:
             now += rng.choice([3, 20, 100, 400, 900])
         elif what < 0.98:
             if open_:
                 gone = rng.choice(list(open_))
-                give(open_.pop(gone), api.ClientDisconnected(gone))
+                give(open_.pop(gone), ClientDisconnected(gone))
         elif what < 0.985:
             srv = rng.randrange(len(entries))
             phase = rng.choice(
@@ -687,25 +714,21 @@
             made_new = helpers.entry(srv, phase, booted, srv % 2)
             entries[srv] = dataclasses.replace(made_new, service=srv % services)
             for to in range(3):
-                give(to, api.EndpointsUpdated((entries[srv],), False))
+                give(to, EndpointsUpdated((entries[srv],), False))
         elif what < 0.987:
-            give(n, api.EndpointsUpdated(tuple(entries.values()), True))
+            give(n, EndpointsUpdated(tuple(entries.values()), True))
         elif what < 0.989 and out:
-            give(out[0][0], api.ResponseStarted(out[0][1], out[0][2]))
+            give(out[0][0], ResponseStarted(out[0][1], out[0][2]))
         elif what < 0.991:
-            give(
-                n, api.HealthCheckFinished(rng.randrange(len(entries)), rng.choice([*Outcome]), 40)
-            )
+            give(n, HealthCheckFinished(rng.randrange(len(entries)), rng.choice([*Outcome]), 40))
         elif what < 0.994 and counts:
             name = rng.choice(list(counts))
-            give(
-                n, api.TenantTotalUpdated(name, counts[name] + 2.0, 0, rng.randrange(4), 1000, 3, 0)
-            )
+            give(n, TenantTotalUpdated(name, counts[name] + 2.0, 0, rng.randrange(4), 1000, 3, 0))
         elif what < 0.996:
             limiters = rng.choice([3, 3, 4])
-            told = dataclasses.replace(told, limiters=limiters, shift=rng.randrange(50))
+            told = dataclasses.replace(told, limiter_count=limiters, clock_offset=rng.randrange(50))
             for to in range(3):
-                give(to, api.SettingsChanged(dataclasses.replace(told, me=to)))
+                give(to, SettingsChanged(dataclasses.replace(told, limiter_index=to)))
         if step % (events // 5) == events // 5 - 1:
             marks.append(sum_.hexdigest()[:16])
     return {"actions": dict(sorted(tally.items())), "digests": marks, "whole": sum_.hexdigest()}
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,7 +9,8 @@
 import pytest
 from click.testing import CliRunner
 
-from loomstand.admission import interface as api
+from loomstand.admission.actions import Abort, Reject, SendAttempt
+from loomstand.admission.events import AttemptEnded, EndpointsUpdated, RequestArrived
 from loomstand.cli.main import main
 from loomstand.testing.emulator import runner
 from loomstand.testing.emulator import scenario as sc
@@ -42,11 +43,11 @@
     """Rule 1: every third req is never answered, every fifth answered twice."""
 
     def handle(self, now, note):
-        if isinstance(note, api.RequestArrived):
-            if note.req % 3 == 0:
+        if isinstance(note, RequestArrived):
+            if note.request_id % 3 == 0:
                 return []
-            if note.req % 5 == 0:
-                return [api.Reject(note.req), api.Reject(note.req)]
+            if note.request_id % 5 == 0:
+                return [Reject(note.request_id), Reject(note.request_id)]
         return super().handle(now, note)
 
 
@@ -54,12 +55,12 @@
     """Rule 2: a non-replayable req is sent again after its first dispatch ran."""
 
     def handle(self, now, note):
-        if isinstance(note, api.RequestArrived):
-            return [api.SendAttempt(note.req, self.live[0], note.give_up)]
-        if isinstance(note, api.AttemptEnded) and note.dispatch == 0:
-            return [api.SendAttempt(note.req, self.live[1], now + 10_000)]
-        if isinstance(note, api.AttemptEnded):
-            return [] if note.final else [api.Abort(note.req)]
+        if isinstance(note, RequestArrived):
+            return [SendAttempt(note.request_id, self.live[0], note.deadline)]
+        if isinstance(note, AttemptEnded) and note.attempt == 0:
+            return [SendAttempt(note.request_id, self.live[1], now + 10_000)]
+        if isinstance(note, AttemptEnded):
+            return [] if note.is_final else [Abort(note.request_id)]
         return super().handle(now, note)
 
 
@@ -69,7 +70,7 @@
     """
 
     def handle(self, now, note):
-        if isinstance(note, api.EndpointsUpdated) and self.live:
+        if isinstance(note, EndpointsUpdated) and self.live:
             return []
         return super().handle(now, note)
 
@@ -78,8 +79,8 @@
     """Rule 4: everything to server 0, however cold."""
 
     def handle(self, now, note):
-        if isinstance(note, api.RequestArrived):
-            return [api.SendAttempt(note.req, 0, note.give_up)]
+        if isinstance(note, RequestArrived):
+            return [SendAttempt(note.request_id, 0, note.deadline)]
         return super().handle(now, note)
 
 
@@ -87,8 +88,12 @@
     """Rule 5: no quota at all."""
 
     def handle(self, now, note):
-        if isinstance(note, api.RequestArrived):
-            return [api.SendAttempt(note.req, self.live[note.req % len(self.live)], note.give_up)]
+        if isinstance(note, RequestArrived):
+            return [
+                SendAttempt(
+                    note.request_id, self.live[note.request_id % len(self.live)], note.deadline
+                )
+            ]
         return super().handle(now, note)
 
 
@@ -102,7 +107,7 @@
 
 class Raising(Naive):
     def handle(self, now, note):
-        if isinstance(note, api.RequestArrived) and note.req == 4:
+        if isinstance(note, RequestArrived) and note.request_id == 4:
             raise KeyError("made to fail")
         return super().handle(now, note)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -36,7 +36,8 @@
     until,
 )
 
-from loomstand.admission.interface import IncrementCounter, Outcome
+from loomstand.admission.actions import IncrementCounter
+from loomstand.admission.outcome import Outcome
 from loomstand.limiter.buffers import FIRST, Ring
 from loomstand.limiter.discovery import Watch
 from loomstand.limiter.endings import Ending
@@ -205,7 +206,7 @@
         assert (await caller.ask(request(id_="r2")))[0] == 200 and site.servers[0].connections == 2
         site.tell(revision=6, complete=False, members=[old | {"phase": "left"}])
         # nothing is kept of the other
-        await until(lambda: list(site.limiter.servers.index) == ["s9"])
+        await until(lambda: list(site.limiter.servers.indices) == ["s9"])
         assert list(site.limiter.pool.links) == [
             v for vs in site.limiter.pool.idle.values() for v in vs
         ]
@@ -363,7 +364,7 @@
     async with Site(known=known) as site, Caller(site.port) as caller:
         seen = outcomes(site)
         assert (await caller.ask(request("book", body=b"x" * 60_000)))[0] == 429
-        assert set(seen) == {Outcome.TURNED_AWAY}
+        assert set(seen) == {Outcome.REJECTED}
     server.close()
 
 
@@ -492,11 +493,11 @@
         for n in range(3):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
         await until(lambda: len(got) == 3)
-        assert [g[1] for g in got] == [Outcome.NO_ANSWER] * 3  # the first held up the others
+        assert [g[1] for g in got] == [Outcome.NO_RESPONSE] * 3  # the first held up the others
         await asyncio.sleep(0.25)
         site.limiter.counter.call(IncrementCounter(7, 2.5, 10_000))
         await until(lambda: len(got) == 4)
-        assert got[3] == (7, Outcome.PASSED, 103.0) and site.counter.connections == 1
+        assert got[3] == (7, Outcome.SUCCEEDED, 103.0) and site.counter.connections == 1
         assert site.counter.heads[3].startswith(b"POST /counters/7?by=2.5&expire_ms=1000 ")
 
 
@@ -511,8 +512,8 @@
         for n in range(2):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
             await until(lambda: len(got) == n + 1)  # noqa: B023
-        first = (Outcome.PASSED, 3.0) if b"noise" in spoilt else (Outcome.NO_ANSWER, 0.0)
-        assert got == [first, (Outcome.PASSED, 4.0)] and site.counter.connections == 2
+        first = (Outcome.SUCCEEDED, 3.0) if b"noise" in spoilt else (Outcome.NO_RESPONSE, 0.0)
+        assert got == [first, (Outcome.SUCCEEDED, 4.0)] and site.counter.connections == 2
 
 
 @sockets
@@ -524,7 +525,7 @@
         for n in range(2):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
             await until(lambda: len(got) == n + 1)  # noqa: B023
-        assert got == [(Outcome.NO_ANSWER, 0.0), (Outcome.PASSED, 4.0)]
+        assert got == [(Outcome.NO_RESPONSE, 0.0), (Outcome.SUCCEEDED, 4.0)]
 
 
 @sockets
@@ -538,7 +539,7 @@
         await site.counter.server.wait_closed()
         site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: len(got) == 2)
-        assert got == [Outcome.NO_ANSWER, Outcome.NO_CONNECTION]
+        assert got == [Outcome.NO_RESPONSE, Outcome.CONNECT_FAILED]
 
 
 @sockets
@@ -550,7 +551,7 @@
         for n in range(30):
             counter.call(IncrementCounter(n, 1.0, 10_000))
             await asyncio.sleep(0.02)
-        assert set(got) == {Outcome.NO_ANSWER} and 2 <= site.counter.connections <= 6
+        assert set(got) == {Outcome.NO_RESPONSE} and 2 <= site.counter.connections <= 6
 
 
 @sockets
@@ -573,7 +574,7 @@
         limiter.counter.call(IncrementCounter(2, 1.0, 10_000))
         await until(lambda: len(got) >= 2 and agent.heads and not site.discovery.open)
         await until(lambda: not site.counter.open)
-        assert sorted(got) == [(1, Outcome.PASSED, 7.0), (2, Outcome.PASSED, 7.0)]
+        assert sorted(got) == [(1, Outcome.SUCCEEDED, 7.0), (2, Outcome.SUCCEEDED, 7.0)]
         assert (len(site.counter.heads), len(keeper.heads)) == (1, 1)
         assert (await caller.answer())[0] == 200
         assert len(agent.heads) == 1 and b"index=4 " in agent.heads[0]
@@ -590,7 +591,7 @@
         other = Peer(site.counter.play)
         site.limiter.counter.move((HOST, await other.start()))
         await until(lambda: got)
-        assert got == [Outcome.PASSED] and len(other.heads) == 1 and not site.counter.heads
+        assert got == [Outcome.SUCCEEDED] and len(other.heads) == 1 and not site.counter.heads
         other.stop()
 
 
@@ -611,7 +612,7 @@
         await until(lambda: discovery.open)
         site.tell(revision=7, complete=True, members=[site.members[0]])
         await until(
-            lambda: list(limiter.servers.index) == ["s0"] and len(limiter.pool.addresses) == 1
+            lambda: list(limiter.servers.indices) == ["s0"] and len(limiter.pool.addresses) == 1
         )
 
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -9,7 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loomstand.admission.interface import Effect, Outcome
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.settings import Effect
 from loomstand.config.limiter import ConfigError, parse
 from loomstand.config.limiter import settings as translated
 from loomstand.limiter.buffers import FIRST, Ring, Room
@@ -192,18 +193,18 @@
 
 @pytest.mark.parametrize("ending", list(Ending))
 def test_only_what_was_not_written_is_proven_not_run(ending):
-    proven = {Outcome.NO_CONNECTION, Outcome.NOT_SENT, Outcome.TURNED_AWAY}
+    proven = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.REJECTED}
     assert outcome(ending, False) in proven and outcome(ending, True) not in proven
     # trouble of our own is not held against a server
     assert (outcome(ending, False) is Outcome.NOT_SENT) == (ending in KEPT_HERE)
     # a call that was written may have been added, however it ended
-    assert call_outcome(ending, True) is Outcome.NO_ANSWER
-    assert call_outcome(ending, False) is Outcome.NO_CONNECTION
+    assert call_outcome(ending, True) is Outcome.NO_RESPONSE
+    assert call_outcome(ending, False) is Outcome.CONNECT_FAILED
 
 
 def test_only_a_marked_503_or_504_was_turned_away():
-    assert answered(503, True) is answered(504, True) is Outcome.TURNED_AWAY
-    assert answered(200, True) is Outcome.PASSED
+    assert answered(503, True) is answered(504, True) is Outcome.REJECTED
+    assert answered(200, True) is Outcome.SUCCEEDED
     assert {answered(s, n) for s, n in ((503, False), (500, True), (404, False))} == {
         Outcome.SERVER_ERROR
     }
@@ -241,8 +242,8 @@
     read = parse(raw, {"PROXY_NAME": "n7", "PROXY_LISTEN": "127.0.0.2:80"})
     assert (read.name, read.listen, read.discovery) == ("n7", ("127.0.0.2", 80), (HOST, 8500))
     told = translated(read.conf, 0)
-    assert [f.effect for f in told.frontends] == [Effect.REPLAYABLE, Effect.NON_REPLAYABLE]
-    assert (told.count_timeout, told.drain_grace, told.frontends[0].client_timeout) == (
+    assert [f.effect for f in told.frontends] == [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT]
+    assert (told.counter_timeout, told.drain_grace_period, told.frontends[0].client_timeout) == (
         1000,
         5000,
         15000,
