--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -9,30 +9,33 @@
 import pytest
 from helpers import PLANS, S, alone, arrival, entry, pick, settings
 
-from loomstand.admission import interface as api
+from loomstand.admission.actions import Abort, IncrementCounter, Reject, SendAttempt, SetTimer
 from loomstand.admission.actors import ActorLoop
 from loomstand.admission.counter_client import CounterClient
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.interface import EndpointState, Outcome
+from loomstand.admission.endpoints import EndpointState
+from loomstand.admission.events import AttemptEnded, CounterReplied, EndpointsUpdated, TimerFired
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.settings import QuotaPlan
 from loomstand.admission.tenant_limiter import TenantLimiter
 
 
 def account(rate: float, burst: float, sets: int = 1, has_counter: bool = False) -> TenantLimiter:
     loop = ActorLoop(settings(has_counter=has_counter), 1, 0)
-    plan = api.QuotaPlan(rate, burst, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+    plan = QuotaPlan(rate, burst, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
     return TenantLimiter(loop, CounterClient(loop), arrival(1, 0, sets=sets), plan)
 
 
 def let_in(brain: DecisionEngine, now: int, many: int, first: int) -> int:
     return sum(
-        len(pick(brain.handle(now, arrival(first + n, now, sets=1)), api.SendAttempt))
+        len(pick(brain.handle(now, arrival(first + n, now, sets=1)), SendAttempt))
         for n in range(many)
     )
 
 
 def test_the_sources_example_500_a_second_with_a_burst_of_ten() -> None:
     """11, then 1 of 2, none asked, 2 of 2, none asked: the count is 10, 10, 9, 10, 9."""
-    plan = api.QuotaPlan(500.0, 11.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+    plan = QuotaPlan(500.0, 11.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
     brain = alone(servers=40, plans=(PLANS[0], PLANS[0], plan), has_counter=False)
     zone = 20  # 2 ms
     got = [let_in(brain, n * zone, many, 100 * n + 1) for n, many in enumerate([12, 2, 0, 2, 0])]
@@ -67,9 +70,9 @@
 def test_a_counter_that_forgot_does_not_swell_a_part() -> None:
     acct = account(2.0, 4.0, sets=3, has_counter=True)
     acct.own = 3.0
-    acct.counted(acct.k, 3.0, api.CounterReplied(1, Outcome.PASSED, 9.0, 10))
+    acct.counted(acct.k, 3.0, CounterReplied(1, Outcome.SUCCEEDED, 9.0, 10))
     full = acct.whole
-    acct.counted(acct.k, 0.0, api.CounterReplied(1, Outcome.PASSED, 1.0, 10))
+    acct.counted(acct.k, 0.0, CounterReplied(1, Outcome.SUCCEEDED, 1.0, 10))
     assert acct.forgot
     assert acct.whole == full
 
@@ -81,10 +84,10 @@
     acct = account(2.0, 4.0, has_counter=True)
     keeper = acct.keeper
     before = keeper.pace
-    for n, how in enumerate([Outcome.NO_ANSWER, Outcome.PASSED, Outcome.NO_ANSWER]):
+    for n, how in enumerate([Outcome.NO_RESPONSE, Outcome.SUCCEEDED, Outcome.NO_RESPONSE]):
         acct.loop.now = (n + 1) * 1000
         keeper.call(acct, acct.k, 0.0)
-        keeper.counted(api.CounterReplied(acct.digest << 15 | acct.k, how, 0.0, 400))
+        keeper.counted(CounterReplied(acct.digest << 15 | acct.k, how, 0.0, 400))
     assert keeper.failed < 4
     assert keeper.pace < before
 
@@ -94,7 +97,7 @@
     burst.
     """
     acct = account(2.0, 6.0, sets=3, has_counter=True)
-    acct.loop.settings = replace(acct.loop.settings, meter_period=S)
+    acct.loop.settings = replace(acct.loop.settings, metering_period=S)
     acct.loop.now, acct.keeper.failed = 100 * S, 4
     acct.metered(30)
     for _ in range(4):
@@ -109,10 +112,12 @@
     brain = alone(servers=1)
     brain.desk.fleets[0].window, now, took = 6.0, 0, int(0.9 * S)
     for req in range(40):
-        sent = pick(brain.handle(now, arrival(req, now)), api.SendAttempt)
+        sent = pick(brain.handle(now, arrival(req, now)), SendAttempt)
         now += took
         for act in sent:
-            brain.handle(now, api.AttemptEnded(act.req, 0, 0, Outcome.PASSED, took, True, 0, 0.0))
+            brain.handle(
+                now, AttemptEnded(act.request_id, 0, 0, Outcome.SUCCEEDED, took, True, 0, 0.0)
+            )
         # five a server by all three limiters
         if brain.desk.fleets[0].window == pytest.approx(5 / 3):
             return
@@ -133,9 +138,12 @@
         for due, act, took in [o for o in out if o[0] <= now]:
             out.remove((due, act, took))
             brain.handle(
-                now, api.AttemptEnded(act.req, 0, act.srv, Outcome.PASSED, took, True, 0, 0.0)
+                now,
+                AttemptEnded(
+                    act.request_id, 0, act.endpoint_id, Outcome.SUCCEEDED, took, True, 0, 0.0
+                ),
             )
-        for act in pick(brain.handle(now, arrival(req, now)), api.SendAttempt):
+        for act in pick(brain.handle(now, arrival(req, now)), SendAttempt):
             wait = max(0.0, len(out) - 20) / 20  # twenty at once without waiting
             took = int(share * S * (rng.uniform(0.9, 1.1) + wait))
             out.append((now + took, act, took))
@@ -147,17 +155,17 @@
 
 def test_a_non_replayable_req_that_may_have_run_is_aborted_not_denied() -> None:
     brain = alone()
-    act = pick(brain.handle(0, arrival(1, 0, front=1)), api.SendAttempt)[0]
+    act = pick(brain.handle(0, arrival(1, 0, front=1)), SendAttempt)[0]
     got = brain.handle(
-        S, api.AttemptEnded(1, 0, act.srv, Outcome.CONNECTION_LOST, S, False, 0, 0.0)
+        S, AttemptEnded(1, 0, act.endpoint_id, Outcome.CONNECTION_LOST, S, False, 0, 0.0)
     )
-    assert pick(got, api.Abort) and not pick(got, api.SendAttempt)
+    assert pick(got, Abort) and not pick(got, SendAttempt)
 
 
 def test_no_server_no_plan_no_rate_still_answers() -> None:
     brain = alone(servers=0)
-    assert pick(brain.handle(5, arrival(1, 5, plan=-1)), api.Reject)
-    strange = api.AttemptEnded(9, 3, 77, Outcome.NO_ANSWER, 5, False, 0, 0.0)
+    assert pick(brain.handle(5, arrival(1, 5, plan=-1)), Reject)
+    strange = AttemptEnded(9, 3, 77, Outcome.NO_RESPONSE, 5, False, 0, 0.0)
     assert brain.handle(6, strange) == []
 
 
@@ -167,16 +175,18 @@
     """
     brain = alone(servers=2)
     now = 100 * S
-    brain.handle(now, api.EndpointsUpdated((entry(2, booted=now),), False))
+    brain.handle(now, EndpointsUpdated((entry(2, booted=now),), False))
     sent = []
     for req in range(200):  # 20 reqs a second for ten seconds, each passed after 100 ms
         now += S // 20
-        for act in pick(brain.handle(now, arrival(req, now)), api.SendAttempt):
-            sent.append((act.srv, now))
+        for act in pick(brain.handle(now, arrival(req, now)), SendAttempt):
+            sent.append((act.endpoint_id, now))
             took = S // 10
             brain.handle(
                 now + took,
-                api.AttemptEnded(act.req, 0, act.srv, Outcome.PASSED, took, True, 0, 0.0),
+                AttemptEnded(
+                    act.request_id, 0, act.endpoint_id, Outcome.SUCCEEDED, took, True, 0, 0.0
+                ),
             )
     first = [t for srv, t in sent if srv == 2 and t <= 102 * S]
     # 0.6 of a peer's ten a second, a little warmer, two seconds
@@ -188,7 +198,7 @@
     """Found by i221f4c: a window under one grew by one over itself on every quick answer."""
     desk = alone(servers=1).desk.fleets[0]
     desk.window = 0.5
-    desk.judge(api.AttemptEnded(2, 0, 0, Outcome.PASSED, 100, True, 0, 0.0), desk.rows[0])
+    desk.judge(AttemptEnded(2, 0, 0, Outcome.SUCCEEDED, 100, True, 0, 0.0), desk.rows[0])
     assert desk.window == pytest.approx(0.55)
 
 
@@ -199,25 +209,25 @@
     plans = (replace(PLANS[2], value_factor=5.0), PLANS[2])
     brain = alone(plans=plans, servers=8)
     brain.desk.fleets[0].best, brain.desk.fleets[0].window = 5.0 / 2000, 10.0
-    sent = [pick(brain.handle(0, arrival(n, 0, plan=0)), api.SendAttempt) for n in range(6)]
+    sent = [pick(brain.handle(0, arrival(n, 0, plan=0)), SendAttempt) for n in range(6)]
     assert all(sent)
     brain.desk.fleets[0].window = 8.0
-    assert not pick(brain.handle(0, arrival(7, 0, plan=1)), api.SendAttempt)
-    assert pick(brain.handle(0, arrival(8, 0, plan=0)), api.SendAttempt)
+    assert not pick(brain.handle(0, arrival(7, 0, plan=1)), SendAttempt)
+    assert pick(brain.handle(0, arrival(8, 0, plan=0)), SendAttempt)
 
 
 def test_a_doubtful_req_goes_before_another_of_the_same_value_as_servers_fill() -> None:
     """Found on the fleet days: half of the usual window denied first reqs of all plans, with quota
     left.
     """
-    sure = api.QuotaPlan(4.0, 8.0, 0, 0.1, 0.2, 0.0, 0.0, 0.0, 0.0)
+    sure = QuotaPlan(4.0, 8.0, 0, 0.1, 0.2, 0.0, 0.0, 0.0, 0.0)
     plans = (replace(sure, rate=0.4, burst=2.0, excess_cost=1.0), sure)
     brain = alone(plans=plans, servers=8)
     brain.desk.fleets[0].best, brain.desk.fleets[0].window = 1.0, 10.0
     for n in range(5):
         brain.desk.fleets[0].flying[1000 + n, 0] = 0
-    assert not pick(brain.handle(0, arrival(1, 0, plan=0, customer=1, sets=38)), api.SendAttempt)
-    assert pick(brain.handle(0, arrival(2, 0, plan=1, customer=2, sets=38)), api.SendAttempt)
+    assert not pick(brain.handle(0, arrival(1, 0, plan=0, customer=1, sets=38)), SendAttempt)
+    assert pick(brain.handle(0, arrival(2, 0, plan=1, customer=2, sets=38)), SendAttempt)
 
 
 def test_calls_of_all_limiters_stay_under_a_counters_capacity() -> None:
@@ -229,9 +239,11 @@
         brain = alone(servers=2, limiters=200, me=me)
         for n in range(20):
             acts = brain.handle(n * S // 10, arrival(n, n * S // 10, plan=0, customer=n, sets=100))
-            calls += len(pick(acts, api.IncrementCounter))
-            for act in pick(acts, api.IncrementCounter):
-                brain.handle(n * S // 10, api.CounterReplied(act.name, Outcome.NO_ANSWER, 0.0, 500))
+            calls += len(pick(acts, IncrementCounter))
+            for act in pick(acts, IncrementCounter):
+                brain.handle(
+                    n * S // 10, CounterReplied(act.counter_name, Outcome.NO_RESPONSE, 0.0, 500)
+                )
     assert calls <= 2 * 300 + 200  # in two seconds, beside the first of each
 
 
@@ -239,14 +251,17 @@
     """Found by iddab01: peers were sent three times what they did, and the cold ones as much."""
     brain = alone(servers=2)
     now = 100 * S
-    brain.handle(now, api.EndpointsUpdated((entry(2, booted=now),), False))
+    brain.handle(now, EndpointsUpdated((entry(2, booted=now),), False))
     brain.desk.fleets[0].servers[2].cold_left = 0.0
     for req in range(100):
         now += S // 20
-        for act in pick(brain.handle(now, arrival(req, now)), api.SendAttempt):
-            assert act.srv != 2
+        for act in pick(brain.handle(now, arrival(req, now)), SendAttempt):
+            assert act.endpoint_id != 2
             brain.handle(
-                now, api.AttemptEnded(act.req, 0, act.srv, Outcome.TURNED_AWAY, 5, False, 0, 0.0)
+                now,
+                AttemptEnded(
+                    act.request_id, 0, act.endpoint_id, Outcome.REJECTED, 5, False, 0, 0.0
+                ),
             )
 
 
@@ -271,8 +286,8 @@
     srv = brain.desk.fleets[0].servers[0]
     for n in range(4):
         srv.out += 2
-        srv.ended(api.AttemptEnded(n, 0, 0, Outcome.SERVER_ERROR, 100, False, 0, 0.0), 1)
-        srv.ended(api.AttemptEnded(n, 0, 0, Outcome.PASSED, 100, False, 0, 0.0), 0)
+        srv.ended(AttemptEnded(n, 0, 0, Outcome.SERVER_ERROR, 100, False, 0, 0.0), 1)
+        srv.ended(AttemptEnded(n, 0, 0, Outcome.SUCCEEDED, 100, False, 0, 0.0), 0)
     brain.desk.fleets[0].look()
     assert srv in brain.desk.fleets[0].near[0] and srv not in brain.desk.fleets[0].near[1]
 
@@ -324,18 +339,21 @@
     """Found on the fleet days: after a start the even trickle held no whole req for 2.1 s at any
     limiter; in the lab: with more limiters than the ceiling has units it never held one.
     """
-    chance, plan = Random(seed), api.QuotaPlan(1.4, 6.0, 0, 1.0, 0.0, 1.0, 3.3, 14.0, 1.0)
+    chance, plan = Random(seed), QuotaPlan(1.4, 6.0, 0, 1.0, 0.0, 1.0, 3.3, 14.0, 1.0)
     start = 17_961_586_410_000 + seed
 
     def share(me: int, now: int) -> TenantLimiter:
         loop = ActorLoop(settings(me=me, limiters=40), 1, now)
         return TenantLimiter(
-            loop, CounterClient(loop), replace(arrival(1, now, sets=sets), first=37), plan
+            loop,
+            CounterClient(loop),
+            replace(arrival(1, now, sets=sets), limiter_set_start=37),
+            plan,
         )
 
     set_ = [share((37 + n) % 40, start) for n in range(sets)]
     assert sorted(a.place for a in set_) == list(range(sets))
-    left, at, firsts = plan.ceiling_depth, start, {}
+    left, at, firsts = plan.rate_limit_burst, start, {}
     for now in range(start, start + 40 * S, 100):
         n = chance.randrange(sets)
         if chance.random() < 0.002:
@@ -346,7 +364,7 @@
             acct.roll()
             while acct.cap >= 1.0:
                 acct.cap -= 1.0
-                left, at = min(plan.ceiling_depth, left + 3.3 * (now - at) / S) - 1.0, now
+                left, at = min(plan.rate_limit_burst, left + 3.3 * (now - at) / S) - 1.0, now
                 firsts.setdefault(acct.place, now - start)
                 assert left >= -1.0 - 1e-6
     assert len(firsts) > sets / 2 and (sets > 14 or sum(firsts.values()) / sets < 0.2 * sets * S)
@@ -369,23 +387,26 @@
 def test_odd_sizes_and_a_leaping_clock_raise_nothing(
     limiters: int, sets: int, servers: int
 ) -> None:
-    plans = (replace(PLANS[1], rate=1e-4, burst=2.0, ceiling_depth=0.01), *PLANS[1:])
+    plans = (replace(PLANS[1], rate=1e-4, burst=2.0, rate_limit_burst=0.01), *PLANS[1:])
     brain, now, answered = alone(servers=servers, limiters=limiters, plans=plans, me=2), 0, 0
     for req in range(200):
         now += 1 if req % 9 else 700 * S
         acts = brain.handle(now, arrival(req, now, req % 4, req % 4, req % 7, sets))
-        answered += len(pick(acts, api.SendAttempt)) + len(pick(acts, api.Reject))
-        for act in pick(acts, api.SendAttempt):
+        answered += len(pick(acts, SendAttempt)) + len(pick(acts, Reject))
+        for act in pick(acts, SendAttempt):
             brain.handle(
-                now, api.AttemptEnded(act.req, 0, act.srv, Outcome.PASSED, 100, True, 0, 0.0)
+                now,
+                AttemptEnded(
+                    act.request_id, 0, act.endpoint_id, Outcome.SUCCEEDED, 100, True, 0, 0.0
+                ),
             )
-        for act in pick(acts, api.IncrementCounter):
-            brain.handle(now, api.CounterReplied(act.name, Outcome.PASSED, -5.0, 30))
-        for act in pick(acts, api.SetTimer):
-            brain.handle(now + act.after, api.TimerFired(act.tag))
+        for act in pick(acts, IncrementCounter):
+            brain.handle(now, CounterReplied(act.counter_name, Outcome.SUCCEEDED, -5.0, 30))
+        for act in pick(acts, SetTimer):
+            brain.handle(now + act.delay, TimerFired(act.tag))
     assert answered == 200
-    brain.handle(now, api.EndpointsUpdated((), True))
-    assert pick(brain.handle(now, arrival(999, now)), api.Reject)
+    brain.handle(now, EndpointsUpdated((), True))
+    assert pick(brain.handle(now, arrival(999, now)), Reject)
 
 
 def test_a_server_that_turns_away_quickly_gets_less_and_does_not_shrink_the_window():
@@ -395,29 +416,36 @@
     desk, before = brain.desk.fleets[0], brain.desk.fleets[0].window
 
     def done(now, acts, dispatch=0):
-        for sent in pick(acts, api.SendAttempt):
-            sends[sent.srv] += 1
-            how, took = (Outcome.TURNED_AWAY, 5) if sent.srv == 2 else (Outcome.PASSED, 900)
-            ended = api.AttemptEnded(
-                sent.req, dispatch, sent.srv, how, took, how is Outcome.PASSED, 0, 0.0
+        for sent in pick(acts, SendAttempt):
+            sends[sent.endpoint_id] += 1
+            how, took = (Outcome.REJECTED, 5) if sent.endpoint_id == 2 else (Outcome.SUCCEEDED, 900)
+            ended = AttemptEnded(
+                sent.request_id,
+                dispatch,
+                sent.endpoint_id,
+                how,
+                took,
+                how is Outcome.SUCCEEDED,
+                0,
+                0.0,
             )
-            due.append((now + took, sent.req, ended))
+            due.append((now + took, sent.request_id, ended))
 
     for now in range(0, 60_000, 50):  # eighteen out at once
         done(now, brain.handle(now, arrival(now, now)))
         for item in sorted(d for d in due if d[0] <= now + 50):
             due.remove(item)
-            done(item[0], brain.handle(*item[::2]), item[2].dispatch + 1)
+            done(item[0], brain.handle(*item[::2]), item[2].attempt + 1)
     assert sum(sends) >= 1200 and sends[2] < 0.5 * min(sends[0], sends[1], sends[3])
     assert desk.window >= 0.9 * before
 
 
 def test_a_server_that_goes_with_a_dispatch_out_is_forgotten_at_its_end():
     brain = alone(servers=1)
-    assert pick(brain.handle(10, arrival(1, 10)), api.SendAttempt)
-    brain.handle(20, api.EndpointsUpdated((entry(0, EndpointState.GONE),), False))
+    assert pick(brain.handle(10, arrival(1, 10)), SendAttempt)
+    brain.handle(20, EndpointsUpdated((entry(0, EndpointState.GONE),), False))
     assert list(brain.desk.fleets[0].servers) == [0]
-    brain.handle(30, api.AttemptEnded(1, 0, 0, Outcome.PASSED, 20, True, 0, 0.0))
+    brain.handle(30, AttemptEnded(1, 0, 0, Outcome.SUCCEEDED, 20, True, 0, 0.0))
     assert not brain.desk.fleets[0].servers and not brain.desk.jobs
 
 
@@ -436,18 +464,18 @@
 
 def test_of_many_customers_that_came_once_few_are_held():
     # a refresh interval of 20 s
-    brain, slow = alone(), api.QuotaPlan(0.05, 1.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+    brain, slow = alone(), QuotaPlan(0.05, 1.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
     brain.loop.settings = replace(brain.loop.settings, plans=(slow,))
     for n in range(4000):  # 50 a second for 80 s
         brain.handle(n * 200, arrival(n, n * 200, plan=0, customer=n))
-        brain.handle(n * 200 + 50, api.AttemptEnded(n, 0, 0, Outcome.PASSED, 50, True, 0, 0.0))
+        brain.handle(n * 200 + 50, AttemptEnded(n, 0, 0, Outcome.SUCCEEDED, 50, True, 0, 0.0))
     assert len(brain.desk.accounts) == len(brain.desk.by_tag) < 2500
     assert len(brain.desk.accounts) > 1000
 
 
 def test_a_slack_without_a_ceiling_does_not_keep_a_customer_for_ever() -> None:
     acct = account(1.0, 4.0)
-    plan = replace(acct.plan, ceiling_slack=1.0)
+    plan = replace(acct.plan, rate_limit_slack=1.0)
     acct = TenantLimiter(acct.loop, acct.keeper, arrival(1, 0), plan)
     acct.loop.now = 50 * acct.length
     assert acct.idle(False)
@@ -459,11 +487,12 @@
     brain, sent = alone(servers=4, limiters=1), []
     for now in range(0, 40_000, 50):
         acts = brain.handle(now, arrival(now, now, front=1))
-        assert pick(acts, api.SendAttempt), f"denied at {now}"
-        sent += pick(acts, api.SendAttempt)
+        assert pick(acts, SendAttempt), f"denied at {now}"
+        sent += pick(acts, SendAttempt)
         if len(sent) % 5:  # one in five never answers, and its wait is far from over
             brain.handle(
-                now + 40, api.AttemptEnded(now, 0, sent[-1].srv, Outcome.PASSED, 40, True, 0, 0.0)
+                now + 40,
+                AttemptEnded(now, 0, sent[-1].endpoint_id, Outcome.SUCCEEDED, 40, True, 0, 0.0),
             )
     assert len(brain.desk.jobs) > 150 > 3 * len(brain.desk.fleets[0].flying)
 
@@ -475,21 +504,22 @@
     many, servers = 6, 4
     brains = [DecisionEngine(settings(n, many), n, 0) for n in range(many)]
     for brain in brains:
-        brain.handle(
-            0, api.EndpointsUpdated(tuple(entry(n, booted=1) for n in range(servers)), True)
-        )
+        brain.handle(0, EndpointsUpdated(tuple(entry(n, booted=1) for n in range(servers)), True))
     now, req, out, sent = 0, 0, [], []
     while now < 8 * S:
         now += S // 200
         for due, n, act in [o for o in out if o[0] <= now]:
             out.remove((due, n, act))
             brains[n].handle(
-                now, api.AttemptEnded(act.req, 0, act.srv, Outcome.PASSED, S // 20, True, 0, 0.0)
+                now,
+                AttemptEnded(
+                    act.request_id, 0, act.endpoint_id, Outcome.SUCCEEDED, S // 20, True, 0, 0.0
+                ),
             )
         req += 1
-        for act in pick(brains[req % many].handle(now, arrival(req, now)), api.SendAttempt):
+        for act in pick(brains[req % many].handle(now, arrival(req, now)), SendAttempt):
             out.append((now + S // 20, req % many, act))
-            sent.append((now, act.srv))
+            sent.append((now, act.endpoint_id))
     assert sum(t > 6 * S for t, _ in sent) > 0.5 * 2 * 200  # of two hundred a second
     for srv in range(
         servers
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from loomstand.admission.identifiers import digest
+from loomstand.admission.identifiers import stable_digest
 from loomstand.config.configuration import Tenant
 from loomstand.proxy import program, quota_credits
 from loomstand.proxy.quota_credits import QuotaCredits
@@ -48,7 +48,7 @@
     def __init__(self, seed: int, many: int, quotas: list[tuple[float, float]]) -> None:
         self.rng, self.many, self.now, self.lives = Random(seed), many, 0.0, 0
         self.tenants = {
-            digest(f"t{n}"): Tenant(f"t{n}", (), 1, r, b) for n, (r, b) in enumerate(quotas)
+            stable_digest(f"t{n}"): Tenant(f"t{n}", (), 1, r, b) for n, (r, b) in enumerate(quotas)
         }
         self.most = dict(self.tenants)
         self.names = [f"l{n}" for n in range(many)]
@@ -297,7 +297,7 @@
 # --- step by step
 
 ANN = Tenant("ann", (), 1, 60.0, 120.0)
-NAME = digest("ann")
+NAME = stable_digest("ann")
 
 
 def pair(many: int = 4) -> tuple[QuotaGrants, QuotaCredits]:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from loomstand.admission.identifiers import TRY, digest
+from loomstand.admission.identifiers import ATTEMPT_FACTOR, stable_digest
 from loomstand.config.configuration import Tenant
 from loomstand.proxy.instance_view import InstanceView
 from loomstand.registry.counters import Counters
@@ -94,15 +94,26 @@
 
 
 def test_limiters_are_told_of_a_tenant_near_its_brim_only_where_more_was_added():
-    brim, ann = QuotaBuckets(), digest("ann")
-    name, other = ann << SLOTS | 7, digest("bob") << SLOTS | 7
+    brim, ann = QuotaBuckets(), stable_digest("ann")
+    name, other = ann << SLOTS | 7, stable_digest("bob") << SLOTS | 7
     brim.learn([Tenant("ann", (), 1, 10.0, 10.0), Tenant("bob", (), 1, 0.0, 0.0)])
     added = [
-        brim.counted(name, 1.0 + TRY * TRY, n * (1.0 + TRY * TRY), 0.01 * n) for n in range(1, 7)
+        brim.counted(
+            name,
+            1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR,
+            n * (1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR),
+            0.01 * n,
+        )
+        for n in range(1, 7)
     ]
     assert added == [False] * 5 + [True]  # over half of the burst
-    assert brim.news(0) == [[name, 6 * (1.0 + TRY * TRY)]] and brim.news(brim.version) == []
-    assert not brim.counted(name, 3.0 * TRY * TRY, 6 + 9 * TRY * TRY, 0.07)  # asked, not taken
+    assert (
+        brim.news(0) == [[name, 6 * (1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR)]]
+        and brim.news(brim.version) == []
+    )
+    assert not brim.counted(
+        name, 3.0 * ATTEMPT_FACTOR * ATTEMPT_FACTOR, 6 + 9 * ATTEMPT_FACTOR * ATTEMPT_FACTOR, 0.07
+    )  # asked, not taken
     brim.learn([Tenant("ann", (), 1, 10.0, 20.0)])
     assert not brim.counted(name, 1.0, 7.0, 0.08)  # a larger quota, and what was spent stays spent
     # a counter that has just come to count
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,19 +9,20 @@
 from hypothesis import Phase as Run
 from hypothesis import strategies as st
 
-from loomstand.admission import interface as api
-from loomstand.admission.interface import EndpointState, Outcome
+from loomstand.admission.endpoints import EndpointState
+from loomstand.admission.events import ClientDisconnected
+from loomstand.admission.outcome import Outcome
 
 SEEDED = settings(
     derandomize=True, deadline=None, phases=[Run.generate], suppress_health_check=list(HealthCheck)
 )
-ENDS = (Outcome.PASSED,) * 6 + (
+ENDS = (Outcome.SUCCEEDED,) * 6 + (
     Outcome.SERVER_ERROR,
-    Outcome.TURNED_AWAY,
-    Outcome.NO_CONNECTION,
+    Outcome.REJECTED,
+    Outcome.CONNECT_FAILED,
     Outcome.CONNECTION_LOST,
 )
-COUNTS = (Outcome.PASSED,) * 4 + (Outcome.NO_ANSWER, Outcome.TURNED_AWAY, Outcome.NO_CONNECTION)
+COUNTS = (Outcome.SUCCEEDED,) * 4 + (Outcome.NO_RESPONSE, Outcome.REJECTED, Outcome.CONNECT_FAILED)
 STEP = st.tuples(
     st.sampled_from(
         ["reqs"] * 6
@@ -77,7 +78,7 @@
                     gone = list(stage.open)[n % len(stage.open)]
                     owner = stage.open[gone][0]
                     stage.answer(gone)
-                    stage.give(owner, api.ClientDisconnected(gone))
+                    stage.give(owner, ClientDisconnected(gone))
     stage.pass_time(5 * S)
     assert not stage.open, "reqs were lost"
 
@@ -114,8 +115,8 @@
         stage.give(req % 30, note)
         stage.pass_time(S // 100)
         for key in [k for k, o in stage.out.items() if o[2] < stage.now - S // 10]:
-            stage.finish(key, Outcome.PASSED)
-    start = stage.entries[4].booted
+            stage.finish(key, Outcome.SUCCEEDED)
+    start = stage.entries[4].started_at
     cold = [t for t, srv in stage.sends if srv == 4]
     for second in range(8):  # peers do some 25 a second, and the budget is counted over one second
         sent = sum(start + second * S <= t < start + (second + 1) * S for t in cold)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -15,9 +15,10 @@
 from hypothesis import settings as bounds
 from hypothesis import strategies as st
 
-from loomstand.admission import interface as api
+from loomstand.admission.actions import SendAttempt
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.interface import Outcome
+from loomstand.admission.events import AttemptEnded, EndpointsUpdated
+from loomstand.admission.outcome import Outcome
 from loomstand.cli.main import main
 from loomstand.failover import zone_plan as plans
 from loomstand.failover.engine_view import Guide
@@ -343,7 +344,7 @@
     names = (["look", "book", "uniqued", "any"], ["a", "b", "c", "d"], ["east", "west"])
     plan = plans.parse(table(refuse=[{"name": "cheap", "frontends": ["look"]}]))
     brain = DecisionEngine(told, 7, 0, Guide(plan, told, names, 0))
-    brain.handle(0, api.EndpointsUpdated(tuple(entry(n, hall=n % 2) for n in range(8)), True))
+    brain.handle(0, EndpointsUpdated(tuple(entry(n, hall=n % 2) for n in range(8)), True))
     return brain
 
 
@@ -356,15 +357,21 @@
         now += S // 40
         for due, act, outcome in [o for o in out if o[0] <= now]:
             out.remove((due, act, outcome))
-            took = 500 if outcome is Outcome.PASSED else 40_000
-            final = outcome is Outcome.PASSED
-            brain.handle(now, api.AttemptEnded(act.req, 0, act.srv, outcome, took, final, 0, 0.0))
-        for act in pick(brain.handle(now, arrival(first + n, now, front)), api.SendAttempt):
-            gone = act.srv % 2 in dead
+            took = 500 if outcome is Outcome.SUCCEEDED else 40_000
+            final = outcome is Outcome.SUCCEEDED
+            brain.handle(
+                now, AttemptEnded(act.request_id, 0, act.endpoint_id, outcome, took, final, 0, 0.0)
+            )
+        for act in pick(brain.handle(now, arrival(first + n, now, front)), SendAttempt):
+            gone = act.endpoint_id % 2 in dead
             out.append(
-                (now + (4 * S if gone else 500), act, Outcome.NO_ANSWER if gone else Outcome.PASSED)
+                (
+                    now + (4 * S if gone else 500),
+                    act,
+                    Outcome.NO_RESPONSE if gone else Outcome.SUCCEEDED,
+                )
             )
-            sent.setdefault(act.srv % 2, []).append(now)
+            sent.setdefault(act.endpoint_id % 2, []).append(now)
     return {"sent": sent, "now": now}
 
 
