--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -69,7 +69,7 @@
     seen, note = [], site.limiter.note
 
     def spy(said):
-        if hasattr(said, "dispatch"):
+        if hasattr(said, "attempt"):
             seen.append(said.outcome)
         note(said)
 
