--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -15,7 +15,7 @@
 import time
 from random import Random
 
-from loomstand.config.limiter import Member, Members
+from loomstand.config.limiter import BackendList, BackendRecord
 from loomstand.membership.driver import TICK
 from loomstand.membership.endpoint_lists import Lists
 from loomstand.membership.members import Members as Membership
@@ -38,8 +38,8 @@
         self.started = [self.rng.random() for _ in range(n)]
         self.calls: list[tuple[float, bool]] = []
         self.left, self.left_at = BEARS, 0.0
-        member = [Member(id=f"s{k}", host_port="127.0.0.1:1") for k in range(SERVERS)]
-        self.list = Members(revision=5, complete=True, members=member)
+        member = [BackendRecord(id=f"s{k}", host_port="127.0.0.1:1") for k in range(SERVERS)]
+        self.list = BackendList(revision=5, complete=True, members=member)
         for i in range(n):
             self.push(self.started[i], i, None)
 
--- a/benchmarks/scale_hollow.py
+++ b/benchmarks/scale_hollow.py
@@ -25,8 +25,8 @@
 
 from loomstand.admission import interface as i
 from loomstand.admission.identifiers import digest
-from loomstand.config.settings import Settings, parse
-from loomstand.config.units import address_text
+from loomstand.config.settings import Settings, parse_settings
+from loomstand.config.units import format_address
 from loomstand.proxy.counter_replay import CounterReplay
 from loomstand.proxy.instance_view import InstanceView
 from loomstand.proxy.program import Proxy
@@ -373,7 +373,7 @@
         servers.
         """
         self.rng = Random(first)
-        known, self.seen.servers, self.seen.version = parse(settings), servers, version
+        known, self.seen.servers, self.seen.version = parse_settings(settings), servers, version
         for n in range(first, first + many):
             mine = replace(known, node_name=f"hollow-{n}")
             limiter = HollowLimiter(mine, self.wire, self.seen, Random(n))
@@ -394,7 +394,7 @@
     ) -> Figures:
         where = [(str(ip), int(port)) for ip, port in controls]
         for n in range(first, first + many):
-            place = address_text((f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}", 8080))
+            place = format_address((f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}", 8080))
             place = places[n - first] if places else place
             server = HollowServer(
                 n, f"service-{n % services}", zones[n % len(zones)], place, where, every
--- a/benchmarks/scale_measure.py
+++ b/benchmarks/scale_measure.py
@@ -31,7 +31,7 @@
     TooLarge,
     free_net,
 )
-from loomstand.config.units import address_text
+from loomstand.config.units import format_address
 
 WHOLE_WITHIN = 60.0  # s that limiters have to come to know everything
 SPREAD = 1.0  # s over which limiters start, and SPREAD_SERVERS servers
@@ -283,7 +283,7 @@
         if self.rates:  # servers are where something answers
             origin = await cluster.worker("origin", 0)
             await origin.order(do="origins", addresses=[list(where) for where in cluster.origins()])
-            places = [address_text(where) for where in cluster.origins()]
+            places = [format_address(where) for where in cluster.origins()]
         self.found["first configuration"] = {"s": round(acked - began, 2), "tries": tries}
         self.say(f"{size.servers} servers")
         cluster.keepers = [await cluster.worker("keeper", n) for n in range(size.keepers)]
--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -9,7 +9,12 @@
 import click
 
 from loomstand import __version__
-from loomstand.config.limiter import Config, ConfigError, load, settings
+from loomstand.config.limiter import (
+    LimiterConfig,
+    LimiterConfigError,
+    engine_settings,
+    load_limiter_config,
+)
 
 
 @click.group()
@@ -17,10 +22,10 @@
     """Loomstand holds customers to their quotas before a shared back end."""
 
 
-def configured(path: str | None) -> Config:
+def configured(path: str | None) -> LimiterConfig:
     try:
-        return load(os.environ, path)
-    except ConfigError as why:
+        return load_limiter_config(os.environ, path)
+    except LimiterConfigError as why:
         raise click.ClickException(str(why)) from None
 
 
@@ -40,8 +45,8 @@
 
     def again(limiter: Limiter) -> None:
         try:
-            limiter.reload(load(os.environ, path, again=True))
-        except ConfigError as why:
+            limiter.reload(load_limiter_config(os.environ, path, again=True))
+        except LimiterConfigError as why:
             limiter.log(f"the configuration can't be used, the one held stands: {why}")
 
     async def run() -> None:
@@ -65,7 +70,7 @@
 def check(path: str | None) -> None:
     """Read the configuration and say what it holds, without serving."""
     config = configured(path)
-    told, (host, port) = settings(config.conf, 0), config.listen
+    told, (host, port) = engine_settings(config.conf, 0), config.listen
     click.echo(f"{config.name}: limiter {told.me} of {told.limiters}, listens at {host}:{port}")
     click.echo(f"frontends: {', '.join(g.name for g in config.conf.grades)}")
     click.echo(f"plans: {', '.join(p.name for p in config.conf.plans) or 'none'}")
--- a/loomstand/config/configuration.py
+++ b/loomstand/config/configuration.py
@@ -17,11 +17,11 @@
 from types import MappingProxyType
 from typing import Any, Final
 
-from loomstand.config.units import UnitError, seconds, shown, version
+from loomstand.config.units import UnitError, parse_seconds, parse_version, quote_value
 
-MOST_TIMEOUT = 600.0  # seconds: ten minutes, by the protocol
-MOST = 2.0**63  # no figure of a configuration comes near; sums of those under it stay finite
-CONNECTIONS = 100  # of a service that doesn't say: a little under the least seen, 110
+MAX_TIMEOUT_SECONDS = 600.0  # seconds: ten minutes, by the protocol
+MAX_NUMBER = 2.0**63  # no figure of a configuration comes near; sums of those under it stay finite
+DEFAULT_CONNECTION_LIMIT = 100  # of a service that doesn't say: a little under the least seen, 110
 _NEEDED: Final[Any] = object()
 # What would end a line of a header or of a log, or can't be written as UTF-8.
 _UNFIT = re.compile("[\x00-\x1f\x7f-\x9f\u2028\u2029\ud800-\udfff]")
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class ClientLimits:
     """What a client may send, in bytes, and how long it may take or be idle, in seconds."""
 
     max_header_bytes: int = 16384
@@ -95,7 +95,7 @@
     routes: tuple[Route, ...]
     services: Mapping[str, Service]
     tenants: tuple[Tenant, ...] | None
-    limits: Limits
+    limits: ClientLimits
     raw: bytes = field(repr=False)
 
 
@@ -143,7 +143,7 @@
         value = self.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise self.wrong(key, "not a number")
-        if not 0 <= value <= MOST:
+        if not 0 <= value <= MAX_NUMBER:
             raise self.wrong(key, "negative" if value < 0 else "too large a number")
         return float(value)
 
@@ -158,7 +158,7 @@
         if value is default:
             return value
         try:
-            return seconds(self.fit(key, value))
+            return parse_seconds(self.fit(key, value))
         except UnitError as wrong:
             raise self.wrong(key, str(wrong)) from None
 
@@ -180,7 +180,7 @@
     if len(found) < len(pairs):
         keys = [key for key, _ in pairs]
         raise ConfigurationError(
-            f"JSON: key {shown(next(k for k in keys if keys.count(k) > 1))} given twice"
+            f"JSON: key {quote_value(next(k for k in keys if keys.count(k) > 1))} given twice"
         )
     return found
 
@@ -226,12 +226,14 @@
     host = spec.name("host").encode().lower().decode()
     prefix = spec.text("path_prefix")
     if not (prefix.startswith("/") and prefix.endswith("/")):
-        raise spec.wrong("path_prefix", f"{shown(prefix)} doesn't begin and end with a slash")
+        raise spec.wrong("path_prefix", f"{quote_value(prefix)} doesn't begin and end with a slash")
     kind = spec.text("route_kind")
     if kind not in ("idempotent", "non_idempotent"):
-        raise spec.wrong("route_kind", f"{shown(kind)} is neither idempotent nor non_idempotent")
+        raise spec.wrong(
+            "route_kind", f"{quote_value(kind)} is neither idempotent nor non_idempotent"
+        )
     timeout = spec.seconds("timeout")
-    if timeout > MOST_TIMEOUT:
+    if timeout > MAX_TIMEOUT_SECONDS:
         raise spec.wrong("timeout", "over ten minutes")
     # no request could be served in it; the operators' days send it as an invalid one
     if timeout <= 0:
@@ -256,8 +258,8 @@
 def _service(name: str, spec: _Part) -> Service:
     path = spec.text("health_check_path", "/health")
     if not path.startswith("/") or " " in path:
-        raise spec.wrong("health_check_path", f"{shown(path)} is not a path")
-    return Service(name, path, spec.whole("connection_limit", CONNECTIONS))
+        raise spec.wrong("health_check_path", f"{quote_value(path)} is not a path")
+    return Service(name, path, spec.whole("connection_limit", DEFAULT_CONNECTION_LIMIT))
 
 
 def _tenant(name: str, spec: _Part) -> Tenant:
@@ -273,9 +275,9 @@
     )
 
 
-def _limits(spec: _Part) -> Limits:
-    usual = Limits()
-    return Limits(
+def _limits(spec: _Part) -> ClientLimits:
+    usual = ClientLimits()
+    return ClientLimits(
         max_header_bytes=spec.whole("max_header_bytes", usual.max_header_bytes),
         max_body_bytes=spec.whole("max_body_bytes", usual.max_body_bytes),
         header_timeout=spec.seconds("header_timeout", usual.header_timeout),
@@ -289,7 +291,7 @@
 
     kind: str
     name: str
-    item: Route | Service | Tenant | Limits
+    item: Route | Service | Tenant | ClientLimits
     single: str = ""  # the service_name of a route, if it has one beside a split too
 
 
@@ -324,13 +326,13 @@
         self.singles: list[str] = []
         self.services: dict[str, Service] = {}
         self.tenants: list[Tenant] = []
-        self.limits: Limits | None = None
+        self.limits: ClientLimits | None = None
         self.taken: dict[tuple[str, str], str] = {}
         self.owners: dict[str, str] = {}
 
     def add(self, at: int, found: _Found) -> None:
         match found.item:
-            case Limits() as limits:
+            case ClientLimits() as limits:
                 if self.limits is not None:
                     raise ConfigurationError(f"resources[{at}] limits: given twice")
                 self.limits = limits
@@ -379,11 +381,11 @@
                 if service not in self.services:
                     found = _Found("routes", route.name, route)
                     raise self.wrong(
-                        found, f"specification.{key}", f"unknown service {shown(service)}"
+                        found, f"specification.{key}", f"unknown service {quote_value(service)}"
                     )
 
 
-class Reader:
+class ConfigurationReader:
     """Reads one configuration after another. Of thousands of routes a change alters few: what stood
     in the last one, to the byte of its values, isn't read anew.
     """
@@ -397,7 +399,7 @@
         """The configuration in an operator's body. Raises ConfigurationError."""
         whole = _Part(_json(raw), "", "")
         try:
-            number = version(whole.text("version"))
+            number = parse_version(whole.text("version"))
         except UnitError as wrong:
             raise whole.wrong("version", str(wrong)) from None
         gathered, read = _Gathered(), dict[bytes, _Found | None]()
@@ -412,7 +414,7 @@
             routes=tuple(gathered.routes),
             services=MappingProxyType(gathered.services),
             tenants=tuple(gathered.tenants) or None,
-            limits=gathered.limits or Limits(),
+            limits=gathered.limits or ClientLimits(),
             raw=bytes(raw),
         )
 
@@ -427,6 +429,6 @@
         return found
 
 
-def parse(raw: bytes) -> Configuration:
+def parse_configuration(raw: bytes) -> Configuration:
     """The configuration in an operator's body, by itself. Raises ConfigurationError."""
-    return Reader().parse(raw)
+    return ConfigurationReader().parse(raw)
--- a/loomstand/config/limiter.py
+++ b/loomstand/config/limiter.py
@@ -30,31 +30,31 @@
     "zone": i.DeduplicationScope.HALL,
     "cell": i.DeduplicationScope.POD,
 }
-Span = Annotated[float, Meta(ge=0)]  # milliseconds
-Whole = Annotated[int, Meta(ge=0)]
+Milliseconds = Annotated[float, Meta(ge=0)]  # milliseconds
+NonNegativeInt = Annotated[int, Meta(ge=0)]
 
 
-class ConfigError(ValueError):
+class LimiterConfigError(ValueError):
     """Configuration that can't be used; the message names the key."""
 
 
-class Part(msgspec.Struct, kw_only=True):
+class WireStruct(msgspec.Struct, kw_only=True):
     """A piece of the settings, in the words of the operators' wire. Unknown keys are ignored."""
 
 
-class Grade(Part):
+class GradeSettings(WireStruct):
     name: str
     effect: Literal["pure", "token", "side_effect"]
-    on_time: Span
-    deadline: Span
+    on_time: Milliseconds
+    deadline: Milliseconds
     points: float
     group: Literal["all", "zone", "cell"] = "all"
-    repeat_window: Span = 0.0
+    repeat_window: Milliseconds = 0.0
     late_value: float = 0.0
     stream: bool = False
 
 
-class PlanConf(Part):
+class PlanSettings(WireStruct):
     name: str
     refill: float = 0.0
     store_size: float = 0.0
@@ -67,53 +67,53 @@
     ceiling_slack: float = 0.0
 
 
-class Allowed(Part):
+class AllowedActions(WireStruct):
     try_limit: int = 1
     cancel: bool = False
     may_probe: bool = False
     second_copies: bool = False
     retry_after: bool = False
-    max_retry_after: Span = 0.0
-    idle_close: Span = 15_000.0
-    connect_timeout: Span = 250.0
+    max_retry_after: Milliseconds = 0.0
+    idle_close: Milliseconds = 15_000.0
+    connect_timeout: Milliseconds = 250.0
 
 
-class Specifics(Part):
+class CounterSettings(WireStruct):
     has_counter: bool = False
-    count_limit: Span = 0.0
-    metering: Span = 0.0
+    count_limit: Milliseconds = 0.0
+    metering: Milliseconds = 0.0
     max_units: float = 1
 
 
-class Rules(Part):
-    answer_slack: Span = 0.0
-    cold: Span = 0.0
+class RuleSettings(WireStruct):
+    answer_slack: Milliseconds = 0.0
+    cold: Milliseconds = 0.0
     cold_from: float = 1.0
-    drain_grace: Span = 0.0
+    drain_grace: Milliseconds = 0.0
     fall_multiple: float = 1.0
-    tip_after: Span = 0.0
+    tip_after: Milliseconds = 0.0
 
 
-class Conf(Part):
+class WireSettings(WireStruct):
     balancers: Annotated[int, Meta(ge=1)]
-    me: Whole
+    me: NonNegativeInt
     az: str
-    grades: Annotated[list[Grade], Meta(min_length=1)]
-    plans: list[PlanConf] = []
+    grades: Annotated[list[GradeSettings], Meta(min_length=1)]
+    plans: list[PlanSettings] = []
     zones: list[str] = []
     kinds: list[str] = []
-    allowed: Allowed = msgspec.field(default_factory=Allowed)
-    specifics: Specifics = msgspec.field(default_factory=Specifics)
-    rules: Rules = msgspec.field(default_factory=Rules)
+    allowed: AllowedActions = msgspec.field(default_factory=AllowedActions)
+    specifics: CounterSettings = msgspec.field(default_factory=CounterSettings)
+    rules: RuleSettings = msgspec.field(default_factory=RuleSettings)
 
 
-class Limits(Part):
+class ResourceLimits(WireStruct):
     cores: Annotated[float, Meta(gt=0)] = 1.0
     memory_mb: Annotated[float, Meta(ge=16)] = 192
     sockets: Annotated[int, Meta(ge=48)] = 1024
 
 
-class Member(Part):
+class BackendRecord(WireStruct):
     """A server as discovery lists it."""
 
     id: str
@@ -126,34 +126,34 @@
     up_since_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        address(self.host_port, "host_port")
+        parse_host_port(self.host_port, "host_port")
 
 
-class Members(Part):
+class BackendList(WireStruct):
     """A list of servers, whole or changes only."""
 
     revision: int = 0
     complete: bool = False
-    members: list[Member] = []
+    members: list[BackendRecord] = []
 
 
-class File(Part):
+class LimiterFile(WireStruct):
     """The JSON file."""
 
-    settings: Conf
+    settings: WireSettings
     name: str = ""
     listen: str = ""
     discovery: str = ""
     counter: str = ""
     seed: str = "0"
-    limits: Limits = msgspec.field(default_factory=Limits)
-    known: Members = msgspec.field(default_factory=Members)
+    limits: ResourceLimits = msgspec.field(default_factory=ResourceLimits)
+    known: BackendList = msgspec.field(default_factory=BackendList)
     plan: str = ""
     peer: str = ""
     peers: list[str] = []
 
 
-class Config(msgspec.Struct, frozen=True):
+class LimiterConfig(msgspec.Struct, frozen=True):
     """All that a limiter is told, checked."""
 
     name: str
@@ -161,15 +161,15 @@
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
     seed: int
-    limits: Limits
-    known: Members
-    conf: Conf
+    limits: ResourceLimits
+    known: BackendList
+    conf: WireSettings
     plan: SitePlan | None = None
     peer: str = ""
     peers: tuple[str, ...] = ()
 
 
-def address(text: str, key: str) -> tuple[str, int]:
+def parse_host_port(text: str, key: str) -> tuple[str, int]:
     """HOST:PORT with a numeric host."""
     host, _, port = text.rpartition(":")
     try:
@@ -177,83 +177,87 @@
         if not port.isascii() or not port.isdecimal() or not 0 < int(port) < 65536:
             raise ValueError
     except ValueError:
-        raise ConfigError(f"key '{key}': '{text}' is not HOST:PORT") from None
+        raise LimiterConfigError(f"key '{key}': '{text}' is not HOST:PORT") from None
     return host, int(port)
 
 
-def load(env: Mapping[str, str], path: str | None = None, again: bool = False) -> Config:
+def load_limiter_config(
+    env: Mapping[str, str], path: str | None = None, again: bool = False
+) -> LimiterConfig:
     """The configuration from the environment and the JSON file it names; the environment wins, but
     not over a file that is read again: a running program's environment can't follow what has
     moved.
     """
     path = path or env.get("PROXY_CONFIG")
     if not path:
-        raise ConfigError("key 'PROXY_CONFIG': not set, and no file was named")
+        raise LimiterConfigError("key 'PROXY_CONFIG': not set, and no file was named")
     try:
         with open(path, "rb") as file:
             raw = file.read()
     except OSError as why:
-        raise ConfigError(f"key 'PROXY_CONFIG': {path}: {why.strerror}") from None
-    return parse(raw, env, again)
+        raise LimiterConfigError(f"key 'PROXY_CONFIG': {path}: {why.strerror}") from None
+    return parse_limiter_config(raw, env, again)
 
 
-def parse(raw: bytes, env: Mapping[str, str], again: bool = False) -> Config:
+def parse_limiter_config(raw: bytes, env: Mapping[str, str], again: bool = False) -> LimiterConfig:
     try:
-        file = msgspec.json.decode(raw, type=File)
+        file = msgspec.json.decode(raw, type=LimiterFile)
     except msgspec.ValidationError as why:
         what, _, where = str(why).partition(" - at `$.")
         missing = (
             what.rpartition("missing required field ")[2] if "missing required" in what else ""
         )
         key = ".".join(filter(None, [where.rstrip("`"), missing.strip("`")]))
-        raise ConfigError(f"key '{key}': {what}") from None
+        raise LimiterConfigError(f"key '{key}': {what}") from None
     except msgspec.DecodeError as why:
-        raise ConfigError(f"the file is not JSON: {why}") from None
+        raise LimiterConfigError(f"the file is not JSON: {why}") from None
     conf = file.settings
     if conf.me >= conf.balancers:
-        raise ConfigError(
+        raise LimiterConfigError(
             f"key 'settings.me': {conf.me} is not below settings.balancers, {conf.balancers}"
         )
     if conf.specifics.has_counter and not file.counter:
-        raise ConfigError("key 'counter': the settings allow calls, but no address is given")
+        raise LimiterConfigError("key 'counter': the settings allow calls, but no address is given")
     for n, text in enumerate(file.peers):
-        address(text, f"peers[{n}]")
+        parse_host_port(text, f"peers[{n}]")
     if file.peer or file.peers:
-        address(file.peer, "peer")  # where this limiter listens to the others named by `peers`
+        parse_host_port(
+            file.peer, "peer"
+        )  # where this limiter listens to the others named by `peers`
     try:
         seed = int(file.seed, 16)
     except ValueError:
-        raise ConfigError(f"key 'seed': '{file.seed}' is not in hex digits") from None
+        raise LimiterConfigError(f"key 'seed': '{file.seed}' is not in hex digits") from None
 
     def place(variable: str, key: str) -> tuple[str, int]:
         told, filed = (env.get(variable), variable), (getattr(file, key), key)
         text, where = next((t for t in ((filed, told) if again else (told, filed)) if t[0]), filed)
-        return address(text, where)
+        return parse_host_port(text, where)
 
-    return Config(
+    return LimiterConfig(
         name=env.get("PROXY_NAME") or file.name or f"limiter-{conf.me}",
         listen=place("PROXY_LISTEN", "listen"),
         discovery=place("PROXY_DISCOVERY", "discovery"),
-        counter=address(file.counter, "counter") if file.counter else None,
+        counter=parse_host_port(file.counter, "counter") if file.counter else None,
         seed=seed,
         limits=file.limits,
         known=file.known,
         conf=conf,
-        plan=site_plan(file.plan, conf) if file.plan else None,
+        plan=load_zone_plan(file.plan, conf) if file.plan else None,
         peer=file.peer,
         peers=tuple(file.peers),
     )
 
 
-def site_plan(path: str, conf: Conf) -> SitePlan:
+def load_zone_plan(path: str, conf: WireSettings) -> SitePlan:
     """The site plan in a file, which may name what these settings have."""
     try:
         return zone_plan.load(path, [g.name for g in conf.grades], [p.name for p in conf.plans])
     except zone_plan.PlanError as why:
-        raise ConfigError(f"key 'plan': {why}") from None
+        raise LimiterConfigError(f"key 'plan': {why}") from None
 
 
-def settings(conf: Conf, hall: int) -> i.EngineSettings:
+def engine_settings(conf: WireSettings, hall: int) -> i.EngineSettings:
     """The settings in our words."""
     allowed, specifics, rules = conf.allowed, conf.specifics, conf.rules
     return i.EngineSettings(
--- a/loomstand/config/routes.py
+++ b/loomstand/config/routes.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True, eq=False)
-class Table:
+class RouteTable:
     """What is asked for each request. `ways` has, for each host and prefix, the services that its
     requests may go to: those with a weight over 0.
     """
@@ -31,7 +31,7 @@
     _tenants: dict[bytes, Tenant]
 
     @classmethod
-    def of(cls, configuration: Configuration) -> Table:
+    def of(cls, configuration: Configuration) -> RouteTable:
         """The table of a checked configuration."""
         hosts: dict[bytes, dict[bytes, Route]] = {}
         for route in configuration.routes:
--- a/loomstand/config/settings.py
+++ b/loomstand/config/settings.py
@@ -14,7 +14,15 @@
 from types import MappingProxyType
 from typing import Any, Final, TypeVar
 
-from loomstand.config.units import Address, UnitError, address, ip, port, seconds, shown
+from loomstand.config.units import (
+    Address,
+    UnitError,
+    parse_address,
+    parse_ipv4,
+    parse_port,
+    parse_seconds,
+    quote_value,
+)
 
 T = TypeVar("T")
 _NEEDED: Final[Any] = object()
@@ -33,7 +41,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class ProcessLimits:
     """What the process may use: `cpu_share` of a core that is `cpu_cores` times as fast; megabytes;
     descriptors, 200 of them reserved; megabits a second.
     """
@@ -47,7 +55,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listen:
+class ListenAddresses:
     """Where calls from outside are taken, for what this role serves."""
 
     frontend: Address | None
@@ -56,7 +64,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Losses:
+class ToleratedLosses:
     """What may be lost at once with all rules kept."""
 
     machines: int
@@ -65,7 +73,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Bounds:
+class RuleBounds:
     """The figures of the rules: times in seconds, the rest plain numbers, true or false."""
 
     seed_lag: float
@@ -107,15 +115,15 @@
     loss_counted: bool
     first_start: bool
     data_directory: str
-    limits: Limits
-    listen: Listen
+    limits: ProcessLimits
+    listen: ListenAddresses
     internal_ports: tuple[int, int]
     seeds: tuple[Address, ...]
     zones: Mapping[str, str]
     heartbeat: float
     contracts: tuple[str, ...]
-    losses: Losses
-    bounds: Bounds
+    losses: ToleratedLosses
+    bounds: RuleBounds
 
     def registry(self, ip: str) -> Address:
         """Where the registry of the machine with this IP number listens for the system's own."""
@@ -139,7 +147,7 @@
             key, equals, value = line.partition("=")
             key = key.strip()
             if not equals or not key:
-                raise SettingsError(f"line {at}: {shown(line)} is not of the form a.b=value")
+                raise SettingsError(f"line {at}: {quote_value(line)} is not of the form a.b=value")
             if key in self.lines:
                 self.twice.add(key)
             self.lines[key] = value.strip()
@@ -172,7 +180,7 @@
 
 def _flag(text: str) -> bool:
     if text not in ("true", "false"):
-        raise UnitError(f"{shown(text)} is neither true nor false")
+        raise UnitError(f"{quote_value(text)} is neither true nor false")
     return text == "true"
 
 
@@ -182,39 +190,39 @@
     except ValueError:
         value = -1.0
     if not (isfinite(value) and value >= 0):
-        raise UnitError(f"{shown(text)} is not a number of 0 or more")
+        raise UnitError(f"{quote_value(text)} is not a number of 0 or more")
     return value
 
 
 def _whole(text: str) -> int:
     value = _number(text)
     if value != int(value):
-        raise UnitError(f"{shown(text)} is not a whole number")
+        raise UnitError(f"{quote_value(text)} is not a whole number")
     return int(value)
 
 
 def _items(text: str) -> tuple[str, ...]:
     items = tuple(item.strip() for item in text.split(",")) if text else ()
     if not all(items):
-        raise UnitError(f"{shown(text)} has an empty item")
+        raise UnitError(f"{quote_value(text)} has an empty item")
     return items
 
 
 def _ports(text: str) -> tuple[int, int]:
     items = _items(text)
     if len(items) != 2:
-        raise UnitError(f"{shown(text)} is not a first and a last port")
-    first, last = port(items[0]), port(items[1])
+        raise UnitError(f"{quote_value(text)} is not a first and a last port")
+    first, last = parse_port(items[0]), parse_port(items[1])
     if last <= first:  # the registry takes the first, the store the next
-        raise UnitError(f"{shown(text)} leaves fewer than two ports")
+        raise UnitError(f"{quote_value(text)} leaves fewer than two ports")
     return first, last
 
 
 def _seeds(text: str) -> tuple[Address, ...]:
-    return tuple(address(item) for item in _items(_word(text)))
+    return tuple(parse_address(item) for item in _items(_word(text)))
 
 
-def parse(text: str) -> Settings:
+def parse_settings(text: str) -> Settings:
     """The settings in a file's text. Raises SettingsError."""
     fields = _Fields(text)
     get = fields.get
@@ -223,7 +231,7 @@
         return get(_BOUNDS + name, read, default)
 
     serves = get("self.serves", _items, ())
-    listens = {name: get(_LISTEN + name, address, None) for name in Listen.__slots__}
+    listens = {name: get(_LISTEN + name, parse_address, None) for name in ListenAddresses.__slots__}
     for what in serves:
         for name in _ADDRESSES_OF.get(what, ()):
             if listens[name] is None:
@@ -234,13 +242,13 @@
         role=get("self.role", _word),
         machine_class=get("self.machine_class", _word),
         serves=serves,
-        ip_address=get("self.ip_address", ip),
+        ip_address=get("self.ip_address", parse_ipv4),
         zone=get("self.zone", _word),
         region=get("self.region", _word),
         loss_counted=get("self.loss_counted", _flag),
         first_start=get("self.first_start", _flag),
         data_directory=get("self.data_directory", str, ""),
-        limits=Limits(
+        limits=ProcessLimits(
             cpu_share=get("self.limits.cpu_share", _number, 0.86),
             cpu_cores=get("self.limits.cpu_cores", _number, 1.0),
             memory_mb=get("self.limits.memory_mb", _whole, 300),
@@ -248,47 +256,47 @@
             link_mbps=get("self.limits.link_mbps", _number, 1000.0),
             disk_mb=get("self.limits.disk_mb", _whole, 0),
         ),
-        listen=Listen(**listens),
+        listen=ListenAddresses(**listens),
         internal_ports=get("network.internal_ports", _ports),
         seeds=get("network.seed_nodes", _seeds),
         zones=MappingProxyType(fields.under(_ZONES)),
-        heartbeat=get("platform_settings.heartbeat", seconds, 1.5),
+        heartbeat=get("platform_settings.heartbeat", parse_seconds, 1.5),
         contracts=get("rule_terms.contracts", _items, ()),
-        losses=Losses(
+        losses=ToleratedLosses(
             machines=get(_LOSSES + "machines", _whole, 1),
             zones=get(_LOSSES + "zones", _whole, 0),
             regions=get(_LOSSES + "regions", _whole, 0),
         ),
-        bounds=Bounds(
-            seed_lag=bound("seed_lag", seconds, 3.0),
-            address_reuse=bound("address_reuse", seconds, 2.0),
-            contact=bound("contact", seconds, 3.0),
-            acknowledge=bound("acknowledge", seconds, 5.0),
-            catch_up=bound("catch_up", seconds, 4.0),
-            drain=bound("drain", seconds, 2.5),
-            grace_period=bound("grace_period", seconds, 6.0),
-            loss_slack=bound("loss_slack", seconds, 0.2),
-            configuration_apply=bound("configuration_apply", seconds, 2.5),
-            rollback_slack=bound("rollback_slack", seconds, 0.25),
-            stretch_limit=bound("stretch_limit", seconds, 8.0),
+        bounds=RuleBounds(
+            seed_lag=bound("seed_lag", parse_seconds, 3.0),
+            address_reuse=bound("address_reuse", parse_seconds, 2.0),
+            contact=bound("contact", parse_seconds, 3.0),
+            acknowledge=bound("acknowledge", parse_seconds, 5.0),
+            catch_up=bound("catch_up", parse_seconds, 4.0),
+            drain=bound("drain", parse_seconds, 2.5),
+            grace_period=bound("grace_period", parse_seconds, 6.0),
+            loss_slack=bound("loss_slack", parse_seconds, 0.2),
+            configuration_apply=bound("configuration_apply", parse_seconds, 2.5),
+            rollback_slack=bound("rollback_slack", parse_seconds, 0.25),
+            stretch_limit=bound("stretch_limit", parse_seconds, 8.0),
             revocation_global=bound("revocation_global", _flag, False),
-            revocation=bound("revocation", seconds, 5.0),
+            revocation=bound("revocation", parse_seconds, 5.0),
             retry_budget_ratio=bound("retry_budget_ratio", _number, 0.2),
-            budget_window=bound("budget_window", seconds, 10.0),
+            budget_window=bound("budget_window", parse_seconds, 10.0),
             budget_slack=bound("budget_slack", _number, 56.0),
-            quota_window=bound("quota_window", seconds, 5.0),
+            quota_window=bound("quota_window", parse_seconds, 5.0),
             quota_overshoot=bound("quota_overshoot", _number, 0.1),
             quota_slack=bound("quota_slack", _number, 20.0),
-            recovery=bound("recovery", seconds, 15.0),
+            recovery=bound("recovery", parse_seconds, 15.0),
         ),
     )
 
 
-def read(path: str) -> Settings:
+def read_settings(path: str) -> Settings:
     """The settings in the file at `path`. Raises SettingsError, also when it can't be read."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as wrong:
         raise SettingsError(f"{path}: can't be read ({wrong})") from None
-    return parse(text)
+    return parse_settings(text)
--- a/loomstand/config/toml_tables.py
+++ b/loomstand/config/toml_tables.py
@@ -14,11 +14,11 @@
     """A file that can't be used; the message names the key."""
 
 
-class Struct(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
+class StrictStruct(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
     """A table of a file: unknown keys are refused, so a misspelt key names itself."""
 
 
-def toml(raw: str | bytes, source: str) -> dict:
+def parse_toml(raw: str | bytes, source: str) -> dict:
     """The table of a TOML text, unchecked. Raises TableError naming the source."""
     try:
         return tomllib.loads(raw.decode() if isinstance(raw, bytes) else raw)
@@ -26,16 +26,16 @@
         raise TableError(f"{source} is not TOML: {why}") from None
 
 
-def read(path: str) -> dict:
+def read_toml(path: str) -> dict:
     """The table of a TOML file, unchecked. Raises TableError naming the file."""
     try:
         with open(path, "rb") as file:
-            return toml(file.read(), path)
+            return parse_toml(file.read(), path)
     except OSError as why:
         raise TableError(f"{path}: {why.strerror}") from None
 
 
-def convert(table: dict, kind: type[T]) -> T:
+def convert_table(table: dict, kind: type[T]) -> T:
     """A checked struct from a table as TOML reads it. Raises TableError naming the key."""
     try:
         return msgspec.convert(table, type=kind)
--- a/loomstand/ctl/calls.py
+++ b/loomstand/ctl/calls.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from urllib.parse import urlsplit
 
-from loomstand.config.configuration import Configuration, ConfigurationError, parse
-from loomstand.config.units import UnitError, port, version, version_text
+from loomstand.config.configuration import Configuration, ConfigurationError, parse_configuration
+from loomstand.config.units import UnitError, format_version, parse_port, parse_version
 from loomstand.ctl.commands import ConfigPush, ConfigRead
 from loomstand.ctl.masks import mask, masked
 from loomstand.ctl.plain import Wrong, configuration, held, said
@@ -71,7 +71,7 @@
             parts = urlsplit(location)
             if parts.scheme != "http" or not parts.hostname:
                 raise ValueError
-            where = parts.hostname, port(str(parts.port or 80))
+            where = parts.hostname, parse_port(str(parts.port or 80))
         except (ValueError, UnitError):
             raise Failure(f"{at} sends on to {said(location)[:100] or 'nowhere'}") from None
         path = (parts.path or "/") + (f"?{parts.query}" if parts.query else "")
@@ -130,7 +130,7 @@
     """The newest configuration and who gave it. Raises Wrong."""
     got = asked(addresses, "configuration.read", b"", within)
     try:
-        return parse(got.body), got.at
+        return parse_configuration(got.body), got.at
     except ConfigurationError as why:
         raise Wrong(f"{got.at} gave no configuration: {why}", 1) from None
 
@@ -138,7 +138,7 @@
 def _in_force(got: Answer) -> int | None:
     """The version that an acknowledgement names; not every gateway names one."""
     try:
-        return version(str(json.loads(got.body)["version"]))
+        return parse_version(str(json.loads(got.body)["version"]))
     except (ValueError, KeyError, TypeError, RecursionError):
         return None
 
@@ -157,7 +157,7 @@
             "" if isinstance(why, Refused) else "; it may be in force all the same: push it again"
         )
         raise Wrong(
-            f"{version_text(mine.version)} is not acknowledged: {why}{unclear}", 1
+            f"{format_version(mine.version)} is not acknowledged: {why}{unclear}", 1
         ) from None
     number, wrong = _in_force(got), ""
     # A version that another operator has taken is acknowledged like our own: only reading tells
@@ -170,11 +170,11 @@
     except Wrong as why:
         print(f"acknowledged by {got.at}, but not read back: {why}", file=sys.stderr)
     if number is not None and number != mine.version:
-        wrong = f"and {version_text(mine.version)} is not, as it isn't higher"
-    text = version_text(mine.version if number is None else number)
+        wrong = f"and {format_version(mine.version)} is not, as it isn't higher"
+    text = format_version(mine.version if number is None else number)
     if asks.json:
         told = {
-            "pushed": version_text(mine.version),
+            "pushed": format_version(mine.version),
             "in_force": text,
             "by": got.at,
             "wrong": wrong,
@@ -193,5 +193,5 @@
         sys.stdout.buffer.flush()
     else:
         print(json.dumps(mask(json.loads(found.raw)), indent=2, ensure_ascii=False))
-    print(f"{version_text(found.version)}, from {at}", file=sys.stderr)
+    print(f"{format_version(found.version)}, from {at}", file=sys.stderr)
     return 0
--- a/loomstand/ctl/commands.py
+++ b/loomstand/ctl/commands.py
@@ -10,7 +10,7 @@
 import cappa
 from rich.console import Console
 
-from loomstand.config.units import UnitError, port, seconds, shown
+from loomstand.config.units import UnitError, parse_port, parse_seconds, quote_value
 from loomstand.ctl.plain import Wrong, said
 
 PROG = "loomstand.ctl"
@@ -28,22 +28,22 @@
     """HOST:PORT, where the host may be a name."""
     host, colon, number = text.rpartition(":")
     if not colon or not host or any(c in "/@[]" or c <= " " for c in host):
-        raise ValueError(f"{shown(text)} is not HOST:PORT such as 10.1.0.3:8783")
+        raise ValueError(f"{quote_value(text)} is not HOST:PORT such as 10.1.0.3:8783")
     try:
-        return host, port(number)
+        return host, parse_port(number)
     except UnitError as why:
         raise ValueError(str(why)) from None
 
 
 def _host(text: str) -> str:
     if not text or any(c in ":/@[]" or c <= " " for c in text):
-        raise ValueError(f"{shown(text)} is not HOST such as 10.1.0.3")
+        raise ValueError(f"{quote_value(text)} is not HOST such as 10.1.0.3")
     return text
 
 
 def _time(text: str) -> float:
     try:
-        return seconds(text)
+        return parse_seconds(text)
     except UnitError as why:
         raise ValueError(str(why)) from None
 
@@ -51,7 +51,7 @@
 def _days(text: str) -> int:
     """A number of days to draw; none is no days."""
     if not text.isascii() or not text.isdigit() or not 0 < int(text[:9]) <= MOST_DAYS:
-        raise ValueError(f"{shown(text)} is not a number from 1 to {MOST_DAYS}")
+        raise ValueError(f"{quote_value(text)} is not a number from 1 to {MOST_DAYS}")
     return int(text)
 
 
@@ -61,7 +61,7 @@
     except ValueError:
         value = 0.0
     if not 1 / MOST_LOAD <= value <= MOST_LOAD:
-        raise ValueError(f"{shown(text)} is not a figure from {1 / MOST_LOAD} to {MOST_LOAD}")
+        raise ValueError(f"{quote_value(text)} is not a figure from {1 / MOST_LOAD} to {MOST_LOAD}")
     return value
 
 
--- a/loomstand/ctl/compare.py
+++ b/loomstand/ctl/compare.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, fields
 from typing import Any
 
-from loomstand.config.configuration import Configuration, Limits, Route, Service, Tenant
-from loomstand.config.units import version_text
+from loomstand.config.configuration import ClientLimits, Configuration, Route, Service, Tenant
+from loomstand.config.units import format_version
 from loomstand.ctl.masks import masked
 from loomstand.ctl.plain import short, time
 
-Item = Route | Service | Tenant | Limits
+Item = Route | Service | Tenant | ClientLimits
 # What the configuration itself calls a field.
 _NAMES = {
     "prefix": "path_prefix",
@@ -63,8 +63,8 @@
             else "requests need a key from now on"
         )
     return Difference(
-        version_text(old.version),
-        version_text(new.version),
+        format_version(old.version),
+        format_version(new.version),
         new.version > old.version,
         keys,
         _part({r.name: r for r in old.routes}, {r.name: r for r in new.routes}),
--- a/loomstand/ctl/files.py
+++ b/loomstand/ctl/files.py
@@ -6,15 +6,15 @@
 from typing import Any
 
 from loomstand.config.configuration import Configuration
-from loomstand.config.settings import Settings, SettingsError, parse
-from loomstand.config.units import address_text, version_text
+from loomstand.config.settings import Settings, SettingsError, parse_settings
+from loomstand.config.units import format_address, format_version
 from loomstand.ctl.commands import ConfigCheck, ConfigDiff, SettingsCheck
 from loomstand.ctl.plain import Wrong, configuration, data, held, many, said, short, time
 
 
 def settings_check(asked: SettingsCheck) -> int:
     try:
-        settings = parse(held(asked.file).decode("utf-8"))
+        settings = parse_settings(held(asked.file).decode("utf-8"))
     except UnicodeDecodeError as why:
         raise Wrong(f"{asked.file}: not UTF-8 at byte {why.start}") from None
     except SettingsError as why:
@@ -38,10 +38,10 @@
         f"at {told.ip_address} in zone {told.zone}, region {told.region}; "
         + ("its loss counts" if told.loss_counted else "its loss does not count"),
         f"serves {', '.join(told.serves) or 'nothing outside'}",
-        *(f"listens at {address_text(a)} for {n}" for n, a in listens),
-        f"system's own calls: registry {address_text(told.registry(told.ip_address))}, "
-        f"store {address_text(told.store(told.ip_address))}",
-        f"seeds: {', '.join(map(address_text, told.seeds))}",
+        *(f"listens at {format_address(a)} for {n}" for n, a in listens),
+        f"system's own calls: registry {format_address(told.registry(told.ip_address))}, "
+        f"store {format_address(told.store(told.ip_address))}",
+        f"seeds: {', '.join(map(format_address, told.seeds))}",
         "zones: "
         f"{', '.join(f'{zone} ({region})' for zone, region in told.zones.items()) or 'none named'}",
         f"first start: {'yes' if told.first_start else 'no'}; data in "
@@ -68,7 +68,7 @@
 def _counts(found: Configuration) -> dict[str, Any]:
     tenants = len(found.tenants or ())
     return {
-        "version": version_text(found.version),
+        "version": format_version(found.version),
         "routes": len(found.routes),
         "services": len(found.services),
         "tenants": tenants,
--- a/loomstand/ctl/plain.py
+++ b/loomstand/ctl/plain.py
@@ -8,7 +8,7 @@
 from dataclasses import fields, is_dataclass
 from typing import Any
 
-from loomstand.config.configuration import Configuration, ConfigurationError, parse
+from loomstand.config.configuration import Configuration, ConfigurationError, parse_configuration
 
 _BREAKS = re.compile("[\x00-\x1f\x7f-\x9f\u2028\u2029\ud800-\udfff]+")
 
@@ -42,7 +42,7 @@
 def configuration(path: str, raw: bytes, code: int = 2) -> Configuration:
     """The configuration in a file's bytes. Raises Wrong with the place and what is wrong there."""
     try:
-        return parse(raw)
+        return parse_configuration(raw)
     except ConfigurationError as why:
         raise Wrong(f"{path}: invalid: {why}", code) from None
 
--- a/loomstand/ctl/rescue.py
+++ b/loomstand/ctl/rescue.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from loomstand.config.units import address
+from loomstand.config.units import parse_address
 from loomstand.ctl import calls
 from loomstand.ctl.calls import Address, Answer, Failure
 from loomstand.ctl.commands import CoreRescue
@@ -31,7 +31,7 @@
             failed[at] = told["failed"]
             continue
         try:
-            got = _ask(address(at), {"gone": asked.gone})
+            got = _ask(parse_address(at), {"gone": asked.gone})
             if got.status == 200:
                 cases[at] = json.loads(got.body)["case"]
                 _lines(cases[at])  # it has all that is used
@@ -104,7 +104,7 @@
 def _found(asked: CoreRescue, at: str, case: Case) -> Case:
     """Gives the word, once: the token is worth nothing after it. Raises Wrong."""
     try:
-        got = _ask(address(at), {"gone": asked.gone, "token": case["token"]})
+        got = _ask(parse_address(at), {"gone": asked.gone, "token": case["token"]})
         if got.status != 200:
             raise Wrong(f"nothing was founded: {got.reason()}", 1)
         done: Case = json.loads(got.body)["done"]
--- a/loomstand/ctl/status.py
+++ b/loomstand/ctl/status.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from loomstand.config.units import UnitError, address, address_text
+from loomstand.config.units import UnitError, format_address, parse_address
 from loomstand.ctl import calls
 from loomstand.ctl.calls import Address, Failure
 from loomstand.ctl.commands import Status
@@ -41,16 +41,16 @@
     new = dict.fromkeys(addresses)
     while new and len(found) < MOST:
         with ThreadPoolExecutor(len(new)) as pool:
-            answers = dict(zip(map(address_text, new), pool.map(_ask, new), strict=True))
+            answers = dict(zip(map(format_address, new), pool.map(_ask, new), strict=True))
         found |= answers
         named = [core for told in answers.values() for core in told.get("cores", ())]
         new = {}
         for core in named:
             try:
-                where = address(core)
+                where = parse_address(core)
             except UnitError:
                 continue
-            if address_text(where) not in found and len(found) + len(new) < MOST:
+            if format_address(where) not in found and len(found) + len(new) < MOST:
                 new[where] = None
     return _once_each(found)
 
--- a/loomstand/failover/zone_plan.py
+++ b/loomstand/failover/zone_plan.py
@@ -15,14 +15,14 @@
 import msgspec
 from msgspec import Meta
 
-from loomstand.config.toml_tables import Struct, TableError, convert, read
+from loomstand.config.toml_tables import StrictStruct, TableError, convert_table, read_toml
 
 PlanError = TableError
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, Meta(gt=0.0)]
 
 
-class Zone(Struct):
+class Zone(StrictStruct):
     """What a zone has."""
 
     name: str
@@ -31,7 +31,7 @@
     limiters: Annotated[int, Meta(ge=0)] = 0  # that stand in it, and are lost with it
 
 
-class Demand(Struct):
+class Demand(StrictStruct):
     """What a frontend's clients ask, at the time that the plan is made for."""
 
     frontend: str
@@ -41,7 +41,7 @@
     plan: str = ""  # only this plan's customers; empty for all
 
 
-class Rank(Struct):
+class Rank(StrictStruct):
     """Reqs that are refused together: those that all of its keys fit. What is empty fits any."""
 
     name: str
@@ -64,7 +64,7 @@
     share: Share = 0.2
 
 
-class SitePlan(Struct):
+class SitePlan(StrictStruct):
     """A whole plan. `refuse` is in order, the first to be refused first."""
 
     refuse: Annotated[list[Rank], Meta(min_length=1)]
@@ -101,7 +101,7 @@
     """The plan in a table. Where names of frontends and plans are given, it may name no other.
     Raises PlanError naming the key.
     """
-    plan = convert(table, SitePlan)
+    plan = convert_table(table, SitePlan)
     places = [(f"refuse[{n}]", r) for n, r in enumerate(plan.refuse)]
     places += [("keep", plan.keep)] if plan.keep else []
     for where, rank in places:
@@ -121,7 +121,7 @@
 
 def load(path: str, frontends: Sequence[str] = (), plans: Sequence[str] = ()) -> SitePlan:
     """The plan in a file. Raises PlanError naming the file and the key."""
-    table = read(path)
+    table = read_toml(path)
     try:
         return parse(table, frontends, plans)
     except PlanError as why:
--- a/loomstand/limiter/discovery.py
+++ b/loomstand/limiter/discovery.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from loomstand.config.limiter import Members
+from loomstand.config.limiter import BackendList
 from loomstand.limiter import http_parser
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Wire, connect
@@ -17,7 +17,7 @@
 SILENT = 2.5 * BEAT  # two beats missed; under the 6 s after which a change counts as told
 MOST_LINE = 1 << 20  # of a whole list, some thousands of servers
 AGAIN = (0.1, 2.0)  # the mean wait before a new watch, doubled from the first to the second
-decode = msgspec.json.Decoder(Members).decode
+decode = msgspec.json.Decoder(BackendList).decode
 
 
 class WatchReceiver(http_parser.ResponseReceiver):
@@ -100,7 +100,7 @@
             self.limiter.log(f"discovery: {why}")
             self.wire.stop(Ending.MALFORMED)
 
-    def told(self, list_: Members) -> None:
+    def told(self, list_: BackendList) -> None:
         self.limiter.told(list_)
         self.revision = list_.revision
 
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -8,7 +8,7 @@
 from loomstand.admission.decision_engine import DecisionEngine
 from loomstand.admission.identifiers import Door, up
 from loomstand.admission.interface import Outcome
-from loomstand.config.limiter import Config, Members, address, settings
+from loomstand.config.limiter import BackendList, LimiterConfig, engine_settings, parse_host_port
 from loomstand.limiter import http_parser
 from loomstand.limiter.client_connection import Client, Front
 from loomstand.limiter.counter import Counter
@@ -33,12 +33,12 @@
 class Limiter(GatewayCore):
     """Everything of one limiter. `run` serves until it is told to stop."""
 
-    def __init__(self, config: Config, turns: Turns | None = None) -> None:
+    def __init__(self, config: LimiterConfig, turns: Turns | None = None) -> None:
         conf, limits = config.conf, config.limits
         self.config = config
         super().__init__(Log(config.name), turns, limits.memory_mb, limits.sockets - FIXED_SOCKETS)
         self.halls, self.kinds, self.servers = Door(conf.zones), Door(conf.kinds), Door()
-        self.settings = settings(conf, self.halls.at(conf.az))
+        self.settings = engine_settings(conf, self.halls.at(conf.az))
         # this process has run at least as long as it has worked: so long it surely passed nothing
         started = self.now() - int(time.process_time() * 10_000)
         names = ([g.name for g in conf.grades], [p.name for p in conf.plans], conf.zones)
@@ -92,7 +92,7 @@
     def swept_more(self) -> None:
         self.watch.sweep()
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: LimiterConfig) -> None:
         """Goes on under another configuration: addresses move, and nothing taken is lost."""
         old, self.config = self.config, config
         if config.discovery != old.discovery:
@@ -121,7 +121,7 @@
 
     # from discovery, and from peers
 
-    def told(self, list_: Members) -> None:
+    def told(self, list_: BackendList) -> None:
         """Discovery itself spoke."""
         if self.peers is not None:
             self.peers.from_discovery(list_)
@@ -131,7 +131,7 @@
         if self.peers is not None:
             self.peers.beat()
 
-    def listed(self, list_: Members) -> None:
+    def listed(self, list_: BackendList) -> None:
         if list_.complete:
             named = {m.id for m in list_.members}
             for name, srv in list(self.servers.index.items()):
@@ -142,7 +142,10 @@
         for m in list_.members:
             srv, phase = self.servers.at(m.id), PHASES[m.phase]
             self.pool.told(
-                srv, None if phase is i.EndpointState.GONE else address(m.host_port, "host_port")
+                srv,
+                None
+                if phase is i.EndpointState.GONE
+                else parse_host_port(m.host_port, "host_port"),
             )
             hall, kind = self.halls.at(m.locality), self.kinds.at(m.flavor)
             entries.append(i.Endpoint(srv, phase, hall, kind, m.cell, m.size, up(m.up_since_ms)))
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from loomstand.admission.interface import Outcome
-from loomstand.config.limiter import Members
+from loomstand.config.limiter import BackendList
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import Room
 
@@ -41,7 +41,7 @@
 
     def log(self, text: str) -> None: ...
 
-    def told(self, list_: Members) -> None: ...
+    def told(self, list_: BackendList) -> None: ...
 
     def beat(self) -> None: ...
 
--- a/loomstand/membership/driver.py
+++ b/loomstand/membership/driver.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from loomstand.config.limiter import ConfigError, Members, address
+from loomstand.config.limiter import BackendList, LimiterConfigError, parse_host_port
 from loomstand.membership import messages
 from loomstand.membership.endpoint_lists import PASS_ON, PIECE, Lists
 from loomstand.membership.members import Members as Membership
@@ -27,7 +27,7 @@
 
     def log(self, text: str) -> None: ...
 
-    def listed(self, list_: Members) -> None: ...
+    def listed(self, list_: BackendList) -> None: ...
 
 
 class Watching(Protocol):
@@ -49,7 +49,7 @@
         limiters: int,
         at: str,
         given: Sequence[str],
-        known: Members,
+        known: BackendList,
         seed: int,
     ) -> None:
         now = limiter.loop.time()
@@ -65,7 +65,9 @@
         self.ticks, self.counts = 0, Tally[str]()
 
     async def listen(self) -> None:
-        await self.limiter.loop.create_datagram_endpoint(lambda: self, address(self.at, "peer"))
+        await self.limiter.loop.create_datagram_endpoint(
+            lambda: self, parse_host_port(self.at, "peer")
+        )
         self.tick()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -103,7 +105,7 @@
             if at and self.transport is not None and not self.transport.is_closing():
                 raw = messages.encode(message)
                 self.counts["sent"] += 1
-                self.transport.sendto(raw, address(at, "peers"))
+                self.transport.sendto(raw, parse_host_port(at, "peers"))
         moved, self.members.moved = self.members.moved, []
         for id_, old, new in moved:
             if State.SUSPECTED in (old, new) or new in (State.DEAD, State.LEFT):
@@ -115,7 +117,7 @@
             message = messages.decode(raw)
             if not self.members.knows(message.id, place) or message.id == self.members.me:
                 raise ValueError("from no member")
-        except (msgspec.DecodeError, ConfigError, ValueError) as why:
+        except (msgspec.DecodeError, LimiterConfigError, ValueError) as why:
             self.counts["spoilt"] += 1
             self.limiter.log(f"peers: a datagram from {place} changes nothing: {why}")
             return
@@ -142,7 +144,7 @@
             self.members.send(message.id, Want(*self.members.head()))
         self.flush()
 
-    def told(self, told: Members, part: Part) -> None:
+    def told(self, told: BackendList, part: Part) -> None:
         """A list or change from a peer counts as told; what is new is passed on."""
         self.watch.revision = max(self.watch.revision, told.revision)
         self.counts["lists from peers"] += 1
@@ -150,7 +152,7 @@
         if not part.whole:
             self.pass_on(part)
 
-    def from_discovery(self, told: Members) -> None:
+    def from_discovery(self, told: BackendList) -> None:
         """Discovery spoke here: the others get it from us."""
         part = self.lists.from_discovery(self.limiter.loop.time(), told)
         if part is not None:
--- a/loomstand/membership/endpoint_lists.py
+++ b/loomstand/membership/endpoint_lists.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Sequence
 
-from loomstand.config.limiter import Member, Members
+from loomstand.config.limiter import BackendList, BackendRecord
 from loomstand.membership.messages import Part
 
 WATCHERS = 3  # two can die together and a third still has every change at once
@@ -35,7 +35,7 @@
 
     def __init__(self, me: int, now: float, limiters: int = 0) -> None:
         self.me, self.began, self.limiters = me, now, limiters
-        self.revision, self.members = 0, dict[str, Member]()
+        self.revision, self.members = 0, dict[str, BackendRecord]()
         self.left: dict[str, int] = {}  # servers that have left, with the revision that said so
         self.fresh = -OLD * 10  # when discovery last said anything, to anybody
         self.pieces: dict[tuple[int, int], tuple[float, list[Part | None]]] = {}
@@ -73,7 +73,7 @@
 
     # what is believed
 
-    def from_discovery(self, now: float, told: Members) -> Part | None:
+    def from_discovery(self, now: float, told: BackendList) -> Part | None:
         """Discovery itself is always believed, also when it goes back. What is to be passed on, if
         anything changed.
         """
@@ -89,7 +89,7 @@
             self.me, 0, self.revision, [], whole=told.complete, since=since, members=told.members
         )
 
-    def put(self, members: Sequence[Member], revision: int) -> None:
+    def put(self, members: Sequence[BackendRecord], revision: int) -> None:
         for m in members:
             if m.phase == "left":
                 self.members.pop(m.id, None)
@@ -98,7 +98,7 @@
                 self.members[m.id] = m
                 self.left.pop(m.id, None)
 
-    def from_peer(self, now: float, part: Part) -> Members | None:
+    def from_peer(self, now: float, part: Part) -> BackendList | None:
         """What the limiter is to be told, if a piece of a list makes one that is newer than what is
         held. Never backwards: a server that left comes back by discovery's own word or a higher
         revision, and from a peer alone no server is believed to be gone because it is not named.
@@ -129,13 +129,13 @@
         members = [m for p in pieces for m in p.members if self.left.get(m.id, -1) < part.revision]
         self.put(members, part.revision)
         self.revision = part.revision
-        return Members(revision=part.revision, complete=False, members=members)
+        return BackendList(revision=part.revision, complete=False, members=members)
 
     def whole(self) -> list[Part]:
         """The whole list in pieces, for a peer that wants it; none where none is held."""
         if not self.revision:
             return []
-        gone = [Member(id=i, host_port="127.0.0.1:1", phase="left") for i in self.left]
+        gone = [BackendRecord(id=i, host_port="127.0.0.1:1", phase="left") for i in self.left]
         every = [*self.members.values(), *gone]
         of = max(1, -(-len(every) // PIECE))
         return [
@@ -151,7 +151,7 @@
             for n in range(of)
         ]
 
-    def known(self, told: Members) -> None:
+    def known(self, told: BackendList) -> None:
         """The list of the configuration, which may be old: its revision counts, it is nobody's
         fresh word.
         """
--- a/loomstand/membership/messages.py
+++ b/loomstand/membership/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from loomstand.config.limiter import Member
+from loomstand.config.limiter import BackendRecord
 
 MOST = 8192  # bytes a datagram: well under what loopback and fragmented networks carry
 
@@ -63,7 +63,7 @@
     of: int = 1
     whole: bool = True
     since: int = 0  # the revision that changes follow; 0 for whole lists
-    members: list[Member] = msgspec.field(default_factory=list)
+    members: list[BackendRecord] = msgspec.field(default_factory=list)
 
 
 Message = Ping | Ack | Check | Want | Part
--- a/loomstand/proxy/policy_compiler.py
+++ b/loomstand/proxy/policy_compiler.py
@@ -13,7 +13,7 @@
     QuotaPlan,
 )
 from loomstand.config.configuration import Configuration, Route, Tenant
-from loomstand.config.settings import Bounds
+from loomstand.config.settings import RuleBounds
 from loomstand.registry.quota_grants import ALONE
 
 # Late answers have a worth that the configuration doesn't tell: a tenth and three tenths at the
@@ -59,7 +59,7 @@
 class PolicyCompiler:
     """LimiterTable out the module's indices, and makes its settings."""
 
-    def __init__(self, bounds: Bounds, zones: list[str], zone: str) -> None:
+    def __init__(self, bounds: RuleBounds, zones: list[str], zone: str) -> None:
         self.bounds = bounds
         self.zones, self.services, self.tenants = Door(zones), Door(), Door([NOBODY])
         self.hall = self.zones.at(zone)
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -12,10 +12,10 @@
 from loomstand.admission.decision_engine import DecisionEngine
 from loomstand.admission.identifiers import digest
 from loomstand.admission.interface import Outcome
-from loomstand.config.configuration import ConfigurationError, Limits, Reader
-from loomstand.config.routes import Table
+from loomstand.config.configuration import ClientLimits, ConfigurationError, ConfigurationReader
+from loomstand.config.routes import RouteTable
 from loomstand.config.settings import Settings
-from loomstand.config.units import address
+from loomstand.config.units import parse_address
 from loomstand.limiter import http_parser
 from loomstand.limiter.client_connection import Client, Front
 from loomstand.limiter.event_loop import Streams, Turns
@@ -91,7 +91,7 @@
         self.conf, self.rng, self.room_at_all = settings, rng, self.room.left
         self.front = Front(self, self.spare, limits.file_descriptors)
         self.front.own_paths = False
-        self.bound(Limits())
+        self.bound(ClientLimits())
         self.pool = UpstreamPool(self, CONNECT_WITHIN, IDLE_MOST)
         if streams is not None:
             self.front.bind, self.pool.connect = streams.listen, streams.connect
@@ -102,8 +102,8 @@
         self.indices: dict[str, int] = {}
         self.by_service: dict[str, set[int]] = {}  # the live servers of each service
         self.fleet = Fleet()
-        self.table: Table | None = None
-        self.reader = Reader()
+        self.table: RouteTable | None = None
+        self.reader = ConfigurationReader()
         self.sure_at: float | None = None
         self.sessions = Sessions(settings, network, self.loop.time, rng, self)
         self.readiness = OperatorHttpServer(self.ready, turns, 4 << 20, 64, 4096, streams)
@@ -183,7 +183,7 @@
 
     def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> i.Endpoint:
         phase = PHASES[use]
-        self.pool.told(srv, None if phase is i.EndpointState.GONE else address(where))
+        self.pool.told(srv, None if phase is i.EndpointState.GONE else parse_address(where))
         live = self.by_service.setdefault(service, set())
         (live.add if phase is i.EndpointState.LIVE else live.discard)(srv)
         at = self.terms.services.at(service)
@@ -213,7 +213,7 @@
             logging.error("configuration r%d can't be used: %s", version, why)
             return False
         self.terms.learn(configuration)
-        self.table = Table.of(configuration)
+        self.table = RouteTable.of(configuration)
         self.credits.learn({digest(t.name): t for t in configuration.tenants or () if t.rate > 0})
         self.short.set()
         self.bound(configuration.limits)
@@ -222,7 +222,7 @@
         self.settle()
         return True
 
-    def bound(self, limits: Limits) -> None:
+    def bound(self, limits: ClientLimits) -> None:
         """What clients may send from their next request on, and how long they may idle. A body is
         held whole, so it may take an eighth of the memory for buffers at most, whatever the
         configuration allows.
@@ -379,7 +379,7 @@
             if self.credits.due(name, now):
                 self.short.set()
 
-    def service(self, table: Table, req: ProxyRequest) -> str:
+    def service(self, table: RouteTable, req: ProxyRequest) -> str:
         """One of the route's services by weight; where that has no server, another that the route
         allows.
         """
--- a/loomstand/proxy/quota_credits.py
+++ b/loomstand/proxy/quota_credits.py
@@ -13,7 +13,7 @@
 from math import exp, inf
 
 from loomstand.config.configuration import Tenant
-from loomstand.config.settings import Bounds
+from loomstand.config.settings import RuleBounds
 from loomstand.registry.quota_grants import ALONE, FEW, GOOD, SILENT, depth
 
 # Credits that are held of a tenant that asks little, as requests often come in pairs; more where a
@@ -69,7 +69,7 @@
 class QuotaCredits:
     """All tenants' credits. `life`: a number of its own for each start."""
 
-    def __init__(self, bounds: Bounds, life: int, now: float) -> None:
+    def __init__(self, bounds: RuleBounds, life: int, now: float) -> None:
         self.bounds, self.life = bounds, life
         self.credits: dict[int, TenantCredits] = {}
         self.many = 1
--- a/loomstand/registry/heartbeats.py
+++ b/loomstand/registry/heartbeats.py
@@ -4,7 +4,7 @@
 
 import json
 
-from loomstand.config.units import UnitError, address, seconds
+from loomstand.config.units import UnitError, parse_address, parse_seconds
 from loomstand.registry.instances import DRAINING, READY, Instance
 
 
@@ -21,7 +21,7 @@
         said = json.loads(body)
         field = "address"
         where = str(said["address"])
-        address(where)
+        parse_address(where)
         field = "information"
         info = said["information"]
         service, zone, slots = (
@@ -32,7 +32,7 @@
         field = "status"
         status = said["status"]
         state, sequence = str(status["state"]), int(status["sequence"])
-        cold = seconds(str(status.get("cold_remaining", "0ms")))
+        cold = parse_seconds(str(status.get("cold_remaining", "0ms")))
         if state not in (READY, DRAINING):
             raise ValueError(f"state {state!r}")
     except (ValueError, KeyError, TypeError, UnitError, RecursionError) as why:
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -16,9 +16,9 @@
 from absl import logging
 from expression import Error, Result
 
-from loomstand.config.configuration import Configuration, ConfigurationError, Reader
+from loomstand.config.configuration import Configuration, ConfigurationError, ConfigurationReader
 from loomstand.config.settings import Settings
-from loomstand.config.units import address_text
+from loomstand.config.units import format_address
 from loomstand.registry.clock import Clock
 from loomstand.registry.counters import Counters
 from loomstand.registry.counting_lease import CountingLease
@@ -86,7 +86,7 @@
         self.hands_told = 0  # of the limiters' versions
         self.facts = 0  # grows with what limiters hear beside servers
         self.version, self.data = 0, b""  # the configuration
-        self.reader = Reader()
+        self.reader = ConfigurationReader()
         self.parsed: Configuration | None = None  # the last that was read
         self.packed = 0, b""  # the version held, as `fetch` sends it
         self.in_hand = 0  # bytes of orders that wait for the store
@@ -666,12 +666,12 @@
         known, own = dict(self.settings.seeds), self.settings.listen.control_plane
         if own is not None:
             known = {**dict.fromkeys(self.cores, own[1]), **known, own[0]: own[1]}
-        return [address_text((ip, known[ip])) for ip in self.cores if ip in known]
+        return [format_address((ip, known[ip])) for ip in self.cores if ip in known]
 
 
 def text(where: list[Any] | None) -> str | None:
     """An address as it comes in a body."""
-    return address_text((str(where[0]), int(where[1]))) if where else None
+    return format_address((str(where[0]), int(where[1]))) if where else None
 
 
 def problem(text: str) -> bytes:
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -16,7 +16,7 @@
 
 from loomstand.admission.identifiers import digest
 from loomstand.config.configuration import Tenant
-from loomstand.config.settings import Bounds
+from loomstand.config.settings import RuleBounds
 
 # A limiter without word of the counter admits this share of its even part: calm tenants use some
 # six tenths of their quotas. The counter leaves as much to those that it doesn't hear; with six in
@@ -43,12 +43,12 @@
 FEW = 1.5
 
 
-def depth(rate: float, burst: float, bounds: Bounds) -> float:
+def depth(rate: float, burst: float, bounds: RuleBounds) -> float:
     """Requests of a tenant that may come beyond its rate, as credits are charged."""
     return max(1.0, burst) + SHARE * leeway(rate, burst, bounds)
 
 
-def leeway(rate: float, burst: float, bounds: Bounds) -> float:
+def leeway(rate: float, burst: float, bounds: RuleBounds) -> float:
     """What may run beyond rate x window + burst."""
     return bounds.quota_overshoot * (rate * bounds.quota_window + burst) + bounds.quota_slack
 
@@ -87,7 +87,7 @@
     anew.
     """
 
-    def __init__(self, bounds: Bounds) -> None:
+    def __init__(self, bounds: RuleBounds) -> None:
         self.bounds = bounds
         self.number = 0
         self.buckets: dict[int, Bucket] = {}
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -11,7 +11,7 @@
 
 from absl import logging
 
-from loomstand.config.settings import Settings, SettingsError, read
+from loomstand.config.settings import Settings, SettingsError, read_settings
 from loomstand.limiter.event_loop import Turns
 
 VARIABLE = "LOOMSTAND_CONFIG"
@@ -36,7 +36,7 @@
     if not path:
         sys.exit(f"{VARIABLE}: not set; it names the settings file")
     try:
-        settings = read(path)
+        settings = read_settings(path)
     except SettingsError as why:
         sys.exit(f"{path}: {why}")
     logging.use_absl_handler()
@@ -65,7 +65,7 @@
         nonlocal seen
         seen = stamp(path)
         try:
-            program.reload(read(path))
+            program.reload(read_settings(path))
         except SettingsError as why:
             logging.error("the settings can't be used, those held stand: %s", why)
 
--- a/loomstand/testing/bench_adapter/__main__.py
+++ b/loomstand/testing/bench_adapter/__main__.py
@@ -10,7 +10,7 @@
 from loomstand.admission import interface as i
 from loomstand.admission.decision_engine import DecisionEngine
 from loomstand.admission.identifiers import Door, Unknown, digest, down, up
-from loomstand.config.limiter import settings
+from loomstand.config.limiter import engine_settings
 from loomstand.testing.bench_adapter import wire as w
 
 OUTCOMES = {
@@ -45,7 +45,9 @@
         self.kinds = Door(conf.kinds)
         self.servers = Door()
         self.customers: dict[str, tuple[int, int]] = {}
-        self.brain = DecisionEngine(settings(conf, self.halls.at(conf.az)), start.entropy, now)
+        self.brain = DecisionEngine(
+            engine_settings(conf, self.halls.at(conf.az)), start.entropy, now
+        )
 
     def note(self, ev: w.Event, pools: dict[int, list[w.Item]]) -> i.Event | None:
         """The event as a note of the interface; None where it holds nothing for the module."""
--- a/loomstand/testing/bench_adapter/wire.py
+++ b/loomstand/testing/bench_adapter/wire.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from loomstand.config.limiter import Conf, Part
+from loomstand.config.limiter import WireSettings, WireStruct
 
 Outcomes = Literal[
     "served",
@@ -20,7 +20,7 @@
 ]
 
 
-class Item(Part):
+class Item(WireStruct):
     server: str
     phase: Literal["live", "quiescing", "dead"]
     hall: str = ""
@@ -56,7 +56,7 @@
 
 class Start(Event, tag="start"):
     entropy: int
-    conf: Conf
+    conf: WireSettings
 
 
 class Down(Event, tag="down"):
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -22,7 +22,7 @@
 
 from loomstand.admission import interface as api
 from loomstand.admission.identifiers import digest
-from loomstand.config.limiter import settings
+from loomstand.config.limiter import engine_settings
 from loomstand.testing.emulator import scenario as sc
 from loomstand.testing.emulator.counts import Totals
 from loomstand.testing.emulator.engine import Engine
@@ -561,7 +561,7 @@
         self.live: tuple[list[Limiter], list[list[Limiter]]] | None = None  # by zone
 
     def settings_for(self, me: int, zone: int) -> api.EngineSettings:
-        return settings(sc.conf(self.scenario, me, zone), zone)
+        return engine_settings(sc.conf(self.scenario, me, zone), zone)
 
     # the network
     # -----------------------------------------------------------------------------------------
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -12,9 +12,16 @@
 import msgspec
 from msgspec import Meta
 
-from loomstand.config.limiter import Allowed, Conf, Grade, PlanConf, Rules, Specifics
-from loomstand.config.toml_tables import Struct, TableError, convert, toml
-from loomstand.config.toml_tables import read as table_of
+from loomstand.config.limiter import (
+    AllowedActions,
+    CounterSettings,
+    GradeSettings,
+    PlanSettings,
+    RuleSettings,
+    WireSettings,
+)
+from loomstand.config.toml_tables import StrictStruct, TableError, convert_table, parse_toml
+from loomstand.config.toml_tables import read_toml as table_of
 from loomstand.failover.zone_plan import SitePlan
 
 T = TypeVar("T")
@@ -25,7 +32,7 @@
 Count = Annotated[int, Meta(ge=0)]
 
 
-class Frontend(Struct):
+class Frontend(StrictStruct):
     """A class of reqs, as the bench's settings call a grade."""
 
     name: str
@@ -39,7 +46,7 @@
     work_ms: Positive = 20.0  # mean service time at a warm server with nothing else to do
 
 
-class Plan(Struct):
+class Plan(StrictStruct):
     """A plan: the quota of each of its customers over all limiters, and how many customers use
     it.
     """
@@ -58,7 +65,7 @@
     hot_demand: Positive = 5.0
 
 
-class Fleet(Struct):
+class Fleet(StrictStruct):
     """Limiters, servers and zones."""
 
     limiters: Annotated[int, Meta(ge=1)] = 10
@@ -89,7 +96,7 @@
         return self.fall_multiple * warmth * self.capacity / (mean_work_ms / 1000)
 
 
-class Net(Struct):
+class Net(StrictStruct):
     """The network between the parts: one-way delay and loss."""
 
     delay_ms: Seconds = 0.5
@@ -98,7 +105,7 @@
     loss: Share = 0.0
 
 
-class Counter(Struct):
+class Counter(StrictStruct):
     """The shared counter."""
 
     present: bool = True
@@ -107,7 +114,7 @@
     refresh_s: Positive = 1.0  # the metering period the limiters are told
 
 
-class Clients(Struct):
+class Clients(StrictStruct):
     """How clients behave beyond their arrival rate."""
 
     retry: Share = 0.0  # share of denied reqs whose client comes again
@@ -141,7 +148,7 @@
 ]
 
 
-class Fault(Struct):
+class Fault(StrictStruct):
     """One step of the timeline."""
 
     at: Seconds
@@ -154,7 +161,7 @@
     parts: Annotated[int, Meta(ge=2)] = 2
 
 
-class Scenario(Struct):
+class Scenario(StrictStruct):
     """A whole scenario."""
 
     name: str
@@ -199,16 +206,16 @@
     return sum(f.work_ms * f.share for f in fronts) / sum(f.share for f in fronts)
 
 
-def conf(scenario: Scenario, me: int, zone: int) -> Conf:
+def conf(scenario: Scenario, me: int, zone: int) -> WireSettings:
     """The settings that a limiter of this scenario is told, in the words of the operators' wire."""
     s, f = scenario, scenario.fleet
-    return Conf(
+    return WireSettings(
         balancers=f.limiters,
         me=me,
         az=f.zones[zone],
         zones=list(f.zones),
         grades=[
-            Grade(
+            GradeSettings(
                 name=g.name,
                 effect=g.effect,
                 on_time=g.response_target_ms,
@@ -220,7 +227,7 @@
             for g in s.frontends
         ],
         plans=[
-            PlanConf(
+            PlanSettings(
                 name=p.name,
                 refill=p.rate,
                 store_size=p.burst,
@@ -230,13 +237,13 @@
             )
             for p in s.plans
         ],
-        allowed=Allowed(try_limit=f.try_limit),
-        specifics=Specifics(
+        allowed=AllowedActions(try_limit=f.try_limit),
+        specifics=CounterSettings(
             has_counter=s.counter.present,
             count_limit=s.counter.timeout_ms,
             metering=s.counter.refresh_s * 1000,
         ),
-        rules=Rules(
+        rules=RuleSettings(
             answer_slack=f.answer_slack_ms,
             cold=f.cold_s * 1000,
             cold_from=f.cold_from,
@@ -249,12 +256,12 @@
 
 def parse(raw: str | bytes, source: str = "scenario") -> Scenario:
     """The scenario in a TOML text. Raises ScenarioError naming the key."""
-    return from_table(toml(raw, source))
+    return from_table(parse_toml(raw, source))
 
 
 def from_table(table: dict, kind: type[T] = Scenario) -> T:
     """The scenario in a table as TOML reads it. Raises ScenarioError naming the key."""
-    return convert(table, kind)
+    return convert_table(table, kind)
 
 
 def load(path: str) -> Scenario:
--- a/loomstand/testing/fault_schedules/site.py
+++ b/loomstand/testing/fault_schedules/site.py
@@ -10,7 +10,7 @@
 from math import ceil, isfinite
 from typing import Any
 
-from loomstand.config.toml_tables import TableError, toml
+from loomstand.config.toml_tables import TableError, parse_toml
 
 LEAST_S = 1.0  # between the lead and the end of faults; in less nothing could be told apart
 FOR_S = 5.0  # seconds of a trouble that names none, by the bench's page of kinds
@@ -77,7 +77,7 @@
 def read(raw: bytes) -> Site:
     """A site file. Raises SiteError."""
     try:
-        told = toml(raw, "the file")
+        told = parse_toml(raw, "the file")
     except TableError as why:
         raise SiteError(str(why)) from None
     except RecursionError:
--- a/loomstand/testing/simulation/bounds.py
+++ b/loomstand/testing/simulation/bounds.py
@@ -13,7 +13,7 @@
 from itertools import zip_longest
 from math import inf
 
-from loomstand.config.settings import Bounds
+from loomstand.config.settings import RuleBounds
 
 CORE = "core"  # the kind of a pair that only trouble of the core touches
 SMALL = 60  # requests a window, under which a quota's leeway is mostly `quota_slack`: 6 of 26
@@ -141,7 +141,7 @@
         return [Figure(self.name, *self.worst, self.many, self.broken)] if self.worst else []
 
 
-def judge(history: History, bounds: Bounds) -> list[Figure]:
+def judge(history: History, bounds: RuleBounds) -> list[Figure]:
     """The day's figures, in a fixed order; one that nothing was seen of is left out."""
     out = quota(history, bounds)
     out += news(history, bounds) + drains(history, bounds) + late(history, bounds)
@@ -156,7 +156,7 @@
 # --- quotas
 
 
-def quota(history: History, bounds: Bounds) -> list[Figure]:
+def quota(history: History, bounds: RuleBounds) -> list[Figure]:
     """QUOTA. The value is the share of the leeway used: 0 at rate x window + burst, 1 at the
     allowed. Of small quotas most is slack, so they are a figure of their own.
     """
@@ -194,7 +194,7 @@
 
 
 def in_force(
-    history: History, bounds: Bounds
+    history: History, bounds: RuleBounds
 ) -> Iterator[tuple[float, float, Mapping[str, tuple[float, float]]]]:
     """Versions with the span in which a window may begin that still has their quotas. A version may
     be in force once it is sent; a higher one binds when all limiters were in touch for
@@ -207,7 +207,7 @@
             until = min(until, bound_from(history, change.acked, bounds))
 
 
-def bound_from(history: History, acked: float, bounds: Bounds) -> float:
+def bound_from(history: History, acked: float, bounds: RuleBounds) -> float:
     """When all limiters have been in touch for `configuration_apply` after that acknowledgement."""
     at = acked + bounds.configuration_apply
     calm = bounds.configuration_apply + bounds.contact
@@ -220,7 +220,9 @@
 # --- news
 
 
-def trouble(history: History, host: str, since: float, until: float, bounds: Bounds) -> Span | None:
+def trouble(
+    history: History, host: str, since: float, until: float, bounds: RuleBounds
+) -> Span | None:
     """The trouble of a limiter, or of the core, that ended last among those within `contact` of a
     span.
     """
@@ -235,7 +237,7 @@
 class News:
     """Delays of one kind of news, by what befell the limiters that it was for."""
 
-    def __init__(self, name: str, within: float, history: History, bounds: Bounds) -> None:
+    def __init__(self, name: str, within: float, history: History, bounds: RuleBounds) -> None:
         self.name, self.within, self.history, self.bounds = name, within, history, bounds
         self.kinds: dict[str, Worst] = {}
 
@@ -279,7 +281,7 @@
     return out
 
 
-def news(history: History, bounds: Bounds) -> list[Figure]:
+def news(history: History, bounds: RuleBounds) -> list[Figure]:
     """CONFIG: from the acknowledgement of a version to its force, or that of a later one, at each
     limiter. One that starts must have what was acknowledged before too.
     """
@@ -317,7 +319,7 @@
     return min((w.at for w in mine if w.value >= change.version), default=ended)
 
 
-def drains(history: History, bounds: Bounds) -> list[Figure]:
+def drains(history: History, bounds: RuleBounds) -> list[Figure]:
     """DRAIN, as the limiters know of it: from the acknowledgement to the end of a server's use at
     each.
     """
@@ -346,7 +348,7 @@
     return min(ends, default=history.ended)
 
 
-def unsure(history: History, drain: Drain, bounds: Bounds) -> bool:
+def unsure(history: History, drain: Drain, bounds: RuleBounds) -> bool:
     """Whether the core machine that acknowledged a drain was out of touch: then it binds nobody."""
     return any(
         s.core and drain.by in s.hosts and s.begun <= drain.acked < s.ended + bounds.contact
@@ -354,7 +356,7 @@
     )
 
 
-def late(history: History, bounds: Bounds) -> list[Figure]:
+def late(history: History, bounds: RuleBounds) -> list[Figure]:
     """DRAIN, as servers see it: what arrives at one after its drain was acknowledged."""
     found = News("arrival after a drain", bounds.drain, history, bounds)
     drained = {drain.server: drain for drain in history.drains}
@@ -380,7 +382,7 @@
 # --- the rest
 
 
-def budget(history: History, bounds: Bounds) -> list[Figure]:
+def budget(history: History, bounds: RuleBounds) -> list[Figure]:
     """BUDGET. The value is the share of `budget_slack` that further tries took beyond the ratio's
     part.
     """
@@ -402,7 +404,7 @@
     return worst.figure()
 
 
-def orders(history: History, bounds: Bounds) -> list[Figure]:
+def orders(history: History, bounds: RuleBounds) -> list[Figure]:
     """Acks: how long a change took that was sent and acknowledged with no trouble near, or
     `acknowledge` past where none came.
     """
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -10,7 +10,7 @@
 
 from loomstand.admission.decision_engine import DecisionEngine
 from loomstand.admission.interface import Endpoint
-from loomstand.config.settings import Settings, parse
+from loomstand.config.settings import Settings, parse_settings
 from loomstand.proxy.program import Proxy
 from loomstand.registry.instances import READY
 from loomstand.registry.process import RegistryService
@@ -174,7 +174,9 @@
         zone = ZONES[int(ip.split(".")[-1]) % 2]
         seeds = ",".join(f"{ip}:{CONTROL}" for ip in self.core_ips[:3])
         first = str(self.first).lower()
-        return parse(SETTINGS.format(name=f"n-{ip}", ip=ip, zone=zone, first=first, seeds=seeds))
+        return parse_settings(
+            SETTINGS.format(name=f"n-{ip}", ip=ip, zone=zone, first=first, seeds=seeds)
+        )
 
     def wall(self, ip: str, rng: Random) -> float:
         """The time of day as a machine has it; programs read it when they start."""
--- a/loomstand/testing/simulation/scenario.py
+++ b/loomstand/testing/simulation/scenario.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from loomstand.config.settings import Bounds
+from loomstand.config.settings import RuleBounds
 from loomstand.testing.simulation.bounds import Change, History, Ran
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.faults import CORES, DENSE, LIMITERS, SERVERS, Faults
@@ -72,7 +72,7 @@
             self.key(load)
             self.town.tenant(load.name, load.key, load.rate, round(load.rate * rng.choice(BURSTS)))
 
-    def play(self) -> tuple[History, Bounds]:
+    def play(self) -> tuple[History, RuleBounds]:
         """Plays it, once: what came of it, and the bounds that it was under."""
         try:
             self.town.do(self.whole())
--- a/tests/golden/names.py
+++ b/tests/golden/names.py
@@ -6,10 +6,8 @@
 
 from __future__ import annotations
 
-from loomstand.config.configuration import ConfigurationError
-from loomstand.config.configuration import parse as parse_configuration
-from loomstand.config.settings import SettingsError
-from loomstand.config.settings import read as read_settings
+from loomstand.config.configuration import ConfigurationError, parse_configuration
+from loomstand.config.settings import SettingsError, read_settings
 from loomstand.rpc.frames import Foreign as ForeignBytes
 from loomstand.rpc.frames import Reader as FrameReader
 from loomstand.rpc.frames import pack as pack_frame
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -14,7 +14,7 @@
 from loomstand.admission import interface as api
 from loomstand.admission.decision_engine import DecisionEngine
 from loomstand.admission.interface import DeduplicationScope, Effect, EndpointState, Outcome
-from loomstand.config.limiter import parse
+from loomstand.config.limiter import parse_limiter_config
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.limiter import Limiter
 from loomstand.testing.rehearsal import wire
@@ -417,7 +417,7 @@
         self.members = [member(f"s{n}", await peer.start()) for n, peer in enumerate(self.servers)]
         raw = json.dumps(config_file(ports, self.members, **self.changes)).encode()
         turns = self.turns or asyncio.get_running_loop()._selector  # the tests put a Turns there
-        self.limiter, self.port = Limiter(parse(raw, {}), turns), ports["listen"]
+        self.limiter, self.port = Limiter(parse_limiter_config(raw, {}), turns), ports["listen"]
         self.task = asyncio.create_task(self.limiter.run())
         while not self.limiter.front.server:
             assert not self.task.done(), self.task.exception()
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -18,7 +18,11 @@
 from test_store import World
 
 from loomstand.config import configuration
-from loomstand.config.configuration import ConfigurationError, Reader, parse
+from loomstand.config.configuration import (
+    ConfigurationError,
+    ConfigurationReader,
+    parse_configuration,
+)
 from loomstand.proxy import sessions
 from loomstand.registry import program
 from loomstand.registry.process import MOST_BODY
@@ -61,12 +65,12 @@
 @pytest.mark.parametrize("timeout", ["0ms", "0s", "0.0s"])
 def test_a_route_without_time_is_refused(timeout):
     found = resources(2)
-    assert parse(body(found)).routes[0].timeout == 5.0
+    assert parse_configuration(body(found)).routes[0].timeout == 5.0
     found[3]["specification"]["timeout"] = timeout
     with pytest.raises(
         ConfigurationError, match=r"resources\[3\] route r-0: specification.timeout: 0$"
     ):
-        parse(body(found))
+        parse_configuration(body(found))
 
 
 # --- read again by what changed
@@ -100,14 +104,14 @@
 
 def compare(steps, kept: bool) -> None:
     """Changes one after another, each on top of the one before, or of the last that was valid."""
-    reader, found = Reader(), resources(4)
+    reader, found = ConfigurationReader(), resources(4)
     for n, (at, name, value) in enumerate(steps):
         changed = json.loads(json.dumps(found))
         changed[at]["specification"][name] = value
         if n % 4 == 3:
             changed.append(changed.pop(at))
         raw = body(changed, n)
-        mine, plain = outcome(reader.parse, raw), outcome(parse, raw)
+        mine, plain = outcome(reader.parse, raw), outcome(parse_configuration, raw)
         assert repr(mine) == repr(plain)  # 1 and 1.0 are equal
         if kept or not isinstance(plain, str):
             found = changed
@@ -132,7 +136,7 @@
 def test_a_change_of_few_routes_reads_few(monkeypatch):
     reads, found, before = [], resources(3000), configuration._found
     monkeypatch.setattr(configuration, "_found", lambda at, r: reads.append(at) or before(at, r))
-    reader = Reader()
+    reader = ConfigurationReader()
     reader.parse(body(found, 1))
     assert len(reads) == 3003
     found[70]["specification"]["timeout"] = "4s"
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -455,8 +455,10 @@
     words = [messages.Word(3, "10.0.0.3:7000", 2, 1), messages.Word(4, "10.0.0.4:7000", 1, 0)]
     base = (1, 5, 42, words)
     servers = [
-        config.Member(id="s1", host_port="10.0.1.1:80", phase="active", locality="east", cell=1),
-        config.Member(
+        config.BackendRecord(
+            id="s1", host_port="10.0.1.1:80", phase="active", locality="east", cell=1
+        ),
+        config.BackendRecord(
             id="s2", host_port="[::1]:81", phase="left", size=2.5, up_since_ms=12.5, flavor="x"
         ),
     ]
@@ -497,7 +499,7 @@
     for name, raw in spoilt.items():
         try:
             said[name] = msgspec.to_builtins(messages.decode(raw))
-        except (msgspec.DecodeError, config.ConfigError, UnicodeDecodeError) as why:
+        except (msgspec.DecodeError, config.LimiterConfigError, UnicodeDecodeError) as why:
             said[name] = f"{type(why).__name__}: {why}"
     return said | {"most bytes": messages.MOST}
 
@@ -552,23 +554,23 @@
     raws |= {"not UTF-8": b'{"name":"\xff"}'}
     said: dict[str, Any] = {}
     for name, raw in raws.items():
-        with pytest.raises(config.ConfigError) as why:
-            config.parse(raw, {})
+        with pytest.raises(config.LimiterConfigError) as why:
+            config.parse_limiter_config(raw, {})
         said[name] = str(why.value)
     for name, env in {
         "listen by environment": {"PROXY_LISTEN": "nowhere"},
         "discovery by environment": {"PROXY_DISCOVERY": "10.0.0.1:99999"},
     }.items():
-        with pytest.raises(config.ConfigError) as why:
-            config.parse(json.dumps(base).encode(), env)
+        with pytest.raises(config.LimiterConfigError) as why:
+            config.parse_limiter_config(json.dumps(base).encode(), env)
         said[name] = str(why.value)
     for name, env in {"no file": {}, "not there": {"PROXY_CONFIG": "there/is/none.json"}}.items():
-        with pytest.raises(config.ConfigError) as why:
-            config.load(env)
+        with pytest.raises(config.LimiterConfigError) as why:
+            config.load_limiter_config(env)
         said[name] = str(why.value)
-    right = config.parse(json.dumps(base).encode(), {"PROXY_NAME": "other"})
+    right = config.parse_limiter_config(json.dumps(base).encode(), {"PROXY_NAME": "other"})
     values = msgspec.to_builtins(
-        dataclasses.astuple(config.settings(right.conf, 0))
+        dataclasses.astuple(config.engine_settings(right.conf, 0))
     )  # enums by value
     return said | {"right": [right.name, right.listen, right.counter, right.seed, values]}
 
@@ -842,7 +844,9 @@
         }
         file["settings"] |= more
         file["settings"]["allowed"] |= {"retry_after": True, "max_retry_after": 3000}
-        limiter = StillLimiter(config.parse(json.dumps(file).encode(), {}), Virtual())
+        limiter = StillLimiter(
+            config.parse_limiter_config(json.dumps(file).encode(), {}), Virtual()
+        )
         here = Streams(cables, HOST, Life())
         limiter.front.bind, limiter.pool.connect = here.listen, here.connect
         for ip in SERVER_IPS:
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from loomstand.admission.interface import Effect, Outcome
-from loomstand.config.limiter import ConfigError, parse
-from loomstand.config.limiter import settings as translated
+from loomstand.config.limiter import LimiterConfigError, parse_limiter_config
+from loomstand.config.limiter import engine_settings as translated
 from loomstand.limiter.buffers import FIRST, Ring, Room
 from loomstand.limiter.endings import KEPT_HERE, Ending, answered, call_outcome, outcome
 from loomstand.limiter.http_parser import (
@@ -212,7 +212,7 @@
 def config(change):
     file = config_file(PORTS, [member("s0", 3001)])
     change(file)
-    return parse(json.dumps(file).encode(), {})
+    return parse_limiter_config(json.dumps(file).encode(), {})
 
 
 @pytest.mark.parametrize(
@@ -231,14 +231,14 @@
     ],
 )
 def test_a_fault_in_the_configuration_is_named(change, key):
-    with pytest.raises(ConfigError, match="key") as why:
+    with pytest.raises(LimiterConfigError, match="key") as why:
         config(change)
     assert f"key '{key}'" in str(why.value)
 
 
 def test_the_environment_wins_and_the_settings_are_translated_once():
     raw = json.dumps(config_file(PORTS, [])).encode()
-    read = parse(raw, {"PROXY_NAME": "n7", "PROXY_LISTEN": "127.0.0.2:80"})
+    read = parse_limiter_config(raw, {"PROXY_NAME": "n7", "PROXY_LISTEN": "127.0.0.2:80"})
     assert (read.name, read.listen, read.discovery) == ("n7", ("127.0.0.2", 80), (HOST, 8500))
     told = translated(read.conf, 0)
     assert [f.effect for f in told.frontends] == [Effect.REPLAYABLE, Effect.NON_REPLAYABLE]
@@ -247,5 +247,5 @@
         5000,
         15000,
     )
-    with pytest.raises(ConfigError, match="PROXY_DISCOVERY"):
-        parse(raw, {"PROXY_DISCOVERY": "x:y"})
+    with pytest.raises(LimiterConfigError, match="PROXY_DISCOVERY"):
+        parse_limiter_config(raw, {"PROXY_DISCOVERY": "x:y"})
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,12 @@
 from hypothesis import strategies as st
 from test_rehearse import EXAMPLES, gone, played
 
-from loomstand.config.limiter import ConfigError, Member, Members, parse
+from loomstand.config.limiter import (
+    BackendList,
+    BackendRecord,
+    LimiterConfigError,
+    parse_limiter_config,
+)
 from loomstand.membership import messages
 from loomstand.membership.driver import TICK, Peers
 from loomstand.membership.endpoint_lists import OLD, STEP, WATCHERS, Lists
@@ -138,12 +143,12 @@
 # lists
 
 
-def member(id_: str, phase: str = "active") -> Member:
-    return Member(id=id_, host_port="127.0.0.1:9", phase=phase)
+def member(id_: str, phase: str = "active") -> BackendRecord:
+    return BackendRecord(id=id_, host_port="127.0.0.1:9", phase=phase)
 
 
-def listed(revision: int, *ids: str, complete: bool = True) -> Members:
-    return Members(revision=revision, complete=complete, members=[member(i) for i in ids])
+def listed(revision: int, *ids: str, complete: bool = True) -> BackendList:
+    return BackendList(revision=revision, complete=complete, members=[member(i) for i in ids])
 
 
 def handed(lists: Lists, to: Lists, now: float) -> list:
@@ -156,7 +161,7 @@
     old = one.whole()
     assert len(old) == 3
     assert len(handed(one, two, 1.0)) == 1 and len(two.members) == 100 and two.revision == 5
-    change = Members(revision=6, complete=False, members=[member("s7", "left")])
+    change = BackendList(revision=6, complete=False, members=[member("s7", "left")])
     part = one.from_discovery(2.0, change)
     assert two.from_peer(2.0, part) is not None and "s7" not in two.members
     assert [two.from_peer(3.0, p) for p in old] == [None] * 3  # an old list
@@ -220,10 +225,12 @@
         b'"settings":{"balancers":1,"me":0,"az":"a","grades":[%s]}}'
     )
     grade = b'{"name":"x","effect":"pure","on_time":1,"deadline":1,"points":1}'
-    with pytest.raises(ConfigError, match=r"peers\[1\]"):
-        parse(base % (b'"peer":"127.0.0.1:3","peers":["127.0.0.1:4","x"],', grade), {})
-    with pytest.raises(ConfigError, match="key 'peer'"):
-        parse(base % (b'"peers":["127.0.0.1:4"],', grade), {})
+    with pytest.raises(LimiterConfigError, match=r"peers\[1\]"):
+        parse_limiter_config(
+            base % (b'"peer":"127.0.0.1:3","peers":["127.0.0.1:4","x"],', grade), {}
+        )
+    with pytest.raises(LimiterConfigError, match="key 'peer'"):
+        parse_limiter_config(base % (b'"peers":["127.0.0.1:4"],', grade), {})
 
 
 # processes
@@ -331,7 +338,9 @@
         )
         self.watching, self.log = False, lambda text: None
         at = [f"127.0.0.1:{1000 + n}" for n in range(6)]
-        self.peers = Peers(self, self, me, 6, at[me], [a for a in at if a != at[me]], Members(), me)
+        self.peers = Peers(
+            self, self, me, 6, at[me], [a for a in at if a != at[me]], BackendList(), me
+        )
         self.peers.connection_made(self)
         loop.call_later(rng.random() * 0.05, self.peers.tick)
 
@@ -347,7 +356,7 @@
             self.listed(told)
             self.peers.from_discovery(told)
 
-    def listed(self, told: Members) -> None:
+    def listed(self, told: BackendList) -> None:
         self.held = self.loop.now if self.held is None else self.held
 
     def is_closing(self) -> bool:
@@ -418,7 +427,7 @@
         loop=loop, log=lines.append, listed=lambda list_: lines.append("listed")
     )
     peers = Peers(
-        fleet, SimpleNamespace(revision=0), 0, 9, "127.0.0.1:1", ["127.0.0.1:2"], Members(), 1
+        fleet, SimpleNamespace(revision=0), 0, 9, "127.0.0.1:1", ["127.0.0.1:2"], BackendList(), 1
     )
     part = Part(3, 1, 9, [], members=[member("x")])
     for raw in (
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 
 from loomstand.config import units
-from loomstand.config.configuration import ConfigurationError, Limits, parse
-from loomstand.config.routes import Table
-from loomstand.config.settings import SettingsError, read
-from loomstand.config.settings import parse as told
+from loomstand.config.configuration import ClientLimits, ConfigurationError, parse_configuration
+from loomstand.config.routes import RouteTable
+from loomstand.config.settings import SettingsError, read_settings
+from loomstand.config.settings import parse_settings as told
 
 STEADY = settings(derandomize=True, deadline=None, database=None)
 # Both examples are those that the bench prints for a site, names included.
@@ -92,24 +92,24 @@
 
 def refused(raw: bytes) -> str:
     with pytest.raises(ConfigurationError) as told:
-        parse(raw)
+        parse_configuration(raw)
     return str(told.value)
 
 
 def test_units_both_ways():
     assert (
-        units.seconds("1500ms") == 1.5
-        and units.seconds("2.5s") == 2.5
-        and units.seconds("0ms") == 0
+        units.parse_seconds("1500ms") == 1.5
+        and units.parse_seconds("2.5s") == 2.5
+        and units.parse_seconds("0ms") == 0
     )
-    assert units.version("r12") == 12 and units.version_text(12) == "r12"
-    assert units.address("10.1.0.3:8783") == ("10.1.0.3", 8783)
-    assert units.address_text(("10.1.0.3", 8783)) == "10.1.0.3:8783"
+    assert units.parse_version("r12") == 12 and units.format_version(12) == "r12"
+    assert units.parse_address("10.1.0.3:8783") == ("10.1.0.3", 8783)
+    assert units.format_address(("10.1.0.3", 8783)) == "10.1.0.3:8783"
 
 
 def test_units_name_what_is_wrong():
     wrong = {
-        units.seconds: [
+        units.parse_seconds: [
             "",
             "5",
             "s",
@@ -122,7 +122,7 @@
             "\u0663s",
             "9" * 400 + "s",
         ],
-        units.version: [
+        units.parse_version: [
             "",
             "r",
             "7",
@@ -133,7 +133,7 @@
             f"r{2**63}",
             "r" + "9" * 9000,
         ],
-        units.address: [
+        units.parse_address: [
             "10.1.0.3",
             "a:1",
             "1.1.0:1",
@@ -225,13 +225,13 @@
 def test_settings_from_a_file(tmp_path):
     path = tmp_path / "node.conf"
     with pytest.raises(SettingsError, match="can't be read"):
-        read(str(path))
+        read_settings(str(path))
     path.write_text(FILE)
-    assert read(str(path)) == told(FILE)
+    assert read_settings(str(path)) == told(FILE)
 
 
 def test_the_example_configuration():
-    got = parse(CONFIG)
+    got = parse_configuration(CONFIG)
     assert got.version == 7 and got.raw == CONFIG and "ctnf" not in repr(got)
     first, second = got.routes
     assert (
@@ -249,7 +249,7 @@
     assert second.split == (("wuno96b", 1),) and not second.idempotent and second.public
     assert got.services["kafi81c"].health_check_path == "/health"
     assert got.services["wuno96b"].connection_limit == 130
-    assert got.tenants and got.tenants[0].rate == 63.5 and got.limits == Limits(8192)
+    assert got.tenants and got.tenants[0].rate == 63.5 and got.limits == ClientLimits(8192)
 
 
 def test_what_must_not_be_refused():
@@ -266,7 +266,7 @@
         b'{"version":"r0","resources":[]}',
     ]
     for raw in valid:
-        got = parse(raw)
+        got = parse_configuration(raw)
         assert (got.tenants is None) == (b"tenants" not in raw)
 
 
@@ -392,7 +392,7 @@
 
 def whole_or_refused(raw: bytes) -> None:
     try:
-        Table.of(parse(raw))
+        RouteTable.of(parse_configuration(raw))
     except ConfigurationError as wrong:
         assert len(str(wrong).encode()) < 400 and len(str(wrong).splitlines()) == 1
 
@@ -410,7 +410,7 @@
     whole_or_refused(CONFIG[:at] + some + CONFIG[at + over :])
 
 
-def table(prefixes: list[str]) -> Table:
+def table(prefixes: list[str]) -> RouteTable:
     route = {"host": "a.example", "route_kind": "idempotent", "timeout": "1s", "service_name": "s"}
     resources = [
         {
@@ -421,7 +421,9 @@
         for p in prefixes
     ]
     resources.append({"resource_kind": "services", "metadata": {"name": "s"}, "specification": {}})
-    return Table.of(parse(json.dumps({"version": "r1", "resources": resources}).encode()))
+    return RouteTable.of(
+        parse_configuration(json.dumps({"version": "r1", "resources": resources}).encode())
+    )
 
 
 PATHS = st.text("/ab", max_size=8)
@@ -436,7 +438,7 @@
 
 
 def test_a_table_finds_hosts_keys_and_services():
-    have = Table.of(parse(CONFIG))
+    have = RouteTable.of(parse_configuration(CONFIG))
     first, second = have.configuration.routes
     assert have.find(b"JEPU9.example:8782", b"/lepu270/2f") is first and have.version == 7
     assert have.find(b"hulo84.example", b"/xapu221/ny95/") is second
@@ -453,6 +455,6 @@
     assert have.ways[("jepu9.example", "/lepu270/")] == {"huvo11a", "kafi81c"}
     picks = [have.pick(first, n / 1000) for n in range(1000)]
     assert picks.count("huvo11a") == 900 and have.pick(first, 1 - 2**-53) == "kafi81c"
-    none = Table.of(parse(changed(*SPEC, "traffic_split", 0, "weight", to=0)))
+    none = RouteTable.of(parse_configuration(changed(*SPEC, "traffic_split", 0, "weight", to=0)))
     assert none.pick(none.configuration.routes[0], 0.0) == "kafi81c"
     assert none.ways[("jepu9.example", "/lepu270/")] == {"kafi81c"}
