--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -38,8 +38,8 @@
         self.started = [self.rng.random() for _ in range(n)]
         self.calls: list[tuple[float, bool]] = []
         self.left, self.left_at = BEARS, 0.0
-        member = [BackendRecord(id=f"s{k}", host_port="127.0.0.1:1") for k in range(SERVERS)]
-        self.list = BackendList(revision=5, complete=True, members=member)
+        member = [BackendRecord(id=f"s{k}", address="127.0.0.1:1") for k in range(SERVERS)]
+        self.list = BackendList(revision=5, complete=True, backends=member)
         for i in range(n):
             self.push(self.started[i], i, None)
 
--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -61,7 +61,7 @@
             runner.run(run())
         except OSError as why:
             raise click.ClickException(
-                f"cannot listen at {config.listen[0]}:{config.listen[1]}: {why}"
+                f"cannot listen at {config.listen_address[0]}:{config.listen_address[1]}: {why}"
             ) from None
 
 
@@ -70,13 +70,12 @@
 def check(path: str | None) -> None:
     """Read the configuration and say what it holds, without serving."""
     config = configured(path)
-    told, (host, port) = engine_settings(config.conf, 0), config.listen
+    told, (host, port) = engine_settings(config.settings, 0), config.listen_address
     click.echo(f"{config.name}: limiter {told.me} of {told.limiters}, listens at {host}:{port}")
-    click.echo(f"frontends: {', '.join(g.name for g in config.conf.grades)}")
-    click.echo(f"plans: {', '.join(p.name for p in config.conf.plans) or 'none'}")
-    click.echo(
-        f"servers known: {len(config.known.members)}, as of revision {config.known.revision}"
-    )
+    click.echo(f"frontends: {', '.join(f.name for f in config.settings.frontends)}")
+    click.echo(f"plans: {', '.join(p.name for p in config.settings.plans) or 'none'}")
+    known = config.initial_backends
+    click.echo(f"servers known: {len(known.backends)}, as of revision {known.revision}")
 
 
 @main.command()
--- a/loomstand/config/configuration.py
+++ b/loomstand/config/configuration.py
@@ -34,20 +34,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Where requests of a host (in small letters) under a prefix go. Times are in seconds; of
-    `split`, each is a service and its weight, the weights of 0 or more and not all 0; `priority` 0
-    is the highest.
+    """Where requests of a host (in small letters) under a prefix go. Of `traffic_split`, each is a
+    service and its weight, the weights of 0 or more and not all 0; `priority` 0 is the highest.
     """
 
     name: str
     host: str
-    prefix: str
+    path_prefix: str
     idempotent: bool
-    timeout: float
-    target_latency: float
+    timeout_seconds: float
+    target_latency_seconds: float
     priority: int
-    split: tuple[tuple[str, float], ...]
-    attempts: int
+    traffic_split: tuple[tuple[str, float], ...]
+    max_attempts: int
     public: bool
 
 
@@ -64,15 +63,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A customer: `rate` requests a second and `burst` beyond, over all limiters; 0 is
+    """A customer: `rate_per_second` requests and `burst_size` beyond, over all limiters; 0 is
     unlimited.
     """
 
     name: str
-    keys: tuple[str, ...] = field(repr=False)  # never in a log
+    api_keys: tuple[str, ...] = field(repr=False)  # never in a log
     priority: int
-    rate: float
-    burst: float
+    rate_per_second: float
+    burst_size: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -81,8 +80,8 @@
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 67108864
-    header_timeout: float = 3.0
-    idle_timeout: float = 15.0
+    header_timeout_seconds: float = 3.0
+    idle_timeout_seconds: float = 15.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -244,13 +243,13 @@
     return Route(
         name=name,
         host=host,
-        prefix=prefix,
+        path_prefix=prefix,
         idempotent=kind == "idempotent",
-        timeout=timeout,
-        target_latency=spec.seconds("target_latency", timeout),
+        timeout_seconds=timeout,
+        target_latency_seconds=spec.seconds("target_latency", timeout),
         priority=spec.whole("priority", 0),
-        split=_split(spec),
-        attempts=attempts,
+        traffic_split=_split(spec),
+        max_attempts=attempts,
         public=spec.flag("public", False),
     )
 
@@ -280,8 +279,8 @@
     return ClientLimits(
         max_header_bytes=spec.whole("max_header_bytes", usual.max_header_bytes),
         max_body_bytes=spec.whole("max_body_bytes", usual.max_body_bytes),
-        header_timeout=spec.seconds("header_timeout", usual.header_timeout),
-        idle_timeout=spec.seconds("idle_timeout", usual.idle_timeout),
+        header_timeout_seconds=spec.seconds("header_timeout", usual.header_timeout_seconds),
+        idle_timeout_seconds=spec.seconds("idle_timeout", usual.idle_timeout_seconds),
     )
 
 
@@ -354,7 +353,7 @@
         return ConfigurationError(f"{place}{key}: {what}")
 
     def route(self, found: _Found, route: Route) -> None:
-        other = self.taken.setdefault((route.host, route.prefix), route.name)
+        other = self.taken.setdefault((route.host, route.path_prefix), route.name)
         if other != route.name:
             what = f"host and prefix are those of route {other[:_SHOWN]}"
             raise self.wrong(found, "specification.path_prefix", what)
@@ -362,7 +361,7 @@
         self.singles.append(found.single)
 
     def tenant(self, found: _Found, tenant: Tenant) -> None:
-        for n, key in enumerate(tenant.keys):
+        for n, key in enumerate(tenant.api_keys):
             other = self.owners.setdefault(key, tenant.name)
             if other != tenant.name:
                 what = f"tenant {other[:_SHOWN]} has this key too"
@@ -375,7 +374,8 @@
             # beside a split too, though that prevails
             named = [("service_name", single)] if single else []
             named += [
-                (f"traffic_split[{n}].service_name", s) for n, (s, _) in enumerate(route.split)
+                (f"traffic_split[{n}].service_name", s)
+                for n, (s, _) in enumerate(route.traffic_split)
             ]
             for key, service in named:
                 if service not in self.services:
--- a/loomstand/config/limiter.py
+++ b/loomstand/config/limiter.py
@@ -39,102 +39,185 @@
 
 
 class WireStruct(msgspec.Struct, kw_only=True):
-    """A piece of the settings, in the words of the operators' wire. Unknown keys are ignored."""
+    """A piece of the settings; keys are the operators' wire's own. Unknown keys are ignored."""
+
+
+class FrontendSettings(
+    WireStruct,
+    rename={
+        "latency_target_ms": "on_time",
+        "client_timeout_ms": "deadline",
+        "value": "points",
+        "deduplication_scope": "group",
+        "deduplication_window_ms": "repeat_window",
+        "streams": "stream",
+    },
+):
+    """A kind of request, a `grade` on the wire."""
 
-
-class GradeSettings(WireStruct):
     name: str
     effect: Literal["pure", "token", "side_effect"]
-    on_time: Milliseconds
-    deadline: Milliseconds
-    points: float
-    group: Literal["all", "zone", "cell"] = "all"
-    repeat_window: Milliseconds = 0.0
+    latency_target_ms: Milliseconds
+    client_timeout_ms: Milliseconds
+    value: float
+    deduplication_scope: Literal["all", "zone", "cell"] = "all"
+    deduplication_window_ms: Milliseconds = 0.0
     late_value: float = 0.0
-    stream: bool = False
-
+    streams: bool = False
+
+
+class QuotaPlanSettings(
+    WireStruct,
+    rename={
+        "rate_per_second": "refill",
+        "burst_size": "store_size",
+        "max_concurrent": "at_once",
+        "value_factor": "worth_factor",
+        "excess_value": "excess_worth",
+        "ceiling_depth": "cap_depth",
+    },
+):
+    """The quota of each customer on a plan, over all limiters."""
 
-class PlanSettings(WireStruct):
     name: str
-    refill: float = 0.0
-    store_size: float = 0.0
-    at_once: float = 0
-    worth_factor: float = 1.0
-    excess_worth: float = 0.0
+    rate_per_second: float = 0.0
+    burst_size: float = 0.0
+    max_concurrent: float = 0
+    value_factor: float = 1.0
+    excess_value: float = 0.0
     excess_cost: float = 0.0
     ceiling_rate: float = 0.0
-    cap_depth: float = 0.0
+    ceiling_depth: float = 0.0
     ceiling_slack: float = 0.0
 
 
-class AllowedActions(WireStruct):
-    try_limit: int = 1
-    cancel: bool = False
+class AllowedActions(
+    WireStruct,
+    rename={
+        "max_attempts": "try_limit",
+        "may_cancel": "cancel",
+        "may_hedge": "second_copies",
+        "may_send_retry_after": "retry_after",
+        "max_retry_after_ms": "max_retry_after",
+        "idle_timeout_ms": "idle_close",
+        "connect_timeout_ms": "connect_timeout",
+    },
+):
+    """What a limiter may do with a request, and for how long it waits on a connection."""
+
+    max_attempts: int = 1
+    may_cancel: bool = False
     may_probe: bool = False
-    second_copies: bool = False
-    retry_after: bool = False
-    max_retry_after: Milliseconds = 0.0
-    idle_close: Milliseconds = 15_000.0
-    connect_timeout: Milliseconds = 250.0
+    may_hedge: bool = False
+    may_send_retry_after: bool = False
+    max_retry_after_ms: Milliseconds = 0.0
+    idle_timeout_ms: Milliseconds = 15_000.0
+    connect_timeout_ms: Milliseconds = 250.0
+
+
+class CounterSettings(
+    WireStruct,
+    rename={
+        "call_timeout_ms": "count_limit",
+        "metering_interval_ms": "metering",
+        "max_units_per_request": "max_units",
+    },
+):
+    """The counter that limiters share, `specifics` on the wire."""
 
-
-class CounterSettings(WireStruct):
     has_counter: bool = False
-    count_limit: Milliseconds = 0.0
-    metering: Milliseconds = 0.0
-    max_units: float = 1
-
-
-class RuleSettings(WireStruct):
-    answer_slack: Milliseconds = 0.0
-    cold: Milliseconds = 0.0
-    cold_from: float = 1.0
-    drain_grace: Milliseconds = 0.0
-    fall_multiple: float = 1.0
-    tip_after: Milliseconds = 0.0
-
-
-class WireSettings(WireStruct):
-    balancers: Annotated[int, Meta(ge=1)]
-    me: NonNegativeInt
-    az: str
-    grades: Annotated[list[GradeSettings], Meta(min_length=1)]
-    plans: list[PlanSettings] = []
+    call_timeout_ms: Milliseconds = 0.0
+    metering_interval_ms: Milliseconds = 0.0
+    max_units_per_request: float = 1
+
+
+class RuleSettings(
+    WireStruct,
+    rename={
+        "answer_slack_ms": "answer_slack",
+        "warm_up_ms": "cold",
+        "initial_capacity_share": "cold_from",
+        "drain_grace_ms": "drain_grace",
+        "overload_multiple": "fall_multiple",
+        "overload_window_ms": "tip_after",
+    },
+):
+    """What the operators' rules allow of answers and of servers that warm up or drain."""
+
+    answer_slack_ms: Milliseconds = 0.0
+    warm_up_ms: Milliseconds = 0.0
+    initial_capacity_share: float = 1.0
+    drain_grace_ms: Milliseconds = 0.0
+    overload_multiple: float = 1.0
+    overload_window_ms: Milliseconds = 0.0
+
+
+class WireSettings(
+    WireStruct,
+    rename={
+        "limiter_count": "balancers",
+        "limiter_index": "me",
+        "zone": "az",
+        "frontends": "grades",
+        "server_kinds": "kinds",
+        "allowed_actions": "allowed",
+        "counter": "specifics",
+    },
+):
+    """The settings of one limiter as the bench's first message and the JSON file bring them."""
+
+    limiter_count: Annotated[int, Meta(ge=1)]
+    limiter_index: NonNegativeInt
+    zone: str
+    frontends: Annotated[list[FrontendSettings], Meta(min_length=1)]
+    plans: list[QuotaPlanSettings] = []
     zones: list[str] = []
-    kinds: list[str] = []
-    allowed: AllowedActions = msgspec.field(default_factory=AllowedActions)
-    specifics: CounterSettings = msgspec.field(default_factory=CounterSettings)
+    server_kinds: list[str] = []
+    allowed_actions: AllowedActions = msgspec.field(default_factory=AllowedActions)
+    counter: CounterSettings = msgspec.field(default_factory=CounterSettings)
     rules: RuleSettings = msgspec.field(default_factory=RuleSettings)
 
 
 class ResourceLimits(WireStruct):
+    """What the process may use: cores, megabytes, and sockets open at once."""
+
     cores: Annotated[float, Meta(gt=0)] = 1.0
     memory_mb: Annotated[float, Meta(ge=16)] = 192
     sockets: Annotated[int, Meta(ge=48)] = 1024
 
 
-class BackendRecord(WireStruct):
+class BackendRecord(
+    WireStruct,
+    rename={
+        "address": "host_port",
+        "zone": "locality",
+        "kind": "flavor",
+        "pod": "cell",
+        "capacity_hint": "size",
+        "started_at_ms": "up_since_ms",
+    },
+):
     """A server as discovery lists it."""
 
     id: str
-    host_port: str
+    address: str
     phase: Literal["active", "leaving", "left"] = "active"
-    locality: str = ""
-    flavor: str = ""
-    cell: int = 0
-    size: float = 1.0
-    up_since_ms: float = 0.0
+    zone: str = ""
+    kind: str = ""
+    pod: int = 0
+    capacity_hint: float = 1.0
+    started_at_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        parse_host_port(self.host_port, "host_port")
+        parse_host_port(self.address, "host_port")
 
 
-class BackendList(WireStruct):
-    """A list of servers, whole or changes only."""
+class BackendList(WireStruct, rename={"backends": "members"}):
+    """A list of servers, complete or changes only."""
 
     revision: int = 0
     complete: bool = False
-    members: list[BackendRecord] = []
+    backends: list[BackendRecord] = []
 
 
 class LimiterFile(WireStruct):
@@ -154,19 +237,19 @@
 
 
 class LimiterConfig(msgspec.Struct, frozen=True):
-    """All that a limiter is told, checked."""
+    """The checked configuration of a limiter."""
 
     name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
-    counter: tuple[str, int] | None
-    seed: int
+    listen_address: tuple[str, int]
+    discovery_address: tuple[str, int]
+    counter_address: tuple[str, int] | None
+    random_seed: int
     limits: ResourceLimits
-    known: BackendList
-    conf: WireSettings
-    plan: SitePlan | None = None
-    peer: str = ""
-    peers: tuple[str, ...] = ()
+    initial_backends: BackendList
+    settings: WireSettings
+    zone_plan: SitePlan | None = None
+    peer_address: str = ""
+    peer_addresses: tuple[str, ...] = ()
 
 
 def parse_host_port(text: str, key: str) -> tuple[str, int]:
@@ -211,12 +294,13 @@
         raise LimiterConfigError(f"key '{key}': {what}") from None
     except msgspec.DecodeError as why:
         raise LimiterConfigError(f"the file is not JSON: {why}") from None
-    conf = file.settings
-    if conf.me >= conf.balancers:
+    settings = file.settings
+    if settings.limiter_index >= settings.limiter_count:
         raise LimiterConfigError(
-            f"key 'settings.me': {conf.me} is not below settings.balancers, {conf.balancers}"
+            f"key 'settings.me': {settings.limiter_index} is not below settings.balancers, "
+            f"{settings.limiter_count}"
         )
-    if conf.specifics.has_counter and not file.counter:
+    if settings.counter.has_counter and not file.counter:
         raise LimiterConfigError("key 'counter': the settings allow calls, but no address is given")
     for n, text in enumerate(file.peers):
         parse_host_port(text, f"peers[{n}]")
@@ -235,76 +319,80 @@
         return parse_host_port(text, where)
 
     return LimiterConfig(
-        name=env.get("PROXY_NAME") or file.name or f"limiter-{conf.me}",
-        listen=place("PROXY_LISTEN", "listen"),
-        discovery=place("PROXY_DISCOVERY", "discovery"),
-        counter=parse_host_port(file.counter, "counter") if file.counter else None,
-        seed=seed,
+        name=env.get("PROXY_NAME") or file.name or f"limiter-{settings.limiter_index}",
+        listen_address=place("PROXY_LISTEN", "listen"),
+        discovery_address=place("PROXY_DISCOVERY", "discovery"),
+        counter_address=parse_host_port(file.counter, "counter") if file.counter else None,
+        random_seed=seed,
         limits=file.limits,
-        known=file.known,
-        conf=conf,
-        plan=load_zone_plan(file.plan, conf) if file.plan else None,
-        peer=file.peer,
-        peers=tuple(file.peers),
+        initial_backends=file.known,
+        settings=settings,
+        zone_plan=load_zone_plan(file.plan, settings) if file.plan else None,
+        peer_address=file.peer,
+        peer_addresses=tuple(file.peers),
     )
 
 
-def load_zone_plan(path: str, conf: WireSettings) -> SitePlan:
+def load_zone_plan(path: str, settings: WireSettings) -> SitePlan:
     """The site plan in a file, which may name what these settings have."""
     try:
-        return zone_plan.load(path, [g.name for g in conf.grades], [p.name for p in conf.plans])
+        return zone_plan.load(
+            path, [f.name for f in settings.frontends], [p.name for p in settings.plans]
+        )
     except zone_plan.PlanError as why:
         raise LimiterConfigError(f"key 'plan': {why}") from None
 
 
-def engine_settings(conf: WireSettings, hall: int) -> i.EngineSettings:
+def engine_settings(settings: WireSettings, hall: int) -> i.EngineSettings:
     """The settings in our words."""
-    allowed, specifics, rules = conf.allowed, conf.specifics, conf.rules
+    allowed = settings.allowed_actions
+    counter = settings.counter
+    rules = settings.rules
     return i.EngineSettings(
-        me=conf.me,
-        limiters=conf.balancers,
+        me=settings.limiter_index,
+        limiters=settings.limiter_count,
         hall=hall,
         frontends=tuple(
             i.Frontend(
-                EFFECTS[g.effect],
-                GROUPS[g.group],
-                down(g.repeat_window),
-                down(g.on_time),
-                down(g.deadline),
-                g.points,
-                g.late_value,
-                g.stream,
+                EFFECTS[f.effect],
+                GROUPS[f.deduplication_scope],
+                down(f.deduplication_window_ms),
+                down(f.latency_target_ms),
+                down(f.client_timeout_ms),
+                f.value,
+                f.late_value,
+                f.streams,
             )
-            for g in conf.grades
+            for f in settings.frontends
         ),
         plans=tuple(
             i.QuotaPlan(
-                p.refill,
-                p.store_size,
-                int(p.at_once),
-                p.worth_factor,
-                p.excess_worth,
+                p.rate_per_second,
+                p.burst_size,
+                int(p.max_concurrent),
+                p.value_factor,
+                p.excess_value,
                 p.excess_cost,
                 p.ceiling_rate,
-                p.cap_depth,
+                p.ceiling_depth,
                 p.ceiling_slack,
             )
-            for p in conf.plans
+            for p in settings.plans
         ),
-        try_limit=allowed.try_limit,
-        may_cancel=allowed.cancel,
+        try_limit=allowed.max_attempts,
+        may_cancel=allowed.may_cancel,
         may_probe=allowed.may_probe,
-        second_copies=allowed.second_copies,
-        retry_after=allowed.retry_after,
-        max_retry_after=down(allowed.max_retry_after),
-        has_counter=specifics.has_counter,
-        count_timeout=up(specifics.count_limit),
-        meter_period=up(specifics.metering),
-        max_units=max(1, ceil(specifics.max_units)),
-        drain_grace=down(rules.drain_grace),
-        cold=up(rules.cold),
-        cold_from=rules.cold_from,
-        fall_multiple=rules.fall_multiple,
-        tip_after=up(rules.tip_after),
-        answer_slack=down(rules.answer_slack),
+        second_copies=allowed.may_hedge,
+        retry_after=allowed.may_send_retry_after,
+        max_retry_after=down(allowed.max_retry_after_ms),
+        has_counter=counter.has_counter,
+        count_timeout=up(counter.call_timeout_ms),
+        meter_period=up(counter.metering_interval_ms),
+        max_units=max(1, ceil(counter.max_units_per_request)),
+        drain_grace=down(rules.drain_grace_ms),
+        cold=up(rules.warm_up_ms),
+        cold_from=rules.initial_capacity_share,
+        fall_multiple=rules.overload_multiple,
+        tip_after=up(rules.overload_window_ms),
+        answer_slack=down(rules.answer_slack_ms),
     )
--- a/loomstand/config/routes.py
+++ b/loomstand/config/routes.py
@@ -21,30 +21,32 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class RouteTable:
-    """What is asked for each request. `ways` has, for each host and prefix, the services that its
-    requests may go to: those with a weight over 0.
+    """What is asked for each request. `allowed_services` has, for each host and prefix, the
+    services that its requests may go to: those with a weight over 0.
     """
 
     configuration: Configuration
-    ways: Mapping[tuple[str, str], frozenset[str]]
+    allowed_services: Mapping[tuple[str, str], frozenset[str]]
     _hosts: dict[bytes, _Host]
     _tenants: dict[bytes, Tenant]
 
     @classmethod
-    def of(cls, configuration: Configuration) -> RouteTable:
+    def from_configuration(cls, configuration: Configuration) -> RouteTable:
         """The table of a checked configuration."""
         hosts: dict[bytes, dict[bytes, Route]] = {}
         for route in configuration.routes:
-            hosts.setdefault(route.host.encode(), {})[route.prefix.encode()] = route
+            hosts.setdefault(route.host.encode(), {})[route.path_prefix.encode()] = route
         # An empty key is never one that a request shows.
-        tenants = {key.encode(): t for t in configuration.tenants or () for key in t.keys if key}
-        ways = {
-            (r.host, r.prefix): frozenset(s for s, weight in r.split if weight > 0)
+        tenants = {
+            key.encode(): t for t in configuration.tenants or () for key in t.api_keys if key
+        }
+        allowed_services = {
+            (r.host, r.path_prefix): frozenset(s for s, weight in r.traffic_split if weight > 0)
             for r in configuration.routes
         }
         return cls(
             configuration,
-            MappingProxyType(ways),
+            MappingProxyType(allowed_services),
             {host: _Host(max(map(len, routes)), routes) for host, routes in hosts.items()},
             tenants,
         )
@@ -54,7 +56,7 @@
         """The configuration's number."""
         return self.configuration.version
 
-    def find(self, host: bytes, path: bytes) -> Route | None:
+    def find_route(self, host: bytes, path: bytes) -> Route | None:
         """The route with the longest prefix that begins `path` (without its query), of the host in
         a Host header: any case, with or without a port.
         """
@@ -74,17 +76,17 @@
             end = path.rfind(b"/", 0, end - 1) + 1
         return None
 
-    def tenant(self, key: bytes) -> Tenant | None:
+    def find_tenant(self, key: bytes) -> Tenant | None:
         """Whose key this is."""
         return self._tenants.get(key)
 
-    def needs_key(self, route: Route) -> bool:
+    def requires_api_key(self, route: Route) -> bool:
         """Whether a request of this route must show a key that is known."""
         return not route.public and self.configuration.tenants is not None
 
-    def pick(self, route: Route, chance: float) -> str:
+    def choose_service(self, route: Route, chance: float) -> str:
         """A service of the route by its weight, for a `chance` of at least 0 and under 1."""
-        split = route.split
+        split = route.traffic_split
         if len(split) == 1:
             return split[0][0]
         at = chance * sum(weight for _, weight in split)
--- a/loomstand/config/settings.py
+++ b/loomstand/config/settings.py
@@ -76,26 +76,26 @@
 class RuleBounds:
     """The figures of the rules: times in seconds, the rest plain numbers, true or false."""
 
-    seed_lag: float
-    address_reuse: float
-    contact: float
-    acknowledge: float
-    catch_up: float
-    drain: float
-    grace_period: float
-    loss_slack: float
-    configuration_apply: float
-    rollback_slack: float
-    stretch_limit: float
+    seed_lag_seconds: float
+    address_reuse_seconds: float
+    contact_seconds: float
+    acknowledge_seconds: float
+    catch_up_seconds: float
+    drain_seconds: float
+    grace_period_seconds: float
+    loss_slack_seconds: float
+    configuration_apply_seconds: float
+    rollback_slack_seconds: float
+    stretch_limit_seconds: float
     revocation_global: bool
-    revocation: float
+    revocation_seconds: float
     retry_budget_ratio: float
-    budget_window: float
+    budget_window_seconds: float
     budget_slack: float
-    quota_window: float
+    quota_window_seconds: float
     quota_overshoot: float
     quota_slack: float
-    recovery: float
+    recovery_seconds: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -116,20 +116,20 @@
     first_start: bool
     data_directory: str
     limits: ProcessLimits
-    listen: ListenAddresses
+    listen_addresses: ListenAddresses
     internal_ports: tuple[int, int]
-    seeds: tuple[Address, ...]
+    seed_nodes: tuple[Address, ...]
     zones: Mapping[str, str]
-    heartbeat: float
+    heartbeat_seconds: float
     contracts: tuple[str, ...]
-    losses: ToleratedLosses
+    tolerated_losses: ToleratedLosses
     bounds: RuleBounds
 
-    def registry(self, ip: str) -> Address:
+    def registry_address(self, ip: str) -> Address:
         """Where the registry of the machine with this IP number listens for the system's own."""
         return ip, self.internal_ports[0]
 
-    def store(self, ip: str) -> Address:
+    def store_address(self, ip: str) -> Address:
         """Where the store of the machine with this IP number listens."""
         return ip, self.internal_ports[0] + 1
 
@@ -256,38 +256,38 @@
             link_mbps=get("self.limits.link_mbps", _number, 1000.0),
             disk_mb=get("self.limits.disk_mb", _whole, 0),
         ),
-        listen=ListenAddresses(**listens),
+        listen_addresses=ListenAddresses(**listens),
         internal_ports=get("network.internal_ports", _ports),
-        seeds=get("network.seed_nodes", _seeds),
+        seed_nodes=get("network.seed_nodes", _seeds),
         zones=MappingProxyType(fields.under(_ZONES)),
-        heartbeat=get("platform_settings.heartbeat", parse_seconds, 1.5),
+        heartbeat_seconds=get("platform_settings.heartbeat", parse_seconds, 1.5),
         contracts=get("rule_terms.contracts", _items, ()),
-        losses=ToleratedLosses(
+        tolerated_losses=ToleratedLosses(
             machines=get(_LOSSES + "machines", _whole, 1),
             zones=get(_LOSSES + "zones", _whole, 0),
             regions=get(_LOSSES + "regions", _whole, 0),
         ),
         bounds=RuleBounds(
-            seed_lag=bound("seed_lag", parse_seconds, 3.0),
-            address_reuse=bound("address_reuse", parse_seconds, 2.0),
-            contact=bound("contact", parse_seconds, 3.0),
-            acknowledge=bound("acknowledge", parse_seconds, 5.0),
-            catch_up=bound("catch_up", parse_seconds, 4.0),
-            drain=bound("drain", parse_seconds, 2.5),
-            grace_period=bound("grace_period", parse_seconds, 6.0),
-            loss_slack=bound("loss_slack", parse_seconds, 0.2),
-            configuration_apply=bound("configuration_apply", parse_seconds, 2.5),
-            rollback_slack=bound("rollback_slack", parse_seconds, 0.25),
-            stretch_limit=bound("stretch_limit", parse_seconds, 8.0),
+            seed_lag_seconds=bound("seed_lag", parse_seconds, 3.0),
+            address_reuse_seconds=bound("address_reuse", parse_seconds, 2.0),
+            contact_seconds=bound("contact", parse_seconds, 3.0),
+            acknowledge_seconds=bound("acknowledge", parse_seconds, 5.0),
+            catch_up_seconds=bound("catch_up", parse_seconds, 4.0),
+            drain_seconds=bound("drain", parse_seconds, 2.5),
+            grace_period_seconds=bound("grace_period", parse_seconds, 6.0),
+            loss_slack_seconds=bound("loss_slack", parse_seconds, 0.2),
+            configuration_apply_seconds=bound("configuration_apply", parse_seconds, 2.5),
+            rollback_slack_seconds=bound("rollback_slack", parse_seconds, 0.25),
+            stretch_limit_seconds=bound("stretch_limit", parse_seconds, 8.0),
             revocation_global=bound("revocation_global", _flag, False),
-            revocation=bound("revocation", parse_seconds, 5.0),
+            revocation_seconds=bound("revocation", parse_seconds, 5.0),
             retry_budget_ratio=bound("retry_budget_ratio", _number, 0.2),
-            budget_window=bound("budget_window", parse_seconds, 10.0),
+            budget_window_seconds=bound("budget_window", parse_seconds, 10.0),
             budget_slack=bound("budget_slack", _number, 56.0),
-            quota_window=bound("quota_window", parse_seconds, 5.0),
+            quota_window_seconds=bound("quota_window", parse_seconds, 5.0),
             quota_overshoot=bound("quota_overshoot", _number, 0.1),
             quota_slack=bound("quota_slack", _number, 20.0),
-            recovery=bound("recovery", parse_seconds, 15.0),
+            recovery_seconds=bound("recovery", parse_seconds, 15.0),
         ),
     )
 
--- a/loomstand/ctl/advice.py
+++ b/loomstand/ctl/advice.py
@@ -52,12 +52,12 @@
                 )
             )
     out += _nested(config.routes, places)
-    used = {service for route in config.routes for service, _ in route.split}
+    used = {service for route in config.routes for service, _ in route.traffic_split}
     for service in config.services.values():
         out += _service(service, service.name in used, places)
     for tenant in config.tenants or ():
         out += _tenant(tenant, places)
-    if config.tenants and sum(tenant.rate for tenant in config.tenants) == 0:
+    if config.tenants and sum(tenant.rate_per_second for tenant in config.tenants) == 0:
         out.append(
             Warning("tenants", "their quotas add up to 0: nobody is held to any", "set rate_per_s")
         )
@@ -68,31 +68,30 @@
     def at(where: str) -> str:
         return places.of("routes", route.name, where)
 
-    if route.target_latency == 0:
+    if route.target_latency_seconds == 0:
         yield Warning(
             at("target_latency"), "0: no answer can come within it", "set what clients expect"
         )
-    if route.timeout == 0:
+    if route.timeout_seconds == 0:
         yield Warning(
             at("timeout"), "0: no request can be answered", "set how long one may be held"
         )
-    elif route.timeout < route.target_latency:
+    elif route.timeout_seconds < route.target_latency_seconds:
         yield Warning(
             at("timeout"),
-            f"{time(route.timeout)} is shorter than the target latency, "
-            f"{time(route.target_latency)}: "
+            f"{time(route.timeout_seconds)} is shorter than the target latency, "
+            f"{time(route.target_latency_seconds)}: "
             "requests are given up that would still earn their full worth",
             "raise it, to some times the target, or lower the target",
         )
-    if route.attempts > 1 and not route.idempotent:
+    if route.max_attempts > 1 and not route.idempotent:
         yield Warning(
             at("maximum_attempts"),
-            f"{route.attempts} on a non-idempotent route means servers asked, not runs: another "
-            "is asked "
-            "only where the one before surely didn't run the request",
+            f"{route.max_attempts} on a non-idempotent route means servers asked, not runs: "
+            "another is asked only where the one before surely didn't run the request",
             "keep it if that is meant, else set 1; it doesn't repeat what may have run",
         )
-    if any(c in route.prefix for c in "?# "):
+    if any(c in route.path_prefix for c in "?# "):
         yield Warning(
             at("path_prefix"),
             "has a character that no path has: it is never reached",
@@ -105,13 +104,13 @@
     spec, seen = places.specs["routes", route.name], set[str]()
     single = spec.get("service_name") or ""
     if spec.get("traffic_split") and single:
-        unnamed = "" if single in dict(route.split) else ", which has no part in it"
+        unnamed = "" if single in dict(route.traffic_split) else ", which has no part in it"
         yield Warning(
             places.of("routes", route.name, "service_name"),
             f"passed over, as traffic_split prevails{unnamed}",
             "take out the one that isn't meant",
         )
-    for n, (service, weight) in enumerate(route.split):
+    for n, (service, weight) in enumerate(route.traffic_split):
         place = places.of("routes", route.name, f"traffic_split[{n}]")
         if weight == 0:
             what = f"weight 0: {service[:_SHOWN]} gets nothing"
@@ -127,19 +126,19 @@
     """Routes of a host and kind inside each other; one of another kind is how kinds are told
     apart.
     """
-    found = {(route.host, route.prefix): route for route in routes}
+    found = {(route.host, route.path_prefix): route for route in routes}
     for route in routes:
-        end = route.prefix.rfind("/", 0, len(route.prefix) - 1) + 1
+        end = route.path_prefix.rfind("/", 0, len(route.path_prefix) - 1) + 1
         outer = None
         while end > 0 and outer is None:
-            outer = found.get((route.host, route.prefix[:end]))
-            end = route.prefix.rfind("/", 0, end - 1) + 1
+            outer = found.get((route.host, route.path_prefix[:end]))
+            end = route.path_prefix.rfind("/", 0, end - 1) + 1
         if outer is None or outer.idempotent != route.idempotent:
             continue
         same = all(
             getattr(route, f) == getattr(outer, f)
             for f in Route.__slots__
-            if f not in ("name", "prefix")
+            if f not in ("name", "path_prefix")
         )
         yield Warning(
             places.of("routes", route.name, "path_prefix"),
@@ -165,14 +164,14 @@
 
 
 def _tenant(tenant: Tenant, places: _Places) -> Iterator[Warning]:
-    if not any(tenant.keys):  # an empty key is never one that a request shows
+    if not any(tenant.api_keys):  # an empty key is never one that a request shows
         yield Warning(
             places.of("tenants", tenant.name, "api_keys"),
             "none: it can't ask",
             "add a key, or take it out",
         )
-    if tenant.rate == 0:
-        burst = ", and its burst_size says nothing" if tenant.burst else ""
+    if tenant.rate_per_second == 0:
+        burst = ", and its burst_size says nothing" if tenant.burst_size else ""
         yield Warning(
             places.of("tenants", tenant.name, "rate_per_s"),
             f"no quota: it is unlimited{burst}",
--- a/loomstand/ctl/calls.py
+++ b/loomstand/ctl/calls.py
@@ -146,7 +146,7 @@
 def config_push(asks: ConfigPush) -> int:
     raw = held(asks.file)
     mine = configuration(asks.file, raw)
-    if any(masked(key) for tenant in mine.tenants or () for key in tenant.keys):
+    if any(masked(key) for tenant in mine.tenants or () for key in tenant.api_keys):
         raise Wrong(
             f"{asks.file}: its keys are masked, and would lock tenants out; read it with --keys"
         )
--- a/loomstand/ctl/compare.py
+++ b/loomstand/ctl/compare.py
@@ -13,15 +13,14 @@
 Item = Route | Service | Tenant | ClientLimits
 # What the configuration itself calls a field.
 _NAMES = {
-    "prefix": "path_prefix",
     "idempotent": "route_kind",
-    "split": "traffic_split",
-    "keys": "api_keys",
-    "attempts": "maximum_attempts",
-    "rate": "rate_per_s",
-    "burst": "burst_size",
+    "max_attempts": "maximum_attempts",
+    "rate_per_second": "rate_per_s",
+    "timeout_seconds": "timeout",
+    "target_latency_seconds": "target_latency",
+    "header_timeout_seconds": "header_timeout",
+    "idle_timeout_seconds": "idle_timeout",
 }
-_TIMES = ("timeout", "target_latency", "header_timeout", "idle_timeout")
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,7 +83,7 @@
     out: dict[str, list[Any]] = {}
     for field in fields(old):
         was, now = getattr(old, field.name), getattr(new, field.name)
-        if field.name == "keys":
+        if field.name == "api_keys":
             told = _keys(set(was), set(now))
         else:
             told = [_words(field.name, was), _words(field.name, now)]
@@ -117,11 +116,11 @@
 
 
 def _words(name: str, value: Any) -> str:
-    if name == "split":
+    if name == "traffic_split":
         return _split(value)
     if name == "idempotent":
         return "idempotent" if value else "non_idempotent"
-    if name in _TIMES:
+    if name.endswith("_seconds"):
         return time(value)
     if isinstance(value, bool):
         return str(value).lower()
--- a/loomstand/ctl/files.py
+++ b/loomstand/ctl/files.py
@@ -11,6 +11,14 @@
 from loomstand.ctl.commands import ConfigCheck, ConfigDiff, SettingsCheck
 from loomstand.ctl.plain import Wrong, configuration, data, held, many, said, short, time
 
+# What `--json` calls a field of the settings; docs/ctl.md promises these names.
+_JSON_NAMES = {
+    "listen_addresses": "listen",
+    "seed_nodes": "seeds",
+    "heartbeat_seconds": "heartbeat",
+    "tolerated_losses": "losses",
+}
+
 
 def settings_check(asked: SettingsCheck) -> int:
     try:
@@ -20,28 +28,34 @@
     except SettingsError as why:
         raise Wrong(f"{asked.file}: {why}") from None
     if asked.json:
-        print(json.dumps(data(settings), indent=2))
+        print(json.dumps(_settings_data(settings), indent=2))
     else:
         for line in _settings(settings):
             print(said(line))
     return 0
 
 
+def _settings_data(settings: Settings) -> dict[str, Any]:
+    """The settings as JSON has them: times in seconds, bounds by their keys in the file."""
+    out = {_JSON_NAMES.get(name, name): value for name, value in data(settings).items()}
+    out["bounds"] = {n.removesuffix("_seconds"): value for n, value in out["bounds"].items()}
+    return out
+
+
 def _settings(told: Settings) -> list[str]:
-    limits, listen, bounds = told.limits, told.listen, told.bounds
+    limits, listen, bounds = told.limits, told.listen_addresses, told.bounds
     listens = [(n, a) for n in type(listen).__slots__ if (a := getattr(listen, n)) is not None]
     figures = ((n, getattr(bounds, n)) for n in type(bounds).__slots__)
-    plain = ("retry_budget_ratio", "budget_slack", "quota_overshoot", "quota_slack")
-    words = [f"{n} {_figure(v, n in plain)}" for n, v in figures]
+    words = [f"{n.removesuffix('_seconds')} {_figure(n, v)}" for n, v in figures]
     lines = [
         f"{told.node_name}: role {told.role}, on a machine of class {told.machine_class}",
         f"at {told.ip_address} in zone {told.zone}, region {told.region}; "
         + ("its loss counts" if told.loss_counted else "its loss does not count"),
         f"serves {', '.join(told.serves) or 'nothing outside'}",
         *(f"listens at {format_address(a)} for {n}" for n, a in listens),
-        f"system's own calls: registry {format_address(told.registry(told.ip_address))}, "
-        f"store {format_address(told.store(told.ip_address))}",
-        f"seeds: {', '.join(map(format_address, told.seeds))}",
+        f"system's own calls: registry {format_address(told.registry_address(told.ip_address))}, "
+        f"store {format_address(told.store_address(told.ip_address))}",
+        f"seeds: {', '.join(map(format_address, told.seed_nodes))}",
         "zones: "
         f"{', '.join(f'{zone} ({region})' for zone, region in told.zones.items()) or 'none named'}",
         f"first start: {'yes' if told.first_start else 'no'}; data in "
@@ -49,20 +63,20 @@
         f"may use {short(limits.cpu_share)} of a core of {short(limits.cpu_cores)}, "
         f"{limits.memory_mb} MB, {limits.file_descriptors} descriptors, "
         f"{short(limits.link_mbps)} Mbit/s, {limits.disk_mb} MB of disk",
-        f"heartbeats every {time(told.heartbeat)}; contracts: "
+        f"heartbeats every {time(told.heartbeat_seconds)}; contracts: "
         f"{', '.join(told.contracts) or 'none'}",
-        f"bears the loss of {many(told.losses.machines, 'machine')}, "
-        f"{many(told.losses.zones, 'zone')}, "
-        f"{many(told.losses.regions, 'region')}",
+        f"bears the loss of {many(told.tolerated_losses.machines, 'machine')}, "
+        f"{many(told.tolerated_losses.zones, 'zone')}, "
+        f"{many(told.tolerated_losses.regions, 'region')}",
         "bounds:",
     ]
     return lines + ["  " + ", ".join(words[n : n + 3]) for n in range(0, len(words), 3)]
 
 
-def _figure(value: Any, plain: bool) -> str:
+def _figure(name: str, value: Any) -> str:
     if isinstance(value, bool):
         return str(value).lower()
-    return short(value) if plain else time(value)
+    return time(value) if name.endswith("_seconds") else short(value)
 
 
 def _counts(found: Configuration) -> dict[str, Any]:
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -34,53 +34,71 @@
     """Everything of one limiter. `run` serves until it is told to stop."""
 
     def __init__(self, config: LimiterConfig, turns: Turns | None = None) -> None:
-        conf, limits = config.conf, config.limits
+        conf, limits = config.settings, config.limits
         self.config = config
         super().__init__(Log(config.name), turns, limits.memory_mb, limits.sockets - FIXED_SOCKETS)
-        self.halls, self.kinds, self.servers = Door(conf.zones), Door(conf.kinds), Door()
-        self.settings = engine_settings(conf, self.halls.at(conf.az))
+        self.halls, self.kinds, self.servers = Door(conf.zones), Door(conf.server_kinds), Door()
+        self.settings = engine_settings(conf, self.halls.at(conf.zone))
         # this process has run at least as long as it has worked: so long it surely passed nothing
         started = self.now() - int(time.process_time() * 10_000)
-        names = ([g.name for g in conf.grades], [p.name for p in conf.plans], conf.zones)
+        names = ([f.name for f in conf.frontends], [p.name for p in conf.plans], conf.zones)
         self.guide = None
-        if config.plan:
+        if config.zone_plan:
             from loomstand.failover.engine_view import Guide
 
-            self.guide = Guide(config.plan, self.settings, names, started)
-        self.brain = DecisionEngine(self.settings, config.seed, started, self.guide)
+            self.guide = Guide(config.zone_plan, self.settings, names, started)
+        self.brain = DecisionEngine(self.settings, config.random_seed, started, self.guide)
         self.names = Names(
-            [g.name for g in conf.grades], [p.name for p in conf.plans], self.settings
+            [f.name for f in conf.frontends], [p.name for p in conf.plans], self.settings
+        )
+        within, idle = (
+            conf.allowed_actions.connect_timeout_ms / 1000,
+            conf.allowed_actions.idle_timeout_ms / 1000,
         )
-        within, idle = conf.allowed.connect_timeout / 1000, conf.allowed.idle_close / 1000
         self.front, self.pool = Front(self, self.spare, limits.sockets), Pool(self, within, idle)
         self.counter: Counter | None = None
-        if config.counter and conf.specifics.has_counter:
-            self.counter = Counter(self, config.counter, conf.specifics.count_limit / 1000, within)
-        self.watch = Watch(self, config.discovery, config.known.revision, within, config.seed)
+        if config.counter_address and conf.counter.has_counter:
+            self.counter = Counter(
+                self, config.counter_address, conf.counter.call_timeout_ms / 1000, within
+            )
+        self.watch = Watch(
+            self,
+            config.discovery_address,
+            config.initial_backends.revision,
+            within,
+            config.random_seed,
+        )
         self.peers = None
-        if config.peers:
+        if config.peer_addresses:
             # only where there are any: a start counts its CPU
-            from loomstand.membership.driver import Peers
+            from loomstand.backendship.driver import Peers
 
-            own, fleet, known = self.settings.me, self.settings.limiters, config.known
+            own, fleet, known = self.settings.me, self.settings.limiters, config.initial_backends
             self.peers = Peers(
-                self, self.watch, own, fleet, config.peer, config.peers, known, config.seed
+                self,
+                self.watch,
+                own,
+                fleet,
+                config.peer_address,
+                config.peer_addresses,
+                known,
+                config.random_seed,
             )
-        self.patience = max(g.deadline for g in conf.grades) / 1000
+        self.patience = max(f.client_timeout_ms for f in conf.frontends) / 1000
 
     # life
 
     async def run(self) -> None:
-        if self.config.known.members:
-            self.listed(self.config.known)
+        if self.config.initial_backends.backends:
+            self.listed(self.config.initial_backends)
         self.loop.set_exception_handler(self.failed)
         if self.peers is not None:
             await self.peers.listen()
         else:
             self.watch.start()
-        await self.front.listen(self.config.listen)
+        await self.front.listen(self.config.listen_address)
         self.loop.call_later(1.0, self.sweep)
-        self.log(f"listens at {self.config.listen[0]}:{self.config.listen[1]}")
+        self.log(f"listens at {self.config.listen_address[0]}:{self.config.listen_address[1]}")
         await self.stopped.wait()
 
     def linger(self) -> float:
@@ -95,18 +113,22 @@
     def reload(self, config: LimiterConfig) -> None:
         """Goes on under another configuration: addresses move, and nothing taken is lost."""
         old, self.config = self.config, config
-        if config.discovery != old.discovery:
-            self.watch.move(config.discovery)
-        if self.counter and config.counter and config.counter != old.counter:
-            self.counter.move(config.counter)
-        fixed = ["name", "listen", "limits", "conf"]
-        if self.guide and config.plan:
-            self.guide.take(config.plan)
+        if config.discovery_address != old.discovery_address:
+            self.watch.move(config.discovery_address)
+        if (
+            self.counter
+            and config.counter_address
+            and config.counter_address != old.counter_address
+        ):
+            self.counter.move(config.counter_address)
+        fixed = ["name", "listen_address", "limits", "settings"]
+        if self.guide and config.zone_plan:
+            self.guide.take(config.zone_plan)
         else:
-            fixed.append("plan")
+            fixed.append("zone_plan")
         kept = [f for f in fixed if getattr(config, f) != getattr(old, f)]
         rest = f"; {', '.join(kept)}: only at the next start" if kept else ""
-        where = f"discovery at {config.discovery}, counter at {config.counter}"
+        where = f"discovery at {config.discovery_address}, counter at {config.counter_address}"
         self.log(f"read its configuration again: {where}{rest}")
 
     def stop(self) -> None:
@@ -133,22 +155,22 @@
 
     def listed(self, list_: BackendList) -> None:
         if list_.complete:
-            named = {m.id for m in list_.members}
+            named = {m.id for m in list_.backends}
             for name, srv in list(self.servers.index.items()):
                 if name not in named:
                     self.pool.told(srv, None)
                     self.servers.forget(srv)
         entries = []
-        for m in list_.members:
+        for m in list_.backends:
             srv, phase = self.servers.at(m.id), PHASES[m.phase]
             self.pool.told(
                 srv,
-                None
-                if phase is i.EndpointState.GONE
-                else parse_host_port(m.host_port, "host_port"),
+                None if phase is i.EndpointState.GONE else parse_host_port(m.address, "host_port"),
+            )
+            hall, kind = self.halls.at(m.zone), self.kinds.at(m.kind)
+            entries.append(
+                i.Endpoint(srv, phase, hall, kind, m.pod, m.capacity_hint, up(m.started_at_ms))
             )
-            hall, kind = self.halls.at(m.locality), self.kinds.at(m.flavor)
-            entries.append(i.Endpoint(srv, phase, hall, kind, m.cell, m.size, up(m.up_since_ms)))
             if phase is i.EndpointState.GONE:
                 self.servers.forget(srv)
         self.note(i.EndpointsUpdated(tuple(entries), list_.complete))
--- a/loomstand/membership/driver.py
+++ b/loomstand/membership/driver.py
@@ -59,7 +59,7 @@
         inc = time.time_ns() // 1_000_000
         self.members = Membership(me, said, inc, given, seed, now)
         self.lists = Lists(me, now, limiters)
-        if known.members:
+        if known.backends:
             self.lists.known(known)
         self.transport: asyncio.DatagramTransport | None = None
         self.ticks, self.counts = 0, Tally[str]()
--- a/loomstand/membership/endpoint_lists.py
+++ b/loomstand/membership/endpoint_lists.py
@@ -79,14 +79,14 @@
         """
         since, self.fresh = self.revision, now
         if told.complete:
-            gone = [self.members[i] for i in self.members.keys() - {m.id for m in told.members}]
+            gone = [self.members[i] for i in self.members.keys() - {m.id for m in told.backends}]
             self.members, self.left = {}, {m.id: told.revision for m in gone}
-        self.put(told.members, told.revision)
+        self.put(told.backends, told.revision)
         changed, self.revision = told.revision != since or told.complete, told.revision
         if not changed:
             return None
         return Part(
-            self.me, 0, self.revision, [], whole=told.complete, since=since, members=told.members
+            self.me, 0, self.revision, [], whole=told.complete, since=since, members=told.backends
         )
 
     def put(self, members: Sequence[BackendRecord], revision: int) -> None:
@@ -129,13 +129,13 @@
         members = [m for p in pieces for m in p.members if self.left.get(m.id, -1) < part.revision]
         self.put(members, part.revision)
         self.revision = part.revision
-        return BackendList(revision=part.revision, complete=False, members=members)
+        return BackendList(revision=part.revision, complete=False, backends=members)
 
     def whole(self) -> list[Part]:
         """The whole list in pieces, for a peer that wants it; none where none is held."""
         if not self.revision:
             return []
-        gone = [BackendRecord(id=i, host_port="127.0.0.1:1", phase="left") for i in self.left]
+        gone = [BackendRecord(id=i, address="127.0.0.1:1", phase="left") for i in self.left]
         every = [*self.members.values(), *gone]
         of = max(1, -(-len(every) // PIECE))
         return [
@@ -155,5 +155,5 @@
         """The list of the configuration, which may be old: its revision counts, it is nobody's
         fresh word.
         """
-        self.put(told.members, told.revision)
+        self.put(told.backends, told.revision)
         self.revision = told.revision
--- a/loomstand/proxy/policy_compiler.py
+++ b/loomstand/proxy/policy_compiler.py
@@ -75,7 +75,7 @@
         for route in configuration.routes:
             front = frontend(route)
             self.by_route[route.name] = self.fronts.setdefault(front, len(self.fronts))
-            for service, _ in route.split:
+            for service, _ in route.traffic_split:
                 self.services.at(service)
         self.quotas = {}
         for tenant in configuration.tenants or ():
@@ -92,8 +92,10 @@
         plans = []
         for n in range(self.tenants.next):
             tenant = self.quotas.get(n)
-            rate = tenant.rate * scale if tenant else 0.0
-            burst = max(tenant.burst * scale, 1.0) if tenant and tenant.rate else 0.0
+            rate = tenant.rate_per_second * scale if tenant else 0.0
+            burst = (
+                max(tenant.burst_size * scale, 1.0) if tenant and tenant.rate_per_second else 0.0
+            )
             # use beyond the quota is worth nothing and breaks a rule
             plans.append(QuotaPlan(rate, burst, 0, value_of(tenant), 0.0, 1.0, 0.0, 0.0, 0.0))
         b = self.bounds
@@ -138,7 +140,7 @@
 def frontend(route: Route) -> Frontend:
     """A route as the module sees it; routes that differ only in name and place are one."""
     effect = Effect.REPLAYABLE if route.idempotent else Effect.NON_REPLAYABLE
-    target, timeout = down(route.target_latency * 1000), down(route.timeout * 1000)
+    target, timeout = down(route.target_latency_seconds * 1000), down(route.timeout_seconds * 1000)
     value = 2.0 ** (2 - min(8, route.priority))
     return Frontend(
         effect,
@@ -149,7 +151,7 @@
         value,
         LATE * value,
         False,
-        tries=route.attempts,
+        tries=route.max_attempts,
     )
 
 
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -124,9 +124,12 @@
     async def run(self) -> None:
         """Serves until `stop`, and until all that was taken is answered."""
         self.loop.set_exception_handler(self.failed)
-        assert self.conf.listen.frontend is not None and self.conf.listen.readiness is not None
-        await self.readiness.listen(self.conf.listen.readiness)
-        await self.front.listen(self.conf.listen.frontend)
+        assert (
+            self.conf.listen_addresses.frontend is not None
+            and self.conf.listen_addresses.readiness is not None
+        )
+        await self.readiness.listen(self.conf.listen_addresses.readiness)
+        await self.front.listen(self.conf.listen_addresses.frontend)
         logging.info("listens")
         self.sessions.start()
         self.loop.call_later(1.0, self.sweep)
@@ -213,8 +216,10 @@
             logging.error("configuration r%d can't be used: %s", version, why)
             return False
         self.terms.learn(configuration)
-        self.table = RouteTable.of(configuration)
-        self.credits.learn({digest(t.name): t for t in configuration.tenants or () if t.rate > 0})
+        self.table = RouteTable.from_configuration(configuration)
+        self.credits.learn(
+            {digest(t.name): t for t in configuration.tenants or () if t.rate_per_second > 0}
+        )
         self.short.set()
         self.bound(configuration.limits)
         self.rule()
@@ -227,12 +232,12 @@
         held whole, so it may take an eighth of the memory for buffers at most, whatever the
         configuration allows.
         """
-        self.stays, before = limits.idle_timeout + 1, self.front.stays
+        self.stays, before = limits.idle_timeout_seconds + 1, self.front.stays
         if self.stays >= before:
             self.front.stays = self.stays
         else:  # who has rested on the longer time's word may still do so to its end
             self.loop.call_later(before, self.shorten, self.stays)
-        self.front.heads = limits.header_timeout + 1
+        self.front.heads = limits.header_timeout_seconds + 1
         self.front.most_head = limits.max_header_bytes
         self.front.most_body = min(limits.max_body_bytes, self.room_at_all // 8)
 
@@ -292,10 +297,12 @@
         """
         if self.loop.time() - self.begun > SETTLED:  # first, as each request asks
             return True
-        route = self.table.find(req.host, req.path)
+        route = self.table.find_route(req.host, req.path)
         if route is None:
             return True
-        return any(weight > 0 and self.by_service.get(service) for service, weight in route.split)
+        return any(
+            weight > 0 and self.by_service.get(service) for service, weight in route.traffic_split
+        )
 
     def granted(self, req: ProxyRequest) -> bool:
         """Whether the first credits have come, for a request that may need one."""
@@ -341,12 +348,12 @@
         if table is None:
             self.answer(req, 503, extra=f"Retry-After: {NOT_YET}\r\n")
             return
-        req.route = table.find(req.host, req.path)
+        req.route = table.find_route(req.host, req.path)
         if req.route is None:
             self.answer(req, 404)
             return
-        if table.needs_key(req.route):
-            req.tenant = table.tenant(req.key)
+        if table.requires_api_key(req.route):
+            req.tenant = table.find_tenant(req.key)
             if req.tenant is None:
                 self.answer(req, 401)
                 return
@@ -357,7 +364,7 @@
         if self.credits.due(name, now):
             self.short.set()
         if not may and not waited and now - self.begun < SETTLED:
-            self.hold(req, at, OFFERED * req.route.target_latency)
+            self.hold(req, at, OFFERED * req.route.target_latency_seconds)
             return
         if not may:
             wait = self.credits.wait(name, now)
@@ -383,11 +390,12 @@
         """One of the route's services by weight; where that has no server, another that the route
         allows.
         """
-        service = table.pick(req.route, self.rng.random())
+        service = table.choose_service(req.route, self.rng.random())
         if self.by_service.get(service):
             return service
         return next(
-            (s for s, weight in req.route.split if weight > 0 and self.by_service.get(s)), service
+            (s for s, weight in req.route.traffic_split if weight > 0 and self.by_service.get(s)),
+            service,
         )
 
     # from servers and the counter
@@ -469,7 +477,7 @@
         """
         if not req.route.idempotent and (req.ran or sum(f is not None for f in req.flights) > 1):
             return 0
-        return req.route.attempts
+        return req.route.max_attempts
 
     def deny(self, act: i.Reject) -> None:
         req = self.reqs.get(act.req)
@@ -481,7 +489,7 @@
             wait = max(0.05, act.wait / 10_000)
             self.answer(req, 429, extra=f"Retry-After: {wait:.3f}\r\n")
         else:
-            wait = self.rng.uniform(*BACK) * req.route.target_latency
+            wait = self.rng.uniform(*BACK) * req.route.target_latency_seconds
             self.answer(req, 503, extra=f"Retry-After: {wait:.3f}\r\n")
         self.forget(req)
 
--- a/loomstand/proxy/quota_credits.py
+++ b/loomstand/proxy/quota_credits.py
@@ -83,11 +83,11 @@
         """The tenants under a quota, by digest."""
         before, self.credits = self.credits, {}
         for name, tenant in quotas.items():
-            most = depth(tenant.rate, tenant.burst, self.bounds)
-            credit = before.get(name) or TenantCredits(tenant.rate, most)
-            if tenant.rate < credit.rate:  # parts of a quota that is no more
+            most = depth(tenant.rate_per_second, tenant.burst_size, self.bounds)
+            credit = before.get(name) or TenantCredits(tenant.rate_per_second, most)
+            if tenant.rate_per_second < credit.rate:  # parts of a quota that is no more
                 credit.left = min(credit.left, LEAST)
-            credit.rate, credit.depth = tenant.rate, most
+            credit.rate, credit.depth = tenant.rate_per_second, most
             self.credits[name] = credit
         self.told_all = False
 
--- a/loomstand/proxy/request.py
+++ b/loomstand/proxy/request.py
@@ -71,7 +71,7 @@
 
     def timeout(self) -> int:
         """How long it may be held, in tenths of a millisecond."""
-        most = self.route.timeout * 10_000
+        most = self.route.timeout_seconds * 10_000
         if self.wait is not None:
             most = min(most, (self.wait - SLACK_MS) * 10)
         return max(1, int(most))
--- a/loomstand/proxy/sessions.py
+++ b/loomstand/proxy/sessions.py
@@ -99,7 +99,7 @@
         self.stopping = False
 
     def start(self) -> None:
-        for ip, _ in self.settings.seeds:
+        for ip, _ in self.settings.seed_nodes:
             self.add(ip)
 
     def reload(self, settings: Settings) -> None:
@@ -120,13 +120,14 @@
             task.cancel()
         said = {"name": self.settings.node_name}
         calls = [
-            self.network.call(self.settings.registry(ip), "bye", said, 0.2) for ip in self.standing
+            self.network.call(self.settings.registry_address(ip), "bye", said, 0.2)
+            for ip in self.standing
         ]
         await asyncio.gather(*calls)
 
     async def session(self, ip: str) -> None:
         """Asks one registry again and again."""
-        address, pause = self.settings.registry(ip), AGAIN[0]
+        address, pause = self.settings.registry_address(ip), AGAIN[0]
         session, have, facts, sure, full = 0, 0, -1, False, 0
         while True:
             said: Body = {"h": have, "f": facts, "c": self.version}
@@ -140,7 +141,7 @@
                 if got.error is Verdict.REFUSED and session:
                     session = 0  # the registry has started anew
                     continue
-                seed = any(ip == known for known, _ in self.settings.seeds)
+                seed = any(ip == known for known, _ in self.settings.seed_nodes)
                 if self.clock() - self.listed[ip] > FORGOTTEN and not seed:
                     self.standing.pop(ip, None)
                     del self.cores[ip]
--- a/loomstand/registry/process.py
+++ b/loomstand/registry/process.py
@@ -39,7 +39,7 @@
         self.desk = OperatorHttpServer(self.outside, turns, memory, sockets, MOST_BODY, streams)
 
     async def run(self) -> None:
-        assert self.settings.listen.control_plane is not None
-        await self.desk.listen(self.settings.listen.control_plane)
+        assert self.settings.listen_addresses.control_plane is not None
+        await self.desk.listen(self.settings.listen_addresses.control_plane)
         await super().run()
         self.desk.stop()
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -70,7 +70,7 @@
     ) -> None:
         self.settings, self.network, self.clock = settings, network, clock
         self.life = f"{time.time_ns() if wall is None else int(wall * 1e9):x}-{settings.ip_address}"
-        self.instances, self.limiters = InstanceTable(settings.heartbeat), LimiterTable()
+        self.instances, self.limiters = InstanceTable(settings.heartbeat_seconds), LimiterTable()
         self.counters = Counters(0)
         self.quota_buckets = QuotaBuckets()
         self.grants = QuotaGrants(settings.bounds)
@@ -98,7 +98,7 @@
         self.settled = clock() + SETTLED
         self.turn = asyncio.Event()  # something has changed about who counts
         self.cores: tuple[str, ...] = tuple(
-            sorted({settings.ip_address, *(ip for ip, _ in settings.seeds)})
+            sorted({settings.ip_address, *(ip for ip, _ in settings.seed_nodes)})
         )
         self.waiting: dict[asyncio.Future[None], None] = {}  # the longest first
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -138,7 +138,9 @@
 
     async def run(self) -> None:
         """Serves until `stop`."""
-        await self.network.listen(self.settings.registry(self.settings.ip_address), self.serve)
+        await self.network.listen(
+            self.settings.registry_address(self.settings.ip_address), self.serve
+        )
         await asyncio.gather(self.greet(), self.watch(), self.lease(), self.tend())
 
     def stop(self) -> None:
@@ -147,7 +149,11 @@
         self.turn.set()
 
     def others(self) -> list[Address]:
-        return [self.settings.registry(ip) for ip in self.cores if ip != self.settings.ip_address]
+        return [
+            self.settings.registry_address(ip)
+            for ip in self.cores
+            if ip != self.settings.ip_address
+        ]
 
     def wake(self) -> None:
         """Something limiters hear of has changed."""
@@ -215,7 +221,7 @@
             said |= {"h": self.instances.version, "rows": self.instances.news(have, now)}
         if self.facts != facts:
             who = self.holding.counter
-            counter = [*self.settings.registry(who), *self.holding.term] if who else None
+            counter = [*self.settings.registry_address(who), *self.holding.term] if who else None
             said |= {
                 "f": self.facts,
                 "fleet": self.limiters.fleet(name),
@@ -414,7 +420,7 @@
 
     async def watch(self) -> None:
         """Asks the store beside it for news of the configuration and of the core's machines."""
-        here, heard, mark = self.settings.store(self.settings.ip_address), self.clock(), 0
+        here, heard, mark = self.settings.store_address(self.settings.ip_address), self.clock(), 0
         while not self.stopping:
             asked = self.clock()
             said = {"have": self.version, "mark": mark, "within": WAITS}
@@ -435,7 +441,7 @@
         while not self.stopping:
             self.turn.clear()
             if holding.asks():
-                stores = holding.whom([self.settings.store(ip) for ip in self.cores])
+                stores = holding.whom([self.settings.store_address(ip) for ip in self.cores])
                 holding.lost = not any(await asyncio.gather(*(self.claim(to) for to in stores)))
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(holding.pause(self.clock()) if holding.asks() else None):
@@ -443,7 +449,7 @@
         if holding.counts(self.clock()):
             holding.until, back = 0.0, holding.body(back=True)
             # all of them: where the whole machine leaves, the reign is just being handed on
-            stores = [self.settings.store(ip) for ip in self.cores]
+            stores = [self.settings.store_address(ip) for ip in self.cores]
             await asyncio.gather(*(self.network.call(to, "duty", back, STATUS) for to in stores))
 
     async def claim(self, to: Address) -> bool:
@@ -508,7 +514,7 @@
         """Gives the store beside it the configuration held here, which that doesn't know to be in
         force.
         """
-        here = self.settings.store(self.settings.ip_address)
+        here = self.settings.store_address(self.settings.ip_address)
         try:
             said = {"version": self.version, "data": self.data}
             await self.network.call(here, "offer", said, STORE_WITHIN + carry(len(self.data)))
@@ -535,13 +541,13 @@
         down.
         """
         here, asked, until = self.settings.ip_address, self.clock(), self.clock() + within
-        got = await self.network.call(self.settings.store(here), op, body, within)
+        got = await self.network.call(self.settings.store_address(here), op, body, within)
         for ip in self.cores:
             left = until - self.clock()
             if got.is_ok() or got.error is not Verdict.NEVER_RAN or left < 0.05:
                 break
             if ip != here:
-                got = await self.network.call(self.settings.store(ip), op, body, left)
+                got = await self.network.call(self.settings.store_address(ip), op, body, left)
         if got.is_ok() and not freshness.left(got.ok, asked, self.clock(), within):
             # this process froze meanwhile, or the answer lay in a socket
             return Error(Verdict.MAY_HAVE_RUN)
@@ -618,7 +624,7 @@
     async def status(self, asked: Asked, body: bytes) -> tuple[int, bytes]:
         """How the system stands as seen from here, for operators; no key is in it."""
         here = self.settings.ip_address
-        got = await self.network.call(self.settings.store(here), "status", {}, STATUS)
+        got = await self.network.call(self.settings.store_address(here), "status", {}, STATUS)
         store = got.ok if got.is_ok() else None
         left = max(0.0, self.holding.until - self.clock())
         servers: dict[str, dict[str, int]] = {}
@@ -655,7 +661,7 @@
 
     async def rescue(self, asked: Asked, body: bytes) -> tuple[int, bytes]:
         status, said = await rescue(
-            self.network, self.settings.store(self.settings.ip_address), body
+            self.network, self.settings.store_address(self.settings.ip_address), body
         )
         return status, json.dumps(said).encode()
 
@@ -663,7 +669,7 @@
         """Where each core machine takes these calls: the seeds are told with their ports, the
         others are taken to have this one's.
         """
-        known, own = dict(self.settings.seeds), self.settings.listen.control_plane
+        known, own = dict(self.settings.seed_nodes), self.settings.listen_addresses.control_plane
         if own is not None:
             known = {**dict.fromkeys(self.cores, own[1]), **known, own[0]: own[1]}
         return [format_address((ip, known[ip])) for ip in self.cores if ip in known]
--- a/loomstand/registry/quota_buckets.py
+++ b/loomstand/registry/quota_buckets.py
@@ -55,9 +55,9 @@
         """Other quotas; what is in the buckets stays."""
         before, self.buckets = self.buckets, {}
         for tenant in tenants:
-            if tenant.rate > 0:
+            if tenant.rate_per_second > 0:
                 old = before.get(digest(tenant.name), Bucket(0.0, 0.0))
-                old.rate, old.burst = tenant.rate, max(1.0, tenant.burst)
+                old.rate, old.burst = tenant.rate_per_second, max(1.0, tenant.burst_size)
                 self.buckets[digest(tenant.name)] = old
 
     def anew(self) -> None:
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -50,7 +50,9 @@
 
 def leeway(rate: float, burst: float, bounds: RuleBounds) -> float:
     """What may run beyond rate x window + burst."""
-    return bounds.quota_overshoot * (rate * bounds.quota_window + burst) + bounds.quota_slack
+    return (
+        bounds.quota_overshoot * (rate * bounds.quota_window_seconds + burst) + bounds.quota_slack
+    )
 
 
 @dataclass(slots=True)
@@ -111,16 +113,19 @@
         """
         before, self.buckets = self.buckets, {}
         for tenant in tenants:
-            if tenant.rate <= 0:
+            if tenant.rate_per_second <= 0:
                 continue
-            name, most = digest(tenant.name), depth(tenant.rate, tenant.burst, self.bounds)
-            first = most - BEGINS * leeway(tenant.rate, tenant.burst, self.bounds)
+            name, most = (
+                digest(tenant.name),
+                depth(tenant.rate_per_second, tenant.burst_size, self.bounds),
+            )
+            first = most - BEGINS * leeway(tenant.rate_per_second, tenant.burst_size, self.bounds)
             old = before.pop(name, None) or Bucket(
                 0.0, most, first, 0.0 if counts else first, self.time
             )
             old.leak(self.time)
             old.rate, old.depth, old.first, old.level = (
-                tenant.rate,
+                tenant.rate_per_second,
                 most,
                 first,
                 min(old.level, most),
--- a/loomstand/store/__main__.py
+++ b/loomstand/store/__main__.py
@@ -36,9 +36,9 @@
 
 
 def place(settings: Settings) -> Place:
-    seeds = tuple(settings.store(ip) for ip, _ in settings.seeds)
-    grace = settings.bounds.grace_period
-    return Place(settings.store(settings.ip_address), seeds, settings.first_start, grace)
+    seeds = tuple(settings.store_address(ip) for ip, _ in settings.seed_nodes)
+    grace = settings.bounds.grace_period_seconds
+    return Place(settings.store_address(settings.ip_address), seeds, settings.first_start, grace)
 
 
 async def make(settings: Settings, turns: Turns) -> StoreProcess:
--- a/loomstand/testing/bench_adapter/__main__.py
+++ b/loomstand/testing/bench_adapter/__main__.py
@@ -39,14 +39,14 @@
 
     def __init__(self, start: w.Start, now: int) -> None:
         conf = start.conf
-        self.frontends = Door([g.name for g in conf.grades])
+        self.frontends = Door([f.name for f in conf.frontends])
         self.plans = Door([p.name for p in conf.plans])
         self.halls = Door(conf.zones)
-        self.kinds = Door(conf.kinds)
+        self.kinds = Door(conf.server_kinds)
         self.servers = Door()
         self.customers: dict[str, tuple[int, int]] = {}
         self.brain = DecisionEngine(
-            engine_settings(conf, self.halls.at(conf.az)), start.entropy, now
+            engine_settings(conf, self.halls.at(conf.zone)), start.entropy, now
         )
 
     def note(self, ev: w.Event, pools: dict[int, list[w.Item]]) -> i.Event | None:
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -15,8 +15,8 @@
 from loomstand.config.limiter import (
     AllowedActions,
     CounterSettings,
-    GradeSettings,
-    PlanSettings,
+    FrontendSettings,
+    QuotaPlanSettings,
     RuleSettings,
     WireSettings,
 )
@@ -210,46 +210,46 @@
     """The settings that a limiter of this scenario is told, in the words of the operators' wire."""
     s, f = scenario, scenario.fleet
     return WireSettings(
-        balancers=f.limiters,
-        me=me,
-        az=f.zones[zone],
+        limiter_count=f.limiters,
+        limiter_index=me,
+        zone=f.zones[zone],
         zones=list(f.zones),
-        grades=[
-            GradeSettings(
+        frontends=[
+            FrontendSettings(
                 name=g.name,
                 effect=g.effect,
-                on_time=g.response_target_ms,
-                deadline=g.client_timeout_ms,
-                points=g.value,
-                group=g.group,
-                repeat_window=g.repeat_window_ms,
+                latency_target_ms=g.response_target_ms,
+                client_timeout_ms=g.client_timeout_ms,
+                value=g.value,
+                deduplication_scope=g.group,
+                deduplication_window_ms=g.repeat_window_ms,
             )
             for g in s.frontends
         ],
         plans=[
-            PlanSettings(
+            QuotaPlanSettings(
                 name=p.name,
-                refill=p.rate,
-                store_size=p.burst,
+                rate_per_second=p.rate,
+                burst_size=p.burst,
                 ceiling_rate=p.ceiling_rate,
-                cap_depth=p.ceiling_depth,
+                ceiling_depth=p.ceiling_depth,
                 ceiling_slack=p.ceiling_slack,
             )
             for p in s.plans
         ],
-        allowed=AllowedActions(try_limit=f.try_limit),
-        specifics=CounterSettings(
+        allowed_actions=AllowedActions(max_attempts=f.try_limit),
+        counter=CounterSettings(
             has_counter=s.counter.present,
-            count_limit=s.counter.timeout_ms,
-            metering=s.counter.refresh_s * 1000,
+            call_timeout_ms=s.counter.timeout_ms,
+            metering_interval_ms=s.counter.refresh_s * 1000,
         ),
         rules=RuleSettings(
-            answer_slack=f.answer_slack_ms,
-            cold=f.cold_s * 1000,
-            cold_from=f.cold_from,
-            drain_grace=f.drain_grace_ms,
-            fall_multiple=f.fall_multiple,
-            tip_after=1000.0,
+            answer_slack_ms=f.answer_slack_ms,
+            warm_up_ms=f.cold_s * 1000,
+            initial_capacity_share=f.cold_from,
+            drain_grace_ms=f.drain_grace_ms,
+            overload_multiple=f.fall_multiple,
+            overload_window_ms=1000.0,
         ),
     )
 
--- a/loomstand/testing/rehearsal/scenario.py
+++ b/loomstand/testing/rehearsal/scenario.py
@@ -22,7 +22,7 @@
     ScenarioError,
     Seconds,
     Share,
-    Struct,
+    StrictStruct,
 )
 
 SHARED = "any"  # the near end of a path that all limiters share
@@ -55,12 +55,12 @@
     connect_timeout_ms: Positive = 250.0
 
 
-class Discovery(Struct):
+class Discovery(StrictStruct):
     late_s: Seconds = 0.1  # how long after a change it is told
     bears: Seconds = 0.0  # calls a second; further ones get 503; 0 for any number
 
 
-class Load(Struct):
+class Load(StrictStruct):
     """How clients and the front in front of the limiters behave."""
 
     notice_s: Positive = 1.0  # a limiter that answers no health call for so long gets no more reqs
@@ -107,7 +107,7 @@
 }
 
 
-class Fault(Struct):
+class Fault(StrictStruct):
     """One step of the timeline. `who` and `other` hold names: `limiters`, `servers`, `clients`,
     `zone` (both of the first two), each with `:ZONE` or for all; `l0`, `s3`, `counter`,
     `discovery`.
@@ -131,7 +131,7 @@
     text: str = ""
 
 
-class Bound(Struct):
+class Bound(StrictStruct):
     """Something that a span of the run must show."""
 
     what: Literal[
@@ -154,7 +154,7 @@
     at_most: float | None = None
 
 
-class Rehearsal(Struct):
+class Rehearsal(StrictStruct):
     """A whole rehearsal."""
 
     name: str
--- a/loomstand/testing/simulation/bounds.py
+++ b/loomstand/testing/simulation/bounds.py
@@ -164,7 +164,7 @@
         Worst("quota: share of the leeway used"),
         Worst("quota, small: share of the leeway used"),
     )
-    window = bounds.quota_window
+    window = bounds.quota_window_seconds
     first: dict[str, Ran] = {}
     for run in history.arrivals:
         if run.ran and run.tenant and run.id not in first:
@@ -209,8 +209,8 @@
 
 def bound_from(history: History, acked: float, bounds: RuleBounds) -> float:
     """When all limiters have been in touch for `configuration_apply` after that acknowledgement."""
-    at = acked + bounds.configuration_apply
-    calm = bounds.configuration_apply + bounds.contact
+    at = acked + bounds.configuration_apply_seconds
+    calm = bounds.configuration_apply_seconds + bounds.contact_seconds
     for span in sorted(history.spans, key=lambda s: s.begun):
         if span.begun <= at and span.ended + calm > at:
             at = span.ended + calm
@@ -229,7 +229,9 @@
     near = [
         s
         for s in history.spans
-        if (s.core or host in s.hosts) and s.begun <= until and s.ended + bounds.contact > since
+        if (s.core or host in s.hosts)
+        and s.begun <= until
+        and s.ended + bounds.contact_seconds > since
     ]
     return max(near, key=lambda s: (s.ended, s.kind != CORE), default=None)
 
@@ -252,14 +254,16 @@
         kind, since, limit = "connected", acked, acked + self.within
         if span is not None:
             kind, since = span.kind, max(acked, span.ended)
-            limit = max(limit, span.ended + self.bounds.contact)
+            limit = max(limit, span.ended + self.bounds.contact_seconds)
         if span is not None and span.kind == CORE and span.most:
-            limit = min(limit, acked + self.within + self.bounds.stretch_limit)
+            limit = min(limit, acked + self.within + self.bounds.stretch_limit_seconds)
             # the stretch is the core's: one that was cut off until just now has its own time
             near = (
                 s for s in self.history.spans if not s.core and host in s.hosts and s.begun <= known
             )
-            limit = max([limit, *(s.ended + self.bounds.contact for s in near if s.ended < known)])
+            limit = max(
+                [limit, *(s.ended + self.bounds.contact_seconds for s in near if s.ended < known)]
+            )
         worst = self.kinds.setdefault(kind, Worst(f"{self.name}, {kind}"))
         worst.add(
             max(0.0, known - since),
@@ -285,7 +289,7 @@
     """CONFIG: from the acknowledgement of a version to its force, or that of a later one, at each
     limiter. One that starts must have what was acknowledged before too.
     """
-    found = News("version in force", bounds.configuration_apply, history, bounds)
+    found = News("version in force", bounds.configuration_apply_seconds, history, bounds)
     words = by_life(history.told, False)
     for host in history.limiters:
         mine = words.get(host, [])
@@ -323,7 +327,7 @@
     """DRAIN, as the limiters know of it: from the acknowledgement to the end of a server's use at
     each.
     """
-    found = News("drain known", bounds.drain, history, bounds)
+    found = News("drain known", bounds.drain_seconds, history, bounds)
     words = by_life(history.told, True)
     for drain in history.drains:
         free = unsure(history, drain, bounds)
@@ -351,14 +355,14 @@
 def unsure(history: History, drain: Drain, bounds: RuleBounds) -> bool:
     """Whether the core machine that acknowledged a drain was out of touch: then it binds nobody."""
     return any(
-        s.core and drain.by in s.hosts and s.begun <= drain.acked < s.ended + bounds.contact
+        s.core and drain.by in s.hosts and s.begun <= drain.acked < s.ended + bounds.contact_seconds
         for s in history.spans
     )
 
 
 def late(history: History, bounds: RuleBounds) -> list[Figure]:
     """DRAIN, as servers see it: what arrives at one after its drain was acknowledged."""
-    found = News("arrival after a drain", bounds.drain, history, bounds)
+    found = News("arrival after a drain", bounds.drain_seconds, history, bounds)
     drained = {drain.server: drain for drain in history.drains}
     for run in history.arrivals:
         drain = drained.get(run.server)
@@ -366,7 +370,7 @@
             continue
         # what a link held up, or a process that was frozen, isn't late (Held up)
         held = any(
-            run.front in s.hosts and s.begun <= run.at < s.ended + bounds.contact
+            run.front in s.hosts and s.begun <= run.at < s.ended + bounds.contact_seconds
             for s in history.spans
         )
         found.add(
@@ -386,7 +390,7 @@
     """BUDGET. The value is the share of `budget_slack` that further tries took beyond the ratio's
     part.
     """
-    worst, window = Worst("further tries: share of the slack used"), bounds.budget_window
+    worst, window = Worst("further tries: share of the slack used"), bounds.budget_window_seconds
     seen: set[str] = set()
     again: dict[str, list[float]] = {}
     for run in sorted(history.arrivals, key=lambda r: r.at):
@@ -410,14 +414,15 @@
     """
     worst = Worst("acknowledgement of a change in settled times")
     for change in history.changes:
-        until = min(change.acked, change.sent + bounds.acknowledge)
+        until = min(change.acked, change.sent + bounds.acknowledge_seconds)
         calm = all(
-            s.ended + bounds.contact <= change.sent or s.begun > until for s in history.spans
+            s.ended + bounds.contact_seconds <= change.sent or s.begun > until
+            for s in history.spans
         )
         if calm and change.sent >= history.begun:
             worst.add(
                 min(change.acked, history.ended) - change.sent,
-                bounds.acknowledge,
+                bounds.acknowledge_seconds,
                 change.sent,
                 f"r{change.version}",
             )
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -197,8 +197,8 @@
     def store_factory(self, ip: str) -> Factory:
         def make(air: Any, disk: Any, clock: Any, rng: Random) -> Any:
             settings = self.settings(ip)
-            seeds = tuple(settings.store(seed) for seed, _ in settings.seeds)
-            place = Place(settings.store(ip), seeds, settings.first_start)
+            seeds = tuple(settings.store_address(seed) for seed, _ in settings.seed_nodes)
+            place = Place(settings.store_address(ip), seeds, settings.first_start)
             return Store(place, air, disk, clock, rng)
 
         return make
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -102,17 +102,36 @@
     node = told(FILE + "\nself.shoe_size=44\n# a note\nself.limits.disk_mb.more=x\n")
     assert (node.role, node.serves, node.loss_counted) == ("my-core", ("control_plane",), True)
     assert (node.limits.cpu_share, node.limits.memory_mb, node.limits.disk_mb) == (0.645, 296, 256)
-    assert node.listen.control_plane == ("10.1.0.33", 8783) and node.listen.frontend is None
-    assert node.seeds[2] == ("10.3.0.14", 8783) and node.internal_ports == (7340, 7355)
-    assert node.zones == {"charguia": "tunis", "ben-arous": "tunis"} and node.heartbeat == 1.5
-    assert "quota" in node.contracts and node.losses.machines == 1 and node.losses.zones == 0
-    assert (node.bounds.contact, node.bounds.revocation_global, node.bounds.budget_slack) == (
+    assert (
+        node.listen_addresses.control_plane == ("10.1.0.33", 8783)
+        and node.listen_addresses.frontend is None
+    )
+    assert node.seed_nodes[2] == ("10.3.0.14", 8783) and node.internal_ports == (7340, 7355)
+    assert (
+        node.zones == {"charguia": "tunis", "ben-arous": "tunis"} and node.heartbeat_seconds == 1.5
+    )
+    assert (
+        "quota" in node.contracts
+        and node.tolerated_losses.machines == 1
+        and node.tolerated_losses.zones == 0
+    )
+    assert (
+        node.bounds.contact_seconds,
+        node.bounds.revocation_global,
+        node.bounds.budget_slack,
+    ) == (
         4,
         True,
         62,
     )
-    assert (node.bounds.drain, node.bounds.retry_budget_ratio) == (2.5, 0.2)  # not in this file
-    assert node.registry("10.2.0.25") == ("10.2.0.25", 7340) and node.store("10.2.0.25")[1] == 7341
+    assert (node.bounds.drain_seconds, node.bounds.retry_budget_ratio) == (
+        2.5,
+        0.2,
+    )  # not in this file
+    assert (
+        node.registry_address("10.2.0.25") == ("10.2.0.25", 7340)
+        and node.store_address("10.2.0.25")[1] == 7341
+    )
     assert node == told(FILE.replace("\n", "\r\n"))
     with pytest.raises(FrozenInstanceError):
         node.zone = "lac"
@@ -184,21 +203,25 @@
     assert got.version == 7 and got.raw == CONFIG and "ctnf" not in repr(got)
     first, second = got.routes
     assert (
-        first.split == (("huvo11a", 90), ("kafi81c", 10))
+        first.traffic_split == (("huvo11a", 90), ("kafi81c", 10))
         and first.idempotent
-        and first.attempts == 2
+        and first.max_attempts == 2
     )
-    assert (first.timeout, first.target_latency, first.priority, first.public) == (
+    assert (first.timeout_seconds, first.target_latency_seconds, first.priority, first.public) == (
         1.2,
         0.3,
         2,
         False,
     )
-    assert second.host == "hulo84.example" and second.timeout == 600 and second.priority == 0
-    assert second.split == (("wuno96b", 1),) and not second.idempotent and second.public
+    assert (
+        second.host == "hulo84.example" and second.timeout_seconds == 600 and second.priority == 0
+    )
+    assert second.traffic_split == (("wuno96b", 1),) and not second.idempotent and second.public
     assert got.services["kafi81c"].health_check_path == "/health"
     assert got.services["wuno96b"].connection_limit == 130
-    assert got.tenants and got.tenants[0].rate == 63.5 and got.limits == ClientLimits(8192)
+    assert (
+        got.tenants and got.tenants[0].rate_per_second == 63.5 and got.limits == ClientLimits(8192)
+    )
 
 
 def test_what_must_not_be_refused():
@@ -341,7 +364,7 @@
 
 def whole_or_refused(raw: bytes) -> None:
     try:
-        RouteTable.of(parse_configuration(raw))
+        RouteTable.from_configuration(parse_configuration(raw))
     except ConfigurationError as wrong:
         assert len(str(wrong).encode()) < 400 and len(str(wrong).splitlines()) == 1
 
@@ -370,7 +393,7 @@
         for p in prefixes
     ]
     resources.append({"resource_kind": "services", "metadata": {"name": "s"}, "specification": {}})
-    return RouteTable.of(
+    return RouteTable.from_configuration(
         parse_configuration(json.dumps({"version": "r1", "resources": resources}).encode())
     )
 
@@ -381,29 +404,34 @@
 @settings(STEADY, max_examples=300)
 @given(st.sets(PATHS.map(lambda p: f"/{p}/" if p else "/"), max_size=6), PATHS)
 def test_the_longest_prefix_is_the_one_that_a_search_finds(prefixes, rest):
-    found = table(sorted(prefixes)).find(b"a.example", f"/{rest}".encode())
+    found = table(sorted(prefixes)).find_route(b"a.example", f"/{rest}".encode())
     fitting = [p for p in prefixes if f"/{rest}".startswith(p)]
-    assert (found.prefix if found else None) == max(fitting, key=len, default=None)
+    assert (found.path_prefix if found else None) == max(fitting, key=len, default=None)
 
 
 def test_a_table_finds_hosts_keys_and_services():
-    have = RouteTable.of(parse_configuration(CONFIG))
+    have = RouteTable.from_configuration(parse_configuration(CONFIG))
     first, second = have.configuration.routes
-    assert have.find(b"JEPU9.example:8782", b"/lepu270/2f") is first and have.version == 7
-    assert have.find(b"hulo84.example", b"/xapu221/ny95/") is second
+    assert have.find_route(b"JEPU9.example:8782", b"/lepu270/2f") is first and have.version == 7
+    assert have.find_route(b"hulo84.example", b"/xapu221/ny95/") is second
     for host, path in [
         (b"jepu9.example", b"/lepu270"),
         (b"", b"/lepu270/"),
         (b"x", b"/"),
         (b"[::1]", b"*"),
     ]:
-        assert have.find(host, path) is None
-    assert have.tenant(b"fqasnmgkcuyj8pjbvk9m").name == "sese880" and have.tenant(b"") is None
-    assert have.needs_key(first) and not have.needs_key(second)
-    assert not table(["/"]).needs_key(first)
-    assert have.ways[("jepu9.example", "/lepu270/")] == {"huvo11a", "kafi81c"}
-    picks = [have.pick(first, n / 1000) for n in range(1000)]
-    assert picks.count("huvo11a") == 900 and have.pick(first, 1 - 2**-53) == "kafi81c"
-    none = RouteTable.of(parse_configuration(changed(*SPEC, "traffic_split", 0, "weight", to=0)))
-    assert none.pick(none.configuration.routes[0], 0.0) == "kafi81c"
-    assert none.ways[("jepu9.example", "/lepu270/")] == {"kafi81c"}
+        assert have.find_route(host, path) is None
+    assert (
+        have.find_tenant(b"fqasnmgkcuyj8pjbvk9m").name == "sese880"
+        and have.find_tenant(b"") is None
+    )
+    assert have.requires_api_key(first) and not have.requires_api_key(second)
+    assert not table(["/"]).requires_api_key(first)
+    assert have.allowed_services[("jepu9.example", "/lepu270/")] == {"huvo11a", "kafi81c"}
+    picks = [have.choose_service(first, n / 1000) for n in range(1000)]
+    assert picks.count("huvo11a") == 900 and have.choose_service(first, 1 - 2**-53) == "kafi81c"
+    none = RouteTable.from_configuration(
+        parse_configuration(changed(*SPEC, "traffic_split", 0, "weight", to=0))
+    )
+    assert none.choose_service(none.configuration.routes[0], 0.0) == "kafi81c"
+    assert none.allowed_services[("jepu9.example", "/lepu270/")] == {"kafi81c"}
--- a/tests/limiter/test_parsers.py
+++ b/tests/limiter/test_parsers.py
@@ -239,8 +239,12 @@
 def test_the_environment_wins_and_the_settings_are_translated_once():
     raw = json.dumps(config_file(PORTS, [])).encode()
     read = parse_limiter_config(raw, {"PROXY_NAME": "n7", "PROXY_LISTEN": "127.0.0.2:80"})
-    assert (read.name, read.listen, read.discovery) == ("n7", ("127.0.0.2", 80), (HOST, 8500))
-    told = translated(read.conf, 0)
+    assert (read.name, read.listen_address, read.discovery_address) == (
+        "n7",
+        ("127.0.0.2", 80),
+        (HOST, 8500),
+    )
+    told = translated(read.settings, 0)
     assert [f.effect for f in told.frontends] == [Effect.REPLAYABLE, Effect.NON_REPLAYABLE]
     assert (told.count_timeout, told.drain_grace, told.frontends[0].client_timeout) == (
         1000,
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -144,11 +144,11 @@
 
 
 def member(id_: str, phase: str = "active") -> BackendRecord:
-    return BackendRecord(id=id_, host_port="127.0.0.1:9", phase=phase)
+    return BackendRecord(id=id_, address="127.0.0.1:9", phase=phase)
 
 
 def listed(revision: int, *ids: str, complete: bool = True) -> BackendList:
-    return BackendList(revision=revision, complete=complete, members=[member(i) for i in ids])
+    return BackendList(revision=revision, complete=complete, backends=[member(i) for i in ids])
 
 
 def handed(lists: Lists, to: Lists, now: float) -> list:
@@ -161,7 +161,7 @@
     old = one.whole()
     assert len(old) == 3
     assert len(handed(one, two, 1.0)) == 1 and len(two.members) == 100 and two.revision == 5
-    change = BackendList(revision=6, complete=False, members=[member("s7", "left")])
+    change = BackendList(revision=6, complete=False, backends=[member("s7", "left")])
     part = one.from_discovery(2.0, change)
     assert two.from_peer(2.0, part) is not None and "s7" not in two.members
     assert [two.from_peer(3.0, p) for p in old] == [None] * 3  # an old list
--- a/tests/proxy/test_sessions.py
+++ b/tests/proxy/test_sessions.py
@@ -60,7 +60,9 @@
 def heard(said, seconds=1.0):
     async def work():
         loop, user = asyncio.get_running_loop(), Heard()
-        settings = SimpleNamespace(seeds=(("c1", 1),), node_name="f-1", registry=lambda ip: (ip, 1))
+        settings = SimpleNamespace(
+            seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
+        )
         sessions = Sessions(settings, Registries(said), loop.time, Random(1), user)
         sessions.start()
         await asyncio.sleep(seconds)
@@ -99,7 +101,9 @@
 
     async def work():
         loop = asyncio.get_running_loop()
-        settings = SimpleNamespace(seeds=(("c1", 1),), node_name="f-1", registry=lambda ip: (ip, 1))
+        settings = SimpleNamespace(
+            seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
+        )
         Sessions(settings, Anew(said), loop.time, Random(1), Heard()).start()
         await asyncio.sleep(0.5)
 
--- a/tests/registry/test_quota_grants.py
+++ b/tests/registry/test_quota_grants.py
@@ -87,7 +87,9 @@
         elif what == "lower":
             name = self.rng.choice([*self.tenants])
             old = self.tenants[name]
-            self.tenants[name] = Tenant(old.name, (), 1, old.rate * 0.7, old.burst * 0.7)
+            self.tenants[name] = Tenant(
+                old.name, (), 1, old.rate_per_second * 0.7, old.burst_size * 0.7
+            )
             if self.counter:
                 self.counter.learn(self.tenants.values(), True)
             for limiter in self.limiters:
@@ -145,7 +147,11 @@
             if not limiter.up:
                 continue
             for name, tenant in self.tenants.items():
-                asked = 40 if hot else self.rng.random() < 0.6 * tenant.rate * STEP / self.many
+                asked = (
+                    40
+                    if hot
+                    else self.rng.random() < 0.6 * tenant.rate_per_second * STEP / self.many
+                )
                 for _ in range(int(asked)):
                     if not limiter.credits.may(name, self.now):
                         break
@@ -188,9 +194,14 @@
         """
         out = {}
         for name, at in self.ran.items():
-            most = self.most[name].rate * BOUNDS.quota_window + self.most[name].burst
+            most = (
+                self.most[name].rate_per_second * BOUNDS.quota_window_seconds
+                + self.most[name].burst_size
+            )
             count = max((bisect_right(at, t + 5) - bisect_left(at, t) for t in at), default=0)
-            leeway = quota_grants.leeway(self.most[name].rate, self.most[name].burst, BOUNDS)
+            leeway = quota_grants.leeway(
+                self.most[name].rate_per_second, self.most[name].burst_size, BOUNDS
+            )
             out[self.most[name].name] = (count - most) / leeway
         return out
 
@@ -211,7 +222,9 @@
     many, quotas = size
     play = Play(seed, many, quotas).play(24.0, ANY)
     assert max(play.worst().values()) <= 1
-    assert all(len(at) > 0.2 * 24 * play.tenants[name].rate for name, at in play.ran.items())
+    assert all(
+        len(at) > 0.2 * 24 * play.tenants[name].rate_per_second for name, at in play.ran.items()
+    )
 
 
 def uncharged(monkeypatch) -> None:
@@ -356,7 +369,7 @@
         while credits.may(NAME, now):
             credits.used(NAME, now)
             ran += 1
-    part = quota_grants.ALONE * ANN.rate / 2
+    part = quota_grants.ALONE * ANN.rate_per_second / 2
     assert ran == pytest.approx(part * (10 - quota_grants.SILENT), rel=0.05)
     grants.tick(10.5, ["one", "two"])
     grants.tick(12.0, ["one", "two"])  # nobody called
@@ -375,7 +388,7 @@
         while credits.may(NAME, now):
             credits.used(NAME, now)
             ran += 1
-    part = quota_grants.ALONE * ANN.rate / 2
+    part = quota_grants.ALONE * ANN.rate_per_second / 2
     assert ran <= quota_credits.DIM * part * 10 + part + 1
 
 
@@ -386,7 +399,7 @@
         grants.tick(now, names)
     bucket = grants.buckets[NAME]
     bucket.leak(grants.time, *grants.unheard(bucket))
-    assert bucket.level >= 20 * quota_grants.ALONE * ANN.rate / 20
+    assert bucket.level >= 20 * quota_grants.ALONE * ANN.rate_per_second / 20
 
 
 def test_small_quotas_are_open_until_half_full_and_then_for_credits_alone():
--- a/tests/store/test_counting_lease.py
+++ b/tests/store/test_counting_lease.py
@@ -126,7 +126,7 @@
 
     async def ask() -> None:
         sent, registry.holding.until = registry.clock(), 0.0
-        assert await registry.claim((store.host, registry.settings.store(ip)[1]))
+        assert await registry.claim((store.host, registry.settings.store_address(ip)[1]))
         assert registry.clock() > sent + 0.3 and sent < registry.holding.until <= sent + LEASE
 
     core.do(ask())
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("timeout", ["0ms", "0s", "0.0s"])
 def test_a_route_without_time_is_refused(timeout):
     found = resources(2)
-    assert parse_configuration(body(found)).routes[0].timeout == 5.0
+    assert parse_configuration(body(found)).routes[0].timeout_seconds == 5.0
     found[3]["specification"]["timeout"] = timeout
     with pytest.raises(
         ConfigurationError, match=r"resources\[3\] route r-0: specification.timeout: 0$"
@@ -140,7 +140,7 @@
     reader.parse(body(found, 1))
     assert len(reads) == 3003
     found[70]["specification"]["timeout"] = "4s"
-    assert reader.parse(body(found, 2)).routes[67].timeout == 4.0 and reads[3003:] == [70]
+    assert reader.parse(body(found, 2)).routes[67].timeout_seconds == 4.0 and reads[3003:] == [70]
 
 
 # --- hundreds of changes
@@ -275,7 +275,9 @@
             clock_told=lambda *_: None,
             configured=lambda version, data: got.append(version) or True,
         )
-        conf = SimpleNamespace(seeds=(("c1", 1),), node_name="f-1", registry=lambda ip: (ip, 1))
+        conf = SimpleNamespace(
+            seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
+        )
         made = sessions.Sessions(conf, Slow(), asyncio.get_running_loop().time, Random(1), user)
         made.start()
         await asyncio.sleep(20.0)
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -455,11 +455,14 @@
     words = [messages.Word(3, "10.0.0.3:7000", 2, 1), messages.Word(4, "10.0.0.4:7000", 1, 0)]
     base = (1, 5, 42, words)
     servers = [
+        config.BackendRecord(id="s1", address="10.0.1.1:80", phase="active", zone="east", pod=1),
         config.BackendRecord(
-            id="s1", host_port="10.0.1.1:80", phase="active", locality="east", cell=1
-        ),
-        config.BackendRecord(
-            id="s2", host_port="[::1]:81", phase="left", size=2.5, up_since_ms=12.5, flavor="x"
+            id="s2",
+            address="[::1]:81",
+            phase="left",
+            capacity_hint=2.5,
+            started_at_ms=12.5,
+            kind="x",
         ),
     ]
     kinds = [
@@ -570,9 +573,17 @@
         said[name] = str(why.value)
     right = config.parse_limiter_config(json.dumps(base).encode(), {"PROXY_NAME": "other"})
     values = msgspec.to_builtins(
-        dataclasses.astuple(config.engine_settings(right.conf, 0))
+        dataclasses.astuple(config.engine_settings(right.settings, 0))
     )  # enums by value
-    return said | {"right": [right.name, right.listen, right.counter, right.seed, values]}
+    return said | {
+        "right": [
+            right.name,
+            right.listen_address,
+            right.counter_address,
+            right.random_seed,
+            values,
+        ]
+    }
 
 
 # --- decisions
@@ -862,7 +873,7 @@
         ready = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
         await one("not ready", ready)
         await one("no servers", helpers.request())
-        limiter.listed(limiter.config.known)
+        limiter.listed(limiter.config.initial_backends)
         await one("ready", ready)
         await one("ready by POST", ready.replace(b"GET", b"POST"))
         await one("an own path that isn't", ready.replace(b"ready", b"other"))
