--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -71,7 +71,7 @@
         self.peers = None
         if config.peer_addresses:
             # only where there are any: a start counts its CPU
-            from loomstand.backendship.driver import Peers
+            from loomstand.membership.driver import Peers
 
             own, fleet, known = self.settings.me, self.settings.limiters, config.initial_backends
             self.peers = Peers(
--- a/loomstand/testing/rehearsal/stage.py
+++ b/loomstand/testing/rehearsal/stage.py
@@ -33,7 +33,7 @@
 END_WITHIN = 4.0
 PR_SET_PDEATHSIG = 1
 MOST_RELAYED = 24  # limiters: 552 relays; beyond that peers talk to each other directly
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[3]
 # of a limiter: our own environment must not stand in for the configuration it is given
 ENVIRONMENT = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")} | {
     "PYTHONPATH": str(ROOT)
--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -565,7 +565,10 @@
         limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: site.counter.heads)
         agent, keeper = Peer(lambda n, head, body: WATCHING), Peer(counter)
-        places = {"discovery": (HOST, await agent.start()), "counter": (HOST, await keeper.start())}
+        places = {
+            "discovery_address": (HOST, await agent.start()),
+            "counter_address": (HOST, await keeper.start()),
+        }
         for _ in range(2):  # the second time nothing moves
             limiter.reload(msgspec.structs.replace(limiter.config, **places))
         assert limiter.counter.line is None or not limiter.counter.line.up
