--- a/loomstand/proxy/quota_credits.py
+++ b/loomstand/proxy/quota_credits.py
@@ -13,7 +13,7 @@
 from math import exp, inf
 
 from loomstand.config.configuration import Tenant
-from loomstand.config.settings import Bounds
+from loomstand.config.settings import RuleBounds
 from loomstand.registry.quota_grants import ALONE, FEW, GOOD, SILENT, depth
 
 # Credits that are held of a tenant that asks little, as requests often come in pairs; more where a
@@ -69,7 +69,7 @@
 class QuotaCredits:
     """All tenants' credits. `life`: a number of its own for each start."""
 
-    def __init__(self, bounds: Bounds, life: int, now: float) -> None:
+    def __init__(self, bounds: RuleBounds, life: int, now: float) -> None:
         self.bounds, self.life = bounds, life
         self.credits: dict[int, TenantCredits] = {}
         self.many = 1
@@ -83,11 +83,11 @@
         """The tenants under a quota, by digest."""
         before, self.credits = self.credits, {}
         for name, tenant in quotas.items():
-            most = depth(tenant.rate, tenant.burst, self.bounds)
-            credit = before.get(name) or TenantCredits(tenant.rate, most)
-            if tenant.rate < credit.rate:  # parts of a quota that is no more
+            most = depth(tenant.rate_per_second, tenant.burst_size, self.bounds)
+            credit = before.get(name) or TenantCredits(tenant.rate_per_second, most)
+            if tenant.rate_per_second < credit.rate:  # parts of a quota that is no more
                 credit.left = min(credit.left, LEAST)
-            credit.rate, credit.depth = tenant.rate, most
+            credit.rate, credit.depth = tenant.rate_per_second, most
             self.credits[name] = credit
         self.told_all = False
 
--- a/loomstand/testing/bench_adapter/__main__.py
+++ b/loomstand/testing/bench_adapter/__main__.py
@@ -34,7 +34,7 @@
 from loomstand.admission.identifiers import NameIndex, UnknownNameError, stable_digest
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.ticks import ticks_rounded_down, ticks_rounded_up
-from loomstand.config.limiter import settings
+from loomstand.config.limiter import engine_settings
 from loomstand.testing.bench_adapter import wire as w
 
 OUTCOMES = {
@@ -63,14 +63,14 @@
 
     def __init__(self, start: w.Start, now: int) -> None:
         conf = start.conf
-        self.frontends = NameIndex([g.name for g in conf.grades])
+        self.frontends = NameIndex([g.name for g in conf.frontends])
         self.plans = NameIndex([p.name for p in conf.plans])
         self.halls = NameIndex(conf.zones)
-        self.kinds = NameIndex(conf.kinds)
+        self.kinds = NameIndex(conf.server_kinds)
         self.servers = NameIndex()
         self.customers: dict[str, tuple[int, int]] = {}
         self.brain = DecisionEngine(
-            settings(conf, self.halls.index_of(conf.az)), start.entropy, now
+            engine_settings(conf, self.halls.index_of(conf.zone)), start.entropy, now
         )
 
     def note(self, ev: w.Event, pools: dict[int, list[w.Item]]) -> Event | None:
