--- a/benchmarks/hot_paths.py
+++ b/benchmarks/hot_paths.py
@@ -181,7 +181,7 @@
         }
         took = {op: made.do(calls(registry.serve, op, said)) for op, said in bodies.items()}
         one, other = [host.programs[0] for host in made.stores.values()][:2]
-        beat = other.replica.beat(other.clock(), one.place.address)
+        beat = other.replica.heartbeat(one.settings.address).to_wire()
         took["beat"] = made.do(calls(one.serve, "beat", [dict(beat) for _ in range(count)]))
     finally:
         made.loop.close()
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -552,7 +552,9 @@
                 break
             if ip != here:
                 got = await self.network.call(self.settings.store_address(ip), op, body, left)
-        if got.is_ok() and not freshness.left(got.ok, asked, self.clock(), within):
+        if got.is_ok() and not freshness.remaining_seconds(
+            got.ok.get("left"), asked, self.clock(), within
+        ):
             # this process froze meanwhile, or the answer lay in a socket
             return Error(CallFailure.MAY_HAVE_RUN)
         return got
--- a/loomstand/rpc/messages/replication_messages.py
+++ b/loomstand/rpc/messages/replication_messages.py
@@ -64,7 +64,7 @@
 
     Attributes:
         member: The sender.
-        state: Number of its `loomstand.store.replica.State`: fit, sick disk, or leaving.
+        state: Number of its `loomstand.store.peers.MemberState`.
         is_founder: Whether its disk was empty at the first start of the whole system.
         view_epoch: Epoch of the view on its disk, 0 if there is none.
         newest_view_epoch: Epoch of the newest view that it knows, 0 if it knows none.
--- a/loomstand/rpc/messages/rescue_messages.py
+++ b/loomstand/rpc/messages/rescue_messages.py
@@ -22,7 +22,7 @@
 
     Attributes:
         member: The store that answers.
-        state: Number of its `loomstand.store.replica.State`: fit, sick disk, or leaving.
+        state: Number of its `loomstand.store.peers.MemberState`.
         is_founder: Whether its disk was empty at the first start of the whole system.
         uptime_seconds: Since its start.
         lease_seconds: For how long its lease as primary lasts, 0 if it has none.
--- a/loomstand/store/__init__.py
+++ b/loomstand/store/__init__.py
@@ -1,3 +1,5 @@
-"""The store: the configuration on disk, its primary and backup, and the lease under which duties
-are done.
+"""The replicated configuration store.
+
+It keeps the configuration on disk at a primary and a backup, elects its primary, and grants the
+lease under which a registry counts. `program` joins the parts; docs/system.md tells why it is so.
 """
--- a/loomstand/store/ballot.py
+++ b/loomstand/store/ballot.py
@@ -1,7 +1,7 @@
-"""What decides a campaign, without its calls: whose promises, whose data, which view.
+"""What decides an election: whose promises suffice, whose data counts, which view comes of it.
 
-Apart from campaign.py so that the model_checker drives these very decisions through all orders of
-events.
+Apart from the calls (`election`), so that the model checker drives these very decisions through all
+orders of events. No disk, network or clock.
 """
 
 from __future__ import annotations
@@ -9,81 +9,93 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from loomstand.store.replica import VOTERS, Plan, Replica
-from loomstand.store.views import MARGIN, Member, View
-
-Held = tuple[int, bytes]  # a version and its data
+from loomstand.store.planning import Action
+from loomstand.store.record import NO_CONFIGURATION, VersionedData
+from loomstand.store.replica import Replica
+from loomstand.store.timing import VOTER_COUNT
+from loomstand.store.views import EPOCH_RANGE, Member, View
 
 
 @dataclass(frozen=True, slots=True)
 class Ballot:
-    plan: Plan
-    base: View | None  # which the new view is to follow; None for the first of all
+    """One election of one candidate.
 
-    def outdated(self, replica: Replica) -> bool:
-        """Whether a view newer than the base has shown up: its electors must be asked, not the
-        base's.
-        """
-        known = replica.base()
-        return known is not None and (self.base is None or known.epoch > self.base.epoch)
+    Attributes:
+        action: What the candidate wants.
+        base: The view that the new one is to follow, None for the first of all.
+    """
+
+    action: Action
+    base: View | None
+
+    def is_outdated(self, replica: Replica) -> bool:
+        """Whether a view newer than the base has shown up, whose electors must be asked instead."""
+        known_view = replica.newest_known_view()
+        return known_view is not None and (self.base is None or known_view.epoch > self.base.epoch)
 
     def electors(self, replica: Replica) -> list[Member]:
+        """The members whose promises are asked for."""
         if self.base is not None:
             return list(self.base.electors().values())
-        peers = ((a, replica.peers.get(a)) for a in replica.seeds)
-        return [Member(p.id, a) for a, p in peers if p is not None and p.id and p.founder]
+        peers = ((at, replica.peers.by_address.get(at)) for at in replica.seeds)
+        return [
+            Member(peer.id, at)
+            for at, peer in peers
+            if peer is not None and peer.id and peer.is_founder
+        ]
 
-    def epoch(self, known: int) -> int | None:
-        """The epoch to stand for, `known` being the highest that was promised as far as is known.
+    def next_epoch(self, highest_epoch: int) -> int | None:
+        """The epoch to stand for, `highest_epoch` being the highest promised as far as is known.
 
         None if that is above a rescue's: whoever promised that one has given up the base for good.
         """
-        rescue = self.base.rescue if self.base else 0
-        return known + 1 if (known + 1) // MARGIN == rescue // MARGIN else None
+        rescue_epoch = self.base.rescue_epoch if self.base else 0
+        epoch = highest_epoch + 1
+        return epoch if epoch // EPOCH_RANGE == rescue_epoch // EPOCH_RANGE else None
 
-    def agreed(self, replica: Replica, ids: Collection[str]) -> bool:
-        """Whether the promises of `ids` are enough."""
+    def has_quorum(self, replica: Replica, member_ids: Collection[str]) -> bool:
+        """Whether the promises of these members suffice."""
         if self.base is not None:
-            return self.base.agreed(ids)
-        return len(ids) * 2 > len(replica.seeds)
+            return self.base.has_quorum(member_ids)
+        return len(member_ids) * 2 > len(replica.seeds)
 
-    def won(self, replica: Replica, ids: Collection[str]) -> bool:
-        return not self.outdated(replica) and self.agreed(replica, ids)
+    def is_won(self, replica: Replica, member_ids: Collection[str]) -> bool:
+        """Whether these promises win the election."""
+        return not self.is_outdated(replica) and self.has_quorum(replica, member_ids)
 
-    def own(self, replica: Replica) -> Held | None:
-        """What this member holds of the base by itself; None if it has to be fetched."""
+    def own_configuration(self, replica: Replica) -> VersionedData | None:
+        """The base's configuration where this member has it, None if it has to be read."""
         if self.base is None:
-            return 0, b""
-        return (
-            (replica.record.version, replica.record.data)
-            if self.base.holds(replica.me.id)
-            else None
-        )
+            return NO_CONFIGURATION
+        return replica.record.configuration if self.base.has_data(replica.member.id) else None
 
     def sources(self) -> list[Member]:
-        """Whom to ask for the data, in this order; the first answer will do."""
-        both = (self.base.backup, self.base.primary) if self.base else ()
-        return [m for m in both if m is not None]
-
-    def prevails(self, replica: Replica, held: Held | None) -> Held | None:
-        """What the view before had in force, or may have."""
-        if held is not None and replica.version > held[0]:
-            return replica.version, replica.data  # both disks lost it, but it was in force
-        return held
-
-    def takes(self, backup: Member, promised: Collection[str]) -> bool:
-        """Whether it may be the backup, once those have promised."""
+        """Whom to read the configuration from, in this order; the first answer will do."""
+        data_members = (self.base.backup, self.base.primary) if self.base else ()
+        return [member for member in data_members if member is not None]
+
+    def newest_configuration(
+        self, replica: Replica, found: VersionedData | None
+    ) -> VersionedData | None:
+        """What the base committed, or may have; `found` is what was read."""
+        if found is not None and replica.version > found.version:
+            # both disks lost it, but it was committed
+            return VersionedData(replica.version, replica.data)
+        return found
+
+    def may_be_backup(self, member: Member, promised_ids: Collection[str]) -> bool:  # noqa: ARG002
+        """Whether the member may be the backup, once those have promised; a rescue is stricter."""
         return True
 
-    def view(
-        self, replica: Replica, epoch: int, backup: Member | None, promised: Collection[str]
+    def new_view(
+        self, replica: Replica, epoch: int, backup: Member | None, promised_ids: Collection[str]
     ) -> View:
-        """The view to install once `backup` has the data."""
-        voters = self.plan.voters if self.base else self._founders(replica, promised)
-        rescue = self.base.rescue if self.base else 0
-        return View(epoch, replica.me, backup, voters, self.plan.former, rescue)
-
-    def _founders(self, replica: Replica, promised: Collection[str]) -> tuple[Member, ...]:
-        seeds = [m for m in self.electors(replica) if m.id in promised]
-        seeds.sort(key=lambda m: m.address)
-        return (replica.me, *seeds[: VOTERS - 1])
+        """The view to install once `backup` has the configuration."""
+        voters = self.action.voters if self.base else self._founders(replica, promised_ids)
+        rescue_epoch = self.base.rescue_epoch if self.base else 0
+        return View(epoch, replica.member, backup, voters, self.action.former_voters, rescue_epoch)
+
+    def _founders(self, replica: Replica, promised_ids: Collection[str]) -> tuple[Member, ...]:
+        seeds = [member for member in self.electors(replica) if member.id in promised_ids]
+        seeds.sort(key=lambda member: member.address)
+        return (replica.member, *seeds[: VOTER_COUNT - 1])
--- a/loomstand/store/change_history.py
+++ b/loomstand/store/change_history.py
@@ -1,9 +1,8 @@
-"""What an order of the operator gets, by its number and content: a pure decision, without clock,
-disk or net.
+"""What a configuration change gets, by its version and content: a pure decision.
 
-The first content that was acknowledged under a number is the only one, whether it came into force
-or came too late for that. So that this outlives a takeover and a restart, the digests of the newest
-numbers are written together with the configuration, in the same write, and go with it wherever it
+The first content that was acknowledged under a version is the only one, whether it was committed or
+came too late for that. So that this outlives a takeover and a restart, the digests of the newest
+versions are written together with the configuration, in the same write, and go with it wherever it
 goes.
 """
 
@@ -14,111 +13,134 @@
 from enum import Enum
 from functools import lru_cache
 from hashlib import sha256
-from typing import Any
 
-# Numbers remembered, the newest: more than a day of hundreds of changes has, and at ten changes a
-# second over a minute and a half, while an operator sends an unclear order again for seconds. They
-# go with each write, as 12 bytes each. A number that was forgotten is answered as one never taken.
-KEPT = 1024
-DIGEST = 8  # bytes: two contents of one number that share them by chance are one in 10**19
+from loomstand.rpc.messages.rows import ChangeHistoryRow
 
+# Versions remembered, the newest. More than a day of hundreds of changes has, and at ten changes a
+# second over a minute and a half, while an operator repeats an unclear change for seconds. They go
+# with each write, as 12 bytes each. A version that was forgotten is answered as one never taken.
+MAX_ENTRIES = 1024
 
-class Answer(Enum):
-    """What an order gets."""
+# Two contents of one version that share so many bytes by chance are one in 10**19.
+DIGEST_BYTES = 8
 
-    TAKE = "it is higher than the one held: written, then acknowledged"
-    AGAIN = "it was taken: acknowledged again"
-    PASSED = (
-        "a higher one is held, and nothing is known of its number: "
-        "acknowledged, nothing put in force"
-    )
-    CONFLICT = "its number stands for another content: refused, for good"
 
+class Verdict(Enum):
+    """What a change gets."""
 
-def _number(text: str) -> float | int:
-    value = float(text)
-    return int(value) if value.is_integer() else value
+    ACCEPT = "its version is higher than the committed one: written, then acknowledged"
+    REPEATED = "it was accepted before: acknowledged again"
+    SUPERSEDED = (
+        "a higher version is committed, and nothing is known of its version: acknowledged, and not "
+        "committed"
+    )
+    CONFLICT = "its version stands for another content: refused for good"
 
 
-@lru_cache(maxsize=2)  # the order in hand and the one held: each of an order's writes asks for it
+@lru_cache(maxsize=2)  # the change in hand and the one committed: each write asks for both
 def digest(data: bytes) -> bytes:
-    """Of the bytes: an order is sent again unchanged, and of a configuration of 3 MB this costs 2
-    ms.
+    """The digest of a configuration's bytes.
+
+    Of the bytes and not of what they mean: a change is repeated unchanged, and the digest of 3 MB
+    costs 2 ms.
     """
-    return sha256(data).digest()[:DIGEST]
+    return sha256(data).digest()[:DIGEST_BYTES]
+
 
+def is_same_configuration(one: bytes, other: bytes) -> bool:
+    """Whether two configurations say the same.
 
-def same(one: bytes, other: bytes) -> bool:
-    """Whether two configurations say the same: the order of keys, blanks, ways to escape a
-    character, and 1.0 for 1 don't matter; the order of lists does. For the one held, whose bytes
-    are there: a tool that reads it and writes it anew must not be refused. What isn't JSON is
-    compared by its bytes.
+    The order of keys, blanks, ways to escape a character, and 1.0 for 1 don't matter; the order of
+    lists does. For the committed one, whose bytes are there: a tool that reads it and writes it
+    anew must not be refused. What isn't JSON is compared by its bytes.
     """
     try:
-        return one == other or _meaning(one) == _meaning(other)
+        return one == other or _canonical_json(one) == _canonical_json(other)
     except (ValueError, RecursionError):
         return False
 
 
-def _meaning(data: bytes) -> str:
-    return json.dumps(json.loads(data, parse_float=_number), sort_keys=True)
+def _canonical_json(data: bytes) -> str:
+    return json.dumps(json.loads(data, parse_float=_parse_number), sort_keys=True)
+
+
+def _parse_number(text: str) -> float | int:
+    value = float(text)
+    return int(value) if value.is_integer() else value
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeHistory:
-    """Numbers with the digests of their contents, ascending. The last is that of the configuration
-    written with them. What stands in it may lack its acknowledgement yet: its sender has no answer
-    then, and gets one when it sends again.
+    """Versions with the digests of their contents, ascending.
+
+    The last is that of the configuration written with them. What stands in it may lack its
+    acknowledgement yet: its sender has no answer then, and gets one when it repeats the change.
+
+    Attributes:
+        entries: The versions with the digests.
     """
 
-    taken: tuple[tuple[int, bytes], ...] = ()
-
-    def known(self, version: int) -> bytes | None:
-        return next(
-            (content for number, content in reversed(self.taken) if number == version), None
-        )
-
-    def judge(self, held: int, data: bytes, version: int, new: bytes) -> Answer:
-        """Of the order `new` under `version`, while `data` is in force under `held`."""
-        if version > held:
-            return Answer.TAKE
-        known = self.known(version)
-        if known == digest(new) or (version == held and same(data, new)):
-            return Answer.AGAIN
-        return Answer.PASSED if known is None and version < held else Answer.CONFLICT
-
-    def ends(self, version: int, content: bytes) -> bool:
-        return bool(self.taken) and self.taken[-1] == (version, content)
-
-    def after(self, version: int, content: bytes) -> ChangeHistory:
-        """With one that is put in force, above which nothing is held."""
-        older = tuple(entry for entry in self.taken if entry[0] < version)
-        return ChangeHistory((*older, (version, content))[-KEPT:])
-
-    def passed(self, version: int, content: bytes) -> ChangeHistory:
-        """With one that came too late, unless as many higher ones are known."""
-        return ChangeHistory(tuple(sorted((*self.taken, (version, content))))[-KEPT:])
-
-    def body(self) -> list[Any]:
-        return [
-            [number for number, _ in self.taken],
-            b"".join(content for _, content in self.taken),
-        ]
+    entries: tuple[tuple[int, bytes], ...] = ()
+
+    def content(self, version: int) -> bytes | None:
+        """The digest of the content that a version stands for, None if that isn't known."""
+        for known_version, content in reversed(self.entries):
+            if known_version == version:
+                return content
+        return None
+
+    def judge(
+        self, committed_version: int, committed_data: bytes, version: int, data: bytes
+    ) -> Verdict:
+        """What the change to `data` under `version` gets."""
+        if version > committed_version:
+            return Verdict.ACCEPT
+        content = self.content(version)
+        if content == digest(data):
+            return Verdict.REPEATED
+        if version == committed_version and is_same_configuration(committed_data, data):
+            return Verdict.REPEATED
+        if content is None and version < committed_version:
+            return Verdict.SUPERSEDED
+        return Verdict.CONFLICT
+
+    def ends_with(self, version: int, content: bytes) -> bool:
+        """Whether it is the history of that configuration."""
+        return bool(self.entries) and self.entries[-1] == (version, content)
+
+    def appended(self, version: int, content: bytes) -> ChangeHistory:
+        """With a version that is committed, above which nothing is."""
+        older = tuple(entry for entry in self.entries if entry[0] < version)
+        return ChangeHistory((*older, (version, content))[-MAX_ENTRIES:])
+
+    def with_superseded(self, version: int, content: bytes) -> ChangeHistory:
+        """With a version that came too late, unless as many higher ones are known."""
+        return ChangeHistory(tuple(sorted((*self.entries, (version, content))))[-MAX_ENTRIES:])
+
+    def to_row(self) -> ChangeHistoryRow:
+        """The history as it stands in messages and on disk."""
+        versions = [version for version, _ in self.entries]
+        return ChangeHistoryRow(versions, b"".join(content for _, content in self.entries))
 
     @staticmethod
-    def read(body: Any, version: int, data: bytes) -> ChangeHistory:
-        """Those that came with a configuration, by call or from disk; nobody's where they aren't of
-        that one: a program that doesn't know of them writes the configuration alone.
+    def from_row(row: ChangeHistoryRow | None, version: int, data: bytes) -> ChangeHistory:
+        """The history that came with a configuration, by call or from disk.
+
+        It is empty where it isn't that configuration's: a program that doesn't know of histories
+        writes the configuration alone.
         """
-        if not body:
-            return NONE
-        numbers, contents = body
-        found = [
-            (int(n), bytes(contents[i * DIGEST : (i + 1) * DIGEST])) for i, n in enumerate(numbers)
+        if row is None:
+            return EMPTY_HISTORY
+        entries = [
+            (int(number), bytes(row.digests[i * DIGEST_BYTES : (i + 1) * DIGEST_BYTES]))
+            for i, number in enumerate(row.versions)
         ]
-        orders = ChangeHistory(tuple(found[-KEPT:]))
-        whole = len(contents) == DIGEST * len(numbers) and numbers == sorted(set(numbers))
-        return orders if whole and orders.ends(version, digest(data)) else NONE
+        history = ChangeHistory(tuple(entries[-MAX_ENTRIES:]))
+        is_complete = len(row.digests) == DIGEST_BYTES * len(row.versions)
+        is_ascending = row.versions == sorted(set(row.versions))
+        if is_complete and is_ascending and history.ends_with(version, digest(data)):
+            return history
+        return EMPTY_HISTORY
 
 
-NONE = ChangeHistory()
+EMPTY_HISTORY = ChangeHistory()
--- a/loomstand/store/counting_lease.py
+++ b/loomstand/store/counting_lease.py
@@ -1,138 +1,198 @@
-"""Who counts for the quotas: the duty that the serving primary lets out to one registry at a time.
-
-A machine without clock, disk or net; every store has one, as any may come to serve. `now` is always
-a steady clock's seconds. What holds it together:
-
-- The duty is let out for a span that ends within the primary's own lease. The registry counts the
-  span from
-  when it sent its asking, the primary from when it answers, and longer by what clocks may differ.
-  So whoever serves next, after that lease, needs to know of no registry of before.
-- Where a primary goes on before its lease is over, it knows who had the duty: one that starts again
-  by its
-  disk, written before a registry is given it, and others don't get it for a lease's length; one
-  that was handed the reign by word of the one before.
-- At an address there is one registry: the new life of one that had it has it at once.
+"""Who counts for the quotas: the lease that the serving primary grants to one registry at a time.
+
+A state machine without clock, disk or network; every store has one, as any may come to serve. `now`
+is always a steady clock's seconds. What holds it together:
+
+- The lease is granted for a span that ends within the primary's own lease. The registry counts the
+  span from when it sent its request, the primary from when it answers, and longer by what clocks may
+  differ. So whoever serves next, after that lease, needs to know of no registry of before.
+- Where a primary goes on before its lease is over, it knows who holds the counting lease. One that
+  restarts has the holder on its disk, written before the registry got the lease, and grants nobody
+  else one for a lease's length. One that takes over by a transfer hears it from the one before.
+- At an address there is one registry: the next incarnation of the holder has the lease at once.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any
+from typing import NamedTuple
 
-from loomstand.store.replica import HOLD, LEASE
+from loomstand.rpc.messages.replication_messages import LeaseHandoverRow
+from loomstand.rpc.messages.rows import CountingTermRow
+from loomstand.store.timing import GRANT_SECONDS, LEASE_SECONDS, LONG_AGO
 
-SPAN = LEASE  # s at the most: three askings, so that two may be lost
-LONGER = HOLD / LEASE  # the primary waits by so much longer: clocks' rates may differ by 4 %
-# s from when a primary begins for which the registry that had the duty before comes first, as it
-# has the counts, if it spoke lately: its asking is under way or comes within 0.2 s.
-CHANCE = 0.5
-# s by which the registry beside the primary comes before others, as its askings cost no bytes
-# between zones: where both start together, it looks for its store every 0.1 s.
-AHEAD = 0.15
-SPOKE = 1.0  # s that count as lately: one that asks in vain asks twice in that time
+# The longest span: three requests, so that two may be lost.
+MAX_SPAN_SECONDS = LEASE_SECONDS
 
-Term = tuple[int, int]  # of a name: the primary's epoch, and its number under that
+# The primary waits longer by this factor, as clocks' rates may differ by 4 %.
+CLOCK_RATE_MARGIN = GRANT_SECONDS / LEASE_SECONDS
 
+# From when a primary begins to serve the holder of before comes first, as it has the counts, if it
+# lately asked: its next request is under way or comes within 0.2 s.
+PREFER_HOLDER_SECONDS = 0.5
 
-@dataclass(slots=True)
-class CountingLease:
-    """`named`: the host that has the duty or may have it first; "" where anybody may."""
+# The registry beside the primary comes before others, as its requests cost no bytes between zones:
+# where both start together, it looks for its store every 0.1 s.
+PREFER_LOCAL_SECONDS = 0.15
 
-    beside: str  # the host of this store
-    number: int = 0
-    named: str = ""
-    life: int = 0  # of that registry, as it said
-    until: float = -1e9  # nobody but `named` gets it before
-    chance: float = -1e9  # nor before that, for the counts' sake
-    ahead: float = -1e9  # until when the one beside comes first where anybody may
-    paged: list[Any] | None = None  # what is on disk for sure: see `page`
-    # by host: when it last asked here in vain
-    spoke: dict[str, float] = field(default_factory=dict)
-    epoch: int = 0  # of the primary that last told who has it
-
-    # --- what carries over
-
-    def page(self, host: str) -> list[Any]:
-        """What has to be on disk before the duty goes to `host`, or goes on with it."""
-        return [self.number + (host != self.named), host]
-
-    def wake(self, started: float, epoch: int, page: list[Any]) -> None:
-        """After a start, as the primary of `epoch` by its disk: who had the duty may still have
-        it.
-        """
-        # numbers told go up to one above the page's: that somebody's span was over isn't written
-        self.epoch, self.number, self.named = epoch, int(page[0]) + 2, str(page[1])
-        self.until = started + HOLD
+# What counts as lately: one that asks in vain asks twice in that time.
+RECENT_REQUEST_SECONDS = 1.0
 
-    def will(self, now: float) -> list[Any]:
-        """For the one that the reign is handed to; the last is the seconds that the span may
-        last.
-        """
-        left = max(0.0, self.until - now) if self.named else 0.0
-        return [self.epoch, self.number, self.named, self.life, left]
 
-    def inherit(self, now: float, will: list[Any]) -> None:
-        self.epoch, self.number, self.named = int(will[0]), int(will[1]), str(will[2])
-        self.life, self.paged = int(will[3]), None
-        self.until = max(self.until, now + LONGER * float(will[4]))
+class HolderPage(NamedTuple):
+    """What is on disk of the counting lease.
+
+    Attributes:
+        number: Number of the holder under this primary.
+        holder: Host of the registry that holds the lease.
+    """
+
+    number: int
+    holder: str
 
-    def hear(self, epoch: int, number: int, named: str) -> bool:
-        """What the serving primary of `epoch` says; whether that is news."""
+
+@dataclass(slots=True)
+class CountingLease:
+    """The counting lease as one store knows it.
+
+    Attributes:
+        local_host: The host of this store.
+        number: Number of the holder under the primary of `epoch`.
+        holder: The host that has the lease or may have it first; empty where anybody may.
+        incarnation: Number of that registry's start, as it told.
+        held_until: Nobody but the holder gets the lease before.
+        prefer_holder_until: Nor before that, for the counts' sake.
+        prefer_local_until: Until when the registry beside comes first where anybody may.
+        persisted_page: What is on disk for sure, see `page`.
+        asked_at: When a registry last asked here in vain, by its host.
+        epoch: Epoch of the primary that last told who holds it.
+    """
+
+    local_host: str
+    number: int = 0
+    holder: str = ""
+    incarnation: int = 0
+    held_until: float = LONG_AGO
+    prefer_holder_until: float = LONG_AGO
+    prefer_local_until: float = LONG_AGO
+    persisted_page: HolderPage | None = None
+    asked_at: dict[str, float] = field(default_factory=dict)
+    epoch: int = 0
+
+    # --- what outlives a primary
+
+    def page(self, host: str) -> HolderPage:
+        """What has to be on disk before the lease is granted to `host`, or prolonged."""
+        return HolderPage(self.number + (host != self.holder), host)
+
+    def restore(self, started_at: float, epoch: int, page: HolderPage) -> None:
+        """After a restart of the primary of `epoch`: the holder on its disk may still count."""
+        # numbers told go up to one above the page's: that somebody's span was over isn't written
+        self.epoch = epoch
+        self.number = page.number + 2
+        self.holder = page.holder
+        self.held_until = started_at + GRANT_SECONDS
+
+    def to_handover(self, now: float) -> LeaseHandoverRow:
+        """For the next primary, where this one transfers leadership."""
+        remaining_seconds = max(0.0, self.held_until - now) if self.holder else 0.0
+        return LeaseHandoverRow(
+            self.epoch, self.number, self.holder, self.incarnation, remaining_seconds
+        )
+
+    def take_handover(self, now: float, handover: LeaseHandoverRow) -> None:
+        """The primary before told what it knows."""
+        self.epoch = handover.epoch
+        self.number = handover.number
+        self.holder = handover.holder
+        self.incarnation = handover.incarnation
+        self.persisted_page = None
+        remaining_seconds = CLOCK_RATE_MARGIN * handover.remaining_seconds
+        self.held_until = max(self.held_until, now + remaining_seconds)
+
+    def observe(self, epoch: int, number: int, holder: str) -> None:
+        """The serving primary of `epoch` tells who holds the lease; older words change nothing."""
         if (epoch, number) <= (self.epoch, self.number):
-            return False
+            return
         if epoch > self.epoch:  # that one serves, so it knows who may have it, or that nobody can
-            self.paged, self.until = None, -1e9
-        self.epoch, self.number, self.named, self.life = epoch, number, named, 0
-        return True
+            self.persisted_page = None
+            self.held_until = LONG_AGO
+        self.epoch = epoch
+        self.number = number
+        self.holder = holder
+        self.incarnation = 0
 
-    # --- as the one that serves
+    def term(self) -> CountingTermRow | None:
+        """Who holds the lease under which term, as it is known; None if it isn't."""
+        if not self.epoch:
+            return None
+        return CountingTermRow(self.epoch, self.number, self.holder)
+
+    # --- as the primary that serves
 
     def begin(self, now: float) -> None:
         """This member begins to serve."""
-        lately = now - self.spoke.get(self.named, -1e9) < SPOKE
-        self.chance = now + CHANCE if self.named and lately else now
-        self.ahead = now + AHEAD
-        self.spoke.clear()
-
-    def lent(self, now: float) -> bool:
-        """Whether somebody may have it by this member's word or knowledge."""
-        return now < self.until
-
-    def lapse(self, now: float) -> bool:
-        """Lets go who had it, if that is over; whether it was."""
-        if not self.named or now < max(self.until, self.chance):
+        asked_lately = now - self.asked_at.get(self.holder, LONG_AGO) < RECENT_REQUEST_SECONDS
+        is_preferred = self.holder and asked_lately
+        self.prefer_holder_until = now + PREFER_HOLDER_SECONDS if is_preferred else now
+        self.prefer_local_until = now + PREFER_LOCAL_SECONDS
+        self.asked_at.clear()
+
+    def is_held(self, now: float) -> bool:
+        """Whether somebody may have the lease by this member's word or knowledge."""
+        return now < self.held_until
+
+    def expire(self, now: float) -> bool:
+        """Forgets the holder whose lease is over; whether there was one."""
+        if not self.holder or now < max(self.held_until, self.prefer_holder_until):
             return False
-        self.ahead = now + AHEAD * (self.named != self.beside)  # it has just failed to ask
-        self._name("", 0)
+        # it has just failed to ask
+        delay = PREFER_LOCAL_SECONDS if self.holder != self.local_host else 0.0
+        self.prefer_local_until = now + delay
+        self._set_holder("", 0)
         return True
 
-    def early(self, now: float, host: str) -> float:
-        """Seconds for which an asking waits, so that the one beside comes first."""
-        return 0.0 if self.named or host == self.beside else self.ahead - now
+    def request_delay(self, now: float, host: str) -> float:
+        """Seconds for which a request waits, so that the registry beside comes first."""
+        if self.holder or host == self.local_host:
+            return 0.0
+        return self.prefer_local_until - now
+
+    def _set_holder(self, host: str, incarnation: int) -> None:
+        self.number += 1
+        self.holder = host
+        self.incarnation = incarnation
+
+    def may_grant(self, now: float, host: str) -> bool:
+        """Whether `host` gets the lease if it asks."""
+        return host == self.holder or now >= max(self.held_until, self.prefer_holder_until)
 
-    def _name(self, host: str, life: int) -> None:
-        self.number, self.named, self.life = self.number + 1, host, life
+    def grant(self, now: float, host: str, incarnation: int, primary_lease_seconds: float) -> float:
+        """Grants the lease to a registry; `page` is on disk where another had it.
 
-    def may(self, now: float, host: str) -> bool:
-        """Whether `host` gets it if it asks."""
-        return host == self.named or now >= max(self.until, self.chance)
+        Args:
+            now: The present.
+            host: The registry's host.
+            incarnation: Number of its start.
+            primary_lease_seconds: For how long this member still serves.
 
-    def grant(self, now: float, host: str, life: int, lease_left: float) -> float:
-        """The span for which `host` has it from the sending of its asking, 0 if it doesn't. `page`
-        is on disk where another had it.
+        Returns:
+            The seconds for which it has the lease from the sending of its request, 0 if it hasn't.
         """
-        if lease_left <= 0.0 or not self.may(now, host):
+        if primary_lease_seconds <= 0.0 or not self.may_grant(now, host):
             return 0.0
-        if host != self.named:
-            self._name(host, life)
-        span = min(SPAN, lease_left)
-        self.life, self.until = life, max(self.until, now + LONGER * span)
-        return span
-
-    def back(self, host: str, life: int) -> bool:
-        """That life of the registry has it no more and asks for it no more."""
-        if not self.named or (host, life) != (self.named, self.life):
+        if host != self.holder:
+            self._set_holder(host, incarnation)
+        span_seconds = min(MAX_SPAN_SECONDS, primary_lease_seconds)
+        self.incarnation = incarnation
+        self.held_until = max(self.held_until, now + CLOCK_RATE_MARGIN * span_seconds)
+        return span_seconds
+
+    def release(self, host: str, incarnation: int) -> bool:
+        """That start of the registry gives the lease back; whether it had it."""
+        if not self.holder or (host, incarnation) != (self.holder, self.incarnation):
             return False
-        self._name("", 0)
-        self.until = self.chance = -1e9
+        self._set_holder("", 0)
+        self.held_until = LONG_AGO
+        self.prefer_holder_until = LONG_AGO
         return True
--- /dev/null
+++ b/loomstand/store/dissemination.py
@@ -0,0 +1,114 @@
+"""How the committed configuration gets to every store: pushed by the primary, pulled by who missed it.
+
+Every store keeps it in memory; those that are neither primary nor backup also write it to disk
+(`learner`).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from expression import Result
+
+from loomstand.rpc import Address
+from loomstand.rpc.errors import CallRefusedError
+from loomstand.rpc.messages.base import Acknowledgement
+from loomstand.rpc.messages.replication_messages import (
+    CommitRequest,
+    CommittedRequest,
+    CommittedResponse,
+)
+from loomstand.rpc.network import transfer_seconds
+from loomstand.store.learner import Learner
+from loomstand.store.replica_io import CALL_SECONDS, ReplicaIO
+from loomstand.store.timing import REPLACE_VOTER_AFTER_SECONDS
+
+# The longest time for pulling the configuration: 8 MB with much else on the link.
+MAX_PULL_SECONDS = 2.0
+
+
+class Dissemination:
+    """The committed configuration on its way to and from one store.
+
+    Attributes:
+        learner: The copy on this store's disk.
+    """
+
+    def __init__(self, io: ReplicaIO, learner: Learner, on_new_version: Callable[[], None]) -> None:
+        """Sets it up; `on_new_version` is called when this store has something new to tell."""
+        self._io = io
+        self.learner = learner
+        self._on_new_version = on_new_version
+        self._is_pulling = False
+        self._pull_timeout_seconds = CALL_SECONDS
+
+    def push(self) -> None:
+        """Tells all others at once what is committed."""
+        self._on_new_version()
+        replica = self._io.replica
+        now = self._io.clock()
+        request = CommitRequest(version=replica.version, data=replica.data)
+        body = request.to_wire()
+        timeout_seconds = CALL_SECONDS + transfer_seconds(len(replica.data))
+        for address, peer in replica.peers.by_address.items():
+            if now - peer.answered_at < REPLACE_VOTER_AFTER_SECONDS:
+                self._io.spawn(
+                    self._io.network.call(address, request.operation, body, timeout_seconds)
+                )
+
+    async def pull(self, address: Address) -> None:
+        """Fetches what is committed from a store that knows more, one call at a time."""
+        if self._is_pulling:
+            return
+        self._is_pulling = True
+        request = CommittedRequest()
+        try:
+            result = await self._io.network.call(
+                address, request.operation, request.to_wire(), self._pull_timeout_seconds
+            )
+            match result:
+                case Result(tag="ok", ok=answer):
+                    response = CommittedResponse.from_wire(answer)
+                    self._learn(response.version, response.data)
+                    self._pull_timeout_seconds = CALL_SECONDS
+                case _:
+                    # it may be larger than the one held here: the next attempt is given more
+                    self._pull_timeout_seconds = min(
+                        MAX_PULL_SECONDS, 2 * self._pull_timeout_seconds
+                    )
+        finally:
+            self._is_pulling = False
+
+    def _learn(self, version: int, data: bytes) -> None:
+        if self._io.replica.commit(version, data):
+            self._on_new_version()
+            self.copy_if_due()
+
+    def copy_if_due(self) -> None:
+        """Has the committed configuration written to this disk, where the learner wants it."""
+        if self.learner.next_copy(self._io.replica) and not self._io.write_lock.locked():
+            self._io.spawn(self._copy())
+
+    async def _copy(self) -> None:
+        copy = self.learner.next_copy(self._io.replica)
+        if copy is not None:
+            await self._io.persist_pages(self.learner.pages(copy))
+            self.learner.copy = copy
+
+    # --- what other stores ask
+
+    async def handle_commit(self, request: CommitRequest) -> Acknowledgement:
+        """The primary tells what is committed."""
+        self._learn(request.version, request.data)
+        return Acknowledgement()
+
+    async def handle_committed(self, _request: CommittedRequest) -> CommittedResponse:
+        """Another store asks what is committed.
+
+        Raises:
+            CallRefusedError: This store has heard of nothing since its start.
+        """
+        replica = self._io.replica
+        if not replica.knows_committed:
+            raise CallRefusedError("nothing known to be in force")
+        return CommittedResponse(version=replica.version, data=replica.data)
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -1,179 +1,242 @@
-"""How a member becomes primary, or a primary changes its view: promises, data, backup, view,
-lease.
+"""How a member becomes primary, or a primary changes its view: the calls of an election.
+
+In this order: promises, the configuration, a backup that writes it, the view, the lease. What
+decides is in `ballot`.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from absl import logging
 
 from loomstand.rpc.errors import CallFailure
+from loomstand.rpc.messages.replication_messages import (
+    CandidateReadRequest,
+    CandidateReadResponse,
+    PrepareRequest,
+    PrepareResponse,
+)
 from loomstand.rpc.network import transfer_seconds
-from loomstand.store.ballot import Ballot, Held
-from loomstand.store.change_history import NONE, ChangeHistory
-from loomstand.store.replica import FOUNDING, Plan, Step
-from loomstand.store.replica_io import CALL, ReplicaIO
-from loomstand.store.views import Member
+from loomstand.store.ballot import Ballot
+from loomstand.store.change_history import EMPTY_HISTORY, ChangeHistory
+from loomstand.store.planning import Action, ActionKind, with_voters_of
+from loomstand.store.record import VersionedData
+from loomstand.store.replica_io import CALL_SECONDS, ReplicaIO
+from loomstand.store.timing import FOUNDING_WAIT_SECONDS
+from loomstand.store.views import Member, View
 
-ROUNDS = 3  # views that may turn out to be newer in one campaign
+# So many views may turn out to be newer in one attempt; more means that others are ahead.
+MAX_ROUNDS = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
-    """A primary's word that it serves no more under `under`, and its promise of `epoch`."""
+class LeadershipTransfer:
+    """What a primary that leaves tells its backup: that it serves no more.
+
+    Attributes:
+        primary_id: Member id of the primary.
+        epoch: The epoch that it promised to the backup.
+        released_epoch: Epoch of the view under which it serves no more.
+    """
 
-    by: str
+    primary_id: str
     epoch: int
-    under: int
+    released_epoch: int
+
+
+class _BackupChoice(NamedTuple):
+    is_sufficient: bool
+    backup: Member | None
 
 
-async def campaign(desk: ReplicaIO, plan: Plan, release: Release | None = None) -> bool:
-    """Whether the plan's view stands and its primary, this member, leads. Only one may run at a
-    time.
+async def run_election(
+    io: ReplicaIO, action: Action, transfer: LeadershipTransfer | None = None
+) -> bool:
+    """Runs an action's election; only one may run at a time.
+
+    Returns:
+        Whether the action's view is installed and its primary, this member, has the lease.
     """
-    for _ in range(ROUNDS):
-        base = desk.replica.base() if plan.step is not Step.FOUND else None
-        if base is not None and plan.step is Step.TAKE:
-            if desk.replica.me.id not in base.named():
+    for _ in range(MAX_ROUNDS):
+        base = None
+        if action.kind is not ActionKind.FOUND:
+            base = io.replica.newest_known_view()
+        if base is not None and action.kind is ActionKind.TAKE_OVER:
+            if io.replica.member.id not in base.members():
                 return False
-            plan = Plan(plan.step, plan.why, base.voters, base.former)
-        found = await Election(desk, Ballot(plan, base), release).run()
-        if found is not None or plan.step is not Step.TAKE:
-            return bool(found)
+            action = with_voters_of(action, base)
+        is_elected = await Election(io, Ballot(action, base), transfer).run()
+        if is_elected is not None or action.kind is not ActionKind.TAKE_OVER:
+            return bool(is_elected)
     return False
 
 
 @dataclass(slots=True)
 class Election:
-    desk: ReplicaIO
+    """One election.
+
+    Attributes:
+        io: The member that stands.
+        ballot: What decides.
+        transfer: Told by the primary, where that handed over.
+        promised_ids: Member ids of those that promised.
+    """
+
+    io: ReplicaIO
     ballot: Ballot
-    release: Release | None
-    promised: set[str] = field(default_factory=set)
+    transfer: LeadershipTransfer | None
+    promised_ids: set[str] = field(default_factory=set)
 
     async def run(self) -> bool | None:
-        """Whether it came off; None if a newer view has shown up."""
-        replica, plan, moves = (
-            self.desk.replica,
-            self.ballot.plan,
-            self.ballot.plan.step is Step.MOVE,
-        )
-        if not moves:
-            replica.resign()
-            if self.release is None and not await self._would():
-                return None if self._newer() else False
-        epoch = await self._promises()
+        """Returns whether it was won, None if a newer view has shown up."""
+        if self.ballot.action.kind is not ActionKind.CHANGE_VIEW:
+            self.io.replica.end_term()
+            if self.transfer is None and not await self._would_win():
+                return None if self._is_outdated() else False
+        epoch = await self._collect_promises()
         if epoch is None:
-            return None if self._newer() else False
-        held = await self._data(epoch)
-        if held is None:
+            return None if self._is_outdated() else False
+        configuration = await self._read_configuration(epoch)
+        if configuration is None:
             return False
-        version, data = held
-        await self.desk.ink(lambda now: replica.own(epoch, version, data))
-        found, backup = await self._backup(epoch, version, data)
-        if not found:
+        replica = self.io.replica
+        version, data = configuration
+        await self.io.persist(lambda _now: replica.accept_own_write(epoch, version, data))
+        choice = await self._choose_backup(epoch, configuration)
+        if not choice.is_sufficient:
             return False
-        view = self.ballot.view(replica, epoch, backup, self.promised)
-        replica.settled = epoch
-        await self.desk.ink(lambda now: replica.install(view))
-        replica.renew(self.desk.clock(), view)
-        rest = [m for m in view.named().values() if m.id != replica.me.id]
-        await self.desk.until(
-            (self.desk.install(m, view) for m in rest), lambda: replica.leads(self.desk.clock())
+        return await self._install(epoch, choice.backup)
+
+    async def _install(self, epoch: int, backup: Member | None) -> bool:
+        """Has all members of the new view write it; whether that brought the lease."""
+        replica = self.io.replica
+        view = self.ballot.new_view(replica, epoch, backup, self.promised_ids)
+        replica.replicated_epoch = epoch
+        await self.io.persist(lambda _now: replica.install(view))
+        replica.grant_installed(self.io.clock(), view)
+        others = [m for m in view.members().values() if m.id != replica.member.id]
+        await self.io.run_until(
+            (self.io.install_view(member, view) for member in others),
+            lambda: replica.is_leader(self.io.clock()),
         )
-        if not replica.leads(self.desk.clock()):
+        if not replica.is_leader(self.io.clock()):
             return False
-        logging.info("store: %s, as %s: %s", plan.step.value, plan.why, view)
+        self._log(view)
         return True
 
-    def _newer(self) -> bool:
-        return self.ballot.outdated(self.desk.replica)
+    def _log(self, view: View) -> None:
+        action = self.ballot.action
+        logging.info(
+            "store: elected action=%s reason=%r %s", action.kind.value, action.reason, view
+        )
+
+    def _is_outdated(self) -> bool:
+        return self.ballot.is_outdated(self.io.replica)
 
-    async def _would(self) -> bool:
-        """Whether enough of them would promise: a member that is cut off mustn't raise epochs in
-        vain.
-        """
-        replica = self.desk.replica
-        own = replica.may_promise(self.desk.clock(), replica.promised + 1, replica.me.id, 0)
-        if not own:
+    async def _would_win(self) -> bool:
+        """Whether enough would promise: a member that is cut off mustn't raise epochs in vain."""
+        replica = self.io.replica
+        own_id = replica.member.id
+        if not replica.may_promise(self.io.clock(), replica.promised_epoch + 1, own_id, 0):
             return False
-        body = {"epoch": 0, "released": 0}
-        answers = await self.desk.poll(
+
+        def is_enough(responses: dict[str, PrepareResponse]) -> bool:
+            return self._is_outdated() or self.ballot.has_quorum(
+                replica, [own_id, *_promising(responses)]
+            )
+
+        responses = await self.io.prepare(
             self.ballot.electors(replica),
-            body,
-            lambda a: (
-                self._newer()
-                or self.ballot.agreed(replica, [replica.me.id, *(i for i in a if a[i]["ok"])])
-            ),
+            PrepareRequest(epoch=0, released_epoch=0, candidate_id=own_id),
+            is_enough,
         )
-        self._top(answers)
-        return self.ballot.won(replica, [replica.me.id, *(i for i in answers if answers[i]["ok"])])
-
-    def _top(self, answers: dict[str, dict]) -> None:
-        replica = self.desk.replica
-        replica.top = max([replica.top, *(a["promised"] for a in answers.values())])
-
-    async def _promises(self) -> int | None:
-        """The epoch that enough of them promised, or None."""
-        replica, release = self.desk.replica, self.release
-        known = max(replica.top, replica.promised, *(p.promised for p in replica.peers.values()), 0)
-        epoch = self.ballot.epoch(known)
+        self._observe_epochs(responses)
+        return self.ballot.is_won(replica, [own_id, *_promising(responses)])
+
+    def _observe_epochs(self, responses: dict[str, PrepareResponse]) -> None:
+        replica = self.io.replica
+        epochs = [response.promised_epoch for response in responses.values()]
+        replica.highest_epoch_heard = max([replica.highest_epoch_heard, *epochs])
+
+    async def _collect_promises(self) -> int | None:
+        """Returns the epoch that enough of them promised, or None."""
+        replica = self.io.replica
+        transfer = self.transfer
+        epoch = self.ballot.next_epoch(replica.highest_known_epoch())
         if epoch is None:
             return None
-        sure = {replica.me.id}
-        if release is not None and epoch <= release.epoch:
-            epoch = release.epoch
-            sure.add(release.by)
-        released = release.under if release else 0
-        await self.desk.ink(lambda now: replica.promise(now, epoch, replica.me.id, released))
-        electors = [m for m in self.ballot.electors(replica) if m.id not in sure]
-
-        def ids(answers: dict[str, dict]) -> set[str]:
-            return sure | {i for i, a in answers.items() if a["ok"]}
-
-        answers = await self.desk.poll(
-            electors,
-            {"epoch": epoch, "released": released},
+        certain_ids = {replica.member.id}
+        if transfer is not None and epoch <= transfer.epoch:
+            epoch = transfer.epoch
+            certain_ids.add(transfer.primary_id)
+        released_epoch = transfer.released_epoch if transfer else 0
+        own_id = replica.member.id
+        await self.io.persist(lambda now: replica.promise(now, epoch, own_id, released_epoch))
+
+        def is_enough(responses: dict[str, PrepareResponse]) -> bool:
+            if self._is_outdated():
+                return True
             # a founder would rather have all seeds, so that they all vote from the start
-            lambda a: (
-                self._newer()
-                or (self.ballot.base is not None and self.ballot.agreed(replica, ids(a)))
-            ),
+            return self.ballot.base is not None and self.ballot.has_quorum(
+                replica, certain_ids | _promising(responses)
+            )
+
+        responses = await self.io.prepare(
+            [m for m in self.ballot.electors(replica) if m.id not in certain_ids],
+            PrepareRequest(epoch=epoch, released_epoch=released_epoch, candidate_id=own_id),
+            is_enough,
         )
-        self._top(answers)
-        self.promised = ids(answers)
-        early = self.desk.clock() < replica.started + FOUNDING
-        if self.ballot.base is None and early and len(self.promised) < len(replica.seeds):
-            return None  # two voters could lose neither: rather once more, while there's time
-        return epoch if self.ballot.won(replica, self.promised) else None
-
-    async def _data(self, epoch: int) -> Held | None:
-        """What the view before had in force, or may have: of its primary or its backup, the backup
-        first.
-        """
-        replica = self.desk.replica
-        held, replica.fetched = self.ballot.own(replica), NONE
+        self._observe_epochs(responses)
+        self.promised_ids = certain_ids | _promising(responses)
+        if self._waits_for_seeds():
+            return None
+        return epoch if self.ballot.is_won(replica, self.promised_ids) else None
+
+    def _waits_for_seeds(self) -> bool:
+        """Whether a founder rather tries again: two voters could lose neither."""
+        replica = self.io.replica
+        is_early = self.io.clock() < replica.started_at + FOUNDING_WAIT_SECONDS
+        lacks_seeds = len(self.promised_ids) < len(replica.seeds)
+        return self.ballot.base is None and is_early and lacks_seeds
+
+    async def _read_configuration(self, epoch: int) -> VersionedData | None:
+        """Returns what the base committed, or may have: of its backup, else of its primary."""
+        replica = self.io.replica
+        found = self.ballot.own_configuration(replica)
+        replica.inherited_history = EMPTY_HISTORY
         for member in self.ballot.sources():
-            if held is None:
-                body = {"epoch": epoch, "asker": replica.me.id}
-                answer = await self.desk.ask(
-                    member, "fetch", body, CALL + transfer_seconds(len(replica.data))
-                )
-                if not isinstance(answer, CallFailure):
-                    held = (answer["version"], answer["data"])
-                    replica.fetched = ChangeHistory.read(answer.get("orders"), *held)
-        return self.ballot.prevails(replica, held)
-
-    async def _backup(self, epoch: int, version: int, data: bytes) -> tuple[bool, Member | None]:
-        """Who has written the configuration, and whether that will do: a core of one machine needs
-        nobody.
-        """
-        replica = self.desk.replica
-        for member in replica.backups(self.desk.clock(), self.ballot.base):
-            if not self.ballot.takes(member, self.promised):
+            if found is None:
+                found = await self._read_from(member, epoch)
+        return self.ballot.newest_configuration(replica, found)
+
+    async def _read_from(self, member: Member, epoch: int) -> VersionedData | None:
+        replica = self.io.replica
+        request = CandidateReadRequest(epoch=epoch, candidate_id=replica.member.id)
+        timeout_seconds = CALL_SECONDS + transfer_seconds(len(replica.data))
+        answer = await self.io.call(member, request, timeout_seconds)
+        if isinstance(answer, CallFailure):
+            return None
+        response = CandidateReadResponse.from_wire(answer)
+        replica.inherited_history = ChangeHistory.from_row(
+            response.history, response.version, response.data
+        )
+        return VersionedData(response.version, response.data)
+
+    async def _choose_backup(self, epoch: int, configuration: VersionedData) -> _BackupChoice:
+        """Has another member write the configuration; a core of one machine needs nobody."""
+        replica = self.io.replica
+        for member in replica.peers.backup_candidates(self.io.clock(), self.ballot.base):
+            if not self.ballot.may_be_backup(member, self.promised_ids):
                 continue
-            failed = await self.desk.keep(member, epoch, version, data)
-            if failed is None:
-                return True, member
-            replica.doubt(self.desk.clock(), member)
-        return self.ballot.base is None and len(replica.seeds) == 1, None
+            failure = await self.io.replicate(member, epoch, configuration)
+            if failure is None:
+                return _BackupChoice(True, member)
+            replica.peers.avoid(self.io.clock(), member)
+        is_single = self.ballot.base is None and len(replica.seeds) == 1
+        return _BackupChoice(is_single, None)
+
+
+def _promising(responses: dict[str, PrepareResponse]) -> set[str]:
+    return {member_id for member_id, response in responses.items() if response.is_promised}
--- /dev/null
+++ b/loomstand/store/heartbeats.py
@@ -0,0 +1,101 @@
+"""Heartbeats to all other stores, and what follows from their answers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+from expression import Result
+
+from loomstand.rpc import Address
+from loomstand.rpc.messages.replication_messages import HeartbeatRequest, HeartbeatResponse
+from loomstand.store.counting_lease_service import CountingLeaseService
+from loomstand.store.dissemination import Dissemination
+from loomstand.store.replica_io import ReplicaIO
+from loomstand.store.timing import HEARTBEAT_INTERVAL_SECONDS
+from loomstand.store.views import Member
+
+# An answer that takes longer than three intervals is of no more use than the next one.
+HEARTBEAT_TIMEOUT_SECONDS = 3 * HEARTBEAT_INTERVAL_SECONDS
+
+
+class Heartbeats:
+    """The heartbeats of one store, one at a time to each address."""
+
+    def __init__(
+        self,
+        io: ReplicaIO,
+        counting_leases: CountingLeaseService,
+        dissemination: Dissemination,
+        on_answer: Callable[[], None],
+        on_status: Callable[[], None],
+    ) -> None:
+        """Sets the heartbeats up.
+
+        Args:
+            io: The store's replica.
+            counting_leases: Tells who counts.
+            dissemination: Pulls the configuration where another store knows more.
+            on_answer: Does what an answer makes due, without waiting for the next tick.
+            on_status: Called when another store's heartbeat changed what is known here.
+        """
+        self._io = io
+        self._counting_leases = counting_leases
+        self._dissemination = dissemination
+        self._on_answer = on_answer
+        self._on_status = on_status
+        self._in_flight: set[Address] = set()
+
+    def send_all(self) -> None:
+        """Sends a heartbeat to every other store, unless one to it is under way."""
+        for address in list(self._io.replica.peers.by_address):
+            if address not in self._in_flight:
+                self._in_flight.add(address)
+                self._io.spawn(self._send(address))
+
+    async def _send(self, address: Address) -> None:
+        sent_at = self._io.clock()
+        request = self._io.replica.heartbeat(address, self._counting_leases.serving())
+        try:
+            result = await self._io.network.call(
+                address, request.operation, request.to_wire(), HEARTBEAT_TIMEOUT_SECONDS
+            )
+        finally:
+            self._in_flight.discard(address)
+        match result:
+            case Result(tag="ok", ok=answer):
+                response = HeartbeatResponse.from_wire(answer)
+                await self._on_response(address, request, response, sent_at)
+
+    async def _on_response(
+        self,
+        address: Address,
+        request: HeartbeatRequest,
+        response: HeartbeatResponse,
+        sent_at: float,
+    ) -> None:
+        replica = self._io.replica
+        peer = replica.on_heartbeat_response(self._io.clock(), sent_at, response)
+        self._counting_leases.on_status(response, sent_at)
+        if self._counting_leases.is_outdated(request.serving):
+            self.send_all()
+        self._on_answer()
+        view = replica.record.view
+        member = Member.from_row(response.member)
+        if (
+            view is not None
+            and replica.is_primary()
+            and peer.view_epoch < view.epoch
+            and member.id in view.members()
+        ):
+            await self._io.install_view(member, view)
+        if peer.committed_version > (replica.version if replica.knows_committed else -1):
+            await self._dissemination.pull(address)
+
+    async def handle(self, request: HeartbeatRequest) -> HeartbeatResponse:
+        """Another store's heartbeat came."""
+        now = self._io.clock()
+        response = self._io.replica.on_heartbeat(now, request)
+        self._counting_leases.on_status(request, now)
+        self._on_status()
+        return msgspec.structs.replace(response, serving=self._counting_leases.serving())
--- a/loomstand/store/learner.py
+++ b/loomstand/store/learner.py
@@ -1,16 +1,15 @@
-"""The third copy: what is in force, synced at every member that isn't primary or backup, after the
-answer.
+"""The third copy: what is committed, written by every member that isn't primary or backup.
 
 An acknowledgement stands for two disks. Should both be lost, one before the other was repaired, no
-disk had the newest version; it was in the others' memory, and gone with the next loss of power. So
-every other member writes what it hears to be in force to a page of its own. It hears it anyway: no
-byte goes between machines for it, and no acknowledgement waits for it. Decisions only; the store
-makes the writes.
-
-The page tells what was in force, it is no vote: elections go by the view's two disks, as before. It
-counts where both are gone: a rescue (rescue.py) finds it though all lost power, as if it had been
-given back. What was in force in an earlier life may be old, so it isn't told to registries.
-Programs that don't know the page pass over it.
+disk would have the newest version; it would be in the others' memory, and gone with the next loss
+of power. So every other member writes what it hears to be committed to a page of its own, after the
+acknowledgement. It hears it anyway: no byte goes between machines for it, and no acknowledgement
+waits for it. Decisions only; `dissemination` makes the writes.
+
+The page tells what was committed, it is no vote: elections go by the view's two disks. It counts
+where both are gone: a rescue (`rescue`) finds it though all lost power, as if it had been given
+back. What was committed before a restart may be old, so it isn't told to registries. Programs that
+don't know the page ignore it.
 """
 
 from __future__ import annotations
@@ -19,42 +18,49 @@
 
 import cbor2
 
-from loomstand.store.ballot import Held
+from loomstand.store.record import NO_CONFIGURATION, VersionedData
 from loomstand.store.replica import Replica
 
-PAGE = "copy"
-# bytes of a larger one, which isn't copied: its write would hold up the disk that the next change
-# may need. Ten thousand routes take 2.7 MB.
-MOST = 4 << 20
+PAGE_NAME = "copy"
+
+# A larger configuration isn't copied: its write would hold up the disk that the next change may
+# need. Ten thousand routes take 2.7 MB.
+MAX_COPY_BYTES = 4 << 20
 
 
 @dataclass(slots=True)
 class Learner:
-    """`copy`: what the page has on disk for sure; version 0 if there is none."""
+    """The copy of one member.
 
-    copy: Held = (0, b"")
+    Attributes:
+        copy: What the page has on disk for sure.
+    """
+
+    copy: VersionedData = NO_CONFIGURATION
 
     @staticmethod
-    def wake(pages: dict[str, bytes]) -> Learner:
+    def from_pages(pages: dict[str, bytes]) -> Learner:
         """From the pages found at the start; a page that can't be read is none."""
         try:
-            version, data = cbor2.loads(pages[PAGE])
-            return Learner((int(version), bytes(data)))
+            version, data = cbor2.loads(pages[PAGE_NAME])
+            return Learner(VersionedData(int(version), bytes(data)))
         except (KeyError, ValueError, TypeError, EOFError, cbor2.CBORDecodeError):
             return Learner()
 
-    def due(self, replica: Replica) -> Held | None:
-        """What to write now: the newest known to be in force, unless it's on this disk already."""
-        held, record, view = (replica.version, replica.data), replica.record, replica.base()
-        if replica.version <= self.copy[0] or held == (record.version, record.data):
-            return None  # after a start others may tell it of older ones first
-        if len(replica.data) > MOST:
+    def next_copy(self, replica: Replica) -> VersionedData | None:
+        """What to write now: the newest committed, unless it is on this disk already."""
+        committed = VersionedData(replica.version, replica.data)
+        # after a restart others may tell it of older ones first
+        if replica.version <= self.copy.version or committed == replica.record.configuration:
+            return None
+        if len(replica.data) > MAX_COPY_BYTES:
             return None
-        if view is not None and view.holds(replica.me.id):
+        view = replica.newest_known_view()
+        if view is not None and view.has_data(replica.member.id):
             return None  # its disk is for the next change, which may be on its way
-        return held
+        return committed
 
     @staticmethod
-    def page(held: Held) -> dict[str, bytes]:
-        """What to write for it."""
-        return {PAGE: cbor2.dumps([*held])}
+    def pages(copy: VersionedData) -> dict[str, bytes]:
+        """The pages to write for a copy."""
+        return {PAGE_NAME: cbor2.dumps([*copy])}
--- /dev/null
+++ b/loomstand/store/record.py
@@ -0,0 +1,100 @@
+"""What a member has on disk, and its pages there. Values only: `disk` reads and writes them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+import cbor2
+
+from loomstand.rpc.messages.rows import ChangeHistoryRow
+from loomstand.store.change_history import EMPTY_HISTORY, ChangeHistory
+from loomstand.store.views import View
+
+
+class VersionedData(NamedTuple):
+    """A configuration under its version; version 0 with no data where there never was one."""
+
+    version: int
+    data: bytes
+
+
+NO_CONFIGURATION = VersionedData(0, b"")
+
+
+@dataclass(frozen=True, slots=True)
+class Record:
+    """What is on a member's disk.
+
+    Attributes:
+        id: The member's id.
+        is_founder: Whether the id was drawn at the first start of the whole system.
+        promised_epoch: The highest epoch that it promised.
+        view: The view that it installed last.
+        version: Version of the configuration that it wrote, committed or not.
+        data: That configuration.
+        written_epoch: The epoch under which the configuration was written.
+        history: The changes acknowledged; the last one is this configuration. Empty where that
+            isn't known.
+    """
+
+    id: str
+    is_founder: bool
+    promised_epoch: int = 0
+    view: View | None = None
+    version: int = 0
+    data: bytes = field(default=b"", repr=False)
+    written_epoch: int = 0
+    history: ChangeHistory = EMPTY_HISTORY
+
+    @property
+    def configuration(self) -> VersionedData:
+        """The configuration that it wrote, committed or not."""
+        return VersionedData(self.version, self.data)
+
+    def pages(self, previous: Record | None = None) -> dict[str, bytes]:
+        """The pages that differ from `previous`: a promise doesn't write the configuration anew."""
+        pages: dict[str, bytes] = {}
+        if previous is None or (previous.id, previous.is_founder) != (self.id, self.is_founder):
+            pages["member"] = cbor2.dumps([self.id, self.is_founder])
+        if previous is None or previous._vote() != self._vote():
+            view = self.view.to_page() if self.view else None
+            pages["vote"] = cbor2.dumps([self.promised_epoch, view])
+        if previous is None or previous._written() != self._written():
+            pages["configuration"] = cbor2.dumps([self.written_epoch, self.version, self.data])
+        # a page of its own, so that older programs read the rest
+        if self.history != (previous.history if previous is not None else EMPTY_HISTORY):
+            row = self.history.to_row()
+            pages["orders"] = cbor2.dumps([row.versions, row.digests])
+        return pages
+
+    def _vote(self) -> tuple[int, View | None]:
+        return self.promised_epoch, self.view
+
+    def _written(self) -> tuple[int, int, bytes]:
+        return self.written_epoch, self.version, self.data
+
+    @staticmethod
+    def from_pages(pages: dict[str, bytes]) -> Record | None:
+        """The record of a disk, None if nothing usable is there (empty, or broken)."""
+        if "member" not in pages:
+            return None
+        try:
+            member_id, is_founder = cbor2.loads(pages["member"])
+            promised_epoch, view_page = cbor2.loads(pages["vote"])
+            written_epoch, version, data = cbor2.loads(pages["configuration"])
+            view = View.from_page(view_page)
+            history = _read_history(pages, version, data)
+        except (KeyError, ValueError, TypeError, EOFError, cbor2.CBORDecodeError):
+            return None
+        return Record(
+            member_id, is_founder, promised_epoch, view, version, data, written_epoch, history
+        )
+
+
+def _read_history(pages: dict[str, bytes], version: int, data: bytes) -> ChangeHistory:
+    page = cbor2.loads(pages["orders"]) if "orders" in pages else None
+    if not page:
+        return EMPTY_HISTORY
+    versions, digests = page
+    return ChangeHistory.from_row(ChangeHistoryRow(versions, digests), version, data)
--- a/loomstand/store/recovery.py
+++ b/loomstand/store/recovery.py
@@ -1,44 +1,67 @@
-"""A member's first look at its disk: it waits for one that is in trouble, never takes it for
-empty.
-"""
+"""A member's first look at its disk: it waits for one that fails, and never takes it for empty."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from typing import NamedTuple
 
 from absl import logging
 
 from loomstand.store.disk import Disk
-from loomstand.store.views import Record
+from loomstand.store.record import Record
 
-Woken = tuple[Record, dict[str, bytes]]
+# Until the second look, and the longest pause: a disk that stalls is back within a second or so.
+RETRY_SECONDS = (0.2, 1.0)
 
-# s until the second look, and the longest: a disk that stalls is back within a second or so
-AGAIN = 0.2, 1.0
 
+class Recovered(NamedTuple):
+    """What a disk had at the start.
 
-async def wake(disk: Disk, new: Callable[[], Record], stopped: asyncio.Event) -> Woken | None:
-    """The record of the disk, or `new()` once that is written on an empty one, and all its pages as
-    they were found; None if `stopped` came first.
+    Attributes:
+        record: The member's record.
+        pages: All pages as they were found.
+    """
+
+    record: Record
+    pages: dict[str, bytes]
+
+
+async def recover(
+    disk: Disk, new_record: Callable[[], Record], stopped: asyncio.Event
+) -> Recovered | None:
+    """Reads the disk; an empty one gets a new record.
 
     A disk that only refuses for a while keeps its member: one that wiped it would lose data and
-    vote for good, and a restart of all in a bad moment would lose every copy. So the tries have no
-    end; meanwhile others take the member for silent, and replace it as a voter.
+    vote for good, and a restart of all in a bad moment would lose every copy. So it is tried
+    without end; meanwhile others take the member for unreachable, and replace it as a voter.
+
+    Args:
+        disk: The disk.
+        new_record: Makes the record of an empty disk.
+        stopped: Set when the store is to end.
+
+    Returns:
+        What the disk had, None if `stopped` came first.
     """
-    pause, said = AGAIN[0], ""
+    pause_seconds, max_pause_seconds = RETRY_SECONDS
+    logged = ""
     while not stopped.is_set():
         try:
-            pages = await disk.load()
-            found = Record.read(pages)
-            if found is None:
-                found = new()
-                await disk.save(found.pages())
-            return found, pages
+            return await _load(disk, new_record)
         except OSError as error:
-            if str(error) != said:
-                said = str(error)
-                logging.warning("store: waits for its disk, nothing on it is changed: %s", error)
-        await asyncio.sleep(pause)
-        pause = min(AGAIN[1], 2 * pause)
+            if str(error) != logged:
+                logged = str(error)
+                logging.warning("store: disk unavailable, left unchanged, error=%r", str(error))
+        await asyncio.sleep(pause_seconds)
+        pause_seconds = min(max_pause_seconds, 2 * pause_seconds)
     return None
+
+
+async def _load(disk: Disk, new_record: Callable[[], Record]) -> Recovered:
+    pages = await disk.load()
+    record = Record.from_pages(pages)
+    if record is None:
+        record = new_record()
+        await disk.save(record.pages())
+    return Recovered(record, pages)
--- a/loomstand/store/replica_io.py
+++ b/loomstand/store/replica_io.py
@@ -1,6 +1,4 @@
-"""Where a replica meets its disk and its peers: changes are on disk before anybody hears of
-them.
-"""
+"""Where a replica meets its disk and its peers: changes are on disk before anybody hears of them."""
 
 from __future__ import annotations
 
@@ -9,148 +7,225 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+import msgspec
 from absl import logging
 from expression import Result
 
 from loomstand.rpc import Network
 from loomstand.rpc.errors import CallFailure, CallRefusedError
-from loomstand.rpc.network import transfer_seconds
+from loomstand.rpc.messages.replication_messages import (
+    CandidateReadRequest,
+    InstallViewRequest,
+    PrepareRequest,
+    PrepareResponse,
+    TransferLeadershipRequest,
+    WriteRequest,
+)
+from loomstand.rpc.network import Body, transfer_seconds
 from loomstand.store.disk import Disk
-from loomstand.store.replica import Replica, State
-from loomstand.store.views import Member, Record, View
+from loomstand.store.peers import MemberState
+from loomstand.store.record import Record, VersionedData
+from loomstand.store.replica import Replica
+from loomstand.store.timing import LONG_AGO
+from loomstand.store.views import Member, View
 
-CALL = 0.5  # s for a call between stores: a round trip between regions and a slow write
-KEEP = 0.4  # s for the backup's write of a change, so that another may still be found in time
-# s after which a write that hasn't come back marks the disk as sick: a hundred usual ones
-HANG = 0.4
-FAILED = 2.0  # s for which a disk that refused a write counts as sick
+# For a call between stores: a round trip between regions and a slow write.
+CALL_SECONDS = 0.5
 
-Body = dict[str, Any]
+# For the backup's write of a change, so that another backup may still be found in time.
+REPLICATE_SECONDS = 0.4
+
+# A write that hasn't come back after so long marks the disk as unhealthy: a hundred usual ones.
+DISK_HANGS_AFTER_SECONDS = 0.4
+
+# For so long a disk that refused a write counts as unhealthy.
+DISK_FAILURE_SECONDS = 2.0
+
+# The requests that are meant for one member's disk.
+MemberRequest = (
+    PrepareRequest
+    | WriteRequest
+    | CandidateReadRequest
+    | InstallViewRequest
+    | TransferLeadershipRequest
+)
 
 
 @dataclass(slots=True)
 class ReplicaIO:
+    """A replica with its disk, its network and its clock.
+
+    Attributes:
+        replica: The state machine.
+        network: Calls other stores.
+        disk: Where the record is.
+        clock: Steady, in seconds.
+        write_lock: Held over every change of the record until it is on disk.
+        write_began_at: Since when a write is under way, None if there is none.
+        write_failed_at: When a write was last refused.
+        tasks: All work that goes on by itself.
+    """
+
     replica: Replica
     network: Network
     disk: Disk
     clock: Callable[[], float]
-    # over every change of the record, until on disk
-    pen: asyncio.Lock = field(default_factory=asyncio.Lock)
-    writing: float | None = None  # since when a write is under way
-    failed: float = -1e9  # when a write was last refused
+    write_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
+    write_began_at: float | None = None
+    write_failed_at: float = LONG_AGO
     tasks: set[asyncio.Task[Any]] = field(default_factory=set)
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        """Has `work` go on by itself, until it ends or the store does."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
-        if (
-            not task.cancelled()
-            and (error := task.exception())
-            and not isinstance(error, CallRefusedError)
-        ):
-            logging.error("store: %r", error)
-
-    async def ink(self, change: Callable[[float], Record]) -> Record:
-        """Makes a change of the record and has it on disk. CallRefusedError: it may be there
-        all the same.
+        if task.cancelled():
+            return
+        error = task.exception()
+        if error is not None and not isinstance(error, CallRefusedError):
+            logging.error("store: task failed error=%r", error)
+
+    def cancel_tasks(self) -> None:
+        """Ends all work that goes on."""
+        for task in list(self.tasks):
+            task.cancel()
+
+    # --- the disk
+
+    async def persist(self, change: Callable[[float], Record]) -> Record:
+        """Makes a change of the record and has it on disk; a caller that is cancelled doesn't stop it.
+
+        Args:
+            change: Gets the time at which it is made, returns the record to write.
+
+        Returns:
+            The record that is on disk now.
+
+        Raises:
+            CallRefusedError: The change was refused, or the disk failed; then it may be there all
+                the same.
         """
-        return await asyncio.shield(self.spawn(self._ink(change)))  # not to be stopped in mid-word
+        return await asyncio.shield(self.spawn(self._persist(change)))
 
-    async def _ink(self, change: Callable[[float], Record]) -> Record:
-        async with self.pen:
+    async def _persist(self, change: Callable[[float], Record]) -> Record:
+        async with self.write_lock:
             record = change(self.clock())
-            if pages := record.pages(self.replica.record):
+            pages = record.pages(self.replica.record)
+            if pages:
                 await self._save(pages)
-            self.replica.wrote(self.clock(), record)
+            self.replica.on_persisted(record)
             return record
 
-    async def note(self, pages: dict[str, bytes]) -> None:
-        """Has pages beside the record on disk. CallRefusedError: they may be there all the same."""
-        await asyncio.shield(self.spawn(self._note(pages)))
+    async def persist_pages(self, pages: dict[str, bytes]) -> None:
+        """Writes pages beside the record.
+
+        Raises:
+            CallRefusedError: The disk failed; the pages may be there all the same.
+        """
+        await asyncio.shield(self.spawn(self._persist_pages(pages)))
 
-    async def _note(self, pages: dict[str, bytes]) -> None:
-        async with self.pen:
+    async def _persist_pages(self, pages: dict[str, bytes]) -> None:
+        async with self.write_lock:
             await self._save(pages)
 
     async def _save(self, pages: dict[str, bytes]) -> None:
-        self.writing = self.clock()
+        self.write_began_at = self.clock()
         try:
             await self.disk.save(pages)
         except OSError as error:
-            self.failed = self.clock()
+            self.write_failed_at = self.clock()
             raise CallRefusedError(f"disk: {error}") from error
         finally:
-            self.writing = None
-
-    def examine(self, now: float) -> None:
-        """Marks the member as sick while its disk hangs or has just refused."""
-        if self.replica.state is not State.LEAVING:
-            hangs = self.writing is not None and now - self.writing > HANG
-            state = State.SICK if hangs or now - self.failed < FAILED else State.FIT
-            if state is not self.replica.state:
-                logging.info(
-                    "store: its disk is %s", "in trouble" if state is State.SICK else "well again"
-                )
-                self.replica.state = state
+            self.write_began_at = None
+
+    def check_disk(self, now: float) -> None:
+        """Marks the member as unhealthy while its disk hangs or has just refused."""
+        if self.replica.state is MemberState.LEAVING:
+            return
+        began_at = self.write_began_at
+        hangs = began_at is not None and now - began_at > DISK_HANGS_AFTER_SECONDS
+        has_failed = now - self.write_failed_at < DISK_FAILURE_SECONDS
+        state = MemberState.UNHEALTHY if hangs or has_failed else MemberState.HEALTHY
+        if state is not self.replica.state:
+            logging.info("store: disk state=%s", state.name.lower())
+            self.replica.state = state
 
     # --- calls to other members, each meant for one disk
 
-    async def ask(
-        self, member: Member, op: str, body: Body, within: float = CALL
+    async def call(
+        self, member: Member, request: MemberRequest, timeout_seconds: float = CALL_SECONDS
     ) -> Body | CallFailure:
-        match await self.network.call(member.address, op, body | {"to": member.id}, within):
+        """Calls a member; its answer, or what the failure proves."""
+        body = msgspec.structs.replace(request, recipient=member.id).to_wire()
+        result = await self.network.call(member.address, request.operation, body, timeout_seconds)
+        match result:
             case Result(tag="ok", ok=answer):
                 return answer
-            case Result(error=verdict):
-                return verdict
+            case Result(error=failure):
+                return failure
 
-    async def keep(
-        self, member: Member, epoch: int, version: int, data: bytes
+    async def replicate(
+        self, member: Member, epoch: int, configuration: VersionedData
     ) -> CallFailure | None:
-        """Has `member` write the configuration; None once it has. One that doesn't answer is
-        doubted.
+        """Has a member write the configuration; None once it has.
+
+        One that doesn't answer is avoided as backup for a while.
         """
-        body = {"epoch": epoch, "asker": self.replica.me.id, "version": version, "data": data}
-        body |= {"orders": self.replica.orders_with(version, data).body()}
-        answer = await self.ask(member, "keep", body, KEEP + transfer_seconds(len(data)))
+        version, data = configuration
+        request = WriteRequest(
+            epoch=epoch,
+            writer_id=self.replica.member.id,
+            version=version,
+            data=data,
+            history=self.replica.history_with(version, data).to_row(),
+        )
+        timeout_seconds = REPLICATE_SECONDS + transfer_seconds(len(data))
+        answer = await self.call(member, request, timeout_seconds)
         if not isinstance(answer, CallFailure):
             return None
         if answer is not CallFailure.REFUSED:
-            self.replica.doubt(self.clock(), member)
+            self.replica.peers.avoid(self.clock(), member)
         return answer
 
-    async def install(self, member: Member, view: View) -> None:
-        """Has `member` write the view, which is its grant as well."""
-        sent = self.clock()
-        if not isinstance(await self.ask(member, "install", {"view": view.body()}), CallFailure):
-            self.replica.on_grant(member.id, view.epoch, sent)
+    async def install_view(self, member: Member, view: View) -> None:
+        """Has a member write the view, which is its lease grant as well."""
+        sent_at = self.clock()
+        answer = await self.call(member, InstallViewRequest(view=view.to_row()))
+        if not isinstance(answer, CallFailure):
+            self.replica.on_grant(member.id, view.epoch, sent_at)
 
-    async def until(
-        self, work: Iterable[Coroutine[Any, Any, Any]], enough: Callable[[], bool]
+    async def run_until(
+        self, work: Iterable[Coroutine[Any, Any, Any]], is_enough: Callable[[], bool]
     ) -> None:
-        """Runs all of `work`, and waits until it's enough or done; the rest goes on by itself."""
-        waiting = {self.spawn(w) for w in work}
-        while waiting and not enough():
+        """Runs all of `work` until it is enough or done; the rest goes on by itself."""
+        waiting = {self.spawn(coroutine) for coroutine in work}
+        while waiting and not is_enough():
             _, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
 
-    async def poll(
-        self, members: Iterable[Member], body: Body, enough: Callable[[dict[str, Body]], bool]
-    ) -> dict[str, Body]:
-        """The answers of `members` to a "promise", by id, as soon as they're enough."""
-        answers: dict[str, Body] = {}
-
-        async def one(member: Member) -> None:
-            answer = await self.ask(member, "promise", body | {"asker": self.replica.me.id})
+    async def prepare(
+        self,
+        members: Iterable[Member],
+        request: PrepareRequest,
+        is_enough: Callable[[dict[str, PrepareResponse]], bool],
+    ) -> dict[str, PrepareResponse]:
+        """Asks members for a promise; the answers by member id, as soon as they are enough."""
+        responses: dict[str, PrepareResponse] = {}
+
+        async def ask(member: Member) -> None:
+            answer = await self.call(member, request)
             if not isinstance(answer, CallFailure):
-                answers[member.id] = answer
-                self.replica.notice(View.read(answer["view"]))
-
-        await self.until(
-            (one(m) for m in members if m.id != self.replica.me.id), lambda: enough(answers)
+                response = PrepareResponse.from_wire(answer)
+                responses[member.id] = response
+                self.replica.observe_view(View.from_row(response.view))
+
+        own_id = self.replica.member.id
+        await self.run_until(
+            (ask(member) for member in members if member.id != own_id),
+            lambda: is_enough(responses),
         )
-        return dict(answers)
+        return dict(responses)
--- /dev/null
+++ b/loomstand/store/status_board.py
@@ -0,0 +1,130 @@
+"""How this store sees the store as a whole, and the registries that wait for a change of that."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any, NamedTuple
+
+import msgspec
+
+from loomstand.rpc import Address
+from loomstand.rpc.messages.configuration_messages import (
+    StatusResponse,
+    WaitRequest,
+    WaitResponse,
+)
+from loomstand.store.counting_lease_service import CountingLeaseService
+from loomstand.store.replica_io import ReplicaIO
+from loomstand.store.timing import REPLACE_VOTER_AFTER_SECONDS
+
+# The serving primary holds an answer to `wait` back for no longer: a third of the lease.
+MAX_WAIT_AS_PRIMARY_SECONDS = 0.4
+
+
+class KnownPrimary(NamedTuple):
+    """The primary of the newest view known.
+
+    Attributes:
+        epoch: The view's epoch, 0 if none is known.
+        address: The primary's address, None if it isn't in reach.
+    """
+
+    epoch: int
+    address: Address | None
+
+
+class StatusBoard:
+    """The status of one store.
+
+    Attributes:
+        changed: Set at the next change of the status, and exchanged then.
+        conflict_count: Changes refused since its start, as their version stands for another
+            content.
+    """
+
+    def __init__(
+        self, io: ReplicaIO, counting_leases: CountingLeaseService, first_revision: int
+    ) -> None:
+        """Sets the board up; `first_revision` is drawn, as another start must not go on with it."""
+        self._io = io
+        self._counting_leases = counting_leases
+        self._revision = first_revision
+        self._shown: tuple[Any, ...] = ()
+        self.changed = asyncio.Event()
+        self.conflict_count = 0
+
+    async def wait_for_change(self) -> None:
+        """Returns at the next change of the status."""
+        await self.changed.wait()
+
+    def known_primary(self) -> KnownPrimary:
+        """The newest epoch known, and its primary if that is in reach."""
+        replica = self._io.replica
+        now = self._io.clock()
+        view = replica.newest_known_view()
+        if view is None:
+            return KnownPrimary(0, None)
+        if view.primary.id == replica.member.id:
+            is_there = replica.lease_left(now) > 0.0
+        else:
+            silent_seconds = replica.peers.seconds_silent(now, view.primary)
+            is_there = silent_seconds < REPLACE_VOTER_AFTER_SECONDS
+        return KnownPrimary(view.epoch, view.primary.address if is_there else None)
+
+    def _is_ready(self) -> bool:
+        return self._io.replica.knows_committed and self._counting_leases.is_fresh()
+
+    def status(self) -> StatusResponse:
+        """The status for registries."""
+        return StatusResponse(**self._status_fields())
+
+    def _status_fields(self) -> dict[str, Any]:
+        replica = self._io.replica
+        primary = self.known_primary()
+        view = replica.newest_known_view()
+        return {
+            "version": replica.version,
+            "epoch": primary.epoch,
+            "primary": primary.address,
+            "backup": view.backup.address if view and view.backup else None,
+            "core_addresses": replica.peers.recent_addresses(self._io.clock()),
+            "is_ready": self._is_ready(),
+            "counting_term": self._counting_leases.term(),
+            "conflict_count": self.conflict_count,
+            "revision": self._revision,
+        }
+
+    def refresh(self) -> None:
+        """Wakes those who wait, if what they would be told has changed."""
+        replica = self._io.replica
+        now = self._io.clock()
+        shown = (
+            replica.version,
+            self._is_ready(),
+            replica.lease_left(now) > 0.0,
+            self._counting_leases.term(),
+            self.known_primary(),
+            replica.peers.recent_addresses(now),
+        )
+        if shown != self._shown:
+            self._shown = shown
+            self._revision += 1
+            self.changed.set()
+            self.changed = asyncio.Event()
+
+    async def wait(self, request: WaitRequest) -> WaitResponse:
+        """Answers once the status or the configuration is another one than the registry's."""
+        replica = self._io.replica
+        known_revision = request.known_revision
+        is_current = known_revision is None or known_revision == self._revision
+        if replica.version <= request.known_version and is_current:
+            timeout_seconds = request.timeout_seconds
+            if replica.lease_left(self._io.clock()) > 0.0:
+                timeout_seconds = min(timeout_seconds, MAX_WAIT_AS_PRIMARY_SECONDS)
+            try:
+                async with asyncio.timeout(timeout_seconds):
+                    await self.changed.wait()
+            except TimeoutError:
+                pass  # it answers without a change
+        data = replica.data if replica.version > request.known_version else msgspec.UNSET
+        return WaitResponse(**self._status_fields(), data=data)
--- a/loomstand/store/views.py
+++ b/loomstand/store/views.py
@@ -1,168 +1,151 @@
-"""Views: who is primary and backup, and whose votes decide on the next; and what a member has on
-disk.
+"""Members and views: who is primary and backup, and whose votes decide on the next view.
+
+Immutable values, without disk, network or clock.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
-from dataclasses import dataclass, field
-from typing import Any
+from dataclasses import dataclass
 
-import cbor2
+import msgspec
 
 from loomstand.rpc import Address
-from loomstand.store.change_history import NONE, ChangeHistory
+from loomstand.rpc.messages.rows import MemberRow, ViewRow
 
-# A rescue's epoch is in the next million above all that is known in reach, and views go on within
-# their million only (Ballot.epoch): so members that were given up, wherever they are, never get
-# above it. Its millions count the rescues. Without faults views don't change; at two changes a
-# second it lasts six days.
-MARGIN = 1_000_000
+# Epochs are divided into ranges of this size. A rescue's epoch is in the next range above every
+# epoch known in reach, and views that follow stay within their range (`Ballot.next_epoch`): so
+# members that were given up, wherever they are, never get above it. The number of the range counts
+# the rescues. Without faults views don't change; at two changes a second a range lasts six days.
+EPOCH_RANGE = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A disk: the id drawn when its folder was empty, and the address at which its store
-    listens.
+    """A disk of the store.
+
+    Attributes:
+        id: Drawn when the disk's folder was empty.
+        address: Where its store listens.
     """
 
     id: str
     address: Address
 
-    def body(self) -> list[Any]:
-        return [self.id, self.address[0], self.address[1]]
+    def to_row(self) -> MemberRow:
+        """The member as it stands in messages and on disk."""
+        return MemberRow(self.id, self.address[0], self.address[1])
 
     @staticmethod
-    def read(body: list[Any]) -> Member:
-        return Member(str(body[0]), (str(body[1]), int(body[2])))
+    def from_row(row: MemberRow) -> Member:
+        """The member of a message."""
+        return Member(row.member_id, (row.host, row.port))
 
 
-def majority(ids: Collection[str], members: Collection[Member]) -> bool:
-    """Whether more than half of `members` are among `ids`."""
-    return sum(m.id in ids for m in members) * 2 > len(members)
+def has_majority(member_ids: Collection[str], members: Collection[Member]) -> bool:
+    """Whether more than half of `members` are among `member_ids`."""
+    return sum(member.id in member_ids for member in members) * 2 > len(members)
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """One reign. `former` holds the voters before a change until the changed view is known to
-    stand.
-
-    While `former` isn't empty, whatever needs the voters needs a majority of both: two majorities
-    of sets that differ by one member need not meet, so a view that stands at a few must not decide
-    by its own set.
-
-    `rescue` is the epoch at which operators last had the store founded anew (rescue.py), 0 if
-    never; later views inherit it. A member that hears of a later one than its own view's stands
-    down: the votes that its view rests on were given up.
+    """The term of one primary.
+
+    While `former_voters` isn't empty, whatever needs the voters needs a majority of both sets: two
+    majorities of sets that differ by one member need not meet, so a view that is installed at few
+    members must not decide by its own set.
+
+    Attributes:
+        epoch: Number of the view; views are totally ordered by it.
+        primary: The member that serves.
+        backup: The member that writes each change beside the primary, if there is one.
+        voters: The members that elect the next primary.
+        former_voters: The voters before a membership change, until that is known to be complete.
+        rescue_epoch: The epoch at which operators last re-founded the store (`rescue`), 0 if never;
+            later views inherit it. A member that hears of a later one than its own view's stands
+            down: the votes that its view rests on were given up.
     """
 
     epoch: int
     primary: Member
     backup: Member | None
     voters: tuple[Member, ...]
-    former: tuple[Member, ...] = ()
-    rescue: int = 0
+    former_voters: tuple[Member, ...] = ()
+    rescue_epoch: int = 0
 
-    def agreed(self, ids: Collection[str]) -> bool:
-        """Whether `ids` are enough to grant the lease, to settle on this view or to end it."""
-        return majority(ids, self.voters) and (not self.former or majority(ids, self.former))
+    def has_quorum(self, member_ids: Collection[str]) -> bool:
+        """Whether `member_ids` suffice to grant the lease, to agree on this view or to end it."""
+        if not has_majority(member_ids, self.voters):
+            return False
+        return not self.former_voters or has_majority(member_ids, self.former_voters)
 
     def electors(self) -> dict[str, Member]:
-        return {m.id: m for m in (*self.voters, *self.former)}
-
-    def named(self) -> dict[str, Member]:
-        """All who have to write this view down, by id."""
-        both = [m for m in (self.primary, self.backup) if m is not None]
-        return self.electors() | {m.id: m for m in both}
-
-    def holds(self, id: str) -> bool:
-        """Whether that member has the configuration of this view: only its primary and its backup
-        do.
-        """
-        return id == self.primary.id or (self.backup is not None and id == self.backup.id)
-
-    def body(self) -> list[Any]:
-        backup = self.backup.body() if self.backup else None
-        voters, former = [m.body() for m in self.voters], [m.body() for m in self.former]
-        # left out where programs may run that don't know it
-        rescue = [self.rescue] if self.rescue else []
-        return [self.epoch, self.primary.body(), backup, voters, former, *rescue]
+        """The voters, present and former, by id."""
+        return {member.id: member for member in (*self.voters, *self.former_voters)}
+
+    def members(self) -> dict[str, Member]:
+        """All members that have to write this view to their disks, by id."""
+        data_members = [member for member in (self.primary, self.backup) if member is not None]
+        return self.electors() | {member.id: member for member in data_members}
+
+    def has_data(self, member_id: str) -> bool:
+        """Whether that member has the configuration: only the primary and its backup do."""
+        if member_id == self.primary.id:
+            return True
+        return self.backup is not None and member_id == self.backup.id
+
+    def to_row(self) -> ViewRow:
+        """The view as it stands in messages."""
+        return ViewRow(
+            self.epoch,
+            self.primary.to_row(),
+            self.backup.to_row() if self.backup else None,
+            [member.to_row() for member in self.voters],
+            [member.to_row() for member in self.former_voters],
+            self.rescue_epoch,
+        )
 
     @staticmethod
-    def read(body: list[Any] | None) -> View | None:
-        if not body:
+    def from_row(row: ViewRow | None) -> View | None:
+        """The view of a message, if there is one."""
+        if row is None:
             return None
-        epoch, primary, backup, voters, former, *rescue = body
         return View(
-            int(epoch),
-            Member.read(primary),
-            Member.read(backup) if backup else None,
-            tuple(Member.read(m) for m in voters),
-            tuple(Member.read(m) for m in former),
-            int(rescue[0]) if rescue else 0,
+            row.epoch,
+            Member.from_row(row.primary),
+            Member.from_row(row.backup) if row.backup else None,
+            tuple(Member.from_row(member) for member in row.voters),
+            tuple(Member.from_row(member) for member in row.former_voters),
+            row.rescue_epoch,
         )
 
-    def __str__(self) -> str:
-        backup = f"{self.backup.address[0]}" if self.backup else "none"
-        voters = " ".join(m.address[0] for m in self.voters)
-        joint = " and those before" if self.former else ""
-        members = f"{self.primary.address[0]}, backup {backup}, voters {voters}{joint}"
-        return f"epoch {self.epoch}: {members}"
-
+    def to_page(self) -> list[object]:
+        """The view as it stands on disk, where programs may read it that know no rescue."""
+        page: list[object] = msgspec.to_builtins(self.to_row())
+        if not self.rescue_epoch:
+            page.pop()
+        return page
 
-def newest(*views: View | None) -> View | None:
-    return max((v for v in views if v is not None), key=lambda v: v.epoch, default=None)
+    @staticmethod
+    def from_page(page: list[object] | None) -> View | None:
+        """The view of a page.
 
+        Raises:
+            ValueError: The page isn't a view's.
+        """
+        if not page:
+            return None
+        return View.from_row(msgspec.convert(page, ViewRow, strict=False))
 
-@dataclass(frozen=True, slots=True)
-class Record:
-    """What is on a member's disk. `founder`: the id was drawn at the first start of the whole
-    system.
-    """
+    def __str__(self) -> str:
+        backup = self.backup.address[0] if self.backup else "none"
+        voters = ",".join(member.address[0] for member in self.voters)
+        former = ",".join(member.address[0] for member in self.former_voters)
+        text = f"epoch={self.epoch} primary={self.primary.address[0]} backup={backup}"
+        return f"{text} voters={voters}" + (f" former_voters={former}" if former else "")
 
-    id: str
-    founder: bool
-    promised: int = 0
-    view: View | None = None
-    version: int = 0
-    data: bytes = field(default=b"", repr=False)
-    written: int = 0  # the epoch under which the configuration was written
-    orders: ChangeHistory = (
-        NONE  # the last of them is of this configuration; none where that isn't known
-    )
-
-    def pages(self, old: Record | None = None) -> dict[str, bytes]:
-        """What differs from `old`, as it's written: a promise doesn't write the configuration
-        anew.
-        """
-        pages: dict[str, bytes] = {}
-        if old is None or (old.id, old.founder) != (self.id, self.founder):
-            pages["member"] = cbor2.dumps([self.id, self.founder])
-        if old is None or (old.promised, old.view) != (self.promised, self.view):
-            pages["vote"] = cbor2.dumps([self.promised, self.view.body() if self.view else None])
-        if old is None or (old.written, old.version, old.data) != (
-            self.written,
-            self.version,
-            self.data,
-        ):
-            pages["configuration"] = cbor2.dumps([self.written, self.version, self.data])
-        # a page of its own, so that older programs read the rest
-        if self.orders != (old.orders if old is not None else NONE):
-            pages["orders"] = cbor2.dumps(self.orders.body())
-        return pages
 
-    @staticmethod
-    def read(pages: dict[str, bytes]) -> Record | None:
-        """The record of a disk, or None if nothing usable is there (an empty or a broken one)."""
-        if "member" not in pages:
-            return None
-        try:
-            id, founder = cbor2.loads(pages["member"])
-            promised, view = cbor2.loads(pages["vote"])
-            written, version, data = cbor2.loads(pages["configuration"])
-            orders = ChangeHistory.read(
-                cbor2.loads(pages["orders"]) if "orders" in pages else None, version, data
-            )
-            return Record(id, founder, promised, View.read(view), version, data, written, orders)
-        except (KeyError, ValueError, TypeError, EOFError, cbor2.CBORDecodeError):
-            return None
+def newest(*views: View | None) -> View | None:
+    """The view with the highest epoch, None if there is no view."""
+    known_views = [view for view in views if view is not None]
+    return max(known_views, key=lambda view: view.epoch, default=None)
--- a/loomstand/testing/model_checker/mutants.py
+++ b/loomstand/testing/model_checker/mutants.py
@@ -9,11 +9,12 @@
 from typing import Any
 
 from loomstand.rpc.errors import CallRefusedError
-from loomstand.store.ballot import Ballot, Held
+from loomstand.store.ballot import Ballot
 from loomstand.store.learner import Learner
+from loomstand.store.record import Record, VersionedData
 from loomstand.store.replica import Replica
-from loomstand.store.rescue import Rescue
-from loomstand.store.views import Member, Record, View
+from loomstand.store.rescue_ballot import RescueBallot
+from loomstand.store.views import Member, View
 from loomstand.testing.model_checker.member import Rules
 from loomstand.testing.model_checker.state_space import Bounds
 
@@ -21,109 +22,118 @@
 class KeepsOld(Replica):
     """Takes an old primary's write after it has promised a newer epoch."""
 
-    def keep(self, epoch: int, asker: str, version: int, data: bytes) -> Record:
-        self._raise(epoch, asker)
+    def accept_write(self, epoch: int, writer_id: str, version: int, data: bytes) -> Record:
+        self._raise_promise(epoch, writer_id)
         return replace(
-            self.record, promised=self.promised, version=version, data=data, written=epoch
+            self.record,
+            promised_epoch=self.promised_epoch,
+            version=version,
+            data=data,
+            written_epoch=epoch,
         )
 
 
 class KeepsEarlier(Replica):
     """Within an epoch takes a write that was overtaken by a later one."""
 
-    def keep(self, epoch: int, asker: str, version: int, data: bytes) -> Record:
-        if epoch < self.promised:
+    def accept_write(self, epoch: int, writer_id: str, version: int, data: bytes) -> Record:
+        if epoch < self.promised_epoch:
             raise CallRefusedError("a newer epoch")
-        self._raise(epoch, asker)
-        return replace(self.record, promised=epoch, version=version, data=data, written=epoch)
+        self._raise_promise(epoch, writer_id)
+        return replace(
+            self.record, promised_epoch=epoch, version=version, data=data, written_epoch=epoch
+        )
 
 
 class Forgets(Replica):
     """Promises while a grant of its own stands."""
 
-    def may_promise(self, now: float, epoch: int, asker: str, released: int) -> bool:
-        return epoch > self.promised
+    def may_promise(self, now: float, epoch: int, candidate_id: str, released_epoch: int) -> bool:
+        return epoch > self.promised_epoch
 
 
 class ForgetsEarlierLife(Replica):
     """Promises right after a start, while what it granted before may stand."""
 
-    def may_promise(self, now: float, epoch: int, asker: str, released: int) -> bool:
-        was, self.started = self.started, -1e9
-        may = Replica.may_promise(self, now, epoch, asker, released)
-        self.started = was
+    def may_promise(self, now: float, epoch: int, candidate_id: str, released_epoch: int) -> bool:
+        was, self.started_at = self.started_at, -1e9
+        may = Replica.may_promise(self, now, epoch, candidate_id, released_epoch)
+        self.started_at = was
         return may
 
 
 class LeasesFromReceipt(Replica):
     """Counts a lease from the answer, not from when it asked."""
 
-    def on_grant(self, id: str, epoch: int, sent: float) -> None:
-        Replica.on_grant(self, id, epoch, 0.0)
+    def on_grant(self, member_id: str, epoch: int, sent_at: float) -> None:
+        Replica.on_grant(self, member_id, epoch, 0.0)
 
 
 class InstallsOld(Replica):
     """Installs a view, and grants its lease, after it has promised a newer epoch."""
 
     def install(self, view: View) -> Record:
-        if self.me.id not in view.named():
+        if self.member.id not in view.members():
             raise CallRefusedError("not its view")
-        return replace(self.record, promised=view.epoch, view=view)
+        return replace(self.record, promised_epoch=view.epoch, view=view)
 
-    def renew(self, now: float, view: View) -> None:
-        self.holder, self.hold = view.primary.id, now + 1.25
+    def grant_installed(self, now: float, view: View) -> None:
+        self.granted_to = view.primary.id
+        self.grant_ends_at = now + 1.25
 
 
 class AnyDisk(Replica):
     """Answers what was asked of the disk that was there before."""
 
-    def mine(self, to: str) -> None:
+    def check_recipient(self, member_id: str) -> None:
         pass
 
 
 class Unfenced(Replica):
     """Goes on under a view whose voters were given up, though it hears of the rescue."""
 
-    def notice(self, view: View | None) -> None:
-        if view is not None and (self.seen is None or view.epoch > self.seen.epoch):
-            self.seen = view
+    def observe_view(self, view: View | None) -> None:
+        if view is not None and (self.newest_view is None or view.epoch > self.newest_view.epoch):
+            self.newest_view = view
 
 
 class GoesOn(Ballot):
     """Lets a view that was given up go on above a rescue's epoch."""
 
-    def epoch(self, known: int) -> int | None:
-        return known + 1
+    def next_epoch(self, highest_epoch: int) -> int | None:
+        return highest_epoch + 1
 
 
-class AnyBackup(Rescue):
+class AnyBackup(RescueBallot):
     """Fills a backup that promised nothing: an old disk that has just come back."""
 
-    def takes(self, backup: Member, promised: Collection[str]) -> bool:
+    def may_be_backup(self, member: Member, promised_ids: Collection[str]) -> bool:
         return True
 
 
 class Alone(Ballot):
     """Installs a view without a majority's promises."""
 
-    def agreed(self, replica: Replica, ids: Collection[str]) -> bool:
+    def has_quorum(self, replica: Replica, member_ids: Collection[str]) -> bool:
         return True
 
 
 class AtOneGo(Ballot):
     """Changes the voters without the agreement of those before."""
 
-    def view(
-        self, replica: Replica, epoch: int, backup: Member | None, promised: Collection[str]
+    def new_view(
+        self, replica: Replica, epoch: int, backup: Member | None, promised_ids: Collection[str]
     ) -> View:
-        return replace(Ballot.view(self, replica, epoch, backup, promised), former=())
+        return replace(
+            Ballot.new_view(self, replica, epoch, backup, promised_ids), former_voters=()
+        )
 
 
 class Anybody(Ballot):
     """Takes what it has itself for what is in force, whoever it is."""
 
-    def own(self, replica: Replica) -> tuple[int, bytes] | None:
-        return replica.record.version, replica.record.data
+    def own_configuration(self, replica: Replica) -> VersionedData | None:
+        return replica.record.configuration
 
     def sources(self) -> list[Member]:
         return []
@@ -132,48 +142,52 @@
 class FreesEarly(Replica):
     """Goes though its vote is needed, or one that has no vote yet could take its place."""
 
-    def free(self, now: float) -> bool:
-        if self.seen is None or self.me.id not in self.seen.named():
+    def is_dispensable(self, now: float) -> bool:
+        if self.newest_view is None or self.member.id not in self.newest_view.members():
             return True
-        stand_by = [m for m in self.live(now) if m.id not in self.seen.named()]
-        return not stand_by and not self.seen.holds(self.me.id)
+        stand_by = [
+            m for m in self.peers.live_members(now) if m.id not in self.newest_view.members()
+        ]
+        return not stand_by and not self.newest_view.has_data(self.member.id)
 
 
 class FreesAmidChange(Replica):
     """Goes while the voters are changing, as its place is taken in the set to come."""
 
-    def free(self, now: float) -> bool:
-        was = self.seen
-        if was is not None and was.former:
-            others = [m.id for m in self.live(now)]
-            return not was.holds(self.me.id) and was.agreed(others)
-        return Replica.free(self, now)
+    def is_dispensable(self, now: float) -> bool:
+        was = self.newest_view
+        if was is not None and was.former_voters:
+            others = [m.id for m in self.peers.live_members(now)]
+            return not was.has_data(self.member.id) and was.has_quorum(others)
+        return Replica.is_dispensable(self, now)
 
 
 class FreesUnheard(Replica):
     """Goes though it wrote for a view that it hasn't heard of."""
 
-    def free(self, now: float) -> bool:
-        was, self.promised = self.promised, 0
-        free = Replica.free(self, now)
-        self.promised = was
+    def is_dispensable(self, now: float) -> bool:
+        was, self.promised_epoch = self.promised_epoch, 0
+        free = Replica.is_dispensable(self, now)
+        self.promised_epoch = was
         return free
 
 
 class CopiesAll(Learner):
     """Copies what is on its disk, in force or not."""
 
-    def due(self, replica: Replica) -> Held | None:
-        held = (replica.record.version, replica.record.data)
-        return held if held[0] > self.copy[0] else None
+    def next_copy(self, replica: Replica) -> VersionedData | None:
+        held = replica.record.configuration
+        return held if held.version > self.copy.version else None
 
 
-def passes_always(answer: dict[str, Any], asked: float, now: float, within: float) -> float:
+def passes_always(
+    lease_seconds: float | None, asked_at: float, now: float, timeout_seconds: float
+) -> float:
     """Passes on what was read, however long ago it asked."""
-    return within
+    return timeout_seconds
 
 
-def ends_at_once(replica: Replica, now: float, since: float, grace_period: float) -> bool:
+def ends_at_once(replica: Replica, now: float, since: float, grace_period_seconds: float) -> bool:
     return True
 
 
@@ -234,7 +248,7 @@
     "goes-on": Mutant(Rules(ballot=GoesOn), replace(RESCUE, members=4, versions=0), "b"),
     "any-backup": Mutant(Rules(rescue=AnyBackup), RESCUE, "b"),
     "passes-always": Mutant(Rules(passes=passes_always), READ, "e"),
-    "ends-at-once": Mutant(Rules(may_end=ends_at_once), LEAVE, "g"),
+    "ends-at-once": Mutant(Rules(may_shut_down=ends_at_once), LEAVE, "g"),
     "frees-early": Mutant(Rules(FreesEarly), LEAVE, "g"),
     "two-free-early": Mutant(Rules(FreesEarly), TWO_LEAVE, "g"),
     "frees-amid-change": Mutant(Rules(FreesAmidChange), EXCHANGE, "g", False),
--- a/loomstand/testing/model_checker/state_space.py
+++ b/loomstand/testing/model_checker/state_space.py
@@ -11,12 +11,13 @@
 import cbor2
 
 from loomstand.rpc.errors import CallRefusedError
-from loomstand.store.freshness import LEFT
-from loomstand.store.replica import Plan, Step
-from loomstand.store.rescue import case, told
-from loomstand.store.views import MARGIN, Member, Record, View, newest
+from loomstand.store.member_report import MemberReport
+from loomstand.store.planning import Action, ActionKind, change_view
+from loomstand.store.record import NO_CONFIGURATION, Record
+from loomstand.store.rescue import make_case
+from loomstand.store.timing import LEASE_SECONDS
+from loomstand.store.views import EPOCH_RANGE, Member, View, newest
 from loomstand.testing.model_checker.member import (
-    LEASE,
     TICK,
     Cell,
     Event,
@@ -130,7 +131,7 @@
             found = self.numbers[cell] = len(self.cells)
             self.cells.append(cell)
             t = Plot(self.rules, self.seeds(), cell).replica
-            views = {v for v in (cell.record.view, cell.seen) if v is not None}
+            views = {v for v in (cell.record.view, cell.newest_view) if v is not None}
             self.facts.append((t.lease_left(0.0), cell.version, tuple(views)))
         return found
 
@@ -150,11 +151,13 @@
         for i in range(b.members):
             record = Record("abcd"[i], i < 3)
             if not b.founding and i < 3:
-                record = Record("abcd"[i], True, 1, view, written=int(i < 2))
+                record = Record("abcd"[i], True, 1, view, written_epoch=int(i < 2))
             cell = waking(i, record)
             if not b.founding:
                 cell = aged(aged(cell))
-                cell = cell._replace(seen=view, settled=int(i == 0), reign=i == 0)
+                cell = cell._replace(
+                    newest_view=view, replicated_epoch=int(i == 0), is_established=i == 0
+                )
             cells.append(self.cell(cell))
         left = Left(b.faults, b.wipes, b.changes, b.yields, b.rescues, b.reads)
         none = (None,) * b.versions
@@ -200,13 +203,13 @@
             if work and work.stage == "put" and "own" in work.ids and view is not None:
                 plans.append(self.moved(view))
             for plan in plans:
-                if plan.step is Step.SETTLE:
+                if plan.kind is ActionKind.REPLICATE:
                     found.append(("settle",))
-                elif plan.step is Step.YIELD:
+                elif plan.kind is ActionKind.TRANSFER_LEADERSHIP:
                     found.append(("hand_over",))
                 elif "abcd"[cell.index] in self.bounds.takers:
-                    most = cell.promised // MARGIN * MARGIN + self.bounds.epochs
-                    epochs = range(cell.promised + 1, most + 1)
+                    most = cell.promised_epoch // EPOCH_RANGE * EPOCH_RANGE + self.bounds.epochs
+                    epochs = range(cell.promised_epoch + 1, most + 1)
                     found += [("start", plan, e) for e in epochs]
         if work and work.stage == "backup":
             found += [("backup", m) for m in stay if m != me and m not in work.asked]
@@ -215,12 +218,12 @@
         if view is not None and view.primary.id == me.id:
             fresh = {
                 me.id,
-                *(i for i, epoch, sent in cell.granted if sent == 0.0 and epoch == view.epoch),
+                *(i for i, epoch, sent in cell.grants if sent == 0.0 and epoch == view.epoch),
             }
             # no more of them once the lease is as long as it can be
             asked = (
                 []
-                if view.agreed(fresh)
+                if view.has_quorum(fresh)
                 else [m for m in view.electors().values() if m.id not in fresh]
             )
             found += [("beat", m) for m in asked]
@@ -228,9 +231,9 @@
         return self.own[key]
 
     @staticmethod
-    def moved(view: View) -> Plan:
-        """As `_take` plans when a backup doesn't write, whatever else is due."""
-        return Plan(Step.MOVE, "", view.voters, view.former)
+    def moved(view: View) -> Action:
+        """As `ConfigurationService` acts when a backup doesn't write, whatever else is due."""
+        return change_view("", view)
 
     def is_dull(self, cell: int, number: int) -> bool:
         """Whether a message can never matter again at a member; asked of the code, so mutants
@@ -241,12 +244,12 @@
         if found is None:
             message, c = self.messages[number], self.cells[cell]
             if message.op in ("beat", "install") and message.answer:
-                late = message.sent + LEASE <= 0.0
+                late = message.sent + LEASE_SECONDS <= 0.0
                 found = not message.heeded or (
                     late and self.step(cell, ("deliver", number)) == (cell, (), ())
                 )
             elif message.op == "beat":
-                found = message.sent + LEASE <= 0.0  # its answer would be worth nothing
+                found = message.sent + LEASE_SECONDS <= 0.0  # its answer would be worth nothing
             else:
                 found = self._stale(cell, c, message, number)
             self.dull[key] = found
@@ -264,7 +267,11 @@
             return True
         idle = outcome is None or outcome == (cell, (), ())
         # promises only grow, and those on disk for good; no work of that epoch begins any more
-        over = epoch <= c.record.promised if not message.answer else epoch < c.record.promised
+        over = (
+            epoch <= c.record.promised_epoch
+            if not message.answer
+            else epoch < c.record.promised_epoch
+        )
         return idle and over and (outcome is None or message.answer)
 
     # --- successors
@@ -356,7 +363,11 @@
             return (
                 state._replace(left=left._replace(yields=left.yields - 1)) if left.yields else None
             )
-        if event[0] == "start" and event[1].former and len(event[1].former) <= len(event[1].voters):
+        if (
+            event[0] == "start"
+            and event[1].former_voters
+            and len(event[1].former_voters) <= len(event[1].voters)
+        ):
             begins = all(
                 v.voters != event[1].voters for c in state.cells for v in self.facts[c][2]
             )  # a set that no view has yet
@@ -384,7 +395,7 @@
             return
         if (
             "restart" in self.bounds.kinds
-            and waking(i, cell.record, cell.copy)._replace(started=cell.started) != cell
+            and waking(i, cell.record, cell.copy)._replace(started_at=cell.started_at) != cell
         ):  # it loses something by it
             disks = {cell.record: "is killed and starts"}
             if cell.pen is not None:
@@ -433,19 +444,21 @@
                 yield from self._restart(rest, i, record, "is back with its old disk", True)
             return
         tenures = [Plot(self.rules, self.seeds(), self.cells[c]).replica for c in state.cells]
-        found = case(
-            (told(t, 0.0, (0, b"")) for t in tenures), (), [m.address for m in self.seeds()]
+        found = make_case(
+            (MemberReport.of(t, 0.0, NO_CONFIGURATION) for t in tenures),
+            (),
+            [m.address for m in self.seeds()],
         )
         chosen = found.chosen()
-        if chosen is None or found.waits():
+        if chosen is None or found.obstacles():
             return
         # what nobody in reach holds is lost
-        force = tuple(d if v < found.version() else None for v, d in enumerate(state.force))
+        force = tuple(d if v < found.newest_version() else None for v, d in enumerate(state.force))
         after = state._replace(
             left=state.left._replace(rescues=state.left.rescues - 1), force=force
         )
-        i = next(i for i, t in enumerate(tenures) if t.me == chosen.member)
-        yield from self._take(after, i, ("rescue", found, MARGIN))
+        i = next(i for i, t in enumerate(tenures) if t.member == chosen.member)
+        yield from self._take(after, i, ("rescue", found, EPOCH_RANGE))
 
     def _restart(
         self, state: Plain, i: int, record: Record, words: str, empty: bool = False
@@ -459,7 +472,7 @@
                 case (written, (kind, Message() as call, *body)) if call.by == i:
                     then = (kind, call._replace(heeded=False), *body)
                     cells[k] = self.cell(self.cells[number]._replace(pen=(written, then)))
-        copy = (0, b"") if empty else self.cells[state.cells[i]].copy
+        copy = NO_CONFIGURATION if empty else self.cells[state.cells[i]].copy
         cells[i] = self.cell(waking(i, record, copy))
         for number in state.late:
             m = self.messages[number]
@@ -552,10 +565,7 @@
 
     def _passes(self, read: Read) -> bool:
         """Whether that may be passed on now, however long its asker waited."""
-        return (
-            read.asked > -4 * TICK
-            and self.rules.passes({LEFT: read.left}, read.asked, 0.0, 1e9) > 0.0
-        )
+        return read.asked > -4 * TICK and self.rules.passes(read.left, read.asked, 0.0, 1e9) > 0.0
 
     # --- what must hold
 
@@ -596,13 +606,13 @@
                     raise Broken(f"(b) two views of epoch {view.epoch}")
         for c in state.cells:
             record = self.cells[c].record
-            if not record.founder and record.id in "abc":
+            if not record.is_founder and record.id in "abc":
                 raise Broken(f"(d) a disk that is new votes as {record.id}")
 
     def _left(self, state: Plain) -> tuple[View | None, list[str]]:
         """The newest view that those know who didn't end, and their disks."""
         cells = [self.cells[c] for i, c in enumerate(state.cells) if i not in state.gone]
-        return newest(*(v for c in cells for v in (c.record.view, c.seen))), [
+        return newest(*(v for c in cells for v in (c.record.view, c.newest_view))), [
             c.record.id for c in cells
         ]
 
@@ -611,14 +621,14 @@
         borne.
         """
         view, _ = self._left(state)
-        names = replace(view, former=()).named() if view else {}
+        names = replace(view, former_voters=()).members() if view else {}
         return any(self.cells[state.cells[i]].record.id in names for i in state.gone)
 
     def _check_left(self, state: Plain) -> None:
         view, ids = self._left(state)
-        if view is not None and not view.agreed(ids):
+        if view is not None and not view.has_quorum(ids):
             raise Broken("(g) those that are left can't agree any more")
-        if view is not None and not any(view.holds(id) for id in ids):
+        if view is not None and not any(view.has_data(id) for id in ids):
             raise Broken("(g) nobody that is left has the data")
 
     # --- words for a trace
@@ -639,8 +649,10 @@
             case ("rescue", _, epoch):
                 return f"founds the store anew by operators' word: epoch {epoch}"
             case ("start", plan, epoch):
-                voters, former = ("".join(m.id for m in ms) for ms in (plan.voters, plan.former))
-                return f"{plan.step.value}: epoch {epoch}, voters {voters}" + (
+                voters, former = (
+                    "".join(m.id for m in ms) for ms in (plan.voters, plan.former_voters)
+                )
+                return f"{plan.kind.value}: epoch {epoch}, voters {voters}" + (
                     f" and {former}" * bool(former)
                 )
             case (name, *parts):
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -15,7 +15,7 @@
 from loomstand.registry.instances import READY
 from loomstand.registry.process import RegistryService
 from loomstand.rpc.errors import CallRefusedError
-from loomstand.store.program import Place, Store
+from loomstand.store.program import Store, StoreSettings
 from loomstand.testing.simulation.bounds import Told
 from loomstand.testing.simulation.http_log import Book, exchange
 from loomstand.testing.simulation.loop import Life, VirtualLoop
@@ -198,7 +198,7 @@
         def make(air: Any, disk: Any, clock: Any, rng: Random) -> Any:
             settings = self.settings(ip)
             seeds = tuple(settings.store_address(seed) for seed, _ in settings.seed_nodes)
-            place = Place(settings.store_address(ip), seeds, settings.first_start)
+            place = StoreSettings(settings.store_address(ip), seeds, settings.first_start)
             return Store(place, air, disk, clock, rng)
 
         return make
--- a/loomstand/testing/simulation/control_plane.py
+++ b/loomstand/testing/simulation/control_plane.py
@@ -13,14 +13,14 @@
 from collections.abc import Sequence
 from random import Random
 
-from loomstand.store.replica import LEASE
+from loomstand.store.timing import LEASE_SECONDS
 from loomstand.testing.simulation.cluster import CONTROL, Cluster
 from loomstand.testing.simulation.http_log import Message, exchange, post
 from loomstand.testing.simulation.streams import Host
 
 PATIENT = 30.0  # s that these operators wait, so that late answers are seen too
 # s by which what is read may be older than its answer: passing on, and the way back
-PASSED = LEASE + 0.1
+PASSED = LEASE_SECONDS + 0.1
 
 
 class ControlPlane(Cluster):
--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -9,12 +9,14 @@
 
 import pytest
 from configuration_samples import CONFIG, FILE
+from msgspec import to_builtins
 from standin import StandIn
 
 from loomstand.ctl import calls, status
 from loomstand.ctl.commands import main
-from loomstand.store.replica import State
-from loomstand.store.rescue import Told, case
+from loomstand.store.member_report import MemberReport
+from loomstand.store.peers import MemberState
+from loomstand.store.rescue import make_case
 from loomstand.store.views import Member, View
 from loomstand.testing.simulation.cluster import Cluster
 
@@ -236,7 +238,9 @@
 def test_a_rescue_is_shown_and_done_once_all_see_the_same_and_the_word_is_given(stand, capsys):
     names = [Member(i, (f"10.1.0.{n}", 7341)) for n, i in enumerate("abcd", 1)]
     seeds, view = [m.address for m in names[:3]], View(3, names[0], names[1], tuple(names[:3]))
-    left = [Told(m, State.FIT, False, 60.0, 0.0, 3, view, 7, 0, 0) for m in names[2:]]
+    left = [
+        MemberReport(m, MemberState.HEALTHY, False, 60.0, 0.0, 3, view, 7, 0, 0) for m in names[2:]
+    ]
     gone, one = ["10.1.0.1", "10.1.0.2"], stand()
     one.status = {
         "life": "x",
@@ -248,7 +252,7 @@
         "limiters": {"present": [], "missing": []},
         "cores": [one.at],
     }
-    waits, due = (case(left, who, seeds).body() for who in ([], gone))
+    waits, due = (to_builtins(make_case(left, who, seeds).to_message()) for who in ([], gone))
     one.held = json.dumps({"case": waits}).encode()
     assert main(["core", "rescue", "--at", one.at, "--yes"]) == 1
     said = capsys.readouterr().out
@@ -285,7 +289,7 @@
     other.status, other.held = one.status | {"life": "y"}, json.dumps({"case": waits}).encode()
     assert main([*words, "--yes"]) == 1
     assert "don't see the same" in capsys.readouterr().out and len(one.calls) == before + 2
-    serving = case([replace(left[0], serves=1.0)], [], seeds).body()
+    serving = to_builtins(make_case([replace(left[0], lease_seconds=1.0)], [], seeds).to_message())
     one.held = other.held = json.dumps({"case": serving}).encode()
     assert main(words[:4]) == 0 and main([*words[:4], "--yes"]) == 1
 
--- a/tests/golden/names.py
+++ b/tests/golden/names.py
@@ -10,14 +10,15 @@
 from loomstand.config.settings import SettingsError, read_settings
 from loomstand.rpc.errors import CallRefusedError
 from loomstand.rpc.frames import FrameDecoder, FrameError, encode_frame
-from loomstand.store.change_history import NONE as NO_ORDERS
+from loomstand.store.change_history import EMPTY_HISTORY as NO_ORDERS
 from loomstand.store.change_history import ChangeHistory, digest
-from loomstand.store.counting_lease import CountingLease
+from loomstand.store.counting_lease import CountingLease, HolderPage
 from loomstand.store.disk import LmdbDisk
 from loomstand.store.learner import Learner
-from loomstand.store.program import Place, Store
-from loomstand.store.recovery import wake as wake_disk
-from loomstand.store.views import Member, Record, View
+from loomstand.store.program import Store, StoreSettings
+from loomstand.store.record import Record, VersionedData
+from loomstand.store.recovery import recover
+from loomstand.store.views import Member, View
 from loomstand.testing.simulation.cluster import CONTROL as OUTSIDE_PORT
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.http_log import exchange
@@ -35,13 +36,13 @@
 
 def store_duty(store):
     """What a store that runs knows of the counting duty: its epoch, number and host."""
-    duty = store.lending.duty
-    return [duty.epoch, duty.number, duty.named]
+    lease = store.parts.counting_leases.lease
+    return [lease.epoch, lease.number, lease.holder]
 
 
 def store_copy(store):
     """The learner's copy of a store that runs."""
-    return store.learner.copy
+    return store.parts.dissemination.learner.copy
 
 
 def platter_pages(machine):
@@ -61,16 +62,18 @@
     "CountingLease",
     "FrameDecoder",
     "FrameError",
+    "HolderPage",
     "Learner",
     "Life",
     "LmdbDisk",
     "MachineNetwork",
     "Member",
-    "Place",
     "Record",
     "SettingsError",
     "SimNetwork",
     "Store",
+    "StoreSettings",
+    "VersionedData",
     "View",
     "VirtualLoop",
     "digest",
@@ -80,8 +83,8 @@
     "parse_configuration",
     "platter_pages",
     "read_settings",
+    "recover",
     "store_copy",
     "store_duty",
     "store_record",
-    "wake_disk",
 ]
--- a/tests/golden/pages.py
+++ b/tests/golden/pages.py
@@ -42,8 +42,8 @@
     changed = names.View(6, two, None, (one, two), (one, two, three))
     rescued = names.View(1_000_001, three, one, (one, three), (), 1_000_001)
     data = b'{"version": "r12", "resources": []}'
-    orders = names.NO_ORDERS.after(9, names.digest(b"nine")).after(12, names.digest(data))
-    late = orders.passed(10, names.digest(b"ten, too late"))
+    orders = names.NO_ORDERS.appended(9, names.digest(b"nine")).appended(12, names.digest(data))
+    late = orders.with_superseded(10, names.digest(b"ten, too late"))
     return {
         "new": names.Record(one.id, True),
         "new, not of the first start": names.Record(one.id, False),
@@ -70,11 +70,13 @@
     """The pages beside the record: the duty's and the learner's."""
     duty = names.CountingLease("10.1.0.1")
     first = duty.page("10.1.0.1")
-    duty.number, duty.named = 4, "10.1.0.1"
+    duty.number, duty.holder = 4, "10.1.0.1"
     pages = {"duty, the first": first, "duty, the same": duty.page("10.1.0.1")}
     pages["duty, another"] = duty.page("10.1.0.2")
     made = {name: cbor2.dumps(page) for name, page in pages.items()}
-    return made | {"copy": names.Learner.page((12, b'{"version": "r12"}'))["copy"]}
+    return made | {
+        "copy": names.Learner.pages(names.VersionedData(12, b'{"version": "r12"}'))["copy"]
+    }
 
 
 def steps() -> dict[str, dict[str, str]]:
@@ -105,7 +107,7 @@
         raise AssertionError("the folder was taken for empty")
 
     try:
-        found = await names.wake_disk(disk, new, asyncio.Event())
+        found = await names.recover(disk, new, asyncio.Event())
     finally:
         disk.close()
     assert found is not None
--- a/tests/golden/runs.py
+++ b/tests/golden/runs.py
@@ -116,7 +116,7 @@
     def factory(self, host: str) -> Callable[..., Any]:
         def make(network, disk, clock, rng):
             seeds = tuple((h, names.STORE_PORT) for h in self.seeds)
-            place = names.Place((host, names.STORE_PORT), seeds, self.first)
+            place = names.StoreSettings((host, names.STORE_PORT), seeds, self.first)
             return names.Store(place, network, disk, clock, rng)
 
         return make
--- a/tests/store/test_change_history.py
+++ b/tests/store/test_change_history.py
@@ -8,16 +8,24 @@
 import json
 from random import Random
 
+import cbor2
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_rescue import rescue
 from test_store import World, _fault
 
+from loomstand.rpc.messages.rows import ChangeHistoryRow
 from loomstand.store import change_history
-from loomstand.store.change_history import NONE, Answer, ChangeHistory, digest, same
+from loomstand.store.change_history import (
+    EMPTY_HISTORY,
+    ChangeHistory,
+    Verdict,
+    digest,
+    is_same_configuration,
+)
+from loomstand.store.record import Record
 from loomstand.store.replica import Replica
-from loomstand.store.views import Record
 from loomstand.testing.simulation.cluster import Cluster
 
 ORDERS = st.lists(st.tuples(st.integers(1, 12), st.sampled_from([b"a", b"b", b"c"])), max_size=60)
@@ -25,13 +33,13 @@
 
 def served(sent: list[tuple[int, bytes]]):
     """What a register that never fails answers, each with what is remembered then."""
-    held, data, known = 0, b"", NONE
+    held, data, known = 0, b"", EMPTY_HISTORY
     for version, content in sent:
         answer = known.judge(held, data, version, content)
-        if answer is Answer.TAKE:
-            held, data, known = version, content, known.after(version, digest(content))
-        elif answer is Answer.PASSED:
-            known = known.passed(version, digest(content))
+        if answer is Verdict.ACCEPT:
+            held, data, known = version, content, known.appended(version, digest(content))
+        elif answer is Verdict.SUPERSEDED:
+            known = known.with_superseded(version, digest(content))
         yield version, content, answer, held, known
 
 
@@ -39,58 +47,70 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 def test_one_number_is_confirmed_to_one_content_and_what_was_confirmed_is_never_refused(sent, kept):
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(change_history, "KEPT", kept)
+        patch.setattr(change_history, "MAX_ENTRIES", kept)
         confirmed: dict[int, set[bytes]] = {}
         for version, content, answer, held, known in served(sent):
             mine = confirmed.setdefault(version, set())
-            if answer is Answer.CONFLICT:
+            if answer is Verdict.CONFLICT:
                 assert content not in mine and mine
             else:
                 mine.add(content)
-            assert held == max(n for n, _ in known.taken) and len(known.taken) <= kept
-            assert known.taken == tuple(sorted(known.taken))
-            assert len({n for n, _ in known.taken}) == len(known.taken)
+            assert held == max(n for n, _ in known.entries) and len(known.entries) <= kept
+            assert known.entries == tuple(sorted(known.entries))
+            assert len({n for n, _ in known.entries}) == len(known.entries)
             # beyond the bound only a number with that many higher ones may have two
             assert len(mine) < 2 or len([n for n in confirmed if n > version]) >= kept
-            assert ChangeHistory.read(known.body(), held, next(c for c in confirmed[held])) == known
+            assert (
+                ChangeHistory.from_row(known.to_row(), held, next(c for c in confirmed[held]))
+                == known
+            )
 
 
 def test_what_comes_with_another_configuration_or_spoilt_is_not_taken_over():
-    known = NONE.after(3, digest(b"x")).after(7, digest(b"seven"))
-    numbers, contents = known.body()
-    assert ChangeHistory.read([numbers, contents], 7, b"seven") == known
-    for body in (
+    known = EMPTY_HISTORY.appended(3, digest(b"x")).appended(7, digest(b"seven"))
+    numbers, contents = known.to_row().versions, known.to_row().digests
+    assert ChangeHistory.from_row(ChangeHistoryRow(numbers, contents), 7, b"seven") == known
+    for row in (
         None,
-        [],
-        [[7, 3], contents],
-        [[3, 3], contents],
-        [numbers, contents[:-1]],
-        [numbers, b""],
+        ChangeHistoryRow([], b""),
+        ChangeHistoryRow([7, 3], contents),
+        ChangeHistoryRow([3, 3], contents),
+        ChangeHistoryRow(numbers, contents[:-1]),
+        ChangeHistoryRow(numbers, b""),
     ):
-        assert ChangeHistory.read(body, 7, b"seven") == NONE
+        assert ChangeHistory.from_row(row, 7, b"seven") == EMPTY_HISTORY
     assert (
-        ChangeHistory.read(known.body(), 8, b"seven")
-        == ChangeHistory.read(known.body(), 7, b"other")
-        == NONE
+        ChangeHistory.from_row(known.to_row(), 8, b"seven")
+        == ChangeHistory.from_row(known.to_row(), 7, b"other")
+        == EMPTY_HISTORY
     )
     record = Record("a", True, 3, None, 7, b"seven", 3, known)
-    assert Record.read(record.pages()) == record
+    assert Record.from_pages(record.pages()) == record
+    for page in (None, []):  # as a page, which nobody checked before
+        spoilt = record.pages() | {"orders": cbor2.dumps(page)}
+        assert Record.from_pages(spoilt).history == EMPTY_HISTORY
     ninth = Record("a", True, 3, None, 9, b"nine", 4).pages()["configuration"]
     older = record.pages() | {"configuration": ninth}
-    assert Record.read(older).orders == NONE  # an older program wrote the configuration alone
+    assert (
+        Record.from_pages(older).history == EMPTY_HISTORY
+    )  # an older program wrote the configuration alone
     del older["orders"]
-    assert Record.read(older).version == 9
+    assert Record.from_pages(older).version == 9
 
 
 def test_the_one_held_is_compared_by_what_it_says_and_older_ones_by_their_bytes():
     one = b'{"version":"r7","resources":[{"a":1,"b":"\\u00e9"}]}'
     anew = b'{ "resources": [{"b": "\xc3\xa9", "a": 1.0}], "version": "r7" }'
-    known = NONE.after(7, digest(one))
-    assert same(one, anew) and known.judge(7, one, 7, anew) is Answer.AGAIN
-    assert known.judge(7, one, 7, one.replace(b"1", b"2")) is Answer.CONFLICT
-    assert not same(b"[" * 100_000, b"[" * 100_001) and not same(b"{", b"[")
-    assert known.after(9, digest(b"{}")).judge(9, b"{}", 7, anew) is Answer.CONFLICT
-    assert NONE.judge(7, one, 7, b"{}") is Answer.CONFLICT  # held, and nothing known of its orders
+    known = EMPTY_HISTORY.appended(7, digest(one))
+    assert is_same_configuration(one, anew) and known.judge(7, one, 7, anew) is Verdict.REPEATED
+    assert known.judge(7, one, 7, one.replace(b"1", b"2")) is Verdict.CONFLICT
+    assert not is_same_configuration(b"[" * 100_000, b"[" * 100_001) and not is_same_configuration(
+        b"{", b"["
+    )
+    assert known.appended(9, digest(b"{}")).judge(9, b"{}", 7, anew) is Verdict.CONFLICT
+    assert (
+        EMPTY_HISTORY.judge(7, one, 7, b"{}") is Verdict.CONFLICT
+    )  # held, and nothing known of its orders
 
 
 # --- whole cores
@@ -213,21 +233,21 @@
 
 
 def forgets_at_start(patch) -> None:
-    read = Record.read
+    read = Record.from_pages
     patch.setattr(
         Record,
-        "read",
+        "from_pages",
         staticmethod(lambda pages: read({k: v for k, v in pages.items() if k != "orders"})),
     )
 
 
 def forgets_at_the_backup(patch) -> None:
-    keep = Replica.keep
-    patch.setattr(Replica, "keep", lambda self, *parts: keep(self, *parts[:4]))
+    keep = Replica.accept_write
+    patch.setattr(Replica, "accept_write", lambda self, *parts: keep(self, *parts[:4]))
 
 
 def forgets_what_came_too_late(patch) -> None:
-    patch.setattr(ChangeHistory, "passed", lambda self, *_: self)
+    patch.setattr(ChangeHistory, "with_superseded", lambda self, *_: self)
 
 
 def answers_all_the_same(patch) -> None:
@@ -235,7 +255,7 @@
     patch.setattr(
         ChangeHistory,
         "judge",
-        lambda *a: Answer.PASSED if judge(*a) is Answer.CONFLICT else judge(*a),
+        lambda *a: Verdict.SUPERSEDED if judge(*a) is Verdict.CONFLICT else judge(*a),
     )
 
 
@@ -244,7 +264,7 @@
     patch.setattr(
         ChangeHistory,
         "judge",
-        lambda *a: Answer.CONFLICT if judge(*a) is Answer.PASSED else judge(*a),
+        lambda *a: Verdict.CONFLICT if judge(*a) is Verdict.SUPERSEDED else judge(*a),
     )
 
 
@@ -370,20 +390,20 @@
         world.loop.close()
 
 
-def keeps_what_an_earlier_reign_knew(patch) -> None:
-    crown = Replica.crown
+def keeps_what_an_earlier_term_knew(patch) -> None:
+    become_established = Replica.become_established
 
     def mine(self, now):
-        before, done = self.orders, crown(self, now)
-        if done and before.taken:
-            self.orders = before
+        before, done = self.history, become_established(self, now)
+        if done and before.entries:
+            self.history = before
         return done
 
-    patch.setattr(Replica, "crown", mine)
+    patch.setattr(Replica, "become_established", mine)
 
 
 def test_one_that_leads_again_knows_what_was_acknowledged_meanwhile(monkeypatch):
     assert leads_again() is False
-    keeps_what_an_earlier_reign_knew(monkeypatch)
+    keeps_what_an_earlier_term_knew(monkeypatch)
     with pytest.raises(AssertionError, match="two confirmed under r7"):
         leads_again()
--- a/tests/store/test_counting_lease.py
+++ b/tests/store/test_counting_lease.py
@@ -12,7 +12,7 @@
 from loomstand.admission.actions import IncrementCounter
 from loomstand.admission.outcome import Outcome
 from loomstand.store.counting_lease import CountingLease
-from loomstand.store.replica import LEASE
+from loomstand.store.timing import LEASE_SECONDS
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.streams import Host
 
@@ -103,11 +103,11 @@
 @pytest.mark.parametrize(
     ("what", "instead"),
     [
-        ("wake", lambda self, *page: None),  # one that starts again by its disk knows of nobody
-        ("inherit", lambda self, *will: None),  # nor does one that is handed the reign
+        ("restore", lambda self, *page: None),  # one that starts again by its disk knows of nobody
+        ("take_handover", lambda self, *will: None),  # nor does one that is handed the reign
         (
-            "lapse",
-            lambda self, now: bool(self.named) and self.back(self.named, self.life),
+            "expire",
+            lambda self, now: bool(self.holder) and self.release(self.holder, self.incarnation),
         ),  # it isn't waited for
     ],
 )
@@ -128,7 +128,9 @@
     async def ask() -> None:
         sent, registry.holding.until = registry.clock(), 0.0
         assert await registry.claim((store.host, registry.settings.store_address(ip)[1]))
-        assert registry.clock() > sent + 0.3 and sent < registry.holding.until <= sent + LEASE
+        assert (
+            registry.clock() > sent + 0.3 and sent < registry.holding.until <= sent + LEASE_SECONDS
+        )
 
     core.do(ask())
     core.close()
@@ -140,12 +142,12 @@
     core.do(core.simulation(0))
     a = next(ip for ip, s in core.stores.items() if serves(s))
     store, view = core.stores[a].programs[0], core.stores[a].programs[0].replica.record.view
-    core.sky.cut(a, next(m.address[0] for m in view.voters if not view.holds(m.id)))
+    core.sky.cut(a, next(m.address[0] for m in view.voters if not view.has_data(m.id)))
     core.wait(3.0)  # the lease stands by the backup alone; the third one's grant is long over
 
     async def part() -> None:
         leaving = asyncio.ensure_future(store.stop())
-        while store.replica.promised == view.epoch:
+        while store.replica.promised_epoch == view.epoch:
             await asyncio.sleep(0.001)
         core.stores[view.backup.address[0]].kill()
         ask = {"epoch": 0, "asker": "the third one", "released": 0}
@@ -200,7 +202,7 @@
 
 def serves(store: Host) -> bool:
     programs = store.programs if store.runs else []
-    return any(g._desk is not None and g.replica.lease_left(g.clock()) > 0.0 for g in programs)
+    return any(g.is_running and g.replica.lease_left(g.clock()) > 0.0 for g in programs)
 
 
 def test_a_registry_that_leaves_gives_the_duty_back_at_once_and_limiters_hear_it():
--- a/tests/store/test_disk.py
+++ b/tests/store/test_disk.py
@@ -68,7 +68,7 @@
         raise OSError("killed here")
 
     with monkeypatch.context() as killed:
-        killed.setattr(LmdbDisk, "_names_last", ended)
+        killed.setattr(LmdbDisk, "_sync_names", ended)
         with pytest.raises(OSError, match="killed here"):
             lived(tmp_path / "granary", LmdbDisk.load)
     assert (tmp_path / "granary" / "data.mdb").exists()
@@ -102,7 +102,7 @@
 
 def test_it_is_caught_where_names_are_not_synced(tmp_path, synced, monkeypatch):
     """The mutation: the file's bytes are synced, its name and its folder's aren't."""
-    monkeypatch.setattr(LmdbDisk, "_names_last", lambda _: None)
+    monkeypatch.setattr(LmdbDisk, "_sync_names", lambda _: None)
     lived(tmp_path / "granary", written)
     power_lost(tmp_path, synced)
     assert lived(tmp_path / "granary", LmdbDisk.load) == {}
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -30,7 +30,7 @@
 from loomstand.rpc.frames import FrameDecoder as Frames
 from loomstand.rpc.frames import encode_frame
 from loomstand.store import disk
-from loomstand.store.change_history import KEPT
+from loomstand.store.change_history import MAX_ENTRIES
 from loomstand.store.disk import LmdbDisk
 from loomstand.store.replica import Replica
 from loomstand.testing.simulation.cluster import Cluster
@@ -189,8 +189,8 @@
     assert world.sent >= 550
     for machine, store in world.stores():
         assert store.replica.version == world.acked, f"{machine.host} never caught up"
-        assert sum(map(len, machine.platter.pages.values())) < 1000 + 16 * KEPT
-        assert len(store.desk.tasks) < 20 and len(store.replica.orders.taken) <= KEPT
+        assert sum(map(len, machine.platter.pages.values())) < 1000 + 16 * MAX_ENTRIES
+        assert len(store.parts.io.tasks) < 20 and len(store.replica.history.entries) <= MAX_ENTRIES
 
 
 def long_day(seed: int) -> None:
@@ -352,7 +352,15 @@
 def test_the_largest_body_fits_into_a_frame_and_on_the_disk(tmp_path, monkeypatch):
     raw = os.urandom(MOST_BODY)
     frame = encode_frame(
-        [1, "keep", {"version": 2**62, "data": raw, "orders": [[2**62] * KEPT, b"12345678" * KEPT]}]
+        [
+            1,
+            "keep",
+            {
+                "version": 2**62,
+                "data": raw,
+                "orders": [[2**62] * MAX_ENTRIES, b"12345678" * MAX_ENTRIES],
+            },
+        ]
     )
     assert next(Frames().feed(frame))[2]["data"] == raw
 
@@ -362,7 +370,9 @@
             try:
                 for _ in range(24):
                     size = rng.choice((7000, rng.randrange(MOST_BODY), MOST_BODY))
-                    runner.run(made.save({"configuration": raw[:size], "orders": raw[: 12 * KEPT]}))
+                    runner.run(
+                        made.save({"configuration": raw[:size], "orders": raw[: 12 * MAX_ENTRIES]})
+                    )
                     runner.run(made.save({"vote": raw[:300]}))
                 assert len(runner.run(made.load())["configuration"]) == size
             finally:
@@ -370,6 +380,6 @@
         return (tmp_path / folder / "data.mdb").stat().st_size
 
     assert write("one") < 64 << 20
-    monkeypatch.setattr(disk, "SIZE", 2 * MOST_BODY)
+    monkeypatch.setattr(disk, "MAP_BYTES", 2 * MOST_BODY)
     with pytest.raises(OSError, match="MAP_FULL"):
         write("other")
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -11,8 +11,9 @@
 import pytest
 
 from loomstand.registry import program
+from loomstand.rpc.messages.configuration_messages import ReadResponse
 from loomstand.store import freshness
-from loomstand.store.program import Store
+from loomstand.store.configuration_service import ConfigurationService
 from loomstand.testing.simulation.cluster import CONTROL, Cluster
 from loomstand.testing.simulation.control_plane import PASSED, ControlPlane, drawn
 from loomstand.testing.simulation.streams import Host
@@ -66,7 +67,11 @@
 
 
 def test_a_lease_that_is_looked_at_only_as_the_store_answers_is_not_enough(monkeypatch):
-    monkeypatch.setattr(freshness, "left", lambda answer, asked, now, within: within)
+    monkeypatch.setattr(
+        freshness,
+        "remaining_seconds",
+        lambda lease_seconds, asked_at, now, timeout_seconds: timeout_seconds,
+    )
     plane = ControlPlane(3)
     plane.do(plane.begin())
     with pytest.raises(AssertionError, match="handed out"):
@@ -77,10 +82,14 @@
 
 def test_an_answer_may_be_passed_on_while_nobody_else_can_serve_counted_from_the_asking():
     said = {"version": 7, "left": 0.9}
-    assert freshness.left(said, 10.0, 10.2, 5.0) == pytest.approx(0.7)
-    assert freshness.left(said, 10.0, 10.9, 5.0) == 0.0 == freshness.left(said, 10.0, 10.4, 0.4)
+    assert freshness.remaining_seconds(said["left"], 10.0, 10.2, 5.0) == pytest.approx(0.7)
+    assert (
+        freshness.remaining_seconds(said["left"], 10.0, 10.9, 5.0)
+        == 0.0
+        == freshness.remaining_seconds(said["left"], 10.0, 10.4, 0.4)
+    )
     # of a store before the rule
-    assert freshness.left({"version": 7}, 10.0, 10.3, 0.8) == pytest.approx(0.5)
+    assert freshness.remaining_seconds(None, 10.0, 10.3, 0.8) == pytest.approx(0.5)
 
 
 async def thaw(host: Host) -> None:
@@ -238,10 +247,11 @@
 
 
 def test_drawn_troubles_find_a_store_that_reads_without_a_lease(monkeypatch):
-    async def read(self: Store, body):
-        return {"version": self.replica.version, "data": self.replica.data}
+    async def read(self: ConfigurationService, request):
+        replica = self._io.replica
+        return ReadResponse(version=replica.version, data=replica.data)
 
-    monkeypatch.setattr(Store, "_read", read)
+    monkeypatch.setattr(ConfigurationService, "handle_read", read)
     with pytest.raises(AssertionError, match="handed out"):
         for seed in range(8):
             drawn(seed)
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -12,7 +12,7 @@
 
 from loomstand.store import recovery
 from loomstand.store.disk import LmdbDisk
-from loomstand.store.views import Record
+from loomstand.store.record import Record
 
 
 @pytest.fixture
@@ -20,7 +20,7 @@
     """A folder with member `old`, and `start`, which starts with databases that first fail to open
     so.
     """
-    monkeypatch.setattr(recovery, "AGAIN", (0.0, 0.0))
+    monkeypatch.setattr(recovery, "RETRY_SECONDS", (0.0, 0.0))
     opened = lmdb.open
 
     def start(*failures: Exception, stopped: bool = False) -> tuple[Record | None, int]:
@@ -36,7 +36,7 @@
         if stopped:
             event.set()
         with asyncio.Runner() as runner:
-            woken = runner.run(recovery.wake(made, lambda: Record("new", False), event))
+            woken = runner.run(recovery.recover(made, lambda: Record("new", False), event))
         made.close()
         return woken and woken[0], len(left)
 
@@ -100,7 +100,7 @@
     world.wait(2.0)
     world.first = False
     assert world.do(world.put_within(0.5))
-    before = {m.host: g.replica.me for m, g in world.stores()}
+    before = {m.host: g.replica.member for m, g in world.stores()}
     for machine in world.machines.values():
         machine.power_off()
         setattr(machine.platter, trouble, True)
@@ -111,5 +111,5 @@
         setattr(machine.platter, trouble, False)
     assert world.do(world.put_within(4.5))  # the disks' next tries come within a second
     assert world.do(world.newest()) >= world.acked
-    assert {m.host: g.replica.me for m, g in world.stores()} == before
+    assert {m.host: g.replica.member for m, g in world.stores()} == before
     world.close()
--- a/tests/store/test_replica_copies.py
+++ b/tests/store/test_replica_copies.py
@@ -12,10 +12,11 @@
 from test_rescue import rescue
 from test_store import HOSTS, VIEW, A, B, C, World, member
 
-from loomstand.store import graceful_shutdown
-from loomstand.store.learner import MOST, PAGE, Learner
-from loomstand.store.replica import Replica, State
-from loomstand.store.views import Record
+from loomstand.store import graceful_shutdown, planning
+from loomstand.store.learner import MAX_COPY_BYTES, PAGE_NAME, Learner
+from loomstand.store.peers import MemberState
+from loomstand.store.record import Record, VersionedData
+from loomstand.store.replica import Replica
 from loomstand.testing.simulation.machine import Machine, machines
 
 
@@ -37,17 +38,17 @@
         ]
 
     def copies(self) -> tuple[int, int]:
-        views = [s.replica.base() for _, s in self.stores()]
+        views = [s.replica.newest_known_view() for _, s in self.stores()]
         view = max((v for v in views if v), key=lambda v: v.epoch, default=None)
         synced = elected = 0
         for machine in self.machines.values():
             pages = machine.platter.pages
-            record = Record.read(pages)
+            record = Record.from_pages(pages)
             if record is None:
                 continue
             holds = record.version >= self.acked
-            synced += holds or Learner.wake(pages).copy[0] >= self.acked
-            elected += holds and view is not None and view.holds(record.id)
+            synced += holds or Learner.from_pages(pages).copy[0] >= self.acked
+            elected += holds and view is not None and view.has_data(record.id)
         return synced, elected
 
     async def count(self) -> None:
@@ -191,7 +192,7 @@
     back = world.loop.create_task(returns(first, away))
     begun = world.loop.time()
     await leaving_
-    assert world.loop.time() - begun <= 6.0 - graceful_shutdown.MARGIN + 0.3, (
+    assert world.loop.time() - begun <= 6.0 - graceful_shutdown.SAFETY_MARGIN_SECONDS + 0.3, (
         "a process is held past its grace period"
     )
     backup.platter.wipe()
@@ -243,22 +244,31 @@
     """Whoever is named, the backup without a vote too, takes nobody's place, and no vote is
     needed.
     """
-    if self.seen is None or self.me.id not in self.seen.named():
+    if self.newest_view is None or self.member.id not in self.newest_view.members():
         return True
-    stand_by = [m for m in self.live(now) if m.id not in self.seen.named()]
-    return not stand_by and not self.seen.holds(self.me.id)
+    stand_by = [m for m in self.peers.live_members(now) if m.id not in self.newest_view.members()]
+    return not stand_by and not self.newest_view.has_data(self.member.id)
 
 
-def only_the_backup(self: Replica, base, order) -> set[str]:
+def only_the_backup(replica: Replica, base, order) -> set[str]:
     return {base.backup.id} if base.backup else set()
 
 
 @pytest.mark.parametrize(
     "hosts, out",
     [
-        (3, {(graceful_shutdown, "holds_only_copy"): no, (graceful_shutdown, "must_vote"): no}),
-        (3, {(Replica, "free"): free_without_a_vote}),
-        (4, {(Replica, "_first"): only_the_backup, (graceful_shutdown, "must_vote"): no}),
+        (
+            3,
+            {(graceful_shutdown, "holds_only_copy"): no, (graceful_shutdown, "is_vote_needed"): no},
+        ),
+        (3, {(Replica, "is_dispensable"): free_without_a_vote}),
+        (
+            4,
+            {
+                (planning, "_first_candidates"): only_the_backup,
+                (graceful_shutdown, "is_vote_needed"): no,
+            },
+        ),
     ],
     ids=[
         "half of the grace period",
@@ -306,38 +316,45 @@
 def test_a_rescue_finds_the_third_copy_though_both_disks_and_all_power_were_lost(monkeypatch):
     found, acked = rescued()
     assert found == acked > 0
-    monkeypatch.setattr(Learner, "due", lambda self, replica: None)
+    monkeypatch.setattr(Learner, "next_copy", lambda self, replica: None)
     found, acked = rescued()
     assert found < acked
 
 
 def test_a_learner_writes_what_was_in_force_and_nothing_that_its_disk_has_or_waits_for():
     replica, learner = member(C), Learner()
-    assert learner.due(replica) is None  # nothing known to be in force
+    assert learner.next_copy(replica) is None  # nothing known to be in force
     replica.commit(8, b"eight")
-    assert learner.due(replica) == (8, b"eight")
-    again = Learner.wake(learner.page((8, b"eight")))
-    assert again.copy == (8, b"eight") and again.due(replica) is None
-    replica.commit(9, bytes(MOST + 1))
-    assert learner.due(replica) is None
+    assert learner.next_copy(replica) == (8, b"eight")
+    again = Learner.from_pages(learner.pages(VersionedData(8, b"eight")))
+    assert again.copy == (8, b"eight") and again.next_copy(replica) is None
+    replica.commit(9, bytes(MAX_COPY_BYTES + 1))
+    assert learner.next_copy(replica) is None
     started = member(C)
     started.commit(6, b"six")  # others may tell of older ones first
-    assert again.due(started) is None
-    for broken in ({}, {PAGE: b"\xff"}, {PAGE: cbor2.dumps(3)}, {PAGE: cbor2.dumps(["x", 1])}):
-        assert Learner.wake(broken) == Learner()
+    assert again.next_copy(started) is None
+    for broken in (
+        {},
+        {PAGE_NAME: b"\xff"},
+        {PAGE_NAME: cbor2.dumps(3)},
+        {PAGE_NAME: cbor2.dumps(["x", 1])},
+    ):
+        assert Learner.from_pages(broken) == Learner()
     for holder in (A, B):
         replica = member(holder)
         replica.commit(8, b"eight")
-        assert Learner().due(replica) is None
+        assert Learner().next_copy(replica) is None
 
 
 def test_a_member_that_was_told_to_stop_is_never_held_past_its_grace_period():
     replica = member(B)
-    replica.state = State.LEAVING
-    assert VIEW.holds("b") and graceful_shutdown.holds_only_copy(replica, 10.0)
-    assert not graceful_shutdown.may_end(replica, 14.9, 10.0, 6.0) and graceful_shutdown.may_end(
-        replica, 15.0, 10.0, 6.0
-    )
+    replica.state = MemberState.LEAVING
+    assert VIEW.has_data("b") and graceful_shutdown.holds_only_copy(replica, 10.0)
+    assert not graceful_shutdown.may_shut_down(
+        replica, 14.9, 10.0, 6.0
+    ) and graceful_shutdown.may_shut_down(replica, 15.0, 10.0, 6.0)
     record = Record("d", False)
     # no view names it
-    assert graceful_shutdown.may_end(Replica(replica.me, (), record, 0.0, Random(1)), 0.0, 0.0, 6.0)
+    assert graceful_shutdown.may_shut_down(
+        Replica(replica.member, (), record, 0.0, Random(1)), 0.0, 0.0, 6.0
+    )
--- a/tests/store/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -14,9 +14,12 @@
 from pytest_bdd.steps import StepNamePrefix
 from test_store import HOSTS, MEMBERS, PORT, VIEW, World, member
 
-from loomstand.store.replica import Replica, State
-from loomstand.store.rescue import Told, case
-from loomstand.store.views import MARGIN, Record, View
+from loomstand.store.member_report import MemberReport
+from loomstand.store.peers import MemberState
+from loomstand.store.record import Record
+from loomstand.store.replica import Replica
+from loomstand.store.rescue import make_case
+from loomstand.store.views import EPOCH_RANGE, View
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.http_log import exchange, post
 from loomstand.testing.simulation.machine import Machine
@@ -91,7 +94,10 @@
 @then("the newest acknowledged version is in force, under an epoch of the next million")
 def _(world):
     view = world.primary().programs[0].replica.record.view
-    assert MARGIN <= view.epoch < 2 * MARGIN and view.rescue == view.epoch == world.done["epoch"]
+    assert (
+        EPOCH_RANGE <= view.epoch < 2 * EPOCH_RANGE
+        and view.rescue_epoch == view.epoch == world.done["epoch"]
+    )
     assert world.done["version"] == f"r{world.acked}" and len(view.voters) == 3 and view.backup
     assert world.do(world.newest()) == world.acked
 
@@ -165,13 +171,13 @@
     _one_view(world, world.done["epoch"])
     view = world.primary().programs[0].replica.record.view
     assert (
-        len(view.voters) == 3 and view.epoch > view.rescue == world.done["epoch"]
+        len(view.voters) == 3 and view.epoch > view.rescue_epoch == world.done["epoch"]
     )  # one of them votes again
 
 
 def _one_view(world, epoch):
     world.wait(1.0)
-    views = {g.replica.base().epoch for _, g in world.stores()}
+    views = {g.replica.newest_known_view().epoch for _, g in world.stores()}
     assert len(views) == 1 and views.pop() >= epoch and len(world.stores()) == 4
 
 
@@ -245,72 +251,83 @@
     world.wait(0.3)
     serving = [g for _, g in world.stores() if g.replica.lease_left(g.clock()) > 0.0]
     assert len(serving) == 1 and serving[0] is not old
-    assert all(m.programs[0].replica.record.promised >= MARGIN for m in away)
+    assert all(m.programs[0].replica.record.promised_epoch >= EPOCH_RANGE for m in away)
     World.check(world)
     world.close()
 
 
 def test_a_member_that_was_fenced_remembers_it_after_a_restart():
-    new = View(MARGIN, MEMBERS[1], MEMBERS[3], (MEMBERS[1], MEMBERS[3]), (), MARGIN)
+    new = View(EPOCH_RANGE, MEMBERS[1], MEMBERS[3], (MEMBERS[1], MEMBERS[3]), (), EPOCH_RANGE)
     replica = member(MEMBERS[0])
     replica.on_grant("c", 3, 5.0)
-    assert replica.leads(5.1) and replica.fenced() is None
-    replica.notice(View.read(new.body()))
-    assert not replica.leads(5.1)
-    record = replica.fenced()
-    again = Replica(replica.me, replica.seeds, Record.read(record.pages()), 9.0, Random(1))
-    for peer in again.peers.values():
-        peer.answered = 20.0
-    assert again.beat(20.0, MEMBERS[2].address)["ask"] == 0
-    again.wrote(20.0, record)
-    assert again.fenced() is None and not again.may_promise(20.0, 9, "b", 0)
-    later = View(MARGIN + 7, MEMBERS[3], None, new.voters, (), MARGIN)
+    assert replica.is_leader(5.1) and replica.fencing_record() is None
+    replica.observe_view(View.from_row(new.to_row()))
+    assert not replica.is_leader(5.1)
+    record = replica.fencing_record()
+    again = Replica(
+        replica.member, replica.seeds, Record.from_pages(record.pages()), 9.0, Random(1)
+    )
+    for peer in again.peers.by_address.values():
+        peer.answered_at = 20.0
+    assert again.heartbeat(MEMBERS[2].address).requested_lease_epoch == 0
+    again.on_persisted(record)
+    assert again.fencing_record() is None and not again.may_promise(20.0, 9, "b", 0)
+    later = View(EPOCH_RANGE + 7, MEMBERS[3], None, new.voters, (), EPOCH_RANGE)
     replica = member(MEMBERS[1])
-    replica.wrote(5.0, replica.install(new))
-    replica.notice(later)  # of the same rescue: nobody is fenced by an ordinary change
-    assert replica.promised == MARGIN
+    replica.on_persisted(replica.install(new))
+    replica.observe_view(later)  # of the same rescue: nobody is fenced by an ordinary change
+    assert replica.promised_epoch == EPOCH_RANGE
 
 
-def said(n: int, **more) -> Told:
+def said(n: int, **more) -> MemberReport:
     usual = {
-        "state": State.FIT,
-        "founder": False,
-        "age": 60.0,
-        "serves": 0.0,
-        "known": 3,
+        "state": MemberState.HEALTHY,
+        "is_founder": False,
+        "uptime_seconds": 60.0,
+        "lease_seconds": 0.0,
+        "highest_epoch": 3,
         "view": VIEW,
     }
-    return Told(MEMBERS[n], **usual | {"force": 5, "offered": 0, "disk": 0} | more)
+    versions = {"committed_version": 5, "offered_version": 0, "disk_version": 0}
+    return MemberReport(MEMBERS[n], **usual | versions | more)
 
 
 def test_what_a_rescue_waits_for_and_whom_it_chooses():
     seeds = [m.address for m in MEMBERS[:3]]
     gone = {HOSTS[0], HOSTS[1]}
-    found = case([said(2), said(3, offered=6)], gone, seeds)
-    assert found.waits() == [] and found.chosen().member == MEMBERS[3]
-    assert case([said(2, disk=6), said(3, offered=6)], gone, seeds).chosen().member == MEMBERS[3]
-    assert case([said(2), said(3)], gone, seeds).chosen().member == MEMBERS[2]
-    assert case([said(2), said(3)], gone, seeds).token() != found.token()
+    found = make_case([said(2), said(3, offered_version=6)], gone, seeds)
+    assert found.obstacles() == [] and found.chosen().member == MEMBERS[3]
+    assert (
+        make_case([said(2, disk_version=6), said(3, offered_version=6)], gone, seeds)
+        .chosen()
+        .member
+        == MEMBERS[3]
+    )
+    assert make_case([said(2), said(3)], gone, seeds).chosen().member == MEMBERS[2]
+    assert make_case([said(2), said(3)], gone, seeds).token() != found.token()
     # the majority is there, but both who had the data are lost: nobody could ever be elected
     apart = View(3, MEMBERS[0], MEMBERS[3], MEMBERS[:3])
     there = [said(1, view=apart), said(2, view=apart)]
-    assert case(there, {HOSTS[0], HOSTS[3]}, seeds).waits() == []
-    assert "the store recovers" in case([*there, said(3, view=apart)], {HOSTS[0]}, seeds).waits()[0]
+    assert make_case(there, {HOSTS[0], HOSTS[3]}, seeds).obstacles() == []
+    assert (
+        "the store recovers"
+        in make_case([*there, said(3, view=apart)], {HOSTS[0]}, seeds).obstacles()[0]
+    )
     # a rescue that broke off: those who promised it have given up their view, majority or not
-    broken = [said(1, known=MARGIN + 4), said(2), said(3)]
-    assert case(broken, {HOSTS[0]}, seeds).waits() == []
+    broken = [said(1, highest_epoch=EPOCH_RANGE + 4), said(2), said(3)]
+    assert make_case(broken, {HOSTS[0]}, seeds).obstacles() == []
     for told, words in (
         ([said(2)], "two machines"),
-        ([said(2), said(3, age=1.0)], "has run for less"),
-        ([said(2), said(3, view=None, founder=True, known=0)], ""),
-        ([said(2, view=None, founder=True), said(3, view=None)], "first start"),
+        ([said(2), said(3, uptime_seconds=1.0)], "has run for less"),
+        ([said(2), said(3, view=None, is_founder=True, highest_epoch=0)], ""),
+        ([said(2, view=None, is_founder=True), said(3, view=None)], "first start"),
         # named, so given up with what it has
-        ([said(2), said(3), said(1, state=State.SICK, offered=9)], ""),
+        ([said(2), said(3), said(1, state=MemberState.UNHEALTHY, offered_version=9)], ""),
     ):
-        waits = case(told, gone, seeds).waits()
+        waits = make_case(told, gone, seeds).obstacles()
         assert words in waits[0] if words else waits == [], waits
-    sick = [said(0, state=State.SICK), said(2), said(3)]
-    assert "disk is in trouble" in case(sick, {HOSTS[1]}, seeds).waits()[0]
+    sick = [said(0, state=MemberState.UNHEALTHY), said(2), said(3)]
+    assert "disk is in trouble" in make_case(sick, {HOSTS[1]}, seeds).obstacles()[0]
 
 
 # --- at random
@@ -348,7 +365,7 @@
     if rng.random() < 0.5:  # a first one breaks off
         first = world.machines[found["chosen"]]
         word = asyncio.create_task(ask(world, named, found["token"], first.host))
-        while all(g.replica.promised < MARGIN for _, g in world.stores()):
+        while all(g.replica.promised_epoch < EPOCH_RANGE for _, g in world.stores()):
             await asyncio.sleep(0.002)
         await asyncio.sleep(rng.uniform(0.0, 0.04))
         first.kill()
@@ -373,7 +390,7 @@
     world.sky.slow = {}
     assert await world.put_within(3.0)
     assert await world.newest() >= world.acked
-    assert {g.replica.base().rescue > 0 for _, g in world.stores()} == {True}
+    assert {g.replica.newest_known_view().rescue_epoch > 0 for _, g in world.stores()} == {True}
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -12,9 +12,11 @@
 
 from loomstand.rpc.errors import CallRefusedError
 from loomstand.store.disk import LmdbDisk
-from loomstand.store.program import Place, Store
-from loomstand.store.replica import HOLD, LEASE, Replica
-from loomstand.store.views import Member, Record, View
+from loomstand.store.program import Store, StoreSettings
+from loomstand.store.record import Record
+from loomstand.store.replica import Replica
+from loomstand.store.timing import GRANT_SECONDS, LEASE_SECONDS
+from loomstand.store.views import Member, View
 from loomstand.testing.simulation.loop import Life, VirtualLoop
 from loomstand.testing.simulation.machine import Machine, machines
 from loomstand.testing.simulation.network import MachineNetwork, SimNetwork
@@ -48,7 +50,8 @@
     def maker(self, host: str):
         def make(net, disk, clock, rng):
             seeds = tuple((h, PORT) for h in self.seeds)
-            return Watched(self, Place((host, PORT), seeds, self.first), net, disk, clock, rng)
+            settings = StoreSettings((host, PORT), seeds, self.first)
+            return Watched(self, settings, net, disk, clock, rng)
 
         return make
 
@@ -83,7 +86,9 @@
             self.broken = error
 
     def stores(self) -> list[tuple[Machine, Store]]:
-        return [(m, g) for m in self.machines.values() if m.runs for g in m.programs if g._desk]
+        return [
+            (m, g) for m in self.machines.values() if m.runs for g in m.programs if g.is_running
+        ]
 
     def check(self) -> None:
         """No two serve; what is in force was sent, has one content for good, and nothing goes
@@ -174,10 +179,10 @@
         super().__init__(*parts)
         self.world = world
 
-    def _crown(self) -> None:
-        before = self.replica.reign
-        super()._crown()
-        if self.replica.reign and not before:
+    def _become_serving(self) -> None:
+        before = self.replica.is_established
+        super()._become_serving()
+        if self.replica.is_established and not before:
             self.world.check_soon()
 
 
@@ -248,9 +253,9 @@
 
 @then("the old primary acknowledges nothing for its own part")
 def _(world, old):
-    assert not old.programs[0].replica.writes(old.programs[0].clock())
+    assert not old.programs[0].replica.can_write(old.programs[0].clock())
     world.wait(0.5)
-    assert not old.programs[0].replica.writes(old.programs[0].clock())
+    assert not old.programs[0].replica.can_write(old.programs[0].clock())
 
 
 @when(
@@ -373,7 +378,7 @@
 @then("only new machines vote")
 def _(world):
     view = world.primary().programs[0].replica.record.view
-    assert all(h.endswith(".2") for h in (m.address[0] for m in view.named().values()))
+    assert all(h.endswith(".2") for h in (m.address[0] for m in view.members().values()))
     assert len(view.voters) == 3
 
 
@@ -444,73 +449,85 @@
     """A member in VIEW that holds version 7, started at `now`."""
     record = Record(me.id, True, 3, VIEW, 7, b"seven", 3)
     replica = Replica(me, tuple(m.address for m in MEMBERS[:3]), record, now, Random(1))
-    for peer in replica.peers.values():
-        peer.answered = 1e9  # all the while
+    for peer in replica.peers.by_address.values():
+        peer.answered_at = 1e9  # all the while
     return replica
 
 
 def test_a_backup_writes_nothing_older_than_what_it_has():
     for stale in ((2, 8, b"eight"), (3, 6, b"six"), (3, 7, b"other")):
         with pytest.raises(CallRefusedError):
-            member(B).keep(stale[0], "a", *stale[1:])
-    assert member(B).keep(3, "a", 7, b"seven").version == 7
-    assert member(B).keep(4, "c", 6, b"six").written == 4
+            member(B).accept_write(stale[0], "a", *stale[1:])
+    assert member(B).accept_write(3, "a", 7, b"seven").version == 7
+    assert member(B).accept_write(4, "c", 6, b"six").written_epoch == 4
 
 
 def test_who_hands_out_its_data_takes_nothing_more_of_that_epoch():
     replica = member(B)
-    replica.fetch(5, "c")
+    replica.read_for_candidate(5, "c")
     with pytest.raises(CallRefusedError):
-        replica.keep(3, "a", 8, b"eight")
+        replica.accept_write(3, "a", 8, b"eight")
     with pytest.raises(CallRefusedError):
         replica.install(VIEW)
     with pytest.raises(CallRefusedError):
-        replica.fetch(4, "d")
-    assert replica.on_beat(9.0, member(A).beat(9.0, B.address))["granted"] == 0
+        replica.read_for_candidate(4, "d")
+    assert replica.on_heartbeat(9.0, member(A).heartbeat(B.address)).granted_epoch == 0
     primary = member(A)
     primary.on_grant("c", 3, 9.0)
-    assert primary.leads(9.1)
-    primary.fetch(5, "c")
-    assert not primary.leads(9.1)
+    assert primary.is_leader(9.1)
+    primary.read_for_candidate(5, "c")
+    assert not primary.is_leader(9.1)
 
 
 def test_a_voter_promises_nobody_else_while_a_grant_may_stand():
     replica = member(C, now=10.0)
-    assert not replica.may_promise(10.0 + HOLD - 0.01, 4, "b", 0)  # of an earlier life
+    assert not replica.may_promise(10.0 + GRANT_SECONDS - 0.01, 4, "b", 0)  # of an earlier life
     assert replica.may_promise(10.1, 4, "a", 0) and replica.may_promise(10.1, 4, "b", 3)
-    assert replica.may_promise(10.0 + HOLD, 4, "b", 0) and not replica.may_promise(12.0, 3, "b", 0)
-    assert replica.on_beat(20.0, member(A).beat(20.0, C.address))["granted"] == 3
-    assert not replica.may_promise(20.0 + HOLD - 0.01, 4, "b", 0)
-    assert replica.may_promise(20.0 + HOLD, 4, "b", 0)
+    assert replica.may_promise(10.0 + GRANT_SECONDS, 4, "b", 0) and not replica.may_promise(
+        12.0, 3, "b", 0
+    )
+    assert replica.on_heartbeat(20.0, member(A).heartbeat(C.address)).granted_epoch == 3
+    assert not replica.may_promise(20.0 + GRANT_SECONDS - 0.01, 4, "b", 0)
+    assert replica.may_promise(20.0 + GRANT_SECONDS, 4, "b", 0)
     stranger = member(Member("x", A.address))
-    assert replica.on_beat(30.0, stranger.beat(30.0, C.address))["granted"] == 0
+    assert replica.on_heartbeat(30.0, stranger.heartbeat(C.address)).granted_epoch == 0
 
 
 def test_a_primary_serves_only_what_its_backup_has_and_while_its_lease_lasts():
     replica = member(A)
     replica.on_grant("c", 2, 5.0)
-    assert not replica.leads(5.1)
+    assert not replica.is_leader(5.1)
     replica.on_grant("c", 3, 5.0)
-    assert replica.leads(5.1) and not replica.crown(5.1) and replica.lease_left(5.1) == 0.0
-    replica.settled = 3
-    assert replica.crown(5.1) and replica.version == 7 and replica.writes(5.0 + LEASE - 0.01)
-    assert not replica.may_promise(5.0 + LEASE - 0.01, 4, "b", 0)
+    assert (
+        replica.is_leader(5.1)
+        and not replica.become_established(5.1)
+        and replica.lease_left(5.1) == 0.0
+    )
+    replica.replicated_epoch = 3
+    assert (
+        replica.become_established(5.1)
+        and replica.version == 7
+        and replica.can_write(5.0 + LEASE_SECONDS - 0.01)
+    )
+    assert not replica.may_promise(5.0 + LEASE_SECONDS - 0.01, 4, "b", 0)
     # a change of its own view begins: it serves on, but writes nothing
     replica.promise(5.2, 4, "a", 0)
-    assert replica.lease_left(5.3) > 0.0 and not replica.writes(5.3)
-    assert replica.lease_left(5.0 + LEASE) == 0.0 and not replica.writes(5.0 + LEASE)
+    assert replica.lease_left(5.3) > 0.0 and not replica.can_write(5.3)
+    assert replica.lease_left(5.0 + LEASE_SECONDS) == 0.0 and not replica.can_write(
+        5.0 + LEASE_SECONDS
+    )
 
 
 def test_a_changed_view_needs_both_sets_of_voters():
     changed = View(4, A, B, (A, B, D), (A, B, C))
     assert (
-        not changed.agreed({"b", "d"})
-        and not changed.agreed({"a", "c"})
-        and changed.agreed({"a", "b"})
+        not changed.has_quorum({"b", "d"})
+        and not changed.has_quorum({"a", "c"})
+        and changed.has_quorum({"a", "b"})
     )
-    assert changed.agreed({"b", "c", "d"}) and VIEW.agreed({"a", "c"})
+    assert changed.has_quorum({"b", "c", "d"}) and VIEW.has_quorum({"a", "c"})
     with pytest.raises(CallRefusedError):
-        member(C).mine("b")
+        member(C).check_recipient("b")
 
 
 # --- random faults
--- a/tests/test_golden_programs.py
+++ b/tests/test_golden_programs.py
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("name", [*pages.records()])
 def test_a_record_is_read_back(name):
     found = pages.unhexed(load("pages")["records"][name])
-    assert names.Record.read(found) == pages.records()[name]
+    assert names.Record.from_pages(found) == pages.records()[name]
 
 
 def test_the_older_forms_of_pages_are_read():
@@ -150,29 +150,33 @@
     """
     record = pages.records()["with a view"]
     whole = pages.unhexed(load("pages")["records"]["with a view"])
-    bare = replace(record, orders=names.NO_ORDERS)
+    bare = replace(record, history=names.NO_ORDERS)
     assert len(cbor2.loads(whole["vote"])[1]) == 5
-    assert names.Record.read({k: v for k, v in whole.items() if k != "orders"}) == bare
+    assert names.Record.from_pages({k: v for k, v in whole.items() if k != "orders"}) == bare
     newer = cbor2.dumps([4, 13, b"thirteen"])
-    assert names.Record.read(whole | {"configuration": newer}) == replace(
+    assert names.Record.from_pages(whole | {"configuration": newer}) == replace(
         bare, version=13, data=b"thirteen"
     )
     torn = cbor2.dumps([[9, 12], b"short"])
-    assert names.Record.read(whole | {"orders": torn}) == bare
+    assert names.Record.from_pages(whole | {"orders": torn}) == bare
     rescued = pages.unhexed(load("pages")["records"]["after a rescue"])
     assert len(cbor2.loads(rescued["vote"])[1]) == 6
-    assert names.Record.read({}) is None
-    assert names.Record.read({k: v for k, v in whole.items() if k != "vote"}) is None
-    assert names.Record.read(whole | {"vote": b"\xff"}) is None
+    assert names.Record.from_pages({}) is None
+    assert names.Record.from_pages({k: v for k, v in whole.items() if k != "vote"}) is None
+    assert names.Record.from_pages(whole | {"vote": b"\xff"}) is None
 
 
 def test_the_pages_of_the_duty_and_of_the_learner_are_read():
     others = pages.unhexed(load("pages")["others"])
-    duty = names.CountingLease("10.1.0.1")
-    duty.wake(0.0, 4, cbor2.loads(others["duty, another"]))
-    assert (duty.epoch, duty.number, duty.named) == (4, 7, "10.1.0.2")
-    assert names.Learner.wake({"copy": others["copy"]}).copy == (12, b'{"version": "r12"}')
-    assert names.Learner.wake({}).copy == names.Learner.wake({"copy": b"\xff"}).copy == (0, b"")
+    lease = names.CountingLease("10.1.0.1")
+    lease.restore(0.0, 4, names.HolderPage(*cbor2.loads(others["duty, another"])))
+    assert (lease.epoch, lease.number, lease.holder) == (4, 7, "10.1.0.2")
+    assert names.Learner.from_pages({"copy": others["copy"]}).copy == (12, b'{"version": "r12"}')
+    assert (
+        names.Learner.from_pages({}).copy
+        == names.Learner.from_pages({"copy": b"\xff"}).copy
+        == (0, b"")
+    )
 
 
 # --- folders of a real disk
@@ -192,19 +196,24 @@
     record, found = asyncio.run(pages.read_folder(folder(name, tmp_path)))
     assert found == wanted
     assert record.id == cbor2.loads(wanted["member"])[0]
-    assert record.founder is True
+    assert record.is_founder is True
     view = record.view
-    assert (view.epoch, view.rescue, view.former, record.promised) == (3, 0, (), 3)
+    assert (view.epoch, view.rescue_epoch, view.former_voters, record.promised_epoch) == (
+        3,
+        0,
+        (),
+        3,
+    )
     assert view.primary.address == ("10.1.0.2", 7341) and view.backup.address == ("10.1.0.1", 7341)
     assert [m.address[0] for m in view.voters] == ["10.1.0.1", "10.1.0.2", "10.1.0.3"]
     written, version, data = cbor2.loads(wanted["configuration"])
-    assert (record.written, record.version, record.data) == (written, version, data)
+    assert (record.written_epoch, record.version, record.data) == (written, version, data)
     assert json.loads(record.data)["version"] == f"r{version}"
     assert names.parse_configuration(record.data).version == version
     if name == "older":
-        assert record.orders == names.NO_ORDERS
+        assert record.history == names.NO_ORDERS
     else:
-        assert record.orders.ends(version, names.digest(data))
+        assert record.history.ends_with(version, names.digest(data))
 
 
 @pytest.mark.parametrize("name", ["primary", "third", "older"])
