--- a/loomstand/store/configuration_service.py
+++ b/loomstand/store/configuration_service.py
@@ -116,7 +116,7 @@
         return True
 
     async def _remember(self, history: ChangeHistory) -> None:
-        """Has on both disks that a lower version was acknowledged, unless it is too low for that."""
+        """Has on both disks that a lower version was acknowledged, unless it is too low."""
         replica = self._io.replica
         if history == replica.history:
             return
--- a/loomstand/store/counting_lease.py
+++ b/loomstand/store/counting_lease.py
@@ -4,8 +4,8 @@
 is always a steady clock's seconds. What holds it together:
 
 - The lease is granted for a span that ends within the primary's own lease. The registry counts the
-  span from when it sent its request, the primary from when it answers, and longer by what clocks may
-  differ. So whoever serves next, after that lease, needs to know of no registry of before.
+  span from when it sent its request, the primary from when it answers, and longer by what clocks
+  may differ. So whoever serves next, after that lease, needs to know of no registry of before.
 - Where a primary goes on before its lease is over, it knows who holds the counting lease. One that
   restarts has the holder on its disk, written before the registry got the lease, and grants nobody
   else one for a lease's length. One that takes over by a transfer hears it from the one before.
--- a/loomstand/store/counting_lease_service.py
+++ b/loomstand/store/counting_lease_service.py
@@ -22,6 +22,7 @@
 )
 from loomstand.rpc.messages.rows import CountingTermRow
 from loomstand.store.counting_lease import CountingLease, HolderPage
+from loomstand.store.pages import COUNTING_LEASE_PAGE, Pages
 from loomstand.store.replica_io import ReplicaIO
 from loomstand.store.timing import (
     LONG_AGO,
@@ -32,8 +33,6 @@
 # A request waits so long until this store serves: the registry waits 0.4 s.
 REQUEST_WAIT_SECONDS = 0.35
 
-PAGE_NAME = "duty"
-
 
 class CountingLeaseService:
     """Grants the counting lease while its store serves, and follows the primary's word else."""
@@ -43,7 +42,7 @@
         io: ReplicaIO,
         wait_for_change: Callable[[], Awaitable[Any]],
         on_holder_change: Callable[[], None],
-        pages: dict[str, bytes],
+        pages: Pages,
     ) -> None:
         """Sets the service up.
 
@@ -63,12 +62,12 @@
         self._primary_serves_until = LONG_AGO
         self._restore(pages)
 
-    def _restore(self, pages: dict[str, bytes]) -> None:
+    def _restore(self, pages: Pages) -> None:
         replica = self._io.replica
         view = replica.record.view
-        if view is None or view.primary.id != replica.member.id or PAGE_NAME not in pages:
+        if view is None or view.primary.id != replica.member.id or COUNTING_LEASE_PAGE not in pages:
             return
-        number, holder = cbor2.loads(pages[PAGE_NAME])
+        number, holder = cbor2.loads(pages[COUNTING_LEASE_PAGE])
         self.lease.restore(replica.started_at, view.epoch, HolderPage(int(number), str(holder)))
 
     def _lease_left(self) -> float:
@@ -197,7 +196,7 @@
         if page == self.lease.persisted_page:
             return
         self.lease.persisted_page = None
-        await self._io.persist_pages({PAGE_NAME: cbor2.dumps([*page])})
+        await self._io.persist_pages({COUNTING_LEASE_PAGE: cbor2.dumps([*page])})
         if page != self.lease.page(host):
             raise CallRefusedError("it has changed")
         self.lease.persisted_page = page
--- a/loomstand/store/disk.py
+++ b/loomstand/store/disk.py
@@ -1,4 +1,4 @@
-"""The disk of a store: named pages, written together or not at all, and synced before a write ends."""
+"""The disk of a store: pages written together or not at all, and synced before a write ends."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 import lmdb
 from absl import logging
 
+from loomstand.store.pages import Pages
+
 # Mapped, half of the disk. A write needs the old value, the new one and those that the last two
 # writes freed, each in one piece: of configurations of up to 8 MB the file grew to 40 MB. It takes
 # what it needs.
@@ -35,7 +37,7 @@
 class Disk(Protocol):
     """Where a store's pages are, by name."""
 
-    async def load(self) -> dict[str, bytes]:
+    async def load(self) -> Pages:
         """All pages; none if the disk is empty or what is on it is proven damaged.
 
         Raises:
@@ -43,7 +45,7 @@
         """
         ...
 
-    async def save(self, pages: dict[str, bytes]) -> None:
+    async def save(self, pages: Pages) -> None:
         """Writes the pages and syncs them.
 
         Raises:
@@ -53,7 +55,9 @@
 
 
 class LmdbDisk:
-    """A `Disk` in a folder, over lmdb. One thread does all its work, so that writes keep their order.
+    """A `Disk` in a folder, over lmdb.
+
+    One thread does all its work, so that writes keep their order.
 
     Attributes:
         folder: Where the database is; made when it is first opened.
@@ -65,11 +69,11 @@
         self._environment: lmdb.Environment | None = None
         self._thread = ThreadPoolExecutor(1, "store-disk")
 
-    async def load(self) -> dict[str, bytes]:
+    async def load(self) -> Pages:
         """Reads all pages, see `Disk.load`."""
         return await asyncio.get_running_loop().run_in_executor(self._thread, self._load)
 
-    async def save(self, pages: dict[str, bytes]) -> None:
+    async def save(self, pages: Pages) -> None:
         """Writes pages, see `Disk.save`."""
         await asyncio.get_running_loop().run_in_executor(self._thread, self._save, pages)
 
@@ -106,7 +110,7 @@
             finally:
                 os.close(descriptor)
 
-    def _load(self) -> dict[str, bytes]:
+    def _load(self) -> Pages:
         try:
             return self._read_pages()
         except (*DAMAGE_ERRORS, ValueError) as error:
@@ -118,7 +122,7 @@
             self._close_environment()
             raise OSError(str(error)) from error
 
-    def _read_pages(self) -> dict[str, bytes]:
+    def _read_pages(self) -> Pages:
         """Reads all pages; ValueError if the checksum of one is wrong."""
         with self._open().begin() as transaction:
             stored = {bytes(key).decode(): bytes(value) for key, value in transaction.cursor()}
@@ -133,7 +137,7 @@
             self._environment.close()
             self._environment = None
 
-    def _save(self, pages: dict[str, bytes]) -> None:
+    def _save(self, pages: Pages) -> None:
         try:
             with self._open().begin(write=True) as transaction:
                 for name, page in pages.items():
--- a/loomstand/store/dissemination.py
+++ b/loomstand/store/dissemination.py
@@ -1,4 +1,4 @@
-"""How the committed configuration gets to every store: pushed by the primary, pulled by who missed it.
+"""How the committed configuration gets to every store: pushed by the primary, pulled by others.
 
 Every store keeps it in memory; those that are neither primary nor backup also write it to disk
 (`learner`).
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -1,7 +1,7 @@
 """How a member becomes primary, or a primary changes its view: the calls of an election.
 
 In this order: promises, the configuration, a backup that writes it, the view, the lease. What
-decides is in `ballot`.
+decides is in `election_rules`.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
     PrepareResponse,
 )
 from loomstand.rpc.network import transfer_seconds
-from loomstand.store.ballot import Ballot
 from loomstand.store.change_history import EMPTY_HISTORY, ChangeHistory
+from loomstand.store.election_rules import ElectionRules
 from loomstand.store.planning import Action, ActionKind, with_voters_of
 from loomstand.store.record import VersionedData
 from loomstand.store.replica_io import CALL_SECONDS, ReplicaIO
@@ -67,7 +67,7 @@
             if io.replica.member.id not in base.members():
                 return False
             action = with_voters_of(action, base)
-        is_elected = await Election(io, Ballot(action, base), transfer).run()
+        is_elected = await Election(io, ElectionRules(action, base), transfer).run()
         if is_elected is not None or action.kind is not ActionKind.TAKE_OVER:
             return bool(is_elected)
     return False
@@ -79,19 +79,19 @@
 
     Attributes:
         io: The member that stands.
-        ballot: What decides.
+        rules: What decides.
         transfer: Told by the primary, where that handed over.
         promised_ids: Member ids of those that promised.
     """
 
     io: ReplicaIO
-    ballot: Ballot
+    rules: ElectionRules
     transfer: LeadershipTransfer | None
     promised_ids: set[str] = field(default_factory=set)
 
     async def run(self) -> bool | None:
         """Returns whether it was won, None if a newer view has shown up."""
-        if self.ballot.action.kind is not ActionKind.CHANGE_VIEW:
+        if self.rules.action.kind is not ActionKind.CHANGE_VIEW:
             self.io.replica.end_term()
             if self.transfer is None and not await self._would_win():
                 return None if self._is_outdated() else False
@@ -112,7 +112,7 @@
     async def _install(self, epoch: int, backup: Member | None) -> bool:
         """Has all members of the new view write it; whether that brought the lease."""
         replica = self.io.replica
-        view = self.ballot.new_view(replica, epoch, backup, self.promised_ids)
+        view = self.rules.new_view(replica, epoch, backup, self.promised_ids)
         replica.replicated_epoch = epoch
         await self.io.persist(lambda _now: replica.install(view))
         replica.grant_installed(self.io.clock(), view)
@@ -127,13 +127,13 @@
         return True
 
     def _log(self, view: View) -> None:
-        action = self.ballot.action
+        action = self.rules.action
         logging.info(
             "store: elected action=%s reason=%r %s", action.kind.value, action.reason, view
         )
 
     def _is_outdated(self) -> bool:
-        return self.ballot.is_outdated(self.io.replica)
+        return self.rules.is_outdated(self.io.replica)
 
     async def _would_win(self) -> bool:
         """Whether enough would promise: a member that is cut off mustn't raise epochs in vain."""
@@ -143,17 +143,17 @@
             return False
 
         def is_enough(responses: dict[str, PrepareResponse]) -> bool:
-            return self._is_outdated() or self.ballot.has_quorum(
+            return self._is_outdated() or self.rules.has_quorum(
                 replica, [own_id, *_promising(responses)]
             )
 
         responses = await self.io.prepare(
-            self.ballot.electors(replica),
+            self.rules.electors(replica),
             PrepareRequest(epoch=0, released_epoch=0, candidate_id=own_id),
             is_enough,
         )
         self._observe_epochs(responses)
-        return self.ballot.is_won(replica, [own_id, *_promising(responses)])
+        return self.rules.is_won(replica, [own_id, *_promising(responses)])
 
     def _observe_epochs(self, responses: dict[str, PrepareResponse]) -> None:
         replica = self.io.replica
@@ -164,7 +164,7 @@
         """Returns the epoch that enough of them promised, or None."""
         replica = self.io.replica
         transfer = self.transfer
-        epoch = self.ballot.next_epoch(replica.highest_known_epoch())
+        epoch = self.rules.next_epoch(replica.highest_known_epoch())
         if epoch is None:
             return None
         certain_ids = {replica.member.id}
@@ -179,12 +179,12 @@
             if self._is_outdated():
                 return True
             # a founder would rather have all seeds, so that they all vote from the start
-            return self.ballot.base is not None and self.ballot.has_quorum(
+            return self.rules.base is not None and self.rules.has_quorum(
                 replica, certain_ids | _promising(responses)
             )
 
         responses = await self.io.prepare(
-            [m for m in self.ballot.electors(replica) if m.id not in certain_ids],
+            [m for m in self.rules.electors(replica) if m.id not in certain_ids],
             PrepareRequest(epoch=epoch, released_epoch=released_epoch, candidate_id=own_id),
             is_enough,
         )
@@ -192,24 +192,24 @@
         self.promised_ids = certain_ids | _promising(responses)
         if self._waits_for_seeds():
             return None
-        return epoch if self.ballot.is_won(replica, self.promised_ids) else None
+        return epoch if self.rules.is_won(replica, self.promised_ids) else None
 
     def _waits_for_seeds(self) -> bool:
         """Whether a founder rather tries again: two voters could lose neither."""
         replica = self.io.replica
         is_early = self.io.clock() < replica.started_at + FOUNDING_WAIT_SECONDS
         lacks_seeds = len(self.promised_ids) < len(replica.seeds)
-        return self.ballot.base is None and is_early and lacks_seeds
+        return self.rules.base is None and is_early and lacks_seeds
 
     async def _read_configuration(self, epoch: int) -> VersionedData | None:
         """Returns what the base committed, or may have: of its backup, else of its primary."""
         replica = self.io.replica
-        found = self.ballot.own_configuration(replica)
+        found = self.rules.own_configuration(replica)
         replica.inherited_history = EMPTY_HISTORY
-        for member in self.ballot.sources():
+        for member in self.rules.sources():
             if found is None:
                 found = await self._read_from(member, epoch)
-        return self.ballot.newest_configuration(replica, found)
+        return self.rules.newest_configuration(replica, found)
 
     async def _read_from(self, member: Member, epoch: int) -> VersionedData | None:
         replica = self.io.replica
@@ -227,14 +227,14 @@
     async def _choose_backup(self, epoch: int, configuration: VersionedData) -> _BackupChoice:
         """Has another member write the configuration; a core of one machine needs nobody."""
         replica = self.io.replica
-        for member in replica.peers.backup_candidates(self.io.clock(), self.ballot.base):
-            if not self.ballot.may_be_backup(member, self.promised_ids):
+        for member in replica.peers.backup_candidates(self.io.clock(), self.rules.base):
+            if not self.rules.may_be_backup(member, self.promised_ids):
                 continue
             failure = await self.io.replicate(member, epoch, configuration)
             if failure is None:
                 return _BackupChoice(True, member)
             replica.peers.avoid(self.io.clock(), member)
-        is_single = self.ballot.base is None and len(replica.seeds) == 1
+        is_single = self.rules.base is None and len(replica.seeds) == 1
         return _BackupChoice(is_single, None)
 
 
--- a/loomstand/store/ballot.py
+++ b/loomstand/store/election_rules.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ballot:
+class ElectionRules:
     """One election of one candidate.
 
     Attributes:
--- a/loomstand/store/freshness.py
+++ b/loomstand/store/freshness.py
@@ -1,4 +1,4 @@
-"""Whether an answer of the store may still be passed on: whoever does so looks as it writes its own.
+"""Whether an answer of the store may still be passed on, at the moment of passing it on.
 
 A process may freeze, or its bytes wait in a socket, after the lease was looked at; meanwhile others
 may serve and acknowledge more. So an answer that tells what is committed says for how long nobody
--- a/loomstand/store/learner.py
+++ b/loomstand/store/learner.py
@@ -18,11 +18,10 @@
 
 import cbor2
 
+from loomstand.store.pages import COPY_PAGE, Pages
 from loomstand.store.record import NO_CONFIGURATION, VersionedData
 from loomstand.store.replica import Replica
 
-PAGE_NAME = "copy"
-
 # A larger configuration isn't copied: its write would hold up the disk that the next change may
 # need. Ten thousand routes take 2.7 MB.
 MAX_COPY_BYTES = 4 << 20
@@ -39,10 +38,10 @@
     copy: VersionedData = NO_CONFIGURATION
 
     @staticmethod
-    def from_pages(pages: dict[str, bytes]) -> Learner:
+    def from_pages(pages: Pages) -> Learner:
         """From the pages found at the start; a page that can't be read is none."""
         try:
-            version, data = cbor2.loads(pages[PAGE_NAME])
+            version, data = cbor2.loads(pages[COPY_PAGE])
             return Learner(VersionedData(int(version), bytes(data)))
         except (KeyError, ValueError, TypeError, EOFError, cbor2.CBORDecodeError):
             return Learner()
@@ -61,6 +60,6 @@
         return committed
 
     @staticmethod
-    def pages(copy: VersionedData) -> dict[str, bytes]:
+    def pages(copy: VersionedData) -> Pages:
         """The pages to write for a copy."""
-        return {PAGE_NAME: cbor2.dumps([*copy])}
+        return {COPY_PAGE: cbor2.dumps([*copy])}
--- a/loomstand/store/planning.py
+++ b/loomstand/store/planning.py
@@ -1,4 +1,4 @@
-"""What a member should do next: keep its view up as primary, stand for election, or found the store.
+"""What a member should do next: maintain its view, stand for election, or found the store.
 
 Pure decisions on a `Replica`, without clock, disk or network; `leadership` carries them out.
 """
@@ -87,11 +87,16 @@
     if not replica.is_leader(now):
         return None
     if replica.replicated_epoch != view.epoch or replica.record.version > replica.version:
-        if is_backup_usable or view.backup is None:
-            return Action(ActionKind.REPLICATE, "its backup may not hold all")
-        return None
-    if not is_backup_usable:
-        return None
+        may_replicate = is_backup_usable or view.backup is None
+        action = Action(ActionKind.REPLICATE, "its backup may not hold all")
+        return action if may_replicate else None
+    return _stable_view_action(replica, now, view, live) if is_backup_usable else None
+
+
+def _stable_view_action(
+    replica: Replica, now: float, view: View, live: list[Member]
+) -> Action | None:
+    """With all committed and the backup usable: complete a change, leave, or change the voters."""
     if view.former_voters:
         return Action(ActionKind.CHANGE_VIEW, "the change of voters is complete", view.voters)
     if replica.state is MemberState.LEAVING:
--- a/loomstand/store/program.py
+++ b/loomstand/store/program.py
@@ -49,6 +49,7 @@
 from loomstand.store.heartbeats import Heartbeats
 from loomstand.store.leadership import Leadership
 from loomstand.store.learner import Learner
+from loomstand.store.pages import Pages
 from loomstand.store.peers import MemberState
 from loomstand.store.record import Record
 from loomstand.store.recovery import recover
@@ -87,8 +88,7 @@
     def __init__(
         self,
         io: ReplicaIO,
-        pages: dict[str, bytes],
-        rng: Random,
+        pages: Pages,
         first_revision: int,
         tick: Callable[[], None],
         become_serving: Callable[[], None],
@@ -98,7 +98,6 @@
         Args:
             io: The store's replica.
             pages: What is on the disk at the start.
-            rng: Draws the epoch of a rescue.
             first_revision: Of the status.
             tick: Does what is due.
             become_serving: Has the store serve if it can.
@@ -116,7 +115,7 @@
         self.leadership = Leadership(
             io, self.counting_leases, self.dissemination, become_serving, self.status.refresh
         )
-        self.rescue = RescueService(io, self.leadership.lock, rng, become_serving)
+        self.rescue = RescueService(io, self.leadership.lock, become_serving)
         self.rescue.offer(learner.copy)
         self.configuration = ConfigurationService(
             io, self.leadership, self.status, self.rescue.offer
@@ -225,9 +224,7 @@
         member = Member(record.id, self.settings.address)
         replica = Replica(member, self.settings.seeds, record, started_at, self._rng)
         io = ReplicaIO(replica, self._network, self._disk, self.clock)
-        self._parts = Parts(
-            io, pages, self._rng, self._first_revision, self._tick, self._become_serving
-        )
+        self._parts = Parts(io, pages, self._first_revision, self._tick, self._become_serving)
         logging.info(
             "store: started member=%s host=%s %s",
             member.id,
@@ -264,7 +261,7 @@
             self.replica.state = MemberState.LEAVING
             self._parts.heartbeats.send_all()
             since = self.clock()
-            while not self._may_shut_down(since):
+            while not self._may_shut_down(since):  # noqa: ASYNC110 -- time decides, too
                 await asyncio.sleep(TICK_SECONDS)
         self._stopped.set()
 
--- a/loomstand/store/record.py
+++ b/loomstand/store/record.py
@@ -9,6 +9,13 @@
 
 from loomstand.rpc.messages.rows import ChangeHistoryRow
 from loomstand.store.change_history import EMPTY_HISTORY, ChangeHistory
+from loomstand.store.pages import (
+    CONFIGURATION_PAGE,
+    HISTORY_PAGE,
+    MEMBER_PAGE,
+    VOTE_PAGE,
+    Pages,
+)
 from loomstand.store.views import View
 
 
@@ -52,37 +59,30 @@
         """The configuration that it wrote, committed or not."""
         return VersionedData(self.version, self.data)
 
-    def pages(self, previous: Record | None = None) -> dict[str, bytes]:
+    def pages(self, previous: Record | None = None) -> Pages:
         """The pages that differ from `previous`: a promise doesn't write the configuration anew."""
-        pages: dict[str, bytes] = {}
+        pages: Pages = {}
         if previous is None or (previous.id, previous.is_founder) != (self.id, self.is_founder):
-            pages["member"] = cbor2.dumps([self.id, self.is_founder])
-        if previous is None or previous._vote() != self._vote():
+            pages[MEMBER_PAGE] = cbor2.dumps([self.id, self.is_founder])
+        if previous is None or _vote(previous) != _vote(self):
             view = self.view.to_page() if self.view else None
-            pages["vote"] = cbor2.dumps([self.promised_epoch, view])
-        if previous is None or previous._written() != self._written():
-            pages["configuration"] = cbor2.dumps([self.written_epoch, self.version, self.data])
-        # a page of its own, so that older programs read the rest
+            pages[VOTE_PAGE] = cbor2.dumps([self.promised_epoch, view])
+        if previous is None or _written(previous) != _written(self):
+            pages[CONFIGURATION_PAGE] = cbor2.dumps([self.written_epoch, self.version, self.data])
         if self.history != (previous.history if previous is not None else EMPTY_HISTORY):
             row = self.history.to_row()
-            pages["orders"] = cbor2.dumps([row.versions, row.digests])
+            pages[HISTORY_PAGE] = cbor2.dumps([row.versions, row.digests])
         return pages
 
-    def _vote(self) -> tuple[int, View | None]:
-        return self.promised_epoch, self.view
-
-    def _written(self) -> tuple[int, int, bytes]:
-        return self.written_epoch, self.version, self.data
-
     @staticmethod
-    def from_pages(pages: dict[str, bytes]) -> Record | None:
+    def from_pages(pages: Pages) -> Record | None:
         """The record of a disk, None if nothing usable is there (empty, or broken)."""
-        if "member" not in pages:
+        if MEMBER_PAGE not in pages:
             return None
         try:
-            member_id, is_founder = cbor2.loads(pages["member"])
-            promised_epoch, view_page = cbor2.loads(pages["vote"])
-            written_epoch, version, data = cbor2.loads(pages["configuration"])
+            member_id, is_founder = cbor2.loads(pages[MEMBER_PAGE])
+            promised_epoch, view_page = cbor2.loads(pages[VOTE_PAGE])
+            written_epoch, version, data = cbor2.loads(pages[CONFIGURATION_PAGE])
             view = View.from_page(view_page)
             history = _read_history(pages, version, data)
         except (KeyError, ValueError, TypeError, EOFError, cbor2.CBORDecodeError):
@@ -92,8 +92,16 @@
         )
 
 
-def _read_history(pages: dict[str, bytes], version: int, data: bytes) -> ChangeHistory:
-    page = cbor2.loads(pages["orders"]) if "orders" in pages else None
+def _vote(record: Record) -> tuple[int, View | None]:
+    return record.promised_epoch, record.view
+
+
+def _written(record: Record) -> tuple[int, int, bytes]:
+    return record.written_epoch, record.version, record.data
+
+
+def _read_history(pages: Pages, version: int, data: bytes) -> ChangeHistory:
+    page = cbor2.loads(pages[HISTORY_PAGE]) if HISTORY_PAGE in pages else None
     if not page:
         return EMPTY_HISTORY
     versions, digests = page
--- a/loomstand/store/recovery.py
+++ b/loomstand/store/recovery.py
@@ -9,6 +9,7 @@
 from absl import logging
 
 from loomstand.store.disk import Disk
+from loomstand.store.pages import Pages
 from loomstand.store.record import Record
 
 # Until the second look, and the longest pause: a disk that stalls is back within a second or so.
@@ -24,7 +25,7 @@
     """
 
     record: Record
-    pages: dict[str, bytes]
+    pages: Pages
 
 
 async def recover(
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -49,7 +49,7 @@
         seeds: The stores' addresses at the seeds of the settings.
         record: What is on its disk for sure.
         started_at: When it started.
-        rng: Draws the spread of its backoff.
+        rng: Draws the spread of its backoff, and the epoch of a rescue.
         promised_epoch: Never under the record's: raised before the disk is asked.
         promised_candidate: Member id of whom it promised that epoch to.
         newest_view: The newest view that it heard of.
--- a/loomstand/store/replica_io.py
+++ b/loomstand/store/replica_io.py
@@ -1,4 +1,4 @@
-"""Where a replica meets its disk and its peers: changes are on disk before anybody hears of them."""
+"""A replica's disk and its calls to peers: a change is on disk before anybody hears of it."""
 
 from __future__ import annotations
 
@@ -23,6 +23,7 @@
 )
 from loomstand.rpc.network import Body, transfer_seconds
 from loomstand.store.disk import Disk
+from loomstand.store.pages import Pages
 from loomstand.store.peers import MemberState
 from loomstand.store.record import Record, VersionedData
 from loomstand.store.replica import Replica
@@ -98,7 +99,7 @@
     # --- the disk
 
     async def persist(self, change: Callable[[float], Record]) -> Record:
-        """Makes a change of the record and has it on disk; a caller that is cancelled doesn't stop it.
+        """Makes a change of the record and has it on disk; a cancelled caller doesn't stop it.
 
         Args:
             change: Gets the time at which it is made, returns the record to write.
@@ -121,7 +122,7 @@
             self.replica.on_persisted(record)
             return record
 
-    async def persist_pages(self, pages: dict[str, bytes]) -> None:
+    async def persist_pages(self, pages: Pages) -> None:
         """Writes pages beside the record.
 
         Raises:
@@ -129,11 +130,11 @@
         """
         await asyncio.shield(self.spawn(self._persist_pages(pages)))
 
-    async def _persist_pages(self, pages: dict[str, bytes]) -> None:
+    async def _persist_pages(self, pages: Pages) -> None:
         async with self.write_lock:
             await self._save(pages)
 
-    async def _save(self, pages: dict[str, bytes]) -> None:
+    async def _save(self, pages: Pages) -> None:
         self.write_began_at = self.clock()
         try:
             await self.disk.save(pages)
--- a/loomstand/store/rescue.py
+++ b/loomstand/store/rescue.py
@@ -1,7 +1,8 @@
 """Whether operators may have a lost store founded anew: what is found, and what is in the way.
 
 A rescue is for where more was lost than the store bears (docs/rescue.md). Decisions only, without
-disk, network or clock; `rescue_service` makes the calls, `rescue_ballot` decides the election.
+disk, network or clock; `rescue_service` makes the calls, `rescue_election_rules` decides the
+election.
 """
 
 from __future__ import annotations
@@ -84,7 +85,7 @@
     # --- what is in the way
 
     def obstacles(self) -> list[str]:
-        """Why nothing may be done; empty if a rescue is due and all that it gives up is vouched for."""
+        """Why nothing may be done; empty if a rescue is due and its losses are vouched for."""
         serving = [
             f"{report.host} serves: nothing is lost"
             for report in self.reports
--- a/loomstand/store/rescue_ballot.py
+++ b/loomstand/store/rescue_election_rules.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from loomstand.store.ballot import Ballot
+from loomstand.store.election_rules import ElectionRules
 from loomstand.store.planning import Action, ActionKind
 from loomstand.store.record import VersionedData
 from loomstand.store.replica import Replica
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RescueBallot(Ballot):
+class RescueElectionRules(ElectionRules):
     """An election for which all in reach must promise, in the place of electors that are no more.
 
     That all of them do bars two rescues from one reach: where two overlap, one doesn't get a
@@ -73,8 +73,10 @@
         return View(epoch, replica.member, backup, voters, (), epoch)
 
 
-def make_rescue_ballot(case: RescueCase, configuration: VersionedData, rng: Random) -> RescueBallot:
-    """The ballot of a candidate that holds `configuration`."""
+def make_rescue_rules(
+    case: RescueCase, configuration: VersionedData, rng: Random
+) -> RescueElectionRules:
+    """The rules for a candidate that holds `configuration`."""
     lost_hosts = " ".join(member.address[0] for member in case.lost_members()) or "nobody known"
     action = Action(ActionKind.RESCUE, f"operators gave up {lost_hosts}")
-    return RescueBallot(action, case.view, case, configuration, rng.randrange(DRAWN_EPOCHS))
+    return RescueElectionRules(action, case.view, case, configuration, rng.randrange(DRAWN_EPOCHS))
--- a/loomstand/store/rescue_service.py
+++ b/loomstand/store/rescue_service.py
@@ -1,13 +1,12 @@
 """The calls of a rescue: all members are asked what they hold, the one chosen founds the view.
 
-What decides is in `rescue` and `rescue_ballot`.
+What decides is in `rescue` and `rescue_election_rules`.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from random import Random
 
 from expression import Result
 
@@ -25,7 +24,7 @@
 from loomstand.store.record import NO_CONFIGURATION, VersionedData
 from loomstand.store.replica_io import CALL_SECONDS, ReplicaIO
 from loomstand.store.rescue import RescueCase, make_case
-from loomstand.store.rescue_ballot import make_rescue_ballot
+from loomstand.store.rescue_election_rules import make_rescue_rules
 from loomstand.store.views import View
 
 # For a whole rescue at the member chosen: two looks, promises, a backup's write or two, and the
@@ -40,7 +39,6 @@
         self,
         io: ReplicaIO,
         leadership_lock: asyncio.Lock,
-        rng: Random,
         become_serving: Callable[[], None],
     ) -> None:
         """Sets the service up.
@@ -48,12 +46,10 @@
         Args:
             io: The store's replica.
             leadership_lock: Held by whatever a primary or candidate does.
-            rng: Draws the rescue's epoch.
             become_serving: Has the store serve if it can.
         """
         self._io = io
         self._leadership_lock = leadership_lock
-        self._rng = rng
         self._become_serving = become_serving
         # the highest that was given back and isn't known to be committed
         self._offered = NO_CONFIGURATION
@@ -142,9 +138,9 @@
         if refusals:
             return RescueResponse(refusals=refusals)
         configuration = best_configuration(replica, self._offered)
-        ballot = make_rescue_ballot(case, configuration, self._rng)
+        rules = make_rescue_rules(case, configuration, replica.rng)
         try:
-            is_elected = await Election(self._io, ballot, None).run()
+            is_elected = await Election(self._io, rules, None).run()
         except CallRefusedError as error:
             return RescueResponse(refusals=[f"nothing is founded: {error}"])
         view = replica.record.view
--- a/loomstand/store/views.py
+++ b/loomstand/store/views.py
@@ -14,9 +14,10 @@
 from loomstand.rpc.messages.rows import MemberRow, ViewRow
 
 # Epochs are divided into ranges of this size. A rescue's epoch is in the next range above every
-# epoch known in reach, and views that follow stay within their range (`Ballot.next_epoch`): so
-# members that were given up, wherever they are, never get above it. The number of the range counts
-# the rescues. Without faults views don't change; at two changes a second a range lasts six days.
+# epoch known in reach, and views that follow stay within their range (`ElectionRules.next_epoch`):
+# so members that were given up, wherever they are, never get above it. The number of the range
+# counts the rescues. Without faults views don't change; at two changes a second a range lasts six
+# days.
 EPOCH_RANGE = 1_000_000
 
 
--- a/loomstand/testing/model_checker/member.py
+++ b/loomstand/testing/model_checker/member.py
@@ -1,4 +1,4 @@
-"""One member at one moment, as a value: the store's own Replica and Ballot are set up from it, take
+"""One member at one moment, as a value: the store's own Replica and ElectionRules are set up from it, take
 one event and are written back. Only the order of calls (store/election.py and program.py) is told
 again here.
 
@@ -20,7 +20,7 @@
 from loomstand.rpc.errors import CallRefusedError
 from loomstand.rpc.messages.replication_messages import HeartbeatRequest, HeartbeatResponse
 from loomstand.store import freshness, graceful_shutdown
-from loomstand.store.ballot import Ballot
+from loomstand.store.election_rules import ElectionRules
 from loomstand.store.learner import Learner
 from loomstand.store.lease import Grant
 from loomstand.store.member_report import best_configuration
@@ -29,7 +29,7 @@
 from loomstand.store.record import NO_CONFIGURATION, Record, VersionedData
 from loomstand.store.replica import Replica
 from loomstand.store.rescue import RescueCase
-from loomstand.store.rescue_ballot import RescueBallot
+from loomstand.store.rescue_election_rules import RescueElectionRules
 from loomstand.store.timing import GRANT_SECONDS, LEASE_SECONDS, LONG_AGO
 from loomstand.store.views import Member, View
 
@@ -128,8 +128,8 @@
     """The code under test; mutants exchange a part of it."""
 
     replica: type[Replica] = Replica
-    ballot: type[Ballot] = Ballot
-    rescue: type[RescueBallot] = RescueBallot
+    ballot: type[ElectionRules] = ElectionRules
+    rescue: type[RescueElectionRules] = RescueElectionRules
     learner: type[Learner] = Learner
     passes: Callable[..., float] = (
         freshness.remaining_seconds
@@ -379,7 +379,7 @@
         if record is not None:
             self.ink(lambda: record, "fenced")
 
-    def ballot(self) -> Ballot:
+    def ballot(self) -> ElectionRules:
         assert self.work is not None and self.work.action is not None
         if self.work.case is not None:
             configuration = best_configuration(self.replica, NO_CONFIGURATION)
--- a/loomstand/testing/model_checker/mutants.py
+++ b/loomstand/testing/model_checker/mutants.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from loomstand.rpc.errors import CallRefusedError
-from loomstand.store.ballot import Ballot
+from loomstand.store.election_rules import ElectionRules
 from loomstand.store.learner import Learner
 from loomstand.store.record import Record, VersionedData
 from loomstand.store.replica import Replica
-from loomstand.store.rescue_ballot import RescueBallot
+from loomstand.store.rescue_election_rules import RescueElectionRules
 from loomstand.store.views import Member, View
 from loomstand.testing.model_checker.member import Rules
 from loomstand.testing.model_checker.state_space import Bounds
@@ -97,39 +97,39 @@
             self.newest_view = view
 
 
-class GoesOn(Ballot):
+class GoesOn(ElectionRules):
     """Lets a view that was given up go on above a rescue's epoch."""
 
     def next_epoch(self, highest_epoch: int) -> int | None:
         return highest_epoch + 1
 
 
-class AnyBackup(RescueBallot):
+class AnyBackup(RescueElectionRules):
     """Fills a backup that promised nothing: an old disk that has just come back."""
 
     def may_be_backup(self, member: Member, promised_ids: Collection[str]) -> bool:
         return True
 
 
-class Alone(Ballot):
+class Alone(ElectionRules):
     """Installs a view without a majority's promises."""
 
     def has_quorum(self, replica: Replica, member_ids: Collection[str]) -> bool:
         return True
 
 
-class AtOneGo(Ballot):
+class AtOneGo(ElectionRules):
     """Changes the voters without the agreement of those before."""
 
     def new_view(
         self, replica: Replica, epoch: int, backup: Member | None, promised_ids: Collection[str]
     ) -> View:
         return replace(
-            Ballot.new_view(self, replica, epoch, backup, promised_ids), former_voters=()
+            ElectionRules.new_view(self, replica, epoch, backup, promised_ids), former_voters=()
         )
 
 
-class Anybody(Ballot):
+class Anybody(ElectionRules):
     """Takes what it has itself for what is in force, whoever it is."""
 
     def own_configuration(self, replica: Replica) -> VersionedData | None:
--- a/tests/store/test_replica_copies.py
+++ b/tests/store/test_replica_copies.py
@@ -13,7 +13,8 @@
 from test_store import HOSTS, VIEW, A, B, C, World, member
 
 from loomstand.store import graceful_shutdown, planning
-from loomstand.store.learner import MAX_COPY_BYTES, PAGE_NAME, Learner
+from loomstand.store.learner import MAX_COPY_BYTES, Learner
+from loomstand.store.pages import COPY_PAGE
 from loomstand.store.peers import MemberState
 from loomstand.store.record import Record, VersionedData
 from loomstand.store.replica import Replica
@@ -335,9 +336,9 @@
     assert again.next_copy(started) is None
     for broken in (
         {},
-        {PAGE_NAME: b"\xff"},
-        {PAGE_NAME: cbor2.dumps(3)},
-        {PAGE_NAME: cbor2.dumps(["x", 1])},
+        {COPY_PAGE: b"\xff"},
+        {COPY_PAGE: cbor2.dumps(3)},
+        {COPY_PAGE: cbor2.dumps(["x", 1])},
     ):
         assert Learner.from_pages(broken) == Learner()
     for holder in (A, B):
