--- a/loomstand/store/counting_lease_service.py
+++ b/loomstand/store/counting_lease_service.py
@@ -99,18 +99,23 @@
 
     def term(self) -> CountingTermRow | None:
         """Who holds the lease, as it is known here."""
+        if self._lease_left() > 0.0:
+            self._adopt_own_epoch()
+        return self.lease.term()
+
+    def _adopt_own_epoch(self) -> None:
+        """While this store serves, what it tells is under its own epoch."""
         view = self._io.replica.record.view
-        if view is not None and self._lease_left() > 0.0:
+        if view is not None:
             self.lease.epoch = max(self.lease.epoch, view.epoch)
-        return self.lease.term()
 
     def serving(self) -> ServingRow | None:
         """What the heartbeats of the serving primary tell besides, None of any other store."""
-        term = self.term()
         lease_seconds = self._lease_left()
-        if term is None or lease_seconds <= 0.0:
+        if lease_seconds <= 0.0:
             return None
-        return ServingRow(term.number, term.holder, int(1000 * lease_seconds))
+        self._adopt_own_epoch()
+        return ServingRow(self.lease.number, self.lease.holder, int(1000 * lease_seconds))
 
     def is_outdated(self, told: ServingRow | None) -> bool:
         """Whether others need to hear more than was told."""
--- a/loomstand/store/views.py
+++ b/loomstand/store/views.py
@@ -45,7 +45,8 @@
 
 def has_majority(member_ids: Collection[str], members: Collection[Member]) -> bool:
     """Whether more than half of `members` are among `member_ids`."""
-    return sum(member.id in member_ids for member in members) * 2 > len(members)
+    votes = [member for member in members if member.id in member_ids]
+    return len(votes) * 2 > len(members)
 
 
 @dataclass(frozen=True, slots=True)
