--- a/benchmarks/hot_paths.py
+++ b/benchmarks/hot_paths.py
@@ -30,7 +30,7 @@
 
 from loomstand.admission import interface as api
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.rpc.frames import FrameDecoder, encode_frame
+from loomstand.rpc.frames import AnswerFrame, CallFrame, FrameDecoder, encode_frame
 from loomstand.testing.simulation.cluster import Cluster
 
 S = api.TICKS_PER_SECOND
@@ -112,10 +112,10 @@
     there, back = FrameDecoder(), FrameDecoder()
     begun = perf_counter()
     for number in range(calls):
-        (call,) = there.feed(encode_frame([number, "ask", body]))
-        (answer,) = back.feed(encode_frame([call[0], True, said]))
+        (call,) = there.feed(encode_frame(CallFrame(number, "ask", body)))
+        (answer,) = back.feed(encode_frame(AnswerFrame(call.number, True, said)))
     took = perf_counter() - begun
-    assert answer == [calls - 1, True, said]
+    assert answer == AnswerFrame(calls - 1, True, said)
     return took / calls
 
 
@@ -124,11 +124,11 @@
     there, back = FrameDecoder(), FrameDecoder()
     begun = perf_counter()
     for number, body in enumerate(bodies):
-        (call,) = there.feed(encode_frame([number, op, body]))
-        said = await serve(call[1], call[2])
-        (answer,) = back.feed(encode_frame([number, True, said]))
+        (call,) = there.feed(encode_frame(CallFrame(number, op, body)))
+        said = await serve(call.operation, call.body)
+        (answer,) = back.feed(encode_frame(AnswerFrame(number, True, said)))
     took = perf_counter() - begun
-    assert answer[0] == len(bodies) - 1
+    assert answer.number == len(bodies) - 1
     return took / len(bodies)
 
 
--- a/benchmarks/scale_hollow.py
+++ b/benchmarks/scale_hollow.py
@@ -33,8 +33,11 @@
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import SharedClock
 from loomstand.registry.instances import DRAINING, GONE, READY, Row
-from loomstand.rpc import tcp_network
+from loomstand.rpc import tcp_connection
+from loomstand.rpc.frames import Frame
 from loomstand.rpc.network import Address, Body
+from loomstand.rpc.tcp_connection import ClientConnection
+from loomstand.rpc.tcp_network import TcpNetwork
 
 INTERVAL = 2.0  # s, of a count's name: a burst of twice the rate, as at the sites
 KEEP = 7.0  # s that a sum is kept: three intervals and a second, as the module asks
@@ -63,7 +66,7 @@
         }
 
 
-class CountedLine(tcp_network.TcpConnection):
+class CountedConnection(ClientConnection):
     """A connection whose bytes are counted."""
 
     def data_received(self, data: bytes) -> None:
@@ -71,9 +74,11 @@
         super().data_received(data)
 
 
-class HollowNetwork(tcp_network.TcpNetwork):
+class HollowNetwork(TcpNetwork):
     """The real network of sockets, counted."""
 
+    client_connection_type = CountedConnection
+
     def __init__(self, wire: Wire) -> None:
         super().__init__()
         self.wire = wire
@@ -511,16 +516,14 @@
 
 async def main() -> None:
     logging.set_verbosity(logging.ERROR)
-    loop, worker, pack = asyncio.get_running_loop(), Worker(), tcp_network.encode_frame
+    loop, worker, pack = asyncio.get_running_loop(), Worker(), tcp_connection.encode_frame
 
-    def packed(item: list[Any]) -> bytes:
-        raw = pack(item)
+    def packed(frame: Frame) -> bytes:
+        raw = pack(frame)
         worker.wire.bytes_out += len(raw)
         return raw
 
-    # of the hollow limiters' connections
-    tcp_network.TcpConnection = CountedLine
-    tcp_network.encode_frame = packed
+    tcp_connection.encode_frame = packed  # of the hollow limiters' connections
     reader = asyncio.StreamReader(limit=64 << 20)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
--- a/benchmarks/scale_role.py
+++ b/benchmarks/scale_role.py
@@ -19,8 +19,10 @@
 from collections import Counter
 from typing import Any
 
-from loomstand.rpc import tcp_network
+from loomstand.rpc import tcp_connection
+from loomstand.rpc.frames import CallFrame, Frame
 from loomstand.rpc.operator_http import OperatorHttpServer
+from loomstand.rpc.tcp_connection import ServerConnection, TcpConnection
 
 taken: Counter[str] = Counter()
 made: Counter[str] = Counter()
@@ -30,26 +32,26 @@
 def counted() -> None:
     """Puts the counts between the program and its network."""
     pack, received, answer, serve = (
-        tcp_network.encode_frame,
-        tcp_network.TcpConnection.data_received,
-        tcp_network.TcpConnection.answer,
+        tcp_connection.encode_frame,
+        TcpConnection.data_received,
+        ServerConnection.serve_call,
         OperatorHttpServer.serve,
     )
 
-    def packed(item: list[Any]) -> bytes:
-        raw = pack(item)
+    def packed(frame: Frame) -> bytes:
+        raw = pack(frame)
         size["out"] += len(raw)
-        if isinstance(item[1], str):
-            made[item[1]] += 1
+        if isinstance(frame, CallFrame):
+            made[frame.operation] += 1
         return raw
 
-    def data_received(line: tcp_network.TcpConnection, data: bytes) -> None:
+    def data_received(line: TcpConnection, data: bytes) -> None:
         size["in"] += len(data)
         received(line, data)
 
-    def answered(line: tcp_network.TcpConnection, number: int, op: str, body: Any) -> Any:
-        taken[op] += 1
-        return answer(line, number, op, body)
+    def answered(line: ServerConnection, call: CallFrame) -> Any:
+        taken[call.operation] += 1
+        return answer(line, call)
 
     def served(
         outside: OperatorHttpServer, held: Any, method: bytes, target: bytes, body: bytes
@@ -58,8 +60,10 @@
         size["outside in"] += len(target) + len(body)
         return serve(outside, held, method, target, body)
 
-    tcp_network.encode_frame, tcp_network.TcpConnection.data_received = packed, data_received
-    tcp_network.TcpConnection.answer, OperatorHttpServer.serve = answered, served
+    tcp_connection.encode_frame = packed
+    TcpConnection.data_received = data_received
+    ServerConnection.serve_call = answered
+    OperatorHttpServer.serve = served
 
 
 def main() -> None:
--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -28,7 +28,7 @@
 from absl import logging
 
 from loomstand.registry.program import ASK
-from loomstand.rpc.frames import FrameDecoder, encode_frame
+from loomstand.rpc.frames import FrameDecoder, encode_item
 from loomstand.testing.simulation import loop as simulation
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.network import MachineNetwork
@@ -79,19 +79,19 @@
 
     async def calling(air: MachineNetwork, address: Any, op: str, body: Any, within: float) -> Any:
         who = caller(air.host, address[1], op)
-        meter.count(air.host, who, op, len(encode_frame([1000, op, body])), 1)
+        meter.count(air.host, who, op, len(encode_item([1000, op, body])), 1)
         got = await call(air, address, op, body, within)
         if got.is_ok():
-            meter.count(air.host, who, op, decoded(encode_frame([1000, True, got.ok])))
+            meter.count(air.host, who, op, decoded(encode_item([1000, True, got.ok])))
         return got
 
     async def listening(air: MachineNetwork, address: Any, serve: Any) -> None:
         program = "registry" if address[1] == REGISTRY else "store"
 
         async def serving(op: str, body: Any) -> Any:
-            meter.count(air.host, program, op, decoded(encode_frame([1000, op, body])), 1)
+            meter.count(air.host, program, op, decoded(encode_item([1000, op, body])), 1)
             said = await serve(op, body)
-            meter.count(air.host, program, op, len(encode_frame([1000, True, said])))
+            meter.count(air.host, program, op, len(encode_item([1000, True, said])))
             return said
 
         await listen(air, address, serving)
--- a/loomstand/rpc/frames.py
+++ b/loomstand/rpc/frames.py
@@ -1,72 +1,140 @@
-"""Frames: four bytes of length, one `cbor2` item, its CRC-32. A state machine that knows no socket.
+"""Frames: how calls and answers stand in a stream of bytes. A state machine without I/O.
 
-The checksum of TCP is sixteen bits, and some faults of memory and of network cards come before it
-is made. A peer of before the CRC sends none, and its reader passes over what follows the item: so
-one is asked for from the first frame on that has it.
+A frame is four bytes of length (big-endian), one `cbor2` item, and the item's CRC-32 in four bytes
+(big-endian); the length counts the item and its checksum. The item is a list of three: a call is
+[number, operation, body], an answer [number, whether it succeeded, body].
+
+The checksum is there as that of TCP has sixteen bits only, and some faults of memory and of network
+cards come before it is made. Programs of early releases send no checksum, and read over what
+follows the item; so one is required only after the first frame that has it.
 """
 
 from __future__ import annotations
 
+import struct
 from collections.abc import Iterator
 from typing import Any
 from zlib import crc32
 
 import cbor2
+import msgspec
+
+from loomstand.rpc.errors import FrameError
+from loomstand.rpc.network import Body
+
+# A configuration of thousands of routes takes some MB, the largest message there is.
+MAX_FRAME_BYTES = 16 << 20
+_UINT32 = struct.Struct(">I")
+LENGTH_BYTES = _UINT32.size
+CHECKSUM_BYTES = _UINT32.size
+ELEMENTS = 3  # of an item
+
+
+class CallFrame(msgspec.Struct, frozen=True):
+    """A call.
+
+    Attributes:
+        number: Of the call on its connection; its answer has the same one.
+        operation: Name of the operation.
+        body: The request's body.
+    """
+
+    number: int
+    operation: str
+    body: Body
+
+    def to_item(self) -> list[object]:
+        """Returns the list that is sent."""
+        return [self.number, self.operation, self.body]
+
+
+class AnswerFrame(msgspec.Struct, frozen=True):
+    """The answer to a call.
 
-MAX_FRAME_BYTES = (
-    16 << 20
-)  # a configuration of thousands of routes is some MB; more is no frame of ours
-LENGTH_BYTES = 4
-CHECKSUM_BYTES = 4
+    Attributes:
+        number: That of the call.
+        is_ok: Whether the call was executed; else it was refused.
+        body: The response's body, or {"why": the reason of the refusal}.
+    """
 
+    number: int
+    is_ok: bool
+    body: Body
 
-class FrameError(Exception):
-    """Bytes that are no frame of ours."""
+    def to_item(self) -> list[object]:
+        """Returns the list that is sent."""
+        return [self.number, self.is_ok, self.body]
 
 
-def encode_frame(item: Any) -> bytes:
-    """One frame."""
-    raw = cbor2.dumps(item)
-    return (
-        (len(raw) + CHECKSUM_BYTES).to_bytes(LENGTH_BYTES, "big")
-        + raw
-        + crc32(raw).to_bytes(CHECKSUM_BYTES, "big")
-    )
+Frame = CallFrame | AnswerFrame
+
+
+def encode_frame(frame: Frame) -> bytes:
+    """Returns the bytes of one frame."""
+    return encode_item(frame.to_item())
+
+
+def encode_item(item: object) -> bytes:
+    """Returns an item with its length and checksum; `encode_frame` for what needn't be a frame."""
+    encoded = cbor2.dumps(item)
+    length = len(encoded) + CHECKSUM_BYTES
+    return _UINT32.pack(length) + encoded + _UINT32.pack(crc32(encoded))
 
 
 class FrameDecoder:
-    """Fed with bytes as they come, gives the items that are whole."""
+    """Is fed with the bytes of one connection as they come, and gives the frames that are complete.
+
+    State: the bytes of the frame that isn't complete yet, and whether the sender makes checksums.
+    """
 
-    __slots__ = ("buf", "summed")
+    __slots__ = ("_has_checksums", "_incomplete")
 
     def __init__(self) -> None:
-        self.buf, self.summed = bytearray(), False
+        self._incomplete = bytearray()
+        self._has_checksums = False
 
-    def feed(self, data: bytes) -> Iterator[list[Any]]:
-        """Every whole item. Raises FrameError at bytes that can't be one: the connection is of no
-        use then.
+    def feed(self, data: bytes) -> Iterator[Frame]:
+        """Yields each frame that is complete with these bytes.
+
+        Raises:
+            FrameError: The bytes can't be a frame.
         """
-        self.buf += data
-        while len(self.buf) >= LENGTH_BYTES:
-            size = int.from_bytes(self.buf[:LENGTH_BYTES], "big")
-            if not 0 < size <= MAX_FRAME_BYTES:
-                raise FrameError(f"a frame of {size} bytes")
-            if len(self.buf) < LENGTH_BYTES + size:
+        buffer = self._incomplete
+        buffer += data
+        while len(buffer) >= LENGTH_BYTES:
+            (length,) = _UINT32.unpack_from(buffer)
+            if not 0 < length <= MAX_FRAME_BYTES:
+                raise FrameError(f"a frame of {length} bytes")
+            end = LENGTH_BYTES + length
+            if len(buffer) < end:
                 return
-            raw = bytes(self.buf[LENGTH_BYTES : LENGTH_BYTES + size])
-            del self.buf[: LENGTH_BYTES + size]
-            if len(raw) > CHECKSUM_BYTES and crc32(raw[:-CHECKSUM_BYTES]) == int.from_bytes(
-                raw[-CHECKSUM_BYTES:], "big"
-            ):
-                raw, self.summed = raw[:-CHECKSUM_BYTES], True
-            elif self.summed:
-                raise FrameError("a frame that was changed on its way")
-            try:
-                item = cbor2.loads(raw)
-            except (
-                Exception
-            ) as why:  # the library raises several kinds at bytes that are none of its own
-                raise FrameError(f"no item: {type(why).__name__}") from None
-            if not isinstance(item, list) or len(item) != 3 or not isinstance(item[0], int):
-                raise FrameError("no call and no answer")
-            yield item
+            payload = bytes(buffer[LENGTH_BYTES:end])
+            del buffer[:end]
+            yield _decode_item(self._verified_item(payload))
+
+    def _verified_item(self, payload: bytes) -> bytes:
+        """Returns the item without its checksum; all of the payload where there is none."""
+        if len(payload) > CHECKSUM_BYTES:
+            item = payload[:-CHECKSUM_BYTES]
+            (checksum,) = _UINT32.unpack_from(payload, len(item))
+            if crc32(item) == checksum:
+                self._has_checksums = True
+                return item
+        if self._has_checksums:
+            raise FrameError("a frame that was changed on its way")
+        return payload
+
+
+def _decode_item(item: bytes) -> Frame:
+    try:
+        decoded: Any = cbor2.loads(item)
+    except Exception as error:  # noqa: BLE001  # bytes from outside: the library raises many kinds
+        raise FrameError(f"no item: {type(error).__name__}") from None
+    if isinstance(decoded, list) and len(decoded) == ELEMENTS:
+        number, kind, body = decoded
+        if isinstance(number, int) and isinstance(body, dict):
+            if isinstance(kind, str):
+                return CallFrame(number, kind, body)
+            if isinstance(kind, bool):
+                return AnswerFrame(number, kind, body)
+    raise FrameError("no call and no answer")
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -1,11 +1,12 @@
-"""A small HTTP interface for calls from outside, on the limiter's own listener and parser
-(`net/`).
+"""The HTTP listener for calls from outside: of operators and of the servers' heartbeats.
+
+It stands on the listener and the HTTP parser of the stand-alone limiter (`loomstand.limiter`).
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections import Counter as Tally
+from collections import Counter
 from collections.abc import Awaitable, Callable
 from typing import Any
 
@@ -15,95 +16,157 @@
 from loomstand.limiter.buffers import Room
 from loomstand.limiter.client_connection import Client, Front
 from loomstand.limiter.event_loop import Streams, Turns, Untimed
+from loomstand.rpc.network import Address
 
-# Of the sockets, those that callers may keep between calls; the others are for new calls and, in a
-# registry, for limiters' sessions. With a sixth, a limiter's rule for its clients, beyond 616
+# Share of the sockets that callers may keep open between calls; the others are for new calls and,
+# in a registry, for limiters' sessions. With a sixth, as a limiter grants its clients, beyond 616
 # servers a registry each heartbeat needed a new connection: the one idle longest was closed, which
 # was the next to be used.
 KEEP_ALIVE_SHARE = 0.5
+# Sockets that may wait to be accepted: a tenth, and eight where there are few.
+MIN_BACKLOG = 8
+BACKLOG_DIVISOR = 10
+IDLE_TIMEOUT_SECONDS = 20.0  # after which a connection without a call is closed
+MESSAGE_TIMEOUT_SECONDS = 10.0  # for which a caller may stall within a message
+SWEEP_INTERVAL_SECONDS = 1.0
+# Age from which a connection that never sent anything is closed first where sockets run short.
+SILENT_SECONDS = 1.0
+LOGGED_TARGET_BYTES = 80  # of a call that failed
 
-# method, target, body: status, body
 HttpHandler = Callable[[bytes, bytes, bytes], Awaitable[tuple[int, bytes]]]
+"""Serves a call: takes method, target and body, returns status and body of the answer."""
 
 
 class OperatorHttpServer:
-    """Answers each call with what the handler gives; bodies of answers are JSON."""
+    """Answers each call with what the handler gives; bodies of answers are JSON.
+
+    State: its listener with the callers' connections, and a task for each call that is served. It
+    is also what the listener asks for sockets and buffers (`loomstand.limiter.protocols.Takes`).
+    """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917  # the programs that own it size it
         self,
         handler: HttpHandler,
         turns: Turns | None,
-        memory: int,
-        sockets: int,
-        body: int,
+        memory_bytes: int,
+        max_sockets: int,
+        max_body_bytes: int,
         streams: Streams | None = None,
     ) -> None:
-        """`memory` and `body` in bytes: for all buffers, and for one call. `streams` where not by
-        sockets.
+        """Begins without listening.
+
+        Args:
+            handler: Serves the calls.
+            turns: The event loop's selector; None on a loop of somebody else's.
+            memory_bytes: For all buffers together.
+            max_sockets: Connections at once.
+            max_body_bytes: Of one call, and of one answer.
+            streams: Accepts connections, where not by real sockets.
         """
         self.handler = handler
         self.loop = asyncio.get_running_loop()
         self.turns: Any = turns or Untimed()
-        self.room, self.endings = Room(memory), Tally[str]()
-        self.most_answer, self.able = body, True
-        self.sockets = sockets
-        self.front = Front(self, max(8, sockets // 10), sockets)
-        if streams is not None:
-            self.front.bind = streams.listen
-        self.front.most_held = int(sockets * KEEP_ALIVE_SHARE)
-        self.front.stays, self.front.most_body, self.front.own_paths = 20.0, body, False
+        self.room = Room(memory_bytes)
+        self.endings = Counter[str]()
+        self.most_answer = max_body_bytes
+        self.able = True
+        self.sockets = max_sockets
         self.tasks: set[asyncio.Task[None]] = set()
+        self.front = self._make_front(max_sockets, max_body_bytes, streams)
 
-    async def listen(self, address: tuple[str, int]) -> None:
+    def _make_front(self, max_sockets: int, max_body_bytes: int, streams: Streams | None) -> Front:
+        # Its type of a limiter knows less of connections and calls than it passes on.
+        limiter: Any = self
+        front = Front(limiter, max(MIN_BACKLOG, max_sockets // BACKLOG_DIVISOR), max_sockets)
+        if streams is not None:
+            front.bind = streams.listen
+        front.most_held = int(max_sockets * KEEP_ALIVE_SHARE)
+        front.stays = IDLE_TIMEOUT_SECONDS
+        front.most_body = max_body_bytes
+        front.own_paths = False
+        return front
+
+    async def listen(self, address: Address) -> None:
+        """Takes calls at this address, until `stop`.
+
+        Raises:
+            OSError: The address can't be listened at.
+        """
         await self.front.listen(address)
-        self.loop.call_later(1.0, self.sweep)
+        self.loop.call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
 
     def sweep(self) -> None:
-        self.front.sweep(10.0)
+        """Closes connections that stall or stay idle, again and again until `stop`."""
+        self.front.sweep(MESSAGE_TIMEOUT_SECONDS)
         if not self.front.stopping:
-            self.loop.call_later(1.0, self.sweep)
+            self.loop.call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
 
     def spare_sockets(self) -> int:
+        """Returns how many connections more there may be; below 0 where there are too many."""
         return self.sockets - len(self.front.clients)
 
     def make_room(self, spared: Client | None = None) -> bool:
-        return self.front.close_silent(spared, 1.0) or self.front.close_idle(spared)
+        """Closes a connection that nobody needs, other than `spared`; whether there was one."""
+        return self.front.close_silent(spared, SILENT_SECONDS) or self.front.close_idle(spared)
 
     def take(self, client: Client, machine: http_parser.RequestReceiver, at: float) -> None:
-        held = PendingCall(client)
-        client.req = held
+        """Begins to serve the call that came on a connection.
+
+        Args:
+            client: The connection.
+            machine: Holds the call.
+            at: When it came, by the event loop's clock; nothing depends on it here.
+        """
+        del at
+        pending = PendingCall(client)
+        holder: Any = client
+        holder.req = pending
         task = self.loop.create_task(
-            self.serve(held, machine.method, machine.target, bytes(machine.body))
+            self.serve(pending, machine.method, machine.target, bytes(machine.body))
         )
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def serve(self, held: PendingCall, method: bytes, target: bytes, body: bytes) -> None:
+    async def serve(self, pending: PendingCall, method: bytes, target: bytes, body: bytes) -> None:
+        """Has the handler serve a call, and answers it if its caller is still there."""
         try:
-            status, said = await self.handler(method, target, body)
-        except (
-            Exception
-        ) as why:  # a fault of ours in one call: it gets its answer, the rest goes on
-            logging.error("call %s failed: %s: %s", target[:80], type(why).__name__, why)
-            status, said = 500, b""
-        client, held.client = held.client, None
-        if client is not None:
-            client.answer(status, said, "Content-Type: application/json\r\n" if said else "")
-            if client.wire.inbound.used:
-                self.loop.call_soon(client.next)
-
-    def vanished(self, held: PendingCall) -> None:
-        held.client = None
+            status, answer = await self.handler(method, target, body)
+        except Exception as error:  # noqa: BLE001  # of one call; it gets its answer, others go on
+            logging.error(
+                "rpc: operator call failed: target=%s error=%s: %s",
+                target[:LOGGED_TARGET_BYTES],
+                type(error).__name__,
+                error,
+            )
+            status = 500
+            answer = b""
+        client = pending.client
+        pending.client = None
+        if client is None:
+            return
+        client.answer(status, answer, "Content-Type: application/json\r\n" if answer else "")
+        if client.wire.inbound.used:
+            self.loop.call_soon(client.next)
+
+    def vanished(self, pending: PendingCall) -> None:
+        """The caller has closed the connection: the call is served, and not answered."""
+        pending.client = None
 
     def stop(self) -> None:
+        """Listens no more, and closes the connections without a call."""
         self.front.stop()
         self.front.close()
 
 
 class PendingCall:
-    """A call that is owed its answer."""
+    """A call that is owed its answer.
+
+    Attributes:
+        client: The connection to answer on; None once it is answered, or its caller is gone.
+    """
 
     __slots__ = ("client",)
 
     def __init__(self, client: Client | None) -> None:
+        """Begins unanswered."""
         self.client = client
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -1,4 +1,8 @@
-"""How each program of the system starts: settings, logs, signals, one event loop."""
+"""How each program of the system runs: its settings, log, signals and event loop.
+
+A program is started with the path of its settings file in the environment. Settings that can't be
+used end it at the start; later the settings held stay.
+"""
 
 from __future__ import annotations
 
@@ -7,84 +11,112 @@
 import signal
 import sys
 from collections.abc import Awaitable, Callable
-from typing import Protocol
+from pathlib import Path
+from typing import NamedTuple, Protocol
 
 from absl import logging
 
 from loomstand.config.settings import Settings, SettingsError, read
 from loomstand.limiter.event_loop import Turns
 
-VARIABLE = "LOOMSTAND_CONFIG"
-SETTINGS_POLL_SECONDS = (
-    1.0  # seconds between looks at the settings file, which may change without a signal
-)
+SETTINGS_VARIABLE = "LOOMSTAND_CONFIG"
+SETTINGS_POLL_SECONDS = 1.0  # between looks at the file, which may change without a signal
 
 
 class Program(Protocol):
-    """What a program gives: `reload` at changed settings, `stop` at SIGTERM; `run` ends once it
-    stopped.
-    """
+    """What runs in a process."""
+
+    async def run(self) -> None:
+        """Serves until it is stopped."""
+        ...
+
+    def stop(self) -> None:
+        """Begins a graceful shutdown, at SIGTERM and SIGINT: `run` returns in the end."""
+        ...
+
+    def reload(self, settings: Settings) -> None:
+        """Takes changed settings."""
+        ...
+
+
+ProgramFactory = Callable[[Settings, Turns], Awaitable[Program]]
+"""Makes the program from its settings and the event loop's selector."""
+
 
-    async def run(self) -> None: ...
+class FileStamp(NamedTuple):
+    """What changes with a file's contents.
 
-    def stop(self) -> None: ...
+    Attributes:
+        modified_ns: When it was last written, in ns since the epoch.
+        size_bytes: Its size.
+    """
+
+    modified_ns: int
+    size_bytes: int
 
-    def reload(self, settings: Settings) -> None: ...
+    @staticmethod
+    def of(path: Path) -> FileStamp | None:
+        """Returns the stamp of a file; None where it can't be read."""
+        try:
+            status = path.stat()
+        except OSError:
+            return None
+        return FileStamp(status.st_mtime_ns, status.st_size)
 
 
-def run_program(make: Callable[[Settings, Turns], Awaitable[Program]]) -> None:
+def run_program(make: ProgramFactory) -> None:
     """Runs the program that `make` gives; settings that can't be used end it with one line."""
-    path = os.environ.get(VARIABLE, "")
+    path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        sys.exit(f"{VARIABLE}: not set; it names the settings file")
+        sys.exit(f"{SETTINGS_VARIABLE}: not set; it names the settings file")
     try:
         settings = read(path)
-    except SettingsError as why:
-        sys.exit(f"{path}: {why}")
+    except SettingsError as error:
+        sys.exit(f"{path}: {error}")
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
     turns = Turns()
     with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(turns)) as runner:
         try:
-            runner.run(serve(path, settings, turns, make))
-        except OSError as why:
-            sys.exit(f"{settings.node_name}: {why}")
+            runner.run(_serve(path, settings, turns, make))
+        except OSError as error:
+            sys.exit(f"{settings.node_name}: {error}")
 
 
-async def serve(
-    path: str,
-    settings: Settings,
-    turns: Turns,
-    make: Callable[[Settings, Turns], Awaitable[Program]],
-) -> None:
+async def _serve(path: str, settings: Settings, turns: Turns, make: ProgramFactory) -> None:
     loop = asyncio.get_running_loop()
     program = await make(settings, turns)
-    for sig in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sig, program.stop)
-    seen = stamp(path)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, program.stop)
+    watcher = SettingsWatcher(path, program)
+    loop.add_signal_handler(signal.SIGHUP, watcher.reload)
+    watcher.start()
+    await program.run()
 
-    def again() -> None:
-        nonlocal seen
-        seen = stamp(path)
-        try:
-            program.reload(read(path))
-        except SettingsError as why:
-            logging.error("the settings can't be used, those held stand: %s", why)
 
-    def look() -> None:
-        if stamp(path) not in (seen, None):
-            again()
-        loop.call_later(SETTINGS_POLL_SECONDS, look)
+class SettingsWatcher:
+    """Has a program reload its settings file when that changes. State: the stamp last seen."""
 
-    loop.add_signal_handler(signal.SIGHUP, again)
-    loop.call_later(SETTINGS_POLL_SECONDS, look)
-    await program.run()
+    def __init__(self, path: str, program: Program) -> None:
+        """Begins with the file as it is now."""
+        self.path = path
+        self.program = program
+        self.seen = FileStamp.of(Path(path))
 
+    def start(self) -> None:
+        """Looks at the file again and again, until the event loop ends."""
+        asyncio.get_running_loop().call_later(SETTINGS_POLL_SECONDS, self._poll)
 
-def stamp(path: str) -> tuple[int, int] | None:
-    """What changes with a file's contents; None where it can't be read."""
-    try:
-        stat = os.stat(path)
-    except OSError:
-        return None
-    return stat.st_mtime_ns, stat.st_size
+    def reload(self) -> None:
+        """Reads the file; settings that can't be used leave those held."""
+        self.seen = FileStamp.of(Path(self.path))
+        try:
+            self.program.reload(read(self.path))
+        except SettingsError as error:
+            logging.error("rpc: settings not reloaded: path=%s error=%s", self.path, error)
+
+    def _poll(self) -> None:
+        stamp = FileStamp.of(Path(self.path))
+        if stamp is not None and stamp != self.seen:
+            self.reload()
+        self.start()
--- a/loomstand/testing/simulation/stream_network.py
+++ b/loomstand/testing/simulation/stream_network.py
@@ -8,34 +8,40 @@
 from collections.abc import Callable
 
 from loomstand.rpc.network import Address, CallHandler
-from loomstand.rpc.tcp_network import CONNECT_TIMEOUT_SECONDS, TcpConnection, TcpNetwork
+from loomstand.rpc.tcp_connection import ClientConnection, ServerConnection
+from loomstand.rpc.tcp_network import CONNECT_TIMEOUT_SECONDS, TcpNetwork
 from loomstand.testing.simulation.streams import Streams
 
 
-class StreamLine(TcpConnection):
+class StreamClientConnection(ClientConnection):
     """A connection that tells the stream that dialled it when it stands."""
 
     stands: Callable[[], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the stream: the connection is established."""
         super().connection_made(transport)
         if self.stands is not None:
             self.stands()
 
 
-class StreamSockets(TcpNetwork):
+class StreamNetwork(TcpNetwork):
     """`TcpNetwork` of one life on one host."""
 
     def __init__(self, streams: Streams) -> None:
+        """Opens and accepts connections by `streams`."""
         super().__init__()
         self.streams = streams
 
-    async def listen(self, address: Address, serve: CallHandler) -> None:
+    async def listen(self, address: Address, handler: CallHandler) -> None:
+        """Serves calls at this address; see `Network.listen`."""
         loop = asyncio.get_running_loop()
-        await self.streams.listen(loop, lambda: StreamLine(self, serve), address)
+        await self.streams.listen(loop, lambda: ServerConnection(self, handler), address)
 
-    async def open(self, address: Address) -> TcpConnection:
-        self.lines[address] = line = await self.streams.open(
-            lambda: StreamLine(self, None), address, CONNECT_TIMEOUT_SECONDS
+    async def open_connection(self, address: Address) -> ClientConnection:
+        """Makes the connection to an address; see `TcpNetwork.open_connection`."""
+        connection: ClientConnection = await self.streams.open(
+            lambda: StreamClientConnection(self), address, CONNECT_TIMEOUT_SECONDS
         )
-        return line
+        self.connections[address] = connection
+        return connection
--- a/loomstand/testing/simulation/wrong_calls.py
+++ b/loomstand/testing/simulation/wrong_calls.py
@@ -10,10 +10,11 @@
 from expression import Result
 
 from loomstand.rpc.errors import CallFailure, CallRefusedError
-from loomstand.rpc.frames import encode_frame
+from loomstand.rpc.frames import CallFrame, encode_item
+from loomstand.rpc.tcp_connection import ServerConnection
 from loomstand.testing.simulation.loop import Life
 from loomstand.testing.simulation.network import SimNetwork
-from loomstand.testing.simulation.stream_network import StreamLine, StreamSockets
+from loomstand.testing.simulation.stream_network import StreamNetwork
 from loomstand.testing.simulation.streams import Cables, Streams
 
 HERE, THERE = "10.0.0.1", ("10.0.0.2", 7340)
@@ -31,20 +32,21 @@
 ]
 
 
-class OddLine(StreamLine):
+class OddConnection(ServerConnection):
     """A server's connection that sends its answers as `owner.plays` says: each a way, and at which
     byte.
     """
 
-    def __init__(self, owner: Any, serve: Any) -> None:
-        super().__init__(owner, serve)
+    def __init__(self, owner: Any, handler: Any) -> None:
+        super().__init__(owner, handler)
         self.whole, self.ended, self.summed = asyncio.Lock(), False, False
 
-    async def answer(self, number: int, op: str, body: Any) -> None:
+    async def serve_call(self, call: CallFrame) -> None:
+        number = call.number
         try:
-            raw = encode_frame([number, True, await self.serve(op, body)])
+            raw = encode_item([number, True, await self.handler(call.operation, call.body)])
         except CallRefusedError:
-            raw = encode_frame([number, False, {}])
+            raw = encode_item([number, False, {}])
         how, at = self.owner.plays.pop(0) if self.owner.plays else ("", 0)
         async with self.whole:
             if not self.summed:  # the first frame may be of one that makes no sums yet
@@ -69,26 +71,26 @@
         elif how == "spoilt":
             self.say(raw[:at] + bytes([raw[at] ^ (1 << (at % 8))]) + raw[at + 1 :])
         elif how == "foreign":
-            self.say(encode_frame([number + 10_000, True, {"n": "foreign"}]) + raw)
+            self.say(encode_item([number + 10_000, True, {"n": "foreign"}]) + raw)
         elif how == "no answer":
-            self.say(encode_frame([number, "x", {"n": "none"}]))
+            self.say(encode_item([number, "x", {"n": "none"}]))
         else:
             self.say(raw)
         if how in ("twice", "late twice"):
             await asyncio.sleep(0.1 if how == "late twice" else 0.0)
-            self.say(encode_frame([number, True, {"n": "again"}]))
+            self.say(encode_item([number, True, {"n": "again"}]))
 
     def say(self, raw: bytes) -> None:
         if not self.transport.is_closing() and not self.ended:
             self.transport.write(raw)
 
 
-class OddSockets(StreamSockets):
+class OddNetwork(StreamNetwork):
     plays: list[tuple[str, int]]
 
-    async def listen(self, address: Any, serve: Any) -> None:
+    async def listen(self, address: Any, handler: Any) -> None:
         loop = asyncio.get_running_loop()
-        await self.streams.listen(loop, lambda: OddLine(self, serve), address)
+        await self.streams.listen(loop, lambda: OddConnection(self, handler), address)
 
 
 class Pair:
@@ -98,8 +100,8 @@
         self.sky, self.loop = SimNetwork(Random(1)), asyncio.get_running_loop()
         self.cables = Cables(self.sky, Random(2))
         self.life, self.ran, self.said = Life(), [], dict[int, Result[Any, CallFailure]]()
-        self.caller = StreamSockets(Streams(self.cables, HERE, Life()))
-        self.called = OddSockets(Streams(self.cables, THERE[0], self.life))
+        self.caller = StreamNetwork(Streams(self.cables, HERE, Life()))
+        self.called = OddNetwork(Streams(self.cables, THERE[0], self.life))
         self.called.plays = plays or []
         self.ran_at: dict[int, float] = {}
 
--- a/tests/golden/names.py
+++ b/tests/golden/names.py
@@ -10,8 +10,8 @@
 from loomstand.config.configuration import parse as parse_configuration
 from loomstand.config.settings import SettingsError
 from loomstand.config.settings import read as read_settings
-from loomstand.rpc.errors import CallRefusedError
-from loomstand.rpc.frames import FrameDecoder, FrameError, encode_frame
+from loomstand.rpc.errors import CallRefusedError, FrameError
+from loomstand.rpc.frames import FrameDecoder, encode_frame, encode_item
 from loomstand.store.change_history import NONE as NO_ORDERS
 from loomstand.store.change_history import ChangeHistory, digest
 from loomstand.store.counting_lease import CountingLease
@@ -77,6 +77,7 @@
     "VirtualLoop",
     "digest",
     "encode_frame",
+    "encode_item",
     "exchange",
     "make_machines",
     "parse_configuration",
--- a/tests/golden/pages.py
+++ b/tests/golden/pages.py
@@ -28,7 +28,7 @@
 
 
 def frames() -> dict[str, str]:
-    return {name: names.encode_frame(item).hex() for name, item in FRAMES.items()}
+    return {name: names.encode_item(item).hex() for name, item in FRAMES.items()}
 
 
 def _member(n: int) -> names.Member:
--- a/tests/golden/runs.py
+++ b/tests/golden/runs.py
@@ -71,22 +71,22 @@
 
     async def recorded_call(self, address, op, body, within):
         recorder.note(
-            f"{self.host} calls {address[1]}", address[0], names.encode_frame([1, op, body])
+            f"{self.host} calls {address[1]}", address[0], names.encode_item([1, op, body])
         )
         return await call(self, address, op, body, within)
 
     async def recorded_listen(self, address, serve):
         async def recorded_serve(op, body):
-            request = names.encode_frame([1, op, body])
+            request = names.encode_item([1, op, body])
             asked = ",".join(sorted(body))
             try:
                 said = await serve(op, body)
             except names.CallRefusedError as why:
-                answer = names.encode_frame([1, False, {"why": str(why)}])
+                answer = names.encode_item([1, False, {"why": str(why)}])
                 recorder.note(f"refuses {op}", address[0], answer)
                 recorder.exchange(address[1], op, request, answer, f"{asked} refused")
                 raise
-            answer = names.encode_frame([1, True, said])
+            answer = names.encode_item([1, True, said])
             recorder.note(f"answers {op}", address[0], answer)
             shape = f"{asked} answered {','.join(sorted(said))}"
             recorder.exchange(address[1], op, request, answer, shape)
--- a/tests/rpc/test_messages.py
+++ b/tests/rpc/test_messages.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from loomstand.rpc.frames import FrameDecoder, encode_frame
+from loomstand.rpc.frames import FrameDecoder, encode_item
 from loomstand.rpc.messages import (
     configuration_messages,
     counting_lease_messages,
@@ -88,8 +88,8 @@
 
 
 def unpacked(frame: str) -> list[Any]:
-    (item,) = FrameDecoder().feed(bytes.fromhex(frame))
-    return item
+    (decoded,) = FrameDecoder().feed(bytes.fromhex(frame))
+    return decoded.to_item()
 
 
 def is_release(request: dict[str, Any]) -> bool:
@@ -129,7 +129,7 @@
     if any(request.node.callspec.id.startswith(made) for made in HAND_MADE):
         assert plain(message.to_wire()) == plain(body)
         return
-    assert encode_frame([number, operation, message.to_wire()]).hex() == exchange["request"]
+    assert encode_item([number, operation, message.to_wire()]).hex() == exchange["request"]
 
 
 @pytest.mark.parametrize(("call", "exchange"), recorded())
@@ -140,7 +140,7 @@
     _, response_type = MESSAGES[call]
     if call == "store duty" and is_release(unpacked(exchange["request"])[2]):
         response_type = Acknowledgement
-    assert encode_frame([number, True, again(response_type, body)]).hex() == exchange["answer"]
+    assert encode_item([number, True, again(response_type, body)]).hex() == exchange["answer"]
 
 
 TYPES = list(dict.fromkeys(kind for pair in MESSAGES.values() for kind in pair))
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -24,7 +24,7 @@
 from loomstand.registry.process import MOST_BODY
 from loomstand.rpc.errors import CallFailure
 from loomstand.rpc.frames import FrameDecoder as Frames
-from loomstand.rpc.frames import encode_frame
+from loomstand.rpc.frames import encode_item
 from loomstand.store import disk
 from loomstand.store.change_history import KEPT
 from loomstand.store.disk import LmdbDisk
@@ -345,10 +345,10 @@
 
 def test_the_largest_body_fits_into_a_frame_and_on_the_disk(tmp_path, monkeypatch):
     raw = os.urandom(MOST_BODY)
-    frame = encode_frame(
+    frame = encode_item(
         [1, "keep", {"version": 2**62, "data": raw, "orders": [[2**62] * KEPT, b"12345678" * KEPT]}]
     )
-    assert next(Frames().feed(frame))[2]["data"] == raw
+    assert next(Frames().feed(frame)).body["data"] == raw
 
     def write(folder: str) -> int:
         rng, made = Random(3), LmdbDisk(tmp_path / folder)
--- a/tests/test_golden_programs.py
+++ b/tests/test_golden_programs.py
@@ -108,16 +108,20 @@
 # --- frames
 
 
+def items(frames):
+    return [frame.to_item() for frame in frames]
+
+
 def test_frames_are_as_they_were_and_read_back():
     assert pages.frames() == load("frames")
     for name, frame in load("frames").items():
-        assert list(names.FrameDecoder().feed(bytes.fromhex(frame))) == [pages.FRAMES[name]]
+        assert items(names.FrameDecoder().feed(bytes.fromhex(frame))) == [pages.FRAMES[name]]
 
 
 def test_a_frame_with_a_wrong_sum_is_foreign_once_one_with_a_sum_came():
     frame = bytes.fromhex(load("frames")["a call"])
     reader = names.FrameDecoder()
-    assert list(reader.feed(frame)) == [pages.FRAMES["a call"]]
+    assert items(reader.feed(frame)) == [pages.FRAMES["a call"]]
     with pytest.raises(names.FrameError):
         list(reader.feed(frame[:-1] + bytes([frame[-1] ^ 1])))
 
@@ -125,7 +129,7 @@
 def test_a_frame_of_before_the_sums_is_read_until_one_with_a_sum_came():
     item = cbor2.dumps(pages.FRAMES["an answer"])
     frame, reader = len(item).to_bytes(4, "big") + item, names.FrameDecoder()
-    assert list(reader.feed(frame)) == [pages.FRAMES["an answer"]]
+    assert items(reader.feed(frame)) == [pages.FRAMES["an answer"]]
     list(reader.feed(bytes.fromhex(load("frames")["an answer"])))
     with pytest.raises(names.FrameError):
         list(reader.feed(frame))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -23,7 +23,8 @@
 )
 from loomstand.registry.limiters import HELD, STANDS, LimiterTable
 from loomstand.registry.quota_buckets import SLOTS, QuotaBuckets
-from loomstand.rpc.frames import FrameDecoder, FrameError, encode_frame
+from loomstand.rpc.errors import FrameError
+from loomstand.rpc.frames import FrameDecoder, encode_item
 
 
 def instance(id_="i-1", sequence=1, state=READY, address="10.0.0.9:8080", service="a"):
@@ -147,10 +148,10 @@
 
 @given(st.lists(st.integers(0, 1 << 40), max_size=4), st.lists(st.integers(1, 7), max_size=40))
 def test_frames_come_whole_however_the_bytes_are_cut(numbers, cuts):
-    raw = b"".join(encode_frame([n, "op", {"n": n}]) for n in numbers)
+    raw = b"".join(encode_item([n, "op", {"n": n}]) for n in numbers)
     reader, got, at = FrameDecoder(), [], 0
     for cut in [*cuts, len(raw)]:
-        got += reader.feed(raw[at : at + cut])
+        got += [frame.to_item() for frame in reader.feed(raw[at : at + cut])]
         at += cut
     assert got == [[n, "op", {"n": n}] for n in numbers]
 
@@ -160,12 +161,12 @@
     [
         b"GET / HTTP/1.1\r\n\r\n",
         b"\0\0\0\0",
-        encode_frame({"no": "call"}),
+        encode_item({"no": "call"}),
         b"\0\0\0\x01\xff",
-        encode_frame([1, 2]),
+        encode_item([1, 2]),
     ],
 )
 def test_foreign_bytes_are_told_from_frames(raw):
     with pytest.raises(FrameError):
         list(FrameDecoder().feed(raw))
-    assert cbor2.loads(encode_frame([1, "x", {}])[4:]) == [1, "x", {}]
+    assert cbor2.loads(encode_item([1, "x", {}])[4:]) == [1, "x", {}]
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -13,10 +13,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from loomstand.rpc import frames, tcp_network
+from loomstand.rpc import frames, tcp_connection, tcp_network
 from loomstand.rpc.errors import CallFailure
-from loomstand.rpc.frames import encode_frame
-from loomstand.rpc.tcp_network import TcpConnection
+from loomstand.rpc.frames import AnswerFrame, encode_item
+from loomstand.rpc.tcp_connection import ClientConnection
 from loomstand.testing.simulation.loop import play
 from loomstand.testing.simulation.wrong_calls import HERE, THERE, WAYS, Pair
 
@@ -35,7 +35,7 @@
 async def every_way(pair: Pair) -> None:
     n = 0
     for how in WAYS:
-        for at in range(len(encode_frame([1, True, {"n": 1000}]))):
+        for at in range(len(encode_item([1, True, {"n": 1000}]))):
             n += 1
             await pair.call(n + 20_000)  # the connection's first
             pair.called.plays = [(how, at)]
@@ -51,18 +51,18 @@
 def test_a_spoilt_call_is_not_run_as_another():
     async def work(pair: Pair) -> None:
         await pair.call(0)
-        line = pair.caller.lines[THERE]
-        for at in range(len(encode_frame([9, "do", {"n": 9, "for": 0.0, "fill": b""}]))):
-            raw = bytearray(encode_frame([90 + at, "do", {"n": 90 + at, "for": 0.0, "fill": b""}]))
+        line = pair.caller.connections[THERE]
+        for at in range(len(encode_item([9, "do", {"n": 9, "for": 0.0, "fill": b""}]))):
+            raw = bytearray(encode_item([90 + at, "do", {"n": 90 + at, "for": 0.0, "fill": b""}]))
             raw[at] ^= 1 << (at % 8)
             await pair.call(1000 + at)
-            line = pair.caller.lines[THERE]
+            line = pair.caller.connections[THERE]
             line.transport.write(bytes(raw))
             await asyncio.sleep(0.05)
             line.close()
             await asyncio.sleep(0.05)
         assert all(n == 0 or n >= 1000 for n in pair.ran)
-        assert pair.called.counts["foreign"] > 20
+        assert pair.called.frame_errors > 20
 
     paired(work)
 
@@ -143,7 +143,7 @@
                 with pytest.raises(ConnectionResetError):
                     while await loop.sock_recv(there, 1 << 16):
                         pass
-        assert not net.lines
+        assert not net.connections
 
     asyncio.run(run())
 
@@ -184,7 +184,7 @@
             if what == "freeze":
                 pair.life.frozen = True
             elif what == "reset":
-                for line in [*pair.called.incoming]:
+                for line in [*pair.called.accepted]:
                     line.close()
             else:
                 pair.sky.cut(
@@ -206,14 +206,13 @@
 # --- each defence taken out is noticed
 
 
-def by_position(line: TcpConnection, data: bytes, came: Any = TcpConnection.data_received) -> None:
+def by_position(connection: ClientConnection, data: bytes) -> None:
     """The next answer is the oldest call's."""
-    if line.serve is not None:
-        came(line, data)
-        return
-    for _, what, body in line.reader.feed(data):
-        if line.waiting:
-            tcp_network.resolve(line.waiting.pop(next(iter(line.waiting))), (what is True, body))
+    for frame in connection.decoder.feed(data):
+        number, what, body = frame.to_item()
+        if connection.pending_calls:
+            oldest = connection.pending_calls.pop(next(iter(connection.pending_calls)))
+            tcp_connection.resolve(oldest, AnswerFrame(number, what is True, body))
 
 
 async def swallowed(net: Any, *said: Any, call: Any = tcp_network.TcpNetwork.call) -> Any:
@@ -224,9 +223,14 @@
 
 
 MUTANTS: dict[str, tuple[Any, str, Any, Any]] = {
-    "match by position": (TcpConnection, "data_received", by_position, late_answers),
+    "match by position": (ClientConnection, "data_received", by_position, late_answers),
     "frames without their sum": (frames, "crc32", lambda raw: 0, every_way),
-    "close without a reset": (tcp_network, "reset_on_close", lambda transport: None, behind_a_cut),
+    "close without a reset": (
+        tcp_connection,
+        "reset_on_close",
+        lambda transport: None,
+        behind_a_cut,
+    ),
     "a cancelling is a silence": (tcp_network.TcpNetwork, "call", swallowed, called_off),
 }
 
