--- a/loomstand/rpc/frames.py
+++ b/loomstand/rpc/frames.py
@@ -99,30 +99,44 @@
         Raises:
             FrameError: The bytes can't be a frame.
         """
-        buffer = self._incomplete
-        buffer += data
-        while len(buffer) >= LENGTH_BYTES:
-            (length,) = _UINT32.unpack_from(buffer)
-            if not 0 < length <= MAX_FRAME_BYTES:
-                raise FrameError(f"a frame of {length} bytes")
-            end = LENGTH_BYTES + length
-            if len(buffer) < end:
-                return
-            payload = bytes(buffer[LENGTH_BYTES:end])
-            del buffer[:end]
-            yield _decode_item(self._verified_item(payload))
-
-    def _verified_item(self, payload: bytes) -> bytes:
-        """Returns the item without its checksum; all of the payload where there is none."""
-        if len(payload) > CHECKSUM_BYTES:
-            item = payload[:-CHECKSUM_BYTES]
-            (checksum,) = _UINT32.unpack_from(payload, len(item))
+        incomplete = self._incomplete
+        if not incomplete and _frame_end(data) == len(data):
+            yield self._decode(data)  # one frame, as usual: it needn't go through the buffer
+            return
+        incomplete += data
+        end = _frame_end(incomplete)
+        while end is not None:
+            frame = bytes(incomplete[:end])
+            del incomplete[:end]
+            yield self._decode(frame)
+            end = _frame_end(incomplete)
+
+    def _decode(self, frame: bytes) -> Frame:
+        """Decodes the bytes of one frame, with or without a checksum."""
+        item = frame[LENGTH_BYTES:-CHECKSUM_BYTES]
+        if item:
+            (checksum,) = _UINT32.unpack_from(frame, len(frame) - CHECKSUM_BYTES)
             if crc32(item) == checksum:
                 self._has_checksums = True
-                return item
+                return _decode_item(item)
         if self._has_checksums:
             raise FrameError("a frame that was changed on its way")
-        return payload
+        return _decode_item(frame[LENGTH_BYTES:])
+
+
+def _frame_end(buffer: bytes | bytearray) -> int | None:
+    """Returns where the first frame ends; None if it isn't complete.
+
+    Raises:
+        FrameError: It is longer than any frame.
+    """
+    if len(buffer) < LENGTH_BYTES:
+        return None
+    (length,) = _UINT32.unpack_from(buffer)
+    if not 0 < length <= MAX_FRAME_BYTES:
+        raise FrameError(f"a frame of {length} bytes")
+    end = LENGTH_BYTES + int(length)
+    return end if len(buffer) >= end else None
 
 
 def _decode_item(item: bytes) -> Frame:
--- a/loomstand/rpc/messages/base.py
+++ b/loomstand/rpc/messages/base.py
@@ -42,7 +42,7 @@
             MessageError: A key is missing, or a value has the wrong type.
         """
         try:
-            return msgspec.convert(body, cls, strict=False, builtin_types=_NATIVE_TYPES)
+            return msgspec.convert(body, cls, strict=False)
         except msgspec.ValidationError as error:
             missing = next(_missing_keys(cls, body), None)
             if missing is not None:
