--- a/benchmarks/scale_hollow.py
+++ b/benchmarks/scale_hollow.py
@@ -23,10 +23,11 @@
 
 from absl import logging
 
-from loomstand.admission import interface as i
-from loomstand.admission.identifiers import digest
-from loomstand.config.settings import Settings, parse
-from loomstand.config.units import address_text
+from loomstand.admission.actions import IncrementCounter
+from loomstand.admission.identifiers import stable_digest
+from loomstand.admission.outcome import Outcome
+from loomstand.config.settings import Settings, parse_settings
+from loomstand.config.units import format_address
 from loomstand.proxy.counter_replay import CounterReplay
 from loomstand.proxy.instance_view import InstanceView
 from loomstand.proxy.program import Proxy
@@ -161,10 +162,10 @@
         """One step of a tenant's use, as the module would have it counted."""
         k = (self.now() + self.common.shift) // round(INTERVAL * 10_000)
         name = tenant << 15 | k % NAMES
-        self.count(i.IncrementCounter(name, 1.0, round(KEEP * 10_000)))
+        self.count(IncrementCounter(name, 1.0, round(KEEP * 10_000)))
 
-    def counted(self, name: int, outcome: i.Outcome, total: float, took: int) -> None:
-        passed = outcome is i.Outcome.PASSED
+    def counted(self, name: int, outcome: Outcome, total: float, took: int) -> None:
+        passed = outcome is Outcome.SUCCEEDED
         self.counts["passed" if passed else "failed"] += 1
         if passed:
             self.seen.counted(took)
@@ -378,7 +379,7 @@
         servers.
         """
         self.rng = Random(first)
-        known, self.seen.servers, self.seen.version = parse(settings), servers, version
+        known, self.seen.servers, self.seen.version = parse_settings(settings), servers, version
         for n in range(first, first + many):
             mine = replace(known, node_name=f"hollow-{n}")
             limiter = HollowLimiter(mine, self.wire, self.seen, Random(n))
@@ -399,7 +400,7 @@
     ) -> Figures:
         where = [(str(ip), int(port)) for ip, port in controls]
         for n in range(first, first + many):
-            place = address_text((f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}", 8080))
+            place = format_address((f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}", 8080))
             place = places[n - first] if places else place
             server = HollowServer(
                 n, f"service-{n % services}", zones[n % len(zones)], place, where, every
@@ -424,7 +425,7 @@
         return {}
 
     async def count(self, rate: float, tenants: int) -> None:
-        rng, digests = Random(7), [digest(f"tenant-{n}") for n in range(tenants)]
+        rng, digests = Random(7), [stable_digest(f"tenant-{n}") for n in range(tenants)]
         weights = [1 / (n + 1) for n in range(tenants)]
         due = time.monotonic()
         while True:
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -8,14 +8,21 @@
 
 from absl import logging
 
-from loomstand.admission import interface as i
+from loomstand.admission.actions import Abort, IncrementCounter, Reject
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.identifiers import digest
-from loomstand.admission.interface import Outcome
-from loomstand.config.configuration import ConfigurationError, Limits, Reader
-from loomstand.config.routes import Table
+from loomstand.admission.endpoints import Endpoint, EndpointState
+from loomstand.admission.events import (
+    EndpointsUpdated,
+    RequestArrived,
+    SettingsChanged,
+    TenantTotalUpdated,
+)
+from loomstand.admission.identifiers import stable_digest
+from loomstand.admission.outcome import Outcome
+from loomstand.config.configuration import ClientLimits, ConfigurationError, ConfigurationReader
+from loomstand.config.routes import RouteTable
 from loomstand.config.settings import Settings
-from loomstand.config.units import address
+from loomstand.config.units import parse_address
 from loomstand.limiter import http_parser
 from loomstand.limiter.client_connection import Client, Front
 from loomstand.limiter.event_loop import Streams, Turns
@@ -57,18 +64,18 @@
 SETTLED = 4.0  # seconds after its start by when a limiter knows all servers that there are
 QUOTA = {"full count", "old total", "ceiling"}
 PHASES = {
-    READY: i.EndpointState.LIVE,
-    DRAINING: i.EndpointState.DRAINING,
-    SILENT: i.EndpointState.DRAINING,
-    GONE: i.EndpointState.GONE,
+    READY: EndpointState.LIVE,
+    DRAINING: EndpointState.DRAINING,
+    SILENT: EndpointState.DRAINING,
+    GONE: EndpointState.GONE,
 }
 # A limiter that started while no registry knew of a primary serves with what it has after so many
 # seconds.
 UNSURE = 3.0
 CALL = {
-    CallFailure.NEVER_RAN: Outcome.NO_CONNECTION,
-    CallFailure.REFUSED: Outcome.TURNED_AWAY,
-    CallFailure.MAY_HAVE_RUN: Outcome.NO_ANSWER,
+    CallFailure.NEVER_RAN: Outcome.CONNECT_FAILED,
+    CallFailure.REFUSED: Outcome.REJECTED,
+    CallFailure.MAY_HAVE_RUN: Outcome.NO_RESPONSE,
 }
 
 
@@ -91,7 +98,7 @@
         self.conf, self.rng, self.room_at_all = settings, rng, self.room.left
         self.front = Front(self, self.spare, limits.file_descriptors)
         self.front.own_paths = False
-        self.bound(Limits())
+        self.bound(ClientLimits())
         self.pool = UpstreamPool(self, CONNECT_WITHIN, IDLE_MOST)
         if streams is not None:
             self.front.bind, self.pool.connect = streams.listen, streams.connect
@@ -102,8 +109,8 @@
         self.indices: dict[str, int] = {}
         self.by_service: dict[str, set[int]] = {}  # the live servers of each service
         self.fleet = Fleet()
-        self.table: Table | None = None
-        self.reader = Reader()
+        self.table: RouteTable | None = None
+        self.reader = ConfigurationReader()
         self.sure_at: float | None = None
         self.sessions = Sessions(settings, network, self.loop.time, rng, self)
         self.readiness = OperatorHttpServer(self.ready, turns, 4 << 20, 64, 4096, streams)
@@ -124,9 +131,12 @@
     async def run(self) -> None:
         """Serves until `stop`, and until all that was taken is answered."""
         self.loop.set_exception_handler(self.failed)
-        assert self.conf.listen.frontend is not None and self.conf.listen.readiness is not None
-        await self.readiness.listen(self.conf.listen.readiness)
-        await self.front.listen(self.conf.listen.frontend)
+        assert (
+            self.conf.listen_addresses.frontend is not None
+            and self.conf.listen_addresses.readiness is not None
+        )
+        await self.readiness.listen(self.conf.listen_addresses.readiness)
+        await self.front.listen(self.conf.listen_addresses.frontend)
         logging.info("listens")
         self.sessions.start()
         self.loop.call_later(1.0, self.sweep)
@@ -177,17 +187,17 @@
                 self.identifiers[srv] = id_
             entries.append(self.entry(srv, known.use, known.service, known.zone, known.address))
         if entries:
-            self.note(i.EndpointsUpdated(tuple(entries), False))
+            self.note(EndpointsUpdated(tuple(entries), False))
             self.look()
             self.settle()
 
-    def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> i.Endpoint:
+    def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> Endpoint:
         phase = PHASES[use]
-        self.pool.told(srv, None if phase is i.EndpointState.GONE else address(where))
+        self.pool.told(srv, None if phase is EndpointState.GONE else parse_address(where))
         live = self.by_service.setdefault(service, set())
-        (live.add if phase is i.EndpointState.LIVE else live.discard)(srv)
-        at = self.terms.services.at(service)
-        return i.Endpoint(srv, phase, self.terms.zones.at(zone), 0, 0, 1.0, 0, at)
+        (live.add if phase is EndpointState.LIVE else live.discard)(srv)
+        at = self.terms.services.index_of(service)
+        return Endpoint(srv, phase, self.terms.zones.index_of(zone), 0, 0, 1.0, 0, at)
 
     def misdirected(self, flight: Dispatch) -> None:
         """Another server has the address: this one is over."""
@@ -196,7 +206,7 @@
         if known is not None and known.state != GONE:
             known.state = GONE
             entry = self.entry(flight.srv, GONE, known.service, known.zone, known.address)
-            self.loop.call_soon(self.note, i.EndpointsUpdated((entry,), False))
+            self.loop.call_soon(self.note, EndpointsUpdated((entry,), False))
 
     def limiters(self, me: int, many: int, silent: int) -> None:
         fleet = Fleet(me, max(1, many), silent)
@@ -213,8 +223,10 @@
             logging.error("configuration r%d can't be used: %s", version, why)
             return False
         self.terms.learn(configuration)
-        self.table = Table.of(configuration)
-        self.credits.learn({digest(t.name): t for t in configuration.tenants or () if t.rate > 0})
+        self.table = RouteTable.from_configuration(configuration)
+        self.credits.learn(
+            {stable_digest(t.name): t for t in configuration.tenants or () if t.rate_per_second > 0}
+        )
         self.short.set()
         self.bound(configuration.limits)
         self.rule()
@@ -222,17 +234,17 @@
         self.settle()
         return True
 
-    def bound(self, limits: Limits) -> None:
+    def bound(self, limits: ClientLimits) -> None:
         """What clients may send from their next request on, and how long they may idle. A body is
         held whole, so it may take an eighth of the memory for buffers at most, whatever the
         configuration allows.
         """
-        self.stays, before = limits.idle_timeout + 1, self.front.stays
+        self.stays, before = limits.idle_timeout_seconds + 1, self.front.stays
         if self.stays >= before:
             self.front.stays = self.stays
         else:  # who has rested on the longer time's word may still do so to its end
             self.loop.call_later(before, self.shorten, self.stays)
-        self.front.heads = limits.header_timeout + 1
+        self.front.heads = limits.header_timeout_seconds + 1
         self.front.most_head = limits.max_header_bytes
         self.front.most_body = min(limits.max_body_bytes, self.room_at_all // 8)
 
@@ -249,7 +261,7 @@
             plan = self.terms.by_digest.get(int(name) >> SLOTS)
             if plan is not None:
                 self.note(
-                    i.TenantTotalUpdated(int(name), float(total), plan, plan, int(name) >> SLOTS)
+                    TenantTotalUpdated(int(name), float(total), plan, plan, int(name) >> SLOTS)
                 )
 
     def clock_told(self, clock: int | None, sure: bool) -> None:
@@ -273,7 +285,7 @@
 
     def rule(self) -> None:
         """The module's settings are other ones."""
-        self.note(i.SettingsChanged(self.terms.settings(self.fleet, self.common.shift)))
+        self.note(SettingsChanged(self.terms.settings(self.fleet, self.common.shift)))
 
     # from clients
 
@@ -292,10 +304,12 @@
         """
         if self.loop.time() - self.begun > SETTLED:  # first, as each request asks
             return True
-        route = self.table.find(req.host, req.path)
+        route = self.table.find_route(req.host, req.path)
         if route is None:
             return True
-        return any(weight > 0 and self.by_service.get(service) for service, weight in route.split)
+        return any(
+            weight > 0 and self.by_service.get(service) for service, weight in route.traffic_split
+        )
 
     def granted(self, req: ProxyRequest) -> bool:
         """Whether the first credits have come, for a request that may need one."""
@@ -307,7 +321,7 @@
 
     def lacks(self, req: ProxyRequest) -> bool:
         """Whether it waits for a credit."""
-        name = digest(req.tenant.name) if req.tenant else 0
+        name = stable_digest(req.tenant.name) if req.tenant else 0
         return bool(name) and not self.credits.has(name, self.loop.time())
 
     def hold(self, req: ProxyRequest, at: float, most: float = HOLD) -> None:
@@ -341,23 +355,23 @@
         if table is None:
             self.answer(req, 503, extra=f"Retry-After: {NOT_YET}\r\n")
             return
-        req.route = table.find(req.host, req.path)
+        req.route = table.find_route(req.host, req.path)
         if req.route is None:
             self.answer(req, 404)
             return
-        if table.needs_key(req.route):
-            req.tenant = table.tenant(req.key)
+        if table.requires_api_key(req.route):
+            req.tenant = table.find_tenant(req.key)
             if req.tenant is None:
                 self.answer(req, 401)
                 return
-        plan = self.terms.tenants.at(req.tenant.name) if req.tenant else 0
+        plan = self.terms.tenants.index_of(req.tenant.name) if req.tenant else 0
         front, name = self.terms.by_route[req.route.name], self.terms.digests[plan]
         now = self.loop.time()
         may = self.credits.may(name, now)
         if self.credits.due(name, now):
             self.short.set()
         if not may and not waited and now - self.begun < SETTLED:
-            self.hold(req, at, OFFERED * req.route.target_latency)
+            self.hold(req, at, OFFERED * req.route.target_latency_seconds)
             return
         if not may:
             wait = self.credits.wait(name, now)
@@ -368,9 +382,9 @@
             return
         req.service = self.service(table, req)
         self.owed(req, req.client, req.timeout(), at)
-        at_service = self.terms.services.at(req.service)
+        at_service = self.terms.services.index_of(req.service)
         self.note(
-            i.RequestArrived(
+            RequestArrived(
                 req.id, front, plan, plan, name, req.give_up, 1.0, 0, False, service=at_service
             )
         )
@@ -379,42 +393,45 @@
             if self.credits.due(name, now):
                 self.short.set()
 
-    def service(self, table: Table, req: ProxyRequest) -> str:
+    def service(self, table: RouteTable, req: ProxyRequest) -> str:
         """One of the route's services by weight; where that has no server, another that the route
         allows.
         """
-        service = table.pick(req.route, self.rng.random())
+        service = table.choose_service(req.route, self.rng.random())
         if self.by_service.get(service):
             return service
         return next(
-            (s for s, weight in req.route.split if weight > 0 and self.by_service.get(s)), service
+            (s for s, weight in req.route.traffic_split if weight > 0 and self.by_service.get(s)),
+            service,
         )
 
     # from servers and the counter
 
     def came(self, flight: Flight, outcome: Outcome, metered: int = 0, body: bytes = b"") -> None:
         req = self.landed(flight)
-        if outcome not in (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT):
+        if outcome not in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
             req.ran = True
-        if outcome is Outcome.PASSED and req.client is not None:
+        if outcome is Outcome.SUCCEEDED and req.client is not None:
             self.answer(req, *req.got)
         self.ended(flight, outcome)
 
-    def count(self, act: i.IncrementCounter) -> None:
+    def count(self, act: IncrementCounter) -> None:
         task = self.loop.create_task(self.counting(act))
         self.counting_tasks.add(task)
         task.add_done_callback(self.counting_tasks.discard)
 
-    async def counting(self, act: i.IncrementCounter) -> None:
-        asked, keep = self.now(), act.keep / 10_000
-        said = {"name": act.name, "step": act.step, "keep": keep}
+    async def counting(self, act: IncrementCounter) -> None:
+        asked, keep = self.now(), act.time_to_live / 10_000
+        said = {"name": act.counter_name, "step": act.amount, "keep": keep}
         got = await self.sessions.count(said, COUNT_WITHIN / 1000)
-        outcome = Outcome.PASSED if got.is_ok() else CALL[got.error]
-        if outcome in (Outcome.PASSED, Outcome.NO_ANSWER):
+        outcome = Outcome.SUCCEEDED if got.is_ok() else CALL[got.error]
+        if outcome in (Outcome.SUCCEEDED, Outcome.NO_RESPONSE):
             counts = int(got.ok.get("counts", 0)) if got.is_ok() else None
-            lacks = self.told.added(act.name, act.step, keep, self.loop.time(), counts)
+            lacks = self.told.added(act.counter_name, act.amount, keep, self.loop.time(), counts)
             # another counts now, without what this limiter had added: a total without it is too low
-            for name, added in self.told.lacking(act.name, counts) if counts is not None else ():
+            for name, added in (
+                self.told.lacking(act.counter_name, counts) if counts is not None else ()
+            ):
                 more = self.sessions.count(
                     said | {"name": name, "step": added}, COUNT_WITHIN / 1000
                 )
@@ -423,12 +440,12 @@
             if lacks:
                 got = await self.sessions.count(said | {"step": lacks}, COUNT_WITHIN / 1000)
                 if got.is_error() or got.ok.get("counts") != counts:
-                    self.told.untold(act.name)
-                    outcome = Outcome.NO_ANSWER
+                    self.told.untold(act.counter_name)
+                    outcome = Outcome.NO_RESPONSE
         if got.is_ok() and got.ok.get("young"):  # other limiters may not have told theirs again
-            outcome = Outcome.NO_ANSWER
-        total = float(got.ok["total"]) if outcome is Outcome.PASSED else 0.0
-        self.counted(act.name, outcome, total, self.now() - asked)
+            outcome = Outcome.NO_RESPONSE
+        total = float(got.ok["total"]) if outcome is Outcome.SUCCEEDED else 0.0
+        self.counted(act.counter_name, outcome, total, self.now() - asked)
 
     async def crediting(self) -> None:
         """Asks the counter for credits, one call at a time: when some run short, else to keep them
@@ -469,24 +486,24 @@
         """
         if not req.route.idempotent and (req.ran or sum(f is not None for f in req.flights) > 1):
             return 0
-        return req.route.attempts
+        return req.route.max_attempts
 
-    def deny(self, act: i.Reject) -> None:
-        req = self.reqs.get(act.req)
+    def deny(self, act: Reject) -> None:
+        req = self.reqs.get(act.request_id)
         if req is None or req.client is None:
             return
         if req.ran or any(req.flights):  # no promise while it may run yet
             self.over(req)
-        elif act.why in QUOTA:
-            wait = max(0.05, act.wait / 10_000)
+        elif act.reason in QUOTA:
+            wait = max(0.05, act.retry_after / 10_000)
             self.answer(req, 429, extra=f"Retry-After: {wait:.3f}\r\n")
         else:
-            wait = self.rng.uniform(*BACK) * req.route.target_latency
+            wait = self.rng.uniform(*BACK) * req.route.target_latency_seconds
             self.answer(req, 503, extra=f"Retry-After: {wait:.3f}\r\n")
         self.forget(req)
 
-    def abort(self, act: i.Abort) -> None:
-        req = self.reqs.get(act.req)
+    def abort(self, act: Abort) -> None:
+        req = self.reqs.get(act.request_id)
         if req is not None and req.client is not None:
             self.over(req)
             self.forget(req)
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from loomstand.admission.identifiers import digest
+from loomstand.admission.identifiers import stable_digest
 from loomstand.config.configuration import Tenant
-from loomstand.config.settings import Bounds
+from loomstand.config.settings import RuleBounds
 
 # A limiter without word of the counter admits this share of its even part: calm tenants use some
 # six tenths of their quotas. The counter leaves as much to those that it doesn't hear; with six in
@@ -43,14 +43,16 @@
 FEW = 1.5
 
 
-def depth(rate: float, burst: float, bounds: Bounds) -> float:
+def depth(rate: float, burst: float, bounds: RuleBounds) -> float:
     """Requests of a tenant that may come beyond its rate, as credits are charged."""
     return max(1.0, burst) + SHARE * leeway(rate, burst, bounds)
 
 
-def leeway(rate: float, burst: float, bounds: Bounds) -> float:
+def leeway(rate: float, burst: float, bounds: RuleBounds) -> float:
     """What may run beyond rate x window + burst."""
-    return bounds.quota_overshoot * (rate * bounds.quota_window + burst) + bounds.quota_slack
+    return (
+        bounds.quota_overshoot * (rate * bounds.quota_window_seconds + burst) + bounds.quota_slack
+    )
 
 
 @dataclass(slots=True)
@@ -87,7 +89,7 @@
     anew.
     """
 
-    def __init__(self, bounds: Bounds) -> None:
+    def __init__(self, bounds: RuleBounds) -> None:
         self.bounds = bounds
         self.number = 0
         self.buckets: dict[int, Bucket] = {}
@@ -111,16 +113,19 @@
         """
         before, self.buckets = self.buckets, {}
         for tenant in tenants:
-            if tenant.rate <= 0:
+            if tenant.rate_per_second <= 0:
                 continue
-            name, most = digest(tenant.name), depth(tenant.rate, tenant.burst, self.bounds)
-            first = most - BEGINS * leeway(tenant.rate, tenant.burst, self.bounds)
+            name, most = (
+                stable_digest(tenant.name),
+                depth(tenant.rate_per_second, tenant.burst_size, self.bounds),
+            )
+            first = most - BEGINS * leeway(tenant.rate_per_second, tenant.burst_size, self.bounds)
             old = before.pop(name, None) or Bucket(
                 0.0, most, first, 0.0 if counts else first, self.time
             )
             old.leak(self.time)
             old.rate, old.depth, old.first, old.level = (
-                tenant.rate,
+                tenant.rate_per_second,
                 most,
                 first,
                 min(old.level, most),
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -16,7 +16,7 @@
 
 from absl import logging
 
-from loomstand.config.settings import Settings, SettingsError, read
+from loomstand.config.settings import Settings, SettingsError, read_settings
 from loomstand.limiter.event_loop import Turns
 
 SETTINGS_VARIABLE = "LOOMSTAND_CONFIG"
@@ -70,7 +70,7 @@
     if not path:
         sys.exit(f"{SETTINGS_VARIABLE}: not set; it names the settings file")
     try:
-        settings = read(path)
+        settings = read_settings(path)
     except SettingsError as error:
         sys.exit(f"{path}: {error}")
     logging.use_absl_handler()
@@ -111,7 +111,7 @@
         """Reads the file; settings that can't be used leave those held."""
         self.seen = FileStamp.of(Path(self.path))
         try:
-            self.program.reload(read(self.path))
+            self.program.reload(read_settings(self.path))
         except SettingsError as error:
             logging.error("rpc: settings not reloaded: path=%s error=%s", self.path, error)
 
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.interface import Endpoint
-from loomstand.config.settings import Settings, parse
+from loomstand.admission.endpoints import Endpoint
+from loomstand.config.settings import Settings, parse_settings
 from loomstand.proxy.program import Proxy
 from loomstand.registry.instances import READY
 from loomstand.registry.process import RegistryService
@@ -174,7 +174,9 @@
         zone = ZONES[int(ip.split(".")[-1]) % 2]
         seeds = ",".join(f"{ip}:{CONTROL}" for ip in self.core_ips[:3])
         first = str(self.first).lower()
-        return parse(SETTINGS.format(name=f"n-{ip}", ip=ip, zone=zone, first=first, seeds=seeds))
+        return parse_settings(
+            SETTINGS.format(name=f"n-{ip}", ip=ip, zone=zone, first=first, seeds=seeds)
+        )
 
     def wall(self, ip: str, rng: Random) -> float:
         """The time of day as a machine has it; programs read it when they start."""
@@ -195,8 +197,8 @@
     def store_factory(self, ip: str) -> Factory:
         def make(air: Any, disk: Any, clock: Any, rng: Random) -> Any:
             settings = self.settings(ip)
-            seeds = tuple(settings.store(seed) for seed, _ in settings.seeds)
-            place = Place(settings.store(ip), seeds, settings.first_start)
+            seeds = tuple(settings.store_address(seed) for seed, _ in settings.seed_nodes)
+            place = Place(settings.store_address(ip), seeds, settings.first_start)
             return Store(place, air, disk, clock, rng)
 
         return make
--- a/tests/rpc/test_start.py
+++ b/tests/rpc/test_start.py
@@ -32,7 +32,7 @@
             raise SettingsError(text)
         return text
 
-    monkeypatch.setattr(start, "read", read)
+    monkeypatch.setattr(start, "read_settings", read)
     monkeypatch.setattr(start, "SETTINGS_POLL_SECONDS", 0.001)
     path = tmp_path / "settings"
     path.write_text("one")
