--- a/loomstand/rpc/messages/base.py
+++ b/loomstand/rpc/messages/base.py
@@ -7,13 +7,14 @@
 
 import msgspec
 
+from loomstand.rpc.errors import RpcError
 from loomstand.rpc.network import Body
 
 # `msgspec` would write bytes as base64 text; frames carry them as they are.
 _NATIVE_TYPES = (bytes,)
 
 
-class MessageError(ValueError):
+class MessageError(RpcError, ValueError):
     """A body isn't a message of the expected class.
 
     The text is what a registry refuses the call with, after the operation's name. Callers see it,
@@ -25,8 +26,8 @@
     """A request or an answer; each subclass documents its fields.
 
     Keys that a class doesn't know are ignored, and fields with a default may be absent: so programs
-    of neighbouring releases understand each other. Numbers are read leniently (`"5"` and `5.0` are
-    5), as earlier releases do.
+    of neighbouring releases understand each other. Numbers are read leniently: `"5"` and `5.0` are
+    5, as for earlier releases; a whole number isn't read from `5.5`, which no release sends.
     """
 
     def to_wire(self) -> Body:
