--- a/loomstand/store/configuration_service.py
+++ b/loomstand/store/configuration_service.py
@@ -10,6 +10,7 @@
 from absl import logging
 from expression import Result
 
+from loomstand.rpc import client
 from loomstand.rpc.errors import CallRefusedError
 from loomstand.rpc.messages.configuration_messages import (
     OfferRequest,
@@ -202,12 +203,11 @@
             raise CallRefusedError("no primary")
         forwarded = msgspec.structs.replace(request, hops=request.hops + 1)
         asked_at = self._io.clock()
-        result = await self._io.network.call(
-            primary, request.operation, forwarded.to_wire(), timeout_seconds
+        result = await client.call(
+            self._io.network, primary, forwarded, response_type, timeout_seconds
         )
         match result:
-            case Result(tag="ok", ok=answer):
-                response = response_type.from_wire(answer)
+            case Result(tag="ok", ok=response):
                 now = self._io.clock()
                 return _as_passed_on(response, asked_at, now, timeout_seconds)
         raise CallRefusedError("the primary didn't answer")
--- a/loomstand/store/dissemination.py
+++ b/loomstand/store/dissemination.py
@@ -10,7 +10,7 @@
 
 from expression import Result
 
-from loomstand.rpc import Address
+from loomstand.rpc import Address, client
 from loomstand.rpc.errors import CallRefusedError
 from loomstand.rpc.messages.base import Acknowledgement
 from loomstand.rpc.messages.replication_messages import (
@@ -48,12 +48,13 @@
         replica = self._io.replica
         now = self._io.clock()
         request = CommitRequest(version=replica.version, data=replica.data)
-        body = request.to_wire()
         timeout_seconds = CALL_SECONDS + transfer_seconds(len(replica.data))
         for address, peer in replica.peers.by_address.items():
             if now - peer.answered_at < REPLACE_VOTER_AFTER_SECONDS:
                 self._io.spawn(
-                    self._io.network.call(address, request.operation, body, timeout_seconds)
+                    client.call(
+                        self._io.network, address, request, Acknowledgement, timeout_seconds
+                    )
                 )
 
     async def pull(self, address: Address) -> None:
@@ -61,14 +62,16 @@
         if self._is_pulling:
             return
         self._is_pulling = True
-        request = CommittedRequest()
         try:
-            result = await self._io.network.call(
-                address, request.operation, request.to_wire(), self._pull_timeout_seconds
+            result = await client.call(
+                self._io.network,
+                address,
+                CommittedRequest(),
+                CommittedResponse,
+                self._pull_timeout_seconds,
             )
             match result:
-                case Result(tag="ok", ok=answer):
-                    response = CommittedResponse.from_wire(answer)
+                case Result(tag="ok", ok=response):
                     self._learn(response.version, response.data)
                     self._pull_timeout_seconds = CALL_SECONDS
                 case _:
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -215,10 +215,9 @@
         replica = self.io.replica
         request = CandidateReadRequest(epoch=epoch, candidate_id=replica.member.id)
         timeout_seconds = CALL_SECONDS + transfer_seconds(len(replica.data))
-        answer = await self.io.call(member, request, timeout_seconds)
-        if isinstance(answer, CallFailure):
+        response = await self.io.call(member, request, CandidateReadResponse, timeout_seconds)
+        if isinstance(response, CallFailure):
             return None
-        response = CandidateReadResponse.from_wire(answer)
         replica.inherited_history = ChangeHistory.from_row(
             response.history, response.version, response.data
         )
--- a/loomstand/store/heartbeats.py
+++ b/loomstand/store/heartbeats.py
@@ -7,7 +7,7 @@
 import msgspec
 from expression import Result
 
-from loomstand.rpc import Address
+from loomstand.rpc import Address, client
 from loomstand.rpc.messages.replication_messages import HeartbeatRequest, HeartbeatResponse
 from loomstand.store.counting_lease_service import CountingLeaseService
 from loomstand.store.dissemination import Dissemination
@@ -57,14 +57,13 @@
         sent_at = self._io.clock()
         request = self._io.replica.heartbeat(address, self._counting_leases.serving())
         try:
-            result = await self._io.network.call(
-                address, request.operation, request.to_wire(), HEARTBEAT_TIMEOUT_SECONDS
+            result = await client.call(
+                self._io.network, address, request, HeartbeatResponse, HEARTBEAT_TIMEOUT_SECONDS
             )
         finally:
             self._in_flight.discard(address)
         match result:
-            case Result(tag="ok", ok=answer):
-                response = HeartbeatResponse.from_wire(answer)
+            case Result(tag="ok", ok=response):
                 await self._on_response(address, request, response, sent_at)
 
     async def _on_response(
--- a/loomstand/store/leadership.py
+++ b/loomstand/store/leadership.py
@@ -146,7 +146,7 @@
             released_epoch=view.epoch,
             counting_lease=self._counting_leases.lease.to_handover(self._io.clock()),
         )
-        answer = await self._io.call(backup, request)
+        answer = await self._io.call(backup, request, Acknowledgement)
         return not isinstance(answer, CallFailure)
 
     async def handle_transfer(self, request: TransferLeadershipRequest) -> Acknowledgement:
--- a/loomstand/store/replica_io.py
+++ b/loomstand/store/replica_io.py
@@ -5,14 +5,15 @@
 import asyncio
 from collections.abc import Callable, Coroutine, Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 from absl import logging
 from expression import Result
 
-from loomstand.rpc import Network
+from loomstand.rpc import Network, client
 from loomstand.rpc.errors import CallFailure, CallRefusedError
+from loomstand.rpc.messages.base import Acknowledgement, Message
 from loomstand.rpc.messages.replication_messages import (
     CandidateReadRequest,
     InstallViewRequest,
@@ -21,7 +22,7 @@
     TransferLeadershipRequest,
     WriteRequest,
 )
-from loomstand.rpc.network import Body, transfer_seconds
+from loomstand.rpc.network import transfer_seconds
 from loomstand.store.disk import Disk
 from loomstand.store.pages import Pages
 from loomstand.store.peers import MemberState
@@ -42,6 +43,8 @@
 # For so long a disk that refused a write counts as unhealthy.
 DISK_FAILURE_SECONDS = 2.0
 
+ResponseT = TypeVar("ResponseT", bound=Message)
+
 # The requests that are meant for one member's disk.
 MemberRequest = (
     PrepareRequest
@@ -159,14 +162,20 @@
     # --- calls to other members, each meant for one disk
 
     async def call(
-        self, member: Member, request: MemberRequest, timeout_seconds: float = CALL_SECONDS
-    ) -> Body | CallFailure:
+        self,
+        member: Member,
+        request: MemberRequest,
+        response_type: type[ResponseT],
+        timeout_seconds: float = CALL_SECONDS,
+    ) -> ResponseT | CallFailure:
         """Calls a member; its answer, or what the failure proves."""
-        body = msgspec.structs.replace(request, recipient=member.id).to_wire()
-        result = await self.network.call(member.address, request.operation, body, timeout_seconds)
+        addressed = msgspec.structs.replace(request, recipient=member.id)
+        result = await client.call(
+            self.network, member.address, addressed, response_type, timeout_seconds
+        )
         match result:
-            case Result(tag="ok", ok=answer):
-                return answer
+            case Result(tag="ok", ok=response):
+                return response
             case Result(error=failure):
                 return failure
 
@@ -186,7 +195,7 @@
             history=self.replica.history_with(version, data).to_row(),
         )
         timeout_seconds = REPLICATE_SECONDS + transfer_seconds(len(data))
-        answer = await self.call(member, request, timeout_seconds)
+        answer = await self.call(member, request, Acknowledgement, timeout_seconds)
         if not isinstance(answer, CallFailure):
             return None
         if answer is not CallFailure.REFUSED:
@@ -196,7 +205,8 @@
     async def install_view(self, member: Member, view: View) -> None:
         """Has a member write the view, which is its lease grant as well."""
         sent_at = self.clock()
-        answer = await self.call(member, InstallViewRequest(view=view.to_row()))
+        request = InstallViewRequest(view=view.to_row())
+        answer = await self.call(member, request, Acknowledgement)
         if not isinstance(answer, CallFailure):
             self.replica.on_grant(member.id, view.epoch, sent_at)
 
@@ -218,9 +228,8 @@
         responses: dict[str, PrepareResponse] = {}
 
         async def ask(member: Member) -> None:
-            answer = await self.call(member, request)
-            if not isinstance(answer, CallFailure):
-                response = PrepareResponse.from_wire(answer)
+            response = await self.call(member, request, PrepareResponse)
+            if not isinstance(response, CallFailure):
                 responses[member.id] = response
                 self.replica.observe_view(View.from_row(response.view))
 
--- a/loomstand/store/rescue_service.py
+++ b/loomstand/store/rescue_service.py
@@ -10,7 +10,7 @@
 
 from expression import Result
 
-from loomstand.rpc import Address
+from loomstand.rpc import Address, client
 from loomstand.rpc.errors import CallRefusedError
 from loomstand.rpc.messages.rescue_messages import (
     MemberReportRequest,
@@ -87,13 +87,12 @@
         return named | {*self._io.replica.peers.by_address}
 
     async def _ask(self, address: Address) -> MemberReport | None:
-        request = MemberReportRequest()
-        result = await self._io.network.call(
-            address, request.operation, request.to_wire(), CALL_SECONDS
+        result = await client.call(
+            self._io.network, address, MemberReportRequest(), MemberReportResponse, CALL_SECONDS
         )
         match result:
-            case Result(tag="ok", ok=answer):
-                return MemberReport.from_message(MemberReportResponse.from_wire(answer))
+            case Result(tag="ok", ok=response):
+                return MemberReport.from_message(response)
         return None
 
     async def handle(self, request: RescueRequest) -> RescueResponse:
@@ -120,12 +119,12 @@
             is_handed_on=True,
             recipient=chosen.member.id,
         )
-        result = await self._io.network.call(
-            chosen.member.address, handed_on.operation, handed_on.to_wire(), RESCUE_SECONDS
+        result = await client.call(
+            self._io.network, chosen.member.address, handed_on, RescueResponse, RESCUE_SECONDS
         )
         match result:
-            case Result(tag="ok", ok=answer):
-                return RescueResponse.from_wire(answer)
+            case Result(tag="ok", ok=response):
+                return response
         return RescueResponse(
             refusals=[f"{chosen.host}, which was to found the view, gave no answer: look again"]
         )
