--- a/loomstand/testing/model_checker/__main__.py
+++ b/loomstand/testing/model_checker/__main__.py
@@ -7,9 +7,9 @@
 import argparse
 import sys
 
-from loomstand.testing.model_checker.member import Rules
+from loomstand.testing.model_checker.member import CodeUnderTest
 from loomstand.testing.model_checker.mutants import MUTANTS
-from loomstand.testing.model_checker.search import survey
+from loomstand.testing.model_checker.search import search
 from loomstand.testing.model_checker.state_space import KINDS, Bounds, StateSpace
 
 
@@ -52,7 +52,7 @@
     )
     parser.add_argument("--mutate", choices=sorted(MUTANTS), help="a step left out, to be found")
     asked = parser.parse_args(words)
-    rules = Rules()
+    code = CodeUnderTest()
     bounds = Bounds(
         members=asked.members,
         founding=asked.founding,
@@ -71,12 +71,12 @@
         rescues=asked.rescues,
     )
     if asked.mutate:
-        rules, bounds = MUTANTS[asked.mutate].rules, MUTANTS[asked.mutate].bounds
-    found = survey(StateSpace(rules, bounds), asked.states, asked.seconds)
+        code, bounds = MUTANTS[asked.mutate].code, MUTANTS[asked.mutate].bounds
+    found = search(StateSpace(code, bounds), asked.states, asked.seconds)
     each = found.states / max(found.seconds, 1e-9)
     print(f"{found.states} states, {found.transitions} transitions, depth {found.depth}", end="")
     print(
-        f", {found.seconds:.1f} s, {each:.0f} states/s, {'all' if found.whole else 'not all'} in "
+        f", {found.seconds:.1f} s, {each:.0f} states/s, {'all' if found.is_complete else 'not all'} in "
         "bounds"
     )
     for i, line in enumerate(found.trace):
--- a/loomstand/testing/model_checker/mutants.py
+++ b/loomstand/testing/model_checker/mutants.py
@@ -15,7 +15,7 @@
 from loomstand.store.replica import Replica
 from loomstand.store.rescue_election_rules import RescueElectionRules
 from loomstand.store.views import Member, View
-from loomstand.testing.model_checker.member import Rules
+from loomstand.testing.model_checker.member import CodeUnderTest
 from loomstand.testing.model_checker.state_space import Bounds
 
 
@@ -193,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    rules: Rules
+    code: CodeUnderTest
     bounds: Bounds  # within which it's found
     breaks: str  # the invariants, of which the shortest trace breaks one
     brief: bool = True  # found within a few seconds, so that a test can wait for it
@@ -222,37 +222,43 @@
 UNHEARD = replace(LEAVE, faults=2, kinds=frozenset({"lost"}))
 LEARN = brief("restart", "lost", wipes=1, takers="c", learners=True)
 MUTANTS = {
-    "keeps-old": Mutant(Rules(KeepsOld), brief("late", epochs=3, takers="bc"), "ac"),
-    "keeps-earlier": Mutant(Rules(KeepsEarlier), brief("late", takers="b"), "ac"),
-    "forgets": Mutant(Rules(Forgets), brief("cut", takers="bc"), "b"),
+    "keeps-old": Mutant(CodeUnderTest(KeepsOld), brief("late", epochs=3, takers="bc"), "ac"),
+    "keeps-earlier": Mutant(CodeUnderTest(KeepsEarlier), brief("late", takers="b"), "ac"),
+    "forgets": Mutant(CodeUnderTest(Forgets), brief("cut", takers="bc"), "b"),
     "forgets-earlier-life": Mutant(
-        Rules(ForgetsEarlierLife), brief("restart", "lost", faults=2, takers="c", versions=0), "b"
+        CodeUnderTest(ForgetsEarlierLife),
+        brief("restart", "lost", faults=2, takers="c", versions=0),
+        "b",
     ),
     "leases-from-receipt": Mutant(
-        Rules(LeasesFromReceipt),
+        CodeUnderTest(LeasesFromReceipt),
         brief("late", "lost", faults=2, takers="c", halves=True, versions=0),
         "b",
     ),
-    "installs-old": Mutant(Rules(InstallsOld), brief("slow", epochs=3, takers="ab"), "a", False),
-    "any-disk": Mutant(Rules(AnyDisk), brief(wipes=1), "d"),
-    "same-id": Mutant(Rules(same_id=True), brief(wipes=1), "d"),
-    "alone": Mutant(Rules(ballot=Alone), brief("lost"), "ab"),
+    "installs-old": Mutant(
+        CodeUnderTest(InstallsOld), brief("slow", epochs=3, takers="ab"), "a", False
+    ),
+    "any-disk": Mutant(CodeUnderTest(AnyDisk), brief(wipes=1), "d"),
+    "same-id": Mutant(CodeUnderTest(reuses_disk_id=True), brief(wipes=1), "d"),
+    "alone": Mutant(CodeUnderTest(election_rules=Alone), brief("lost"), "ab"),
     "at-one-go": Mutant(
-        Rules(ballot=AtOneGo),
+        CodeUnderTest(election_rules=AtOneGo),
         brief("lost", members=4, changes=1, epochs=3, faults=3, takers="ab", versions=0),
         "b",
         False,
     ),
-    "anybody": Mutant(Rules(ballot=Anybody), brief(), "a"),
-    "unfenced": Mutant(Rules(Unfenced), RESCUE, "ab"),
-    "goes-on": Mutant(Rules(ballot=GoesOn), replace(RESCUE, members=4, versions=0), "b"),
-    "any-backup": Mutant(Rules(rescue=AnyBackup), RESCUE, "b"),
-    "passes-always": Mutant(Rules(passes=passes_always), READ, "e"),
-    "ends-at-once": Mutant(Rules(may_shut_down=ends_at_once), LEAVE, "g"),
-    "frees-early": Mutant(Rules(FreesEarly), LEAVE, "g"),
-    "two-free-early": Mutant(Rules(FreesEarly), TWO_LEAVE, "g"),
-    "frees-amid-change": Mutant(Rules(FreesAmidChange), EXCHANGE, "g", False),
-    "frees-unheard": Mutant(Rules(FreesUnheard), UNHEARD, "g"),
-    "copies-all": Mutant(Rules(learner=CopiesAll), LEARN, "f"),
-    "hasty": Mutant(Rules(hasty=True), brief("lost", takers="bc"), "a"),
+    "anybody": Mutant(CodeUnderTest(election_rules=Anybody), brief(), "a"),
+    "unfenced": Mutant(CodeUnderTest(Unfenced), RESCUE, "ab"),
+    "goes-on": Mutant(
+        CodeUnderTest(election_rules=GoesOn), replace(RESCUE, members=4, versions=0), "b"
+    ),
+    "any-backup": Mutant(CodeUnderTest(rescue=AnyBackup), RESCUE, "b"),
+    "passes-always": Mutant(CodeUnderTest(passes=passes_always), READ, "e"),
+    "ends-at-once": Mutant(CodeUnderTest(may_shut_down=ends_at_once), LEAVE, "g"),
+    "frees-early": Mutant(CodeUnderTest(FreesEarly), LEAVE, "g"),
+    "two-free-early": Mutant(CodeUnderTest(FreesEarly), TWO_LEAVE, "g"),
+    "frees-amid-change": Mutant(CodeUnderTest(FreesAmidChange), EXCHANGE, "g", False),
+    "frees-unheard": Mutant(CodeUnderTest(FreesUnheard), UNHEARD, "g"),
+    "copies-all": Mutant(CodeUnderTest(learner=CopiesAll), LEARN, "f"),
+    "hasty": Mutant(CodeUnderTest(commits_early=True), brief("lost", takers="bc"), "a"),
 }
--- a/loomstand/testing/model_checker/search.py
+++ b/loomstand/testing/model_checker/search.py
@@ -8,11 +8,11 @@
 from array import array
 from dataclasses import dataclass
 
-from loomstand.testing.model_checker.state_space import Broken, Plain, StateSpace
+from loomstand.testing.model_checker.state_space import InvariantError, StateSpace, SystemState
 
 
 @dataclass(slots=True)
-class Search:
+class SearchResult:
     """What a search has seen. `whole`: it ended for want of new states, so all within bounds are
     known.
     """
@@ -21,40 +21,40 @@
     transitions: int = 0
     depth: int = 0
     seconds: float = 0.0
-    whole: bool = False
+    is_complete: bool = False
     broken: str = ""
     trace: tuple[str, ...] = ()
 
 
-def survey(land: StateSpace, states: int = 1_000_000, seconds: float = 300.0) -> Search:
+def search(space: StateSpace, states: int = 1_000_000, seconds: float = 300.0) -> SearchResult:
     """Breadth first, until `states` are known, `seconds` are over, nothing is left or something is
     broken.
 
     Of a state only its 64-bit hash is kept: among 10 million the odds that any two are taken for
     one are 3 in a million, and what that hides is one state.
     """
-    begun, out = time.perf_counter(), Search(states=1)
-    first = land.first()
+    begun, out = time.perf_counter(), SearchResult(states=1)
+    first = space.first()
     seen, parents = {hash(first)}, array("q", [-1])
     hashes = array("q", [hash(first)])
-    level: list[tuple[int, Plain]] = [(0, first)]
+    level: list[tuple[int, SystemState]] = [(0, first)]
     while level:
         out.depth += 1
-        coming: list[tuple[int, Plain]] = []
+        coming: list[tuple[int, SystemState]] = []
         for index, state in level:
             try:
-                for _, after in land.successors(state):
+                for _, after in space.successors(state):
                     out.transitions += 1
                     mark = hash(after)
                     if mark not in seen:
                         seen.add(mark)
-                        land.check(after)
+                        space.check(after)
                         parents.append(index)
                         hashes.append(mark)
                         coming.append((len(parents) - 1, after))
-            except Broken as broken:
+            except InvariantError as broken:
                 out.broken = str(broken)
-                out.trace = _trace(land, parents, hashes, index, state)
+                out.trace = _trace(space, parents, hashes, index, state)
                 coming = []
                 break
             if len(parents) >= states or time.perf_counter() - begun > seconds:
@@ -65,35 +65,35 @@
             continue
         break
     else:
-        out.whole = True
+        out.is_complete = True
     out.states, out.seconds = len(parents), time.perf_counter() - begun
     return out
 
 
 def _trace(
-    land: StateSpace, parents: array[int], hashes: array[int], index: int, last: Plain
+    space: StateSpace, parents: array[int], hashes: array[int], index: int, last: SystemState
 ) -> tuple[str, ...]:
     """The steps from the first state to a broken one, found again along the hashes."""
     path: list[int] = []
     while index > 0:
         path.append(hashes[index])
         index = parents[index]
-    state, words = land.first(), list[str]()
+    state, words = space.first(), list[str]()
     for mark in reversed(path):
-        step, state = next((s, a) for s, a in land.successors(state) if hash(a) == mark)
-        words.append(land.words(step))
-    return (*words, *_breaking(land, last))
+        step, state = next((s, a) for s, a in space.successors(state) if hash(a) == mark)
+        words.append(space.words(step))
+    return (*words, *_breaking(space, last))
 
 
-def _breaking(land: StateSpace, state: Plain) -> list[str]:
+def _breaking(space: StateSpace, state: SystemState) -> list[str]:
     """The step that breaks an invariant: one that leads to a bad state, or raises by itself."""
-    steps = land.successors(state)
+    steps = space.successors(state)
     while True:
         try:
             step, after = next(steps)
-        except Broken as broken:
+        except InvariantError as broken:
             return [f"the next step: {broken}"]
         try:
-            land.check(after)
-        except Broken as broken:
-            return [land.words(step), str(broken)]
+            space.check(after)
+        except InvariantError as broken:
+            return [space.words(step), str(broken)]
--- a/loomstand/testing/model_checker/state_space.py
+++ b/loomstand/testing/model_checker/state_space.py
@@ -18,16 +18,16 @@
 from loomstand.store.timing import LEASE_SECONDS
 from loomstand.store.views import EPOCH_RANGE, Member, View, newest
 from loomstand.testing.model_checker.member import (
-    TICK,
-    Cell,
+    TICK_SECONDS,
+    CodeUnderTest,
+    Effect,
     Event,
-    Mark,
+    MemberDriver,
+    MemberSnapshot,
     Message,
-    Plot,
-    Rules,
     address,
-    aged,
-    waking,
+    snapshot_after_tick,
+    snapshot_at_start,
 )
 
 KINDS = frozenset({"lost", "late", "twice", "slow", "restart", "cut"})
@@ -61,7 +61,7 @@
     learners: bool = False  # whether copies beside the view's are written
 
 
-class Left(NamedTuple):
+class Remaining(NamedTuple):
     """What may still happen."""
 
     faults: int
@@ -72,7 +72,7 @@
     reads: int
 
 
-class Read(NamedTuple):
+class PendingRead(NamedTuple):
     """An answer that isn't passed on yet; `asked` as the one who passes it on counts, at the
     latest.
     """
@@ -82,60 +82,60 @@
     left: float
 
 
-class Plain(NamedTuple):
+class SystemState(NamedTuple):
     """A state: numbers of cells and messages, and what operators know."""
 
-    cells: tuple[int, ...]
+    snapshots: tuple[int, ...]
     fresh: tuple[int, ...]  # to be dealt with before anything else happens, the first one first
     late: tuple[int, ...]  # sorted, each once
-    force: tuple[bytes | None, ...]  # by version: what a primary has put in force
+    committed: tuple[bytes | None, ...]  # by version: what a primary has put in force
     sent: tuple[int, ...]  # by version: how many contents were put
-    left: Left
-    away: int = -1  # who is cut off
-    aside: tuple[tuple[int, Record], ...] = ()  # lost disks that may come back after a rescue
-    reads: tuple[Read, ...] = ()
-    going: tuple[int, ...] = ()  # who was told to stop
+    left: Remaining
+    partitioned: int = -1  # who is cut off
+    lost_disks: tuple[tuple[int, Record], ...] = ()  # lost disks that may come back after a rescue
+    reads: tuple[PendingRead, ...] = ()
+    leaving: tuple[int, ...] = ()  # who was told to stop
     gone: tuple[int, ...] = ()  # and has ended for good
 
 
-class Broken(Exception):
+class InvariantError(Exception):
     """An invariant doesn't hold; its words say which."""
 
 
-Outcome = tuple[int, tuple[int, ...], tuple[Mark, ...]]
+Outcome = tuple[int, tuple[int, ...], tuple[Effect, ...]]
 # a step's form of words and what goes into it, worded in traces
 Label = tuple[str, tuple[Any, ...]]
 
 
 @dataclass(slots=True)
 class StateSpace:
-    rules: Rules
+    code: CodeUnderTest
     bounds: Bounds
-    cells: list[Cell] = field(default_factory=list)
+    snapshots: list[MemberSnapshot] = field(default_factory=list)
     messages: list[Message] = field(default_factory=list)
-    numbers: dict[Cell | Message, int] = field(default_factory=dict)
+    numbers: dict[MemberSnapshot | Message, int] = field(default_factory=dict)
     # every step of one member is worked out once: few cells make up all the states
-    known: dict[tuple[int, Event], Outcome | None] = field(default_factory=dict)
+    outcomes: dict[tuple[int, Event], Outcome | None] = field(default_factory=dict)
     facts: list[tuple[float, int, tuple[View, ...]]] = field(default_factory=list)
-    own: dict[tuple[int, tuple[Member, ...], tuple[Member, ...]], list[Event]] = field(
+    own_events: dict[tuple[int, tuple[Member, ...], tuple[Member, ...]], list[Event]] = field(
         default_factory=dict
     )
-    older: dict[int, int] = field(default_factory=dict)
-    dull: dict[tuple[int, int], bool] = field(default_factory=dict)
+    ticked: dict[int, int] = field(default_factory=dict)
+    obsolete: dict[tuple[int, int], bool] = field(default_factory=dict)
 
     # --- numbers for cells and messages
 
-    def cell(self, cell: Cell) -> int:
-        found = self.numbers.get(cell)
+    def snapshot_number(self, snapshot: MemberSnapshot) -> int:
+        found = self.numbers.get(snapshot)
         if found is None:
-            found = self.numbers[cell] = len(self.cells)
-            self.cells.append(cell)
-            t = Plot(self.rules, self.seeds(), cell).replica
-            views = {v for v in (cell.record.view, cell.newest_view) if v is not None}
-            self.facts.append((t.lease_left(0.0), cell.version, tuple(views)))
+            found = self.numbers[snapshot] = len(self.snapshots)
+            self.snapshots.append(snapshot)
+            replica = MemberDriver(self.code, self.seeds(), snapshot).replica
+            views = {v for v in (snapshot.record.view, snapshot.newest_view) if v is not None}
+            self.facts.append((replica.lease_left(0.0), snapshot.version, tuple(views)))
         return found
 
-    def message(self, message: Message) -> int:
+    def message_number(self, message: Message) -> int:
         found = self.numbers.get(message)
         if found is None:
             found = self.numbers[message] = len(self.messages)
@@ -145,45 +145,49 @@
     def seeds(self) -> tuple[Member, ...]:
         return tuple(Member("abcd"[i], address(i)) for i in range(3))
 
-    def first(self) -> Plain:
-        b, cells = self.bounds, []
+    def first(self) -> SystemState:
+        b, snapshots = self.bounds, []
         view = View(1, self.seeds()[0], self.seeds()[1], self.seeds())
         for i in range(b.members):
             record = Record("abcd"[i], i < 3)
             if not b.founding and i < 3:
                 record = Record("abcd"[i], True, 1, view, written_epoch=int(i < 2))
-            cell = waking(i, record)
+            snapshot = snapshot_at_start(i, record)
             if not b.founding:
-                cell = aged(aged(cell))
-                cell = cell._replace(
+                snapshot = snapshot_after_tick(snapshot_after_tick(snapshot))
+                snapshot = snapshot._replace(
                     newest_view=view, replicated_epoch=int(i == 0), is_established=i == 0
                 )
-            cells.append(self.cell(cell))
-        left = Left(b.faults, b.wipes, b.changes, b.yields, b.rescues, b.reads)
+            snapshots.append(self.snapshot_number(snapshot))
+        left = Remaining(b.faults, b.wipes, b.changes, b.yields, b.rescues, b.reads)
         none = (None,) * b.versions
-        return Plain(tuple(cells), (), (), none, (0,) * b.versions, left)
+        return SystemState(tuple(snapshots), (), (), none, (0,) * b.versions, left)
 
     # --- one member's steps
 
-    def step(self, cell: int, event: Event) -> Outcome | None:
+    def step(self, snapshot: int, event: Event) -> Outcome | None:
         """What comes of an event at a member; None if it's refused, so nothing."""
-        key = (cell, event)
-        if key not in self.known:
-            plot = Plot(self.rules, self.seeds(), self.cells[cell])
+        key = (snapshot, event)
+        if key not in self.outcomes:
+            driver = MemberDriver(self.code, self.seeds(), self.snapshots[snapshot])
             try:
                 match event:
                     case ("deliver", number):
-                        plot.deliver(self.messages[number])
+                        driver.deliver(self.messages[number])
                     case ("start", plan, epoch):
-                        plot.campaign(plan, epoch)
+                        driver.start_election(plan, epoch)
                     case (name, *parts):
-                        getattr(plot, name)(*parts)
+                        getattr(driver, name)(*parts)
             except CallRefusedError:
-                self.known[key] = None
+                self.outcomes[key] = None
             else:
-                out = tuple(self.message(m) for m in plot.out)
-                self.known[key] = (self.cell(plot.frozen()), out, tuple(plot.marks))
-        return self.known[key]
+                out = tuple(self.message_number(m) for m in driver.out)
+                self.outcomes[key] = (
+                    self.snapshot_number(driver.to_snapshot()),
+                    out,
+                    tuple(driver.effects),
+                )
+        return self.outcomes[key]
 
     def events(
         self, number: int, members: tuple[Member, ...], stay: tuple[Member, ...]
@@ -194,31 +198,31 @@
         `stay`: those of `members` that weren't told to stop.
         """
         key = (number, members, stay)
-        if key in self.own:
-            return self.own[key]
-        cell, found = self.cells[number], list[Event]()
-        me, view, work = members[cell.index], cell.record.view, cell.work
-        if cell.pen is None:
-            plans = Plot(self.rules, self.seeds(), cell).plans(stay)
+        if key in self.own_events:
+            return self.own_events[key]
+        snapshot, found = self.snapshots[number], list[Event]()
+        me, view, work = members[snapshot.index], snapshot.record.view, snapshot.work
+        if snapshot.pending_write is None:
+            plans = MemberDriver(self.code, self.seeds(), snapshot).possible_actions(stay)
             if work and work.stage == "put" and "own" in work.ids and view is not None:
                 plans.append(self.moved(view))
             for plan in plans:
                 if plan.kind is ActionKind.REPLICATE:
-                    found.append(("settle",))
+                    found.append(("replicate",))
                 elif plan.kind is ActionKind.TRANSFER_LEADERSHIP:
-                    found.append(("hand_over",))
-                elif "abcd"[cell.index] in self.bounds.takers:
-                    most = cell.promised_epoch // EPOCH_RANGE * EPOCH_RANGE + self.bounds.epochs
-                    epochs = range(cell.promised_epoch + 1, most + 1)
+                    found.append(("transfer_leadership",))
+                elif "abcd"[snapshot.index] in self.bounds.takers:
+                    most = snapshot.promised_epoch // EPOCH_RANGE * EPOCH_RANGE + self.bounds.epochs
+                    epochs = range(snapshot.promised_epoch + 1, most + 1)
                     found += [("start", plan, e) for e in epochs]
         if work and work.stage == "backup":
             found += [("backup", m) for m in stay if m != me and m not in work.asked]
         if work and work.stage == "fetch":
-            found.append(("fetch",))
+            found.append(("read_configuration",))
         if view is not None and view.primary.id == me.id:
             fresh = {
                 me.id,
-                *(i for i, epoch, sent in cell.grants if sent == 0.0 and epoch == view.epoch),
+                *(i for i, epoch, sent in snapshot.grants if sent == 0.0 and epoch == view.epoch),
             }
             # no more of them once the lease is as long as it can be
             asked = (
@@ -226,46 +230,46 @@
                 if view.has_quorum(fresh)
                 else [m for m in view.electors().values() if m.id not in fresh]
             )
-            found += [("beat", m) for m in asked]
-        self.own[key] = [e for e in found if self.step(number, e) is not None]
-        return self.own[key]
+            found += [("send_heartbeat", m) for m in asked]
+        self.own_events[key] = [e for e in found if self.step(number, e) is not None]
+        return self.own_events[key]
 
     @staticmethod
     def moved(view: View) -> Action:
         """As `ConfigurationService` acts when a backup doesn't write, whatever else is due."""
         return change_view("", view)
 
-    def is_dull(self, cell: int, number: int) -> bool:
+    def is_obsolete(self, snapshot: int, number: int) -> bool:
         """Whether a message can never matter again at a member; asked of the code, so mutants
         differ.
         """
-        key = (cell, number)
-        found = self.dull.get(key)
+        key = (snapshot, number)
+        found = self.obsolete.get(key)
         if found is None:
-            message, c = self.messages[number], self.cells[cell]
+            message, c = self.messages[number], self.snapshots[snapshot]
             if message.op in ("beat", "install") and message.answer:
                 late = message.sent + LEASE_SECONDS <= 0.0
-                found = not message.heeded or (
-                    late and self.step(cell, ("deliver", number)) == (cell, (), ())
+                found = not message.is_awaited or (
+                    late and self.step(snapshot, ("deliver", number)) == (snapshot, (), ())
                 )
             elif message.op == "beat":
                 found = message.sent + LEASE_SECONDS <= 0.0  # its answer would be worth nothing
             else:
-                found = self._stale(cell, c, message, number)
-            self.dull[key] = found
+                found = self._stale(snapshot, c, message, number)
+            self.obsolete[key] = found
         return found
 
-    def _stale(self, cell: int, c: Cell, message: Message, number: int) -> bool:
+    def _stale(self, snapshot: int, c: MemberSnapshot, message: Message, number: int) -> bool:
         body = cbor2.loads(message.body)
         epoch = body["view"][0] if message.op == "install" else body["epoch"]
-        if message.answer and not message.heeded:
+        if message.answer and not message.is_awaited:
             return True
-        if c.pen is not None:  # refused for now only
+        if c.pending_write is not None:  # refused for now only
             return False
-        outcome = self.step(cell, ("deliver", number))
+        outcome = self.step(snapshot, ("deliver", number))
         if outcome is None and message.name != c.record.id and not message.answer:
             return True
-        idle = outcome is None or outcome == (cell, (), ())
+        idle = outcome is None or outcome == (snapshot, (), ())
         # promises only grow, and those on disk for good; no work of that epoch begins any more
         over = (
             epoch <= c.record.promised_epoch
@@ -276,10 +280,12 @@
 
     # --- successors
 
-    def members(self, state: Plain) -> tuple[Member, ...]:
-        return tuple(Member(self.cells[c].record.id, address(i)) for i, c in enumerate(state.cells))
+    def members(self, state: SystemState) -> tuple[Member, ...]:
+        return tuple(
+            Member(self.snapshots[c].record.id, address(i)) for i, c in enumerate(state.snapshots)
+        )
 
-    def successors(self, state: Plain) -> Iterator[tuple[Label, Plain]]:
+    def successors(self, state: SystemState) -> Iterator[tuple[Label, SystemState]]:
         if state.fresh:
             yield from self._fresh(state)
             return
@@ -287,7 +293,7 @@
         for k, number in enumerate(state.late):
             rest = (*state.late[:k], *state.late[k + 1 :])
             at = self.messages[number].at
-            if state.away in (at, self.messages[number].by):
+            if state.partitioned in (at, self.messages[number].by):
                 continue
             yield from self._take(state._replace(late=rest), at, ("deliver", number))
             if left.faults and "twice" in kinds:
@@ -295,11 +301,11 @@
                 yield from self._take(fewer, at, ("deliver", number))
         members = self.members(state)
         # who may take a place
-        stay = tuple(m for i, m in enumerate(members) if i not in state.going)
-        for i, number in enumerate(state.cells):
+        stay = tuple(m for i, m in enumerate(members) if i not in state.leaving)
+        for i, number in enumerate(state.snapshots):
             if i in state.gone:
                 continue
-            if self.cells[number].pen is not None:
+            if self.snapshots[number].pending_write is not None:
                 yield from self._take(state, i, ("write",))
             for event in self.events(number, members, stay):
                 after = self._allowed(state, event)
@@ -307,22 +313,25 @@
                     yield from self._take(after, i, event)
             yield from self._puts(state, i, number)
             yield from self._restarts(state, i, number)
-            if left.faults and "cut" in kinds and state.away < 0:
-                yield ("{} is cut off", (members[i].id,)), self._fault(state)._replace(away=i)
-            version = self.cells[number].version
+            if left.faults and "cut" in kinds and state.partitioned < 0:
+                yield (
+                    ("{} is cut off", (members[i].id,)),
+                    self._fault(state)._replace(partitioned=i),
+                )
+            version = self.snapshots[number].version
             for v in range(version + 1, self.bounds.versions + 1):
-                data = state.force[v - 1]
+                data = state.committed[v - 1]
                 if data is not None:
                     yield from self._take(state, i, ("commit_news", v, data))
             if self.bounds.learners:
-                yield from self._take(state, i, ("learn",))
+                yield from self._take(state, i, ("write_copy",))
             if left.reads and self.facts[number][0] > 0.0:
                 fewer = state._replace(left=left._replace(reads=left.reads - 1))
-                read = Read(i, 0.0, self.facts[number][0])
+                read = PendingRead(i, 0.0, self.facts[number][0])
                 yield ("{} is read", (members[i].id,)), fewer._replace(reads=(*state.reads, read))
             yield from self._leaves(state, i, stay)
-        if state.away >= 0:
-            yield ("the cut is mended", ()), state._replace(away=-1)
+        if state.partitioned >= 0:
+            yield ("the cut is mended", ()), state._replace(partitioned=-1)
         yield from self._rescued(state)
         tick = self._tick(state)
         if not self.bounds.halves:
@@ -330,12 +339,14 @@
         if tick != state:
             yield ("time passes", ()), tick
 
-    def _fresh(self, state: Plain) -> Iterator[tuple[Label, Plain]]:
+    def _fresh(self, state: SystemState) -> Iterator[tuple[Label, SystemState]]:
         number, rest = state.fresh[0], state.fresh[1:]
         without = state._replace(fresh=rest)
         at = self.messages[number].at
-        if self.step(state.cells[at], ("deliver", number)) is None:
-            if self.cells[state.cells[at]].pen is not None:  # it waits until the disk is done
+        if self.step(state.snapshots[at], ("deliver", number)) is None:
+            if (
+                self.snapshots[state.snapshots[at]].pending_write is not None
+            ):  # it waits until the disk is done
                 yield (
                     ("{} waits", (number,)),
                     without._replace(late=tuple(sorted({*state.late, number}))),
@@ -354,12 +365,12 @@
                 )
 
     @staticmethod
-    def _fault(state: Plain) -> Plain:
+    def _fault(state: SystemState) -> SystemState:
         return state._replace(left=state.left._replace(faults=state.left.faults - 1))
 
-    def _allowed(self, state: Plain, event: Event) -> Plain | None:
+    def _allowed(self, state: SystemState, event: Event) -> SystemState | None:
         left = state.left
-        if event[0] == "hand_over":
+        if event[0] == "transfer_leadership":
             return (
                 state._replace(left=left._replace(yields=left.yields - 1)) if left.yields else None
             )
@@ -369,7 +380,7 @@
             and len(event[1].former_voters) <= len(event[1].voters)
         ):
             begins = all(
-                v.voters != event[1].voters for c in state.cells for v in self.facts[c][2]
+                v.voters != event[1].voters for c in state.snapshots for v in self.facts[c][2]
             )  # a set that no view has yet
             if begins:
                 return (
@@ -379,8 +390,8 @@
                 )
         return state
 
-    def _puts(self, state: Plain, i: int, number: int) -> Iterator[tuple[Label, Plain]]:
-        if not self.facts[number][0] or self.cells[number].pen is not None:
+    def _puts(self, state: SystemState, i: int, number: int) -> Iterator[tuple[Label, SystemState]]:
+        if not self.facts[number][0] or self.snapshots[number].pending_write is not None:
             return
         for v in range(self.bounds.versions):
             # contents are alike but for being others: the first is 0, the second may be either
@@ -389,63 +400,77 @@
                 event = ("put", v + 1, b"xy"[content : content + 1])
                 yield from self._take(state._replace(sent=sent), i, event)
 
-    def _restarts(self, state: Plain, i: int, number: int) -> Iterator[tuple[Label, Plain]]:
-        cell, left = self.cells[number], state.left
+    def _restarts(
+        self, state: SystemState, i: int, number: int
+    ) -> Iterator[tuple[Label, SystemState]]:
+        snapshot, left = self.snapshots[number], state.left
         if not left.faults:
             return
         if (
             "restart" in self.bounds.kinds
-            and waking(i, cell.record, cell.copy)._replace(started_at=cell.started_at) != cell
+            and snapshot_at_start(i, snapshot.record, snapshot.copy)._replace(
+                started_at=snapshot.started_at
+            )
+            != snapshot
         ):  # it loses something by it
-            disks = {cell.record: "is killed and starts"}
-            if cell.pen is not None:
-                disks.setdefault(cell.pen[0], "is killed and starts, its last write done")
+            disks = {snapshot.record: "is killed and starts"}
+            if snapshot.pending_write is not None:
+                disks.setdefault(
+                    snapshot.pending_write[0], "is killed and starts, its last write done"
+                )
             for record, words in disks.items():
                 yield from self._restart(self._fault(state), i, record, words)
         if left.wipes and not (state.gone and self._missed(state)):
-            id = cell.record.id if self.rules.same_id else cell.record.id + "'"
+            id = snapshot.record.id if self.code.reuses_disk_id else snapshot.record.id + "'"
             fewer = left._replace(wipes=left.wipes - 1, faults=left.faults - 1)
-            aside = ((i, cell.record),) if left.rescues else ()
-            lost = state._replace(left=fewer, aside=state.aside + aside)
+            aside = ((i, snapshot.record),) if left.rescues else ()
+            lost = state._replace(left=fewer, lost_disks=state.lost_disks + aside)
             yield from self._restart(
                 lost, i, Record(id, False), "has lost its disk and starts", True
             )
 
     def _leaves(
-        self, state: Plain, i: int, stay: tuple[Member, ...]
-    ) -> Iterator[tuple[Label, Plain]]:
+        self, state: SystemState, i: int, stay: tuple[Member, ...]
+    ) -> Iterator[tuple[Label, SystemState]]:
         """It is told to stop; or ends, once its own code lets it, with all in reach answering."""
         if "abcd"[i] not in self.bounds.leavers:
             return
-        if i not in state.going:
-            if len(state.going) < 2:
+        if i not in state.leaving:
+            if len(state.leaving) < 2:
                 yield (
-                    ("{} is told to stop", (self.cells[state.cells[i]].record.id,)),
-                    state._replace(going=tuple(sorted((*state.going, i)))),
+                    ("{} is told to stop", (self.snapshots[state.snapshots[i]].record.id,)),
+                    state._replace(leaving=tuple(sorted((*state.leaving, i)))),
                 )
             return
-        cut = state.away if state.away != i else -1
-        there = tuple(m for m in stay if m.address != address(cut)) if state.away != i else ()
-        if self.step(state.cells[i], ("ends", there)) is None:
+        cut = state.partitioned if state.partitioned != i else -1
+        there = (
+            tuple(m for m in stay if m.address != address(cut)) if state.partitioned != i else ()
+        )
+        if self.step(state.snapshots[i], ("shut_down", there)) is None:
             return
         gone = tuple(sorted((*state.gone, i)))
         yield (
-            ("{} ends, its disk with it", (self.cells[state.cells[i]].record.id,)),
+            ("{} ends, its disk with it", (self.snapshots[state.snapshots[i]].record.id,)),
             self._tidy(state._replace(gone=gone)),
         )
 
-    def _rescued(self, state: Plain) -> Iterator[tuple[Label, Plain]]:
+    def _rescued(self, state: SystemState) -> Iterator[tuple[Label, SystemState]]:
         """Operators' word, where the code's own judgement lets them; later what they gave up comes
         back.
         """
         if not state.left.rescues:
-            for k, (i, record) in enumerate(state.aside):
-                rest = state._replace(aside=(*state.aside[:k], *state.aside[k + 1 :]))
+            for k, (i, record) in enumerate(state.lost_disks):
+                rest = state._replace(
+                    lost_disks=(*state.lost_disks[:k], *state.lost_disks[k + 1 :])
+                )
                 yield from self._restart(rest, i, record, "is back with its old disk", True)
             return
-        tenures = [Plot(self.rules, self.seeds(), self.cells[c]).replica for c in state.cells]
+        replicas = [
+            MemberDriver(self.code, self.seeds(), self.snapshots[c]).replica
+            for c in state.snapshots
+        ]
         found = make_case(
-            (MemberReport.of(t, 0.0, NO_CONFIGURATION) for t in tenures),
+            (MemberReport.of(t, 0.0, NO_CONFIGURATION) for t in replicas),
             (),
             [m.address for m in self.seeds()],
         )
@@ -453,53 +478,60 @@
         if chosen is None or found.obstacles():
             return
         # what nobody in reach holds is lost
-        force = tuple(d if v < found.newest_version() else None for v, d in enumerate(state.force))
+        force = tuple(
+            d if v < found.newest_version() else None for v, d in enumerate(state.committed)
+        )
         after = state._replace(
-            left=state.left._replace(rescues=state.left.rescues - 1), force=force
+            left=state.left._replace(rescues=state.left.rescues - 1), committed=force
         )
-        i = next(i for i, t in enumerate(tenures) if t.member == chosen.member)
+        i = next(i for i, t in enumerate(replicas) if t.member == chosen.member)
         yield from self._take(after, i, ("rescue", found, EPOCH_RANGE))
 
     def _restart(
-        self, state: Plain, i: int, record: Record, words: str, empty: bool = False
-    ) -> Iterator[tuple[Label, Plain]]:
+        self, state: SystemState, i: int, record: Record, words: str, empty: bool = False
+    ) -> Iterator[tuple[Label, SystemState]]:
         """Who wakes hears no answers to what it asked before, also not to what is still being
         written.
         """
-        cells, late = list(state.cells), list[int]()
-        for k, number in enumerate(cells):
-            match self.cells[number].pen:
+        snapshots, late = list(state.snapshots), list[int]()
+        for k, number in enumerate(snapshots):
+            match self.snapshots[number].pending_write:
                 case (written, (kind, Message() as call, *body)) if call.by == i:
-                    then = (kind, call._replace(heeded=False), *body)
-                    cells[k] = self.cell(self.cells[number]._replace(pen=(written, then)))
-        copy = NO_CONFIGURATION if empty else self.cells[state.cells[i]].copy
-        cells[i] = self.cell(waking(i, record, copy))
+                    then = (kind, call._replace(is_awaited=False), *body)
+                    snapshots[k] = self.snapshot_number(
+                        self.snapshots[number]._replace(pending_write=(written, then))
+                    )
+        copy = NO_CONFIGURATION if empty else self.snapshots[state.snapshots[i]].copy
+        snapshots[i] = self.snapshot_number(snapshot_at_start(i, record, copy))
         for number in state.late:
             m = self.messages[number]
-            if m.heeded and (m.at if m.answer else m.by) == i:
-                number = self.message(m._replace(heeded=False))
+            if m.is_awaited and (m.at if m.answer else m.by) == i:
+                number = self.message_number(m._replace(is_awaited=False))
             late.append(number)
-        after = state._replace(cells=tuple(cells), late=tuple(sorted({*late})))
-        label = ("{} " + words, (self.cells[state.cells[i]].record.id,))
-        views = (v for c in after.cells for v in self.facts[c][2])
+        after = state._replace(snapshots=tuple(snapshots), late=tuple(sorted({*late})))
+        label = ("{} " + words, (self.snapshots[state.snapshots[i]].record.id,))
+        views = (v for c in after.snapshots for v in self.facts[c][2])
         view = newest(*views) if self.bounds.rescues else None
         if view is None:
             yield label, self._tidy(after)
-        for _, greeted in self._take(after, i, ("greet", view)) if view else ():
+        for _, greeted in self._take(after, i, ("hear_newest_view", view)) if view else ():
             yield label, greeted
 
-    def _take(self, state: Plain, i: int, event: Event) -> Iterator[tuple[Label, Plain]]:
+    def _take(
+        self, state: SystemState, i: int, event: Event
+    ) -> Iterator[tuple[Label, SystemState]]:
         """One event at a member; what it writes for it is on disk at once, or under way."""
-        outcome = self.step(state.cells[i], event)
+        outcome = self.step(state.snapshots[i], event)
         if outcome is None:
             return
-        before, words = state.cells[i], "{}: {}"
+        before, words = state.snapshots[i], "{}: {}"
         while True:
             number, out, marks = outcome
             after = self._after(state, i, number, out, marks)
             if (
-                self.cells[number].pen is None
-                or self.cells[number].pen == self.cells[state.cells[i]].pen
+                self.snapshots[number].pending_write is None
+                or self.snapshots[number].pending_write
+                == self.snapshots[state.snapshots[i]].pending_write
             ):
                 yield (words, (before, event)), after
                 return
@@ -510,66 +542,82 @@
             state = after
 
     def _after(
-        self, state: Plain, i: int, number: int, out: tuple[int, ...], marks: tuple[Mark, ...]
-    ) -> Plain:
-        cells = (*state.cells[:i], number, *state.cells[i + 1 :])
-        force = state.force
+        self,
+        state: SystemState,
+        i: int,
+        number: int,
+        out: tuple[int, ...],
+        marks: tuple[Effect, ...],
+    ) -> SystemState:
+        snapshots = (*state.snapshots[:i], number, *state.snapshots[i + 1 :])
+        force = state.committed
         for mark in marks:
             if mark[0] == "broken":
-                raise Broken(mark[1])
+                raise InvariantError(mark[1])
             kind, version, data = mark
             if kind == "copied":
                 if force[version - 1] != data:
-                    raise Broken("(f) a copy has what was never in force")
+                    raise InvariantError("(f) a copy has what was never in force")
             elif version:
                 if force[version - 1] not in (None, data):
-                    raise Broken(f"(c) version {version} has two contents in force")
+                    raise InvariantError(f"(c) version {version} has two contents in force")
                 force = (*force[: version - 1], data, *force[version:])
-        if state.away >= 0 and out:
+        if state.partitioned >= 0 and out:
             out = tuple(
-                n for n in out if state.away not in (self.messages[n].by, self.messages[n].at)
+                n
+                for n in out
+                if state.partitioned not in (self.messages[n].by, self.messages[n].at)
             )
-        return self._tidy(state._replace(cells=cells, fresh=state.fresh + out, force=force))
+        return self._tidy(
+            state._replace(snapshots=snapshots, fresh=state.fresh + out, committed=force)
+        )
 
-    def _tidy(self, state: Plain) -> Plain:
+    def _tidy(self, state: SystemState) -> SystemState:
         if not state.fresh and not state.late:
             return state
         if state.gone:
             fresh = tuple(n for n in state.fresh if self.messages[n].at not in state.gone)
             late = tuple(n for n in state.late if self.messages[n].at not in state.gone)
             state = state._replace(fresh=fresh, late=late)
-        cells, messages, dull = state.cells, self.messages, self.is_dull
-        fresh = tuple(n for n in state.fresh if not dull(cells[messages[n].at], n))
-        late = tuple(n for n in state.late if not dull(cells[messages[n].at], n))
+        snapshots, messages, dull = state.snapshots, self.messages, self.is_obsolete
+        fresh = tuple(n for n in state.fresh if not dull(snapshots[messages[n].at], n))
+        late = tuple(n for n in state.late if not dull(snapshots[messages[n].at], n))
         return state._replace(fresh=fresh, late=late)
 
-    def _tick(self, state: Plain) -> Plain:
+    def _tick(self, state: SystemState) -> SystemState:
         late = []
         for number in state.late:
             m = self.messages[number]
             timed = m.op in ("beat", "install")
             late.append(
-                self.message(m._replace(sent=max(m.sent - TICK, -2 * TICK))) if timed else number
+                self.message_number(m._replace(sent=max(m.sent - TICK_SECONDS, -2 * TICK_SECONDS)))
+                if timed
+                else number
             )
-        cells = []
-        for c in state.cells:
-            if c not in self.older:
-                self.older[c] = self.cell(aged(self.cells[c]))
-            cells.append(self.older[c])
+        snapshots = []
+        for c in state.snapshots:
+            if c not in self.ticked:
+                self.ticked[c] = self.snapshot_number(snapshot_after_tick(self.snapshots[c]))
+            snapshots.append(self.ticked[c])
         reads = tuple(
-            r for r in (r._replace(asked=r.asked - TICK) for r in state.reads) if self._passes(r)
+            r
+            for r in (r._replace(asked=r.asked - TICK_SECONDS) for r in state.reads)
+            if self._passes(r)
         )
         return self._tidy(
-            state._replace(cells=tuple(cells), late=tuple(sorted({*late})), reads=reads)
+            state._replace(snapshots=tuple(snapshots), late=tuple(sorted({*late})), reads=reads)
         )
 
-    def _passes(self, read: Read) -> bool:
+    def _passes(self, read: PendingRead) -> bool:
         """Whether that may be passed on now, however long its asker waited."""
-        return read.asked > -4 * TICK and self.rules.passes(read.left, read.asked, 0.0, 1e9) > 0.0
+        return (
+            read.asked > -4 * TICK_SECONDS
+            and self.code.passes(read.left, read.asked, 0.0, 1e9) > 0.0
+        )
 
     # --- what must hold
 
-    def check(self, state: Plain) -> None:
+    def check(self, state: SystemState) -> None:
         """Raises Broken unless, in this state and the step to it:
 
         (a) Whoever serves (its lease stands, so it answers reads and may acknowledge) holds at
@@ -587,49 +635,55 @@
         the view's disks has only what was in force (looked at as marks are taken in). (g) Once
         members were told to stop, those that are left can agree on a view, and one has its data.
         """
-        facts = [self.facts[c] for c in state.cells]
+        facts = [self.facts[c] for c in state.snapshots]
         for read in state.reads:
             if any(f[0] > 0.0 and i != read.by for i, f in enumerate(facts)) and self._passes(read):
-                raise Broken("(e) what one said to be in force is passed on while another serves")
-        if state.going:
+                raise InvariantError(
+                    "(e) what one said to be in force is passed on while another serves"
+                )
+        if state.leaving:
             self._check_left(state)
         serving = [f for i, f in enumerate(facts) if f[0] > 0.0 and i not in state.gone]
         if len(serving) > 1:
-            raise Broken("(b) two members serve")
-        newest = max((v + 1 for v, data in enumerate(state.force) if data is not None), default=0)
+            raise InvariantError("(b) two members serve")
+        newest = max(
+            (v + 1 for v, data in enumerate(state.committed) if data is not None), default=0
+        )
         if serving and serving[0][1] < newest:
-            raise Broken(f"(a) version {newest} was in force and is lost")
+            raise InvariantError(f"(a) version {newest} was in force and is lost")
         views: dict[int, View] = {}
         for known in (f[2] for f in facts):
             for view in known:
                 if views.setdefault(view.epoch, view) != view:
-                    raise Broken(f"(b) two views of epoch {view.epoch}")
-        for c in state.cells:
-            record = self.cells[c].record
+                    raise InvariantError(f"(b) two views of epoch {view.epoch}")
+        for c in state.snapshots:
+            record = self.snapshots[c].record
             if not record.is_founder and record.id in "abc":
-                raise Broken(f"(d) a disk that is new votes as {record.id}")
+                raise InvariantError(f"(d) a disk that is new votes as {record.id}")
 
-    def _left(self, state: Plain) -> tuple[View | None, list[str]]:
+    def _left(self, state: SystemState) -> tuple[View | None, list[str]]:
         """The newest view that those know who didn't end, and their disks."""
-        cells = [self.cells[c] for i, c in enumerate(state.cells) if i not in state.gone]
-        return newest(*(v for c in cells for v in (c.record.view, c.newest_view))), [
-            c.record.id for c in cells
+        snapshots = [
+            self.snapshots[c] for i, c in enumerate(state.snapshots) if i not in state.gone
+        ]
+        return newest(*(v for c in snapshots for v in (c.record.view, c.newest_view))), [
+            c.record.id for c in snapshots
         ]
 
-    def _missed(self, state: Plain) -> bool:
+    def _missed(self, state: SystemState) -> bool:
         """Whether a member that ended has nobody in its place: it counts as the one loss that is
         borne.
         """
         view, _ = self._left(state)
         names = replace(view, former_voters=()).members() if view else {}
-        return any(self.cells[state.cells[i]].record.id in names for i in state.gone)
+        return any(self.snapshots[state.snapshots[i]].record.id in names for i in state.gone)
 
-    def _check_left(self, state: Plain) -> None:
+    def _check_left(self, state: SystemState) -> None:
         view, ids = self._left(state)
         if view is not None and not view.has_quorum(ids):
-            raise Broken("(g) those that are left can't agree any more")
+            raise InvariantError("(g) those that are left can't agree any more")
         if view is not None and not any(view.has_data(id) for id in ids):
-            raise Broken("(g) nobody that is left has the data")
+            raise InvariantError("(g) nobody that is left has the data")
 
     # --- words for a trace
 
@@ -637,7 +691,7 @@
         form, parts = step
         match parts:
             case (int() as before, tuple() as event):
-                return form.format(self.cells[before].record.id, self._event(event))
+                return form.format(self.snapshots[before].record.id, self._event(event))
             case (int() as number,):
                 return form.format(self._message(number))
         return form.format(*parts)
--- a/tests/testing/model_checker/test_model_checker.py
+++ b/tests/testing/model_checker/test_model_checker.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule, run_state_machine_as_test
 
 from loomstand.testing.model_checker.__main__ import main
-from loomstand.testing.model_checker.member import Rules
+from loomstand.testing.model_checker.member import CodeUnderTest
 from loomstand.testing.model_checker.mutants import (
     LEARN,
     LEAVE,
@@ -22,19 +22,19 @@
     TWO_LEAVE,
     brief,
 )
-from loomstand.testing.model_checker.search import survey
-from loomstand.testing.model_checker.state_space import Bounds, Broken, StateSpace
+from loomstand.testing.model_checker.search import search
+from loomstand.testing.model_checker.state_space import Bounds, InvariantError, StateSpace
 
 
 def test_all_runs_within_small_bounds_hold():
-    found = survey(StateSpace(Rules(), brief("restart", takers="c", wipes=1)), seconds=60.0)
-    assert found.whole and not found.broken
+    found = search(StateSpace(CodeUnderTest(), brief("restart", takers="c", wipes=1)), seconds=60.0)
+    assert found.is_complete and not found.broken
     assert found.states > 3000 and found.depth > 25
 
 
 def test_all_runs_with_a_rescue_and_the_return_of_the_lost_disks_hold():
-    found = survey(StateSpace(Rules(), replace(RESCUE, versions=0)), seconds=60.0)
-    assert found.whole and not found.broken
+    found = search(StateSpace(CodeUnderTest(), replace(RESCUE, versions=0)), seconds=60.0)
+    assert found.is_complete and not found.broken
     assert found.states > 10_000 and found.depth > 30
 
 
@@ -49,15 +49,15 @@
     ],
 )
 def test_all_runs_with_reads_leaving_and_third_copies_hold(bounds, states):
-    found = survey(StateSpace(Rules(), bounds), seconds=60.0)
-    assert found.whole and not found.broken
+    found = search(StateSpace(CodeUnderTest(), bounds), seconds=60.0)
+    assert found.is_complete and not found.broken
     assert found.states > states
 
 
 @pytest.mark.parametrize("name", [n for n, m in MUTANTS.items() if m.brief])
 def test_a_step_left_out_is_found(name):
     mutant = MUTANTS[name]
-    found = survey(StateSpace(mutant.rules, mutant.bounds), states=100_000, seconds=60.0)
+    found = search(StateSpace(mutant.code, mutant.bounds), states=100_000, seconds=60.0)
     assert found.broken[1:2] in [*mutant.breaks], found
     assert found.trace[-1].endswith(found.broken)
 
@@ -73,21 +73,21 @@
 class Ramble(RuleBasedStateMachine):
     """One long run: far deeper, and with more faults, than all runs can be walked."""
 
-    land = StateSpace(Rules(), Bounds(members=4, epochs=8, faults=12, changes=2, yields=2))
+    space = StateSpace(CodeUnderTest(), Bounds(members=4, epochs=8, faults=12, changes=2, yields=2))
 
     def __init__(self) -> None:
         super().__init__()
-        self.state = self.land.first()
+        self.state = self.space.first()
 
     @rule(choices=st.lists(st.integers(0, 1 << 16), min_size=8, max_size=8))
     def go_on(self, choices: list[int]) -> None:
         for choice in choices:
-            ways = [after for _, after in self.land.successors(self.state)]
+            ways = [after for _, after in self.space.successors(self.state)]
             if self.state.fresh and choice % 8:
                 ways = ways[:1]  # mostly messages arrive, else nothing gets anywhere
             if ways:
                 self.state = ways[choice % len(ways)]
-                self.land.check(self.state)
+                self.space.check(self.state)
 
 
 # no shrinking: the model_checker finds the shortest trace, this one only asks whether there is one
@@ -108,9 +108,9 @@
 
 def test_long_runs_at_random_find_a_mutant():
     class Mutated(Ramble):
-        land = StateSpace(MUTANTS["alone"].rules, Ramble.land.bounds)
+        space = StateSpace(MUTANTS["alone"].code, Ramble.space.bounds)
 
     # what hypothesis draws depends on the modules that are loaded beside; it ends at the first that
     # is found
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantError):
         run_state_machine_as_test(Mutated, settings=settings(RAMBLES, max_examples=500))
