--- a/tests/store/test_change_history.py
+++ b/tests/store/test_change_history.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_rescue import rescue
-from test_store import World, _fault
+from test_store import StoreCluster, _fault
 
 from loomstand.rpc.messages.rows import ChangeHistoryRow
 from loomstand.store import change_history
@@ -119,8 +119,8 @@
 class Ledger:
     """What operators sent and were told, each look at the promises as an answer comes."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, cluster: StoreCluster) -> None:
+        self.cluster = cluster
         self.confirmed: dict[int, bytes] = {}
         self.refused: set[tuple[int, bytes]] = set()
         self.sent: list[tuple[int, str]] = []
@@ -128,18 +128,20 @@
 
     async def order(self, host: str, version: int, mark: str, lost: bool = False) -> bool | None:
         """True if it was acknowledged, False if refused, None if nothing clear came back."""
-        world, data = self.world, f"{version} {mark}".encode()
-        world.sent = max(world.sent, version)
-        world.contents.setdefault(version, set()).add(data)
+        cluster, data = self.cluster, f"{version} {mark}".encode()
+        cluster.sent = max(cluster.sent, version)
+        cluster.contents.setdefault(version, set()).add(data)
         self.sent.append((version, mark))
-        answer = await world.air.call((host, 7341), "put", {"version": version, "data": data}, 1.0)
+        answer = await cluster.client.call(
+            (host, 7341), "put", {"version": version, "data": data}, 1.0
+        )
         if answer.is_error() or lost:
             self.counts[None] += 1
             return None
         good = "conflict" not in answer.ok
         self.counts[good] += 1
         if good:
-            world.acked = max(world.acked, version)
+            cluster.acknowledged_version = max(cluster.acknowledged_version, version)
             assert self.confirmed.setdefault(version, data) == data, (
                 f"two confirmed under r{version}"
             )
@@ -148,11 +150,11 @@
         else:
             self.refused.add((version, data))
             assert self.confirmed.get(version) != data, f"r{version} confirmed, then refused"
-            assert len(world.contents[version]) > 1, f"r{version} has one content, and is refused"
+            assert len(cluster.contents[version]) > 1, f"r{version} has one content, and is refused"
         return good
 
     def check(self) -> None:
-        for version, data in self.world.in_force.items():
+        for version, data in self.cluster.committed.items():
             assert (version, data) not in self.refused, f"r{version} refused and in force"
             assert self.confirmed.get(version, data) == data, f"another r{version} was confirmed"
 
@@ -161,15 +163,15 @@
     """An operator whose answers get lost, who sends again what was unclear, clear, and long
     over.
     """
-    world = ledger.world
+    cluster = ledger.cluster
     while True:
         await asyncio.sleep(rng.uniform(0.0, pause))
-        hosts = [h for h, m in world.machines.items() if m.up] or [*world.machines]
+        hosts = [h for h, m in cluster.machines.items() if m.up] or [*cluster.machines]
         step = rng.random()
         if ledger.sent and step < 0.4:
             version, mine = rng.choice(ledger.sent[-12:] if step < 0.3 else ledger.sent)
         else:
-            version, mine = max(1, world.sent + rng.choice((-2, -1, 0, 0, 1, 1, 1, 2))), mark
+            version, mine = max(1, cluster.sent + rng.choice((-2, -1, 0, 0, 1, 1, 1, 2))), mark
         if rng.random() < 0.2:  # to two machines at once
             other, lost = rng.choice((mine, mark + "'")), rng.random() < 0.3
             again = ledger.order(rng.choice(hosts), version, other, lost)
@@ -178,26 +180,26 @@
             await ledger.order(rng.choice(hosts), version, mine, rng.random() < 0.3)
 
 
-async def a_day(world: World, rng: Random) -> Ledger:
-    ledger = Ledger(world)
-    for machine in world.machines.values():
+async def a_day(cluster: StoreCluster, rng: Random) -> Ledger:
+    ledger = Ledger(cluster)
+    for machine in cluster.machines.values():
         machine.start()
     await asyncio.sleep(1.5)
-    world.first = False
+    cluster.first = False
     work = [
         asyncio.create_task(operate(ledger, Random(rng.random()), f"op{n}", 0.25)) for n in range(8)
     ]
     for _ in range(5):
         if rng.random() < 0.2:
-            for machine in world.machines.values():
+            for machine in cluster.machines.values():
                 machine.kill() if rng.random() < 0.5 else machine.power_off()
             await asyncio.sleep(rng.uniform(0.0, 0.8))
-            for machine in world.machines.values():
+            for machine in cluster.machines.values():
                 machine.start()
         else:
-            struck = rng.choice([*world.machines.values()])
-            first = world.primary_now() if rng.random() < 0.7 else None
-            await _fault(world, rng, first or struck, True)
+            struck = rng.choice([*cluster.machines.values()])
+            first = cluster.find_primary() if rng.random() < 0.7 else None
+            await _fault(cluster, rng, first or struck, True)
         await asyncio.sleep(rng.choice((0.05, 0.5, 2.0, 4.0)))
         for task in work:
             assert not task.done() or task.result()
@@ -207,23 +209,23 @@
     for version, mark in [*dict.fromkeys(ledger.sent)][-40:]:
         # calm: each order gets a clear answer now, and the same from every machine
         for _ in range(20):
-            answers = [await ledger.order(h, version, mark) for h in world.machines]
+            answers = [await ledger.order(h, version, mark) for h in cluster.machines]
             if None not in answers:
                 break
         assert len({*answers}) == 1
     ledger.check()
-    assert await world.newest() >= world.acked
+    assert await cluster.read_newest() >= cluster.acknowledged_version
     return ledger
 
 
 def play(seed: int) -> Ledger:
-    world = World(seed)
+    cluster = StoreCluster(seed)
     try:
-        ledger = world.do(a_day(world, Random(seed)))
-        world.close()
+        ledger = cluster.do(a_day(cluster, Random(seed)))
+        cluster.close()
         return ledger
     finally:
-        world.loop.close()
+        cluster.loop.close()
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -288,106 +290,108 @@
 # --- by the registry, and after a rescue
 
 
-def said(town: Cluster, ip: str, version: int, more: str = "") -> int:
+def said(system: Cluster, ip: str, version: int, more: str = "") -> int:
     """The status that a registry answers an order with, sent again until it's clear."""
 
     async def send() -> int:
-        body = town.body(version).replace(b"5000ms", more.encode() or b"5000ms")
-        town.operator.at = town.core_ips.index(ip)
-        got = await town.operator.call("configuration.replace", body, 8.0)
+        body = system.body(version).replace(b"5000ms", more.encode() or b"5000ms")
+        system.operator.at = system.core_ips.index(ip)
+        got = await system.operator.call("configuration.replace", body, 8.0)
         assert got is not None
         return got.status
 
-    return town.do(send())
+    return system.do(send())
 
 
 def test_registries_refuse_another_content_through_takeover_restart_and_a_lost_disk():
-    town = Cluster(3)
-    town.do(town.begin())
-    first, number = town.core_ips, town.version + 5
+    system = Cluster(3)
+    system.do(system.begin())
+    first, number = system.core_ips, system.version + 5
     held = (number, number + 4)
-    assert said(town, first[0], held[0]) == 200 == said(town, first[1], held[1])
+    assert said(system, first[0], held[0]) == 200 == said(system, first[1], held[1])
 
     def look() -> None:
-        for ip in town.core_ips:
+        for ip in system.core_ips:
             for version in held:
-                assert said(town, ip, version) == 200
-                assert said(town, ip, version, "4000ms") == 409
-            assert said(town, ip, number + 1) == 200  # a lower one that was never taken
-            assert said(town, ip, number + 1, "4000ms") == 409
-        assert json.loads(town.do(town.operator.read()))["version"] == f"r{held[1]}"
+                assert said(system, ip, version) == 200
+                assert said(system, ip, version, "4000ms") == 409
+            assert said(system, ip, number + 1) == 200  # a lower one that was never taken
+            assert said(system, ip, number + 1, "4000ms") == 409
+        assert json.loads(system.do(system.operator.read()))["version"] == f"r{held[1]}"
 
     look()
     for trouble in ("kill", "power", "wipe"):
-        struck = [ip for ip in first if town.serves(ip)] if trouble != "power" else first
+        struck = [ip for ip in first if system.serves(ip)] if trouble != "power" else first
         assert struck
         for ip in struck:
-            for host in town.core(ip):
+            for host in system.core(ip):
                 host.kill() if trouble == "kill" else host.power_off(wipe=trouble == "wipe")
         if trouble == "kill":
-            town.wait(2.0)  # another takes over meanwhile
+            system.wait(2.0)  # another takes over meanwhile
 
         async def back(hosts) -> None:
             for host in hosts:
                 host.start()
             await asyncio.sleep(4.0)
 
-        town.do(back([host for ip in struck for host in town.core(ip)]))
+        system.do(back([host for ip in struck for host in system.core(ip)]))
         look()
-    town.close()
+    system.close()
 
 
 def test_after_a_rescue_what_was_confirmed_is_not_refused():
-    world = World(5)
-    world.start()
-    world.wait(2.0)
-    world.first = False
-    ledger = Ledger(world)
+    cluster = StoreCluster(5)
+    cluster.start()
+    cluster.wait(2.0)
+    cluster.first = False
+    ledger = Ledger(cluster)
     for version in (2, 5, 7):
-        assert world.do(ledger.order("10.1.0.1", version, "ann"))
-    lost = [world.whom("the primary"), world.whom("the backup")]
+        assert cluster.do(ledger.order("10.1.0.1", version, "ann"))
+    lost = [cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")]
     for machine in lost:
         machine.power_off(wipe=True)
-    world.wait(0.2)
-    world.start()
-    world.wait(5.0)
+    cluster.wait(0.2)
+    cluster.start()
+    cluster.wait(5.0)
 
-    world.do(rescue(world))
-    world.wait(1.0)
-    for host in world.machines:
-        assert all(world.do(ledger.order(host, version, "ann")) for version in (2, 5, 7))
-        assert world.do(ledger.order(host, 7, "bob")) is False
-    world.close()
+    cluster.do(rescue(cluster))
+    cluster.wait(1.0)
+    for host in cluster.machines:
+        assert all(cluster.do(ledger.order(host, version, "ann")) for version in (2, 5, 7))
+        assert cluster.do(ledger.order(host, 7, "bob")) is False
+    cluster.close()
 
 
 def leads_again() -> bool | None:
     """What another content gets of one that led before, was away while the first was acknowledged,
     and leads anew.
     """
-    world = World(2, tuple(f"10.{zone}.0.1" for zone in range(1, 4)))
-    ledger = Ledger(world)
+    cluster = StoreCluster(2, tuple(f"10.{zone}.0.1" for zone in range(1, 4)))
+    ledger = Ledger(cluster)
     try:
-        world.start()
-        world.wait(2.0)
-        world.first = False
-        old = world.primary()
-        assert world.do(ledger.order(old.host, 9, "ann"))
-        rest = [h for h in world.machines if h != old.host]
-        world.sky.apart([old.host], rest)
-        world.wait(4.0)
-        assert world.do(ledger.order(world.primary().host, 7, "ann"))  # too late, and acknowledged
-        world.sky.mend()
-        world.wait(3.0)
+        cluster.start()
+        cluster.wait(2.0)
+        cluster.first = False
+        old = cluster.primary()
+        assert cluster.do(ledger.order(old.host, 9, "ann"))
+        rest = [h for h in cluster.machines if h != old.host]
+        cluster.network.apart([old.host], rest)
+        cluster.wait(4.0)
+        assert cluster.do(
+            ledger.order(cluster.primary().host, 7, "ann")
+        )  # too late, and acknowledged
+        cluster.network.mend()
+        cluster.wait(3.0)
         for _ in range(6):
-            if (now := world.primary()) is old:
-                return world.do(ledger.order(old.host, 7, "bob"))
+            if (now := cluster.primary()) is old:
+                return cluster.do(ledger.order(old.host, 7, "bob"))
             now.power_off()
-            world.wait(4.0)
-            world.start()
-            world.wait(4.0)
+            cluster.wait(4.0)
+            cluster.start()
+            cluster.wait(4.0)
         raise LookupError("it never led again")
     finally:
-        world.loop.close()
+        cluster.loop.close()
 
 
 def keeps_what_an_earlier_term_knew(patch) -> None:
--- a/tests/store/test_counting_lease.py
+++ b/tests/store/test_counting_lease.py
@@ -165,39 +165,39 @@
 # --- the duty and the store come apart
 
 
-async def kept(town: Cluster, step: float = 0.0) -> float:
+async def kept(system: Cluster, step: float = 0.0) -> float:
     """Adds to a sum at the registry that counts; the total."""
-    said = await town.registry(town.counting()).count({"name": 7, "step": step, "keep": 60.0})
+    said = await system.registry(system.counting()).count({"name": 7, "step": step, "keep": 60.0})
     return said["total"]
 
 
 @pytest.mark.parametrize(("down", "takes"), [(0.2, 1.0), (6.0, 3.0)], ids=["restart", "takeover"])
 def test_counts_outlive_the_primary_store(down, takes):
-    town = Cluster(3, proxies=1)
-    town.do(town.begin())
-    counting, store = town.counting(), next(s for s in town.stores.values() if serves(s))
-    assert town.do(kept(town, 5.0)) == 5.0
+    system = Cluster(3, proxies=1)
+    system.do(system.begin())
+    counting, store = system.counting(), next(s for s in system.stores.values() if serves(s))
+    assert system.do(kept(system, 5.0)) == 5.0
 
     async def day() -> None:
         store.kill()
         await asyncio.sleep(down)
         if down < takes:
             store.start()
-        await town.until(
-            lambda: bool(town.counters()) and any(map(serves, town.stores.values())), takes
+        await system.until(
+            lambda: bool(system.counters()) and any(map(serves, system.stores.values())), takes
         )
         await asyncio.sleep(3.0)
         if not store.up:
             store.start()
-        assert town.counting() == counting and await kept(town) == 5.0
-        (host,) = [s for s in town.stores.values() if serves(s)]
+        assert system.counting() == counting and await kept(system) == 5.0
+        (host,) = [s for s in system.stores.values() if serves(s)]
         assert (host is store) == (down < takes)
         # to another, with its word
         await asyncio.wait([asyncio.ensure_future(host.leave())], timeout=4.0)
-        assert town.counting() == counting and await kept(town) == 5.0
+        assert system.counting() == counting and await kept(system) == 5.0
 
-    town.do(day())
-    town.close()
+    system.do(day())
+    system.close()
 
 
 def serves(store: Host) -> bool:
@@ -206,98 +206,100 @@
 
 
 def test_a_registry_that_leaves_gives_the_duty_back_at_once_and_limiters_hear_it():
-    town = Cluster(4, proxies=2)
-    town.do(town.begin())
-    counting = town.counting()
+    system = Cluster(4, proxies=2)
+    system.do(system.begin())
+    counting = system.counting()
 
     async def leaves() -> float:
-        town.behind(town.registries[counting].leave())
-        return await town.until(lambda: town.counters() not in ([], [counting]), 0.2)
+        system.behind(system.registries[counting].leave())
+        return await system.until(lambda: system.counters() not in ([], [counting]), 0.2)
 
-    town.do(leaves())
-    town.wait(0.1)
-    said = [max(s.sessions.stand(s.sessions.counters))[1][0] for s in town.all_proxies()]
-    assert said == [town.counting()] * 2
-    town.close()
+    system.do(leaves())
+    system.wait(0.1)
+    said = [max(s.sessions.stand(s.sessions.counters))[1][0] for s in system.all_proxies()]
+    assert said == [system.counting()] * 2
+    system.close()
 
 
 def test_all_that_start_anew_count_as_soon_as_one_serves():
-    town = Cluster(5, proxies=1)
-    town.do(town.begin())
+    system = Cluster(5, proxies=1)
+    system.do(system.begin())
 
     async def day() -> float:
-        for host in (*town.stores.values(), *town.registries.values()):
+        for host in (*system.stores.values(), *system.registries.values()):
             host.kill()
         await asyncio.sleep(1.0)
-        for host in (*town.stores.values(), *town.registries.values()):
+        for host in (*system.stores.values(), *system.registries.values()):
             host.start()
-        await town.until(lambda: any(map(serves, town.stores.values())), 3.0)
-        return await town.until(lambda: bool(town.counters()), 0.2)
+        await system.until(lambda: any(map(serves, system.stores.values())), 3.0)
+        return await system.until(lambda: bool(system.counters()), 0.2)
 
-    town.do(day())
-    town.close()
+    system.do(day())
+    system.close()
 
 
 # --- who knows the newest configuration for sure
 
 
 def test_one_that_is_cut_off_is_sure_for_a_lease_and_nobody_waits_for_a_takeover():
-    town = Cluster(6, cores=5, proxies=1)
-    town.do(town.begin())
-    town.wait(3.0)
-    (first,) = [ip for ip, s in town.stores.items() if serves(s)]
-    votes = [m.address[0] for m in town.stores[first].programs[0].replica.record.view.voters]
+    system = Cluster(6, cores=5, proxies=1)
+    system.do(system.begin())
+    system.wait(3.0)
+    (first,) = [ip for ip, s in system.stores.items() if serves(s)]
+    votes = [m.address[0] for m in system.stores[first].programs[0].replica.record.view.voters]
     # which go on hearing each other
-    few = [first, next(ip for ip in town.core_ips if ip not in votes)]
-    rest = [ip for ip in town.core_ips if ip not in few]
-    town.sky.apart(few, rest)
+    few = [first, next(ip for ip in system.core_ips if ip not in votes)]
+    rest = [ip for ip in system.core_ips if ip not in few]
+    system.sky.apart(few, rest)
 
     async def day() -> None:
-        begun = town.loop.time()
-        while town.loop.time() < begun + 6.0:
-            assert all(town.registry(ip).sure for ip in rest)
-            assert town.loop.time() < begun + 1.6 or not any(town.registry(ip).sure for ip in few)
+        begun = system.loop.time()
+        while system.loop.time() < begun + 6.0:
+            assert all(system.registry(ip).sure for ip in rest)
+            assert system.loop.time() < begun + 1.6 or not any(
+                system.registry(ip).sure for ip in few
+            )
             await asyncio.sleep(0.05)
 
-    town.do(day())
-    assert sum(serves(town.stores[ip]) for ip in rest) == 1
-    town.close()
+    system.do(day())
+    assert sum(serves(system.stores[ip]) for ip in rest) == 1
+    system.close()
 
 
 # --- what limiters tell the next one
 
 
 def test_limiters_tell_one_that_comes_to_count_what_they_added_and_hear_no_total_before():
-    town = Cluster(8, proxies=2)
-    town.do(town.begin())
-    town.wait(3.0)  # nobody has just started
+    system = Cluster(8, proxies=2)
+    system.do(system.begin())
+    system.wait(3.0)  # nobody has just started
     heard: list[tuple[Outcome, float]] = []
-    for proxy in town.all_proxies():
+    for proxy in system.all_proxies():
         proxy.counted = lambda name, outcome, total, took: heard.append((outcome, total))
 
     async def add(*steps: float) -> None:
-        for proxy, step in zip(town.all_proxies(), steps, strict=False):
+        for proxy, step in zip(system.all_proxies(), steps, strict=False):
             await proxy.counting(IncrementCounter(7 << 15, step, 600_000))
 
     async def day() -> None:
-        town.registries[town.counting()].kill()
-        await town.until(lambda: bool(town.counters()), 2.0)
+        system.registries[system.counting()].kill()
+        await system.until(lambda: bool(system.counters()), 2.0)
         await asyncio.sleep(3.0)
         await add(1.0, 1.0)
         await asyncio.sleep(1.0)
         await add(0.0)
-        town.registries[town.counting()].freeze()
+        system.registries[system.counting()].freeze()
         await add(5.0)  # no answer: it may have come, or not
         await asyncio.sleep(2.0)
         await add(0.0, 1.0)
         await asyncio.sleep(1.0)
         await add(0.0, 0.0)
 
-    town.do(add(10.0, 20.0))
-    town.do(day())
+    system.do(add(10.0, 20.0))
+    system.do(day())
     late, whole = (
         (Outcome.NO_RESPONSE, 0.0),
         [(Outcome.SUCCEEDED, t) for t in (10.0, 30.0, 32.0, 38.0, 38.0)],
     )
     assert heard == [*whole[:2], late, late, whole[2], late, late, late, *whole[3:]]
-    town.close()
+    system.close()
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -15,7 +15,7 @@
 from expression import Error, Ok
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_store import World
+from test_store import StoreCluster
 
 from loomstand.config import configuration
 from loomstand.config.configuration import (
@@ -146,60 +146,62 @@
 # --- hundreds of changes
 
 
-async def changes(world: World, many: int, away: str) -> None:
+async def changes(cluster: StoreCluster, many: int, away: str) -> None:
     """Each acknowledged before the next, eight a second at most; `away` takes no part."""
     for _ in range(many):
-        assert await world.put_within(6.0, (away,))
+        assert await cluster.put_within(6.0, (away,))
         await asyncio.sleep(0.1)
 
 
-async def a_long_day(world: World, rng: Random) -> None:
-    hosts = [*world.machines]
-    for machine in world.machines.values():
+async def a_long_day(cluster: StoreCluster, rng: Random) -> None:
+    hosts = [*cluster.machines]
+    for machine in cluster.machines.values():
         machine.start()
     await asyncio.sleep(1.5)
-    world.first = False
+    cluster.first = False
     for kind in ("power", "cut", "wipe", "freeze", "all"):
-        first = world.primary_now() if rng.random() < 0.6 else None
-        struck = first or world.machines[rng.choice(hosts)]
+        first = cluster.find_primary() if rng.random() < 0.6 else None
+        struck = first or cluster.machines[rng.choice(hosts)]
         if kind in ("power", "wipe", "all"):
             struck.power_off(wipe=kind == "wipe")
         elif kind == "cut":
-            world.sky.apart([struck.host], [h for h in hosts if h != struck.host])
+            cluster.network.apart([struck.host], [h for h in hosts if h != struck.host])
         else:
             struck.freeze()
-        await changes(world, 105, struck.host)
+        await changes(cluster, 105, struck.host)
         if kind == "all":  # the one that missed a hundred is the first that is back
-            for machine in world.machines.values():
+            for machine in cluster.machines.values():
                 machine.power_off()
             struck.start()
             await asyncio.sleep(1.0)
-            assert world.primary_now() is None
-            for machine in world.machines.values():
+            assert cluster.find_primary() is None
+            for machine in cluster.machines.values():
                 if machine is not struck:
                     machine.start()
         elif kind in ("power", "wipe"):
             struck.start()
         elif kind == "cut":
-            world.sky.mend()
+            cluster.network.mend()
         else:
             struck.thaw()
-        await changes(world, 5, "")
+        await changes(cluster, 5, "")
     await asyncio.sleep(1.0)
-    assert world.sent >= 550
-    for machine, store in world.stores():
-        assert store.replica.version == world.acked, f"{machine.host} never caught up"
+    assert cluster.sent >= 550
+    for machine, store in cluster.stores():
+        assert store.replica.version == cluster.acknowledged_version, (
+            f"{machine.host} never caught up"
+        )
         assert sum(map(len, machine.platter.pages.values())) < 1000 + 16 * MAX_ENTRIES
         assert len(store.parts.io.tasks) < 20 and len(store.replica.history.entries) <= MAX_ENTRIES
 
 
 def long_day(seed: int) -> None:
-    world = World(seed)
+    cluster = StoreCluster(seed)
     try:
-        world.do(a_long_day(world, Random(seed)))
-        world.close()
+        cluster.do(a_long_day(cluster, Random(seed)))
+        cluster.close()
     finally:
-        world.loop.close()
+        cluster.loop.close()
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -222,27 +224,29 @@
     """Seconds after a cut of so many versions until a limiter has the newest, while changes go
     on.
     """
-    town = Cluster(5, proxies=2)
-    town.do(town.begin())
-    ip = next(iter(town.proxies))
-    town.sky.apart([ip], town.core_ips)
+    system = Cluster(5, proxies=2)
+    system.do(system.begin())
+    ip = next(iter(system.proxies))
+    system.sky.apart([ip], system.core_ips)
 
     async def many(number: int) -> None:
         for n in range(number):
-            town.route(f"n{n % 7}", ("alpha", "beta")[n % 2], timeout=f"{1000 + n}ms")
-            assert await town.replace()
+            system.route(f"n{n % 7}", ("alpha", "beta")[n % 2], timeout=f"{1000 + n}ms")
+            assert await system.replace()
             await asyncio.sleep(0.02)
 
-    town.do(many(versions))
-    assert town.proxy(ip).table.version < town.version - versions
-    town.sky.mend()
-    newest, going = town.version, town.behind(many(60))
-    took = town.do(town.until(lambda: town.proxy(ip).table.version >= newest, 4.0))
-    town.do(asyncio.wait_for(going, 60.0))
-    town.do(
-        town.until(lambda: all(p.table.version == town.version for p in town.all_proxies()), 0.5)
+    system.do(many(versions))
+    assert system.proxy(ip).table.version < system.version - versions
+    system.sky.mend()
+    newest, going = system.version, system.behind(many(60))
+    took = system.do(system.until(lambda: system.proxy(ip).table.version >= newest, 4.0))
+    system.do(asyncio.wait_for(going, 60.0))
+    system.do(
+        system.until(
+            lambda: all(p.table.version == system.version for p in system.all_proxies()), 0.5
+        )
     )
-    town.close()
+    system.close()
     return took
 
 
@@ -305,27 +309,29 @@
         return answer
 
     monkeypatch.setattr(program.Registry, "fetch", fetch)
-    town = Cluster(6, proxies=2)
-    town.do(town.begin())
+    system = Cluster(6, proxies=2)
+    system.do(system.begin())
     for n in range(3000):
-        town.route(f"many{n}", ("alpha", "beta")[n % 2])
-    assert town.do(town.replace())
-    town.do(
-        town.until(lambda: all(p.table.version == town.version for p in town.all_proxies()), 2.0)
+        system.route(f"many{n}", ("alpha", "beta")[n % 2])
+    assert system.do(system.replace())
+    system.do(
+        system.until(
+            lambda: all(p.table.version == system.version for p in system.all_proxies()), 2.0
+        )
     )
-    size = len(town.versions[town.version])
+    size = len(system.versions[system.version])
     assert size > 700_000 and max(sent) < size / 10
-    assert town.do(town.operator.read()) == town.versions[town.version]
-    large = town.do(town.operator.call("configuration.replace", b" " * (MOST_BODY + 1), 5.0))
+    assert system.do(system.operator.read()) == system.versions[system.version]
+    large = system.do(system.operator.call("configuration.replace", b" " * (MOST_BODY + 1), 5.0))
     assert large.status == 413 and b"long" in large.body
-    town.close()
+    system.close()
 
 
 def test_large_orders_at_once_wait_their_turn(monkeypatch):
-    town = Cluster(4, proxies=1)
-    town.do(town.begin())
-    number, registry = town.version, town.registry(town.core_ips[0])
-    orders = [town.body(number + 1 + n) for n in range(8)]
+    system = Cluster(4, proxies=1)
+    system.do(system.begin())
+    number, registry = system.version, system.registry(system.core_ips[0])
+    orders = [system.body(number + 1 + n) for n in range(8)]
 
     async def at_once() -> list[int]:
         calls = (
@@ -333,15 +339,15 @@
         )
         return sorted(status for status, _ in await asyncio.gather(*calls))
 
-    assert town.do(at_once()) == [200] * 8 and registry.in_hand == 0
+    assert system.do(at_once()) == [200] * 8 and registry.in_hand == 0
     monkeypatch.setattr(program, "IN_HAND", 3 * len(orders[0]) + 3)
-    assert town.do(at_once()) == [200] * 3 + [503] * 5 and registry.in_hand == 0
+    assert system.do(at_once()) == [200] * 3 + [503] * 5 and registry.in_hand == 0
     monkeypatch.setattr(program, "IN_HAND", 10)  # one that is larger by itself is taken, too
     assert (
-        town.do(registry.outside(b"POST", b"/api/rpc?call=configuration.replace", orders[7]))[0]
+        system.do(registry.outside(b"POST", b"/api/rpc?call=configuration.replace", orders[7]))[0]
         == 200
     )
-    town.close()
+    system.close()
 
 
 def test_what_cannot_be_unpacked_is_nothing():
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -156,31 +156,31 @@
     change: s until it is ready, its version then, the newest by then, and s after the cut until it
     has that.
     """
-    town = Cluster(5, proxies=2, servers=2)
-    town.do(town.begin())
-    ip = next(iter(town.proxies))
-    alone = next(c for c in town.core_ips if not town.serves(c))
+    system = Cluster(5, proxies=2, servers=2)
+    system.do(system.begin())
+    ip = next(iter(system.proxies))
+    alone = next(c for c in system.core_ips if not system.serves(c))
 
     async def story() -> tuple[float, int, int, float]:
-        rest = [c for c in town.core_ips if c != alone]
-        town.sky.apart([alone], rest)
-        town.sky.apart([ip], rest)
-        town.operator.cores = [(c, CONTROL) for c in rest]
+        rest = [c for c in system.core_ips if c != alone]
+        system.sky.apart([alone], rest)
+        system.sky.apart([ip], rest)
+        system.operator.cores = [(c, CONTROL) for c in rest]
         await asyncio.sleep(2.0)
-        town.route("new", "alpha")
-        assert await town.replace()
-        town.proxies[ip].kill()
-        town.proxies[ip].start()
-        ready = await town.until(
-            lambda: bool(town.proxies[ip].programs) and town.proxy(ip).able, 6.0
+        system.route("new", "alpha")
+        assert await system.replace()
+        system.proxies[ip].kill()
+        system.proxies[ip].start()
+        ready = await system.until(
+            lambda: bool(system.proxies[ip].programs) and system.proxy(ip).able, 6.0
         )
-        held = town.proxy(ip).table.version
-        town.sky.mend()
-        back = await town.until(lambda: town.proxy(ip).table.version == town.version, 3.0)
-        return ready, held, town.version, back
+        held = system.proxy(ip).table.version
+        system.sky.mend()
+        back = await system.until(lambda: system.proxy(ip).table.version == system.version, 3.0)
+        return ready, held, system.version, back
 
-    found = town.do(story())
-    town.close()
+    found = system.do(story())
+    system.close()
     return found
 
 
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -8,7 +8,7 @@
 
 import lmdb
 import pytest
-from test_store import World
+from test_store import StoreCluster
 
 from loomstand.store import recovery
 from loomstand.store.disk import LmdbDisk
@@ -95,21 +95,21 @@
 
 @pytest.mark.parametrize("trouble", ["unread", "hangs"])
 def test_a_core_whose_disks_cannot_be_read_for_a_while_loses_nothing(trouble):
-    world = World()
-    world.start()
-    world.wait(2.0)
-    world.first = False
-    assert world.do(world.put_within(0.5))
-    before = {m.host: g.replica.member for m, g in world.stores()}
-    for machine in world.machines.values():
+    cluster = StoreCluster()
+    cluster.start()
+    cluster.wait(2.0)
+    cluster.first = False
+    assert cluster.do(cluster.put_within(0.5))
+    before = {m.host: g.replica.member for m, g in cluster.stores()}
+    for machine in cluster.machines.values():
         machine.power_off()
         setattr(machine.platter, trouble, True)
-    world.start()
-    world.wait(5.0)
-    assert not world.stores() and not world.do(world.put_within(2.0))
-    for machine in world.machines.values():
+    cluster.start()
+    cluster.wait(5.0)
+    assert not cluster.stores() and not cluster.do(cluster.put_within(2.0))
+    for machine in cluster.machines.values():
         setattr(machine.platter, trouble, False)
-    assert world.do(world.put_within(4.5))  # the disks' next tries come within a second
-    assert world.do(world.newest()) >= world.acked
-    assert {m.host: g.replica.member for m, g in world.stores()} == before
-    world.close()
+    assert cluster.do(cluster.put_within(4.5))  # the disks' next tries come within a second
+    assert cluster.do(cluster.read_newest()) >= cluster.acknowledged_version
+    assert {m.host: g.replica.member for m, g in cluster.stores()} == before
+    cluster.close()
--- a/tests/store/test_replica_copies.py
+++ b/tests/store/test_replica_copies.py
@@ -10,7 +10,7 @@
 import cbor2
 import pytest
 from test_rescue import rescue
-from test_store import HOSTS, VIEW, A, B, C, World, member
+from test_store import HOSTS, VIEW, A, B, C, StoreCluster, member
 
 from loomstand.store import graceful_shutdown, planning
 from loomstand.store.learner import MAX_COPY_BYTES, Learner
@@ -21,7 +21,7 @@
 from loomstand.testing.simulation.machine import Machine, machines
 
 
-class Copies(World):
+class Copies(StoreCluster):
     """A core whose disks are looked at every 2 ms. `few`: seconds for which fewer than that many
     disks had the newest acknowledged version, by any of their pages ("synced"), and as the newest
     view's primary or backup alone ("elected").
@@ -32,7 +32,7 @@
         self.few: dict[tuple[str, int], float] = {}
         self.counting = False
 
-    def whom(self, words: str) -> Machine:
+    def machine_in_role(self, words: str) -> Machine:
         view = self.primary().programs[0].replica.record.view
         return self.machines[
             {"the primary": view.primary, "the backup": view.backup}[words].address[0]
@@ -47,8 +47,8 @@
             record = Record.from_pages(pages)
             if record is None:
                 continue
-            holds = record.version >= self.acked
-            synced += holds or Learner.from_pages(pages).copy[0] >= self.acked
+            holds = record.version >= self.acknowledged_version
+            synced += holds or Learner.from_pages(pages).copy[0] >= self.acknowledged_version
             elected += holds and view is not None and view.has_data(record.id)
         return synced, elected
 
@@ -80,7 +80,7 @@
         for task in self.tasks:
             task.cancel()
         self.wait(4.0)
-        assert self.do(self.newest()) >= self.acked
+        assert self.do(self.read_newest()) >= self.acknowledged_version
         self.close()
         return {k: round(v, 3) for k, v in self.few.items()}
 
@@ -88,61 +88,61 @@
 # --- one step at a time
 
 
-async def wiped(world: World, whom: str) -> None:
-    machine = world.whom(whom)
+async def wiped(cluster: StoreCluster, whom: str) -> None:
+    machine = cluster.machine_in_role(whom)
     machine.power_off(wipe=True)
     await asyncio.sleep(1.0)
     machine.start()
     await asyncio.sleep(4.0)
 
 
-async def killed(world: World, whom: str) -> None:
-    machine = world.whom(whom)
+async def killed(cluster: StoreCluster, whom: str) -> None:
+    machine = cluster.machine_in_role(whom)
     machine.kill()
     await asyncio.sleep(1.0)
     machine.start()
     await asyncio.sleep(3.0)
 
 
-async def rolled(world: World) -> None:
+async def rolled(cluster: StoreCluster) -> None:
     """SIGTERM to one after the other, each back after a second."""
-    for machine in [*world.machines.values()]:
+    for machine in [*cluster.machines.values()]:
         await machine.leave()
         await asyncio.sleep(1.0)
         machine.start()
         await asyncio.sleep(1.5)
 
 
-async def removed(world: World) -> None:
+async def removed(cluster: StoreCluster) -> None:
     """SIGTERM to the backup, which takes its disk with it, and then to the primary."""
     for whom in ("the backup", "the primary"):
-        machine = world.whom(whom)
+        machine = cluster.machine_in_role(whom)
         await machine.leave()
         machine.platter.wipe()
         await asyncio.sleep(2.0)
 
 
-async def two_leave(world: World) -> None:
+async def two_leave(cluster: StoreCluster) -> None:
     """SIGTERM to the primary and the backup at one moment; their disks go with them."""
-    both = [world.whom("the primary"), world.whom("the backup")]
+    both = [cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")]
     await asyncio.gather(*(m.leave() for m in both))
     for machine in both:
         machine.platter.wipe()
     await asyncio.sleep(3.0)
 
 
-async def exchanged(world: Copies) -> None:
+async def exchanged(cluster: Copies) -> None:
     """A new machine comes for each old one, which then leaves and takes its disk with it."""
-    old = [*world.machines]
+    old = [*cluster.machines]
     new = [f"10.{host.split('.')[1]}.0.2" for host in old]
-    fresh = machines(world.sky, world.rng, new, lambda h: [world.maker(h)])
+    fresh = machines(cluster.network, cluster.rng, new, lambda h: [cluster.maker(h)])
     for gone, come in zip(old, new, strict=True):
-        world.seeds = [come, *[h for h in old if world.machines[h].up][:2]]
-        world.machines[come] = fresh[come]
+        cluster.seeds = [come, *[h for h in old if cluster.machines[h].up][:2]]
+        cluster.machines[come] = fresh[come]
         fresh[come].start()
         await asyncio.sleep(1.0)
-        await world.machines[gone].leave()
-        world.machines[gone].platter.wipe()
+        await cluster.machines[gone].leave()
+        cluster.machines[gone].platter.wipe()
         await asyncio.sleep(3.0)
 
 
@@ -163,10 +163,10 @@
 @pytest.mark.parametrize("name", STEPS)
 def test_how_long_fewer_copies_exist(name):
     step, three, two, elected = STEPS[name]
-    world = Copies()
-    world.do(world.work())
-    world.do(step(world))
-    few = world.end()
+    cluster = Copies()
+    cluster.do(cluster.work())
+    cluster.do(step(cluster))
+    few = cluster.end()
     print(name, few)
     assert few.get(("synced", 3), 0.0) <= three
     assert few.get(("synced", 2), 0.0) <= two
@@ -177,23 +177,23 @@
 # --- a member that leaves holds the only copy
 
 
-async def last_copy_leaves(world: Copies, after: float, away: float) -> None:
+async def last_copy_leaves(cluster: Copies, after: float, away: float) -> None:
     """The primary's disk is lost `after` s after the backup was told to stop, right after an
     acknowledgement; the backup takes its disk with it. The other machine is back with an empty one
     after `away` s.
     """
-    first, backup = world.whom("the primary"), world.whom("the backup")
-    leaving_ = world.loop.create_task(backup.leave()) if after >= 0.0 else None
+    first, backup = cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")
+    leaving_ = cluster.loop.create_task(backup.leave()) if after >= 0.0 else None
     await asyncio.sleep(max(0.0, after))
-    assert after > 0.0 or await world.put_within(0.5)
+    assert after > 0.0 or await cluster.put_within(0.5)
     first.power_off(wipe=True)
     if leaving_ is None:
         await asyncio.sleep(-after)
-        leaving_ = world.loop.create_task(backup.leave())
-    back = world.loop.create_task(returns(first, away))
-    begun = world.loop.time()
+        leaving_ = cluster.loop.create_task(backup.leave())
+    back = cluster.loop.create_task(returns(first, away))
+    begun = cluster.loop.time()
     await leaving_
-    assert world.loop.time() - begun <= 6.0 - graceful_shutdown.SAFETY_MARGIN_SECONDS + 0.3, (
+    assert cluster.loop.time() - begun <= 6.0 - graceful_shutdown.SAFETY_MARGIN_SECONDS + 0.3, (
         "a process is held past its grace period"
     )
     backup.platter.wipe()
@@ -222,11 +222,11 @@
 def leaves_last(hosts: int) -> int | None:
     """The first of the stories that loses an acknowledged version, or comes to a stop."""
     for seed, (after, away) in (LEAVES | (CHANGING if hosts > 3 else {})).items():
-        world = Copies(seed, hosts)
-        world.do(world.work())
-        world.do(last_copy_leaves(world, after, away))
+        cluster = Copies(seed, hosts)
+        cluster.do(cluster.work())
+        cluster.do(last_copy_leaves(cluster, after, away))
         try:
-            world.end()
+            cluster.end()
         except AssertionError:
             return seed
     return None
@@ -286,31 +286,31 @@
 # --- the third copy
 
 
-async def lose_two_disks_with_all_power(world: World) -> None:
+async def lose_two_disks_with_all_power(cluster: StoreCluster) -> None:
     """Right after an acknowledgement the others wrote, the disks of primary and backup go, and all
     power.
     """
-    assert await world.put_within(0.5)
+    assert await cluster.put_within(0.5)
     await asyncio.sleep(0.05)
-    both = [world.whom("the primary"), world.whom("the backup")]
-    for machine in world.machines.values():
+    both = [cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")]
+    for machine in cluster.machines.values():
         machine.power_off(wipe=machine in both)
     await asyncio.sleep(1.0)
-    for machine in world.machines.values():
+    for machine in cluster.machines.values():
         machine.start()
     await asyncio.sleep(5.0)
 
 
 def rescued() -> tuple[int, int]:
     """What operators' rescue finds after that, and what was acknowledged."""
-    world = Copies()
-    world.do(world.work())
-    for task in world.tasks:
+    cluster = Copies()
+    cluster.do(cluster.work())
+    for task in cluster.tasks:
         task.cancel()
-    world.do(lose_two_disks_with_all_power(world))
-    acked, world.acked = world.acked, 0
-    done = world.do(rescue(world))
-    world.close()
+    cluster.do(lose_two_disks_with_all_power(cluster))
+    acked, cluster.acknowledged_version = cluster.acknowledged_version, 0
+    done = cluster.do(rescue(cluster))
+    cluster.close()
     return int(done["version"][1:]), acked
 
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -26,7 +26,7 @@
 HOSTS = [f"10.{zone}.0.1" for zone in range(1, 5)]
 
 
-class World:
+class StoreCluster:
     """A core with its operators, who keep what they sent and what was acknowledged; checked all the
     while.
     """
@@ -34,16 +34,16 @@
     def __init__(self, seed: int = 1, hosts: tuple[str, ...] = (*HOSTS,)) -> None:
         self.loop = VirtualLoop()
         self.rng = Random(seed)
-        self.sky = SimNetwork(self.rng)
+        self.network = SimNetwork(self.rng)
         self.first = True
         self.seeds = [*hosts[:3]]
-        self.air = MachineNetwork(self.sky, OPERATOR, Life())
-        self.machines = machines(self.sky, self.rng, [*hosts], lambda h: [self.maker(h)])
+        self.client = MachineNetwork(self.network, OPERATOR, Life())
+        self.machines = machines(self.network, self.rng, [*hosts], lambda h: [self.maker(h)])
         self.sent = 0
-        self.acked = 0
+        self.acknowledged_version = 0
         self.contents: dict[int, set[bytes]] = {}
-        self.in_force: dict[int, bytes] = {}
-        self.held: dict[object, int] = {}
+        self.committed: dict[int, bytes] = {}
+        self.versions_by_store: dict[object, int] = {}
         self.broken: AssertionError | None = None
         self.watch = self.loop.create_task(self.watching())
 
@@ -96,26 +96,26 @@
         """
         serving = [g for _, g in self.stores() if g.replica.lease_left(g.clock()) > 0.0]
         assert len(serving) <= 1, f"two serve at {self.loop.time()}"
-        assert all(g.replica.version >= self.acked for g in serving), (
+        assert all(g.replica.version >= self.acknowledged_version for g in serving), (
             "an acknowledged version is lost"
         )
         for _, store in self.stores():
             version, data = store.replica.version, store.replica.data
             if version:
                 assert data in self.contents[version]
-                assert self.in_force.setdefault(version, data) == data
-            assert self.held.get(store, 0) <= version
-            self.held[store] = version
+                assert self.committed.setdefault(version, data) == data
+            assert self.versions_by_store.get(store, 0) <= version
+            self.versions_by_store[store] = version
 
     def primary(self) -> Machine:
-        found = self.primary_now()
+        found = self.find_primary()
         assert found is not None, "nobody serves"
         return found
 
-    def primary_now(self) -> Machine | None:
+    def find_primary(self) -> Machine | None:
         return next((m for m, g in self.stores() if g.replica.lease_left(g.clock()) > 0.0), None)
 
-    def whom(self, words: str) -> Machine:
+    def machine_in_role(self, words: str) -> Machine:
         view = self.primary().programs[0].replica.record.view
         voters = [m.address[0] for m in view.voters]
         named = {"the primary": view.primary.address[0], "the backup": view.backup.address[0]}
@@ -131,10 +131,12 @@
         self.sent = max(self.sent, version)
         data = f"{version} {mark}".encode()
         self.contents.setdefault(version, set()).add(data)
-        answer = await self.air.call((host, PORT), "put", {"version": version, "data": data}, 1.0)
+        answer = await self.client.call(
+            (host, PORT), "put", {"version": version, "data": data}, 1.0
+        )
         if answer.is_ok():
             assert answer.ok["version"] >= version
-            self.acked = max(self.acked, answer.ok["version"])
+            self.acknowledged_version = max(self.acknowledged_version, answer.ok["version"])
         return answer.is_ok()
 
     async def put_within(self, seconds: float, but: tuple[str, ...] = ()) -> bool:
@@ -149,11 +151,11 @@
             await asyncio.sleep(0.02)
         return False
 
-    async def newest(self) -> int:
+    async def read_newest(self) -> int:
         for _ in range(100):
             hosts = [h for h, m in self.machines.items() if m.up]
-            acked = self.acked
-            answer = await self.air.call((self.rng.choice(hosts), PORT), "read", {}, 1.0)
+            acked = self.acknowledged_version
+            answer = await self.client.call((self.rng.choice(hosts), PORT), "read", {}, 1.0)
             if answer.is_ok():
                 assert answer.ok["version"] >= acked, "an acknowledged version is lost"
                 assert answer.ok["data"] in self.contents[answer.ok["version"]]
@@ -175,46 +177,46 @@
 class Watched(Store):
     """One that is looked at as it begins to serve, before it takes anything new."""
 
-    def __init__(self, world: World, *parts) -> None:
+    def __init__(self, cluster: StoreCluster, *parts) -> None:
         super().__init__(*parts)
-        self.world = world
+        self.cluster = cluster
 
     def _become_serving(self) -> None:
         before = self.replica.is_established
         super()._become_serving()
         if self.replica.is_established and not before:
-            self.world.check_soon()
+            self.cluster.check_soon()
 
 
 @pytest.fixture
-def world():
-    made = World()
+def cluster():
+    made = StoreCluster()
     yield made
     made.close()
 
 
 @given("a core that has just started")
-def _(world):
-    world.start()
+def _(cluster):
+    cluster.start()
 
 
 @given("a core whose second seed doesn't start")
-def _(world):
-    world.start(HOSTS[1])
+def _(cluster):
+    cluster.start(HOSTS[1])
 
 
 @given("a core at work", target_fixture="old")
-def _(world):
-    world.start()
-    world.wait(2.0)
-    world.first = False
-    assert world.do(world.put_within(0.5))
-    return world.primary()
+def _(cluster):
+    cluster.start()
+    cluster.wait(2.0)
+    cluster.first = False
+    assert cluster.do(cluster.put_within(0.5))
+    return cluster.primary()
 
 
 @when(parsers.parse("{seconds:g} s pass"))
-def _(world, seconds):
-    world.wait(seconds)
+def _(cluster, seconds):
+    cluster.wait(seconds)
 
 
 @when("the primary is killed")
@@ -222,39 +224,39 @@
     old.kill()
 
 
-async def _into_a_change(world, ms, then):
-    change = asyncio.create_task(world.put(world.primary().host))
+async def _into_a_change(cluster, ms, then):
+    change = asyncio.create_task(cluster.put(cluster.primary().host))
     await asyncio.sleep(ms / 1000)
     then()
     return change
 
 
 @when(parsers.parse("the primary is killed {ms:d} ms into a change"))
-def _(world, old, ms):
-    world.do(_into_a_change(world, ms, old.kill))
+def _(cluster, old, ms):
+    cluster.do(_into_a_change(cluster, ms, old.kill))
 
 
 @when(parsers.parse("the primary is frozen {ms:d} ms into a change"), target_fixture="change")
-def _(world, old, ms):
-    return world.do(_into_a_change(world, ms, old.freeze))
+def _(cluster, old, ms):
+    return cluster.do(_into_a_change(cluster, ms, old.freeze))
 
 
 @when("the primary thaws")
-def _(world, old):
-    world.do(asyncio.sleep(0))
-    world.loop.call_soon(old.thaw)
-    world.check()
+def _(cluster, old):
+    cluster.do(asyncio.sleep(0))
+    cluster.loop.call_soon(old.thaw)
+    cluster.check()
 
 
 @then("the change that froze with it was not acknowledged")
-def _(world, change):
-    assert world.do(change) is False
+def _(cluster, change):
+    assert cluster.do(change) is False
 
 
 @then("the old primary acknowledges nothing for its own part")
-def _(world, old):
+def _(cluster, old):
     assert not old.programs[0].replica.can_write(old.programs[0].clock())
-    world.wait(0.5)
+    cluster.wait(0.5)
     assert not old.programs[0].replica.can_write(old.programs[0].clock())
 
 
@@ -264,8 +266,8 @@
         "(?P<s>.*) s"
     )
 )
-def _(world, request, s, step_text="x"):
-    _all_down(world, float(s), None)
+def _(cluster, request, s, step_text="x"):
+    _all_down(cluster, float(s), None)
 
 
 @when(
@@ -274,116 +276,116 @@
         "empty"
     )
 )
-def _(world, s, whom):
-    _all_down(world, s, world.whom(whom))
+def _(cluster, s, whom):
+    _all_down(cluster, s, cluster.machine_in_role(whom))
 
 
-def _all_down(world, seconds, wiped):
+def _all_down(cluster, seconds, wiped):
     async def down() -> None:
-        assert await world.put_within(0.5)
-        for machine in world.machines.values():
+        assert await cluster.put_within(0.5)
+        for machine in cluster.machines.values():
             machine.power_off(wipe=machine is wiped)
 
-    world.do(down())
-    world.wait(seconds)
-    world.start()
+    cluster.do(down())
+    cluster.wait(seconds)
+    cluster.start()
 
 
 @when("the primary is cut off from all others")
-def _(world, old):
-    world.sky.apart([old.host], [h for h in HOSTS if h != old.host])
+def _(cluster, old):
+    cluster.network.apart([old.host], [h for h in HOSTS if h != old.host])
 
 
 @when("the primary and the stand-by are cut off from the others")
-def _(world, old):
-    side = [old.host, world.whom("a stand-by").host]
-    world.sky.apart(side, [h for h in HOSTS if h not in side])
+def _(cluster, old):
+    side = [old.host, cluster.machine_in_role("a stand-by").host]
+    cluster.network.apart(side, [h for h in HOSTS if h not in side])
 
 
 @when("nothing comes through to the primary")
-def _(world, old):
+def _(cluster, old):
     for host in HOSTS:
-        world.sky.cut(host, old.host, both=False)
+        cluster.network.cut(host, old.host, both=False)
 
 
 @when("the cut is mended")
-def _(world):
-    world.sky.mend()
+def _(cluster):
+    cluster.network.mend()
 
 
 @then("the old primary acknowledges nothing")
-def _(world, old):
-    assert not world.do(world.put(old.host))
+def _(cluster, old):
+    assert not cluster.do(cluster.put(old.host))
 
 
 @then(parsers.parse("a change is acknowledged within {s:g} s"))
-def _(world, s):
-    assert world.do(world.put_within(s))
+def _(cluster, s):
+    assert cluster.do(cluster.put_within(s))
 
 
 @then(parsers.parse("a change is acknowledged within {s:g} s by the others"))
-def _(world, old, s):
-    assert world.do(world.put_within(s, (old.host,)))
+def _(cluster, old, s):
+    assert cluster.do(cluster.put_within(s, (old.host,)))
 
 
 @then("nothing acknowledged is lost")
-def _(world):
-    assert world.do(world.newest()) >= world.acked
+def _(cluster):
+    assert cluster.do(cluster.read_newest()) >= cluster.acknowledged_version
 
 
 @then(parsers.parse("all machines hold the newest acknowledged version within {s:g} s"))
-def _(world, s):
-    world.wait(s)
-    assert {g.replica.version for _, g in world.stores()} == {world.acked}
+def _(cluster, s):
+    cluster.wait(s)
+    assert {g.replica.version for _, g in cluster.stores()} == {cluster.acknowledged_version}
 
 
 @when("the backup loses power")
-def _(world):
-    world.whom("the backup").power_off()
+def _(cluster):
+    cluster.machine_in_role("the backup").power_off()
 
 
 @when(parsers.re("the disk of (?P<whom>.*) (?P<trouble>hangs|refuses|is slow)"))
-def _(world, whom, trouble):
-    platter = world.whom(whom).platter
+def _(cluster, whom, trouble):
+    platter = cluster.machine_in_role(whom).platter
     platter.hangs, platter.refuses = trouble == "hangs", trouble == "refuses"
     platter.slower = 60.0 if trouble == "is slow" else 1.0
 
 
 @when("the primary is told to stop")
-def _(world, old):
-    world.loop.create_task(old.leave())
+def _(cluster, old):
+    cluster.loop.create_task(old.leave())
 
 
 @when("the machines are exchanged one after the other for new ones")
-def _(world):
+def _(cluster):
     new = [f"10.{zone}.0.2" for zone in range(1, 5)]
-    world.old_hosts, world.seeds = [*HOSTS], new[:3]
-    fresh = machines(world.sky, world.rng, new, lambda h: [world.maker(h)])
+    cluster.old_hosts, cluster.seeds = [*HOSTS], new[:3]
+    fresh = machines(cluster.network, cluster.rng, new, lambda h: [cluster.maker(h)])
     for gone, come in zip(HOSTS, new, strict=True):
         # a new machine knows one seed that is there before it and two that may not be
-        world.seeds = [come, *[h for h in HOSTS if world.machines[h].up][:2], *new[:1]][:3]
-        world.machines[come] = fresh[come]
-        world.start(*[h for h in HOSTS if not world.machines[h].up])
-        world.wait(1.0)
-        world.do(world.machines[gone].leave())
-        world.wait(3.0)
-        assert world.do(world.put_within(0.5))
+        cluster.seeds = [come, *[h for h in HOSTS if cluster.machines[h].up][:2], *new[:1]][:3]
+        cluster.machines[come] = fresh[come]
+        cluster.start(*[h for h in HOSTS if not cluster.machines[h].up])
+        cluster.wait(1.0)
+        cluster.do(cluster.machines[gone].leave())
+        cluster.wait(3.0)
+        assert cluster.do(cluster.put_within(0.5))
 
 
 @when("the old machines come back")
-def _(world):
-    world.start()
+def _(cluster):
+    cluster.start()
 
 
 @then("only new machines vote")
-def _(world):
-    view = world.primary().programs[0].replica.record.view
+def _(cluster):
+    view = cluster.primary().programs[0].replica.record.view
     assert all(h.endswith(".2") for h in (m.address[0] for m in view.members().values()))
     assert len(view.voters) == 3
 
 
 @given("a store on a real disk with one record", target_fixture="shelf")
-def _(world, tmp_path):
+def _(cluster, tmp_path):
     shelf = LmdbDisk(tmp_path / "granary")
     with asyncio.Runner() as runner:
         assert runner.run(shelf.load()) == {}
@@ -415,27 +417,27 @@
     "the backup hears nothing from the primary, whose disk is lost after an acknowledgement with "
     "all power"
 )
-def _(world, old):
-    world.sky.cut(old.host, world.whom("the backup").host)
+def _(cluster, old):
+    cluster.network.cut(old.host, cluster.machine_in_role("the backup").host)
 
     async def lose() -> None:
-        assert await world.put_within(3.0)
-        for machine in world.machines.values():
+        assert await cluster.put_within(3.0)
+        for machine in cluster.machines.values():
             machine.power_off(wipe=machine is old)
 
-    world.do(lose())
-    world.sky.mend()
-    world.start()
+    cluster.do(lose())
+    cluster.network.mend()
+    cluster.start()
 
 
 @when(parsers.parse("all are killed, and the primary stays away, the backup for {s:g} s"))
-def _(world, old, s):
-    backup = world.whom("the backup")
-    for machine in world.machines.values():
+def _(cluster, old, s):
+    backup = cluster.machine_in_role("the backup")
+    for machine in cluster.machines.values():
         machine.kill()
-    world.start(old.host, backup.host)
-    world.wait(s)
-    world.start(old.host)
+    cluster.start(old.host, backup.host)
+    cluster.wait(s)
+    cluster.start(old.host)
 
 
 # --- the rules of one member
@@ -533,20 +535,20 @@
 # --- random faults
 
 
-async def _operate(world: World, name: str, rng: Random) -> None:
+async def _operate(cluster: StoreCluster, name: str, rng: Random) -> None:
     """Puts versions that sometimes are another operator's too, at any machine."""
     while True:
         await asyncio.sleep(rng.uniform(0.02, 0.5))
-        hosts = [h for h, m in world.machines.items() if m.up] or HOSTS
-        version = max(1, world.sent + rng.choice((0, 1, 1, 1, 2)))
-        await world.put(rng.choice(hosts), version, name)
+        hosts = [h for h, m in cluster.machines.items() if m.up] or HOSTS
+        version = max(1, cluster.sent + rng.choice((0, 1, 1, 1, 2)))
+        await cluster.put(rng.choice(hosts), version, name)
 
 
-async def _fault(world: World, rng: Random, machine: Machine, alone: bool) -> None:
+async def _fault(cluster: StoreCluster, rng: Random, machine: Machine, alone: bool) -> None:
     """Something happens to a machine, and is over when this returns."""
     lasts, others = (
         rng.choice((0.1, 0.6, 1.5, 3.0)),
-        [h for h in world.machines if h != machine.host],
+        [h for h in cluster.machines if h != machine.host],
     )
     kinds = (
         "kill",
@@ -580,9 +582,9 @@
     elif kind in ("cut", "in", "out"):
         for other in others:
             ends = (machine.host, other) if kind == "out" else (other, machine.host)
-            world.sky.cut(*ends, both=kind == "cut")
+            cluster.network.cut(*ends, both=kind == "cut")
         await asyncio.sleep(lasts)
-        world.sky.mend()
+        cluster.network.mend()
     else:
         platter.hangs, platter.refuses = kind == "hangs", kind == "refuses"
         platter.slower = 100.0 if kind == "slow" else 1.0
@@ -590,37 +592,37 @@
         platter.hangs, platter.refuses, platter.slower = False, False, 1.0
 
 
-async def _day(world: World, rng: Random) -> None:
-    for machine in world.machines.values():
+async def _day(cluster: StoreCluster, rng: Random) -> None:
+    for machine in cluster.machines.values():
         machine.start()
-    world.first = rng.random() < 0.5  # seldom it is still said to be the first start
+    cluster.first = rng.random() < 0.5  # seldom it is still said to be the first start
     await asyncio.sleep(1.5)
-    world.first = False
-    operators = [asyncio.create_task(_operate(world, n, rng)) for n in ("ann", "bob")]
+    cluster.first = False
+    operators = [asyncio.create_task(_operate(cluster, n, rng)) for n in ("ann", "bob")]
     for _ in range(6):
         if rng.random() < 0.25:
-            for machine in world.machines.values():
+            for machine in cluster.machines.values():
                 machine.kill() if rng.random() < 0.5 else machine.power_off()
             await asyncio.sleep(rng.uniform(0.0, 1.0))
-            for machine in world.machines.values():
+            for machine in cluster.machines.values():
                 machine.start()
         else:
             # a disk is lost only while all else is well; other troubles may meet
-            struck = rng.sample([*world.machines.values()], rng.choice((1, 1, 2)))
-            if rng.random() < 0.6 and (first := world.primary_now()):
+            struck = rng.sample([*cluster.machines.values()], rng.choice((1, 1, 2)))
+            if rng.random() < 0.6 and (first := cluster.find_primary()):
                 struck = [first, *struck[1:]] if first not in struck[1:] else struck
-            await asyncio.gather(*(_fault(world, rng, m, len(struck) == 1) for m in struck))
+            await asyncio.gather(*(_fault(cluster, rng, m, len(struck) == 1) for m in struck))
         await asyncio.sleep(rng.choice((0.05, 0.5, 2.0, 4.0)))
     await asyncio.sleep(5.0)
     for operator in operators:
         operator.cancel()
-    bound = 4.0 if world.sky.lost or world.sky.slow else 0.3
-    assert await world.put_within(bound), "calm, and nothing is acknowledged"
-    assert await world.newest() >= world.acked
+    bound = 4.0 if cluster.network.lost or cluster.network.slow else 0.3
+    assert await cluster.put_within(bound), "calm, and nothing is acknowledged"
+    assert await cluster.read_newest() >= cluster.acknowledged_version
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_random_faults_lose_nothing(seed):
-    world = World(seed, (*HOSTS, "10.5.0.1")[: 3 + seed % 3])
-    world.do(_day(world, Random(seed + 1000)))
-    world.close()
+    cluster = StoreCluster(seed, (*HOSTS, "10.5.0.1")[: 3 + seed % 3])
+    cluster.do(_day(cluster, Random(seed + 1000)))
+    cluster.close()
