--- a/tests/features/rescue.feature
+++ b/tests/features/rescue.feature
@@ -53,7 +53,7 @@
       | freeze     | both thaw                                   |
 
   Scenario: The whole core loses its disks, and limiters give back what they hold
-    Given a town at work whose core lost all disks
+    Given a system at work whose core lost all disks
     Then requests are served all the while and changes are not
     When its operators look at the rescue and give their word
     Then the configuration that the limiters held is in force, and changes are
--- a/tests/store/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -441,7 +441,7 @@
     return got.status, json.loads(got.body)
 
 
-@given("a town at work whose core lost all disks")
+@given("a system at work whose core lost all disks")
 def _(system):
     system.do(system.begin())
     hosts = [*system.stores.values(), *system.registries.values()]
