--- a/loomstand/testing/model_checker/__main__.py
+++ b/loomstand/testing/model_checker/__main__.py
@@ -1,6 +1,4 @@
-"""`python -m loomstand.testing.model_checker`: searches the store's states for one that breaks an
-invariant.
-"""
+"""`python -m loomstand.testing.model_checker`: searches for a broken invariant."""
 
 from __future__ import annotations
 
@@ -14,7 +12,7 @@
 
 
 def main(words: list[str] | None = None) -> int:
-    """1 if something is broken, else 0; a mutant is searched within its own bounds."""
+    """Returns 1 if an invariant is broken, else 0; a mutant is searched within its own bounds."""
     parser = argparse.ArgumentParser(
         prog="python -m loomstand.testing.model_checker", description=__doc__
     )
@@ -73,12 +71,10 @@
     if asked.mutate:
         code, bounds = MUTANTS[asked.mutate].code, MUTANTS[asked.mutate].bounds
     found = search(StateSpace(code, bounds), asked.states, asked.seconds)
-    each = found.states / max(found.seconds, 1e-9)
+    states_per_second = found.states / max(found.seconds, 1e-9)
+    extent = "all" if found.is_complete else "not all"
     print(f"{found.states} states, {found.transitions} transitions, depth {found.depth}", end="")
-    print(
-        f", {found.seconds:.1f} s, {each:.0f} states/s, {'all' if found.is_complete else 'not all'} in "
-        "bounds"
-    )
+    print(f", {found.seconds:.1f} s, {states_per_second:.0f} states/s, {extent} in bounds")
     for i, line in enumerate(found.trace):
         print(f"{i + 1:3d}  {line}")
     if found.broken:
--- a/loomstand/testing/model_checker/member.py
+++ b/loomstand/testing/model_checker/member.py
@@ -1,6 +1,8 @@
-"""One member at one moment, as a value: the store's own Replica and ElectionRules are set up from it, take
-one event and are written back. Only the order of calls (store/election.py and program.py) is told
-again here.
+"""One member at one moment, as a value, and its steps by the store's own code.
+
+The store's own Replica and ElectionRules are set up from the value, take one event and are written
+back. Only the order of calls (`store.election`, `store.leadership`, `store.configuration_service`)
+is repeated here.
 
 The clock stands at 0 all the time: what is past has negative times, and a tick moves everything
 back.
@@ -36,7 +38,7 @@
 GRACE_PERIOD_SECONDS = (
     6.0  # s, of which none has passed: the end of a member's patience isn't walked
 )
-# s: a grant stands after one of them and has run out after two, for both of its ends
+# A grant stands after one tick and has run out after two, for both of its ends.
 TICK_SECONDS = GRANT_SECONDS / 2
 STATUS_DEFAULTS = {
     "state": 0,
@@ -51,7 +53,7 @@
 
 
 class Message(NamedTuple):
-    """A call or its answer under way; `sent` is of the call, as the asker counts."""
+    """A call or its answer under way; `sent` is when the call was sent, as the caller counts."""
 
     op: str
     answer: bool
@@ -64,8 +66,9 @@
 
 
 class PendingOperation(NamedTuple):
-    """What a primary or candidate is about; a campaign if `action` is there, else a put or a
-    settling.
+    """What a primary or candidate is doing.
+
+    An election if there is an `action`, else a change or a repeated write to the backup.
     """
 
     stage: str
@@ -80,9 +83,9 @@
 
 
 class MemberSnapshot(NamedTuple):
-    """All of a member that can decide anything, times relative and those run out all alike."""
+    """All of a member that can decide anything; times that have run out are all alike."""
 
-    index: int
+    place: int  # among the members
     record: Record
     started_at: float
     promised_epoch: int
@@ -113,6 +116,7 @@
 
 @cache
 def address(index: int) -> tuple[str, int]:
+    """The address of a member."""
     return (f"10.{index + 1}.0.1", 7341)
 
 
@@ -157,15 +161,16 @@
 
 
 class MemberDriver:
-    """`cell` come to life for one event; `out` and `marks` are what comes of it besides the next
-    cell.
+    """The store's code set up from a snapshot for one event.
+
+    `out` are the messages and `effects` the other results that come of the event.
     """
 
     def __init__(
         self, code: CodeUnderTest, seeds: tuple[Member, ...], snapshot: MemberSnapshot
     ) -> None:
         self.code, self.seeds, self.snapshot = code, seeds, snapshot
-        me = Member(snapshot.record.id, address(snapshot.index))
+        me = Member(snapshot.record.id, address(snapshot.place))
         replica = code.replica(
             me, tuple(m.address for m in seeds), snapshot.record, snapshot.started_at, RNG
         )
@@ -194,6 +199,7 @@
         self.effects: list[Effect] = []
 
     def to_snapshot(self) -> MemberSnapshot:
+        """The member after the event."""
         replica, work = self.replica, self.work
         if work is not None and work.stage == "stand" and replica.is_leader(0.0):
             if replica.can_write(0.0):
@@ -213,7 +219,7 @@
             )
         )
         return MemberSnapshot(
-            self.snapshot.index,
+            self.snapshot.place,
             replica.record,
             self.snapshot.started_at,
             replica.promised_epoch,
@@ -232,19 +238,24 @@
         )
 
     def commit(self, version: int, data: bytes) -> None:
+        """Commits a configuration as the primary."""
         self.replica.commit(version, data)
         self.effects.append(("force", self.replica.version, self.replica.data))
 
     # --- the disk
 
     def persist(self, change: Callable[[], Record], *then: Any) -> None:
-        """As ReplicaIO.persist: decided now, on disk after `write`, unless there is nothing to write."""
+        """As `ReplicaIO.persist`: decided now, on disk after `write`.
+
+        Without anything to write it is done at once.
+        """
         record = change()
         self.pending_write = (record, then)
         if not record.pages(self.replica.record):
             self.write()
 
     def write(self) -> None:
+        """The pending write is on disk; goes on with what waited for it."""
         assert self.pending_write is not None
         (record, then), self.pending_write = self.pending_write, None
         self.replica.on_persisted(record)
@@ -270,6 +281,7 @@
     # --- calls
 
     def send_heartbeat(self, member: Member) -> None:
+        """Sends a heartbeat that asks for the lease."""
         replica = self.replica
         if not replica.is_primary():
             raise CallRefusedError("not the primary")
@@ -277,26 +289,30 @@
         self.ask(member, "beat", **{k: body[k] for k in ("member", "view", "ask")})
 
     def ask(self, member: Member, op: str, /, **body: Any) -> None:
+        """Sends a call to another member."""
         at = int(member.address[0].split(".")[1]) - 1
         if member.id != self.replica.member.id:
             self.out.append(
-                Message(op, False, self.snapshot.index, at, member.id, cbor2.dumps(body))
+                Message(op, False, self.snapshot.place, at, member.id, cbor2.dumps(body))
             )
 
     def reply(self, call: Message, body: bytes) -> None:
+        """Answers a call; its caller may have restarted since."""
         if call.op != "beat" and call.name != self.replica.record.id:
             self.effects.append(
                 ("broken", f"(d) {self.replica.record.id} answers for the lost disk {call.name}")
             )
         if call.is_awaited:
-            mine, other = self.snapshot.index, call.by
+            mine, other = self.snapshot.place, call.by
             self.out.append(Message(call.op, True, mine, other, call.name, body, call.sent))
 
     def deliver(self, m: Message) -> None:
+        """A call or an answer arrives."""
         body = cbor2.loads(m.body)
         (self.on_answer if m.answer else self.on_call)(m, body)
 
     def on_call(self, m: Message, body: dict[str, Any]) -> None:
+        """A call arrives; the answer waits for the disk where one is needed."""
         replica = self.replica
         if m.op == "beat":
             answer = replica.on_heartbeat(
@@ -361,6 +377,7 @@
                 )
 
     def on_answer(self, m: Message, body: dict[str, Any]) -> None:
+        """An answer arrives, maybe too late to matter."""
         replica, work = self.replica, self.work
         if m.op == "beat":
             replica.on_heartbeat_response(
@@ -392,6 +409,7 @@
     def start_election(
         self, action: Action, epoch: int, release: tuple[str, int] | None = None
     ) -> None:
+        """Begins an election, as `run_election` does."""
         replica = self.replica
         if action.kind is not ActionKind.CHANGE_VIEW:
             replica.end_term()
@@ -423,16 +441,16 @@
         )
 
     def hear_newest_view(self, view: View) -> None:
-        """At its start all in reach answer before it asks for a lease, and tell of the newest
-        view.
-        """
+        """Hears of the newest view at its start, before it asks for a lease."""
         self.replica.observe_view(view)
         record = self.replica.fencing_record()
         if record is not None:
             self.persist(lambda: record, "fenced")
 
     def election_rules(self) -> ElectionRules:
-        assert self.work is not None and self.work.action is not None
+        """The rules of the election under way."""
+        assert self.work is not None
+        assert self.work.action is not None
         if self.work.case is not None:
             configuration = best_configuration(self.replica, NO_CONFIGURATION)
             return self.code.rescue(
@@ -441,6 +459,7 @@
         return self.code.election_rules(self.work.action, self.work.base)
 
     def on_written(self, stage: str, record: Record) -> None:
+        """A write of the operation under way is on disk."""
         replica, work = self.replica, self.work
         assert work is not None
         match stage:
@@ -473,6 +492,7 @@
                 self.commit_if_on_both()
 
     def on_promises(self) -> None:
+        """Goes on once the promises suffice."""
         work = self.work
         assert work is not None
         if self.election_rules().is_outdated(self.replica):
@@ -488,6 +508,7 @@
     def read_configuration(self) -> None:
         """Asks the first who may hold the data, or the next if that one doesn't answer."""
         work = self.work
+        assert work is not None
         rest = [m for m in self.election_rules().sources() if m not in work.asked]
         if not rest:
             raise CallRefusedError("nobody left")
@@ -495,13 +516,15 @@
         self.ask(rest[0], "fetch", epoch=work.epoch, asker=self.replica.member.id)
 
     def on_configuration(self, held: VersionedData) -> None:
+        """The configuration for the new view is found."""
         found = self.election_rules().newest_configuration(self.replica, held)
-        assert found is not None and self.work is not None
+        assert found is not None
+        assert self.work is not None
         self.work = self.work._replace(stage="own", asked=(), configuration=found)
         self.write_next()
 
     def write_next(self) -> None:
-        """The next write to its own disk, once the pen is free."""
+        """Begins the next write to its own disk, once that is free."""
         replica, work = self.replica, self.work
         if self.pending_write is not None:
             return
@@ -550,6 +573,7 @@
     # --- a change, as in store/program.py
 
     def put(self, version: int, data: bytes) -> None:
+        """Takes a change, as `ConfigurationService` does."""
         replica, view = self.replica, self.replica.record.view
         if (
             not replica.can_write(0.0)
@@ -560,7 +584,8 @@
         # which may run out of time
         if self.work is not None and self.work.stage not in ("put", "settle"):
             raise CallRefusedError("busy")
-        assert view is not None and view.backup is not None
+        assert view is not None
+        assert view.backup is not None
         self.work = PendingOperation("put", view.epoch, configuration=VersionedData(version, data))
         self.ask(
             view.backup,
@@ -575,6 +600,7 @@
         )
 
     def replicate(self) -> None:
+        """Has the backup write once more, as `Leadership.replicate_record` does."""
         replica, view = self.replica, self.replica.record.view
         if (
             view is None
@@ -596,7 +622,7 @@
         self.ask(view.backup, "keep", **body)
 
     def commit_if_on_both(self) -> None:
-        """Both disks have it, or just one of them."""
+        """Commits once both disks have the configuration."""
         replica, work = self.replica, self.work
         assert work is not None
         if "own" not in work.ids or ("kept" not in work.ids and not self.code.commits_early):
@@ -612,13 +638,11 @@
             self.commit(*work.configuration)
 
     def commit_news(self, version: int, data: bytes) -> None:
-        """News of what is in force, however late."""
+        """Hears what is committed, however late."""
         self.replica.commit(version, data)
 
     def write_copy(self) -> None:
-        """What is in force goes to its disk too, though it's neither the primary's nor the
-        backup's.
-        """
+        """Writes the third copy, as the learner wants it."""
         held = self.code.learner(self.copy).next_copy(self.replica)
         if held is None or self.pending_write is not None:
             raise CallRefusedError("nothing to write")
@@ -626,7 +650,7 @@
         self.effects.append(("copied", *held))
 
     def shut_down(self, there: tuple[Member, ...]) -> None:
-        """It was told to stop, and may; `there` are all that answer and stay."""
+        """Ends, if it may; `there` are all that answer and stay."""
         replica = self.replica
         replica.state = MemberState.LEAVING
         replica.peers.by_address = {}
@@ -639,12 +663,14 @@
         replica.state = MemberState.HEALTHY
 
     def transfer_leadership(self) -> None:
+        """Hands over to its backup, as `Leadership` does."""
         replica, view, epoch = (
             self.replica,
             self.replica.record.view,
             self.replica.promised_epoch + 1,
         )
-        assert view is not None and view.backup is not None
+        assert view is not None
+        assert view.backup is not None
         if self.pending_write is not None:
             raise CallRefusedError("not now")
         replica.is_established = False
@@ -661,9 +687,7 @@
     # --- what the code would do next
 
     def possible_actions(self, members: tuple[Member, ...]) -> list[Action]:
-        """All that `next_action` may say, whoever of `members` seems to be there, and however late it
-        is.
-        """
+        """All that `next_action` may answer, whoever seems to be there, and however late it is."""
         replica, found = self.replica, {}
         others = [m for m in members if m.id != replica.member.id]
         stands = replica.lease_left(0.0) > 0.0 or replica.is_leader(0.0)
--- a/loomstand/testing/model_checker/mutants.py
+++ b/loomstand/testing/model_checker/mutants.py
@@ -1,6 +1,4 @@
-"""Steps left out, one at a time: the model_checker is worth something only if it finds every one of
-them.
-"""
+"""Steps of the protocol left out, one at a time: the model checker has to find every one."""
 
 from __future__ import annotations
 
@@ -9,6 +7,7 @@
 from typing import Any
 
 from loomstand.rpc.errors import CallRefusedError
+from loomstand.store.change_history import EMPTY_HISTORY, ChangeHistory
 from loomstand.store.election_rules import ElectionRules
 from loomstand.store.learner import Learner
 from loomstand.store.record import Record, VersionedData
@@ -22,7 +21,14 @@
 class KeepsOld(Replica):
     """Takes an old primary's write after it has promised a newer epoch."""
 
-    def accept_write(self, epoch: int, writer_id: str, version: int, data: bytes) -> Record:
+    def accept_write(
+        self,
+        epoch: int,
+        writer_id: str,
+        version: int,
+        data: bytes,
+        history: ChangeHistory = EMPTY_HISTORY,
+    ) -> Record:
         self._raise_promise(epoch, writer_id)
         return replace(
             self.record,
@@ -36,7 +42,14 @@
 class KeepsEarlier(Replica):
     """Within an epoch takes a write that was overtaken by a later one."""
 
-    def accept_write(self, epoch: int, writer_id: str, version: int, data: bytes) -> Record:
+    def accept_write(
+        self,
+        epoch: int,
+        writer_id: str,
+        version: int,
+        data: bytes,
+        history: ChangeHistory = EMPTY_HISTORY,
+    ) -> Record:
         if epoch < self.promised_epoch:
             raise CallRefusedError("a newer epoch")
         self._raise_promise(epoch, writer_id)
@@ -188,11 +201,14 @@
 
 
 def ends_at_once(replica: Replica, now: float, since: float, grace_period_seconds: float) -> bool:
+    """Ends as soon as it is told to stop."""
     return True
 
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
+    """A step left out, and the bounds within which that is found."""
+
     code: CodeUnderTest
     bounds: Bounds  # within which it's found
     breaks: str  # the invariants, of which the shortest trace breaks one
--- a/loomstand/testing/model_checker/search.py
+++ b/loomstand/testing/model_checker/search.py
@@ -1,6 +1,4 @@
-"""Walks through a land: breadth first through all of it, so that a violation's trace is the
-shortest.
-"""
+"""Breadth-first search of the state space, so that a violation's trace is the shortest."""
 
 from __future__ import annotations
 
@@ -13,8 +11,9 @@
 
 @dataclass(slots=True)
 class SearchResult:
-    """What a search has seen. `whole`: it ended for want of new states, so all within bounds are
-    known.
+    """What a search has seen.
+
+    `is_complete`: it ended for want of new states, so all within the bounds are known.
     """
 
     states: int = 0
@@ -27,8 +26,7 @@
 
 
 def search(space: StateSpace, states: int = 1_000_000, seconds: float = 300.0) -> SearchResult:
-    """Breadth first, until `states` are known, `seconds` are over, nothing is left or something is
-    broken.
+    """Searches until enough `states` or `seconds`, nothing is left, or an invariant is broken.
 
     Of a state only its 64-bit hash is kept: among 10 million the odds that any two are taken for
     one are 3 in a million, and what that hides is one state.
--- a/loomstand/testing/model_checker/state_space.py
+++ b/loomstand/testing/model_checker/state_space.py
@@ -1,6 +1,4 @@
-"""All members and what is under way between them: the states, their successors, and what must
-always hold.
-"""
+"""All members and the messages between them: states, successors, and what must hold."""
 
 from __future__ import annotations
 
@@ -73,9 +71,7 @@
 
 
 class PendingRead(NamedTuple):
-    """An answer that isn't passed on yet; `asked` as the one who passes it on counts, at the
-    latest.
-    """
+    """An answer that isn't passed on yet; `asked` is when it was asked for at the latest."""
 
     by: int
     asked: float
@@ -99,7 +95,7 @@
 
 
 class InvariantError(Exception):
-    """An invariant doesn't hold; its words say which."""
+    """An invariant doesn't hold; the text says which."""
 
 
 Outcome = tuple[int, tuple[int, ...], tuple[Effect, ...]]
@@ -109,6 +105,12 @@
 
 @dataclass(slots=True)
 class StateSpace:
+    """The states within bounds, of the code under test.
+
+    Snapshots and messages are numbered, and every step of one member is computed once: few
+    snapshots make up all the states.
+    """
+
     code: CodeUnderTest
     bounds: Bounds
     snapshots: list[MemberSnapshot] = field(default_factory=list)
@@ -126,6 +128,7 @@
     # --- numbers for cells and messages
 
     def snapshot_number(self, snapshot: MemberSnapshot) -> int:
+        """The number of a snapshot."""
         found = self.numbers.get(snapshot)
         if found is None:
             found = self.numbers[snapshot] = len(self.snapshots)
@@ -136,6 +139,7 @@
         return found
 
     def message_number(self, message: Message) -> int:
+        """The number of a message."""
         found = self.numbers.get(message)
         if found is None:
             found = self.numbers[message] = len(self.messages)
@@ -143,9 +147,11 @@
         return found
 
     def seeds(self) -> tuple[Member, ...]:
+        """The members that are seeds."""
         return tuple(Member("abcd"[i], address(i)) for i in range(3))
 
     def first(self) -> SystemState:
+        """The state that every run begins with."""
         b, snapshots = self.bounds, []
         view = View(1, self.seeds()[0], self.seeds()[1], self.seeds())
         for i in range(b.members):
@@ -192,8 +198,7 @@
     def events(
         self, number: int, members: tuple[Member, ...], stay: tuple[Member, ...]
     ) -> list[Event]:
-        """What a member may do of itself, by its own code's leave; the epoch is any that it may
-        choose.
+        """What a member may do of itself, as its own code allows, with any epoch.
 
         `stay`: those of `members` that weren't told to stop.
         """
@@ -201,7 +206,7 @@
         if key in self.own_events:
             return self.own_events[key]
         snapshot, found = self.snapshots[number], list[Event]()
-        me, view, work = members[snapshot.index], snapshot.record.view, snapshot.work
+        me, view, work = members[snapshot.place], snapshot.record.view, snapshot.work
         if snapshot.pending_write is None:
             plans = MemberDriver(self.code, self.seeds(), snapshot).possible_actions(stay)
             if work and work.stage == "put" and "own" in work.ids and view is not None:
@@ -211,7 +216,7 @@
                     found.append(("replicate",))
                 elif plan.kind is ActionKind.TRANSFER_LEADERSHIP:
                     found.append(("transfer_leadership",))
-                elif "abcd"[snapshot.index] in self.bounds.takers:
+                elif "abcd"[snapshot.place] in self.bounds.takers:
                     most = snapshot.promised_epoch // EPOCH_RANGE * EPOCH_RANGE + self.bounds.epochs
                     epochs = range(snapshot.promised_epoch + 1, most + 1)
                     found += [("start", plan, e) for e in epochs]
@@ -220,29 +225,29 @@
         if work and work.stage == "fetch":
             found.append(("read_configuration",))
         if view is not None and view.primary.id == me.id:
-            fresh = {
-                me.id,
-                *(i for i, epoch, sent in snapshot.grants if sent == 0.0 and epoch == view.epoch),
-            }
-            # no more of them once the lease is as long as it can be
-            asked = (
-                []
-                if view.has_quorum(fresh)
-                else [m for m in view.electors().values() if m.id not in fresh]
-            )
-            found += [("send_heartbeat", m) for m in asked]
+            found += self._heartbeats(snapshot, view)
         self.own_events[key] = [e for e in found if self.step(number, e) is not None]
         return self.own_events[key]
 
+    @staticmethod
+    def _heartbeats(snapshot: MemberSnapshot, view: View) -> list[Event]:
+        """Heartbeats of a primary, until its lease is as long as it can be."""
+        granting_ids = {view.primary.id}
+        for member_id, epoch, sent_at in snapshot.grants:
+            if sent_at == 0.0 and epoch == view.epoch:
+                granting_ids.add(member_id)
+        if view.has_quorum(granting_ids):
+            return []
+        electors = view.electors().values()
+        return [("send_heartbeat", m) for m in electors if m.id not in granting_ids]
+
     @staticmethod
     def moved(view: View) -> Action:
         """As `ConfigurationService` acts when a backup doesn't write, whatever else is due."""
         return change_view("", view)
 
     def is_obsolete(self, snapshot: int, number: int) -> bool:
-        """Whether a message can never matter again at a member; asked of the code, so mutants
-        differ.
-        """
+        """Whether a message can never matter again at a member, by the code under test."""
         key = (snapshot, number)
         found = self.obsolete.get(key)
         if found is None:
@@ -281,55 +286,23 @@
     # --- successors
 
     def members(self, state: SystemState) -> tuple[Member, ...]:
+        """The members of a state."""
         return tuple(
             Member(self.snapshots[c].record.id, address(i)) for i, c in enumerate(state.snapshots)
         )
 
     def successors(self, state: SystemState) -> Iterator[tuple[Label, SystemState]]:
+        """All states that one step leads to, with the step."""
         if state.fresh:
             yield from self._fresh(state)
             return
-        left, kinds = state.left, self.bounds.kinds
-        for k, number in enumerate(state.late):
-            rest = (*state.late[:k], *state.late[k + 1 :])
-            at = self.messages[number].at
-            if state.partitioned in (at, self.messages[number].by):
-                continue
-            yield from self._take(state._replace(late=rest), at, ("deliver", number))
-            if left.faults and "twice" in kinds:
-                fewer = self._fault(state)
-                yield from self._take(fewer, at, ("deliver", number))
+        yield from self._late_deliveries(state)
         members = self.members(state)
         # who may take a place
         stay = tuple(m for i, m in enumerate(members) if i not in state.leaving)
-        for i, number in enumerate(state.snapshots):
-            if i in state.gone:
-                continue
-            if self.snapshots[number].pending_write is not None:
-                yield from self._take(state, i, ("write",))
-            for event in self.events(number, members, stay):
-                after = self._allowed(state, event)
-                if after is not None:
-                    yield from self._take(after, i, event)
-            yield from self._puts(state, i, number)
-            yield from self._restarts(state, i, number)
-            if left.faults and "cut" in kinds and state.partitioned < 0:
-                yield (
-                    ("{} is cut off", (members[i].id,)),
-                    self._fault(state)._replace(partitioned=i),
-                )
-            version = self.snapshots[number].version
-            for v in range(version + 1, self.bounds.versions + 1):
-                data = state.committed[v - 1]
-                if data is not None:
-                    yield from self._take(state, i, ("commit_news", v, data))
-            if self.bounds.learners:
-                yield from self._take(state, i, ("write_copy",))
-            if left.reads and self.facts[number][0] > 0.0:
-                fewer = state._replace(left=left._replace(reads=left.reads - 1))
-                read = PendingRead(i, 0.0, self.facts[number][0])
-                yield ("{} is read", (members[i].id,)), fewer._replace(reads=(*state.reads, read))
-            yield from self._leaves(state, i, stay)
+        for i in range(len(state.snapshots)):
+            if i not in state.gone:
+                yield from self._member_steps(state, i, members, stay)
         if state.partitioned >= 0:
             yield ("the cut is mended", ()), state._replace(partitioned=-1)
         yield from self._rescued(state)
@@ -339,6 +312,53 @@
         if tick != state:
             yield ("time passes", ()), tick
 
+    def _late_deliveries(self, state: SystemState) -> Iterator[tuple[Label, SystemState]]:
+        """A delayed message arrives, maybe not for the last time."""
+        for k, number in enumerate(state.late):
+            rest = (*state.late[:k], *state.late[k + 1 :])
+            at = self.messages[number].at
+            if state.partitioned in (at, self.messages[number].by):
+                continue
+            yield from self._take(state._replace(late=rest), at, ("deliver", number))
+            if state.left.faults and "twice" in self.bounds.kinds:
+                yield from self._take(self._fault(state), at, ("deliver", number))
+
+    def _member_steps(
+        self, state: SystemState, i: int, members: tuple[Member, ...], stay: tuple[Member, ...]
+    ) -> Iterator[tuple[Label, SystemState]]:
+        """What may happen at one member, of itself or to it."""
+        number = state.snapshots[i]
+        if self.snapshots[number].pending_write is not None:
+            yield from self._take(state, i, ("write",))
+        for event in self.events(number, members, stay):
+            after = self._allowed(state, event)
+            if after is not None:
+                yield from self._take(after, i, event)
+        yield from self._puts(state, i, number)
+        yield from self._restarts(state, i, number)
+        if state.left.faults and "cut" in self.bounds.kinds and state.partitioned < 0:
+            label = ("{} is cut off", (members[i].id,))
+            yield label, self._fault(state)._replace(partitioned=i)
+        yield from self._hears_committed(state, i, number)
+        if self.bounds.learners:
+            yield from self._take(state, i, ("write_copy",))
+        lease_seconds = self.facts[number][0]
+        if state.left.reads and lease_seconds > 0.0:
+            fewer = state._replace(left=state.left._replace(reads=state.left.reads - 1))
+            read = PendingRead(i, 0.0, lease_seconds)
+            yield ("{} is read", (members[i].id,)), fewer._replace(reads=(*state.reads, read))
+        yield from self._leaves(state, i, stay)
+
+    def _hears_committed(
+        self, state: SystemState, i: int, number: int
+    ) -> Iterator[tuple[Label, SystemState]]:
+        """A member hears of any newer configuration that is committed."""
+        version = self.snapshots[number].version
+        for newer in range(version + 1, self.bounds.versions + 1):
+            data = state.committed[newer - 1]
+            if data is not None:
+                yield from self._take(state, i, ("commit_news", newer, data))
+
     def _fresh(self, state: SystemState) -> Iterator[tuple[Label, SystemState]]:
         number, rest = state.fresh[0], state.fresh[1:]
         without = state._replace(fresh=rest)
@@ -421,12 +441,13 @@
             for record, words in disks.items():
                 yield from self._restart(self._fault(state), i, record, words)
         if left.wipes and not (state.gone and self._missed(state)):
-            id = snapshot.record.id if self.code.reuses_disk_id else snapshot.record.id + "'"
+            old_id = snapshot.record.id
+            disk_id = old_id if self.code.reuses_disk_id else old_id + "'"
             fewer = left._replace(wipes=left.wipes - 1, faults=left.faults - 1)
             aside = ((i, snapshot.record),) if left.rescues else ()
             lost = state._replace(left=fewer, lost_disks=state.lost_disks + aside)
             yield from self._restart(
-                lost, i, Record(id, False), "has lost its disk and starts", True
+                lost, i, Record(disk_id, False), "has lost its disk and starts", True
             )
 
     def _leaves(
@@ -455,9 +476,7 @@
         )
 
     def _rescued(self, state: SystemState) -> Iterator[tuple[Label, SystemState]]:
-        """Operators' word, where the code's own judgement lets them; later what they gave up comes
-        back.
-        """
+        """A rescue, where the code's own judgement allows one; later the lost disks come back."""
         if not state.left.rescues:
             for k, (i, record) in enumerate(state.lost_disks):
                 rest = state._replace(
@@ -490,9 +509,7 @@
     def _restart(
         self, state: SystemState, i: int, record: Record, words: str, empty: bool = False
     ) -> Iterator[tuple[Label, SystemState]]:
-        """Who wakes hears no answers to what it asked before, also not to what is still being
-        written.
-        """
+        """A restart: answers to what was asked before are lost, also those still being written."""
         snapshots, late = list(state.snapshots), list[int]()
         for k, number in enumerate(snapshots):
             match self.snapshots[number].pending_write:
@@ -618,29 +635,25 @@
     # --- what must hold
 
     def check(self, state: SystemState) -> None:
-        """Raises Broken unless, in this state and the step to it:
+        """Raises InvariantError unless all invariants hold in this state and the step to it.
 
         (a) Whoever serves (its lease stands, so it answers reads and may acknowledge) holds at
-        least the
-            newest version that a primary has put in force, though one disk be lost and members be
-            away.
+            least the newest version that a primary has committed, though one disk be lost and
+            members be away.
         (b) No two members serve at one moment, and no two views of one epoch are known: one primary
-        an epoch. (c) A member's committed version never goes back in a life (looked at in
-        Plot.frozen), and a version
-            put in force never has a second content (looked at as marks are taken in).
-        (d) No disk answers in the name of another one, nor under the id of one that was lost
-        (looked at in
-            Plot.reply; a new disk under the old id is found here).
-        (e) What was read of one member isn't passed on while another one serves. (f) A copy beside
-        the view's disks has only what was in force (looked at as marks are taken in). (g) Once
-        members were told to stop, those that are left can agree on a view, and one has its data.
+            an epoch.
+        (c) A member's committed version never goes back between two starts (see
+            `MemberDriver.to_snapshot`), and a committed version never has a second content (see
+            `_after`).
+        (d) No disk answers in the name of another one, nor under the id of one that was lost (see
+            `MemberDriver.reply`; a new disk under the old id is found here).
+        (e) What was read of one member isn't passed on while another one serves.
+        (f) A third copy has only what was committed (see `_after`).
+        (g) Once members were told to stop, those that are left can agree on a view, and one has its
+            data.
         """
         facts = [self.facts[c] for c in state.snapshots]
-        for read in state.reads:
-            if any(f[0] > 0.0 and i != read.by for i, f in enumerate(facts)) and self._passes(read):
-                raise InvariantError(
-                    "(e) what one said to be in force is passed on while another serves"
-                )
+        self._check_reads(state)
         if state.leaving:
             self._check_left(state)
         serving = [f for i, f in enumerate(facts) if f[0] > 0.0 and i not in state.gone]
@@ -661,6 +674,17 @@
             if not record.is_founder and record.id in "abc":
                 raise InvariantError(f"(d) a disk that is new votes as {record.id}")
 
+    def _check_reads(self, state: SystemState) -> None:
+        leases = [self.facts[number][0] for number in state.snapshots]
+        for read in state.reads:
+            is_other_serving = any(
+                lease_seconds > 0.0 and i != read.by for i, lease_seconds in enumerate(leases)
+            )
+            if is_other_serving and self._passes(read):
+                raise InvariantError(
+                    "(e) what one said to be in force is passed on while another serves"
+                )
+
     def _left(self, state: SystemState) -> tuple[View | None, list[str]]:
         """The newest view that those know who didn't end, and their disks."""
         snapshots = [
@@ -671,9 +695,7 @@
         ]
 
     def _missed(self, state: SystemState) -> bool:
-        """Whether a member that ended has nobody in its place: it counts as the one loss that is
-        borne.
-        """
+        """Whether a member that ended has nobody in its place: the one loss that is borne."""
         view, _ = self._left(state)
         names = replace(view, former_voters=()).members() if view else {}
         return any(self.snapshots[state.snapshots[i]].record.id in names for i in state.gone)
@@ -682,12 +704,13 @@
         view, ids = self._left(state)
         if view is not None and not view.has_quorum(ids):
             raise InvariantError("(g) those that are left can't agree any more")
-        if view is not None and not any(view.has_data(id) for id in ids):
+        if view is not None and not any(view.has_data(disk_id) for disk_id in ids):
             raise InvariantError("(g) nobody that is left has the data")
 
     # --- words for a trace
 
     def words(self, step: Label) -> str:
+        """A step in words, for a trace."""
         form, parts = step
         match parts:
             case (int() as before, tuple() as event):
