--- /dev/null
+++ b/loomstand/config/configuration/reader.py
@@ -0,0 +1,88 @@
+"""Reads configurations from their bytes, each by what changed since the one before. Pure."""
+
+from __future__ import annotations
+
+import marshal
+from types import MappingProxyType
+from typing import Final
+
+from loomstand.config.configuration.checks import ResourceCollector
+from loomstand.config.configuration.json_object import JsonObject, load_json
+from loomstand.config.configuration.model import ClientLimits, Configuration
+from loomstand.config.configuration.resources import ParsedResource, parse_resource
+from loomstand.config.units import UnitError, parse_version
+
+# Tells 1, 1.0 and true apart, which are equal. Format 2 writes values alone: later ones refer to
+# objects that stand twice, so that equal resources could differ in their bytes.
+_MARSHAL_FORMAT: Final = 2
+
+
+class ConfigurationReader:
+    """Reads one configuration after another.
+
+    Of thousands of routes a change alters few: a resource that stood in the last configuration, to
+    the byte of its values, isn't parsed again. A resource of a kind that isn't known is kept as
+    None.
+    """
+
+    __slots__ = ("_known",)
+
+    def __init__(self) -> None:
+        self._known: dict[bytes, ParsedResource | None] = {}
+
+    def parse(self, raw: bytes) -> Configuration:
+        """Parses and checks a configuration as an operator sends it.
+
+        Raises:
+            ConfigurationError: It is invalid; the one parsed before stays the last.
+        """
+        document = JsonObject(load_json(raw), "", "")
+        version = _parse_version(document)
+        collector = ResourceCollector()
+        parsed: dict[bytes, ParsedResource | None] = {}
+        for position, item in enumerate(document.get_list("resources")):
+            resource = self._parse_resource(position, item, parsed)
+            if resource is not None:
+                collector.add(position, resource)
+        collector.check_services()
+        self._known = parsed
+        return Configuration(
+            version=version,
+            routes=tuple(collector.routes),
+            services=MappingProxyType(collector.services),
+            tenants=tuple(collector.tenants) or None,
+            limits=collector.limits or ClientLimits(),
+            raw=bytes(raw),
+        )
+
+    def _parse_resource(
+        self, position: int, item: object, parsed: dict[bytes, ParsedResource | None]
+    ) -> ParsedResource | None:
+        """Returns the resource as it was known or parses it, and notes it in `parsed`."""
+        try:
+            # whatever JSON can say can be marshalled
+            fingerprint = marshal.dumps(item, _MARSHAL_FORMAT)  # type: ignore[arg-type]
+        except ValueError:  # nested too deep
+            return parse_resource(position, item)
+        if fingerprint in self._known:
+            resource = self._known[fingerprint]
+        else:
+            resource = parse_resource(position, item)
+        parsed[fingerprint] = resource
+        return resource
+
+
+def parse_configuration(raw: bytes) -> Configuration:
+    """Parses and checks a configuration by itself.
+
+    Raises:
+        ConfigurationError: It is invalid.
+    """
+    return ConfigurationReader().parse(raw)
+
+
+def _parse_version(document: JsonObject) -> int:
+    try:
+        return parse_version(document.get_text("version"))
+    except UnitError as error:
+        raise document.error("version", str(error)) from None
--- a/loomstand/config/routes.py
+++ b/loomstand/config/routes.py
@@ -1,5 +1,13 @@
-"""The routes of a configuration as a snapshot that is built once, never changed and swapped
-whole.
+"""The routes and API keys of a configuration as a table for look-ups by request. Pure.
+
+A table is built once for a configuration and never changed; a program swaps it for the next one.
+
+A request's route is found in this order (PROTOCOL.md, "Requests"):
+
+1. By host, in any case: the Host header as it stands, else without its port. A host that no route
+   names has no route.
+2. By path: of that host's routes, the one with the longest prefix that begins the path. Prefixes
+   end with a slash, so they match whole segments; the path comes without its query.
 """
 
 from __future__ import annotations
@@ -12,89 +20,106 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Host:
-    """The routes of one host by prefix, and the length of the longest prefix."""
+class _HostRoutes:
+    """The routes of one host by path prefix, and the length of the longest prefix."""
 
-    longest: int
-    routes: dict[bytes, Route]
+    longest_prefix: int
+    by_prefix: dict[bytes, Route]
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class RouteTable:
-    """What is asked for each request. `allowed_services` has, for each host and prefix, the
-    services that its requests may go to: those with a weight over 0.
+    """The table of one configuration.
+
+    Attributes:
+        configuration: What the table was built from.
+        allowed_services: By host and path prefix, the services that requests may go to: those with
+            a weight over 0.
     """
 
     configuration: Configuration
     allowed_services: Mapping[tuple[str, str], frozenset[str]]
-    _hosts: dict[bytes, _Host]
+    _hosts: dict[bytes, _HostRoutes]
     _tenants: dict[bytes, Tenant]
 
     @classmethod
     def from_configuration(cls, configuration: Configuration) -> RouteTable:
-        """The table of a checked configuration."""
-        hosts: dict[bytes, dict[bytes, Route]] = {}
+        """Builds the table of a checked configuration."""
+        by_host: dict[bytes, dict[bytes, Route]] = {}
+        allowed_services: dict[tuple[str, str], frozenset[str]] = {}
         for route in configuration.routes:
-            hosts.setdefault(route.host.encode(), {})[route.path_prefix.encode()] = route
-        # An empty key is never one that a request shows.
-        tenants = {
-            key.encode(): t for t in configuration.tenants or () for key in t.api_keys if key
+            by_prefix = by_host.setdefault(route.host.encode(), {})
+            by_prefix[route.path_prefix.encode()] = route
+            allowed_services[route.host, route.path_prefix] = frozenset(
+                [service.name for service in route.traffic_split if service.weight > 0]
+            )
+        hosts = {
+            host: _HostRoutes(max(map(len, by_prefix)), by_prefix)
+            for host, by_prefix in by_host.items()
         }
-        allowed_services = {
-            (r.host, r.path_prefix): frozenset(s for s, weight in r.traffic_split if weight > 0)
-            for r in configuration.routes
+        tenants = {
+            key.encode(): tenant
+            for tenant in configuration.tenants or ()
+            for key in tenant.api_keys
+            if key  # a request without a key must not find the tenant of an empty one
         }
-        return cls(
-            configuration,
-            MappingProxyType(allowed_services),
-            {host: _Host(max(map(len, routes)), routes) for host, routes in hosts.items()},
-            tenants,
-        )
+        return cls(configuration, MappingProxyType(allowed_services), hosts, tenants)
 
     @property
     def version(self) -> int:
-        """The configuration's number."""
+        """The configuration's version."""
         return self.configuration.version
 
     def find_route(self, host: bytes, path: bytes) -> Route | None:
-        """The route with the longest prefix that begins `path` (without its query), of the host in
-        a Host header: any case, with or without a port.
+        """Finds the route of a request by the order that the module describes.
+
+        Args:
+            host: The Host header, in any case, with or without a port.
+            path: The path without its query.
         """
         host = host.lower()
-        found = self._hosts.get(host)
-        if found is None:
-            found = self._hosts.get(host[: host.rfind(b":")]) if b":" in host else None
-            if found is None:
-                return None
-        # Nothing beyond the longest prefix is looked at: a long path of slashes alone would be
-        # dear.
-        end = path.rfind(b"/", 0, found.longest) + 1
+        routes = self._hosts.get(host)
+        if routes is None and b":" in host:
+            routes = self._hosts.get(host[: host.rfind(b":")])
+        if routes is None:
+            return None
+        # Only as much of the path as the longest prefix has: a long path of slashes would be dear.
+        end = path.rfind(b"/", 0, routes.longest_prefix) + 1
         while end > 0:
-            route = found.routes.get(path[:end])
+            route = routes.by_prefix.get(path[:end])
             if route is not None:
                 return route
             end = path.rfind(b"/", 0, end - 1) + 1
         return None
 
-    def find_tenant(self, key: bytes) -> Tenant | None:
-        """Whose key this is."""
-        return self._tenants.get(key)
+    def find_tenant(self, api_key: bytes) -> Tenant | None:
+        """Finds the tenant that holds an API key."""
+        return self._tenants.get(api_key)
 
     def requires_api_key(self, route: Route) -> bool:
-        """Whether a request of this route must show a key that is known."""
+        """Whether a request of this route must show a key that a tenant holds."""
         return not route.public and self.configuration.tenants is not None
 
-    def choose_service(self, route: Route, chance: float) -> str:
-        """A service of the route by its weight, for a `chance` of at least 0 and under 1."""
+    def choose_service(self, route: Route, draw: float) -> str:
+        """Chooses a service of the route by its weight.
+
+        Args:
+            route: A route of this table.
+            draw: A random number of at least 0 and under 1.
+        """
         split = route.traffic_split
         if len(split) == 1:
-            return split[0][0]
-        at = chance * sum(weight for _, weight in split)
-        last = split[0][0]
-        for service, weight in split:
-            if weight > 0:
-                last = service
-                at -= weight
-                if at < 0:
+            return split[0].name
+        total = 0.0
+        for service in split:
+            total += service.weight
+        remaining = draw * total
+        chosen = split[0]
+        for service in split:
+            weight = service.weight
+            if weight > 0:  # one of no weight is never chosen, whatever the draw
+                chosen = service
+                remaining -= weight
+                if remaining < 0:
                     break
-        return last
+        return chosen.name
--- a/loomstand/config/toml_tables.py
+++ b/loomstand/config/toml_tables.py
@@ -1,49 +1,82 @@
-"""TOML files of ours, read and checked: what is wrong names the file and the key."""
+"""TOML files as checked structs; an error names the file and the key. Touches the disk."""
 
 from __future__ import annotations
 
 import tomllib
-from typing import TypeVar
+from typing import Any, TypeVar
 
 import msgspec
 
-T = TypeVar("T")
+from loomstand.config.errors import ConfigError
 
+StructT = TypeVar("StructT")
 
-class TableError(ValueError):
+TomlTable = dict[str, Any]
+"""A table as TOML reads it, unchecked."""
+
+
+class TableError(ConfigError):
     """A file that can't be used; the message names the key."""
 
 
 class StrictStruct(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A table of a file: unknown keys are refused, so a misspelt key names itself."""
+    """A table of a file. Unknown keys are refused, so that a misspelt one is found."""
+
 
+def parse_toml(raw: str | bytes, source: str) -> TomlTable:
+    """Parses a TOML text.
 
-def parse_toml(raw: str | bytes, source: str) -> dict:
-    """The table of a TOML text, unchecked. Raises TableError naming the source."""
+    Args:
+        raw: The text.
+        source: Where it is from, for errors.
+
+    Raises:
+        TableError: It is no TOML.
+    """
     try:
         return tomllib.loads(raw.decode() if isinstance(raw, bytes) else raw)
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as why:
-        raise TableError(f"{source} is not TOML: {why}") from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise TableError(f"{source} is not TOML: {error}") from None
+
 
+def read_toml(path: str) -> TomlTable:
+    """Reads a TOML file.
 
-def read_toml(path: str) -> dict:
-    """The table of a TOML file, unchecked. Raises TableError naming the file."""
+    Raises:
+        TableError: It can't be read, or is no TOML.
+    """
     try:
-        with open(path, "rb") as file:
-            return parse_toml(file.read(), path)
-    except OSError as why:
-        raise TableError(f"{path}: {why.strerror}") from None
+        # not pathlib, which would change how errors of the system repeat the path
+        with open(path, "rb") as file:  # noqa: PTH123
+            raw = file.read()
+    except OSError as error:
+        raise TableError(f"{path}: {error.strerror}") from None
+    return parse_toml(raw, path)
 
 
-def convert_table(table: dict, kind: type[T]) -> T:
-    """A checked struct from a table as TOML reads it. Raises TableError naming the key."""
+def convert_table(table: TomlTable, kind: type[StructT]) -> StructT:
+    """Checks a table and converts it to a struct.
+
+    Raises:
+        TableError: A key is missing, unknown or of another type.
+    """
     try:
         return msgspec.convert(table, type=kind)
-    except msgspec.ValidationError as why:
-        if isinstance(why.__cause__, TableError):  # a check of our own: it names its key itself
-            raise TableError(str(why.__cause__)) from None
-        what, _, where = str(why).partition(" - at `$")
-        where = where.rstrip("`").lstrip(".")
-        if "unknown field" in what or "missing required field" in what:
-            where = ".".join(filter(None, [where, what.rpartition(" ")[2].strip("`")]))
-        raise TableError(f"key '{where or '(top)'}': {what}") from None
+    except msgspec.ValidationError as error:
+        if isinstance(error.__cause__, TableError):  # from a struct's own check, with its key
+            raise TableError(str(error.__cause__)) from None
+        raise TableError(_describe(str(error))) from None
+
+
+def _describe(message: str) -> str:
+    """Rewords an error of msgspec so that it begins with the key.
+
+    Its form is "what is wrong - at `$.path.of.key`"; fields that are unknown or missing stand at
+    the end of what is wrong, and aren't part of the path.
+    """
+    problem, _, path = message.partition(" - at `$")
+    key = path.rstrip("`").lstrip(".")
+    if "unknown field" in problem or "missing required field" in problem:
+        field = problem.rpartition(" ")[2].strip("`")
+        key = f"{key}.{field}" if key else field
+    return f"key '{key or '(top)'}': {problem}"
--- a/loomstand/config/units.py
+++ b/loomstand/config/units.py
@@ -1,6 +1,7 @@
-"""The written forms of times, versions and addresses, read strictly and by hand.
+"""The written forms of times, versions, numbers and addresses, parsed strictly.
 
-Each reader raises UnitError, whose message says what is wrong; its caller names the place.
+Each parser raises UnitError, whose message says what is wrong with the value; its caller knows the
+key and puts it in front. Pure.
 """
 
 from __future__ import annotations
@@ -8,79 +9,185 @@
 import re
 from math import isfinite
 
-Address = tuple[str, int]
+from loomstand.config.errors import ConfigError
 
-MAX_VERSION = 2**63 - 1  # fits the eight bytes that a key on disk gives it
+Address = tuple[str, int]
+"""An IPv4 number and a port."""
+
+MAX_VERSION = 2**63 - 1
+"""The highest version of a configuration: it fits the eight bytes that a key on disk gives it."""
+
+_MAX_VERSION_DIGITS = 4000  # under the digits at which int() refuses a text with an error
+_MAX_PORT = 65535
+_MAX_PORT_DIGITS = 5
+_IPV4_PARTS = 4
+_MAX_IPV4_PART = 255
+_MAX_IPV4_PART_DIGITS = 3
+_MAX_QUOTED_CHARACTERS = 60  # more of a value would only fill the log
+_MILLISECONDS_PER_SECOND = 1000
 _TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
-_SHOWN = 60  # characters of a value that a message repeats; the rest would only fill the log
 
 
-class UnitError(ValueError):
-    """A value that isn't written as its unit wants it."""
+class UnitError(ConfigError):
+    """A value that isn't written as its unit requires."""
 
 
 def quote_value(value: object) -> str:
-    """A value as a message may repeat it: one line of ASCII, not long."""
+    """Formats a value for an error message: one line of ASCII of limited length."""
     text = ascii(value)
-    return text if len(text) <= _SHOWN else text[:_SHOWN] + "..."
+    if len(text) <= _MAX_QUOTED_CHARACTERS:
+        return text
+    return text[:_MAX_QUOTED_CHARACTERS] + "..."
 
 
 def parse_seconds(text: str) -> float:
-    """`1500ms` or `2.5s` in seconds: finite and not negative."""
+    """Parses a time such as `1500ms` or `2.5s`.
+
+    Returns:
+        The time in seconds: finite and not negative.
+
+    Raises:
+        UnitError: The text is no time.
+    """
     match = _TIME.fullmatch(text)
     if match is None:
         raise UnitError(f"{quote_value(text)} is not a time such as 1500ms or 2.5s")
     value = float(match[1])
     if not isfinite(value):
         raise UnitError(f"{quote_value(text)} is too long a time")
-    return value / 1000 if match[2] == "ms" else value
+    return value / _MILLISECONDS_PER_SECOND if match[2] == "ms" else value
+
+
+def parse_flag(text: str) -> bool:
+    """Parses `true` or `false`.
+
+    Raises:
+        UnitError: The text is neither.
+    """
+    if text not in ("true", "false"):
+        raise UnitError(f"{quote_value(text)} is neither true nor false")
+    return text == "true"
+
+
+def parse_number(text: str) -> float:
+    """Parses a finite decimal number of 0 or more.
+
+    Raises:
+        UnitError: The text is no such number.
+    """
+    try:
+        value = float(text) if text.isascii() and "_" not in text else -1.0
+    except ValueError:
+        value = -1.0
+    if not (isfinite(value) and value >= 0):
+        raise UnitError(f"{quote_value(text)} is not a number of 0 or more")
+    return value
+
+
+def parse_whole_number(text: str) -> int:
+    """Parses a whole number of 0 or more; `2.0` is one.
+
+    Raises:
+        UnitError: The text is no such number.
+    """
+    value = parse_number(text)
+    if not value.is_integer():
+        raise UnitError(f"{quote_value(text)} is not a whole number")
+    return int(value)
+
+
+def parse_non_empty(text: str) -> str:
+    """Returns a text as it stands.
+
+    Raises:
+        UnitError: The text is empty.
+    """
+    if not text:
+        raise UnitError("empty")
+    return text
+
+
+def parse_list(text: str) -> tuple[str, ...]:
+    """Splits a text at its commas; an empty text is an empty list.
+
+    Raises:
+        UnitError: An item is empty.
+    """
+    items = tuple(item.strip() for item in text.split(",")) if text else ()
+    if not all(items):
+        raise UnitError(f"{quote_value(text)} has an empty item")
+    return items
 
 
 def parse_version(text: str) -> int:
-    """`r12` as 12."""
+    """Parses a version of a configuration: `r12` is 12.
+
+    Raises:
+        UnitError: The text is no version, or one above MAX_VERSION.
+    """
     digits = text[1:]
     if text[:1] != "r" or not (digits.isascii() and digits.isdigit()):
         raise UnitError(f"{quote_value(text)} is not a version such as r12")
-    if len(digits) > 4000 or (number := int(digits)) > MAX_VERSION:
+    if len(digits) > _MAX_VERSION_DIGITS or int(digits) > MAX_VERSION:
         raise UnitError(f"{quote_value(text)} is too high a version")
-    return number
+    return int(digits)
 
 
 def format_version(number: int) -> str:
-    """12 as `r12`."""
+    """Formats a version of a configuration: 12 is `r12`.
+
+    Raises:
+        UnitError: The number is below 0 or above MAX_VERSION.
+    """
     if not 0 <= number <= MAX_VERSION:
         raise UnitError(f"{quote_value(number)} is not a version's number")
     return f"r{number}"
 
 
 def parse_port(text: str) -> int:
-    """A port from 1 to 65535."""
-    if not (text.isascii() and text.isdigit() and len(text) <= 5 and 0 < int(text) <= 65535):
+    """Parses a port from 1 to 65535.
+
+    Raises:
+        UnitError: The text is no port.
+    """
+    digits = text.isascii() and text.isdigit() and len(text) <= _MAX_PORT_DIGITS
+    if not digits or not 0 < int(text) <= _MAX_PORT:
         raise UnitError(f"{quote_value(text)} is not a port")
     return int(text)
 
 
 def parse_ipv4(text: str) -> str:
-    """An IPv4 number, as it stands; nothing here looks names up. A leading zero is refused, as some
-    read it in eights.
+    """Checks an IPv4 number and returns it as it stands; names are never looked up.
+
+    Raises:
+        UnitError: The text is no IPv4 number, or a part has a leading zero, as some programs read
+            such a part as octal.
     """
     parts = text.split(".")
-    if len(parts) != 4 or not all(
-        p.isascii() and p.isdigit() and len(p) <= 3 and int(p) <= 255 and str(int(p)) == p
-        for p in parts
-    ):
+    if len(parts) != _IPV4_PARTS or not all(_is_ipv4_part(part) for part in parts):
         raise UnitError(f"{quote_value(text)} is not an IPv4 number")
     return text
 
 
+def _is_ipv4_part(part: str) -> bool:
+    """Whether a text is one of the four parts of an IPv4 number, without a leading zero."""
+    if not (part.isascii() and part.isdigit() and len(part) <= _MAX_IPV4_PART_DIGITS):
+        return False
+    return int(part) <= _MAX_IPV4_PART and str(int(part)) == part
+
+
 def parse_address(text: str) -> Address:
-    """`10.1.0.3:8783` as its number and port."""
-    host, colon, number = text.rpartition(":")
+    """Parses an address such as `10.1.0.3:8783`.
+
+    Raises:
+        UnitError: The text is no IPv4 number with a port.
+    """
+    host, colon, port = text.rpartition(":")
     if not colon:
         raise UnitError(f"{quote_value(text)} is not an address such as 10.1.0.3:8783")
-    return parse_ipv4(host), parse_port(number)
+    return parse_ipv4(host), parse_port(port)
 
 
-def format_address(where: Address) -> str:
-    """The number and port as `10.1.0.3:8783`."""
-    return f"{where[0]}:{where[1]}"
+def format_address(address: Address) -> str:
+    """Formats an address as `10.1.0.3:8783`."""
+    return f"{address[0]}:{address[1]}"
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -17,12 +17,12 @@
 from hypothesis import strategies as st
 from test_store import World
 
-from loomstand.config import configuration
 from loomstand.config.configuration import (
     ConfigurationError,
     ConfigurationReader,
     parse_configuration,
 )
+from loomstand.config.configuration import reader as reader_module
 from loomstand.proxy import sessions
 from loomstand.registry import program
 from loomstand.registry.process import MOST_BODY
@@ -127,15 +127,17 @@
     steps = [(3, "public", False), (3, "public", 0)]
     compare(steps, False)
     monkeypatch.setattr(
-        configuration.marshal, "dumps", lambda r, _: repr(r).replace("False", "0").encode()
+        reader_module.marshal, "dumps", lambda r, _: repr(r).replace("False", "0").encode()
     )
     with pytest.raises(AssertionError):
         compare(steps, False)
 
 
 def test_a_change_of_few_routes_reads_few(monkeypatch):
-    reads, found, before = [], resources(3000), configuration._found
-    monkeypatch.setattr(configuration, "_found", lambda at, r: reads.append(at) or before(at, r))
+    reads, found, before = [], resources(3000), reader_module.parse_resource
+    monkeypatch.setattr(
+        reader_module, "parse_resource", lambda at, r: reads.append(at) or before(at, r)
+    )
     reader = ConfigurationReader()
     reader.parse(body(found, 1))
     assert len(reads) == 3003
