--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -45,7 +45,7 @@
 
     def again(limiter: Limiter) -> None:
         try:
-            limiter.reload(load_limiter_config(os.environ, path, again=True))
+            limiter.reload(load_limiter_config(os.environ, path, reloading=True))
         except LimiterConfigError as why:
             limiter.log(f"the configuration can't be used, the one held stands: {why}")
 
--- /dev/null
+++ b/loomstand/config/limiter/loader.py
@@ -0,0 +1,213 @@
+"""Loads and checks the limiter's own configuration: environment, JSON file and zone plan.
+
+Touches the disk. Keys of the file are those of `LimiterFile`; an error names the key.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Annotated
+
+import msgspec
+from msgspec import Meta
+
+from loomstand.config.limiter.addresses import parse_host_port
+from loomstand.config.limiter.backends import BackendList
+from loomstand.config.limiter.errors import LimiterConfigError
+from loomstand.config.limiter.wire_settings import WireSettings, WireStruct
+from loomstand.config.units import Address
+from loomstand.config.validation import locate_error
+from loomstand.failover import zone_plan
+from loomstand.failover.zone_plan import SitePlan
+
+CONFIG_VARIABLE = "PROXY_CONFIG"
+"""The variable of the environment that names the file."""
+
+_HEXADECIMAL = 16
+
+
+class ResourceLimits(WireStruct):
+    """What the process may use.
+
+    Attributes:
+        cores: Processor cores.
+        memory_mb: Megabytes of memory.
+        sockets: Sockets open at once.
+    """
+
+    cores: Annotated[float, Meta(gt=0)] = 1.0
+    memory_mb: Annotated[float, Meta(ge=16)] = 192
+    sockets: Annotated[int, Meta(ge=48)] = 1024
+
+
+class LimiterFile(WireStruct):
+    """The JSON file.
+
+    Attributes:
+        settings: The settings of the decisions.
+        name: The limiter's name in logs; by default its index makes one.
+        listen: HOST:PORT for clients.
+        discovery: HOST:PORT of discovery.
+        counter: HOST:PORT of the counter, needed where the settings have one.
+        seed: The seed of its random draws, in hexadecimal digits.
+        limits: What the process may use.
+        known: The servers known before discovery answers.
+        plan: The path of a zone plan, if there is one.
+        peer: HOST:PORT where this limiter listens to the others named by `peers`.
+        peers: HOST:PORT of other limiters.
+    """
+
+    settings: WireSettings
+    name: str = ""
+    listen: str = ""
+    discovery: str = ""
+    counter: str = ""
+    seed: str = "0"
+    limits: ResourceLimits = msgspec.field(default_factory=ResourceLimits)
+    known: BackendList = msgspec.field(default_factory=BackendList)
+    plan: str = ""
+    peer: str = ""
+    peers: list[str] = msgspec.field(default_factory=list)
+
+
+class LimiterConfig(msgspec.Struct, frozen=True):
+    """The checked configuration of a limiter, from the environment and the file.
+
+    Attributes:
+        name: Its name in logs.
+        listen_address: Where it listens to clients.
+        discovery_address: Where discovery is.
+        counter_address: Where the counter is, if there is one.
+        random_seed: The seed of its random draws.
+        limits: What the process may use.
+        initial_backends: The servers known before discovery answers.
+        settings: The settings of its decisions.
+        zone_plan: What to do when a zone is lost, if there is a plan.
+        peer_address: HOST:PORT where it listens to other limiters; empty without them.
+        peer_addresses: HOST:PORT of other limiters.
+    """
+
+    name: str
+    listen_address: Address
+    discovery_address: Address
+    counter_address: Address | None
+    random_seed: int
+    limits: ResourceLimits
+    initial_backends: BackendList
+    settings: WireSettings
+    zone_plan: SitePlan | None = None
+    peer_address: str = ""
+    peer_addresses: tuple[str, ...] = ()
+
+
+def load_limiter_config(
+    environment: Mapping[str, str], path: str | None = None, *, reloading: bool = False
+) -> LimiterConfig:
+    """Loads the configuration from the environment and the file.
+
+    Args:
+        environment: The variables, which go before the file's keys.
+        path: The file, if not the one that `PROXY_CONFIG` names.
+        reloading: Whether a running program reads again: then the file's addresses go first, as a
+            running program's environment can't follow what moved.
+
+    Raises:
+        LimiterConfigError: The file can't be read, or a key can't be used.
+    """
+    path = path or environment.get(CONFIG_VARIABLE)
+    if not path:
+        raise LimiterConfigError(f"key '{CONFIG_VARIABLE}': not set, and no file was named")
+    try:
+        # not pathlib, which would change how errors of the system repeat the path
+        with open(path, "rb") as file:  # noqa: PTH123
+            raw = file.read()
+    except OSError as error:
+        raise LimiterConfigError(f"key '{CONFIG_VARIABLE}': {path}: {error.strerror}") from None
+    return parse_limiter_config(raw, environment, reloading=reloading)
+
+
+def parse_limiter_config(
+    raw: bytes, environment: Mapping[str, str], *, reloading: bool = False
+) -> LimiterConfig:
+    """Parses the file's bytes; see `load_limiter_config`.
+
+    Raises:
+        LimiterConfigError: A key can't be used.
+    """
+    file = _decode_file(raw)
+    settings = file.settings
+    _check_settings(file)
+    _check_peers(file)
+    seed = _parse_seed(file.seed)
+    return LimiterConfig(
+        name=environment.get("PROXY_NAME") or file.name or f"limiter-{settings.limiter_index}",
+        listen_address=_resolve_address(
+            environment, "PROXY_LISTEN", file.listen, "listen", file_first=reloading
+        ),
+        discovery_address=_resolve_address(
+            environment, "PROXY_DISCOVERY", file.discovery, "discovery", file_first=reloading
+        ),
+        counter_address=parse_host_port(file.counter, "counter") if file.counter else None,
+        random_seed=seed,
+        limits=file.limits,
+        initial_backends=file.known,
+        settings=settings,
+        zone_plan=_load_zone_plan(file.plan, settings) if file.plan else None,
+        peer_address=file.peer,
+        peer_addresses=tuple(file.peers),
+    )
+
+
+def _decode_file(raw: bytes) -> LimiterFile:
+    try:
+        return msgspec.json.decode(raw, type=LimiterFile)
+    except msgspec.ValidationError as error:
+        key, problem = locate_error(error)
+        raise LimiterConfigError(f"key '{key}': {problem}") from None
+    except msgspec.DecodeError as error:
+        raise LimiterConfigError(f"the file is not JSON: {error}") from None
+
+
+def _check_settings(file: LimiterFile) -> None:
+    settings = file.settings
+    if settings.limiter_index >= settings.limiter_count:
+        raise LimiterConfigError(
+            f"key 'settings.me': {settings.limiter_index} is not below settings.balancers, "
+            f"{settings.limiter_count}"
+        )
+    if settings.counter.has_counter and not file.counter:
+        raise LimiterConfigError("key 'counter': the settings allow calls, but no address is given")
+
+
+def _check_peers(file: LimiterFile) -> None:
+    for number, text in enumerate(file.peers):
+        parse_host_port(text, f"peers[{number}]")
+    if file.peer or file.peers:
+        parse_host_port(file.peer, "peer")
+
+
+def _parse_seed(text: str) -> int:
+    try:
+        return int(text, _HEXADECIMAL)
+    except ValueError:
+        raise LimiterConfigError(f"key 'seed': '{text}' is not in hex digits") from None
+
+
+def _resolve_address(
+    environment: Mapping[str, str], variable: str, text: str, key: str, *, file_first: bool
+) -> Address:
+    """Returns the address that a variable or a key of the file gives; an empty one gives none."""
+    from_environment = environment.get(variable)
+    if from_environment and not (file_first and text):
+        return parse_host_port(from_environment, variable)
+    return parse_host_port(text, key)
+
+
+def _load_zone_plan(path: str, settings: WireSettings) -> SitePlan:
+    """Loads a zone plan, which may name the frontends and plans of these settings."""
+    frontends = [frontend.name for frontend in settings.frontends]
+    plans = [plan.name for plan in settings.plans]
+    try:
+        return zone_plan.load(path, frontends, plans)
+    except zone_plan.PlanError as error:
+        raise LimiterConfigError(f"key 'plan': {error}") from None
--- /dev/null
+++ b/loomstand/config/limiter/wire_settings.py
@@ -0,0 +1,221 @@
+"""The settings of a limiter in the operators' words, as structs with names of the field. Pure.
+
+The keys on the wire and in the file are the operators' own; `rename` maps each to the name that is
+used here. Spans are in milliseconds and end in `_ms`.
+"""
+
+from __future__ import annotations
+
+from typing import Annotated, Literal
+
+import msgspec
+from msgspec import Meta
+
+Milliseconds = Annotated[float, Meta(ge=0)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+
+
+class WireStruct(msgspec.Struct, kw_only=True):
+    """A piece of the settings; keys are the operators' wire's own. Unknown keys are ignored."""
+
+
+class FrontendSettings(
+    WireStruct,
+    rename={
+        "latency_target_ms": "on_time",
+        "client_timeout_ms": "deadline",
+        "value": "points",
+        "deduplication_scope": "group",
+        "deduplication_window_ms": "repeat_window",
+        "streams": "stream",
+    },
+):
+    """A class of requests, a `grade` on the wire.
+
+    Attributes:
+        name: Its name, as requests carry it.
+        effect: Whether a request may run again: `pure` always, `token` where servers drop repeats,
+            `side_effect` never.
+        latency_target_ms: Within which an answer has its full value.
+        client_timeout_ms: How long clients wait.
+        value: Of an answer within the latency target.
+        deduplication_scope: Which servers drop repeats of a `token` request.
+        deduplication_window_ms: For how long they do.
+        late_value: Of an answer after the latency target.
+        streams: Whether answers are streams.
+    """
+
+    name: str
+    effect: Literal["pure", "token", "side_effect"]
+    latency_target_ms: Milliseconds
+    client_timeout_ms: Milliseconds
+    value: float
+    deduplication_scope: Literal["all", "zone", "cell"] = "all"
+    deduplication_window_ms: Milliseconds = 0.0
+    late_value: float = 0.0
+    streams: bool = False
+
+
+class QuotaPlanSettings(
+    WireStruct,
+    rename={
+        "rate_per_second": "refill",
+        "burst_size": "store_size",
+        "max_concurrent": "at_once",
+        "value_factor": "worth_factor",
+        "excess_value": "excess_worth",
+        "ceiling_depth": "cap_depth",
+    },
+):
+    """The quota of each tenant on a plan, over all limiters.
+
+    Attributes:
+        name: Its name, as requests carry it.
+        rate_per_second: Units a second; 0 for no quota.
+        burst_size: Units that may come at once.
+        max_concurrent: Requests in flight; 0 for no limit.
+        value_factor: Factor on the value of the plan's requests.
+        excess_value: Value of a request beyond the quota.
+        excess_cost: Cost of a request beyond the quota.
+        ceiling_rate: Hard limit in units a second; 0 for none.
+        ceiling_depth: Units that may come at once under the hard limit.
+        ceiling_slack: Units by which the hard limit may be passed.
+    """
+
+    name: str
+    rate_per_second: float = 0.0
+    burst_size: float = 0.0
+    max_concurrent: float = 0
+    value_factor: float = 1.0
+    excess_value: float = 0.0
+    excess_cost: float = 0.0
+    ceiling_rate: float = 0.0
+    ceiling_depth: float = 0.0
+    ceiling_slack: float = 0.0
+
+
+class AllowedActions(
+    WireStruct,
+    rename={
+        "max_attempts": "try_limit",
+        "may_cancel": "cancel",
+        "may_hedge": "second_copies",
+        "may_send_retry_after": "retry_after",
+        "max_retry_after_ms": "max_retry_after",
+        "idle_timeout_ms": "idle_close",
+        "connect_timeout_ms": "connect_timeout",
+    },
+):
+    """What a limiter may do with a request, and how long it waits on a connection.
+
+    Attributes:
+        max_attempts: Attempts at servers for a request.
+        may_cancel: Whether attempts may be cancelled.
+        may_probe: Whether servers may be sent health checks.
+        may_hedge: Whether a second attempt may go out beside the first.
+        may_send_retry_after: Whether a rejection says when to come again.
+        max_retry_after_ms: The longest such time.
+        idle_timeout_ms: After which an idle connection to a server is closed.
+        connect_timeout_ms: Within which a connection has to come up.
+    """
+
+    max_attempts: int = 1
+    may_cancel: bool = False
+    may_probe: bool = False
+    may_hedge: bool = False
+    may_send_retry_after: bool = False
+    max_retry_after_ms: Milliseconds = 0.0
+    idle_timeout_ms: Milliseconds = 15_000.0
+    connect_timeout_ms: Milliseconds = 250.0
+
+
+class CounterSettings(
+    WireStruct,
+    rename={
+        "call_timeout_ms": "count_limit",
+        "metering_interval_ms": "metering",
+        "max_units_per_request": "max_units",
+    },
+):
+    """The counter that limiters share, `specifics` on the wire.
+
+    Attributes:
+        has_counter: Whether there is one.
+        call_timeout_ms: Of a call to it.
+        metering_interval_ms: At which servers state what tenants used; 0 for never.
+        max_units_per_request: Units of quota that a request may ask for.
+    """
+
+    has_counter: bool = False
+    call_timeout_ms: Milliseconds = 0.0
+    metering_interval_ms: Milliseconds = 0.0
+    max_units_per_request: float = 1
+
+
+class RuleSettings(
+    WireStruct,
+    rename={
+        "answer_slack_ms": "answer_slack",
+        "warm_up_ms": "cold",
+        "initial_capacity_share": "cold_from",
+        "drain_grace_ms": "drain_grace",
+        "overload_multiple": "fall_multiple",
+        "overload_window_ms": "tip_after",
+    },
+):
+    """The operators' rules for answers and for servers in slow start or draining.
+
+    Attributes:
+        answer_slack_ms: How late after a deadline an answer may be.
+        warm_up_ms: How long a server is in slow start.
+        initial_capacity_share: Share of its capacity that it has at its start.
+        drain_grace_ms: How long a draining server takes requests.
+        overload_multiple: Multiple of its capacity at which a server in slow start fails.
+        overload_window_ms: How long it bears that.
+    """
+
+    answer_slack_ms: Milliseconds = 0.0
+    warm_up_ms: Milliseconds = 0.0
+    initial_capacity_share: float = 1.0
+    drain_grace_ms: Milliseconds = 0.0
+    overload_multiple: float = 1.0
+    overload_window_ms: Milliseconds = 0.0
+
+
+class WireSettings(
+    WireStruct,
+    rename={
+        "limiter_count": "balancers",
+        "limiter_index": "me",
+        "zone": "az",
+        "frontends": "grades",
+        "server_kinds": "kinds",
+        "allowed_actions": "allowed",
+        "counter": "specifics",
+    },
+):
+    """The settings of one limiter, as the bench's first message and the JSON file bring them.
+
+    Attributes:
+        limiter_count: How many limiters there are.
+        limiter_index: This limiter's number among them, from 0.
+        zone: This limiter's zone.
+        frontends: The classes of requests, at least one.
+        plans: The quota plans.
+        zones: All zones.
+        server_kinds: The kinds of servers.
+        allowed_actions: What the limiter may do with a request.
+        counter: The counter that limiters share.
+        rules: The operators' rules.
+    """
+
+    limiter_count: Annotated[int, Meta(ge=1)]
+    limiter_index: NonNegativeInt
+    zone: str
+    frontends: Annotated[list[FrontendSettings], Meta(min_length=1)]
+    plans: list[QuotaPlanSettings] = msgspec.field(default_factory=list)
+    zones: list[str] = msgspec.field(default_factory=list)
+    server_kinds: list[str] = msgspec.field(default_factory=list)
+    allowed_actions: AllowedActions = msgspec.field(default_factory=AllowedActions)
+    counter: CounterSettings = msgspec.field(default_factory=CounterSettings)
+    rules: RuleSettings = msgspec.field(default_factory=RuleSettings)
--- a/loomstand/config/toml_tables.py
+++ b/loomstand/config/toml_tables.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from loomstand.config.errors import ConfigError
+from loomstand.config.validation import locate_error
 
 StructT = TypeVar("StructT")
 
@@ -65,18 +66,5 @@
     except msgspec.ValidationError as error:
         if isinstance(error.__cause__, TableError):  # from a struct's own check, with its key
             raise TableError(str(error.__cause__)) from None
-        raise TableError(_describe(str(error))) from None
-
-
-def _describe(message: str) -> str:
-    """Rewords an error of msgspec so that it begins with the key.
-
-    Its form is "what is wrong - at `$.path.of.key`"; fields that are unknown or missing stand at
-    the end of what is wrong, and aren't part of the path.
-    """
-    problem, _, path = message.partition(" - at `$")
-    key = path.rstrip("`").lstrip(".")
-    if "unknown field" in problem or "missing required field" in problem:
-        field = problem.rpartition(" ")[2].strip("`")
-        key = f"{key}.{field}" if key else field
-    return f"key '{key or '(top)'}': {problem}"
+        key, problem = locate_error(error)
+        raise TableError(f"key '{key or '(top)'}': {problem}") from None
