--- /dev/null
+++ b/tests/config/test_settings.py
@@ -0,0 +1,140 @@
+"""The settings file."""
+
+from __future__ import annotations
+
+from dataclasses import FrozenInstanceError, fields, replace
+
+import pytest
+from configuration_samples import FILE
+
+from loomstand.config.settings import SettingsError, parse_settings, read_settings
+
+
+def test_the_example_settings():
+    settings = parse_settings(FILE + "\nself.shoe_size=44\n# a note\nself.limits.disk_mb.more=x\n")
+    assert (settings.role, settings.serves, settings.loss_counted) == (
+        "my-core",
+        ("control_plane",),
+        True,
+    )
+    assert (settings.limits.cpu_share, settings.limits.memory_mb, settings.limits.disk_mb) == (
+        0.645,
+        296,
+        256,
+    )
+    assert (
+        settings.listen_addresses.control_plane == ("10.1.0.33", 8783)
+        and settings.listen_addresses.frontend is None
+    )
+    assert settings.seed_nodes[2] == ("10.3.0.14", 8783) and settings.internal_ports == (7340, 7355)
+    assert (
+        settings.zones == {"charguia": "tunis", "ben-arous": "tunis"}
+        and settings.heartbeat_seconds == 1.5
+    )
+    assert (
+        "quota" in settings.contracts
+        and settings.tolerated_losses.machines == 1
+        and settings.tolerated_losses.zones == 0
+    )
+    assert (
+        settings.bounds.contact_seconds,
+        settings.bounds.revocation_global,
+        settings.bounds.budget_slack,
+    ) == (
+        4,
+        True,
+        62,
+    )
+    assert (settings.bounds.drain_seconds, settings.bounds.retry_budget_ratio) == (
+        2.5,
+        0.2,
+    )  # not in this file
+    assert (
+        settings.registry_address("10.2.0.25") == ("10.2.0.25", 7340)
+        and settings.store_address("10.2.0.25")[1] == 7341
+    )
+    assert settings == parse_settings(FILE.replace("\n", "\r\n"))
+    with pytest.raises(FrozenInstanceError):
+        settings.zone = "lac"
+
+
+OPTIONAL = (
+    "self.serves",
+    "self.data",
+    "self.limits",
+    "network.zones",
+    "platform_settings",
+    "rule_terms",
+)
+
+
+@pytest.mark.parametrize("line", FILE.split("\n")[1:-1])
+def test_each_setting_names_itself(line):
+    key = line.partition("=")[0]
+    if not key.startswith(OPTIONAL):
+        with pytest.raises(SettingsError, match=f"^{key}: missing"):
+            parse_settings(FILE.replace(line + "\n", ""))
+    elif "serves" not in key:
+        parse_settings(FILE.replace(line + "\n", ""))
+    if not key.endswith(("data_directory", "discovery_source")):
+        wrong = (
+            ""
+            if key.endswith(("name", "role", "class", "zone", "region")) or "zones" in key
+            else "1,,x"
+        )
+        with pytest.raises(SettingsError, match=f"^{key}: [^\n]+$"):
+            parse_settings(FILE.replace(line, f"{key}={wrong}"))
+        with pytest.raises(SettingsError, match=f"^{key}: given twice$"):
+            parse_settings(FILE + line)
+
+
+def test_settings_that_cannot_be():
+    wrong = [
+        ("network.internal_ports", "7340,7340", "'7340,7340' leaves fewer than two ports"),
+        ("network.seed_nodes", "", "empty"),
+        ("self.loss_counted", "yes", "'yes' is neither true nor false"),
+        ("self.limits.memory_mb", "2.5", "'2.5' is not a whole number"),
+        ("rule_terms.bounds.budget_slack", "nan", "'nan' is not a number of 0 or more"),
+    ]
+    for key, value, message in wrong:
+        rest = "\n".join(line for line in FILE.split("\n") if not line.startswith(key))
+        with pytest.raises(SettingsError) as raised:
+            parse_settings(f"{rest}\n{key}={value}")
+        assert str(raised.value) == f"{key}: {message}"
+    with pytest.raises(
+        SettingsError, match=r"^network\.listen_addresses\.frontend: missing, and self\.serves"
+    ):
+        parse_settings(FILE.replace("=control_plane", "=frontend"))
+    with pytest.raises(
+        SettingsError, match=r"^line 2: 'rule_terms\.bo' is not of the form a\.b=value"
+    ):
+        parse_settings("\nrule_terms.bo")
+
+
+def test_settings_from_a_file(tmp_path):
+    path = tmp_path / "settings.conf"
+    with pytest.raises(SettingsError, match="can't be read"):
+        read_settings(str(path))
+    path.write_text(FILE)
+    assert read_settings(str(path)) == parse_settings(FILE)
+
+
+@pytest.mark.parametrize(
+    ("prefix", "attribute"),
+    [
+        ("self.limits.", "limits"),
+        ("rule_terms.tolerated_losses.", "tolerated_losses"),
+        ("rule_terms.bounds.", "bounds"),
+    ],
+)
+def test_each_figure_of_a_table_is_read_by_its_own_key(prefix, attribute):
+    plain = "\n".join(line for line in FILE.split("\n") if not line.startswith(prefix))
+    default = getattr(parse_settings(plain), attribute)
+    assert default == type(default)()
+    for field in fields(default):
+        key = prefix + field.name.removesuffix("_seconds")
+        written, value = ("true", True) if field.default is False else ("7", 7)
+        if field.name.endswith("_seconds"):
+            written = "7s"
+        changed = getattr(parse_settings(f"{plain}\n{key}={written}"), attribute)
+        assert changed == replace(default, **{field.name: value})
--- a/tests/configuration_samples.py
+++ b/tests/configuration_samples.py
@@ -1,5 +1,10 @@
 """A settings file and a configuration, as tests of several packages use them."""
 
+from __future__ import annotations
+
+import json
+from copy import deepcopy
+
 # Both examples are those that the bench prints for a site, names included.
 FILE = """
 self.node_name=core-charguia-1
@@ -52,3 +57,20 @@
 ["ctnfzs989anu6wsjnban","fqasnmgkcuyj8pjbvk9m"],"priority":1,"rate_per_s":63.5,"burst_size":63}},
 {"resource_kind":"limits","metadata":{},"specification":{"max_header_bytes":8192}},
 {"resource_kind":"orbits"}]}"""
+DOCUMENT = json.loads(CONFIG)
+FIRST_ROUTE = ("resources", 0, "specification")
+
+
+def changed_configuration(*where, to=None, gone=False) -> bytes:
+    """The example with one value put in, or taken out."""
+    document = deepcopy(DOCUMENT)
+    parent = document
+    for key in where[:-1]:
+        parent = parent[key]
+    if gone:
+        del parent[where[-1]]
+    elif isinstance(parent, list) and where[-1] == len(parent):
+        parent.append(to)
+    else:
+        parent[where[-1]] = to
+    return json.dumps(document).encode()
