--- a/loomstand/config/configuration/reader.py
+++ b/loomstand/config/configuration/reader.py
@@ -25,10 +25,10 @@
     None.
     """
 
-    __slots__ = ("_known",)
+    __slots__ = ("_previous",)
 
     def __init__(self) -> None:
-        self._known: dict[bytes, ParsedResource | None] = {}
+        self._previous: dict[bytes, ParsedResource | None] = {}
 
     def parse(self, raw: bytes) -> Configuration:
         """Parses and checks a configuration as an operator sends it.
@@ -45,7 +45,7 @@
             if resource is not None:
                 collector.add(position, resource)
         collector.check_services()
-        self._known = parsed
+        self._previous = parsed
         return Configuration(
             version=version,
             routes=tuple(collector.routes),
@@ -64,8 +64,8 @@
             fingerprint = marshal.dumps(item, _MARSHAL_FORMAT)  # type: ignore[arg-type]
         except ValueError:  # nested too deep
             return parse_resource(position, item)
-        if fingerprint in self._known:
-            resource = self._known[fingerprint]
+        if fingerprint in self._previous:
+            resource = self._previous[fingerprint]
         else:
             resource = parse_resource(position, item)
         parsed[fingerprint] = resource
--- a/loomstand/config/settings/model.py
+++ b/loomstand/config/settings/model.py
@@ -65,7 +65,7 @@
 
     Attributes:
         seed_lag_seconds: How old the operator's list of `control_plane` addresses may be.
-        address_reuse_seconds: After which another server may have the address of one that is gone.
+        address_reuse_seconds: After a server's end, another may get its address (PROTOCOL.md).
         contact_seconds: How long a machine has to be without trouble to be in touch.
         acknowledge_seconds: Within which a valid order has to be acknowledged.
         catch_up_seconds: How long a machine that is back still counts as lost.
@@ -75,8 +75,8 @@
         configuration_apply_seconds: Within which an acknowledged version has to be in force.
         rollback_slack_seconds: After which an older version may not be applied any more.
         stretch_limit_seconds: By which an unsettled core stretches the bound of configuration.
-        revocation_global: Whether the bound of revocation holds for all machines.
-        revocation_seconds: Within which a key that was taken away has to be refused.
+        revocation_global: In the file; no rule of RULES.md uses it, nor do the programs.
+        revocation_seconds: Likewise.
         retry_budget_ratio: Retries allowed for each request, by service.
         budget_window_seconds: The window in which retries are counted.
         budget_slack: Retries allowed beyond the ratio, in a window.
