--- a/loomstand/store/counting_lease.py
+++ b/loomstand/store/counting_lease.py
@@ -60,7 +60,7 @@
         number: Number of the holder under the primary of `epoch`.
         holder: The host that has the lease or may have it first; empty where anybody may.
         incarnation: Number of that registry's start, as it told.
-        held_until: Nobody but the holder gets the lease before.
+        granted_until: Nobody but the holder gets the lease before.
         prefer_holder_until: Nor before that, for the counts' sake.
         prefer_local_until: Until when the registry beside comes first where anybody may.
         persisted_page: What is on disk for sure, see `page`.
@@ -72,7 +72,7 @@
     number: int = 0
     holder: str = ""
     incarnation: int = 0
-    held_until: float = LONG_AGO
+    granted_until: float = LONG_AGO
     prefer_holder_until: float = LONG_AGO
     prefer_local_until: float = LONG_AGO
     persisted_page: HolderPage | None = None
@@ -91,11 +91,11 @@
         self.epoch = epoch
         self.number = page.number + 2
         self.holder = page.holder
-        self.held_until = started_at + GRANT_SECONDS
+        self.granted_until = started_at + GRANT_SECONDS
 
     def to_handover(self, now: float) -> LeaseHandoverRow:
         """For the next primary, where this one transfers leadership."""
-        remaining_seconds = max(0.0, self.held_until - now) if self.holder else 0.0
+        remaining_seconds = max(0.0, self.granted_until - now) if self.holder else 0.0
         return LeaseHandoverRow(
             self.epoch, self.number, self.holder, self.incarnation, remaining_seconds
         )
@@ -108,7 +108,7 @@
         self.incarnation = handover.incarnation
         self.persisted_page = None
         remaining_seconds = CLOCK_RATE_MARGIN * handover.remaining_seconds
-        self.held_until = max(self.held_until, now + remaining_seconds)
+        self.granted_until = max(self.granted_until, now + remaining_seconds)
 
     def observe(self, epoch: int, number: int, holder: str) -> None:
         """The serving primary of `epoch` tells who holds the lease; older words change nothing."""
@@ -116,7 +116,7 @@
             return
         if epoch > self.epoch:  # that one serves, so it knows who may have it, or that nobody can
             self.persisted_page = None
-            self.held_until = LONG_AGO
+            self.granted_until = LONG_AGO
         self.epoch = epoch
         self.number = number
         self.holder = holder
@@ -138,13 +138,13 @@
         self.prefer_local_until = now + PREFER_LOCAL_SECONDS
         self.asked_at.clear()
 
-    def is_held(self, now: float) -> bool:
+    def is_granted(self, now: float) -> bool:
         """Whether somebody may have the lease by this member's word or knowledge."""
-        return now < self.held_until
+        return now < self.granted_until
 
     def expire(self, now: float) -> bool:
         """Forgets the holder whose lease is over; whether there was one."""
-        if not self.holder or now < max(self.held_until, self.prefer_holder_until):
+        if not self.holder or now < max(self.granted_until, self.prefer_holder_until):
             return False
         # it has just failed to ask
         delay = PREFER_LOCAL_SECONDS if self.holder != self.local_host else 0.0
@@ -165,7 +165,7 @@
 
     def may_grant(self, now: float, host: str) -> bool:
         """Whether `host` gets the lease if it asks."""
-        return host == self.holder or now >= max(self.held_until, self.prefer_holder_until)
+        return host == self.holder or now >= max(self.granted_until, self.prefer_holder_until)
 
     def grant(self, now: float, host: str, incarnation: int, primary_lease_seconds: float) -> float:
         """Grants the lease to a registry; `page` is on disk where another had it.
@@ -185,7 +185,7 @@
             self._set_holder(host, incarnation)
         span_seconds = min(MAX_SPAN_SECONDS, primary_lease_seconds)
         self.incarnation = incarnation
-        self.held_until = max(self.held_until, now + CLOCK_RATE_MARGIN * span_seconds)
+        self.granted_until = max(self.granted_until, now + CLOCK_RATE_MARGIN * span_seconds)
         return span_seconds
 
     def release(self, host: str, incarnation: int) -> bool:
@@ -193,6 +193,6 @@
         if not self.holder or (host, incarnation) != (self.holder, self.incarnation):
             return False
         self._set_holder("", 0)
-        self.held_until = LONG_AGO
+        self.granted_until = LONG_AGO
         self.prefer_holder_until = LONG_AGO
         return True
--- a/loomstand/store/counting_lease_service.py
+++ b/loomstand/store/counting_lease_service.py
@@ -93,7 +93,7 @@
         That is where this member granted the counting lease and handed over its leadership, and the
         candidate doesn't know of the grant.
         """
-        return self.lease.is_held(self._io.clock()) and released_epoch < self.lease.epoch
+        return self.lease.is_granted(self._io.clock()) and released_epoch < self.lease.epoch
 
     # --- what is told and heard of it
 
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -159,7 +159,7 @@
         peer = self.peers.by_address.get(address) or Peer()
         view = self.record.view
         newest_epoch = self.newest_view.epoch if self.newest_view else 0
-        told_view = self.newest_view if peer.newest_view_epoch < newest_epoch else None
+        view_to_tell = self.newest_view if peer.newest_view_epoch < newest_epoch else None
         asks_lease = self.is_primary() and self.state is not MemberState.UNHEALTHY
         return {
             "member": self.member.to_row(),
@@ -169,7 +169,7 @@
             "newest_view_epoch": newest_epoch,
             "promised_epoch": self.promised_epoch,
             "committed_version": self.version if self.knows_committed else -1,
-            "view": told_view.to_row() if told_view else None,
+            "view": view_to_tell.to_row() if view_to_tell else None,
             "requested_lease_epoch": view.epoch if view is not None and asks_lease else 0,
         }
 
--- a/loomstand/testing/model_checker/state_space.py
+++ b/loomstand/testing/model_checker/state_space.py
@@ -208,18 +208,7 @@
         snapshot, found = self.snapshots[number], list[Event]()
         me, view, work = members[snapshot.place], snapshot.record.view, snapshot.work
         if snapshot.pending_write is None:
-            plans = MemberDriver(self.code, self.seeds(), snapshot).possible_actions(stay)
-            if work and work.stage == "put" and "own" in work.ids and view is not None:
-                plans.append(self.moved(view))
-            for plan in plans:
-                if plan.kind is ActionKind.REPLICATE:
-                    found.append(("replicate",))
-                elif plan.kind is ActionKind.TRANSFER_LEADERSHIP:
-                    found.append(("transfer_leadership",))
-                elif "abcd"[snapshot.place] in self.bounds.takers:
-                    most = snapshot.promised_epoch // EPOCH_RANGE * EPOCH_RANGE + self.bounds.epochs
-                    epochs = range(snapshot.promised_epoch + 1, most + 1)
-                    found += [("start", plan, e) for e in epochs]
+            found += self._actions(snapshot, stay)
         if work and work.stage == "backup":
             found += [("backup", m) for m in stay if m != me and m not in work.asked]
         if work and work.stage == "fetch":
@@ -229,6 +218,24 @@
         self.own_events[key] = [e for e in found if self.step(number, e) is not None]
         return self.own_events[key]
 
+    def _actions(self, snapshot: MemberSnapshot, stay: tuple[Member, ...]) -> list[Event]:
+        """What its own code says to do next, whatever it believes of the others."""
+        view, work = snapshot.record.view, snapshot.work
+        actions = MemberDriver(self.code, self.seeds(), snapshot).possible_actions(stay)
+        if work and work.stage == "put" and "own" in work.ids and view is not None:
+            actions.append(self.moved(view))
+        events: list[Event] = []
+        for action in actions:
+            if action.kind is ActionKind.REPLICATE:
+                events.append(("replicate",))
+            elif action.kind is ActionKind.TRANSFER_LEADERSHIP:
+                events.append(("transfer_leadership",))
+            elif "abcd"[snapshot.place] in self.bounds.takers:
+                range_start = snapshot.promised_epoch // EPOCH_RANGE * EPOCH_RANGE
+                epochs = range(snapshot.promised_epoch + 1, range_start + self.bounds.epochs + 1)
+                events += [("start", action, epoch) for epoch in epochs]
+        return events
+
     @staticmethod
     def _heartbeats(snapshot: MemberSnapshot, view: View) -> list[Event]:
         """Heartbeats of a primary, until its lease is as long as it can be."""
