--- a/loomstand/limiter/counter.py
+++ b/loomstand/limiter/counter.py
@@ -181,7 +181,7 @@
                 self.open.popleft()
             self.arm()
         took = int((self.limiter.loop.time() - call.at) * 10_000) + 1  # never too small
-        self.limiter.counted(call.name, outcome, total, took)
+        self.limiter.counter_replied(call.name, outcome, total, took)
 
     def lost(self, line: Line, why: Ending) -> None:
         left, line.calls = line.calls, deque()
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -1,4 +1,4 @@
-"""What every limiter on sockets does, whatever its clients speak: reqs, their dispatches and their
+"""What every limiter on sockets does, whatever its clients speak: requests, their dispatches and their
 ends.
 """
 
@@ -31,23 +31,23 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import Room
-from loomstand.limiter.client_connection import Client, Front
+from loomstand.limiter.client_connection import Client, ClientListener
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Turns, Untimed
-from loomstand.limiter.request import Flight, Req
-from loomstand.limiter.upstream import Pool
+from loomstand.limiter.request import Attempt, Request
+from loomstand.limiter.upstream import ConnectionPool
 
 TOLD_EVERY = 10  # seconds between lines about connections
 
 
 class GatewayCore:
-    """The front, the pool and the module of one limiter, and the reqs between them. A limiter gives
-    `front`, `pool`, `brain` and how its answers look.
+    """The listener, the pool and the module of one limiter, and the requests between them. A limiter gives
+    `listener`, `pool`, `engine` and how its answers look.
     """
 
-    front: Front
-    pool: Pool
-    brain: DecisionEngine
+    listener: ClientListener
+    pool: ConnectionPool
+    engine: DecisionEngine
     patience: float  # seconds for a message that is slow to come in, or an answer that isn't taken
 
     def __init__(
@@ -65,21 +65,21 @@
         self.most_answer = max(http_parser.MOST_BODY, self.room.left // 64)
         self.spare = sockets // 10
         self.sockets = sockets - 2 * self.spare
-        self.reqs: dict[int, Req] = {}
-        self.last, self.able = 0, False
+        self.requests: dict[int, Request] = {}
+        self.last, self.is_ready = 0, False
         # of connections to others since the last line about them
         self.endings: Tally[str] = Tally()
         self.swept = 0
         self.stopped = asyncio.Event()
-        self.kinds_of_action: dict[type, Callable] = {
-            SendAttempt: self.dispatch,
-            Reject: self.deny,
+        self.action_handlers: dict[type, Callable] = {
+            SendAttempt: self.send_attempt,
+            Reject: self.reject_request,
             Abort: self.abort,
-            CancelAttempt: self.call_off,
-            SetTimer: self.wake,
-            IncrementCounter: self.count,
-            CheckHealth: self.probe,
-            LogMessage: self.tell,
+            CancelAttempt: self.cancel_attempt,
+            SetTimer: self.set_timer,
+            IncrementCounter: self.increment_counter,
+            CheckHealth: self.check_health,
+            LogMessage: self.write_log,
         }
 
     def now(self) -> int:
@@ -88,40 +88,40 @@
 
     # what differs between limiters
 
-    def linger(self) -> float:
+    def linger_seconds(self) -> float:
         """Seconds for which new connections are still taken after the call to stop."""
         raise NotImplementedError
 
-    def deny(self, act: Reject) -> None:
+    def reject_request(self, act: Reject) -> None:
         raise NotImplementedError
 
     def abort(self, act: Abort) -> None:
         raise NotImplementedError
 
-    def count(self, act: IncrementCounter) -> None:
+    def increment_counter(self, act: IncrementCounter) -> None:
         raise NotImplementedError
 
-    def swept_more(self) -> None:
+    def on_sweep(self) -> None:
         """What else is done once a second."""
 
     def left(self) -> None:
-        """What else ends when the last req has."""
+        """What else ends when the last request has."""
 
     # life
 
-    def failed(self, loop: asyncio.AbstractEventLoop, what: dict[str, object]) -> None:
+    def on_loop_exception(self, loop: asyncio.AbstractEventLoop, what: dict[str, object]) -> None:
         """Something in a turn of the loop went wrong; the limiter goes on."""
         self.log(f"{what.get('message')}: {what.get('exception')!r}")
 
     def sweep(self) -> None:
         """Once a second: what has stood too long."""
-        self.front.sweep(self.patience)
+        self.listener.sweep(self.patience)
         self.pool.sweep()
-        self.swept_more()
+        self.on_sweep()
         self.swept += 1
         if self.swept % TOLD_EVERY == 0:
             ends = ", ".join(f"{why} {n}" for why, n in sorted(self.endings.items())) or "none"
-            held = f"{len(self.front.clients)} from clients, {len(self.pool.links)} to servers"
+            held = f"{len(self.listener.clients)} from clients, {len(self.pool.connections)} to servers"
             work = f"{time.process_time():.2f} s of CPU, {self.turns.count} turns"
             self.log(f"connections: {held}; ended: {ends}; {work} since the start")
             self.endings.clear()
@@ -130,7 +130,7 @@
 
     def spare_sockets(self) -> int:
         """How many more connections may be open; below 0 where there are too many."""
-        return self.sockets - len(self.front.clients) - len(self.pool.links)
+        return self.sockets - len(self.listener.clients) - len(self.pool.connections)
 
     def make_room(self, spared: Client | None = None) -> bool:
         """Closes a connection: of a client that has said nothing so far, else an idle one, to a
@@ -138,30 +138,32 @@
         within a message.
         """
         # by then a usual client has sent something
-        front, within = self.front, self.pool.connect_timeout
+        listener, within = self.listener, self.pool.connect_timeout
         idle = (
-            front.close_silent(spared, within) or self.pool.close_idle() or front.close_idle(spared)
+            listener.close_silent(spared, within)
+            or self.pool.close_idle()
+            or listener.close_idle(spared)
         )
-        return idle or front.close_stuck(within)
+        return idle or listener.close_stuck(within)
 
     def stop(self) -> None:
         """Serves on, closes what is idle, and ends when nothing is left and nothing more can
         come.
         """
-        if self.front.stopping:
+        if self.listener.stopping:
             return
         self.log("told to stop")
-        self.able = False
-        self.front.stop()
-        self.loop.call_later(self.linger(), self.leave)
+        self.is_ready = False
+        self.listener.stop()
+        self.loop.call_later(self.linger_seconds(), self.leave)
 
     def leave(self) -> None:
-        self.front.close()
-        self.front.stop()
+        self.listener.close()
+        self.listener.stop()
         self.empty()
 
     def empty(self) -> None:
-        if not all(c.wire.lingering and c.wire.written for c in self.front.clients):
+        if not all(c.wire.lingering and c.wire.written for c in self.listener.clients):
             self.loop.call_later(0.02, self.empty)
             return
         self.left()
@@ -170,109 +172,123 @@
 
     # from clients
 
-    def owed(self, req: Req, client: Client, timeout: int, at: float) -> None:
-        """From here on the req is owed an answer; it is given up `timeout` tenths after its
+    def track_request(self, request: Request, client: Client, timeout: int, at: float) -> None:
+        """From here on the request is owed an answer; it is given up `timeout` tenths after its
         sending.
         """
         # the wait counts from the sending; this limiter's own late turns must not make the answer
         # late
         lost = self.loop.time() - at + min(self.turns.longest, timeout / 20_000)
-        req.give_up = self.now() + timeout - int(max(0.0, lost) * 10_000) - 1
+        request.deadline = self.now() + timeout - int(max(0.0, lost) * 10_000) - 1
         self.last += 1
-        req.id, req.client, client.req = self.last, client, req
-        self.reqs[req.id] = req
+        request.id, request.client, client.request = self.last, client, request
+        self.requests[request.id] = request
 
-    def vanished(self, req: Req) -> None:
-        req.client = None
-        self.note(ClientDisconnected(req.id))
-        self.forget(req)
+    def client_disconnected(self, request: Request) -> None:
+        request.client = None
+        self.handle_event(ClientDisconnected(request.id))
+        self.forget_request(request)
 
     # from servers
 
-    def landed(self, flight: Flight) -> Req:
+    def finish_attempt(self, attempt: Attempt) -> Request:
         """A dispatch is out no more."""
-        if flight.timer is not None:
-            flight.timer.cancel()
-        flight.link = None
-        flight.req.flights[flight.number] = None
-        return flight.req
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        attempt.connection = None
+        attempt.request.attempts[attempt.number] = None
+        return attempt.request
 
-    def ended(self, flight: Flight, outcome: Outcome, metered: int = 0) -> None:
+    def report_attempt(self, attempt: Attempt, outcome: Outcome, metered: int = 0) -> None:
         """Tells the module, once the client has its answer if this was one."""
-        req = flight.req
-        took = max(0, self.now() - flight.sent_at)
-        final = req.client is None
-        self.note(
-            AttemptEnded(req.id, flight.number, flight.srv, outcome, took, final, metered, 0.0)
+        request = attempt.request
+        took = max(0, self.now() - attempt.sent_at)
+        final = request.client is None
+        self.handle_event(
+            AttemptEnded(
+                request.id, attempt.number, attempt.endpoint_id, outcome, took, final, metered, 0.0
+            )
         )
-        self.forget(req)
+        self.forget_request(request)
 
-    def came(self, flight: Flight, outcome: Outcome, metered: int = 0, body: bytes = b"") -> None:
+    def attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, metered: int = 0, body: bytes = b""
+    ) -> None:
         """A dispatch has ended."""
         raise NotImplementedError
 
     # the module
 
-    def note(self, note: Event) -> None:
+    def handle_event(self, note: Event) -> None:
         try:
-            actions = self.brain.handle(self.now(), note)
+            actions = self.engine.handle(self.now(), note)
         except Exception as why:  # the limiter goes on: only what the note was about is lost
             self.log(f"the module failed on {type(note).__name__}: {type(why).__name__}: {why}")
-            req = self.reqs.get(getattr(note, "request_id", -1))
-            actions = [Abort(req.id)] if req and not any(req.flights) else []
+            request = self.requests.get(getattr(note, "request_id", -1))
+            actions = [Abort(request.id)] if request and not any(request.attempts) else []
         for act in actions:
-            self.kinds_of_action[type(act)](act)
+            self.action_handlers[type(act)](act)
 
-    def flight(self, req: Req, srv: int, expire: int) -> Flight:
-        return Flight(req, len(req.flights), srv, self.now(), expire)
+    def attempt(self, request: Request, endpoint_id: int, expires_at: int) -> Attempt:
+        return Attempt(request, len(request.attempts), endpoint_id, self.now(), expires_at)
 
-    def dispatch(self, act: SendAttempt) -> None:
-        req, now = self.reqs.get(act.request_id), self.now()
-        if req is None:
+    def send_attempt(self, act: SendAttempt) -> None:
+        request, now = self.requests.get(act.request_id), self.now()
+        if request is None:
             return
-        expire = min(act.expires_at, req.give_up)
-        flight = self.flight(req, act.endpoint_id, expire)
-        req.flights.append(flight)
-        if req.client is None or expire <= now or len(req.flights) > self.try_limit(req):
-            self.loop.call_soon(self.came, flight, Outcome.NOT_SENT)
+        expires_at = min(act.expires_at, request.deadline)
+        attempt = self.attempt(request, act.endpoint_id, expires_at)
+        request.attempts.append(attempt)
+        if (
+            request.client is None
+            or expires_at <= now
+            or len(request.attempts) > self.attempt_limit(request)
+        ):
+            self.loop.call_soon(self.attempt_ended, attempt, Outcome.NOT_SENT)
             return
-        flight.timer = self.loop.call_later(
-            (expire - now) / 10_000, self.pool.give_up, flight, Ending.EXPIRED
+        attempt.timer = self.loop.call_later(
+            (expires_at - now) / 10_000, self.pool.give_up, attempt, Ending.EXPIRED
         )
-        self.pool.send(flight)
+        self.pool.send(attempt)
 
-    def try_limit(self, req: Req) -> int:
-        """How many dispatches the req may have."""
+    def attempt_limit(self, request: Request) -> int:
+        """How many dispatches the request may have."""
         raise NotImplementedError
 
-    def call_off(self, act: CancelAttempt) -> None:
-        req = self.reqs.get(act.request_id)
+    def cancel_attempt(self, act: CancelAttempt) -> None:
+        request = self.requests.get(act.request_id)
         if (
-            req is not None
-            and act.attempt < len(req.flights)
-            and req.flights[act.attempt] is not None
+            request is not None
+            and act.attempt < len(request.attempts)
+            and request.attempts[act.attempt] is not None
         ):
-            self.pool.give_up(req.flights[act.attempt], Ending.CALLED_OFF)
+            self.pool.give_up(request.attempts[act.attempt], Ending.CALLED_OFF)
 
-    def answer(self, req: Req, status: int, body: bytes = b"", extra: str = "") -> None:
-        client, req.client = req.client, None
+    def answer(self, request: Request, status: int, body: bytes = b"", extra: str = "") -> None:
+        client, request.client = request.client, None
         client.answer(status, body, extra)
         if client.wire.inbound.used:
             self.loop.call_soon(client.next)
 
-    def forget(self, req: Req) -> None:
-        if req.client is None and not any(req.flights) and self.reqs.pop(req.id, None):
-            self.room.give(len(req.body))
+    def forget_request(self, request: Request) -> None:
+        if (
+            request.client is None
+            and not any(request.attempts)
+            and self.requests.pop(request.id, None)
+        ):
+            self.room.give(len(request.body))
 
-    def wake(self, act: SetTimer) -> None:
-        self.loop.call_later(act.delay / 10_000, self.note, TimerFired(act.tag))
+    def set_timer(self, act: SetTimer) -> None:
+        self.loop.call_later(act.delay / 10_000, self.handle_event, TimerFired(act.tag))
 
-    def counted(self, name: int, outcome: Outcome, total: float, took: int) -> None:
-        self.note(CounterReplied(name, outcome, total, took))
+    def counter_replied(self, name: int, outcome: Outcome, total: float, took: int) -> None:
+        self.handle_event(CounterReplied(name, outcome, total, took))
 
-    def probe(self, act: CheckHealth) -> None:
+    def check_health(self, act: CheckHealth) -> None:
         # the module makes none today, and the protocols name no path for it
-        self.loop.call_soon(self.note, HealthCheckFinished(act.endpoint_id, Outcome.NOT_SENT, 0))
+        self.loop.call_soon(
+            self.handle_event, HealthCheckFinished(act.endpoint_id, Outcome.NOT_SENT, 0)
+        )
 
-    def tell(self, act: LogMessage) -> None:
+    def write_log(self, act: LogMessage) -> None:
         self.log(act.text)
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -13,21 +13,21 @@
 from loomstand.admission.ticks import ticks_rounded_up
 from loomstand.config.limiter import BackendList, LimiterConfig, engine_settings, parse_host_port
 from loomstand.limiter import http_parser
-from loomstand.limiter.client_connection import Client, Front
+from loomstand.limiter.client_connection import Client, ClientListener
 from loomstand.limiter.counter import Counter
 from loomstand.limiter.discovery import Watch
 from loomstand.limiter.event_loop import Turns
 from loomstand.limiter.gateway_core import GatewayCore
 from loomstand.limiter.log import Log
-from loomstand.limiter.request import AccountReq, Flight, Names, Req
-from loomstand.limiter.upstream import Pool
+from loomstand.limiter.request import AccountRequest, Attempt, Names, Request
+from loomstand.limiter.upstream import ConnectionPool
 
 PHASES = {
     "active": EndpointState.LIVE,
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
 }
-LINGER = 0.7  # PROTOCOL: a req that comes later than this after SIGTERM may find nobody
+LINGER = 0.7  # PROTOCOL: a request that comes later than this after SIGTERM may find nobody
 FIXED_SOCKETS = (
     16  # standard streams, the loop's own, the listener, the counter's, discovery's, and some files
 )
@@ -54,7 +54,7 @@
             from loomstand.failover.engine_view import Guide
 
             self.guide = Guide(config.zone_plan, self.settings, names, started)
-        self.brain = DecisionEngine(self.settings, config.random_seed, started, self.guide)
+        self.engine = DecisionEngine(self.settings, config.random_seed, started, self.guide)
         self.names = Names(
             [f.name for f in conf.frontends], [p.name for p in conf.plans], self.settings
         )
@@ -62,7 +62,10 @@
             conf.allowed_actions.connect_timeout_ms / 1000,
             conf.allowed_actions.idle_timeout_ms / 1000,
         )
-        self.front, self.pool = Front(self, self.spare, limits.sockets), Pool(self, within, idle)
+        self.listener, self.pool = (
+            ClientListener(self, self.spare, limits.sockets),
+            ConnectionPool(self, within, idle),
+        )
         self.counter: Counter | None = None
         if config.counter_address and conf.counter.has_counter:
             self.counter = Counter(
@@ -102,23 +105,23 @@
     async def run(self) -> None:
         if self.config.initial_backends.backends:
             self.listed(self.config.initial_backends)
-        self.loop.set_exception_handler(self.failed)
+        self.loop.set_exception_handler(self.on_loop_exception)
         if self.peers is not None:
             await self.peers.listen()
         else:
             self.watch.start()
-        await self.front.listen(self.config.listen_address)
+        await self.listener.listen(self.config.listen_address)
         self.loop.call_later(1.0, self.sweep)
         self.log(f"listens at {self.config.listen_address[0]}:{self.config.listen_address[1]}")
         await self.stopped.wait()
 
-    def linger(self) -> float:
+    def linger_seconds(self) -> float:
         return LINGER
 
-    def try_limit(self, req: Req) -> int:
+    def attempt_limit(self, request: Request) -> int:
         return self.settings.attempt_limit
 
-    def swept_more(self) -> None:
+    def on_sweep(self) -> None:
         self.watch.sweep()
 
     def reload(self, config: LimiterConfig) -> None:
@@ -143,7 +146,7 @@
         self.log(f"read its configuration again: {where}{rest}")
 
     def stop(self) -> None:
-        if not self.front.stopping and self.peers is not None:
+        if not self.listener.stopping and self.peers is not None:
             self.peers.leave()
         super().stop()
 
@@ -167,21 +170,21 @@
     def listed(self, list_: BackendList) -> None:
         if list_.complete:
             named = {m.id for m in list_.backends}
-            for name, srv in list(self.servers.indices.items()):
+            for name, endpoint_id in list(self.servers.indices.items()):
                 if name not in named:
-                    self.pool.told(srv, None)
-                    self.servers.forget(srv)
+                    self.pool.set_address(endpoint_id, None)
+                    self.servers.forget(endpoint_id)
         entries = []
         for m in list_.backends:
-            srv, phase = self.servers.index_of(m.id), PHASES[m.phase]
-            self.pool.told(
-                srv,
+            endpoint_id, phase = self.servers.index_of(m.id), PHASES[m.phase]
+            self.pool.set_address(
+                endpoint_id,
                 None if phase is EndpointState.GONE else parse_host_port(m.address, "host_port"),
             )
             hall, kind = self.halls.index_of(m.zone), self.kinds.index_of(m.kind)
             entries.append(
                 Endpoint(
-                    srv,
+                    endpoint_id,
                     phase,
                     hall,
                     kind,
@@ -191,51 +194,64 @@
                 )
             )
             if phase is EndpointState.GONE:
-                self.servers.forget(srv)
-        self.note(EndpointsUpdated(tuple(entries), list_.complete))
-        self.able = not self.front.stopping
+                self.servers.forget(endpoint_id)
+        self.handle_event(EndpointsUpdated(tuple(entries), list_.complete))
+        self.is_ready = not self.listener.stopping
 
     # from clients
 
-    def take(self, client: Client, machine: http_parser.RequestReceiver, at: float) -> None:
-        """A req has come: if nothing is wrong with it, it is owed one answer from here on."""
-        req = AccountReq(machine, self.names)
-        if not self.room.take(len(req.body)):
+    def request_received(
+        self, client: Client, machine: http_parser.RequestReceiver, at: float
+    ) -> None:
+        """A request has come: if nothing is wrong with it, it is owed one answer from here on."""
+        request = AccountRequest(machine, self.names)
+        if not self.room.take(len(request.body)):
             client.answer(503)
             return
-        timeout = min(10 * req.timeout, self.settings.frontends[req.frontend].client_timeout)
-        self.owed(req, client, timeout, at)
-        who, turn = (req.plan, *req.customer), (req.units, req.set_size, req.retry, req.first)
-        self.note(RequestArrived(req.id, req.frontend, *who, req.give_up, *turn))
+        timeout = min(
+            10 * request.timeout, self.settings.frontends[request.frontend].client_timeout
+        )
+        self.track_request(request, client, timeout, at)
+        who, turn = (
+            (request.plan, *request.customer),
+            (request.units, request.set_size, request.retry, request.first),
+        )
+        self.handle_event(
+            RequestArrived(request.id, request.frontend, *who, request.deadline, *turn)
+        )
 
     # from servers
 
-    def came(self, flight: Flight, outcome: Outcome, metered: int = 0, body: bytes = b"") -> None:
-        req = self.landed(flight)
-        if outcome is Outcome.SUCCEEDED and req.client is not None:
-            self.answer(req, 200, body)
-        self.ended(flight, outcome, metered)
+    def attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, metered: int = 0, body: bytes = b""
+    ) -> None:
+        request = self.finish_attempt(attempt)
+        if outcome is Outcome.SUCCEEDED and request.client is not None:
+            self.answer(request, 200, body)
+        self.report_attempt(attempt, outcome, metered)
 
     # the module
 
-    def deny(self, act: Reject) -> None:
-        req = self.reqs.get(act.request_id)
-        if req is not None and req.client is not None:
+    def reject_request(self, act: Reject) -> None:
+        request = self.requests.get(act.request_id)
+        if request is not None and request.client is not None:
             self.answer(
-                req,
+                request,
                 429,
                 extra=f"Retry-After: {act.retry_after / 10_000:.3f}\r\n" if act.retry_after else "",
             )
-            self.forget(req)
+            self.forget_request(request)
 
     def abort(self, act: Abort) -> None:
-        req = self.reqs.get(act.request_id)
-        if req is not None and req.client is not None:
-            self.answer(req, 502)
-            self.forget(req)
+        request = self.requests.get(act.request_id)
+        if request is not None and request.client is not None:
+            self.answer(request, 502)
+            self.forget_request(request)
 
-    def count(self, act: IncrementCounter) -> None:
+    def increment_counter(self, act: IncrementCounter) -> None:
         if self.counter is None:
-            self.loop.call_soon(self.counted, act.counter_name, Outcome.CONNECT_FAILED, 0.0, 0)
+            self.loop.call_soon(
+                self.counter_replied, act.counter_name, Outcome.CONNECT_FAILED, 0.0, 0
+            )
         else:
             self.counter.call(act)
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -49,7 +49,7 @@
 class Counts(Host, Protocol):
     """The counter's calls."""
 
-    def counted(self, name: int, outcome: Outcome, total: float, took: int) -> None: ...
+    def counter_replied(self, name: int, outcome: Outcome, total: float, took: int) -> None: ...
 
 
 class Bounded(Host, Protocol):
@@ -67,24 +67,28 @@
 
     def now(self) -> int: ...
 
-    def came(self, flight: Sent, outcome: Outcome, metered: int = 0, body: bytes = b"") -> None: ...
+    def attempt_ended(
+        self, attempt: Sent, outcome: Outcome, metered: int = 0, body: bytes = b""
+    ) -> None: ...
 
 
 class Takes(Bounded, Protocol):
     """Connections of clients."""
 
     turns: Clock
-    able: bool
+    is_ready: bool
 
-    def take(self, client: Asker, machine: http_parser.RequestReceiver, at: float) -> None: ...
+    def request_received(
+        self, client: Asker, machine: http_parser.RequestReceiver, at: float
+    ) -> None: ...
 
-    def vanished(self, req: Asked) -> None: ...
+    def client_disconnected(self, request: Asked) -> None: ...
 
 
 class Asker(Protocol):
-    """A client's connection, as a req and the limiter see it."""
+    """A client's connection, as a request and the limiter see it."""
 
-    req: Asked | None
+    request: Asked | None
 
     def answer(
         self, status: int, body: bytes = b"", extra: str = "", close: bool = False
@@ -94,7 +98,7 @@
 
 
 class Asked(Protocol):
-    """A req, as a client's connection sees it."""
+    """A request, as a client's connection sees it."""
 
     client: Asker | None
 
@@ -108,6 +112,6 @@
 class Sent(Protocol):
     """A dispatch on its way, as the limiter hands it over and gets it back."""
 
-    expire: int
+    expires_at: int
     number: int
-    srv: int
+    endpoint_id: int
--- a/loomstand/limiter/request.py
+++ b/loomstand/limiter/request.py
@@ -1,4 +1,4 @@
-"""A req: what a client sent, checked, and what goes on to a server."""
+"""A request: what a client sent, checked, and what goes on to a server."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Names:
-    """The settings' names as they stand in a req."""
+    """The settings' names as they stand in a request."""
 
     def __init__(self, frontends: list[str], plans: list[str], told: EngineSettings) -> None:
         self.frontends = {name.encode(): n for n, name in enumerate(frontends)}
@@ -57,17 +57,17 @@
         return int(account, 16), stable_digest(account.decode().lower())
 
 
-class Req:
+class Request:
     """A message that is owed its answer, or whose dispatches are still out."""
 
-    __slots__ = ("body", "client", "fields", "flights", "give_up", "head", "id", "line")
+    __slots__ = ("body", "client", "fields", "attempts", "deadline", "head", "id", "line")
 
     def __init__(self, machine: RequestReceiver) -> None:
         self.fields, self.body = machine.fields, machine.body
         self.line, self.head = (machine.method, machine.target), b""
-        self.id = self.give_up = 0
+        self.id = self.deadline = 0
         self.client: Asker | None = None
-        self.flights: list[Flight | None] = []
+        self.attempts: list[Attempt | None] = []
 
     def onward(self, left_out: Container[bytes]) -> bytes:
         """The head for a server, without its last line; `left_out` names the fields that don't go
@@ -87,8 +87,8 @@
         raise NotImplementedError
 
 
-class AccountReq(Req):
-    """A req of an account, with a plan and a frontend."""
+class AccountRequest(Request):
+    """A request of an account, with a plan and a frontend."""
 
     __slots__ = ("customer", "first", "frontend", "plan", "retry", "set_size", "timeout", "units")
 
@@ -115,22 +115,24 @@
         return b"%brequest-timeout-ms: %d\r\n\r\n%b" % (self.onward(OWN_FIELDS), wait, self.body)
 
 
-class Flight:
+class Attempt:
     """A dispatch on its way."""
 
-    __slots__ = ("expire", "link", "number", "req", "sent_at", "srv", "timer")
+    __slots__ = ("expires_at", "connection", "number", "request", "sent_at", "endpoint_id", "timer")
 
-    def __init__(self, req: Req, number: int, srv: int, sent_at: int, expire: int) -> None:
-        self.req, self.number, self.srv, self.sent_at, self.expire = (
-            req,
+    def __init__(
+        self, request: Request, number: int, endpoint_id: int, sent_at: int, expires_at: int
+    ) -> None:
+        self.request, self.number, self.endpoint_id, self.sent_at, self.expires_at = (
+            request,
             number,
-            srv,
+            endpoint_id,
             sent_at,
-            expire,
+            expires_at,
         )
-        self.link: Carrier | None = None
+        self.connection: Carrier | None = None
         self.timer = None
 
     def raw(self, wait: int) -> bytes:
         """The bytes for its server; `wait` is how long the answer is waited for, in ms."""
-        return self.req.raw(wait)
+        return self.request.raw(wait)
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -24,15 +24,15 @@
 from loomstand.config.settings import Settings
 from loomstand.config.units import parse_address
 from loomstand.limiter import http_parser
-from loomstand.limiter.client_connection import Client, Front
+from loomstand.limiter.client_connection import Client, ClientListener
 from loomstand.limiter.event_loop import Streams, Turns
 from loomstand.limiter.gateway_core import GatewayCore
-from loomstand.limiter.request import Flight, Req
+from loomstand.limiter.request import Attempt, Request
 from loomstand.proxy.counter_replay import CounterReplay
 from loomstand.proxy.instance_view import InstanceView
 from loomstand.proxy.policy_compiler import COUNT_WITHIN, Fleet, PolicyCompiler
 from loomstand.proxy.quota_credits import AGAIN, APART, CALLS, QuotaCredits
-from loomstand.proxy.request import Dispatch, ProxyRequest
+from loomstand.proxy.request import ProxyAttempt, ProxyRequest
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import SharedClock
 from loomstand.proxy.upstream import UpstreamPool
@@ -96,12 +96,12 @@
             logging.info, turns, limits.memory_mb // 2, limits.file_descriptors - FIXED_SOCKETS
         )
         self.conf, self.rng, self.room_at_all = settings, rng, self.room.left
-        self.front = Front(self, self.spare, limits.file_descriptors)
-        self.front.own_paths = False
+        self.listener = ClientListener(self, self.spare, limits.file_descriptors)
+        self.listener.own_paths = False
         self.bound(ClientLimits())
         self.pool = UpstreamPool(self, CONNECT_WITHIN, IDLE_MOST)
         if streams is not None:
-            self.front.bind, self.pool.connect = streams.listen, streams.connect
+            self.listener.bind, self.pool.connect = streams.listen, streams.connect
         self.patience = 10.0
         self.lists = InstanceView()
         self.terms = PolicyCompiler(settings.bounds, list(settings.zones), settings.zone)
@@ -116,7 +116,7 @@
         self.readiness = OperatorHttpServer(self.ready, turns, 4 << 20, 64, 4096, streams)
         self.begun, self.common = self.loop.time(), SharedClock()
         self.held: dict[ProxyRequest, float] = {}  # wait for the start's end, since
-        self.brain = self.begin()
+        self.engine = self.begin()
         self.told = CounterReplay()
         self.credits = QuotaCredits(settings.bounds, rng.getrandbits(32), self.begun)
         self.short = asyncio.Event()  # a tenant's credits run short
@@ -130,13 +130,13 @@
 
     async def run(self) -> None:
         """Serves until `stop`, and until all that was taken is answered."""
-        self.loop.set_exception_handler(self.failed)
+        self.loop.set_exception_handler(self.on_loop_exception)
         assert (
             self.conf.listen_addresses.frontend is not None
             and self.conf.listen_addresses.readiness is not None
         )
         await self.readiness.listen(self.conf.listen_addresses.readiness)
-        await self.front.listen(self.conf.listen_addresses.frontend)
+        await self.listener.listen(self.conf.listen_addresses.frontend)
         logging.info("listens")
         self.sessions.start()
         self.loop.call_later(1.0, self.sweep)
@@ -146,7 +146,7 @@
         await self.sessions.stop()
         self.readiness.stop()
 
-    def linger(self) -> float:
+    def linger_seconds(self) -> float:
         return LINGER
 
     def reload(self, settings: Settings) -> None:
@@ -157,7 +157,7 @@
     async def ready(self, method: bytes, target: bytes, body: bytes) -> tuple[int, bytes]:
         if target.partition(b"?")[0] != b"/api/readiness":
             return 404, b""
-        return (200 if self.able else 503), b""
+        return (200 if self.is_ready else 503), b""
 
     def look(self) -> None:
         """Ready once there is a configuration that is the newest for sure, and somebody to send
@@ -165,13 +165,16 @@
         """
         known = self.sure_at is not None and (self.loop.time() >= self.sure_at)
         able = (
-            self.table is not None and known and bool(self.by_service) and not self.front.stopping
+            self.table is not None
+            and known
+            and bool(self.by_service)
+            and not self.listener.stopping
         )
-        if able != self.able:
-            self.able = able
+        if able != self.is_ready:
+            self.is_ready = able
             logging.info("ready" if able else "not ready")
 
-    def swept_more(self) -> None:
+    def on_sweep(self) -> None:
         self.look()
         self.told.sweep(self.loop.time())
 
@@ -181,32 +184,36 @@
         entries = []
         for id_ in self.lists.told(registry, rows, anew):
             known = self.lists.servers[id_]
-            srv = self.indices.get(id_)
-            if srv is None:
-                srv = self.indices[id_] = len(self.identifiers)
-                self.identifiers[srv] = id_
-            entries.append(self.entry(srv, known.use, known.service, known.zone, known.address))
+            endpoint_id = self.indices.get(id_)
+            if endpoint_id is None:
+                endpoint_id = self.indices[id_] = len(self.identifiers)
+                self.identifiers[endpoint_id] = id_
+            entries.append(
+                self.entry(endpoint_id, known.use, known.service, known.zone, known.address)
+            )
         if entries:
-            self.note(EndpointsUpdated(tuple(entries), False))
+            self.handle_event(EndpointsUpdated(tuple(entries), False))
             self.look()
             self.settle()
 
-    def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> Endpoint:
+    def entry(self, endpoint_id: int, use: str, service: str, zone: str, where: str) -> Endpoint:
         phase = PHASES[use]
-        self.pool.told(srv, None if phase is EndpointState.GONE else parse_address(where))
+        self.pool.set_address(
+            endpoint_id, None if phase is EndpointState.GONE else parse_address(where)
+        )
         live = self.by_service.setdefault(service, set())
-        (live.add if phase is EndpointState.LIVE else live.discard)(srv)
+        (live.add if phase is EndpointState.LIVE else live.discard)(endpoint_id)
         at = self.terms.services.index_of(service)
-        return Endpoint(srv, phase, self.terms.zones.index_of(zone), 0, 0, 1.0, 0, at)
+        return Endpoint(endpoint_id, phase, self.terms.zones.index_of(zone), 0, 0, 1.0, 0, at)
 
-    def misdirected(self, flight: Dispatch) -> None:
+    def misdirected(self, attempt: ProxyAttempt) -> None:
         """Another server has the address: this one is over."""
-        id_ = self.identifiers[flight.srv]
+        id_ = self.identifiers[attempt.endpoint_id]
         known = self.lists.servers.get(id_)
         if known is not None and known.state != GONE:
             known.state = GONE
-            entry = self.entry(flight.srv, GONE, known.service, known.zone, known.address)
-            self.loop.call_soon(self.note, EndpointsUpdated((entry,), False))
+            entry = self.entry(attempt.endpoint_id, GONE, known.service, known.zone, known.address)
+            self.loop.call_soon(self.handle_event, EndpointsUpdated((entry,), False))
 
     def limiters(self, me: int, many: int, silent: int) -> None:
         fleet = Fleet(me, max(1, many), silent)
@@ -239,17 +246,19 @@
         held whole, so it may take an eighth of the memory for buffers at most, whatever the
         configuration allows.
         """
-        self.stays, before = limits.idle_timeout_seconds + 1, self.front.stays
+        self.stays, before = limits.idle_timeout_seconds + 1, self.listener.idle_timeout_seconds
         if self.stays >= before:
-            self.front.stays = self.stays
+            self.listener.idle_timeout_seconds = self.stays
         else:  # who has rested on the longer time's word may still do so to its end
             self.loop.call_later(before, self.shorten, self.stays)
-        self.front.heads = limits.header_timeout_seconds + 1
-        self.front.most_head = limits.max_header_bytes
-        self.front.most_body = min(limits.max_body_bytes, self.room_at_all // 8)
+        self.listener.header_timeout_seconds = limits.header_timeout_seconds + 1
+        self.listener.max_header_bytes = limits.max_header_bytes
+        self.listener.max_body_bytes = min(limits.max_body_bytes, self.room_at_all // 8)
 
     def shorten(self, stays: float) -> None:
-        self.front.stays = max(stays, self.stays)  # it may have become longer since
+        self.listener.idle_timeout_seconds = max(
+            stays, self.stays
+        )  # it may have become longer since
 
     def full(self, totals: list[list[float]]) -> None:
         """Tenants near the brim of their quota, by the names of their counts; those whose bucket is
@@ -260,7 +269,7 @@
                 self.credits.full(int(name) >> SLOTS, self.loop.time())
             plan = self.terms.by_digest.get(int(name) >> SLOTS)
             if plan is not None:
-                self.note(
+                self.handle_event(
                     TenantTotalUpdated(int(name), float(total), plan, plan, int(name) >> SLOTS)
                 )
 
@@ -285,33 +294,35 @@
 
     def rule(self) -> None:
         """The module's settings are other ones."""
-        self.note(SettingsChanged(self.terms.settings(self.fleet, self.common.shift)))
+        self.handle_event(SettingsChanged(self.terms.settings(self.fleet, self.common.shift)))
 
     # from clients
 
-    def take(self, client: Client, machine: http_parser.RequestReceiver, at: float) -> None:
+    def request_received(
+        self, client: Client, machine: http_parser.RequestReceiver, at: float
+    ) -> None:
         """A request has come: if nothing is wrong with it, it is owed one answer from here on."""
-        req = ProxyRequest(machine)
-        req.client, client.req = client, req
-        if self.table is None or not self.staffed(req) or not self.granted(req):
-            self.hold(req, at)
+        request = ProxyRequest(machine)
+        request.client, client.request = client, request
+        if self.table is None or not self.staffed(request) or not self.granted(request):
+            self.hold(request, at)
         else:
-            self.admit(req, at)
+            self.admit(request, at)
 
-    def staffed(self, req: ProxyRequest) -> bool:
+    def staffed(self, request: ProxyRequest) -> bool:
         """Whether somebody is known who could serve it; later on, whoever isn't known isn't
         there.
         """
         if self.loop.time() - self.begun > SETTLED:  # first, as each request asks
             return True
-        route = self.table.find_route(req.host, req.path)
+        route = self.table.find_route(request.host, request.path)
         if route is None:
             return True
         return any(
             weight > 0 and self.by_service.get(service) for service, weight in route.traffic_split
         )
 
-    def granted(self, req: ProxyRequest) -> bool:
+    def granted(self, request: ProxyRequest) -> bool:
         """Whether the first credits have come, for a request that may need one."""
         return (
             self.credits.answered
@@ -319,103 +330,118 @@
             or not self.credits.credits
         )
 
-    def lacks(self, req: ProxyRequest) -> bool:
+    def lacks(self, request: ProxyRequest) -> bool:
         """Whether it waits for a credit."""
-        name = stable_digest(req.tenant.name) if req.tenant else 0
+        name = stable_digest(request.tenant.name) if request.tenant else 0
         return bool(name) and not self.credits.has(name, self.loop.time())
 
-    def hold(self, req: ProxyRequest, at: float, most: float = HOLD) -> None:
+    def hold(self, request: ProxyRequest, at: float, most: float = HOLD) -> None:
         """At a start the configuration, the first heartbeats and credits are under way: a request
         waits for them, as all limiters would refuse it alike.
         """
-        self.held[req] = at
-        most = most if req.wait is None else min(most, req.wait / 2000)
-        self.loop.call_later(most, self.release, req)
+        self.held[request] = at
+        most = most if request.wait is None else min(most, request.wait / 2000)
+        self.loop.call_later(most, self.release, request)
 
-    def release(self, req: ProxyRequest) -> None:
-        at = self.held.pop(req, None)
-        if at is not None and req.client is not None:
-            self.admit(req, at, True)
+    def release(self, request: ProxyRequest) -> None:
+        at = self.held.pop(request, None)
+        if at is not None and request.client is not None:
+            self.admit(request, at, True)
 
     def settle(self) -> None:
         """Something came that held requests wait for."""
-        for req in [*self.held]:
+        for request in [*self.held]:
             waits = (
                 self.table is None
-                or not self.staffed(req)
-                or not self.granted(req)
-                or self.lacks(req)
+                or not self.staffed(request)
+                or not self.granted(request)
+                or self.lacks(request)
             )
-            if req.client is None or not waits:
-                self.release(req)
+            if request.client is None or not waits:
+                self.release(request)
 
-    def admit(self, req: ProxyRequest, at: float, waited: bool = False) -> None:
+    def admit(self, request: ProxyRequest, at: float, waited: bool = False) -> None:
         """Nothing is wrong with it, or it is answered at once."""
         table = self.table
         if table is None:
-            self.answer(req, 503, extra=f"Retry-After: {NOT_YET}\r\n")
+            self.answer(request, 503, extra=f"Retry-After: {NOT_YET}\r\n")
             return
-        req.route = table.find_route(req.host, req.path)
-        if req.route is None:
-            self.answer(req, 404)
+        request.route = table.find_route(request.host, request.path)
+        if request.route is None:
+            self.answer(request, 404)
             return
-        if table.requires_api_key(req.route):
-            req.tenant = table.find_tenant(req.key)
-            if req.tenant is None:
-                self.answer(req, 401)
+        if table.requires_api_key(request.route):
+            request.tenant = table.find_tenant(request.key)
+            if request.tenant is None:
+                self.answer(request, 401)
                 return
-        plan = self.terms.tenants.index_of(req.tenant.name) if req.tenant else 0
-        front, name = self.terms.by_route[req.route.name], self.terms.digests[plan]
+        plan = self.terms.tenants.index_of(request.tenant.name) if request.tenant else 0
+        front, name = self.terms.by_route[request.route.name], self.terms.digests[plan]
         now = self.loop.time()
         may = self.credits.may(name, now)
         if self.credits.due(name, now):
             self.short.set()
         if not may and not waited and now - self.begun < SETTLED:
-            self.hold(req, at, OFFERED * req.route.target_latency_seconds)
+            self.hold(request, at, OFFERED * request.route.target_latency_seconds)
             return
         if not may:
             wait = self.credits.wait(name, now)
-            self.answer(req, 429, extra=f"Retry-After: {wait:.3f}\r\n")
+            self.answer(request, 429, extra=f"Retry-After: {wait:.3f}\r\n")
             return
-        if not self.room.take(len(req.body)):
-            self.answer(req, 503, extra=f"Retry-After: {FEW}\r\n")
+        if not self.room.take(len(request.body)):
+            self.answer(request, 503, extra=f"Retry-After: {FEW}\r\n")
             return
-        req.service = self.service(table, req)
-        self.owed(req, req.client, req.timeout(), at)
-        at_service = self.terms.services.index_of(req.service)
-        self.note(
+        request.service = self.service(table, request)
+        self.track_request(request, request.client, request.timeout(), at)
+        at_service = self.terms.services.index_of(request.service)
+        self.handle_event(
             RequestArrived(
-                req.id, front, plan, plan, name, req.give_up, 1.0, 0, False, service=at_service
+                request.id,
+                front,
+                plan,
+                plan,
+                name,
+                request.deadline,
+                1.0,
+                0,
+                False,
+                service=at_service,
             )
         )
-        if req.flights:  # the module let it in
+        if request.attempts:  # the module let it in
             self.credits.used(name, now)
             if self.credits.due(name, now):
                 self.short.set()
 
-    def service(self, table: RouteTable, req: ProxyRequest) -> str:
+    def service(self, table: RouteTable, request: ProxyRequest) -> str:
         """One of the route's services by weight; where that has no server, another that the route
         allows.
         """
-        service = table.choose_service(req.route, self.rng.random())
+        service = table.choose_service(request.route, self.rng.random())
         if self.by_service.get(service):
             return service
         return next(
-            (s for s, weight in req.route.traffic_split if weight > 0 and self.by_service.get(s)),
+            (
+                s
+                for s, weight in request.route.traffic_split
+                if weight > 0 and self.by_service.get(s)
+            ),
             service,
         )
 
     # from servers and the counter
 
-    def came(self, flight: Flight, outcome: Outcome, metered: int = 0, body: bytes = b"") -> None:
-        req = self.landed(flight)
+    def attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, metered: int = 0, body: bytes = b""
+    ) -> None:
+        request = self.finish_attempt(attempt)
         if outcome not in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
-            req.ran = True
-        if outcome is Outcome.SUCCEEDED and req.client is not None:
-            self.answer(req, *req.got)
-        self.ended(flight, outcome)
+            request.ran = True
+        if outcome is Outcome.SUCCEEDED and request.client is not None:
+            self.answer(request, *request.got)
+        self.report_attempt(attempt, outcome)
 
-    def count(self, act: IncrementCounter) -> None:
+    def increment_counter(self, act: IncrementCounter) -> None:
         task = self.loop.create_task(self.counting(act))
         self.counting_tasks.add(task)
         task.add_done_callback(self.counting_tasks.discard)
@@ -445,7 +471,7 @@
         if got.is_ok() and got.ok.get("young"):  # other limiters may not have told theirs again
             outcome = Outcome.NO_RESPONSE
         total = float(got.ok["total"]) if outcome is Outcome.SUCCEEDED else 0.0
-        self.counted(act.counter_name, outcome, total, self.now() - asked)
+        self.counter_replied(act.counter_name, outcome, total, self.now() - asked)
 
     async def crediting(self) -> None:
         """Asks the counter for credits, one call at a time: when some run short, else to keep them
@@ -477,40 +503,49 @@
 
     # the module
 
-    def flight(self, req: Req, srv: int, expire: int) -> Flight:
-        return Dispatch(req, len(req.flights), srv, self.now(), expire, self.identifiers[srv])
+    def attempt(self, request: Request, endpoint_id: int, expires_at: int) -> Attempt:
+        return ProxyAttempt(
+            request,
+            len(request.attempts),
+            endpoint_id,
+            self.now(),
+            expires_at,
+            self.identifiers[endpoint_id],
+        )
 
-    def try_limit(self, req: Req) -> int:
+    def attempt_limit(self, request: Request) -> int:
         """None more for what must not run twice and may have run, or may yet: whatever the module
         thinks.
         """
-        if not req.route.idempotent and (req.ran or sum(f is not None for f in req.flights) > 1):
+        if not request.route.idempotent and (
+            request.ran or sum(f is not None for f in request.attempts) > 1
+        ):
             return 0
-        return req.route.max_attempts
+        return request.route.max_attempts
 
-    def deny(self, act: Reject) -> None:
-        req = self.reqs.get(act.request_id)
-        if req is None or req.client is None:
+    def reject_request(self, act: Reject) -> None:
+        request = self.requests.get(act.request_id)
+        if request is None or request.client is None:
             return
-        if req.ran or any(req.flights):  # no promise while it may run yet
-            self.over(req)
+        if request.ran or any(request.attempts):  # no promise while it may run yet
+            self.over(request)
         elif act.reason in QUOTA:
             wait = max(0.05, act.retry_after / 10_000)
-            self.answer(req, 429, extra=f"Retry-After: {wait:.3f}\r\n")
+            self.answer(request, 429, extra=f"Retry-After: {wait:.3f}\r\n")
         else:
-            wait = self.rng.uniform(*BACK) * req.route.target_latency_seconds
-            self.answer(req, 503, extra=f"Retry-After: {wait:.3f}\r\n")
-        self.forget(req)
+            wait = self.rng.uniform(*BACK) * request.route.target_latency_seconds
+            self.answer(request, 503, extra=f"Retry-After: {wait:.3f}\r\n")
+        self.forget_request(request)
 
     def abort(self, act: Abort) -> None:
-        req = self.reqs.get(act.request_id)
-        if req is not None and req.client is not None:
-            self.over(req)
-            self.forget(req)
+        request = self.requests.get(act.request_id)
+        if request is not None and request.client is not None:
+            self.over(request)
+            self.forget_request(request)
 
-    def over(self, req: ProxyRequest) -> None:
+    def over(self, request: ProxyRequest) -> None:
         """The last word on a request that may have run: a server's own, if one gave it."""
-        if req.got is not None:
-            self.answer(req, *req.got)
+        if request.got is not None:
+            self.answer(request, *request.got)
         else:
-            self.answer(req, 504 if self.now() >= req.give_up - 100 else 502)
+            self.answer(request, 504 if self.now() >= request.deadline - 100 else 502)
--- a/loomstand/proxy/request.py
+++ b/loomstand/proxy/request.py
@@ -4,7 +4,7 @@
 
 from loomstand.config.configuration import Route, Tenant
 from loomstand.limiter.http_parser import Malformed, RequestReceiver, number
-from loomstand.limiter.request import HOP_FIELDS, Flight, Req
+from loomstand.limiter.request import HOP_FIELDS, Attempt, Request
 
 # Fields that a server gets from us alone, or never.
 KEPT = HOP_FIELDS | {
@@ -16,7 +16,7 @@
 SLACK_MS = 20  # of a client's time: its answer travels back within this
 
 
-class ProxyRequest(Req):
+class ProxyRequest(Request):
     """A request with its route. `got` is the last whole answer of a server; `ran` whether it may
     have run; `afresh` whether it goes by new connections only; `met` the servers that it was sent
     to.
@@ -94,16 +94,22 @@
         )
 
 
-class Dispatch(Flight):
+class ProxyAttempt(Attempt):
     """A dispatch to one server."""
 
     __slots__ = ("identifier",)
 
     def __init__(
-        self, req: Req, number: int, srv: int, sent_at: int, expire: int, identifier: str
+        self,
+        request: Request,
+        number: int,
+        endpoint_id: int,
+        sent_at: int,
+        expires_at: int,
+        identifier: str,
     ) -> None:
-        super().__init__(req, number, srv, sent_at, expire)
+        super().__init__(request, number, endpoint_id, sent_at, expires_at)
         self.identifier = identifier.encode()
 
     def raw(self, wait: int) -> bytes:
-        return self.req.raw_for(self.identifier, wait)
+        return self.request.raw_for(self.identifier, wait)
--- a/loomstand/proxy/upstream.py
+++ b/loomstand/proxy/upstream.py
@@ -8,8 +8,8 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.protocols import Sends
-from loomstand.limiter.request import HOP_FIELDS, Flight
-from loomstand.limiter.upstream import Link, Pool
+from loomstand.limiter.request import HOP_FIELDS, Attempt
+from loomstand.limiter.upstream import ServerConnection, ConnectionPool
 from loomstand.proxy.stale_connections import StaleConnections
 
 STAYS = re.compile(rb"timeout=([0-9]{1,6})").search
@@ -25,47 +25,47 @@
 UNSTATED = 4.0
 
 
-class UpstreamConnection(Link):
+class UpstreamConnection(ServerConnection):
     """One connection to a server. Answers carry the id of their request; a surplus one is passed
     over.
     """
 
     __slots__ = ("surplus",)
 
-    def __init__(self, pool: Pool, srv: int) -> None:
-        super().__init__(pool, srv)
-        self.surplus, self.stays = 0, UNSTATED
+    def __init__(self, pool: ConnectionPool, endpoint_id: int) -> None:
+        super().__init__(pool, endpoint_id)
+        self.surplus, self.idle_timeout_seconds = 0, UNSTATED
 
     def opened(self) -> None:
-        if self.flight is not None and self.flight.expire <= self.pool.limiter.now():
+        if self.attempt is not None and self.attempt.expires_at <= self.pool.limiter.now():
             # this process stood still while it came up: nobody waits any more, and nothing was sent
             self.wire.stop(Ending.EXPIRED)
             return
         super().opened()
 
-    def took(self) -> None:
-        flight, machine = self.flight, self.machine
+    def response_received(self) -> None:
+        attempt, machine = self.attempt, self.machine
         status, fields, body, close = machine.status, machine.fields, machine.body, machine.close
-        id_, req = fields.get(b"loomstand-request-id"), flight.req
-        if id_ is not None and id_ != req.request_id and self.surplus < MOST_SURPLUS:
+        id_, request = fields.get(b"loomstand-request-id"), attempt.request
+        if id_ is not None and id_ != request.request_id and self.surplus < MOST_SURPLUS:
             self.surplus += 1  # of an earlier request: the right one follows
             machine.reset()
             if self.wire.inbound.used:
                 self.received()
             return
         not_run = b"loomstand-not-executed" in fields or status == 421
-        if id_ != req.request_id or not own(status, fields, not_run):
+        if id_ != request.request_id or not own(status, fields, not_run):
             # no server's own answer to this request: it may have run
             self.wire.stop(Ending.MALFORMED)
             return
         if (said := STAYS(fields.get(b"keep-alive", b""))) is not None:
-            self.stays = max(0.0, int(said[1]) - MARGIN)
-        self.done(close or self.surplus > 0)
+            self.idle_timeout_seconds = max(0.0, int(said[1]) - MARGIN)
+        self.finish_response(close or self.surplus > 0)
         limiter = self.pool.limiter
         if not_run:
             if status == 421:
-                limiter.misdirected(flight)
-            limiter.came(flight, Outcome.REJECTED)
+                limiter.misdirected(attempt)
+            limiter.attempt_ended(attempt, Outcome.REJECTED)
             return
         left_out = HOP_FIELDS
         if (listed := fields.get(b"connection")) is not None:
@@ -75,11 +75,11 @@
             for name, value in fields.items()
             if name not in left_out
         )
-        req.got = (status, body, extra)
-        limiter.came(flight, Outcome.SERVER_ERROR if status >= 500 else Outcome.SUCCEEDED)
+        request.got = (status, body, extra)
+        limiter.attempt_ended(attempt, Outcome.SERVER_ERROR if status >= 500 else Outcome.SUCCEEDED)
 
     def ended(self, why: Ending) -> None:
-        if self.flight is not None and self.idle_at and why in BROKEN:
+        if self.attempt is not None and self.idle_at and why in BROKEN:
             self.pool.forgotten(self)
         super().ended(why)
 
@@ -98,50 +98,56 @@
     return not_run or status not in PROMISES
 
 
-class UpstreamPool(Pool):
+class UpstreamPool(ConnectionPool):
     """Connections to all servers."""
 
-    link = UpstreamConnection
+    connection_type = UpstreamConnection
 
     def __init__(self, limiter: Sends, connect_timeout: float, idle_close: float) -> None:
         super().__init__(limiter, connect_timeout, idle_close)
         self.kept = StaleConnections()
 
-    def send(self, flight: Flight) -> None:
+    def send(self, attempt: Attempt) -> None:
         """A request that was lost on a kept connection goes on by a new one, as does one that was
         sent to that server before; one that must not run twice uses none that may be forgotten.
         """
-        req, now, trusted = flight.req, self.limiter.loop.time(), inf
-        if req.afresh or flight.srv in req.met:  # a second copy of its first answer has the same id
+        request, now, trusted = attempt.request, self.limiter.loop.time(), inf
+        if (
+            request.afresh or attempt.endpoint_id in request.met
+        ):  # a second copy of its first answer has the same id
             trusted = 0.0
-        elif not req.route.idempotent:
-            trusted = self.kept.trusted(req.service, now)
-        req.met = (*req.met, flight.srv)
-        older = [v for v in self.idle.get(flight.srv, ()) if now - v.idle_at >= trusted]
+        elif not request.route.idempotent:
+            trusted = self.kept.trusted(request.service, now)
+        request.met = (*request.met, attempt.endpoint_id)
+        older = [v for v in self.idle.get(attempt.endpoint_id, ()) if now - v.idle_at >= trusted]
         if not older:
-            super().send(flight)
+            super().send(attempt)
             return
-        self.idle[flight.srv] = [v for v in self.idle[flight.srv] if now - v.idle_at < trusted]
-        super().send(flight)
-        self.idle[flight.srv] = older + self.idle.get(flight.srv, [])
+        self.idle[attempt.endpoint_id] = [
+            v for v in self.idle[attempt.endpoint_id] if now - v.idle_at < trusted
+        ]
+        super().send(attempt)
+        self.idle[attempt.endpoint_id] = older + self.idle.get(attempt.endpoint_id, [])
 
-    def give_up(self, flight: Flight, why: Ending) -> None:
+    def give_up(self, attempt: Attempt, why: Ending) -> None:
         """What of it wasn't delivered never is: behind a cut the system would send it again for
         minutes.
         """
-        if flight.link is not None and flight.link.flight is flight:
-            flight.link.wire.sever()
-        super().give_up(flight, why)
+        if attempt.connection is not None and attempt.connection.attempt is attempt:
+            attempt.connection.wire.sever()
+        super().give_up(attempt, why)
 
-    def forgotten(self, lane: UpstreamConnection) -> None:
+    def forgotten(self, connection: UpstreamConnection) -> None:
         """What was sent on a kept connection broke it. Servers may forget idle connections without
         a word, and many at once: those that were idle longer aren't used again, and the request's
         other tries, which are few, meet no other one that was kept.
         """
-        flight, limiter = lane.flight, self.limiter
-        flight.req.afresh = True
-        after = (limiter.now() - flight.sent_at) / 10_000
+        attempt, limiter = connection.attempt, self.limiter
+        attempt.request.afresh = True
+        after = (limiter.now() - attempt.sent_at) / 10_000
         now = limiter.loop.time()
-        self.kept.broke(flight.req.service, now - after - lane.idle_at, after, now)
-        for other in [v for v in self.idle.get(lane.srv, ()) if v.idle_at <= lane.idle_at]:
+        self.kept.broke(attempt.request.service, now - after - connection.idle_at, after, now)
+        for other in [
+            v for v in self.idle.get(connection.endpoint_id, ()) if v.idle_at <= connection.idle_at
+        ]:
             self.shut(other, Ending.IDLE)
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -13,7 +13,7 @@
 
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import Room
-from loomstand.limiter.client_connection import Client, Front
+from loomstand.limiter.client_connection import Client, ClientListener
 from loomstand.limiter.event_loop import Streams, Turns, Untimed
 
 # Of the sockets, those that callers may keep between calls; the others are for new calls and, in a
@@ -45,33 +45,39 @@
         self.loop = asyncio.get_running_loop()
         self.turns: Any = turns or Untimed()
         self.room, self.endings = Room(memory), Tally[str]()
-        self.most_answer, self.able = body, True
+        self.most_answer, self.is_ready = body, True
         self.sockets = sockets
-        self.front = Front(self, max(8, sockets // 10), sockets)
+        self.listener = ClientListener(self, max(8, sockets // 10), sockets)
         if streams is not None:
-            self.front.bind = streams.listen
-        self.front.most_held = int(sockets * KEEP_ALIVE_SHARE)
-        self.front.stays, self.front.most_body, self.front.own_paths = 20.0, body, False
+            self.listener.bind = streams.listen
+        self.listener.most_held = int(sockets * KEEP_ALIVE_SHARE)
+        (
+            self.listener.idle_timeout_seconds,
+            self.listener.max_body_bytes,
+            self.listener.own_paths,
+        ) = 20.0, body, False
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self, address: tuple[str, int]) -> None:
-        await self.front.listen(address)
+        await self.listener.listen(address)
         self.loop.call_later(1.0, self.sweep)
 
     def sweep(self) -> None:
-        self.front.sweep(10.0)
-        if not self.front.stopping:
+        self.listener.sweep(10.0)
+        if not self.listener.stopping:
             self.loop.call_later(1.0, self.sweep)
 
     def spare_sockets(self) -> int:
-        return self.sockets - len(self.front.clients)
+        return self.sockets - len(self.listener.clients)
 
     def make_room(self, spared: Client | None = None) -> bool:
-        return self.front.close_silent(spared, 1.0) or self.front.close_idle(spared)
+        return self.listener.close_silent(spared, 1.0) or self.listener.close_idle(spared)
 
-    def take(self, client: Client, machine: http_parser.RequestReceiver, at: float) -> None:
+    def request_received(
+        self, client: Client, machine: http_parser.RequestReceiver, at: float
+    ) -> None:
         held = PendingCall(client)
-        client.req = held
+        client.request = held
         task = self.loop.create_task(
             self.serve(held, machine.method, machine.target, bytes(machine.body))
         )
@@ -92,12 +98,12 @@
             if client.wire.inbound.used:
                 self.loop.call_soon(client.next)
 
-    def vanished(self, held: PendingCall) -> None:
+    def client_disconnected(self, held: PendingCall) -> None:
         held.client = None
 
     def stop(self) -> None:
-        self.front.stop()
-        self.front.close()
+        self.listener.stop()
+        self.listener.close()
 
 
 class PendingCall:
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -85,7 +85,7 @@
         self.log = self.hear
 
     def begin(self) -> DecisionEngine:
-        if "brain" not in self.__dict__:  # at its start: the time of day as its machine has it
+        if "engine" not in self.__dict__:  # at its start: the time of day as its machine has it
             self.epoch = int((self.wall - self.loop.time()) * 1e9)
         return super().begin()
 
@@ -109,7 +109,7 @@
         if "failed on" in text:
             self.faults.append(text)
 
-    def failed(self, loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
+    def on_loop_exception(self, loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
         self.faults.append(f"{what.get('message')}: {what.get('exception')!r}")
 
 
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -17,7 +17,7 @@
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import Ring, Room
 from loomstand.limiter.endings import Ending
-from loomstand.proxy.request import Dispatch, ProxyRequest
+from loomstand.proxy.request import ProxyAttempt, ProxyRequest
 from loomstand.proxy.upstream import UpstreamPool
 from loomstand.testing.simulation.cluster import FRONT, Cluster
 from loomstand.testing.simulation.http_log import Broken, Message, Reply, Run, Talk
@@ -109,7 +109,7 @@
         self.pool = UpstreamPool(self, 0.25, 60.0)  # type: ignore[arg-type]
         # type: ignore[method-assign]
         self.pool.connect = Streams(self.cables, US, self.mine).connect
-        self.pool.told(0, (THEM, 80))
+        self.pool.set_address(0, (THEM, 80))
 
     async def open(self) -> Stage:
         def make() -> Played:
@@ -128,16 +128,18 @@
     def make_room(self, spared: Any = None) -> bool:
         return False
 
-    def misdirected(self, flight: Any) -> None:
+    def misdirected(self, attempt: Any) -> None:
         pass
 
-    def came(self, flight: Any, outcome: Outcome, metered: int = 0, body: bytes = b"") -> None:
-        if flight.timer is not None:
-            flight.timer.cancel()
-        id_ = flight.req.request_id.decode()
+    def attempt_ended(
+        self, attempt: Any, outcome: Outcome, metered: int = 0, body: bytes = b""
+    ) -> None:
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        id_ = attempt.request.request_id.decode()
         self.came_of.setdefault(id_, []).append(outcome)
-        if flight.req.got is not None:
-            self.bodies[id_] = flight.req.got
+        if attempt.request.got is not None:
+            self.bodies[id_] = attempt.request.got
 
     def request(self, id_: str, body: bytes = b"", idempotent: bool = False) -> ProxyRequest:
         machine, ring = http_parser.RequestReceiver(1 << 20), Ring(self.room, 1 << 21)
@@ -145,17 +147,17 @@
         head += f"Content-Length: {len(body)}\r\n"
         ring.put(head.encode() + b"\r\n" + body)
         assert machine.step(ring)
-        req = ProxyRequest(machine)
-        req.route, req.service = SimpleNamespace(idempotent=idempotent), "s"
-        return req
-
-    def send(self, req: ProxyRequest, within: float = 1.0) -> Dispatch:
-        expire = self.now() + int(within * 10_000)
-        flight = Dispatch(req, len(req.flights), 0, self.now(), expire, "i-1")
-        req.flights.append(flight)
-        flight.timer = self.loop.call_later(within, self.pool.give_up, flight, Ending.EXPIRED)
-        self.pool.send(flight)
-        return flight
+        request = ProxyRequest(machine)
+        request.route, request.service = SimpleNamespace(idempotent=idempotent), "s"
+        return request
+
+    def send(self, request: ProxyRequest, within: float = 1.0) -> ProxyAttempt:
+        expires_at = self.now() + int(within * 10_000)
+        attempt = ProxyAttempt(request, len(request.attempts), 0, self.now(), expires_at, "i-1")
+        request.attempts.append(attempt)
+        attempt.timer = self.loop.call_later(within, self.pool.give_up, attempt, Ending.EXPIRED)
+        self.pool.send(attempt)
+        return attempt
 
     def check(self) -> None:
         """No proof for what ran, one end for each sending, and only an own whole answer has
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -447,15 +447,15 @@
         turns = self.turns or asyncio.get_running_loop()._selector  # the tests put a Turns there
         self.limiter, self.port = Limiter(parse_limiter_config(raw, {}), turns), ports["listen"]
         self.task = asyncio.create_task(self.limiter.run())
-        while not self.limiter.front.server:
+        while not self.limiter.listener.server:
             assert not self.task.done(), self.task.exception()
             await asyncio.sleep(0.005)
         return self
 
     async def __aexit__(self, *why: object) -> None:
-        self.limiter.front.close()
+        self.limiter.listener.close()
         self.limiter.watch.stop()
-        for client in list(self.limiter.front.clients):
+        for client in list(self.limiter.listener.clients):
             client.wire.drop(Ending.STOPPING)
         for peer in (*self.servers, self.counter, self.discovery):
             peer.stop()
--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -66,14 +66,14 @@
 
 def outcomes(site):
     """The outcomes of dispatches as they come to be known."""
-    seen, note = [], site.limiter.note
+    seen, note = [], site.limiter.handle_event
 
     def spy(said):
         if hasattr(said, "attempt"):
             seen.append(said.outcome)
         note(said)
 
-    site.limiter.note = spy
+    site.limiter.handle_event = spy
     return seen
 
 
@@ -92,7 +92,7 @@
         )
         wait = next(int(f.split()[1]) for f in fields if f.startswith(b"request-timeout-ms"))
         assert 900 < wait <= 1000
-        assert not site.limiter.reqs and site.limiter.room.left > 90 << 20
+        assert not site.limiter.requests and site.limiter.room.left > 90 << 20
 
 
 @sockets
@@ -113,7 +113,7 @@
 @sockets
 async def test_a_limiter_that_knows_no_server_is_not_ready():
     async with Site() as site, Caller(site.port) as caller:
-        site.limiter.able = False
+        site.limiter.is_ready = False
         assert (await caller.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 503
         assert (await caller.ask(request()))[0] == 429
 
@@ -158,7 +158,7 @@
         began = time.monotonic()
         assert (await caller.ask(request("book", timeout=300)))[0] == 502
         assert time.monotonic() - began < 0.5
-        assert not site.limiter.pool.links and not site.limiter.reqs
+        assert not site.limiter.pool.connections and not site.limiter.requests
 
 
 @sockets
@@ -207,7 +207,7 @@
         site.tell(revision=6, complete=False, members=[old | {"phase": "left"}])
         # nothing is kept of the other
         await until(lambda: list(site.limiter.servers.indices) == ["s9"])
-        assert list(site.limiter.pool.links) == [
+        assert list(site.limiter.pool.connections) == [
             v for vs in site.limiter.pool.idle.values() for v in vs
         ]
         assert (await caller.ask(request(id_="r3")))[0] == 200 and site.servers[0].connections == 2
@@ -237,9 +237,9 @@
     play = lambda n, head, body: asyncio.sleep(0.1 if n < 2 else 3, said(200))  # noqa: E731
     async with Site(play) as site, Caller(site.port) as one, Caller(site.port) as two:
         await asyncio.gather(one.ask(request(id_="r1")), two.ask(request(id_="r2")))
-        assert len(site.limiter.pool.links) == 2
+        assert len(site.limiter.pool.connections) == 2
         assert (await one.ask(request("book", "r3", timeout=200)))[0] == 502
-        assert not site.limiter.pool.links
+        assert not site.limiter.pool.connections
 
 
 @sockets
@@ -248,7 +248,7 @@
         seen = outcomes(site)
         site.limiter.sockets = 3  # two clients and one server
         first = asyncio.create_task(one.ask(request(timeout=400)))
-        await until(lambda: site.limiter.pool.links)
+        await until(lambda: site.limiter.pool.connections)
         assert (await two.ask(request(id_="r2")))[0] == 429
         assert set(seen) == {Outcome.NOT_SENT}
         await first
@@ -293,7 +293,7 @@
         if closes:
             assert await caller.closed()
             caller.writer.close()
-            await until(lambda: not site.limiter.front.clients)
+            await until(lambda: not site.limiter.listener.clients)
             assert site.limiter.room.left >= (96 << 20) - FIRST  # discovery's ring
         else:
             assert (await caller.ask(request()))[0] == 200
@@ -305,10 +305,12 @@
         async with Caller(site.port) as caller:
             caller.writer.write(request())
             await until(lambda: site.servers[0].heads)
-        await until(lambda: not site.limiter.front.clients)
-        assert all(req.client is None for req in site.limiter.reqs.values())
-        await until(lambda: not site.limiter.reqs)
-        assert len(site.limiter.pool.links) == 1  # the answer came, and its connection is kept
+        await until(lambda: not site.limiter.listener.clients)
+        assert all(req.client is None for req in site.limiter.requests.values())
+        await until(lambda: not site.limiter.requests)
+        assert (
+            len(site.limiter.pool.connections) == 1
+        )  # the answer came, and its connection is kept
 
 
 @sockets
@@ -378,7 +380,7 @@
             third.writer.write(request(id_="r2"))
             async with Caller(site.port) as fourth:
                 assert (await fourth.ask(request(id_="r3")))[0] == 503 and await fourth.closed()
-            assert len(site.limiter.front.clients) <= 3
+            assert len(site.limiter.listener.clients) <= 3
 
 
 @sockets
@@ -395,7 +397,9 @@
             for n in range(6):
                 async with Caller(site.port) as caller:
                     assert (await caller.ask(request("book", f"r{n}")))[0] in (200, 502)
-            await until(lambda: not site.limiter.front.clients and not site.limiter.pool.links)
+            await until(
+                lambda: not site.limiter.listener.clients and not site.limiter.pool.connections
+            )
             await until(lambda: held() == before)
         finally:
             gc.enable()
@@ -409,14 +413,14 @@
     async with Site(passes) as site, callers() as caller, callers() as half, callers() as mute:
         await caller.ask(request())
         half.writer.write(request()[:40])
-        await until(lambda: [c.idle for c in site.limiter.front.clients].count(False) == 1)
+        await until(lambda: [c.idle for c in site.limiter.listener.clients].count(False) == 1)
         await asyncio.sleep(0.3)  # longer than a connect may take
         site.limiter.sockets = 4  # as many as there are: three of clients, one to a server
         async with Caller(site.port) as first:
             assert (await first.ask(request(id_="r1")))[0] == 200
             assert await mute.closed() and site.servers[0].connections == 1
             assert (await caller.ask(request(id_="r2")))[0] == 200
-            site.limiter.pool.close_idle = site.limiter.front.close_idle = lambda *spared: False
+            site.limiter.pool.close_idle = site.limiter.listener.close_idle = lambda *spared: False
             async with Caller(site.port) as second:
                 assert (await second.ask(request(id_="r3")))[0] == 200
                 assert (await half.answer())[0] == 408 and await half.closed()
@@ -425,13 +429,13 @@
 @sockets
 async def test_who_asks_once_and_stays_goes_before_usual_clients_run_out():
     async with Site(passes) as site, Caller(site.port) as usual:
-        site.limiter.front.most_held = 4
+        site.limiter.listener.most_held = 4
         stay = [Caller(site.port) for _ in range(8)]
         for n, caller in enumerate(stay):
             await caller.__aenter__()
             assert (await caller.ask(request(id_=f"s{n}")))[0] == 200
             assert (await usual.ask(request(id_=f"u{n}")))[0] == 200  # its place is the last
-            assert len(site.limiter.front.clients) <= 4
+            assert len(site.limiter.listener.clients) <= 4
         assert await stay[0].closed()
         for caller in stay:
             caller.writer.close()
@@ -440,10 +444,10 @@
 @sockets
 async def test_no_connection_is_closed_under_a_req_that_waits_to_be_read():
     async with Site(passes) as site, Caller(site.port) as caller:
-        await until(lambda: site.limiter.front.clients)
+        await until(lambda: site.limiter.listener.clients)
         caller.writer.write(request())  # it is in the system now, and nothing has read it
-        assert not site.limiter.front.close_idle()
-        site.limiter.front.stop()
+        assert not site.limiter.listener.close_idle()
+        site.limiter.listener.stop()
         assert (await caller.answer())[0] == 200
 
 
@@ -451,8 +455,8 @@
 async def test_a_client_that_stops_within_a_req_is_not_kept():
     async with Site(passes) as site, Caller(site.port) as caller:
         caller.writer.write(request()[:40])
-        await until(lambda: any(not c.idle for c in site.limiter.front.clients))
-        site.limiter.front.sweep(0.0)
+        await until(lambda: any(not c.idle for c in site.limiter.listener.clients))
+        site.limiter.listener.sweep(0.0)
         assert (await caller.answer())[0] == 408
         assert await caller.closed()
 
@@ -464,7 +468,7 @@
         for byte in request()[:6]:
             drips.writer.write(bytes([byte]))
             await asyncio.sleep(0.02)
-        front = site.limiter.front
+        front = site.limiter.listener
         assert len(front.clients) == 2
         front.sweep(0.08)  # the last byte is younger, the first is not
         assert (await drips.answer())[0] == 408
@@ -489,7 +493,7 @@
     async with Site(counter=play) as site:
         got = []
         site.limiter.counter.patience = 1.0
-        site.limiter.counted = lambda *said: got.append(said[:3])
+        site.limiter.counter_replied = lambda *said: got.append(said[:3])
         for n in range(3):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
         await until(lambda: len(got) == 3)
@@ -508,7 +512,7 @@
 async def test_a_counter_that_answers_spoilt_may_have_added_and_its_connection_is_done_with(spoilt):
     async with Site(counter=lambda n, head, body: said(200, b"4") if n else spoilt) as site:
         got = []
-        site.limiter.counted = lambda *said: got.append(said[1:3])
+        site.limiter.counter_replied = lambda *said: got.append(said[1:3])
         for n in range(2):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
             await until(lambda: len(got) == n + 1)  # noqa: B023
@@ -521,7 +525,7 @@
     endless = b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n1"
     async with Site(counter=lambda n, head, body: said(200, b"4") if n else endless) as site:
         got = []
-        site.limiter.counted = lambda *said: got.append(said[1:3])
+        site.limiter.counter_replied = lambda *said: got.append(said[1:3])
         for n in range(2):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
             await until(lambda: len(got) == n + 1)  # noqa: B023
@@ -532,7 +536,7 @@
 async def test_a_counter_that_breaks_may_have_added_and_one_that_refuses_has_not():
     async with Site(counter=lambda n, head, body: None) as site:
         got = []
-        site.limiter.counted = lambda *said: got.append(said[1])
+        site.limiter.counter_replied = lambda *said: got.append(said[1])
         site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: got)
         site.counter.stop()
@@ -546,7 +550,7 @@
 async def test_a_silent_counter_gets_few_connections():
     async with Site(counter=silent) as site:
         counter, got = site.limiter.counter, []
-        site.limiter.counted = lambda *said: got.append(said[1])
+        site.limiter.counter_replied = lambda *said: got.append(said[1])
         counter.timeout, counter.patience = 0.01, 0.02
         for n in range(30):
             counter.call(IncrementCounter(n, 1.0, 10_000))
@@ -561,7 +565,7 @@
     async with Site(slow, counter=counter) as site, Caller(site.port) as caller:
         limiter, got = site.limiter, []
         await until(lambda: site.discovery.open and limiter.counter.line is None)
-        limiter.counted = lambda *said: got.append(said[:3])
+        limiter.counter_replied = lambda *said: got.append(said[:3])
         caller.writer.write(request())
         limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: site.counter.heads)
@@ -589,7 +593,7 @@
 async def test_calls_that_wait_for_a_line_go_to_the_counters_new_place():
     async with Site() as site:
         got = []
-        site.limiter.counted = lambda *said: got.append(said[1])
+        site.limiter.counter_replied = lambda *said: got.append(said[1])
         site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))  # its connection is not up yet
         other = Peer(site.counter.play)
         site.limiter.counter.move((HOST, await other.start()))
@@ -691,17 +695,17 @@
 
     async with Site(play, play, play, counter=count) as site:
         await asyncio.gather(*(client(site, n) for n in range(6)))
-        await until(lambda: not site.limiter.reqs)
-        assert len(site.limiter.pool.links) == sum(map(len, site.limiter.pool.idle.values()))
+        await until(lambda: not site.limiter.requests)
+        assert len(site.limiter.pool.connections) == sum(map(len, site.limiter.pool.idle.values()))
 
 
 @sockets
 async def test_a_failure_of_the_module_costs_one_req_only():
     async with Site(passes) as site, Caller(site.port) as caller:
-        handle = site.limiter.brain.handle
-        site.limiter.brain.handle = lambda now, note: 1 / 0
+        handle = site.limiter.engine.handle
+        site.limiter.engine.handle = lambda now, note: 1 / 0
         assert (await caller.ask(request()))[0] == 502
-        site.limiter.brain.handle = handle
+        site.limiter.engine.handle = handle
         assert (await caller.ask(request()))[0] == 200
 
 
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -80,7 +80,7 @@
 
 def test_it_is_caught_where_a_head_has_the_time_of_a_body(town):
     """The mutation: the head's own time is not in force."""
-    town.proxy(town.front[0]).front.heads = inf
+    town.proxy(town.front[0]).listener.header_timeout_seconds = inf
     assert town.do(half_a_head(town)) > 5.1
 
 
@@ -100,7 +100,7 @@
 
     def bound(self, limits):
         usual(self, limits)
-        self.front.stays = self.stays
+        self.listener.idle_timeout_seconds = self.stays
 
     monkeypatch.setattr(Proxy, "bound", bound)
     assert asked(town) == (200, False)
@@ -117,7 +117,7 @@
         machine, wire = self.machine, self.wire
         before = machine.most, machine.most_head, wire.inbound.most
         if self.begun_at is None:
-            self.begun_at = self.front.limiter.turns.since
+            self.begun_at = self.listener.limiter.turns.since
         usual(self)
         machine.most, machine.most_head, wire.inbound.most = before
 
--- a/tests/proxy/test_unusual_faults.py
+++ b/tests/proxy/test_unusual_faults.py
@@ -153,7 +153,8 @@
     async def look() -> None:
         while True:
             seen.extend(
-                (proxy.able, proxy.fleet.all, proxy.fleet.silent) for proxy in town.all_proxies()
+                (proxy.is_ready, proxy.fleet.all, proxy.fleet.silent)
+                for proxy in town.all_proxies()
             )
             await asyncio.sleep(0.05)
 
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -18,7 +18,7 @@
 from loomstand.limiter.client_connection import Client as FrontClient
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Wire
-from loomstand.limiter.upstream import Link
+from loomstand.limiter.upstream import ServerConnection
 from loomstand.proxy import upstream
 from loomstand.proxy.program import Proxy
 from loomstand.proxy.upstream import UpstreamConnection, UpstreamPool
@@ -95,9 +95,9 @@
             await asyncio.sleep(0.1)
             assert stage.came_of[first] == [Outcome.SUCCEEDED]
             assert set(stage.came_of[second]) <= {Outcome.SUCCEEDED, Outcome.CONNECTION_LOST}
-            for links in list(stage.pool.idle.values()):
-                for link in list(links):
-                    stage.pool.shut(link, Ending.IDLE)
+            for connections in list(stage.pool.idle.values()):
+                for connection in list(connections):
+                    stage.pool.shut(connection, Ending.IDLE)
 
     return work
 
@@ -123,12 +123,12 @@
 async def refused_twice(stage: Stage) -> None:
     size = len(said(503, "r0000", REFUSED))
     for at in range(0, size + 1, 3):
-        id_, req = f"r{at:04}", stage.request(f"r{at:04}")
+        id_, request = f"r{at:04}", stage.request(f"r{at:04}")
         raw = said(503, id_, REFUSED)
         stage.plays = [["refuse", raw, raw[:at], 0.02, raw[at:]], [0.05, whole(id_)]]
-        stage.send(req)
+        stage.send(request)
         await asyncio.sleep(0.012)
-        stage.send(req)  # as where no other server has room
+        stage.send(request)  # as where no other server has room
         await asyncio.sleep(0.2)
         assert stage.came_of[id_] == [Outcome.REJECTED, Outcome.SUCCEEDED]
 
@@ -194,9 +194,9 @@
 
 
 async def thaws_late(stage: Stage) -> None:
-    flight = stage.send(stage.request("r"))
-    flight.timer.cancel()
-    flight.expire = stage.now()  # this process stood still until after that
+    attempt = stage.send(stage.request("r"))
+    attempt.timer.cancel()
+    attempt.expires_at = stage.now()  # this process stood still until after that
     await asyncio.sleep(0.5)
     assert stage.came_of == {"r": [Outcome.CONNECT_FAILED]} and stage.ran == []
 
@@ -236,7 +236,7 @@
         stage.send(stage.request("r", bytes(5 * WINDOW)))
         await asyncio.sleep(0.2)
         assert stage.came_of["r"] == [Outcome.SUCCEEDED if status == 200 else Outcome.REJECTED]
-        assert "r" not in stage.ran and not stage.pool.links
+        assert "r" not in stage.ran and not stage.pool.connections
         stage.send(stage.request("n"))
         await asyncio.sleep(0.2)
         assert stage.came_of["n"] == [Outcome.SUCCEEDED] and len(stage.talks) == 2
@@ -326,21 +326,21 @@
     task = town.loop.create_task(town.client.once(ask, town.front))
     await asyncio.sleep(0.05)
     proxy = town.proxy(US)
-    (req,) = [r for r in proxy.reqs.values() if r.request_id == ask.id.encode()]
-    assert any(req.flights)
-    return proxy, req, task
+    (request,) = [r for r in proxy.requests.values() if r.request_id == ask.id.encode()]
+    assert any(request.attempts)
+    return proxy, request, task
 
 
 def fenced(act: str) -> None:
     town = OddCluster([("pause", 50)] if act == "deny" else [("long pause", 0)])
 
     async def work() -> None:
-        proxy, req, task = await held_up(town)
+        proxy, request, task = await held_up(town)
         if act == "deny":
-            proxy.deny(Reject(req.id, "given up", 0))
+            proxy.reject_request(Reject(request.id, "given up", 0))
         else:
-            for srv in proxy.identifiers:
-                proxy.dispatch(SendAttempt(req.id, srv, req.give_up))
+            for endpoint_id in proxy.identifiers:
+                proxy.send_attempt(SendAttempt(request.id, endpoint_id, request.deadline))
         reply = await task
         assert reply.status not in (408, 421, 429, 503)
         assert len(town.book.runs()) <= 1
@@ -418,34 +418,38 @@
 
 def taken_at_once(client: Any, handle: Any = FrontClient.handle) -> None:
     handle(client)
-    client.req = None
+    client.request = None
 
 
-def by_position(link: Any, took: Any = UpstreamConnection.took) -> None:
-    link.machine.fields = link.machine.fields | {
-        b"loomstand-request-id": link.flight.req.request_id
+def by_position(connection: Any, took: Any = UpstreamConnection.response_received) -> None:
+    connection.machine.fields = connection.machine.fields | {
+        b"loomstand-request-id": connection.attempt.request.request_id
     }
-    took(link)
+    took(connection)
 
 
-def without_id_by_position(link: Any, took: Any = UpstreamConnection.took) -> None:
-    took(link) if b"loomstand-request-id" in link.machine.fields else by_position(link, took)
+def without_id_by_position(
+    connection: Any, took: Any = UpstreamConnection.response_received
+) -> None:
+    took(connection) if b"loomstand-request-id" in connection.machine.fields else by_position(
+        connection, took
+    )
 
 
-def used_after_a_silence(pool: Any, flight: Any, why: Ending) -> None:
-    if flight.link is not None and flight.link.flight is flight:
-        flight.link.wire.stop(why)  # and the others stay
+def used_after_a_silence(pool: Any, attempt: Any, why: Ending) -> None:
+    if attempt.connection is not None and attempt.connection.attempt is attempt:
+        attempt.connection.wire.stop(why)  # and the others stay
 
 
-def same_connection(pool: Any, flight: Any, send: Any = UpstreamPool.send) -> None:
-    flight.req.met = ()
-    send(pool, flight)
+def same_connection(pool: Any, attempt: Any, send: Any = UpstreamPool.send) -> None:
+    attempt.request.met = ()
+    send(pool, attempt)
 
 
-def kept_early(link: Any, close: bool) -> None:
-    link.flight = None
-    link.machine.reset()
-    link.pool.keep(link)
+def kept_early(connection: Any, close: bool) -> None:
+    connection.attempt = None
+    connection.machine.reset()
+    connection.pool.keep(connection)
 
 
 def reset_proves(ending: Ending, written: bool) -> Outcome:
@@ -455,16 +459,21 @@
 
 
 def refused_anyhow(proxy: Any, act: Any) -> None:
-    proxy.answer(proxy.reqs[act.request_id], 503)
+    proxy.answer(proxy.requests[act.request_id], 503)
 
 
 AHEAD = surplus(SURPLUS["again"], ahead=True)
 NOBODYS = surplus(SURPLUS["nobody's refusal"], ahead=True)
 MUTANTS: dict[str, tuple[Any, str, Any, Callable[[], None]]] = {
-    "match by position": (UpstreamConnection, "took", by_position, lambda: staged(AHEAD)),
+    "match by position": (
+        UpstreamConnection,
+        "response_received",
+        by_position,
+        lambda: staged(AHEAD),
+    ),
     "match by position where there is no id": (
         UpstreamConnection,
-        "took",
+        "response_received",
         without_id_by_position,
         lambda: staged(NOBODYS),
     ),
@@ -489,7 +498,7 @@
     ),
     "an early answer's connection is kept": (
         UpstreamConnection,
-        "done",
+        "finish_response",
         kept_early,
         lambda: staged(answered_early(503)),
     ),
@@ -497,7 +506,7 @@
     "sent past its deadline": (
         UpstreamConnection,
         "opened",
-        Link.opened,
+        ServerConnection.opened,
         lambda: staged(thaws_late),
     ),
     "the next request is taken up while one is out": (
@@ -506,11 +515,11 @@
         taken_at_once,
         lambda: odd(not_waiting),
     ),
-    "a refusal while it is out": (Proxy, "deny", refused_anyhow, lambda: fenced("deny")),
+    "a refusal while it is out": (Proxy, "reject_request", refused_anyhow, lambda: fenced("deny")),
     "a second sending while one is out": (
         Proxy,
-        "try_limit",
-        lambda proxy, req: 9,
+        "attempt_limit",
+        lambda proxy, request: 9,
         lambda: fenced("dispatch"),
     ),
 }
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -163,7 +163,7 @@
         town.proxies[ip].kill()
         town.proxies[ip].start()
         ready = await town.until(
-            lambda: bool(town.proxies[ip].programs) and town.proxy(ip).able, 6.0
+            lambda: bool(town.proxies[ip].programs) and town.proxy(ip).is_ready, 6.0
         )
         held = town.proxy(ip).table.version
         town.sky.mend()
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -259,7 +259,7 @@
 @then("it has the newest configuration when it is first ready")
 def _(town):
     proxy = town.proxy(first(town))
-    town.do(town.until(lambda: proxy.able, 8.0))
+    town.do(town.until(lambda: proxy.is_ready, 8.0))
     assert proxy.table.version == town.version
     town.do(at_all(town, NEW, 200, only=first(town)))
 
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -882,10 +882,10 @@
             config.parse_limiter_config(json.dumps(file).encode(), {}), Virtual()
         )
         here = Streams(cables, HOST, Life())
-        limiter.front.bind, limiter.pool.connect = here.listen, here.connect
+        limiter.listener.bind, limiter.pool.connect = here.listen, here.connect
         for ip in SERVER_IPS:
             await Streams(cables, ip, Life()).listen(loop, SimulatedServer, (ip, 80))
-        await limiter.front.listen((HOST, 80))
+        await limiter.listener.listen((HOST, 80))
         loop.call_later(1.0, limiter.sweep)
         client = Streams(cables, "10.9.0.1", Life())
 
