--- a/benchmarks/scale_hollow.py
+++ b/benchmarks/scale_hollow.py
@@ -2,7 +2,7 @@
 path.
 
 Many in one process (`python -m benchmarks.scale_hollow`, started by `scale_run`). A hollow limiter
-is the proxy's own `Sessions`, `InstanceView`, `SharedClock`, `Told` and counting, on a `TcpNetwork`
+is the proxy's own `Sessions`, `InstanceView`, `SharedClock` and `CounterClient`, on a `TcpNetwork`
 of its own, so with connections of its own; it has no listener, no module and no request. A hollow
 server is its heartbeats by HTTP/1.1 on a connection that it keeps. Orders come as lines of JSON on
 standard input and are answered on standard output; the process ends with its input. Besides,
@@ -17,6 +17,7 @@
 import sys
 import time
 from collections import Counter
+from collections.abc import Sequence
 from dataclasses import replace
 from random import Random
 from typing import Any
@@ -28,13 +29,14 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.config.settings import Settings, parse_settings
 from loomstand.config.units import format_address
-from loomstand.proxy.counter_replay import CounterReplay
+from loomstand.proxy.counter_client import CounterClient
 from loomstand.proxy.instance_view import InstanceView
-from loomstand.proxy.program import Proxy
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import SharedClock
-from loomstand.registry.instances import DRAINING, GONE, READY, Row
+from loomstand.registry.instances import DRAINING, GONE, READY
 from loomstand.rpc import tcp_network
+from loomstand.rpc.messages.rows import InstanceRow
+from loomstand.rpc.messages.session_messages import LimiterSetRow, TenantTotalRow
 from loomstand.rpc.network import Address, Body
 
 INTERVAL = 2.0  # s, of a count's name: a burst of twice the rate, as at the sites
@@ -88,22 +90,15 @@
 
 
 class HollowLimiter:
-    """One limiter without a traffic path. It hears what `proxy.sessions.Hears` lists."""
-
-    # the proxy's own code: a step to the counter, and again what it lacks of the steps before
-    count, counting = Proxy.count, Proxy.counting
+    """One limiter without a traffic path. It hears what `proxy.sessions.SessionListener` lists."""
 
     def __init__(self, settings: Settings, wire: Wire, seen: Seen, rng: Random) -> None:
         self.loop = asyncio.get_running_loop()
-        self.seen, self.lists, self.common, self.told = (
-            seen,
-            InstanceView(),
-            SharedClock(),
-            CounterReplay(),
-        )
+        self.seen, self.lists, self.common = seen, InstanceView(), SharedClock()
         self.network = HollowNetwork(wire)
         self.sessions = Sessions(settings, self.network, self.loop.time, rng, self)
-        self.counting_tasks: set[asyncio.Task[None]] = set()
+        # the proxy's own code: a step to the counter, and again what it lacks of the steps before
+        self.counter_client = CounterClient(self.sessions, self.loop, self.now, self.counted)
         self.served: set[str] = set()
         self.fleet = (0, 0, 0)
         self.sure = False
@@ -119,9 +114,11 @@
 
     # from the registries
 
-    def servers(self, registry: str, rows: list[Row], anew: bool) -> None:
-        for id_ in self.lists.told(registry, rows, anew):
-            use = self.lists.servers[id_].use
+    def update_instances(
+        self, registry: str, rows: Sequence[InstanceRow], is_new_session: bool
+    ) -> None:
+        for id_ in self.lists.update(registry, rows, is_new_session):
+            use = self.lists.instances[id_].availability
             if use == READY:
                 self.served.add(id_)
             else:
@@ -130,34 +127,34 @@
                     self.seen.gone(id_)
         self.seen.look(self)
 
-    def limiters(self, me: int, many: int, silent: int) -> None:
-        self.fleet = (me, many, silent)
+    def update_limiters(self, limiters: LimiterSetRow) -> None:
+        self.fleet = (limiters.rank, limiters.total, limiters.silent)
 
-    def configured(self, version: int, data: bytes) -> bool:
+    def apply_configuration(self, version: int, data: bytes) -> bool:
         self.seen.forced(version)  # what a proxy does then, it does in a process of its own
         self.seen.size = len(data)
         self.seen.look(self)
         return True
 
-    def full(self, totals: list[list[float]]) -> None:
+    def update_tenant_totals(self, totals: Sequence[TenantTotalRow]) -> None:
         self.seen.full += 1
 
-    def clock_told(self, clock: int | None, sure: bool) -> None:
-        self.sure = self.sure or sure
-        if clock is not None:
-            self.common.heard(clock, self.now())
+    def update_clock(self, shared_clock: int | None, is_current: bool) -> None:
+        self.sure = self.sure or is_current
+        if shared_clock is not None:
+            self.common.observe(shared_clock, self.now())
         self.seen.look(self)
 
-    def common_clock(self) -> int | None:
-        return self.now() + self.common.shift if self.common.known else None
+    def shared_clock_reading(self) -> int | None:
+        return self.now() + self.common.offset if self.common.is_set else None
 
     # counts
 
     def step(self, tenant: int) -> None:
         """One step of a tenant's use, as the module would have it counted."""
-        k = (self.now() + self.common.shift) // round(INTERVAL * 10_000)
+        k = (self.now() + self.common.offset) // round(INTERVAL * 10_000)
         name = tenant << 15 | k % NAMES
-        self.count(IncrementCounter(name, 1.0, round(KEEP * 10_000)))
+        self.counter_client.increment(IncrementCounter(name, 1.0, round(KEEP * 10_000)))
 
     def counted(self, name: int, outcome: Outcome, total: float, took: int) -> None:
         passed = outcome is Outcome.SUCCEEDED
@@ -195,7 +192,7 @@
         """Notes when a limiter has the configuration, all servers, and that these are the
         newest.
         """
-        known = limiter.sure and limiter.sessions.version >= self.version
+        known = limiter.sure and limiter.sessions.configuration.version >= self.version
         if limiter not in self.whole and known and len(limiter.served) >= self.servers:
             self.whole[limiter] = time.monotonic()
 
@@ -481,7 +478,7 @@
             "forced": {str(version): sorted(at) for version, at in seen.forced_at.items()},
             "gone": {id_: sorted(at) for id_, at in seen.gone_at.items()},
             "known": sum(len(limiter.served) for limiter in self.limiters),
-            "standing": sum(len(limiter.sessions.standing) for limiter in self.limiters),
+            "standing": sum(len(limiter.sessions.last_answer_at) for limiter in self.limiters),
             "fleet": max((limiter.fleet[1] for limiter in self.limiters), default=0),
             "counted": passed,
             "uncounted": sum(limiter.counts["failed"] for limiter in self.limiters),
@@ -504,7 +501,7 @@
                 server.task.cancel()
             server.close()
         for limiter in self.limiters:
-            for task in limiter.sessions.cores.values():
+            for task in limiter.sessions.tasks.values():
                 task.cancel()
             limiter.close()
         return {}
--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -7,7 +7,7 @@
 from loomstand.limiter import event_loop, http_parser
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Listens, Wire
-from loomstand.limiter.protocols import Asked, Takes
+from loomstand.limiter.protocols import Asked, Asker, Takes
 
 STAYS = 2.0  # LATER: a connection with no open request may be closed after 2 s
 
@@ -153,8 +153,8 @@
 
     def __init__(self, limiter: Takes, at_once: int, sockets: int) -> None:
         self.limiter, self.at_once, self.sockets = limiter, at_once, sockets
-        # PROTOCOL: for requests clients hold a third of the descriptors at most, which those that ask
-        # once and stay would use up; half of it is left to usual ones
+        # PROTOCOL: for requests clients hold a third of the descriptors at most, which those that
+        # ask once and stay would use up; half of it is left to usual ones
         self.most_held = sockets // 6
         self.idle_timeout_seconds, self.own_paths = STAYS, True
         self.max_body_bytes, self.max_header_bytes = http_parser.MOST_BODY, http_parser.MOST_HEAD
@@ -178,8 +178,8 @@
             if len(self.clients) > self.most_held:
                 self.close_idle(client)
         elif not self.limiter.make_room(client):
-            # it is turned away once its request is read: an answer ahead of it could not be told from a
-            # lost one
+            # it is turned away once its request is read: an answer ahead of it could not be told
+            # from a lost one
             client.surplus = True
             self.limiter.endings["client surplus"] += 1
             if short > self.at_once:
@@ -192,7 +192,7 @@
         if self.clients.pop(client, self) is None:
             self.clients[client] = None
 
-    def close_idle(self, spared: Client | None = None) -> bool:
+    def close_idle(self, spared: Asker | None = None) -> bool:
         """Closes the connection that has been idle longest, if there is one on which nothing has
         come.
         """
@@ -202,7 +202,7 @@
                 return True
         return False
 
-    def close_silent(self, spared: Client | None, within: float) -> bool:
+    def close_silent(self, spared: Asker | None, within: float) -> bool:
         """Closes the oldest connection that has never sent anything, if there is one older than
         that.
         """
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -1,5 +1,5 @@
-"""What every limiter on sockets does, whatever its clients speak: requests, their dispatches and their
-ends.
+"""What every limiter on sockets does, whatever its clients speak: requests, their dispatches and
+their ends.
 """
 
 from __future__ import annotations
@@ -8,6 +8,7 @@
 import time
 from collections import Counter as Tally
 from collections.abc import Callable
+from typing import Any, Generic
 
 from loomstand.admission.actions import (
     Abort,
@@ -31,22 +32,23 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import Room
-from loomstand.limiter.client_connection import Client, ClientListener
+from loomstand.limiter.client_connection import ClientListener
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Turns, Untimed
-from loomstand.limiter.request import Attempt, Request
+from loomstand.limiter.protocols import Asker
+from loomstand.limiter.request import Attempt, RequestT
 from loomstand.limiter.upstream import ConnectionPool
 
 TOLD_EVERY = 10  # seconds between lines about connections
 
 
-class GatewayCore:
-    """The listener, the pool and the module of one limiter, and the requests between them. A limiter gives
-    `listener`, `pool`, `engine` and how its answers look.
+class GatewayCore(Generic[RequestT]):
+    """The listener, the pool and the module of one limiter, and the requests between them. A
+    limiter gives `listener`, `pool`, `engine` and how its answers look.
     """
 
     listener: ClientListener
-    pool: ConnectionPool
+    pool: ConnectionPool[RequestT]
     engine: DecisionEngine
     patience: float  # seconds for a message that is slow to come in, or an answer that isn't taken
 
@@ -65,13 +67,13 @@
         self.most_answer = max(http_parser.MOST_BODY, self.room.left // 64)
         self.spare = sockets // 10
         self.sockets = sockets - 2 * self.spare
-        self.requests: dict[int, Request] = {}
+        self.requests: dict[int, RequestT] = {}
         self.last, self.is_ready = 0, False
         # of connections to others since the last line about them
         self.endings: Tally[str] = Tally()
         self.swept = 0
         self.stopped = asyncio.Event()
-        self.action_handlers: dict[type, Callable] = {
+        self.action_handlers: dict[type, Callable[[Any], None]] = {
             SendAttempt: self.send_attempt,
             Reject: self.reject_request,
             Abort: self.abort,
@@ -121,7 +123,8 @@
         self.swept += 1
         if self.swept % TOLD_EVERY == 0:
             ends = ", ".join(f"{why} {n}" for why, n in sorted(self.endings.items())) or "none"
-            held = f"{len(self.listener.clients)} from clients, {len(self.pool.connections)} to servers"
+            clients, servers = len(self.listener.clients), len(self.pool.connections)
+            held = f"{clients} from clients, {servers} to servers"
             work = f"{time.process_time():.2f} s of CPU, {self.turns.count} turns"
             self.log(f"connections: {held}; ended: {ends}; {work} since the start")
             self.endings.clear()
@@ -132,7 +135,7 @@
         """How many more connections may be open; below 0 where there are too many."""
         return self.sockets - len(self.listener.clients) - len(self.pool.connections)
 
-    def make_room(self, spared: Client | None = None) -> bool:
+    def make_room(self, spared: Asker | None = None) -> bool:
         """Closes a connection: of a client that has said nothing so far, else an idle one, to a
         server rather than of a client, which may be about to use it, else of a client that is stuck
         within a message.
@@ -172,7 +175,7 @@
 
     # from clients
 
-    def track_request(self, request: Request, client: Client, timeout: int, at: float) -> None:
+    def track_request(self, request: RequestT, client: Asker, timeout: int, at: float) -> None:
         """From here on the request is owed an answer; it is given up `timeout` tenths after its
         sending.
         """
@@ -184,14 +187,14 @@
         request.id, request.client, client.request = self.last, client, request
         self.requests[request.id] = request
 
-    def client_disconnected(self, request: Request) -> None:
+    def client_disconnected(self, request: RequestT) -> None:
         request.client = None
         self.handle_event(ClientDisconnected(request.id))
         self.forget_request(request)
 
     # from servers
 
-    def finish_attempt(self, attempt: Attempt) -> Request:
+    def finish_attempt(self, attempt: Attempt[RequestT]) -> RequestT:
         """A dispatch is out no more."""
         if attempt.timer is not None:
             attempt.timer.cancel()
@@ -199,7 +202,9 @@
         attempt.request.attempts[attempt.number] = None
         return attempt.request
 
-    def report_attempt(self, attempt: Attempt, outcome: Outcome, metered: int = 0) -> None:
+    def report_attempt(
+        self, attempt: Attempt[RequestT], outcome: Outcome, metered: int = 0
+    ) -> None:
         """Tells the module, once the client has its answer if this was one."""
         request = attempt.request
         took = max(0, self.now() - attempt.sent_at)
@@ -212,7 +217,7 @@
         self.forget_request(request)
 
     def attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, metered: int = 0, body: bytes = b""
+        self, attempt: Attempt[RequestT], outcome: Outcome, metered: int = 0, body: bytes = b""
     ) -> None:
         """A dispatch has ended."""
         raise NotImplementedError
@@ -229,7 +234,9 @@
         for act in actions:
             self.action_handlers[type(act)](act)
 
-    def attempt(self, request: Request, endpoint_id: int, expires_at: int) -> Attempt:
+    def new_attempt(
+        self, request: RequestT, endpoint_id: int, expires_at: int
+    ) -> Attempt[RequestT]:
         return Attempt(request, len(request.attempts), endpoint_id, self.now(), expires_at)
 
     def send_attempt(self, act: SendAttempt) -> None:
@@ -237,7 +244,7 @@
         if request is None:
             return
         expires_at = min(act.expires_at, request.deadline)
-        attempt = self.attempt(request, act.endpoint_id, expires_at)
+        attempt = self.new_attempt(request, act.endpoint_id, expires_at)
         request.attempts.append(attempt)
         if (
             request.client is None
@@ -251,7 +258,7 @@
         )
         self.pool.send(attempt)
 
-    def attempt_limit(self, request: Request) -> int:
+    def attempt_limit(self, request: RequestT) -> int:
         """How many dispatches the request may have."""
         raise NotImplementedError
 
@@ -264,13 +271,13 @@
         ):
             self.pool.give_up(request.attempts[act.attempt], Ending.CALLED_OFF)
 
-    def answer(self, request: Request, status: int, body: bytes = b"", extra: str = "") -> None:
+    def answer(self, request: RequestT, status: int, body: bytes = b"", extra: str = "") -> None:
         client, request.client = request.client, None
         client.answer(status, body, extra)
         if client.wire.inbound.used:
             self.loop.call_soon(client.next)
 
-    def forget_request(self, request: Request) -> None:
+    def forget_request(self, request: RequestT) -> None:
         if (
             request.client is None
             and not any(request.attempts)
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -19,7 +19,7 @@
 from loomstand.limiter.event_loop import Turns
 from loomstand.limiter.gateway_core import GatewayCore
 from loomstand.limiter.log import Log
-from loomstand.limiter.request import AccountRequest, Attempt, Names, Request
+from loomstand.limiter.request import AccountRequest, Attempt, Names
 from loomstand.limiter.upstream import ConnectionPool
 
 PHASES = {
@@ -33,7 +33,7 @@
 )
 
 
-class Limiter(GatewayCore):
+class Limiter(GatewayCore[AccountRequest]):
     """Everything of one limiter. `run` serves until it is told to stop."""
 
     def __init__(self, config: LimiterConfig, turns: Turns | None = None) -> None:
@@ -118,7 +118,7 @@
     def linger_seconds(self) -> float:
         return LINGER
 
-    def attempt_limit(self, request: Request) -> int:
+    def attempt_limit(self, request: AccountRequest) -> int:
         return self.settings.attempt_limit
 
     def on_sweep(self) -> None:
@@ -223,7 +223,11 @@
     # from servers
 
     def attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, metered: int = 0, body: bytes = b""
+        self,
+        attempt: Attempt[AccountRequest],
+        outcome: Outcome,
+        metered: int = 0,
+        body: bytes = b"",
     ) -> None:
         request = self.finish_attempt(attempt)
         if outcome is Outcome.SUCCEEDED and request.client is not None:
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -6,13 +6,15 @@
 
 import asyncio
 from collections import Counter as Tally
-from typing import Protocol
+from typing import Any, Protocol, TypeVar
 
 from loomstand.admission.outcome import Outcome
 from loomstand.config.limiter import BackendList
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import Room
 
+AttemptT_contra = TypeVar("AttemptT_contra", contravariant=True)
+
 
 class Clock(Protocol):
     """What bounds the time at which bytes came; `driver.Turns`."""
@@ -62,27 +64,30 @@
     def make_room(self, spared: Asker | None = None) -> bool: ...
 
 
-class Sends(Bounded, Protocol):
+class Sends(Bounded, Protocol[AttemptT_contra]):
     """Connections to servers."""
 
     def now(self) -> int: ...
 
     def attempt_ended(
-        self, attempt: Sent, outcome: Outcome, metered: int = 0, body: bytes = b""
+        self, attempt: AttemptT_contra, outcome: Outcome, metered: int = 0, body: bytes = b""
     ) -> None: ...
 
 
 class Takes(Bounded, Protocol):
     """Connections of clients."""
 
-    turns: Clock
     is_ready: bool
 
+    @property
+    def turns(self) -> Clock: ...
+
     def request_received(
         self, client: Asker, machine: http_parser.RequestReceiver, at: float
     ) -> None: ...
 
-    def client_disconnected(self, request: Asked) -> None: ...
+    # of the limiter's own class of requests, as `request_received` has set it at the client
+    def client_disconnected(self, request: Any) -> None: ...  # noqa: ANN401
 
 
 class Asker(Protocol):
@@ -104,14 +109,9 @@
 
 
 class Carrier(Protocol):
-    """A connection to a server, as a dispatch sees it."""
+    """A connection to a server, as an attempt sees it."""
 
-    def write(self) -> None: ...
+    attempt: Any
+    wire: Any  # the connection's `event_loop.Wire`
 
-
-class Sent(Protocol):
-    """A dispatch on its way, as the limiter hands it over and gets it back."""
-
-    expires_at: int
-    number: int
-    endpoint_id: int
+    def write(self) -> None: ...
--- a/loomstand/limiter/request.py
+++ b/loomstand/limiter/request.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 import re
+from asyncio import TimerHandle
 from collections.abc import Container
 from functools import lru_cache
+from typing import Any, Generic, TypeVar
 
 from loomstand.admission.identifiers import stable_digest
 from loomstand.admission.settings import EngineSettings
@@ -57,17 +59,23 @@
         return int(account, 16), stable_digest(account.decode().lower())
 
 
+RequestT = TypeVar("RequestT", bound="Request")
+
+
 class Request:
     """A message that is owed its answer, or whose dispatches are still out."""
 
-    __slots__ = ("body", "client", "fields", "attempts", "deadline", "head", "id", "line")
+    __slots__ = ("attempts", "body", "client", "deadline", "fields", "head", "id", "line")
 
     def __init__(self, machine: RequestReceiver) -> None:
-        self.fields, self.body = machine.fields, machine.body
-        self.line, self.head = (machine.method, machine.target), b""
-        self.id = self.deadline = 0
+        self.fields: dict[bytes, bytes] = machine.fields
+        self.body: bytes = machine.body
+        self.line: tuple[bytes, bytes] = (machine.method, machine.target)
+        self.head = b""
+        self.id: int = 0
+        self.deadline: int = 0
         self.client: Asker | None = None
-        self.attempts: list[Attempt | None] = []
+        self.attempts: list[Attempt[Any] | None] = []
 
     def onward(self, left_out: Container[bytes]) -> bytes:
         """The head for a server, without its last line; `left_out` names the fields that don't go
@@ -115,13 +123,13 @@
         return b"%brequest-timeout-ms: %d\r\n\r\n%b" % (self.onward(OWN_FIELDS), wait, self.body)
 
 
-class Attempt:
+class Attempt(Generic[RequestT]):
     """A dispatch on its way."""
 
-    __slots__ = ("expires_at", "connection", "number", "request", "sent_at", "endpoint_id", "timer")
+    __slots__ = ("connection", "endpoint_id", "expires_at", "number", "request", "sent_at", "timer")
 
     def __init__(
-        self, request: Request, number: int, endpoint_id: int, sent_at: int, expires_at: int
+        self, request: RequestT, number: int, endpoint_id: int, sent_at: int, expires_at: int
     ) -> None:
         self.request, self.number, self.endpoint_id, self.sent_at, self.expires_at = (
             request,
@@ -131,7 +139,7 @@
             expires_at,
         )
         self.connection: Carrier | None = None
-        self.timer = None
+        self.timer: TimerHandle | None = None
 
     def raw(self, wait: int) -> bytes:
         """The bytes for its server; `wait` is how long the answer is waited for, in ms."""
--- a/loomstand/limiter/upstream.py
+++ b/loomstand/limiter/upstream.py
@@ -3,34 +3,35 @@
 from __future__ import annotations
 
 from math import inf
+from typing import Any, Generic
 
 from loomstand.admission.outcome import Outcome
 from loomstand.limiter import event_loop, http_parser
 from loomstand.limiter.endings import Ending, answered, outcome
 from loomstand.limiter.event_loop import Wire
 from loomstand.limiter.protocols import Sends
-from loomstand.limiter.request import Attempt
+from loomstand.limiter.request import Attempt, RequestT
 
 
-class ServerConnection:
+class ServerConnection(Generic[RequestT]):
     """A connection to a server: one dispatch at a time."""
 
     __slots__ = (
         "attempt",
+        "endpoint_id",
         "idle_at",
+        "idle_timeout_seconds",
         "machine",
         "pool",
         "sent",
-        "endpoint_id",
-        "idle_timeout_seconds",
         "wire",
     )
 
-    def __init__(self, pool: ConnectionPool, endpoint_id: int) -> None:
+    def __init__(self, pool: ConnectionPool[RequestT], endpoint_id: int) -> None:
         self.pool, self.endpoint_id, self.sent = pool, endpoint_id, False
         self.machine = http_parser.ResponseReceiver(pool.limiter.most_answer)
         self.wire = Wire(self, pool.limiter.room, pool.limiter.most_answer + http_parser.MOST_HEAD)
-        self.attempt: Attempt | None = None
+        self.attempt: Attempt[RequestT] | None = None
         self.idle_at, self.idle_timeout_seconds = (
             0.0,
             inf,
@@ -88,22 +89,24 @@
             self.pool.limiter.attempt_ended(attempt, outcome(why, self.sent and self.wire.written))
 
 
-class ConnectionPool:
+class ConnectionPool(Generic[RequestT]):
     """Connections to all servers."""
 
-    connection_type: type[ServerConnection] = ServerConnection
+    connection_type: type[ServerConnection[Any]] = ServerConnection
     connect = staticmethod(event_loop.connect)  # or another way, as `driver.Streams` has it
 
-    def __init__(self, limiter: Sends, connect_timeout: float, idle_close: float) -> None:
+    def __init__(
+        self, limiter: Sends[Attempt[RequestT]], connect_timeout: float, idle_close: float
+    ) -> None:
         self.limiter, self.connect_timeout = limiter, connect_timeout
-        # A connection is not used again so near its idle close that a request could cross it; a server
-        # that can't be reached within the time for a connect is taken for gone, so no request travels
-        # longer.
+        # A connection is not used again so near its idle close that a request could cross it; a
+        # server that can't be reached within the time for a connect is taken for gone, so no
+        # request travels longer.
         self.idle_most = max(0.0, idle_close - connect_timeout)
         self.addresses: dict[int, tuple[str, int]] = {}
         # by server, as another may come to its address; last used last
-        self.idle: dict[int, list[ServerConnection]] = {}
-        self.connections: dict[ServerConnection, None] = {}
+        self.idle: dict[int, list[ServerConnection[RequestT]]] = {}
+        self.connections: dict[ServerConnection[RequestT], None] = {}
 
     def set_address(self, endpoint_id: int, address: tuple[str, int] | None) -> None:
         """Where a server listens; None when it is gone."""
@@ -116,7 +119,7 @@
             for connection in list(self.idle.get(endpoint_id, ())):
                 self.shut(connection, Ending.IDLE)
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: Attempt[RequestT]) -> None:
         address = self.addresses.get(attempt.endpoint_id)
         if address is None:
             self.limiter.loop.call_soon(self.limiter.attempt_ended, attempt, Outcome.NOT_SENT)
@@ -142,7 +145,7 @@
         self.board(connection, attempt)
         self.connect(self.limiter.loop, connection.wire, address, self.connect_timeout)
 
-    def board(self, connection: ServerConnection, attempt: Attempt) -> None:
+    def board(self, connection: ServerConnection[RequestT], attempt: Attempt[RequestT]) -> None:
         connection.attempt, attempt.connection, connection.sent = attempt, connection, False
 
     def close_idle(self) -> bool:
@@ -156,7 +159,7 @@
             self.shut(old, Ending.IDLE)
         return old is not None
 
-    def give_up(self, attempt: Attempt, why: Ending) -> None:
+    def give_up(self, attempt: Attempt[RequestT], why: Ending) -> None:
         """Stops waiting: its connection is closed, and those on which nothing came since it was
         sent: the machine may be gone, which a new connect proves, while what is written to an old
         one may have run.
@@ -171,18 +174,18 @@
                     self.shut(other, Ending.IDLE)
             connection.wire.stop(why)
 
-    def keep(self, connection: ServerConnection) -> None:
+    def keep(self, connection: ServerConnection[RequestT]) -> None:
         if connection.endpoint_id not in self.addresses:  # gone meanwhile
             self.shut(connection, Ending.IDLE)
             return
         connection.idle_at = self.limiter.loop.time()
         self.idle.setdefault(connection.endpoint_id, []).append(connection)
 
-    def shut(self, connection: ServerConnection, why: Ending) -> None:
+    def shut(self, connection: ServerConnection[RequestT], why: Ending) -> None:
         connection.wire.drop(why)
         self.lost(connection)
 
-    def lost(self, connection: ServerConnection) -> None:
+    def lost(self, connection: ServerConnection[RequestT]) -> None:
         self.connections.pop(connection, None)
         idle = self.idle.get(connection.endpoint_id)
         if idle and connection in idle:
--- a/loomstand/proxy/__main__.py
+++ b/loomstand/proxy/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m loomstand.proxy`: the proxy on its machine."""
+"""Starts the proxy on its machine: `python -m loomstand.proxy`."""
 
 from random import Random
 
@@ -9,8 +9,9 @@
 from loomstand.rpc.tcp_network import TcpNetwork
 
 
-async def make(settings: Settings, turns: Turns) -> Proxy:
+async def make_proxy(settings: Settings, turns: Turns) -> Proxy:
+    """Makes the proxy, inside the event loop that it will run on."""
     return Proxy(settings, TcpNetwork(), Random(), turns)
 
 
-run_program(make)
+run_program(make_proxy)
--- /dev/null
+++ b/loomstand/proxy/admission_adapter.py
@@ -0,0 +1,321 @@
+"""Joins clients' requests with the decision engine.
+
+Requests become events of the engine, and its actions become attempts and answers. Which tenant a
+request belongs to, by which route it goes, and whether its tenant has a credit is decided before
+the engine is asked. Uses sockets by its base class alone.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from absl import logging
+
+from loomstand.admission.actions import (
+    QUOTA_EXHAUSTED,
+    QUOTA_PROBABLY_EXHAUSTED,
+    RATE_LIMITED,
+    Abort,
+    IncrementCounter,
+    Reject,
+)
+from loomstand.admission.decision_engine import DecisionEngine
+from loomstand.admission.events import EndpointsUpdated, RequestArrived
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.ticks import TICKS_PER_SECOND
+from loomstand.config.routes import RouteTable
+from loomstand.config.settings import Settings
+from loomstand.limiter.client_connection import ClientListener
+from loomstand.limiter.event_loop import Streams, Turns
+from loomstand.limiter.gateway_core import GatewayCore
+from loomstand.limiter.http_parser import RequestReceiver
+from loomstand.limiter.protocols import Asker
+from loomstand.limiter.request import Attempt
+from loomstand.proxy.configuration_updates import ConfigurationUpdates
+from loomstand.proxy.counter_client import CounterClient
+from loomstand.proxy.credit_client import CreditClient
+from loomstand.proxy.endpoint_updates import EndpointUpdates
+from loomstand.proxy.policy_compiler import PUBLIC_PLAN, PolicyCompiler
+from loomstand.proxy.quota_credits import QuotaCredits
+from loomstand.proxy.request import ProxyAttempt, ProxyRequest
+from loomstand.proxy.startup import RequestQueue, StartupConditions
+from loomstand.proxy.upstream import UpstreamPool
+from loomstand.rpc.messages.session_messages import LimiterSetRow
+
+# Within a region a connection comes up in 3 ms and a server takes one more; where it doesn't in
+# this time the machine is gone or partitioned, and the request has time for another server.
+CONNECT_TIMEOUT_SECONDS = 0.25
+MAX_IDLE_SECONDS = 60.0  # that a connection to a server is kept, whatever the server states
+STALL_TIMEOUT_SECONDS = 10.0  # for a message that is slow to come in, an answer that isn't taken
+FIXED_SOCKETS = 300  # 200 are reserved; sessions, files, the loop's own, and room for errors
+# Advice to clients, in seconds: after a request for whose body there was no memory, ...
+MEMORY_RETRY_SECONDS = 0.15
+# ... and after one that came before there was a configuration.
+NO_CONFIGURATION_RETRY_SECONDS = 0.3
+MIN_QUOTA_RETRY_SECONDS = 0.05
+# A request that found the servers full may be sent again after this share of its route's latency
+# target, drawn between the two: the queue has moved on by then, and those rejected together don't
+# come back together.
+OVERLOAD_RETRY_SHARES = (0.35, 0.65)
+# After a start of all, the counting registry too, credits come by the quota's rate alone: a request
+# waits for one for less than the quarter of its route's latency target in which nothing is lost.
+CREDIT_WAIT_SHARE = 0.2
+QUOTA_REASONS = {QUOTA_EXHAUSTED, QUOTA_PROBABLY_EXHAUSTED, RATE_LIMITED}
+# An attempt that ended this many ticks before the deadline or later is taken for a time-out.
+TIMEOUT_MARGIN_TICKS = 100
+NOT_RUN_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+NOT_FOUND = 404
+UNAUTHORIZED = 401
+TOO_MANY_REQUESTS = 429
+BAD_GATEWAY = 502
+UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
+
+
+class AdmissionAdapter(GatewayCore[ProxyRequest]):
+    """Admits clients' requests and carries out what the decision engine decides of them.
+
+    Attributes:
+        settings: The settings file's settings.
+        rng: Draws services by weight, and advice to clients.
+        limiters: The limiters that share the quotas.
+        policy: Indices and settings of the decision engine.
+        endpoints: The servers.
+        credits: The credits of tenants that have a quota.
+        configuration: The configuration in force.
+        startup: What requests wait for at a start.
+        queue: The requests that do.
+        credit_client: Requests credits; set by the program.
+        counter_client: Increments counters; set by the program.
+    """
+
+    pool: UpstreamPool
+    credit_client: CreditClient
+    counter_client: CounterClient
+
+    def __init__(
+        self, settings: Settings, rng: Random, turns: Turns | None, streams: Streams | None
+    ) -> None:
+        """See `Proxy`."""
+        limits = settings.limits
+        sockets = limits.file_descriptors - FIXED_SOCKETS
+        super().__init__(logging.info, turns, limits.memory_mb // 2, sockets)
+        self.settings = settings
+        self.rng = rng
+        self.listener = ClientListener(self, self.spare, limits.file_descriptors)
+        self.listener.own_paths = False
+        self.pool = UpstreamPool(self, CONNECT_TIMEOUT_SECONDS, MAX_IDLE_SECONDS)
+        if streams is not None:
+            self.listener.bind = streams.listen
+            self.pool.connect = streams.connect
+        self.patience = STALL_TIMEOUT_SECONDS
+        self.limiters = LimiterSetRow(rank=0, total=1, silent=0)
+        self.policy = PolicyCompiler(settings.bounds, list(settings.zones), settings.zone)
+        self.endpoints = EndpointUpdates(self.policy, self.pool)
+        self.engine = self.start_engine()
+        now = self.loop.time()
+        self.credits = QuotaCredits(settings.bounds, rng.getrandbits(32), now)
+        self.configuration = ConfigurationUpdates(self.policy, self.credits)
+        self.startup = StartupConditions(
+            self.loop.time, self.configuration, self.endpoints, self.credits
+        )
+        self.queue = RequestQueue(self.loop, self.startup, self.admit)
+
+    def start_engine(self) -> DecisionEngine:
+        """Returns a decision engine as it is at the start."""
+        settings = self.policy.engine_settings(self.limiters)
+        return DecisionEngine(settings, self.rng.getrandbits(64), self.now())
+
+    # events: requests of clients
+
+    def request_received(self, client: Asker, machine: RequestReceiver, at: float) -> None:
+        """Admits a request that arrived, or lets it wait for the end of the start.
+
+        Args:
+            client: The client's connection; from here on it is owed one answer.
+            machine: The parser that holds the message.
+            at: When it arrived, by the event loop's clock.
+
+        Raises:
+            Malformed: The request isn't proper.
+        """
+        request = ProxyRequest(machine)
+        request.client = client
+        client.request = request
+        if self.startup.are_met(request):
+            self.admit(request, at)
+        else:
+            self.queue.add(request, at)
+
+    def admit(self, request: ProxyRequest, arrived_at: float, has_waited: bool = False) -> None:
+        """Hands a request to the decision engine, or answers it at once."""
+        client = request.client
+        if client is None:
+            return
+        table = self.configuration.table
+        if table is None:
+            self._answer_retry(request, UNAVAILABLE, f"{NO_CONFIGURATION_RETRY_SECONDS}")
+            return
+        if not self._find_route(table, request):
+            return
+        plan = PUBLIC_PLAN
+        if request.tenant is not None:
+            plan = self.policy.tenants.index_of(request.tenant.name)
+        digest = self.policy.digests[plan]
+        now = self.loop.time()
+        has_credit = self.credits.may_admit(digest, now)
+        self.credit_client.request_if_short(digest, now)
+        if not has_credit:
+            self._handle_missing_credit(request, digest, arrived_at, has_waited, now)
+            return
+        if not self.room.take(len(request.body)):
+            self._answer_retry(request, UNAVAILABLE, f"{MEMORY_RETRY_SECONDS}")
+            return
+        request.service = self._choose_service(table, request)
+        self.track_request(request, client, request.timeout_ticks(), arrived_at)
+        self._submit_to_engine(request, plan, digest)
+        if request.attempts:  # the engine admitted it
+            self.credits.consume(digest, now)
+            self.credit_client.request_if_short(digest, now)
+
+    def _find_route(self, table: RouteTable, request: ProxyRequest) -> bool:
+        """Sets a request's route and tenant; answers it and returns False if there is none."""
+        route = table.find_route(request.host, request.path)
+        if route is None:
+            self.answer(request, NOT_FOUND)
+            return False
+        request.route = route
+        if table.requires_api_key(route):
+            request.tenant = table.find_tenant(request.api_key)
+            if request.tenant is None:
+                self.answer(request, UNAUTHORIZED)
+                return False
+        return True
+
+    def _handle_missing_credit(
+        self, request: ProxyRequest, digest: int, arrived_at: float, has_waited: bool, now: float
+    ) -> None:
+        """Lets a request wait for a credit at a start, else rejects it."""
+        if not has_waited and not self.startup.is_over(now):
+            wait_seconds = CREDIT_WAIT_SHARE * request.route.target_latency_seconds
+            self.queue.add(request, arrived_at, wait_seconds)
+            return
+        retry_seconds = self.credits.retry_after_seconds(digest, now)
+        self._answer_retry(request, TOO_MANY_REQUESTS, f"{retry_seconds:.3f}")
+
+    def _submit_to_engine(self, request: ProxyRequest, plan: int, digest: int) -> None:
+        self.handle_event(
+            RequestArrived(
+                request_id=request.id,
+                frontend=self.policy.frontend_by_route[request.route.name],
+                plan=plan,
+                tenant=plan,
+                tenant_digest=digest,
+                deadline=request.deadline,
+                units=1.0,
+                limiter_set_size=0,
+                is_retry=False,
+                service=self.policy.services.index_of(request.service),
+            )
+        )
+
+    def _choose_service(self, table: RouteTable, request: ProxyRequest) -> str:
+        """Returns one of the route's services, drawn by weight.
+
+        Where that has no live server, another one that the route allows.
+        """
+        drawn = table.choose_service(request.route, self.rng.random())
+        live_by_service = self.endpoints.live_by_service
+        if live_by_service.get(drawn):
+            return drawn
+        others = (
+            service
+            for service, weight in request.route.traffic_split
+            if weight > 0 and live_by_service.get(service)
+        )
+        return next(others, drawn)
+
+    def _answer_retry(self, request: ProxyRequest, status: int, retry_after: str) -> None:
+        """Rejects a request with the advice to send it again after so many seconds."""
+        self.answer(request, status, extra=f"Retry-After: {retry_after}\r\n")
+
+    # events: ends of attempts
+
+    def endpoint_misdirected(self, attempt: Attempt[ProxyRequest]) -> None:
+        """Another server answers at the attempt's address, so this one is gone."""
+        endpoint = self.endpoints.mark_gone(attempt.endpoint_id)
+        if endpoint is not None:
+            self.loop.call_soon(self.handle_event, EndpointsUpdated((endpoint,), False))
+
+    def attempt_ended(
+        self,
+        attempt: Attempt[ProxyRequest],
+        outcome: Outcome,
+        metered: int = 0,  # noqa: ARG002 - as the base class passes it
+        body: bytes = b"",  # noqa: ARG002 - likewise; `server_response` has it
+    ) -> None:
+        """Answers the request if a server did, and reports the attempt to the engine."""
+        request = self.finish_attempt(attempt)
+        if outcome not in NOT_RUN_OUTCOMES:
+            request.may_have_run = True
+        response = request.server_response
+        if outcome is Outcome.SUCCEEDED and request.client is not None and response is not None:
+            self.answer(request, *response)
+        self.report_attempt(attempt, outcome)
+
+    # actions of the decision engine
+
+    def new_attempt(
+        self, request: ProxyRequest, endpoint_id: int, expires_at: int
+    ) -> Attempt[ProxyRequest]:
+        """Returns the next attempt of a request."""
+        number = len(request.attempts)
+        instance_id = self.endpoints.instance_ids[endpoint_id]
+        return ProxyAttempt(request, number, endpoint_id, self.now(), expires_at, instance_id)
+
+    def attempt_limit(self, request: ProxyRequest) -> int:
+        """Returns how many attempts a request may have, whatever the engine decides.
+
+        No more for one that isn't idempotent and may have run, or may run yet.
+        """
+        if not request.route.idempotent:
+            pending = sum(attempt is not None for attempt in request.attempts)
+            if request.may_have_run or pending > 1:
+                return 0
+        return request.route.max_attempts
+
+    def reject_request(self, act: Reject) -> None:
+        """Answers a request that the engine rejected; no promise while it may run yet."""
+        request = self.requests.get(act.request_id)
+        if request is None or request.client is None:
+            return
+        if request.may_have_run or any(request.attempts):
+            self._answer_possibly_run(request)
+        elif act.reason in QUOTA_REASONS:
+            seconds = max(MIN_QUOTA_RETRY_SECONDS, act.retry_after / TICKS_PER_SECOND)
+            self._answer_retry(request, TOO_MANY_REQUESTS, f"{seconds:.3f}")
+        else:
+            share = self.rng.uniform(*OVERLOAD_RETRY_SHARES)
+            seconds = share * request.route.target_latency_seconds
+            self._answer_retry(request, UNAVAILABLE, f"{seconds:.3f}")
+        self.forget_request(request)
+
+    def abort(self, act: Abort) -> None:
+        """Answers a request that failed."""
+        request = self.requests.get(act.request_id)
+        if request is not None and request.client is not None:
+            self._answer_possibly_run(request)
+            self.forget_request(request)
+
+    def increment_counter(self, act: IncrementCounter) -> None:
+        """Increments a counter at the counting registry."""
+        self.counter_client.increment(act)
+
+    def _answer_possibly_run(self, request: ProxyRequest) -> None:
+        """Answers a request that may have run: with a server's own response, if there is one."""
+        if request.server_response is not None:
+            self.answer(request, *request.server_response)
+        elif self.now() >= request.deadline - TIMEOUT_MARGIN_TICKS:
+            self.answer(request, GATEWAY_TIMEOUT)
+        else:
+            self.answer(request, BAD_GATEWAY)
--- a/loomstand/proxy/counter_replay.py
+++ b/loomstand/proxy/counter_replay.py
@@ -1,5 +1,8 @@
-"""What this limiter added to each sum, for counts that don't have it: a registry that has just come
-to count begins with none, and limiters tell it theirs again. Pure: the clock is given.
+"""Replays this limiter's increments to a registry that has just begun to count.
+
+Such a registry begins with empty counters, so each limiter repeats what it added before. Counters
+belong to a counting term: another term means that they began anew. Pure: no I/O, and each method
+is given a reading of a steady clock in seconds.
 """
 
 from __future__ import annotations
@@ -8,55 +11,98 @@
 
 from loomstand.registry.quota_buckets import SLOTS
 
+# Stands for a counting term that no registry has: the sum must be repeated to any.
+UNKNOWN_TERM = -1
+
 
 @dataclass(slots=True)
-class Sum:
-    added: float  # by this limiter, as far as it may have arrived
-    counts: int  # the counts that have it
-    until: float  # s; kept by the counter, too, until then
+class LocalSum:
+    """What this limiter added to one counter.
+
+    Attributes:
+        added: The sum of its increments, as far as they may have arrived.
+        counting_term: Counting term of the counters that have this sum.
+        expires_at: The counting registry keeps the counter until then, too.
+    """
+
+    added: float
+    counting_term: int
+    expires_at: float
 
 
 class CounterReplay:
-    """Sums by name. Counts go by a number: another one where they began anew."""
+    """This limiter's sums by the name of the counter.
+
+    Attributes:
+        sums: The sums by counter name.
+        counting_term: Counting term of the last answer.
+        complete_terms: By tenant, the counting term under which all of its intervals were repeated.
+    """
 
     def __init__(self) -> None:
-        self.sums: dict[int, Sum] = {}
-        self.counts = 0  # which answered last
-        self.whole: dict[int, int] = {}  # by tenant: the counts that were told all of its intervals
+        self.sums: dict[int, LocalSum] = {}
+        self.counting_term = 0
+        self.complete_terms: dict[int, int] = {}
 
-    def added(
-        self, name: int, step: float, keep: float, now: float, counts: int | None = None
+    def record(
+        self,
+        counter_name: int,
+        step: float,
+        keep_seconds: float,
+        now: float,
+        counting_term: int | None = None,
     ) -> float:
-        """A step was added to `counts`, or may have been, without an answer; what these counts lack
-        of the steps before, which is taken to be told next.
+        """Records an increment that arrived, or may have arrived.
+
+        Args:
+            counter_name: The counter.
+            step: What was added.
+            keep_seconds: For how long the counter is kept at least.
+            now: A reading of the steady clock.
+            counting_term: Term of the answer; None if none came.
+
+        Returns:
+            What was added under other terms, which the caller is to repeat now; 0 if nothing.
         """
-        self.counts = counts = self.counts if counts is None else counts
-        known = self.sums.setdefault(name, Sum(0.0, counts, 0.0))
-        lacks = known.added if known.counts != counts else 0.0
-        known.added, known.counts, known.until = known.added + step, counts, now + keep
-        return lacks
-
-    def lacking(self, name: int, counts: int) -> list[tuple[int, float]]:
-        """Names of a tenant's other intervals and what these counts lack of them, which is taken to
-        be told next: what limiters took while nobody counted may be in the last one.
+        if counting_term is not None:
+            self.counting_term = counting_term
+        term = self.counting_term
+        local = self.sums.setdefault(counter_name, LocalSum(0.0, term, 0.0))
+        missing = local.added if local.counting_term != term else 0.0
+        local.added = local.added + step
+        local.counting_term = term
+        local.expires_at = now + keep_seconds
+        return missing
+
+    def take_missing(self, counter_name: int, counting_term: int) -> list[tuple[int, float]]:
+        """Returns the tenant's other counters that lack sums, which the caller is to repeat now.
+
+        What limiters admitted while nobody counted may stand in the last interval alone.
+
+        Returns:
+            Names of counters and what to add to each.
         """
-        tenant = name >> SLOTS
-        if self.whole.get(tenant) == counts:
+        tenant = counter_name >> SLOTS
+        if self.complete_terms.get(tenant) == counting_term:
             return []
-        self.whole[tenant] = counts
-        found = [
-            (n, s) for n, s in self.sums.items() if n >> SLOTS == tenant and s.counts != counts
+        self.complete_terms[tenant] = counting_term
+        missing = [
+            (name, local)
+            for name, local in self.sums.items()
+            if name >> SLOTS == tenant and local.counting_term != counting_term
         ]
-        for _, known in found:
-            known.counts = counts
-        return [(n, known.added) for n, known in found]
-
-    def untold(self, name: int) -> None:
-        """What was lacking may not have arrived."""
-        self.whole.pop(name >> SLOTS, None)
-        if name in self.sums:  # else its time is over
-            self.sums[name].counts = -1
-
-    def sweep(self, now: float) -> None:
-        for name in [n for n, known in self.sums.items() if known.until < now]:
+        for _, local in missing:
+            local.counting_term = counting_term
+        return [(name, local.added) for name, local in missing]
+
+    def mark_missing(self, counter_name: int) -> None:
+        """Records that a repeated sum may not have arrived."""
+        self.complete_terms.pop(counter_name >> SLOTS, None)
+        if counter_name in self.sums:  # else it has expired
+            self.sums[counter_name].counting_term = UNKNOWN_TERM
+
+    def remove_expired(self, now: float) -> None:
+        """Forgets sums of counters that are kept no more."""
+        expired = [name for name, local in self.sums.items() if local.expires_at < now]
+        for name in expired:
             del self.sums[name]
--- a/loomstand/proxy/instance_view.py
+++ b/loomstand/proxy/instance_view.py
@@ -1,64 +1,112 @@
-"""The servers that a limiter uses, from what several registries say. Pure."""
+"""The servers as this limiter sees them: the union of what several registries report.
+
+Pure: no I/O and no clock.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from loomstand.registry.instances import DRAINING, GONE, READY, SILENT, Row
+from loomstand.registry.instances import DRAINING, GONE, READY, SILENT
+from loomstand.rpc.messages.rows import InstanceRow
+
+UNKNOWN_SEQUENCE = -1  # below that of any heartbeat
 
 
 @dataclass(slots=True)
-class KnownInstance:
-    """One server: its newest row, and what each registry says of it."""
+class TrackedInstance:
+    """A server, by its newest row and by what each registry reports of it.
+
+    Attributes:
+        address: `host:port` at which it takes requests.
+        service: Name of the service it belongs to.
+        zone: Name of its zone.
+        state: Its state by the newest row: `ready`, `draining` or `gone`.
+        sequence: Number of its latest heartbeat.
+        reported_states: Its state by the address of the registry that reports it.
+    """
 
     address: str
     service: str
     zone: str
-    slots: int
-    state: str
-    sequence: int
-    said: dict[str, str] = field(default_factory=dict)
+    state: str = READY
+    sequence: int = UNKNOWN_SEQUENCE
+    reported_states: dict[str, str] = field(default_factory=dict)
 
     @property
-    def use(self) -> str:
-        """READY, DRAINING, SILENT or GONE: silent where every registry that lists it says so."""
+    def availability(self) -> str:
+        """`ready`, `draining`, `silent` or `gone`.
+
+        Silent if all registries that list it report it silent.
+        """
         if self.state in (GONE, DRAINING):
             return self.state
-        return SILENT if self.said and all(s == SILENT for s in self.said.values()) else READY
+        states = self.reported_states.values()
+        return SILENT if states and all(state == SILENT for state in states) else READY
+
+    def apply(self, registry: str, row: InstanceRow) -> None:
+        """Takes over a row of a registry.
+
+        `gone` is final, whichever registry reports it; else the newer row holds.
+        """
+        self.reported_states[registry] = row.state
+        is_newer = row.sequence > self.sequence
+        if row.state == GONE or (self.state != GONE and is_newer and row.state != SILENT):
+            self.state = row.state
+        if is_newer:
+            self.sequence = row.sequence
+            self.address = row.address
 
 
 class InstanceView:
-    """The union over registries. One that started anew says nothing of a server until it hears of
-    it.
+    """The union of the registries' tables of servers.
+
+    Attributes:
+        instances: The servers by their identifiers.
     """
 
     def __init__(self) -> None:
-        self.servers: dict[str, KnownInstance] = {}
+        self.instances: dict[str, TrackedInstance] = {}
 
-    def told(self, registry: str, rows: list[Row], anew: bool = False) -> list[str]:
-        """Rows from one registry; `anew` where it is its first word in a new life. Gives the ids of
-        those whose use or place has changed.
+    def update(
+        self, registry: str, rows: Iterable[InstanceRow], is_new_session: bool = False
+    ) -> list[str]:
+        """Takes over rows of one registry.
+
+        Args:
+            registry: Address of the registry.
+            rows: The rows.
+            is_new_session: Whether these are all rows of a registry that may have started anew: it
+                reports nothing of the servers that it doesn't list.
+
+        Returns:
+            Identifiers of the servers that are new or whose availability changed.
         """
-        before = {}
-        if anew:
-            before = {
-                id_: known.use for id_, known in self.servers.items() if registry in known.said
-            }
-            for id_ in before:
-                del self.servers[id_].said[registry]
-        for id_, address, service, zone, slots, state, sequence, _cold in rows:
-            known = self.servers.get(id_)
-            if known is None:
-                if state == GONE:
+        before = self._withdraw_reports(registry) if is_new_session else {}
+        for row in rows:
+            instance = self.instances.get(row.instance_id)
+            if instance is None:
+                if row.state == GONE:
                     continue
-                known = self.servers[id_] = KnownInstance(address, service, zone, slots, READY, -1)
-            before.setdefault(id_, known.use if known.sequence >= 0 else "")
-            known.said[registry] = state
-            # an end is an end, whoever says so; else the newer row is right
-            if state == GONE or (
-                known.state != GONE and sequence > known.sequence and state != SILENT
-            ):
-                known.state = state
-            if sequence > known.sequence:
-                known.sequence, known.address = sequence, address
-        return [id_ for id_, use in before.items() if self.servers[id_].use != use]
+                instance = TrackedInstance(row.address, row.service, row.zone)
+                self.instances[row.instance_id] = instance
+            was_listed = instance.sequence > UNKNOWN_SEQUENCE
+            before.setdefault(row.instance_id, instance.availability if was_listed else "")
+            instance.apply(registry, row)
+        return [
+            instance_id
+            for instance_id, availability in before.items()
+            if self.instances[instance_id].availability != availability
+        ]
+
+    def _withdraw_reports(self, registry: str) -> dict[str, str]:
+        """Removes what a registry reported; returns the former availability of these servers."""
+        before = {
+            instance_id: instance.availability
+            for instance_id, instance in self.instances.items()
+            if registry in instance.reported_states
+        }
+        for instance_id in before:
+            del self.instances[instance_id].reported_states[registry]
+        return before
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -1,86 +1,47 @@
-"""The proxy: turns what clients ask into the module's notes, and its actions into bytes."""
+"""The proxy program: joins clients, the decision engine, servers and registries.
+
+What each part does stands in a module of its own; here they are made, started and stopped, and
+what the registries tell is passed on to them.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
+from collections.abc import Sequence
 from random import Random
 
 from absl import logging
 
-from loomstand.admission.actions import Abort, IncrementCounter, Reject
-from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.endpoints import Endpoint, EndpointState
-from loomstand.admission.events import (
-    EndpointsUpdated,
-    RequestArrived,
-    SettingsChanged,
-    TenantTotalUpdated,
-)
-from loomstand.admission.identifiers import stable_digest
-from loomstand.admission.outcome import Outcome
-from loomstand.config.configuration import ClientLimits, ConfigurationError, ConfigurationReader
-from loomstand.config.routes import RouteTable
+from loomstand.admission.events import EndpointsUpdated, SettingsChanged, TenantTotalUpdated
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.config.settings import Settings
-from loomstand.config.units import parse_address
-from loomstand.limiter import http_parser
-from loomstand.limiter.client_connection import Client, ClientListener
 from loomstand.limiter.event_loop import Streams, Turns
-from loomstand.limiter.gateway_core import GatewayCore
-from loomstand.limiter.request import Attempt, Request
-from loomstand.proxy.counter_replay import CounterReplay
-from loomstand.proxy.instance_view import InstanceView
-from loomstand.proxy.policy_compiler import COUNT_WITHIN, Fleet, PolicyCompiler
-from loomstand.proxy.quota_credits import AGAIN, APART, CALLS, QuotaCredits
-from loomstand.proxy.request import ProxyAttempt, ProxyRequest
+from loomstand.proxy.admission_adapter import AdmissionAdapter
+from loomstand.proxy.client_limits import ClientLimitUpdates
+from loomstand.proxy.counter_client import CounterClient
+from loomstand.proxy.credit_client import CreditClient
+from loomstand.proxy.readiness import ReadinessEndpoint
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import SharedClock
-from loomstand.proxy.upstream import UpstreamPool
-from loomstand.registry.instances import DRAINING, GONE, READY, SILENT, Row
 from loomstand.registry.quota_buckets import SLOTS
-from loomstand.rpc.errors import CallFailure
+from loomstand.rpc.messages.rows import InstanceRow
+from loomstand.rpc.messages.session_messages import LimiterSetRow, TenantTotalRow
 from loomstand.rpc.network import Network
-from loomstand.rpc.operator_http import OperatorHttpServer
 
-# Within a region a connection comes up in 3 ms and a server takes one more; where it doesn't in
-# this time the machine is gone or cut off, and the request has time for another server.
-CONNECT_WITHIN = 0.25
-IDLE_MOST = 60.0  # seconds that a connection to a server is kept idle, whatever it states
-FIXED_SOCKETS = 300  # 200 are reserved; sessions, files, the loop's own, and room for errors
+SWEEP_INTERVAL_SECONDS = 1.0
 # After SIGTERM new connections come until the platform has missed two answers, a second apart.
-LINGER = 2.5
-FEW = 0.15  # seconds after which a client may ask again whose request there was no memory for
-# One that found the servers full may ask again after this share of its route's aim, more or less by
-# chance: the queue has moved on by then, and those refused together don't come back together.
-BACK = (0.35, 0.65)
-NOT_YET = 0.3  # and one that came before there was a configuration
-# A request that meets a starting limiter waits so many seconds at most, and half of its client's
-# time: when all start at once the configuration comes within 0.6 s, and servers' heartbeats 1.5 s
-# apart.
-HOLD = 0.8
-# After a start of all, the counter too, credits come by the rate alone: a request waits for one for
-# less than the quarter of its route's aim in which nothing is lost by it.
-OFFERED = 0.2
-SETTLED = 4.0  # seconds after its start by when a limiter knows all servers that there are
-QUOTA = {"full count", "old total", "ceiling"}
-PHASES = {
-    READY: EndpointState.LIVE,
-    DRAINING: EndpointState.DRAINING,
-    SILENT: EndpointState.DRAINING,
-    GONE: EndpointState.GONE,
-}
-# A limiter that started while no registry knew of a primary serves with what it has after so many
-# seconds.
-UNSURE = 3.0
-CALL = {
-    CallFailure.NEVER_RAN: Outcome.CONNECT_FAILED,
-    CallFailure.REFUSED: Outcome.REJECTED,
-    CallFailure.MAY_HAVE_RUN: Outcome.NO_RESPONSE,
-}
+LINGER_SECONDS = 2.5
+
 
+class Proxy(AdmissionAdapter):
+    """One proxy.
 
-class Proxy(GatewayCore):
-    """One proxy."""
+    Attributes:
+        sessions: The sessions with the registries.
+        shared_clock: The clock by which limiters name the intervals of counters.
+        client_limits: The limits on clients' connections.
+        readiness: Answers the platform.
+    """
 
     def __init__(
         self,
@@ -90,462 +51,136 @@
         turns: Turns | None = None,
         streams: Streams | None = None,
     ) -> None:
-        """`streams` where connections are not by real sockets."""
-        limits = settings.limits
-        super().__init__(
-            logging.info, turns, limits.memory_mb // 2, limits.file_descriptors - FIXED_SOCKETS
-        )
-        self.conf, self.rng, self.room_at_all = settings, rng, self.room.left
-        self.listener = ClientListener(self, self.spare, limits.file_descriptors)
-        self.listener.own_paths = False
-        self.bound(ClientLimits())
-        self.pool = UpstreamPool(self, CONNECT_WITHIN, IDLE_MOST)
-        if streams is not None:
-            self.listener.bind, self.pool.connect = streams.listen, streams.connect
-        self.patience = 10.0
-        self.lists = InstanceView()
-        self.terms = PolicyCompiler(settings.bounds, list(settings.zones), settings.zone)
-        self.identifiers: dict[int, str] = {}
-        self.indices: dict[str, int] = {}
-        self.by_service: dict[str, set[int]] = {}  # the live servers of each service
-        self.fleet = Fleet()
-        self.table: RouteTable | None = None
-        self.reader = ConfigurationReader()
-        self.sure_at: float | None = None
+        """Makes a proxy that doesn't serve yet.
+
+        Args:
+            settings: The settings file's settings.
+            network: Carries calls to registries.
+            rng: Draws what is drawn.
+            turns: The event loop's selector, if it notes when bytes arrive.
+            streams: Makes connections where these are not by real sockets.
+        """
+        super().__init__(settings, rng, turns, streams)
+        self.client_limits = ClientLimitUpdates(self.listener, self.loop, self.room.left)
         self.sessions = Sessions(settings, network, self.loop.time, rng, self)
-        self.readiness = OperatorHttpServer(self.ready, turns, 4 << 20, 64, 4096, streams)
-        self.begun, self.common = self.loop.time(), SharedClock()
-        self.held: dict[ProxyRequest, float] = {}  # wait for the start's end, since
-        self.engine = self.begin()
-        self.told = CounterReplay()
-        self.credits = QuotaCredits(settings.bounds, rng.getrandbits(32), self.begun)
-        self.short = asyncio.Event()  # a tenant's credits run short
-        self.counting_tasks: set[asyncio.Task[None]] = set()
-
-    def begin(self) -> DecisionEngine:
-        """The module, from the start."""
-        return DecisionEngine(self.terms.settings(self.fleet), self.rng.getrandbits(64), self.now())
-
-    # life
+        self.readiness = ReadinessEndpoint(lambda: self.is_ready, turns, streams)
+        self.shared_clock = SharedClock()
+        self.counter_client = CounterClient(
+            self.sessions, self.loop, self.now, self.counter_replied
+        )
+        self.credit_client = CreditClient(
+            self.sessions,
+            settings.node_name,
+            self.credits,
+            self.loop.time,
+            self.queue.release_ready,
+        )
 
     async def run(self) -> None:
-        """Serves until `stop`, and until all that was taken is answered."""
+        """Serves until `stop`, and until all that was accepted is answered."""
         self.loop.set_exception_handler(self.on_loop_exception)
-        assert (
-            self.conf.listen_addresses.frontend is not None
-            and self.conf.listen_addresses.readiness is not None
-        )
-        await self.readiness.listen(self.conf.listen_addresses.readiness)
-        await self.listener.listen(self.conf.listen_addresses.frontend)
-        logging.info("listens")
+        addresses = self.settings.listen_addresses
+        if addresses.frontend is None or addresses.readiness is None:
+            raise ValueError("the settings state no address for clients or for readiness")
+        await self.readiness.listen(addresses.readiness)
+        await self.listener.listen(addresses.frontend)
+        logging.info("proxy: listening address=%s:%d", *addresses.frontend)
         self.sessions.start()
-        self.loop.call_later(1.0, self.sweep)
-        crediting = self.loop.create_task(self.crediting())
+        self.loop.call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
+        credit_task = self.loop.create_task(self.credit_client.run())
         await self.stopped.wait()
-        crediting.cancel()
+        credit_task.cancel()
         await self.sessions.stop()
         self.readiness.stop()
+        for error in await asyncio.gather(credit_task, return_exceptions=True):
+            if isinstance(error, Exception):
+                logging.error("proxy: credit_client_failed error=%r", error)
 
     def linger_seconds(self) -> float:
-        return LINGER
+        """Returns for how long new connections are accepted after `stop`."""
+        return LINGER_SECONDS
 
     def reload(self, settings: Settings) -> None:
-        """The settings file has changed."""
-        self.conf = settings
+        """Takes over a changed settings file."""
+        self.settings = settings
         self.sessions.reload(settings)
 
-    async def ready(self, method: bytes, target: bytes, body: bytes) -> tuple[int, bytes]:
-        if target.partition(b"?")[0] != b"/api/readiness":
-            return 404, b""
-        return (200 if self.is_ready else 503), b""
-
-    def look(self) -> None:
-        """Ready once there is a configuration that is the newest for sure, and somebody to send
-        to.
-        """
-        known = self.sure_at is not None and (self.loop.time() >= self.sure_at)
-        able = (
-            self.table is not None
-            and known
-            and bool(self.by_service)
-            and not self.listener.stopping
-        )
-        if able != self.is_ready:
-            self.is_ready = able
-            logging.info("ready" if able else "not ready")
-
     def on_sweep(self) -> None:
-        self.look()
-        self.told.sweep(self.loop.time())
-
-    # from the registries
-
-    def servers(self, registry: str, rows: list[Row], anew: bool) -> None:
-        entries = []
-        for id_ in self.lists.told(registry, rows, anew):
-            known = self.lists.servers[id_]
-            endpoint_id = self.indices.get(id_)
-            if endpoint_id is None:
-                endpoint_id = self.indices[id_] = len(self.identifiers)
-                self.identifiers[endpoint_id] = id_
-            entries.append(
-                self.entry(endpoint_id, known.use, known.service, known.zone, known.address)
-            )
-        if entries:
-            self.handle_event(EndpointsUpdated(tuple(entries), False))
-            self.look()
-            self.settle()
-
-    def entry(self, endpoint_id: int, use: str, service: str, zone: str, where: str) -> Endpoint:
-        phase = PHASES[use]
-        self.pool.set_address(
-            endpoint_id, None if phase is EndpointState.GONE else parse_address(where)
-        )
-        live = self.by_service.setdefault(service, set())
-        (live.add if phase is EndpointState.LIVE else live.discard)(endpoint_id)
-        at = self.terms.services.index_of(service)
-        return Endpoint(endpoint_id, phase, self.terms.zones.index_of(zone), 0, 0, 1.0, 0, at)
-
-    def misdirected(self, attempt: ProxyAttempt) -> None:
-        """Another server has the address: this one is over."""
-        id_ = self.identifiers[attempt.endpoint_id]
-        known = self.lists.servers.get(id_)
-        if known is not None and known.state != GONE:
-            known.state = GONE
-            entry = self.entry(attempt.endpoint_id, GONE, known.service, known.zone, known.address)
-            self.loop.call_soon(self.handle_event, EndpointsUpdated((entry,), False))
-
-    def limiters(self, me: int, many: int, silent: int) -> None:
-        fleet = Fleet(me, max(1, many), silent)
-        if fleet != self.fleet:
-            self.fleet = fleet
-            self.credits.limiters(fleet.all)
-            self.rule()
-
-    def configured(self, version: int, data: bytes) -> bool:
-        """A configuration, newer than the one held; swapped whole."""
-        try:
-            configuration = self.reader.parse(data)
-        except ConfigurationError as why:  # it was checked before it was stored: a fault of ours
-            logging.error("configuration r%d can't be used: %s", version, why)
-            return False
-        self.terms.learn(configuration)
-        self.table = RouteTable.from_configuration(configuration)
-        self.credits.learn(
-            {stable_digest(t.name): t for t in configuration.tenants or () if t.rate_per_second > 0}
+        """Once a second: what depends on time alone."""
+        self.update_readiness()
+        self.counter_client.replay.remove_expired(self.loop.time())
+
+    def update_readiness(self) -> None:
+        """Ready once the newest configuration is held and any server is known."""
+        is_ready = (
+            self.configuration.table is not None
+            and self.configuration.is_current(self.loop.time())
+            and bool(self.endpoints.live_by_service)
+            and not self.listener.stopping
         )
-        self.short.set()
-        self.bound(configuration.limits)
-        self.rule()
-        self.look()
-        self.settle()
-        return True
+        if is_ready != self.is_ready:
+            self.is_ready = is_ready
+            logging.info("proxy: readiness_changed ready=%s", is_ready)
 
-    def bound(self, limits: ClientLimits) -> None:
-        """What clients may send from their next request on, and how long they may idle. A body is
-        held whole, so it may take an eighth of the memory for buffers at most, whatever the
-        configuration allows.
-        """
-        self.stays, before = limits.idle_timeout_seconds + 1, self.listener.idle_timeout_seconds
-        if self.stays >= before:
-            self.listener.idle_timeout_seconds = self.stays
-        else:  # who has rested on the longer time's word may still do so to its end
-            self.loop.call_later(before, self.shorten, self.stays)
-        self.listener.header_timeout_seconds = limits.header_timeout_seconds + 1
-        self.listener.max_header_bytes = limits.max_header_bytes
-        self.listener.max_body_bytes = min(limits.max_body_bytes, self.room_at_all // 8)
+    def update_engine_settings(self) -> None:
+        """Tells the decision engine its settings anew."""
+        settings = self.policy.engine_settings(self.limiters, self.shared_clock.offset)
+        self.handle_event(SettingsChanged(settings))
 
-    def shorten(self, stays: float) -> None:
-        self.listener.idle_timeout_seconds = max(
-            stays, self.stays
-        )  # it may have become longer since
+    # what the registries tell: see `sessions.SessionListener`
 
-    def full(self, totals: list[list[float]]) -> None:
-        """Tenants near the brim of their quota, by the names of their counts; those whose bucket is
-        half full are let in by credits alone.
-        """
-        for name, total, *closed in totals:
-            if any(closed):
-                self.credits.full(int(name) >> SLOTS, self.loop.time())
-            plan = self.terms.by_digest.get(int(name) >> SLOTS)
+    def update_instances(
+        self, registry: str, rows: Sequence[InstanceRow], is_new_session: bool
+    ) -> None:
+        """Takes over servers that changed."""
+        changed = self.endpoints.update(registry, rows, is_new_session)
+        if changed:
+            self.handle_event(EndpointsUpdated(changed, False))
+            self.update_readiness()
+            self.queue.release_ready()
+
+    def update_limiters(self, limiters: LimiterSetRow) -> None:
+        """Takes over the limiters that share the quotas."""
+        total = max(1, limiters.total)
+        newest = LimiterSetRow(rank=limiters.rank, total=total, silent=limiters.silent)
+        if newest != self.limiters:
+            self.limiters = newest
+            self.credits.set_limiter_count(total)
+            self.update_engine_settings()
+
+    def update_tenant_totals(self, totals: Sequence[TenantTotalRow]) -> None:
+        """Takes over the tenants near their limit; those closed are admitted by credits alone."""
+        for row in totals:
+            digest = row.counter_name >> SLOTS
+            if row.is_closed:
+                self.credits.mark_near_limit(digest, self.loop.time())
+            plan = self.policy.plan_by_digest.get(digest)
             if plan is not None:
                 self.handle_event(
-                    TenantTotalUpdated(int(name), float(total), plan, plan, int(name) >> SLOTS)
+                    TenantTotalUpdated(row.counter_name, row.total, plan, plan, digest)
                 )
 
-    def clock_told(self, clock: int | None, sure: bool) -> None:
-        """The common clock as a registry has it: intervals follow it, while time doesn't jump here.
-        `sure`: the configuration held is known to be the newest.
-        """
-        if self.sure_at is None:
-            if sure:
-                self.sure_at = self.loop.time()
-            elif self.table is not None:
-                self.sure_at = self.loop.time() + UNSURE
-        elif sure:
-            self.sure_at = min(self.sure_at, self.loop.time())
-        if clock is not None and self.common.heard(clock, self.now()):
-            logging.info("the common clock is %.3f s ahead", self.common.shift / 10_000)
-            self.rule()
-        self.look()
-
-    def common_clock(self) -> int | None:
-        return self.now() + self.common.shift if self.common.known else None
-
-    def rule(self) -> None:
-        """The module's settings are other ones."""
-        self.handle_event(SettingsChanged(self.terms.settings(self.fleet, self.common.shift)))
-
-    # from clients
-
-    def request_received(
-        self, client: Client, machine: http_parser.RequestReceiver, at: float
-    ) -> None:
-        """A request has come: if nothing is wrong with it, it is owed one answer from here on."""
-        request = ProxyRequest(machine)
-        request.client, client.request = client, request
-        if self.table is None or not self.staffed(request) or not self.granted(request):
-            self.hold(request, at)
-        else:
-            self.admit(request, at)
-
-    def staffed(self, request: ProxyRequest) -> bool:
-        """Whether somebody is known who could serve it; later on, whoever isn't known isn't
-        there.
-        """
-        if self.loop.time() - self.begun > SETTLED:  # first, as each request asks
-            return True
-        route = self.table.find_route(request.host, request.path)
-        if route is None:
-            return True
-        return any(
-            weight > 0 and self.by_service.get(service) for service, weight in route.traffic_split
-        )
-
-    def granted(self, request: ProxyRequest) -> bool:
-        """Whether the first credits have come, for a request that may need one."""
-        return (
-            self.credits.answered
-            or self.loop.time() - self.begun > SETTLED
-            or not self.credits.credits
-        )
-
-    def lacks(self, request: ProxyRequest) -> bool:
-        """Whether it waits for a credit."""
-        name = stable_digest(request.tenant.name) if request.tenant else 0
-        return bool(name) and not self.credits.has(name, self.loop.time())
-
-    def hold(self, request: ProxyRequest, at: float, most: float = HOLD) -> None:
-        """At a start the configuration, the first heartbeats and credits are under way: a request
-        waits for them, as all limiters would refuse it alike.
-        """
-        self.held[request] = at
-        most = most if request.wait is None else min(most, request.wait / 2000)
-        self.loop.call_later(most, self.release, request)
-
-    def release(self, request: ProxyRequest) -> None:
-        at = self.held.pop(request, None)
-        if at is not None and request.client is not None:
-            self.admit(request, at, True)
-
-    def settle(self) -> None:
-        """Something came that held requests wait for."""
-        for request in [*self.held]:
-            waits = (
-                self.table is None
-                or not self.staffed(request)
-                or not self.granted(request)
-                or self.lacks(request)
-            )
-            if request.client is None or not waits:
-                self.release(request)
-
-    def admit(self, request: ProxyRequest, at: float, waited: bool = False) -> None:
-        """Nothing is wrong with it, or it is answered at once."""
-        table = self.table
-        if table is None:
-            self.answer(request, 503, extra=f"Retry-After: {NOT_YET}\r\n")
-            return
-        request.route = table.find_route(request.host, request.path)
-        if request.route is None:
-            self.answer(request, 404)
-            return
-        if table.requires_api_key(request.route):
-            request.tenant = table.find_tenant(request.key)
-            if request.tenant is None:
-                self.answer(request, 401)
-                return
-        plan = self.terms.tenants.index_of(request.tenant.name) if request.tenant else 0
-        front, name = self.terms.by_route[request.route.name], self.terms.digests[plan]
-        now = self.loop.time()
-        may = self.credits.may(name, now)
-        if self.credits.due(name, now):
-            self.short.set()
-        if not may and not waited and now - self.begun < SETTLED:
-            self.hold(request, at, OFFERED * request.route.target_latency_seconds)
-            return
-        if not may:
-            wait = self.credits.wait(name, now)
-            self.answer(request, 429, extra=f"Retry-After: {wait:.3f}\r\n")
-            return
-        if not self.room.take(len(request.body)):
-            self.answer(request, 503, extra=f"Retry-After: {FEW}\r\n")
-            return
-        request.service = self.service(table, request)
-        self.track_request(request, request.client, request.timeout(), at)
-        at_service = self.terms.services.index_of(request.service)
-        self.handle_event(
-            RequestArrived(
-                request.id,
-                front,
-                plan,
-                plan,
-                name,
-                request.deadline,
-                1.0,
-                0,
-                False,
-                service=at_service,
-            )
-        )
-        if request.attempts:  # the module let it in
-            self.credits.used(name, now)
-            if self.credits.due(name, now):
-                self.short.set()
-
-    def service(self, table: RouteTable, request: ProxyRequest) -> str:
-        """One of the route's services by weight; where that has no server, another that the route
-        allows.
-        """
-        service = table.choose_service(request.route, self.rng.random())
-        if self.by_service.get(service):
-            return service
-        return next(
-            (
-                s
-                for s, weight in request.route.traffic_split
-                if weight > 0 and self.by_service.get(s)
-            ),
-            service,
-        )
-
-    # from servers and the counter
-
-    def attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, metered: int = 0, body: bytes = b""
-    ) -> None:
-        request = self.finish_attempt(attempt)
-        if outcome not in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
-            request.ran = True
-        if outcome is Outcome.SUCCEEDED and request.client is not None:
-            self.answer(request, *request.got)
-        self.report_attempt(attempt, outcome)
-
-    def increment_counter(self, act: IncrementCounter) -> None:
-        task = self.loop.create_task(self.counting(act))
-        self.counting_tasks.add(task)
-        task.add_done_callback(self.counting_tasks.discard)
-
-    async def counting(self, act: IncrementCounter) -> None:
-        asked, keep = self.now(), act.time_to_live / 10_000
-        said = {"name": act.counter_name, "step": act.amount, "keep": keep}
-        got = await self.sessions.count(said, COUNT_WITHIN / 1000)
-        outcome = Outcome.SUCCEEDED if got.is_ok() else CALL[got.error]
-        if outcome in (Outcome.SUCCEEDED, Outcome.NO_RESPONSE):
-            counts = int(got.ok.get("counts", 0)) if got.is_ok() else None
-            lacks = self.told.added(act.counter_name, act.amount, keep, self.loop.time(), counts)
-            # another counts now, without what this limiter had added: a total without it is too low
-            for name, added in (
-                self.told.lacking(act.counter_name, counts) if counts is not None else ()
-            ):
-                more = self.sessions.count(
-                    said | {"name": name, "step": added}, COUNT_WITHIN / 1000
-                )
-                if (await more).is_error():
-                    self.told.untold(name)
-            if lacks:
-                got = await self.sessions.count(said | {"step": lacks}, COUNT_WITHIN / 1000)
-                if got.is_error() or got.ok.get("counts") != counts:
-                    self.told.untold(act.counter_name)
-                    outcome = Outcome.NO_RESPONSE
-        if got.is_ok() and got.ok.get("young"):  # other limiters may not have told theirs again
-            outcome = Outcome.NO_RESPONSE
-        total = float(got.ok["total"]) if outcome is Outcome.SUCCEEDED else 0.0
-        self.counter_replied(act.counter_name, outcome, total, self.now() - asked)
-
-    async def crediting(self) -> None:
-        """Asks the counter for credits, one call at a time: when some run short, else to keep them
-        good.
-        """
-        while True:
-            self.short.clear()
-            sent = self.loop.time()
-            number, alone, entries = self.credits.call(sent)
-            said = {
-                "name": self.conf.node_name,
-                "life": self.credits.life,
-                "number": number,
-                "alone": alone,
-                "entries": entries,
-            }
-            got = await self.sessions.count(said, COUNT_WITHIN / 1000, "grant")
-            if got.is_ok():
-                pause, more = APART, got.ok.get("grants")
-                if self.credits.granted(sent, self.loop.time(), int(got.ok["number"]), more):
-                    continue
-                self.settle()
-            else:
-                pause = AGAIN
-            await asyncio.sleep(pause)
-            if got.is_ok() and not self.short.is_set():
-                with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self.short.wait(), CALLS - pause)
-
-    # the module
-
-    def attempt(self, request: Request, endpoint_id: int, expires_at: int) -> Attempt:
-        return ProxyAttempt(
-            request,
-            len(request.attempts),
-            endpoint_id,
-            self.now(),
-            expires_at,
-            self.identifiers[endpoint_id],
-        )
-
-    def attempt_limit(self, request: Request) -> int:
-        """None more for what must not run twice and may have run, or may yet: whatever the module
-        thinks.
-        """
-        if not request.route.idempotent and (
-            request.ran or sum(f is not None for f in request.attempts) > 1
-        ):
-            return 0
-        return request.route.max_attempts
-
-    def reject_request(self, act: Reject) -> None:
-        request = self.requests.get(act.request_id)
-        if request is None or request.client is None:
-            return
-        if request.ran or any(request.attempts):  # no promise while it may run yet
-            self.over(request)
-        elif act.reason in QUOTA:
-            wait = max(0.05, act.retry_after / 10_000)
-            self.answer(request, 429, extra=f"Retry-After: {wait:.3f}\r\n")
-        else:
-            wait = self.rng.uniform(*BACK) * request.route.target_latency_seconds
-            self.answer(request, 503, extra=f"Retry-After: {wait:.3f}\r\n")
-        self.forget_request(request)
-
-    def abort(self, act: Abort) -> None:
-        request = self.requests.get(act.request_id)
-        if request is not None and request.client is not None:
-            self.over(request)
-            self.forget_request(request)
+    def update_clock(self, shared_clock: int | None, is_current: bool) -> None:
+        """Takes over a registry's clock, and whether the configuration held is the newest."""
+        self.configuration.update_currency(is_current, self.loop.time())
+        if shared_clock is not None and self.shared_clock.observe(shared_clock, self.now()):
+            offset_seconds = self.shared_clock.offset / TICKS_PER_SECOND
+            logging.info("proxy: shared_clock_moved offset_s=%.3f", offset_seconds)
+            self.update_engine_settings()
+        self.update_readiness()
+
+    def apply_configuration(self, version: int, data: bytes) -> bool:
+        """Brings a configuration into force that is newer than the one held."""
+        configuration = self.configuration.apply(version, data)
+        if configuration is None:
+            return False
+        self.credit_client.is_short.set()
+        self.client_limits.apply(configuration.limits)
+        self.update_engine_settings()
+        self.update_readiness()
+        self.queue.release_ready()
+        return True
 
-    def over(self, request: ProxyRequest) -> None:
-        """The last word on a request that may have run: a server's own, if one gave it."""
-        if request.got is not None:
-            self.answer(request, *request.got)
-        else:
-            self.answer(request, 504 if self.now() >= request.deadline - 100 else 502)
+    def shared_clock_reading(self) -> int | None:
+        """Returns the shared clock in ticks, if any registry told it."""
+        return self.now() + self.shared_clock.offset if self.shared_clock.is_set else None
--- a/loomstand/proxy/quota_credits.py
+++ b/loomstand/proxy/quota_credits.py
@@ -1,222 +1,311 @@
-"""What this limiter may let in of each tenant: credits that the counter granted ahead, charged to
-the quota when they were granted (`registry/quota_grants.py`). Without word of the counter a part of
-the even share.
+"""Credits by which this limiter admits requests of tenants that have a quota.
 
-The module decides by its smoothed buckets as ever; credits are the bound that holds whatever it
-believes. Pure: the clock is given, in seconds, steady.
+The counting registry grants credits ahead of use and charges them to the tenant's quota at once
+(`registry/quota_grants.py`). The decision engine admits by its smoothed token buckets; credits are
+the bound that holds whatever these believe. Without an answer of the counting registry a limiter is
+isolated and admits by a part of its even share.
+
+Pure: no I/O, and each method is given a reading of a steady clock in seconds. Tenants go by the
+digest of their name.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass
+from enum import Enum
 from math import exp, inf
 
 from loomstand.config.configuration import Tenant
 from loomstand.config.settings import RuleBounds
 from loomstand.registry.quota_grants import ALONE, FEW, GOOD, SILENT, depth
+from loomstand.rpc.messages.quota_messages import (
+    CreditDemandRow,
+    CreditRequest,
+    CreditResponse,
+)
+
+# Credits held of a tenant with few requests, as requests often come in pairs; more where this share
+# of the limiter's part of the bucket is more.
+MIN_TARGET_CREDITS = 2.0
+TARGET_DEPTH_SHARE = 0.2
+# To these is added what comes in so many seconds: a call takes some ms, but a counter that moves
+# to another registry takes a second.
+LOOKAHEAD_SECONDS = 1.0
+REFILL_SHARE = 0.5  # more credits are requested once no more than this share of the target is left
+RATE_SMOOTHING_SECONDS = 1.0  # time constant of a tenant's smoothed request rate
+DEPLETED_RETRY_SECONDS = 0.05  # before credits are requested again after none were granted
+MAX_RETRY_AFTER_SECONDS = 2.0  # the longest advice to a client
+NEAR_LIMIT_SECONDS = 1.0  # for which a report that a tenant is near its limit counts
+# After so many seconds of isolation the even share shrinks to the part below: the counter forgets a
+# limiter after 30 s, and then leaves it nothing.
+LONG_ISOLATION_SECONDS = 25.0
+LONG_ISOLATION_SHARE = 0.2
+
 
-# Credits that are held of a tenant that asks little, as requests often come in pairs; more where a
-# limiter's part of this share of the bucket is more.
-LEAST, IDLE = 2.0, 0.2
-# and the seconds of its requests lately beside: a call takes some ms, a counter that moves a second
-AHEAD = 1.0
-MORE = 0.5  # of what is to be held: more is asked for when no more than this is left
-PACE = 1.0  # seconds over which its requests are smoothed
-CALLS = 0.4  # seconds between calls at the most: half of SILENT
-APART = 0.02  # and at the least
-AGAIN = 0.1  # after one that failed
-STARVED = 0.05  # after which a tenant that got nothing is asked for again
-CLOSED = 1.0  # for which a word that a tenant is near its brim closes it
-# Seconds alone after which the part shrinks to DIM of it: the counter forgets a limiter after 30 s,
-# and goes on without it.
-LONG, DIM = 25.0, 0.2
+class CreditSource(Enum):
+    """What a request is admitted by.
+
+    Attributes:
+        NONE: Nothing: it isn't admitted.
+        GRANTED: A credit that the counting registry granted.
+        UNREPORTED: A tenant with a large part of its bucket left: admitted first, reported next.
+        ISOLATED: The even share of a limiter that has no answer of the counting registry.
+    """
+
+    NONE = "none"
+    GRANTED = "granted"
+    UNREPORTED = "unreported"
+    ISOLATED = "isolated"
 
 
 @dataclass(slots=True)
 class TenantCredits:
-    """One tenant's. `left`: granted; `spent`: let in while open, and not told; `own`: what came of
-    the even share while alone.
+    """One tenant's credits at this limiter; times are readings of the steady clock in seconds.
+
+    Attributes:
+        rate: The tenant's quota over all limiters, in requests a second.
+        depth: Depth of its bucket at the counting registry, in requests.
+        granted: Credits left of those granted.
+        unreported: Requests admitted ahead of any credit and not reported.
+        near_limit_until: Until then no request is admitted ahead of a credit.
+        isolated: Credits left of the even share while isolated.
+        isolated_updated_at: When `isolated` was last brought up to date.
+        request_rate: Smoothed rate of requests, a second.
+        request_rate_at: When `request_rate` was last brought up to date.
+        retry_at: Credits are not requested again before.
     """
 
     rate: float
     depth: float
-    left: float = 0.0
-    spent: float = 0.0
-    closed_until: float = 0.0
-    own: float = 0.0
-    own_at: float = 0.0
-    pace: float = 0.0
-    pace_at: float = 0.0
-    hungry_at: float = 0.0  # asked for not before that
-
-    def came(self, now: float) -> None:
-        """A request more."""
-        self.pace = self.pace * exp((self.pace_at - now) / PACE) + 1 / PACE
-        self.pace_at = now
-
-    def asked(self, now: float) -> bool:
-        """Whether requests come, so that credits are not only held in case."""
-        return self.pace > 0 and now - self.pace_at <= PACE
-
-    def most(self, now: float, many: int) -> float:
-        """What is to be held of it."""
-        return max(LEAST, IDLE * self.depth / many) + AHEAD * self.pace * exp(
-            (self.pace_at - now) / PACE
+    granted: float = 0.0
+    unreported: float = 0.0
+    near_limit_until: float = 0.0
+    isolated: float = 0.0
+    isolated_updated_at: float = 0.0
+    request_rate: float = 0.0
+    request_rate_at: float = 0.0
+    retry_at: float = 0.0
+
+    def count_request(self, now: float) -> None:
+        """Adds a request to the smoothed rate."""
+        elapsed = self.request_rate_at - now
+        self.request_rate = (
+            self.request_rate * exp(elapsed / RATE_SMOOTHING_SECONDS) + 1 / RATE_SMOOTHING_SECONDS
         )
+        self.request_rate_at = now
+
+    def is_active(self, now: float) -> bool:
+        """Returns whether requests came lately, so that credits are not held idly."""
+        return self.request_rate > 0 and now - self.request_rate_at <= RATE_SMOOTHING_SECONDS
+
+    def target(self, now: float, limiter_count: int) -> float:
+        """Returns how many credits this limiter should hold."""
+        decay = exp((self.request_rate_at - now) / RATE_SMOOTHING_SECONDS)
+        minimum = max(MIN_TARGET_CREDITS, TARGET_DEPTH_SHARE * self.depth / limiter_count)
+        return minimum + LOOKAHEAD_SECONDS * self.request_rate * decay
 
 
 class QuotaCredits:
-    """All tenants' credits. `life`: a number of its own for each start."""
-
-    def __init__(self, bounds: RuleBounds, life: int, now: float) -> None:
-        self.bounds, self.life = bounds, life
-        self.credits: dict[int, TenantCredits] = {}
-        self.many = 1
-        self.number = -1  # of the grants that these credits are of
-        self.told_all = False
-        self.answered = False  # whether ever
-        self.heard = now  # when the last answered call was sent
-        self.calling: dict[int, float] = {}  # what was told as spent in the call under way
-
-    def learn(self, quotas: Mapping[int, Tenant]) -> None:
-        """The tenants under a quota, by digest."""
-        before, self.credits = self.credits, {}
-        for name, tenant in quotas.items():
-            most = depth(tenant.rate_per_second, tenant.burst_size, self.bounds)
-            credit = before.get(name) or TenantCredits(tenant.rate_per_second, most)
-            if tenant.rate_per_second < credit.rate:  # parts of a quota that is no more
-                credit.left = min(credit.left, LEAST)
-            credit.rate, credit.depth = tenant.rate_per_second, most
-            self.credits[name] = credit
-        self.told_all = False
-
-    def limiters(self, many: int) -> None:
-        """How many share the quotas."""
-        self.many = max(1, many)
-
-    def alone(self, now: float) -> bool:
-        return now - self.heard > SILENT
-
-    def few(self, credit: TenantCredits) -> bool:
-        """Whether the tenant's quota can't be shared out ahead."""
-        return credit.depth < FEW * self.many
-
-    def open(self, credit: TenantCredits, now: float) -> bool:
-        """Whether a request may be let in before it is told."""
-        return self.few(credit) and now >= credit.closed_until
-
-    def roll(self, credit: TenantCredits, now: float) -> None:
-        """What comes of the even share, from when it went alone; none is kept when it is back."""
-        if not self.alone(now):
-            credit.own, credit.own_at = 0.0, now
-            return
-        since = max(credit.own_at, self.heard + SILENT)
-        share = ALONE * credit.rate / self.many * (1.0 if now - self.heard < LONG else DIM)
-        credit.own = min(max(1.0, share), credit.own + share * max(0.0, now - since))
-        credit.own_at = now
-
-    def source(self, credit: TenantCredits, now: float) -> str:
-        """What a request may be let in by, if anything."""
-        self.roll(credit, now)
-        if now - self.heard <= GOOD:
-            if credit.left >= 1:
-                return "left"
-            if self.open(credit, now) and credit.spent < 1 and self.answered:
-                return "spent"
-        return "own" if credit.own >= 1 else ""
-
-    def may(self, name: int, now: float) -> bool:
-        """Whether a request of that tenant may be let in; it is not yet."""
-        credit = self.credits.get(name)
+    """The credits of all tenants that have a quota.
+
+    Attributes:
+        bounds: The rules' figures, which set the depth of buckets.
+        incarnation: Number of this limiter's start, drawn at random.
+        tenants: Credits by the tenant's digest.
+        limiter_count: How many limiters share the quotas.
+        grant_term: Number of the counting registry's grants that the credits are of; -1 for none.
+        has_reported_all: Whether the counting registry knows all that is held, under that term.
+        has_answer: Whether a request for credits was ever answered.
+        last_answer_sent_at: When the last answered request was sent.
+        unreported_in_request: By tenant, what the request under way reports as unreported.
+    """
+
+    def __init__(self, bounds: RuleBounds, incarnation: int, now: float) -> None:
+        self.bounds = bounds
+        self.incarnation = incarnation
+        self.tenants: dict[int, TenantCredits] = {}
+        self.limiter_count = 1
+        self.grant_term = -1
+        self.has_reported_all = False
+        self.has_answer = False
+        self.last_answer_sent_at = now
+        self.unreported_in_request: dict[int, float] = {}
+
+    def update_quotas(self, quotas: Mapping[int, Tenant]) -> None:
+        """Takes over the tenants that have a quota, by digest."""
+        previous = self.tenants
+        self.tenants = {}
+        for digest, tenant in quotas.items():
+            bucket_depth = depth(tenant.rate_per_second, tenant.burst_size, self.bounds)
+            credit = previous.get(digest) or TenantCredits(tenant.rate_per_second, bucket_depth)
+            if tenant.rate_per_second < credit.rate:  # these are parts of the former quota
+                credit.granted = min(credit.granted, MIN_TARGET_CREDITS)
+            credit.rate = tenant.rate_per_second
+            credit.depth = bucket_depth
+            self.tenants[digest] = credit
+        self.has_reported_all = False
+
+    def set_limiter_count(self, count: int) -> None:
+        """Sets how many limiters share the quotas."""
+        self.limiter_count = max(1, count)
+
+    def is_isolated(self, now: float) -> bool:
+        """Returns whether the counting registry hasn't answered for too long."""
+        return now - self.last_answer_sent_at > SILENT
+
+    def is_on_demand(self, credit: TenantCredits) -> bool:
+        """Returns whether the quota is too small to be granted to all limiters ahead of use."""
+        return credit.depth < FEW * self.limiter_count
+
+    def admits_ahead(self, credit: TenantCredits, now: float) -> bool:
+        """Returns whether a request may be admitted before it is reported."""
+        return self.is_on_demand(credit) and now >= credit.near_limit_until
+
+    def source(self, credit: TenantCredits, now: float) -> CreditSource:
+        """Returns what a request of the tenant would be admitted by now."""
+        self._accrue_isolated(credit, now)
+        if now - self.last_answer_sent_at <= GOOD:
+            if credit.granted >= 1:
+                return CreditSource.GRANTED
+            if self.admits_ahead(credit, now) and credit.unreported < 1 and self.has_answer:
+                return CreditSource.UNREPORTED
+        return CreditSource.ISOLATED if credit.isolated >= 1 else CreditSource.NONE
+
+    def may_admit(self, tenant: int, now: float) -> bool:
+        """Counts a request that arrived, and returns whether there is a credit for it."""
+        credit = self.tenants.get(tenant)
         if credit is None:
             return True
-        credit.came(now)
-        return bool(self.source(credit, now))
+        credit.count_request(now)
+        return self.source(credit, now) is not CreditSource.NONE
 
-    def has(self, name: int, now: float) -> bool:
-        """As `may`, of one that came before."""
-        return (credit := self.credits.get(name)) is None or bool(self.source(credit, now))
+    def has_credit(self, tenant: int, now: float) -> bool:
+        """Returns whether there is a credit for a request that was counted before."""
+        credit = self.tenants.get(tenant)
+        return credit is None or self.source(credit, now) is not CreditSource.NONE
 
-    def used(self, name: int, now: float) -> None:
-        """It was."""
-        credit = self.credits.get(name)
+    def consume(self, tenant: int, now: float) -> None:
+        """Takes the credit of a request that was admitted."""
+        credit = self.tenants.get(tenant)
         if credit is None:
             return
-        match self.source(credit, now):
-            case "left":
-                credit.left -= 1
-            case "own":
-                credit.own -= 1
-            case _:
-                credit.spent += 1
-
-    def wait(self, name: int, now: float) -> float:
-        """Seconds after which one that wasn't let in may ask again."""
-        credit = self.credits[name]
-        return (
-            STARVED if now >= credit.hungry_at else max(STARVED, min(2.0, self.many / credit.rate))
-        )
+        source = self.source(credit, now)
+        if source is CreditSource.GRANTED:
+            credit.granted -= 1
+        elif source is CreditSource.ISOLATED:
+            credit.isolated -= 1
+        else:
+            credit.unreported += 1
 
-    def full(self, name: int, now: float) -> None:
-        """The counter says that a tenant is near its brim."""
-        if credit := self.credits.get(name):
-            credit.closed_until = now + CLOSED
-
-    # calls
-
-    def wants(self, credit: TenantCredits, now: float) -> float:
-        most = credit.most(now, self.many)
-        if self.few(credit):
-            most = 0.0 if self.open(credit, now) or not credit.asked(now) else 1.0  # on demand
-        return (
-            most - credit.left
-            if most and credit.left <= MORE * most and now >= credit.hungry_at
-            else 0.0
-        )
+    def retry_after_seconds(self, tenant: int, now: float) -> float:
+        """Returns after how many seconds a client should send a rejected request again."""
+        credit = self.tenants[tenant]
+        if now >= credit.retry_at:
+            return DEPLETED_RETRY_SECONDS
+        even_share_interval = self.limiter_count / credit.rate
+        return max(DEPLETED_RETRY_SECONDS, min(MAX_RETRY_AFTER_SECONDS, even_share_interval))
+
+    def mark_near_limit(self, tenant: int, now: float) -> None:
+        """Records that the counting registry sees the tenant near its limit."""
+        if credit := self.tenants.get(tenant):
+            credit.near_limit_until = now + NEAR_LIMIT_SECONDS
+
+    def needs_request(self, tenant: int, now: float) -> bool:
+        """Returns whether credits of a tenant should be requested without delay."""
+        credit = self.tenants.get(tenant)
+        return credit is not None and (credit.unreported > 0 or self._wanted(credit, now) > 0)
+
+    def build_request(self, limiter_name: str, now: float) -> CreditRequest:
+        """Returns the next request for credits.
 
-    def due(self, name: int, now: float) -> bool:
-        """Whether a call should be made for a tenant, without waiting for the next."""
-        credit = self.credits.get(name)
-        return credit is not None and (credit.spent > 0 or self.wants(credit, now) > 0)
-
-    def call(self, now: float) -> tuple[int, bool, list[list[float]]]:
-        """The number of the grants held, whether it goes alone, and what to tell of the tenants."""
-        entries, self.calling = [], {}
-        for name, credit in self.credits.items():
-            if now - self.heard > GOOD:
-                credit.left = 0.0
-            before = credit.left
-            # others may want the rest
-            credit.left = min(before, max(LEAST, 2 * credit.most(now, self.many)))
-            want = self.wants(credit, now)
-            if not self.told_all or want > 0 or credit.spent or credit.left != before:
-                entries.append(
-                    [name, credit.left, credit.spent, max(0.0, want), int(credit.asked(now))]
+        It has only the tenants of which there is something to tell. Credits that are too old, or
+        more than twice the target, are given up.
+        """
+        demands = []
+        self.unreported_in_request = {}
+        for tenant, credit in self.tenants.items():
+            if now - self.last_answer_sent_at > GOOD:
+                credit.granted = 0.0
+            granted_before = credit.granted
+            # other limiters may need the rest
+            most = max(MIN_TARGET_CREDITS, 2 * credit.target(now, self.limiter_count))
+            credit.granted = min(granted_before, most)
+            wanted = self._wanted(credit, now)
+            has_changed = credit.unreported or credit.granted != granted_before
+            if not self.has_reported_all or wanted > 0 or has_changed:
+                demands.append(
+                    CreditDemandRow(
+                        tenant,
+                        credit.granted,
+                        credit.unreported,
+                        max(0.0, wanted),
+                        int(credit.is_active(now)),
+                    )
                 )
-                self.calling[name] = credit.spent
-        return self.number, self.alone(now), entries
-
-    def granted(
-        self, sent: float, now: float, number: int, grants: Iterable[list[float]] | None
-    ) -> bool:
-        """The answer to a call that was sent then. Whether another must be made at once: these are
-        other grants, of which the counter must know all that is held.
+                self.unreported_in_request[tenant] = credit.unreported
+        return CreditRequest(
+            limiter_name=limiter_name,
+            incarnation=self.incarnation,
+            grant_term=self.grant_term,
+            is_isolated=self.is_isolated(now),
+            demands=demands,
+        )
+
+    def apply_response(self, sent_at: float, now: float, response: CreditResponse) -> bool:
+        """Takes the credits of an answer.
+
+        Args:
+            sent_at: When the request was sent.
+            now: When the answer came.
+            response: The answer.
+
+        Returns:
+            Whether the next request must be sent at once: the registry grants under another term
+            and must learn all that is held, or takes this limiter for isolated.
         """
-        if number != self.number or grants is None:
-            self.number, self.told_all = number, False
+        if response.grant_term != self.grant_term or response.grants is None:
+            self.grant_term = response.grant_term
+            self.has_reported_all = False
             return True
-        again = self.alone(now)  # the counter must hear that it isn't any more
-        self.heard, self.told_all, self.answered = max(self.heard, sent), True, True
-        for which, granted, opened in grants:
-            credit = self.credits.get(int(which))
+        was_isolated = self.is_isolated(now)
+        self.last_answer_sent_at = max(self.last_answer_sent_at, sent_at)
+        self.has_reported_all = True
+        self.has_answer = True
+        for row in response.grants:
+            credit = self.tenants.get(row.tenant)
             if credit is None:
                 continue
-            credit.spent = max(0.0, credit.spent - self.calling.get(int(which), 0.0))
-            credit.left += granted
-            credit.closed_until = 0.0 if opened else now + CLOSED
-            if not granted and not opened:
-                credit.hungry_at = now + STARVED
+            reported = self.unreported_in_request.get(row.tenant, 0.0)
+            credit.unreported = max(0.0, credit.unreported - reported)
+            credit.granted += row.granted
+            credit.near_limit_until = 0.0 if row.is_open else now + NEAR_LIMIT_SECONDS
+            if not row.granted and not row.is_open:
+                credit.retry_at = now + DEPLETED_RETRY_SECONDS
             else:
-                credit.hungry_at = -inf
-        return again
+                credit.retry_at = -inf
+        return was_isolated
+
+    def _accrue_isolated(self, credit: TenantCredits, now: float) -> None:
+        """Adds what comes of the even share while isolated; after that none of it is kept."""
+        if not self.is_isolated(now):
+            credit.isolated = 0.0
+            credit.isolated_updated_at = now
+            return
+        since = max(credit.isolated_updated_at, self.last_answer_sent_at + SILENT)
+        is_long = now - self.last_answer_sent_at >= LONG_ISOLATION_SECONDS
+        shrink = LONG_ISOLATION_SHARE if is_long else 1.0
+        share = ALONE * credit.rate / self.limiter_count * shrink
+        accrued = credit.isolated + share * max(0.0, now - since)
+        credit.isolated = min(max(1.0, share), accrued)
+        credit.isolated_updated_at = now
+
+    def _wanted(self, credit: TenantCredits, now: float) -> float:
+        """Returns how many credits to request; 0 where enough are left, or it's too early."""
+        target = credit.target(now, self.limiter_count)
+        if self.is_on_demand(credit):
+            is_idle = self.admits_ahead(credit, now) or not credit.is_active(now)
+            target = 0.0 if is_idle else 1.0
+        if target and credit.granted <= REFILL_SHARE * target and now >= credit.retry_at:
+            return target - credit.granted
+        return 0.0
--- a/loomstand/proxy/request.py
+++ b/loomstand/proxy/request.py
@@ -1,115 +1,163 @@
-"""A request of a client: what it says of itself, checked, and what goes on to a server."""
+"""A client's request: checked as it arrives, and written anew for a server. No I/O."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
+from loomstand.admission.ticks import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 from loomstand.config.configuration import Route, Tenant
 from loomstand.limiter.http_parser import Malformed, RequestReceiver, number
 from loomstand.limiter.request import HOP_FIELDS, Attempt, Request
 
-# Fields that a server gets from us alone, or never.
-KEPT = HOP_FIELDS | {
+REQUEST_ID_FIELD = b"loomstand-request-id"
+DEADLINE_FIELD = b"loomstand-deadline-remaining"
+# Fields that never go on from a client to a server; some of them the proxy writes itself.
+PROXY_FIELDS = HOP_FIELDS | {
     b"authorization",
-    b"loomstand-deadline-remaining",
+    DEADLINE_FIELD,
     b"loomstand-expected-instance",
     b"loomstand-tenant-name",
 }
-SLACK_MS = 20  # of a client's time: its answer travels back within this
+# Fields that go on even if the client's `Connection` lists them.
+REQUIRED_FIELDS = {b"host", REQUEST_ID_FIELD}
+ANSWER_TRAVEL_MS = 20  # of a client's time are left for the way back of its answer
+
+
+class ServerResponse(NamedTuple):
+    """A server's complete response, as it goes on to the client.
+
+    Attributes:
+        status: The status code.
+        body: The body.
+        encoded_headers: Its fields that go on, as lines with their ends.
+    """
+
+    status: int
+    body: bytes
+    encoded_headers: str
 
 
 class ProxyRequest(Request):
-    """A request with its route. `got` is the last whole answer of a server; `ran` whether it may
-    have run; `afresh` whether it goes by new connections only; `met` the servers that it was sent
-    to.
+    """A client's request at the proxy.
+
+    Attributes:
+        request_id: The id that the client gave it; never empty.
+        deadline_remaining_ms: How long the client says that it waits; None if it doesn't say.
+        api_key: The key of its `Authorization`; empty if there is none.
+        excluded_fields: Names of the fields that don't go on to a server.
+        route: Its route, once it is admitted.
+        service: Name of the service that is to answer it, once it is admitted.
+        tenant: Its tenant; None before that is known, and on public routes.
+        server_response: The last complete response of a server, if there is one.
+        attempted_endpoints: Indices of the servers that it was sent to.
+        may_have_run: Whether an attempt ended without proof that it didn't run.
+        needs_new_connection: Whether it goes by new connections only.
     """
 
     __slots__ = (
-        "afresh",
-        "got",
-        "hops",
-        "key",
-        "late",
-        "met",
-        "ran",
+        "api_key",
+        "attempted_endpoints",
+        "deadline_remaining_ms",
+        "excluded_fields",
+        "may_have_run",
+        "needs_new_connection",
         "request_id",
         "route",
+        "server_response",
         "service",
         "tenant",
-        "wait",
     )
+    route: Route
 
-    def __init__(self, machine: RequestReceiver) -> None:
-        """What is no proper request is a 400."""
-        super().__init__(machine)
-        fields = machine.fields
-        self.request_id = fields.get(b"loomstand-request-id", b"")
+    def __init__(self, parser: RequestReceiver) -> None:
+        """Takes the parser's complete message.
+
+        Raises:
+            Malformed: The request isn't proper; answered with 400.
+        """
+        super().__init__(parser)
+        fields = parser.fields
+        self.request_id: bytes = fields.get(REQUEST_ID_FIELD, b"")
         if not self.request_id:
             raise Malformed(400, "a request needs Loomstand-Request-Id")
-        left = fields.get(b"loomstand-deadline-remaining", b"")
-        if left and not number(left):
+        remaining = fields.get(DEADLINE_FIELD, b"")
+        if remaining and not number(remaining):
             raise Malformed(400, "Loomstand-Deadline-Remaining is whole milliseconds")
-        self.wait = int(left) if left else None
+        self.deadline_remaining_ms = int(remaining) if remaining else None
         scheme, _, key = fields.get(b"authorization", b"").partition(b" ")
-        self.key = key.strip() if scheme.lower() == b"bearer" else b""
-        self.hops: frozenset[bytes] | set[bytes] = KEPT
-        if (listed := fields.get(b"connection")) is not None:
-            names = {part.strip().lower() for part in listed.split(b",")}
-            self.hops = KEPT | (names - {b"host", b"loomstand-request-id"})
-        self.route: Route | None = None
+        self.api_key: bytes = key.strip() if scheme.lower() == b"bearer" else b""
+        self.excluded_fields: frozenset[bytes] | set[bytes] = PROXY_FIELDS
+        if (connection_field := fields.get(b"connection")) is not None:
+            listed = {name.strip().lower() for name in connection_field.split(b",")}
+            self.excluded_fields = PROXY_FIELDS | (listed - REQUIRED_FIELDS)
         self.service = ""
         self.tenant: Tenant | None = None
-        self.got: tuple[int, bytes, str] | None = None
-        self.met: tuple[int, ...] = ()
-        self.ran = self.late = self.afresh = False
+        self.server_response: ServerResponse | None = None
+        self.attempted_endpoints: tuple[int, ...] = ()
+        self.may_have_run = False
+        self.needs_new_connection = False
 
     @property
     def host(self) -> bytes:
+        """The `Host` field; empty if there is none."""
         return self.fields.get(b"host", b"")
 
     @property
     def path(self) -> bytes:
+        """The path of its target, without the query."""
         return self.line[1].partition(b"?")[0]
 
-    def timeout(self) -> int:
-        """How long it may be held, in tenths of a millisecond."""
-        most = self.route.timeout_seconds * 10_000
-        if self.wait is not None:
-            most = min(most, (self.wait - SLACK_MS) * 10)
-        return max(1, int(most))
+    def timeout_ticks(self) -> int:
+        """Returns how long it may take, by its route and by what the client says."""
+        timeout = self.route.timeout_seconds * TICKS_PER_SECOND
+        if self.deadline_remaining_ms is not None:
+            remaining_ms = self.deadline_remaining_ms - ANSWER_TRAVEL_MS
+            timeout = min(timeout, remaining_ms * TICKS_PER_MILLISECOND)
+        return max(1, int(timeout))
+
+    def encode_for(self, instance_id: bytes, timeout_ms: int) -> bytes:
+        """Returns its bytes for a server.
 
-    def raw_for(self, identifier: bytes, wait: int) -> bytes:
-        """The bytes for the server of that identifier, which is waited for that many
-        milliseconds.
+        Args:
+            instance_id: Identifier of the server.
+            timeout_ms: How long the server's answer is waited for.
         """
-        name = b""
+        tenant_header = b""
         if self.tenant is not None:
-            name = b"loomstand-tenant-name: %b\r\n" % self.tenant.name.encode()
-        head = self.onward(self.hops)
-        left = b"loomstand-deadline-remaining: %d\r\n" % wait
+            tenant_header = b"loomstand-tenant-name: %b\r\n" % self.tenant.name.encode()
+        head = self.onward(self.excluded_fields)
+        deadline_header = b"loomstand-deadline-remaining: %d\r\n" % timeout_ms
         return b"%b%b%bloomstand-expected-instance: %b\r\n\r\n%b" % (
             head,
-            left,
-            name,
-            identifier,
+            deadline_header,
+            tenant_header,
+            instance_id,
             self.body,
         )
 
 
-class ProxyAttempt(Attempt):
-    """A dispatch to one server."""
+class ProxyAttempt(Attempt[ProxyRequest]):
+    """An attempt at one server.
+
+    Attributes:
+        instance_id: Identifier of the server.
+    """
 
-    __slots__ = ("identifier",)
+    __slots__ = ("instance_id",)
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - the base class's arguments and one more
         self,
-        request: Request,
+        request: ProxyRequest,
         number: int,
         endpoint_id: int,
         sent_at: int,
         expires_at: int,
-        identifier: str,
+        instance_id: str,
     ) -> None:
+        """See `loomstand.limiter.request.Attempt`; times are ticks of the proxy's clock."""
         super().__init__(request, number, endpoint_id, sent_at, expires_at)
-        self.identifier = identifier.encode()
+        self.instance_id = instance_id.encode()
 
     def raw(self, wait: int) -> bytes:
-        return self.request.raw_for(self.identifier, wait)
+        """Returns its bytes for the server, whose answer is waited for `wait` ms."""
+        return self.request.encode_for(self.instance_id, wait)
--- a/loomstand/proxy/sessions.py
+++ b/loomstand/proxy/sessions.py
@@ -1,74 +1,112 @@
-"""The limiter's sessions with the registries: it asks each with the versions that it has, and hears
-news.
+"""This limiter's sessions with the registries, one for each core machine.
+
+In a session the limiter asks a registry, again and again, for what is newer than what it knows.
+Makes calls by the network, and owns the tasks that do so.
 """
 
 from __future__ import annotations
 
 import asyncio
-import zlib
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from random import Random
-from typing import Any, Protocol, TypeVar
+from typing import Protocol, TypeVar
 
+import msgspec
 from absl import logging
 from expression import Error, Result
 
 from loomstand.config.settings import Settings
-from loomstand.registry.instances import Row
+from loomstand.proxy.configuration_fetcher import FETCH_TIMEOUT_SECONDS, ConfigurationFetcher
+from loomstand.rpc import client
 from loomstand.rpc.errors import CallFailure
-from loomstand.rpc.network import Address, Body, Network
-
-ASK_WITHIN = 1.0  # seconds; a registry answers after 0.6 where there is no news
-# Seconds between two askings of one registry. Where much changes at once, as when all start, each
-# change was an answer to every limiter; so they come together. The first is heard at once, others
-# by this later.
-APART = 0.1
-HEARD = 2.0  # seconds for which a registry's last word on limiters counts
-FETCH_WITHIN, FETCH_MOST = 0.8, 3.2  # seconds; the longest after tries in vain
-# bytes: the most that a frame holds, so a registry has none that is larger
-MOST_UNPACKED = 16 << 20
-# Seconds after which another session may bring it too. On links that lose one packet in twenty the
-# one that was first to fetch held up all others for the whole of its 0.8 s; usual answers take some
-# ms.
-HEDGE = 0.15
-# the first and the longest pause, in seconds, before a registry that fails is asked again
-AGAIN = (0.1, 0.5)
-# Seconds for which a registry that nobody lists and that doesn't answer is asked on: seeds may be
+from loomstand.rpc.messages.base import Acknowledgement, Message, Request
+from loomstand.rpc.messages.configuration_messages import OfferRequest
+from loomstand.rpc.messages.rows import CounterEndpointRow, InstanceRow
+from loomstand.rpc.messages.session_messages import (
+    DeregisterRequest,
+    LimiterSetRow,
+    SessionRequest,
+    SessionResponse,
+    TenantTotalRow,
+)
+from loomstand.rpc.network import Address, Network
+
+POLL_TIMEOUT_SECONDS = 1.0  # a registry answers after 0.6 s where there is nothing newer
+# Seconds between two calls to one registry. Where much changes at once, as when all start, each
+# change was an answer to every limiter; so they come together. The first comes at once, others
+# later by this.
+POLL_INTERVAL_SECONDS = 0.1
+IN_TOUCH_SECONDS = 2.0  # for which a registry's last answer counts
+DEREGISTER_TIMEOUT_SECONDS = 0.2
+# The first and the longest backoff before a registry that fails is called again.
+BACKOFF_SECONDS = (0.1, 0.5)
+# Seconds for which a registry that nobody lists and that doesn't answer is called on: seeds may be
 # exchanged.
-FORGOTTEN = 10.0
+UNLISTED_SECONDS = 10.0
+
+ValueT = TypeVar("ValueT")
+ResponseT = TypeVar("ResponseT", bound=Message)
+
 
-T = TypeVar("T")
+class SessionListener(Protocol):
+    """Who is told what the registries answer."""
 
+    def update_instances(
+        self, registry: str, rows: Sequence[InstanceRow], is_new_session: bool
+    ) -> None:
+        """Called with servers that changed; with all of them in a new session."""
 
-def unpacked(said: Body) -> bytes:
-    """The configuration in a registry's answer; nothing if it can't be unpacked."""
-    if "z" not in said:
-        return bytes(said["data"])
-    try:
-        return zlib.decompressobj().decompress(said["z"], MOST_UNPACKED)
-    except zlib.error as why:
-        logging.error("configuration r%s can't be unpacked: %s", said["version"], why)
-        return b""
+    def update_limiters(self, limiters: LimiterSetRow) -> None:
+        """Called with the limiters, as the registry knows them that knows most."""
 
+    def update_tenant_totals(self, totals: Sequence[TenantTotalRow]) -> None:
+        """Called with the tenants near their limit."""
 
-class SessionListener(Protocol):
-    """Who uses the sessions."""
+    def update_clock(self, shared_clock: int | None, is_current: bool) -> None:
+        """Called with a registry's clock, and whether the configuration held is the newest."""
 
-    def servers(self, registry: str, rows: list[Row], anew: bool) -> None: ...
+    def apply_configuration(self, version: int, data: bytes) -> bool:
+        """Brings a configuration into force; returns whether it could."""
 
-    def limiters(self, me: int, many: int, silent: int) -> None: ...
+    def shared_clock_reading(self) -> int | None:
+        """Returns the shared clock in ticks, if this limiter knows it."""
 
-    def configured(self, version: int, data: bytes) -> bool: ...
 
-    def full(self, totals: list[list[float]]) -> None: ...
+@dataclass(slots=True)
+class SessionState:
+    """What a limiter knows from one registry.
 
-    def clock_told(self, clock: int | None, sure: bool) -> None: ...
+    Attributes:
+        host: IP address of the registry's machine.
+        address: Address of the registry.
+        session_id: Number of the session; 0 if none is open.
+        instances_revision: Revision of the registry's table of servers.
+        facts_revision: Revision of the registry's facts.
+        buckets_revision: Revision of the registry's quota buckets.
+        is_current: Whether the registry's configuration was known to be the newest.
+    """
 
-    def common_clock(self) -> int | None: ...
+    host: str
+    address: Address
+    session_id: int = 0
+    instances_revision: int = 0
+    facts_revision: int = -1
+    buckets_revision: int = 0
+    is_current: bool = False
 
 
 class Sessions:
-    """One session for each core machine."""
+    """The sessions with all registries.
+
+    Attributes:
+        configuration: Holds and fetches the configuration.
+        counters: By registry, the counting registry that it told.
+        limiter_sets: By registry, the limiters that it told.
+        tasks: By address of a core machine, its session.
+        last_listed_at: By core machine, when a registry listed it or it answered.
+        last_answer_at: By registry, when it last answered.
+    """
 
     def __init__(
         self,
@@ -76,147 +114,197 @@
         network: Network,
         clock: Callable[[], float],
         rng: Random,
-        user: SessionListener,
+        listener: SessionListener,
     ) -> None:
-        self.settings, self.network, self.clock, self.rng, self.user = (
-            settings,
-            network,
-            clock,
-            rng,
-            user,
+        """`clock` is steady, in seconds."""
+        self.configuration = ConfigurationFetcher(
+            network, clock, lambda version, data: listener.apply_configuration(version, data)
         )
-        self.version, self.data = 0, b""
-        # by registry: who counts, by its term
-        self.counters: dict[str, tuple[tuple[int, ...], Address]] = {}
-        # by registry: how many limiters, -silent, own place
-        self.sets: dict[str, tuple[int, int, int]] = {}
-        self.cores: dict[str, asyncio.Task[None]] = {}
-        # when a core machine was last listed by a registry, or answered
-        self.listed: dict[str, float] = {}
-        self.standing: dict[str, float] = {}  # when each registry last answered
-        self.fetching = -HEDGE  # since when
-        self.within = FETCH_WITHIN
-        self.stopping = False
+        self.counters: dict[str, CounterEndpointRow] = {}
+        self.limiter_sets: dict[str, LimiterSetRow] = {}
+        self.tasks: dict[str, asyncio.Task[None]] = {}
+        self.last_listed_at: dict[str, float] = {}
+        self.last_answer_at: dict[str, float] = {}
+        self._settings = settings
+        self._network = network
+        self._clock = clock
+        self._rng = rng
+        self._listener = listener
+        self._is_stopping = False
 
     def start(self) -> None:
-        for ip, _ in self.settings.seed_nodes:
-            self.add(ip)
+        """Begins a session with each seed."""
+        for host, _ in self._settings.seed_nodes:
+            self._add_core(host)
 
     def reload(self, settings: Settings) -> None:
-        """The seeds may be others now."""
-        self.settings = settings
+        """Takes over changed settings: the seeds may be others."""
+        self._settings = settings
         self.start()
 
-    def add(self, ip: str) -> None:
-        self.listed[ip] = self.clock()
-        if ip not in self.cores and not self.stopping:
-            self.cores[ip] = asyncio.get_running_loop().create_task(self.session(ip))
-
     async def stop(self) -> None:
-        """Ends the sessions: the place is free at once."""
-        self.stopping = True
-        tasks, self.cores = list(self.cores.values()), {}
+        """Ends the sessions, so that the limiter's rank is free at once."""
+        self._is_stopping = True
+        tasks = list(self.tasks.values())
+        self.tasks = {}
         for task in tasks:
             task.cancel()
-        said = {"name": self.settings.node_name}
+        request = DeregisterRequest(limiter_name=self._settings.node_name)
         calls = [
-            self.network.call(self.settings.registry_address(ip), "bye", said, 0.2)
-            for ip in self.standing
+            client.call(
+                self._network,
+                self._settings.registry_address(host),
+                request,
+                Acknowledgement,
+                DEREGISTER_TIMEOUT_SECONDS,
+            )
+            for host in self.last_answer_at
         ]
         await asyncio.gather(*calls)
+        for error in await asyncio.gather(*tasks, return_exceptions=True):
+            if isinstance(error, Exception):
+                logging.error("proxy: session_failed error=%r", error)
+
+    def counting_registry(self) -> CounterEndpointRow | None:
+        """Returns the counting registry of the highest term that is told, if any is."""
+        endpoints = self._in_touch(self.counters) or list(self.counters.values())
+        return max(endpoints, key=_counter_order, default=None)
+
+    async def call_counter(
+        self, request: Request, response_type: type[ResponseT], timeout_seconds: float
+    ) -> Result[ResponseT, CallFailure]:
+        """Calls the counting registry, wherever it is."""
+        counter = self.counting_registry()
+        if counter is None:
+            return Error(CallFailure.NEVER_RAN)
+        address = (counter.host, counter.port)
+        return await client.call(self._network, address, request, response_type, timeout_seconds)
 
-    async def session(self, ip: str) -> None:
-        """Asks one registry again and again."""
-        address, pause = self.settings.registry_address(ip), AGAIN[0]
-        session, have, facts, sure, full = 0, 0, -1, False, 0
+    def _add_core(self, host: str) -> None:
+        self.last_listed_at[host] = self._clock()
+        if host not in self.tasks and not self._is_stopping:
+            self.tasks[host] = asyncio.get_running_loop().create_task(self._run_session(host))
+
+    async def _run_session(self, host: str) -> None:
+        """Calls one registry again and again, until nobody lists it any more."""
+        state = SessionState(host, self._settings.registry_address(host))
+        backoff = BACKOFF_SECONDS[0]
         while True:
-            said: Body = {"h": have, "f": facts, "c": self.version}
-            new = {"name": self.settings.node_name, "clock": self.user.common_clock()}
-            said |= {"s": session} if session else new
-            if full:
-                said["q"] = full
-            asked = self.clock()
-            got = await self.network.call(address, "ask", said, ASK_WITHIN)
-            if got.is_error():
-                if got.error is CallFailure.REFUSED and session:
-                    session = 0  # the registry has started anew
+            request = self._request(state)
+            called_at = self._clock()
+            result = await client.call(
+                self._network, state.address, request, SessionResponse, POLL_TIMEOUT_SECONDS
+            )
+            if result.is_error():
+                if result.error is CallFailure.REFUSED and state.session_id:
+                    state.session_id = 0  # the registry has started anew
                     continue
-                seed = any(ip == known for known, _ in self.settings.seed_nodes)
-                if self.clock() - self.listed[ip] > FORGOTTEN and not seed:
-                    self.standing.pop(ip, None)
-                    del self.cores[ip]
+                if self._is_unlisted(host):
+                    self.last_answer_at.pop(host, None)
+                    del self.tasks[host]
                     return
-                await asyncio.sleep(pause * (0.5 + self.rng.random()))
-                pause = min(AGAIN[1], 2 * pause)
+                await asyncio.sleep(backoff * (0.5 + self._rng.random()))
+                backoff = min(BACKOFF_SECONDS[1], 2 * backoff)
                 continue
-            pause, now, body = AGAIN[0], self.clock(), got.ok
-            self.standing[ip] = self.listed[ip] = now
-            anew = "s" in body
-            session, have = body.get("s", session), body.get("h", have)
-            if "rows" in body or anew:
-                self.user.servers(ip, body.get("rows", []), anew)
-            full = 0 if anew else full
-            if "full" in body:
-                full = body["q"]
-                self.user.full(body["full"])
-            newer = body.get("c", 0) > self.version
-            if "f" in body:
-                facts, sure = body["f"], bool(body["sure"])
-                self.facts(ip, body)
-                # what is held is the newest for sure only once it is what the registry has
-                self.user.clock_told(body["clock"], sure and not newer)
-            if newer:
-                await self.fetch(address)
-                if sure and body["c"] <= self.version:
-                    self.user.clock_told(None, True)
-            if body.get("give") and self.data:
-                await self.network.call(
-                    address, "offer", {"version": self.version, "data": self.data}, FETCH_WITHIN
-                )
-            if (early := asked + APART - self.clock()) > 0:
-                await asyncio.sleep(early)
-
-    def facts(self, ip: str, body: Body) -> None:
-        """What a registry says beside servers. Of limiters the one that knows most is right: one
-        that just started doesn't know those that are cut off; of two, one that still hears a
-        limiter.
+            backoff = BACKOFF_SECONDS[0]
+            await self._handle_response(state, result.ok)
+            early_seconds = called_at + POLL_INTERVAL_SECONDS - self._clock()
+            if early_seconds > 0:
+                await asyncio.sleep(early_seconds)
+
+    def _request(self, state: SessionState) -> SessionRequest:
+        if state.session_id:
+            return SessionRequest(
+                known_instances=state.instances_revision,
+                known_facts=state.facts_revision,
+                known_configuration=self.configuration.version,
+                session_id=state.session_id,
+                known_buckets=state.buckets_revision,
+            )
+        return SessionRequest(
+            known_instances=state.instances_revision,
+            known_facts=state.facts_revision,
+            known_configuration=self.configuration.version,
+            limiter_name=self._settings.node_name,
+            shared_clock=self._listener.shared_clock_reading(),
+            known_buckets=state.buckets_revision,
+        )
+
+    def _is_unlisted(self, host: str) -> bool:
+        is_seed = any(host == seed for seed, _ in self._settings.seed_nodes)
+        return self._clock() - self.last_listed_at[host] > UNLISTED_SECONDS and not is_seed
+
+    async def _handle_response(self, state: SessionState, response: SessionResponse) -> None:
+        self.last_answer_at[state.host] = self.last_listed_at[state.host] = self._clock()
+        self._update_instances(state, response)
+        if response.tenant_totals is not None:
+            state.buckets_revision = response.buckets_revision or 0
+            self._listener.update_tenant_totals(response.tenant_totals)
+        version = response.configuration_version or 0
+        is_newer = version > self.configuration.version
+        if response.facts_revision is not None:
+            state.facts_revision = response.facts_revision
+            state.is_current = bool(response.is_current)
+            self._update_system(state.host, response)
+            # what is held is surely the newest only once it is what the registry has
+            clock = response.shared_clock
+            self._listener.update_clock(
+                None if isinstance(clock, msgspec.UnsetType) else clock,
+                state.is_current and not is_newer,
+            )
+        if is_newer:
+            await self.configuration.fetch(state.address)
+            if state.is_current and version <= self.configuration.version:
+                self._listener.update_clock(None, True)
+        if response.requests_configuration and self.configuration.data:
+            await self._offer_configuration(state.address)
+
+    def _update_instances(self, state: SessionState, response: SessionResponse) -> None:
+        is_new_session = response.session_id is not None
+        if response.session_id is not None:
+            state.session_id = response.session_id
+            state.buckets_revision = 0
+        if response.instances_revision is not None:
+            state.instances_revision = response.instances_revision
+        if response.instances is not None or is_new_session:
+            self._listener.update_instances(state.host, response.instances or [], is_new_session)
+
+    def _update_system(self, host: str, response: SessionResponse) -> None:
+        """Takes over what a registry tells beside servers.
+
+        Of limiters the registry is right that knows most: one that just started doesn't know those
+        that are cut off. Of two that know as many, the one that is in touch with more.
         """
-        for core in body["cores"]:
-            self.add(core)
-        if body["counter"]:
-            where, port, *term = body["counter"]
-            self.counters[ip] = (tuple(term), (where, port))  # one of before the duty tells no term
-        me, many, silent = body["fleet"]
-        self.sets[ip] = (many, -silent, me)
-        many, heard, me = max(self.stand(self.sets))
-        self.user.limiters(me, many, -heard)
-
-    def stand(self, said: dict[str, T]) -> list[T]:
-        """What the registries said that are in touch."""
-        return [v for k, v in said.items() if self.clock() - self.standing.get(k, -HEARD) <= HEARD]
-
-    async def fetch(self, address: Address) -> None:
-        """Brings the newer configuration, once for all sessions."""
-        if self.clock() - self.fetching < HEDGE:
-            await asyncio.sleep(0.05)  # another session brings it
-            return
-        asked = self.fetching = self.clock()
-        got = await self.network.call(address, "fetch", {"z": True}, self.within)
-        self.fetching = -HEDGE
-        # of thousands of routes to many limiters at once it may take longer: each try in vain is
-        # given more
-        took = self.clock() - asked if got.is_ok() else self.within
-        self.within = max(FETCH_WITHIN, min(FETCH_MOST, 2 * took))
-        if got.is_ok() and got.ok["version"] > self.version:
-            version, data = int(got.ok["version"]), unpacked(got.ok)
-            if data and self.user.configured(version, data):
-                self.version, self.data = version, data
-                logging.info("configuration r%d in force", version)
-
-    async def count(
-        self, body: dict[str, Any], within: float, op: str = "count"
-    ) -> Result[Body, CallFailure]:
-        """A call to the counter, wherever it is."""
-        if not (said := self.stand(self.counters) or [*self.counters.values()]):
-            return Error(CallFailure.NEVER_RAN)
-        return await self.network.call(max(said)[1], op, body, within)
+        for core_host in response.core_hosts or ():
+            self._add_core(core_host)
+        if isinstance(response.counter, CounterEndpointRow):
+            self.counters[host] = response.counter
+        if response.limiters is not None:
+            self.limiter_sets[host] = response.limiters
+            self._listener.update_limiters(max(self._in_touch(self.limiter_sets), key=_set_order))
+
+    async def _offer_configuration(self, address: Address) -> None:
+        """Gives the registry a configuration that it may have lost."""
+        request = OfferRequest(version=self.configuration.version, data=self.configuration.data)
+        result = await client.call(
+            self._network, address, request, Acknowledgement, FETCH_TIMEOUT_SECONDS
+        )
+        if result.is_error():
+            logging.info("proxy: offer_failed registry=%s:%d", *address)
+
+    def _in_touch(self, by_registry: dict[str, ValueT]) -> list[ValueT]:
+        """Returns the values of the registries that answered lately."""
+        now = self._clock()
+        return [
+            value
+            for host, value in by_registry.items()
+            if now - self.last_answer_at.get(host, -IN_TOUCH_SECONDS) <= IN_TOUCH_SECONDS
+        ]
+
+
+def _counter_order(counter: CounterEndpointRow) -> tuple[int, int, str, int]:
+    return counter.epoch, counter.number, counter.host, counter.port
+
+
+def _set_order(limiters: LimiterSetRow) -> tuple[int, int, int]:
+    return limiters.total, -limiters.silent, limiters.rank
--- a/loomstand/proxy/shared_clock.py
+++ b/loomstand/proxy/shared_clock.py
@@ -1,50 +1,65 @@
-"""The clock by which all limiters name intervals, as this one knows it. Pure: its own clock is
-given.
+"""The clock by which all limiters name the intervals of counters, as this limiter knows it.
 
 Limiters whose clocks differ count under different names: each sees only some of a tenant's use, and
-all of them together let it have its quota twice. That came of limiters that started while no
-registry could be reached, or whose time of day had jumped: they kept the clock that they first
-served by.
+all of them together admit its quota twice. That befell limiters that started while no registry was
+in reach, or whose time of day had jumped, as they kept the clock that they started with.
+
+Pure: readings of the limiter's own clock are given. Times are ticks of 0.1 ms.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-OFF = 50  # tenths of a millisecond by which it may be off: an answer waits its turn for some
-ONE_WAY = 10  # tenths that an answer is under way, between zones
-# Tenths after which word that the common clock is behind counts. Late answers make it look so, on
-# lossy links by a fifth of a second; registries tell a clock that moved for three seconds.
-LATE = 8_000
+TOLERANCE_TICKS = 50  # by which an offset may be off: an answer may wait its turn for some ms
+ONE_WAY_TICKS = 10  # that an answer takes, between zones
+# For so long an offset must look behind before the clock follows. Late answers make it look so, on
+# lossy links by a fifth of a second; registries repeat a clock that moved for three seconds.
+BEHIND_TICKS = 8_000
 
 
 @dataclass(slots=True)
 class SharedClock:
-    """`shift`: tenths by which the common clock is ahead of the own one."""
+    """The shared clock as an offset from the limiter's own.
+
+    Attributes:
+        offset: Ticks by which the shared clock is ahead of the own one.
+        is_set: Whether any registry told the shared clock.
+        behind_offset: The largest offset observed since `behind_since`, where all observed since
+            were smaller than `offset`; else None.
+        behind_since: Reading of the own clock.
+    """
+
+    offset: int = 0
+    is_set: bool = False
+    behind_offset: int | None = None
+    behind_since: int = 0
 
-    shift: int = 0
-    known: bool = False  # whether anybody told of it
-    # the furthest ahead that it looked since `since`, where that was behind
-    behind: int | None = None
-    since: int = 0
+    def observe(self, shared_clock: int, now: int) -> bool:
+        """Takes over a reading of the shared clock that came at `now` of the own clock.
 
-    def heard(self, clock: int, now: int) -> bool:
-        """What a registry told, at `now` of the own clock, both in tenths. Whether the shift is
-        another one.
+        An answer that comes late makes the shared clock look behind, never ahead. So a larger
+        offset counts at once, a smaller one only if it persists.
 
-        What comes late makes the common clock look behind, never ahead.
+        Returns:
+            Whether `offset` changed.
         """
-        shift = clock + ONE_WAY - now
-        if not self.known or shift > self.shift + OFF:
-            moved, self.shift, self.known, self.behind = shift != self.shift, shift, True, None
-            return moved
-        if shift >= self.shift - OFF:
-            self.behind = None
+        offset = shared_clock + ONE_WAY_TICKS - now
+        if not self.is_set or offset > self.offset + TOLERANCE_TICKS:
+            has_changed = offset != self.offset
+            self.offset = offset
+            self.is_set = True
+            self.behind_offset = None
+            return has_changed
+        if offset >= self.offset - TOLERANCE_TICKS:
+            self.behind_offset = None
             return False
-        if self.behind is None:
-            self.behind, self.since = shift, now
-        self.behind = max(self.behind, shift)
-        if now - self.since < LATE:
+        if self.behind_offset is None:
+            self.behind_offset = offset
+            self.behind_since = now
+        self.behind_offset = max(self.behind_offset, offset)
+        if now - self.behind_since < BEHIND_TICKS:
             return False
-        self.shift, self.behind = self.behind, None
+        self.offset = self.behind_offset
+        self.behind_offset = None
         return True
--- a/loomstand/proxy/stale_connections.py
+++ b/loomstand/proxy/stale_connections.py
@@ -1,35 +1,50 @@
-"""Which kept connections may carry a request that must not run twice. Pure: the clock is given.
+"""How long a connection may have been idle to carry a request that must not run twice.
 
-Servers may forget idle connections without a word, many at once; what is sent on one then is reset,
-and nobody knows for sure that it didn't run. A repeatable request goes on by a new connection;
-another is lost.
+A server may drop idle connections without notice, many at once. What is sent on one of them then
+is reset, and nobody knows for sure that it didn't run: an idempotent request is retried on a new
+connection, another one is lost. Pure: a reading of a steady clock in seconds is given.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-# A machine that forgot a connection resets it within a round trip, some 3 ms between zones, or it
-# waits its turn on a busy core; a request that ran takes longer.
-QUICK = 0.03
-# of the idle time after which one broke: the first that does was idle longer than need be
-SHARE = 0.5
-# seconds for which that counts: such times last some six, and a new connection costs little
-MEMORY = 8.0
+# A machine that dropped a connection resets it within a round trip, some 3 ms between zones, or
+# later on a busy core; a request that ran takes longer.
+RESET_WITHIN_SECONDS = 0.03
+# Of the idle time after which a connection was lost, the share that is trusted from then on: the
+# first one to be lost was idle longer than need be.
+TRUSTED_IDLE_SHARE = 0.5
+# For how long a loss counts: such times last some six seconds, and a new connection costs little.
+MEMORY_SECONDS = 8.0
 
 
 class StaleConnections:
-    """What was seen of forgotten connections, by service."""
+    """The losses of idle connections, by service.
 
-    def __init__(self) -> None:
-        self.seen: dict[str, tuple[float, float]] = {}
-
-    def broke(self, service: str, idle: float, after: float, now: float) -> None:
-        """A kept connection broke `after` seconds from the sending, having been idle for `idle`."""
-        if after <= QUICK:
-            self.seen[service] = min(self.trusted(service, now), SHARE * idle), now + MEMORY
+    Attributes:
+        trusted_idle: By service, the trusted idle time and until when it holds.
+    """
 
-    def trusted(self, service: str, now: float) -> float:
-        """Seconds for which a connection may have been idle."""
-        age, until = self.seen.get(service, (inf, -inf))
-        return age if now < until else inf
+    def __init__(self) -> None:
+        self.trusted_idle: dict[str, tuple[float, float]] = {}
+
+    def record_loss(
+        self, service: str, idle_seconds: float, seconds_to_loss: float, now: float
+    ) -> None:
+        """Records that a reused connection was lost.
+
+        Args:
+            service: Service of the server.
+            idle_seconds: For how long the connection had been idle when the request was sent.
+            seconds_to_loss: Time from the sending to the loss.
+            now: A reading of the steady clock.
+        """
+        if seconds_to_loss <= RESET_WITHIN_SECONDS:
+            trusted = min(self.max_idle_seconds(service, now), TRUSTED_IDLE_SHARE * idle_seconds)
+            self.trusted_idle[service] = (trusted, now + MEMORY_SECONDS)
+
+    def max_idle_seconds(self, service: str, now: float) -> float:
+        """Returns for how long a connection may have been idle; infinite if none was lost."""
+        trusted, until = self.trusted_idle.get(service, (inf, -inf))
+        return trusted if now < until else inf
--- a/loomstand/proxy/upstream.py
+++ b/loomstand/proxy/upstream.py
@@ -1,153 +1,217 @@
-"""Connections to servers in the gateway: what a whole answer is, and whose."""
+"""Connections to servers: which response belongs to which request, and which connection is reused.
+
+Owns the sockets to servers. A response that isn't surely a server's own to this very request is
+never passed on.
+"""
 
 from __future__ import annotations
 
 import re
 from math import inf
+from typing import Protocol
 
 from loomstand.admission.outcome import Outcome
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.protocols import Sends
 from loomstand.limiter.request import HOP_FIELDS, Attempt
-from loomstand.limiter.upstream import ServerConnection, ConnectionPool
+from loomstand.limiter.upstream import ConnectionPool, ServerConnection
+from loomstand.proxy.request import (
+    REQUEST_ID_FIELD,
+    ProxyRequest,
+    ServerResponse,
+)
 from loomstand.proxy.stale_connections import StaleConnections
 
-STAYS = re.compile(rb"timeout=([0-9]{1,6})").search
-# A server's idle close and our next request may cross on the way; of a request that can't be
-# repeated nothing is left then. The stated time is in whole seconds, so it may be rounded.
-MARGIN = 1.0
-BROKEN = {Ending.CLOSED, Ending.RESET}
-PROMISES = {408, 421, 429, 503}  # to clients: not run, and never will
-# Surplus answers that are passed over for one request. A server sends one or two by mistake; where
-# more come each costs a turn of the parser within one piece of bytes.
-MOST_SURPLUS = 8
-# seconds that a connection is kept where the server states nothing: those seen keep ten
-UNSTATED = 4.0
-
-
-class UpstreamConnection(ServerConnection):
-    """One connection to a server. Answers carry the id of their request; a surplus one is passed
-    over.
+KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=([0-9]{1,6})").search
+# A server's idle close and the next request may cross on the way; a request that isn't idempotent
+# is lost by that. The stated time is in whole seconds, so it may be rounded.
+IDLE_CLOSE_MARGIN_SECONDS = 1.0
+# Seconds for which a connection is kept where the server states nothing: those seen keep ten.
+DEFAULT_IDLE_SECONDS = 4.0
+CONNECTION_LOSSES = {Ending.CLOSED, Ending.RESET}
+MISDIRECTED = 421
+# Statuses that clients take for a promise that the request didn't run and never will.
+NOT_EXECUTED_STATUSES = {408, MISDIRECTED, 429, 503}
+# Surplus responses that are skipped for one request. A server sends one or two by mistake; where
+# more come, each costs a turn of the parser within one piece of bytes.
+MAX_SURPLUS_RESPONSES = 8
+
+
+class AttemptListener(Sends[Attempt[ProxyRequest]], Protocol):
+    """What connections to servers need of the proxy."""
+
+    def endpoint_misdirected(self, attempt: Attempt[ProxyRequest]) -> None:
+        """Called when another server answers at the attempt's address."""
+
+
+class UpstreamConnection(ServerConnection[ProxyRequest]):
+    """One connection to a server.
+
+    Responses carry the id of their request; a surplus one of an earlier request is skipped.
+
+    Attributes:
+        surplus: How many surplus responses were skipped.
     """
 
     __slots__ = ("surplus",)
+    pool: UpstreamPool
 
-    def __init__(self, pool: ConnectionPool, endpoint_id: int) -> None:
+    def __init__(self, pool: UpstreamPool, endpoint_id: int) -> None:
+        """Makes a connection that isn't open yet."""
         super().__init__(pool, endpoint_id)
-        self.surplus, self.idle_timeout_seconds = 0, UNSTATED
+        self.surplus = 0
+        self.idle_timeout_seconds = DEFAULT_IDLE_SECONDS
 
     def opened(self) -> None:
+        """Sends the request, if anybody waits for it still."""
         if self.attempt is not None and self.attempt.expires_at <= self.pool.limiter.now():
-            # this process stood still while it came up: nobody waits any more, and nothing was sent
+            # this process stood still while it came up, and nothing was sent
             self.wire.stop(Ending.EXPIRED)
             return
         super().opened()
 
     def response_received(self) -> None:
-        attempt, machine = self.attempt, self.machine
-        status, fields, body, close = machine.status, machine.fields, machine.body, machine.close
-        id_, request = fields.get(b"loomstand-request-id"), attempt.request
-        if id_ is not None and id_ != request.request_id and self.surplus < MOST_SURPLUS:
-            self.surplus += 1  # of an earlier request: the right one follows
-            machine.reset()
-            if self.wire.inbound.used:
-                self.received()
+        """Matches a complete response with the request, and reports how the attempt ended."""
+        attempt = self.attempt
+        if attempt is None:
             return
-        not_run = b"loomstand-not-executed" in fields or status == 421
-        if id_ != request.request_id or not own(status, fields, not_run):
-            # no server's own answer to this request: it may have run
-            self.wire.stop(Ending.MALFORMED)
+        parser = self.machine
+        status, fields, body, must_close = parser.status, parser.fields, parser.body, parser.close
+        response_id = fields.get(REQUEST_ID_FIELD)
+        request = attempt.request
+        has_other_id = response_id is not None and response_id != request.request_id
+        if has_other_id and self.surplus < MAX_SURPLUS_RESPONSES:
+            self._skip_surplus()
             return
-        if (said := STAYS(fields.get(b"keep-alive", b""))) is not None:
-            self.idle_timeout_seconds = max(0.0, int(said[1]) - MARGIN)
-        self.finish_response(close or self.surplus > 0)
-        limiter = self.pool.limiter
-        if not_run:
-            if status == 421:
-                limiter.misdirected(attempt)
-            limiter.attempt_ended(attempt, Outcome.REJECTED)
+        has_not_run = b"loomstand-not-executed" in fields or status == MISDIRECTED
+        is_own = is_server_response(status, fields, has_not_run)
+        if response_id != request.request_id or not is_own:
+            self.wire.stop(Ending.MALFORMED)  # the request may have run
             return
-        left_out = HOP_FIELDS
-        if (listed := fields.get(b"connection")) is not None:
-            left_out = HOP_FIELDS | {part.strip().lower() for part in listed.split(b",")}
-        extra = "".join(
-            f"{name.decode('latin-1')}: {value.decode('latin-1')}\r\n"
-            for name, value in fields.items()
-            if name not in left_out
-        )
-        request.got = (status, body, extra)
-        limiter.attempt_ended(attempt, Outcome.SERVER_ERROR if status >= 500 else Outcome.SUCCEEDED)
-
-    def ended(self, why: Ending) -> None:
-        if self.attempt is not None and self.idle_at and why in BROKEN:
-            self.pool.forgotten(self)
-        super().ended(why)
-
-
-def own(status: int, fields: dict[bytes, bytes], not_run: bool) -> bool:
-    """Whether a server of the system can have said this. A success has its stamp, ran, and has no
-    coding that nobody asked for; what clients take for a promise says by another field that it is
-    one.
+        if (keep_alive := KEEP_ALIVE_TIMEOUT(fields.get(b"keep-alive", b""))) is not None:
+            self.idle_timeout_seconds = max(0.0, int(keep_alive[1]) - IDLE_CLOSE_MARGIN_SECONDS)
+        self.finish_response(must_close or self.surplus > 0)
+        listener = self.pool.limiter
+        if has_not_run:
+            if status == MISDIRECTED:
+                listener.endpoint_misdirected(attempt)
+            listener.attempt_ended(attempt, Outcome.REJECTED)
+            return
+        request.server_response = ServerResponse(status, body, encoded_headers(fields))
+        is_error = status >= 500  # noqa: PLR2004 - HTTP's class of server errors
+        listener.attempt_ended(attempt, Outcome.SERVER_ERROR if is_error else Outcome.SUCCEEDED)
+
+    def ended(self, ending: Ending) -> None:
+        """Reports the attempt under way; a reused connection that was lost is remembered."""
+        if self.attempt is not None and self.idle_at and ending in CONNECTION_LOSSES:
+            self.pool.discard_stale(self, self.attempt)
+        super().ended(ending)
+
+    def _skip_surplus(self) -> None:
+        """Skips a response to an earlier request: the right one follows."""
+        self.surplus += 1
+        self.machine.reset()
+        if self.wire.inbound.used:
+            self.received()
+
+
+def encoded_headers(fields: dict[bytes, bytes]) -> str:
+    """Returns a response's fields that go on to the client, as lines with their ends."""
+    excluded = HOP_FIELDS
+    if (connection_field := fields.get(b"connection")) is not None:
+        listed = {name.strip().lower() for name in connection_field.split(b",")}
+        excluded = HOP_FIELDS | listed
+    return "".join(
+        f"{name.decode('latin-1')}: {value.decode('latin-1')}\r\n"
+        for name, value in fields.items()
+        if name not in excluded
+    )
+
+
+def is_server_response(status: int, fields: dict[bytes, bytes], has_not_run: bool) -> bool:
+    """Returns whether a server of the system can have sent this.
+
+    A success has the server's stamp, was executed, and has no coding that nobody asked for. A
+    status that clients take for a promise has a field that says so, too.
     """
-    if 200 <= status < 300:
+    if 200 <= status < 300:  # noqa: PLR2004 - HTTP's class of successes
         return (
-            not not_run
+            not has_not_run
             and b"loomstand-response-stamp" in fields
             and b"content-encoding" not in fields
         )
-    return not_run or status not in PROMISES
+    return has_not_run or status not in NOT_EXECUTED_STATUSES
 
 
-class UpstreamPool(ConnectionPool):
-    """Connections to all servers."""
+class UpstreamPool(ConnectionPool[ProxyRequest]):
+    """Connections to all servers.
+
+    Attributes:
+        limiter: The proxy, which is told how attempts end.
+        stale_connections: What is known of connections that servers dropped.
+    """
 
     connection_type = UpstreamConnection
+    limiter: AttemptListener
 
-    def __init__(self, limiter: Sends, connect_timeout: float, idle_close: float) -> None:
-        super().__init__(limiter, connect_timeout, idle_close)
-        self.kept = StaleConnections()
+    def __init__(
+        self, listener: AttemptListener, connect_timeout_seconds: float, max_idle_seconds: float
+    ) -> None:
+        """Makes an empty pool; a connection is idle for `max_idle_seconds` at most."""
+        super().__init__(listener, connect_timeout_seconds, max_idle_seconds)
+        self.stale_connections = StaleConnections()
 
-    def send(self, attempt: Attempt) -> None:
-        """A request that was lost on a kept connection goes on by a new one, as does one that was
-        sent to that server before; one that must not run twice uses none that may be forgotten.
+    def send(self, attempt: Attempt[ProxyRequest]) -> None:
+        """Sends on a connection that is trusted for this request, or on a new one.
+
+        A request that was lost on a reused connection goes on a new one, as does one that was sent
+        to that server before: a second copy of its first response has the same id. One that isn't
+        idempotent goes on none that the server may have dropped.
         """
-        request, now, trusted = attempt.request, self.limiter.loop.time(), inf
-        if (
-            request.afresh or attempt.endpoint_id in request.met
-        ):  # a second copy of its first answer has the same id
-            trusted = 0.0
+        request = attempt.request
+        endpoint_id = attempt.endpoint_id
+        now = self.limiter.loop.time()
+        max_idle_seconds = inf
+        if request.needs_new_connection or endpoint_id in request.attempted_endpoints:
+            max_idle_seconds = 0.0
         elif not request.route.idempotent:
-            trusted = self.kept.trusted(request.service, now)
-        request.met = (*request.met, attempt.endpoint_id)
-        older = [v for v in self.idle.get(attempt.endpoint_id, ()) if now - v.idle_at >= trusted]
-        if not older:
+            max_idle_seconds = self.stale_connections.max_idle_seconds(request.service, now)
+        request.attempted_endpoints = (*request.attempted_endpoints, endpoint_id)
+        idle = self.idle.get(endpoint_id, ())
+        untrusted = [other for other in idle if now - other.idle_at >= max_idle_seconds]
+        if not untrusted:
             super().send(attempt)
             return
-        self.idle[attempt.endpoint_id] = [
-            v for v in self.idle[attempt.endpoint_id] if now - v.idle_at < trusted
+        trusted = [
+            other for other in self.idle[endpoint_id] if now - other.idle_at < max_idle_seconds
         ]
+        self.idle[endpoint_id] = trusted
         super().send(attempt)
-        self.idle[attempt.endpoint_id] = older + self.idle.get(attempt.endpoint_id, [])
+        self.idle[endpoint_id] = untrusted + self.idle.get(endpoint_id, [])
+
+    def give_up(self, attempt: Attempt[ProxyRequest], ending: Ending) -> None:
+        """Stops waiting for an attempt; what of it wasn't delivered never is.
 
-    def give_up(self, attempt: Attempt, why: Ending) -> None:
-        """What of it wasn't delivered never is: behind a cut the system would send it again for
-        minutes.
+        Behind a network partition the operating system would send it again for minutes.
         """
-        if attempt.connection is not None and attempt.connection.attempt is attempt:
-            attempt.connection.wire.sever()
-        super().give_up(attempt, why)
-
-    def forgotten(self, connection: UpstreamConnection) -> None:
-        """What was sent on a kept connection broke it. Servers may forget idle connections without
-        a word, and many at once: those that were idle longer aren't used again, and the request's
-        other tries, which are few, meet no other one that was kept.
+        connection = attempt.connection
+        if connection is not None and connection.attempt is attempt:
+            connection.wire.sever()
+        super().give_up(attempt, ending)
+
+    def discard_stale(self, connection: UpstreamConnection, attempt: Attempt[ProxyRequest]) -> None:
+        """Takes note that a reused connection was lost by what was sent on it.
+
+        A server may drop many idle connections at once: those to it that were idle longer aren't
+        used again, and the request's retries, which are few, meet no other reused one.
         """
-        attempt, limiter = connection.attempt, self.limiter
-        attempt.request.afresh = True
-        after = (limiter.now() - attempt.sent_at) / 10_000
-        now = limiter.loop.time()
-        self.kept.broke(attempt.request.service, now - after - connection.idle_at, after, now)
-        for other in [
-            v for v in self.idle.get(connection.endpoint_id, ()) if v.idle_at <= connection.idle_at
-        ]:
+        request = attempt.request
+        request.needs_new_connection = True
+        seconds_to_loss = (self.limiter.now() - attempt.sent_at) / TICKS_PER_SECOND
+        now = self.limiter.loop.time()
+        idle_seconds = now - seconds_to_loss - connection.idle_at
+        self.stale_connections.record_loss(request.service, idle_seconds, seconds_to_loss, now)
+        idle = self.idle.get(connection.endpoint_id, ())
+        for other in [other for other in idle if other.idle_at <= connection.idle_at]:
             self.shut(other, Ending.IDLE)
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -15,6 +15,7 @@
 from loomstand.limiter.buffers import Room
 from loomstand.limiter.client_connection import Client, ClientListener
 from loomstand.limiter.event_loop import Streams, Turns, Untimed
+from loomstand.limiter.protocols import Asker
 
 # Of the sockets, those that callers may keep between calls; the others are for new calls and, in a
 # registry, for limiters' sessions. With a sixth, a limiter's rule for its clients, beyond 616
@@ -70,7 +71,7 @@
     def spare_sockets(self) -> int:
         return self.sockets - len(self.listener.clients)
 
-    def make_room(self, spared: Client | None = None) -> bool:
+    def make_room(self, spared: Asker | None = None) -> bool:
         return self.listener.close_silent(spared, 1.0) or self.listener.close_idle(spared)
 
     def request_received(
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -11,6 +11,8 @@
 from loomstand.admission.decision_engine import DecisionEngine
 from loomstand.admission.endpoints import Endpoint
 from loomstand.config.settings import Settings, parse_settings
+from loomstand.proxy.endpoint_updates import EndpointUpdates
+from loomstand.proxy.instance_view import TrackedInstance
 from loomstand.proxy.program import Proxy
 from loomstand.registry.instances import READY
 from loomstand.registry.process import RegistryService
@@ -83,27 +85,31 @@
         self.wall, self.faults, self.marks, self.life = wall, book.faults, told, life
         super().__init__(settings, network, rng, Virtual(), streams)  # type: ignore[arg-type]
         self.log = self.hear
+        self.endpoints.endpoint = self.endpoint  # type: ignore[method-assign]
 
-    def begin(self) -> DecisionEngine:
+    def start_engine(self) -> DecisionEngine:
         if "engine" not in self.__dict__:  # at its start: the time of day as its machine has it
             self.epoch = int((self.wall - self.loop.time()) * 1e9)
-        return super().begin()
+        return super().start_engine()
 
     def now(self) -> int:
         return int(self.loop.time() * 10_000) + self.epoch // 100_000
 
-    def configured(self, version: int, data: bytes) -> bool:
-        taken = super().configured(version, data)
+    def apply_configuration(self, version: int, data: bytes) -> bool:
+        taken = super().apply_configuration(version, data)
         if taken:
             self.mark("", version)
         return taken
 
-    def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> Endpoint:
-        self.mark(self.identifiers[srv], int(use == READY))
-        return super().entry(srv, use, service, zone, where)
+    def endpoint(self, endpoint_id: int, instance: TrackedInstance) -> Endpoint:
+        """In the place of the method of `endpoints`."""
+        self.mark(self.endpoints.instance_ids[endpoint_id], int(instance.availability == READY))
+        return EndpointUpdates.endpoint(self.endpoints, endpoint_id, instance)
 
     def mark(self, server: str, value: int) -> None:
-        self.marks.append(Told(self.loop.time(), self.conf.ip_address, self.life, server, value))
+        self.marks.append(
+            Told(self.loop.time(), self.settings.ip_address, self.life, server, value)
+        )
 
     def hear(self, text: str) -> None:
         if "failed on" in text:
@@ -350,8 +356,8 @@
         held: dict[SimProxy, int] = {}
         while True:
             for proxy in self.all_proxies():
-                version = proxy.table.version if proxy.table else 0
-                assert held.get(proxy, 0) <= version, f"{proxy.conf.node_name} went back"
+                version = proxy.configuration.table.version if proxy.configuration.table else 0
+                assert held.get(proxy, 0) <= version, f"{proxy.settings.node_name} went back"
                 held[proxy] = version
             await asyncio.sleep(0.02)
 
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -128,7 +128,7 @@
     def make_room(self, spared: Any = None) -> bool:
         return False
 
-    def misdirected(self, attempt: Any) -> None:
+    def endpoint_misdirected(self, attempt: Any) -> None:
         pass
 
     def attempt_ended(
@@ -138,8 +138,8 @@
             attempt.timer.cancel()
         id_ = attempt.request.request_id.decode()
         self.came_of.setdefault(id_, []).append(outcome)
-        if attempt.request.got is not None:
-            self.bodies[id_] = attempt.request.got
+        if attempt.request.server_response is not None:
+            self.bodies[id_] = attempt.request.server_response
 
     def request(self, id_: str, body: bytes = b"", idempotent: bool = False) -> ProxyRequest:
         machine, ring = http_parser.RequestReceiver(1 << 20), Ring(self.room, 1 << 21)
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from loomstand.limiter.client_connection import Client
-from loomstand.proxy.program import Proxy
+from loomstand.proxy.client_limits import ClientLimitUpdates
 from loomstand.testing.simulation.cluster import FRONT, Cluster
 from loomstand.testing.simulation.http_log import Broken, Talk
 from loomstand.testing.simulation.loop import Life
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture
-def town():
+def cluster():
     made = Cluster(3, proxies=1)
     made.resources["limits", "limits"] = FIRST
     made.usual()
@@ -33,83 +33,83 @@
     made.close()
 
 
-def change(town: Cluster, **limits) -> None:
-    town.resources["limits", "limits"] = FIRST | limits
-    assert town.do(town.replace())
-    town.wait(0.5)
+def change(cluster: Cluster, **limits) -> None:
+    cluster.resources["limits", "limits"] = FIRST | limits
+    assert cluster.do(cluster.replace())
+    cluster.wait(0.5)
 
 
-def asked(town: Cluster, body: int = 0, path: str = "x") -> tuple[int, bool]:
+def asked(cluster: Cluster, body: int = 0, path: str = "x") -> tuple[int, bool]:
     """The status of a request's one try, and whether it went on the connection kept from the
     last.
     """
-    kept = town.client.idle.get(town.front)
-    ask = town.client.ask("POST", "town.example", f"/once/{path}", "key-of-ann", b"b" * body)
-    reply = town.do(town.client.once(ask, town.front))
-    return reply.status, kept is not None and town.client.idle.get(town.front) is kept
+    kept = cluster.client.idle.get(cluster.front)
+    ask = cluster.client.ask("POST", "town.example", f"/once/{path}", "key-of-ann", b"b" * body)
+    reply = cluster.do(cluster.client.once(ask, cluster.front))
+    return reply.status, kept is not None and cluster.client.idle.get(cluster.front) is kept
 
 
-def test_a_kept_connection_has_the_limits_of_the_newest_configuration(town):
-    assert asked(town) == (200, False)
-    change(town, max_header_bytes=8192, max_body_bytes=65536)
-    assert asked(town, body=40_000, path="x" * 5000) == (200, True)
-    change(town, max_body_bytes=10_000)
-    assert asked(town, body=9_000) == (200, True)
-    assert asked(town, body=20_000)[0] == 413
+def test_a_kept_connection_has_the_limits_of_the_newest_configuration(cluster):
+    assert asked(cluster) == (200, False)
+    change(cluster, max_header_bytes=8192, max_body_bytes=65536)
+    assert asked(cluster, body=40_000, path="x" * 5000) == (200, True)
+    change(cluster, max_body_bytes=10_000)
+    assert asked(cluster, body=9_000) == (200, True)
+    assert asked(cluster, body=20_000)[0] == 413
 
 
-async def half_a_head(town: Cluster) -> float:
+async def half_a_head(cluster: Cluster) -> float:
     """Seconds until a client that stops within its first line is answered or cut off."""
-    talk = await Streams(town.cables, "10.9.9.9", Life()).open(Talk, town.front, 1.0)
-    began = town.loop.time()
+    talk = await Streams(cluster.cables, "10.9.9.9", Life()).open(Talk, cluster.front, 1.0)
+    began = cluster.loop.time()
     talk.transport.write(b"GET /a/x HTTP/1.1\r\nHost: to")
     try:
         async with asyncio.timeout(30.0):
             assert (await talk.message()).status == 408
     except Broken:
         pass
-    return town.loop.time() - began
+    return cluster.loop.time() - began
 
 
-def test_a_head_that_does_not_come_is_waited_for_as_long_as_the_newest_limits_say(town):
+def test_a_head_that_does_not_come_is_waited_for_as_long_as_the_newest_limits_say(cluster):
     # a second more than said, looked at once a second
-    assert 3.0 <= town.do(half_a_head(town)) <= 5.1
-    change(town, header_timeout="6000ms")
-    assert 6.0 <= town.do(half_a_head(town)) <= 8.1
+    assert 3.0 <= cluster.do(half_a_head(cluster)) <= 5.1
+    change(cluster, header_timeout="6000ms")
+    assert 6.0 <= cluster.do(half_a_head(cluster)) <= 8.1
 
 
-def test_it_is_caught_where_a_head_has_the_time_of_a_body(town):
+def test_it_is_caught_where_a_head_has_the_time_of_a_body(cluster):
     """The mutation: the head's own time is not in force."""
-    town.proxy(town.front[0]).listener.header_timeout_seconds = inf
-    assert town.do(half_a_head(town)) > 5.1
+    cluster.proxy(cluster.front[0]).listener.header_timeout_seconds = inf
+    assert cluster.do(half_a_head(cluster)) > 5.1
 
 
-def test_who_rests_under_the_longer_idle_timeout_may_rest_to_its_end_and_no_longer_after(town):
-    assert asked(town) == (200, False)
-    change(town, idle_timeout="3000ms")
-    town.wait(11.4)  # four fifths of what was in force as the rest began
-    assert asked(town) == (200, True)
-    town.wait(8.0)  # by now the shorter one holds
-    assert town.client.idle[town.front].over
-    assert asked(town) == (200, False)
+def test_who_rests_under_the_longer_idle_timeout_may_rest_to_its_end_and_no_longer_after(cluster):
+    assert asked(cluster) == (200, False)
+    change(cluster, idle_timeout="3000ms")
+    cluster.wait(11.4)  # four fifths of what was in force as the rest began
+    assert asked(cluster) == (200, True)
+    cluster.wait(8.0)  # by now the shorter one holds
+    assert cluster.client.idle[cluster.front].over
+    assert asked(cluster) == (200, False)
 
 
-def test_it_is_caught_where_a_shorter_idle_timeout_holds_at_once(town, monkeypatch):
+def test_it_is_caught_where_a_shorter_idle_timeout_holds_at_once(cluster, monkeypatch):
     """The mutation: the new figure ends connections that rest on the old one's word."""
-    usual = Proxy.bound
+    usual = ClientLimitUpdates.apply
 
-    def bound(self, limits):
+    def apply(self, limits):
         usual(self, limits)
-        self.listener.idle_timeout_seconds = self.stays
+        self.listener.idle_timeout_seconds = self.idle_timeout_seconds
 
-    monkeypatch.setattr(Proxy, "bound", bound)
-    assert asked(town) == (200, False)
-    change(town, idle_timeout="3000ms")
-    town.wait(11.4)
-    assert asked(town) == (200, False)  # it was closed
+    monkeypatch.setattr(ClientLimitUpdates, "apply", apply)
+    assert asked(cluster) == (200, False)
+    change(cluster, idle_timeout="3000ms")
+    cluster.wait(11.4)
+    assert asked(cluster) == (200, False)  # it was closed
 
 
-def test_it_is_caught_where_a_connection_keeps_the_limits_of_its_opening(town, monkeypatch):
+def test_it_is_caught_where_a_connection_keeps_the_limits_of_its_opening(cluster, monkeypatch):
     """The mutation: what a connection may send is what was in force as it came."""
     usual = Client.received
 
@@ -122,6 +122,6 @@
         machine.most, machine.most_head, wire.inbound.most = before
 
     monkeypatch.setattr(Client, "received", received)
-    assert asked(town) == (200, False)
-    change(town, max_header_bytes=8192, max_body_bytes=65536)
-    assert asked(town, body=40_000, path="x" * 5000)[0] == 431
+    assert asked(cluster) == (200, False)
+    change(cluster, max_header_bytes=8192, max_body_bytes=65536)
+    assert asked(cluster, body=40_000, path="x" * 5000)[0] == 431
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -19,7 +19,7 @@
 
 
 @pytest.fixture
-def town():
+def cluster():
     made = Cluster(1, proxies=2)
     made.do(made.begin())
     yield made
@@ -27,23 +27,25 @@
 
 
 def trouble(
-    town: Cluster, what: str, share: float = 1.0, few: int = 99, service: str = "alpha"
+    cluster: Cluster, what: str, share: float = 1.0, few: int = 99, service: str = "alpha"
 ) -> None:
-    servers = town.servers[service]
+    servers = cluster.servers[service]
     if few == 1:  # the one that is used: a proxy of few requests keeps to some
-        town.do(gets(town, 6, name=service[0]))
-        servers = sorted(servers, key=lambda s: -sum(r.server == s.id for r in town.book.arrivals))
+        cluster.do(gets(cluster, 6, name=service[0]))
+        servers = sorted(
+            servers, key=lambda s: -sum(r.server == s.id for r in cluster.book.arrivals)
+        )
     for server in servers[:few]:
         server.trouble, server.share = what, share
 
 
-def tried(town: Cluster) -> Counter[str]:
+def tried(cluster: Cluster) -> Counter[str]:
     """How often each request came to any server."""
-    return Counter(run.id for run in town.book.arrivals)
+    return Counter(run.id for run in cluster.book.arrivals)
 
 
-async def gets(town: Cluster, count: int, tries: int = 1, name: str = "a") -> Counter[int]:
-    return Counter([(await town.get(name, tries=tries)).status for _ in range(count)])
+async def gets(cluster: Cluster, count: int, tries: int = 1, name: str = "a") -> Counter[int]:
+    return Counter([(await cluster.get(name, tries=tries)).status for _ in range(count)])
 
 
 # --- the streams themselves
@@ -156,87 +158,93 @@
 
 @pytest.mark.parametrize("what", ["close", "silent", "reset", "cut", "spoilt", "bare", "slow"])
 def test_a_request_not_to_be_repeated_whose_answer_is_lost_runs_once_and_no_promise_is_given(
-    town, what
+    cluster, what
 ):
     if what == "slow":  # its server goes before it answers
-        trouble(town, what)
-        doing = town.behind(town.once())
-        town.wait(0.5)
-        for server in town.servers["alpha"]:
+        trouble(cluster, what)
+        doing = cluster.behind(cluster.once())
+        cluster.wait(0.5)
+        for server in cluster.servers["alpha"]:
             server.kill()
-        ask, reply = town.do(doing)
+        ask, reply = cluster.do(doing)
     else:
-        trouble(town, what)
-        ask, reply = town.do(town.once())
+        trouble(cluster, what)
+        ask, reply = cluster.do(cluster.once())
     assert reply.status in (502, 504), reply
-    assert len(town.book.runs(ask.id)) == tried(town)[ask.id] == 1
+    assert len(cluster.book.runs(ask.id)) == tried(cluster)[ask.id] == 1
     assert reply.at - ask.sent < (5.0 if what == "silent" else 1.0)
 
 
-def test_a_request_turned_away_goes_to_another_server_also_where_it_must_not_run_twice(town):
-    trouble(town, "full", few=1)
-    said = Counter(town.do(town.once())[1].status for _ in range(40))
-    town.wait(0.1)
+def test_a_request_turned_away_goes_to_another_server_also_where_it_must_not_run_twice(cluster):
+    trouble(cluster, "full", few=1)
+    said = Counter(cluster.do(cluster.once())[1].status for _ in range(40))
+    cluster.wait(0.1)
     assert said[200] >= 38  # the budget may not have been there for the very first
-    assert max(tried(town).values()) == 2 and {len(town.book.runs(id_)) for id_ in tried(town)} <= {
+    assert max(tried(cluster).values()) == 2 and {
+        len(cluster.book.runs(id_)) for id_ in tried(cluster)
+    } <= {
         0,
         1,
     }
-    assert not all(run.ran for run in town.book.arrivals)
+    assert not all(run.ran for run in cluster.book.arrivals)
 
 
-def test_where_all_servers_are_full_the_answer_is_a_promise_and_nothing_runs(town):
-    trouble(town, "full")
+def test_where_all_servers_are_full_the_answer_is_a_promise_and_nothing_runs(cluster):
+    trouble(cluster, "full")
     for _ in range(10):
-        _, reply = town.do(town.once())
+        _, reply = cluster.do(cluster.once())
         # of a second
         assert reply.status == 503 and 0.05 <= float(reply.fields["retry-after"]) <= 0.65
-    assert not town.book.runs()
+    assert not cluster.book.runs()
 
 
 @pytest.mark.parametrize("how", ["refused", "off"])
-def test_a_server_that_cannot_be_reached_costs_a_connect_and_the_request_goes_on(town, how):
-    first, *rest = town.servers["alpha"]
-    for server in town.servers["alpha"]:
+def test_a_server_that_cannot_be_reached_costs_a_connect_and_the_request_goes_on(cluster, how):
+    first, *rest = cluster.servers["alpha"]
+    for server in cluster.servers["alpha"]:
         # what is written to a kept connection may have run, and is no matter for a promise
         server.keep = 0
 
     def down(server: Server) -> None:
         server.kill()
         if how == "off":
-            town.sky.off.add(server.address[0])
+            cluster.sky.off.add(server.address[0])
 
     down(first)
-    said = [town.do(town.once()) for _ in range(20)]
+    said = [cluster.do(cluster.once()) for _ in range(20)]
     assert sum(reply.status == 200 for _, reply in said) >= 19
     assert all(reply.at - ask.sent < 0.5 for ask, reply in said)
     for server in rest:
         down(server)
-    ask, reply = town.do(town.once())
+    ask, reply = cluster.do(cluster.once())
     assert reply.status == 503 and "retry-after" in reply.fields
-    assert reply.at - ask.sent < (0.1 if how == "refused" else 1.0) and not town.book.runs(ask.id)
+    assert reply.at - ask.sent < (0.1 if how == "refused" else 1.0) and not cluster.book.runs(
+        ask.id
+    )
 
 
 @pytest.mark.parametrize("what", ["close", "reset", "cut", "spoilt", "error"])
-def test_a_repeatable_request_is_tried_again_elsewhere_but_not_more_often_than_allowed(town, what):
-    trouble(town, what, few=1)
-    assert town.do(gets(town, 60))[200] >= 58
-    many = tried(town)
+def test_a_repeatable_request_is_tried_again_elsewhere_but_not_more_often_than_allowed(
+    cluster, what
+):
+    trouble(cluster, what, few=1)
+    assert cluster.do(gets(cluster, 60))[200] >= 58
+    many = tried(cluster)
     assert max(many.values()) >= 2
-    trouble(town, what)
-    town.wait(1.0)
-    said = town.do(gets(town, 30))
+    trouble(cluster, what)
+    cluster.wait(1.0)
+    said = cluster.do(gets(cluster, 30))
     assert set(said) <= {500, 502, 503, 504}, said
-    assert max(tried(town).values()) <= 3
+    assert max(tried(cluster).values()) <= 3
 
 
-def test_maximum_attempts_of_one_is_one(town):
-    town.route("a", "alpha", maximum_attempts=1)
-    assert town.do(town.replace())
-    town.wait(0.5)
-    trouble(town, "close", few=1)
-    town.do(gets(town, 40))
-    assert max(tried(town).values()) == 1 and set(town.do(gets(town, 20))) <= {200, 502}
+def test_maximum_attempts_of_one_is_one(cluster):
+    cluster.route("a", "alpha", maximum_attempts=1)
+    assert cluster.do(cluster.replace())
+    cluster.wait(0.5)
+    trouble(cluster, "close", few=1)
+    cluster.do(gets(cluster, 40))
+    assert max(tried(cluster).values()) == 1 and set(cluster.do(gets(cluster, 20))) <= {200, 502}
 
 
 # --- MIXED
@@ -245,69 +253,71 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("what", ["surplus", "late"])
 def test_a_surplus_answer_reaches_no_other_request(what, seed):
-    town = Cluster(seed, proxies=2, servers=1)
-    town.do(town.begin())
-    trouble(town, what, share=0.7)
+    cluster = Cluster(seed, proxies=2, servers=1)
+    cluster.do(cluster.begin())
+    trouble(cluster, what, share=0.7)
     target = ("GET", "town.example", "/a/x", "key-of-ann")
-    said = town.do(town.flow(town.client, 60, 4, *target, idempotent=True))
+    said = cluster.do(cluster.flow(cluster.client, 60, 4, *target, idempotent=True))
     assert sum(reply.status == 200 for reply in said) > 0.9 * len(said) > 150
-    said = [town.do(town.once()) for _ in range(40)]
+    said = [cluster.do(cluster.once()) for _ in range(40)]
     assert sum(reply.status == 200 for _, reply in said) >= 30
-    town.close()  # checks each answer's id, stamp and body
+    cluster.close()  # checks each answer's id, stamp and body
 
 
 @pytest.mark.parametrize("what", ["cut", "spoilt", "bare"])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_what_is_no_whole_answer_of_a_server_is_not_passed_on(what, seed):
-    town = Cluster(seed, proxies=1, servers=1)
-    town.do(town.begin())
-    trouble(town, what)
+    cluster = Cluster(seed, proxies=1, servers=1)
+    cluster.do(cluster.begin())
+    trouble(cluster, what)
     for _ in range(12):
-        ask, reply = town.do(town.once())
+        ask, reply = cluster.do(cluster.once())
         # "set aside": a server of which all answers fail is refused rather than tried
-        assert reply.status == (502 if town.book.runs(ask.id) else 503), reply
-    assert len(town.book.runs()) >= 3
-    town.close()
+        assert reply.status == (502 if cluster.book.runs(ask.id) else 503), reply
+    assert len(cluster.book.runs()) >= 3
+    cluster.close()
 
 
-def test_long_bodies_in_chunks_and_slow_links_arrive_whole(town):
-    town.client.chunked = True
-    town.sky.slow["10.9.0.1"] = 0.02
+def test_long_bodies_in_chunks_and_slow_links_arrive_whole(cluster):
+    cluster.client.chunked = True
+    cluster.sky.slow["10.9.0.1"] = 0.02
     body = Random(4).randbytes(300_000)
-    reply = town.do(town.client.go("PUT", "town.example", "/a/x", "key-of-ann", body, within=20.0))
+    reply = cluster.do(
+        cluster.client.go("PUT", "town.example", "/a/x", "key-of-ann", body, within=20.0)
+    )
     assert reply.status == 200
     for keep in (True, False):
-        town.client.keep = keep
-        assert town.do(gets(town, 5)) == {200: 5}
+        cluster.client.keep = keep
+        assert cluster.do(gets(cluster, 5)) == {200: 5}
 
 
 # --- ROUTE
 
 
-def test_an_address_that_another_service_took_answers_421_runs_nothing_and_is_left_alone(town):
-    gone = town.servers["alpha"][0]
+def test_an_address_that_another_service_took_answers_421_runs_nothing_and_is_left_alone(cluster):
+    gone = cluster.servers["alpha"][0]
     gone.kill()
     thief = Server(
-        town.cables, town.book, Random(9), (gone.address[0], SERVING), "beta", "east", []
+        cluster.cables, cluster.book, Random(9), (gone.address[0], SERVING), "beta", "east", []
     )
 
     async def moves_in() -> None:
         thief.start()
 
-    town.do(moves_in())
+    cluster.do(moves_in())
     target = ("POST", "town.example", "/once/x", "key-of-ann", b"body")
-    said = town.do(town.flow(town.client, 80, 4, *target, tries=1))
+    said = cluster.do(cluster.flow(cluster.client, 80, 4, *target, tries=1))
     assert sum(reply.status == 200 for reply in said) >= len(said) - 2
-    there = [run for run in town.book.arrivals if run.server == thief.id]
-    assert 1 <= len(there) <= len(town.proxies) and not any(run.ran for run in there)
+    there = [run for run in cluster.book.arrivals if run.server == thief.id]
+    assert 1 <= len(there) <= len(cluster.proxies) and not any(run.ran for run in there)
 
 
 # --- QUOTA
 
 
-def over(town: Cluster, tenant: str, rate: float, burst: float) -> list[tuple[float, int]]:
+def over(cluster: Cluster, tenant: str, rate: float, burst: float) -> list[tuple[float, int]]:
     """The windows of 5 s in which more of a tenant's requests ran than the rule allows."""
-    at = sorted(run.at for run in town.book.runs() if run.tenant == tenant)
+    at = sorted(run.at for run in cluster.book.runs() if run.tenant == tenant)
     most = (rate * 5 + burst) * 1.1 + 20
     counts = [(t, sum(t <= other < t + 5 for other in at)) for t in at]
     return [(t, n) for t, n in counts if n > most]
@@ -317,34 +327,34 @@
     ("seed", "lost"), [(1, "killed"), (2, "machine"), (3, "frozen"), (4, "cut")]
 )
 def test_a_quota_holds_over_all_proxies_also_while_the_counter_is_lost(seed, lost):
-    town = Cluster(seed, proxies=6)
-    town.usual()
-    town.tenant("greedy", "key-of-greedy", 40, 40)
-    town.tenant("modest", "key-of-modest", 40, 40)
-    town.route("m", "beta")
-    town.do(town.begin())
-    ips, rng = [*town.proxies], Random(seed)
-    greedy, modest = town.someone(), town.someone()
+    cluster = Cluster(seed, proxies=6)
+    cluster.usual()
+    cluster.tenant("greedy", "key-of-greedy", 40, 40)
+    cluster.tenant("modest", "key-of-modest", 40, 40)
+    cluster.route("m", "beta")
+    cluster.do(cluster.begin())
+    ips, rng = [*cluster.proxies], Random(seed)
+    greedy, modest = cluster.someone(), cluster.someone()
     weights = [8, 4, 2, 1, 1, 0]
     greedy.fronts = lambda: [(rng.choices(ips, weights)[0], FRONT)]
     what = ("GET", "town.example")
 
     async def day() -> None:
         if lost == "cut":  # the one that counts isn't beside the primary store, which it will lose
-            town.registries[first].kill()
-            await town.until(lambda: town.counters() not in ([], [first]), 2.0)
-            town.registries[first].start()
-        calm = town.loop.create_task(
-            town.flow(modest, 25, 19, *what, "/m/x", "key-of-modest", idempotent=True)
+            cluster.registries[first].kill()
+            await cluster.until(lambda: cluster.counters() not in ([], [first]), 2.0)
+            cluster.registries[first].start()
+        calm = cluster.loop.create_task(
+            cluster.flow(modest, 25, 19, *what, "/m/x", "key-of-modest", idempotent=True)
         )
-        flood = town.loop.create_task(
-            town.flow(greedy, 200, 19, *what, "/a/x", "key-of-greedy", idempotent=True, tries=1)
+        flood = cluster.loop.create_task(
+            cluster.flow(greedy, 200, 19, *what, "/a/x", "key-of-greedy", idempotent=True, tries=1)
         )
         await asyncio.sleep(8)
-        registry, store = town.core(counting := town.counting())
+        registry, store = cluster.core(counting := cluster.counting())
         if lost == "cut":
-            town.sky.cut(first, counting)
-        before.update(town.book.replies)
+            cluster.sky.cut(first, counting)
+        before.update(cluster.book.replies)
         if lost == "frozen":
             registry.freeze()
         elif lost != "cut":
@@ -352,31 +362,33 @@
         if lost == "machine":
             store.kill()
         await asyncio.sleep(2)
-        assert lost == "machine" or town.counting() != counting
+        assert lost == "machine" or cluster.counting() != counting
         weights.reverse()  # the last split's parts are all at the wrong proxies
         await asyncio.sleep(3)
-        town.sky.mend()
+        cluster.sky.mend()
         (registry.thaw if registry.up else registry.start)()
         if lost == "machine":
             store.start()
         await asyncio.gather(calm, flood)
 
-    first, before = town.counting(), set[str]()
-    town.do(day())
-    assert not over(town, "greedy", 40, 40) and not over(town, "modest", 40, 40)
-    ran = Counter(run.tenant for run in town.book.runs())
+    first, before = cluster.counting(), set[str]()
+    cluster.do(day())
+    assert not over(cluster, "greedy", 40, 40) and not over(cluster, "modest", 40, 40)
+    ran = Counter(run.tenant for run in cluster.book.runs())
     assert ran["greedy"] >= 0.6 * 40 * 19  # what is allowed is also given
     modest_said = Counter(
-        town.book.replies[a.id].status for a in town.book.asks.values() if a.key == "key-of-modest"
+        cluster.book.replies[a.id].status
+        for a in cluster.book.asks.values()
+        if a.key == "key-of-modest"
     )
     calm_said = Counter(
-        town.book.replies[a.id].status
-        for a in town.book.asks.values()
+        cluster.book.replies[a.id].status
+        for a in cluster.book.asks.values()
         if a.key == "key-of-modest" and a.id in before  # by value a 429 of the other looks the same
     )
     assert calm_said[429] == 0 and sum(calm_said.values()) > 150
     assert modest_said[429] <= 0.1 * modest_said[200]
-    town.close()
+    cluster.close()
 
 
 @pytest.mark.parametrize(("rate", "usual", "hot"), [(40, 24, 130), (5, 3, 40)])
@@ -384,22 +396,22 @@
     """Each proxy sees some two of its requests a second, or less: what the others let in it hears
     unasked.
     """
-    town = Cluster(3, proxies=60, servers=20)
-    town.usual()
-    town.tenant("greedy", "key-of-greedy", rate, rate)
-    town.do(town.begin())
-    target, fronts = ("GET", "town.example", "/a/x", "key-of-greedy"), [*town.proxies]
-    greedy, rng = town.someone(), Random(3)
+    cluster = Cluster(3, proxies=60, servers=20)
+    cluster.usual()
+    cluster.tenant("greedy", "key-of-greedy", rate, rate)
+    cluster.do(cluster.begin())
+    target, fronts = ("GET", "town.example", "/a/x", "key-of-greedy"), [*cluster.proxies]
+    greedy, rng = cluster.someone(), Random(3)
     greedy.fronts = lambda: [(rng.choice(fronts), FRONT)]
-    town.do(town.flow(greedy, usual, 6, *target, idempotent=True, tries=1))
-    asked = town.book.replies.copy()
-    town.do(town.flow(greedy, hot, 8, *target, idempotent=True, tries=1))
-    assert not over(town, "greedy", rate, rate)
-    said = Counter(reply.status for id, reply in town.book.replies.items() if id not in asked)
+    cluster.do(cluster.flow(greedy, usual, 6, *target, idempotent=True, tries=1))
+    asked = cluster.book.replies.copy()
+    cluster.do(cluster.flow(greedy, hot, 8, *target, idempotent=True, tries=1))
+    assert not over(cluster, "greedy", rate, rate)
+    said = Counter(reply.status for id, reply in cluster.book.replies.items() if id not in asked)
     assert said[200] >= 0.9 * rate * 8  # what is allowed is also given
     # and nobody is denied for the telling
     assert Counter(reply.status for reply in asked.values())[429] <= 4
-    town.close()
+    cluster.close()
 
 
 # --- BUDGET
@@ -408,16 +420,16 @@
 @pytest.mark.parametrize("what", ["full", "error", "reset"])
 @pytest.mark.parametrize(("few", "share"), [(2, 1.0), (4, 0.5)])
 def test_further_tries_keep_the_budget_of_all_proxies(what, few, share):
-    town = Cluster(1, proxies=4, servers=4)
-    town.do(town.begin())
-    trouble(town, what, share, few)
+    cluster = Cluster(1, proxies=4, servers=4)
+    cluster.do(cluster.begin())
+    trouble(cluster, what, share, few)
     target = ("GET", "town.example", "/a/x", "key-of-ann")
-    town.do(town.flow(town.client, 100, 14, *target, idempotent=True))
-    asked = sorted(a.sent for a in town.book.asks.values() if a.path == "/a/x")
+    cluster.do(cluster.flow(cluster.client, 100, 14, *target, idempotent=True))
+    asked = sorted(a.sent for a in cluster.book.asks.values() if a.path == "/a/x")
     seen: set[str] = set()
-    more = [r.at for r in town.book.arrivals if r.id in seen or seen.add(r.id)]
+    more = [r.at for r in cluster.book.arrivals if r.id in seen or seen.add(r.id)]
     for t in more:
         extra = sum(t <= other < t + 10 for other in more)
         assert extra <= 0.2 * sum(t <= other < t + 10 for other in asked) + 56
     assert len(more) >= (100 if share < 1 else 10)  # so it was put to use
-    town.close()
+    cluster.close()
