--- a/tests/proxy/test_sessions.py
+++ b/tests/proxy/test_sessions.py
@@ -9,7 +9,7 @@
 from expression import Error, Ok
 
 from loomstand.proxy.sessions import Sessions
-from loomstand.proxy.shared_clock import ONE_WAY, SharedClock
+from loomstand.proxy.shared_clock import ONE_WAY_TICKS, SharedClock
 from loomstand.rpc.errors import CallFailure
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.loop import play
@@ -28,18 +28,18 @@
         return Error(CallFailure.MAY_HAVE_RUN)
 
 
-class Heard:
+class Listener:
     def __init__(self):
-        self.sets = []
+        self.limiters = []
 
-    def limiters(self, me, many, silent):
-        self.sets.append((me, many, silent))
+    def update_limiters(self, limiters):
+        self.limiters.append((limiters.rank, limiters.total, limiters.silent))
 
-    def servers(self, registry, rows, anew): ...
+    def update_instances(self, registry, rows, is_new_session): ...
 
-    def clock_told(self, clock, sure): ...
+    def update_clock(self, shared_clock, is_current): ...
 
-    def common_clock(self):
+    def shared_clock_reading(self):
         return None
 
 
@@ -59,14 +59,14 @@
 
 def heard(said, seconds=1.0):
     async def work():
-        loop, user = asyncio.get_running_loop(), Heard()
+        loop, user = asyncio.get_running_loop(), Listener()
         settings = SimpleNamespace(
             seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
         )
         sessions = Sessions(settings, Registries(said), loop.time, Random(1), user)
         sessions.start()
         await asyncio.sleep(seconds)
-        return user.sets, set(sessions.cores)
+        return user.limiters, set(sessions.tasks)
 
     return play(work)
 
@@ -104,7 +104,7 @@
         settings = SimpleNamespace(
             seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
         )
-        Sessions(settings, Anew(said), loop.time, Random(1), Heard()).start()
+        Sessions(settings, Anew(said), loop.time, Random(1), Listener()).start()
         await asyncio.sleep(0.5)
 
     play(work)
@@ -116,44 +116,46 @@
 
 
 def test_late_word_of_the_common_clock_is_passed_over_and_a_clock_that_moved_is_followed():
-    common = SharedClock()
-    assert common.heard(5_000 - ONE_WAY, 0) and common.shift == 5_000  # the first word counts
+    shared_clock = SharedClock()
+    assert (
+        shared_clock.observe(5_000 - ONE_WAY_TICKS, 0) and shared_clock.offset == 5_000
+    )  # the first word counts
     # the latter came 10 ms late
-    assert not common.heard(5_990, 1_000) and not common.heard(9_900, 5_000)
-    assert not common.heard(13_000, 10_000)  # 200 ms late, on a lossy link
-    assert not common.heard(15_000, 10_100)  # as ever: the one before was only late
+    assert not shared_clock.observe(5_990, 1_000) and not shared_clock.observe(9_900, 5_000)
+    assert not shared_clock.observe(13_000, 10_000)  # 200 ms late, on a lossy link
+    assert not shared_clock.observe(15_000, 10_100)  # as ever: the one before was only late
     # ahead: nothing makes it look so
-    assert common.heard(25_000, 11_000) and common.shift == 14_010
-    assert not common.heard(3_000, 12_000) and not common.heard(4_500, 13_000)
+    assert shared_clock.observe(25_000, 11_000) and shared_clock.offset == 14_010
+    assert not shared_clock.observe(3_000, 12_000) and not shared_clock.observe(4_500, 13_000)
     # the least late word of the last second
-    assert common.heard(12_000, 20_500) and common.shift == -8_490
+    assert shared_clock.observe(12_000, 20_500) and shared_clock.offset == -8_490
 
 
 def test_a_limiter_that_began_with_another_time_of_day_counts_with_the_others():
     """The core was away as one proxy started, and its machine's time of day is 1,600 s off."""
-    town = Cluster(5, proxies=3)
-    town.usual()
-    town.tenant("greedy", "key-of-greedy", 40, 40)
-    town.do(town.begin())
-    odd = next(iter(town.proxies))
-    core = [host for ip in town.core_ips for host in town.core(ip)]
+    cluster = Cluster(5, proxies=3)
+    cluster.usual()
+    cluster.tenant("greedy", "key-of-greedy", 40, 40)
+    cluster.do(cluster.begin())
+    odd = next(iter(cluster.proxies))
+    core = [host for ip in cluster.core_ips for host in cluster.core(ip)]
 
     async def away() -> None:
-        for host in [*core, town.proxies[odd]]:
+        for host in [*core, cluster.proxies[odd]]:
             host.kill()
-        town.steps[odd] = 1600.0
-        town.proxies[odd].start()
+        cluster.steps[odd] = 1600.0
+        cluster.proxies[odd].start()
         await asyncio.sleep(4.0)
         for host in core:
             host.start()
         await asyncio.sleep(4.0)
 
-    town.do(away())
-    clocks = [proxy.now() + proxy.common.shift for proxy in town.all_proxies()]
+    cluster.do(away())
+    clocks = [proxy.now() + proxy.shared_clock.offset for proxy in cluster.all_proxies()]
     assert max(clocks) - min(clocks) <= 50  # 5 ms
-    greedy, what = town.someone(), ("GET", "town.example", "/a/x", "key-of-greedy")
-    town.do(town.flow(greedy, 200, 8, *what, idempotent=True, tries=1))
-    at = sorted(run.at for run in town.book.runs() if run.tenant == "greedy")
+    greedy, what = cluster.someone(), ("GET", "town.example", "/a/x", "key-of-greedy")
+    cluster.do(cluster.flow(greedy, 200, 8, *what, idempotent=True, tries=1))
+    at = sorted(run.at for run in cluster.book.runs() if run.tenant == "greedy")
     assert max(sum(t <= other < t + 5 for other in at) for t in at) <= (40 * 5 + 40) * 1.1 + 20
     assert len(at) >= 0.8 * 40 * 8
-    town.close()
+    cluster.close()
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -281,23 +281,23 @@
 
 
 def played(script: list[Any], requests: list[Any], events: list[Any]) -> OddCluster:
-    town = OddCluster(list(script))
+    cluster = OddCluster(list(script))
 
     async def work() -> None:
-        tasks = [town.loop.create_task(town.happens(*event)) for event in events]
+        tasks = [cluster.loop.create_task(cluster.happens(*event)) for event in events]
         for gap, *request in requests:
             await asyncio.sleep(gap)
-            tasks.append(town.loop.create_task(town.asks(*request)))
+            tasks.append(cluster.loop.create_task(cluster.asks(*request)))
         await asyncio.gather(*tasks)
         await asyncio.sleep(12.0)  # what is late comes now
 
     try:
-        town.do(work())
-        early = {run.id for run in town.book.runs()} - town.whole
+        cluster.do(work())
+        early = {run.id for run in cluster.book.runs()} - cluster.whole
         assert not early, f"ran before they were sent whole: {early}"
     finally:
-        town.close()
-    return town
+        cluster.close()
+    return cluster
 
 
 @settings(
@@ -318,37 +318,37 @@
 # --- the fences around the module's decisions
 
 
-async def held_up(town: OddCluster) -> tuple[Any, Any, asyncio.Task[Any]]:
+async def held_up(cluster: OddCluster) -> tuple[Any, Any, asyncio.Task[Any]]:
     """A request not to be repeated that is out at a server; the proxy, its request there, its
     end.
     """
-    ask = town.client.ask("PUT", "town.example", "/once/x", "key-of-ann", b"body")
-    task = town.loop.create_task(town.client.once(ask, town.front))
+    ask = cluster.client.ask("PUT", "town.example", "/once/x", "key-of-ann", b"body")
+    task = cluster.loop.create_task(cluster.client.once(ask, cluster.front))
     await asyncio.sleep(0.05)
-    proxy = town.proxy(US)
+    proxy = cluster.proxy(US)
     (request,) = [r for r in proxy.requests.values() if r.request_id == ask.id.encode()]
     assert any(request.attempts)
     return proxy, request, task
 
 
 def fenced(act: str) -> None:
-    town = OddCluster([("pause", 50)] if act == "deny" else [("long pause", 0)])
+    cluster = OddCluster([("pause", 50)] if act == "deny" else [("long pause", 0)])
 
     async def work() -> None:
-        proxy, request, task = await held_up(town)
+        proxy, request, task = await held_up(cluster)
         if act == "deny":
             proxy.reject_request(Reject(request.id, "given up", 0))
         else:
-            for endpoint_id in proxy.identifiers:
+            for endpoint_id in proxy.endpoints.instance_ids:
                 proxy.send_attempt(SendAttempt(request.id, endpoint_id, request.deadline))
         reply = await task
         assert reply.status not in (408, 421, 429, 503)
-        assert len(town.book.runs()) <= 1
+        assert len(cluster.book.runs()) <= 1
 
     try:
-        town.do(work())
+        cluster.do(work())
     finally:
-        town.close()
+        cluster.close()
 
 
 @pytest.mark.parametrize("act", ["deny", "dispatch"])
@@ -359,53 +359,53 @@
 # --- at a start, at a stop, and of a client that does not wait
 
 
-async def at_a_start(town: OddCluster) -> None:
+async def at_a_start(cluster: OddCluster) -> None:
     """Requests that come while there is no configuration and no server yet."""
-    host = town.proxies[US]
+    host = cluster.proxies[US]
     host.kill()
     await asyncio.sleep(2.0)
     host.start()
     await asyncio.sleep(0.001)
     tasks = []
     for n in range(60):
-        tasks.append(town.loop.create_task(town.asks(False, HOW[n % len(HOW)], 200, 100)))
+        tasks.append(cluster.loop.create_task(cluster.asks(False, HOW[n % len(HOW)], 200, 100)))
         await asyncio.sleep(0.02)
     await asyncio.gather(*tasks)
 
 
-async def at_a_stop(town: OddCluster) -> None:
+async def at_a_stop(cluster: OddCluster) -> None:
     """Requests on new and kept connections, from before a SIGTERM until after the next start."""
-    host, tasks = town.proxies[US], []
+    host, tasks = cluster.proxies[US], []
     for n in range(150):
         if n == 50:
-            tasks.append(town.loop.create_task(town.happens(0.0, "term", 0.3)))
-        ask = town.client.ask("PUT", "town.example", "/once/x", "key-of-ann", b"body")
-        tasks.append(town.loop.create_task(town.client.once(ask, town.front, 2.0)))
-        tasks.append(town.loop.create_task(town.asks(False, HOW[n % len(HOW)], 200, 100)))
+            tasks.append(cluster.loop.create_task(cluster.happens(0.0, "term", 0.3)))
+        ask = cluster.client.ask("PUT", "town.example", "/once/x", "key-of-ann", b"body")
+        tasks.append(cluster.loop.create_task(cluster.client.once(ask, cluster.front, 2.0)))
+        tasks.append(cluster.loop.create_task(cluster.asks(False, HOW[n % len(HOW)], 200, 100)))
         await asyncio.sleep(0.03)
     await asyncio.gather(*tasks)
     assert host.up
 
 
-async def not_waiting(town: OddCluster) -> None:
+async def not_waiting(cluster: OddCluster) -> None:
     """Two requests in one piece, of which the first takes longer."""
     for n in range(20):
-        town.script[:] = [("pause", 9 * n), ("", 0)]
-        await town.asks(n % 2 == 0, "pipelined", 0, 100)
+        cluster.script[:] = [("pause", 9 * n), ("", 0)]
+        await cluster.asks(n % 2 == 0, "pipelined", 0, 100)
 
 
 def odd(work: Callable[[OddCluster], Any]) -> None:
-    town = OddCluster()
+    cluster = OddCluster()
 
     async def run() -> None:
-        await work(town)
+        await work(cluster)
         await asyncio.sleep(8.0)
-        assert len(town.book.runs()) > 10
+        assert len(cluster.book.runs()) > 10
 
     try:
-        town.do(run())
+        cluster.do(run())
     finally:
-        town.close()
+        cluster.close()
 
 
 @pytest.mark.parametrize("work", [at_a_start, at_a_stop, not_waiting])
@@ -442,7 +442,7 @@
 
 
 def same_connection(pool: Any, attempt: Any, send: Any = UpstreamPool.send) -> None:
-    attempt.request.met = ()
+    attempt.request.attempted_endpoints = ()
     send(pool, attempt)
 
 
@@ -492,7 +492,7 @@
     ),
     "a bare 503 is a promise": (
         upstream,
-        "own",
+        "is_server_response",
         lambda *_: True,
         lambda: staged(bare_promises(503)),
     ),
--- a/tests/registry/test_quota_grants.py
+++ b/tests/registry/test_quota_grants.py
@@ -9,14 +9,20 @@
 from collections import Counter
 from random import Random
 
+import msgspec
 import pytest
 
 from loomstand.admission.identifiers import stable_digest
 from loomstand.config.configuration import Tenant
-from loomstand.proxy import program, quota_credits
-from loomstand.proxy.quota_credits import QuotaCredits
+from loomstand.proxy import admission_adapter, quota_credits
+from loomstand.proxy.quota_credits import CreditSource, QuotaCredits
 from loomstand.registry import limiters, quota_grants
 from loomstand.registry.quota_grants import QuotaGrants
+from loomstand.rpc.messages.quota_messages import (
+    CreditGrantRow,
+    CreditRequest,
+    CreditResponse,
+)
 from loomstand.testing.simulation.cluster import Cluster
 
 BOUNDS = Cluster(1, 1, 1, 1).settings("10.1.0.1").bounds
@@ -28,6 +34,20 @@
 ANY: Troubles = ()
 
 
+def granted(counter: QuotaGrants, request: CreditRequest, now: float) -> CreditResponse:
+    """The counter's answer to a request for credits."""
+    grants = counter.call(
+        request.limiter_name,
+        request.incarnation,
+        request.grant_term,
+        request.is_isolated,
+        [list(msgspec.structs.astuple(row)) for row in request.demands],
+        now,
+    )
+    rows = None if grants is None else [CreditGrantRow(*grant) for grant in grants]
+    return CreditResponse(grant_term=counter.number, grants=rows)
+
+
 class Limiter:
     """One that takes all that it may while its tenants are hot, or as much as chance brings."""
 
@@ -36,8 +56,8 @@
     ) -> None:
         self.name = name
         self.credits = QuotaCredits(BOUNDS, life, now)
-        self.credits.limiters(many)
-        self.credits.learn(tenants)
+        self.credits.set_limiter_count(many)
+        self.credits.update_quotas(tenants)
         self.next, self.waits, self.sent = now, False, 0.0
         self.up, self.hears, self.heard = True, True, True
 
@@ -58,7 +78,7 @@
         self.numbers, self.there_at, self.moves = 1, 0.0, list[float]()
         self.limiters = [self.born(name) for name in self.names]
         self.ran: dict[int, list[float]] = {name: [] for name in self.tenants}
-        self.mail: list[tuple[float, Limiter, tuple | None]] = []
+        self.mail: list[tuple[float, Limiter, CreditResponse | None]] = []
         self.due: list[tuple[float, Limiter, str]] = []
 
     def born(self, name: str) -> Limiter:
@@ -94,7 +114,7 @@
                 self.counter.learn(self.tenants.values(), True)
             for limiter in self.limiters:
                 if limiter.up and limiter.hears:
-                    limiter.credits.learn(self.tenants)
+                    limiter.credits.update_quotas(self.tenants)
 
     def tick(self) -> None:
         due, self.due = self.due, []
@@ -103,7 +123,7 @@
                 self.due.append((at, limiter, what))
             elif what == "join":
                 limiter.hears = limiter.heard = True
-                limiter.credits.learn(self.tenants)
+                limiter.credits.update_quotas(self.tenants)
             elif limiter in self.limiters and (what == "restart" or not limiter.up):
                 limiter.up = False
                 self.limiters[self.limiters.index(limiter)] = self.born(limiter.name)
@@ -118,13 +138,12 @@
         if limiter.waits or self.now < limiter.next:
             return
         limiter.waits, limiter.sent = True, self.now
-        number, alone, entries = credits.call(self.now)
+        request = credits.build_request(limiter.name, self.now)
         answer = None
         if self.counter is not None and limiter.heard:
             counter = self.counter
             counter.tick(self.now, self.names)
-            grants = counter.call(limiter.name, credits.life, number, alone, entries, self.now)
-            answer = (counter.number, grants)
+            answer = granted(counter, request, self.now)
         if answer is None or not limiter.hears:
             self.mail.append((self.now + WITHIN, limiter, None))
         else:
@@ -138,8 +157,8 @@
                 continue
             limiter.waits, limiter.next = False, self.now + 0.1
             if answer is not None and limiter.hears:
-                more = limiter.credits.granted(limiter.sent, self.now, *answer)
-                short = any(limiter.credits.due(name, self.now) for name in self.tenants)
+                more = limiter.credits.apply_response(limiter.sent, self.now, answer)
+                short = any(limiter.credits.needs_request(name, self.now) for name in self.tenants)
                 limiter.next = self.now + (0.0 if more else STEP if short else 0.4)
 
     def serve(self, hot: bool) -> None:
@@ -153,11 +172,11 @@
                     else self.rng.random() < 0.6 * tenant.rate_per_second * STEP / self.many
                 )
                 for _ in range(int(asked)):
-                    if not limiter.credits.may(name, self.now):
+                    if not limiter.credits.may_admit(name, self.now):
                         break
-                    limiter.credits.used(name, self.now)
+                    limiter.credits.consume(name, self.now)
                     self.ran[name].append(self.now)
-                if limiter.credits.due(name, self.now) and not limiter.waits:
+                if limiter.credits.needs_request(name, self.now) and not limiter.waits:
                     limiter.next = min(limiter.next, self.now)
             self.calls(limiter)
 
@@ -241,15 +260,15 @@
 
 def rich(monkeypatch) -> None:
     """A limiter that starts has its part of the bucket."""
-    learn = QuotaCredits.learn
+    update_quotas = QuotaCredits.update_quotas
 
     def start(self, quotas):
-        new = not self.credits
-        learn(self, quotas)
-        for credit in self.credits.values() if new else ():
-            credit.left = credit.depth / self.many
+        new = not self.tenants
+        update_quotas(self, quotas)
+        for credit in self.tenants.values() if new else ():
+            credit.granted = credit.depth / self.limiter_count
 
-    monkeypatch.setattr(QuotaCredits, "learn", start)
+    monkeypatch.setattr(QuotaCredits, "update_quotas", start)
 
 
 def unheard(monkeypatch) -> None:
@@ -318,56 +337,59 @@
     grants, credits = QuotaGrants(BOUNDS), QuotaCredits(BOUNDS, 1, 10.0)
     grants.learn([ANN], False)
     grants.anew(7, 0.0, unused=True)
-    credits.limiters(many)
-    credits.learn({NAME: ANN})
+    credits.set_limiter_count(many)
+    credits.update_quotas({NAME: ANN})
     while call(grants, credits, 10.0):
         pass
     return grants, credits
 
 
 def call(grants: QuotaGrants, credits: QuotaCredits, now: float) -> bool:
-    number, alone, entries = credits.call(now)
+    request = credits.build_request("one", now)
     grants.tick(now, ["one"])
-    return credits.granted(
-        now, now, grants.number, grants.call("one", 1, number, alone, entries, now)
-    )
+    return credits.apply_response(now, now, granted(grants, request, now))
 
 
 def test_credits_are_void_after_a_while_without_an_answer_and_the_counter_holds_them_longer():
     grants, credits = pair()
     held = grants.buckets[NAME].held["one"]
-    assert held == credits.credits[NAME].left >= 2
-    credit = credits.credits[NAME]
-    assert [credits.source(credit, t + quota_credits.GOOD) for t in (10.0, 10.1)] == ["left", "own"]
+    assert held == credits.tenants[NAME].granted >= 2
+    credit = credits.tenants[NAME]
+    assert [credits.source(credit, t + quota_credits.GOOD) for t in (10.0, 10.1)] == [
+        CreditSource.GRANTED,
+        CreditSource.ISOLATED,
+    ]
     grants.sweep(10.0 + quota_credits.GOOD + 0.5, ["one"])
     assert grants.buckets[NAME].held["one"] == held and quota_grants.HELD > quota_credits.GOOD
     grants.sweep(10.1 + quota_grants.HELD, ["one"])
     assert "one" not in grants.buckets[NAME].held
-    assert credits.call(13.0)[2][0][1] == 0  # it tells that it has none
+    assert credits.build_request("one", 13.0).demands[0].held == 0  # it tells that it has none
 
 
 def test_another_counter_hears_all_that_is_held_before_it_grants():
     grants, credits = pair()
-    left = credits.credits[NAME].left
+    left = credits.tenants[NAME].granted
     grants.anew(8, 11.0)
-    number, alone, entries = credits.call(11.0)
+    request = credits.build_request("one", 11.0)
     grants.tick(11.0, ["one"])
-    assert grants.call("one", 1, number, alone, entries, 11.0) is None and not entries
+    assert granted(grants, request, 11.0).grants is None and not request.demands
     # no answer that keeps them good
-    assert credits.granted(11.0, 11.0, 8, None) and credits.heard == 10.0
-    assert credits.call(11.0)[2][0][:2] == [NAME, left]
+    assert credits.apply_response(11.0, 11.0, CreditResponse(grant_term=8))
+    assert credits.last_answer_sent_at == 10.0
+    (demand,) = credits.build_request("one", 11.0).demands
+    assert (demand.tenant, demand.held) == (NAME, left)
     call(grants, credits, 11.0)
-    assert grants.buckets[NAME].held["one"] >= left and credits.heard == 11.0
+    assert grants.buckets[NAME].held["one"] >= left and credits.last_answer_sent_at == 11.0
 
 
 def test_a_limiter_without_word_takes_a_part_of_the_even_share_and_the_counter_leaves_it():
     grants, credits = pair(many=2)
-    credits.credits[NAME].left = 0.0
+    credits.tenants[NAME].granted = 0.0
     ran, now = 0, 10.0
     while now < 20.0:
         now += 0.01
-        while credits.may(NAME, now):
-            credits.used(NAME, now)
+        while credits.may_admit(NAME, now):
+            credits.consume(NAME, now)
             ran += 1
     part = quota_grants.ALONE * ANN.rate_per_second / 2
     assert ran == pytest.approx(part * (10 - quota_grants.SILENT), rel=0.05)
@@ -379,17 +401,21 @@
 
 
 def test_a_part_shrinks_before_the_counter_forgets_a_limiter():
-    assert quota_credits.LONG < limiters.HELD
+    assert quota_credits.LONG_ISOLATION_SECONDS < limiters.HELD
     _, credits = pair(many=2)
-    late, ran, now = 10.0 + quota_credits.LONG, 0, 10.0 + quota_credits.LONG
-    credits.has(NAME, late)
+    late, ran, now = (
+        10.0 + quota_credits.LONG_ISOLATION_SECONDS,
+        0,
+        10.0 + quota_credits.LONG_ISOLATION_SECONDS,
+    )
+    credits.has_credit(NAME, late)
     while now < late + 10:
         now += 0.01
-        while credits.may(NAME, now):
-            credits.used(NAME, now)
+        while credits.may_admit(NAME, now):
+            credits.consume(NAME, now)
             ran += 1
     part = quota_grants.ALONE * ANN.rate_per_second / 2
-    assert ran <= quota_credits.DIM * part * 10 + part + 1
+    assert ran <= quota_credits.LONG_ISOLATION_SHARE * part * 10 + part + 1
 
 
 def test_what_limiters_hold_unheard_keeps_a_bucket_from_emptying():
@@ -412,20 +438,22 @@
     for now in (1.0, 1.1, 1.2):
         for name, credits in all_of.items():
             if now == 1.0:
-                credits.limiters(many)
-                credits.learn({NAME: small})
-            number, alone, entries = credits.call(now)
+                credits.set_limiter_count(many)
+                credits.update_quotas({NAME: small})
+            request = credits.build_request(name, now)
             grants.tick(now, names)
-            credits.granted(now, now, 7, grants.call(name, 1, number, alone, entries, now))
+            credits.apply_response(now, now, granted(grants, request, now))
     for credits in all_of.values():
-        if not grants.closed(NAME) and credits.may(NAME, 1.3):
-            credits.used(NAME, 1.3)
+        if not grants.closed(NAME) and credits.may_admit(NAME, 1.3):
+            credits.consume(NAME, 1.3)
             ran += 1
-            assert not credits.has(NAME, 1.3)  # one, until the counter knows of it
+            assert not credits.has_credit(NAME, 1.3)  # one, until the counter knows of it
             call(grants, credits, 1.3)
     assert ran == pytest.approx(quota_grants.depth(4.0, 4.0, BOUNDS) / 2, abs=1)
-    credits.full(NAME, 1.3)
-    assert not credits.has(NAME, 1.3) and credits.has(NAME, 1.31 + quota_credits.CLOSED)
+    credits.mark_near_limit(NAME, 1.3)
+    assert not credits.has_credit(NAME, 1.3) and credits.has_credit(
+        NAME, 1.31 + quota_credits.NEAR_LIMIT_SECONDS
+    )
 
 
 @pytest.mark.parametrize("waits", [True, False])
@@ -434,7 +462,7 @@
 ):
     """The counter begins with nearly full buckets, and all limiters with nothing."""
     if not waits:
-        monkeypatch.setattr(program, "OFFERED", 0.0)
+        monkeypatch.setattr(admission_adapter, "CREDIT_WAIT_SHARE", 0.0)
     town = Cluster(3, proxies=6)
     town.usual()
     town.tenant("ann", "key-of-ann", 20, 20)
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -24,6 +24,7 @@
 from loomstand.registry.limiters import HELD, STANDS, LimiterTable
 from loomstand.registry.quota_buckets import SLOTS, QuotaBuckets
 from loomstand.rpc.frames import FrameDecoder, FrameError, encode_frame
+from loomstand.rpc.messages.rows import InstanceRow
 
 
 def instance(id_="i-1", sequence=1, state=READY, address="10.0.0.9:8080", service="a"):
@@ -139,21 +140,31 @@
 
 
 def test_the_use_of_a_server_is_what_the_registries_say_together():
-    lists = InstanceView()
+    view = InstanceView()
 
     def row(state, sequence, id_="i-1"):
-        return [id_, "10.0.0.9:8080", "a", "z", 2, state, sequence, 0]
-
-    assert lists.told("one", [row(READY, 5)], anew=True) == ["i-1"]
-    assert lists.told("two", [row(SILENT, 4)], anew=True) == []  # the one that hears it is right
-    assert lists.told("one", [row(SILENT, 5)]) == ["i-1"] and lists.servers["i-1"].use == SILENT
-    assert lists.told("two", [], anew=True) == []  # it started anew: the other still says silent
-    assert lists.told("one", [], anew=True) == ["i-1"] and lists.servers["i-1"].use == READY
-    assert lists.told("two", [row(DRAINING, 7)]) == ["i-1"]
-    assert lists.told("one", [row(READY, 6)]) == []  # a late word
-    assert lists.told("one", [row(GONE, 1 << 60)]) == ["i-1"]
-    assert lists.told("two", [row(READY, 9)]) == [] and lists.servers["i-1"].use == GONE
-    assert lists.told("two", [row(GONE, 1 << 60, "i-0")]) == []  # never known here
+        return InstanceRow(id_, "10.0.0.9:8080", "a", "z", 2, state, sequence, 0)
+
+    assert view.update("one", [row(READY, 5)], is_new_session=True) == ["i-1"]
+    assert (
+        view.update("two", [row(SILENT, 4)], is_new_session=True) == []
+    )  # the one that hears it is right
+    assert (
+        view.update("one", [row(SILENT, 5)]) == ["i-1"]
+        and view.instances["i-1"].availability == SILENT
+    )
+    assert (
+        view.update("two", [], is_new_session=True) == []
+    )  # it started anew: the other still says silent
+    assert (
+        view.update("one", [], is_new_session=True) == ["i-1"]
+        and view.instances["i-1"].availability == READY
+    )
+    assert view.update("two", [row(DRAINING, 7)]) == ["i-1"]
+    assert view.update("one", [row(READY, 6)]) == []  # a late word
+    assert view.update("one", [row(GONE, 1 << 60)]) == ["i-1"]
+    assert view.update("two", [row(READY, 9)]) == [] and view.instances["i-1"].availability == GONE
+    assert view.update("two", [row(GONE, 1 << 60, "i-0")]) == []  # never known here
 
 
 @given(st.lists(st.integers(0, 1 << 40), max_size=4), st.lists(st.integers(1, 7), max_size=40))
--- a/tests/store/test_counting_lease.py
+++ b/tests/store/test_counting_lease.py
@@ -214,7 +214,7 @@
 
     town.do(leaves())
     town.wait(0.1)
-    said = [max(s.sessions.stand(s.sessions.counters))[1][0] for s in town.all_proxies()]
+    said = [s.sessions.counting_registry().host for s in town.all_proxies()]
     assert said == [town.counting()] * 2
     town.close()
 
@@ -271,11 +271,13 @@
     town.wait(3.0)  # nobody has just started
     heard: list[tuple[Outcome, float]] = []
     for proxy in town.all_proxies():
-        proxy.counted = lambda name, outcome, total, took: heard.append((outcome, total))
+        proxy.counter_client.on_reply = lambda name, outcome, total, took: heard.append(
+            (outcome, total)
+        )
 
     async def add(*steps: float) -> None:
         for proxy, step in zip(town.all_proxies(), steps, strict=False):
-            await proxy.counting(IncrementCounter(7 << 15, step, 600_000))
+            await proxy.counter_client.run_increment(IncrementCounter(7 << 15, step, 600_000))
 
     async def day() -> None:
         town.registries[town.counting()].kill()
--- a/tests/store/test_first_start.py
+++ b/tests/store/test_first_start.py
@@ -57,7 +57,7 @@
     """The mutation: the pause after a seed that doesn't listen yet is that of a machine that is
     gone.
     """
-    monkeypatch.setattr(sessions, "AGAIN", (8.0, 8.0))
+    monkeypatch.setattr(sessions, "BACKOFF_SECONDS", (8.0, 8.0))
     town = Cluster(1, proxies=3)
     assert town.do(starts(town, True)) > READY
     town.close()
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -23,12 +23,13 @@
     ConfigurationReader,
     parse_configuration,
 )
-from loomstand.proxy import sessions
+from loomstand.proxy import configuration_fetcher, sessions
 from loomstand.registry import program
 from loomstand.registry.process import MOST_BODY
 from loomstand.rpc.errors import CallFailure
 from loomstand.rpc.frames import FrameDecoder as Frames
 from loomstand.rpc.frames import encode_frame
+from loomstand.rpc.messages.session_messages import ConfigurationResponse
 from loomstand.store import disk
 from loomstand.store.change_history import KEPT
 from loomstand.store.disk import LmdbDisk
@@ -234,13 +235,16 @@
             await asyncio.sleep(0.02)
 
     town.do(many(versions))
-    assert town.proxy(ip).table.version < town.version - versions
+    assert town.proxy(ip).configuration.table.version < town.version - versions
     town.sky.mend()
     newest, going = town.version, town.behind(many(60))
-    took = town.do(town.until(lambda: town.proxy(ip).table.version >= newest, 4.0))
+    took = town.do(town.until(lambda: town.proxy(ip).configuration.table.version >= newest, 4.0))
     town.do(asyncio.wait_for(going, 60.0))
     town.do(
-        town.until(lambda: all(p.table.version == town.version for p in town.all_proxies()), 0.5)
+        town.until(
+            lambda: all(p.configuration.table.version == town.version for p in town.all_proxies()),
+            0.5,
+        )
     )
     town.close()
     return took
@@ -270,10 +274,10 @@
     async def work() -> list[int]:
         got: list[int] = []
         user = SimpleNamespace(
-            servers=lambda *_: None,
-            common_clock=lambda: None,
-            clock_told=lambda *_: None,
-            configured=lambda version, data: got.append(version) or True,
+            update_instances=lambda *_: None,
+            shared_clock_reading=lambda: None,
+            update_clock=lambda *_: None,
+            apply_configuration=lambda version, data: got.append(version) or True,
         )
         conf = SimpleNamespace(
             seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
@@ -289,7 +293,11 @@
 def test_a_configuration_that_takes_longer_than_the_changes_apart_comes_all_the_same(monkeypatch):
     got = fetched()
     assert len(got) >= 5 and got == sorted(got)
-    monkeypatch.setattr(sessions, "FETCH_MOST", sessions.FETCH_WITHIN)
+    monkeypatch.setattr(
+        configuration_fetcher,
+        "MAX_FETCH_TIMEOUT_SECONDS",
+        configuration_fetcher.FETCH_TIMEOUT_SECONDS,
+    )
     assert not fetched()
 
 
@@ -311,7 +319,10 @@
         town.route(f"many{n}", ("alpha", "beta")[n % 2])
     assert town.do(town.replace())
     town.do(
-        town.until(lambda: all(p.table.version == town.version for p in town.all_proxies()), 2.0)
+        town.until(
+            lambda: all(p.configuration.table.version == town.version for p in town.all_proxies()),
+            2.0,
+        )
     )
     size = len(town.versions[town.version])
     assert size > 700_000 and max(sent) < size / 10
@@ -345,8 +356,11 @@
 
 
 def test_what_cannot_be_unpacked_is_nothing():
-    assert sessions.unpacked({"version": 7, "z": b"torn"}) == b""
-    assert sessions.unpacked({"version": 7, "data": b"plain"}) == b"plain"
+    assert (
+        configuration_fetcher.unpack(ConfigurationResponse(version=7, compressed_data=b"torn"))
+        == b""
+    )
+    assert configuration_fetcher.unpack(ConfigurationResponse(version=7, data=b"plain")) == b"plain"
 
 
 def test_the_largest_body_fits_into_a_frame_and_on_the_disk(tmp_path, monkeypatch):
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -165,9 +165,11 @@
         ready = await town.until(
             lambda: bool(town.proxies[ip].programs) and town.proxy(ip).is_ready, 6.0
         )
-        held = town.proxy(ip).table.version
+        held = town.proxy(ip).configuration.table.version
         town.sky.mend()
-        back = await town.until(lambda: town.proxy(ip).table.version == town.version, 3.0)
+        back = await town.until(
+            lambda: town.proxy(ip).configuration.table.version == town.version, 3.0
+        )
         return ready, held, town.version, back
 
     found = town.do(story())
--- a/tests/store/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -444,7 +444,7 @@
         town.wait(0.25)
     held, town.held = town.version, town.versions[town.version]
     assert not town.do(town.replace(3.0))
-    assert {s.table.version for s in town.all_proxies()} == {held}
+    assert {s.configuration.table.version for s in town.all_proxies()} == {held}
 
 
 @when("its operators look at the rescue and give their word")
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -45,7 +45,10 @@
     return await town.until(
         lambda: (
             len(town.all_proxies()) == len(town.proxies)
-            and all(s.table is not None and s.table.version == newest for s in town.all_proxies())
+            and all(
+                s.configuration.table is not None and s.configuration.table.version == newest
+                for s in town.all_proxies()
+            )
         ),
         within,
     )
@@ -247,7 +250,9 @@
         town.proxies[ip].start()
         await asyncio.sleep(0.6)
         if "cut off" in what:
-            assert town.proxy(ip).table.version < town.version and not await town.ready(ip)
+            assert town.proxy(
+                ip
+            ).configuration.table.version < town.version and not await town.ready(ip)
             town.sky.cuts -= others
         if "killed" in what:
             for host in (*town.stores.values(), *town.registries.values()):
@@ -260,7 +265,7 @@
 def _(town):
     proxy = town.proxy(first(town))
     town.do(town.until(lambda: proxy.is_ready, 8.0))
-    assert proxy.table.version == town.version
+    assert proxy.configuration.table.version == town.version
     town.do(at_all(town, NEW, 200, only=first(town)))
 
 
--- a/tests/testing/simulation/test_bounds.py
+++ b/tests/testing/simulation/test_bounds.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from loomstand.proxy.counter_replay import CounterReplay as Added
+from loomstand.proxy.counter_replay import CounterReplay
 from loomstand.proxy.quota_credits import QuotaCredits
 from loomstand.registry import counters, limiters
 from loomstand.testing.simulation import hunt
@@ -213,7 +213,7 @@
     """
     if not held:
         monkeypatch.setattr(limiters, "HELD", limiters.STANDS)
-        monkeypatch.setattr(QuotaCredits, "may", lambda *_: True)
+        monkeypatch.setattr(QuotaCredits, "may_admit", lambda *_: True)
     history, bounds = Parted(5, Setup(limiters=8, length=11.0, servers=3)).play()
     quota = {figure.name: figure for figure in judge(history, bounds)}[Q]
     assert bool(quota.broken) is not held, quota
@@ -244,9 +244,9 @@
 def test_a_counter_that_moves_gives_no_second_burst(known, monkeypatch):
     """A drawn day in which the duty to count moves while a tenant is hot."""
     if not known:
-        monkeypatch.setattr(Added, "added", lambda *_: 0.0)
+        monkeypatch.setattr(CounterReplay, "record", lambda *_: 0.0)
         monkeypatch.setattr(counters, "YOUNG", 0.0)
-        monkeypatch.setattr(QuotaCredits, "may", lambda *_: True)
+        monkeypatch.setattr(QuotaCredits, "may_admit", lambda *_: True)
     history, bounds = Day(1072, Setup(length=6.0)).play()
     quota = {figure.name: figure for figure in judge(history, bounds)}[Q]
     assert bool(quota.broken) is not known, quota
