--- a/loomstand/proxy/admission_adapter.py
+++ b/loomstand/proxy/admission_adapter.py
@@ -61,7 +61,7 @@
 # waits for one for less than the quarter of its route's latency target in which nothing is lost.
 CREDIT_WAIT_SHARE = 0.2
 QUOTA_REASONS = {QUOTA_EXHAUSTED, QUOTA_PROBABLY_EXHAUSTED, RATE_LIMITED}
-# An attempt that ended this many ticks before the deadline or later is taken for a time-out.
+# A request that fails this close to its deadline, in ticks, has timed out.
 TIMEOUT_MARGIN_TICKS = 100
 NOT_RUN_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 NOT_FOUND = 404
@@ -72,6 +72,11 @@
 GATEWAY_TIMEOUT = 504
 
 
+def _log(text: str) -> None:
+    """Writes what the base class has to say."""
+    logging.info("proxy: %s", text)
+
+
 class AdmissionAdapter(GatewayCore[ProxyRequest]):
     """Admits clients' requests and carries out what the decision engine decides of them.
 
@@ -99,7 +104,7 @@
         """See `Proxy`."""
         limits = settings.limits
         sockets = limits.file_descriptors - FIXED_SOCKETS
-        super().__init__(logging.info, turns, limits.memory_mb // 2, sockets)
+        super().__init__(_log, turns, limits.memory_mb // 2, sockets)
         self.settings = settings
         self.rng = rng
         self.listener = ClientListener(self, self.spare, limits.file_descriptors)
