--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -23,12 +23,13 @@
     parse_configuration,
 )
 from loomstand.config.configuration import reader as reader_module
-from loomstand.proxy import sessions
+from loomstand.proxy import configuration_fetcher, sessions
 from loomstand.registry import program
 from loomstand.registry.process import MOST_BODY
 from loomstand.rpc.errors import CallFailure
 from loomstand.rpc.frames import FrameDecoder as Frames
 from loomstand.rpc.frames import encode_item
+from loomstand.rpc.messages.session_messages import ConfigurationResponse
 from loomstand.store import disk
 from loomstand.store.change_history import MAX_ENTRIES
 from loomstand.store.disk import LmdbDisk
@@ -37,6 +38,10 @@
 from loomstand.testing.simulation.loop import play
 
 
+def is_in_force_everywhere(system: Cluster) -> bool:
+    return all(p.configuration.table.version == system.version for p in system.all_proxies())
+
+
 def resources(routes: int) -> list[dict[str, Any]]:
     """So many routes of two services."""
     spec = {
@@ -238,14 +243,17 @@
             await asyncio.sleep(0.02)
 
     system.do(many(versions))
-    assert system.proxy(ip).table.version < system.version - versions
+    assert system.proxy(ip).configuration.table.version < system.version - versions
     system.sky.mend()
     newest, going = system.version, system.behind(many(60))
-    took = system.do(system.until(lambda: system.proxy(ip).table.version >= newest, 4.0))
+    took = system.do(
+        system.until(lambda: system.proxy(ip).configuration.table.version >= newest, 4.0)
+    )
     system.do(asyncio.wait_for(going, 60.0))
     system.do(
         system.until(
-            lambda: all(p.table.version == system.version for p in system.all_proxies()), 0.5
+            lambda: is_in_force_everywhere(system),
+            0.5,
         )
     )
     system.close()
@@ -276,10 +284,10 @@
     async def work() -> list[int]:
         got: list[int] = []
         user = SimpleNamespace(
-            servers=lambda *_: None,
-            common_clock=lambda: None,
-            clock_told=lambda *_: None,
-            configured=lambda version, data: got.append(version) or True,
+            update_instances=lambda *_: None,
+            shared_clock_reading=lambda: None,
+            update_clock=lambda *_: None,
+            apply_configuration=lambda version, data: got.append(version) or True,
         )
         conf = SimpleNamespace(
             seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
@@ -295,7 +303,11 @@
 def test_a_configuration_that_takes_longer_than_the_changes_apart_comes_all_the_same(monkeypatch):
     got = fetched()
     assert len(got) >= 5 and got == sorted(got)
-    monkeypatch.setattr(sessions, "FETCH_MOST", sessions.FETCH_WITHIN)
+    monkeypatch.setattr(
+        configuration_fetcher,
+        "MAX_FETCH_TIMEOUT_SECONDS",
+        configuration_fetcher.FETCH_TIMEOUT_SECONDS,
+    )
     assert not fetched()
 
 
@@ -318,7 +330,8 @@
     assert system.do(system.replace())
     system.do(
         system.until(
-            lambda: all(p.table.version == system.version for p in system.all_proxies()), 2.0
+            lambda: is_in_force_everywhere(system),
+            2.0,
         )
     )
     size = len(system.versions[system.version])
@@ -353,8 +366,11 @@
 
 
 def test_what_cannot_be_unpacked_is_nothing():
-    assert sessions.unpacked({"version": 7, "z": b"torn"}) == b""
-    assert sessions.unpacked({"version": 7, "data": b"plain"}) == b"plain"
+    assert (
+        configuration_fetcher.unpack(ConfigurationResponse(version=7, compressed_data=b"torn"))
+        == b""
+    )
+    assert configuration_fetcher.unpack(ConfigurationResponse(version=7, data=b"plain")) == b"plain"
 
 
 def test_the_largest_body_fits_into_a_frame_and_on_the_disk(tmp_path, monkeypatch):
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -172,11 +172,13 @@
         system.proxies[ip].kill()
         system.proxies[ip].start()
         ready = await system.until(
-            lambda: bool(system.proxies[ip].programs) and system.proxy(ip).able, 6.0
+            lambda: bool(system.proxies[ip].programs) and system.proxy(ip).is_ready, 6.0
         )
-        held = system.proxy(ip).table.version
+        held = system.proxy(ip).configuration.table.version
         system.sky.mend()
-        back = await system.until(lambda: system.proxy(ip).table.version == system.version, 3.0)
+        back = await system.until(
+            lambda: system.proxy(ip).configuration.table.version == system.version, 3.0
+        )
         return ready, held, system.version, back
 
     found = system.do(story())
