--- a/loomstand/admission/admission_control.py
+++ b/loomstand/admission/admission_control.py
@@ -17,7 +17,6 @@
     Reject,
 )
 from loomstand.admission.actors import Actor, ActorLoop
-from loomstand.admission.backend import Backend
 from loomstand.admission.counter_client import CounterClient
 from loomstand.admission.endpoints import Endpoint
 from loomstand.admission.event_counts import EventCounts
@@ -34,7 +33,7 @@
 from loomstand.admission.load_balancer import LoadBalancer
 from loomstand.admission.outcome import NOT_EXECUTED, Outcome
 from loomstand.admission.pending_request import PendingRequest
-from loomstand.admission.settings import DeduplicationScope, Effect, Frontend
+from loomstand.admission.settings import Frontend
 from loomstand.admission.tenant_limiter import TenantLimiter
 from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.failover.engine_view import Guide
@@ -105,9 +104,7 @@
         """Sends the first attempt, if the servers have capacity for the request."""
         pending = self.pending[request_id]
         load_balancer = self._load_balancer(pending.arrival.service)
-        server: Backend | None = None
-        if load_balancer.has_capacity(pending):
-            server = load_balancer.pick(pending)
+        server = load_balancer.pick(pending) if load_balancer.has_capacity(pending) else None
         if server is None:
             self.post_rejected(request_id, 0, OVERLOADED)
             return
@@ -155,12 +152,11 @@
         earliest = now + stats.durations.quantile(FAST_QUANTILE, 0)
         is_worthless = earliest > pending.target_at and stats.frontend.late_value <= 0
         is_over = now >= pending.arrival.deadline or len(pending.attempts) >= pending.attempt_limit
-        server: Backend | None = None
-        if not is_worthless and not is_over:
-            server = load_balancer.pick_for_retry(pending)
+        may_retry = not is_worthless and not is_over
+        server = load_balancer.pick_for_retry(pending) if may_retry else None
         if server is not None:
             load_balancer.send(pending, server)
-        elif not pending.possibly_executed or _may_be_repeated(stats.frontend):
+        elif not pending.possibly_executed or stats.frontend.may_be_repeated:
             self.reject(pending.arrival.request_id, 0, ATTEMPTS_EXHAUSTED)
         else:
             self._answer(pending, ABORTED_COUNT, Abort(pending.arrival.request_id))
@@ -237,11 +233,11 @@
 
     def _forget_an_idle_tenant(self, current: TenantLimiter) -> None:
         """Looks at one tenant, the one looked at longest ago, and forgets it if it is idle."""
-        eldest = self.tenants.pop(next(iter(self.tenants)))
-        if eldest is current or not eldest.is_idle(len(self.tenants) > MANY_TENANTS):
-            self.tenants[eldest.tenant] = eldest
+        oldest = self.tenants.pop(next(iter(self.tenants)))
+        if oldest is current or not oldest.is_idle(len(self.tenants) > MANY_TENANTS):
+            self.tenants[oldest.tenant] = oldest
         else:
-            self.tenants_by_digest.pop(eldest.tenant_digest, None)
+            self.tenants_by_digest.pop(oldest.tenant_digest, None)
 
     def _value(self, event: RequestArrived, frontend: Frontend) -> float:
         plan = self.loop.settings.plan(event.plan)
@@ -252,10 +248,3 @@
         if counts:
             sizes = " ".join(f"{b.window.size:.1f}" for b in self.load_balancers.values())
             self.loop.actions.append(LogMessage(", ".join([*counts, f"window {sizes}"])))
-
-
-def _may_be_repeated(frontend: Frontend) -> bool:
-    """Returns whether a client may repeat a request that may have been executed, at any server."""
-    if frontend.effect is Effect.DEDUPLICATED:
-        return frontend.deduplication_scope is DeduplicationScope.ALL
-    return frontend.effect is Effect.IDEMPOTENT
--- a/loomstand/admission/backend.py
+++ b/loomstand/admission/backend.py
@@ -9,7 +9,8 @@
 from loomstand.admission.endpoints import Endpoint
 from loomstand.admission.events import AttemptEnded
 from loomstand.admission.histogram import Histogram
-from loomstand.admission.outcome import Outcome
+from loomstand.admission.outcome import TIMED, Outcome
+from loomstand.admission.ring import spread_position
 
 # Share of the requests that probe an ejected server: little is lost if all of them fail.
 PROBE_SHARE = 1 / 60
@@ -20,9 +21,6 @@
 EJECTION_TICKS = 200_000
 ANY_FRONTEND = -1  # in place of a request class: whether there was any sign of life
 REJECTION_WEIGHT = 0.2  # of one outcome in the rejection rate
-# Positions on the ring are spread by this odd multiplier (Knuth's, 2^32 over the golden ratio).
-RING_MULTIPLIER = 0x9E3779B1
-RING_MASK = 0xFFFFFFFF
 
 # Outcomes that say nothing of the server's health.
 NEUTRAL_OUTCOMES = frozenset({Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.REJECTED})
@@ -55,7 +53,7 @@
     def __init__(self, loop: ActorLoop, endpoint: Endpoint) -> None:
         super().__init__(loop)
         self.endpoint_id = endpoint.endpoint_id
-        self.ring_position = endpoint.endpoint_id * RING_MULTIPLIER & RING_MASK
+        self.ring_position = spread_position(endpoint.endpoint_id)
         self.in_flight = 0
         self._process_started(endpoint)
 
@@ -86,7 +84,7 @@
         self.recent_successes[frontend].append(succeeded)
         self.recent_successes[ANY_FRONTEND].append(succeeded or outcome is Outcome.SERVER_ERROR)
         self.probe_share = self.probe_share * 2 if succeeded else PROBE_SHARE
-        if outcome in (Outcome.SUCCEEDED, Outcome.NO_RESPONSE):
+        if outcome in TIMED:
             self.durations.add(event.duration)
 
     def is_ejected(self, frontend: int) -> bool:
--- a/loomstand/admission/concurrency_window.py
+++ b/loomstand/admission/concurrency_window.py
@@ -9,21 +9,19 @@
 
 from loomstand.admission.actors import ActorLoop
 from loomstand.admission.events import AttemptEnded
+from loomstand.admission.frontend_stats import DURATIONS, FrontendStats
 from loomstand.admission.histogram import Histogram
-from loomstand.admission.outcome import Outcome
-from loomstand.admission.settings import Frontend
+from loomstand.admission.outcome import TIMED, Outcome
 from loomstand.admission.ticks import TICKS_PER_SECOND
 
-DURATIONS = 400  # some ten seconds of answers, enough for a tail of two in a hundred
-UNQUEUED_DURATIONS = 100
 PRIOR_DURATION = 2_000  # ticks: what an answer takes, where none is known
 PRIOR_WEIGHT = 4
 # Both by all limiters together; five a server are mostly at work, not waiting.
 INITIAL_ATTEMPTS_PER_SERVER = 7
 MIN_ATTEMPTS_PER_SERVER = 5
 # An attempt in flight for so many times what nine in ten answers take is no load of a server.
-SILENT_MULTIPLE = 10
-SILENT_QUANTILE = 0.9
+UNRESPONSIVE_MULTIPLE = 10
+UNRESPONSIVE_QUANTILE = 0.9
 # Rejections start at this use of the window: above what a limiter of many has in flight by mere
 # chance. Requests of tenants that may be beyond their quota are rejected first.
 REJECTION_START = 0.6
@@ -35,9 +33,9 @@
 FAST_WAITING = 0.375
 LATE_WAITING = 0.75
 MIN_WORK = 0.2
-WORK_QUANTILE = 0.25
-# A silence is a single server's more often than a full queue's. A rejection counts by the square of
-# the mean duration over this share of the target: where answers are fast a server is throttled.
+# A missing response is a single server's fault more often than a full queue's. A rejection counts
+# by the square of the mean duration over FAST_MEAN of the target, at most 1: where answers are fast
+# a server is throttled or draining, and gets less by its own rejection rate.
 NO_RESPONSE_WEIGHT = 0.3
 FAST_MEAN = 0.3
 MAX_DECREASE = 0.3  # of the window
@@ -45,10 +43,6 @@
 GROWTH_USE = 0.4  # the window only grows while so much of it is used
 
 
-# Outcomes whose durations tell what answers take.
-TIMED_OUTCOMES = frozenset({Outcome.SUCCEEDED, Outcome.NO_RESPONSE})
-
-
 class Verdict(NamedTuple):
     """What an outcome says of the window.
 
@@ -61,26 +55,6 @@
     is_fast: bool
 
 
-class FrontendStats:
-    """A request class, and the durations of its answers.
-
-    Attributes:
-        frontend: The request class.
-        durations: All of them.
-        unqueued_durations: Those that came while the window was at its least: work, no waiting.
-    """
-
-    def __init__(self, frontend: Frontend) -> None:
-        self.frontend = frontend
-        self.durations = Histogram(DURATIONS)
-        self.unqueued_durations = Histogram(UNQUEUED_DURATIONS)
-
-    def work(self) -> float:
-        """Returns what the work of a request takes, without waiting."""
-        queued = self.durations.quantile(WORK_QUANTILE, 0)
-        return min(self.unqueued_durations.quantile(WORK_QUANTILE, 0), queued)
-
-
 class ConcurrencyWindow:
     """The window, and the attempts that are in flight.
 
@@ -101,8 +75,8 @@
     def pressure(self, value: float) -> float:
         """Returns the share of the window in use, for a request of a value for its work."""
         self.best_value = max(value, self.best_value * BEST_VALUE_DECAY)
-        typical = self.durations.quantile(SILENT_QUANTILE, TICKS_PER_SECOND)
-        self._drop_sent_before(self.loop.now - SILENT_MULTIPLE * typical)
+        typical = self.durations.quantile(UNRESPONSIVE_QUANTILE, TICKS_PER_SECOND)
+        self._drop_sent_before(self.loop.now - UNRESPONSIVE_MULTIPLE * typical)
         size = self.size + self.loop.settings.window_headroom
         return (len(self.in_flight) + self.loop.random()) / max(MIN_WINDOW, size)
 
@@ -126,7 +100,7 @@
             weight = NO_RESPONSE_WEIGHT
         elif outcome is Outcome.SUCCEEDED and duration > work + LATE_WAITING * waiting:
             weight = 1.0
-        if outcome in TIMED_OUTCOMES:
+        if outcome in TIMED:
             if self.size <= min_size:
                 stats.unqueued_durations.add(duration)
             stats.durations.add(duration)
--- a/loomstand/admission/counter_client.py
+++ b/loomstand/admission/counter_client.py
@@ -6,12 +6,8 @@
 
 from __future__ import annotations
 
-from collections import deque
-from dataclasses import dataclass
-from typing import Protocol
-
-from loomstand.admission.actions import IncrementCounter
 from loomstand.admission.actors import NEVER, Actor, ActorLoop
+from loomstand.admission.counter_calls import CounterCalls, CounterUser
 from loomstand.admission.events import CounterReplied
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.ticks import TICKS_PER_SECOND
@@ -29,37 +25,6 @@
 RATE_INCREASE = 1.15  # so that about a fourth of the calls are slow where all limiters want more
 SLOW_REPLY = 1 / 2  # of the time-out
 FAST_REPLY = 1 / 4
-# A count's name: the tenant's digest, and the interval's number in this many bits.
-INTERVAL_BITS = 15
-INTERVAL_MASK = (1 << INTERVAL_BITS) - 1
-# Counts are kept for three intervals and a second, a minute at most.
-KEPT_INTERVALS = 3
-MAX_TIME_TO_LIVE = 60 * TICKS_PER_SECOND
-
-
-class CounterUser(Protocol):
-    """A tenant's limiter, as far as calls to the counter are concerned."""
-
-    @property
-    def tenant_digest(self) -> int:
-        """The tenant's digest."""
-
-    @property
-    def interval_length(self) -> int:
-        """Length of the tenant's counting intervals, in ticks."""
-
-    def post_report(self) -> None:
-        """Asks it to report its use, as there is a call to be made."""
-
-    def post_reply(self, interval: int, amount: float, reply: CounterReplied) -> None:
-        """Passes on a reply to its call of `amount` for an interval."""
-
-
-@dataclass(slots=True, frozen=True)
-class _Call:
-    caller: CounterUser
-    interval: int
-    amount: float
 
 
 class CounterClient(Actor):
@@ -73,8 +38,7 @@
 
     def __init__(self, loop: ActorLoop) -> None:
         super().__init__(loop)
-        # calls in flight by the count's name; replies come in the order of the calls
-        self._calls: dict[int, deque[_Call]] = {}
+        self._calls = CounterCalls()
         self.waiting: dict[CounterUser, None] = {}
         limiters = max(1, loop.settings.limiter_count)
         self._initial_rate = INITIAL_CALLS_PER_SECOND / TICKS_PER_SECOND / limiters
@@ -115,23 +79,14 @@
 
     def call(self, caller: CounterUser, interval: int, amount: float) -> None:
         """Adds to the count of a tenant's interval, for a right acquired before."""
-        name = caller.tenant_digest << INTERVAL_BITS | interval & INTERVAL_MASK
-        self._calls.setdefault(name, deque()).append(_Call(caller, interval, amount))
-        time_to_live = KEPT_INTERVALS * caller.interval_length + TICKS_PER_SECOND
-        self.loop.actions.append(
-            IncrementCounter(name, amount, min(time_to_live, MAX_TIME_TO_LIVE))
-        )
+        self.loop.actions.append(self._calls.make(caller, interval, amount))
 
     def counter_replied(self, event: CounterReplied) -> None:
         """Adjusts the rate, and passes the reply on to the tenant's limiter."""
-        calls = self._calls.get(event.counter_name)
-        if calls is None:
-            return
-        call = calls.popleft()
-        if not calls:
-            del self._calls[event.counter_name]
-        self._adjust_rate(event)
-        call.caller.post_reply(call.interval, call.amount, event)
+        call = self._calls.take(event.counter_name)
+        if call is not None:
+            self._adjust_rate(event)
+            call.caller.post_reply(call.interval, call.amount, event)
 
     def _adjust_rate(self, event: CounterReplied) -> None:
         now = self.loop.now
--- a/loomstand/admission/load_balancer.py
+++ b/loomstand/admission/load_balancer.py
@@ -19,15 +19,15 @@
     PRIOR_DURATION,
     PRIOR_WEIGHT,
     ConcurrencyWindow,
-    FrontendStats,
 )
 from loomstand.admission.endpoints import Endpoint, EndpointState
 from loomstand.admission.events import AttemptEnded
+from loomstand.admission.frontend_stats import FrontendStats
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.pending_request import Attempt, PendingRequest
 from loomstand.admission.retry_budget import RetryBudget
 from loomstand.admission.ring import Ring
-from loomstand.admission.settings import DeduplicationScope, Effect
+from loomstand.admission.settings import Effect
 from loomstand.admission.slow_start import SuccessRates
 from loomstand.failover.engine_view import Guide
 from loomstand.failover.subset_selection import used
@@ -41,13 +41,13 @@
 # more chance decides: half of it with so many limiters.
 BLUR_LIMITERS = 60
 PRIOR_SERVER_WEIGHT = 3  # of the mean over all servers, beside a server's own durations
-TRIED_COST = 100  # a server that the request was sent to before is the last choice
+ATTEMPTED_COST = 100  # a server that the request was sent to before is the last choice
 REJECTION_COST = 9  # a server that rejects looks idle
 MAX_LOAD = 2  # attempts at one server, in multiples of an even share of the window
 # A silent server is given up after three times what nearly all answers take, if another attempt can
 # still be in time.
-SILENCE_MULTIPLE = 3
-SILENCE_QUANTILE = 0.97
+GIVE_UP_MULTIPLE = 3
+GIVE_UP_QUANTILE = 0.97
 FIRST_RETRY_SHARE = 1 / 4  # of the target: what an answer takes where none is known
 
 
@@ -200,7 +200,7 @@
                 return False
             if self.loop.now - attempt.sent_at >= frontend.deduplication_window:
                 return False
-            if not _share_records(scope, before.endpoint, server.endpoint):
+            if not scope.includes(before.endpoint, server.endpoint):
                 return False
         return True
 
@@ -246,8 +246,9 @@
 
     def _pick_in_use(self, pending: PendingRequest) -> Backend | None:
         """Returns a server in use, the likelier the less it is expected to let the request wait."""
+        guide = self.guide
         servers = self.subset[pending.arrival.frontend]
-        tried = {attempt.endpoint_id for attempt in pending.attempts}
+        attempted = {attempt.endpoint_id for attempt in pending.attempts}
         in_flight = sum(server.in_flight for server in servers)
         load = max(self.window.size, in_flight) / max(1, len(servers))
         max_load = max(1.0, MAX_LOAD * load)
@@ -257,20 +258,16 @@
         for server in servers:
             if not self.is_safe_to_send(pending, server) or server.in_flight > max_load:
                 continue
-            if not self._zone_allows(server):
+            zone = server.endpoint.zone
+            if guide and not guide.passes(zone, server.capacity(), self.loop.random()):
                 continue
-            factor = TRIED_COST if server.endpoint_id in tried else 1
+            factor = ATTEMPTED_COST if server.endpoint_id in attempted else 1
             cost = self._cost(server, pending.arrival.frontend, mean, factor)
             if (best is None or cost < least) and self.allows_slow_start(server):
                 best = server
                 least = cost
         return best
 
-    def _zone_allows(self, server: Backend) -> bool:
-        if not self.guide:
-            return True
-        return self.guide.passes(server.endpoint.zone, server.capacity(), self.loop.random())
-
     def _cost(self, server: Backend, frontend: int, mean: float, factor: int) -> float:
         """Returns the wait that a server is expected to cost, times a factor and a chance."""
         settings = self.loop.settings
@@ -326,10 +323,8 @@
         verdict = window.judge(event, stats, min_size)
         if self.guide:
             min_size = self.guide.least(self.loop.settings.limiter_count)
-            in_flight = len(window.in_flight)
-            window.size = self.guide.answered(
-                window.size, min_size, zone, verdict.weight, in_flight
-            )
+            count = len(window.in_flight)
+            window.size = self.guide.answered(window.size, min_size, zone, verdict.weight, count)
         else:
             window.adjust(verdict, min_size)
 
@@ -341,22 +336,13 @@
         if stats.frontend.effect is not Effect.IDEMPOTENT or is_last:
             return deadline
         unknown = stats.frontend.latency_target * FIRST_RETRY_SHARE
-        wait = SILENCE_MULTIPLE * stats.durations.quantile(SILENCE_QUANTILE, unknown)
+        wait = GIVE_UP_MULTIPLE * stats.durations.quantile(GIVE_UP_QUANTILE, unknown)
         in_time_at = deadline if self.loop.settings.retries_until_deadline else pending.target_at
         if self.loop.now + wait + stats.durations.mean(unknown, 1) < in_time_at:
             return min(deadline, self.loop.now + round(wait))
         return deadline
 
 
-def _share_records(scope: DeduplicationScope, one: Endpoint, other: Endpoint) -> bool:
-    """Returns whether two servers know of each other's executed requests."""
-    if scope is DeduplicationScope.ZONE:
-        return one.zone == other.zone
-    if scope is DeduplicationScope.CELL:
-        return one.cell == other.cell
-    return True
-
-
 def _shedding_rank(guide: Guide, pending: PendingRequest) -> int:
     """Returns the zone plan's rank of a request; 0 is rejected first."""
     arrival = pending.arrival
--- a/loomstand/admission/outcome.py
+++ b/loomstand/admission/outcome.py
@@ -31,3 +31,5 @@
 
 # Outcomes which prove that the request was not executed.
 NOT_EXECUTED = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
+# Outcomes whose durations tell what answers take.
+TIMED = frozenset({Outcome.SUCCEEDED, Outcome.NO_RESPONSE})
--- a/loomstand/admission/ring.py
+++ b/loomstand/admission/ring.py
@@ -5,6 +5,10 @@
 from bisect import bisect_left
 from typing import Protocol, TypeVar
 
+# Positions are 32 bits, spread by Knuth's odd multiplier: 2^32 over the golden ratio.
+_MULTIPLIER = 0x9E3779B1
+_MASK = 0xFFFFFFFF
+
 
 class RingMember(Protocol):
     """What stands on a ring.
@@ -16,6 +20,11 @@
     ring_position: int
 
 
+def spread_position(index: int) -> int:
+    """Returns a position for a member; those of neighbouring indices lie far apart."""
+    return index * _MULTIPLIER & _MASK
+
+
 Member = TypeVar("Member", bound=RingMember)
 
 
--- a/loomstand/admission/settings.py
+++ b/loomstand/admission/settings.py
@@ -9,6 +9,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from loomstand.admission.endpoints import Endpoint
+
 
 class Effect(Enum):
     """Whether a request that may have been executed may be sent again.
@@ -39,6 +41,14 @@
     ZONE = "hall"
     CELL = "pod"
 
+    def includes(self, one: Endpoint, other: Endpoint) -> bool:
+        """Returns whether two servers know of each other's executed requests."""
+        if self is DeduplicationScope.ZONE:
+            return one.zone == other.zone
+        if self is DeduplicationScope.CELL:
+            return one.cell == other.cell
+        return True
+
 
 @dataclass(slots=True, frozen=True)
 class Frontend:
@@ -66,6 +76,13 @@
     is_streaming: bool
     attempt_limit: int = 0
 
+    @property
+    def may_be_repeated(self) -> bool:
+        """Whether a client may repeat a request that may have been executed, at any server."""
+        if self.effect is Effect.DEDUPLICATED:
+            return self.deduplication_scope is DeduplicationScope.ALL
+        return self.effect is Effect.IDEMPOTENT
+
 
 @dataclass(slots=True, frozen=True)
 class QuotaPlan:
--- a/tests/admission/test_plain_cases.py
+++ b/tests/admission/test_plain_cases.py
@@ -54,27 +54,31 @@
 )
 def test_resplit(own: float, total: float, part: float) -> None:
     acct = account(5.0, 10.0, sets=3)
-    acct.split(own, total)
-    assert acct.share_rate * acct.interval_length == pytest.approx(part)
+    acct.levels.split(own, total, 0)
+    assert acct.levels.share_rate * acct.interval_length == pytest.approx(part)
 
 
 def test_parts_over_quota_sum_to_the_quota() -> None:
     parts = 0.0
     for own in (1.0, 5.0, 14.0):
         acct = account(5.0, 10.0, sets=3)
-        acct.split(own, 20.0)
-        parts += acct.share_rate * acct.interval_length
+        acct.levels.split(own, 20.0, 0)
+        parts += acct.levels.share_rate * acct.interval_length
     assert parts == pytest.approx(10.0)
 
 
 def test_a_counter_that_forgot_does_not_swell_a_part() -> None:
     acct = account(2.0, 4.0, sets=3, has_counter=True)
-    acct.usage.current.own = 3.0
-    acct.counter_replied(acct.usage.interval, 3.0, CounterReplied(1, Outcome.SUCCEEDED, 9.0, 10))
-    full = acct.fleet_level
-    acct.counter_replied(acct.usage.interval, 0.0, CounterReplied(1, Outcome.SUCCEEDED, 1.0, 10))
-    assert acct.usage.current.is_lost
-    assert acct.fleet_level == full
+    acct.levels.usage.current.own = 3.0
+    acct.counter_replied(
+        acct.levels.usage.interval, 3.0, CounterReplied(1, Outcome.SUCCEEDED, 9.0, 10)
+    )
+    full = acct.levels.fleet_level
+    acct.counter_replied(
+        acct.levels.usage.interval, 0.0, CounterReplied(1, Outcome.SUCCEEDED, 1.0, 10)
+    )
+    assert acct.levels.usage.current.is_lost
+    assert acct.levels.fleet_level == full
 
 
 def test_a_counter_that_loses_some_calls_is_not_down() -> None:
@@ -86,9 +90,9 @@
     before = client.rate
     for n, how in enumerate([Outcome.NO_RESPONSE, Outcome.SUCCEEDED, Outcome.NO_RESPONSE]):
         acct.loop.now = (n + 1) * 1000
-        client.call(acct, acct.usage.interval, 0.0)
+        client.call(acct, acct.levels.usage.interval, 0.0)
         client.counter_replied(
-            CounterReplied(acct.tenant_digest << 15 | acct.usage.interval, how, 0.0, 400)
+            CounterReplied(acct.tenant_digest << 15 | acct.levels.usage.interval, how, 0.0, 400)
         )
     assert client.failures_in_a_row < 4
     assert client.rate < before
@@ -326,7 +330,11 @@
     idle.
     """
     acct = account(1.0, 4.0, sets=100, has_counter=True)
-    acct.requested_rate, acct.total_at, acct.loop.now = 4 * acct.quota.rate, 0, 20 * S
+    acct.levels.requested_rate, acct.levels.total_at, acct.loop.now = (
+        4 * acct.levels.quota.rate,
+        0,
+        20 * S,
+    )
     passed = sum(acct.has_quota(1.0, False) for _ in range(1000))
     assert 200 < passed < 300
 
@@ -336,10 +344,14 @@
     chance.
     """
     acct = account(1.4, 6.0, sets=7, has_counter=True)
-    acct.requested_rate, acct.total_at, acct.fleet_level = 4 * acct.quota.rate, 0, 1.0
+    acct.levels.requested_rate, acct.levels.total_at, acct.levels.fleet_level = (
+        4 * acct.levels.quota.rate,
+        0,
+        1.0,
+    )
     acct.loop.now = S // 2
     assert all(acct.has_quota(1.0, False) for _ in range(100))
-    acct.fleet_level = (
+    acct.levels.fleet_level = (
         4.5  # the others may have passed 0.7 since: one more and one for a race do not fit
     )
     assert sum(acct.has_quota(1.0, False) for _ in range(400)) < 150
@@ -389,12 +401,16 @@
 
 def test_a_doubt_is_the_customers_where_use_beyond_the_quota_costs_nothing() -> None:
     acct = account(4.5, 8.0, sets=38, has_counter=True)
-    acct.quota = replace(acct.quota, is_excess_free=True)
+    acct.levels.quota = replace(acct.levels.quota, is_excess_free=True)
     assert acct.has_quota(1.0, True)
-    acct.requested_rate, acct.total_at, acct.fleet_level = 4 * acct.quota.rate, 0, 3.0
+    acct.levels.requested_rate, acct.levels.total_at, acct.levels.fleet_level = (
+        4 * acct.levels.quota.rate,
+        0,
+        3.0,
+    )
     acct.loop.now = 2 * S
     assert all(acct.has_quota(1.0, False) for _ in range(50))
-    acct.fleet_level, acct.total_at = 8.0, acct.loop.now  # known full
+    acct.levels.fleet_level, acct.levels.total_at = 8.0, acct.loop.now  # known full
     assert not acct.has_quota(1.0, False)
 
 
