--- a/loomstand/admission/admission_control.py
+++ b/loomstand/admission/admission_control.py
@@ -33,7 +33,6 @@
 from loomstand.admission.load_balancer import LoadBalancer
 from loomstand.admission.outcome import NOT_EXECUTED, Outcome
 from loomstand.admission.pending_request import PendingRequest
-from loomstand.admission.settings import Frontend
 from loomstand.admission.tenant_limiter import TenantLimiter
 from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.failover.engine_view import Guide
@@ -75,6 +74,8 @@
         tenant_limiter = self._tenant_limiter(event)
         self._forget_an_idle_tenant(tenant_limiter)
         frontend = self._load_balancer(event.service).stats[event.frontend].frontend
+        plan = self.loop.settings.plan(event.plan)
+        value_factor = plan.value_factor if plan else 1.0
         now = self.loop.now
         time_left = event.deadline - now
         age = max(0, frontend.client_timeout - time_left) if event.is_retry else 0
@@ -82,7 +83,7 @@
             arrival=event,
             tenant_limiter=tenant_limiter,
             target_at=now + frontend.latency_target - age,
-            value=self._value(event, frontend),
+            value=frontend.value * value_factor * event.units,
             attempt_limit=frontend.attempt_limit or self.loop.settings.attempt_limit,
         )
         self.pending[event.request_id] = pending
@@ -239,10 +240,6 @@
         else:
             self.tenants_by_digest.pop(oldest.tenant_digest, None)
 
-    def _value(self, event: RequestArrived, frontend: Frontend) -> float:
-        plan = self.loop.settings.plan(event.plan)
-        return frontend.value * (plan.value_factor if plan else 1.0) * event.units
-
     def _count(self, name: str) -> None:
         counts = self.counts.add(name, self.loop.now)
         if counts:
--- a/loomstand/admission/counter_calls.py
+++ b/loomstand/admission/counter_calls.py
@@ -36,7 +36,7 @@
         """Passes on a reply to its call of `amount` for an interval."""
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class CounterCall:
     """A call in flight.
 
--- a/loomstand/admission/load_balancer.py
+++ b/loomstand/admission/load_balancer.py
@@ -246,12 +246,14 @@
 
     def _pick_in_use(self, pending: PendingRequest) -> Backend | None:
         """Returns a server in use, the likelier the less it is expected to let the request wait."""
+        settings = self.loop.settings
+        random = self.loop.random
         guide = self.guide
-        servers = self.subset[pending.arrival.frontend]
+        frontend = pending.arrival.frontend
+        servers = self.subset[frontend]
         attempted = {attempt.endpoint_id for attempt in pending.attempts}
-        in_flight = sum(server.in_flight for server in servers)
-        load = max(self.window.size, in_flight) / max(1, len(servers))
-        max_load = max(1.0, MAX_LOAD * load)
+        blur = settings.limiter_count / (settings.limiter_count + BLUR_LIMITERS)
+        max_load = self._max_load(servers)
         mean = self.window.durations.mean(PRIOR_DURATION, PRIOR_WEIGHT)
         best = None
         least = 0.0
@@ -259,26 +261,28 @@
             if not self.is_safe_to_send(pending, server) or server.in_flight > max_load:
                 continue
             zone = server.endpoint.zone
-            if guide and not guide.passes(zone, server.capacity(), self.loop.random()):
+            if guide and not guide.passes(zone, server.capacity(), random()):
                 continue
-            factor = ATTEMPTED_COST if server.endpoint_id in attempted else 1
-            cost = self._cost(server, pending.arrival.frontend, mean, factor)
+            # under a guide, servers that warm up were passed over by chance already
+            capacity = 1.0 if guide else server.capacity()
+            wait = server.durations.mean(mean, PRIOR_SERVER_WEIGHT) / capacity
+            cost = wait * (1 + server.in_flight)
+            if server.endpoint_id in attempted:
+                cost *= ATTEMPTED_COST
+            if zone != settings.zone:
+                cost *= settings.remote_zone_cost
+            rejections = REJECTION_COST * server.rejection_rates.get(frontend, 0.0)
+            cost *= (-log(1 - random())) ** blur * (1 + rejections)
             if (best is None or cost < least) and self.allows_slow_start(server):
                 best = server
                 least = cost
         return best
 
-    def _cost(self, server: Backend, frontend: int, mean: float, factor: int) -> float:
-        """Returns the wait that a server is expected to cost, times a factor and a chance."""
-        settings = self.loop.settings
-        capacity = 1.0 if self.guide else server.capacity()  # the guide passes them over by chance
-        wait = server.durations.mean(mean, PRIOR_SERVER_WEIGHT) / capacity * (1 + server.in_flight)
-        cost = wait * factor
-        if server.endpoint.zone != settings.zone:
-            cost *= settings.remote_zone_cost
-        blur = settings.limiter_count / (settings.limiter_count + BLUR_LIMITERS)
-        chance: float = (-log(1 - self.loop.random())) ** blur
-        return cost * (chance * (1 + REJECTION_COST * server.rejection_rates.get(frontend, 0.0)))
+    def _max_load(self, servers: list[Backend]) -> float:
+        """Returns the most attempts that one server may have in flight."""
+        in_flight = sum(server.in_flight for server in servers)
+        even_share = max(self.window.size, in_flight) / max(1, len(servers))
+        return max(1.0, MAX_LOAD * even_share)
 
     # An attempt.
 
--- a/loomstand/admission/quota.py
+++ b/loomstand/admission/quota.py
@@ -30,9 +30,9 @@
     limiter_set_start: int
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class TenantQuota:
-    """A tenant's quota, in units and ticks.
+    """A tenant's quota, in units and ticks. Never changed; not frozen, which is slow to create.
 
     Attributes:
         limiter_set_size: How many limiters share the quota.
