--- a/loomstand/proxy/policy_compiler.py
+++ b/loomstand/proxy/policy_compiler.py
@@ -14,7 +14,7 @@
 )
 from loomstand.admission.ticks import ticks_rounded_down
 from loomstand.config.configuration import Configuration, Route, Tenant
-from loomstand.config.settings import Bounds
+from loomstand.config.settings import RuleBounds
 from loomstand.registry.quota_grants import ALONE
 
 # Late answers have a worth that the configuration doesn't tell: a tenth and three tenths at the
@@ -60,7 +60,7 @@
 class PolicyCompiler:
     """LimiterTable out the module's indices, and makes its settings."""
 
-    def __init__(self, bounds: Bounds, zones: list[str], zone: str) -> None:
+    def __init__(self, bounds: RuleBounds, zones: list[str], zone: str) -> None:
         self.bounds = bounds
         self.zones, self.services, self.tenants = NameIndex(zones), NameIndex(), NameIndex([NOBODY])
         self.hall = self.zones.index_of(zone)
@@ -76,7 +76,7 @@
         for route in configuration.routes:
             front = frontend(route)
             self.by_route[route.name] = self.fronts.setdefault(front, len(self.fronts))
-            for service, _ in route.split:
+            for service, _ in route.traffic_split:
                 self.services.index_of(service)
         self.quotas = {}
         for tenant in configuration.tenants or ():
@@ -93,8 +93,10 @@
         plans = []
         for n in range(self.tenants.next_index):
             tenant = self.quotas.get(n)
-            rate = tenant.rate * scale if tenant else 0.0
-            burst = max(tenant.burst * scale, 1.0) if tenant and tenant.rate else 0.0
+            rate = tenant.rate_per_second * scale if tenant else 0.0
+            burst = (
+                max(tenant.burst_size * scale, 1.0) if tenant and tenant.rate_per_second else 0.0
+            )
             # use beyond the quota is worth nothing and breaks a rule
             plans.append(QuotaPlan(rate, burst, 0, value_of(tenant), 0.0, 1.0, 0.0, 0.0, 0.0))
         b = self.bounds
@@ -140,8 +142,8 @@
     """A route as the module sees it; routes that differ only in name and place are one."""
     effect = Effect.IDEMPOTENT if route.idempotent else Effect.NON_IDEMPOTENT
     target, timeout = (
-        ticks_rounded_down(route.target_latency * 1000),
-        ticks_rounded_down(route.timeout * 1000),
+        ticks_rounded_down(route.target_latency_seconds * 1000),
+        ticks_rounded_down(route.timeout_seconds * 1000),
     )
     value = 2.0 ** (2 - min(8, route.priority))
     return Frontend(
@@ -153,7 +155,7 @@
         value,
         LATE * value,
         False,
-        attempt_limit=route.attempts,
+        attempt_limit=route.max_attempts,
     )
 
 
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -19,10 +19,10 @@
 )
 from loomstand.admission.identifiers import stable_digest
 from loomstand.admission.outcome import Outcome
-from loomstand.config.configuration import ConfigurationError, Limits, Reader
-from loomstand.config.routes import Table
+from loomstand.config.configuration import ClientLimits, ConfigurationError, ConfigurationReader
+from loomstand.config.routes import RouteTable
 from loomstand.config.settings import Settings
-from loomstand.config.units import address
+from loomstand.config.units import parse_address
 from loomstand.limiter import http_parser
 from loomstand.limiter.client_connection import Client, Front
 from loomstand.limiter.event_loop import Streams, Turns
@@ -38,9 +38,9 @@
 from loomstand.proxy.upstream import UpstreamPool
 from loomstand.registry.instances import DRAINING, GONE, READY, SILENT, Row
 from loomstand.registry.quota_buckets import SLOTS
+from loomstand.rpc.errors import CallFailure
 from loomstand.rpc.network import Network
-from loomstand.rpc.outside import OperatorHttpServer
-from loomstand.rpc.verdict import Verdict
+from loomstand.rpc.operator_http import OperatorHttpServer
 
 # Within a region a connection comes up in 3 ms and a server takes one more; where it doesn't in
 # this time the machine is gone or cut off, and the request has time for another server.
@@ -73,9 +73,9 @@
 # seconds.
 UNSURE = 3.0
 CALL = {
-    Verdict.NEVER_RAN: Outcome.CONNECT_FAILED,
-    Verdict.REFUSED: Outcome.REJECTED,
-    Verdict.MAY_HAVE_RUN: Outcome.NO_RESPONSE,
+    CallFailure.NEVER_RAN: Outcome.CONNECT_FAILED,
+    CallFailure.REFUSED: Outcome.REJECTED,
+    CallFailure.MAY_HAVE_RUN: Outcome.NO_RESPONSE,
 }
 
 
@@ -98,7 +98,7 @@
         self.conf, self.rng, self.room_at_all = settings, rng, self.room.left
         self.front = Front(self, self.spare, limits.file_descriptors)
         self.front.own_paths = False
-        self.bound(Limits())
+        self.bound(ClientLimits())
         self.pool = UpstreamPool(self, CONNECT_WITHIN, IDLE_MOST)
         if streams is not None:
             self.front.bind, self.pool.connect = streams.listen, streams.connect
@@ -109,8 +109,8 @@
         self.indices: dict[str, int] = {}
         self.by_service: dict[str, set[int]] = {}  # the live servers of each service
         self.fleet = Fleet()
-        self.table: Table | None = None
-        self.reader = Reader()
+        self.table: RouteTable | None = None
+        self.reader = ConfigurationReader()
         self.sure_at: float | None = None
         self.sessions = Sessions(settings, network, self.loop.time, rng, self)
         self.readiness = OperatorHttpServer(self.ready, turns, 4 << 20, 64, 4096, streams)
@@ -131,9 +131,12 @@
     async def run(self) -> None:
         """Serves until `stop`, and until all that was taken is answered."""
         self.loop.set_exception_handler(self.failed)
-        assert self.conf.listen.frontend is not None and self.conf.listen.readiness is not None
-        await self.readiness.listen(self.conf.listen.readiness)
-        await self.front.listen(self.conf.listen.frontend)
+        assert (
+            self.conf.listen_addresses.frontend is not None
+            and self.conf.listen_addresses.readiness is not None
+        )
+        await self.readiness.listen(self.conf.listen_addresses.readiness)
+        await self.front.listen(self.conf.listen_addresses.frontend)
         logging.info("listens")
         self.sessions.start()
         self.loop.call_later(1.0, self.sweep)
@@ -190,7 +193,7 @@
 
     def entry(self, srv: int, use: str, service: str, zone: str, where: str) -> Endpoint:
         phase = PHASES[use]
-        self.pool.told(srv, None if phase is EndpointState.GONE else address(where))
+        self.pool.told(srv, None if phase is EndpointState.GONE else parse_address(where))
         live = self.by_service.setdefault(service, set())
         (live.add if phase is EndpointState.LIVE else live.discard)(srv)
         at = self.terms.services.index_of(service)
@@ -220,9 +223,9 @@
             logging.error("configuration r%d can't be used: %s", version, why)
             return False
         self.terms.learn(configuration)
-        self.table = Table.of(configuration)
+        self.table = RouteTable.from_configuration(configuration)
         self.credits.learn(
-            {stable_digest(t.name): t for t in configuration.tenants or () if t.rate > 0}
+            {stable_digest(t.name): t for t in configuration.tenants or () if t.rate_per_second > 0}
         )
         self.short.set()
         self.bound(configuration.limits)
@@ -231,17 +234,17 @@
         self.settle()
         return True
 
-    def bound(self, limits: Limits) -> None:
+    def bound(self, limits: ClientLimits) -> None:
         """What clients may send from their next request on, and how long they may idle. A body is
         held whole, so it may take an eighth of the memory for buffers at most, whatever the
         configuration allows.
         """
-        self.stays, before = limits.idle_timeout + 1, self.front.stays
+        self.stays, before = limits.idle_timeout_seconds + 1, self.front.stays
         if self.stays >= before:
             self.front.stays = self.stays
         else:  # who has rested on the longer time's word may still do so to its end
             self.loop.call_later(before, self.shorten, self.stays)
-        self.front.heads = limits.header_timeout + 1
+        self.front.heads = limits.header_timeout_seconds + 1
         self.front.most_head = limits.max_header_bytes
         self.front.most_body = min(limits.max_body_bytes, self.room_at_all // 8)
 
@@ -301,10 +304,12 @@
         """
         if self.loop.time() - self.begun > SETTLED:  # first, as each request asks
             return True
-        route = self.table.find(req.host, req.path)
+        route = self.table.find_route(req.host, req.path)
         if route is None:
             return True
-        return any(weight > 0 and self.by_service.get(service) for service, weight in route.split)
+        return any(
+            weight > 0 and self.by_service.get(service) for service, weight in route.traffic_split
+        )
 
     def granted(self, req: ProxyRequest) -> bool:
         """Whether the first credits have come, for a request that may need one."""
@@ -350,12 +355,12 @@
         if table is None:
             self.answer(req, 503, extra=f"Retry-After: {NOT_YET}\r\n")
             return
-        req.route = table.find(req.host, req.path)
+        req.route = table.find_route(req.host, req.path)
         if req.route is None:
             self.answer(req, 404)
             return
-        if table.needs_key(req.route):
-            req.tenant = table.tenant(req.key)
+        if table.requires_api_key(req.route):
+            req.tenant = table.find_tenant(req.key)
             if req.tenant is None:
                 self.answer(req, 401)
                 return
@@ -366,7 +371,7 @@
         if self.credits.due(name, now):
             self.short.set()
         if not may and not waited and now - self.begun < SETTLED:
-            self.hold(req, at, OFFERED * req.route.target_latency)
+            self.hold(req, at, OFFERED * req.route.target_latency_seconds)
             return
         if not may:
             wait = self.credits.wait(name, now)
@@ -388,15 +393,16 @@
             if self.credits.due(name, now):
                 self.short.set()
 
-    def service(self, table: Table, req: ProxyRequest) -> str:
+    def service(self, table: RouteTable, req: ProxyRequest) -> str:
         """One of the route's services by weight; where that has no server, another that the route
         allows.
         """
-        service = table.pick(req.route, self.rng.random())
+        service = table.choose_service(req.route, self.rng.random())
         if self.by_service.get(service):
             return service
         return next(
-            (s for s, weight in req.route.split if weight > 0 and self.by_service.get(s)), service
+            (s for s, weight in req.route.traffic_split if weight > 0 and self.by_service.get(s)),
+            service,
         )
 
     # from servers and the counter
@@ -480,7 +486,7 @@
         """
         if not req.route.idempotent and (req.ran or sum(f is not None for f in req.flights) > 1):
             return 0
-        return req.route.attempts
+        return req.route.max_attempts
 
     def deny(self, act: Reject) -> None:
         req = self.reqs.get(act.request_id)
@@ -492,7 +498,7 @@
             wait = max(0.05, act.retry_after / 10_000)
             self.answer(req, 429, extra=f"Retry-After: {wait:.3f}\r\n")
         else:
-            wait = self.rng.uniform(*BACK) * req.route.target_latency
+            wait = self.rng.uniform(*BACK) * req.route.target_latency_seconds
             self.answer(req, 503, extra=f"Retry-After: {wait:.3f}\r\n")
         self.forget(req)
 
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -11,11 +11,13 @@
 
 from absl import logging
 
-from loomstand.config.settings import Settings, SettingsError, read
+from loomstand.config.settings import Settings, SettingsError, read_settings
 from loomstand.limiter.event_loop import Turns
 
 VARIABLE = "LOOMSTAND_CONFIG"
-LOOK = 1.0  # seconds between looks at the settings file, which may change without a signal
+SETTINGS_POLL_SECONDS = (
+    1.0  # seconds between looks at the settings file, which may change without a signal
+)
 
 
 class Program(Protocol):
@@ -30,13 +32,13 @@
     def reload(self, settings: Settings) -> None: ...
 
 
-def main(make: Callable[[Settings, Turns], Awaitable[Program]]) -> None:
+def run_program(make: Callable[[Settings, Turns], Awaitable[Program]]) -> None:
     """Runs the program that `make` gives; settings that can't be used end it with one line."""
     path = os.environ.get(VARIABLE, "")
     if not path:
         sys.exit(f"{VARIABLE}: not set; it names the settings file")
     try:
-        settings = read(path)
+        settings = read_settings(path)
     except SettingsError as why:
         sys.exit(f"{path}: {why}")
     logging.use_absl_handler()
@@ -65,17 +67,17 @@
         nonlocal seen
         seen = stamp(path)
         try:
-            program.reload(read(path))
+            program.reload(read_settings(path))
         except SettingsError as why:
             logging.error("the settings can't be used, those held stand: %s", why)
 
     def look() -> None:
         if stamp(path) not in (seen, None):
             again()
-        loop.call_later(LOOK, look)
+        loop.call_later(SETTINGS_POLL_SECONDS, look)
 
     loop.add_signal_handler(signal.SIGHUP, again)
-    loop.call_later(LOOK, look)
+    loop.call_later(SETTINGS_POLL_SECONDS, look)
     await program.run()
 
 
--- a/loomstand/store/__main__.py
+++ b/loomstand/store/__main__.py
@@ -7,8 +7,8 @@
 
 from loomstand.config.settings import Settings
 from loomstand.limiter.event_loop import Turns
-from loomstand.rpc.sockets import Sockets
-from loomstand.rpc.start import main
+from loomstand.rpc.start import run_program
+from loomstand.rpc.tcp_network import TcpNetwork
 from loomstand.store.disk import LmdbDisk
 from loomstand.store.program import Place, Store
 
@@ -19,7 +19,7 @@
     def __init__(self, settings: Settings) -> None:
         shelf = LmdbDisk(os.path.join(settings.data_directory, "granary"))
         clock = asyncio.get_running_loop().time
-        self.store = Store(place(settings), Sockets(), shelf, clock, Random())
+        self.store = Store(place(settings), TcpNetwork(), shelf, clock, Random())
         self.parting: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
@@ -36,9 +36,9 @@
 
 
 def place(settings: Settings) -> Place:
-    seeds = tuple(settings.store(ip) for ip, _ in settings.seeds)
-    grace = settings.bounds.grace_period
-    return Place(settings.store(settings.ip_address), seeds, settings.first_start, grace)
+    seeds = tuple(settings.store_address(ip) for ip, _ in settings.seed_nodes)
+    grace = settings.bounds.grace_period_seconds
+    return Place(settings.store_address(settings.ip_address), seeds, settings.first_start, grace)
 
 
 async def make(settings: Settings, turns: Turns) -> StoreProcess:
@@ -47,4 +47,4 @@
     return StoreProcess(settings)
 
 
-main(make)
+run_program(make)
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -46,7 +46,7 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.settings import EngineSettings
 from loomstand.admission.ticks import TICKS_PER_SECOND
-from loomstand.config.limiter import settings
+from loomstand.config.limiter import engine_settings
 from loomstand.testing.emulator import scenario as sc
 from loomstand.testing.emulator.counts import Totals
 from loomstand.testing.emulator.engine import Engine
@@ -589,7 +589,7 @@
         self.live: tuple[list[Limiter], list[list[Limiter]]] | None = None  # by zone
 
     def settings_for(self, me: int, zone: int) -> EngineSettings:
-        return settings(sc.conf(self.scenario, me, zone), zone)
+        return engine_settings(sc.conf(self.scenario, me, zone), zone)
 
     # the network
     # -----------------------------------------------------------------------------------------
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -477,9 +477,14 @@
     words = [messages.Word(3, "10.0.0.3:7000", 2, 1), messages.Word(4, "10.0.0.4:7000", 1, 0)]
     base = (1, 5, 42, words)
     servers = [
-        config.Member(id="s1", host_port="10.0.1.1:80", phase="active", locality="east", cell=1),
-        config.Member(
-            id="s2", host_port="[::1]:81", phase="left", size=2.5, up_since_ms=12.5, flavor="x"
+        config.BackendRecord(id="s1", address="10.0.1.1:80", phase="active", zone="east", pod=1),
+        config.BackendRecord(
+            id="s2",
+            address="[::1]:81",
+            phase="left",
+            capacity_hint=2.5,
+            started_at_ms=12.5,
+            kind="x",
         ),
     ]
     kinds = [
@@ -519,7 +524,7 @@
     for name, raw in spoilt.items():
         try:
             said[name] = msgspec.to_builtins(messages.decode(raw))
-        except (msgspec.DecodeError, config.ConfigError, UnicodeDecodeError) as why:
+        except (msgspec.DecodeError, config.LimiterConfigError, UnicodeDecodeError) as why:
             said[name] = f"{type(why).__name__}: {why}"
     return said | {"most bytes": messages.MOST}
 
@@ -574,25 +579,33 @@
     raws |= {"not UTF-8": b'{"name":"\xff"}'}
     said: dict[str, Any] = {}
     for name, raw in raws.items():
-        with pytest.raises(config.ConfigError) as why:
-            config.parse(raw, {})
+        with pytest.raises(config.LimiterConfigError) as why:
+            config.parse_limiter_config(raw, {})
         said[name] = str(why.value)
     for name, env in {
         "listen by environment": {"PROXY_LISTEN": "nowhere"},
         "discovery by environment": {"PROXY_DISCOVERY": "10.0.0.1:99999"},
     }.items():
-        with pytest.raises(config.ConfigError) as why:
-            config.parse(json.dumps(base).encode(), env)
+        with pytest.raises(config.LimiterConfigError) as why:
+            config.parse_limiter_config(json.dumps(base).encode(), env)
         said[name] = str(why.value)
     for name, env in {"no file": {}, "not there": {"PROXY_CONFIG": "there/is/none.json"}}.items():
-        with pytest.raises(config.ConfigError) as why:
-            config.load(env)
+        with pytest.raises(config.LimiterConfigError) as why:
+            config.load_limiter_config(env)
         said[name] = str(why.value)
-    right = config.parse(json.dumps(base).encode(), {"PROXY_NAME": "other"})
+    right = config.parse_limiter_config(json.dumps(base).encode(), {"PROXY_NAME": "other"})
     values = msgspec.to_builtins(
-        dataclasses.astuple(config.settings(right.conf, 0))
+        dataclasses.astuple(config.engine_settings(right.settings, 0))
     )  # enums by value
-    return said | {"right": [right.name, right.listen, right.counter, right.seed, values]}
+    return said | {
+        "right": [
+            right.name,
+            right.listen_address,
+            right.counter_address,
+            right.random_seed,
+            values,
+        ]
+    }
 
 
 # --- decisions
@@ -865,7 +878,9 @@
         }
         file["settings"] |= more
         file["settings"]["allowed"] |= {"retry_after": True, "max_retry_after": 3000}
-        limiter = StillLimiter(config.parse(json.dumps(file).encode(), {}), Virtual())
+        limiter = StillLimiter(
+            config.parse_limiter_config(json.dumps(file).encode(), {}), Virtual()
+        )
         here = Streams(cables, HOST, Life())
         limiter.front.bind, limiter.pool.connect = here.listen, here.connect
         for ip in SERVER_IPS:
@@ -881,7 +896,7 @@
         ready = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
         await one("not ready", ready)
         await one("no servers", helpers.request())
-        limiter.listed(limiter.config.known)
+        limiter.listed(limiter.config.initial_backends)
         await one("ready", ready)
         await one("ready by POST", ready.replace(b"GET", b"POST"))
         await one("an own path that isn't", ready.replace(b"ready", b"other"))
