--- a/benchmarks/hot_paths.py
+++ b/benchmarks/hot_paths.py
@@ -166,20 +166,33 @@
     try:
         registry = made.registry(made.counting())
         begin = {"name": "bench", "h": -1, "f": -1, "c": 0}
-        held = made.do(registry.serve("ask", begin))
+        held = made.do(registry.requests.serve("ask", begin))
         # each call has a version behind, so there is news and it is answered at once
-        ask = {"s": held["s"], "h": held["h"] - 1, "f": held["f"], "c": registry.version, "q": 0}
-        names = [*registry.grants.buckets]
+        ask = {
+            "s": held["s"],
+            "h": held["h"] - 1,
+            "f": held["f"],
+            "c": registry.state.configuration.version,
+            "q": 0,
+        }
+        names = [*registry.counting.grants.buckets]
         bodies: dict[str, list[dict[str, Any]]] = {
             "ask": [dict(ask) for _ in range(count)],
             "count": [{"name": 7 + n % 40, "step": 1.0, "keep": 5.0} for n in range(count)],
             "grant": [
-                {"name": "bench", "life": 1, "number": registry.grants.number, "alone": False}
+                {
+                    "name": "bench",
+                    "life": 1,
+                    "number": registry.counting.grants.term,
+                    "alone": False,
+                }
                 | {"entries": [[name, 1.0, 1.0, 2.0, 1] for name in names]}
                 for _ in range(count)
             ],
         }
-        took = {op: made.do(calls(registry.serve, op, said)) for op, said in bodies.items()}
+        took = {
+            op: made.do(calls(registry.requests.serve, op, said)) for op, said in bodies.items()
+        }
         one, other = [host.programs[0] for host in made.stores.values()][:2]
         beat = other.replica.beat(other.clock(), one.place.address)
         took["beat"] = made.do(calls(one.serve, "beat", [dict(beat) for _ in range(count)]))
--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -27,7 +27,7 @@
 
 from absl import logging
 
-from loomstand.registry.program import ASK
+from loomstand.registry.limiter_sessions import SESSION_POLL_SECONDS as ASK
 from loomstand.rpc.frames import FrameDecoder, encode_frame
 from loomstand.testing.simulation import loop as simulation
 from loomstand.testing.simulation.cluster import Cluster
--- a/loomstand/proxy/counter_replay.py
+++ b/loomstand/proxy/counter_replay.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from loomstand.registry.quota_buckets import SLOTS
+from loomstand.registry.quota_buckets import INTERVAL_SLOT_BITS as SLOTS
 
 
 @dataclass(slots=True)
--- a/loomstand/proxy/policy_compiler.py
+++ b/loomstand/proxy/policy_compiler.py
@@ -15,7 +15,7 @@
 from loomstand.admission.ticks import ticks_rounded_down
 from loomstand.config.configuration import Configuration, Route, Tenant
 from loomstand.config.settings import RuleBounds
-from loomstand.registry.quota_grants import ALONE
+from loomstand.registry.quota_grants import ISOLATED_SHARE as ALONE
 
 # Late answers have a worth that the configuration doesn't tell: a tenth and three tenths at the
 # sites known.
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -37,7 +37,7 @@
 from loomstand.proxy.shared_clock import SharedClock
 from loomstand.proxy.upstream import UpstreamPool
 from loomstand.registry.instances import DRAINING, GONE, READY, SILENT, Row
-from loomstand.registry.quota_buckets import SLOTS
+from loomstand.registry.quota_buckets import INTERVAL_SLOT_BITS as SLOTS
 from loomstand.rpc.errors import CallFailure
 from loomstand.rpc.network import Network
 from loomstand.rpc.operator_http import OperatorHttpServer
--- a/loomstand/proxy/quota_credits.py
+++ b/loomstand/proxy/quota_credits.py
@@ -14,7 +14,11 @@
 
 from loomstand.config.configuration import Tenant
 from loomstand.config.settings import RuleBounds
-from loomstand.registry.quota_grants import ALONE, FEW, GOOD, SILENT, depth
+from loomstand.registry.quota_grants import CREDIT_LIFETIME_SECONDS as GOOD
+from loomstand.registry.quota_grants import ISOLATED_SHARE as ALONE
+from loomstand.registry.quota_grants import ISOLATION_SECONDS as SILENT
+from loomstand.registry.quota_grants import MIN_CREDITS_PER_LIMITER as FEW
+from loomstand.registry.quota_grants import bucket_depth as depth
 
 # Credits that are held of a tenant that asks little, as requests often come in pairs; more where a
 # limiter's part of this share of the bucket is more.
--- a/loomstand/registry/__main__.py
+++ b/loomstand/registry/__main__.py
@@ -7,8 +7,9 @@
 from loomstand.rpc.tcp_network import TcpNetwork
 
 
-async def make(settings: Settings, turns: Turns) -> RegistryService:
+async def make_registry(settings: Settings, turns: Turns) -> RegistryService:
+    """Makes the registry on real sockets."""
     return RegistryService(settings, TcpNetwork(), turns)
 
 
-run_program(make)
+run_program(make_registry)
--- /dev/null
+++ b/loomstand/registry/context.py
@@ -0,0 +1,104 @@
+"""What the parts of a registry share: the ways to others, background tasks, and the soft state."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from dataclasses import dataclass, field
+from random import Random
+from typing import Any
+
+from loomstand.config.settings import Settings
+from loomstand.registry.change_notifier import ChangeNotifier
+from loomstand.registry.held_configuration import HeldConfiguration
+from loomstand.registry.instances import InstanceTable
+from loomstand.registry.limiters import LimiterTable
+from loomstand.registry.shared_clock import SharedClock
+from loomstand.rpc.network import Address, Network
+
+
+class BackgroundTasks:
+    """Tasks that nobody waits for; they end with their owner."""
+
+    def __init__(self) -> None:
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        """Starts a task."""
+        task = asyncio.get_running_loop().create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def close(self) -> None:
+        """Cancels the tasks that still run, and waits for their end."""
+        running = list(self._tasks)
+        for task in running:
+            task.cancel()
+        if running:
+            await asyncio.gather(*running, return_exceptions=True)
+
+
+@dataclass(slots=True)
+class RegistryContext:
+    """Shared by the parts of one registry.
+
+    Attributes:
+        settings: The machine's settings.
+        network: Carries the calls to others.
+        clock: A steady clock, in seconds.
+        rng: Draws the numbers that tell this start from others.
+        notifier: Wakes the sessions that wait for a change.
+        core_hosts: IP addresses of the core machines, as far as they are known, in order.
+        tasks: The background tasks.
+        is_stopping: Whether the registry was asked to stop.
+    """
+
+    settings: Settings
+    network: Network
+    clock: Callable[[], float]
+    rng: Random
+    notifier: ChangeNotifier
+    core_hosts: tuple[str, ...] = ()
+    tasks: BackgroundTasks = field(default_factory=BackgroundTasks)
+    is_stopping: bool = False
+
+    @property
+    def host(self) -> str:
+        """This machine's IP address."""
+        return self.settings.ip_address
+
+    @property
+    def local_store(self) -> Address:
+        """Address of the store beside this registry."""
+        return self.settings.store_address(self.host)
+
+    def stores(self) -> list[Address]:
+        """Returns the addresses of all stores."""
+        return [self.settings.store_address(host) for host in self.core_hosts]
+
+    def other_registries(self) -> list[Address]:
+        """Returns the addresses of the other registries."""
+        return [
+            self.settings.registry_address(host) for host in self.core_hosts if host != self.host
+        ]
+
+    def set_core_hosts(self, hosts: set[str]) -> None:
+        """Takes over the core machines, this one always among them."""
+        self.core_hosts = tuple(sorted({self.host, *hosts}))
+
+
+@dataclass(slots=True, frozen=True)
+class RegistryState:
+    """What a registry knows; none of it is on a disk.
+
+    Attributes:
+        instances: The servers.
+        limiters: The limiters.
+        shared_clock: The limiters' shared clock.
+        configuration: The newest configuration known.
+    """
+
+    instances: InstanceTable
+    limiters: LimiterTable
+    shared_clock: SharedClock
+    configuration: HeldConfiguration
--- a/loomstand/registry/http_routing.py
+++ b/loomstand/registry/http_routing.py
@@ -1,60 +1,78 @@
-"""A tree of matchers: which of our handlers a call from outside is for."""
+"""A tree of matchers: which handler an HTTP call from outside is for. Pure."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Generic, TypeVar
 from urllib.parse import parse_qsl
 
-T = TypeVar("T")
+HandlerT = TypeVar("HandlerT")
+
+# Fields of a query that are read; a call has two.
+MAX_QUERY_FIELDS = 100
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
-    """A call's parts that matchers look at; `query` has the first value of each name."""
+class HttpCall:
+    """The parts of a call that matchers and handlers look at.
+
+    Attributes:
+        method: The HTTP method.
+        path: The target's path.
+        query: The first value of each field of the target's query.
+    """
 
     method: str
     path: str
     query: dict[str, str]
 
     @classmethod
-    def of(cls, method: bytes, target: bytes) -> Asked:
-        path, _, query = target.decode("latin-1").partition("?")
-        pairs: dict[str, str] = {}
-        for name, value in parse_qsl(query, keep_blank_values=True, max_num_fields=100):
-            pairs.setdefault(name, value)
-        return cls(method.decode("latin-1"), path, pairs)
+    def parse(cls, method: bytes, target: bytes) -> HttpCall:
+        """Reads the method and the target of a request line."""
+        path, _, raw_query = target.decode("latin-1").partition("?")
+        pairs = parse_qsl(raw_query, keep_blank_values=True, max_num_fields=MAX_QUERY_FIELDS)
+        query: dict[str, str] = {}
+        for name, value in pairs:
+            query.setdefault(name, value)
+        return cls(method.decode("latin-1"), path, query)
 
 
 @dataclass(slots=True, frozen=True)
-class Node(Generic[T]):
-    """What each value of a part leads to: a handler, or the next part. `wrong` is the status of a
-    call that came here and matched nothing below.
+class RouteNode(Generic[HandlerT]):
+    """What each value of one part of a call leads to.
+
+    Attributes:
+        select: Returns the part of the call that this node looks at.
+        children: By the part's value: a handler, or the node for the next part.
+        mismatch_status: HTTP status for a call that comes here and matches no child.
     """
 
-    part: Callable[[Asked], str | None]
-    below: dict[str, Node[T] | T] = field(default_factory=dict)
-    wrong: int = 404
+    select: Callable[[HttpCall], str | None]
+    children: Mapping[str, RouteNode[HandlerT] | HandlerT]
+    mismatch_status: HTTPStatus = HTTPStatus.NOT_FOUND
 
-    def match(self, asked: Asked) -> T | int:
-        """The handler, or the status that says what doesn't fit."""
-        found = self.below.get(self.part(asked) or "")
-        if isinstance(found, Node):
-            return found.match(asked)
-        return self.wrong if found is None else found
+    def match(self, call: HttpCall) -> HandlerT | HTTPStatus:
+        """Returns the call's handler, or the status that says what doesn't fit."""
+        child = self.children.get(self.select(call) or "")
+        if isinstance(child, RouteNode):
+            return child.match(call)
+        return self.mismatch_status if child is None else child
 
 
-def path(below: dict[str, Node[T] | T]) -> Node[T]:
-    """By the path."""
-    return Node(lambda asked: asked.path, below, 404)
+def match_path(children: Mapping[str, RouteNode[HandlerT] | HandlerT]) -> RouteNode[HandlerT]:
+    """Returns a node that looks at the path."""
+    return RouteNode(lambda call: call.path, children, HTTPStatus.NOT_FOUND)
 
 
-def method(below: dict[str, Node[T] | T]) -> Node[T]:
-    """By the method."""
-    return Node(lambda asked: asked.method, below, 405)
+def match_method(children: Mapping[str, RouteNode[HandlerT] | HandlerT]) -> RouteNode[HandlerT]:
+    """Returns a node that looks at the method."""
+    return RouteNode(lambda call: call.method, children, HTTPStatus.METHOD_NOT_ALLOWED)
 
 
-def query(name: str, below: dict[str, Node[T] | T]) -> Node[T]:
-    """By one field of the query."""
-    return Node(lambda asked: asked.query.get(name), below, 404)
+def match_query(
+    name: str, children: Mapping[str, RouteNode[HandlerT] | HandlerT]
+) -> RouteNode[HandlerT]:
+    """Returns a node that looks at one field of the query."""
+    return RouteNode(lambda call: call.query.get(name), children, HTTPStatus.NOT_FOUND)
--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -1,31 +1,52 @@
-"""The servers that a registry knows, by their heartbeats or by other registries. Pure: the clock is
-given.
+"""The servers that a registry knows, by their heartbeats or by other registries.
 
-A row, as it goes to other programs, is [id, address, service, zone, slots, state, sequence, cold],
-cold in milliseconds left. Of two rows of one server the one of the higher sequence is the newer.
+Of two rows of one server the one with the higher sequence is the newer. Pure: the clock's reading
+is given, in seconds.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable
 from dataclasses import dataclass, replace
 from typing import Any
 
-READY, DRAINING, SILENT, GONE = "ready", "draining", "silent", "gone"
-LAST = 1 << 60  # the sequence of a server that left: nothing that it ever sent comes after it
-# Beats that a server may miss before it counts as silent: one call may go to three limiters in a
-# row at a second each, which is two beats; a wrong silence costs a server for a second, a late one
-# some requests.
-MISSED = 3.0
-# Seconds for which the end of a server is remembered: any late call of its has come by then.
-REMEMBERED = 120.0
-
+from loomstand.rpc.messages.rows import InstanceRow
+
+READY = "ready"
+DRAINING = "draining"
+SILENT = "silent"
+GONE = "gone"
+STATES = (READY, DRAINING, SILENT, GONE)
+
+# The sequence of a server that is gone: nothing that it ever sent comes after it.
+GONE_SEQUENCE = 1 << 60
+# Heartbeats that a server may miss before it counts as silent: one call may go to three registries
+# in a row at a second each, which is two heartbeats. To call a server silent wrongly costs it for a
+# second, to do so late costs some requests.
+MAX_MISSED_HEARTBEATS = 3.0
+# The end of a server is remembered for so long: any late call of its has come by then.
+GONE_RETENTION_SECONDS = 120.0
+MILLISECONDS_PER_SECOND = 1000
+
+# A row as it comes undecoded.
 Row = list[Any]
 
 
 @dataclass(slots=True, frozen=True)
 class Instance:
-    """One server. `cold_until` is a reading of the clock; `changed` the table's version then."""
+    """One server.
+
+    Attributes:
+        id: Identifier that the server chose for itself.
+        address: `host:port` at which it takes requests.
+        service: Name of the service it belongs to.
+        zone: Name of its zone.
+        slots: Requests that it serves at once.
+        state: One of `STATES`.
+        sequence: Number of its latest heartbeat.
+        slow_start_until: Until when it warms up, by the clock of this process.
+        changed_in: The table's revision when it last changed.
+    """
 
     id: str
     address: str
@@ -34,12 +55,33 @@
     slots: int
     state: str
     sequence: int
-    cold_until: float
-    changed: int = 0
+    slow_start_until: float
+    changed_in: int = 0
 
-    def row(self, now: float) -> Row:
-        cold = max(0, round(1000 * (self.cold_until - now)))
-        return [
+    @classmethod
+    def from_row(cls, row: InstanceRow, now: float) -> Instance:
+        """Reads a row.
+
+        Raises:
+            ValueError: There is no such state.
+        """
+        if row.state not in STATES:
+            raise ValueError(f"state {row.state!r}")
+        return cls(
+            row.instance_id,
+            row.address,
+            row.service,
+            row.zone,
+            row.slots,
+            row.state,
+            row.sequence,
+            now + row.slow_start_ms / MILLISECONDS_PER_SECOND,
+        )
+
+    def to_row(self, now: float) -> InstanceRow:
+        """Returns the server as other programs get it."""
+        left_seconds = self.slow_start_until - now
+        return InstanceRow(
             self.id,
             self.address,
             self.service,
@@ -47,106 +89,157 @@
             self.slots,
             self.state,
             self.sequence,
-            cold,
-        ]
-
+            max(0, round(MILLISECONDS_PER_SECOND * left_seconds)),
+        )
 
-def from_row(row: Row, now: float) -> Instance:
-    """The server of a row. Raises ValueError or TypeError at one that isn't of the form."""
-    id_, address, service, zone, slots, state, sequence, cold = row
-    if state not in (READY, DRAINING, SILENT, GONE):
-        raise ValueError(f"state {state!r}")
-    texts = [str(id_), str(address), str(service), str(zone)]
-    return Instance(*texts, int(slots), state, int(sequence), now + float(cold) / 1000)
+    def differs(self, other: Instance) -> bool:
+        """Returns whether limiters must hear of it, if `other` was known before."""
+        compared = replace(
+            other,
+            sequence=self.sequence,
+            slow_start_until=self.slow_start_until,
+            changed_in=self.changed_in,
+        )
+        return compared != self
 
 
 class InstanceTable:
-    """The table. `version` grows with every change that limiters must hear of."""
-
-    def __init__(self, heartbeat: float) -> None:
-        self.patience = MISSED * heartbeat
-        self.version = 0
-        self.instances: dict[str, Instance] = {}
-        self.heard: dict[str, float] = {}  # when a server last spoke, to whichever registry
-        self.at: dict[str, str] = {}  # by address: who has it
-
-    def take(self, instance: Instance, heard_at: float) -> bool:
-        """A server spoke, or another registry tells of it. True if limiters must hear of what
-        changed.
+    """The servers.
+
+    Attributes:
+        silent_after_seconds: How long after its last heartbeat a server counts as silent.
+        revision: Grows with every change that limiters must hear of.
+        by_id: The servers.
+        last_heard_at: By id, when a server last called any registry.
+        id_by_address: By address, the server that has it.
+    """
+
+    def __init__(self, heartbeat_seconds: float) -> None:
+        self.silent_after_seconds = MAX_MISSED_HEARTBEATS * heartbeat_seconds
+        self.revision = 0
+        self.by_id: dict[str, Instance] = {}
+        self.last_heard_at: dict[str, float] = {}
+        self.id_by_address: dict[str, str] = {}
+
+    def apply(self, instance: Instance, heard_at: float) -> bool:
+        """A server called, or another registry tells of it.
+
+        Returns:
+            Whether limiters must hear of what changed.
         """
-        old = self.instances.get(instance.id)
-        if old is not None and instance.sequence <= old.sequence:
+        known = self.by_id.get(instance.id)
+        if known is not None and instance.sequence <= known.sequence:
             return False  # a late call
         if instance.state != SILENT:
-            self.heard[instance.id] = max(self.heard.get(instance.id, heard_at), heard_at)
-        if old is not None and replace(instance, sequence=0, cold_until=0, changed=0) == replace(
-            old, sequence=0, cold_until=0, changed=0
-        ):
-            # only the sequence: kept, so that a late call is known, but it is no news
-            self.instances[instance.id] = replace(old, sequence=instance.sequence)
+            self._record_heard(instance.id, heard_at)
+        if known is not None and not instance.differs(known):
+            # the sequence alone is kept, so that a late call is recognised
+            self.by_id[instance.id] = replace(known, sequence=instance.sequence)
             return False
-        self.version += 1
-        self.instances[instance.id] = replace(instance, changed=self.version)
-        holder = self.at.get(instance.address)
+        self.revision += 1
+        self.by_id[instance.id] = replace(instance, changed_in=self.revision)
+        self._assign_address(instance)
+        return True
+
+    def _record_heard(self, instance_id: str, heard_at: float) -> None:
+        self.last_heard_at[instance_id] = max(
+            self.last_heard_at.get(instance_id, heard_at), heard_at
+        )
+
+    def _assign_address(self, instance: Instance) -> None:
+        holder = self.id_by_address.get(instance.address)
         if instance.state != GONE:
             if holder is not None and holder != instance.id:
-                self.leave(holder)  # another has its address: it is over
-            self.at[instance.address] = instance.id
+                self.mark_gone(holder)  # another server has its address, so it has ended
+            self.id_by_address[instance.address] = instance.id
         elif holder == instance.id:
-            del self.at[instance.address]
-        return True
+            del self.id_by_address[instance.address]
+
+    def mark_gone(self, instance_id: str) -> bool:
+        """A server has ended.
 
-    def leave(self, id_: str) -> bool:
-        """A server has ended. True if that is news."""
-        old = self.instances.get(id_)
-        if old is None or old.state == GONE:
+        Returns:
+            Whether limiters must hear of it.
+        """
+        known = self.by_id.get(instance_id)
+        if known is None or known.state == GONE:
             return False
-        return self.take(replace(old, state=GONE, sequence=LAST), self.heard.get(id_, 0.0))
+        gone = replace(known, state=GONE, sequence=GONE_SEQUENCE)
+        return self.apply(gone, self.last_heard_at.get(instance_id, 0.0))
+
+    def apply_heartbeat(self, instance_id: str, sequence: int, heard_at: float) -> bool:
+        """Another registry heard a heartbeat.
 
-    def alive(self, id_: str, sequence: int, heard_at: float) -> bool:
-        """Another registry heard this beat. False if the server isn't known here, or as silent: its
-        row is needed.
+        Returns:
+            Whether that is all this table needs; else the server isn't known here, or as silent,
+            and its row is needed.
         """
-        old = self.instances.get(id_)
-        if old is None:
+        known = self.by_id.get(instance_id)
+        if known is None:
             return False
-        if old.state == GONE:
+        if known.state == GONE:
             return True
-        if sequence > old.sequence:
-            if old.state == SILENT:
+        if sequence > known.sequence:
+            if known.state == SILENT:
                 return False
-            self.instances[id_] = replace(old, sequence=sequence)
-        self.heard[id_] = max(self.heard.get(id_, heard_at), heard_at)
+            self.by_id[instance_id] = replace(known, sequence=sequence)
+        self._record_heard(instance_id, heard_at)
         return True
 
-    def sweep(self, now: float) -> bool:
-        """Servers that have been quiet too long are silent, or gone if they were leaving; True if
-        any is.
+    def expire(self, now: float) -> bool:
+        """Finds the servers that have fallen silent, and forgets those that ended long ago.
+
+        Returns:
+            Whether limiters must hear of what changed.
         """
-        before = self.version
-        for instance in list(self.instances.values()):
-            quiet = now - self.heard.get(instance.id, now)
-            if instance.state == GONE:
-                if quiet > REMEMBERED:
-                    del self.instances[instance.id]
-                    self.heard.pop(instance.id, None)
-            elif instance.state == DRAINING and quiet > 2 * self.patience:
-                self.leave(instance.id)
-            elif instance.state == READY and quiet > self.patience:
-                self.version += 1
-                self.instances[instance.id] = replace(instance, state=SILENT, changed=self.version)
-            elif instance.state == SILENT and quiet > REMEMBERED:
-                self.leave(instance.id)
-        return self.version > before
-
-    def news(self, have: int, now: float) -> list[Row]:
-        """The rows that changed after the version `have`."""
+        revision_before = self.revision
+        for instance in list(self.by_id.values()):
+            self._expire_instance(instance, now)
+        return self.revision > revision_before
+
+    def _expire_instance(self, instance: Instance, now: float) -> None:
+        quiet_seconds = now - self.last_heard_at.get(instance.id, now)
+        if instance.state == GONE:
+            if quiet_seconds > GONE_RETENTION_SECONDS:
+                del self.by_id[instance.id]
+                self.last_heard_at.pop(instance.id, None)
+        elif instance.state == DRAINING and quiet_seconds > 2 * self.silent_after_seconds:
+            self.mark_gone(instance.id)
+        elif instance.state == READY and quiet_seconds > self.silent_after_seconds:
+            self.revision += 1
+            self.by_id[instance.id] = replace(instance, state=SILENT, changed_in=self.revision)
+        elif instance.state == SILENT and quiet_seconds > GONE_RETENTION_SECONDS:
+            self.mark_gone(instance.id)
+
+    def changed_since(self, revision: int, now: float) -> list[InstanceRow]:
+        """Returns the servers that changed after a revision."""
         return [
-            instance.row(now) for instance in self.instances.values() if instance.changed > have
+            instance.to_row(now)
+            for instance in self.by_id.values()
+            if instance.changed_in > revision
         ]
 
-    def rows(self, ids: Iterable[str], now: float) -> Iterator[Row]:
-        """The rows of these servers, as far as they are known."""
-        return (
-            instance.row(now) for id_ in ids if (instance := self.instances.get(id_)) is not None
-        )
+    def rows(self, instance_ids: Iterable[str], now: float) -> list[InstanceRow]:
+        """Returns these servers, as far as they are known."""
+        return [
+            self.by_id[instance_id].to_row(now)
+            for instance_id in instance_ids
+            if instance_id in self.by_id
+        ]
+
+    def ages(self, instance_ids: Iterable[str], now: float) -> dict[str, float]:
+        """Returns by id the seconds since these servers were heard."""
+        return {
+            instance_id: now - self.last_heard_at.get(instance_id, now)
+            for instance_id in instance_ids
+        }
+
+    def count_states(self) -> dict[str, dict[str, int]]:
+        """Returns by service how many servers are in each state, without those that are gone."""
+        counts: dict[str, dict[str, int]] = {}
+        for instance in self.by_id.values():
+            if instance.state == GONE:
+                continue
+            states = counts.setdefault(instance.service, {})
+            states[instance.state] = states.get(instance.state, 0) + 1
+        return counts
--- /dev/null
+++ b/loomstand/registry/limiter_sessions.py
@@ -0,0 +1,161 @@
+"""Limiters' sessions: each limiter asks again and again with the revisions that it knows.
+
+It is answered at once with what is newer, else when something changes, or empty after a while.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+import msgspec
+
+from loomstand.registry.context import RegistryContext, RegistryState
+from loomstand.registry.counting_service import CountingService
+from loomstand.registry.replication import BROADCAST_TIMEOUT_SECONDS, Replication
+from loomstand.registry.shared_clock import TICKS_PER_SECOND
+from loomstand.rpc.errors import CallRefusedError
+from loomstand.rpc.messages.base import Acknowledgement
+from loomstand.rpc.messages.session_messages import (
+    DeregisterRequest,
+    SessionRequest,
+    SessionResponse,
+)
+
+# A limiter's call waits so long for a change: half of what a session stands.
+SESSION_POLL_SECONDS = 0.6
+# A session's number has a count in its upper bits and chance in these, so that none is that of a
+# session before this registry's start.
+SESSION_RANDOM_BITS = 16
+FIRST_SESSION_BITS = 14
+# Revisions that a limiter knows when it opens a session.
+NO_REVISION = -1
+
+
+class SessionNumbers:
+    """Numbers sessions: calls a second to every limiter are kept short by it."""
+
+    def __init__(self, rng: Random) -> None:
+        self._rng = rng
+        self._count = rng.getrandbits(FIRST_SESSION_BITS)
+
+    def next(self) -> int:
+        """Returns the number of a new session; it isn't one of this registry's former start."""
+        self._count += 1
+        return self._count << SESSION_RANDOM_BITS | self._rng.getrandbits(SESSION_RANDOM_BITS)
+
+
+class LimiterSessions:
+    """The sessions of all limiters with this registry."""
+
+    def __init__(
+        self,
+        context: RegistryContext,
+        state: RegistryState,
+        counting: CountingService,
+        replication: Replication,
+        session_numbers: SessionNumbers,
+    ) -> None:
+        self._context = context
+        self._notifier = context.notifier
+        self._instances = state.instances
+        self._limiters = state.limiters
+        self._shared_clock = state.shared_clock
+        self._configuration = state.configuration
+        self._counting = counting
+        self._replication = replication
+        self._session_numbers = session_numbers
+        self._names: dict[int, str] = {}  # by the number of their session
+
+    async def handle_session(self, request: SessionRequest) -> SessionResponse:
+        """A limiter asks for what is newer than what it knows."""
+        is_new = request.session_id not in self._names
+        if is_new:
+            request = self._open_session(request)
+        name = self._names[request.session_id]
+        self._limiters.record_call(name, self._context.clock())
+        self._notifier.notify_limiters(self._limiters.revision)
+        # where all registries started anew, the shared clock goes on by the limiters
+        if not self._shared_clock.is_known and request.shared_clock:
+            clock_seconds = request.shared_clock / TICKS_PER_SECOND
+            self._shared_clock.synchronize(clock_seconds, self._context.clock())
+        await self._notifier.wait_until(lambda: self._has_changes(request), SESSION_POLL_SECONDS)
+        now = self._context.clock()
+        self._limiters.record_call(name, now)
+        return self._response(request, name, is_new, now)
+
+    def _open_session(self, request: SessionRequest) -> SessionRequest:
+        """Returns the request as it is with the new session, in which nothing is known."""
+        name = request.limiter_name
+        if name is None:
+            raise CallRefusedError("no such session")
+        former_sessions = [number for number, other in self._names.items() if other == name]
+        for number in former_sessions:
+            del self._names[number]
+        number = self._session_numbers.next()
+        self._names[number] = name
+        return msgspec.structs.replace(
+            request,
+            session_id=number,
+            known_instances=NO_REVISION,
+            known_facts=NO_REVISION,
+            known_buckets=0,
+        )
+
+    def _has_changes(self, request: SessionRequest) -> bool:
+        return (
+            self._instances.revision > request.known_instances
+            or self._notifier.facts_revision != request.known_facts
+            or self._configuration.version > request.known_configuration
+            or self._counting.quota_buckets.revision > request.known_buckets
+        )
+
+    def _response(
+        self, request: SessionRequest, name: str, is_new: bool, now: float
+    ) -> SessionResponse:
+        has_instances = self._instances.revision > request.known_instances
+        buckets_revision = self._counting.quota_buckets.revision
+        has_totals = buckets_revision > request.known_buckets
+        version = self._configuration.version
+        response = SessionResponse(
+            session_id=request.session_id if is_new else None,
+            instances_revision=self._instances.revision if has_instances else None,
+            instances=(
+                self._instances.changed_since(request.known_instances, now)
+                if has_instances
+                else None
+            ),
+            buckets_revision=buckets_revision if has_totals else None,
+            tenant_totals=(
+                self._counting.totals_since(request.known_buckets) if has_totals else None
+            ),
+            configuration_version=version if version > request.known_configuration else None,
+            # the limiter's may be all that is left of a configuration
+            requests_configuration=version < request.known_configuration,
+        )
+        if self._notifier.facts_revision == request.known_facts:
+            return response
+        return self._with_facts(response, name, now)
+
+    def _with_facts(self, response: SessionResponse, name: str, now: float) -> SessionResponse:
+        return msgspec.structs.replace(
+            response,
+            facts_revision=self._notifier.facts_revision,
+            limiters=self._limiters.limiter_set(name),
+            counter=self._counting.endpoint(),
+            core_hosts=list(self._context.core_hosts),
+            is_current=self._configuration.is_current(self._context.clock()),
+            shared_clock=self._shared_clock.ticks(now, self._counting.is_counting(now)),
+        )
+
+    async def handle_deregister(self, request: DeregisterRequest) -> Acknowledgement:
+        """A limiter ends its sessions, with all registries."""
+        name = request.limiter_name
+        self._limiters.deregister(name, self._context.clock())
+        self._counting.grants.release(name)
+        self._notifier.notify_limiters(self._limiters.revision)
+        if not request.is_forwarded:
+            forwarded = DeregisterRequest(limiter_name=name, is_forwarded=True)
+            await self._replication.call_others(
+                forwarded, Acknowledgement, BROADCAST_TIMEOUT_SECONDS
+            )
+        return Acknowledgement()
--- a/loomstand/registry/limiters.py
+++ b/loomstand/registry/limiters.py
@@ -1,91 +1,124 @@
-"""The limiters that a registry knows. A limiter is a member while its session with a registry
-stands; the registries tell each other their sessions. Pure: the clock is given.
+"""The limiters that a registry knows.
+
+A limiter is a member while its session with a registry stands; the registries tell each other their
+sessions. Pure: the clock's reading is given, in seconds.
 """
 
 from __future__ import annotations
 
 from zlib import crc32
 
+from loomstand.rpc.messages.session_messages import LimiterSetRow
+
 # A session stands for so long after its last call: calls end within 0.6 s, and the next comes at
-# once. One that is cut off goes on with its part, so for as long as nobody knows, all are that much
-# over a quota together.
-STANDS = 1.2
-# What another registry tells of a limiter that never spoke here is up to a second older.
-TOLD = 2.4
-# A limiter that fell silent may be cut off and go on with its part: its place is held for so long.
-# Cuts of twenty seconds are usual; one that was killed is back by then, or is told to be over.
-# Limiters shrink their parts before (`proxy/quota_credits.py`).
-HELD = 30.0
+# once. A limiter that is cut off goes on with its quota share, so for as long as nobody knows, all
+# of them are that much over a quota together.
+SESSION_TIMEOUT_SECONDS = 1.2
+# What another registry tells of a limiter that never called here is up to a second older.
+REPORTED_SESSION_TIMEOUT_SECONDS = 2.4
+# A limiter that fell silent may be cut off and go on with its quota share: its place is reserved
+# for so long. Cuts of twenty seconds are usual; one that was killed is back by then, or has
+# deregistered. Limiters shrink their shares before (`proxy/quota_credits.py`).
+PLACE_RETENTION_SECONDS = 30.0
 
 
 class LimiterTable:
-    """Limiters by name. `version` grows when the set of members, or of silent ones, changes."""
+    """Limiters by name.
+
+    Attributes:
+        revision: Grows when the set of members, or of silent limiters, changes.
+        last_seen_at: By name, when any registry last heard the limiter.
+        last_call_at: By name, when the limiter last called this registry.
+        present: Names of the limiters whose session stands, in order.
+        silent: Names of those whose place is reserved, in order.
+        ranks: By name, the place of each, present or silent, in the order of names.
+        unchanged_until: Until when no session can end, whoever calls meanwhile. All sessions were
+            looked at in each call of each limiter: 0.4 ms of a call at 1,000 limiters, 2 ms at
+            3,000.
+    """
 
     def __init__(self) -> None:
-        self.version = 0
-        self.seen: dict[str, float] = {}
-        self.own: dict[str, float] = {}  # those that speak to this registry
+        self.revision = 0
+        self.last_seen_at: dict[str, float] = {}
+        self.last_call_at: dict[str, float] = {}
         self.present: tuple[str, ...] = ()
-        self.missing: tuple[str, ...] = ()
-        # the place of each, present or missing, in the order of names
+        self.silent: tuple[str, ...] = ()
         self.ranks: dict[str, int] = {}
-        # Until when no session can fall, whoever speaks meanwhile. All were looked at in each call
-        # of each limiter: 0.4 ms of a call at 1,000 limiters, 2 ms at 3,000.
-        self.steady_until = 0.0
+        self.unchanged_until = 0.0
 
-    def fleet(self, name: str) -> list[int]:
-        """What a limiter hears of its set: its place, how many there are, and how many of them are
-        silent.
-        """
-        return [self.ranks.get(name, 0), len(self.ranks), len(self.missing)]
-
-    def crew(self) -> int:
-        """A number that tells whether two registries have sessions with the same limiters."""
-        return crc32("\n".join(sorted(self.own)).encode())
-
-    def told_of(self, now: float) -> dict[str, float]:
-        """The limiters that spoke here, each with the seconds since."""
-        return {name: now - at for name, at in self.own.items()}
-
-    def spoke(self, name: str, now: float) -> None:
-        """A limiter asked here."""
-        known = name in self.own and self.ranks.get(name) is not None and name not in self.missing
-        self.own[name] = self.seen[name] = now
-        if not known or now > self.steady_until:
-            self.sweep(now)
-
-    def told(self, name: str, at: float, now: float) -> None:
-        """Another registry saw a limiter at that reading of the clock. Where it spoke here too,
-        only that counts: limiters put together what all registries say.
+    def limiter_set(self, name: str) -> LimiterSetRow:
+        """Returns what a limiter hears of the limiters: its place, how many, how many silent."""
+        return LimiterSetRow(self.ranks.get(name, 0), len(self.ranks), len(self.silent))
+
+    def session_digest(self) -> int:
+        """Returns a number that tells whether two registries have the same limiters' sessions."""
+        return crc32("\n".join(sorted(self.last_call_at)).encode())
+
+    def session_ages(self, now: float) -> dict[str, float]:
+        """Returns the limiters that called here, each with the seconds since."""
+        return {name: now - called_at for name, called_at in self.last_call_at.items()}
+
+    def record_call(self, name: str, now: float) -> None:
+        """A limiter called this registry."""
+        is_member = (
+            name in self.last_call_at
+            and self.ranks.get(name) is not None
+            and name not in self.silent
+        )
+        self.last_call_at[name] = now
+        self.last_seen_at[name] = now
+        if not is_member or now > self.unchanged_until:
+            self.expire(now)
+
+    def record_report(self, name: str, seen_at: float, now: float) -> None:
+        """Another registry heard a limiter.
+
+        Where the limiter called here too, only that counts: limiters put together what all
+        registries say.
         """
-        if name not in self.own and at > self.seen.get(name, now - HELD):
-            self.seen[name] = at
-            self.sweep(now)
-
-    def ended(self, name: str, now: float) -> None:
-        """A limiter ended its session: nothing of its is held."""
-        self.own.pop(name, None)
-        if self.seen.pop(name, None) is not None:
-            self.sweep(now)
-
-    def sweep(self, now: float) -> None:
-        """Lets sessions fall that stand no more. Times of those that speak only grow, so until the
-        first that may fall by what is known now, only a limiter that comes or that was silent
-        changes anything.
+        if name in self.last_call_at:
+            return
+        if seen_at > self.last_seen_at.get(name, now - PLACE_RETENTION_SECONDS):
+            self.last_seen_at[name] = seen_at
+            self.expire(now)
+
+    def deregister(self, name: str, now: float) -> None:
+        """A limiter ended its session: no place is reserved for it."""
+        self.last_call_at.pop(name, None)
+        if self.last_seen_at.pop(name, None) is not None:
+            self.expire(now)
+
+    def expire(self, now: float) -> None:
+        """Ends the sessions that stand no more.
+
+        Times of limiters that call only grow, so until the first session that may end by what is
+        known now, only a limiter that is new or was silent changes anything.
         """
-        for name, at in list(self.seen.items()):
-            if now - at > HELD:
-                del self.seen[name]
-                self.own.pop(name, None)
-        stands = {
-            n for n, at in self.seen.items() if now - at <= (STANDS if n in self.own else TOLD)
+        for name, seen_at in list(self.last_seen_at.items()):
+            if now - seen_at > PLACE_RETENTION_SECONDS:
+                del self.last_seen_at[name]
+                self.last_call_at.pop(name, None)
+        timeouts = {
+            name: timeout
+            for name, seen_at in self.last_seen_at.items()
+            if now - seen_at <= (timeout := self._session_timeout_seconds(name))
         }
-        spans = {n: STANDS if n in self.own else TOLD for n in stands}
-        self.steady_until = min(
-            (at + spans.get(n, HELD) for n, at in self.seen.items()), default=now
+        self.unchanged_until = min(
+            (
+                seen_at + timeouts.get(name, PLACE_RETENTION_SECONDS)
+                for name, seen_at in self.last_seen_at.items()
+            ),
+            default=now,
         )
-        present, missing = tuple(sorted(stands)), tuple(sorted(self.seen.keys() - stands))
-        if (present, missing) != (self.present, self.missing):
-            self.present, self.missing = present, missing
-            self.ranks = {name: n for n, name in enumerate(sorted(self.seen))}
-            self.version += 1
+        present = tuple(sorted(timeouts))
+        silent = tuple(sorted(self.last_seen_at.keys() - timeouts.keys()))
+        if (present, silent) != (self.present, self.silent):
+            self.present = present
+            self.silent = silent
+            self.ranks = {name: rank for rank, name in enumerate(sorted(self.last_seen_at))}
+            self.revision += 1
+
+    def _session_timeout_seconds(self, name: str) -> float:
+        if name in self.last_call_at:
+            return SESSION_TIMEOUT_SECONDS
+        return REPORTED_SESSION_TIMEOUT_SECONDS
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -1,11 +1,11 @@
-"""Grants of quota: what a limiter may let in is charged to the tenant's bucket before it is used.
-
-Parts that limiters take by themselves sum to more than the quota as soon as limiters start, are cut
-off, or a counter moves. Here the counting registry keeps each tenant's bucket, and hands out
-*credits* from it: a limiter lets in no more than it holds. So whatever limiters do with them, and
-whoever of them is killed, in any window there come no more than `depth` + rate x window. A counter
-that begins doesn't know what the one before it granted: it has nearly full buckets, and grants by
-the rate. Pure: the clock is given.
+"""Grants of quota: what a limiter may admit is charged to the tenant's bucket before it is used.
+
+Shares that limiters take by themselves sum to more than the quota as soon as limiters start, are
+cut off, or another registry counts. Here the counting registry keeps each tenant's bucket, and
+grants *credits* from it: a limiter admits no more than it holds. So whatever limiters do with them,
+and whoever of them is killed, in any window there come no more than `depth` + rate x window
+requests. A counter that begins doesn't know what the one before it granted: it has nearly full
+buckets, and grants by the rate. Pure: the clock's reading is given, in seconds.
 """
 
 from __future__ import annotations
@@ -17,229 +17,310 @@
 from loomstand.admission.identifiers import stable_digest
 from loomstand.config.configuration import Tenant
 from loomstand.config.settings import RuleBounds
+from loomstand.rpc.messages.quota_messages import CreditDemandRow, CreditGrantRow, CreditRequest
 
-# A limiter without word of the counter admits this share of its even part: calm tenants use some
+# A limiter that doesn't reach the counter admits this share of its even part: calm tenants use some
 # six tenths of their quotas. The counter leaves as much to those that it doesn't hear; with six in
 # ten of them killed the others keep 0.64 of the rate.
-ALONE = 0.6
-# Seconds after its last answered call for which a limiter lives on its credits alone; the counter
-# takes it to go by itself as long after its last call. Both count from the same call, so the two
-# shares don't overlap.
-SILENT = 0.8
-# Seconds for which credits are good after the last answered call, and for which the counter holds
+ISOLATED_SHARE = 0.6
+# For so long after its last answered call a limiter lives on its credits alone; the counter takes
+# it to be isolated as long after its last call. Both count from the same call, so the two shares
+# don't overlap.
+ISOLATION_SECONDS = 0.8
+# For so long after the last answered call credits are valid, and for so long the counter reserves
 # them.
-GOOD, HELD = 1.5, 2.5
+CREDIT_LIFETIME_SECONDS = 1.5
+CREDIT_RESERVATION_SECONDS = 2.5
 # Of what a rule lets run beyond rate and burst this share is in the buckets.
-SHARE = 0.3
+LEEWAY_SHARE = 0.3
 # And this share is free at a counter that begins, whatever the one before it granted: two may begin
-# within a window. The rest is for what can't be charged: limiters that went alone unheard, clocks
-# that differ.
-BEGINS = 0.3
+# within a window. The rest is for what can't be charged: limiters that were isolated and never
+# heard, clocks that differ.
+INITIAL_LEEWAY_SHARE = 0.3
 # Of a bucket at most this share is held ahead, so that bursts at one limiter find some free: with
 # all of it a tenant at 25 requests a second of 40 had one in 200 refused.
-MOST_HELD = 0.6
+MAX_HELD_SHARE = 0.6
 # Buckets of less than so many credits a limiter can't be shared out ahead: such a tenant's are
-# *open* while they are less than half full, and each limiter lets one request in before it tells.
-FEW = 1.5
+# *open* while they are less than half full, and each limiter admits one request before it tells.
+MIN_CREDITS_PER_LIMITER = 1.5
+# Where less of a bucket than one part in so many is free, only a limiter without a credit gets one.
+SCARCE_DIVISOR = 8
 
 
-def depth(rate: float, burst: float, bounds: RuleBounds) -> float:
-    """Requests of a tenant that may come beyond its rate, as credits are charged."""
-    return max(1.0, burst) + SHARE * leeway(rate, burst, bounds)
+def bucket_depth(rate: float, burst: float, bounds: RuleBounds) -> float:
+    """Returns the requests of a tenant that may come beyond its rate, as credits are charged."""
+    return max(1.0, burst) + LEEWAY_SHARE * rule_leeway(rate, burst, bounds)
 
 
-def leeway(rate: float, burst: float, bounds: RuleBounds) -> float:
-    """What may run beyond rate x window + burst."""
-    return (
-        bounds.quota_overshoot * (rate * bounds.quota_window_seconds + burst) + bounds.quota_slack
-    )
+def rule_leeway(rate: float, burst: float, bounds: RuleBounds) -> float:
+    """Returns the requests that a rule lets run in a window beyond rate x window + burst."""
+    quota = rate * bounds.quota_window_seconds + burst
+    return bounds.quota_overshoot * quota + bounds.quota_slack
 
 
 @dataclass(slots=True)
-class Bucket:
-    """`level`: charged and not leaked; never under what is `held` at limiters, as that may be used
-    at any time. `at` is in the time by which buckets leak.
+class CreditBucket:
+    """A tenant's bucket.
+
+    Attributes:
+        rate: Requests a second that leak from it.
+        depth: Requests that fit into it.
+        initial_level: The level at a counter that begins.
+        level: Requests charged and not leaked; never under what is held at limiters, as that may be
+            used at any time.
+        updated_at: When the level was right, in the time by which buckets leak.
+        held: By limiter, the credits that it holds.
     """
 
     rate: float
     depth: float
-    first: float  # the level at a counter that begins
+    initial_level: float
     level: float
-    at: float
+    updated_at: float
     held: dict[str, float] = field(default_factory=dict)
 
-    def leak(self, at: float, own: float = 0.0, before: float = 0.0) -> None:
-        """Beside what is held: `own`, what limiters may have that go alone; `before`, what is left
-        of an earlier counter's, which was in the level from the first on.
+    def leak(self, leak_time: float, unreported: float = 0.0, inherited: float = 0.0) -> None:
+        """Leaks up to a time, but not below what limiters may have.
+
+        Args:
+            leak_time: The time by which buckets leak.
+            unreported: What isolated limiters may have, beside what is held.
+            inherited: What may be left of an earlier counter's grants, which was in the level from
+                the first on.
         """
-        floor = min(self.depth, sum(self.held.values()) + own)
-        left = max(self.level - self.rate * (at - self.at), min(self.level, floor + before))
-        self.level, self.at = max(left, floor), at
+        floor = min(self.depth, sum(self.held.values()) + unreported)
+        leaked_level = self.level - self.rate * (leak_time - self.updated_at)
+        level = max(leaked_level, min(self.level, floor + inherited))
+        self.level = max(level, floor)
+        self.updated_at = leak_time
 
 
 @dataclass(slots=True)
-class Caller:
-    life: int
-    at: float  # its last call
-    good: float  # its last call in which it didn't go alone
+class CallingLimiter:
+    """A limiter that calls for credits.
+
+    Attributes:
+        incarnation: Number of its start, drawn by it.
+        last_call_at: When it last called.
+        last_connected_at: When it last called and wasn't isolated.
+    """
+
+    incarnation: int
+    last_call_at: float
+    last_connected_at: float
 
 
 class QuotaGrants:
-    """All tenants' buckets, and the limiters that call. `number` is another one where they begin
-    anew.
+    """All tenants' buckets, and the limiters that call.
+
+    Attributes:
+        bounds: The rules that quotas are judged by.
+        term: Another number wherever grants begin anew.
+        buckets: By the digest of the tenant's name.
+        callers: By name.
+        limiter_count: How many limiters share the quotas.
+        isolated_count: How many of them are taken to be isolated.
+        leak_factor: The share of its rate by which a bucket leaks now.
+        began_at: When grants began anew.
+        leak_time: The time by which buckets leak; it runs slower while limiters are isolated.
+        updated_at: When `leak_time` was right.
     """
 
     def __init__(self, bounds: RuleBounds) -> None:
         self.bounds = bounds
-        self.number = 0
-        self.buckets: dict[int, Bucket] = {}
-        self.callers: dict[str, Caller] = {}
-        self.many, self.gone, self.scale = 1, 0, 1.0 - ALONE
-        self.began = 0.0
-        self.time, self.at = 0.0, 0.0  # buckets' time runs slower while limiters go alone
-
-    def anew(self, number: int, now: float, unused: bool = False) -> None:
-        """Counts begin anew: buckets are full, as the one before may have granted all. `unused`:
-        there was no configuration until now, so nobody was granted anything.
+        self.term = 0
+        self.buckets: dict[int, CreditBucket] = {}
+        self.callers: dict[str, CallingLimiter] = {}
+        self.limiter_count = 1
+        self.isolated_count = 0
+        self.leak_factor = 1.0 - ISOLATED_SHARE
+        self.began_at = 0.0
+        self.leak_time = 0.0
+        self.updated_at = 0.0
+
+    def reset(self, term: int, now: float, is_unused: bool = False) -> None:
+        """Begins anew: buckets are nearly full, as the counter before may have granted all.
+
+        Args:
+            term: The number of these grants.
+            now: The clock's reading.
+            is_unused: Whether there was no configuration until now, so that nobody was granted
+                anything.
         """
-        self.number, self.callers, self.at, self.began = number, {}, now, now
+        self.term = term
+        self.callers = {}
+        self.updated_at = now
+        self.began_at = now
         for bucket in self.buckets.values():
             bucket.held = {}
-            bucket.level, bucket.at = 0.0 if unused else bucket.first, self.time
+            bucket.level = 0.0 if is_unused else bucket.initial_level
+            bucket.updated_at = self.leak_time
 
-    def learn(self, tenants: Iterable[Tenant], counts: bool) -> None:
-        """Other quotas. A bucket keeps its level, at most full; one that wasn't there while this
-        registry counts is empty.
+    def update_quotas(self, tenants: Iterable[Tenant], is_counting: bool) -> None:
+        """Takes other quotas over.
+
+        A bucket keeps its level, at most full; one that wasn't there is empty if this registry
+        counts.
         """
-        before, self.buckets = self.buckets, {}
+        buckets_before = self.buckets
+        self.buckets = {}
         for tenant in tenants:
             if tenant.rate_per_second <= 0:
                 continue
-            name, most = (
-                stable_digest(tenant.name),
-                depth(tenant.rate_per_second, tenant.burst_size, self.bounds),
-            )
-            first = most - BEGINS * leeway(tenant.rate_per_second, tenant.burst_size, self.bounds)
-            old = before.pop(name, None) or Bucket(
-                0.0, most, first, 0.0 if counts else first, self.time
-            )
-            old.leak(self.time)
-            old.rate, old.depth, old.first, old.level = (
-                tenant.rate_per_second,
-                most,
-                first,
-                min(old.level, most),
-            )
-            self.buckets[name] = old
-        for name, old in before.items():  # tenants that went may come back
-            old.leak(self.time)
-            if old.level > 0:
-                self.buckets[name] = old
-
-    def tick(self, now: float, known: Iterable[str]) -> None:
-        """Buckets leak by the rate less what limiters may take that go alone: `known`, or callers
-        once.
+            digest = stable_digest(tenant.name)
+            bucket = buckets_before.pop(digest, None)
+            self.buckets[digest] = self._updated_bucket(bucket, tenant, is_counting)
+        for digest, bucket in buckets_before.items():  # tenants that went may come back
+            bucket.leak(self.leak_time)
+            if bucket.level > 0:
+                self.buckets[digest] = bucket
+
+    def _updated_bucket(
+        self, bucket: CreditBucket | None, tenant: Tenant, is_counting: bool
+    ) -> CreditBucket:
+        rate, burst = tenant.rate_per_second, tenant.burst_size
+        depth = bucket_depth(rate, burst, self.bounds)
+        initial_level = depth - INITIAL_LEEWAY_SHARE * rule_leeway(rate, burst, self.bounds)
+        if bucket is None:
+            level = 0.0 if is_counting else initial_level
+            bucket = CreditBucket(0.0, depth, initial_level, level, self.leak_time)
+        bucket.leak(self.leak_time)
+        bucket.rate = rate
+        bucket.depth = depth
+        bucket.initial_level = initial_level
+        bucket.level = min(bucket.level, depth)
+        return bucket
+
+    def advance(self, now: float, known_limiters: Iterable[str]) -> None:
+        """Moves the time by which buckets leak: by the rate less what isolated limiters may take.
+
+        Args:
+            now: The clock's reading.
+            known_limiters: Names of the limiters with a place; callers count beside them.
         """
-        gone_by = max(0.0, now - self.at)
-        longer = max(0.0, gone_by - SILENT)  # nobody called, so all went alone
-        self.time += self.scale * (gone_by - longer) + (1.0 - ALONE) * longer
-        names = {*known, *self.callers}
-        self.gone = sum(
-            name not in self.callers or now - self.callers[name].good > SILENT for name in names
+        elapsed = max(0.0, now - self.updated_at)
+        all_isolated = max(0.0, elapsed - ISOLATION_SECONDS)  # nobody called for so long
+        isolated_factor = 1.0 - ISOLATED_SHARE
+        self.leak_time += (
+            self.leak_factor * (elapsed - all_isolated) + isolated_factor * all_isolated
         )
-        self.many, self.at = max(1, len(names)), now
-        self.scale = 1.0 - ALONE * self.gone / self.many
+        names = {*known_limiters, *self.callers}
+        self.isolated_count = sum(self._is_isolated(name, now) for name in names)
+        self.limiter_count = max(1, len(names))
+        self.updated_at = now
+        self.leak_factor = 1.0 - ISOLATED_SHARE * self.isolated_count / self.limiter_count
+
+    def _is_isolated(self, name: str, now: float) -> bool:
+        caller = self.callers.get(name)
+        return caller is None or now - caller.last_connected_at > ISOLATION_SECONDS
+
+    def unreported(self, bucket: CreditBucket) -> tuple[float, float]:
+        """Returns what limiters may hold that this counter doesn't hear.
 
-    def unheard(self, bucket: Bucket) -> tuple[float, float]:
-        """What limiters may hold that this counter doesn't hear: of their own shares and, at first,
-        of the counter before. Of quotas too small to share out it would be all, and is left out.
+        Of quotas too small to share out it would be all, and is left out.
+
+        Returns:
+            What is of their own shares, and at first what is of the counter before.
         """
-        if not self.gone or self.few(bucket):
+        if not self.isolated_count or self.is_small(bucket):
             return 0.0, 0.0
-        young = self.at - self.began < HELD
-        before = self.gone * bucket.depth / self.many if young else 0.0
-        return self.gone * max(1.0, ALONE * bucket.rate / self.many), before
+        is_new = self.updated_at - self.began_at < CREDIT_RESERVATION_SECONDS
+        inherited = self.isolated_count * bucket.depth / self.limiter_count if is_new else 0.0
+        share = ISOLATED_SHARE * bucket.rate / self.limiter_count
+        return self.isolated_count * max(1.0, share), inherited
+
+    def is_small(self, bucket: CreditBucket) -> bool:
+        """Returns whether a bucket can't be shared out ahead."""
+        return bucket.depth < MIN_CREDITS_PER_LIMITER * self.limiter_count
 
-    def few(self, bucket: Bucket) -> bool:
-        return bucket.depth < FEW * self.many
+    def release(self, limiter_name: str) -> None:
+        """A limiter ended its session: it admits nothing any more."""
+        self.callers.pop(limiter_name, None)
+        self._release_credits(limiter_name)
 
-    def left(self, name: str) -> None:
-        """A limiter ended its session: it lets nothing in any more."""
-        self.callers.pop(name, None)
+    def _release_credits(self, limiter_name: str) -> None:
         for bucket in self.buckets.values():
-            bucket.held.pop(name, None)
+            bucket.held.pop(limiter_name, None)
 
-    def sweep(self, now: float, known: Iterable[str]) -> None:
+    def expire(self, now: float, known_limiters: Iterable[str]) -> None:
         """Drops what limiters held that called long ago, and those that nobody knows any more."""
-        there = {*known}
+        known_names = {*known_limiters}
         for name, caller in list(self.callers.items()):
-            if now - caller.at > HELD:
-                for bucket in self.buckets.values():
-                    bucket.held.pop(name, None)
-                if name not in there:
-                    del self.callers[name]
-
-    def call(
-        self,
-        name: str,
-        life: int,
-        number: int,
-        alone: bool,
-        entries: Iterable[list[float]],
-        now: float,
-    ) -> list[list[float]] | None:
-        """A limiter's call: by tenant's digest what it holds, what it let in while open and untold,
-        and what it wants. Answers [digest, granted, whether open]; None if it went by another's
-        grants: it must tell all that it holds under this number.
+            if now - caller.last_call_at <= CREDIT_RESERVATION_SECONDS:
+                continue
+            self._release_credits(name)
+            if name not in known_names:
+                del self.callers[name]
+
+    def handle_request(self, request: CreditRequest, now: float) -> list[CreditGrantRow] | None:
+        """Takes in what a limiter holds and spent, and grants what it may have.
+
+        Returns:
+            The credits granted; None if it went by another term: it must tell all that it holds
+            under this one.
         """
+        name = request.limiter_name
         caller = self.callers.get(name)
-        if caller is None or caller.life != life:
-            for bucket in self.buckets.values():  # its former life's are lost with it
-                bucket.held.pop(name, None)
-            caller = self.callers[name] = Caller(life, now, now - 2 * SILENT)
-        caller.at = now
-        if number != self.number:
+        if caller is None or caller.incarnation != request.incarnation:
+            self._release_credits(name)  # those of its former incarnation are lost with it
+            caller = CallingLimiter(request.incarnation, now, now - 2 * ISOLATION_SECONDS)
+            self.callers[name] = caller
+        caller.last_call_at = now
+        if request.grant_term != self.term:
             return None
-        if not alone:
-            caller.good = now
-        found = []
-        for which, left, spent, want, asked in entries:
-            bucket = self.buckets.get(int(which))
-            if bucket is None:
-                continue
-            bucket.leak(self.time, *self.unheard(bucket))
-            bucket.held[name] = left
-            bucket.level = max(bucket.level + spent, sum(bucket.held.values()))
-            opened = self.few(bucket) and bucket.level < self.brim(bucket)
-            granted = 0.0 if opened else self.grant(bucket, name, left, want, bool(asked))
-            found.append([int(which), granted, int(opened)])
-        return found
-
-    def closed(self, name: int) -> int:
-        """Whether a bucket is half full, so that nobody lets in before it tells."""
-        bucket = self.buckets.get(name)
-        return int(bucket is not None and bucket.level >= self.brim(bucket))
-
-    def brim(self, bucket: Bucket) -> float:
-        """The level from which a small quota's bucket is closed. Where limiters are as few as the
-        leeway, a counter that begins doesn't open it: with 12 limiters and two moves 48 ran of 4 a
-        second and 4.
+        if not request.is_isolated:
+            caller.last_connected_at = now
+        grants = []
+        for demand in request.demands:
+            bucket = self.buckets.get(demand.tenant)
+            if bucket is not None:
+                grants.append(self._answer_demand(bucket, name, demand))
+        return grants
+
+    def _answer_demand(
+        self, bucket: CreditBucket, limiter_name: str, demand: CreditDemandRow
+    ) -> CreditGrantRow:
+        bucket.leak(self.leak_time, *self.unreported(bucket))
+        bucket.held[limiter_name] = demand.held
+        bucket.level = max(bucket.level + demand.spent, sum(bucket.held.values()))
+        if self.is_small(bucket) and bucket.level < self.closing_level(bucket):
+            return CreditGrantRow(demand.tenant, 0.0, 1)
+        return CreditGrantRow(demand.tenant, self.grant(bucket, limiter_name, demand), 0)
+
+    def is_closed(self, tenant_digest: int) -> bool:
+        """Returns whether a bucket is half full, so that nobody admits before it tells."""
+        bucket = self.buckets.get(tenant_digest)
+        return bucket is not None and bucket.level >= self.closing_level(bucket)
+
+    def closing_level(self, bucket: CreditBucket) -> float:
+        """Returns the level from which a small quota's bucket is closed.
+
+        Where limiters are as few as the leeway, a counter that begins doesn't open it: with 12
+        limiters and two moves of the counter 48 requests ran of 4 a second and 4.
         """
-        return min(bucket.depth, bucket.first if self.many <= self.bounds.quota_slack else inf) / 2
+        has_few_limiters = self.limiter_count <= self.bounds.quota_slack
+        return min(bucket.depth, bucket.initial_level if has_few_limiters else inf) / 2
+
+    def grant(self, bucket: CreditBucket, limiter_name: str, demand: CreditDemandRow) -> float:
+        """Grants whole requests: fractions at many limiters would let nobody admit any.
+
+        Where less than half is free, a limiter whose tenant is idle gets none while it has one, nor
+        soon after a start of all; where less than an eighth, only a limiter without any gets some;
+        where most is held, nobody gets more than its even part.
 
-    def grant(self, bucket: Bucket, name: str, left: float, want: float, asked: bool) -> float:
-        """Whole requests: fractions at many limiters would let nobody in. Where less than half is
-        left, a limiter whose tenant doesn't ask gets none while it has one, nor soon after a start
-        of all; where less than an eighth, only whoever has none gets some; where most is held
-        nobody more than its even part.
+        Returns:
+            The credits granted.
         """
-        free, most = bucket.depth - bucket.level, MOST_HELD * bucket.depth
-        spare = asked or free >= bucket.depth / 2 or (left < 1 and self.at - self.began > HELD)
-        if free < 1 or not spare or (left >= 1 and free < bucket.depth / 8):
+        held, wanted = demand.held, demand.wanted
+        free = bucket.depth - bucket.level
+        max_held = MAX_HELD_SHARE * bucket.depth
+        is_settled = self.updated_at - self.began_at > CREDIT_RESERVATION_SECONDS
+        may_have = bool(demand.is_active) or free >= bucket.depth / 2 or (held < 1 and is_settled)
+        if free < 1 or not may_have or (held >= 1 and free < bucket.depth / SCARCE_DIVISOR):
             return 0.0
-        if left >= 1 and sum(bucket.held.values()) > most:
-            want = max(0.0, min(want, most / self.many - left))
-        granted = float(int(min(want, max(1.0, 2 * free / self.many))))
-        bucket.held[name] = left + granted
+        if held >= 1 and sum(bucket.held.values()) > max_held:
+            wanted = max(0.0, min(wanted, max_held / self.limiter_count - held))
+        granted = float(int(min(wanted, max(1.0, 2 * free / self.limiter_count))))
+        bucket.held[limiter_name] = held + granted
         bucket.level += granted
         return granted
--- /dev/null
+++ b/loomstand/registry/replication.py
@@ -0,0 +1,232 @@
+"""What registries tell each other: servers and limiters that they heard, and who counts.
+
+A change is broadcast at once; in regular rounds each registry tells what it heard since, and gets
+back what the other one lacks (anti-entropy). One that starts takes a snapshot from the others.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterable
+
+import msgspec
+from expression import Result
+
+from loomstand.registry.context import RegistryContext, RegistryState
+from loomstand.registry.counting_service import CountingService
+from loomstand.registry.instances import Instance
+from loomstand.rpc.client import ResponseT, call
+from loomstand.rpc.errors import CallFailure
+from loomstand.rpc.messages.base import Request
+from loomstand.rpc.messages.gossip_messages import (
+    GossipRequest,
+    GossipResponse,
+    HeardInstanceRow,
+    SnapshotRequest,
+    SnapshotResponse,
+)
+from loomstand.rpc.messages.rows import CountingTermRow, InstanceRow
+from loomstand.rpc.network import Address
+
+# Between two rounds. A server that one registry alone hears is silent for the others after three
+# heartbeats, 4.5 s as they are set.
+GOSSIP_SECONDS = 1.0
+# The answer to a drain or an end waits so long for the other registries; servers and
+# limiters wait a second for it.
+BROADCAST_TIMEOUT_SECONDS = 0.35
+# A registry that starts waits so long for the others' snapshots.
+SNAPSHOT_TIMEOUT_SECONDS = 0.5
+
+
+class Replication:
+    """One registry's part in replicating what registries hear."""
+
+    def __init__(
+        self, context: RegistryContext, state: RegistryState, counting: CountingService
+    ) -> None:
+        self._context = context
+        self._notifier = context.notifier
+        self._instances = state.instances
+        self._limiters = state.limiters
+        self._shared_clock = state.shared_clock
+        self._counting = counting
+        # by id, the sequence of the servers that called here since the last round
+        self._heard_sequences: dict[str, int] = {}
+        # By registry, the servers that it wasn't told of, as where it was cut off: it is told in
+        # the next rounds.
+        self._pending: dict[Address, set[str]] = {}
+
+    # calls of other registries
+
+    async def handle_gossip(self, request: GossipRequest) -> GossipResponse:
+        """Another registry tells what it heard."""
+        now = self._context.clock()
+        ages = request.instance_ages or {}
+        for row in request.instances or ():
+            self._apply_row(row, now, ages.get(row.instance_id, 0.0))
+        unknown_instances = [
+            instance_id
+            for instance_id, heard in (request.heard_instances or {}).items()
+            if not self._instances.apply_heartbeat(
+                instance_id, heard.sequence, now - heard.age_seconds
+            )
+        ]
+        for name, age_seconds in (request.limiter_ages or {}).items():
+            self._limiters.record_report(name, now - age_seconds, now)
+        if isinstance(request.counting_term, CountingTermRow):
+            self._apply_counting_term(request.counting_term, request.clock_seconds, now)
+        self._notifier.notify_limiters(self._limiters.revision)
+        has_same_limiters = request.limiters_digest == self._limiters.session_digest()
+        return GossipResponse(
+            unknown_instances=unknown_instances, has_same_limiters=has_same_limiters
+        )
+
+    async def handle_snapshot(self, _request: SnapshotRequest) -> SnapshotResponse:
+        """A registry that has just started asks for all servers."""
+        now = self._context.clock()
+        return SnapshotResponse(
+            instances=self._instances.changed_since(0, now),
+            instance_ages=self._instances.ages(self._instances.last_heard_at, now),
+            clock_seconds=self._shared_clock.read(now),
+            is_clock_known=self._shared_clock.is_known,
+        )
+
+    def _apply_row(self, row: InstanceRow, now: float, age_seconds: float) -> None:
+        if self._instances.apply(Instance.from_row(row, now), now - age_seconds):
+            self._notifier.notify()
+
+    def _apply_counting_term(
+        self, term: CountingTermRow, clock_seconds: float | None, now: float
+    ) -> None:
+        self._counting.observe_term(None, term)
+        if self._counting.is_counting(now) or clock_seconds is None:
+            return
+        if self._shared_clock.synchronize(clock_seconds, now):
+            self._notifier.notify_facts()
+
+    # calls to other registries
+
+    def record_heartbeat(self, instance: Instance) -> None:
+        """A server called here: the others hear of it in the next round."""
+        self._heard_sequences[instance.id] = max(
+            instance.sequence, self._heard_sequences.get(instance.id, 0)
+        )
+
+    async def broadcast(self, instance_id: str, timeout_seconds: float) -> None:
+        """Tells the other registries of a server that changed.
+
+        Those that aren't reached hear of it in later rounds.
+        """
+        rows = self._instances.rows([instance_id], self._context.clock())
+        request = GossipRequest(instances=rows)
+
+        async def send(registry: Address) -> None:
+            result = await self._call(registry, request, GossipResponse, timeout_seconds)
+            if result.is_error():
+                self.add_pending(registry, [instance_id])
+
+        await asyncio.gather(*(send(registry) for registry in self._context.other_registries()))
+
+    async def call_others(
+        self, request: Request, response_type: type[ResponseT], timeout_seconds: float
+    ) -> list[Result[ResponseT, CallFailure]]:
+        """Calls all other registries at once, and returns their answers."""
+        calls = (
+            self._call(registry, request, response_type, timeout_seconds)
+            for registry in self._context.other_registries()
+        )
+        return await asyncio.gather(*calls)
+
+    def add_pending(self, registry: Address, instance_ids: Iterable[str]) -> None:
+        """Has a registry told of these servers in the next round."""
+        self._pending.setdefault(registry, set()).update(instance_ids)
+
+    async def bootstrap(self) -> None:
+        """Takes over what the others know, so that nobody waits for the next heartbeats."""
+        results = await self.call_others(
+            SnapshotRequest(), SnapshotResponse, SNAPSHOT_TIMEOUT_SECONDS
+        )
+        for result in results:
+            if result.is_ok():
+                self._apply_snapshot(result.ok)
+
+    def _apply_snapshot(self, snapshot: SnapshotResponse) -> None:
+        now = self._context.clock()
+        for row in snapshot.instances:
+            self._apply_row(row, now, snapshot.instance_ages.get(row.instance_id, 0.0))
+        if snapshot.is_clock_known:
+            self._shared_clock.synchronize(snapshot.clock_seconds, now)
+
+    async def run(self) -> None:
+        """The maintenance loop: once a second, expires what is old and tells the others."""
+        while not self._context.is_stopping:
+            await asyncio.sleep(GOSSIP_SECONDS)
+            now = self._context.clock()
+            self._expire(now)
+            request = self._round_request(now)
+            registries = self._context.other_registries()
+            self._pending = {
+                registry: self._pending[registry]
+                for registry in registries
+                if self._pending.get(registry)
+            }
+            for registry in registries:
+                self._context.tasks.spawn(self._gossip(registry, request))
+
+    def _expire(self, now: float) -> None:
+        self._limiters.expire(now)
+        self._counting.expire(now)
+        if self._instances.expire(now):
+            self._notifier.notify()
+        self._notifier.notify_limiters(self._limiters.revision)
+        if self._shared_clock.has_stepped_lately(now):
+            self._notifier.notify_facts()
+
+    def _round_request(self, now: float) -> GossipRequest:
+        sequences = self._heard_sequences
+        self._heard_sequences = {}
+        ages = self._instances.ages(sequences, now)
+        return GossipRequest(
+            heard_instances={
+                instance_id: HeardInstanceRow(sequence, ages[instance_id])
+                for instance_id, sequence in sequences.items()
+            },
+            limiters_digest=self._limiters.session_digest(),
+            clock_seconds=self._shared_clock.read(now),
+            counting_term=self._counting.own_term(now),
+        )
+
+    async def _gossip(self, registry: Address, request: GossipRequest) -> None:
+        pending = self._pending.pop(registry, None)
+        if pending:
+            request = self._with_rows(request, pending)
+        result = await self._call(registry, request, GossipResponse, GOSSIP_SECONDS)
+        if result.is_error():
+            self.add_pending(registry, pending or ())
+            return
+        repair = GossipRequest()
+        if result.ok.unknown_instances:
+            repair = self._with_rows(repair, result.ok.unknown_instances)
+        # it has no session with some limiter that has one here, or the reverse
+        if not result.ok.has_same_limiters:
+            limiter_ages = self._limiters.session_ages(self._context.clock())
+            repair = msgspec.structs.replace(repair, limiter_ages=limiter_ages)
+        if repair != GossipRequest():
+            await self._call(registry, repair, GossipResponse, GOSSIP_SECONDS)
+
+    def _with_rows(self, request: GossipRequest, instance_ids: Iterable[str]) -> GossipRequest:
+        now = self._context.clock()
+        return msgspec.structs.replace(
+            request,
+            instances=self._instances.rows(instance_ids, now),
+            instance_ages=self._instances.ages(instance_ids, now),
+        )
+
+    async def _call(
+        self,
+        registry: Address,
+        request: Request,
+        response_type: type[ResponseT],
+        timeout_seconds: float,
+    ) -> Result[ResponseT, CallFailure]:
+        return await call(self._context.network, registry, request, response_type, timeout_seconds)
--- a/loomstand/registry/rescue.py
+++ b/loomstand/registry/rescue.py
@@ -3,26 +3,48 @@
 from __future__ import annotations
 
 import json
-from typing import Any
+from http import HTTPStatus
 
+from loomstand.registry.http_answers import HttpAnswer, error_answer, json_answer
+from loomstand.rpc.client import call
+from loomstand.rpc.messages.rescue_messages import RescueRequest, RescueResponse
 from loomstand.rpc.network import Address, Network
 
-WITHIN = 5.0  # seconds: a look and, at the store chosen, all of a rescue
+# A look, and all of a rescue at the store that is chosen.
+RESCUE_TIMEOUT_SECONDS = 5.0
 
 
-async def rescue(network: Network, store: Address, body: bytes) -> tuple[int, dict[str, Any]]:
-    """Status and answer to {"gone": [host], "token": text or left out}: the case, or what was
-    founded; 409 with the reasons unless the token is that of the state as it is now.
+def parse_rescue(body: bytes) -> RescueRequest:
+    """Reads an operator's `{"gone": [host], "token": text}`; both may be left out.
+
+    Raises:
+        ValueError: The body isn't JSON, or a field has the wrong type.
+        AttributeError: The body isn't an object.
+        RecursionError: The body is too deep.
+    """
+    fields = json.loads(body or b"{}")
+    gone_hosts = fields.get("gone", [])
+    token = fields.get("token")
+    if not isinstance(gone_hosts, list) or not isinstance(token, str | None):
+        raise ValueError("`gone` is a list of hosts, `token` a text")  # noqa: TRY004 - its name is answered
+    return RescueRequest(gone_hosts=[str(host) for host in gone_hosts], token=token)
+
+
+async def handle_rescue(network: Network, store: Address, body: bytes) -> HttpAnswer:
+    """Forwards an operator's call to the store beside this registry.
+
+    Returns:
+        How the store stands, or what was founded; 409 with the reasons unless the token is that of
+        the state as it is now.
     """
     try:
-        said = json.loads(body or b"{}")
-        gone, token = said.get("gone", []), said.get("token")
-        if not isinstance(gone, list) or not isinstance(token, str | None):
-            raise ValueError("`gone` is a list of hosts, `token` a text")
-    except (ValueError, AttributeError, RecursionError) as why:
-        return 400, {"error": f"body: {type(why).__name__}: {why}"}
-    call = {"gone": [str(host) for host in gone], "token": token}
-    got = await network.call(store, "rescue", call, WITHIN)
-    if got.is_error():
-        return 503, {"error": f"the store beside this registry: {got.error.value}"}
-    return (409, {"error": "; ".join(got.ok["no"])}) if "no" in got.ok else (200, got.ok)
+        request = parse_rescue(body)
+    except (ValueError, AttributeError, RecursionError) as error:
+        return error_answer(HTTPStatus.BAD_REQUEST, f"body: {type(error).__name__}: {error}")
+    result = await call(network, store, request, RescueResponse, RESCUE_TIMEOUT_SECONDS)
+    if result.is_error():
+        text = f"the store beside this registry: {result.error.value}"
+        return error_answer(HTTPStatus.SERVICE_UNAVAILABLE, text)
+    if result.ok.refusals is not None:
+        return error_answer(HTTPStatus.CONFLICT, "; ".join(result.ok.refusals))
+    return json_answer(HTTPStatus.OK, result.ok.to_wire())
--- /dev/null
+++ b/loomstand/registry/store_client.py
@@ -0,0 +1,241 @@
+"""The store beside this registry: its status, and the configuration that it commits.
+
+The registry waits at the store for changes, forwards operators' changes to it, and gives it back a
+configuration that it has lost. Limiters fetch the configuration here.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from absl import logging
+from expression import Error, Result
+
+from loomstand.config.configuration import ConfigurationError
+from loomstand.registry.context import RegistryContext, RegistryState
+from loomstand.registry.counting_service import CountingService
+from loomstand.rpc.client import ResponseT, call
+from loomstand.rpc.errors import CallFailure
+from loomstand.rpc.messages.base import Acknowledgement, Request
+from loomstand.rpc.messages.configuration_messages import (
+    OfferRequest,
+    PutResponse,
+    StatusRequest,
+    StatusResponse,
+    WaitRequest,
+    WaitResponse,
+)
+from loomstand.rpc.messages.session_messages import ConfigurationRequest, ConfigurationResponse
+from loomstand.rpc.network import transfer_seconds
+from loomstand.store import freshness
+
+# The store answers a status within this.
+STATUS_TIMEOUT_SECONDS = 0.4
+# The store holds a request for changes back for so long.
+WAIT_SECONDS = 0.8
+# A report of the store counts for so long: the length of the store's lease.
+REPORT_LIFETIME_SECONDS = 1.2
+# Operators wait a second for the answer to a change.
+CHANGE_TIMEOUT_SECONDS = 0.95
+# Between two attempts at a store that doesn't answer.
+RETRY_SECONDS = 0.1
+# With less time left no further store is tried.
+MIN_ATTEMPT_SECONDS = 0.05
+# Quotas of a configuration of so many bytes are read only once the limiters had the time to fetch
+# it, and that time: to read thousands of routes takes longer here than to hand them out.
+LARGE_CONFIGURATION_BYTES = 500_000
+LARGE_CONFIGURATION_DELAY_SECONDS = 0.2
+
+
+class StoreClient:
+    """Calls the store."""
+
+    def __init__(
+        self, context: RegistryContext, state: RegistryState, counting: CountingService
+    ) -> None:
+        self._context = context
+        self._notifier = context.notifier
+        self._configuration = state.configuration
+        self._counting = counting
+        self._is_offering = False
+        self._quota_timer: asyncio.TimerHandle | None = None
+
+    # calls of limiters
+
+    async def handle_configuration(self, request: ConfigurationRequest) -> ConfigurationResponse:
+        """A limiter fetches the configuration, compressed if it is large and the limiter can."""
+        configuration = self._configuration
+        if not request.accepts_compressed or not configuration.is_compressible():
+            return ConfigurationResponse(version=configuration.version, data=configuration.data)
+        return ConfigurationResponse(
+            version=configuration.version, compressed_data=configuration.compressed()
+        )
+
+    async def handle_offer(self, request: OfferRequest) -> Acknowledgement:
+        """A limiter holds a newer configuration than this registry: the store may have lost it."""
+        if request.version > self._configuration.version:
+            offer = OfferRequest(version=request.version, data=request.data)
+            timeout_seconds = CHANGE_TIMEOUT_SECONDS + transfer_seconds(len(request.data))
+            await self.forward(offer, PutResponse, timeout_seconds)
+        return Acknowledgement()
+
+    # calls to the stores
+
+    async def forward(
+        self, request: Request, response_type: type[ResponseT], timeout_seconds: float
+    ) -> Result[ResponseT, CallFailure]:
+        """Has the store do something that its primary does.
+
+        The store beside this registry forwards it to the primary; where that one is down, the
+        others are tried.
+
+        Returns:
+            The answer, or what the failure proves.
+        """
+        sent_at = self._context.clock()
+        deadline = sent_at + timeout_seconds
+        body = request.to_wire()
+        network = self._context.network
+        local_store = self._context.local_store
+        result = await network.call(local_store, request.operation, body, timeout_seconds)
+        for store in self._context.stores():
+            left_seconds = deadline - self._context.clock()
+            if result.is_ok() or result.error is not CallFailure.NEVER_RAN:
+                break
+            if left_seconds < MIN_ATTEMPT_SECONDS:
+                break
+            if store != local_store:
+                result = await network.call(store, request.operation, body, left_seconds)
+        if result.is_error():
+            return Error(result.error)
+        if not freshness.left(result.ok, sent_at, self._context.clock(), timeout_seconds):
+            # this process froze meanwhile, or the answer lay in a socket
+            return Error(CallFailure.MAY_HAVE_RUN)
+        return result.map(response_type.from_wire)
+
+    async def status(self) -> StatusResponse | None:
+        """Returns the status of the store beside this registry, None if it doesn't answer."""
+        result = await call(
+            self._context.network,
+            self._context.local_store,
+            StatusRequest(),
+            StatusResponse,
+            STATUS_TIMEOUT_SECONDS,
+        )
+        return result.ok if result.is_ok() else None
+
+    async def run(self) -> None:
+        """Waits at the store for changes of its status and of the configuration."""
+        heard_at = self._context.clock()
+        known_revision = 0
+        while not self._context.is_stopping:
+            sent_at = self._context.clock()
+            request = WaitRequest(
+                known_version=self._configuration.version,
+                known_revision=known_revision,
+                timeout_seconds=WAIT_SECONDS,
+            )
+            result = await call(
+                self._context.network,
+                self._context.local_store,
+                request,
+                WaitResponse,
+                REPORT_LIFETIME_SECONDS,
+            )
+            if result.is_ok():
+                heard_at = sent_at
+                known_revision = result.ok.revision
+                self._apply_status(result.ok, sent_at)
+                continue
+            self._expire_report(heard_at)
+            await asyncio.sleep(RETRY_SECONDS)
+
+    def close(self) -> None:
+        """Ends what waits for its time."""
+        if self._quota_timer is not None:
+            self._quota_timer.cancel()
+
+    def _expire_report(self, heard_at: float) -> None:
+        """The store doesn't answer: it may be cut off, as far as is known here."""
+        is_silent = self._context.clock() - heard_at >= REPORT_LIFETIME_SECONDS
+        if self._configuration.is_reported_current and is_silent:
+            self._configuration.is_reported_current = False
+            self._notifier.notify_facts()
+
+    def _apply_status(self, status: WaitResponse, sent_at: float) -> None:
+        """Takes in what the store says of itself, to a request sent at that time."""
+        configuration = self._configuration
+        configuration.report_expires_at = sent_at + WAIT_SECONDS + REPORT_LIFETIME_SECONDS
+        if status.version > configuration.version and isinstance(status.data, bytes):
+            self._replace_configuration(status.version, status.data)
+        if status.version == 0 == configuration.version and status.is_ready and status.primary:
+            configuration.confirmed_empty_at = self._context.clock()
+        if status.version < configuration.version and not self._is_offering:
+            # the store has lost it, and may be the one that is asked what is left
+            self._is_offering = True
+            self._context.tasks.spawn(self._offer())
+        self._counting.observe_term(status.primary, status.counting_term)
+        self._apply_facts(status)
+
+    def _apply_facts(self, status: WaitResponse) -> None:
+        configuration = self._configuration
+        is_current = (
+            status.is_ready
+            and status.primary is not None
+            and status.version <= configuration.version
+        )
+        facts_before = (configuration.is_reported_current, self._context.core_hosts)
+        configuration.is_reported_current = is_current
+        self._context.set_core_hosts({host for host, _ in status.core_addresses})
+        if facts_before != (is_current, self._context.core_hosts):
+            self._notifier.notify_facts()
+
+    def _replace_configuration(self, version: int, data: bytes) -> None:
+        configuration = self._configuration
+        is_change = configuration.version > 0 or configuration.was_empty_lately(
+            self._context.clock()
+        )
+        configuration.replace(version, data)
+        logging.info("registry: configuration_held version=r%d bytes=%d", version, len(data))
+        if len(data) < LARGE_CONFIGURATION_BYTES:
+            self._update_quotas(is_change)
+        else:
+            self._quota_timer = asyncio.get_running_loop().call_later(
+                LARGE_CONFIGURATION_DELAY_SECONDS, self._update_quotas, is_change
+            )
+        self._notifier.notify()
+
+    def _update_quotas(self, is_change: bool) -> None:
+        """Takes over the quotas of the configuration held.
+
+        `is_change`: the one before it was known, or that there was none.
+        """
+        try:
+            configuration = self._configuration.parse(self._configuration.data)
+        except ConfigurationError as error:  # it was checked before it was stored: our own fault
+            logging.error(
+                "registry: configuration_unusable version=r%d error=%s",
+                self._configuration.version,
+                error,
+            )
+            return
+        self._counting.update_quotas(configuration.tenants or (), is_change)
+
+    async def _offer(self) -> None:
+        """Gives the store beside this registry the configuration held.
+
+        The store doesn't know it to be committed.
+        """
+        configuration = self._configuration
+        request = OfferRequest(version=configuration.version, data=configuration.data)
+        timeout_seconds = CHANGE_TIMEOUT_SECONDS + transfer_seconds(len(configuration.data))
+        try:
+            await call(
+                self._context.network,
+                self._context.local_store,
+                request,
+                PutResponse,
+                timeout_seconds,
+            )
+        finally:
+            self._is_offering = False
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -188,7 +188,12 @@
             return Runs(
                 # type: ignore[arg-type]
                 RegistryService(
-                    self.settings(ip), air, Virtual(), clock, self.wall(ip, rng), streams
+                    self.settings(ip),
+                    air,
+                    Virtual(),
+                    clock=clock,
+                    wall_seconds=self.wall(ip, rng),
+                    streams=streams,
                 )
             )
 
@@ -326,7 +331,7 @@
         up = [
             self.registry(ip) for ip, host in self.registries.items() if host.up and host.programs
         ]
-        return [r.holding.host for r in up if r.holding.counts(r.clock())]
+        return [r.context.host for r in up if r.counting.is_counting(r.context.clock())]
 
     def counts(self, ip: str) -> bool:
         """Whether the registry of a core machine counts now."""
--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -203,7 +203,7 @@
     town.do(town.begin())
     town.wait(2.0)
     asked = (b"POST", b"/api/rpc?call=system.status", b"")
-    got = [town.do(town.registry(ip).outside(*asked)) for ip in town.core_ips]
+    got = [town.do(town.registry(ip).handle_http(*asked)) for ip in town.core_ips]
     told = [json.loads(raw) for code, raw in got if code == 200]
     town.close()
     assert len(told) == 3 and sum(t["counting"]["here"] for t in told) == 1
--- a/tests/registry/test_instances.py
+++ b/tests/registry/test_instances.py
@@ -7,7 +7,7 @@
 import pytest
 
 from loomstand.registry.instances import DRAINING, GONE
-from loomstand.registry.program import Registry
+from loomstand.registry.replication import Replication
 from loomstand.testing.simulation.cluster import Cluster
 
 
@@ -21,7 +21,7 @@
 
 def states(town: Cluster, id_: str) -> list[str]:
     """What each registry holds of a server."""
-    return [town.registry(ip).instances.instances[id_].state for ip in town.core_ips]
+    return [town.registry(ip).state.instances.by_id[id_].state for ip in town.core_ips]
 
 
 async def leaves_in_a_cut(town: Cluster, ends: bool) -> str:
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("ends", [False, True])
 def test_it_is_caught_where_what_others_missed_is_not_kept(town, monkeypatch, ends):
     """The mutation: a registry tells of a server once, and forgets whom it didn't reach."""
-    monkeypatch.setattr(Registry, "owe", lambda *_: None)
+    monkeypatch.setattr(Replication, "add_pending", lambda *_: None)
     id_ = town.do(leaves_in_a_cut(town, ends))
     heal(town)
     assert states(town, id_).count(GONE if ends else DRAINING) == 1
--- a/tests/registry/test_quota_grants.py
+++ b/tests/registry/test_quota_grants.py
@@ -9,6 +9,7 @@
 from collections import Counter
 from random import Random
 
+import msgspec
 import pytest
 
 from loomstand.admission.identifiers import stable_digest
@@ -17,6 +18,7 @@
 from loomstand.proxy.quota_credits import QuotaCredits
 from loomstand.registry import limiters, quota_grants
 from loomstand.registry.quota_grants import QuotaGrants
+from loomstand.rpc.messages.quota_messages import CreditDemandRow, CreditRequest
 from loomstand.testing.simulation.cluster import Cluster
 
 BOUNDS = Cluster(1, 1, 1, 1).settings("10.1.0.1").bounds
@@ -28,6 +30,26 @@
 ANY: Troubles = ()
 
 
+def granted(
+    grants: QuotaGrants,
+    name: str,
+    incarnation: int,
+    called: tuple[int, bool, list[list[float]]],
+    now: float,
+) -> list[list[float]] | None:
+    """What the counter answers a limiter's call, as the limiter reads it."""
+    grant_term, is_isolated, entries = called
+    request = CreditRequest(
+        limiter_name=name,
+        incarnation=incarnation,
+        grant_term=grant_term,
+        is_isolated=is_isolated,
+        demands=[CreditDemandRow(*entry) for entry in entries],
+    )
+    answer = grants.handle_request(request, now)
+    return None if answer is None else msgspec.to_builtins(answer)
+
+
 class Limiter:
     """One that takes all that it may while its tenants are hot, or as much as chance brings."""
 
@@ -53,8 +75,8 @@
         self.most = dict(self.tenants)
         self.names = [f"l{n}" for n in range(many)]
         self.counter: QuotaGrants | None = QuotaGrants(BOUNDS)
-        self.counter.learn(self.tenants.values(), False)
-        self.counter.anew(1, 0.0, unused=True)
+        self.counter.update_quotas(self.tenants.values(), False)
+        self.counter.reset(1, 0.0, is_unused=True)
         self.numbers, self.there_at, self.moves = 1, 0.0, list[float]()
         self.limiters = [self.born(name) for name in self.names]
         self.ran: dict[int, list[float]] = {name: [] for name in self.tenants}
@@ -91,7 +113,7 @@
                 old.name, (), 1, old.rate_per_second * 0.7, old.burst_size * 0.7
             )
             if self.counter:
-                self.counter.learn(self.tenants.values(), True)
+                self.counter.update_quotas(self.tenants.values(), True)
             for limiter in self.limiters:
                 if limiter.up and limiter.hears:
                     limiter.credits.learn(self.tenants)
@@ -110,21 +132,21 @@
         if self.counter is None and self.now >= self.there_at:
             self.numbers += 1
             self.counter = QuotaGrants(BOUNDS)
-            self.counter.learn(self.tenants.values(), False)
-            self.counter.anew(self.numbers, self.now)
+            self.counter.update_quotas(self.tenants.values(), False)
+            self.counter.reset(self.numbers, self.now)
 
     def calls(self, limiter: Limiter) -> None:
         credits = limiter.credits
         if limiter.waits or self.now < limiter.next:
             return
         limiter.waits, limiter.sent = True, self.now
-        number, alone, entries = credits.call(self.now)
+        called = credits.call(self.now)
         answer = None
         if self.counter is not None and limiter.heard:
             counter = self.counter
-            counter.tick(self.now, self.names)
-            grants = counter.call(limiter.name, credits.life, number, alone, entries, self.now)
-            answer = (counter.number, grants)
+            counter.advance(self.now, self.names)
+            grants = granted(counter, limiter.name, credits.life, called, self.now)
+            answer = (counter.term, grants)
         if answer is None or not limiter.hears:
             self.mail.append((self.now + WITHIN, limiter, None))
         else:
@@ -184,7 +206,7 @@
             self.tick()
             self.answers()
             if self.counter is not None and self.now % 1.0 < STEP:
-                self.counter.sweep(self.now, self.names)
+                self.counter.expire(self.now, self.names)
             self.serve(hot)
         return self
 
@@ -199,7 +221,7 @@
                 + self.most[name].burst_size
             )
             count = max((bisect_right(at, t + 5) - bisect_left(at, t) for t in at), default=0)
-            leeway = quota_grants.leeway(
+            leeway = quota_grants.rule_leeway(
                 self.most[name].rate_per_second, self.most[name].burst_size, BOUNDS
             )
             out[self.most[name].name] = (count - most) / leeway
@@ -254,35 +276,37 @@
 
 def unheard(monkeypatch) -> None:
     """The counter leaves nothing to limiters that it doesn't hear."""
-    monkeypatch.setattr(quota_grants, "ALONE", 0.0)
+    monkeypatch.setattr(quota_grants, "ISOLATED_SHARE", 0.0)
 
 
 def deaf(monkeypatch) -> None:
     """A limiter that calls is taken to hear the answers."""
-    call = QuotaGrants.call
+    handle_request = QuotaGrants.handle_request
 
-    def heard(self, name, life, number, alone, entries, now):
-        return call(self, name, life, number, False, entries, now)
+    def heard(self, request, now):
+        return handle_request(self, msgspec.structs.replace(request, is_isolated=False), now)
 
-    monkeypatch.setattr(QuotaGrants, "call", heard)
+    monkeypatch.setattr(QuotaGrants, "handle_request", heard)
 
 
 def emptied(monkeypatch) -> None:
     """A counter that begins takes nothing to have been granted."""
-    anew = QuotaGrants.anew
-    monkeypatch.setattr(QuotaGrants, "anew", lambda self, *given, **_: anew(self, *given[:2], True))
+    reset = QuotaGrants.reset
+    monkeypatch.setattr(
+        QuotaGrants, "reset", lambda self, *given, **_: reset(self, *given[:2], True)
+    )
 
 
 def relearnt(monkeypatch) -> None:
     """Buckets of other quotas begin anew."""
-    learn = QuotaGrants.learn
+    update_quotas = QuotaGrants.update_quotas
 
-    def afresh(self, tenants, counts):
-        learn(self, tenants, counts)
+    def afresh(self, tenants, is_counting):
+        update_quotas(self, tenants, is_counting)
         for bucket in self.buckets.values():
             bucket.level = sum(bucket.held.values())
 
-    monkeypatch.setattr(QuotaGrants, "learn", afresh)
+    monkeypatch.setattr(QuotaGrants, "update_quotas", afresh)
 
 
 @pytest.mark.parametrize(
@@ -316,8 +340,8 @@
 def pair(many: int = 4) -> tuple[QuotaGrants, QuotaCredits]:
     """A counter that has known this limiter for long, and the limiter."""
     grants, credits = QuotaGrants(BOUNDS), QuotaCredits(BOUNDS, 1, 10.0)
-    grants.learn([ANN], False)
-    grants.anew(7, 0.0, unused=True)
+    grants.update_quotas([ANN], False)
+    grants.reset(7, 0.0, is_unused=True)
     credits.limiters(many)
     credits.learn({NAME: ANN})
     while call(grants, credits, 10.0):
@@ -326,11 +350,9 @@
 
 
 def call(grants: QuotaGrants, credits: QuotaCredits, now: float) -> bool:
-    number, alone, entries = credits.call(now)
-    grants.tick(now, ["one"])
-    return credits.granted(
-        now, now, grants.number, grants.call("one", 1, number, alone, entries, now)
-    )
+    called = credits.call(now)
+    grants.advance(now, ["one"])
+    return credits.granted(now, now, grants.term, granted(grants, "one", 1, called, now))
 
 
 def test_credits_are_void_after_a_while_without_an_answer_and_the_counter_holds_them_longer():
@@ -339,9 +361,12 @@
     assert held == credits.credits[NAME].left >= 2
     credit = credits.credits[NAME]
     assert [credits.source(credit, t + quota_credits.GOOD) for t in (10.0, 10.1)] == ["left", "own"]
-    grants.sweep(10.0 + quota_credits.GOOD + 0.5, ["one"])
-    assert grants.buckets[NAME].held["one"] == held and quota_grants.HELD > quota_credits.GOOD
-    grants.sweep(10.1 + quota_grants.HELD, ["one"])
+    grants.expire(10.0 + quota_credits.GOOD + 0.5, ["one"])
+    assert (
+        grants.buckets[NAME].held["one"] == held
+        and quota_grants.CREDIT_RESERVATION_SECONDS > quota_credits.GOOD
+    )
+    grants.expire(10.1 + quota_grants.CREDIT_RESERVATION_SECONDS, ["one"])
     assert "one" not in grants.buckets[NAME].held
     assert credits.call(13.0)[2][0][1] == 0  # it tells that it has none
 
@@ -349,10 +374,10 @@
 def test_another_counter_hears_all_that_is_held_before_it_grants():
     grants, credits = pair()
     left = credits.credits[NAME].left
-    grants.anew(8, 11.0)
-    number, alone, entries = credits.call(11.0)
-    grants.tick(11.0, ["one"])
-    assert grants.call("one", 1, number, alone, entries, 11.0) is None and not entries
+    grants.reset(8, 11.0)
+    called = credits.call(11.0)
+    grants.advance(11.0, ["one"])
+    assert granted(grants, "one", 1, called, 11.0) is None and not called[2]
     # no answer that keeps them good
     assert credits.granted(11.0, 11.0, 8, None) and credits.heard == 10.0
     assert credits.call(11.0)[2][0][:2] == [NAME, left]
@@ -369,17 +394,17 @@
         while credits.may(NAME, now):
             credits.used(NAME, now)
             ran += 1
-    part = quota_grants.ALONE * ANN.rate_per_second / 2
-    assert ran == pytest.approx(part * (10 - quota_grants.SILENT), rel=0.05)
-    grants.tick(10.5, ["one", "two"])
-    grants.tick(12.0, ["one", "two"])  # nobody called
-    time = grants.time
-    grants.tick(12.5, ["one", "two"])
-    assert (grants.time - time) / 0.5 == pytest.approx(1 - quota_grants.ALONE)
+    part = quota_grants.ISOLATED_SHARE * ANN.rate_per_second / 2
+    assert ran == pytest.approx(part * (10 - quota_grants.ISOLATION_SECONDS), rel=0.05)
+    grants.advance(10.5, ["one", "two"])
+    grants.advance(12.0, ["one", "two"])  # nobody called
+    time = grants.leak_time
+    grants.advance(12.5, ["one", "two"])
+    assert (grants.leak_time - time) / 0.5 == pytest.approx(1 - quota_grants.ISOLATED_SHARE)
 
 
 def test_a_part_shrinks_before_the_counter_forgets_a_limiter():
-    assert quota_credits.LONG < limiters.HELD
+    assert quota_credits.LONG < limiters.PLACE_RETENTION_SECONDS
     _, credits = pair(many=2)
     late, ran, now = 10.0 + quota_credits.LONG, 0, 10.0 + quota_credits.LONG
     credits.has(NAME, late)
@@ -388,7 +413,7 @@
         while credits.may(NAME, now):
             credits.used(NAME, now)
             ran += 1
-    part = quota_grants.ALONE * ANN.rate_per_second / 2
+    part = quota_grants.ISOLATED_SHARE * ANN.rate_per_second / 2
     assert ran <= quota_credits.DIM * part * 10 + part + 1
 
 
@@ -396,17 +421,17 @@
     grants, _ = pair()
     names = [f"l{n}" for n in range(20)]
     for now in (11.0, 12.0, 30.0):
-        grants.tick(now, names)
+        grants.advance(now, names)
     bucket = grants.buckets[NAME]
-    bucket.leak(grants.time, *grants.unheard(bucket))
-    assert bucket.level >= 20 * quota_grants.ALONE * ANN.rate_per_second / 20
+    bucket.leak(grants.leak_time, *grants.unreported(bucket))
+    assert bucket.level >= 20 * quota_grants.ISOLATED_SHARE * ANN.rate_per_second / 20
 
 
 def test_small_quotas_are_open_until_half_full_and_then_for_credits_alone():
     many, small = 75, Tenant("ann", (), 1, 4.0, 4.0)
     grants = QuotaGrants(BOUNDS)
-    grants.learn([small], False)
-    grants.anew(7, 0.0, unused=True)
+    grants.update_quotas([small], False)
+    grants.reset(7, 0.0, is_unused=True)
     names, ran = [f"l{n}" for n in range(many)], 0
     all_of = {name: QuotaCredits(BOUNDS, 1, 1.0) for name in names}
     for now in (1.0, 1.1, 1.2):
@@ -414,16 +439,16 @@
             if now == 1.0:
                 credits.limiters(many)
                 credits.learn({NAME: small})
-            number, alone, entries = credits.call(now)
-            grants.tick(now, names)
-            credits.granted(now, now, 7, grants.call(name, 1, number, alone, entries, now))
+            called = credits.call(now)
+            grants.advance(now, names)
+            credits.granted(now, now, 7, granted(grants, name, 1, called, now))
     for credits in all_of.values():
-        if not grants.closed(NAME) and credits.may(NAME, 1.3):
+        if not grants.is_closed(NAME) and credits.may(NAME, 1.3):
             credits.used(NAME, 1.3)
             ran += 1
             assert not credits.has(NAME, 1.3)  # one, until the counter knows of it
             call(grants, credits, 1.3)
-    assert ran == pytest.approx(quota_grants.depth(4.0, 4.0, BOUNDS) / 2, abs=1)
+    assert ran == pytest.approx(quota_grants.bucket_depth(4.0, 4.0, BOUNDS) / 2, abs=1)
     credits.full(NAME, 1.3)
     assert not credits.has(NAME, 1.3) and credits.has(NAME, 1.31 + quota_credits.CLOSED)
 
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -11,7 +11,7 @@
 from loomstand.config.configuration import Tenant
 from loomstand.proxy.instance_view import InstanceView
 from loomstand.registry.counters import Counters
-from loomstand.registry.http_routing import Asked, method, path, query
+from loomstand.registry.http_routing import HttpCall, match_method, match_path, match_query
 from loomstand.registry.instances import (
     DRAINING,
     GONE,
@@ -19,10 +19,13 @@
     SILENT,
     Instance,
     InstanceTable,
-    from_row,
 )
-from loomstand.registry.limiters import HELD, STANDS, LimiterTable
-from loomstand.registry.quota_buckets import SLOTS, QuotaBuckets
+from loomstand.registry.limiters import (
+    PLACE_RETENTION_SECONDS,
+    SESSION_TIMEOUT_SECONDS,
+    LimiterTable,
+)
+from loomstand.registry.quota_buckets import INTERVAL_SLOT_BITS, QuotaBuckets
 from loomstand.rpc.frames import FrameDecoder, FrameError, encode_frame
 
 
@@ -32,73 +35,75 @@
 
 def test_a_late_beat_takes_no_drain_back_and_a_beat_alone_is_no_news():
     instances = InstanceTable(1.5)
-    assert instances.take(instance(sequence=1), 0.0)
-    assert not instances.take(instance(sequence=2), 1.5)
-    assert instances.take(instance(sequence=4, state=DRAINING), 3.0)
-    assert not instances.take(instance(sequence=3), 3.1)
-    assert [row[5] for row in instances.news(0, 3.1)] == [DRAINING]
-    assert instances.news(instances.version, 3.1) == []
+    assert instances.apply(instance(sequence=1), 0.0)
+    assert not instances.apply(instance(sequence=2), 1.5)
+    assert instances.apply(instance(sequence=4, state=DRAINING), 3.0)
+    assert not instances.apply(instance(sequence=3), 3.1)
+    assert [row.state for row in instances.changed_since(0, 3.1)] == [DRAINING]
+    assert instances.changed_since(instances.revision, 3.1) == []
 
 
 def test_a_server_that_left_stays_gone_and_a_new_one_at_its_address_ends_the_old():
     instances = InstanceTable(1.5)
-    instances.take(instance("i-1"), 0.0)
+    instances.apply(instance("i-1"), 0.0)
     # has its address, and the old one never said so
-    instances.take(instance("i-2", service="b"), 3.0)
-    states = {row[0]: row[5] for row in instances.news(0, 3.0)}
+    instances.apply(instance("i-2", service="b"), 3.0)
+    states = {row.instance_id: row.state for row in instances.changed_since(0, 3.0)}
     assert states == {"i-1": GONE, "i-2": READY}
-    assert not instances.take(instance("i-1", sequence=99), 3.1)
+    assert not instances.apply(instance("i-1", sequence=99), 3.1)
 
 
 def test_silence_is_told_and_ends_by_any_registrys_word():
     instances, other = InstanceTable(1.5), InstanceTable(1.5)
-    instances.take(instance(sequence=1), 0.0)
-    other.take(instance(sequence=1), 0.0)
-    assert not instances.sweep(4.0)
-    assert instances.sweep(5.0) and instances.news(0, 5.0)[0][5] == SILENT
-    other.take(instance(sequence=3), 5.1)
-    assert not instances.alive("i-1", 3, 5.1)  # its row is needed
+    instances.apply(instance(sequence=1), 0.0)
+    other.apply(instance(sequence=1), 0.0)
+    assert not instances.expire(4.0)
+    assert instances.expire(5.0) and instances.changed_since(0, 5.0)[0].state == SILENT
+    other.apply(instance(sequence=3), 5.1)
+    assert not instances.apply_heartbeat("i-1", 3, 5.1)  # its row is needed
     for row in other.rows(["i-1"], 5.2):
-        assert instances.take(from_row(row, 5.2), 5.2)
-    assert instances.news(0, 5.2)[0][5] == READY
+        assert instances.apply(Instance.from_row(row, 5.2), 5.2)
+    assert instances.changed_since(0, 5.2)[0].state == READY
     # another registry's word that it is alive keeps it from falling silent here
-    assert instances.alive("i-1", 4, 9.0) and not instances.sweep(9.6)
+    assert instances.apply_heartbeat("i-1", 4, 9.0) and not instances.expire(9.6)
 
 
 def test_a_limiter_is_a_member_while_its_session_stands_and_its_place_is_held_after():
     limiters = LimiterTable()
-    limiters.spoke("f-1", 0.0)
-    limiters.told("f-2", 0.0, 0.0)
+    limiters.record_call("f-1", 0.0)
+    limiters.record_report("f-2", 0.0, 0.0)
     assert limiters.present == ("f-1", "f-2")
-    limiters.spoke("f-2", 0.0)
-    limiters.told("f-2", STANDS, STANDS)  # one that spoke here is judged by that
-    limiters.spoke("f-1", STANDS)
-    limiters.sweep(STANDS + 0.1)
-    assert (limiters.present, limiters.missing) == (("f-1",), ("f-2",))
-    version = limiters.version
-    limiters.spoke("f-2", STANDS + 0.3)
-    assert limiters.present == ("f-1", "f-2") and limiters.version > version
-    limiters.ended("f-1", STANDS + 0.4)  # told: nothing is held for it
-    assert (limiters.present, limiters.missing) == (("f-2",), ())
-    limiters.sweep(STANDS + HELD + 1)
-    assert (limiters.present, limiters.missing) == ((), ())
+    limiters.record_call("f-2", 0.0)
+    limiters.record_report(
+        "f-2", SESSION_TIMEOUT_SECONDS, SESSION_TIMEOUT_SECONDS
+    )  # one that spoke here is judged by that
+    limiters.record_call("f-1", SESSION_TIMEOUT_SECONDS)
+    limiters.expire(SESSION_TIMEOUT_SECONDS + 0.1)
+    assert (limiters.present, limiters.silent) == (("f-1",), ("f-2",))
+    version = limiters.revision
+    limiters.record_call("f-2", SESSION_TIMEOUT_SECONDS + 0.3)
+    assert limiters.present == ("f-1", "f-2") and limiters.revision > version
+    limiters.deregister("f-1", SESSION_TIMEOUT_SECONDS + 0.4)  # told: nothing is held for it
+    assert (limiters.present, limiters.silent) == (("f-2",), ())
+    limiters.expire(SESSION_TIMEOUT_SECONDS + PLACE_RETENTION_SECONDS + 1)
+    assert (limiters.present, limiters.silent) == ((), ())
 
 
 def test_counts_live_as_long_as_asked_for():
     counters = Counters(1)
     assert [counters.add(7, 2.0, 1.0, 0.0), counters.add(7, 3.0, 1.0, 0.5)] == [2.0, 5.0]
-    counters.sweep(1.2)
+    counters.expire(1.2)
     assert counters.add(7, 0.0, 1.0, 1.2) == 5.0
-    counters.sweep(3.0)
+    counters.expire(3.0)
     assert counters.sums == {} and counters.add(7, 1.0, 1.0, 3.0) == 1.0
 
 
-def test_limiters_are_told_of_a_tenant_near_its_brim_only_where_more_was_added():
-    brim, ann = QuotaBuckets(), stable_digest("ann")
-    name, other = ann << SLOTS | 7, stable_digest("bob") << SLOTS | 7
-    brim.learn([Tenant("ann", (), 1, 10.0, 10.0), Tenant("bob", (), 1, 0.0, 0.0)])
+def test_limiters_are_told_of_a_tenant_near_its_buckets_only_where_more_was_added():
+    buckets, ann = QuotaBuckets(), stable_digest("ann")
+    name, other = ann << INTERVAL_SLOT_BITS | 7, stable_digest("bob") << INTERVAL_SLOT_BITS | 7
+    buckets.update_quotas([Tenant("ann", (), 1, 10.0, 10.0), Tenant("bob", (), 1, 0.0, 0.0)])
     added = [
-        brim.counted(
+        buckets.record(
             name,
             1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR,
             n * (1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR),
@@ -107,20 +112,21 @@
         for n in range(1, 7)
     ]
     assert added == [False] * 5 + [True]  # over half of the burst
-    assert (
-        brim.news(0) == [[name, 6 * (1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR)]]
-        and brim.news(brim.version) == []
-    )
-    assert not brim.counted(
+    assert [(b.counter_name, b.total) for b in buckets.changed_since(0)] == [
+        (name, 6 * (1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR))
+    ] and buckets.changed_since(buckets.revision) == []
+    assert not buckets.record(
         name, 3.0 * ATTEMPT_FACTOR * ATTEMPT_FACTOR, 6 + 9 * ATTEMPT_FACTOR * ATTEMPT_FACTOR, 0.07
     )  # asked, not taken
-    brim.learn([Tenant("ann", (), 1, 10.0, 20.0)])
-    assert not brim.counted(name, 1.0, 7.0, 0.08)  # a larger quota, and what was spent stays spent
+    buckets.update_quotas([Tenant("ann", (), 1, 10.0, 20.0)])
+    assert not buckets.record(
+        name, 1.0, 7.0, 0.08
+    )  # a larger quota, and what was spent stays spent
     # a counter that has just come to count
-    assert not brim.counted(name, 9.0, 17.0, 0.09, whole=False)
-    assert not brim.counted(other, 500.0, 500.0, 0.1)  # unlimited
+    assert not buckets.record(name, 9.0, 17.0, 0.09, is_complete=False)
+    assert not buckets.record(other, 500.0, 500.0, 0.1)  # unlimited
     # at its rate
-    assert not any(brim.counted(name, 1.0, 8.0 + n, 1.0 + 0.1 * n) for n in range(50))
+    assert not any(buckets.record(name, 1.0, 8.0 + n, 1.0 + 0.1 * n) for n in range(50))
 
 
 @pytest.mark.parametrize(
@@ -134,8 +140,8 @@
     ],
 )
 def test_calls_from_outside_are_found_by_a_tree_of_matchers(what, target, found):
-    tree = path({"/api/rpc": method({"POST": query("call", {"x": "x"})})})
-    assert tree.match(Asked.of(what, target)) == found
+    tree = match_path({"/api/rpc": match_method({"POST": match_query("call", {"x": "x"})})})
+    assert tree.match(HttpCall.parse(what, target)) == found
 
 
 def test_the_use_of_a_server_is_what_the_registries_say_together():
--- a/tests/store/test_counting_lease.py
+++ b/tests/store/test_counting_lease.py
@@ -11,6 +11,7 @@
 
 from loomstand.admission.actions import IncrementCounter
 from loomstand.admission.outcome import Outcome
+from loomstand.rpc.messages.quota_messages import IncrementRequest
 from loomstand.store.counting_lease import CountingLease
 from loomstand.store.replica import LEASE
 from loomstand.testing.simulation.cluster import Cluster
@@ -126,9 +127,12 @@
     core.sky.slow[ip] = 0.09
 
     async def ask() -> None:
-        sent, registry.holding.until = registry.clock(), 0.0
-        assert await registry.claim((store.host, registry.settings.store_address(ip)[1]))
-        assert registry.clock() > sent + 0.3 and sent < registry.holding.until <= sent + LEASE
+        sent, registry.counting.lease.expires_at = registry.context.clock(), 0.0
+        assert await registry.counting.request_lease(
+            (store.host, registry.context.settings.store_address(ip)[1])
+        )
+        assert registry.context.clock() > sent + 0.3
+        assert sent < registry.counting.lease.expires_at <= sent + LEASE
 
     core.do(ask())
     core.close()
@@ -163,10 +167,17 @@
 # --- the duty and the store come apart
 
 
+def is_current(town: Cluster, ip: str) -> bool:
+    """Whether a registry knows that the configuration it holds is the newest."""
+    registry = town.registry(ip)
+    return registry.state.configuration.is_current(registry.context.clock())
+
+
 async def kept(town: Cluster, step: float = 0.0) -> float:
     """Adds to a sum at the registry that counts; the total."""
-    said = await town.registry(town.counting()).count({"name": 7, "step": step, "keep": 60.0})
-    return said["total"]
+    request = IncrementRequest(counter_name=7, step=step, keep_seconds=60.0)
+    said = await town.registry(town.counting()).counting.handle_increment(request)
+    return said.total
 
 
 @pytest.mark.parametrize(("down", "takes"), [(0.2, 1.0), (6.0, 3.0)], ids=["restart", "takeover"])
@@ -253,8 +264,8 @@
     async def day() -> None:
         begun = town.loop.time()
         while town.loop.time() < begun + 6.0:
-            assert all(town.registry(ip).sure for ip in rest)
-            assert town.loop.time() < begun + 1.6 or not any(town.registry(ip).sure for ip in few)
+            assert all(is_current(town, ip) for ip in rest)
+            assert town.loop.time() < begun + 1.6 or not any(is_current(town, ip) for ip in few)
             await asyncio.sleep(0.05)
 
     town.do(day())
--- a/tests/store/test_first_start.py
+++ b/tests/store/test_first_start.py
@@ -49,7 +49,9 @@
     town.wait(1.5)
     assert sum(town.serves(ip) for ip in town.core_ips) == 1  # nobody founded another
     assert len(town.counters()) == 1
-    assert all(sorted(town.registry(ip).cores) == town.core_ips for ip in town.core_ips)
+    assert all(
+        sorted(town.registry(ip).context.core_hosts) == town.core_ips for ip in town.core_ips
+    )
     assert not town.book.faults
 
 
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -24,8 +24,9 @@
     parse_configuration,
 )
 from loomstand.proxy import sessions
-from loomstand.registry import program
-from loomstand.registry.process import MOST_BODY
+from loomstand.registry import operator_api
+from loomstand.registry.process import MAX_BODY_BYTES
+from loomstand.registry.store_client import StoreClient
 from loomstand.rpc.errors import CallFailure
 from loomstand.rpc.frames import FrameDecoder as Frames
 from loomstand.rpc.frames import encode_frame
@@ -297,14 +298,14 @@
 
 
 def test_thousands_of_routes_are_acknowledged_packed_and_in_force(monkeypatch):
-    sent, answered = [], program.Registry.fetch
+    sent, answered = [], StoreClient.handle_configuration
 
     async def fetch(self, said):
         answer = await answered(self, said)
-        sent.append(len(answer.get("z", answer.get("data", b""))))
+        sent.append(len(answer.compressed_data or answer.data or b""))
         return answer
 
-    monkeypatch.setattr(program.Registry, "fetch", fetch)
+    monkeypatch.setattr(StoreClient, "handle_configuration", fetch)
     town = Cluster(6, proxies=2)
     town.do(town.begin())
     for n in range(3000):
@@ -316,7 +317,7 @@
     size = len(town.versions[town.version])
     assert size > 700_000 and max(sent) < size / 10
     assert town.do(town.operator.read()) == town.versions[town.version]
-    large = town.do(town.operator.call("configuration.replace", b" " * (MOST_BODY + 1), 5.0))
+    large = town.do(town.operator.call("configuration.replace", b" " * (MAX_BODY_BYTES + 1), 5.0))
     assert large.status == 413 and b"long" in large.body
     town.close()
 
@@ -329,16 +330,18 @@
 
     async def at_once() -> list[int]:
         calls = (
-            registry.outside(b"POST", b"/api/rpc?call=configuration.replace", o) for o in orders
+            registry.handle_http(b"POST", b"/api/rpc?call=configuration.replace", o) for o in orders
         )
         return sorted(status for status, _ in await asyncio.gather(*calls))
 
-    assert town.do(at_once()) == [200] * 8 and registry.in_hand == 0
-    monkeypatch.setattr(program, "IN_HAND", 3 * len(orders[0]) + 3)
-    assert town.do(at_once()) == [200] * 3 + [503] * 5 and registry.in_hand == 0
-    monkeypatch.setattr(program, "IN_HAND", 10)  # one that is larger by itself is taken, too
+    assert town.do(at_once()) == [200] * 8 and registry.operator_api.pending_bytes == 0
+    monkeypatch.setattr(operator_api, "MAX_PENDING_BYTES", 3 * len(orders[0]) + 3)
+    assert town.do(at_once()) == [200] * 3 + [503] * 5 and registry.operator_api.pending_bytes == 0
+    monkeypatch.setattr(
+        operator_api, "MAX_PENDING_BYTES", 10
+    )  # one that is larger by itself is taken, too
     assert (
-        town.do(registry.outside(b"POST", b"/api/rpc?call=configuration.replace", orders[7]))[0]
+        town.do(registry.handle_http(b"POST", b"/api/rpc?call=configuration.replace", orders[7]))[0]
         == 200
     )
     town.close()
@@ -350,7 +353,7 @@
 
 
 def test_the_largest_body_fits_into_a_frame_and_on_the_disk(tmp_path, monkeypatch):
-    raw = os.urandom(MOST_BODY)
+    raw = os.urandom(MAX_BODY_BYTES)
     frame = encode_frame(
         [1, "keep", {"version": 2**62, "data": raw, "orders": [[2**62] * KEPT, b"12345678" * KEPT]}]
     )
@@ -361,7 +364,7 @@
         with asyncio.Runner() as runner:
             try:
                 for _ in range(24):
-                    size = rng.choice((7000, rng.randrange(MOST_BODY), MOST_BODY))
+                    size = rng.choice((7000, rng.randrange(MAX_BODY_BYTES), MAX_BODY_BYTES))
                     runner.run(made.save({"configuration": raw[:size], "orders": raw[: 12 * KEPT]}))
                     runner.run(made.save({"vote": raw[:300]}))
                 assert len(runner.run(made.load())["configuration"]) == size
@@ -370,6 +373,6 @@
         return (tmp_path / folder / "data.mdb").stat().st_size
 
     assert write("one") < 64 << 20
-    monkeypatch.setattr(disk, "SIZE", 2 * MOST_BODY)
+    monkeypatch.setattr(disk, "SIZE", 2 * MAX_BODY_BYTES)
     with pytest.raises(OSError, match="MAP_FULL"):
         write("other")
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from loomstand.registry import program
+from loomstand.registry import store_client
+from loomstand.registry.held_configuration import HeldConfiguration
 from loomstand.store import freshness
 from loomstand.store.program import Store
 from loomstand.testing.simulation.cluster import CONTROL, Cluster
@@ -90,13 +91,14 @@
 def test_a_registry_that_froze_is_sure_of_nothing_that_it_heard_before(plane):
     ip = plane.core_ips[0]
     registry = plane.registry(ip)
-    assert registry.sure
+    clock, configuration = registry.context.clock, registry.state.configuration
+    assert configuration.is_current(clock())
     plane.registries[ip].freeze()
-    plane.wait(program.WAITS + program.KNOWN)
-    assert not registry.sure
+    plane.wait(store_client.WAIT_SECONDS + store_client.REPORT_LIFETIME_SECONDS)
+    assert not configuration.is_current(clock())
     plane.do(thaw(plane.registries[ip]))
     plane.wait(0.5)
-    assert registry.sure
+    assert configuration.is_current(clock())
 
 
 # --- cuts
@@ -180,7 +182,7 @@
 ):
     ready, held, newest, back = started_behind_a_cut()
     assert 3.0 <= ready <= 4.1 and held < newest and back < 2.0
-    monkeypatch.setattr(program.Registry, "sure", property(lambda self: True))
+    monkeypatch.setattr(HeldConfiguration, "is_current", lambda self, now: True)
     ready, held, newest, _ = started_behind_a_cut()
     assert ready < 1.0 and held < newest
 
--- a/tests/system/test_scale_run.py
+++ b/tests/system/test_scale_run.py
@@ -208,9 +208,9 @@
     """
 
     class All(LimiterTable):
-        def spoke(self, name: str, now: float) -> None:
-            self.own[name] = self.seen[name] = now
-            self.sweep(now)
+        def record_call(self, name: str, now: float) -> None:
+            self.last_call_at[name] = self.last_seen_at[name] = now
+            self.expire(now)
 
     rng, fell = Random(5), 0
     for _ in range(40):
@@ -223,44 +223,44 @@
         for _ in range(300):
             now += rng.expovariate(rng.choice((1.0, 8.0, 30.0)))
             name, what = rng.choice(names[: rng.randint(1, len(names))]), rng.random()
-            heard, before = now - rng.uniform(0.0, 3.0), len(table.missing)
+            heard, before = now - rng.uniform(0.0, 3.0), len(table.silent)
             for one in (table, every):
                 if what < 0.8:
-                    one.spoke(name, now)
+                    one.record_call(name, now)
                 elif what < 0.9:
-                    one.told(name, heard, now)
+                    one.record_report(name, heard, now)
                 elif what < 0.95:
-                    one.ended(name, now)
+                    one.deregister(name, now)
                 else:
-                    one.sweep(now)
-            fell += len(table.missing) > before
-            assert (table.present, table.missing, table.ranks, table.version) == (
+                    one.expire(now)
+            fell += len(table.silent) > before
+            assert (table.present, table.silent, table.ranks, table.revision) == (
                 every.present,
-                every.missing,
+                every.silent,
                 every.ranks,
-                every.version,
+                every.revision,
             )
     assert fell > 100
     table = LimiterTable()  # one that others told of stands longer than one that speaks
-    table.told("a", 0.0, 0.0)
-    table.told("b", 0.0, 0.0)
-    table.spoke("a", 0.1)
-    table.spoke("b", 1.5)
-    assert (table.present, table.missing) == (("b",), ("a",))
+    table.record_report("a", 0.0, 0.0)
+    table.record_report("b", 0.0, 0.0)
+    table.record_call("a", 0.1)
+    table.record_call("b", 1.5)
+    assert (table.present, table.silent) == (("b",), ("a",))
 
 
 def test_a_limiter_that_speaks_costs_no_look_at_all_others(monkeypatch: pytest.MonkeyPatch) -> None:
     table, looks = LimiterTable(), 0
     for n in range(300):
-        table.spoke(f"f-{n}", 0.6 * n / 300)
-    known = LimiterTable.sweep
+        table.record_call(f"f-{n}", 0.6 * n / 300)
+    known = LimiterTable.expire
 
     def counted(table: LimiterTable, now: float) -> None:
         nonlocal looks
         looks += 1
         known(table, now)
 
-    monkeypatch.setattr(LimiterTable, "sweep", counted)
+    monkeypatch.setattr(LimiterTable, "expire", counted)
     for step in range(300 * 20):  # twelve seconds of asks each 0.6 s
-        table.spoke(f"f-{step % 300}", 0.6 + 0.6 * step / 300)
+        table.record_call(f"f-{step % 300}", 0.6 + 0.6 * step / 300)
     assert len(table.present) == 300 and looks <= 30
--- a/tests/testing/simulation/test_bounds.py
+++ b/tests/testing/simulation/test_bounds.py
@@ -212,7 +212,7 @@
     tests/test_quota_grants.py).
     """
     if not held:
-        monkeypatch.setattr(limiters, "HELD", limiters.STANDS)
+        monkeypatch.setattr(limiters, "PLACE_RETENTION_SECONDS", limiters.SESSION_TIMEOUT_SECONDS)
         monkeypatch.setattr(QuotaCredits, "may", lambda *_: True)
     history, bounds = Parted(5, Setup(limiters=8, length=11.0, servers=3)).play()
     quota = {figure.name: figure for figure in judge(history, bounds)}[Q]
@@ -245,7 +245,7 @@
     """A drawn day in which the duty to count moves while a tenant is hot."""
     if not known:
         monkeypatch.setattr(Added, "added", lambda *_: 0.0)
-        monkeypatch.setattr(counters, "YOUNG", 0.0)
+        monkeypatch.setattr(counters, "INCOMPLETE_SECONDS", 0.0)
         monkeypatch.setattr(QuotaCredits, "may", lambda *_: True)
     history, bounds = Day(1072, Setup(length=6.0)).play()
     quota = {figure.name: figure for figure in judge(history, bounds)}[Q]
