--- a/loomstand/registry/__init__.py
+++ b/loomstand/registry/__init__.py
@@ -12,7 +12,7 @@
 - `quota_grants`: credits granted to limiters ahead of use
 - `counting_lease`: whether this registry counts, and whom it asks for that
 - `shared_clock`: the clock that names the intervals of counts
-- `held_configuration`: the newest configuration that this registry knows
+- `configuration_cache`: the newest configuration that this registry knows
 - `http_routing`: which handler an HTTP call is for
 
 Modules that call other programs or wait, joined by `program`:
--- a/loomstand/registry/held_configuration.py
+++ b/loomstand/registry/configuration_cache.py
@@ -1,4 +1,4 @@
-"""The newest configuration that a registry knows.
+"""The newest configuration that a registry knows, in memory.
 
 Pure: the clock's reading is given, in seconds.
 """
@@ -19,7 +19,7 @@
 STARTUP_SECONDS = 3.0
 
 
-class HeldConfiguration:
+class ConfigurationCache:
     """The configuration held, its bytes and what was read of them.
 
     Attributes:
--- a/loomstand/registry/context.py
+++ b/loomstand/registry/context.py
@@ -10,7 +10,7 @@
 
 from loomstand.config.settings import Settings
 from loomstand.registry.change_notifier import ChangeNotifier
-from loomstand.registry.held_configuration import HeldConfiguration
+from loomstand.registry.configuration_cache import ConfigurationCache
 from loomstand.registry.instances import InstanceTable
 from loomstand.registry.limiters import LimiterTable
 from loomstand.registry.shared_clock import SharedClock
@@ -101,4 +101,4 @@
     instances: InstanceTable
     limiters: LimiterTable
     shared_clock: SharedClock
-    configuration: HeldConfiguration
+    configuration: ConfigurationCache
--- a/loomstand/registry/counting_lease.py
+++ b/loomstand/registry/counting_lease.py
@@ -75,8 +75,8 @@
 
         Args:
             now: The clock's reading.
-            primary: Address of the store's primary, if it was told.
-            row: The newest term, if it was told.
+            primary: Address of the store's primary, if the sender knows it.
+            row: The newest term, if the sender knows it.
 
         Returns:
             Whether limiters need to hear of it.
--- a/loomstand/registry/counting_service.py
+++ b/loomstand/registry/counting_service.py
@@ -10,10 +10,10 @@
 from collections.abc import Iterable
 
 from loomstand.config.configuration import Tenant
+from loomstand.registry.configuration_cache import STARTUP_SECONDS
 from loomstand.registry.context import RegistryContext, RegistryState
 from loomstand.registry.counters import Counters
 from loomstand.registry.counting_lease import CountingLease
-from loomstand.registry.held_configuration import STARTUP_SECONDS
 from loomstand.registry.quota_buckets import INTERVAL_SLOT_BITS, QuotaBuckets
 from loomstand.registry.quota_grants import QuotaGrants
 from loomstand.rpc.client import call
@@ -35,7 +35,7 @@
 # Bits of the numbers drawn for the lease and for each term of the counters.
 INCARNATION_BITS = 32
 COUNTERS_TERM_BITS = 24
-# What a limiter is told whose call isn't for this registry.
+# The refusal of a limiter's call that isn't for this registry.
 NOT_COUNTING = "another counts"
 
 
@@ -206,7 +206,7 @@
 
     async def _release_lease(self) -> None:
         request = self.lease.release()
-        # all of them: where the whole machine leaves, another store is just becoming primary
+        # all of them: where the machine shuts down, another store is just becoming primary
         releases = (
             call(self._context.network, store, request, Acknowledgement, LEASE_TIMEOUT_SECONDS)
             for store in self._context.stores()
--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -110,7 +110,7 @@
         silent_after_seconds: How long after its last heartbeat a server counts as silent.
         revision: Grows with every change that limiters must hear of.
         by_id: The servers.
-        last_heard_at: By id, when a server last called any registry.
+        last_heartbeat_at: By id, when a server last called any registry.
         id_by_address: By address, the server that has it.
     """
 
@@ -118,32 +118,32 @@
         self.silent_after_seconds = MAX_MISSED_HEARTBEATS * heartbeat_seconds
         self.revision = 0
         self.by_id: dict[str, Instance] = {}
-        self.last_heard_at: dict[str, float] = {}
+        self.last_heartbeat_at: dict[str, float] = {}
         self.id_by_address: dict[str, str] = {}
 
-    def apply(self, instance: Instance, heard_at: float) -> bool:
+    def apply(self, instance: Instance, heartbeat_at: float) -> bool:
         """A server called, or another registry tells of it.
 
         Returns:
             Whether limiters must hear of what changed.
         """
-        known = self.by_id.get(instance.id)
-        if known is not None and instance.sequence <= known.sequence:
+        current = self.by_id.get(instance.id)
+        if current is not None and instance.sequence <= current.sequence:
             return False  # a late call
         if instance.state != SILENT:
-            self._record_heard(instance.id, heard_at)
-        if known is not None and not instance.differs(known):
+            self._record_heartbeat_time(instance.id, heartbeat_at)
+        if current is not None and not instance.differs(current):
             # the sequence alone is kept, so that a late call is recognised
-            self.by_id[instance.id] = replace(known, sequence=instance.sequence)
+            self.by_id[instance.id] = replace(current, sequence=instance.sequence)
             return False
         self.revision += 1
         self.by_id[instance.id] = replace(instance, changed_in=self.revision)
         self._assign_address(instance)
         return True
 
-    def _record_heard(self, instance_id: str, heard_at: float) -> None:
-        self.last_heard_at[instance_id] = max(
-            self.last_heard_at.get(instance_id, heard_at), heard_at
+    def _record_heartbeat_time(self, instance_id: str, heartbeat_at: float) -> None:
+        self.last_heartbeat_at[instance_id] = max(
+            self.last_heartbeat_at.get(instance_id, heartbeat_at), heartbeat_at
         )
 
     def _assign_address(self, instance: Instance) -> None:
@@ -161,29 +161,29 @@
         Returns:
             Whether limiters must hear of it.
         """
-        known = self.by_id.get(instance_id)
-        if known is None or known.state == GONE:
+        current = self.by_id.get(instance_id)
+        if current is None or current.state == GONE:
             return False
-        gone = replace(known, state=GONE, sequence=GONE_SEQUENCE)
-        return self.apply(gone, self.last_heard_at.get(instance_id, 0.0))
+        gone = replace(current, state=GONE, sequence=GONE_SEQUENCE)
+        return self.apply(gone, self.last_heartbeat_at.get(instance_id, 0.0))
 
-    def apply_heartbeat(self, instance_id: str, sequence: int, heard_at: float) -> bool:
+    def apply_heartbeat(self, instance_id: str, sequence: int, heartbeat_at: float) -> bool:
         """Another registry heard a heartbeat.
 
         Returns:
             Whether that is all this table needs; else the server isn't known here, or as silent,
             and its row is needed.
         """
-        known = self.by_id.get(instance_id)
-        if known is None:
+        current = self.by_id.get(instance_id)
+        if current is None:
             return False
-        if known.state == GONE:
+        if current.state == GONE:
             return True
-        if sequence > known.sequence:
-            if known.state == SILENT:
+        if sequence > current.sequence:
+            if current.state == SILENT:
                 return False
-            self.by_id[instance_id] = replace(known, sequence=sequence)
-        self._record_heard(instance_id, heard_at)
+            self.by_id[instance_id] = replace(current, sequence=sequence)
+        self._record_heartbeat_time(instance_id, heartbeat_at)
         return True
 
     def expire(self, now: float) -> bool:
@@ -198,17 +198,17 @@
         return self.revision > revision_before
 
     def _expire_instance(self, instance: Instance, now: float) -> None:
-        quiet_seconds = now - self.last_heard_at.get(instance.id, now)
+        age_seconds = now - self.last_heartbeat_at.get(instance.id, now)
         if instance.state == GONE:
-            if quiet_seconds > GONE_RETENTION_SECONDS:
+            if age_seconds > GONE_RETENTION_SECONDS:
                 del self.by_id[instance.id]
-                self.last_heard_at.pop(instance.id, None)
-        elif instance.state == DRAINING and quiet_seconds > 2 * self.silent_after_seconds:
+                self.last_heartbeat_at.pop(instance.id, None)
+        elif instance.state == DRAINING and age_seconds > 2 * self.silent_after_seconds:
             self.mark_gone(instance.id)
-        elif instance.state == READY and quiet_seconds > self.silent_after_seconds:
+        elif instance.state == READY and age_seconds > self.silent_after_seconds:
             self.revision += 1
             self.by_id[instance.id] = replace(instance, state=SILENT, changed_in=self.revision)
-        elif instance.state == SILENT and quiet_seconds > GONE_RETENTION_SECONDS:
+        elif instance.state == SILENT and age_seconds > GONE_RETENTION_SECONDS:
             self.mark_gone(instance.id)
 
     def changed_since(self, revision: int, now: float) -> list[InstanceRow]:
@@ -230,7 +230,7 @@
     def ages(self, instance_ids: Iterable[str], now: float) -> dict[str, float]:
         """Returns by id the seconds since these servers were heard."""
         return {
-            instance_id: now - self.last_heard_at.get(instance_id, now)
+            instance_id: now - self.last_heartbeat_at.get(instance_id, now)
             for instance_id in instance_ids
         }
 
--- a/loomstand/registry/operator_api.py
+++ b/loomstand/registry/operator_api.py
@@ -90,8 +90,8 @@
 
     async def handle_read(self, _call: HttpCall, _body: bytes) -> HttpAnswer:
         """Returns the committed configuration."""
-        held_bytes = len(self._state.configuration.data)
-        timeout_seconds = READ_TIMEOUT_SECONDS + transfer_seconds(held_bytes)
+        size_bytes = len(self._state.configuration.data)
+        timeout_seconds = READ_TIMEOUT_SECONDS + transfer_seconds(size_bytes)
         result = await self._store_client.forward(ReadRequest(), ReadResponse, timeout_seconds)
         if result.is_ok() and result.ok.data:
             return HttpAnswer(HTTPStatus.OK, result.ok.data)
@@ -113,7 +113,7 @@
             ),
             counting=CountingStatus(
                 holder=lease.last_holder or None,
-                is_here=lease_left_seconds > 0,
+                is_local=lease_left_seconds > 0,
                 lease_left=f"{round(MILLISECONDS_PER_SECOND * lease_left_seconds)}ms",
             ),
             limiters=LimiterStatus(
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -8,11 +8,13 @@
 from http import HTTPStatus
 from random import Random
 
+from absl import logging
+
 from loomstand.config.settings import Settings
 from loomstand.registry.change_notifier import ChangeNotifier
+from loomstand.registry.configuration_cache import ConfigurationCache
 from loomstand.registry.context import RegistryContext, RegistryState
 from loomstand.registry.counting_service import CountingService
-from loomstand.registry.held_configuration import HeldConfiguration
 from loomstand.registry.http_answers import BadRequestError, HttpAnswer, error_answer
 from loomstand.registry.http_routing import (
     HttpCall,
@@ -85,7 +87,7 @@
             instances=InstanceTable(settings.heartbeat_seconds),
             limiters=LimiterTable(),
             shared_clock=SharedClock(time_of_day - now),
-            configuration=HeldConfiguration(now),
+            configuration=ConfigurationCache(now),
         )
         session_numbers = SessionNumbers(rng)
         self.counting = CountingService(self.context, self.state)
@@ -148,6 +150,13 @@
         self.context.notifier.close()
         self.counting.stop()
 
+    def reload(self, settings: Settings) -> None:
+        """The settings file has changed: a registry reads it at its start alone.
+
+        The seeds are where it begins; the core machines come from the store afterwards.
+        """
+        logging.info("registry: settings_changed node=%s applies=next_start", settings.node_name)
+
     async def handle_http(self, method: bytes, target: bytes, body: bytes) -> HttpAnswer:
         """Answers a call of a server or an operator."""
         call = HttpCall.parse(method, target)
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -13,6 +13,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from math import inf
+from typing import NamedTuple
 
 from loomstand.admission.identifiers import stable_digest
 from loomstand.config.configuration import Tenant
@@ -39,7 +40,7 @@
 INITIAL_LEEWAY_SHARE = 0.3
 # Of a bucket at most this share is held ahead, so that bursts at one limiter find some free: with
 # all of it a tenant at 25 requests a second of 40 had one in 200 refused.
-MAX_HELD_SHARE = 0.6
+MAX_OUTSTANDING_SHARE = 0.6
 # Buckets of less than so many credits a limiter can't be shared out ahead: such a tenant's are
 # *open* while they are less than half full, and each limiter admits one request before it tells.
 MIN_CREDITS_PER_LIMITER = 1.5
@@ -69,7 +70,7 @@
         level: Requests charged and not leaked; never under what is held at limiters, as that may be
             used at any time.
         updated_at: When the level was right, in the time by which buckets leak.
-        held: By limiter, the credits that it holds.
+        outstanding: By limiter, the credits that it holds.
     """
 
     rate: float
@@ -77,7 +78,7 @@
     initial_level: float
     level: float
     updated_at: float
-    held: dict[str, float] = field(default_factory=dict)
+    outstanding: dict[str, float] = field(default_factory=dict)
 
     def leak(self, leak_time: float, unreported: float = 0.0, inherited: float = 0.0) -> None:
         """Leaks up to a time, but not below what limiters may have.
@@ -88,13 +89,28 @@
             inherited: What may be left of an earlier counter's grants, which was in the level from
                 the first on.
         """
-        floor = min(self.depth, sum(self.held.values()) + unreported)
+        floor = min(self.depth, sum(self.outstanding.values()) + unreported)
         leaked_level = self.level - self.rate * (leak_time - self.updated_at)
         level = max(leaked_level, min(self.level, floor + inherited))
         self.level = max(level, floor)
         self.updated_at = leak_time
 
 
+class UnreportedCredits(NamedTuple):
+    """What limiters may hold that the counter doesn't hear.
+
+    Attributes:
+        shares: Of the shares that isolated limiters take.
+        inherited: Of an earlier counter's grants, at first.
+    """
+
+    shares: float
+    inherited: float
+
+
+NO_UNREPORTED_CREDITS = UnreportedCredits(0.0, 0.0)
+
+
 @dataclass(slots=True)
 class CallingLimiter:
     """A limiter that calls for credits.
@@ -152,7 +168,7 @@
         self.updated_at = now
         self.began_at = now
         for bucket in self.buckets.values():
-            bucket.held = {}
+            bucket.outstanding = {}
             bucket.level = 0.0 if is_unused else bucket.initial_level
             bucket.updated_at = self.leak_time
 
@@ -191,12 +207,12 @@
         bucket.level = min(bucket.level, depth)
         return bucket
 
-    def advance(self, now: float, known_limiters: Iterable[str]) -> None:
+    def advance(self, now: float, limiter_names: Iterable[str]) -> None:
         """Moves the time by which buckets leak: by the rate less what isolated limiters may take.
 
         Args:
             now: The clock's reading.
-            known_limiters: Names of the limiters with a place; callers count beside them.
+            limiter_names: Names of the limiters with a place; callers count beside them.
         """
         elapsed = max(0.0, now - self.updated_at)
         all_isolated = max(0.0, elapsed - ISOLATION_SECONDS)  # nobody called for so long
@@ -204,7 +220,7 @@
         self.leak_time += (
             self.leak_factor * (elapsed - all_isolated) + isolated_factor * all_isolated
         )
-        names = {*known_limiters, *self.callers}
+        names = {*limiter_names, *self.callers}
         self.isolated_count = sum(self._is_isolated(name, now) for name in names)
         self.limiter_count = max(1, len(names))
         self.updated_at = now
@@ -214,20 +230,17 @@
         caller = self.callers.get(name)
         return caller is None or now - caller.last_connected_at > ISOLATION_SECONDS
 
-    def unreported(self, bucket: CreditBucket) -> tuple[float, float]:
+    def unreported(self, bucket: CreditBucket) -> UnreportedCredits:
         """Returns what limiters may hold that this counter doesn't hear.
 
         Of quotas too small to share out it would be all, and is left out.
-
-        Returns:
-            What is of their own shares, and at first what is of the counter before.
         """
         if not self.isolated_count or self.is_small(bucket):
-            return 0.0, 0.0
+            return NO_UNREPORTED_CREDITS
         is_new = self.updated_at - self.began_at < CREDIT_RESERVATION_SECONDS
         inherited = self.isolated_count * bucket.depth / self.limiter_count if is_new else 0.0
         share = ISOLATED_SHARE * bucket.rate / self.limiter_count
-        return self.isolated_count * max(1.0, share), inherited
+        return UnreportedCredits(self.isolated_count * max(1.0, share), inherited)
 
     def is_small(self, bucket: CreditBucket) -> bool:
         """Returns whether a bucket can't be shared out ahead."""
@@ -240,16 +253,16 @@
 
     def _release_credits(self, limiter_name: str) -> None:
         for bucket in self.buckets.values():
-            bucket.held.pop(limiter_name, None)
+            bucket.outstanding.pop(limiter_name, None)
 
-    def expire(self, now: float, known_limiters: Iterable[str]) -> None:
+    def expire(self, now: float, limiter_names: Iterable[str]) -> None:
         """Drops what limiters held that called long ago, and those that nobody knows any more."""
-        known_names = {*known_limiters}
+        names = {*limiter_names}
         for name, caller in list(self.callers.items()):
             if now - caller.last_call_at <= CREDIT_RESERVATION_SECONDS:
                 continue
             self._release_credits(name)
-            if name not in known_names:
+            if name not in names:
                 del self.callers[name]
 
     def handle_request(self, request: CreditRequest, now: float) -> list[CreditGrantRow] | None:
@@ -281,8 +294,8 @@
         self, bucket: CreditBucket, limiter_name: str, demand: CreditDemandRow
     ) -> CreditGrantRow:
         bucket.leak(self.leak_time, *self.unreported(bucket))
-        bucket.held[limiter_name] = demand.held
-        bucket.level = max(bucket.level + demand.spent, sum(bucket.held.values()))
+        bucket.outstanding[limiter_name] = demand.held
+        bucket.level = max(bucket.level + demand.spent, sum(bucket.outstanding.values()))
         if self.is_small(bucket) and bucket.level < self.closing_level(bucket):
             return CreditGrantRow(demand.tenant, 0.0, 1)
         return CreditGrantRow(demand.tenant, self.grant(bucket, limiter_name, demand), 0)
@@ -313,14 +326,16 @@
         """
         held, wanted = demand.held, demand.wanted
         free = bucket.depth - bucket.level
-        max_held = MAX_HELD_SHARE * bucket.depth
-        is_settled = self.updated_at - self.began_at > CREDIT_RESERVATION_SECONDS
-        may_have = bool(demand.is_active) or free >= bucket.depth / 2 or (held < 1 and is_settled)
+        max_outstanding = MAX_OUTSTANDING_SHARE * bucket.depth
+        is_established = self.updated_at - self.began_at > CREDIT_RESERVATION_SECONDS
+        may_have = (
+            bool(demand.is_active) or free >= bucket.depth / 2 or (held < 1 and is_established)
+        )
         if free < 1 or not may_have or (held >= 1 and free < bucket.depth / SCARCE_DIVISOR):
             return 0.0
-        if held >= 1 and sum(bucket.held.values()) > max_held:
-            wanted = max(0.0, min(wanted, max_held / self.limiter_count - held))
+        if held >= 1 and sum(bucket.outstanding.values()) > max_outstanding:
+            wanted = max(0.0, min(wanted, max_outstanding / self.limiter_count - held))
         granted = float(int(min(wanted, max(1.0, 2 * free / self.limiter_count))))
-        bucket.held[limiter_name] = held + granted
+        bucket.outstanding[limiter_name] = held + granted
         bucket.level += granted
         return granted
--- a/loomstand/registry/replication.py
+++ b/loomstand/registry/replication.py
@@ -51,9 +51,9 @@
         self._shared_clock = state.shared_clock
         self._counting = counting
         # by id, the sequence of the servers that called here since the last round
-        self._heard_sequences: dict[str, int] = {}
-        # By registry, the servers that it wasn't told of, as where it was cut off: it is told in
-        # the next rounds.
+        self._unsent_sequences: dict[str, int] = {}
+        # By registry, the servers that it hasn't acknowledged, as where it was cut off: they go
+        # with the next rounds.
         self._pending: dict[Address, set[str]] = {}
 
     # calls of other registries
@@ -86,7 +86,7 @@
         now = self._context.clock()
         return SnapshotResponse(
             instances=self._instances.changed_since(0, now),
-            instance_ages=self._instances.ages(self._instances.last_heard_at, now),
+            instance_ages=self._instances.ages(self._instances.last_heartbeat_at, now),
             clock_seconds=self._shared_clock.read(now),
             is_clock_known=self._shared_clock.is_known,
         )
@@ -108,8 +108,8 @@
 
     def record_heartbeat(self, instance: Instance) -> None:
         """A server called here: the others hear of it in the next round."""
-        self._heard_sequences[instance.id] = max(
-            instance.sequence, self._heard_sequences.get(instance.id, 0)
+        self._unsent_sequences[instance.id] = max(
+            instance.sequence, self._unsent_sequences.get(instance.id, 0)
         )
 
     async def broadcast(self, instance_id: str, timeout_seconds: float) -> None:
@@ -163,7 +163,7 @@
             await asyncio.sleep(GOSSIP_SECONDS)
             now = self._context.clock()
             self._expire(now)
-            request = self._round_request(now)
+            request = self._gossip_request(now)
             registries = self._context.other_registries()
             self._pending = {
                 registry: self._pending[registry]
@@ -182,9 +182,9 @@
         if self._shared_clock.has_stepped_lately(now):
             self._notifier.notify_facts()
 
-    def _round_request(self, now: float) -> GossipRequest:
-        sequences = self._heard_sequences
-        self._heard_sequences = {}
+    def _gossip_request(self, now: float) -> GossipRequest:
+        sequences = self._unsent_sequences
+        self._unsent_sequences = {}
         ages = self._instances.ages(sequences, now)
         return GossipRequest(
             heard_instances={
--- a/loomstand/registry/server_heartbeats.py
+++ b/loomstand/registry/server_heartbeats.py
@@ -19,6 +19,7 @@
         self.field = "body"
 
     def read(self, instance_id: str, body: bytes, now: float) -> Instance:
+        """Reads a heartbeat; whatever error comes is that of `field`."""
         heartbeat = json.loads(body)
         self.field = "address"
         address = str(heartbeat["address"])
--- a/loomstand/registry/store_client.py
+++ b/loomstand/registry/store_client.py
@@ -126,7 +126,7 @@
 
     async def run(self) -> None:
         """Waits at the store for changes of its status and of the configuration."""
-        heard_at = self._context.clock()
+        answered_at = self._context.clock()
         known_revision = 0
         while not self._context.is_stopping:
             sent_at = self._context.clock()
@@ -143,11 +143,11 @@
                 REPORT_LIFETIME_SECONDS,
             )
             if result.is_ok():
-                heard_at = sent_at
+                answered_at = sent_at
                 known_revision = result.ok.revision
                 self._apply_status(result.ok, sent_at)
                 continue
-            self._expire_report(heard_at)
+            self._expire_report(answered_at)
             await asyncio.sleep(RETRY_SECONDS)
 
     def close(self) -> None:
@@ -155,9 +155,9 @@
         if self._quota_timer is not None:
             self._quota_timer.cancel()
 
-    def _expire_report(self, heard_at: float) -> None:
+    def _expire_report(self, answered_at: float) -> None:
         """The store doesn't answer: it may be cut off, as far as is known here."""
-        is_silent = self._context.clock() - heard_at >= REPORT_LIFETIME_SECONDS
+        is_silent = self._context.clock() - answered_at >= REPORT_LIFETIME_SECONDS
         if self._configuration.is_reported_current and is_silent:
             self._configuration.is_reported_current = False
             self._notifier.notify_facts()
--- a/loomstand/registry/system_status.py
+++ b/loomstand/registry/system_status.py
@@ -29,12 +29,12 @@
 
     Attributes:
         holder: Host of the registry that counts, if it is known.
-        is_here: Whether the registry that answers counts.
+        is_local: Whether the registry that answers counts.
         lease_left: For how long still, as `914ms`.
     """
 
     holder: str | None = msgspec.field(name="by")
-    is_here: bool = msgspec.field(name="here")
+    is_local: bool = msgspec.field(name="here")
     lease_left: str = msgspec.field(name="left")
 
 
--- a/tests/registry/test_quota_grants.py
+++ b/tests/registry/test_quota_grants.py
@@ -304,7 +304,7 @@
     def afresh(self, tenants, is_counting):
         update_quotas(self, tenants, is_counting)
         for bucket in self.buckets.values():
-            bucket.level = sum(bucket.held.values())
+            bucket.level = sum(bucket.outstanding.values())
 
     monkeypatch.setattr(QuotaGrants, "update_quotas", afresh)
 
@@ -357,17 +357,17 @@
 
 def test_credits_are_void_after_a_while_without_an_answer_and_the_counter_holds_them_longer():
     grants, credits = pair()
-    held = grants.buckets[NAME].held["one"]
+    held = grants.buckets[NAME].outstanding["one"]
     assert held == credits.credits[NAME].left >= 2
     credit = credits.credits[NAME]
     assert [credits.source(credit, t + quota_credits.GOOD) for t in (10.0, 10.1)] == ["left", "own"]
     grants.expire(10.0 + quota_credits.GOOD + 0.5, ["one"])
     assert (
-        grants.buckets[NAME].held["one"] == held
+        grants.buckets[NAME].outstanding["one"] == held
         and quota_grants.CREDIT_RESERVATION_SECONDS > quota_credits.GOOD
     )
     grants.expire(10.1 + quota_grants.CREDIT_RESERVATION_SECONDS, ["one"])
-    assert "one" not in grants.buckets[NAME].held
+    assert "one" not in grants.buckets[NAME].outstanding
     assert credits.call(13.0)[2][0][1] == 0  # it tells that it has none
 
 
@@ -382,7 +382,7 @@
     assert credits.granted(11.0, 11.0, 8, None) and credits.heard == 10.0
     assert credits.call(11.0)[2][0][:2] == [NAME, left]
     call(grants, credits, 11.0)
-    assert grants.buckets[NAME].held["one"] >= left and credits.heard == 11.0
+    assert grants.buckets[NAME].outstanding["one"] >= left and credits.heard == 11.0
 
 
 def test_a_limiter_without_word_takes_a_part_of_the_even_share_and_the_counter_leaves_it():
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -11,7 +11,7 @@
 import pytest
 
 from loomstand.registry import store_client
-from loomstand.registry.held_configuration import HeldConfiguration
+from loomstand.registry.configuration_cache import ConfigurationCache
 from loomstand.store import freshness
 from loomstand.store.program import Store
 from loomstand.testing.simulation.cluster import CONTROL, Cluster
@@ -182,7 +182,7 @@
 ):
     ready, held, newest, back = started_behind_a_cut()
     assert 3.0 <= ready <= 4.1 and held < newest and back < 2.0
-    monkeypatch.setattr(HeldConfiguration, "is_current", lambda self, now: True)
+    monkeypatch.setattr(ConfigurationCache, "is_current", lambda self, now: True)
     ready, held, newest, _ = started_behind_a_cut()
     assert ready < 1.0 and held < newest
 
