--- a/loomstand/registry/counting_lease.py
+++ b/loomstand/registry/counting_lease.py
@@ -18,8 +18,8 @@
 TERM_EXPIRY_SECONDS = 3.0
 # After a request in vain; stores delay a request for as long as nobody serves.
 RETRY_SECONDS = 0.2
-# A renewal of the same holder takes up to so many numbers: another holder takes two, its own and
-# that of its release.
+# By so many numbers a term of this registry's own may be ahead of its former one, in one epoch, if
+# nobody else counted meanwhile: another holder takes two, its own and that of its release.
 MAX_OWN_TERM_STEPS = 3
 
 
