--- a/loomstand/registry/counting_service.py
+++ b/loomstand/registry/counting_service.py
@@ -66,17 +66,15 @@
     async def handle_increment(self, request: IncrementRequest) -> IncrementResponse:
         """A limiter increments a counter."""
         now = self._require_lease()
-        total = self.counters.add(request.counter_name, request.step, request.keep_seconds, now)
-        is_incomplete = self.counters.is_incomplete(now)
-        if self.quota_buckets.record(
-            request.counter_name, request.step, total, now, not is_incomplete
-        ):
+        counters = self.counters
+        name, step = request.counter_name, request.step
+        total = counters.add(name, step, request.keep_seconds, now)
+        is_incomplete = counters.is_incomplete(now)
+        if self.quota_buckets.record(name, step, total, now, not is_incomplete):
             self._notifier.notify()
         if is_incomplete:
-            return IncrementResponse(
-                total=total, counting_term=self.counters.term, is_incomplete=True
-            )
-        return IncrementResponse(total=total, counting_term=self.counters.term)
+            return IncrementResponse(total=total, counting_term=counters.term, is_incomplete=True)
+        return IncrementResponse(total=total, counting_term=counters.term)
 
     async def handle_credits(self, request: CreditRequest) -> CreditResponse:
         """A limiter tells its credits, and asks for more."""
--- a/loomstand/registry/limiter_sessions.py
+++ b/loomstand/registry/limiter_sessions.py
@@ -78,7 +78,10 @@
         if not self._shared_clock.is_known and request.shared_clock:
             clock_seconds = request.shared_clock / TICKS_PER_SECOND
             self._shared_clock.synchronize(clock_seconds, self._context.clock())
-        await self._notifier.wait_until(lambda: self._has_changes(request), SESSION_POLL_SECONDS)
+        if not self._has_changes(request):
+            await self._notifier.wait_until(
+                lambda: self._has_changes(request), SESSION_POLL_SECONDS
+            )
         now = self._context.clock()
         self._limiters.record_call(name, now)
         return self._response(request, name, is_new, now)
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -221,15 +221,15 @@
             self.leak_factor * (elapsed - all_isolated) + isolated_factor * all_isolated
         )
         names = {*limiter_names, *self.callers}
-        self.isolated_count = sum(self._is_isolated(name, now) for name in names)
+        callers = self.callers
+        self.isolated_count = sum(
+            name not in callers or now - callers[name].last_connected_at > ISOLATION_SECONDS
+            for name in names
+        )
         self.limiter_count = max(1, len(names))
         self.updated_at = now
         self.leak_factor = 1.0 - ISOLATED_SHARE * self.isolated_count / self.limiter_count
 
-    def _is_isolated(self, name: str, now: float) -> bool:
-        caller = self.callers.get(name)
-        return caller is None or now - caller.last_connected_at > ISOLATION_SECONDS
-
     def unreported(self, bucket: CreditBucket) -> UnreportedCredits:
         """Returns what limiters may hold that this counter doesn't hear.
 
@@ -326,15 +326,16 @@
         """
         held, wanted = demand.held, demand.wanted
         free = bucket.depth - bucket.level
-        max_outstanding = MAX_OUTSTANDING_SHARE * bucket.depth
-        is_established = self.updated_at - self.began_at > CREDIT_RESERVATION_SECONDS
-        may_have = (
-            bool(demand.is_active) or free >= bucket.depth / 2 or (held < 1 and is_established)
-        )
-        if free < 1 or not may_have or (held >= 1 and free < bucket.depth / SCARCE_DIVISOR):
+        if free < 1 or (held >= 1 and free < bucket.depth / SCARCE_DIVISOR):
             return 0.0
-        if held >= 1 and sum(bucket.outstanding.values()) > max_outstanding:
-            wanted = max(0.0, min(wanted, max_outstanding / self.limiter_count - held))
+        if not demand.is_active and free < bucket.depth / 2:
+            is_new = self.updated_at - self.began_at <= CREDIT_RESERVATION_SECONDS
+            if held >= 1 or is_new:
+                return 0.0
+        if held >= 1:
+            max_outstanding = MAX_OUTSTANDING_SHARE * bucket.depth
+            if sum(bucket.outstanding.values()) > max_outstanding:
+                wanted = max(0.0, min(wanted, max_outstanding / self.limiter_count - held))
         granted = float(int(min(wanted, max(1.0, 2 * free / self.limiter_count))))
         bucket.outstanding[limiter_name] = held + granted
         bucket.level += granted
