--- a/loomstand/registry/store_client.py
+++ b/loomstand/registry/store_client.py
@@ -9,7 +9,7 @@
 import asyncio
 
 from absl import logging
-from expression import Error, Result
+from expression import Error, Ok, Result
 
 from loomstand.config.configuration import ConfigurationError
 from loomstand.registry.context import RegistryContext, RegistryState
@@ -20,6 +20,7 @@
 from loomstand.rpc.messages.configuration_messages import (
     OfferRequest,
     PutResponse,
+    ReadResponse,
     StatusRequest,
     StatusResponse,
     WaitRequest,
@@ -108,10 +109,13 @@
                 result = await network.call(store, request.operation, body, left_seconds)
         if result.is_error():
             return Error(result.error)
-        if not freshness.left(result.ok, sent_at, self._context.clock(), timeout_seconds):
+        response = response_type.from_wire(result.ok)
+        lease_seconds = response.lease_seconds if isinstance(response, ReadResponse) else None
+        now = self._context.clock()
+        if not freshness.remaining_seconds(lease_seconds, sent_at, now, timeout_seconds):
             # this process froze meanwhile, or the answer lay in a socket
             return Error(CallFailure.MAY_HAVE_RUN)
-        return result.map(response_type.from_wire)
+        return Ok(response)
 
     async def status(self) -> StatusResponse | None:
         """Returns the status of the store beside this registry, None if it doesn't answer."""
--- a/loomstand/testing/model_checker/__main__.py
+++ b/loomstand/testing/model_checker/__main__.py
@@ -1,20 +1,18 @@
-"""`python -m loomstand.testing.model_checker`: searches the store's states for one that breaks an
-invariant.
-"""
+"""`python -m loomstand.testing.model_checker`: searches for a broken invariant."""
 
 from __future__ import annotations
 
 import argparse
 import sys
 
-from loomstand.testing.model_checker.member import Rules
+from loomstand.testing.model_checker.member import CodeUnderTest
 from loomstand.testing.model_checker.mutants import MUTANTS
-from loomstand.testing.model_checker.search import survey
+from loomstand.testing.model_checker.search import search
 from loomstand.testing.model_checker.state_space import KINDS, Bounds, StateSpace
 
 
 def main(words: list[str] | None = None) -> int:
-    """1 if something is broken, else 0; a mutant is searched within its own bounds."""
+    """Returns 1 if an invariant is broken, else 0; a mutant is searched within its own bounds."""
     parser = argparse.ArgumentParser(
         prog="python -m loomstand.testing.model_checker", description=__doc__
     )
@@ -52,7 +50,7 @@
     )
     parser.add_argument("--mutate", choices=sorted(MUTANTS), help="a step left out, to be found")
     asked = parser.parse_args(words)
-    rules = Rules()
+    code = CodeUnderTest()
     bounds = Bounds(
         members=asked.members,
         founding=asked.founding,
@@ -71,14 +69,12 @@
         rescues=asked.rescues,
     )
     if asked.mutate:
-        rules, bounds = MUTANTS[asked.mutate].rules, MUTANTS[asked.mutate].bounds
-    found = survey(StateSpace(rules, bounds), asked.states, asked.seconds)
-    each = found.states / max(found.seconds, 1e-9)
+        code, bounds = MUTANTS[asked.mutate].code, MUTANTS[asked.mutate].bounds
+    found = search(StateSpace(code, bounds), asked.states, asked.seconds)
+    states_per_second = found.states / max(found.seconds, 1e-9)
+    extent = "all" if found.is_complete else "not all"
     print(f"{found.states} states, {found.transitions} transitions, depth {found.depth}", end="")
-    print(
-        f", {found.seconds:.1f} s, {each:.0f} states/s, {'all' if found.whole else 'not all'} in "
-        "bounds"
-    )
+    print(f", {found.seconds:.1f} s, {states_per_second:.0f} states/s, {extent} in bounds")
     for i, line in enumerate(found.trace):
         print(f"{i + 1:3d}  {line}")
     if found.broken:
