--- a/loomstand/proxy/counter_replay.py
+++ b/loomstand/proxy/counter_replay.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from loomstand.registry.quota_buckets import SLOTS
+from loomstand.registry.quota_buckets import INTERVAL_SLOT_BITS
 
 # Stands for a counting term that no registry has: the sum must be repeated to any.
 UNKNOWN_TERM = -1
@@ -82,14 +82,14 @@
         Returns:
             Names of counters and what to add to each.
         """
-        tenant = counter_name >> SLOTS
+        tenant = counter_name >> INTERVAL_SLOT_BITS
         if self.complete_terms.get(tenant) == counting_term:
             return []
         self.complete_terms[tenant] = counting_term
         missing = [
             (name, local)
             for name, local in self.sums.items()
-            if name >> SLOTS == tenant and local.counting_term != counting_term
+            if name >> INTERVAL_SLOT_BITS == tenant and local.counting_term != counting_term
         ]
         for _, local in missing:
             local.counting_term = counting_term
@@ -97,7 +97,7 @@
 
     def mark_missing(self, counter_name: int) -> None:
         """Records that a repeated sum may not have arrived."""
-        self.complete_terms.pop(counter_name >> SLOTS, None)
+        self.complete_terms.pop(counter_name >> INTERVAL_SLOT_BITS, None)
         if counter_name in self.sums:  # else it has expired
             self.sums[counter_name].counting_term = UNKNOWN_TERM
 
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -23,7 +23,7 @@
 from loomstand.proxy.readiness import ReadinessEndpoint
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import SharedClock
-from loomstand.registry.quota_buckets import SLOTS
+from loomstand.registry.quota_buckets import INTERVAL_SLOT_BITS
 from loomstand.rpc.messages.rows import InstanceRow
 from loomstand.rpc.messages.session_messages import LimiterSetRow, TenantTotalRow
 from loomstand.rpc.network import Network
@@ -151,7 +151,7 @@
     def update_tenant_totals(self, totals: Sequence[TenantTotalRow]) -> None:
         """Takes over the tenants near their limit; those closed are admitted by credits alone."""
         for row in totals:
-            digest = row.counter_name >> SLOTS
+            digest = row.counter_name >> INTERVAL_SLOT_BITS
             if row.is_closed:
                 self.credits.mark_near_limit(digest, self.loop.time())
             plan = self.policy.plan_by_digest.get(digest)
--- a/tests/registry/test_quota_grants.py
+++ b/tests/registry/test_quota_grants.py
@@ -18,11 +18,7 @@
 from loomstand.proxy.quota_credits import CreditSource, QuotaCredits
 from loomstand.registry import limiters, quota_grants
 from loomstand.registry.quota_grants import QuotaGrants
-from loomstand.rpc.messages.quota_messages import (
-    CreditGrantRow,
-    CreditRequest,
-    CreditResponse,
-)
+from loomstand.rpc.messages.quota_messages import CreditRequest, CreditResponse
 from loomstand.testing.simulation.cluster import Cluster
 
 BOUNDS = Cluster(1, 1, 1, 1).settings("10.1.0.1").bounds
@@ -36,16 +32,7 @@
 
 def granted(counter: QuotaGrants, request: CreditRequest, now: float) -> CreditResponse:
     """The counter's answer to a request for credits."""
-    grants = counter.call(
-        request.limiter_name,
-        request.incarnation,
-        request.grant_term,
-        request.is_isolated,
-        [list(msgspec.structs.astuple(row)) for row in request.demands],
-        now,
-    )
-    rows = None if grants is None else [CreditGrantRow(*grant) for grant in grants]
-    return CreditResponse(grant_term=counter.number, grants=rows)
+    return CreditResponse(grant_term=counter.term, grants=counter.handle_request(request, now))
 
 
 class Limiter:
@@ -73,8 +60,8 @@
         self.most = dict(self.tenants)
         self.names = [f"l{n}" for n in range(many)]
         self.counter: QuotaGrants | None = QuotaGrants(BOUNDS)
-        self.counter.learn(self.tenants.values(), False)
-        self.counter.anew(1, 0.0, unused=True)
+        self.counter.update_quotas(self.tenants.values(), False)
+        self.counter.reset(1, 0.0, is_unused=True)
         self.numbers, self.there_at, self.moves = 1, 0.0, list[float]()
         self.limiters = [self.born(name) for name in self.names]
         self.ran: dict[int, list[float]] = {name: [] for name in self.tenants}
@@ -111,7 +98,7 @@
                 old.name, (), 1, old.rate_per_second * 0.7, old.burst_size * 0.7
             )
             if self.counter:
-                self.counter.learn(self.tenants.values(), True)
+                self.counter.update_quotas(self.tenants.values(), True)
             for limiter in self.limiters:
                 if limiter.up and limiter.hears:
                     limiter.credits.update_quotas(self.tenants)
@@ -130,8 +117,8 @@
         if self.counter is None and self.now >= self.there_at:
             self.numbers += 1
             self.counter = QuotaGrants(BOUNDS)
-            self.counter.learn(self.tenants.values(), False)
-            self.counter.anew(self.numbers, self.now)
+            self.counter.update_quotas(self.tenants.values(), False)
+            self.counter.reset(self.numbers, self.now)
 
     def calls(self, limiter: Limiter) -> None:
         credits = limiter.credits
@@ -142,7 +129,7 @@
         answer = None
         if self.counter is not None and limiter.heard:
             counter = self.counter
-            counter.tick(self.now, self.names)
+            counter.advance(self.now, self.names)
             answer = granted(counter, request, self.now)
         if answer is None or not limiter.hears:
             self.mail.append((self.now + WITHIN, limiter, None))
@@ -203,7 +190,7 @@
             self.tick()
             self.answers()
             if self.counter is not None and self.now % 1.0 < STEP:
-                self.counter.sweep(self.now, self.names)
+                self.counter.expire(self.now, self.names)
             self.serve(hot)
         return self
 
@@ -218,7 +205,7 @@
                 + self.most[name].burst_size
             )
             count = max((bisect_right(at, t + 5) - bisect_left(at, t) for t in at), default=0)
-            leeway = quota_grants.leeway(
+            leeway = quota_grants.rule_leeway(
                 self.most[name].rate_per_second, self.most[name].burst_size, BOUNDS
             )
             out[self.most[name].name] = (count - most) / leeway
@@ -266,42 +253,44 @@
         new = not self.tenants
         update_quotas(self, quotas)
         for credit in self.tenants.values() if new else ():
-            credit.granted = credit.depth / self.limiter_count
+            credit.granted = credit.bucket_depth / self.limiter_count
 
     monkeypatch.setattr(QuotaCredits, "update_quotas", start)
 
 
 def unheard(monkeypatch) -> None:
     """The counter leaves nothing to limiters that it doesn't hear."""
-    monkeypatch.setattr(quota_grants, "ALONE", 0.0)
+    monkeypatch.setattr(quota_grants, "ISOLATED_SHARE", 0.0)
 
 
 def deaf(monkeypatch) -> None:
     """A limiter that calls is taken to hear the answers."""
-    call = QuotaGrants.call
+    handle_request = QuotaGrants.handle_request
 
-    def heard(self, name, life, number, alone, entries, now):
-        return call(self, name, life, number, False, entries, now)
+    def heard(self, request, now):
+        return handle_request(self, msgspec.structs.replace(request, is_isolated=False), now)
 
-    monkeypatch.setattr(QuotaGrants, "call", heard)
+    monkeypatch.setattr(QuotaGrants, "handle_request", heard)
 
 
 def emptied(monkeypatch) -> None:
     """A counter that begins takes nothing to have been granted."""
-    anew = QuotaGrants.anew
-    monkeypatch.setattr(QuotaGrants, "anew", lambda self, *given, **_: anew(self, *given[:2], True))
+    reset = QuotaGrants.reset
+    monkeypatch.setattr(
+        QuotaGrants, "reset", lambda self, *given, **_: reset(self, *given[:2], True)
+    )
 
 
 def relearnt(monkeypatch) -> None:
     """Buckets of other quotas begin anew."""
-    learn = QuotaGrants.learn
+    update_quotas = QuotaGrants.update_quotas
 
-    def afresh(self, tenants, counts):
-        learn(self, tenants, counts)
+    def afresh(self, tenants, is_counting):
+        update_quotas(self, tenants, is_counting)
         for bucket in self.buckets.values():
-            bucket.level = sum(bucket.held.values())
+            bucket.level = sum(bucket.outstanding.values())
 
-    monkeypatch.setattr(QuotaGrants, "learn", afresh)
+    monkeypatch.setattr(QuotaGrants, "update_quotas", afresh)
 
 
 @pytest.mark.parametrize(
@@ -335,8 +324,8 @@
 def pair(many: int = 4) -> tuple[QuotaGrants, QuotaCredits]:
     """A counter that has known this limiter for long, and the limiter."""
     grants, credits = QuotaGrants(BOUNDS), QuotaCredits(BOUNDS, 1, 10.0)
-    grants.learn([ANN], False)
-    grants.anew(7, 0.0, unused=True)
+    grants.update_quotas([ANN], False)
+    grants.reset(7, 0.0, is_unused=True)
     credits.set_limiter_count(many)
     credits.update_quotas({NAME: ANN})
     while call(grants, credits, 10.0):
@@ -346,32 +335,34 @@
 
 def call(grants: QuotaGrants, credits: QuotaCredits, now: float) -> bool:
     request = credits.build_request("one", now)
-    grants.tick(now, ["one"])
+    grants.advance(now, ["one"])
     return credits.apply_response(now, now, granted(grants, request, now))
 
 
 def test_credits_are_void_after_a_while_without_an_answer_and_the_counter_holds_them_longer():
     grants, credits = pair()
-    held = grants.buckets[NAME].held["one"]
+    held = grants.buckets[NAME].outstanding["one"]
     assert held == credits.tenants[NAME].granted >= 2
     credit = credits.tenants[NAME]
-    assert [credits.source(credit, t + quota_credits.GOOD) for t in (10.0, 10.1)] == [
+    lifetime = quota_credits.CREDIT_LIFETIME_SECONDS
+    assert [credits.source(credit, t + lifetime) for t in (10.0, 10.1)] == [
         CreditSource.GRANTED,
         CreditSource.ISOLATED,
     ]
-    grants.sweep(10.0 + quota_credits.GOOD + 0.5, ["one"])
-    assert grants.buckets[NAME].held["one"] == held and quota_grants.HELD > quota_credits.GOOD
-    grants.sweep(10.1 + quota_grants.HELD, ["one"])
-    assert "one" not in grants.buckets[NAME].held
+    grants.expire(10.0 + lifetime + 0.5, ["one"])
+    assert grants.buckets[NAME].outstanding["one"] == held
+    assert lifetime < quota_grants.CREDIT_RESERVATION_SECONDS
+    grants.expire(10.1 + quota_grants.CREDIT_RESERVATION_SECONDS, ["one"])
+    assert "one" not in grants.buckets[NAME].outstanding
     assert credits.build_request("one", 13.0).demands[0].held == 0  # it tells that it has none
 
 
 def test_another_counter_hears_all_that_is_held_before_it_grants():
     grants, credits = pair()
     left = credits.tenants[NAME].granted
-    grants.anew(8, 11.0)
+    grants.reset(8, 11.0)
     request = credits.build_request("one", 11.0)
-    grants.tick(11.0, ["one"])
+    grants.advance(11.0, ["one"])
     assert granted(grants, request, 11.0).grants is None and not request.demands
     # no answer that keeps them good
     assert credits.apply_response(11.0, 11.0, CreditResponse(grant_term=8))
@@ -379,7 +370,7 @@
     (demand,) = credits.build_request("one", 11.0).demands
     assert (demand.tenant, demand.held) == (NAME, left)
     call(grants, credits, 11.0)
-    assert grants.buckets[NAME].held["one"] >= left and credits.last_answer_sent_at == 11.0
+    assert grants.buckets[NAME].outstanding["one"] >= left and credits.last_answer_sent_at == 11.0
 
 
 def test_a_limiter_without_word_takes_a_part_of_the_even_share_and_the_counter_leaves_it():
@@ -391,17 +382,17 @@
         while credits.may_admit(NAME, now):
             credits.consume(NAME, now)
             ran += 1
-    part = quota_grants.ALONE * ANN.rate_per_second / 2
-    assert ran == pytest.approx(part * (10 - quota_grants.SILENT), rel=0.05)
-    grants.tick(10.5, ["one", "two"])
-    grants.tick(12.0, ["one", "two"])  # nobody called
-    time = grants.time
-    grants.tick(12.5, ["one", "two"])
-    assert (grants.time - time) / 0.5 == pytest.approx(1 - quota_grants.ALONE)
+    part = quota_grants.ISOLATED_SHARE * ANN.rate_per_second / 2
+    assert ran == pytest.approx(part * (10 - quota_grants.ISOLATION_SECONDS), rel=0.05)
+    grants.advance(10.5, ["one", "two"])
+    grants.advance(12.0, ["one", "two"])  # nobody called
+    time = grants.leak_time
+    grants.advance(12.5, ["one", "two"])
+    assert (grants.leak_time - time) / 0.5 == pytest.approx(1 - quota_grants.ISOLATED_SHARE)
 
 
 def test_a_part_shrinks_before_the_counter_forgets_a_limiter():
-    assert quota_credits.LONG_ISOLATION_SECONDS < limiters.HELD
+    assert quota_credits.LONG_ISOLATION_SECONDS < limiters.PLACE_RETENTION_SECONDS
     _, credits = pair(many=2)
     late, ran, now = (
         10.0 + quota_credits.LONG_ISOLATION_SECONDS,
@@ -414,7 +405,7 @@
         while credits.may_admit(NAME, now):
             credits.consume(NAME, now)
             ran += 1
-    part = quota_grants.ALONE * ANN.rate_per_second / 2
+    part = quota_grants.ISOLATED_SHARE * ANN.rate_per_second / 2
     assert ran <= quota_credits.LONG_ISOLATION_SHARE * part * 10 + part + 1
 
 
@@ -422,17 +413,17 @@
     grants, _ = pair()
     names = [f"l{n}" for n in range(20)]
     for now in (11.0, 12.0, 30.0):
-        grants.tick(now, names)
+        grants.advance(now, names)
     bucket = grants.buckets[NAME]
-    bucket.leak(grants.time, *grants.unheard(bucket))
-    assert bucket.level >= 20 * quota_grants.ALONE * ANN.rate_per_second / 20
+    bucket.leak(grants.leak_time, *grants.unreported(bucket))
+    assert bucket.level >= 20 * quota_grants.ISOLATED_SHARE * ANN.rate_per_second / 20
 
 
 def test_small_quotas_are_open_until_half_full_and_then_for_credits_alone():
     many, small = 75, Tenant("ann", (), 1, 4.0, 4.0)
     grants = QuotaGrants(BOUNDS)
-    grants.learn([small], False)
-    grants.anew(7, 0.0, unused=True)
+    grants.update_quotas([small], False)
+    grants.reset(7, 0.0, is_unused=True)
     names, ran = [f"l{n}" for n in range(many)], 0
     all_of = {name: QuotaCredits(BOUNDS, 1, 1.0) for name in names}
     for now in (1.0, 1.1, 1.2):
@@ -441,15 +432,15 @@
                 credits.set_limiter_count(many)
                 credits.update_quotas({NAME: small})
             request = credits.build_request(name, now)
-            grants.tick(now, names)
+            grants.advance(now, names)
             credits.apply_response(now, now, granted(grants, request, now))
     for credits in all_of.values():
-        if not grants.closed(NAME) and credits.may_admit(NAME, 1.3):
+        if not grants.is_closed(NAME) and credits.may_admit(NAME, 1.3):
             credits.consume(NAME, 1.3)
             ran += 1
             assert not credits.has_credit(NAME, 1.3)  # one, until the counter knows of it
             call(grants, credits, 1.3)
-    assert ran == pytest.approx(quota_grants.depth(4.0, 4.0, BOUNDS) / 2, abs=1)
+    assert ran == pytest.approx(quota_grants.bucket_depth(4.0, 4.0, BOUNDS) / 2, abs=1)
     credits.mark_near_limit(NAME, 1.3)
     assert not credits.has_credit(NAME, 1.3) and credits.has_credit(
         NAME, 1.31 + quota_credits.NEAR_LIMIT_SECONDS
--- a/tests/store/test_first_start.py
+++ b/tests/store/test_first_start.py
@@ -49,7 +49,9 @@
     system.wait(1.5)
     assert sum(system.serves(ip) for ip in system.core_ips) == 1  # nobody founded another
     assert len(system.counters()) == 1
-    assert all(sorted(system.registry(ip).cores) == system.core_ips for ip in system.core_ips)
+    assert all(
+        sorted(system.registry(ip).context.core_hosts) == system.core_ips for ip in system.core_ips
+    )
     assert not system.book.faults
 
 
