--- a/loomstand/proxy/counter_client.py
+++ b/loomstand/proxy/counter_client.py
@@ -79,16 +79,18 @@
         """
         started_at = self._clock_ticks()
         name = action.counter_name
-        keep_seconds = action.time_to_live / TICKS_PER_SECOND
-        result = await self._send(name, action.amount, keep_seconds)
+        retention_seconds = action.time_to_live / TICKS_PER_SECOND
+        result = await self._send(name, action.amount, retention_seconds)
         outcome = Outcome.SUCCEEDED if result.is_ok() else FAILURE_OUTCOMES[result.error]
         if outcome in (Outcome.SUCCEEDED, Outcome.NO_RESPONSE):
             term = result.ok.counting_term if result.is_ok() else None
-            missing = self.replay.record(name, action.amount, keep_seconds, self._loop.time(), term)
+            missing = self.replay.record(
+                name, action.amount, retention_seconds, self._loop.time(), term
+            )
             if term is not None:
-                await self._replay_missing(name, term, keep_seconds)
+                await self._replay_missing(name, term, retention_seconds)
             if missing:  # a total without it is too low
-                result = await self._send(name, missing, keep_seconds)
+                result = await self._send(name, missing, retention_seconds)
                 if result.is_error() or result.ok.counting_term != term:
                     self.replay.mark_missing(name)
                     outcome = Outcome.NO_RESPONSE
@@ -99,15 +101,17 @@
         total = result.ok.total if outcome is Outcome.SUCCEEDED else 0.0
         self.on_reply(name, outcome, total, self._clock_ticks() - started_at)
 
-    async def _replay_missing(self, name: int, term: int, keep_seconds: float) -> None:
+    async def _replay_missing(self, name: int, term: int, retention_seconds: float) -> None:
         """Repeats the tenant's other intervals to counters that began anew."""
         for other_name, added in self.replay.take_missing(name, term):
-            result = await self._send(other_name, added, keep_seconds)
+            result = await self._send(other_name, added, retention_seconds)
             if result.is_error():
                 self.replay.mark_missing(other_name)
 
     async def _send(
-        self, name: int, step: float, keep_seconds: float
+        self, name: int, step: float, retention_seconds: float
     ) -> Result[IncrementResponse, CallFailure]:
-        request = IncrementRequest(counter_name=name, step=step, keep_seconds=keep_seconds)
+        request = IncrementRequest(
+            counter_name=name, step=step, retention_seconds=retention_seconds
+        )
         return await self._caller.call_counter(request, IncrementResponse, COUNTER_TIMEOUT_SECONDS)
--- a/loomstand/proxy/counter_replay.py
+++ b/loomstand/proxy/counter_replay.py
@@ -48,7 +48,7 @@
         self,
         counter_name: int,
         step: float,
-        keep_seconds: float,
+        retention_seconds: float,
         now: float,
         counting_term: int | None = None,
     ) -> float:
@@ -57,7 +57,7 @@
         Args:
             counter_name: The counter.
             step: What was added.
-            keep_seconds: For how long the counter is kept at least.
+            retention_seconds: For how long the counter is kept at least.
             now: A reading of the steady clock.
             counting_term: Term of the answer; None if none came.
 
@@ -71,7 +71,7 @@
         missing = local.added if local.counting_term != term else 0.0
         local.added = local.added + step
         local.counting_term = term
-        local.expires_at = now + keep_seconds
+        local.expires_at = now + retention_seconds
         return missing
 
     def take_missing(self, counter_name: int, counting_term: int) -> list[tuple[int, float]]:
--- a/loomstand/proxy/sessions.py
+++ b/loomstand/proxy/sessions.py
@@ -82,7 +82,7 @@
         address: Address of the registry.
         session_id: Number of the session; 0 if none is open.
         instances_revision: Revision of the registry's table of servers.
-        facts_revision: Revision of the registry's facts.
+        system_state_revision: Revision of the registry's system state.
         buckets_revision: Revision of the registry's quota buckets.
         is_current: Whether the registry's configuration was known to be the newest.
     """
@@ -91,7 +91,7 @@
     address: Address
     session_id: int = 0
     instances_revision: int = 0
-    facts_revision: int = -1
+    system_state_revision: int = -1
     buckets_revision: int = 0
     is_current: bool = False
 
@@ -216,14 +216,14 @@
         if state.session_id:
             return SessionRequest(
                 known_instances=state.instances_revision,
-                known_facts=state.facts_revision,
+                known_system_state_revision=state.system_state_revision,
                 known_configuration=self.configuration.version,
                 session_id=state.session_id,
                 known_buckets=state.buckets_revision,
             )
         return SessionRequest(
             known_instances=state.instances_revision,
-            known_facts=state.facts_revision,
+            known_system_state_revision=state.system_state_revision,
             known_configuration=self.configuration.version,
             limiter_name=self._settings.node_name,
             shared_clock=self._listener.shared_clock_reading(),
@@ -242,8 +242,8 @@
             self._listener.update_tenant_totals(response.tenant_totals)
         version = response.configuration_version or 0
         is_newer = version > self.configuration.version
-        if response.facts_revision is not None:
-            state.facts_revision = response.facts_revision
+        if response.system_state_revision is not None:
+            state.system_state_revision = response.system_state_revision
             state.is_current = bool(response.is_current)
             self._update_system(state.host, response)
             # what is held is surely the newest only once it is what the registry has
--- a/loomstand/registry/change_notifier.py
+++ b/loomstand/registry/change_notifier.py
@@ -10,13 +10,14 @@
     """Sessions wait here, the one that waits longest first.
 
     Attributes:
-        facts_revision: Grows with what limiters hear beside servers: the limiters, who counts, the
+        system_state_revision: Grows with what limiters hear beside servers: the limiters, who
+        counts, the
             core machines, the shared clock, and whether the configuration is current.
         is_closed: Whether the registry stops: nobody waits any more.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        self.facts_revision = 0
+        self.system_state_revision = 0
         self.is_closed = False
         self._clock = clock
         self._limiters_revision = 0
@@ -30,16 +31,16 @@
             if not waiter.done():
                 waiter.set_result(None)
 
-    def notify_facts(self) -> None:
+    def notify_system_state(self) -> None:
         """A fact has changed."""
-        self.facts_revision += 1
+        self.system_state_revision += 1
         self.notify()
 
     def notify_limiters(self, limiters_revision: int) -> None:
         """Notifies if the set of limiters is another than at the last call."""
         if limiters_revision != self._limiters_revision:
             self._limiters_revision = limiters_revision
-            self.notify_facts()
+            self.notify_system_state()
 
     def close(self) -> None:
         """Ends all waits."""
--- a/loomstand/registry/counters.py
+++ b/loomstand/registry/counters.py
@@ -36,8 +36,8 @@
         self.complete_at: float | None = None if is_successor else 0.0
         self.sums: dict[int, tuple[float, float]] = {}
 
-    def add(self, name: int, step: float, keep_seconds: float, now: float) -> float:
-        """Adds to a sum and keeps it for `keep_seconds` more.
+    def add(self, name: int, step: float, retention_seconds: float, now: float) -> float:
+        """Adds to a sum and keeps it for `retention_seconds` more.
 
         Returns:
             The total.
@@ -45,7 +45,7 @@
         total, kept_until = self.sums.get(name, (0.0, 0.0))
         total = step if kept_until < now else total + step
         if name in self.sums or len(self.sums) < MAX_COUNTERS:
-            self.sums[name] = total, max(kept_until, now + keep_seconds)
+            self.sums[name] = total, max(kept_until, now + retention_seconds)
         return total
 
     def is_incomplete(self, now: float) -> bool:
--- a/loomstand/registry/counting_service.py
+++ b/loomstand/registry/counting_service.py
@@ -68,7 +68,7 @@
         now = self._require_lease()
         counters = self.counters
         name, step = request.counter_name, request.step
-        total = counters.add(name, step, request.keep_seconds, now)
+        total = counters.add(name, step, request.retention_seconds, now)
         is_incomplete = counters.is_incomplete(now)
         if self.quota_buckets.record(name, step, total, now, not is_incomplete):
             self._notifier.notify()
@@ -142,7 +142,7 @@
         primary_before = lease.primary
         term_before = lease.term
         if lease.observe(self._context.clock(), primary, term):
-            self._notifier.notify_facts()
+            self._notifier.notify_system_state()
         if lease.has_gap and not lease.is_held(self._context.clock()):
             lease.has_gap = False
             self._reset()
--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -115,7 +115,7 @@
     """
 
     def __init__(self, heartbeat_seconds: float) -> None:
-        self.silent_after_seconds = MAX_MISSED_HEARTBEATS * heartbeat_seconds
+        self.unreachable_after_seconds = MAX_MISSED_HEARTBEATS * heartbeat_seconds
         self.revision = 0
         self.by_id: dict[str, Instance] = {}
         self.last_heartbeat_at: dict[str, float] = {}
@@ -203,9 +203,9 @@
             if age_seconds > GONE_RETENTION_SECONDS:
                 del self.by_id[instance.id]
                 self.last_heartbeat_at.pop(instance.id, None)
-        elif instance.state == DRAINING and age_seconds > 2 * self.silent_after_seconds:
+        elif instance.state == DRAINING and age_seconds > 2 * self.unreachable_after_seconds:
             self.mark_gone(instance.id)
-        elif instance.state == READY and age_seconds > self.silent_after_seconds:
+        elif instance.state == READY and age_seconds > self.unreachable_after_seconds:
             self.revision += 1
             self.by_id[instance.id] = replace(instance, state=SILENT, changed_in=self.revision)
         elif instance.state == SILENT and age_seconds > GONE_RETENTION_SECONDS:
--- a/loomstand/registry/limiter_sessions.py
+++ b/loomstand/registry/limiter_sessions.py
@@ -100,14 +100,14 @@
             request,
             session_id=number,
             known_instances=NO_REVISION,
-            known_facts=NO_REVISION,
+            known_system_state_revision=NO_REVISION,
             known_buckets=0,
         )
 
     def _has_changes(self, request: SessionRequest) -> bool:
         return (
             self._instances.revision > request.known_instances
-            or self._notifier.facts_revision != request.known_facts
+            or self._notifier.system_state_revision != request.known_system_state_revision
             or self._configuration.version > request.known_configuration
             or self._counting.quota_buckets.revision > request.known_buckets
         )
@@ -135,14 +135,16 @@
             # the limiter's may be all that is left of a configuration
             requests_configuration=version < request.known_configuration,
         )
-        if self._notifier.facts_revision == request.known_facts:
+        if self._notifier.system_state_revision == request.known_system_state_revision:
             return response
-        return self._with_facts(response, name, now)
+        return self._with_system_state(response, name, now)
 
-    def _with_facts(self, response: SessionResponse, name: str, now: float) -> SessionResponse:
+    def _with_system_state(
+        self, response: SessionResponse, name: str, now: float
+    ) -> SessionResponse:
         return msgspec.structs.replace(
             response,
-            facts_revision=self._notifier.facts_revision,
+            system_state_revision=self._notifier.system_state_revision,
             limiters=self._limiters.limiter_set(name),
             counter=self._counting.endpoint(),
             core_hosts=list(self._context.core_hosts),
--- a/loomstand/registry/limiters.py
+++ b/loomstand/registry/limiters.py
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         self.revision = 0
-        self.last_seen_at: dict[str, float] = {}
+        self.last_contact_at: dict[str, float] = {}
         self.last_call_at: dict[str, float] = {}
         self.present: tuple[str, ...] = ()
         self.silent: tuple[str, ...] = ()
@@ -66,11 +66,11 @@
             and name not in self.silent
         )
         self.last_call_at[name] = now
-        self.last_seen_at[name] = now
+        self.last_contact_at[name] = now
         if not is_member or now > self.unchanged_until:
             self.expire(now)
 
-    def record_report(self, name: str, seen_at: float, now: float) -> None:
+    def record_report(self, name: str, last_contact_at: float, now: float) -> None:
         """Another registry heard a limiter.
 
         Where the limiter called here too, only that counts: limiters put together what all
@@ -78,14 +78,14 @@
         """
         if name in self.last_call_at:
             return
-        if seen_at > self.last_seen_at.get(name, now - PLACE_RETENTION_SECONDS):
-            self.last_seen_at[name] = seen_at
+        if last_contact_at > self.last_contact_at.get(name, now - PLACE_RETENTION_SECONDS):
+            self.last_contact_at[name] = last_contact_at
             self.expire(now)
 
     def deregister(self, name: str, now: float) -> None:
         """A limiter ended its session: no place is reserved for it."""
         self.last_call_at.pop(name, None)
-        if self.last_seen_at.pop(name, None) is not None:
+        if self.last_contact_at.pop(name, None) is not None:
             self.expire(now)
 
     def expire(self, now: float) -> None:
@@ -94,28 +94,28 @@
         Times of limiters that call only grow, so until the first session that may end by what is
         known now, only a limiter that is new or was silent changes anything.
         """
-        for name, seen_at in list(self.last_seen_at.items()):
-            if now - seen_at > PLACE_RETENTION_SECONDS:
-                del self.last_seen_at[name]
+        for name, last_contact_at in list(self.last_contact_at.items()):
+            if now - last_contact_at > PLACE_RETENTION_SECONDS:
+                del self.last_contact_at[name]
                 self.last_call_at.pop(name, None)
         timeouts = {
             name: timeout
-            for name, seen_at in self.last_seen_at.items()
-            if now - seen_at <= (timeout := self._session_timeout_seconds(name))
+            for name, last_contact_at in self.last_contact_at.items()
+            if now - last_contact_at <= (timeout := self._session_timeout_seconds(name))
         }
         self.unchanged_until = min(
             (
-                seen_at + timeouts.get(name, PLACE_RETENTION_SECONDS)
-                for name, seen_at in self.last_seen_at.items()
+                last_contact_at + timeouts.get(name, PLACE_RETENTION_SECONDS)
+                for name, last_contact_at in self.last_contact_at.items()
             ),
             default=now,
         )
         present = tuple(sorted(timeouts))
-        silent = tuple(sorted(self.last_seen_at.keys() - timeouts.keys()))
+        silent = tuple(sorted(self.last_contact_at.keys() - timeouts.keys()))
         if (present, silent) != (self.present, self.silent):
             self.present = present
             self.silent = silent
-            self.ranks = {name: rank for rank, name in enumerate(sorted(self.last_seen_at))}
+            self.ranks = {name: rank for rank, name in enumerate(sorted(self.last_contact_at))}
             self.revision += 1
 
     def _session_timeout_seconds(self, name: str) -> float:
--- a/loomstand/registry/replication.py
+++ b/loomstand/registry/replication.py
@@ -21,7 +21,7 @@
 from loomstand.rpc.messages.gossip_messages import (
     GossipRequest,
     GossipResponse,
-    HeardInstanceRow,
+    HeartbeatRow,
     SnapshotRequest,
     SnapshotResponse,
 )
@@ -66,9 +66,9 @@
             self._apply_row(row, now, ages.get(row.instance_id, 0.0))
         unknown_instances = [
             instance_id
-            for instance_id, heard in (request.heard_instances or {}).items()
+            for instance_id, heartbeat in (request.recent_heartbeats or {}).items()
             if not self._instances.apply_heartbeat(
-                instance_id, heard.sequence, now - heard.age_seconds
+                instance_id, heartbeat.sequence, now - heartbeat.age_seconds
             )
         ]
         for name, age_seconds in (request.limiter_ages or {}).items():
@@ -88,7 +88,7 @@
             instances=self._instances.changed_since(0, now),
             instance_ages=self._instances.ages(self._instances.last_heartbeat_at, now),
             clock_seconds=self._shared_clock.read(now),
-            is_clock_known=self._shared_clock.is_known,
+            is_clock_set=self._shared_clock.is_known,
         )
 
     def _apply_row(self, row: InstanceRow, now: float, age_seconds: float) -> None:
@@ -102,7 +102,7 @@
         if self._counting.is_counting(now) or clock_seconds is None:
             return
         if self._shared_clock.synchronize(clock_seconds, now):
-            self._notifier.notify_facts()
+            self._notifier.notify_system_state()
 
     # calls to other registries
 
@@ -154,7 +154,7 @@
         now = self._context.clock()
         for row in snapshot.instances:
             self._apply_row(row, now, snapshot.instance_ages.get(row.instance_id, 0.0))
-        if snapshot.is_clock_known:
+        if snapshot.is_clock_set:
             self._shared_clock.synchronize(snapshot.clock_seconds, now)
 
     async def run(self) -> None:
@@ -180,15 +180,15 @@
             self._notifier.notify()
         self._notifier.notify_limiters(self._limiters.revision)
         if self._shared_clock.has_stepped_lately(now):
-            self._notifier.notify_facts()
+            self._notifier.notify_system_state()
 
     def _gossip_request(self, now: float) -> GossipRequest:
         sequences = self._unsent_sequences
         self._unsent_sequences = {}
         ages = self._instances.ages(sequences, now)
         return GossipRequest(
-            heard_instances={
-                instance_id: HeardInstanceRow(sequence, ages[instance_id])
+            recent_heartbeats={
+                instance_id: HeartbeatRow(sequence, ages[instance_id])
                 for instance_id, sequence in sequences.items()
             },
             limiters_digest=self._limiters.session_digest(),
--- a/loomstand/registry/rescue.py
+++ b/loomstand/registry/rescue.py
@@ -26,7 +26,8 @@
     gone_hosts = fields.get("gone", [])
     token = fields.get("token")
     if not isinstance(gone_hosts, list) or not isinstance(token, str | None):
-        raise ValueError("`gone` is a list of hosts, `token` a text")  # noqa: TRY004 - its name is answered
+        # noqa: TRY004 - its name is answered
+        raise ValueError("`gone` is a list of hosts, `token` a text")
     return RescueRequest(gone_hosts=[str(host) for host in gone_hosts], token=token)
 
 
--- a/loomstand/registry/store_client.py
+++ b/loomstand/registry/store_client.py
@@ -164,7 +164,7 @@
         is_silent = self._context.clock() - answered_at >= REPORT_LIFETIME_SECONDS
         if self._configuration.is_reported_current and is_silent:
             self._configuration.is_reported_current = False
-            self._notifier.notify_facts()
+            self._notifier.notify_system_state()
 
     def _apply_status(self, status: WaitResponse, sent_at: float) -> None:
         """Takes in what the store says of itself, to a request sent at that time."""
@@ -179,20 +179,20 @@
             self._is_offering = True
             self._context.tasks.spawn(self._offer())
         self._counting.observe_term(status.primary, status.counting_term)
-        self._apply_facts(status)
+        self._apply_system_state(status)
 
-    def _apply_facts(self, status: WaitResponse) -> None:
+    def _apply_system_state(self, status: WaitResponse) -> None:
         configuration = self._configuration
         is_current = (
             status.is_ready
             and status.primary is not None
             and status.version <= configuration.version
         )
-        facts_before = (configuration.is_reported_current, self._context.core_hosts)
+        system_state_before = (configuration.is_reported_current, self._context.core_hosts)
         configuration.is_reported_current = is_current
         self._context.set_core_hosts({host for host, _ in status.core_addresses})
-        if facts_before != (is_current, self._context.core_hosts):
-            self._notifier.notify_facts()
+        if system_state_before != (is_current, self._context.core_hosts):
+            self._notifier.notify_system_state()
 
     def _replace_configuration(self, version: int, data: bytes) -> None:
         configuration = self._configuration
--- a/loomstand/rpc/messages/gossip_messages.py
+++ b/loomstand/rpc/messages/gossip_messages.py
@@ -13,7 +13,7 @@
 from loomstand.rpc.messages.rows import CountingTermRow, InstanceRow, Row
 
 
-class HeardInstanceRow(Row, frozen=True, array_like=True):
+class HeartbeatRow(Row, frozen=True, array_like=True):
     """A server's latest heartbeat at a registry.
 
     Attributes:
@@ -28,11 +28,11 @@
 class GossipRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
     """A registry tells another one what it heard.
 
-    `heard_instances`, `limiters_digest`, `clock_seconds` and `counting_term` are present in the
+    `recent_heartbeats`, `limiters_digest`, `clock_seconds` and `counting_term` are present in the
     regular rounds; the rest where the other registry lacks it.
 
     Attributes:
-        heard_instances: By instance id, the servers that spoke here since the last round.
+        recent_heartbeats: By instance id, the servers that spoke here since the last round.
         limiters_digest: Checksum of the names of the limiters with a session here.
         clock_seconds: The shared clock, in seconds.
         counting_term: This registry's term if it counts, None if it doesn't.
@@ -42,7 +42,7 @@
     """
 
     operation: ClassVar[str] = "tell"
-    heard_instances: dict[str, HeardInstanceRow] | None = msgspec.field(name="alive", default=None)
+    recent_heartbeats: dict[str, HeartbeatRow] | None = msgspec.field(name="alive", default=None)
     limiters_digest: int | None = msgspec.field(name="crew", default=None)
     clock_seconds: float | None = msgspec.field(name="clock", default=None)
     counting_term: CountingTermRow | msgspec.UnsetType | None = msgspec.field(
@@ -84,4 +84,4 @@
     instances: list[InstanceRow] = msgspec.field(name="rows")
     instance_ages: dict[str, float] = msgspec.field(name="ages")
     clock_seconds: float = msgspec.field(name="clock")
-    is_clock_known: bool = msgspec.field(name="timed")
+    is_clock_set: bool = msgspec.field(name="timed")
--- a/loomstand/rpc/messages/quota_messages.py
+++ b/loomstand/rpc/messages/quota_messages.py
@@ -20,13 +20,13 @@
     Attributes:
         counter_name: The counter.
         step: What is added.
-        keep_seconds: For how long the counter is kept at least.
+        retention_seconds: For how long the counter is kept at least.
     """
 
     operation: ClassVar[str] = "count"
     counter_name: int = msgspec.field(name="name")
     step: float
-    keep_seconds: float = msgspec.field(name="keep")
+    retention_seconds: float = msgspec.field(name="keep")
 
 
 class IncrementResponse(Message, frozen=True, kw_only=True):
--- a/loomstand/rpc/messages/session_messages.py
+++ b/loomstand/rpc/messages/session_messages.py
@@ -1,7 +1,7 @@
 """Messages of a limiter's session with a registry.
 
 A limiter asks each registry again and again with the revisions that it knows, and hears what is
-newer: servers, facts about the system, tenants near their limit, and that there is a newer
+newer: servers, the state of the system, tenants near their limit, and that there is a newer
 configuration, which it fetches by a call of its own.
 """
 
@@ -22,7 +22,7 @@
 
     Attributes:
         known_instances: Revision of the registry's table of servers.
-        known_facts: Revision of the registry's facts.
+        known_system_state_revision: Revision of the system state that the limiter knows.
         known_configuration: Version of the configuration held, 0 if there is none.
         session_id: Number of the session, 0 to open one.
         limiter_name: Name of the limiter's node.
@@ -33,7 +33,7 @@
 
     operation: ClassVar[str] = "ask"
     known_instances: int = msgspec.field(name="h")
-    known_facts: int = msgspec.field(name="f")
+    known_system_state_revision: int = msgspec.field(name="f")
     known_configuration: int = msgspec.field(name="c")
     session_id: int = msgspec.field(name="s", default=0)
     limiter_name: str | None = msgspec.field(name="name", default=None)
@@ -74,15 +74,15 @@
 class SessionResponse(Message, frozen=True, kw_only=True, omit_defaults=True):
     """What is newer than what the limiter knows; all that isn't is absent.
 
-    `facts_revision`, `limiters`, `counter`, `core_hosts`, `is_current` and `shared_clock` are
-    present or absent together, and so are `instances_revision` and `instances`, and
+    `system_state_revision`, `limiters`, `counter`, `core_hosts`, `is_current` and `shared_clock`
+    are present or absent together, and so are `instances_revision` and `instances`, and
     `buckets_revision` and `tenant_totals`.
 
     Attributes:
         session_id: Number of the session, if one was opened.
         instances_revision: Revision of the registry's table of servers.
         instances: The servers that changed; all of them if a session was opened.
-        facts_revision: Revision of these facts.
+        system_state_revision: Revision of the system state.
         limiters: The limiters as the registry knows them.
         counter: The registry that counts; None if it isn't known.
         core_hosts: IP addresses of the core machines.
@@ -97,7 +97,7 @@
     session_id: int | None = msgspec.field(name="s", default=None)
     instances_revision: int | None = msgspec.field(name="h", default=None)
     instances: list[InstanceRow] | None = msgspec.field(name="rows", default=None)
-    facts_revision: int | None = msgspec.field(name="f", default=None)
+    system_state_revision: int | None = msgspec.field(name="f", default=None)
     limiters: LimiterSetRow | None = msgspec.field(name="fleet", default=None)
     counter: CounterEndpointRow | msgspec.UnsetType | None = msgspec.UNSET
     core_hosts: list[str] | None = msgspec.field(name="cores", default=None)
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -101,7 +101,7 @@
         """Begins with the file as it is now."""
         self.path = path
         self.program = program
-        self.seen = FileStamp.of(Path(path))
+        self.last_stamp = FileStamp.of(Path(path))
 
     def start(self) -> None:
         """Looks at the file again and again, until the event loop ends."""
@@ -109,7 +109,7 @@
 
     def reload(self) -> None:
         """Reads the file; settings that can't be used leave those held."""
-        self.seen = FileStamp.of(Path(self.path))
+        self.last_stamp = FileStamp.of(Path(self.path))
         try:
             self.program.reload(read_settings(self.path))
         except SettingsError as error:
@@ -117,6 +117,6 @@
 
     def _poll(self) -> None:
         stamp = FileStamp.of(Path(self.path))
-        if stamp is not None and stamp != self.seen:
+        if stamp is not None and stamp != self.last_stamp:
             self.reload()
         self.start()
--- a/loomstand/store/counting_lease.py
+++ b/loomstand/store/counting_lease.py
@@ -29,7 +29,7 @@
 
 # From when a primary begins to serve the holder of before comes first, as it has the counts, if it
 # lately asked: its next request is under way or comes within 0.2 s.
-PREFER_HOLDER_SECONDS = 0.5
+PREFER_LAST_HOLDER_SECONDS = 0.5
 
 # The registry beside the primary comes before others, as its requests cost no bytes between zones:
 # where both start together, it looks for its store every 0.1 s.
@@ -134,7 +134,7 @@
         """This member begins to serve."""
         asked_lately = now - self.asked_at.get(self.holder, LONG_AGO) < RECENT_REQUEST_SECONDS
         is_preferred = self.holder and asked_lately
-        self.prefer_holder_until = now + PREFER_HOLDER_SECONDS if is_preferred else now
+        self.prefer_holder_until = now + PREFER_LAST_HOLDER_SECONDS if is_preferred else now
         self.prefer_local_until = now + PREFER_LOCAL_SECONDS
         self.asked_at.clear()
 
--- a/loomstand/store/counting_lease_service.py
+++ b/loomstand/store/counting_lease_service.py
@@ -58,7 +58,7 @@
         self.lease = CountingLease(io.replica.member.address[0])
         self._grant_lock = asyncio.Lock()
         # when the newest primary known last told that it serves, and until when nobody else does
-        self._primary_heard_at = LONG_AGO
+        self._primary_contact_at = LONG_AGO
         self._primary_serves_until = LONG_AGO
         self._restore(pages)
 
@@ -117,12 +117,15 @@
         self._adopt_own_epoch()
         return ServingRow(self.lease.number, self.lease.holder, int(1000 * lease_seconds))
 
-    def is_outdated(self, told: ServingRow | None) -> bool:
+    def is_outdated(self, reported: ServingRow | None) -> bool:
         """Whether others need to hear more than was told."""
         current = self.serving()
         if current is None:
             return False
-        return told is None or (told.number, told.holder) != (current.number, current.holder)
+        return reported is None or (reported.number, reported.holder) != (
+            current.number,
+            current.holder,
+        )
 
     def on_status(self, status: HeartbeatRequest | HeartbeatResponse, sent_at: float) -> None:
         """A heartbeat came, or the answer to one that was sent at `sent_at`.
@@ -136,7 +139,7 @@
         if (status.view_epoch, status.member.member_id) != (view.epoch, view.primary.id):
             return
         serves_until = sent_at + serving.lease_ms / 1000
-        self._primary_heard_at = max(self._primary_heard_at, sent_at)
+        self._primary_contact_at = max(self._primary_contact_at, sent_at)
         self._primary_serves_until = max(self._primary_serves_until, serves_until)
         self.lease.observe(view.epoch, serving.number, serving.holder)
 
@@ -159,7 +162,7 @@
         view = replica.newest_known_view()
         return (
             view is not None
-            and now - self._primary_heard_at < REPLACE_VOTER_AFTER_SECONDS
+            and now - self._primary_contact_at < REPLACE_VOTER_AFTER_SECONDS
             and view.has_quorum({replica.member.id, *reachable_ids})
         )
 
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -158,7 +158,7 @@
     def _observe_epochs(self, responses: dict[str, PrepareResponse]) -> None:
         replica = self.io.replica
         epochs = [response.promised_epoch for response in responses.values()]
-        replica.highest_epoch_heard = max([replica.highest_epoch_heard, *epochs])
+        replica.highest_epoch_observed = max([replica.highest_epoch_observed, *epochs])
 
     async def _collect_promises(self) -> int | None:
         """Returns the epoch that enough of them promised, or None."""
--- a/loomstand/store/peers.py
+++ b/loomstand/store/peers.py
@@ -81,10 +81,10 @@
             if address != self.own_member.address:
                 self.by_address.setdefault(address, Peer()).named_at = now
 
-    def forget(self, now: float, keep: Collection[Address]) -> None:
+    def forget(self, now: float, retained: Collection[Address]) -> None:
         """Drops the addresses that nobody named for long, except for those of `keep`."""
         for address, peer in list(self.by_address.items()):
-            if address not in keep and now - peer.named_at > FORGET_ADDRESS_AFTER_SECONDS:
+            if address not in retained and now - peer.named_at > FORGET_ADDRESS_AFTER_SECONDS:
                 del self.by_address[address]
 
     def update(self, now: float, status: MemberStatus) -> Peer:
@@ -103,7 +103,7 @@
         peer.committed_version = status.committed_version
         return peer
 
-    def seconds_silent(self, now: float, member: Member) -> float:
+    def seconds_since_contact(self, now: float, member: Member) -> float:
         """Seconds since that very disk answered; forever if another disk answers in its place."""
         if member.id == self.own_member.id:
             return 0.0
@@ -117,14 +117,14 @@
         peer = self.by_address.get(member.address)
         return (
             member.id in self.answered_at
-            and self.seconds_silent(now, member) < UNREACHABLE_AFTER_SECONDS
+            and self.seconds_since_contact(now, member) < UNREACHABLE_AFTER_SECONDS
             and peer is not None
             and peer.state is MemberState.HEALTHY
         )
 
     def is_unusable(self, now: float, member: Member) -> bool:
         """Whether it is silent, leaves, or is unhealthy; not if it just wasn't heard yet."""
-        if self.seconds_silent(now, member) >= UNREACHABLE_AFTER_SECONDS:
+        if self.seconds_since_contact(now, member) >= UNREACHABLE_AFTER_SECONDS:
             return True
         peer = self.by_address.get(member.address)
         return peer is not None and peer.id == member.id and peer.state is not MemberState.HEALTHY
--- a/loomstand/store/planning.py
+++ b/loomstand/store/planning.py
@@ -149,8 +149,8 @@
 
 
 def _is_gone(replica: Replica, now: float, voter: Member) -> bool:
-    silent_seconds = replica.peers.seconds_silent(now, voter)
-    return silent_seconds >= REPLACE_VOTER_AFTER_SECONDS or _is_leaving(replica, voter)
+    unreachable_seconds = replica.peers.seconds_since_contact(now, voter)
+    return unreachable_seconds >= REPLACE_VOTER_AFTER_SECONDS or _is_leaving(replica, voter)
 
 
 def _is_leaving(replica: Replica, member: Member) -> bool:
--- a/loomstand/store/recovery.py
+++ b/loomstand/store/recovery.py
@@ -45,7 +45,7 @@
     Returns:
         What the disk had, None if `stopped` came first.
     """
-    pause_seconds, max_pause_seconds = RETRY_SECONDS
+    backoff_seconds, max_backoff_seconds = RETRY_SECONDS
     logged = ""
     while not stopped.is_set():
         try:
@@ -54,8 +54,8 @@
             if str(error) != logged:
                 logged = str(error)
                 logging.warning("store: disk unavailable, left unchanged, error=%r", str(error))
-        await asyncio.sleep(pause_seconds)
-        pause_seconds = min(max_pause_seconds, 2 * pause_seconds)
+        await asyncio.sleep(backoff_seconds)
+        backoff_seconds = min(max_backoff_seconds, 2 * backoff_seconds)
     return None
 
 
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -92,7 +92,7 @@
     inherited_history: ChangeHistory = EMPTY_HISTORY
     knows_committed: bool = False
     state: MemberState = MemberState.HEALTHY
-    highest_epoch_heard: int = 0
+    highest_epoch_observed: int = 0
     backoff_until: float = LONG_AGO
 
     def __post_init__(self) -> None:
@@ -130,7 +130,7 @@
     def highest_known_epoch(self) -> int:
         """The highest epoch that was promised, as far as is known here."""
         return max(
-            self.highest_epoch_heard, self.promised_epoch, self.peers.highest_promised_epoch(), 0
+            self.highest_epoch_observed, self.promised_epoch, self.peers.highest_promised_epoch(), 0
         )
 
     def _rescue_epoch(self) -> int:
@@ -159,7 +159,7 @@
         peer = self.peers.by_address.get(address) or Peer()
         view = self.record.view
         newest_epoch = self.newest_view.epoch if self.newest_view else 0
-        view_to_tell = self.newest_view if peer.newest_view_epoch < newest_epoch else None
+        view_to_send = self.newest_view if peer.newest_view_epoch < newest_epoch else None
         asks_lease = self.is_primary() and self.state is not MemberState.UNHEALTHY
         return {
             "member": self.member.to_row(),
@@ -169,7 +169,7 @@
             "newest_view_epoch": newest_epoch,
             "promised_epoch": self.promised_epoch,
             "committed_version": self.version if self.knows_committed else -1,
-            "view": view_to_tell.to_row() if view_to_tell else None,
+            "view": view_to_send.to_row() if view_to_send else None,
             "requested_lease_epoch": view.epoch if view is not None and asks_lease else 0,
         }
 
@@ -276,14 +276,14 @@
 
     def commit(self, version: int, data: bytes) -> bool:
         """This configuration is committed; whether that is new to this member."""
-        is_news = version > self.version or not self.knows_committed
+        is_newer = version > self.version or not self.knows_committed
         if self.is_established and (version, data) == self.record.configuration:
             self.history = self.history_with(version, data)
         if version > self.version:
             self.version = version
             self.data = data
         self.knows_committed = True
-        return is_news
+        return is_newer
 
     def history_with(self, version: int, data: bytes) -> ChangeHistory:
         """The history to be written together with a configuration, which is its last entry."""
--- a/loomstand/store/rescue.py
+++ b/loomstand/store/rescue.py
@@ -100,7 +100,7 @@
             *self._first_start(),
             *self._unvouched_members(),
             *self._wrongly_named_hosts(),
-            *self._young_members(),
+            *self._recent_members(),
             *self._too_few_disks(),
             *self._newest_version_out_of_reach(),
         ]
@@ -137,11 +137,11 @@
         report = next((r for r in self.reports if r.member.address == member.address), None)
         if host in self.gone_hosts or (report is not None and report.member.id != member.id):
             return ""  # vouched for, or seen: another disk is in its place
-        trouble = " doesn't answer"
+        reason = " doesn't answer"
         if report is not None:
             is_unhealthy = report.state is MemberState.UNHEALTHY
-            trouble = "'s disk is in trouble" if is_unhealthy else " leaves"
-        return f"{host}{trouble}: bring it back, or name it if it is gone for good (--gone {host})"
+            reason = "'s disk is in trouble" if is_unhealthy else " leaves"
+        return f"{host}{reason}: bring it back, or name it if it is gone for good (--gone {host})"
 
     def _wrongly_named_hosts(self) -> list[str]:
         """Hosts that were named as gone, and aren't."""
@@ -156,7 +156,7 @@
             return ""
         return "named as gone, and has no part in the newest view"
 
-    def _young_members(self) -> list[str]:
+    def _recent_members(self) -> list[str]:
         return [
             f"{report.host} has run for less than {MIN_UPTIME_SECONDS:g} s: limiters may hold more"
             for report in self.reachable()
--- a/loomstand/store/rescue_service.py
+++ b/loomstand/store/rescue_service.py
@@ -110,9 +110,9 @@
                 return await self._found(request.gone_hosts, request.token)
         if request.is_handed_on:
             return RescueResponse(refusals=["the core machines don't see the same"])
-        return await self._hand_on(request, chosen)
+        return await self._forward(request, chosen)
 
-    async def _hand_on(self, request: RescueRequest, chosen: MemberReport) -> RescueResponse:
+    async def _forward(self, request: RescueRequest, chosen: MemberReport) -> RescueResponse:
         handed_on = RescueRequest(
             gone_hosts=request.gone_hosts,
             token=request.token,
--- a/loomstand/store/status_board.py
+++ b/loomstand/store/status_board.py
@@ -65,11 +65,11 @@
         if view is None:
             return KnownPrimary(0, None)
         if view.primary.id == replica.member.id:
-            is_there = replica.lease_left(now) > 0.0
+            is_reachable = replica.lease_left(now) > 0.0
         else:
-            silent_seconds = replica.peers.seconds_silent(now, view.primary)
-            is_there = silent_seconds < REPLACE_VOTER_AFTER_SECONDS
-        return KnownPrimary(view.epoch, view.primary.address if is_there else None)
+            unreachable_seconds = replica.peers.seconds_since_contact(now, view.primary)
+            is_reachable = unreachable_seconds < REPLACE_VOTER_AFTER_SECONDS
+        return KnownPrimary(view.epoch, view.primary.address if is_reachable else None)
 
     def _is_ready(self) -> bool:
         return self._io.replica.knows_committed and self._counting_leases.is_fresh()
--- a/loomstand/testing/model_checker/member.py
+++ b/loomstand/testing/model_checker/member.py
@@ -698,8 +698,8 @@
             replica.peers.by_address = {}
             replica.peers.answered_at = {}
             replica.state = MemberState.LEAVING if leaves else MemberState.HEALTHY
-            for m, is_there in zip(others, there, strict=True):
-                answered = now if is_there else LONG_AGO
+            for m, is_reachable in zip(others, there, strict=True):
+                answered = now if is_reachable else LONG_AGO
                 epoch = replica.promised_epoch + 1 if outbid else 0
                 replica.peers.by_address[m.address] = Peer(
                     m.id, answered_at=answered, promised_epoch=epoch, is_founder=True
--- a/tests/rpc/test_client.py
+++ b/tests/rpc/test_client.py
@@ -13,7 +13,7 @@
 from loomstand.rpc.messages.quota_messages import IncrementRequest, IncrementResponse
 
 ADDRESS = ("10.1.0.1", 7340)
-REQUEST = IncrementRequest(counter_name=7, step=1.0, keep_seconds=4.0)
+REQUEST = IncrementRequest(counter_name=7, step=1.0, retention_seconds=4.0)
 
 
 class AnsweringNetwork:
--- a/tests/rpc/test_messages.py
+++ b/tests/rpc/test_messages.py
@@ -182,7 +182,7 @@
 def test_numbers_are_read_leniently():
     body = {"name": "7", "step": "1.5", "keep": 4}
     message = quota_messages.IncrementRequest.from_wire(body)
-    expected = quota_messages.IncrementRequest(counter_name=7, step=1.5, keep_seconds=4.0)
+    expected = quota_messages.IncrementRequest(counter_name=7, step=1.5, retention_seconds=4.0)
     assert message == expected
 
 
@@ -207,7 +207,7 @@
 def test_absent_and_none_are_told_apart():
     opening = session_messages.SessionRequest(
         known_instances=0,
-        known_facts=-1,
+        known_system_state_revision=-1,
         known_configuration=0,
         limiter_name="n-1",
         shared_clock=None,
--- a/tests/store/test_counting_lease.py
+++ b/tests/store/test_counting_lease.py
@@ -175,7 +175,7 @@
 
 async def kept(system: Cluster, step: float = 0.0) -> float:
     """Adds to a sum at the registry that counts; the total."""
-    request = IncrementRequest(counter_name=7, step=step, keep_seconds=60.0)
+    request = IncrementRequest(counter_name=7, step=step, retention_seconds=60.0)
     said = await system.registry(system.counting()).counting.handle_increment(request)
     return said.total
 
