--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -6,13 +6,15 @@
 
 import asyncio
 from collections import Counter as Tally
-from typing import Protocol
+from typing import Any, Protocol, TypeVar
 
 from loomstand.admission.outcome import Outcome
 from loomstand.config.limiter import BackendList
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import Room
 
+AttemptT_contra = TypeVar("AttemptT_contra", contravariant=True)
+
 
 class Clock(Protocol):
     """What bounds the time at which bytes came; `driver.Turns`."""
@@ -49,7 +51,7 @@
 class Counts(Host, Protocol):
     """The counter's calls."""
 
-    def counted(self, name: int, outcome: Outcome, total: float, took: int) -> None: ...
+    def counter_replied(self, name: int, outcome: Outcome, total: float, took: int) -> None: ...
 
 
 class Bounded(Host, Protocol):
@@ -62,29 +64,36 @@
     def make_room(self, spared: Asker | None = None) -> bool: ...
 
 
-class Sends(Bounded, Protocol):
+class Sends(Bounded, Protocol[AttemptT_contra]):
     """Connections to servers."""
 
     def now(self) -> int: ...
 
-    def came(self, flight: Sent, outcome: Outcome, metered: int = 0, body: bytes = b"") -> None: ...
+    def attempt_ended(
+        self, attempt: AttemptT_contra, outcome: Outcome, metered: int = 0, body: bytes = b""
+    ) -> None: ...
 
 
 class Takes(Bounded, Protocol):
     """Connections of clients."""
 
-    turns: Clock
-    able: bool
+    is_ready: bool
 
-    def take(self, client: Asker, machine: http_parser.RequestReceiver, at: float) -> None: ...
+    @property
+    def turns(self) -> Clock: ...
+
+    def request_received(
+        self, client: Asker, machine: http_parser.RequestReceiver, at: float
+    ) -> None: ...
 
-    def vanished(self, req: Asked) -> None: ...
+    # of the limiter's own class of requests, as `request_received` has set it at the client
+    def client_disconnected(self, request: Any) -> None: ...  # noqa: ANN401
 
 
 class Asker(Protocol):
-    """A client's connection, as a req and the limiter see it."""
+    """A client's connection, as a request and the limiter see it."""
 
-    req: Asked | None
+    request: Asked | None
 
     def answer(
         self, status: int, body: bytes = b"", extra: str = "", close: bool = False
@@ -94,20 +103,15 @@
 
 
 class Asked(Protocol):
-    """A req, as a client's connection sees it."""
+    """A request, as a client's connection sees it."""
 
     client: Asker | None
 
 
 class Carrier(Protocol):
-    """A connection to a server, as a dispatch sees it."""
-
-    def write(self) -> None: ...
+    """A connection to a server, as an attempt sees it."""
 
+    attempt: Any
+    wire: Any  # the connection's `event_loop.Wire`
 
-class Sent(Protocol):
-    """A dispatch on its way, as the limiter hands it over and gets it back."""
-
-    expire: int
-    number: int
-    srv: int
+    def write(self) -> None: ...
--- a/loomstand/limiter/request.py
+++ b/loomstand/limiter/request.py
@@ -1,10 +1,12 @@
-"""A req: what a client sent, checked, and what goes on to a server."""
+"""A request: what a client sent, checked, and what goes on to a server."""
 
 from __future__ import annotations
 
 import re
+from asyncio import TimerHandle
 from collections.abc import Container
 from functools import lru_cache
+from typing import Any, Generic, TypeVar
 
 from loomstand.admission.identifiers import stable_digest
 from loomstand.admission.settings import EngineSettings
@@ -29,7 +31,7 @@
 
 
 class Names:
-    """The settings' names as they stand in a req."""
+    """The settings' names as they stand in a request."""
 
     def __init__(self, frontends: list[str], plans: list[str], told: EngineSettings) -> None:
         self.frontends = {name.encode(): n for n, name in enumerate(frontends)}
@@ -57,17 +59,23 @@
         return int(account, 16), stable_digest(account.decode().lower())
 
 
-class Req:
+RequestT = TypeVar("RequestT", bound="Request")
+
+
+class Request:
     """A message that is owed its answer, or whose dispatches are still out."""
 
-    __slots__ = ("body", "client", "fields", "flights", "give_up", "head", "id", "line")
+    __slots__ = ("attempts", "body", "client", "deadline", "fields", "head", "id", "line")
 
     def __init__(self, machine: RequestReceiver) -> None:
-        self.fields, self.body = machine.fields, machine.body
-        self.line, self.head = (machine.method, machine.target), b""
-        self.id = self.give_up = 0
+        self.fields: dict[bytes, bytes] = machine.fields
+        self.body: bytes = machine.body
+        self.line: tuple[bytes, bytes] = (machine.method, machine.target)
+        self.head = b""
+        self.id: int = 0
+        self.deadline: int = 0
         self.client: Asker | None = None
-        self.flights: list[Flight | None] = []
+        self.attempts: list[Attempt[Any] | None] = []
 
     def onward(self, left_out: Container[bytes]) -> bytes:
         """The head for a server, without its last line; `left_out` names the fields that don't go
@@ -87,8 +95,8 @@
         raise NotImplementedError
 
 
-class AccountReq(Req):
-    """A req of an account, with a plan and a frontend."""
+class AccountRequest(Request):
+    """A request of an account, with a plan and a frontend."""
 
     __slots__ = ("customer", "first", "frontend", "plan", "retry", "set_size", "timeout", "units")
 
@@ -115,22 +123,24 @@
         return b"%brequest-timeout-ms: %d\r\n\r\n%b" % (self.onward(OWN_FIELDS), wait, self.body)
 
 
-class Flight:
+class Attempt(Generic[RequestT]):
     """A dispatch on its way."""
 
-    __slots__ = ("expire", "link", "number", "req", "sent_at", "srv", "timer")
+    __slots__ = ("connection", "endpoint_id", "expires_at", "number", "request", "sent_at", "timer")
 
-    def __init__(self, req: Req, number: int, srv: int, sent_at: int, expire: int) -> None:
-        self.req, self.number, self.srv, self.sent_at, self.expire = (
-            req,
+    def __init__(
+        self, request: RequestT, number: int, endpoint_id: int, sent_at: int, expires_at: int
+    ) -> None:
+        self.request, self.number, self.endpoint_id, self.sent_at, self.expires_at = (
+            request,
             number,
-            srv,
+            endpoint_id,
             sent_at,
-            expire,
+            expires_at,
         )
-        self.link: Carrier | None = None
-        self.timer = None
+        self.connection: Carrier | None = None
+        self.timer: TimerHandle | None = None
 
     def raw(self, wait: int) -> bytes:
         """The bytes for its server; `wait` is how long the answer is waited for, in ms."""
-        return self.req.raw(wait)
+        return self.request.raw(wait)
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -14,8 +14,9 @@
 
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import Room
-from loomstand.limiter.client_connection import Client, Front
+from loomstand.limiter.client_connection import Client, ClientListener
 from loomstand.limiter.event_loop import Streams, Turns, Untimed
+from loomstand.limiter.protocols import Asker
 from loomstand.rpc.network import Address
 
 # Share of the sockets that callers may keep open between calls; the others are for new calls and,
@@ -69,22 +70,26 @@
         self.room = Room(memory_bytes)
         self.endings = Counter[str]()
         self.most_answer = max_body_bytes
-        self.able = True
+        self.is_ready = True
         self.sockets = max_sockets
         self.tasks: set[asyncio.Task[None]] = set()
-        self.front = self._make_front(max_sockets, max_body_bytes, streams)
+        self.listener = self._make_listener(max_sockets, max_body_bytes, streams)
 
-    def _make_front(self, max_sockets: int, max_body_bytes: int, streams: Streams | None) -> Front:
+    def _make_listener(
+        self, max_sockets: int, max_body_bytes: int, streams: Streams | None
+    ) -> ClientListener:
         # Its type of a limiter knows less of connections and calls than it passes on.
         limiter: Any = self
-        front = Front(limiter, max(MIN_BACKLOG, max_sockets // BACKLOG_DIVISOR), max_sockets)
+        listener = ClientListener(
+            limiter, max(MIN_BACKLOG, max_sockets // BACKLOG_DIVISOR), max_sockets
+        )
         if streams is not None:
-            front.bind = streams.listen
-        front.most_held = int(max_sockets * KEEP_ALIVE_SHARE)
-        front.stays = IDLE_TIMEOUT_SECONDS
-        front.most_body = max_body_bytes
-        front.own_paths = False
-        return front
+            listener.bind = streams.listen
+        listener.most_held = int(max_sockets * KEEP_ALIVE_SHARE)
+        listener.idle_timeout_seconds = IDLE_TIMEOUT_SECONDS
+        listener.max_body_bytes = max_body_bytes
+        listener.own_paths = False
+        return listener
 
     async def listen(self, address: Address) -> None:
         """Takes calls at this address, until `stop`.
@@ -92,24 +97,28 @@
         Raises:
             OSError: The address can't be listened at.
         """
-        await self.front.listen(address)
+        await self.listener.listen(address)
         self.loop.call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
 
     def sweep(self) -> None:
         """Closes connections that stall or stay idle, again and again until `stop`."""
-        self.front.sweep(MESSAGE_TIMEOUT_SECONDS)
-        if not self.front.stopping:
+        self.listener.sweep(MESSAGE_TIMEOUT_SECONDS)
+        if not self.listener.stopping:
             self.loop.call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
 
     def spare_sockets(self) -> int:
         """Returns how many connections more there may be; below 0 where there are too many."""
-        return self.sockets - len(self.front.clients)
+        return self.sockets - len(self.listener.clients)
 
-    def make_room(self, spared: Client | None = None) -> bool:
+    def make_room(self, spared: Asker | None = None) -> bool:
         """Closes a connection that nobody needs, other than `spared`; whether there was one."""
-        return self.front.close_silent(spared, SILENT_SECONDS) or self.front.close_idle(spared)
+        return self.listener.close_silent(spared, SILENT_SECONDS) or self.listener.close_idle(
+            spared
+        )
 
-    def take(self, client: Client, machine: http_parser.RequestReceiver, at: float) -> None:
+    def request_received(
+        self, client: Client, machine: http_parser.RequestReceiver, at: float
+    ) -> None:
         """Begins to serve the call that came on a connection.
 
         Args:
@@ -120,7 +129,7 @@
         del at
         pending = PendingCall(client)
         holder: Any = client
-        holder.req = pending
+        holder.request = pending
         task = self.loop.create_task(
             self.serve(pending, machine.method, machine.target, bytes(machine.body))
         )
@@ -148,14 +157,14 @@
         if client.wire.inbound.used:
             self.loop.call_soon(client.next)
 
-    def vanished(self, pending: PendingCall) -> None:
+    def client_disconnected(self, pending: PendingCall) -> None:
         """The caller has closed the connection: the call is served, and not answered."""
         pending.client = None
 
     def stop(self) -> None:
         """Listens no more, and closes the connections without a call."""
-        self.front.stop()
-        self.front.close()
+        self.listener.stop()
+        self.listener.close()
 
 
 class PendingCall:
--- a/tests/store/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -466,7 +466,7 @@
         system.wait(0.25)
     held, system.held = system.version, system.versions[system.version]
     assert not system.do(system.replace(3.0))
-    assert {s.table.version for s in system.all_proxies()} == {held}
+    assert {s.configuration.table.version for s in system.all_proxies()} == {held}
 
 
 @when("its operators look at the rescue and give their word")
