--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -8,7 +8,6 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
-from typing import Any
 
 from loomstand.rpc.messages.rows import InstanceRow
 
@@ -28,9 +27,6 @@
 GONE_RETENTION_SECONDS = 120.0
 MILLISECONDS_PER_SECOND = 1000
 
-# A row as it comes undecoded.
-Row = list[Any]
-
 
 @dataclass(slots=True, frozen=True)
 class Instance:
--- a/loomstand/rpc/messages/gossip_messages.py
+++ b/loomstand/rpc/messages/gossip_messages.py
@@ -78,7 +78,7 @@
         instances: The servers.
         instance_ages: By instance id, the age of its latest heartbeat in seconds.
         clock_seconds: The shared clock, in seconds.
-        is_clock_known: Whether the shared clock was set by another program.
+        is_clock_set: Whether the shared clock was set by another program.
     """
 
     instances: list[InstanceRow] = msgspec.field(name="rows")
