--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -7,26 +7,31 @@
   from `tests/` or from the page's own folder; a bare `replica.py` is the name of some file;
 * `path::test_name` and `test_name` name tests, where `...` stands for letters left out;
 * `loomstand.a.b` is a module or a name defined in one, also within blocks of commands and code;
-* `Name`, `Name.attribute`, `module.Name`, `CONSTANT` and `snake_case()` are defined in the code;
+* `Name`, `Name.attribute`, `module.Name`, `CONSTANT` and `function()` are defined in the code;
+* on the pages of `STRICT` also `module.name` is, or is a text there, and `snake_case` occurs;
 * a relative link leads to a file, and to a heading of it.
 
-In a table the columns named in `HISTORY` are passed over, as they hold names that are gone. Names
-of other programs are listed in `OUTSIDE`.
+In a table the columns whose heading is in `HISTORY` are passed over, as they hold names that are
+gone. Names of other programs are listed in `OUTSIDE`. Besides, the tables of docs/ARCHITECTURE.md
+and docs/GLOSSARY.md on imports and on the wire's keys are compared with the code.
 """
 
 from __future__ import annotations
 
 import ast
+import importlib
 import re
 from collections.abc import Iterator
 from functools import cache
 from pathlib import Path
 from typing import NamedTuple
 
+import msgspec
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
 CODE_FOLDERS = ("loomstand", "tests", "benchmarks")
+STRICT = {"CONTRIBUTING.md", "ARCHITECTURE.md", "GLOSSARY.md"}
 HISTORY_PAGES = {"docs/standing.md"}
 HISTORY = {"old name", "before"}
 SUFFIXES = r"(?:py|md|toml|txt|png|feature|sh|json)"
@@ -50,13 +55,26 @@
     "point-N/report.json",
 }
 # Names of other programs and of the operators' pages.
-OUTSIDE: set[str] = set()
+OUTSIDE = {
+    "Acks",  # a figure of the bench
+    "Starved",  # the same
+    "SO_LINGER",  # a socket's option
+    "LOOMSTAND_CONFIG",  # variables of the environment
+    "PROXY_CONFIG",
+    "PROXY_DISCOVERY",
+    "PROXY_LISTEN",
+    "PROXY_NAME",
+    "G_over_oracle",  # keys of a report
+}
+# Folders that a rehearsal writes.
+WRITTEN_FOLDERS = {"trail/", "log/"}
 
 PATH = re.compile(rf"[\w.<>*{{}}-]+(?:/[\w.<>*{{}}-]+)*\.{SUFFIXES}")
 FOLDER = re.compile(r"(?:[\w.-]+/)+")
 DOTTED = re.compile(r"\bloomstand(?:\.[A-Za-z_]\w*)+")
 IDENTIFIER = re.compile(r"[A-Za-z_]\w*(?:\.[A-Za-z_]\w*)*(?:\(\))?")
 TEST = re.compile(r"(?P<path>[\w./-]+\.py)?(?:::)?(?P<name>(?:\.\.\.)?_?test_\w+(?:\.\.\.\w*)*)")
+PAGE = re.compile(r"\bdocs/[\w.-]+\.md\b")
 LINK = re.compile(r"\]\(([^)\s]+)\)")
 
 
@@ -163,8 +181,10 @@
 def path_exists(text: str, page: Path) -> bool:
     """Whether a path, or a bare file name, is one of the tree."""
     paths, names = files()
+    if text in WRITTEN_FOLDERS:
+        return True
     text = text.removeprefix("./").rstrip("/")
-    if text in WRITTEN or "/" not in text and text in names:
+    if text in WRITTEN or ("/" not in text and text in names):
         return True
     if re.search(r"[<>*{}]|NAME|PKG", text):
         return True
@@ -203,8 +223,23 @@
     return len(parts) == 1 or class_has(parts[0], parts[1])
 
 
-def identifier_exists(text: str) -> bool:
-    """Whether a name in backticks is defined; a plain lower-case word is taken as text."""
+@cache
+def code() -> str:
+    """The text of all code but this file's."""
+    paths = [path for folder in CODE_FOLDERS for path in (ROOT / folder).rglob("*.py")]
+    return "\n".join(path.read_text() for path in paths if path != Path(__file__).resolve())
+
+
+@cache
+def words() -> set[str]:
+    """All words of the code, those within texts included."""
+    return set(re.findall(r"\w+", code()))
+
+
+def identifier_exists(text: str, strict: bool) -> bool:
+    """Whether a name in backticks is defined; elsewhere a plain lower-case word is taken as
+    text.
+    """
     name = text.removesuffix("()")
     parts = name.split(".")
     first = parts[0]
@@ -214,24 +249,28 @@
         return len(parts) == 1 or class_has(first, parts[1])
     if re.fullmatch(r"[A-Z]\w*", first) and len(first) > 1:
         return len(parts) == 1 and first in tree().names
+    if len(parts) == 1 and strict and "_" in name:
+        return name in words()
     if len(parts) == 1:
         return name == text or name in tree().names
     if not any(module.endswith("." + first) for module in tree().modules):
         return True
-    return module_path_exists(parts)
+    return module_path_exists(parts, strict)
 
 
-def module_path_exists(parts: list[str]) -> bool:
+def module_path_exists(parts: list[str], strict: bool) -> bool:
     """Whether `package.module.Name` without the leading `loomstand.` is defined.
 
     A dotted name that ends in a lower-case word may also be a key of a settings file or of an
-    answer, such as `store.epoch`: those are not judged here.
+    answer, such as `store.epoch`: those are judged on strict pages only.
     """
     starts = [m for m in tree().modules if m.endswith("." + parts[0])]
     ends = [m.removesuffix(parts[0]) for m in starts]
     if any(dotted_exists(start + ".".join(parts)) for start in ends):
         return True
-    return not any(re.match(r"[A-Z]", part) for part in parts)
+    if any(re.match(r"[A-Z]", part) for part in parts):
+        return False
+    return not strict or f'"{".".join(parts)}"' in code()
 
 
 def test_exists(text: str, path: str | None) -> bool:
@@ -283,10 +322,9 @@
         elif FOLDER.fullmatch(code):
             if not path_exists(code, page):
                 wrong.append(code)
-        elif IDENTIFIER.fullmatch(code) and not identifier_exists(code):
+        elif IDENTIFIER.fullmatch(code) and not identifier_exists(code, page.name in STRICT):
             wrong.append(code)
-    wrong += [path for path in re.findall(r"\bdocs/[\w.-]+\.\w+", text) if not path_exists(path, page)]
-    return wrong
+    return wrong + [path for path in PAGE.findall(text) if not path_exists(path, page)]
 
 
 def anchors(page: Path) -> set[str]:
@@ -304,7 +342,7 @@
             continue
         path, _, anchor = link.partition("#")
         target = (page.parent / path).resolve() if path else page
-        if not target.exists() or anchor and anchor not in anchors(target):
+        if not target.exists() or (anchor and anchor not in anchors(target)):
             wrong.append(link)
     return wrong
 
@@ -317,3 +355,113 @@
 @pytest.mark.parametrize("page", pages(), ids=lambda page: page.name)
 def test_relative_links_lead_somewhere(page):
     assert broken_links(page) == []
+
+
+def test_pages_named_in_the_code_exist():
+    """Comments and docstrings send readers to pages."""
+    wrong = []
+    for folder in ("loomstand", "benchmarks", "deploy", "examples", "tests"):
+        for path in (ROOT / folder).rglob("*"):
+            if path.suffix in {".py", ".toml", ".feature"} and path != Path(__file__).resolve():
+                pages = PAGE.findall(path.read_text())
+                wrong += [(path.name, page) for page in pages if not (ROOT / page).exists()]
+    assert wrong == []
+
+
+def test_imports_of_the_readme_work():
+    """The example of a program that embeds the limiter."""
+    lines = re.findall(
+        r"^    (from loomstand\S* import .*)$", (ROOT / "README.md").read_text(), re.M
+    )
+    assert len(lines) >= 2
+    for line in lines:
+        exec(line, {})
+
+
+# --- the tables of ARCHITECTURE.md and GLOSSARY.md
+
+
+def table(page: str, heading: str) -> list[list[str]]:
+    """The rows of the first table of a page whose heading row begins so, as cells."""
+    lines = (ROOT / page).read_text().splitlines()
+    start = next(n for n, line in enumerate(lines) if line.startswith(heading))
+    rows = []
+    for line in lines[start + 2 :]:
+        if not line.startswith("|"):
+            break
+        rows.append([cell.strip() for cell in line.strip("|").split("|")])
+    return rows
+
+
+def imported_packages(path: Path) -> set[str]:
+    """The packages of loomstand that a module imports, wherever in it."""
+    found = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        names = []
+        if isinstance(node, ast.ImportFrom) and node.module == "loomstand":
+            names = [f"loomstand.{alias.name}" for alias in node.names]
+        elif isinstance(node, ast.ImportFrom):
+            names = [node.module or ""]
+        elif isinstance(node, ast.Import):
+            names = [alias.name for alias in node.names]
+        found |= {name.split(".")[1] for name in names if name.startswith("loomstand.")}
+    return found
+
+
+def test_packages_import_only_what_the_architecture_allows():
+    allowed: dict[str, set[str]] = {}
+    for packages, _, _, may_import in table("docs/ARCHITECTURE.md", "| package | job |"):
+        for package in re.findall(r"`(\w+)`", packages):
+            allowed[package] = {package, *re.findall(r"`(\w+)`", may_import)}
+    folders = {path.parent.name for path in (ROOT / "loomstand").glob("*/__init__.py")}
+    assert folders == set(allowed)
+    wrong = []
+    for package, names in allowed.items():
+        for path in (ROOT / "loomstand" / package).rglob("*.py"):
+            wrong += [(path.name, name) for name in imported_packages(path) - names]
+    assert wrong == []
+
+
+def test_no_program_imports_what_is_for_tests():
+    programs = {"admission", "config", "failover", "limiter", "membership", "proxy", "registry"}
+    for package in programs | {"rpc", "store"}:
+        for path in (ROOT / "loomstand" / package).rglob("*.py"):
+            assert not imported_packages(path) & {"testing", "simulation", "model_checker"}
+
+
+def message(name: str) -> type[msgspec.Struct]:
+    """A message class by the name that the glossary gives it."""
+    module, _, class_name = name.partition(".")
+    return getattr(importlib.import_module(f"loomstand.rpc.messages.{module}"), class_name)
+
+
+def test_the_glossary_has_every_call_of_the_wire():
+    rows = table("docs/GLOSSARY.md", "| call | from, to |")
+    for call, _, request, _ in rows:
+        assert message(request.strip("`")).operation == call
+    requests = {request.strip("`").partition(".")[2] for _, _, request, _ in rows}
+    defined = set()
+    for path in (ROOT / "loomstand" / "rpc" / "messages").glob("*_messages.py"):
+        defined |= set(tree().modules[f"loomstand.rpc.messages.{path.stem}"])
+    assert {name for name in defined if name.endswith("Request")} - {"Request", "EmptyRequest"} == (
+        requests
+    )
+
+
+@pytest.mark.parametrize("heading", ["| key of one letter |", "| longer key |"])
+def test_the_glossary_has_the_keys_of_the_wire(heading):
+    for key, fields, classes in table("docs/GLOSSARY.md", heading):
+        groups = fields.split(";"), classes.split(";")
+        assert len(groups[0]) == len(groups[1]), key
+        for field, names in zip(*groups, strict=True):
+            for name in re.findall(r"`([\w.]+)`", names):
+                keys = {f.name: f.encode_name for f in msgspec.structs.fields(message(name))}
+                assert keys[field.strip(" `")] == key, name
+
+
+def test_every_key_of_one_letter_is_in_the_glossary():
+    listed = {key for key, *_ in table("docs/GLOSSARY.md", "| key of one letter |")}
+    found = set()
+    for path in (ROOT / "loomstand" / "rpc" / "messages").glob("*.py"):
+        found |= set(re.findall(r'name="(\w)"', path.read_text()))
+    assert found == listed
