--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -237,25 +237,25 @@
 
 
 def identifier_exists(text: str, strict: bool) -> bool:
-    """Whether a name in backticks is defined; elsewhere a plain lower-case word is taken as
-    text.
+    """Whether a name in backticks is defined.
+
+    A plain lower-case word may be a word of the operators, so it is judged only with brackets, or
+    with an underscore on a strict page.
     """
     name = text.removesuffix("()")
-    parts = name.split(".")
-    first = parts[0]
+    first, *rest = name.split(".")
     if name in OUTSIDE or first in OUTSIDE:
         return True
     if first in tree().classes:
-        return len(parts) == 1 or class_has(first, parts[1])
-    if re.fullmatch(r"[A-Z]\w*", first) and len(first) > 1:
-        return len(parts) == 1 and first in tree().names
-    if len(parts) == 1 and strict and "_" in name:
+        return not rest or class_has(first, rest[0])
+    if re.fullmatch(r"[A-Z]\w+", first):
+        return not rest and first in tree().names
+    if rest:
+        packages = {module.rpartition(".")[2] for module in tree().modules}
+        return first not in packages or module_path_exists([first, *rest], strict)
+    if strict and "_" in name:
         return name in words()
-    if len(parts) == 1:
-        return name == text or name in tree().names
-    if not any(module.endswith("." + first) for module in tree().modules):
-        return True
-    return module_path_exists(parts, strict)
+    return name == text or name in tree().names
 
 
 def module_path_exists(parts: list[str], strict: bool) -> bool:
