--- a/benchmarks/scale_hollow.py
+++ b/benchmarks/scale_hollow.py
@@ -2,8 +2,8 @@
 path.
 
 Many in one process (`python -m benchmarks.scale_hollow`, started by `scale_run`). A hollow limiter
-is the proxy's own `Sessions`, `InstanceView`, `SharedClock`, `Told` and counting, on a `Sockets` of
-its own, so with connections of its own; it has no listener, no module and no request. A hollow
+is the proxy's own `Sessions`, `InstanceView`, `SharedClock`, `Told` and counting, on a `TcpNetwork`
+of its own, so with connections of its own; it has no listener, no module and no request. A hollow
 server is its heartbeats by HTTP/1.1 on a connection that it keeps. Orders come as lines of JSON on
 standard input and are answered on standard output; the process ends with its input. Besides,
 servers that answer at once, and clients.
@@ -23,18 +23,22 @@
 
 from absl import logging
 
-from loomstand.admission import interface as i
-from loomstand.admission.identifiers import digest
-from loomstand.config.settings import Settings, parse
-from loomstand.config.units import address_text
+from loomstand.admission.actions import IncrementCounter
+from loomstand.admission.identifiers import stable_digest
+from loomstand.admission.outcome import Outcome
+from loomstand.config.settings import Settings, parse_settings
+from loomstand.config.units import format_address
 from loomstand.proxy.counter_replay import CounterReplay
 from loomstand.proxy.instance_view import InstanceView
 from loomstand.proxy.program import Proxy
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import SharedClock
 from loomstand.registry.instances import DRAINING, GONE, READY, Row
-from loomstand.rpc import sockets
+from loomstand.rpc import tcp_connection
+from loomstand.rpc.frames import Frame
 from loomstand.rpc.network import Address, Body
+from loomstand.rpc.tcp_connection import ClientConnection
+from loomstand.rpc.tcp_network import TcpNetwork
 
 INTERVAL = 2.0  # s, of a count's name: a burst of twice the rate, as at the sites
 KEEP = 7.0  # s that a sum is kept: three intervals and a second, as the module asks
@@ -63,7 +67,7 @@
         }
 
 
-class CountedLine(sockets.Line):
+class CountedConnection(ClientConnection):
     """A connection whose bytes are counted."""
 
     def data_received(self, data: bytes) -> None:
@@ -71,9 +75,11 @@
         super().data_received(data)
 
 
-class HollowNetwork(sockets.Sockets):
+class HollowNetwork(TcpNetwork):
     """The real network of sockets, counted."""
 
+    client_connection_type = CountedConnection
+
     def __init__(self, wire: Wire) -> None:
         super().__init__()
         self.wire = wire
@@ -156,10 +162,10 @@
         """One step of a tenant's use, as the module would have it counted."""
         k = (self.now() + self.common.shift) // round(INTERVAL * 10_000)
         name = tenant << 15 | k % NAMES
-        self.count(i.IncrementCounter(name, 1.0, round(KEEP * 10_000)))
+        self.count(IncrementCounter(name, 1.0, round(KEEP * 10_000)))
 
-    def counted(self, name: int, outcome: i.Outcome, total: float, took: int) -> None:
-        passed = outcome is i.Outcome.PASSED
+    def counted(self, name: int, outcome: Outcome, total: float, took: int) -> None:
+        passed = outcome is Outcome.SUCCEEDED
         self.counts["passed" if passed else "failed"] += 1
         if passed:
             self.seen.counted(took)
@@ -373,7 +379,7 @@
         servers.
         """
         self.rng = Random(first)
-        known, self.seen.servers, self.seen.version = parse(settings), servers, version
+        known, self.seen.servers, self.seen.version = parse_settings(settings), servers, version
         for n in range(first, first + many):
             mine = replace(known, node_name=f"hollow-{n}")
             limiter = HollowLimiter(mine, self.wire, self.seen, Random(n))
@@ -394,7 +400,7 @@
     ) -> Figures:
         where = [(str(ip), int(port)) for ip, port in controls]
         for n in range(first, first + many):
-            place = address_text((f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}", 8080))
+            place = format_address((f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}", 8080))
             place = places[n - first] if places else place
             server = HollowServer(
                 n, f"service-{n % services}", zones[n % len(zones)], place, where, every
@@ -419,7 +425,7 @@
         return {}
 
     async def count(self, rate: float, tenants: int) -> None:
-        rng, digests = Random(7), [digest(f"tenant-{n}") for n in range(tenants)]
+        rng, digests = Random(7), [stable_digest(f"tenant-{n}") for n in range(tenants)]
         weights = [1 / (n + 1) for n in range(tenants)]
         due = time.monotonic()
         while True:
@@ -511,14 +517,14 @@
 
 async def main() -> None:
     logging.set_verbosity(logging.ERROR)
-    loop, worker, pack = asyncio.get_running_loop(), Worker(), sockets.pack
+    loop, worker, pack = asyncio.get_running_loop(), Worker(), tcp_connection.encode_frame
 
-    def packed(item: list[Any]) -> bytes:
-        raw = pack(item)
+    def packed(frame: Frame) -> bytes:
+        raw = pack(frame)
         worker.wire.bytes_out += len(raw)
         return raw
 
-    sockets.Line, sockets.pack = CountedLine, packed  # of the hollow limiters' connections
+    tcp_connection.encode_frame = packed  # of the hollow limiters' connections
     reader = asyncio.StreamReader(limit=64 << 20)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
--- a/loomstand/config/configuration.py
+++ b/loomstand/config/configuration.py
@@ -17,11 +17,11 @@
 from types import MappingProxyType
 from typing import Any, Final
 
-from loomstand.config.units import UnitError, seconds, shown, version
+from loomstand.config.units import UnitError, parse_seconds, parse_version, quote_value
 
-MOST_TIMEOUT = 600.0  # seconds: ten minutes, by the protocol
-MOST = 2.0**63  # no figure of a configuration comes near; sums of those under it stay finite
-CONNECTIONS = 100  # of a service that doesn't say: a little under the least seen, 110
+MAX_TIMEOUT_SECONDS = 600.0  # seconds: ten minutes, by the protocol
+MAX_NUMBER = 2.0**63  # no figure of a configuration comes near; sums of those under it stay finite
+DEFAULT_CONNECTION_LIMIT = 100  # of a service that doesn't say: a little under the least seen, 110
 _NEEDED: Final[Any] = object()
 # What would end a line of a header or of a log, or can't be written as UTF-8.
 _UNFIT = re.compile("[\x00-\x1f\x7f-\x9f\u2028\u2029\ud800-\udfff]")
@@ -34,20 +34,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Where requests of a host (in small letters) under a prefix go. Times are in seconds; of
-    `split`, each is a service and its weight, the weights of 0 or more and not all 0; `priority` 0
-    is the highest.
+    """Where requests of a host (in small letters) under a prefix go. Of `traffic_split`, each is a
+    service and its weight, the weights of 0 or more and not all 0; `priority` 0 is the highest.
     """
 
     name: str
     host: str
-    prefix: str
+    path_prefix: str
     idempotent: bool
-    timeout: float
-    target_latency: float
+    timeout_seconds: float
+    target_latency_seconds: float
     priority: int
-    split: tuple[tuple[str, float], ...]
-    attempts: int
+    traffic_split: tuple[tuple[str, float], ...]
+    max_attempts: int
     public: bool
 
 
@@ -64,25 +63,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A customer: `rate` requests a second and `burst` beyond, over all limiters; 0 is
+    """A customer: `rate_per_second` requests and `burst_size` beyond, over all limiters; 0 is
     unlimited.
     """
 
     name: str
-    keys: tuple[str, ...] = field(repr=False)  # never in a log
+    api_keys: tuple[str, ...] = field(repr=False)  # never in a log
     priority: int
-    rate: float
-    burst: float
+    rate_per_second: float
+    burst_size: float
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class ClientLimits:
     """What a client may send, in bytes, and how long it may take or be idle, in seconds."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 67108864
-    header_timeout: float = 3.0
-    idle_timeout: float = 15.0
+    header_timeout_seconds: float = 3.0
+    idle_timeout_seconds: float = 15.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,7 +94,7 @@
     routes: tuple[Route, ...]
     services: Mapping[str, Service]
     tenants: tuple[Tenant, ...] | None
-    limits: Limits
+    limits: ClientLimits
     raw: bytes = field(repr=False)
 
 
@@ -143,7 +142,7 @@
         value = self.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise self.wrong(key, "not a number")
-        if not 0 <= value <= MOST:
+        if not 0 <= value <= MAX_NUMBER:
             raise self.wrong(key, "negative" if value < 0 else "too large a number")
         return float(value)
 
@@ -158,7 +157,7 @@
         if value is default:
             return value
         try:
-            return seconds(self.fit(key, value))
+            return parse_seconds(self.fit(key, value))
         except UnitError as wrong:
             raise self.wrong(key, str(wrong)) from None
 
@@ -180,7 +179,7 @@
     if len(found) < len(pairs):
         keys = [key for key, _ in pairs]
         raise ConfigurationError(
-            f"JSON: key {shown(next(k for k in keys if keys.count(k) > 1))} given twice"
+            f"JSON: key {quote_value(next(k for k in keys if keys.count(k) > 1))} given twice"
         )
     return found
 
@@ -226,12 +225,14 @@
     host = spec.name("host").encode().lower().decode()
     prefix = spec.text("path_prefix")
     if not (prefix.startswith("/") and prefix.endswith("/")):
-        raise spec.wrong("path_prefix", f"{shown(prefix)} doesn't begin and end with a slash")
+        raise spec.wrong("path_prefix", f"{quote_value(prefix)} doesn't begin and end with a slash")
     kind = spec.text("route_kind")
     if kind not in ("idempotent", "non_idempotent"):
-        raise spec.wrong("route_kind", f"{shown(kind)} is neither idempotent nor non_idempotent")
+        raise spec.wrong(
+            "route_kind", f"{quote_value(kind)} is neither idempotent nor non_idempotent"
+        )
     timeout = spec.seconds("timeout")
-    if timeout > MOST_TIMEOUT:
+    if timeout > MAX_TIMEOUT_SECONDS:
         raise spec.wrong("timeout", "over ten minutes")
     # no request could be served in it; the operators' days send it as an invalid one
     if timeout <= 0:
@@ -242,13 +243,13 @@
     return Route(
         name=name,
         host=host,
-        prefix=prefix,
+        path_prefix=prefix,
         idempotent=kind == "idempotent",
-        timeout=timeout,
-        target_latency=spec.seconds("target_latency", timeout),
+        timeout_seconds=timeout,
+        target_latency_seconds=spec.seconds("target_latency", timeout),
         priority=spec.whole("priority", 0),
-        split=_split(spec),
-        attempts=attempts,
+        traffic_split=_split(spec),
+        max_attempts=attempts,
         public=spec.flag("public", False),
     )
 
@@ -256,8 +257,8 @@
 def _service(name: str, spec: _Part) -> Service:
     path = spec.text("health_check_path", "/health")
     if not path.startswith("/") or " " in path:
-        raise spec.wrong("health_check_path", f"{shown(path)} is not a path")
-    return Service(name, path, spec.whole("connection_limit", CONNECTIONS))
+        raise spec.wrong("health_check_path", f"{quote_value(path)} is not a path")
+    return Service(name, path, spec.whole("connection_limit", DEFAULT_CONNECTION_LIMIT))
 
 
 def _tenant(name: str, spec: _Part) -> Tenant:
@@ -273,13 +274,13 @@
     )
 
 
-def _limits(spec: _Part) -> Limits:
-    usual = Limits()
-    return Limits(
+def _limits(spec: _Part) -> ClientLimits:
+    usual = ClientLimits()
+    return ClientLimits(
         max_header_bytes=spec.whole("max_header_bytes", usual.max_header_bytes),
         max_body_bytes=spec.whole("max_body_bytes", usual.max_body_bytes),
-        header_timeout=spec.seconds("header_timeout", usual.header_timeout),
-        idle_timeout=spec.seconds("idle_timeout", usual.idle_timeout),
+        header_timeout_seconds=spec.seconds("header_timeout", usual.header_timeout_seconds),
+        idle_timeout_seconds=spec.seconds("idle_timeout", usual.idle_timeout_seconds),
     )
 
 
@@ -289,7 +290,7 @@
 
     kind: str
     name: str
-    item: Route | Service | Tenant | Limits
+    item: Route | Service | Tenant | ClientLimits
     single: str = ""  # the service_name of a route, if it has one beside a split too
 
 
@@ -324,13 +325,13 @@
         self.singles: list[str] = []
         self.services: dict[str, Service] = {}
         self.tenants: list[Tenant] = []
-        self.limits: Limits | None = None
+        self.limits: ClientLimits | None = None
         self.taken: dict[tuple[str, str], str] = {}
         self.owners: dict[str, str] = {}
 
     def add(self, at: int, found: _Found) -> None:
         match found.item:
-            case Limits() as limits:
+            case ClientLimits() as limits:
                 if self.limits is not None:
                     raise ConfigurationError(f"resources[{at}] limits: given twice")
                 self.limits = limits
@@ -352,7 +353,7 @@
         return ConfigurationError(f"{place}{key}: {what}")
 
     def route(self, found: _Found, route: Route) -> None:
-        other = self.taken.setdefault((route.host, route.prefix), route.name)
+        other = self.taken.setdefault((route.host, route.path_prefix), route.name)
         if other != route.name:
             what = f"host and prefix are those of route {other[:_SHOWN]}"
             raise self.wrong(found, "specification.path_prefix", what)
@@ -360,7 +361,7 @@
         self.singles.append(found.single)
 
     def tenant(self, found: _Found, tenant: Tenant) -> None:
-        for n, key in enumerate(tenant.keys):
+        for n, key in enumerate(tenant.api_keys):
             other = self.owners.setdefault(key, tenant.name)
             if other != tenant.name:
                 what = f"tenant {other[:_SHOWN]} has this key too"
@@ -373,17 +374,18 @@
             # beside a split too, though that prevails
             named = [("service_name", single)] if single else []
             named += [
-                (f"traffic_split[{n}].service_name", s) for n, (s, _) in enumerate(route.split)
+                (f"traffic_split[{n}].service_name", s)
+                for n, (s, _) in enumerate(route.traffic_split)
             ]
             for key, service in named:
                 if service not in self.services:
                     found = _Found("routes", route.name, route)
                     raise self.wrong(
-                        found, f"specification.{key}", f"unknown service {shown(service)}"
+                        found, f"specification.{key}", f"unknown service {quote_value(service)}"
                     )
 
 
-class Reader:
+class ConfigurationReader:
     """Reads one configuration after another. Of thousands of routes a change alters few: what stood
     in the last one, to the byte of its values, isn't read anew.
     """
@@ -397,7 +399,7 @@
         """The configuration in an operator's body. Raises ConfigurationError."""
         whole = _Part(_json(raw), "", "")
         try:
-            number = version(whole.text("version"))
+            number = parse_version(whole.text("version"))
         except UnitError as wrong:
             raise whole.wrong("version", str(wrong)) from None
         gathered, read = _Gathered(), dict[bytes, _Found | None]()
@@ -412,7 +414,7 @@
             routes=tuple(gathered.routes),
             services=MappingProxyType(gathered.services),
             tenants=tuple(gathered.tenants) or None,
-            limits=gathered.limits or Limits(),
+            limits=gathered.limits or ClientLimits(),
             raw=bytes(raw),
         )
 
@@ -427,6 +429,6 @@
         return found
 
 
-def parse(raw: bytes) -> Configuration:
+def parse_configuration(raw: bytes) -> Configuration:
     """The configuration in an operator's body, by itself. Raises ConfigurationError."""
-    return Reader().parse(raw)
+    return ConfigurationReader().parse(raw)
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -4,11 +4,14 @@
 
 import time
 
-from loomstand.admission import interface as i
+from loomstand.admission.actions import Abort, IncrementCounter, Reject
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.identifiers import Door, up
-from loomstand.admission.interface import Outcome
-from loomstand.config.limiter import Config, Members, address, settings
+from loomstand.admission.endpoints import Endpoint, EndpointState
+from loomstand.admission.events import EndpointsUpdated, RequestArrived
+from loomstand.admission.identifiers import NameIndex
+from loomstand.admission.outcome import Outcome
+from loomstand.admission.ticks import ticks_rounded_up
+from loomstand.config.limiter import BackendList, LimiterConfig, engine_settings, parse_host_port
 from loomstand.limiter import http_parser
 from loomstand.limiter.client_connection import Client, Front
 from loomstand.limiter.counter import Counter
@@ -20,9 +23,9 @@
 from loomstand.limiter.upstream import Pool
 
 PHASES = {
-    "active": i.EndpointState.LIVE,
-    "leaving": i.EndpointState.DRAINING,
-    "left": i.EndpointState.GONE,
+    "active": EndpointState.LIVE,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
 }
 LINGER = 0.7  # PROTOCOL: a req that comes later than this after SIGTERM may find nobody
 FIXED_SOCKETS = (
@@ -33,80 +36,110 @@
 class Limiter(GatewayCore):
     """Everything of one limiter. `run` serves until it is told to stop."""
 
-    def __init__(self, config: Config, turns: Turns | None = None) -> None:
-        conf, limits = config.conf, config.limits
+    def __init__(self, config: LimiterConfig, turns: Turns | None = None) -> None:
+        conf, limits = config.settings, config.limits
         self.config = config
         super().__init__(Log(config.name), turns, limits.memory_mb, limits.sockets - FIXED_SOCKETS)
-        self.halls, self.kinds, self.servers = Door(conf.zones), Door(conf.kinds), Door()
-        self.settings = settings(conf, self.halls.at(conf.az))
+        self.halls, self.kinds, self.servers = (
+            NameIndex(conf.zones),
+            NameIndex(conf.server_kinds),
+            NameIndex(),
+        )
+        self.settings = engine_settings(conf, self.halls.index_of(conf.zone))
         # this process has run at least as long as it has worked: so long it surely passed nothing
         started = self.now() - int(time.process_time() * 10_000)
-        names = ([g.name for g in conf.grades], [p.name for p in conf.plans], conf.zones)
+        names = ([f.name for f in conf.frontends], [p.name for p in conf.plans], conf.zones)
         self.guide = None
-        if config.plan:
+        if config.zone_plan:
             from loomstand.failover.engine_view import Guide
 
-            self.guide = Guide(config.plan, self.settings, names, started)
-        self.brain = DecisionEngine(self.settings, config.seed, started, self.guide)
+            self.guide = Guide(config.zone_plan, self.settings, names, started)
+        self.brain = DecisionEngine(self.settings, config.random_seed, started, self.guide)
         self.names = Names(
-            [g.name for g in conf.grades], [p.name for p in conf.plans], self.settings
+            [f.name for f in conf.frontends], [p.name for p in conf.plans], self.settings
+        )
+        within, idle = (
+            conf.allowed_actions.connect_timeout_ms / 1000,
+            conf.allowed_actions.idle_timeout_ms / 1000,
         )
-        within, idle = conf.allowed.connect_timeout / 1000, conf.allowed.idle_close / 1000
         self.front, self.pool = Front(self, self.spare, limits.sockets), Pool(self, within, idle)
         self.counter: Counter | None = None
-        if config.counter and conf.specifics.has_counter:
-            self.counter = Counter(self, config.counter, conf.specifics.count_limit / 1000, within)
-        self.watch = Watch(self, config.discovery, config.known.revision, within, config.seed)
+        if config.counter_address and conf.counter.has_counter:
+            self.counter = Counter(
+                self, config.counter_address, conf.counter.call_timeout_ms / 1000, within
+            )
+        self.watch = Watch(
+            self,
+            config.discovery_address,
+            config.initial_backends.revision,
+            within,
+            config.random_seed,
+        )
         self.peers = None
-        if config.peers:
+        if config.peer_addresses:
             # only where there are any: a start counts its CPU
             from loomstand.membership.driver import Peers
 
-            own, fleet, known = self.settings.me, self.settings.limiters, config.known
+            own, fleet, known = (
+                self.settings.limiter_index,
+                self.settings.limiter_count,
+                config.initial_backends,
+            )
             self.peers = Peers(
-                self, self.watch, own, fleet, config.peer, config.peers, known, config.seed
+                self,
+                self.watch,
+                own,
+                fleet,
+                config.peer_address,
+                config.peer_addresses,
+                known,
+                config.random_seed,
             )
-        self.patience = max(g.deadline for g in conf.grades) / 1000
+        self.patience = max(f.client_timeout_ms for f in conf.frontends) / 1000
 
     # life
 
     async def run(self) -> None:
-        if self.config.known.members:
-            self.listed(self.config.known)
+        if self.config.initial_backends.backends:
+            self.listed(self.config.initial_backends)
         self.loop.set_exception_handler(self.failed)
         if self.peers is not None:
             await self.peers.listen()
         else:
             self.watch.start()
-        await self.front.listen(self.config.listen)
+        await self.front.listen(self.config.listen_address)
         self.loop.call_later(1.0, self.sweep)
-        self.log(f"listens at {self.config.listen[0]}:{self.config.listen[1]}")
+        self.log(f"listens at {self.config.listen_address[0]}:{self.config.listen_address[1]}")
         await self.stopped.wait()
 
     def linger(self) -> float:
         return LINGER
 
     def try_limit(self, req: Req) -> int:
-        return self.settings.try_limit
+        return self.settings.attempt_limit
 
     def swept_more(self) -> None:
         self.watch.sweep()
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: LimiterConfig) -> None:
         """Goes on under another configuration: addresses move, and nothing taken is lost."""
         old, self.config = self.config, config
-        if config.discovery != old.discovery:
-            self.watch.move(config.discovery)
-        if self.counter and config.counter and config.counter != old.counter:
-            self.counter.move(config.counter)
-        fixed = ["name", "listen", "limits", "conf"]
-        if self.guide and config.plan:
-            self.guide.take(config.plan)
+        if config.discovery_address != old.discovery_address:
+            self.watch.move(config.discovery_address)
+        if (
+            self.counter
+            and config.counter_address
+            and config.counter_address != old.counter_address
+        ):
+            self.counter.move(config.counter_address)
+        fixed = ["name", "listen_address", "limits", "settings"]
+        if self.guide and config.zone_plan:
+            self.guide.take(config.zone_plan)
         else:
-            fixed.append("plan")
+            fixed.append("zone_plan")
         kept = [f for f in fixed if getattr(config, f) != getattr(old, f)]
         rest = f"; {', '.join(kept)}: only at the next start" if kept else ""
-        where = f"discovery at {config.discovery}, counter at {config.counter}"
+        where = f"discovery at {config.discovery_address}, counter at {config.counter_address}"
         self.log(f"read its configuration again: {where}{rest}")
 
     def stop(self) -> None:
@@ -121,7 +154,7 @@
 
     # from discovery, and from peers
 
-    def told(self, list_: Members) -> None:
+    def told(self, list_: BackendList) -> None:
         """Discovery itself spoke."""
         if self.peers is not None:
             self.peers.from_discovery(list_)
@@ -131,24 +164,35 @@
         if self.peers is not None:
             self.peers.beat()
 
-    def listed(self, list_: Members) -> None:
+    def listed(self, list_: BackendList) -> None:
         if list_.complete:
-            named = {m.id for m in list_.members}
-            for name, srv in list(self.servers.index.items()):
+            named = {m.id for m in list_.backends}
+            for name, srv in list(self.servers.indices.items()):
                 if name not in named:
                     self.pool.told(srv, None)
                     self.servers.forget(srv)
         entries = []
-        for m in list_.members:
-            srv, phase = self.servers.at(m.id), PHASES[m.phase]
+        for m in list_.backends:
+            srv, phase = self.servers.index_of(m.id), PHASES[m.phase]
             self.pool.told(
-                srv, None if phase is i.EndpointState.GONE else address(m.host_port, "host_port")
+                srv,
+                None if phase is EndpointState.GONE else parse_host_port(m.address, "host_port"),
+            )
+            hall, kind = self.halls.index_of(m.zone), self.kinds.index_of(m.kind)
+            entries.append(
+                Endpoint(
+                    srv,
+                    phase,
+                    hall,
+                    kind,
+                    m.pod,
+                    m.capacity_hint,
+                    ticks_rounded_up(m.started_at_ms),
+                )
             )
-            hall, kind = self.halls.at(m.locality), self.kinds.at(m.flavor)
-            entries.append(i.Endpoint(srv, phase, hall, kind, m.cell, m.size, up(m.up_since_ms)))
-            if phase is i.EndpointState.GONE:
+            if phase is EndpointState.GONE:
                 self.servers.forget(srv)
-        self.note(i.EndpointsUpdated(tuple(entries), list_.complete))
+        self.note(EndpointsUpdated(tuple(entries), list_.complete))
         self.able = not self.front.stopping
 
     # from clients
@@ -162,34 +206,36 @@
         timeout = min(10 * req.timeout, self.settings.frontends[req.frontend].client_timeout)
         self.owed(req, client, timeout, at)
         who, turn = (req.plan, *req.customer), (req.units, req.set_size, req.retry, req.first)
-        self.note(i.RequestArrived(req.id, req.frontend, *who, req.give_up, *turn))
+        self.note(RequestArrived(req.id, req.frontend, *who, req.give_up, *turn))
 
     # from servers
 
     def came(self, flight: Flight, outcome: Outcome, metered: int = 0, body: bytes = b"") -> None:
         req = self.landed(flight)
-        if outcome is Outcome.PASSED and req.client is not None:
+        if outcome is Outcome.SUCCEEDED and req.client is not None:
             self.answer(req, 200, body)
         self.ended(flight, outcome, metered)
 
     # the module
 
-    def deny(self, act: i.Reject) -> None:
-        req = self.reqs.get(act.req)
+    def deny(self, act: Reject) -> None:
+        req = self.reqs.get(act.request_id)
         if req is not None and req.client is not None:
             self.answer(
-                req, 429, extra=f"Retry-After: {act.wait / 10_000:.3f}\r\n" if act.wait else ""
+                req,
+                429,
+                extra=f"Retry-After: {act.retry_after / 10_000:.3f}\r\n" if act.retry_after else "",
             )
             self.forget(req)
 
-    def abort(self, act: i.Abort) -> None:
-        req = self.reqs.get(act.req)
+    def abort(self, act: Abort) -> None:
+        req = self.reqs.get(act.request_id)
         if req is not None and req.client is not None:
             self.answer(req, 502)
             self.forget(req)
 
-    def count(self, act: i.IncrementCounter) -> None:
+    def count(self, act: IncrementCounter) -> None:
         if self.counter is None:
-            self.loop.call_soon(self.counted, act.name, Outcome.NO_CONNECTION, 0.0, 0)
+            self.loop.call_soon(self.counted, act.counter_name, Outcome.CONNECT_FAILED, 0.0, 0)
         else:
             self.counter.call(act)
--- a/loomstand/proxy/sessions.py
+++ b/loomstand/proxy/sessions.py
@@ -15,8 +15,8 @@
 
 from loomstand.config.settings import Settings
 from loomstand.registry.instances import Row
+from loomstand.rpc.errors import CallFailure
 from loomstand.rpc.network import Address, Body, Network
-from loomstand.rpc.verdict import Verdict
 
 ASK_WITHIN = 1.0  # seconds; a registry answers after 0.6 where there is no news
 # Seconds between two askings of one registry. Where much changes at once, as when all start, each
@@ -99,7 +99,7 @@
         self.stopping = False
 
     def start(self) -> None:
-        for ip, _ in self.settings.seeds:
+        for ip, _ in self.settings.seed_nodes:
             self.add(ip)
 
     def reload(self, settings: Settings) -> None:
@@ -120,13 +120,14 @@
             task.cancel()
         said = {"name": self.settings.node_name}
         calls = [
-            self.network.call(self.settings.registry(ip), "bye", said, 0.2) for ip in self.standing
+            self.network.call(self.settings.registry_address(ip), "bye", said, 0.2)
+            for ip in self.standing
         ]
         await asyncio.gather(*calls)
 
     async def session(self, ip: str) -> None:
         """Asks one registry again and again."""
-        address, pause = self.settings.registry(ip), AGAIN[0]
+        address, pause = self.settings.registry_address(ip), AGAIN[0]
         session, have, facts, sure, full = 0, 0, -1, False, 0
         while True:
             said: Body = {"h": have, "f": facts, "c": self.version}
@@ -137,10 +138,10 @@
             asked = self.clock()
             got = await self.network.call(address, "ask", said, ASK_WITHIN)
             if got.is_error():
-                if got.error is Verdict.REFUSED and session:
+                if got.error is CallFailure.REFUSED and session:
                     session = 0  # the registry has started anew
                     continue
-                seed = any(ip == known for known, _ in self.settings.seeds)
+                seed = any(ip == known for known, _ in self.settings.seed_nodes)
                 if self.clock() - self.listed[ip] > FORGOTTEN and not seed:
                     self.standing.pop(ip, None)
                     del self.cores[ip]
@@ -214,8 +215,8 @@
 
     async def count(
         self, body: dict[str, Any], within: float, op: str = "count"
-    ) -> Result[Body, Verdict]:
+    ) -> Result[Body, CallFailure]:
         """A call to the counter, wherever it is."""
         if not (said := self.stand(self.counters) or [*self.counters.values()]):
-            return Error(Verdict.NEVER_RAN)
+            return Error(CallFailure.NEVER_RAN)
         return await self.network.call(max(said)[1], op, body, within)
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from loomstand.admission.decision_engine import DecisionEngine
-from loomstand.admission.interface import Endpoint
-from loomstand.config.settings import Settings, parse
+from loomstand.admission.endpoints import Endpoint
+from loomstand.config.settings import Settings, parse_settings
 from loomstand.proxy.program import Proxy
 from loomstand.registry.instances import READY
 from loomstand.registry.process import RegistryService
-from loomstand.rpc.verdict import Refused
+from loomstand.rpc.errors import CallRefusedError
 from loomstand.store.program import Place, Store
 from loomstand.testing.simulation.bounds import Told
 from loomstand.testing.simulation.http_log import Book, exchange
@@ -174,7 +174,9 @@
         zone = ZONES[int(ip.split(".")[-1]) % 2]
         seeds = ",".join(f"{ip}:{CONTROL}" for ip in self.core_ips[:3])
         first = str(self.first).lower()
-        return parse(SETTINGS.format(name=f"n-{ip}", ip=ip, zone=zone, first=first, seeds=seeds))
+        return parse_settings(
+            SETTINGS.format(name=f"n-{ip}", ip=ip, zone=zone, first=first, seeds=seeds)
+        )
 
     def wall(self, ip: str, rng: Random) -> float:
         """The time of day as a machine has it; programs read it when they start."""
@@ -195,8 +197,8 @@
     def store_factory(self, ip: str) -> Factory:
         def make(air: Any, disk: Any, clock: Any, rng: Random) -> Any:
             settings = self.settings(ip)
-            seeds = tuple(settings.store(seed) for seed, _ in settings.seeds)
-            place = Place(settings.store(ip), seeds, settings.first_start)
+            seeds = tuple(settings.store_address(seed) for seed, _ in settings.seed_nodes)
+            place = Place(settings.store_address(ip), seeds, settings.first_start)
             return Store(place, air, disk, clock, rng)
 
         return make
@@ -337,7 +339,7 @@
         store = self.stores[ip].programs[0]
         try:
             return store.replica.lease_left(store.clock()) > 0.0
-        except Refused:  # it reads its disk yet
+        except CallRefusedError:  # it reads its disk yet
             return False
 
     def core(self, ip: str) -> tuple[Host, Host]:
--- a/tests/proxy/test_sessions.py
+++ b/tests/proxy/test_sessions.py
@@ -10,7 +10,7 @@
 
 from loomstand.proxy.sessions import Sessions
 from loomstand.proxy.shared_clock import ONE_WAY, SharedClock
-from loomstand.rpc.verdict import Verdict
+from loomstand.rpc.errors import CallFailure
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.loop import play
 
@@ -25,7 +25,7 @@
         if self.said.get(address[0]) and op == "ask":
             return Ok(self.said[address[0]].pop(0))
         await asyncio.sleep(within)
-        return Error(Verdict.MAY_HAVE_RUN)
+        return Error(CallFailure.MAY_HAVE_RUN)
 
 
 class Heard:
@@ -60,7 +60,9 @@
 def heard(said, seconds=1.0):
     async def work():
         loop, user = asyncio.get_running_loop(), Heard()
-        settings = SimpleNamespace(seeds=(("c1", 1),), node_name="f-1", registry=lambda ip: (ip, 1))
+        settings = SimpleNamespace(
+            seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
+        )
         sessions = Sessions(settings, Registries(said), loop.time, Random(1), user)
         sessions.start()
         await asyncio.sleep(seconds)
@@ -91,7 +93,7 @@
         async def call(self, address, op, body, within):
             asked.append(body)
             if body.get("s") == 7 and len(asked) == 3:
-                return Error(Verdict.REFUSED)
+                return Error(CallFailure.REFUSED)
             return await super().call(address, op, body, within)
 
     asked = []
@@ -99,7 +101,9 @@
 
     async def work():
         loop = asyncio.get_running_loop()
-        settings = SimpleNamespace(seeds=(("c1", 1),), node_name="f-1", registry=lambda ip: (ip, 1))
+        settings = SimpleNamespace(
+            seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
+        )
         Sessions(settings, Anew(said), loop.time, Random(1), Heard()).start()
         await asyncio.sleep(0.5)
 
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from loomstand.admission.identifiers import TRY, digest
+from loomstand.admission.identifiers import ATTEMPT_FACTOR, stable_digest
 from loomstand.config.configuration import Tenant
 from loomstand.proxy.instance_view import InstanceView
 from loomstand.registry.counters import Counters
@@ -23,7 +23,8 @@
 )
 from loomstand.registry.limiters import HELD, STANDS, LimiterTable
 from loomstand.registry.quota_buckets import SLOTS, QuotaBuckets
-from loomstand.rpc.frames import Foreign, Reader, pack
+from loomstand.rpc.errors import FrameError
+from loomstand.rpc.frames import FrameDecoder, encode_item
 
 
 def instance(id_="i-1", sequence=1, state=READY, address="10.0.0.9:8080", service="a"):
@@ -94,15 +95,26 @@
 
 
 def test_limiters_are_told_of_a_tenant_near_its_brim_only_where_more_was_added():
-    brim, ann = QuotaBuckets(), digest("ann")
-    name, other = ann << SLOTS | 7, digest("bob") << SLOTS | 7
+    brim, ann = QuotaBuckets(), stable_digest("ann")
+    name, other = ann << SLOTS | 7, stable_digest("bob") << SLOTS | 7
     brim.learn([Tenant("ann", (), 1, 10.0, 10.0), Tenant("bob", (), 1, 0.0, 0.0)])
     added = [
-        brim.counted(name, 1.0 + TRY * TRY, n * (1.0 + TRY * TRY), 0.01 * n) for n in range(1, 7)
+        brim.counted(
+            name,
+            1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR,
+            n * (1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR),
+            0.01 * n,
+        )
+        for n in range(1, 7)
     ]
     assert added == [False] * 5 + [True]  # over half of the burst
-    assert brim.news(0) == [[name, 6 * (1.0 + TRY * TRY)]] and brim.news(brim.version) == []
-    assert not brim.counted(name, 3.0 * TRY * TRY, 6 + 9 * TRY * TRY, 0.07)  # asked, not taken
+    assert (
+        brim.news(0) == [[name, 6 * (1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR)]]
+        and brim.news(brim.version) == []
+    )
+    assert not brim.counted(
+        name, 3.0 * ATTEMPT_FACTOR * ATTEMPT_FACTOR, 6 + 9 * ATTEMPT_FACTOR * ATTEMPT_FACTOR, 0.07
+    )  # asked, not taken
     brim.learn([Tenant("ann", (), 1, 10.0, 20.0)])
     assert not brim.counted(name, 1.0, 7.0, 0.08)  # a larger quota, and what was spent stays spent
     # a counter that has just come to count
@@ -147,19 +159,25 @@
 
 @given(st.lists(st.integers(0, 1 << 40), max_size=4), st.lists(st.integers(1, 7), max_size=40))
 def test_frames_come_whole_however_the_bytes_are_cut(numbers, cuts):
-    raw = b"".join(pack([n, "op", {"n": n}]) for n in numbers)
-    reader, got, at = Reader(), [], 0
+    raw = b"".join(encode_item([n, "op", {"n": n}]) for n in numbers)
+    reader, got, at = FrameDecoder(), [], 0
     for cut in [*cuts, len(raw)]:
-        got += reader.feed(raw[at : at + cut])
+        got += [frame.to_item() for frame in reader.feed(raw[at : at + cut])]
         at += cut
     assert got == [[n, "op", {"n": n}] for n in numbers]
 
 
 @pytest.mark.parametrize(
     "raw",
-    [b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\0", pack({"no": "call"}), b"\0\0\0\x01\xff", pack([1, 2])],
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"\0\0\0\0",
+        encode_item({"no": "call"}),
+        b"\0\0\0\x01\xff",
+        encode_item([1, 2]),
+    ],
 )
 def test_foreign_bytes_are_told_from_frames(raw):
-    with pytest.raises(Foreign):
-        list(Reader().feed(raw))
-    assert cbor2.loads(pack([1, "x", {}])[4:]) == [1, "x", {}]
+    with pytest.raises(FrameError):
+        list(FrameDecoder().feed(raw))
+    assert cbor2.loads(encode_item([1, "x", {}])[4:]) == [1, "x", {}]
--- a/tests/rpc/test_rpc.py
+++ b/tests/rpc/test_rpc.py
@@ -13,10 +13,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from loomstand.rpc import frames, sockets
-from loomstand.rpc.frames import pack
-from loomstand.rpc.sockets import Line
-from loomstand.rpc.verdict import Verdict
+from loomstand.rpc import frames, tcp_connection, tcp_network
+from loomstand.rpc.errors import CallFailure
+from loomstand.rpc.frames import AnswerFrame, encode_item
+from loomstand.rpc.tcp_connection import ClientConnection
 from loomstand.testing.simulation.loop import play
 from loomstand.testing.simulation.wrong_calls import HERE, THERE, WAYS, Pair
 
@@ -35,7 +35,7 @@
 async def every_way(pair: Pair) -> None:
     n = 0
     for how in WAYS:
-        for at in range(len(pack([1, True, {"n": 1000}]))):
+        for at in range(len(encode_item([1, True, {"n": 1000}]))):
             n += 1
             await pair.call(n + 20_000)  # the connection's first
             pair.called.plays = [(how, at)]
@@ -51,18 +51,18 @@
 def test_a_spoilt_call_is_not_run_as_another():
     async def work(pair: Pair) -> None:
         await pair.call(0)
-        line = pair.caller.lines[THERE]
-        for at in range(len(pack([9, "do", {"n": 9, "for": 0.0, "fill": b""}]))):
-            raw = bytearray(pack([90 + at, "do", {"n": 90 + at, "for": 0.0, "fill": b""}]))
+        line = pair.caller.connections[THERE]
+        for at in range(len(encode_item([9, "do", {"n": 9, "for": 0.0, "fill": b""}]))):
+            raw = bytearray(encode_item([90 + at, "do", {"n": 90 + at, "for": 0.0, "fill": b""}]))
             raw[at] ^= 1 << (at % 8)
             await pair.call(1000 + at)
-            line = pair.caller.lines[THERE]
+            line = pair.caller.connections[THERE]
             line.transport.write(bytes(raw))
             await asyncio.sleep(0.05)
             line.close()
             await asyncio.sleep(0.05)
         assert all(n == 0 or n >= 1000 for n in pair.ran)
-        assert pair.called.counts["foreign"] > 20
+        assert pair.called.frame_errors > 20
 
     paired(work)
 
@@ -103,7 +103,7 @@
         await pair.call(0)
         pair.life.frozen = True
         for n in range(1, 5):
-            assert (await pair.call(n, 0.0, 0.1)).error is Verdict.MAY_HAVE_RUN or n > 2
+            assert (await pair.call(n, 0.0, 0.1)).error is CallFailure.MAY_HAVE_RUN or n > 2
         pair.life.thaw()
         for n in range(5, 9):
             assert (await pair.call(n)).is_ok()
@@ -121,7 +121,7 @@
         async with asyncio.timeout(0.1):
             await pair.call(2, 1.0, 2.0)
     assert (await pair.call(3)).is_ok()
-    assert (await pair.caller.call(THERE, "refuse", {}, 0.2)).error is Verdict.REFUSED
+    assert (await pair.caller.call(THERE, "refuse", {}, 0.2)).error is CallFailure.REFUSED
 
 
 def test_a_caller_that_is_called_off_ends_and_does_not_take_it_for_a_silence():
@@ -130,12 +130,12 @@
 
 def test_on_real_sockets_a_given_up_connection_is_reset():
     async def run() -> None:
-        loop, net = asyncio.get_running_loop(), sockets.Sockets()
+        loop, net = asyncio.get_running_loop(), tcp_network.TcpNetwork()
         with socket.create_server(("127.0.0.1", 0)) as listening:
             listening.setblocking(False)
             address = listening.getsockname()
-            for _ in range(sockets.PATIENCE):
-                assert (await net.call(address, "do", {}, 0.02)).error is Verdict.MAY_HAVE_RUN
+            for _ in range(tcp_network.MAX_UNANSWERED_CALLS):
+                assert (await net.call(address, "do", {}, 0.02)).error is CallFailure.MAY_HAVE_RUN
             there, _ = await loop.sock_accept(listening)
             with there:
                 there.setblocking(False)
@@ -143,7 +143,7 @@
                 with pytest.raises(ConnectionResetError):
                     while await loop.sock_recv(there, 1 << 16):
                         pass
-        assert not net.lines
+        assert not net.connections
 
     asyncio.run(run())
 
@@ -184,7 +184,7 @@
             if what == "freeze":
                 pair.life.frozen = True
             elif what == "reset":
-                for line in [*pair.called.incoming]:
+                for line in [*pair.called.accepted]:
                     line.close()
             else:
                 pair.sky.cut(
@@ -206,28 +206,32 @@
 # --- each defence taken out is noticed
 
 
-def by_position(line: Line, data: bytes, came: Any = Line.data_received) -> None:
+def by_position(connection: ClientConnection, data: bytes) -> None:
     """The next answer is the oldest call's."""
-    if line.serve is not None:
-        came(line, data)
-        return
-    for _, what, body in line.reader.feed(data):
-        if line.waiting:
-            sockets.give(line.waiting.pop(next(iter(line.waiting))), (what is True, body))
+    for frame in connection.decoder.feed(data):
+        number, what, body = frame.to_item()
+        if connection.pending_calls:
+            oldest = connection.pending_calls.pop(next(iter(connection.pending_calls)))
+            tcp_connection.resolve(oldest, AnswerFrame(number, what is True, body))
 
 
-async def swallowed(net: Any, *said: Any, call: Any = sockets.Sockets.call) -> Any:
+async def swallowed(net: Any, *said: Any, call: Any = tcp_network.TcpNetwork.call) -> Any:
     try:
         return await call(net, *said)
     except asyncio.CancelledError:
-        return sockets.Error(Verdict.MAY_HAVE_RUN)
+        return tcp_network.Error(CallFailure.MAY_HAVE_RUN)
 
 
 MUTANTS: dict[str, tuple[Any, str, Any, Any]] = {
-    "match by position": (Line, "data_received", by_position, late_answers),
+    "match by position": (ClientConnection, "data_received", by_position, late_answers),
     "frames without their sum": (frames, "crc32", lambda raw: 0, every_way),
-    "close without a reset": (sockets, "reset_on_close", lambda transport: None, behind_a_cut),
-    "a cancelling is a silence": (sockets.Sockets, "call", swallowed, called_off),
+    "close without a reset": (
+        tcp_connection,
+        "reset_on_close",
+        lambda transport: None,
+        behind_a_cut,
+    ),
+    "a cancelling is a silence": (tcp_network.TcpNetwork, "call", swallowed, called_off),
 }
 
 
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -18,13 +18,17 @@
 from test_store import World
 
 from loomstand.config import configuration
-from loomstand.config.configuration import ConfigurationError, Reader, parse
+from loomstand.config.configuration import (
+    ConfigurationError,
+    ConfigurationReader,
+    parse_configuration,
+)
 from loomstand.proxy import sessions
 from loomstand.registry import program
 from loomstand.registry.process import MOST_BODY
-from loomstand.rpc.frames import Reader as Frames
-from loomstand.rpc.frames import pack
-from loomstand.rpc.verdict import Verdict
+from loomstand.rpc.errors import CallFailure
+from loomstand.rpc.frames import FrameDecoder as Frames
+from loomstand.rpc.frames import encode_item
 from loomstand.store import disk
 from loomstand.store.change_history import KEPT
 from loomstand.store.disk import LmdbDisk
@@ -61,12 +65,12 @@
 @pytest.mark.parametrize("timeout", ["0ms", "0s", "0.0s"])
 def test_a_route_without_time_is_refused(timeout):
     found = resources(2)
-    assert parse(body(found)).routes[0].timeout == 5.0
+    assert parse_configuration(body(found)).routes[0].timeout_seconds == 5.0
     found[3]["specification"]["timeout"] = timeout
     with pytest.raises(
         ConfigurationError, match=r"resources\[3\] route r-0: specification.timeout: 0$"
     ):
-        parse(body(found))
+        parse_configuration(body(found))
 
 
 # --- read again by what changed
@@ -100,14 +104,14 @@
 
 def compare(steps, kept: bool) -> None:
     """Changes one after another, each on top of the one before, or of the last that was valid."""
-    reader, found = Reader(), resources(4)
+    reader, found = ConfigurationReader(), resources(4)
     for n, (at, name, value) in enumerate(steps):
         changed = json.loads(json.dumps(found))
         changed[at]["specification"][name] = value
         if n % 4 == 3:
             changed.append(changed.pop(at))
         raw = body(changed, n)
-        mine, plain = outcome(reader.parse, raw), outcome(parse, raw)
+        mine, plain = outcome(reader.parse, raw), outcome(parse_configuration, raw)
         assert repr(mine) == repr(plain)  # 1 and 1.0 are equal
         if kept or not isinstance(plain, str):
             found = changed
@@ -132,11 +136,11 @@
 def test_a_change_of_few_routes_reads_few(monkeypatch):
     reads, found, before = [], resources(3000), configuration._found
     monkeypatch.setattr(configuration, "_found", lambda at, r: reads.append(at) or before(at, r))
-    reader = Reader()
+    reader = ConfigurationReader()
     reader.parse(body(found, 1))
     assert len(reads) == 3003
     found[70]["specification"]["timeout"] = "4s"
-    assert reader.parse(body(found, 2)).routes[67].timeout == 4.0 and reads[3003:] == [70]
+    assert reader.parse(body(found, 2)).routes[67].timeout_seconds == 4.0 and reads[3003:] == [70]
 
 
 # --- hundreds of changes
@@ -257,7 +261,7 @@
             return Ok({"s": 7, "h": 1, "rows": [], "c": new})
         if within < 2.0:
             await asyncio.sleep(within)
-            return Error(Verdict.MAY_HAVE_RUN)
+            return Error(CallFailure.MAY_HAVE_RUN)
         await asyncio.sleep(2.0)
         return Ok({"version": int(loop.time() / 0.3), "data": b"whole"})
 
@@ -271,7 +275,9 @@
             clock_told=lambda *_: None,
             configured=lambda version, data: got.append(version) or True,
         )
-        conf = SimpleNamespace(seeds=(("c1", 1),), node_name="f-1", registry=lambda ip: (ip, 1))
+        conf = SimpleNamespace(
+            seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
+        )
         made = sessions.Sessions(conf, Slow(), asyncio.get_running_loop().time, Random(1), user)
         made.start()
         await asyncio.sleep(20.0)
@@ -345,10 +351,10 @@
 
 def test_the_largest_body_fits_into_a_frame_and_on_the_disk(tmp_path, monkeypatch):
     raw = os.urandom(MOST_BODY)
-    frame = pack(
+    frame = encode_item(
         [1, "keep", {"version": 2**62, "data": raw, "orders": [[2**62] * KEPT, b"12345678" * KEPT]}]
     )
-    assert next(Frames().feed(frame))[2]["data"] == raw
+    assert next(Frames().feed(frame)).body["data"] == raw
 
     def write(folder: str) -> int:
         rng, made = Random(3), LmdbDisk(tmp_path / folder)
