--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -405,6 +405,17 @@
         exec(line, {})
 
 
+LOG_LINE = re.compile(r"`((?:store|registry|proxy|rpc): .+?)(?: [\w]+=.*)?`")
+
+
+def test_log_lines_for_operators_are_written_by_the_code():
+    """`program: event key=value ...` in docs/on-call.md: the event stands in a text of the code."""
+    text = (ROOT / "docs" / "on-call.md").read_text()
+    lines = [line.removesuffix(" ...").removesuffix(":") for line in LOG_LINE.findall(text)]
+    assert lines
+    assert [line for line in lines if f'"{line}' not in code()] == []
+
+
 # --- the tables of ARCHITECTURE.md and GLOSSARY.md
 
 
