--- /dev/null
+++ b/loomstand/store/election_rules.py
@@ -0,0 +1,101 @@
+"""What decides an election: whose promises suffice, whose data counts, which view comes of it.
+
+Apart from the calls (`election`), so that the model checker drives these very decisions through all
+orders of events. No disk, network or clock.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+from dataclasses import dataclass
+
+from loomstand.store.planning import Action
+from loomstand.store.record import NO_CONFIGURATION, VersionedData
+from loomstand.store.replica import Replica
+from loomstand.store.timing import VOTER_COUNT
+from loomstand.store.views import EPOCH_RANGE, Member, View
+
+
+@dataclass(frozen=True, slots=True)
+class ElectionRules:
+    """One election of one candidate.
+
+    Attributes:
+        action: What the candidate wants.
+        base: The view that the new one is to follow, None for the first of all.
+    """
+
+    action: Action
+    base: View | None
+
+    def is_outdated(self, replica: Replica) -> bool:
+        """Whether a view newer than the base has shown up, whose electors must be asked instead."""
+        known_view = replica.newest_known_view()
+        return known_view is not None and (self.base is None or known_view.epoch > self.base.epoch)
+
+    def electors(self, replica: Replica) -> list[Member]:
+        """The members whose promises are asked for."""
+        if self.base is not None:
+            return list(self.base.electors().values())
+        peers = ((at, replica.peers.by_address.get(at)) for at in replica.seeds)
+        return [
+            Member(peer.id, at)
+            for at, peer in peers
+            if peer is not None and peer.id and peer.is_founder
+        ]
+
+    def next_epoch(self, highest_epoch: int) -> int | None:
+        """The epoch to stand for, `highest_epoch` being the highest promised as far as is known.
+
+        None if that is above a rescue's: whoever promised that one has given up the base for good.
+        """
+        rescue_epoch = self.base.rescue_epoch if self.base else 0
+        epoch = highest_epoch + 1
+        return epoch if epoch // EPOCH_RANGE == rescue_epoch // EPOCH_RANGE else None
+
+    def has_quorum(self, replica: Replica, member_ids: Collection[str]) -> bool:
+        """Whether the promises of these members suffice."""
+        if self.base is not None:
+            return self.base.has_quorum(member_ids)
+        return len(member_ids) * 2 > len(replica.seeds)
+
+    def is_won(self, replica: Replica, member_ids: Collection[str]) -> bool:
+        """Whether these promises win the election."""
+        return not self.is_outdated(replica) and self.has_quorum(replica, member_ids)
+
+    def own_configuration(self, replica: Replica) -> VersionedData | None:
+        """The base's configuration where this member has it, None if it has to be read."""
+        if self.base is None:
+            return NO_CONFIGURATION
+        return replica.record.configuration if self.base.has_data(replica.member.id) else None
+
+    def sources(self) -> list[Member]:
+        """Whom to read the configuration from, in this order; the first answer will do."""
+        data_members = (self.base.backup, self.base.primary) if self.base else ()
+        return [member for member in data_members if member is not None]
+
+    def newest_configuration(
+        self, replica: Replica, found: VersionedData | None
+    ) -> VersionedData | None:
+        """What the base committed, or may have; `found` is what was read."""
+        if found is not None and replica.version > found.version:
+            # both disks lost it, but it was committed
+            return VersionedData(replica.version, replica.data)
+        return found
+
+    def may_be_backup(self, member: Member, promised_ids: Collection[str]) -> bool:  # noqa: ARG002
+        """Whether the member may be the backup, once those have promised; a rescue is stricter."""
+        return True
+
+    def new_view(
+        self, replica: Replica, epoch: int, backup: Member | None, promised_ids: Collection[str]
+    ) -> View:
+        """The view to install once `backup` has the configuration."""
+        voters = self.action.voters if self.base else self._founders(replica, promised_ids)
+        rescue_epoch = self.base.rescue_epoch if self.base else 0
+        return View(epoch, replica.member, backup, voters, self.action.former_voters, rescue_epoch)
+
+    def _founders(self, replica: Replica, promised_ids: Collection[str]) -> tuple[Member, ...]:
+        seeds = [member for member in self.electors(replica) if member.id in promised_ids]
+        seeds.sort(key=lambda member: member.address)
+        return (replica.member, *seeds[: VOTER_COUNT - 1])
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -11,8 +11,9 @@
 import pytest
 
 from loomstand.registry import program
+from loomstand.rpc.messages.configuration_messages import ReadResponse
 from loomstand.store import freshness
-from loomstand.store.program import Store
+from loomstand.store.configuration_service import ConfigurationService
 from loomstand.testing.simulation.cluster import CONTROL, Cluster
 from loomstand.testing.simulation.control_plane import PASSED, ControlPlane, drawn
 from loomstand.testing.simulation.streams import Host
@@ -66,7 +67,11 @@
 
 
 def test_a_lease_that_is_looked_at_only_as_the_store_answers_is_not_enough(monkeypatch):
-    monkeypatch.setattr(freshness, "left", lambda answer, asked, now, within: within)
+    monkeypatch.setattr(
+        freshness,
+        "remaining_seconds",
+        lambda lease_seconds, asked_at, now, timeout_seconds: timeout_seconds,
+    )
     plane = ControlPlane(3)
     plane.do(plane.begin())
     with pytest.raises(AssertionError, match="handed out"):
@@ -77,10 +82,14 @@
 
 def test_an_answer_may_be_passed_on_while_nobody_else_can_serve_counted_from_the_asking():
     said = {"version": 7, "left": 0.9}
-    assert freshness.left(said, 10.0, 10.2, 5.0) == pytest.approx(0.7)
-    assert freshness.left(said, 10.0, 10.9, 5.0) == 0.0 == freshness.left(said, 10.0, 10.4, 0.4)
+    assert freshness.remaining_seconds(said["left"], 10.0, 10.2, 5.0) == pytest.approx(0.7)
+    assert (
+        freshness.remaining_seconds(said["left"], 10.0, 10.9, 5.0)
+        == 0.0
+        == freshness.remaining_seconds(said["left"], 10.0, 10.4, 0.4)
+    )
     # of a store before the rule
-    assert freshness.left({"version": 7}, 10.0, 10.3, 0.8) == pytest.approx(0.5)
+    assert freshness.remaining_seconds(None, 10.0, 10.3, 0.8) == pytest.approx(0.5)
 
 
 async def thaw(host: Host) -> None:
@@ -147,31 +156,33 @@
     change: s until it is ready, its version then, the newest by then, and s after the cut until it
     has that.
     """
-    town = Cluster(5, proxies=2, servers=2)
-    town.do(town.begin())
-    ip = next(iter(town.proxies))
-    alone = next(c for c in town.core_ips if not town.serves(c))
+    system = Cluster(5, proxies=2, servers=2)
+    system.do(system.begin())
+    ip = next(iter(system.proxies))
+    alone = next(c for c in system.core_ips if not system.serves(c))
 
     async def story() -> tuple[float, int, int, float]:
-        rest = [c for c in town.core_ips if c != alone]
-        town.sky.apart([alone], rest)
-        town.sky.apart([ip], rest)
-        town.operator.cores = [(c, CONTROL) for c in rest]
+        rest = [c for c in system.core_ips if c != alone]
+        system.sky.apart([alone], rest)
+        system.sky.apart([ip], rest)
+        system.operator.cores = [(c, CONTROL) for c in rest]
         await asyncio.sleep(2.0)
-        town.route("new", "alpha")
-        assert await town.replace()
-        town.proxies[ip].kill()
-        town.proxies[ip].start()
-        ready = await town.until(
-            lambda: bool(town.proxies[ip].programs) and town.proxy(ip).able, 6.0
+        system.route("new", "alpha")
+        assert await system.replace()
+        system.proxies[ip].kill()
+        system.proxies[ip].start()
+        ready = await system.until(
+            lambda: bool(system.proxies[ip].programs) and system.proxy(ip).is_ready, 6.0
         )
-        held = town.proxy(ip).table.version
-        town.sky.mend()
-        back = await town.until(lambda: town.proxy(ip).table.version == town.version, 3.0)
-        return ready, held, town.version, back
+        held = system.proxy(ip).configuration.table.version
+        system.sky.mend()
+        back = await system.until(
+            lambda: system.proxy(ip).configuration.table.version == system.version, 3.0
+        )
+        return ready, held, system.version, back
 
-    found = town.do(story())
-    town.close()
+    found = system.do(story())
+    system.close()
     return found
 
 
@@ -238,10 +249,11 @@
 
 
 def test_drawn_troubles_find_a_store_that_reads_without_a_lease(monkeypatch):
-    async def read(self: Store, body):
-        return {"version": self.replica.version, "data": self.replica.data}
+    async def read(self: ConfigurationService, request):
+        replica = self._io.replica
+        return ReadResponse(version=replica.version, data=replica.data)
 
-    monkeypatch.setattr(Store, "_read", read)
+    monkeypatch.setattr(ConfigurationService, "handle_read", read)
     with pytest.raises(AssertionError, match="handed out"):
         for seed in range(8):
             drawn(seed)
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -8,11 +8,11 @@
 
 import lmdb
 import pytest
-from test_store import World
+from test_store import StoreCluster
 
 from loomstand.store import recovery
 from loomstand.store.disk import LmdbDisk
-from loomstand.store.views import Record
+from loomstand.store.record import Record
 
 
 @pytest.fixture
@@ -20,7 +20,7 @@
     """A folder with member `old`, and `start`, which starts with databases that first fail to open
     so.
     """
-    monkeypatch.setattr(recovery, "AGAIN", (0.0, 0.0))
+    monkeypatch.setattr(recovery, "RETRY_SECONDS", (0.0, 0.0))
     opened = lmdb.open
 
     def start(*failures: Exception, stopped: bool = False) -> tuple[Record | None, int]:
@@ -36,7 +36,7 @@
         if stopped:
             event.set()
         with asyncio.Runner() as runner:
-            woken = runner.run(recovery.wake(made, lambda: Record("new", False), event))
+            woken = runner.run(recovery.recover(made, lambda: Record("new", False), event))
         made.close()
         return woken and woken[0], len(left)
 
@@ -95,21 +95,21 @@
 
 @pytest.mark.parametrize("trouble", ["unread", "hangs"])
 def test_a_core_whose_disks_cannot_be_read_for_a_while_loses_nothing(trouble):
-    world = World()
-    world.start()
-    world.wait(2.0)
-    world.first = False
-    assert world.do(world.put_within(0.5))
-    before = {m.host: g.replica.me for m, g in world.stores()}
-    for machine in world.machines.values():
+    cluster = StoreCluster()
+    cluster.start()
+    cluster.wait(2.0)
+    cluster.first = False
+    assert cluster.do(cluster.put_within(0.5))
+    before = {m.host: g.replica.member for m, g in cluster.stores()}
+    for machine in cluster.machines.values():
         machine.power_off()
         setattr(machine.platter, trouble, True)
-    world.start()
-    world.wait(5.0)
-    assert not world.stores() and not world.do(world.put_within(2.0))
-    for machine in world.machines.values():
+    cluster.start()
+    cluster.wait(5.0)
+    assert not cluster.stores() and not cluster.do(cluster.put_within(2.0))
+    for machine in cluster.machines.values():
         setattr(machine.platter, trouble, False)
-    assert world.do(world.put_within(4.5))  # the disks' next tries come within a second
-    assert world.do(world.newest()) >= world.acked
-    assert {m.host: g.replica.me for m, g in world.stores()} == before
-    world.close()
+    assert cluster.do(cluster.put_within(4.5))  # the disks' next tries come within a second
+    assert cluster.do(cluster.read_newest()) >= cluster.acknowledged_version
+    assert {m.host: g.replica.member for m, g in cluster.stores()} == before
+    cluster.close()
