--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -405,7 +405,7 @@
         exec(line, {})
 
 
-LOG_LINE = re.compile(r"`((?:store|registry|proxy|rpc): .+?)(?: [\w]+=.*)?`")
+LOG_LINE = re.compile(r"`((?:store|registry|proxy|rpc): [^`]+?)(?: \w+=[^`]*)?`")
 
 
 def test_log_lines_for_operators_are_written_by_the_code():
