--- a/loomstand/proxy/policy_compiler.py
+++ b/loomstand/proxy/policy_compiler.py
@@ -17,7 +17,7 @@
 from loomstand.admission.ticks import TICKS_PER_MILLISECOND, ticks_rounded_down
 from loomstand.config.configuration import Configuration, Route, Tenant
 from loomstand.config.settings import RuleBounds
-from loomstand.registry.quota_grants import ALONE
+from loomstand.registry.quota_grants import ISOLATED_SHARE
 from loomstand.rpc.messages.session_messages import LimiterSetRow
 
 # Value of a late answer, of an answer's in time. The configuration doesn't tell it: a tenth and
@@ -145,7 +145,7 @@
 
     def _plans(self, limiters: LimiterSetRow) -> tuple[QuotaPlan, ...]:
         """Returns the plans by index; quotas without what silent limiters admit by themselves."""
-        scale = 1 - ALONE * limiters.silent / limiters.total
+        scale = 1 - ISOLATED_SHARE * limiters.silent / limiters.total
         return tuple(
             quota_plan(self.configured_tenants.get(index), scale)
             for index in range(self.tenants.next_index)
--- a/loomstand/proxy/quota_credits.py
+++ b/loomstand/proxy/quota_credits.py
@@ -18,7 +18,13 @@
 
 from loomstand.config.configuration import Tenant
 from loomstand.config.settings import RuleBounds
-from loomstand.registry.quota_grants import ALONE, FEW, GOOD, SILENT, depth
+from loomstand.registry.quota_grants import (
+    CREDIT_LIFETIME_SECONDS,
+    ISOLATED_SHARE,
+    ISOLATION_SECONDS,
+    MIN_CREDITS_PER_LIMITER,
+    bucket_depth,
+)
 from loomstand.rpc.messages.quota_messages import (
     CreditDemandRow,
     CreditRequest,
@@ -65,7 +71,7 @@
 
     Attributes:
         rate: The tenant's quota over all limiters, in requests a second.
-        depth: Depth of its bucket at the counting registry, in requests.
+        bucket_depth: Depth of its bucket at the counting registry, in requests.
         granted: Credits left of those granted.
         unreported: Requests admitted ahead of any credit and not reported.
         near_limit_until: Until then no request is admitted ahead of a credit.
@@ -77,7 +83,7 @@
     """
 
     rate: float
-    depth: float
+    bucket_depth: float
     granted: float = 0.0
     unreported: float = 0.0
     near_limit_until: float = 0.0
@@ -102,7 +108,7 @@
     def target(self, now: float, limiter_count: int) -> float:
         """Returns how many credits this limiter should hold."""
         decay = exp((self.request_rate_at - now) / RATE_SMOOTHING_SECONDS)
-        minimum = max(MIN_TARGET_CREDITS, TARGET_DEPTH_SHARE * self.depth / limiter_count)
+        minimum = max(MIN_TARGET_CREDITS, TARGET_DEPTH_SHARE * self.bucket_depth / limiter_count)
         return minimum + LOOKAHEAD_SECONDS * self.request_rate * decay
 
 
@@ -137,12 +143,12 @@
         previous = self.tenants
         self.tenants = {}
         for digest, tenant in quotas.items():
-            bucket_depth = depth(tenant.rate_per_second, tenant.burst_size, self.bounds)
-            credit = previous.get(digest) or TenantCredits(tenant.rate_per_second, bucket_depth)
+            depth = bucket_depth(tenant.rate_per_second, tenant.burst_size, self.bounds)
+            credit = previous.get(digest) or TenantCredits(tenant.rate_per_second, depth)
             if tenant.rate_per_second < credit.rate:  # these are parts of the former quota
                 credit.granted = min(credit.granted, MIN_TARGET_CREDITS)
             credit.rate = tenant.rate_per_second
-            credit.depth = bucket_depth
+            credit.bucket_depth = depth
             self.tenants[digest] = credit
         self.has_reported_all = False
 
@@ -152,11 +158,11 @@
 
     def is_isolated(self, now: float) -> bool:
         """Returns whether the counting registry hasn't answered for too long."""
-        return now - self.last_answer_sent_at > SILENT
+        return now - self.last_answer_sent_at > ISOLATION_SECONDS
 
     def is_on_demand(self, credit: TenantCredits) -> bool:
         """Returns whether the quota is too small to be granted to all limiters ahead of use."""
-        return credit.depth < FEW * self.limiter_count
+        return credit.bucket_depth < MIN_CREDITS_PER_LIMITER * self.limiter_count
 
     def admits_ahead(self, credit: TenantCredits, now: float) -> bool:
         """Returns whether a request may be admitted before it is reported."""
@@ -165,7 +171,7 @@
     def source(self, credit: TenantCredits, now: float) -> CreditSource:
         """Returns what a request of the tenant would be admitted by now."""
         self._accrue_isolated(credit, now)
-        if now - self.last_answer_sent_at <= GOOD:
+        if now - self.last_answer_sent_at <= CREDIT_LIFETIME_SECONDS:
             if credit.granted >= 1:
                 return CreditSource.GRANTED
             if self.admits_ahead(credit, now) and credit.unreported < 1 and self.has_answer:
@@ -225,7 +231,7 @@
         demands = []
         self.unreported_in_request = {}
         for tenant, credit in self.tenants.items():
-            if now - self.last_answer_sent_at > GOOD:
+            if now - self.last_answer_sent_at > CREDIT_LIFETIME_SECONDS:
                 credit.granted = 0.0
             granted_before = credit.granted
             # other limiters may need the rest
@@ -292,10 +298,10 @@
             credit.isolated = 0.0
             credit.isolated_updated_at = now
             return
-        since = max(credit.isolated_updated_at, self.last_answer_sent_at + SILENT)
+        since = max(credit.isolated_updated_at, self.last_answer_sent_at + ISOLATION_SECONDS)
         is_long = now - self.last_answer_sent_at >= LONG_ISOLATION_SECONDS
         shrink = LONG_ISOLATION_SHARE if is_long else 1.0
-        share = ALONE * credit.rate / self.limiter_count * shrink
+        share = ISOLATED_SHARE * credit.rate / self.limiter_count * shrink
         accrued = credit.isolated + share * max(0.0, now - since)
         credit.isolated = min(max(1.0, share), accrued)
         credit.isolated_updated_at = now
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -100,6 +100,15 @@
     return [page for page in found if page.relative_to(ROOT).as_posix() not in HISTORY_PAGES]
 
 
+def statements(node: ast.AST) -> Iterator[ast.stmt]:
+    """All statements within a node, at whatever depth; expressions aren't looked into."""
+    for field in ("body", "orelse", "finalbody", "handlers", "cases"):
+        for part in getattr(node, field, ()):
+            if isinstance(part, ast.stmt):
+                yield part
+            yield from statements(part)
+
+
 def targets(node: ast.stmt) -> Iterator[str]:
     """The plain names and the attributes of `self` that a statement assigns."""
     found = node.targets if isinstance(node, ast.Assign) else []
@@ -129,9 +138,8 @@
 def read_class(node: ast.ClassDef) -> Class:
     """A class's attributes: methods, fields, and what its methods assign to `self`."""
     attributes = set(top_level(node.body))
-    for part in ast.walk(node):
-        if isinstance(part, ast.stmt):
-            attributes |= set(targets(part))
+    for part in statements(node):
+        attributes |= set(targets(part))
     bases = [base.id if isinstance(base, ast.Name) else "" for base in node.bases]
     bases += [base.attr for base in node.bases if isinstance(base, ast.Attribute)]
     return Class(attributes, bases)
@@ -154,14 +162,14 @@
             found.modules[module] = set(top_level(parsed(path).body))
             found.names.update(found.modules[module])
             tests = found.tests.setdefault(relative.as_posix(), set())
-            for node in ast.walk(parsed(path)):
+            for node in statements(parsed(path)):
                 if isinstance(node, ast.ClassDef):
                     found.classes.setdefault(node.name, []).append(read_class(node))
                 elif isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
                     found.names.add(node.name)
                     if node.name.startswith("test_"):
                         tests.add(node.name)
-                elif isinstance(node, ast.stmt):
+                else:
                     found.names.update(targets(node))
     return found
 
@@ -435,7 +443,7 @@
 def imported_packages(path: Path) -> set[str]:
     """The packages of loomstand that a module imports, wherever in it."""
     found = set()
-    for node in ast.walk(parsed(path)):
+    for node in statements(parsed(path)):
         names = []
         if isinstance(node, ast.ImportFrom) and node.module == "loomstand":
             names = [f"loomstand.{alias.name}" for alias in node.names]
