--- a/loomstand/registry/__init__.py
+++ b/loomstand/registry/__init__.py
@@ -1,4 +1,4 @@
-"""The registry: servers, limiters, the calls from outside, and the counts (docs/system.md).
+"""The registry: servers, limiters, the calls from outside, and the counts (docs/ARCHITECTURE.md).
 
 It knows servers by their heartbeats and limiters by their sessions, and counts for the quotas while
 it holds the counting lease.
