--- a/loomstand/registry/rescue.py
+++ b/loomstand/registry/rescue.py
@@ -25,9 +25,8 @@
     fields = json.loads(body or b"{}")
     gone_hosts = fields.get("gone", [])
     token = fields.get("token")
-    if not isinstance(gone_hosts, list) or not isinstance(
-        token, str | None
-    ):  # operators get this text in the answer, as for all other bad input
+    if not isinstance(gone_hosts, list) or not isinstance(token, str | None):
+        # operators get this text in the answer, as for all other bad input
         raise ValueError("`gone` is a list of hosts, `token` a text")  # noqa: TRY004
     return RescueRequest(gone_hosts=[str(host) for host in gone_hosts], token=token)
 
