--- a/tests/system/test_scale_run.py
+++ b/tests/system/test_scale_run.py
@@ -209,7 +209,7 @@
 
     class All(LimiterTable):
         def record_call(self, name: str, now: float) -> None:
-            self.last_call_at[name] = self.last_seen_at[name] = now
+            self.last_call_at[name] = self.last_contact_at[name] = now
             self.expire(now)
 
     rng, fell = Random(5), 0
