--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -103,7 +103,7 @@
     """The servers.
 
     Attributes:
-        silent_after_seconds: How long after its last heartbeat a server counts as silent.
+        unreachable_after_seconds: How long after its last heartbeat a server counts as silent.
         revision: Grows with every change that limiters must hear of.
         by_id: The servers.
         last_heartbeat_at: By id, when a server last called any registry.
--- a/loomstand/registry/limiters.py
+++ b/loomstand/registry/limiters.py
@@ -27,7 +27,7 @@
 
     Attributes:
         revision: Grows when the set of members, or of silent limiters, changes.
-        last_seen_at: By name, when any registry last heard the limiter.
+        last_contact_at: By name, when any registry last heard the limiter.
         last_call_at: By name, when the limiter last called this registry.
         present: Names of the limiters whose session stands, in order.
         silent: Names of those whose place is reserved, in order.
--- a/loomstand/registry/replication.py
+++ b/loomstand/registry/replication.py
@@ -121,6 +121,7 @@
         request = GossipRequest(instances=rows)
 
         async def send(registry: Address) -> None:
+            """Sends the row to a registry, or has it sent in a later round."""
             result = await self._call(registry, request, GossipResponse, timeout_seconds)
             if result.is_error():
                 self.add_pending(registry, [instance_id])
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -143,6 +143,7 @@
             return False
 
         def is_enough(responses: dict[str, PrepareResponse]) -> bool:
+            """Whether a quorum promised, or a newer view is known."""
             return self._is_outdated() or self.rules.has_quorum(
                 replica, [own_id, *_promising(responses)]
             )
@@ -176,6 +177,7 @@
         await self.io.persist(lambda now: replica.promise(now, epoch, own_id, released_epoch))
 
         def is_enough(responses: dict[str, PrepareResponse]) -> bool:
+            """Whether a quorum would promise, or a newer view is known."""
             if self._is_outdated():
                 return True
             # a founder would rather have all seeds, so that they all vote from the start
--- a/loomstand/store/peers.py
+++ b/loomstand/store/peers.py
@@ -170,6 +170,7 @@
         own_network = self.own_member.address[0].rsplit(".", 2)[0]
 
         def order(member: Member) -> tuple[bool, bool, bool, bool, Address]:
+            """Sorts the best backup first."""
             has_data = base is not None and base.has_data(member.id)
             is_near = member.address[0].startswith(own_network)
             is_avoided = self.is_avoided(now, member)
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -67,7 +67,7 @@
         inherited_history: Came with the configuration that it read as a candidate.
         knows_committed: Whether `version` is from a serving primary, if only by way of others.
         state: Its own state.
-        highest_epoch_heard: The highest epoch that anybody said to have promised.
+        highest_epoch_observed: The highest epoch that anybody said to have promised.
         backoff_until: Until when it doesn't stand for election: another one just has, or itself in
             vain.
     """
--- a/loomstand/store/replica_io.py
+++ b/loomstand/store/replica_io.py
@@ -228,6 +228,7 @@
         responses: dict[str, PrepareResponse] = {}
 
         async def ask(member: Member) -> None:
+            """Notes the member's response, if it gives one."""
             response = await self.call(member, request, PrepareResponse)
             if not isinstance(response, CallFailure):
                 responses[member.id] = response
