--- a/loomstand/store/replica_io.py
+++ b/loomstand/store/replica_io.py
@@ -1,4 +1,5 @@
-"""Where a replica meets its disk and its peers: changes are on disk before anybody hears of them."""
+"""Where a replica meets its disk and its peers: changes are on disk before anybody hears of
+them."""
 
 from __future__ import annotations
 
@@ -19,7 +20,8 @@
 
 CALL = 0.5  # s for a call between stores: a round trip between regions and a slow write
 KEEP = 0.4  # s for the backup's write of a change, so that another may still be found in time
-HANG = 0.4  # s after which a write that hasn't come back marks the disk as sick: a hundred usual ones
+# s after which a write that hasn't come back marks the disk as sick: a hundred usual ones
+HANG = 0.4
 FAILED = 2.0  # s for which a disk that refused a write counts as sick
 
 Body = dict[str, Any]
@@ -31,7 +33,8 @@
     network: Network
     disk: Disk
     clock: Callable[[], float]
-    pen: asyncio.Lock = field(default_factory=asyncio.Lock)  # over every change of the record, until on disk
+    # over every change of the record, until on disk
+    pen: asyncio.Lock = field(default_factory=asyncio.Lock)
     writing: float | None = None  # since when a write is under way
     failed: float = -1e9  # when a write was last refused
     tasks: set[asyncio.Task[Any]] = field(default_factory=set)
@@ -48,7 +51,8 @@
             logging.error("store: %r", error)
 
     async def ink(self, change: Callable[[float], Record]) -> Record:
-        """Makes a change of the record and has it on disk. Refused: it may be there all the same."""
+        """Makes a change of the record and has it on disk. Refused: it may be there all the
+        same."""
         return await asyncio.shield(self.spawn(self._ink(change)))  # not to be stopped in mid-word
 
     async def _ink(self, change: Callable[[float], Record]) -> Record:
@@ -83,12 +87,16 @@
             hangs = self.writing is not None and now - self.writing > HANG
             state = State.SICK if hangs or now - self.failed < FAILED else State.FIT
             if state is not self.replica.state:
-                logging.info("store: its disk is %s", "in trouble" if state is State.SICK else "well again")
+                logging.info(
+                    "store: its disk is %s", "in trouble" if state is State.SICK else "well again"
+                )
                 self.replica.state = state
 
     # --- calls to other members, each meant for one disk
 
-    async def ask(self, member: Member, op: str, body: Body, within: float = CALL) -> Body | Verdict:
+    async def ask(
+        self, member: Member, op: str, body: Body, within: float = CALL
+    ) -> Body | Verdict:
         match await self.network.call(member.address, op, body | {"to": member.id}, within):
             case Result(tag="ok", ok=answer):
                 return answer
@@ -96,7 +104,8 @@
                 return verdict
 
     async def keep(self, member: Member, epoch: int, version: int, data: bytes) -> Verdict | None:
-        """Has `member` write the configuration; None once it has. One that doesn't answer is doubted."""
+        """Has `member` write the configuration; None once it has. One that doesn't answer is
+        doubted."""
         body = {"epoch": epoch, "asker": self.replica.me.id, "version": version, "data": data}
         body |= {"orders": self.replica.orders_with(version, data).body()}
         answer = await self.ask(member, "keep", body, KEEP + carry(len(data)))
@@ -112,7 +121,9 @@
         if not isinstance(await self.ask(member, "install", {"view": view.body()}), Verdict):
             self.replica.on_grant(member.id, view.epoch, sent)
 
-    async def until(self, work: Iterable[Coroutine[Any, Any, Any]], enough: Callable[[], bool]) -> None:
+    async def until(
+        self, work: Iterable[Coroutine[Any, Any, Any]], enough: Callable[[], bool]
+    ) -> None:
         """Runs all of `work`, and waits until it's enough or done; the rest goes on by itself."""
         waiting = {self.spawn(w) for w in work}
         while waiting and not enough():
@@ -130,5 +141,7 @@
                 answers[member.id] = answer
                 self.replica.notice(View.read(answer["view"]))
 
-        await self.until((one(m) for m in members if m.id != self.replica.me.id), lambda: enough(answers))
+        await self.until(
+            (one(m) for m in members if m.id != self.replica.me.id), lambda: enough(answers)
+        )
         return dict(answers)
--- a/loomstand/store/rescue_calls.py
+++ b/loomstand/store/rescue_calls.py
@@ -1,4 +1,5 @@
-"""The calls of a rescue: all members are asked what they hold, the one chosen founds the view (rescue.py)."""
+"""The calls of a rescue: all members are asked what they hold, the one chosen founds the view
+(rescue.py)."""
 
 from __future__ import annotations
 
@@ -17,18 +18,21 @@
 from loomstand.store.replica_io import CALL, Body, Desk
 from loomstand.store.rescue import Case, Told
 
-# s for a whole rescue at the member chosen: two looks, promises, a backup's write or two, and the view's
+# s for a whole rescue at the member chosen: two looks, promises, a backup's write or two, and the
+# view's
 WITHIN = 4.0
 
 
 class RescueCalls:
-    """Of one store. `busy` is held by whatever a primary or candidate does; `crown` lets one begin."""
+    """Of one store. `busy` is held by whatever a primary or candidate does; `crown` lets one
+    begin."""
 
     def __init__(
         self, desk: Callable[[], Desk], busy: asyncio.Lock, rng: Random, crown: Callable[[], None]
     ) -> None:
         self.desk, self.busy, self.rng, self.crown = desk, busy, rng, crown
-        self.offered: Held = (0, b"")  # the highest that was given back and isn't known to be in force
+        # the highest that was given back and isn't known to be in force
+        self.offered: Held = (0, b"")
 
     @property
     def replica(self) -> Replica:
@@ -82,7 +86,10 @@
             case Result(tag="ok", ok=answer):
                 return answer
         return {
-            "no": [f"{chosen.member.address[0]}, which was to found the view, gave no answer: look again"]
+            "no": [
+                f"{chosen.member.address[0]}, which was to found the view, gave no answer: look "
+                "again"
+            ]
         }
 
     async def _found(self, gone: list[str], token: str) -> Body:
@@ -102,7 +109,8 @@
             replica.postpone(desk.clock())
             return {
                 "no": [
-                    "nothing is founded: some member in reach didn't promise, or wrote nothing; look again"
+                    "nothing is founded: some member in reach didn't promise, or wrote nothing; "
+                    "look again"
                 ]
             }
         hosts = [m.address[0] for m in view.voters]
