--- a/loomstand/admission/__init__.py
+++ b/loomstand/admission/__init__.py
@@ -1,1 +1,1 @@
-"""The decision engine of one limiter: pure state machines, fed events, that return actions."""
+"""Decision engine of one limiter: pure state machines (no I/O, no clock) from events to actions."""
--- a/loomstand/admission/actions.py
+++ b/loomstand/admission/actions.py
@@ -1,6 +1,6 @@
-"""Actions: all that the decision engine asks its caller to do. Pure.
+"""Actions that the decision engine asks its caller to carry out. Pure.
 
-Times are ticks. Like events, actions are never changed after they are made, and are not frozen
+Times are in ticks. Like events, actions are never modified after creation; they are not frozen
 dataclasses because these take five times as long to create.
 """
 
@@ -12,7 +12,7 @@
 # Reasons of a `Reject`, as they are counted and logged. The proxy answers 429 to the first three
 # and 503 to the others.
 QUOTA_EXHAUSTED: Final = "full count"
-QUOTA_PROBABLY_EXHAUSTED: Final = "old total"  # by a total older than an interval
+QUOTA_PROBABLY_EXHAUSTED: Final = "old total"  # judged by a total older than a counting interval
 RATE_LIMITED: Final = "ceiling"
 EXPIRED: Final = "too old"
 OVERLOADED: Final = "servers full"
@@ -36,11 +36,11 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected. The client may send the request again without harm.
+    """Final answer: rejected. The client may safely send the request again.
 
     Attributes:
         request_id: The request.
-        retry_after: After how many ticks the client should come again; 0 for no advice.
+        retry_after: Ticks after which the client should retry; 0 if not stated.
         reason: One of this module's reasons.
     """
 
@@ -78,7 +78,7 @@
     """Send a `TimerFired` later.
 
     Attributes:
-        delay: After how many ticks.
+        delay: Ticks until it is sent.
         tag: The tag to send it with.
     """
 
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask a server for a sign of life. The engine does not use it today.
+    """Check a server's health. Not used by the engine today.
 
     Attributes:
         endpoint_id: The server.
--- a/loomstand/admission/actors.py
+++ b/loomstand/admission/actors.py
@@ -1,8 +1,8 @@
 """Actors of the decision engine, and the loop that delivers their messages.
 
 An actor changes its state only when the loop delivers a message to it, so no two actors ever change
-each other in the middle of a step; they may read each other's figures. Pure: nothing here decides,
-and no socket, disk or clock is touched.
+each other in the middle of a step; they may read each other's state. Pure: this module makes no
+decisions, and uses no socket, disk or clock.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     Attributes:
         settings: The settings in force.
         random: Draws a number from 0 up to 1.
-        now: Reading of the common clock for the event at hand, in ticks.
+        now: Reading of the common clock for the current event, in ticks.
         started_at: Reading at which the limiter started.
         ready: The receivers of the messages that are not yet delivered, in order.
         actions: The actions decided since the last `run`.
@@ -41,7 +41,7 @@
         self.actions: list[Action] = []
 
     def run(self) -> list[Action]:
-        """Delivers all messages, and returns the actions that they led to."""
+        """Delivers all messages, and returns the resulting actions."""
         while self.ready:
             handler, arguments = self.ready.popleft().inbox.pop(0)
             handler(*arguments)
--- a/loomstand/admission/admission_control.py
+++ b/loomstand/admission/admission_control.py
@@ -1,6 +1,6 @@
-"""Takes requests in, and gives each its one final answer. Pure.
+"""Admits requests and gives each exactly one final answer. Pure.
 
-The path of a request, from top to bottom of `AdmissionControl`: it arrives; its tenant's limiter
+The methods of `AdmissionControl` follow the path of a request: it arrives; its tenant's limiter
 admits it; the service's load balancer admits it and chooses a server; an attempt is sent; the
 attempt's outcome is the answer, or leads to a retry, a rejection or an abort.
 """
@@ -38,25 +38,25 @@
 from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.failover.engine_view import Guide
 
-DEFAULT_SERVICE = 0  # the one that a zone plan is about
-MANY_TENANTS = 1_000  # beyond which tenants are forgotten sooner: they fill a megabyte
-COUNTS_PERIOD = 5 * TICKS_PER_SECOND
-FAST_QUANTILE = 0.25  # of the answers: what a retry takes at the least
-# Names of counts in the log, beside the reasons of `Reject`.
+DEFAULT_SERVICE = 0  # index of the service that a zone plan applies to
+MANY_TENANTS = 1_000  # above this number, about 1 MB, idle tenants are evicted sooner
+COUNTS_PERIOD_TICKS = 5 * TICKS_PER_SECOND  # ticks between two log lines
+FAST_QUANTILE = 0.25  # this quantile of durations is the least time that a retry needs
+# Names of counts in the log, in addition to the reasons of `Reject`.
 SENT_COUNT = "sent"
 ABORTED_COUNT = "aborted"
 
 
 class AdmissionControl(Actor):
-    """The requests of one limiter, its tenants' limiters and its services' load balancers.
+    """All requests, tenants' limiters and services' load balancers of one limiter.
 
     Attributes:
         counter_client: Calls the counter for the tenants' limiters.
-        tenants: The tenants' limiters by index, the one that was looked at longest ago first.
-        tenants_by_digest: The same by digest.
+        tenants: The tenants' limiters by tenant index, the least recently checked first.
+        tenants_by_digest: The same limiters by tenant digest.
         load_balancers: The load balancers by service.
         pending: The requests without a final answer, or with attempts in flight.
-        counts: Counts for the log.
+        counts: Event counts for the log.
     """
 
     def __init__(self, loop: ActorLoop, counter_client: CounterClient, guide: Guide | None) -> None:
@@ -66,14 +66,14 @@
         self.tenants_by_digest: dict[int, TenantLimiter] = {}
         self.load_balancers = {DEFAULT_SERVICE: LoadBalancer(loop, guide)}
         self.pending: dict[int, PendingRequest] = {}
-        self.counts = EventCounts(COUNTS_PERIOD, loop.now)
+        self.counts = EventCounts(COUNTS_PERIOD_TICKS, loop.now)
 
     # Arrival and admission.
 
     def request_arrived(self, event: RequestArrived) -> None:
-        """Asks the tenant's limiter, unless it is too late for an answer."""
+        """Passes a request to its tenant's limiter, or rejects it if it comes too late."""
         tenant_limiter = self._tenant_limiter(event)
-        self._forget_an_idle_tenant(tenant_limiter)
+        self._evict_idle_tenant(tenant_limiter)
         frontend = self._load_balancer(event.service).stats[event.frontend].frontend
         plan = self.loop.settings.plan(event.plan)
         value_factor = plan.value_factor if plan else 1.0
@@ -95,15 +95,15 @@
             tenant_limiter.post(tenant_limiter.admit, event, self)
 
     def post_admitted(self, request_id: int) -> None:
-        """Posts the message that the tenant's limiter admits a request."""
+        """Posts the message that the tenant's limiter admitted a request."""
         self.post(self.tenant_admitted, request_id)
 
     def post_rejected(self, request_id: int, retry_after: int, reason: str) -> None:
-        """Posts the message that a request is rejected."""
+        """Posts the message that a request was rejected, to be retried after some ticks."""
         self.post(self.reject, request_id, retry_after, reason)
 
     def tenant_admitted(self, request_id: int) -> None:
-        """Sends the first attempt, if the servers have capacity for the request."""
+        """Sends the first attempt if the servers have capacity, else rejects the request."""
         pending = self.pending[request_id]
         load_balancer = self._load_balancer(pending.arrival.service)
         server = load_balancer.pick(pending) if load_balancer.has_capacity(pending) else None
@@ -115,10 +115,10 @@
         tenant_limiter.post(tenant_limiter.request_sent, pending.arrival.units)
         load_balancer.send(pending, server)
 
-    # The attempt's outcome: the answer, or a retry, or the final answer without one.
+    # The attempt's outcome: an answer, a retry, or the end without an answer.
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """Learns from the outcome, and goes on with the request if it is not answered by it."""
+        """Records an attempt's outcome, and retries or ends a request that is still unanswered."""
         pending = self.pending.get(event.request_id)
         if pending is None:
             return
@@ -129,25 +129,25 @@
             tenant_limiter = pending.tenant_limiter
             tenant_limiter.post(tenant_limiter.usage_metered, event.metered_use - 1)
         if pending.is_answered or pending.has_attempt_in_flight():
-            self._forget_if_done(pending)
+            self._remove_if_done(pending)
         else:
             self._retry_or_give_up(pending)
 
     def client_disconnected(self, event: ClientDisconnected) -> None:
-        """Owes the request no answer any more, and spares the servers its work."""
+        """Marks a request as answered, and cancels its attempt in flight where that is allowed."""
         pending = self.pending.get(event.request_id)
         if pending is None:
             return
         pending.is_answered = True
         effect = self.loop.settings.frontends[pending.arrival.frontend].effect
-        # What must not run twice runs to its end: broken off it may be half done.
+        # Only idempotent requests are cancelled: others might be left partly executed.
         may_stop = self.loop.settings.cancels_abandoned_attempts and effect is Effect.IDEMPOTENT
         if may_stop and pending.has_attempt_in_flight():
             self.loop.actions.append(CancelAttempt(event.request_id, pending.cancel_attempt()))
-        self._forget_if_done(pending)
+        self._remove_if_done(pending)
 
     def _retry_or_give_up(self, pending: PendingRequest) -> None:
-        """Sends another attempt where it is allowed and can be in time, else answers at once."""
+        """Sends another attempt if it is allowed and can be in time, else ends the request."""
         load_balancer = self._load_balancer(pending.arrival.service)
         stats = load_balancer.stats[pending.arrival.frontend]
         now = self.loop.now
@@ -166,19 +166,19 @@
     # The final answer.
 
     def reject(self, request_id: int, retry_after: int, reason: str) -> None:
-        """Answers that the request is rejected, and may come again without harm."""
+        """Rejects a request, which the client may safely send again after `retry_after` ticks."""
         settings = self.loop.settings
-        advice = min(retry_after, settings.max_retry_after) if settings.sends_retry_after else 0
-        self._answer(self.pending[request_id], reason, Reject(request_id, advice, reason))
+        delay = min(retry_after, settings.max_retry_after) if settings.sends_retry_after else 0
+        self._answer(self.pending[request_id], reason, Reject(request_id, delay, reason))
 
     def _answer(self, pending: PendingRequest, count: str, answer: Action) -> None:
         self._count(count)
         pending.is_answered = True
         self.loop.actions.append(answer)
-        self._forget_if_done(pending)
+        self._remove_if_done(pending)
 
-    def _forget_if_done(self, pending: PendingRequest) -> None:
-        """Forgets a request that is answered and has no attempt in flight."""
+    def _remove_if_done(self, pending: PendingRequest) -> None:
+        """Removes a request that is answered and has no attempt in flight."""
         if not pending.is_answered or pending.has_attempt_in_flight():
             return
         is_first_time = self.pending.pop(pending.arrival.request_id, None) is not None
@@ -189,7 +189,7 @@
     # Servers, settings and totals.
 
     def endpoints_updated(self, event: EndpointsUpdated) -> None:
-        """Hands each service's servers to its load balancer."""
+        """Passes each service's endpoints to its load balancer."""
         by_service: dict[int, list[Endpoint]] = {}
         if event.complete or not event.endpoints:
             by_service = {service: [] for service in self.load_balancers}
@@ -199,7 +199,7 @@
             self._load_balancer(service).endpoints_updated(endpoints, event.complete)
 
     def settings_changed(self, event: SettingsChanged) -> None:
-        """Puts other settings in force."""
+        """Applies new settings."""
         limiters_before = self.loop.settings.limiter_count
         self.loop.settings = event.settings
         for load_balancer in self.load_balancers.values():
@@ -208,12 +208,12 @@
             tenant_limiter.post(tenant_limiter.settings_changed)
 
     def tenant_total_updated(self, event: TenantTotalUpdated) -> None:
-        """Hands a total that the counter pushed to the tenant's limiter."""
+        """Passes a total pushed by the counter to the tenant's limiter."""
         tenant_limiter = self._tenant_limiter(event)
         tenant_limiter.post(tenant_limiter.total_updated, event)
 
     def timer_fired(self, event: TimerFired) -> None:
-        """Lets a tenant's limiter read the total of the interval that has ended."""
+        """Has the tenant's limiter read the total of the interval that has ended."""
         tenant_limiter = self.tenants_by_digest.get(event.tag)
         if tenant_limiter is not None:
             tenant_limiter.post(tenant_limiter.interval_ended)
@@ -233,8 +233,8 @@
             self.tenants_by_digest[event.tenant_digest] = limiter
         return limiter
 
-    def _forget_an_idle_tenant(self, current: TenantLimiter) -> None:
-        """Looks at one tenant, the one looked at longest ago, and forgets it if it is idle."""
+    def _evict_idle_tenant(self, current: TenantLimiter) -> None:
+        """Checks the least recently checked tenant, and evicts it if it is idle."""
         oldest = self.tenants.pop(next(iter(self.tenants)))
         if oldest is current or not oldest.is_idle(len(self.tenants) > MANY_TENANTS):
             self.tenants[oldest.tenant] = oldest
--- a/loomstand/admission/admission_replies.py
+++ b/loomstand/admission/admission_replies.py
@@ -1,4 +1,4 @@
-"""Where a tenant's limiter sends its replies. Pure; nothing decides."""
+"""Interface for the replies of a tenant's limiter. Pure."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class AdmissionReplies(Protocol):
-    """Where a limiter's replies go."""
+    """Receiver of a tenant's limiter's replies to admission requests."""
 
     def post_admitted(self, request_id: int) -> None:
-        """The request is within the quota and the rate limit."""
+        """Posts that a request is within the tenant's limits."""
 
     def post_rejected(self, request_id: int, retry_after: int, reason: str) -> None:
-        """The request is rejected; see `Reject`."""
+        """Posts that a request is rejected; see `Reject` for the arguments."""
--- a/loomstand/admission/backend.py
+++ b/loomstand/admission/backend.py
@@ -1,4 +1,4 @@
-"""What is known of one server, from the outcomes of this limiter's attempts alone. Pure."""
+"""State of one server, measured by the outcomes of this limiter's own attempts. Pure."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from loomstand.admission.outcome import TIMED, Outcome
 from loomstand.admission.ring import spread_position
 
-# Share of the requests that probe an ejected server: little is lost if all of them fail.
+# Share of the requests that probe an ejected server: small, as all of them may fail.
 PROBE_SHARE = 1 / 60
-DURATIONS = 32  # some ten seconds of one server's answers
-RECENT_OUTCOMES = 4
-MIN_FAILURES = 2  # among them, to eject the server
-# An ejected server gets another chance after 20 s: where requests must not run twice, none probe.
+DURATIONS = 32  # capacity of the histogram: about 10 s of one server's answers
+RECENT_OUTCOMES = 4  # kept for each request class
+MIN_FAILURES = 2  # among the recent outcomes, to eject the server
+# Ejection ends after 20 s without a failure: only idempotent requests probe an ejected server.
 EJECTION_TICKS = 200_000
-ANY_FRONTEND = -1  # in place of a request class: whether there was any sign of life
-REJECTION_WEIGHT = 0.2  # of one outcome in the rejection rate
+ANY_FRONTEND = -1  # key of the outcomes of all request classes: whether there was any reply
+REJECTION_WEIGHT = 0.2  # weight of one outcome in the moving average
 
-# Outcomes that say nothing of the server's health.
+# Outcomes that say nothing about the server's health.
 NEUTRAL_OUTCOMES = frozenset({Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.REJECTED})
 
 
 class Backend(Actor):
-    """A server: its load by this limiter, its durations, its health and its slow start.
+    """One server: this limiter's load on it, its response times, health and slow start.
 
     Attributes:
-        endpoint: What service discovery states of it.
+        endpoint: Its entry in the endpoint list.
         endpoint_id: Its index.
         ring_position: Its position on the ring, the same at all limiters.
         in_flight: This limiter's attempts in flight.
-        durations: Of its answers.
+        durations: Histogram of its response times, in ticks.
         recent_successes: Whether the last attempts succeeded, by request class.
         rejection_rates: Share of the attempts that it rejects, by request class.
         probe_share: Share of the idempotent requests that probe it while it is ejected.
-        slow_start_budget: Requests that it may get now, while it warms up.
+        slow_start_budget: Requests that may be sent to it now, during slow start.
     """
 
     endpoint: Endpoint
@@ -47,8 +47,8 @@
     rejection_rates: dict[int, float]
     probe_share: float
     slow_start_budget: float
-    _budget_at: int  # when it was last brought up to date
-    _failed_at: int  # when an attempt last failed
+    _budget_updated_at: int  # when slow_start_budget was last updated, in ticks
+    _failed_at: int  # when an attempt last failed, in ticks
 
     def __init__(self, loop: ActorLoop, endpoint: Endpoint) -> None:
         super().__init__(loop)
@@ -58,7 +58,7 @@
         self._process_started(endpoint)
 
     def endpoint_updated(self, endpoint: Endpoint) -> None:
-        """Follows service discovery."""
+        """Applies its entry in a new endpoint list; a new start time resets its statistics."""
         if endpoint.started_at != self.endpoint.started_at:
             self._process_started(endpoint)
         self.endpoint = endpoint
@@ -70,7 +70,7 @@
         self.loop.actions.append(SendAttempt(request_id, self.endpoint_id, expires_at))
 
     def attempt_ended(self, event: AttemptEnded, frontend: int) -> None:
-        """Learns from an attempt's outcome."""
+        """Updates load, health and response times with an attempt's outcome."""
         self.in_flight -= 1
         outcome = event.outcome
         rate = self.rejection_rates.get(frontend, 0.0)
@@ -88,7 +88,7 @@
             self.durations.add(event.duration)
 
     def is_ejected(self, frontend: int) -> bool:
-        """Returns whether most recent attempts failed, by request class or without a reply."""
+        """Returns whether half of the recent attempts failed in the class, or got no reply."""
         if self.loop.now - self._failed_at > EJECTION_TICKS:
             return False
         for key in (frontend, ANY_FRONTEND):
@@ -99,7 +99,7 @@
         return False
 
     def capacity(self) -> float:
-        """Returns the share of its capacity that it surely has: less than 1 in slow start."""
+        """Returns the available share of its full capacity: less than 1 in slow start."""
         settings = self.loop.settings
         started_at = self.endpoint.started_at
         age = self.loop.now - started_at
@@ -109,28 +109,28 @@
         return initial + (1 - initial) * max(0, age) / settings.slow_start_period
 
     def has_slow_start_budget(self, peer_rate: float) -> bool:
-        """Returns whether it may get one more request while it warms up.
+        """Returns whether one more request may be sent to it during slow start.
 
         Args:
-            peer_rate: Answers a tick of one of this limiter's servers; this limiter's part of the
-                budget is in proportion to it.
+            peer_rate: Answers per tick of one of this limiter's servers at full capacity, to which
+                this limiter's share of the budget is proportional.
         """
         settings = self.loop.settings
         now = self.loop.now
         rate = settings.overload_multiple * self.capacity() * peer_rate
-        budget = self.slow_start_budget + rate * (now - self._budget_at)
+        budget = self.slow_start_budget + rate * (now - self._budget_updated_at)
         self.slow_start_budget = min(max(1.0, rate * settings.overload_period / 2), budget)
-        self._budget_at = now
+        self._budget_updated_at = now
         return self.slow_start_budget >= 1.0
 
     def _process_started(self, endpoint: Endpoint) -> None:
-        """Forgets what is known: a process that has just started is judged anew."""
+        """Resets all statistics, because the server's process has just started."""
         self.endpoint = endpoint
         self.durations = Histogram(DURATIONS)
         self.recent_successes = defaultdict(lambda: deque(maxlen=RECENT_OUTCOMES))
         self._failed_at = NEVER
         self.rejection_rates = {}
-        # by chance, so that limiters which learn of it together don't send at the same time
+        # random, so that limiters that see the new process together don't all send at once
         self.slow_start_budget = self.loop.random()
-        self._budget_at = self.loop.now
+        self._budget_updated_at = self.loop.now
         self.probe_share = PROBE_SHARE
--- a/loomstand/admission/concurrency_window.py
+++ b/loomstand/admission/concurrency_window.py
@@ -1,6 +1,6 @@
-"""How many attempts at a service's servers may be in flight at once from this limiter. Pure.
+"""Adaptive limit on the attempts that this limiter has in flight at a service's servers. Pure.
 
-The window aims at a short queue over all servers, known from all answers together.
+The window aims at a short queue at the servers, measured by the response times of all of them.
 """
 
 from __future__ import annotations
@@ -14,41 +14,41 @@
 from loomstand.admission.outcome import TIMED, Outcome
 from loomstand.admission.ticks import TICKS_PER_SECOND
 
-PRIOR_DURATION = 2_000  # ticks: what an answer takes, where none is known
-PRIOR_WEIGHT = 4
-# Both by all limiters together; five a server are mostly at work, not waiting.
+PRIOR_DURATION = 2_000  # ticks: assumed response time before any is measured
+PRIOR_WEIGHT = 4  # of the assumed response time, in answers
+# From all limiters together. With 5 attempts at a server, most are executing and few are queued.
 INITIAL_ATTEMPTS_PER_SERVER = 7
 MIN_ATTEMPTS_PER_SERVER = 5
-# An attempt in flight for so many times what nine in ten answers take is no load of a server.
+# Attempts in flight longer than this multiple of this quantile of durations don't count as load.
 UNRESPONSIVE_MULTIPLE = 10
 UNRESPONSIVE_QUANTILE = 0.9
-# Rejections start at this use of the window: above what a limiter of many has in flight by mere
-# chance. Requests of tenants that may be beyond their quota are rejected first.
+# Share of the window in use at which rejections start: above the random variation at one of many
+# limiters. Requests of tenants that may be over their quota are rejected first.
 REJECTION_START = 0.6
 REJECTION_START_UNKNOWN = 0.45
-BEST_VALUE_DECAY = 0.999  # halved in some 700 requests
+BEST_VALUE_DECAY = 0.999  # per request: halved after about 700 requests
 MIN_WINDOW = 1e-9
-# Waiting is judged, not work. Answers are fast or late by how much of the way from the work to the
-# latency target they take; work counts as a fifth of the target at least.
-FAST_WAITING = 0.375
-LATE_WAITING = 0.75
-MIN_WORK = 0.2
-# A missing response is a single server's fault more often than a full queue's. A rejection counts
-# by the square of the mean duration over FAST_MEAN of the target, at most 1: where answers are fast
-# a server is throttled or draining, and gets less by its own rejection rate.
+# Answers are rated by queueing time, not execution time: as fast or late by its share of the time
+# from execution to latency target. Execution counts as at least a fifth of the target.
+FAST_WAITING_SHARE = 0.375
+LATE_WAITING_SHARE = 0.75
+MIN_EXECUTION_SHARE = 0.2
+# A missing response is caused by a single server more often than by a full queue. A rejection has
+# the weight (mean duration / (FAST_MEAN_SHARE * target)) ** 2, at most 1: if answers are fast, the
+# server is throttled or draining, and its own rejection rate lowers its load.
 NO_RESPONSE_WEIGHT = 0.3
-FAST_MEAN = 0.3
-MAX_DECREASE = 0.3  # of the window
-INCREASE = 0.1  # an attempt for each fast answer: one late answer in ten holds the window
-GROWTH_USE = 0.4  # the window only grows while so much of it is used
+FAST_MEAN_SHARE = 0.3
+MAX_DECREASE_SHARE = 0.3  # largest decrease as a share of the window; never more than 1 attempt
+INCREASE = 0.1  # attempts per fast answer: one late answer in ten keeps the window constant
+MIN_GROWTH_USE = 0.4  # the window only grows while at least this share of it is in use
 
 
-class Verdict(NamedTuple):
-    """What an outcome says of the window.
+class QueueSignal(NamedTuple):
+    """What an attempt's outcome indicates about the queue at the servers.
 
     Attributes:
-        weight: By how much it speaks for a smaller one, from 0 to 1.
-        is_fast: Whether it came without waiting.
+        weight: Strength of the indication of congestion, from 0 to 1.
+        is_fast: Whether the duration shows little queueing.
     """
 
     weight: float
@@ -56,13 +56,13 @@
 
 
 class ConcurrencyWindow:
-    """The window, and the attempts that are in flight.
+    """The window and the attempts in flight.
 
     Attributes:
         size: Attempts that may be in flight at once.
-        in_flight: When each was sent, by request and number of the attempt, the oldest first.
-        durations: Of all answers.
-        best_value: The best value for its work that a request brought lately.
+        in_flight: When each attempt was sent, by request and attempt number, the oldest first.
+        durations: Histogram of the response times of all answers, in ticks.
+        best_value: Highest recent value of a request per tick of its expected duration, decaying.
     """
 
     def __init__(self, loop: ActorLoop) -> None:
@@ -73,46 +73,46 @@
         self.best_value = 1e-9
 
     def pressure(self, value: float) -> float:
-        """Returns the share of the window in use, for a request of a value for its work."""
+        """Returns the share of the window in use; `value` is per tick of duration."""
         self.best_value = max(value, self.best_value * BEST_VALUE_DECAY)
         typical = self.durations.quantile(UNRESPONSIVE_QUANTILE, TICKS_PER_SECOND)
         self._drop_sent_before(self.loop.now - UNRESPONSIVE_MULTIPLE * typical)
         size = self.size + self.loop.settings.window_headroom
         return (len(self.in_flight) + self.loop.random()) / max(MIN_WINDOW, size)
 
-    def admits(self, pressure: float, value: float, is_unknown: bool) -> bool:
-        """Returns whether a request is admitted: the fuller the window, the more it must bring."""
-        start = REJECTION_START_UNKNOWN if is_unknown else REJECTION_START
+    def admits(self, pressure: float, value: float, is_usage_unknown: bool) -> bool:
+        """Returns whether a request is admitted: a fuller window requires a higher value."""
+        start = REJECTION_START_UNKNOWN if is_usage_unknown else REJECTION_START
         return pressure <= start + (1 - start) * value / self.best_value
 
-    def judge(self, event: AttemptEnded, stats: FrontendStats, min_size: float) -> Verdict:
-        """Returns what an outcome says of the window, and learns from its duration."""
+    def evaluate(self, event: AttemptEnded, stats: FrontendStats, min_size: float) -> QueueSignal:
+        """Returns an outcome's congestion signal, and records its duration."""
         target = stats.frontend.latency_target
-        work = max(MIN_WORK * target, stats.work())
-        waiting = max(0.0, target - work)
+        execution = max(MIN_EXECUTION_SHARE * target, stats.execution_time())
+        waiting = max(0.0, target - execution)
         duration = event.duration
         outcome = event.outcome
         weight = 0.0
         if outcome is Outcome.REJECTED:
             mean = self.durations.mean(target, 1)
-            weight = min(1.0, (mean / (FAST_MEAN * target)) ** 2)
+            weight = min(1.0, (mean / (FAST_MEAN_SHARE * target)) ** 2)
         elif outcome is Outcome.NO_RESPONSE:
             weight = NO_RESPONSE_WEIGHT
-        elif outcome is Outcome.SUCCEEDED and duration > work + LATE_WAITING * waiting:
+        elif outcome is Outcome.SUCCEEDED and duration > execution + LATE_WAITING_SHARE * waiting:
             weight = 1.0
         if outcome in TIMED:
             if self.size <= min_size:
                 stats.unqueued_durations.add(duration)
             stats.durations.add(duration)
             self.durations.add(duration)
-        return Verdict(weight, duration < work + FAST_WAITING * waiting)
+        return QueueSignal(weight, duration < execution + FAST_WAITING_SHARE * waiting)
 
-    def adjust(self, verdict: Verdict, min_size: float) -> None:
-        """Shrinks the window by an outcome's weight, or grows it by a fast answer."""
-        if verdict.weight:
-            decrease = verdict.weight * min(1.0, MAX_DECREASE * self.size)
+    def adjust(self, signal: QueueSignal, min_size: float) -> None:
+        """Shrinks the window by a signal's weight, or grows it after a fast answer."""
+        if signal.weight:
+            decrease = signal.weight * min(1.0, MAX_DECREASE_SHARE * self.size)
             self.size = max(min_size, self.size - decrease)
-        elif verdict.is_fast and len(self.in_flight) + 1 >= GROWTH_USE * self.size:
+        elif signal.is_fast and len(self.in_flight) + 1 >= MIN_GROWTH_USE * self.size:
             self.size += INCREASE * min(1.0, self.size)
 
     def _drop_sent_before(self, reading: float) -> None:
--- a/loomstand/admission/counter_calls.py
+++ b/loomstand/admission/counter_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the shared counter in flight, and how counts are named. Pure; nothing decides."""
+"""Calls to the shared counter in flight, and the names of counts. Pure."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class CounterUser(Protocol):
-    """A tenant's limiter, as far as calls to the counter are concerned."""
+    """Interface of a tenant's limiter for calls to the counter."""
 
     @property
     def tenant_digest(self) -> int:
@@ -30,10 +30,10 @@
         """Length of the tenant's counting intervals, in ticks."""
 
     def post_report(self) -> None:
-        """Asks it to report its use, as there is a call to be made."""
+        """Posts a request to report usage, because a call may be made now."""
 
     def post_reply(self, interval: int, amount: float, reply: CounterReplied) -> None:
-        """Passes on a reply to its call of `amount` for an interval."""
+        """Posts the reply to its call with `amount` for an interval."""
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
     """A call in flight.
 
     Attributes:
-        caller: Who gets the reply.
+        caller: The tenant's limiter that receives the reply.
         interval: Number of the counting interval.
         amount: What the call adds.
     """
@@ -52,7 +52,7 @@
 
 
 class CounterCalls:
-    """Calls in flight by the count's name; the replies of one name come in the order of calls."""
+    """Calls in flight by the count's name; replies for one name arrive in call order."""
 
     def __init__(self) -> None:
         self._by_name: dict[int, deque[CounterCall]] = {}
--- a/loomstand/admission/counter_client.py
+++ b/loomstand/admission/counter_client.py
@@ -1,7 +1,7 @@
-"""Makes the calls to the shared counter, no more than this limiter's part of what it can take.
+"""Rate-limited client of the shared counter. Pure: calls are actions, replies are events.
 
-A counter that is overloaded, slow, silent or refusing shows by calls that fail or take long. Then
-all limiters slow down together. Pure: calls are actions, replies are events.
+Each limiter makes its share of the calls that the counter can serve. Calls that fail or take long
+show that the counter is overloaded or unavailable, and every limiter then lowers its rate.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.ticks import TICKS_PER_SECOND
 
-# Calls a second by all limiters at the start; soon adjusted to what the counter takes.
+# Initial rate of all limiters together, which then follows the counter's replies.
 INITIAL_CALLS_PER_SECOND = 300
 MIN_CALL_BURST = 2.0
-CALL_BURST_TICKS = 2_000  # calls of a fifth of a second may come at once
-# Tenants that wait for a call: more than two seconds' calls are not made in time to be of use.
+CALL_BURST_TICKS = 2_000  # the burst is the calls of 0.2 s
+# Limit on waiting tenants: a call made after more than 2 s of waiting comes too late to be of use.
 MIN_WAITING_TENANTS = 10
 WAITING_TICKS = 20_000
-# A fourth of the first rate is enough to notice that the counter is back, and no flood then.
+# A quarter of the initial rate detects a counter that has recovered, without flooding it.
 MIN_RATE_SHARE = 1 / 4
-RATE_DECREASE = 0.7  # once for all calls that were in flight together
-RATE_INCREASE = 1.15  # so that about a fourth of the calls are slow where all limiters want more
-SLOW_REPLY = 1 / 2  # of the time-out
-FAST_REPLY = 1 / 4
+RATE_DECREASE = 0.7  # factor, applied once for all calls that were in flight together
+RATE_INCREASE = 1.15  # factor: about a quarter of the calls are slow when all limiters want more
+SLOW_REPLY_SHARE = 1 / 2  # share of the time-out
+FAST_REPLY_SHARE = 1 / 4
 
 
 class CounterClient(Actor):
-    """Calls the counter within a rate that follows how it replies.
+    """Calls the counter at a rate that adapts to its replies.
 
     Attributes:
-        rate: Calls a tick that are made at most.
-        failures_in_a_row: Calls that failed since the last that succeeded.
-        waiting: Tenants' limiters that wait for a call, the newest last.
+        rate: Highest rate of calls, in calls per tick.
+        consecutive_failures: Calls that failed since the last success.
+        waiting: Tenants' limiters that are waiting to make a call, the newest last.
     """
 
     def __init__(self, loop: ActorLoop) -> None:
@@ -46,10 +46,10 @@
         self._tokens = 1.0
         self._refilled_at = loop.now
         self._slowed_at = NEVER
-        self.failures_in_a_row = 0
+        self.consecutive_failures = 0
 
     def try_acquire(self) -> bool:
-        """Takes the right to one call; returns False if there is none now."""
+        """Takes a token for one call; returns False if none is available now."""
         now = self.loop.now
         burst = max(MIN_CALL_BURST, CALL_BURST_TICKS * self.rate)
         self._tokens = min(burst, self._tokens + self.rate * (now - self._refilled_at))
@@ -60,10 +60,10 @@
         return True
 
     def request_call(self, caller: CounterUser) -> None:
-        """Lets a tenant's limiter report its use as soon as a call may be made.
+        """Queues a tenant's limiter for a call, which is made as soon as the rate allows it.
 
-        The newest go first: the use of one that has waited long is of little interest by now, and
-        goes with its next call.
+        The newest goes first: usage that has waited long is out of date, and is reported with the
+        limiter's next call.
         """
         self.waiting.pop(caller, None)
         self.waiting[caller] = None
@@ -72,13 +72,13 @@
         self.serve()
 
     def serve(self) -> None:
-        """Lets tenants' limiters report their use, as far as calls may be made."""
+        """Has waiting tenants' limiters report their usage while tokens are available."""
         while self.waiting and self.try_acquire():
             caller, _ = self.waiting.popitem()
             caller.post_report()
 
     def call(self, caller: CounterUser, interval: int, amount: float) -> None:
-        """Adds to the count of a tenant's interval, for a right acquired before."""
+        """Adds to the count of a tenant's interval, with a token taken before."""
         self.loop.actions.append(self._calls.make(caller, interval, amount))
 
     def counter_replied(self, event: CounterReplied) -> None:
@@ -92,10 +92,10 @@
         now = self.loop.now
         timeout = self.loop.settings.counter_timeout
         succeeded = event.outcome is Outcome.SUCCEEDED
-        self.failures_in_a_row = 0 if succeeded else self.failures_in_a_row + 1
-        is_slow = event.duration > timeout * SLOW_REPLY
+        self.consecutive_failures = 0 if succeeded else self.consecutive_failures + 1
+        is_slow = event.duration > timeout * SLOW_REPLY_SHARE
         if (not succeeded or is_slow) and now - self._slowed_at > timeout:
             self._slowed_at = now
             self.rate = max(self._initial_rate * MIN_RATE_SHARE, self.rate * RATE_DECREASE)
-        elif succeeded and self._tokens < 1 and event.duration < timeout * FAST_REPLY:
+        elif succeeded and self._tokens < 1 and event.duration < timeout * FAST_REPLY_SHARE:
             self.rate *= RATE_INCREASE
--- a/loomstand/admission/decision_engine.py
+++ b/loomstand/admission/decision_engine.py
@@ -1,7 +1,7 @@
-"""The decision engine as its callers see it: events in, actions out. Pure.
+"""Entry point of the decision engine: events in, actions out. Pure.
 
-A limiter makes one `DecisionEngine` and calls `handle` for each event in order. What it gets back
-are the actions to carry out, in order. Inside, actors change each other by messages only:
+A limiter creates one `DecisionEngine`, calls `handle` for each event in order, and carries out the
+returned actions in order. Inside, actors change each other's state only by messages:
 `AdmissionControl`, the tenants' limiters, the servers and the `CounterClient`.
 """
 
@@ -39,7 +39,7 @@
 
     Args:
         settings: The settings in force.
-        seed: Of all random draws.
+        seed: Seed of the random number generator.
         now: Reading of the common clock, in ticks.
         guide: The zone plan's view of the default service's servers, or None without such a plan.
     """
@@ -50,9 +50,9 @@
         self.loop = ActorLoop(settings, seed, now)
         self.counter_client = CounterClient(self.loop)
         self.admission = AdmissionControl(self.loop, self.counter_client, guide)
-        self._zoned = self.admission.load_balancers[DEFAULT_SERVICE] if guide else None
+        self._guided_balancer = self.admission.load_balancers[DEFAULT_SERVICE] if guide else None
         admission = self.admission
-        # Any: each handler takes its own class of event, which a mapping's type can't say
+        # Any: each handler takes its own class of event, which a mapping's type can't express
         self._handlers: dict[type, tuple[Actor, Callable[[Any], None]]] = {
             RequestArrived: (admission, admission.request_arrived),
             AttemptEnded: (admission, admission.attempt_ended),
@@ -65,18 +65,18 @@
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Decides what follows from an event.
+        """Updates the state with an event and returns the actions that result.
 
         Args:
-            now: Reading of the common clock, in ticks; an earlier one than before counts as that.
+            now: Reading of the common clock, in ticks; never moves the engine's time backwards.
             event: What happened.
 
         Returns:
             The actions to carry out, in order.
         """
         self.loop.now = max(self.loop.now, now)
-        if self._zoned:
-            self._zoned.apply_zone_changes()
+        if self._guided_balancer:
+            self._guided_balancer.apply_zone_changes()
         handler = self._handlers.get(type(event))
         if handler is not None:
             actor, method = handler
--- a/loomstand/admission/endpoints.py
+++ b/loomstand/admission/endpoints.py
@@ -11,8 +11,8 @@
 
     Attributes:
         LIVE: Takes new requests.
-        DRAINING: Finishes the requests that it has, and takes no new ones.
-        GONE: No longer there.
+        DRAINING: Finishes its requests in flight, and takes no new ones.
+        GONE: Removed from service.
     """
 
     LIVE = "live"
@@ -25,7 +25,7 @@
     """One server of an endpoint list.
 
     Attributes:
-        endpoint_id: Index of the server, handed out by the caller; never reused.
+        endpoint_id: Index of the server, assigned by the caller; never reused.
         state: What service discovery states about it.
         zone: Index of its zone (failure domain).
         kind: Index of its machine type.
--- a/loomstand/admission/event_counts.py
+++ b/loomstand/admission/event_counts.py
@@ -1,4 +1,4 @@
-"""Counts of events for the log. Pure; nothing decides."""
+"""Counts of events for the log. Pure."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
         self.counts: dict[str, int] = {}
 
     def add(self, name: str, now: int) -> list[str]:
-        """Counts an event; returns all counts, sorted, if a report is due, and starts anew."""
+        """Counts an event; if a report is due, returns all counts by name and resets them."""
         self.counts[name] = self.counts.get(name, 0) + 1
         if now < self.reported_at + self.period:
             return []
--- a/loomstand/admission/events.py
+++ b/loomstand/admission/events.py
@@ -1,8 +1,8 @@
-"""Events: all that the decision engine learns of the world outside. Pure.
+"""Events: the only input of the decision engine after its start. Pure.
 
-Times are ticks. Servers, tenants, request classes, plans and services are small indices that the
-caller hands out; a tenant also has a digest that is the same at every limiter. Events are made for
-each request and never changed afterwards; they are not frozen dataclasses because these take five
+Times are in ticks. Servers, tenants, request classes, plans and services are small indices assigned
+by the caller; a tenant also has a digest that is the same at every limiter. Events are created for
+each request and never modified afterwards; they are not frozen dataclasses because these take five
 times as long to create.
 """
 
@@ -30,12 +30,12 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request came in, and is now owed one final answer.
+    """A request arrived, and must get exactly one final answer.
 
     Attributes:
         request_id: Number of the request at this limiter; never reused.
         frontend: Index of its request class.
-        plan: Index of the tenant's plan; out of range for none.
+        plan: Index of the tenant's plan; an index out of range means no plan.
         tenant: Index of the tenant.
         tenant_digest: The tenant's digest, the same at every limiter (`stable_digest`).
         deadline: When the client stops waiting, in ticks of the common clock.
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The first bytes of a streamed answer came. The engine decides nothing by it today.
+    """The first bytes of a streamed answer arrived. Ignored by the engine today.
 
     Attributes:
         request_id: The request.
@@ -82,10 +82,10 @@
         endpoint_id: The server.
         outcome: How it ended.
         duration: Time since it was sent, in ticks.
-        is_final: Whether the request has its answer, or its client is gone.
+        is_final: Whether the request has its answer, or its client has disconnected.
         metered_use: 1 + the tenant's use of its burst in the last metering period, in percent, as
             the server metered it; 0 if the answer did not state it.
-        cost: What the server states the answer has cost. The engine decides nothing by it today.
+        cost: Cost of the answer as stated by the server. Ignored by the engine today.
     """
 
     request_id: int
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client closed its connection, so no answer is owed any more.
+    """The client closed its connection, so the request needs no answer any more.
 
     Attributes:
         request_id: The request.
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer of `SetTimer` is due.
+    """A timer set by `SetTimer` expired.
 
     Attributes:
         tag: The tag that the timer was set with.
@@ -141,7 +141,7 @@
 class TenantTotalUpdated:
     """The counter pushed the running total of a tenant that is near its quota.
 
-    It comes unasked, and also where the tenant's requests were never seen.
+    Sent without a call, also to limiters that have seen no request of the tenant.
 
     Attributes:
         counter_name: The count's name, as in `IncrementCounter`.
@@ -164,12 +164,12 @@
 
 @dataclass(slots=True)
 class HealthCheckFinished:
-    """A health check of `CheckHealth` ended. The engine decides nothing by it today.
+    """A health check of `CheckHealth` ended. Ignored by the engine today.
 
     Attributes:
         endpoint_id: The server.
         outcome: How it ended.
-        duration: Time since the check was asked for, in ticks.
+        duration: Time since the check was started, in ticks.
     """
 
     endpoint_id: int
@@ -179,9 +179,9 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings are in force from now on.
+    """New settings apply from now on.
 
-    Request classes and plans keep their indices and only grow in number; a plan's figures may
+    Request classes and plans keep their indices and only grow in number; a plan's values may
     change, a request class's may not.
 
     Attributes:
@@ -191,7 +191,7 @@
     settings: EngineSettings
 
 
-TenantEvent = RequestArrived | TenantTotalUpdated  # the events that introduce a tenant
+TenantEvent = RequestArrived | TenantTotalUpdated  # events that may create a tenant's limiter
 Event = (
     EndpointsUpdated
     | RequestArrived
--- a/loomstand/admission/frontend_stats.py
+++ b/loomstand/admission/frontend_stats.py
@@ -1,22 +1,22 @@
-"""What is known of a request class's answers from a service. Pure; nothing decides."""
+"""Response times of a request class from one service. Pure."""
 
 from __future__ import annotations
 
 from loomstand.admission.histogram import Histogram
 from loomstand.admission.settings import Frontend
 
-DURATIONS = 400  # some ten seconds of answers, enough for a tail of two in a hundred
+DURATIONS = 400  # about 10 s of answers, enough for the 0.98 quantile
 UNQUEUED_DURATIONS = 100
-WORK_QUANTILE = 0.25
+EXECUTION_QUANTILE = 0.25
 
 
 class FrontendStats:
-    """A request class, and the durations of its answers.
+    """A request class and its response times, in ticks.
 
     Attributes:
         frontend: The request class.
-        durations: All of them.
-        unqueued_durations: Those that came while the window was at its least: work, no waiting.
+        durations: Histogram of all response times.
+        unqueued_durations: Histogram of response times at the minimum window, without queueing.
     """
 
     def __init__(self, frontend: Frontend) -> None:
@@ -24,7 +24,7 @@
         self.durations = Histogram(DURATIONS)
         self.unqueued_durations = Histogram(UNQUEUED_DURATIONS)
 
-    def work(self) -> float:
-        """Returns what the work of a request takes, without waiting."""
-        queued = self.durations.quantile(WORK_QUANTILE, 0)
-        return min(self.unqueued_durations.quantile(WORK_QUANTILE, 0), queued)
+    def execution_time(self) -> float:
+        """Returns the estimated execution time of a request in ticks, without queueing."""
+        queued = self.durations.quantile(EXECUTION_QUANTILE, 0)
+        return min(self.unqueued_durations.quantile(EXECUTION_QUANTILE, 0), queued)
--- a/loomstand/admission/histogram.py
+++ b/loomstand/admission/histogram.py
@@ -1,14 +1,14 @@
-"""Durations in bins, for means and quantiles, and rates whose past fades. Pure; nothing decides."""
+"""Histograms of durations with means and quantiles, and rates that decay. Pure."""
 
 from __future__ import annotations
 
-# Bins double in width. The last one begins at 13 s, past any client timeout seen.
+# Bins double in width. The last one is read as 6.6 s to 13 s, beyond any client timeout seen.
 _BINS = 18
-_MIN_QUANTILE_COUNT = 4  # fewer durations say nothing of a tail
+_MIN_QUANTILE_COUNT = 4  # fewer durations don't show a tail
 
 
 class Histogram:
-    """Durations in bins; all counts are halved when it is full, so that old durations fade."""
+    """Durations in bins; all counts are halved at `capacity`, so that old durations decay."""
 
     def __init__(self, capacity: int) -> None:
         self.bins = [0.0] * _BINS
@@ -27,11 +27,11 @@
             self.total /= 2
 
     def mean(self, prior: float, weight: float) -> float:
-        """Returns the mean, beside a prior mean that counts as much as `weight` durations."""
+        """Returns the mean in ticks, with a prior mean that counts as `weight` durations."""
         return (self.total + prior * weight) / (self.count + weight)
 
     def quantile(self, share: float, default: float) -> float:
-        """Returns the duration that `share` of all are under, `default` where there are few."""
+        """Returns the `share` quantile in ticks, or `default` if there are too few durations."""
         if self.count < _MIN_QUANTILE_COUNT:
             return default
         left = share * self.count
@@ -43,11 +43,11 @@
 
 
 class DecayingRate:
-    """A rate of events whose past fades.
+    """An exponentially decaying rate of events.
 
     Args:
-        half_life: After how many ticks an event counts half.
-        time_unit: The ticks that its sum is divided by.
+        half_life: Ticks after which an event counts half.
+        time_unit: Ticks that the decayed sum is divided by to give the rate.
         now: Reading of the clock at the start.
     """
 
@@ -58,7 +58,7 @@
         self.updated_at = now
 
     def add(self, events: int, now: int) -> float:
-        """Adds events that come now, and returns the rate in events a tick."""
+        """Adds events that happen now, and returns the rate in events per tick."""
         age = now - self.updated_at
         self.sum = self.sum * 0.5 ** (age / self.half_life) + events
         self.updated_at = now
--- a/loomstand/admission/identifiers.py
+++ b/loomstand/admission/identifiers.py
@@ -1,4 +1,4 @@
-"""Identifiers that the decision engine's callers give names: indices and digests. Pure."""
+"""Identifiers that stand for names in the decision engine: indices and digests. Pure."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 class NameIndex:
-    """Hands out small indices for names, in the order in which they are first seen.
+    """Assigns small indices to names, in the order in which they are first seen.
 
-    An index is never reused: a name that was forgotten gets another one.
+    An index is never reused: a name that was removed gets a new one.
 
     Attributes:
         names: Names by index.
@@ -48,7 +48,7 @@
         return index
 
     def forget(self, index: int) -> None:
-        """Forgets the name at an index."""
+        """Removes the name at an index."""
         self.indices.pop(self.names.pop(index), None)
 
     def require(self, name: str, field: str) -> int:
--- a/loomstand/admission/load_balancer.py
+++ b/loomstand/admission/load_balancer.py
@@ -1,8 +1,8 @@
-"""One service's servers: which are in use, what is admitted, and where it is sent. Pure.
+"""Load balancer of one service: admits requests and chooses a server for each attempt. Pure.
 
-All limiters order the live servers alike on a ring. Each uses a few of them, its subset, so that
-outcomes tell it soon how they do (`loomstand.failover.subset_selection`). Under a zone plan the
-`Guide` decides in place of some of the rules here.
+All limiters order the live servers alike on a ring. Each uses a small subset of them, so that it
+has recent outcomes of every server in it (`loomstand.failover.subset_selection`). Under a zone
+plan the `Guide` replaces some of the rules here.
 """
 
 from __future__ import annotations
@@ -32,38 +32,38 @@
 from loomstand.failover.engine_view import Guide
 from loomstand.failover.subset_selection import used
 
-SUBSET_SERVERS = 6  # enough to have a choice; more where they warm up
-SUBSET_SHARES = 4  # or where limiters are few: so many limiters use a server
-SUBSET_TICKS = 20_000  # the subset is chosen anew after 2 s
-# ... or, where attempts wait for long, 50 ms after a server in use was ejected.
-EJECTION_SUBSET_TICKS = 500
-# The more limiters share the servers, the less a limiter's own attempts tell of their load, and the
-# more chance decides: half of it with so many limiters.
-BLUR_LIMITERS = 60
-PRIOR_SERVER_WEIGHT = 3  # of the mean over all servers, beside a server's own durations
-ATTEMPTED_COST = 100  # a server that the request was sent to before is the last choice
-REJECTION_COST = 9  # a server that rejects looks idle
-MAX_LOAD = 2  # attempts at one server, in multiples of an even share of the window
-# A silent server is given up after three times what nearly all answers take, if another attempt can
-# still be in time.
-GIVE_UP_MULTIPLE = 3
-GIVE_UP_QUANTILE = 0.97
-FIRST_RETRY_SHARE = 1 / 4  # of the target: what an answer takes where none is known
+SUBSET_SERVERS = 6  # enough to have a choice; more during slow start
+MIN_LIMITERS_PER_SERVER = 4  # few limiters use larger subsets, up to all servers
+SUBSET_REFRESH_TICKS = 20_000  # the subset is selected again after 2 s
+# ... or, if retries go on until the deadline, after 50 ms when a server in use is ejected.
+MIN_REFRESH_TICKS = 500
+# The more limiters share the servers, the less a limiter's own attempts show of their load, and the
+# more random its choice is: the exponent of the random factor is 1/2 with this many limiters.
+HALF_RANDOM_LIMITERS = 60
+PRIOR_SERVER_WEIGHT = 3  # weight of the mean over all servers, in durations of the server itself
+ATTEMPTED_COST = 100  # factor: a server that the request was already sent to is the last choice
+REJECTION_COST = 9  # factor of the rejection rate: a server that rejects looks idle
+MAX_LOAD = 2  # most attempts in flight at one server, in even shares of the window
+# An attempt times out after this multiple of this quantile of response times, if another attempt
+# can still be in time.
+TIMEOUT_MULTIPLE = 3
+TIMEOUT_QUANTILE = 0.97
+PRIOR_DURATION_SHARE = 1 / 4  # of the target: assumed response time before any is measured
 
 
 class LoadBalancer:
     """Admits requests to a service's servers and chooses a server for each attempt.
 
     Attributes:
-        guide: The zone plan's view, or None.
-        retry_budget: Retries that may be sent.
-        stats: Durations of answers by request class.
-        servers: All servers by index, also those that are gone but have attempts in flight.
+        guide: The rules of the zone plan, or None without a plan.
+        retry_budget: Budget of the retries to this service.
+        stats: Response times by request class.
+        servers: All servers by index, including removed ones with attempts in flight.
         ring: The live servers, in the order that is the same at all limiters.
         subset: The servers in use, by request class.
         ejected: The servers of the subset that are ejected, by request class.
         window: How many attempts may be in flight.
-        successes: How much the servers answer.
+        successes: Rates of successful answers from the servers.
     """
 
     def __init__(self, loop: ActorLoop, guide: Guide | None = None) -> None:
@@ -82,7 +82,7 @@
     # Servers and settings.
 
     def endpoints_updated(self, endpoints: list[Endpoint], complete: bool) -> None:
-        """Follows an endpoint list of the service."""
+        """Applies an endpoint list of the service."""
         servers_before = len(self.ring)
         if complete:
             listed = {endpoint.endpoint_id for endpoint in endpoints}
@@ -94,21 +94,21 @@
         if self.guide:
             live = ((s.endpoint_id, s.endpoint.zone, s.endpoint.started_at) for s in self.ring)
             self.guide.listed(self.loop.now, live)
-        # servers that come one by one each bring their capacity
+        # servers added one by one each add their capacity
         if servers_before and self.loop.settings.window_follows_endpoints:
             self.window.size *= len(self.ring) / servers_before
         if not self.window.size:
-            self.window.size = self._attempts_per_server(INITIAL_ATTEMPTS_PER_SERVER)
+            self.window.size = self._share_of_attempts(INITIAL_ATTEMPTS_PER_SERVER)
 
     def settings_changed(self, limiters_before: int) -> None:
-        """Follows other settings; the window is this limiter's part of what all have in flight."""
+        """Applies new settings; the window is scaled to this limiter's new share of the servers."""
         settings = self.loop.settings
         self.window.size *= max(1, limiters_before) / max(1, settings.limiter_count)
         self.stats += [FrontendStats(f) for f in settings.frontends[len(self.stats) :]]
         self._subset_at = NEVER
 
     def apply_zone_changes(self) -> None:
-        """Follows the zones that were lost or came back: the window changes with them at once."""
+        """Applies losses and recoveries of zones: logs them, and scales the window at once."""
         if not self.guide:
             return
         for line in self.guide.moved(self.loop.now):
@@ -117,7 +117,7 @@
         self.window.size *= self.guide.scale
 
     def select_subset(self) -> None:
-        """Chooses the servers to use."""
+        """Selects the servers to use."""
         settings = self.loop.settings
         guide = self.guide
         ring: list[Backend] = self.ring
@@ -129,7 +129,7 @@
         usual = max(len(self.ring), guide.usual if guide else 0)
         capacity = sum(s.capacity() for s in ring) if guide else live
         enough = int(SUBSET_SERVERS * usual / max(1.0, capacity))
-        share = SUBSET_SHARES * usual // max(1, settings.limiter_count)
+        share = MIN_LIMITERS_PER_SERVER * usual // max(1, settings.limiter_count)
         size = min(live, max(enough, share))
         self.subset, self.ejected = used(ring, lost, settings, size, len(self.stats))
         self._subset_at = self.loop.now
@@ -142,25 +142,25 @@
             del self.servers[endpoint.endpoint_id]
         server.post(server.endpoint_updated, endpoint)
 
-    def _attempts_per_server(self, attempts: int) -> float:
-        """Returns this limiter's part of so many attempts at each server."""
+    def _share_of_attempts(self, attempts: int) -> float:
+        """Returns this limiter's share of `attempts` at each server."""
         return attempts * len(self.ring) / max(1, self.loop.settings.limiter_count)
 
-    # A request: is it admitted, and where is it sent?
+    # Admission of a request, and the choice of its server.
 
     def has_capacity(self, pending: PendingRequest) -> bool:
-        """Returns whether a request is admitted: the fuller the servers, the more it must bring."""
-        work = self.stats[pending.arrival.frontend].durations.mean(PRIOR_DURATION, PRIOR_WEIGHT)
-        value = pending.value / work
+        """Returns whether a request is admitted: fuller servers require a higher value."""
+        mean = self.stats[pending.arrival.frontend].durations.mean(PRIOR_DURATION, PRIOR_WEIGHT)
+        value = pending.value / mean
         pressure = self.window.pressure(value)
         if self.guide:
             size = self.window.size
             rank = _shedding_rank(self.guide, pending)
-            return self.guide.admits(self.loop.now, rank, work, size, self.loop.random())
-        return self.window.admits(pressure, value, pending.tenant_limiter.is_unknown())
+            return self.guide.admits(self.loop.now, rank, mean, size, self.loop.random())
+        return self.window.admits(pressure, value, pending.tenant_limiter.is_usage_unknown())
 
     def pick(self, pending: PendingRequest) -> Backend | None:
-        """Returns the server for a request's next attempt, None if none may have it."""
+        """Returns the server for a request's next attempt, None if no server is eligible."""
         frontend = pending.arrival.frontend
         self._refresh_subset(frontend)
         server = self._pick_probed(pending)
@@ -169,9 +169,9 @@
         return server
 
     def pick_for_retry(self, pending: PendingRequest) -> Backend | None:
-        """Returns the server for a retry, None if none may have it or the budget is spent.
+        """Returns the server for a retry, None if none is eligible or the budget is exhausted.
 
-        A request that surely was not executed cost the servers little.
+        A retry costs less if the request was certainly not executed: it used little capacity.
         """
         settings = self.loop.settings
         cost = settings.unsent_retry_cost
@@ -205,33 +205,33 @@
         return True
 
     def allows_slow_start(self, server: Backend) -> bool:
-        """Returns whether a server may get a request now, as far as its slow start goes."""
+        """Returns whether a server's slow start allows sending it a request now."""
         if server.capacity() >= 1.0:
             return True
         servers = self.subset[0]
         peer_rate = self.successes.add(0, self.loop.now) / max(1, len(servers))
         capacities = [s.capacity() for s in servers]
         if capacities and max(capacities) < 1.0:
-            # All warm up, and carried nothing that budgets could follow: what they just answered at
-            # their capacity, and at least one request at a time by all limiters that use a server.
+            # All are in slow start, so no rate was measured at full capacity. Use their latest rate
+            # per capacity, and at least one request at a time from all limiters that use a server.
             limiters = self.loop.settings.limiter_count
             users = max(1.0, limiters * len(servers) / len(self.ring))
             slowest = max(stats.frontend.latency_target for stats in self.stats)
-            work = self.window.durations.mean(slowest, 1)
-            last = self.successes.last_moment(self.loop.now) / sum(capacities)
-            peer_rate = max(last, 1 / work / users)
+            duration = self.window.durations.mean(slowest, 1)
+            last = self.successes.recent_rate(self.loop.now) / sum(capacities)
+            peer_rate = max(last, 1 / duration / users)
         return server.has_slow_start_budget(peer_rate)
 
     def _refresh_subset(self, frontend: int) -> None:
         age = self.loop.now - self._subset_at
-        is_due = age > SUBSET_TICKS
-        if not is_due and self.loop.settings.retries_until_deadline and age > EJECTION_SUBSET_TICKS:
+        is_due = age > SUBSET_REFRESH_TICKS
+        if not is_due and self.loop.settings.retries_until_deadline and age > MIN_REFRESH_TICKS:
             is_due = any(server.is_ejected(frontend) for server in self.subset[frontend])
         if is_due:
             self.select_subset()
 
     def _pick_probed(self, pending: PendingRequest) -> Backend | None:
-        """Returns an ejected server now and then, for an idempotent request."""
+        """Returns an ejected server to probe with some of the idempotent requests, else None."""
         frontend = pending.arrival.frontend
         ejected = self.ejected[frontend]
         if not ejected or self.stats[frontend].frontend.effect is not Effect.IDEMPOTENT:
@@ -245,14 +245,14 @@
         return server if is_probed and self.allows_slow_start(server) else None
 
     def _pick_in_use(self, pending: PendingRequest) -> Backend | None:
-        """Returns a server in use, the likelier the less it is expected to let the request wait."""
+        """Returns a server of the subset, chosen at random in favour of short expected waits."""
         settings = self.loop.settings
         random = self.loop.random
         guide = self.guide
         frontend = pending.arrival.frontend
         servers = self.subset[frontend]
         attempted = {attempt.endpoint_id for attempt in pending.attempts}
-        blur = settings.limiter_count / (settings.limiter_count + BLUR_LIMITERS)
+        randomness = settings.limiter_count / (settings.limiter_count + HALF_RANDOM_LIMITERS)
         max_load = self._max_load(servers)
         mean = self.window.durations.mean(PRIOR_DURATION, PRIOR_WEIGHT)
         best = None
@@ -263,7 +263,7 @@
             zone = server.endpoint.zone
             if guide and not guide.passes(zone, server.capacity(), random()):
                 continue
-            # under a guide, servers that warm up were passed over by chance already
+            # with a guide, `passes` already skipped servers in slow start at random
             capacity = 1.0 if guide else server.capacity()
             wait = server.durations.mean(mean, PRIOR_SERVER_WEIGHT) / capacity
             cost = wait * (1 + server.in_flight)
@@ -272,7 +272,7 @@
             if zone != settings.zone:
                 cost *= settings.remote_zone_cost
             rejections = REJECTION_COST * server.rejection_rates.get(frontend, 0.0)
-            cost *= (-log(1 - random())) ** blur * (1 + rejections)
+            cost *= (-log(1 - random())) ** randomness * (1 + rejections)
             if (best is None or cost < least) and self.allows_slow_start(server):
                 best = server
                 least = cost
@@ -301,7 +301,7 @@
         pending.attempts.append(Attempt(server.endpoint_id, now))
 
     def attempt_ended(self, pending: PendingRequest, event: AttemptEnded) -> bool:
-        """Learns from an attempt's outcome; returns False if its server is not known."""
+        """Records an attempt's outcome; returns False if its server is unknown."""
         server = self.servers.get(event.endpoint_id)
         if server is None:
             return False
@@ -320,27 +320,27 @@
         return True
 
     def adjust_window(self, event: AttemptEnded, stats: FrontendStats, zone: int = 0) -> None:
-        """Lets the window follow an outcome."""
+        """Adjusts the window to an attempt's outcome."""
         window = self.window
         self.successes.add(event.outcome is Outcome.SUCCEEDED, self.loop.now)
-        min_size = self._attempts_per_server(MIN_ATTEMPTS_PER_SERVER)
-        verdict = window.judge(event, stats, min_size)
+        min_size = self._share_of_attempts(MIN_ATTEMPTS_PER_SERVER)
+        signal = window.evaluate(event, stats, min_size)
         if self.guide:
             min_size = self.guide.least(self.loop.settings.limiter_count)
             count = len(window.in_flight)
-            window.size = self.guide.answered(window.size, min_size, zone, verdict.weight, count)
+            window.size = self.guide.answered(window.size, min_size, zone, signal.weight, count)
         else:
-            window.adjust(verdict, min_size)
+            window.adjust(signal, min_size)
 
     def _expiry(self, pending: PendingRequest) -> int:
-        """Returns when an attempt is given up: early if a retry can still be in time."""
+        """Returns when an attempt times out: early if a retry can still be in time."""
         deadline = pending.arrival.deadline
         stats = self.stats[pending.arrival.frontend]
         is_last = len(pending.attempts) + 1 >= pending.attempt_limit
         if stats.frontend.effect is not Effect.IDEMPOTENT or is_last:
             return deadline
-        unknown = stats.frontend.latency_target * FIRST_RETRY_SHARE
-        wait = GIVE_UP_MULTIPLE * stats.durations.quantile(GIVE_UP_QUANTILE, unknown)
+        unknown = stats.frontend.latency_target * PRIOR_DURATION_SHARE
+        wait = TIMEOUT_MULTIPLE * stats.durations.quantile(TIMEOUT_QUANTILE, unknown)
         in_time_at = deadline if self.loop.settings.retries_until_deadline else pending.target_at
         if self.loop.now + wait + stats.durations.mean(unknown, 1) < in_time_at:
             return min(deadline, self.loop.now + round(wait))
--- a/loomstand/admission/outcome.py
+++ b/loomstand/admission/outcome.py
@@ -12,11 +12,11 @@
         SUCCEEDED: A complete answer that reports success.
         SERVER_ERROR: A complete answer that reports a failure; the request was executed.
         REJECTED: The other side refused the request and did not execute it.
-        NO_RESPONSE: The time-out passed after the request was sent; it may have been executed.
-        CONNECT_FAILED: No connection came up, so the request was never executed.
+        NO_RESPONSE: It timed out after the request was sent; the request may have been executed.
+        CONNECT_FAILED: No connection was established, so the request was never executed.
         CONNECTION_LOST: The connection broke after the request was sent; it may have been executed.
-        CANCELLED: The limiter stopped waiting on its own accord; it may have been executed.
-        NOT_SENT: The limiter could not send the request, for reasons of its own.
+        CANCELLED: The limiter cancelled it; the request may have been executed.
+        NOT_SENT: The limiter could not send the request because of a local failure.
     """
 
     SUCCEEDED = "succeeded"
@@ -29,7 +29,7 @@
     NOT_SENT = "not sent"
 
 
-# Outcomes which prove that the request was not executed.
+# Outcomes that prove that the request was not executed.
 NOT_EXECUTED = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
-# Outcomes whose durations tell what answers take.
+# Outcomes whose durations count as response times.
 TIMED = frozenset({Outcome.SUCCEEDED, Outcome.NO_RESPONSE})
--- a/loomstand/admission/pending_request.py
+++ b/loomstand/admission/pending_request.py
@@ -1,10 +1,10 @@
-"""A request from its arrival until it has its answer and no attempt is in flight. Pure.
+"""State of a request from its arrival until it is answered and no attempt is in flight. Pure.
 
 | state | `is_answered` | attempts in flight | what ends it |
 | --- | --- | --- | --- |
 | being admitted | no | none | the tenant's limiter admits or rejects it |
 | attempted | no | one | the attempt ends: answer, retry, rejection or abort |
-| answered | yes | one or none | the last attempt ends; the request is forgotten |
+| answered | yes | one or none | the last attempt ends; the request is removed |
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed its answer, or whose attempts are still in flight.
+    """A request that has no final answer yet, or has an attempt in flight.
 
     Attributes:
-        arrival: The event that brought it.
+        arrival: The event of its arrival.
         tenant_limiter: Its tenant's limiter.
-        target_at: Until when an answer has its full value, in ticks of the common clock.
-        value: Value of an answer until then.
-        attempt_limit: Most attempts.
+        target_at: Time until which an answer has its full value, in ticks of the common clock.
+        value: Value of an answer until `target_at`.
+        attempt_limit: Maximum number of attempts.
         attempts: The attempts so far.
         ended_attempts: How many of them have ended.
-        possibly_executed: The numbers of those that may have been executed.
+        possibly_executed: Numbers of the attempts that may have been executed.
         was_rejected: Whether a server rejected it.
         is_answered: Whether it has its final answer, or its client has disconnected.
-        is_cancelled: Whether its attempt in flight was cancelled: its outcome tells nothing of the
-            servers.
+        is_cancelled: Whether its attempt in flight was cancelled: its outcome then says nothing
+            about the servers.
     """
 
     arrival: RequestArrived
@@ -65,12 +65,12 @@
         return self.ended_attempts < len(self.attempts)
 
     def cancel_attempt(self) -> int:
-        """Takes note that the attempt in flight is cancelled, and returns its number."""
+        """Marks the attempt in flight as cancelled, and returns its number."""
         self.is_cancelled = True
         return len(self.attempts) - 1
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """Takes note of how an attempt ended."""
+        """Records an attempt's outcome."""
         self.ended_attempts += 1
         if event.outcome not in NOT_EXECUTED:
             self.possibly_executed.append(event.attempt)
--- a/loomstand/admission/quota.py
+++ b/loomstand/admission/quota.py
@@ -1,4 +1,4 @@
-"""A tenant's quota at one limiter: what follows from its plan and its set of limiters. Pure."""
+"""A tenant's quota at one limiter, derived from its plan and its set of limiters. Pure."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from loomstand.admission.settings import EngineSettings, QuotaPlan
 from loomstand.admission.ticks import TICKS_PER_SECOND
 
-# With less trust in totals than a split's lifetime, all limiters together keep to the quota without
-# totals. What several of them admitted at once beyond it is remembered, and interval ends are rare,
-# since use that is reported there is seen late.
+# A quota is strict if totals are trusted for less than the lifetime of a split. All limiters
+# together then stay within it even without totals: use beyond it by concurrent admissions stays in
+# the level, and intervals last at least 1 s, as usage reported at an interval's end is seen late.
 SPLIT_LIFETIME_INTERVALS = 3
-MIN_SHARE_UNITS = 1e-3  # units an interval: a limiter's share of the rate is never 0
+MIN_SHARE_UNITS = 1e-3  # units per interval: a limiter's share of the rate is never 0
 
 
 class TenantKey(NamedTuple):
@@ -32,20 +32,20 @@
 
 @dataclass(slots=True)
 class TenantQuota:
-    """A tenant's quota, in units and ticks. Never changed; not frozen, which is slow to create.
+    """A tenant's quota, in units and ticks. Never modified; a frozen class is slow to create.
 
     Attributes:
         limiter_set_size: How many limiters share the quota.
-        rate: Units a tick over all limiters; 0 if there is no quota.
-        burst: Units that may come at once: one request and the burst count beyond it.
-        is_strict: Whether all limiters together keep to the quota even without totals.
-        interval_length: Length of a counting interval: the time in which the burst refills.
-        interval_offset: Shift of the intervals' ends, so that not all tenants' ends coincide.
-        is_excess_free: Whether use beyond the quota costs nothing beside what it is worth.
-        max_level: Most use beyond the quota that is remembered.
-        attempt_factor: Factor of the requests in a count.
-        min_burst_share: Least part of the burst of one limiter. A strict one leaves room for two
-            requests, as requests often come in pairs.
+        rate: Units per tick over all limiters; 0 if there is no quota.
+        burst: Units that may be admitted at once: one request and the burst count beyond it.
+        is_strict: Whether all limiters together stay within the quota even without totals.
+        interval_length: Ticks in a counting interval: the time in which the burst refills.
+        interval_offset: Ticks by which intervals are shifted, so that not all tenants' coincide.
+        is_excess_free: Whether use beyond the quota costs no more than its value.
+        max_level: Upper limit of the bucket's level, in units.
+        attempt_factor: Factor of the number of requests in a count (`ATTEMPT_FACTOR`).
+        min_burst_share: Smallest share of the burst at one limiter, in units. A strict quota leaves
+            room for two requests, as requests often arrive in pairs.
     """
 
     limiter_set_size: int
@@ -63,7 +63,7 @@
     def of_plan(
         plan: QuotaPlan | None, settings: EngineSettings, limiter_set_size: int, tenant_digest: int
     ) -> TenantQuota:
-        """Returns the quota under a plan, None for a tenant without one."""
+        """Returns the quota under a plan; `plan` is None for a tenant without one."""
         limiters = max(1, limiter_set_size or settings.limiter_count)
         rate = plan.rate / TICKS_PER_SECOND if plan else 0.0
         burst = max(plan.burst, 1.0) if plan else 1.0
@@ -91,17 +91,17 @@
         return (now + self.interval_offset) // self.interval_length if self.interval_length else 0
 
     def split(self, own: float, total: float) -> float:
-        """Splits the rate by the use of one interval, as the design does.
+        """Splits the rate by the usage in one interval.
 
-        Under the quota a limiter's share is its own use and an even part of what was not used; over
-        it, the shares are in proportion to use.
+        Under the quota, a limiter's share is its own usage and an even part of the unused rest;
+        over it, the shares are in proportion to usage.
 
         Args:
             own: Units admitted here.
             total: Units admitted by all limiters.
 
         Returns:
-            This limiter's share of the rate, in units a tick.
+            This limiter's share of the rate, in units per tick.
         """
         limiters = self.limiter_set_size
         quota = self.rate * self.interval_length if self.is_strict else self.burst
--- a/loomstand/admission/rate_limit_bucket.py
+++ b/loomstand/admission/rate_limit_bucket.py
@@ -1,4 +1,4 @@
-"""A limiter's share of a tenant's rate limit: the hard limit that must never be passed. Pure."""
+"""A limiter's share of a tenant's rate limit: the hard limit that must never be exceeded. Pure."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class RateLimitBucket:
-    """A token bucket that is filled a whole unit at a time, in turn with the other limiters'.
+    """A token bucket that is refilled by whole units, in rotation with those of the other limiters.
 
-    Shares that trickle to all limiters at once hold no whole unit for long after a start. It is
-    empty when the limiter starts, which may have spent its share just before.
+    With a continuous refill at all limiters, none would hold a whole unit for long after a start.
+    The bucket is empty at the start, because the limiter may have used its share just before.
 
     Attributes:
-        rate: Units a tick over all limiters; 0 if there is no rate limit.
+        rate: Units per tick over all limiters; 0 if there is no rate limit.
         burst: This limiter's share of the burst, in units.
-        unit: Units that a turn brings: the rate limit's slack lets the limiters be that far ahead.
+        unit: Units added per turn: 1, or less if the slack by which the limit may be exceeded is.
         tokens: Units that may be admitted now.
     """
 
@@ -27,7 +27,7 @@
     def configure(
         self, plan: QuotaPlan | None, settings: EngineSettings, limiters: int, set_start: int
     ) -> None:
-        """Sets the figures that follow from the plan and the `limiters` of the tenant's set."""
+        """Sets the parameters given by the plan and by the size and start of the tenant's set."""
         self.limiters = limiters
         self.position = (
             (settings.limiter_index - set_start) % max(1, settings.limiter_count) % limiters
@@ -41,7 +41,7 @@
             self.unit = min(1.0, plan.rate_limit_slack)
 
     def earned(self, now: int) -> float:
-        """Returns all units that ever came to this limiter by a clock reading."""
+        """Returns the units granted to this limiter from clock reading 0 up to another."""
         if not self.unit:
             return now * self.rate / self.limiters
         turns = (now * self.rate / self.unit - self.position) // self.limiters
@@ -50,8 +50,8 @@
     def capacity(self, now: int) -> float:
         """Returns the most units that this limiter may hold.
 
-        Where its share of the burst is less than the unit of its turn, it holds that unit until so
-        many turns of the others have come that all units held would be more than the burst.
+        If its share of the burst is less than the unit of a turn, the limiter may hold that unit
+        for as long as the units of all turns since then fit into the whole burst.
         """
         if self.burst >= self.unit or not self.unit:
             return self.burst
@@ -60,7 +60,7 @@
         return self.unit if held_by_all <= self.burst * self.limiters else 0.0
 
     def refill(self, now: int, since: int) -> None:
-        """Adds what came since a clock reading."""
+        """Adds the units granted since a clock reading."""
         if self.rate:
             earned = self.tokens + self.earned(now) - self.earned(since)
             self.tokens = min(self.capacity(now), earned)
@@ -70,6 +70,6 @@
         self.tokens = self.tokens - units if self.rate else 0.0
 
     def is_full(self, now: int, since: int) -> bool:
-        """Returns whether it would be full, with what came since a clock reading."""
+        """Returns whether the bucket is full, including the units granted since a clock reading."""
         earned = self.earned(now) - self.earned(since) if self.rate else 0.0
         return self.tokens + earned >= max(self.burst, self.unit)
--- a/loomstand/admission/retry_budget.py
+++ b/loomstand/admission/retry_budget.py
@@ -9,14 +9,14 @@
     """Retries that may be sent to a service.
 
     Attributes:
-        balance: How many may be sent now.
+        balance: Retries that may be sent now.
     """
 
     def __init__(self, settings: EngineSettings) -> None:
         self.balance = settings.retry_budget_initial
 
     def attempt_sent(self, settings: EngineSettings, is_first: bool) -> None:
-        """Adds the share that a first attempt earns, up to the most."""
+        """Adds the share that a first attempt earns, up to the maximum."""
         earned = settings.retry_budget_ratio if is_first else 0.0
         self.balance = min(settings.retry_budget_max, self.balance + earned)
 
@@ -25,5 +25,5 @@
         return self.balance >= cost
 
     def spend(self, cost: float) -> None:
-        """Takes the cost of a retry."""
+        """Deducts the cost of a retry."""
         self.balance -= cost
--- a/loomstand/admission/settings.py
+++ b/loomstand/admission/settings.py
@@ -1,7 +1,7 @@
 """Settings of the decision engine: request classes, quota plans and tuning.
 
-Times are ticks (`loomstand.admission.ticks`), amounts are units of quota. Request classes and plans
-are known by their place in the settings. Pure.
+Times are in ticks (`loomstand.admission.ticks`), amounts in units of quota. Request classes and
+plans are identified by their index in the settings. Pure.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     CELL = "pod"
 
     def includes(self, one: Endpoint, other: Endpoint) -> bool:
-        """Returns whether two servers know of each other's executed requests."""
+        """Returns whether two servers share their record of executed requests."""
         if self is DeduplicationScope.ZONE:
             return one.zone == other.zone
         if self is DeduplicationScope.CELL:
@@ -63,7 +63,7 @@
         value: Value of an answer within the latency target (priority weight).
         late_value: Value of an answer after the latency target.
         is_streaming: Whether answers are streams.
-        attempt_limit: Most attempts for a request; 0 for `EngineSettings.attempt_limit`.
+        attempt_limit: Maximum attempts for a request; 0 for `EngineSettings.attempt_limit`.
     """
 
     effect: Effect
@@ -88,18 +88,18 @@
 class QuotaPlan:
     """The quota that each tenant of a plan has, over all limiters together.
 
-    A tenant over its quota may be admitted at a cost; the rate limit must never be passed.
+    A tenant over its quota may be admitted at a cost; the rate limit must never be exceeded.
 
     Attributes:
-        rate: Units a second; 0 for no quota.
-        burst: Units that may come at once.
-        concurrency_limit: Most requests in flight; 0 for no limit.
+        rate: Units per second; 0 for no quota.
+        burst: Units that may be admitted at once.
+        concurrency_limit: Maximum requests in flight; 0 for no limit.
         value_factor: Factor on the value of the tenant's requests.
         excess_value: Value of a request beyond the quota.
         excess_cost: Cost of admitting a request beyond the quota.
-        rate_limit: Hard limit in units a second; 0 for none.
-        rate_limit_burst: Units that may come at once under the hard limit.
-        rate_limit_slack: Units by which the hard limit may be passed for a moment.
+        rate_limit: Hard limit in units per second; 0 for none.
+        rate_limit_burst: Units that may be admitted at once under the hard limit.
+        rate_limit_slack: Units by which the hard limit may be exceeded for a moment.
     """
 
     rate: float
@@ -119,52 +119,52 @@
 
     Attributes:
         limiter_index: This limiter's number among all limiters, from 0.
-        limiter_count: How many limiters there are.
+        limiter_count: Number of limiters.
         zone: Index of this limiter's own zone.
         frontends: The request classes.
         plans: The quota plans.
-        attempt_limit: Most attempts for a request whose request class states no limit.
+        attempt_limit: Maximum attempts for a request whose request class states no limit.
         can_cancel_attempts: Whether attempts may be cancelled.
         can_check_health: Whether health checks may be made. Not used by the engine today.
         can_hedge: Whether hedged requests may be sent. Not used by the engine today.
-        sends_retry_after: Whether a rejection states when to come again.
-        max_retry_after: Longest such time, in ticks.
+        sends_retry_after: Whether a rejection states when to retry.
+        max_retry_after: Longest delay that a rejection states, in ticks.
         has_counter: Whether there is a shared counter.
         counter_timeout: Time-out of a call to the counter, in ticks.
         metering_period: Interval of the servers' metering of tenants, in ticks; 0 for none.
-        max_request_units: Most units a request may ask for.
+        max_request_units: Maximum units that a request may cost.
         drain_grace_period: How long a draining server still takes requests, in ticks. Not used by
-            the engine today, which sends it none.
-        slow_start_period: How long a server warms up after its start, in ticks.
-        slow_start_initial_capacity: Share of its capacity a server has at its start.
+            the engine today, which sends none to such a server.
+        slow_start_period: Duration of slow start after a server's start, in ticks.
+        slow_start_initial_capacity: Share of its capacity that a server has at its start.
         overload_multiple: Multiple of its capacity that makes a server in slow start fail.
-        overload_period: How long a server in slow start bears that, in ticks.
+        overload_period: How long a server in slow start withstands that load, in ticks.
         response_slack: How late after a deadline an answer may be, in ticks. Not used by the engine
             today, which ends every request before its deadline.
         total_trust_intervals: For how many quota intervals a total from the counter lets a tenant
             well under its quota be judged by the whole burst. Below 3 the quota is strict: all
-            limiters together keep to it even without totals.
+            limiters together stay within it even without totals.
         initial_burst_share: Share of its part of the burst that a tenant has when first seen.
         retry_budget_ratio: Retries that a first attempt adds to the budget, by service.
-        retry_budget_max: Most retries in the budget.
+        retry_budget_max: Maximum retries in the budget.
         retry_budget_initial: Retries in the budget at the start.
         rejected_retry_cost: Cost of a retry, in retries, after a server rejected the request and no
             attempt may have been executed.
         unsent_retry_cost: Cost of a retry where no attempt reached a server.
         window_follows_endpoints: Whether the concurrency window grows and shrinks with the number
             of a service's servers.
-        retries_until_deadline: Whether a silent server is given up for another as long as the
-            client waits, instead of only within the latency target.
+        retries_until_deadline: Whether an attempt without a response times out for a retry as long
+            as the client waits, instead of only within the latency target.
         remote_zone_cost: Factor on the cost of a server in another zone.
         clock_offset: How far the clock that names the counter's intervals is ahead of the limiter's
             own, in ticks.
         local_zone_share: Share of the servers in use that are of the limiter's own zone; 0 to
             ignore zones.
         cancels_abandoned_attempts: Whether an idempotent request's attempt is cancelled when its
-            client disconnects: right where that stops the server. Where a server works on, only
-            the attempt's end tells when it is free again.
-        window_headroom: Attempts in flight allowed beyond the concurrency window: a window of a few
-            is exceeded by chance alone.
+            client disconnects: correct if that stops the server. If a server continues, only
+            the attempt's end shows when it is free again.
+        window_headroom: Attempts in flight allowed beyond the concurrency window: a window of few
+            attempts is exceeded by random variation alone.
     """
 
     limiter_index: int
@@ -204,5 +204,5 @@
     window_headroom: float = 0.0
 
     def plan(self, index: int) -> QuotaPlan | None:
-        """Returns the plan at that place, or None if there is none."""
+        """Returns the plan at an index, or None if there is none."""
         return self.plans[index] if 0 <= index < len(self.plans) else None
--- a/loomstand/admission/tenant_limiter.py
+++ b/loomstand/admission/tenant_limiter.py
@@ -1,8 +1,8 @@
 """One tenant's limiter: admits requests within this limiter's share of the tenant's quota.
 
-The quota is a smoothed bucket: one request an emission interval, and a burst beyond that pace; a
-full bucket rejects at once. docs/design.md tells where each rule comes from. Thousands of tenants
-are kept at once. Pure.
+The quota is a leaky bucket: one unit per emission interval, and a burst beyond that rate; a full
+bucket rejects at once. See docs/design.md for the origin of each rule. Memory per tenant matters,
+as thousands of tenants are kept at once. Pure.
 """
 
 from __future__ import annotations
@@ -30,31 +30,31 @@
 from loomstand.admission.settings import QuotaPlan
 from loomstand.admission.ticks import TICKS_PER_SECOND
 
-TOLERANCE_UNITS = 1e-9  # of sums of floats
-MAX_RETRY_AFTER = 1e9  # ticks; the engine's settings limit it further
-# A rejection asks for the running total, at most twice while the whole quota emits a unit ...
+TOLERANCE_UNITS = 1e-9  # rounding error of sums of floats
+MAX_RETRY_AFTER = 1e9  # ticks; `EngineSettings.max_retry_after` limits it further
+# A rejection requests the running total, at most once while the quota refills this many units ...
 TOTAL_READ_UNITS = 0.5
-STRICT_TOTAL_READ_DIVISOR = 20  # ... and, of a strict quota, while a 20th of the burst refills.
-# Use is reported once it is half of an even share of what is left of the burst ...
+STRICT_TOTAL_READ_DIVISOR = 20  # ... or, for a strict quota, this fraction of its burst if more.
+# Usage is reported when it reaches half of an even share of the remaining burst ...
 REPORT_DIVISOR = 2
-STRICT_REPORT_DIVISOR = 10  # ... which counts as a tenth of a strict quota's burst at least.
+STRICT_REPORT_DIVISOR = 10  # ... which is taken as at least a tenth of a strict quota's burst.
 MAX_TIMER_TICKS = 2_400 * TICKS_PER_SECOND  # 40 minutes
-# Failures in a row: a counter that is overloaded fails some calls, one that is down fails all.
+# Consecutive failures: an overloaded counter fails some calls, an unavailable one fails all.
 COUNTER_DOWN_FAILURES = 4
-IDLE_INTERVALS = 10  # after which an unused tenant is forgotten
-IDLE_INTERVALS_IF_MANY = 1  # and where many tenants are kept
+IDLE_INTERVALS = 10  # after which an unused tenant is evicted
+IDLE_INTERVALS_IF_MANY = 1  # ... when many tenants are kept
 
 
 class TenantLimiter(Actor):
-    """A tenant's quota, rate limit and concurrency limit at this limiter.
+    """Quota, rate limit and concurrency limit of one tenant at this limiter.
 
     Attributes:
         tenant: Index of the tenant.
         tenant_digest: Its digest, the same at every limiter.
-        levels: Its quota, and how much of it is used.
-        rate_limit: Its hard limit.
+        levels: Its quota and the usage of it.
+        rate_limit: This limiter's share of its hard rate limit.
         concurrency_limit: Most of its requests in flight at all limiters; 0 for no limit.
-        in_flight: Its requests in flight at this one.
+        in_flight: Its requests in flight at this limiter.
     """
 
     __slots__ = (
@@ -108,7 +108,7 @@
             self._reject(arrival, replies)
 
     def request_sent(self, units: float) -> None:
-        """Takes the units of a request that was admitted and sent to a server."""
+        """Charges the units of a request that was admitted and sent to a server."""
         self.in_flight += 1
         self.rate_limit.take(units)
         levels = self.levels
@@ -118,7 +118,7 @@
         levels.add(units)
         if not self._is_timer_set:
             self._set_timer()
-        # An unseen tenant that was given a part of its burst only gets the rest with a total.
+        # A new tenant with only a part of its burst gets the rest after the first total.
         needs_total = levels.total_at == NEVER and self.loop.settings.initial_burst_share < 1
         least = quota.burst / STRICT_REPORT_DIVISOR if quota.is_strict else 0.0
         room = max(quota.burst - levels.fleet_level, least)
@@ -131,7 +131,7 @@
         self.in_flight -= 1
 
     def has_quota(self, units: float, is_retry: bool) -> bool:
-        """Returns whether the quota has room for a request, by what is known of other limiters."""
+        """Returns whether the quota has room for a request, given the known use at all limiters."""
         levels = self.levels
         quota = levels.quota
         total_age = self.loop.now - levels.total_at
@@ -142,20 +142,20 @@
             return fits and levels.local_level + units <= share + TOLERANCE_UNITS
         trusted_ticks = self.loop.settings.total_trust_intervals * quota.interval_length
         if levels.demand_is_moderate() and (is_small or total_age < trusted_ticks):
-            # A retry was rejected elsewhere: by a full bucket where an even share is far below a
-            # request, else by full servers.
-            return fits and not (is_retry and self.is_unknown())
+            # Another limiter rejected this request: over quota, if an even share is far below one
+            # request, else for lack of server capacity.
+            return fits and not (is_retry and self.is_usage_unknown())
         if is_small:
             return self._has_quota_by_chance(units, total_age, fits)
-        # The whole burst as long as totals come, else this limiter's share of it.
+        # The whole burst while totals are recent, else this limiter's share of it.
         burst = quota.burst if total_age <= quota.interval_length else levels.burst_share()
         return levels.local_level + units <= burst + TOLERANCE_UNITS
 
-    def is_unknown(self) -> bool:
-        """Returns whether nothing tells if the tenant is beyond its quota.
+    def is_usage_unknown(self) -> bool:
+        """Returns whether this limiter can't tell if the tenant is over its quota.
 
-        That is so for an unseen one whose even share is half of a request or less, if use beyond
-        the quota costs something.
+        True before the first total, if an even share of the burst is less than half a request and
+        use beyond the quota has a cost.
         """
         quota = self.levels.quota
         return (
@@ -166,11 +166,11 @@
         )
 
     def is_over_quota(self) -> bool:
-        """Returns whether the tenant asks for more than its quota at all limiters together."""
+        """Returns whether the tenant requests more than its quota over all limiters together."""
         return self.levels.requested_rate > self.levels.quota.rate > 0
 
     def is_idle(self, many_tenants: bool) -> bool:
-        """Returns whether the tenant may be forgotten: nothing of what it used counts any more."""
+        """Returns whether the tenant may be evicted: none of its past usage counts any more."""
         now = self.loop.now
         used_at = self.levels.updated_at
         intervals = IDLE_INTERVALS_IF_MANY if many_tenants else IDLE_INTERVALS
@@ -190,10 +190,10 @@
     def _has_quota_by_chance(self, units: float, total_age: int, fits: bool) -> bool:
         """Returns whether a limiter whose share is less than a request may admit one.
 
-        Rejections with quota left come again, are counted as demand, and reject more. So there is
-        room for whatever the other limiters can have admitted since the total, and for one request
-        more that they admit meanwhile; else requests are admitted by chance, as many as the quota
-        bears.
+        Requests rejected with quota left are retried, counted as demand, and so cause further
+        rejections. So a request is admitted if it fits in addition to all that the other limiters
+        can have admitted since the total, and one more that they admit concurrently; else at
+        random, in the ratio of the quota to the demand.
         """
         levels = self.levels
         quota = levels.quota
@@ -221,14 +221,14 @@
     # Settings and the clock.
 
     def settings_changed(self) -> None:
-        """Follows other settings."""
+        """Applies new settings."""
         self.advance()
         quota = self._configure(self.loop.settings.plan(self._key.plan))
         self.levels.replace_quota(quota)
         self.advance()
 
     def advance(self) -> None:
-        """Lets the levels and the rate limit follow the clock, and begins a new interval."""
+        """Brings the levels and the rate limit up to date, and starts a new interval if due."""
         now = self.loop.now
         levels = self.levels
         self.rate_limit.refill(now, levels.updated_at)
@@ -256,13 +256,13 @@
         self.post(self.report_usage)
 
     def report_usage(self) -> None:
-        """Adds what is not yet reported to the running interval, and reads its total."""
+        """Adds the unreported usage to the current interval's count, and reads its total."""
         self.advance()
         self._reported_at = self.loop.now
         self._report(self.levels.usage.interval)
 
     def interval_ended(self) -> None:
-        """Reads the last interval's total, when every limiter's last report has come or failed."""
+        """Reads the last interval's total, after every limiter's last report arrived or failed."""
         self.advance()
         self._is_timer_set = False
         usage = self.levels.usage
@@ -279,7 +279,7 @@
         self.counter_client.post(self.counter_client.call, self, interval, amount)
 
     def _set_timer(self) -> None:
-        """Sets a timer past the interval's end, by when every limiter's last call has ended."""
+        """Sets a timer after the interval's end, when every limiter's last call has ended."""
         quota = self.levels.quota
         elapsed = (self.loop.now + quota.interval_offset) % quota.interval_length
         left = quota.interval_length - elapsed
@@ -287,35 +287,35 @@
         self._is_timer_set = True
         self.loop.actions.append(SetTimer(delay, self.tenant_digest))
 
-    # Totals from the counter, or what stands in for them.
+    # Totals from the counter, or metering by the servers in place of them.
 
     def post_reply(self, interval: int, amount: float, reply: CounterReplied) -> None:
-        """Posts the message that a call for an interval was replied to."""
+        """Posts the reply to a call for an interval."""
         self.post(self.counter_replied, interval, amount, reply)
 
     def counter_replied(self, interval: int, amount: float, reply: CounterReplied) -> None:
-        """Follows a total, or notes that there is none."""
+        """Applies the total in a reply, or records that the call failed."""
         self.advance()
         if reply.outcome is Outcome.SUCCEEDED:
-            self._total_came(interval, amount, reply.total)
+            self._apply_total(interval, amount, reply.total)
         else:
             may_be_added = reply.outcome is Outcome.NO_RESPONSE
             self.levels.call_failed(interval, amount, may_be_added)
 
     def total_updated(self, event: TenantTotalUpdated) -> None:
-        """Follows a total that the counter pushed."""
+        """Applies a total pushed by the counter."""
         self.advance()
         interval = self.levels.usage.interval
         if event.counter_name & INTERVAL_MASK == interval & INTERVAL_MASK:
-            self._total_came(interval, 0.0, event.total)
+            self._apply_total(interval, 0.0, event.total)
 
     def usage_metered(self, percent: int) -> None:
-        """Follows a server's metering of the last period, where no totals come."""
+        """Applies a server's metering of the last period; a substitute if the counter is down."""
         self.advance()
-        is_down = self.counter_client.failures_in_a_row >= COUNTER_DOWN_FAILURES
+        is_down = self.counter_client.consecutive_failures >= COUNTER_DOWN_FAILURES
         period = self.loop.settings.metering_period
-        self.levels.metered(percent, self.loop.now, period, is_down)
+        self.levels.apply_metering(percent, self.loop.now, period, is_down)
 
-    def _total_came(self, interval: int, amount: float, count: float) -> None:
-        if self.levels.total_came(interval, amount, count, self.loop.now):
+    def _apply_total(self, interval: int, amount: float, count: float) -> None:
+        if self.levels.apply_total(interval, amount, count, self.loop.now):
             self.post(self.interval_ended)
--- a/loomstand/admission/usage_report.py
+++ b/loomstand/admission/usage_report.py
@@ -1,25 +1,25 @@
-"""What a limiter knows of a tenant's use by counting interval, and what it has not yet reported.
+"""A tenant's usage by counting interval as known to one limiter, and its unreported part. Pure.
 
-Each interval of a tenant has a count of its own in the shared counter. It holds the units that all
-limiters admitted, and above them the number of requests that were asked for. Pure.
+Each interval of a tenant has its own count in the shared counter. The count holds the units that
+all limiters admitted and, times a factor, the number of requests whether admitted or not.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_REPORTED_REQUESTS = 99  # in one call
+MAX_REPORTED_REQUESTS = 99  # per call
 # Sums of floats in the counter differ by less than this from the same sums here.
 TOLERANCE_UNITS = 1e-6
 
 
 @dataclass(slots=True)
 class IntervalUsage:
-    """A tenant's use in one interval.
+    """A tenant's usage in one interval.
 
     Attributes:
         own: Units admitted here.
-        confirmed: Units admitted here that the counter surely has.
+        confirmed: Units admitted here that the counter certainly includes.
         others: Units admitted by other limiters, by the last total.
         is_lost: Whether totals can't be used, because the counter lost counts or the interval was
             not followed from its start.
@@ -32,14 +32,14 @@
 
 
 class UsageReport:
-    """A tenant's use in the current interval and the one before, and what is not yet reported.
+    """A tenant's usage in the current and the previous interval, and its unreported part.
 
     Attributes:
         interval: Number of the current interval.
-        current: Use in it.
-        previous: Use in the interval before.
+        current: Usage in the current interval.
+        previous: Usage in the previous interval.
         unreported_units: Units admitted that no call has reported.
-        unreported_requests: Requests asked for, admitted or not, that no call has reported.
+        unreported_requests: Requests, admitted or not, that no call has reported.
     """
 
     __slots__ = ("current", "interval", "previous", "unreported_requests", "unreported_units")
@@ -57,14 +57,14 @@
         self.unreported_units += units
 
     def start_interval(self, interval: int) -> None:
-        """Goes on to another interval; what is not reported yet is reported with that one."""
+        """Starts another interval; usage not yet reported is reported with that interval."""
         follows = interval <= self.interval + 1
         self.previous = self.current if follows else IntervalUsage(is_lost=True)
         self.current = IntervalUsage(own=self.unreported_units)
         self.interval = interval
 
     def take_amount(self, attempt_factor: int) -> float:
-        """Returns the amount that reports all that is not reported yet, and marks it reported."""
+        """Returns the amount that reports all unreported usage, and marks it as reported."""
         requests = min(MAX_REPORTED_REQUESTS, self.unreported_requests)
         amount = self.unreported_units + attempt_factor * requests
         self.unreported_units = 0.0
@@ -72,12 +72,12 @@
         return amount
 
     def restore(self, amount: float, attempt_factor: int) -> None:
-        """Marks an amount as not reported: the call surely did not add it."""
+        """Marks an amount as unreported: the call certainly did not add it."""
         self.unreported_requests += int(amount // attempt_factor)
         self.unreported_units += amount % attempt_factor
 
     def usage_for(self, interval: int) -> IntervalUsage | None:
-        """Returns the use to compare a total of an interval with; None for other intervals."""
+        """Returns the usage to compare an interval's total with; None for older intervals."""
         if interval == self.interval:
             current = self.current
             reported = current.own - self.unreported_units
@@ -85,14 +85,14 @@
         return self.previous if interval == self.interval - 1 else None
 
     def store_total(self, interval: int, usage: IntervalUsage, others: float) -> None:
-        """Keeps what a total stated of the other limiters' use."""
+        """Stores the other limiters' usage according to a total."""
         if interval == self.interval:
             self.current.others = others
         else:
             self.previous = IntervalUsage(usage.own, usage.confirmed, others)
 
     def is_consistent(self, usage: IntervalUsage, total: float) -> bool:
-        """Returns whether a total holds all that it must hold; if not, the counter lost counts."""
+        """Returns whether a total includes all known usage; if not, the counter lost counts."""
         return not (
             usage.is_lost
             or total < usage.confirmed - TOLERANCE_UNITS
--- a/tests/admission/test_tenant_limiter.py
+++ b/tests/admission/test_tenant_limiter.py
@@ -100,7 +100,7 @@
                 limiter.tenant_digest << 15 | limiter.levels.usage.interval, how, 0.0, 400
             )
         )
-    assert client.failures_in_a_row < 4
+    assert client.consecutive_failures < 4
     assert client.rate < before
 
 
@@ -110,7 +110,7 @@
     """
     limiter = tenant_limiter(2.0, 6.0, sets=3, has_counter=True)
     limiter.loop.settings = replace(limiter.loop.settings, metering_period=S)
-    limiter.loop.now, limiter.counter_client.failures_in_a_row = 100 * S, 4
+    limiter.loop.now, limiter.counter_client.consecutive_failures = 100 * S, 4
     limiter.usage_metered(30)
     for _ in range(4):
         assert limiter.has_quota(1.0, False)
