--- a/loomstand/admission/admission_control.py
+++ b/loomstand/admission/admission_control.py
@@ -71,7 +71,7 @@
     # Arrival and admission.
 
     def request_arrived(self, event: RequestArrived) -> None:
-        """Passes a request to its tenant's limiter, or rejects it if it comes too late."""
+        """Passes a request to its tenant's limiter, or rejects it if it is too late."""
         tenant_limiter = self._tenant_limiter(event)
         self._evict_idle_tenant(tenant_limiter)
         frontend = self._load_balancer(event.service).stats[event.frontend].frontend
--- a/loomstand/admission/concurrency_window.py
+++ b/loomstand/admission/concurrency_window.py
@@ -28,8 +28,8 @@
 REJECTION_START_UNKNOWN = 0.45
 BEST_VALUE_DECAY = 0.999  # per request: halved after about 700 requests
 MIN_WINDOW = 1e-9
-# Answers are rated by queueing time, not execution time: as fast or late by its share of the time
-# from execution to latency target. Execution counts as at least a fifth of the target.
+# Answers are classed as fast or late by queueing time, not execution time: by its share of the
+# latency target less the execution time, which counts as at least a fifth of the target.
 FAST_WAITING_SHARE = 0.375
 LATE_WAITING_SHARE = 0.75
 MIN_EXECUTION_SHARE = 0.2
--- a/loomstand/admission/counter_client.py
+++ b/loomstand/admission/counter_client.py
@@ -12,17 +12,17 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.ticks import TICKS_PER_SECOND
 
-# Initial rate of all limiters together, which then follows the counter's replies.
+# Initial rate of all limiters together, then adapted to the counter's replies.
 INITIAL_CALLS_PER_SECOND = 300
 MIN_CALL_BURST = 2.0
 CALL_BURST_TICKS = 2_000  # the burst is the calls of 0.2 s
-# Limit on waiting tenants: a call made after more than 2 s of waiting comes too late to be of use.
+# Limit on waiting tenants: a call made after more than 2 s of waiting is too late to be of use.
 MIN_WAITING_TENANTS = 10
 WAITING_TICKS = 20_000
 # A quarter of the initial rate detects a counter that has recovered, without flooding it.
 MIN_RATE_SHARE = 1 / 4
 RATE_DECREASE = 0.7  # factor, applied once for all calls that were in flight together
-RATE_INCREASE = 1.15  # factor: about a quarter of the calls are slow when all limiters want more
+RATE_INCREASE = 1.15  # factor: about a quarter of the calls are slow when all limiters need more
 SLOW_REPLY_SHARE = 1 / 2  # share of the time-out
 FAST_REPLY_SHARE = 1 / 4
 
--- a/loomstand/admission/events.py
+++ b/loomstand/admission/events.py
@@ -21,7 +21,7 @@
 
     Attributes:
         endpoints: The servers of all services, or those that changed.
-        complete: Whether servers that are not in the list are gone.
+        complete: Whether servers that are not in the list have been removed.
     """
 
     endpoints: tuple[Endpoint, ...]
--- a/loomstand/admission/quota_levels.py
+++ b/loomstand/admission/quota_levels.py
@@ -14,7 +14,7 @@
 
 # A tenant that requests at most this share of its quota is judged by the whole burst.
 MODERATE_DEMAND = 0.8
-# Weight of the previous request rate beside a new total's: the interval divided by this number.
+# Weight of the previous request rate against a new total's: the interval divided by this number.
 KNOWN_DEMAND_DIVISOR = 2
 UNKNOWN_DEMAND_DIVISOR = 8
 
--- a/loomstand/admission/rate_limit_bucket.py
+++ b/loomstand/admission/rate_limit_bucket.py
@@ -15,7 +15,7 @@
     Attributes:
         rate: Units per tick over all limiters; 0 if there is no rate limit.
         burst: This limiter's share of the burst, in units.
-        unit: Units added per turn: 1, or less if the slack by which the limit may be exceeded is.
+        unit: Units added per turn: the slack by which the limit may be exceeded, at most 1.
         tokens: Units that may be admitted now.
     """
 
