--- a/tests/admission/test_load_balancer.py
+++ b/tests/admission/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""The window, the choice of a server and slow start: one small test for each failure found."""
+"""Concurrency window, choice of a server and slow start; each test guards against one failure."""
 
 from __future__ import annotations
 
@@ -17,94 +17,103 @@
 
 
 def test_the_window_shrinks_before_answers_are_late() -> None:
-    """Found by if6de07: windows that are cut only near the target hold a queue as long as the
-    target.
-    """
+    """A window reduced only near the latency target holds a queue as long as the target."""
     engine = alone(servers=1)
-    engine.admission.load_balancers[0].window.size, now, took = 6.0, 0, int(0.9 * S)
-    for req in range(40):
-        sent = pick(engine.handle(now, arrival(req, now)), SendAttempt)
-        now += took
-        for act in sent:
+    engine.admission.load_balancers[0].window.size, now, duration = 6.0, 0, int(0.9 * S)
+    for request_id in range(40):
+        sent = pick(engine.handle(now, arrival(request_id, now)), SendAttempt)
+        now += duration
+        for action in sent:
             engine.handle(
-                now, AttemptEnded(act.request_id, 0, 0, Outcome.SUCCEEDED, took, True, 0, 0.0)
+                now,
+                AttemptEnded(action.request_id, 0, 0, Outcome.SUCCEEDED, duration, True, 0, 0.0),
             )
-        # five a server by all three limiters
+        # 5 attempts at the server from all three limiters
         if engine.admission.load_balancers[0].window.size == pytest.approx(5 / 3):
             return
     raise AssertionError(engine.admission.load_balancers[0].window.size)
 
 
 @pytest.mark.parametrize("share", [0.1, 0.45, 0.67, 0.8])
-def test_the_window_finds_the_room_of_servers_whose_work_fills_the_target(share: float) -> None:
-    """Found by issue 26: work of 270 ms against a target of 400 ms: no answer is ever under half of
-    the target, some are over 0.8 of it on idle servers, and the window stood at its least, half of
-    the slots.
+def test_the_window_grows_where_execution_takes_most_of_the_latency_target(share: float) -> None:
+    """Issue 26: with an execution time of 270 ms and a target of 400 ms, no answer takes less than
+    half of the target and some take over 0.8 of it on idle servers. The window stayed at its
+    minimum, half of the servers' slots.
     """
     engine, rng = alone(servers=4), Random(3)
     engine.admission.load_balancers[0].window.size = 5 * 4 / 3
-    now, out, most = 0, [], 0
-    for req in range(4000):
+    now, in_flight, most = 0, [], 0
+    for request_id in range(4000):
         now += S // 40
-        for due, act, took in [o for o in out if o[0] <= now]:
-            out.remove((due, act, took))
+        for ends_at, action, duration in [o for o in in_flight if o[0] <= now]:
+            in_flight.remove((ends_at, action, duration))
             engine.handle(
                 now,
                 AttemptEnded(
-                    act.request_id, 0, act.endpoint_id, Outcome.SUCCEEDED, took, True, 0, 0.0
+                    action.request_id,
+                    0,
+                    action.endpoint_id,
+                    Outcome.SUCCEEDED,
+                    duration,
+                    True,
+                    0,
+                    0.0,
                 ),
             )
-        for act in pick(engine.handle(now, arrival(req, now)), SendAttempt):
-            wait = max(0.0, len(out) - 20) / 20  # twenty at once without waiting
-            took = int(share * S * (rng.uniform(0.9, 1.1) + wait))
-            out.append((now + took, act, took))
-        most = max(most, len(out))
-    free = min(20, 40 * share)  # what is asked, or what there is room for
-    assert most >= 0.8 * free
-    assert (
-        engine.admission.load_balancers[0].window.size <= 60
-    )  # and no queue as long as the target
-
-
-def test_a_cold_server_gets_its_share_of_what_peers_carry() -> None:
-    """Rule 4: multiple x cold share x what a warm peer carries here, from a bucket that starts
-    empty.
+        for action in pick(engine.handle(now, arrival(request_id, now)), SendAttempt):
+            wait = max(0.0, len(in_flight) - 20) / 20  # 20 attempts at once without queueing
+            duration = int(share * S * (rng.uniform(0.9, 1.1) + wait))
+            in_flight.append((now + duration, action, duration))
+        most = max(most, len(in_flight))
+    concurrency = min(20, 40 * share)  # of the demand, up to the servers' capacity
+    assert most >= 0.8 * concurrency
+    assert engine.admission.load_balancers[0].window.size <= 60  # no queue as long as the target
+
+
+def test_a_server_in_slow_start_gets_its_share_of_the_peers_rate() -> None:
+    """Rule 4: at most overload multiple x slow-start capacity x a warm peer's rate at this limiter,
+    from a budget that starts empty.
     """
     engine = alone(servers=2)
     now = 100 * S
     engine.handle(now, EndpointsUpdated((entry(2, booted=now),), False))
     sent = []
-    for req in range(200):  # 20 reqs a second for ten seconds, each passed after 100 ms
+    for request_id in range(200):  # 20 requests per second for 10 s, each answered after 100 ms
         now += S // 20
-        for act in pick(engine.handle(now, arrival(req, now)), SendAttempt):
-            sent.append((act.endpoint_id, now))
-            took = S // 10
+        for action in pick(engine.handle(now, arrival(request_id, now)), SendAttempt):
+            sent.append((action.endpoint_id, now))
+            duration = S // 10
             engine.handle(
-                now + took,
+                now + duration,
                 AttemptEnded(
-                    act.request_id, 0, act.endpoint_id, Outcome.SUCCEEDED, took, True, 0, 0.0
+                    action.request_id,
+                    0,
+                    action.endpoint_id,
+                    Outcome.SUCCEEDED,
+                    duration,
+                    True,
+                    0,
+                    0.0,
                 ),
             )
-    first = [t for srv, t in sent if srv == 2 and t <= 102 * S]
-    # 0.6 of a peer's ten a second, a little warmer, two seconds
-    assert len(first) <= 0.6 * 1.3 * 10 * 2 + 1
-    assert sum(1 for srv, _ in sent if srv == 2) > len(first)
+    early = [t for server, t in sent if server == 2 and t <= 102 * S]
+    # 0.6 of a peer's 10 requests per second, growing by up to 1.3, for 2 s
+    assert len(early) <= 0.6 * 1.3 * 10 * 2 + 1
+    assert sum(1 for server, _ in sent if server == 2) > len(early)
 
 
 def test_a_small_window_grows_slowly() -> None:
-    """Found by i221f4c: a window under one grew by one over itself on every quick answer."""
-    balancer = alone(servers=1).admission.load_balancers[0]
-    balancer.window.size = 0.5
-    balancer.adjust_window(
-        AttemptEnded(2, 0, 0, Outcome.SUCCEEDED, 100, True, 0, 0.0), balancer.stats[0]
+    """A window below one grew by its reciprocal on every fast answer."""
+    load_balancer = alone(servers=1).admission.load_balancers[0]
+    load_balancer.window.size = 0.5
+    load_balancer.adjust_window(
+        AttemptEnded(2, 0, 0, Outcome.SUCCEEDED, 100, True, 0, 0.0), load_balancer.stats[0]
     )
-    assert balancer.window.size == pytest.approx(0.55)
+    assert load_balancer.window.size == pytest.approx(0.55)
 
 
-def test_low_value_goes_first_as_servers_fill() -> None:
-    """Found by i221f4c: reqs of little value for their work held the servers while dear ones were
-    denied.
-    """
+def test_low_value_requests_are_rejected_first_as_servers_fill() -> None:
+    """Requests of low value per duration occupied the servers while valuable ones were rejected."""
     plans = (replace(PLANS[2], value_factor=5.0), PLANS[2])
     engine = alone(plans=plans, servers=8)
     (
@@ -118,12 +127,10 @@
     assert pick(engine.handle(0, arrival(8, 0, plan=0)), SendAttempt)
 
 
-def test_a_doubtful_req_goes_before_another_of_the_same_value_as_servers_fill() -> None:
-    """Found on the fleet days: half of the usual window denied first reqs of all plans, with quota
-    left.
-    """
-    sure = QuotaPlan(4.0, 8.0, 0, 0.1, 0.2, 0.0, 0.0, 0.0, 0.0)
-    plans = (replace(sure, rate=0.4, burst=2.0, excess_cost=1.0), sure)
+def test_requests_possibly_over_quota_are_rejected_first_at_equal_value() -> None:
+    """A window at half of its usual size rejected first requests of all plans with quota left."""
+    free_excess = QuotaPlan(4.0, 8.0, 0, 0.1, 0.2, 0.0, 0.0, 0.0, 0.0)
+    plans = (replace(free_excess, rate=0.4, burst=2.0, excess_cost=1.0), free_excess)
     engine = alone(plans=plans, servers=8)
     (
         engine.admission.load_balancers[0].window.best_value,
@@ -135,105 +142,104 @@
     assert pick(engine.handle(0, arrival(2, 0, plan=1, customer=2, sets=38)), SendAttempt)
 
 
-def test_cold_servers_get_what_peers_answer_not_what_is_sent() -> None:
-    """Found by iddab01: peers were sent three times what they did, and the cold ones as much."""
+def test_slow_start_follows_the_peers_answers_not_the_attempts_sent() -> None:
+    """Peers were sent three times what they could handle, and servers in slow start as much."""
     engine = alone(servers=2)
     now = 100 * S
     engine.handle(now, EndpointsUpdated((entry(2, booted=now),), False))
     engine.admission.load_balancers[0].servers[2].slow_start_budget = 0.0
-    for req in range(100):
+    for request_id in range(100):
         now += S // 20
-        for act in pick(engine.handle(now, arrival(req, now)), SendAttempt):
-            assert act.endpoint_id != 2
+        for action in pick(engine.handle(now, arrival(request_id, now)), SendAttempt):
+            assert action.endpoint_id != 2
             engine.handle(
                 now,
                 AttemptEnded(
-                    act.request_id, 0, act.endpoint_id, Outcome.REJECTED, 5, False, 0, 0.0
+                    action.request_id, 0, action.endpoint_id, Outcome.REJECTED, 5, False, 0, 0.0
                 ),
             )
 
 
-def test_budgets_of_cold_servers_do_not_fall_with_what_is_denied_for_want_of_them() -> None:
-    """Found on the fleet days: half of the servers new, and fewer answers made budgets smaller
-    still.
-    """
-    balancer = alone(servers=6).admission.load_balancers[0]
+def test_slow_start_budgets_do_not_fall_with_requests_rejected_for_lack_of_budget() -> None:
+    """With half of the servers new, fewer answers lowered the budgets and these the answers."""
+    load_balancer = alone(servers=6).admission.load_balancers[0]
     for n in range(400):
-        balancer.loop.now = n * S // 10
-        balancer.successes.add(1, balancer.loop.now)
-    # four seconds in which next to nothing was passed
-    before, balancer.loop.now = balancer.successes.add(0, balancer.loop.now), 44 * S
-    assert 0.4 * before < balancer.successes.add(0, balancer.loop.now) < before
-    balancer.loop.now = 200 * S
+        load_balancer.loop.now = n * S // 10
+        load_balancer.successes.add(1, load_balancer.loop.now)
+    # 4 s with almost no answers
+    before, load_balancer.loop.now = load_balancer.successes.add(0, load_balancer.loop.now), 44 * S
+    assert 0.4 * before < load_balancer.successes.add(0, load_balancer.loop.now) < before
+    load_balancer.loop.now = 200 * S
     assert (
-        balancer.successes.add(0, balancer.loop.now) < 0.05 * before
-    )  # capacity seen long ago proves nothing
+        load_balancer.successes.add(0, load_balancer.loop.now) < 0.05 * before
+    )  # a rate measured long ago no longer counts
 
 
-def test_a_server_that_fails_one_frontend_still_gets_the_others() -> None:
-    """Found by print-desk-main later: servers that answer one frontend with errors only."""
+def test_a_server_that_fails_one_request_class_still_gets_the_others() -> None:
+    """Some servers answered a single request class with errors only."""
     engine = alone(servers=9)
-    srv = engine.admission.load_balancers[0].servers[0]
+    server = engine.admission.load_balancers[0].servers[0]
     for n in range(4):
-        srv.in_flight += 2
-        srv.attempt_ended(AttemptEnded(n, 0, 0, Outcome.SERVER_ERROR, 100, False, 0, 0.0), 1)
-        srv.attempt_ended(AttemptEnded(n, 0, 0, Outcome.SUCCEEDED, 100, False, 0, 0.0), 0)
+        server.in_flight += 2
+        server.attempt_ended(AttemptEnded(n, 0, 0, Outcome.SERVER_ERROR, 100, False, 0, 0.0), 1)
+        server.attempt_ended(AttemptEnded(n, 0, 0, Outcome.SUCCEEDED, 100, False, 0, 0.0), 0)
     engine.admission.load_balancers[0].select_subset()
     assert (
-        srv in engine.admission.load_balancers[0].subset[0]
-        and srv not in engine.admission.load_balancers[0].subset[1]
+        server in engine.admission.load_balancers[0].subset[0]
+        and server not in engine.admission.load_balancers[0].subset[1]
     )
 
 
 def test_limiters_use_few_servers_and_all_servers_evenly() -> None:
-    """Found by the twins: with figures by server over a whole fleet a limiter of few reqs knows
-    nothing.
-    """
-    used = [0] * 60
-    for me in range(300):
-        balancer = alone(servers=60, limiters=300, me=me).admission.load_balancers[0]
-        balancer.select_subset()
-        assert len(balancer.subset[0]) == 6
-        for srv in balancer.subset[0]:
-            used[srv.endpoint_id] += 1
-    assert max(used) - min(used) <= 8
-
-
-def test_a_server_that_turns_away_quickly_gets_less_and_does_not_shrink_the_window():
-    # print-desk-main, churn: one throttled server drew most dispatches as it looked idle, and the
-    # window fell
-    engine, sends, due = alone(servers=4, limiters=1), [0] * 4, []
-    balancer, before = (
+    """A limiter with few requests that uses all servers has too few outcomes of each."""
+    users = [0] * 60
+    for limiter_index in range(300):
+        load_balancer = alone(servers=60, limiters=300, me=limiter_index).admission.load_balancers[
+            0
+        ]
+        load_balancer.select_subset()
+        assert len(load_balancer.subset[0]) == 6
+        for server in load_balancer.subset[0]:
+            users[server.endpoint_id] += 1
+    assert max(users) - min(users) <= 8
+
+
+def test_a_server_that_rejects_quickly_gets_less_and_does_not_shrink_the_window():
+    # One throttled server looked idle and drew most attempts, and its rejections shrank the window.
+    engine, sends, pending = alone(servers=4, limiters=1), [0] * 4, []
+    load_balancer, before = (
         engine.admission.load_balancers[0],
         engine.admission.load_balancers[0].window.size,
     )
 
-    def done(now, acts, dispatch=0):
-        for sent in pick(acts, SendAttempt):
+    def schedule_outcomes(now, actions, attempt=0):
+        for sent in pick(actions, SendAttempt):
             sends[sent.endpoint_id] += 1
-            how, took = (Outcome.REJECTED, 5) if sent.endpoint_id == 2 else (Outcome.SUCCEEDED, 900)
+            outcome, duration = (
+                (Outcome.REJECTED, 5) if sent.endpoint_id == 2 else (Outcome.SUCCEEDED, 900)
+            )
             ended = AttemptEnded(
                 sent.request_id,
-                dispatch,
+                attempt,
                 sent.endpoint_id,
-                how,
-                took,
-                how is Outcome.SUCCEEDED,
+                outcome,
+                duration,
+                outcome is Outcome.SUCCEEDED,
                 0,
                 0.0,
             )
-            due.append((now + took, sent.request_id, ended))
+            pending.append((now + duration, sent.request_id, ended))
 
-    for now in range(0, 60_000, 50):  # eighteen out at once
-        done(now, engine.handle(now, arrival(now, now)))
-        for item in sorted(d for d in due if d[0] <= now + 50):
-            due.remove(item)
-            done(item[0], engine.handle(*item[::2]), item[2].attempt + 1)
+    for now in range(0, 60_000, 50):  # 18 attempts in flight at once
+        schedule_outcomes(now, engine.handle(now, arrival(now, now)))
+        for item in sorted(d for d in pending if d[0] <= now + 50):
+            pending.remove(item)
+            schedule_outcomes(item[0], engine.handle(*item[::2]), item[2].attempt + 1)
     assert sum(sends) >= 1200 and sends[2] < 0.5 * min(sends[0], sends[1], sends[3])
-    assert balancer.window.size >= 0.9 * before
+    assert load_balancer.window.size >= 0.9 * before
 
 
-def test_a_server_that_goes_with_a_dispatch_out_is_forgotten_at_its_end():
+def test_a_removed_server_is_dropped_when_its_last_attempt_ends():
     engine = alone(servers=1)
     assert pick(engine.handle(10, arrival(1, 10)), SendAttempt)
     engine.handle(20, EndpointsUpdated((entry(0, EndpointState.GONE),), False))
@@ -242,15 +248,14 @@
     assert not engine.admission.load_balancers[0].servers and not engine.admission.pending
 
 
-def test_dispatches_held_by_silence_do_not_fill_the_window():
-    # print-desk-main, rate+silent+leave: some 70 of 130 dispatches out waited on connections fallen
-    # silent
+def test_attempts_without_a_response_do_not_fill_the_window():
+    # About 70 of 130 attempts in flight waited on connections that had become unresponsive.
     engine, sent = alone(servers=4, limiters=1), []
     for now in range(0, 40_000, 50):
-        acts = engine.handle(now, arrival(now, now, front=1))
-        assert pick(acts, SendAttempt), f"denied at {now}"
-        sent += pick(acts, SendAttempt)
-        if len(sent) % 5:  # one in five never answers, and its wait is far from over
+        actions = engine.handle(now, arrival(now, now, front=1))
+        assert pick(actions, SendAttempt), f"rejected at {now}"
+        sent += pick(actions, SendAttempt)
+        if len(sent) % 5:  # one in five gets no response, long before its time-out
             engine.handle(
                 now + 40,
                 AttemptEnded(now, 0, sent[-1].endpoint_id, Outcome.SUCCEEDED, 40, True, 0, 0.0),
@@ -262,33 +267,42 @@
     )
 
 
-def test_servers_that_all_start_at_once_are_used_before_they_are_warm():
-    """Found by the cold start of a whole fleet: no server carried anything, so none was let carry
-    anything, and nothing was passed for the ten seconds that servers are cold.
+def test_servers_that_all_start_at_once_are_used_during_slow_start():
+    """When all servers started at once, no peer had a measured rate, so no budget grew and nothing
+    was sent for the 10 s of slow start.
     """
-    many, servers = 6, 4
-    engines = [DecisionEngine(settings(n, many), n, 0) for n in range(many)]
+    limiter_count, servers = 6, 4
+    engines = [DecisionEngine(settings(n, limiter_count), n, 0) for n in range(limiter_count)]
     for engine in engines:
         engine.handle(0, EndpointsUpdated(tuple(entry(n, booted=1) for n in range(servers)), True))
-    now, req, out, sent = 0, 0, [], []
+    now, request_id, in_flight, sent = 0, 0, [], []
     while now < 8 * S:
         now += S // 200
-        for due, n, act in [o for o in out if o[0] <= now]:
-            out.remove((due, n, act))
+        for ends_at, n, action in [o for o in in_flight if o[0] <= now]:
+            in_flight.remove((ends_at, n, action))
             engines[n].handle(
                 now,
                 AttemptEnded(
-                    act.request_id, 0, act.endpoint_id, Outcome.SUCCEEDED, S // 20, True, 0, 0.0
+                    action.request_id,
+                    0,
+                    action.endpoint_id,
+                    Outcome.SUCCEEDED,
+                    S // 20,
+                    True,
+                    0,
+                    0.0,
                 ),
             )
-        req += 1
-        for act in pick(engines[req % many].handle(now, arrival(req, now)), SendAttempt):
-            out.append((now + S // 20, req % many, act))
-            sent.append((now, act.endpoint_id))
-    assert sum(t > 6 * S for t, _ in sent) > 0.5 * 2 * 200  # of two hundred a second
-    for srv in range(
+        request_id += 1
+        for action in pick(
+            engines[request_id % limiter_count].handle(now, arrival(request_id, now)), SendAttempt
+        ):
+            in_flight.append((now + S // 20, request_id % limiter_count, action))
+            sent.append((now, action.endpoint_id))
+    assert sum(t > 6 * S for t, _ in sent) > 0.5 * 2 * 200  # of 200 per second
+    for server in range(
         servers
-    ):  # eight slots, 160 a second when warm: three times its warmth of that for a second
+    ):  # 8 slots, 160 per second when warm: up to 3 times its capacity of that for 1 s
         for t in range(1, 8):
-            lately = sum(t * S - S < at <= t * S for at, s in sent if s == srv)
-            assert lately <= 3.0 * (0.2 + 0.8 * (t - 1) / 10) * 160
+            last_second = sum(t * S - S < at <= t * S for at, s in sent if s == server)
+            assert last_second <= 3.0 * (0.2 + 0.8 * (t - 1) / 10) * 160
--- a/tests/admission/test_rules.py
+++ b/tests/admission/test_rules.py
@@ -1,5 +1,7 @@
-"""Seeded random runs: several limiters, any legal event, and the five rules checked at every
-step.
+"""Seeded random runs of several limiters with any valid events.
+
+The five rules are checked at every step. The source of the functions under `@given`, docstrings
+included, seeds Hypothesis: an edit there changes the examples that are run.
 """
 
 from __future__ import annotations
@@ -16,55 +18,65 @@
 SEEDED = settings(
     derandomize=True, deadline=None, phases=[Run.generate], suppress_health_check=list(HealthCheck)
 )
-ENDS = (Outcome.SUCCEEDED,) * 6 + (
+OUTCOMES = (Outcome.SUCCEEDED,) * 6 + (
     Outcome.SERVER_ERROR,
     Outcome.REJECTED,
     Outcome.CONNECT_FAILED,
     Outcome.CONNECTION_LOST,
 )
-COUNTS = (Outcome.SUCCEEDED,) * 4 + (Outcome.NO_RESPONSE, Outcome.REJECTED, Outcome.CONNECT_FAILED)
+COUNTER_OUTCOMES = (Outcome.SUCCEEDED,) * 4 + (
+    Outcome.NO_RESPONSE,
+    Outcome.REJECTED,
+    Outcome.CONNECT_FAILED,
+)
 STEP = st.tuples(
     st.sampled_from(
-        ["reqs"] * 6
-        + ["ends"] * 6
+        ["requests"] * 6
+        + ["outcomes"] * 6
         + ["counts"] * 3
         + ["time"] * 3
-        + ["list", "kill", "gone", "heat", "stall", "empty"]
+        + ["list", "kill", "disconnect", "overload", "stall", "empty"]
     ),
     st.integers(0, 1 << 20),
 )
 
 
 def play(stage: Stage, steps: list[tuple[str, int]], sets: int = 3) -> None:
-    req = 0
-    for what, n in steps:
+    request_id = 0
+    for step, n in steps:
         limiter = n % sets
-        match what:
-            case "reqs" | "heat":
-                for _ in range(1 + n % 9 if what == "reqs" else 40):
-                    req += 1
-                    plan = 3 if what == "heat" else n // 7 % len(PLANS)
-                    note = arrival(req, stage.now, n // 3 % 4, plan, 10 * plan + n // 5 % 2, sets)
-                    stage.open[req] = (limiter, note, [])
-                    stage.give(limiter, note)
+        match step:
+            case "requests" | "overload":
+                for _ in range(1 + n % 9 if step == "requests" else 40):
+                    request_id += 1
+                    plan = 3 if step == "overload" else n // 7 % len(PLANS)
+                    event = arrival(
+                        request_id, stage.now, n // 3 % 4, plan, 10 * plan + n // 5 % 2, sets
+                    )
+                    stage.open[request_id] = (limiter, event, [])
+                    stage.give(limiter, event)
                     limiter = (limiter + 1) % sets
-            case "ends":
+            case "outcomes":
                 for key in list(stage.out)[: 1 + n % 9]:
-                    stage.finish(key, ENDS[n // 3 % len(ENDS)])
+                    stage.finish(key, OUTCOMES[n // 3 % len(OUTCOMES)])
             case "counts":
                 while stage.calls:
-                    stage.count(n % len(stage.calls), COUNTS[n % len(COUNTS)], n % 11 == 0)
+                    stage.count(
+                        n % len(stage.calls),
+                        COUNTER_OUTCOMES[n % len(COUNTER_OUTCOMES)],
+                        n % 11 == 0,
+                    )
             case "time":
                 stage.pass_time(10 + n % (3 * S))
             case "list":
-                srv = n % len(stage.entries)
+                server = n % len(stage.entries)
                 phase = (EndpointState.LIVE, EndpointState.DRAINING, EndpointState.GONE)[n // 5 % 3]
-                stage.entries[srv] = entry(
-                    srv, phase, stage.now if phase is EndpointState.LIVE else 0, srv % 2
+                stage.entries[server] = entry(
+                    server, phase, stage.now if phase is EndpointState.LIVE else 0, server % 2
                 )
-                for brain in range(len(stage.brains)):
-                    stage.tell(brain)
-            case "stall":  # a limiter has no turn for a while, then gets all at once
+                for index in range(len(stage.brains)):
+                    stage.tell(index)
+            case "stall":  # a limiter gets no timer events for a while, then all at once
                 stage.stalled = limiter
                 stage.pass_time(1 + n % (2 * S))
                 stage.stalled = None
@@ -73,14 +85,14 @@
             case "kill":
                 stage.kill(limiter)
                 stage.start(limiter)
-            case "gone":
+            case "disconnect":
                 if stage.open:
-                    gone = list(stage.open)[n % len(stage.open)]
-                    owner = stage.open[gone][0]
-                    stage.answer(gone)
-                    stage.give(owner, ClientDisconnected(gone))
+                    disconnected = list(stage.open)[n % len(stage.open)]
+                    owner = stage.open[disconnected][0]
+                    stage.answer(disconnected)
+                    stage.give(owner, ClientDisconnected(disconnected))
     stage.pass_time(5 * S)
-    assert not stage.open, "reqs were lost"
+    assert not stage.open, "requests were lost"
 
 
 @settings(SEEDED, max_examples=150)
@@ -101,27 +113,27 @@
 
 
 def test_many_limiters_share_a_cold_servers_budget() -> None:
-    """Rule 4 on the sum, when all limiters are told of a new server together and reqs go on
-    evenly.
+    """Rule 4 for the sum over all limiters, which get a new server's entry at the same time and an
+    even rate of requests.
     """
     stage = Stage(4, limiters=30)
-    for req in range(1, 3001):
-        if req == 1500:
+    for request_id in range(1, 3001):
+        if request_id == 1500:
             stage.entries[4] = entry(4, booted=stage.now)
             for n in range(30):
                 stage.tell(n)
-        note = arrival(req, stage.now, 0, 2, 0, 30)
-        stage.open[req] = (req % 30, note, [])
-        stage.give(req % 30, note)
+        event = arrival(request_id, stage.now, 0, 2, 0, 30)
+        stage.open[request_id] = (request_id % 30, event, [])
+        stage.give(request_id % 30, event)
         stage.pass_time(S // 100)
         for key in [k for k, o in stage.out.items() if o[2] < stage.now - S // 10]:
             stage.finish(key, Outcome.SUCCEEDED)
     start = stage.entries[4].started_at
-    cold = [t for t, srv in stage.sends if srv == 4]
-    for second in range(8):  # peers do some 25 a second, and the budget is counted over one second
-        sent = sum(start + second * S <= t < start + (second + 1) * S for t in cold)
+    cold_sends = [t for t, server in stage.sends if server == 4]
+    for second in range(8):  # peers handle about 25 per second; the budget is checked over 1 s
+        sent = sum(start + second * S <= t < start + (second + 1) * S for t in cold_sends)
         assert sent <= 1.2 * 3.0 * (0.2 + 0.08 * (second + 1)) * 25
-    assert cold
+    assert cold_sends
 
 
 @settings(SEEDED, max_examples=30)
