--- a/loomstand/admission/admission_control.py
+++ b/loomstand/admission/admission_control.py
@@ -99,7 +99,7 @@
         self.post(self.tenant_admitted, request_id)
 
     def post_rejected(self, request_id: int, retry_after: int, reason: str) -> None:
-        """Posts the message that a request was rejected, to be retried after some ticks."""
+        """Posts the message that a request was rejected; `retry_after` is in ticks."""
         self.post(self.reject, request_id, retry_after, reason)
 
     def tenant_admitted(self, request_id: int) -> None:
--- a/loomstand/admission/rate_limit_bucket.py
+++ b/loomstand/admission/rate_limit_bucket.py
@@ -9,7 +9,7 @@
 class RateLimitBucket:
     """A token bucket that is refilled by whole units, in rotation with those of the other limiters.
 
-    With a continuous refill at all limiters, none would hold a whole unit for long after a start.
+    With a continuous refill at all limiters, it would take long until any of them held a unit.
     The bucket is empty at the start, because the limiter may have used its share just before.
 
     Attributes:
@@ -41,7 +41,7 @@
             self.unit = min(1.0, plan.rate_limit_slack)
 
     def earned(self, now: int) -> float:
-        """Returns the units granted to this limiter from clock reading 0 up to another."""
+        """Returns the units granted to this limiter from clock reading 0 up to `now`."""
         if not self.unit:
             return now * self.rate / self.limiters
         turns = (now * self.rate / self.unit - self.position) // self.limiters
--- a/loomstand/admission/settings.py
+++ b/loomstand/admission/settings.py
@@ -15,7 +15,7 @@
 class Effect(Enum):
     """Whether a request that may have been executed may be sent again.
 
-    The values are part of what the golden tests of the configuration hold.
+    The values are fixed by the golden tests of the configuration.
 
     Attributes:
         IDEMPOTENT: Executing it again changes nothing, so it may always be sent again.
@@ -153,7 +153,7 @@
         unsent_retry_cost: Cost of a retry where no attempt reached a server.
         window_follows_endpoints: Whether the concurrency window grows and shrinks with the number
             of a service's servers.
-        retries_until_deadline: Whether an attempt without a response times out for a retry as long
+        retries_until_deadline: Whether an attempt without a response is replaced by a retry as long
             as the client waits, instead of only within the latency target.
         remote_zone_cost: Factor on the cost of a server in another zone.
         clock_offset: How far the clock that names the counter's intervals is ahead of the limiter's
