--- a/loomstand/registry/configuration_cache.py
+++ b/loomstand/registry/configuration_cache.py
@@ -73,6 +73,6 @@
             self._compressed_version = self.version
         return self._compressed_data
 
-    def was_empty_lately(self, now: float) -> bool:
+    def was_recently_empty(self, now: float) -> bool:
         """Returns whether there was no configuration until just now: nobody had a quota."""
         return now - self.confirmed_empty_at < STARTUP_SECONDS
--- a/loomstand/registry/counting_lease.py
+++ b/loomstand/registry/counting_lease.py
@@ -13,7 +13,7 @@
 from loomstand.rpc.network import Address
 
 # Between two requests of the registry that holds the lease: a third of its length.
-RENEWAL_SECONDS = 0.4
+RENEWAL_INTERVAL_SECONDS = 0.4
 # A term that nobody repeats makes way for a lower one after this: the store began anew.
 TERM_EXPIRY_SECONDS = 3.0
 # After a request in vain; stores delay a request for as long as nobody serves.
@@ -90,14 +90,14 @@
         if term < self.term and now - self.observed_at < TERM_EXPIRY_SECONDS:
             return False
         self.observed_at = now
-        self.has_gap = self.has_gap or not self._continues(term, row.holder)
+        self.has_gap = self.has_gap or not self._is_uninterrupted(term, row.holder)
         last_holder_before = self.last_holder
         self.term = term
         self.holder = row.holder
         self.last_holder = self.holder or self.last_holder
         return self.last_holder != last_holder_before
 
-    def _continues(self, term: CountingTerm, holder: str) -> bool:
+    def _is_uninterrupted(self, term: CountingTerm, holder: str) -> bool:
         """Returns whether nobody else can have counted between the term known and that one."""
         if holder and holder != self.host:
             return False
@@ -134,4 +134,8 @@
 
     def delay_seconds(self, now: float) -> float:
         """Returns how long to wait until the next request."""
-        return RENEWAL_SECONDS if self.is_held(now) and not self.has_lost_primary else RETRY_SECONDS
+        return (
+            RENEWAL_INTERVAL_SECONDS
+            if self.is_held(now) and not self.has_lost_primary
+            else RETRY_SECONDS
+        )
--- a/loomstand/registry/counting_service.py
+++ b/loomstand/registry/counting_service.py
@@ -156,7 +156,7 @@
         is_successor = now > self._started_at + STARTUP_SECONDS
         self.counters = Counters(counters_term, is_successor)
         self.quota_buckets.reset()
-        is_unused = self._configuration.was_empty_lately(self._context.clock())
+        is_unused = self._configuration.was_recently_empty(self._context.clock())
         self.grants.reset(counters_term, now, is_unused)
 
     # the lease
--- a/loomstand/registry/http_answers.py
+++ b/loomstand/registry/http_responses.py
@@ -12,7 +12,7 @@
     """A call from outside can't be understood; it is answered 400 with this text."""
 
 
-class HttpAnswer(NamedTuple):
+class HttpResponse(NamedTuple):
     """An answer.
 
     Attributes:
@@ -24,14 +24,14 @@
     body: bytes
 
 
-EMPTY_ANSWER = HttpAnswer(HTTPStatus.OK, b"{}")
+EMPTY_RESPONSE = HttpResponse(HTTPStatus.OK, b"{}")
 
 
-def json_answer(status: int, value: Mapping[str, object]) -> HttpAnswer:
+def json_response(status: int, value: Mapping[str, object]) -> HttpResponse:
     """Returns an answer with a JSON object."""
-    return HttpAnswer(status, json.dumps(value).encode())
+    return HttpResponse(status, json.dumps(value).encode())
 
 
-def error_answer(status: int, text: str) -> HttpAnswer:
+def error_response(status: int, text: str) -> HttpResponse:
     """Returns an answer that says why the call isn't done."""
-    return json_answer(status, {"error": text})
+    return json_response(status, {"error": text})
--- a/loomstand/registry/http_routing.py
+++ b/loomstand/registry/http_routing.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HttpCall:
+class HttpRequest:
     """The parts of a call that matchers and handlers look at.
 
     Attributes:
@@ -29,7 +29,7 @@
     query: dict[str, str]
 
     @classmethod
-    def parse(cls, method: bytes, target: bytes) -> HttpCall:
+    def parse(cls, method: bytes, target: bytes) -> HttpRequest:
         """Reads the method and the target of a request line."""
         path, _, raw_query = target.decode("latin-1").partition("?")
         pairs = parse_qsl(raw_query, keep_blank_values=True, max_num_fields=MAX_QUERY_FIELDS)
@@ -49,30 +49,30 @@
         mismatch_status: HTTP status for a call that comes here and matches no child.
     """
 
-    select: Callable[[HttpCall], str | None]
+    select: Callable[[HttpRequest], str | None]
     children: Mapping[str, RouteNode[HandlerT] | HandlerT]
     mismatch_status: HTTPStatus = HTTPStatus.NOT_FOUND
 
-    def match(self, call: HttpCall) -> HandlerT | HTTPStatus:
+    def match(self, request: HttpRequest) -> HandlerT | HTTPStatus:
         """Returns the call's handler, or the status that says what doesn't fit."""
-        child = self.children.get(self.select(call) or "")
+        child = self.children.get(self.select(request) or "")
         if isinstance(child, RouteNode):
-            return child.match(call)
+            return child.match(request)
         return self.mismatch_status if child is None else child
 
 
 def match_path(children: Mapping[str, RouteNode[HandlerT] | HandlerT]) -> RouteNode[HandlerT]:
     """Returns a node that looks at the path."""
-    return RouteNode(lambda call: call.path, children, HTTPStatus.NOT_FOUND)
+    return RouteNode(lambda request: request.path, children, HTTPStatus.NOT_FOUND)
 
 
 def match_method(children: Mapping[str, RouteNode[HandlerT] | HandlerT]) -> RouteNode[HandlerT]:
     """Returns a node that looks at the method."""
-    return RouteNode(lambda call: call.method, children, HTTPStatus.METHOD_NOT_ALLOWED)
+    return RouteNode(lambda request: request.method, children, HTTPStatus.METHOD_NOT_ALLOWED)
 
 
 def match_query(
     name: str, children: Mapping[str, RouteNode[HandlerT] | HandlerT]
 ) -> RouteNode[HandlerT]:
     """Returns a node that looks at one field of the query."""
-    return RouteNode(lambda call: call.query.get(name), children, HTTPStatus.NOT_FOUND)
+    return RouteNode(lambda request: request.query.get(name), children, HTTPStatus.NOT_FOUND)
--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -41,7 +41,7 @@
         state: One of `STATES`.
         sequence: Number of its latest heartbeat.
         slow_start_until: Until when it warms up, by the clock of this process.
-        changed_in: The table's revision when it last changed.
+        changed_at_revision: The table's revision when it last changed.
     """
 
     id: str
@@ -52,7 +52,7 @@
     state: str
     sequence: int
     slow_start_until: float
-    changed_in: int = 0
+    changed_at_revision: int = 0
 
     @classmethod
     def from_row(cls, row: InstanceRow, now: float) -> Instance:
@@ -94,7 +94,7 @@
             other,
             sequence=self.sequence,
             slow_start_until=self.slow_start_until,
-            changed_in=self.changed_in,
+            changed_at_revision=self.changed_at_revision,
         )
         return compared != self
 
@@ -133,7 +133,7 @@
             self.by_id[instance.id] = replace(current, sequence=instance.sequence)
             return False
         self.revision += 1
-        self.by_id[instance.id] = replace(instance, changed_in=self.revision)
+        self.by_id[instance.id] = replace(instance, changed_at_revision=self.revision)
         self._assign_address(instance)
         return True
 
@@ -203,7 +203,9 @@
             self.mark_gone(instance.id)
         elif instance.state == READY and age_seconds > self.unreachable_after_seconds:
             self.revision += 1
-            self.by_id[instance.id] = replace(instance, state=SILENT, changed_in=self.revision)
+            self.by_id[instance.id] = replace(
+                instance, state=SILENT, changed_at_revision=self.revision
+            )
         elif instance.state == SILENT and age_seconds > GONE_RETENTION_SECONDS:
             self.mark_gone(instance.id)
 
@@ -212,7 +214,7 @@
         return [
             instance.to_row(now)
             for instance in self.by_id.values()
-            if instance.changed_in > revision
+            if instance.changed_at_revision > revision
         ]
 
     def rows(self, instance_ids: Iterable[str], now: float) -> list[InstanceRow]:
--- a/loomstand/registry/limiter_sessions.py
+++ b/loomstand/registry/limiter_sessions.py
@@ -25,23 +25,23 @@
 SESSION_POLL_SECONDS = 0.6
 # A session's number has a count in its upper bits and chance in these, so that none is that of a
 # session before this registry's start.
-SESSION_RANDOM_BITS = 16
-FIRST_SESSION_BITS = 14
+SESSION_ID_RANDOM_BITS = 16
+INITIAL_COUNT_BITS = 14
 # Revisions that a limiter knows when it opens a session.
 NO_REVISION = -1
 
 
-class SessionNumbers:
+class SessionIdGenerator:
     """Numbers sessions: calls a second to every limiter are kept short by it."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
-        self._count = rng.getrandbits(FIRST_SESSION_BITS)
+        self._count = rng.getrandbits(INITIAL_COUNT_BITS)
 
     def next(self) -> int:
         """Returns the number of a new session; it isn't one of this registry's former start."""
         self._count += 1
-        return self._count << SESSION_RANDOM_BITS | self._rng.getrandbits(SESSION_RANDOM_BITS)
+        return self._count << SESSION_ID_RANDOM_BITS | self._rng.getrandbits(SESSION_ID_RANDOM_BITS)
 
 
 class LimiterSessions:
@@ -53,7 +53,7 @@
         state: RegistryState,
         counting: CountingService,
         replication: Replication,
-        session_numbers: SessionNumbers,
+        session_ids: SessionIdGenerator,
     ) -> None:
         self._context = context
         self._notifier = context.notifier
@@ -63,15 +63,15 @@
         self._configuration = state.configuration
         self._counting = counting
         self._replication = replication
-        self._session_numbers = session_numbers
-        self._names: dict[int, str] = {}  # by the number of their session
+        self._session_ids = session_ids
+        self._limiter_names: dict[int, str] = {}  # by the number of their session
 
     async def handle_session(self, request: SessionRequest) -> SessionResponse:
         """A limiter asks for what is newer than what it knows."""
-        is_new = request.session_id not in self._names
+        is_new = request.session_id not in self._limiter_names
         if is_new:
             request = self._open_session(request)
-        name = self._names[request.session_id]
+        name = self._limiter_names[request.session_id]
         self._limiters.record_call(name, self._context.clock())
         self._notifier.notify_limiters(self._limiters.revision)
         # where all registries started anew, the shared clock goes on by the limiters
@@ -84,7 +84,7 @@
             )
         now = self._context.clock()
         # A limiter that deregistered while its call waited has left: the call's end tells nothing.
-        if self._limiters.is_calling(name):
+        if self._limiters.has_called(name):
             self._limiters.record_call(name, now)
         return self._response(request, name, is_new, now)
 
@@ -93,14 +93,16 @@
         name = request.limiter_name
         if name is None:
             raise CallRefusedError("no such session")
-        former_sessions = [number for number, other in self._names.items() if other == name]
-        for number in former_sessions:
-            del self._names[number]
-        number = self._session_numbers.next()
-        self._names[number] = name
+        previous_sessions = [
+            session_id for session_id, other in self._limiter_names.items() if other == name
+        ]
+        for session_id in previous_sessions:
+            del self._limiter_names[session_id]
+        session_id = self._session_ids.next()
+        self._limiter_names[session_id] = name
         return msgspec.structs.replace(
             request,
-            session_id=number,
+            session_id=session_id,
             known_instances=NO_REVISION,
             known_system_state_revision=NO_REVISION,
             known_buckets=0,
--- a/loomstand/registry/limiters.py
+++ b/loomstand/registry/limiters.py
@@ -32,7 +32,7 @@
         present: Names of the limiters whose session stands, in order.
         silent: Names of those whose place is reserved, in order.
         ranks: By name, the place of each, present or silent, in the order of names.
-        unchanged_until: Until when no session can end, whoever calls meanwhile. All sessions were
+        next_expiry_at: Until when no session can end, whoever calls meanwhile. All sessions were
             looked at in each call of each limiter: 0.4 ms of a call at 1,000 limiters, 2 ms at
             3,000.
     """
@@ -44,7 +44,7 @@
         self.present: tuple[str, ...] = ()
         self.silent: tuple[str, ...] = ()
         self.ranks: dict[str, int] = {}
-        self.unchanged_until = 0.0
+        self.next_expiry_at = 0.0
 
     def limiter_set(self, name: str) -> LimiterSetRow:
         """Returns what a limiter hears of the limiters: its place, how many, how many silent."""
@@ -58,7 +58,7 @@
         """Returns the limiters that called here, each with the seconds since."""
         return {name: now - called_at for name, called_at in self.last_call_at.items()}
 
-    def is_calling(self, name: str) -> bool:
+    def has_called(self, name: str) -> bool:
         """Returns whether a limiter called here and hasn't deregistered since."""
         return name in self.last_call_at
 
@@ -71,7 +71,7 @@
         )
         self.last_call_at[name] = now
         self.last_contact_at[name] = now
-        if not is_member or now > self.unchanged_until:
+        if not is_member or now > self.next_expiry_at:
             self.expire(now)
 
     def record_report(self, name: str, last_contact_at: float, now: float) -> None:
@@ -107,7 +107,7 @@
             for name, last_contact_at in self.last_contact_at.items()
             if now - last_contact_at <= (timeout := self._session_timeout_seconds(name))
         }
-        self.unchanged_until = min(
+        self.next_expiry_at = min(
             (
                 last_contact_at + timeouts.get(name, PLACE_RETENTION_SECONDS)
                 for name, last_contact_at in self.last_contact_at.items()
--- a/loomstand/registry/operator_api.py
+++ b/loomstand/registry/operator_api.py
@@ -10,8 +10,8 @@
 from loomstand.config.units import format_address
 from loomstand.registry.context import RegistryContext, RegistryState
 from loomstand.registry.counting_service import CountingService
-from loomstand.registry.http_answers import HttpAnswer, error_answer, json_answer
-from loomstand.registry.http_routing import HttpCall
+from loomstand.registry.http_responses import HttpResponse, error_response, json_response
+from loomstand.registry.http_routing import HttpRequest
 from loomstand.registry.rescue import handle_rescue
 from loomstand.registry.store_client import CHANGE_TIMEOUT_SECONDS, StoreClient
 from loomstand.registry.system_status import (
@@ -60,45 +60,45 @@
         self._incarnation = incarnation
         self.pending_bytes = 0
 
-    async def handle_replace(self, _call: HttpCall, body: bytes) -> HttpAnswer:
+    async def handle_replace(self, _request: HttpRequest, body: bytes) -> HttpResponse:
         """Replaces the configuration."""
         if self.pending_bytes and self.pending_bytes + len(body) > MAX_PENDING_BYTES:
             text = "busy with other large configurations"
-            return error_answer(HTTPStatus.SERVICE_UNAVAILABLE, text)
+            return error_response(HTTPStatus.SERVICE_UNAVAILABLE, text)
         self.pending_bytes += len(body)
         try:
             return await self._replace(body)
         finally:
             self.pending_bytes -= len(body)
 
-    async def _replace(self, body: bytes) -> HttpAnswer:
+    async def _replace(self, body: bytes) -> HttpResponse:
         try:
             configuration = self._state.configuration.parse(body)
         except ConfigurationError as error:
-            return error_answer(HTTPStatus.BAD_REQUEST, str(error))
+            return error_response(HTTPStatus.BAD_REQUEST, str(error))
         request = PutRequest(version=configuration.version, data=body)
         timeout_seconds = CHANGE_TIMEOUT_SECONDS + transfer_seconds(len(body))
         result = await self._store_client.forward(request, PutResponse, timeout_seconds)
         if result.is_error():
             text = f"not stored: {result.error.value}"
-            return error_answer(HTTPStatus.SERVICE_UNAVAILABLE, text)
+            return error_response(HTTPStatus.SERVICE_UNAVAILABLE, text)
         committed = f"r{result.ok.version}"
         if result.ok.has_conflict:
             refused = f"r{configuration.version} was taken with another content"
-            return error_answer(HTTPStatus.CONFLICT, f"{refused}; {committed} is in force")
-        return json_answer(HTTPStatus.OK, {"version": committed})
+            return error_response(HTTPStatus.CONFLICT, f"{refused}; {committed} is in force")
+        return json_response(HTTPStatus.OK, {"version": committed})
 
-    async def handle_read(self, _call: HttpCall, _body: bytes) -> HttpAnswer:
+    async def handle_read(self, _request: HttpRequest, _body: bytes) -> HttpResponse:
         """Returns the committed configuration."""
         size_bytes = len(self._state.configuration.data)
         timeout_seconds = READ_TIMEOUT_SECONDS + transfer_seconds(size_bytes)
         result = await self._store_client.forward(ReadRequest(), ReadResponse, timeout_seconds)
         if result.is_ok() and result.ok.data:
-            return HttpAnswer(HTTPStatus.OK, result.ok.data)
+            return HttpResponse(HTTPStatus.OK, result.ok.data)
         text = "no store that knows the newest is in reach"
-        return error_answer(HTTPStatus.SERVICE_UNAVAILABLE, text)
+        return error_response(HTTPStatus.SERVICE_UNAVAILABLE, text)
 
-    async def handle_status(self, _call: HttpCall, _body: bytes) -> HttpAnswer:
+    async def handle_status(self, _request: HttpRequest, _body: bytes) -> HttpResponse:
         """Returns how the system stands as seen from here."""
         store = await self._store_client.status()
         now = self._context.clock()
@@ -124,9 +124,9 @@
             operator_addresses=self.operator_addresses(),
             store=None if store is None else store_status(store),
         )
-        return json_answer(HTTPStatus.OK, msgspec.to_builtins(status))
+        return json_response(HTTPStatus.OK, msgspec.to_builtins(status))
 
-    async def handle_rescue(self, _call: HttpCall, body: bytes) -> HttpAnswer:
+    async def handle_rescue(self, _request: HttpRequest, body: bytes) -> HttpResponse:
         """Has a lost store looked at, or founded anew."""
         return await handle_rescue(self._context.network, self._context.local_store, body)
 
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -15,16 +15,16 @@
 from loomstand.registry.configuration_cache import ConfigurationCache
 from loomstand.registry.context import RegistryContext, RegistryState
 from loomstand.registry.counting_service import CountingService
-from loomstand.registry.http_answers import BadRequestError, HttpAnswer, error_answer
+from loomstand.registry.http_responses import BadRequestError, HttpResponse, error_response
 from loomstand.registry.http_routing import (
-    HttpCall,
+    HttpRequest,
     RouteNode,
     match_method,
     match_path,
     match_query,
 )
 from loomstand.registry.instances import InstanceTable
-from loomstand.registry.limiter_sessions import LimiterSessions, SessionNumbers
+from loomstand.registry.limiter_sessions import LimiterSessions, SessionIdGenerator
 from loomstand.registry.limiters import LimiterTable
 from loomstand.registry.operator_api import OperatorApi
 from loomstand.registry.replication import Replication
@@ -44,7 +44,7 @@
 
 NANOSECONDS_PER_SECOND = 1e9
 
-HttpCallHandler = Callable[[HttpCall, bytes], Awaitable[HttpAnswer]]
+HttpHandler = Callable[[HttpRequest, bytes], Awaitable[HttpResponse]]
 
 
 class Registry:
@@ -89,12 +89,12 @@
             shared_clock=SharedClock(time_of_day - now),
             configuration=ConfigurationCache(now),
         )
-        session_numbers = SessionNumbers(rng)
+        session_ids = SessionIdGenerator(rng)
         self.counting = CountingService(self.context, self.state)
         self.replication = Replication(self.context, self.state, self.counting)
         self.store_client = StoreClient(self.context, self.state, self.counting)
         self.sessions = LimiterSessions(
-            self.context, self.state, self.counting, self.replication, session_numbers
+            self.context, self.state, self.counting, self.replication, session_ids
         )
         self.server_heartbeats = ServerHeartbeats(self.context, self.state, self.replication)
         self.operator_api = OperatorApi(
@@ -115,8 +115,8 @@
         router.add(SnapshotRequest, self.replication.handle_snapshot)
         return router
 
-    def _make_http_routes(self) -> RouteNode[HttpCallHandler]:
-        calls: dict[str, RouteNode[HttpCallHandler] | HttpCallHandler] = {
+    def _make_http_routes(self) -> RouteNode[HttpHandler]:
+        handlers: dict[str, RouteNode[HttpHandler] | HttpHandler] = {
             "instances.heartbeat": self.server_heartbeats.handle_heartbeat,
             "instances.leave": self.server_heartbeats.handle_leave,
             "configuration.replace": self.operator_api.handle_replace,
@@ -124,8 +124,8 @@
             "system.status": self.operator_api.handle_status,
             "system.rescue": self.operator_api.handle_rescue,
         }
-        by_call: RouteNode[HttpCallHandler] = match_query("call", calls)
-        by_method: RouteNode[HttpCallHandler] = match_method({"POST": by_call})
+        by_call: RouteNode[HttpHandler] = match_query("call", handlers)
+        by_method: RouteNode[HttpHandler] = match_method({"POST": by_call})
         return match_path({"/api/rpc": by_method})
 
     async def run(self) -> None:
@@ -157,17 +157,17 @@
         """
         logging.info("registry: settings_changed node=%s applies=next_start", settings.node_name)
 
-    async def handle_http(self, method: bytes, target: bytes, body: bytes) -> HttpAnswer:
+    async def handle_http(self, method: bytes, target: bytes, body: bytes) -> HttpResponse:
         """Answers a call of a server or an operator."""
-        call = HttpCall.parse(method, target)
-        handler = self._http_routes.match(call)
+        request = HttpRequest.parse(method, target)
+        handler = self._http_routes.match(request)
         if isinstance(handler, HTTPStatus):
-            name = call.query.get("call", "")
-            return error_answer(handler, f"no call {call.method} {call.path} call={name}")
+            name = request.query.get("call", "")
+            return error_response(handler, f"no call {request.method} {request.path} call={name}")
         try:
-            return await handler(call, body)
+            return await handler(request, body)
         except BadRequestError as error:
-            return error_answer(HTTPStatus.BAD_REQUEST, str(error))
+            return error_response(HTTPStatus.BAD_REQUEST, str(error))
 
 
 def _incarnation(host: str, wall_seconds: float | None) -> str:
--- a/loomstand/registry/quota_buckets.py
+++ b/loomstand/registry/quota_buckets.py
@@ -21,7 +21,7 @@
 # The lowest bits of a counter's name tell its interval; above them stands the tenant's digest.
 INTERVAL_SLOT_BITS = 15
 # A total's lower part, below this, is use; above it stand the attempts.
-USE_MODULUS = ATTEMPT_FACTOR * ATTEMPT_FACTOR
+USAGE_MODULUS = ATTEMPT_FACTOR * ATTEMPT_FACTOR
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
         updated_at: When `level` was right.
         counter_name: Name of the running interval's counter.
         total: That counter's total when limiters last needed to hear of it.
-        changed_in: The table's revision then.
+        changed_at_revision: The table's revision then.
     """
 
     rate: float
@@ -44,7 +44,7 @@
     updated_at: float = 0.0
     counter_name: int = 0
     total: float = 0.0
-    changed_in: int = 0
+    changed_at_revision: int = 0
 
     def add(self, requests: float, now: float) -> bool:
         """Adds requests.
@@ -108,16 +108,16 @@
         if bucket is None:
             return False
         # a limiter that only reads gets the total by the answer; others know no less than before
-        use = total % USE_MODULUS
-        is_same = counter_name == bucket.counter_name and use == bucket.total % USE_MODULUS
-        if not bucket.add(step % USE_MODULUS, now) or is_same or not is_complete:
+        usage = total % USAGE_MODULUS
+        is_same = counter_name == bucket.counter_name and usage == bucket.total % USAGE_MODULUS
+        if not bucket.add(step % USAGE_MODULUS, now) or is_same or not is_complete:
             return False
         self.revision += 1
         bucket.counter_name = counter_name
         bucket.total = total
-        bucket.changed_in = self.revision
+        bucket.changed_at_revision = self.revision
         return True
 
     def changed_since(self, revision: int) -> list[UsageBucket]:
         """Returns the buckets whose total limiters needed to hear of after that revision."""
-        return [bucket for bucket in self.buckets.values() if bucket.changed_in > revision]
+        return [bucket for bucket in self.buckets.values() if bucket.changed_at_revision > revision]
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -33,11 +33,11 @@
 CREDIT_LIFETIME_SECONDS = 1.5
 CREDIT_RESERVATION_SECONDS = 2.5
 # Of what a rule lets run beyond rate and burst this share is in the buckets.
-LEEWAY_SHARE = 0.3
+CHARGED_OVERSHOOT_SHARE = 0.3
 # And this share is free at a counter that begins, whatever the one before it granted: two may begin
 # within a window. The rest is for what can't be charged: limiters that were isolated and never
 # heard, clocks that differ.
-INITIAL_LEEWAY_SHARE = 0.3
+INITIAL_FREE_OVERSHOOT_SHARE = 0.3
 # Of a bucket at most this share is held ahead, so that bursts at one limiter find some free: with
 # all of it a tenant at 25 requests a second of 40 had one in 200 refused.
 MAX_OUTSTANDING_SHARE = 0.6
@@ -50,10 +50,10 @@
 
 def bucket_depth(rate: float, burst: float, bounds: RuleBounds) -> float:
     """Returns the requests of a tenant that may come beyond its rate, as credits are charged."""
-    return max(1.0, burst) + LEEWAY_SHARE * rule_leeway(rate, burst, bounds)
+    return max(1.0, burst) + CHARGED_OVERSHOOT_SHARE * allowed_overshoot(rate, burst, bounds)
 
 
-def rule_leeway(rate: float, burst: float, bounds: RuleBounds) -> float:
+def allowed_overshoot(rate: float, burst: float, bounds: RuleBounds) -> float:
     """Returns the requests that a rule lets run in a window beyond rate x window + burst."""
     quota = rate * bounds.quota_window_seconds + burst
     return bounds.quota_overshoot * quota + bounds.quota_slack
@@ -137,7 +137,7 @@
         limiter_count: How many limiters share the quotas.
         isolated_count: How many of them are taken to be isolated.
         leak_factor: The share of its rate by which a bucket leaks now.
-        began_at: When grants began anew.
+        reset_at: When grants began anew.
         leak_time: The time by which buckets leak; it runs slower while limiters are isolated.
         updated_at: When `leak_time` was right.
     """
@@ -150,7 +150,7 @@
         self.limiter_count = 1
         self.isolated_count = 0
         self.leak_factor = 1.0 - ISOLATED_SHARE
-        self.began_at = 0.0
+        self.reset_at = 0.0
         self.leak_time = 0.0
         self.updated_at = 0.0
 
@@ -166,7 +166,7 @@
         self.term = term
         self.callers = {}
         self.updated_at = now
-        self.began_at = now
+        self.reset_at = now
         for bucket in self.buckets.values():
             bucket.outstanding = {}
             bucket.level = 0.0 if is_unused else bucket.initial_level
@@ -196,7 +196,9 @@
     ) -> CreditBucket:
         rate, burst = tenant.rate_per_second, tenant.burst_size
         depth = bucket_depth(rate, burst, self.bounds)
-        initial_level = depth - INITIAL_LEEWAY_SHARE * rule_leeway(rate, burst, self.bounds)
+        initial_level = depth - INITIAL_FREE_OVERSHOOT_SHARE * allowed_overshoot(
+            rate, burst, self.bounds
+        )
         if bucket is None:
             level = 0.0 if is_counting else initial_level
             bucket = CreditBucket(0.0, depth, initial_level, level, self.leak_time)
@@ -214,11 +216,14 @@
             now: The clock's reading.
             limiter_names: Names of the limiters with a place; callers count beside them.
         """
-        elapsed = max(0.0, now - self.updated_at)
-        all_isolated = max(0.0, elapsed - ISOLATION_SECONDS)  # nobody called for so long
+        elapsed_seconds = max(0.0, now - self.updated_at)
+        all_isolated_seconds = max(
+            0.0, elapsed_seconds - ISOLATION_SECONDS
+        )  # nobody called for so long
         isolated_factor = 1.0 - ISOLATED_SHARE
         self.leak_time += (
-            self.leak_factor * (elapsed - all_isolated) + isolated_factor * all_isolated
+            self.leak_factor * (elapsed_seconds - all_isolated_seconds)
+            + isolated_factor * all_isolated_seconds
         )
         names = {*limiter_names, *self.callers}
         callers = self.callers
@@ -237,8 +242,10 @@
         """
         if not self.isolated_count or self.is_small(bucket):
             return NO_UNREPORTED_CREDITS
-        is_new = self.updated_at - self.began_at < CREDIT_RESERVATION_SECONDS
-        inherited = self.isolated_count * bucket.depth / self.limiter_count if is_new else 0.0
+        is_recently_reset = self.updated_at - self.reset_at < CREDIT_RESERVATION_SECONDS
+        inherited = (
+            self.isolated_count * bucket.depth / self.limiter_count if is_recently_reset else 0.0
+        )
         share = ISOLATED_SHARE * bucket.rate / self.limiter_count
         return UnreportedCredits(self.isolated_count * max(1.0, share), inherited)
 
@@ -329,8 +336,8 @@
         if free < 1 or (held >= 1 and free < bucket.depth / SCARCE_DIVISOR):
             return 0.0
         if not demand.is_active and free < bucket.depth / 2:
-            is_new = self.updated_at - self.began_at <= CREDIT_RESERVATION_SECONDS
-            if held >= 1 or is_new:
+            is_recently_reset = self.updated_at - self.reset_at <= CREDIT_RESERVATION_SECONDS
+            if held >= 1 or is_recently_reset:
                 return 0.0
         if held >= 1:
             max_outstanding = MAX_OUTSTANDING_SHARE * bucket.depth
--- a/loomstand/registry/replication.py
+++ b/loomstand/registry/replication.py
@@ -30,7 +30,7 @@
 
 # Between two rounds. A server that one registry alone hears is silent for the others after three
 # heartbeats, 4.5 s as they are set.
-GOSSIP_SECONDS = 1.0
+GOSSIP_INTERVAL_SECONDS = 1.0
 # The answer to a drain or an end waits so long for the other registries; servers and
 # limiters wait a second for it.
 BROADCAST_TIMEOUT_SECONDS = 0.35
@@ -131,8 +131,8 @@
             return result.is_ok()
 
         registries = self._context.other_registries()
-        informed = 1 + sum(await asyncio.gather(*map(send, registries)))
-        return 2 * informed > 1 + len(registries)
+        informed_count = 1 + sum(await asyncio.gather(*map(send, registries)))
+        return 2 * informed_count > 1 + len(registries)
 
     async def call_others(
         self, request: Request, response_type: type[ResponseT], timeout_seconds: float
@@ -167,7 +167,7 @@
     async def run(self) -> None:
         """The maintenance loop: once a second, expires what is old and tells the others."""
         while not self._context.is_stopping:
-            await asyncio.sleep(GOSSIP_SECONDS)
+            await asyncio.sleep(GOSSIP_INTERVAL_SECONDS)
             now = self._context.clock()
             self._expire(now)
             request = self._gossip_request(now)
@@ -186,7 +186,7 @@
         if self._instances.expire(now):
             self._notifier.notify()
         self._notifier.notify_limiters(self._limiters.revision)
-        if self._shared_clock.has_stepped_lately(now):
+        if self._shared_clock.has_recently_stepped(now):
             self._notifier.notify_system_state()
 
     def _gossip_request(self, now: float) -> GossipRequest:
@@ -207,7 +207,7 @@
         pending = self._pending.pop(registry, None)
         if pending:
             request = self._with_rows(request, pending)
-        result = await self._call(registry, request, GossipResponse, GOSSIP_SECONDS)
+        result = await self._call(registry, request, GossipResponse, GOSSIP_INTERVAL_SECONDS)
         if result.is_error():
             self.add_pending(registry, pending or ())
             return
@@ -219,7 +219,7 @@
             limiter_ages = self._limiters.session_ages(self._context.clock())
             repair = msgspec.structs.replace(repair, limiter_ages=limiter_ages)
         if repair != GossipRequest():
-            await self._call(registry, repair, GossipResponse, GOSSIP_SECONDS)
+            await self._call(registry, repair, GossipResponse, GOSSIP_INTERVAL_SECONDS)
 
     def _with_rows(self, request: GossipRequest, instance_ids: Iterable[str]) -> GossipRequest:
         now = self._context.clock()
--- a/loomstand/registry/rescue.py
+++ b/loomstand/registry/rescue.py
@@ -5,7 +5,7 @@
 import json
 from http import HTTPStatus
 
-from loomstand.registry.http_answers import HttpAnswer, error_answer, json_answer
+from loomstand.registry.http_responses import HttpResponse, error_response, json_response
 from loomstand.rpc.client import call
 from loomstand.rpc.messages.rescue_messages import RescueRequest, RescueResponse
 from loomstand.rpc.network import Address, Network
@@ -31,7 +31,7 @@
     return RescueRequest(gone_hosts=[str(host) for host in gone_hosts], token=token)
 
 
-async def handle_rescue(network: Network, store: Address, body: bytes) -> HttpAnswer:
+async def handle_rescue(network: Network, store: Address, body: bytes) -> HttpResponse:
     """Forwards an operator's call to the store beside this registry.
 
     Returns:
@@ -41,11 +41,11 @@
     try:
         request = parse_rescue(body)
     except (ValueError, AttributeError, RecursionError) as error:
-        return error_answer(HTTPStatus.BAD_REQUEST, f"body: {type(error).__name__}: {error}")
+        return error_response(HTTPStatus.BAD_REQUEST, f"body: {type(error).__name__}: {error}")
     result = await call(network, store, request, RescueResponse, RESCUE_TIMEOUT_SECONDS)
     if result.is_error():
         text = f"the store beside this registry: {result.error.value}"
-        return error_answer(HTTPStatus.SERVICE_UNAVAILABLE, text)
+        return error_response(HTTPStatus.SERVICE_UNAVAILABLE, text)
     if result.ok.refusals is not None:
-        return error_answer(HTTPStatus.CONFLICT, "; ".join(result.ok.refusals))
-    return json_answer(HTTPStatus.OK, result.ok.to_wire())
+        return error_response(HTTPStatus.CONFLICT, "; ".join(result.ok.refusals))
+    return json_response(HTTPStatus.OK, result.ok.to_wire())
--- a/loomstand/registry/server_heartbeats.py
+++ b/loomstand/registry/server_heartbeats.py
@@ -12,22 +12,26 @@
 
 from loomstand.config.units import UnitError, parse_address, parse_seconds
 from loomstand.registry.context import RegistryContext, RegistryState
-from loomstand.registry.http_answers import (
-    EMPTY_ANSWER,
+from loomstand.registry.http_responses import (
+    EMPTY_RESPONSE,
     BadRequestError,
-    HttpAnswer,
-    error_answer,
+    HttpResponse,
+    error_response,
 )
-from loomstand.registry.http_routing import HttpCall
+from loomstand.registry.http_routing import HttpRequest
 from loomstand.registry.instances import DRAINING, READY, Instance
-from loomstand.registry.replication import BROADCAST_TIMEOUT_SECONDS, GOSSIP_SECONDS, Replication
+from loomstand.registry.replication import (
+    BROADCAST_TIMEOUT_SECONDS,
+    GOSSIP_INTERVAL_SECONDS,
+    Replication,
+)
 
 # A server that says it leaves ends within some seconds; a later heartbeat of it is told anew.
 DEPARTURE_RETENTION_SECONDS = 120.0
 NOT_REPLICATED = "too few registries are in reach to tell that the server leaves"
 
 
-class _FieldReader:
+class _HeartbeatParser:
     """Reads the parts of a heartbeat, and knows which one it is at."""
 
     def __init__(self) -> None:
@@ -70,7 +74,7 @@
     """
     if not instance_id:
         raise BadRequestError("of: a server's id is needed")
-    reader = _FieldReader()
+    reader = _HeartbeatParser()
     try:
         return reader.read(instance_id, body, now)
     except (ValueError, KeyError, TypeError, UnitError, RecursionError) as error:
@@ -90,40 +94,42 @@
         # by id, when more than half of the registries knew that the server leaves
         self._acknowledged_at: dict[str, float] = {}
 
-    async def handle_heartbeat(self, call: HttpCall, body: bytes) -> HttpAnswer:
+    async def handle_heartbeat(self, request: HttpRequest, body: bytes) -> HttpResponse:
         """A server is alive; a drain is acknowledged once most registries know it."""
-        instance = parse_heartbeat(call.query.get("of", ""), body, self._context.clock())
+        instance = parse_heartbeat(request.query.get("of", ""), body, self._context.clock())
         now = self._context.clock()
         self._replication.record_heartbeat(instance)
         if self._instances.apply(instance, now):
             self._context.notifier.notify()
             if instance.state != DRAINING:
-                self._context.tasks.spawn(self._replication.broadcast(instance.id, GOSSIP_SECONDS))
+                self._context.tasks.spawn(
+                    self._replication.broadcast(instance.id, GOSSIP_INTERVAL_SECONDS)
+                )
         if instance.state == DRAINING:
             return await self._acknowledge_departure(instance.id)
-        return EMPTY_ANSWER
+        return EMPTY_RESPONSE
 
-    async def handle_leave(self, call: HttpCall, _body: bytes) -> HttpAnswer:
+    async def handle_leave(self, request: HttpRequest, _body: bytes) -> HttpResponse:
         """A server has ended; the call is acknowledged once most registries know it."""
-        instance_id = call.query.get("of", "")
+        instance_id = request.query.get("of", "")
         if not instance_id:
             raise BadRequestError("of: a server's id is needed")
         if instance_id not in self._instances.by_id:
-            return EMPTY_ANSWER  # there is nothing to tell of it
+            return EMPTY_RESPONSE  # there is nothing to tell of it
         if self._instances.mark_gone(instance_id):
             self._acknowledged_at.pop(instance_id, None)  # of its drain, if it said that
             self._context.notifier.notify()
         return await self._acknowledge_departure(instance_id)
 
-    async def _acknowledge_departure(self, instance_id: str) -> HttpAnswer:
+    async def _acknowledge_departure(self, instance_id: str) -> HttpResponse:
         """Acknowledges that a server leaves, if more than half of the registries know it."""
         now = self._context.clock()
         self._forget_old_departures(now)
         if instance_id not in self._acknowledged_at:
             if not await self._replication.broadcast(instance_id, BROADCAST_TIMEOUT_SECONDS):
-                return error_answer(HTTPStatus.SERVICE_UNAVAILABLE, NOT_REPLICATED)
+                return error_response(HTTPStatus.SERVICE_UNAVAILABLE, NOT_REPLICATED)
             self._acknowledged_at[instance_id] = now
-        return EMPTY_ANSWER
+        return EMPTY_RESPONSE
 
     def _forget_old_departures(self, now: float) -> None:
         for instance_id, acknowledged_at in list(self._acknowledged_at.items()):
--- a/loomstand/registry/shared_clock.py
+++ b/loomstand/registry/shared_clock.py
@@ -57,6 +57,6 @@
         self.stepped_at = now
         return True
 
-    def has_stepped_lately(self, now: float) -> bool:
+    def has_recently_stepped(self, now: float) -> bool:
         """Returns whether limiters must hear of the clock once more."""
         return now - self.stepped_at < STEP_REPEAT_SECONDS
--- a/loomstand/registry/store_client.py
+++ b/loomstand/registry/store_client.py
@@ -196,7 +196,7 @@
 
     def _replace_configuration(self, version: int, data: bytes) -> None:
         configuration = self._configuration
-        is_change = configuration.version > 0 or configuration.was_empty_lately(
+        is_change = configuration.version > 0 or configuration.was_recently_empty(
             self._context.clock()
         )
         configuration.replace(version, data)
--- a/tests/registry/test_quota_grants.py
+++ b/tests/registry/test_quota_grants.py
@@ -205,7 +205,7 @@
                 + self.most[name].burst_size
             )
             count = max((bisect_right(at, t + 5) - bisect_left(at, t) for t in at), default=0)
-            leeway = quota_grants.rule_leeway(
+            leeway = quota_grants.allowed_overshoot(
                 self.most[name].rate_per_second, self.most[name].burst_size, BOUNDS
             )
             out[self.most[name].name] = (count - most) / leeway
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -11,7 +11,7 @@
 from loomstand.config.configuration import Tenant
 from loomstand.proxy.instance_view import InstanceView
 from loomstand.registry.counters import Counters
-from loomstand.registry.http_routing import HttpCall, match_method, match_path, match_query
+from loomstand.registry.http_routing import HttpRequest, match_method, match_path, match_query
 from loomstand.registry.instances import (
     DRAINING,
     GONE,
@@ -143,7 +143,7 @@
 )
 def test_calls_from_outside_are_found_by_a_tree_of_matchers(what, target, found):
     tree = match_path({"/api/rpc": match_method({"POST": match_query("call", {"x": "x"})})})
-    assert tree.match(HttpCall.parse(what, target)) == found
+    assert tree.match(HttpRequest.parse(what, target)) == found
 
 
 def test_the_use_of_a_server_is_what_the_registries_say_together():
