--- a/loomstand/registry/__init__.py
+++ b/loomstand/registry/__init__.py
@@ -1,29 +1,30 @@
-"""The registry: servers, limiters, the calls from outside, and the counts (docs/ARCHITECTURE.md).
+"""The registry: servers, limiters, quota counters and the HTTP API (docs/ARCHITECTURE.md).
 
-It knows servers by their heartbeats and limiters by their sessions, and counts for the quotas while
-it holds the counting lease.
+It tracks servers by their heartbeats and limiters by their sessions, and counts requests for quotas
+while it holds the counting lease.
 
-Pure modules, to which the clock's reading is given:
+Pure modules, to which the clock's reading is passed:
 
-- `instances`: the servers, with what changed since a revision
+- `instances`: the servers, and the changes since a revision
 - `limiters`: the limiters, by their sessions with the registries
 - `counters`: sums by name
-- `quota_buckets`: which tenants are near their limit
+- `quota_buckets`: the tenants that are near their limit
 - `quota_grants`: credits granted to limiters ahead of use
-- `counting_lease`: whether this registry counts, and whom it asks for that
-- `shared_clock`: the clock that names the intervals of counts
+- `counting_lease`: whether this registry holds the lease, and from which stores it requests it
+- `shared_clock`: the clock by which counting intervals are named
 - `configuration_cache`: the newest configuration that this registry knows
-- `http_routing`: which handler an HTTP call is for
+- `http_routing`: the handler of an HTTP request
+- `http_responses`: HTTP responses, and the error of an invalid request
 
-Modules that call other programs or wait, joined by `program`:
+Modules that call other programs or wait, connected by `program`:
 
-- `context`: what they share: settings, network, clock, background tasks
+- `context`: shared settings, network, clock, background tasks and soft state
 - `change_notifier`: wakes the sessions that wait for a change
-- `request_router`: which calls of limiters and other registries are refused
+- `request_router`: RPC calls of limiters and other registries, and the refusal of invalid ones
 - `limiter_sessions`: limiters' sessions
-- `replication`: what registries tell each other
+- `replication`: replication between registries
 - `counting_service`: counters and credits, under the counting lease
-- `store_client`: the store beside this registry
-- `server_heartbeats`, `operator_api`, `rescue`: the calls from outside, by HTTP
+- `store_client`: client of the store on this machine
+- `server_heartbeats`, `operator_api`, `rescue`: HTTP calls of servers and operators
 - `process`: the registry with its HTTP server
 """
--- a/loomstand/registry/__main__.py
+++ b/loomstand/registry/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m loomstand.registry`: the registry on its machine."""
+"""`python -m loomstand.registry`: runs the registry on its machine."""
 
-import loomstand.rpc.early_signals  # noqa: F401 - first, as it has to come before the long imports
+import loomstand.rpc.early_signals  # noqa: F401 - must precede the slow imports
 
 # isort: split
 from loomstand.config.settings import Settings
@@ -11,7 +11,7 @@
 
 
 async def make_registry(settings: Settings, turns: Turns) -> RegistryService:
-    """Makes the registry on real sockets."""
+    """Create a registry on real sockets."""
     return RegistryService(settings, TcpNetwork(), turns)
 
 
--- a/loomstand/registry/change_notifier.py
+++ b/loomstand/registry/change_notifier.py
@@ -1,4 +1,4 @@
-"""Wakes the sessions of limiters that wait for a change. Waits on the event loop's clock."""
+"""Notification of limiters' sessions that wait for a change, with timers of the event loop."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class ChangeNotifier:
-    """Sessions wait here, the one that waits longest first.
+    """Waiting sessions, woken in the order in which they began to wait.
 
     Attributes:
-        system_state_revision: Grows with what limiters hear beside servers: the limiters, who
-        counts, the
-            core machines, the shared clock, and whether the configuration is current.
-        is_closed: Whether the registry stops: nobody waits any more.
+        system_state_revision: Number that grows when the system state reported to limiters changes:
+            the limiters, the registry that counts, the core machines, the shared clock, and whether
+            the configuration is current.
+        is_closed: Whether the registry is stopping, so that sessions no longer wait.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -24,7 +24,7 @@
         self._waiters: dict[asyncio.Future[None], None] = {}
 
     def notify(self) -> None:
-        """Something that limiters hear of has changed."""
+        """Wake all sessions after a change."""
         waiters = self._waiters
         self._waiters = {}
         for waiter in waiters:
@@ -32,23 +32,23 @@
                 waiter.set_result(None)
 
     def notify_system_state(self) -> None:
-        """A fact has changed."""
+        """Increment the revision of the system state, and wake all sessions."""
         self.system_state_revision += 1
         self.notify()
 
     def notify_limiters(self, limiters_revision: int) -> None:
-        """Notifies if the set of limiters is another than at the last call."""
+        """Notify of the system state if the set of limiters changed since the last call."""
         if limiters_revision != self._limiters_revision:
             self._limiters_revision = limiters_revision
             self.notify_system_state()
 
     def close(self) -> None:
-        """Ends all waits."""
+        """End all waits."""
         self.is_closed = True
         self.notify()
 
     async def wait_until(self, condition: Callable[[], bool], timeout_seconds: float) -> None:
-        """Waits until the condition holds; it is looked at again at each change."""
+        """Wait until the condition holds or the time is over; each change rechecks it."""
         deadline = self._clock() + timeout_seconds
         while not condition():
             left_seconds = deadline - self._clock()
--- a/loomstand/registry/context.py
+++ b/loomstand/registry/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a registry share: the ways to others, background tasks, and the soft state."""
+"""What the parts of a registry share: settings, network, background tasks and soft state."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class BackgroundTasks:
-    """Tasks that nobody waits for; they end with their owner."""
+    """Tasks that no caller awaits; they are cancelled when their owner closes."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[object]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, object]) -> None:
-        """Starts a task."""
+        """Start a task."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """Cancels the tasks that still run, and waits for their end."""
+        """Cancel the tasks that still run, and wait for their end."""
         running = list(self._tasks)
         for task in running:
             task.cancel()
@@ -40,15 +40,15 @@
 
 @dataclass(slots=True)
 class RegistryContext:
-    """Shared by the parts of one registry.
+    """Dependencies shared by the parts of one registry.
 
     Attributes:
         settings: The machine's settings.
-        network: Carries the calls to others.
+        network: Network for the calls to other programs.
         clock: A steady clock, in seconds.
-        rng: Draws the numbers that tell this start from others.
+        rng: Source of the random numbers that distinguish this start from others.
         notifier: Wakes the sessions that wait for a change.
-        core_hosts: IP addresses of the core machines, as far as they are known, in order.
+        core_hosts: IP addresses of the known core machines, sorted.
         tasks: The background tasks.
         is_stopping: Whether the registry was asked to stop.
     """
@@ -69,27 +69,27 @@
 
     @property
     def local_store(self) -> Address:
-        """Address of the store beside this registry."""
+        """Address of the store on this machine."""
         return self.settings.store_address(self.host)
 
     def stores(self) -> list[Address]:
-        """Returns the addresses of all stores."""
+        """Return the addresses of all stores."""
         return [self.settings.store_address(host) for host in self.core_hosts]
 
     def other_registries(self) -> list[Address]:
-        """Returns the addresses of the other registries."""
+        """Return the addresses of the other registries."""
         return [
             self.settings.registry_address(host) for host in self.core_hosts if host != self.host
         ]
 
     def set_core_hosts(self, hosts: set[str]) -> None:
-        """Takes over the core machines, this one always among them."""
+        """Replace the core machines; this one is always included."""
         self.core_hosts = tuple(sorted({self.host, *hosts}))
 
 
 @dataclass(slots=True, frozen=True)
 class RegistryState:
-    """What a registry knows; none of it is on a disk.
+    """The soft state of a registry, held in memory only.
 
     Attributes:
         instances: The servers.
--- a/loomstand/registry/counters.py
+++ b/loomstand/registry/counters.py
@@ -1,43 +1,43 @@
 """Counters: sums by name, which limiters increment.
 
-Pure: the clock's reading is given, in seconds.
+Pure: the clock's reading is an argument, in seconds.
 """
 
 from __future__ import annotations
 
-# Counters held at once: a minute of five hundred tenants' intervals, some 30 MB.
+# Counters held at once: one minute of the intervals of 500 tenants, about 30 MB.
 MAX_COUNTERS = 200_000
-# Counters that began anew give no totals for so long: limiters that call often have repeated their
-# sums by then. Tried with a tenant at five times its quota, six runs, the counting registry killed
-# or frozen: of 284 requests that are allowed in 5 s 279 ran at the most with 0, 281 with 0.5, 274
-# with 0.7, 258 with 1.5.
+# Totals are marked incomplete for this time after the first increment, in which limiters that call
+# often repeat their sums. For a tenant at five times its quota, over six runs with the counting
+# registry killed or frozen, at most 279 of the 284 requests allowed in 5 s ran with 0 s, 281 with
+# 0.5 s, 274 with 0.7 s and 258 with 1.5 s.
 INCOMPLETE_SECONDS = 0.7
 
 
 class Counters:
-    """Sums that are kept as long as their last caller asked for.
+    """Sums with a retention time requested by the caller.
 
     Attributes:
-        term: Another number wherever counters begin anew.
-        complete_at: From when totals are complete; None until the first increment asks.
-        sums: By name, the sum and until when it is kept.
+        term: Random number that differs for each new set of counters.
+        complete_at: Time from which totals are complete; None until the first increment.
+        sums: By name, the sum and the time until which it is kept.
     """
 
     def __init__(self, term: int, is_successor: bool = False) -> None:
-        """Begins anew.
+        """Start an empty set of counters.
 
         Args:
-            term: The number of these counters.
-            is_successor: Whether another registry counted before, so that these counters lack what
-                limiters have not repeated. Where all programs start together, limiters have gone
-                without totals for long and needn't wait.
+            term: Number of this set of counters.
+            is_successor: Whether another registry may have counted before, so that these counters
+                lack the sums that limiters have not repeated yet. False if all programs start
+                together: limiters have been without totals for long and needn't wait.
         """
         self.term = term
         self.complete_at: float | None = None if is_successor else 0.0
         self.sums: dict[int, tuple[float, float]] = {}
 
     def add(self, name: int, step: float, retention_seconds: float, now: float) -> float:
-        """Adds to a sum and keeps it for `retention_seconds` more.
+        """Add to a sum and keep it for at least `retention_seconds` more.
 
         Returns:
             The total.
@@ -49,13 +49,13 @@
         return total
 
     def is_incomplete(self, now: float) -> bool:
-        """Returns whether totals are too low, from the first increment on."""
+        """Return whether totals may be too low; the first call starts the time."""
         if self.complete_at is None:
             self.complete_at = now + INCOMPLETE_SECONDS
         return now < self.complete_at
 
     def expire(self, now: float) -> None:
-        """Forgets the sums that nobody asked to keep longer."""
+        """Remove the sums whose retention time is over."""
         expired = [name for name, (_, kept_until) in self.sums.items() if kept_until < now]
         for name in expired:
             del self.sums[name]
--- a/loomstand/registry/counting_lease.py
+++ b/loomstand/registry/counting_lease.py
@@ -1,6 +1,6 @@
-"""The registry's side of the counting lease: whether it counts, whether it asks, and whom.
+"""The registry's side of the counting lease: when it holds or requests it, and from which stores.
 
-Pure: the clock's reading is given, in seconds.
+Pure: the clock's reading is an argument, in seconds.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from loomstand.rpc.messages.rows import CountingTermRow
 from loomstand.rpc.network import Address
 
-# Between two requests of the registry that holds the lease: a third of its length.
+# Interval between renewals by the holder: a third of the lease's length.
 RENEWAL_INTERVAL_SECONDS = 0.4
-# A term that nobody repeats makes way for a lower one after this: the store began anew.
+# A term that isn't reported for this time may be replaced by a lower one: the store was re-founded.
 TERM_EXPIRY_SECONDS = 3.0
-# After a request in vain; stores delay a request for as long as nobody serves.
+# Delay after a failed request; stores delay their answer while there is no primary.
 RETRY_SECONDS = 0.2
-# By so many numbers a term of this registry's own may be ahead of its former one, in one epoch, if
-# nobody else counted meanwhile: another holder takes two, its own and that of its release.
+# Largest step between two terms held by this registry in one epoch if no other registry counted in
+# between: another holder uses two numbers, one for its term and one for its release.
 MAX_OWN_TERM_STEPS = 3
 
 
@@ -28,7 +28,7 @@
 
     Attributes:
         epoch: Epoch of the store's primary that granted the lease.
-        number: Number of the holder under that primary.
+        number: Number of the term under that primary.
     """
 
     epoch: int
@@ -44,15 +44,16 @@
 
     Attributes:
         host: This registry's IP address.
-        incarnation: Number of this registry's start, drawn by it.
-        expires_at: Until when this registry counts.
+        incarnation: Random number drawn at this registry's start.
+        expires_at: Time at which this registry's lease ends.
         term: The newest term known.
-        observed_at: When another program last spoke of that term.
-        holder: Host that holds the lease, or may have it first; empty where any may.
-        last_holder: The last host that held it.
-        has_gap: Whether another may have counted since this one did: its counts lack some.
-        primary: Address of the store's primary, as far as it is known.
-        has_lost_primary: Whether that one didn't answer: another store may be primary.
+        observed_at: Time of the last report of that term by a store or another registry.
+        holder: Host that holds the lease or has precedence for it; empty if any host may have it.
+        last_holder: The last host that held the lease.
+        has_gap: Whether another registry may have counted since this one did, so that the counts
+            here are incomplete.
+        primary: Address of the store's primary, None if unknown.
+        has_lost_primary: Whether the primary didn't answer, so that another store may be primary.
     """
 
     host: str
@@ -67,11 +68,11 @@
     has_lost_primary: bool = False
 
     def is_held(self, now: float) -> bool:
-        """Returns whether this registry counts now."""
+        """Return whether this registry holds the lease."""
         return now < self.expires_at
 
     def observe(self, now: float, primary: Address | None, row: CountingTermRow | None) -> bool:
-        """Takes in what a store or another registry says.
+        """Apply the primary and the term that a store or another registry reports.
 
         Args:
             now: The clock's reading.
@@ -79,7 +80,7 @@
             row: The newest term, if the sender knows it.
 
         Returns:
-            Whether limiters need to hear of it.
+            Whether limiters must be notified.
         """
         if primary is not None and primary != self.primary:
             self.primary = primary
@@ -98,7 +99,7 @@
         return self.last_holder != last_holder_before
 
     def _is_uninterrupted(self, term: CountingTerm, holder: str) -> bool:
-        """Returns whether nobody else can have counted between the term known and that one."""
+        """Return whether no other registry can have counted between the known term and `term`."""
         if holder and holder != self.host:
             return False
         is_same_epoch = term.epoch == self.term.epoch
@@ -108,32 +109,32 @@
         return term == self.term or (is_same_epoch and not self.holder and steps <= 1)
 
     def may_request(self) -> bool:
-        """Returns whether it is this registry's turn to ask: nobody else holds the lease."""
+        """Return whether this registry may request the lease: no other host holds it."""
         return self.term != NO_TERM and self.holder in ("", self.host)
 
     def stores_to_ask(self, stores: list[Address]) -> list[Address]:
-        """Returns the primary; where it isn't known all stores, as each may be about to be it."""
+        """Return the primary, or all stores if it is unknown, as any may become primary."""
         if self.has_lost_primary or self.primary is None:
             return stores
         return [self.primary]
 
     def request(self, is_release: bool = False) -> CountingLeaseRequest:
-        """Returns the message by which this registry asks for the lease, or gives it back."""
+        """Return the message that requests or releases the lease."""
         return CountingLeaseRequest(
             host=self.host, incarnation=self.incarnation, is_release=is_release
         )
 
     def extend(self, sent_at: float, lease_seconds: float) -> None:
-        """Takes a grant in, which counts from the request's sending: the primary's is later."""
+        """Extend the lease from the time the request was sent; the primary counts from later."""
         self.expires_at = max(self.expires_at, sent_at + lease_seconds)
 
     def release(self) -> CountingLeaseRequest:
-        """Ends the lease here, and returns the message by which it is given back."""
+        """End the lease here, and return the message that releases it at the store."""
         self.expires_at = 0.0
         return self.request(is_release=True)
 
     def delay_seconds(self, now: float) -> float:
-        """Returns how long to wait until the next request."""
+        """Return the time to wait until the next request."""
         return (
             RENEWAL_INTERVAL_SECONDS
             if self.is_held(now) and not self.has_lost_primary
--- a/loomstand/registry/counting_service.py
+++ b/loomstand/registry/counting_service.py
@@ -1,6 +1,6 @@
-"""Counters and credits for limiters, while this registry holds the counting lease.
+"""Counters and credits for limiters, served while this registry holds the counting lease.
 
-It asks the store for the lease, renews it, and gives it back at the end.
+The service requests the lease from the store, renews it, and releases it when the registry stops.
 """
 
 from __future__ import annotations
@@ -30,23 +30,23 @@
 from loomstand.rpc.messages.session_messages import TenantTotalRow
 from loomstand.rpc.network import Address
 
-# A store answers a request for the lease within this.
+# Timeout of a lease request to a store.
 LEASE_TIMEOUT_SECONDS = 0.4
-# Bits of the numbers drawn for the lease and for each term of the counters.
+# Sizes of the random numbers for the registry's incarnation and for each term of the counters.
 INCARNATION_BITS = 32
 COUNTERS_TERM_BITS = 24
-# The refusal of a limiter's call that isn't for this registry.
+# Error text for a limiter whose call needs another registry, which holds the lease.
 NOT_COUNTING = "another counts"
 
 
 class CountingService:
-    """Counts under the lease.
+    """Counters, quota buckets and credit grants under the counting lease.
 
     Attributes:
         lease: The counting lease as this registry knows it.
-        counters: What limiters increment.
-        quota_buckets: Tells which tenants are near their limit.
-        grants: The credits granted.
+        counters: The sums that limiters increment.
+        quota_buckets: The buckets that show which tenants are near their limit.
+        grants: The credits granted to limiters.
     """
 
     def __init__(self, context: RegistryContext, state: RegistryState) -> None:
@@ -64,7 +64,7 @@
     # calls of limiters
 
     async def handle_increment(self, request: IncrementRequest) -> IncrementResponse:
-        """A limiter increments a counter."""
+        """Increment a counter for a limiter."""
         now = self._require_lease()
         counters = self.counters
         name, step = request.counter_name, request.step
@@ -77,7 +77,7 @@
         return IncrementResponse(total=total, counting_term=counters.term)
 
     async def handle_credits(self, request: CreditRequest) -> CreditResponse:
-        """A limiter tells its credits, and asks for more."""
+        """Record the credits that a limiter holds, and grant more."""
         now = self._require_lease()
         self.grants.advance(now, self._limiters.ranks)
         grants = self.grants.handle_request(request, now)
@@ -89,20 +89,20 @@
             raise CallRefusedError(NOT_COUNTING)
         return now
 
-    # what the other parts of the registry ask and tell
+    # used by the other parts of the registry
 
     def is_counting(self, now: float) -> bool:
-        """Returns whether this registry counts."""
+        """Return whether this registry holds the counting lease."""
         return self.lease.is_held(now)
 
     def own_term(self, now: float) -> CountingTermRow | None:
-        """Returns this registry's term, None if it doesn't count."""
+        """Return this registry's term, None if it doesn't hold the lease."""
         if not self.lease.is_held(now):
             return None
         return CountingTermRow(*self.lease.term, self.lease.host)
 
     def endpoint(self) -> CounterEndpointRow | None:
-        """Returns the registry that counts, None if it isn't known."""
+        """Return the address of the registry that counts, None if it is unknown."""
         holder = self.lease.last_holder
         if not holder:
             return None
@@ -110,7 +110,7 @@
         return CounterEndpointRow(*address, *self.lease.term)
 
     def totals_since(self, revision: int) -> list[TenantTotalRow]:
-        """Returns the tenants near their limit that limiters needed to hear of since."""
+        """Return the totals of tenants near their limit that changed after a revision."""
         return [
             TenantTotalRow(
                 bucket.counter_name,
@@ -121,23 +121,23 @@
         ]
 
     def update_quotas(self, tenants: Iterable[Tenant], is_change: bool) -> None:
-        """Takes other quotas over.
+        """Apply changed quotas.
 
         Args:
             tenants: The tenants of the configuration held.
-            is_change: Whether the quotas before were known, or that there were none.
+            is_change: Whether the previous quotas were known, or were known not to exist.
         """
         self.quota_buckets.update_quotas(tenants)
         is_counting = is_change and self.lease.is_held(self._context.clock())
         self.grants.update_quotas(tenants, is_counting)
 
     def expire(self, now: float) -> None:
-        """Forgets counters and credits that nobody keeps."""
+        """Remove expired counters and credits."""
         self.counters.expire(now)
         self.grants.expire(now, self._limiters.ranks)
 
     def observe_term(self, primary: Address | None, term: CountingTermRow | None) -> None:
-        """A store or another registry says who is primary and who counts."""
+        """Apply the primary and counting term that a store or another registry reports."""
         lease = self.lease
         primary_before = lease.primary
         term_before = lease.term
@@ -150,7 +150,7 @@
             self._term_changed.set()
 
     def _reset(self) -> None:
-        """Counts begin anew, as another registry may have counted."""
+        """Start with new counters and grants, as another registry may have counted."""
         now = self._context.clock()
         counters_term = self._context.rng.getrandbits(COUNTERS_TERM_BITS)
         is_successor = now > self._started_at + STARTUP_SECONDS
@@ -162,11 +162,11 @@
     # the lease
 
     def stop(self) -> None:
-        """Has `run` end, once the registry stops."""
+        """Wake `run`, which ends once the registry is stopping."""
         self._term_changed.set()
 
     async def run(self) -> None:
-        """Asks for the lease while it's this registry's turn, and gives it back at the end."""
+        """Request and renew the lease while no other host holds it; release it at the end."""
         lease = self.lease
         while not self._context.is_stopping:
             self._term_changed.clear()
@@ -184,7 +184,7 @@
             await self._release_lease()
 
     async def request_lease(self, store: Address) -> bool:
-        """Asks one store, which may be the primary or about to be it.
+        """Request the lease from one store, which may be or become the primary.
 
         Returns:
             Whether it granted the lease.
@@ -204,7 +204,7 @@
 
     async def _release_lease(self) -> None:
         request = self.lease.release()
-        # all of them: where the machine shuts down, another store is just becoming primary
+        # sent to all stores: while this machine shuts down, another store may become the primary
         releases = (
             call(self._context.network, store, request, Acknowledgement, LEASE_TIMEOUT_SECONDS)
             for store in self._context.stores()
--- a/loomstand/registry/http_responses.py
+++ b/loomstand/registry/http_responses.py
@@ -1,4 +1,4 @@
-"""Answers to the calls from outside, and the error of a call that can't be understood."""
+"""Responses to HTTP requests, and the error of an invalid request."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class BadRequestError(Exception):
-    """A call from outside can't be understood; it is answered 400 with this text."""
+    """An HTTP request is invalid; the response is 400 with this text."""
 
 
 class HttpResponse(NamedTuple):
-    """An answer.
+    """An HTTP response.
 
     Attributes:
         status: The HTTP status.
@@ -28,10 +28,10 @@
 
 
 def json_response(status: int, value: Mapping[str, object]) -> HttpResponse:
-    """Returns an answer with a JSON object."""
+    """Return a response with a JSON object."""
     return HttpResponse(status, json.dumps(value).encode())
 
 
 def error_response(status: int, text: str) -> HttpResponse:
-    """Returns an answer that says why the call isn't done."""
+    """Return a response with the reason of an error."""
     return json_response(status, {"error": text})
--- a/loomstand/registry/http_routing.py
+++ b/loomstand/registry/http_routing.py
@@ -1,4 +1,4 @@
-"""A tree of matchers: which handler an HTTP call from outside is for. Pure."""
+"""A tree of matchers that finds the handler of an HTTP request. Pure."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 HandlerT = TypeVar("HandlerT")
 
-# Fields of a query that are read; a call has two.
+# Maximum number of query fields; valid requests have two.
 MAX_QUERY_FIELDS = 100
 
 
 @dataclass(slots=True, frozen=True)
 class HttpRequest:
-    """The parts of a call that matchers and handlers look at.
+    """The parts of an HTTP request that matchers and handlers use.
 
     Attributes:
         method: The HTTP method.
@@ -30,7 +30,7 @@
 
     @classmethod
     def parse(cls, method: bytes, target: bytes) -> HttpRequest:
-        """Reads the method and the target of a request line."""
+        """Parse the method and the target of a request line."""
         path, _, raw_query = target.decode("latin-1").partition("?")
         pairs = parse_qsl(raw_query, keep_blank_values=True, max_num_fields=MAX_QUERY_FIELDS)
         query: dict[str, str] = {}
@@ -41,12 +41,12 @@
 
 @dataclass(slots=True, frozen=True)
 class RouteNode(Generic[HandlerT]):
-    """What each value of one part of a call leads to.
+    """A node that maps the value of one part of a request to a handler or another node.
 
     Attributes:
-        select: Returns the part of the call that this node looks at.
-        children: By the part's value: a handler, or the node for the next part.
-        mismatch_status: HTTP status for a call that comes here and matches no child.
+        select: Returns the part of the request that this node matches.
+        children: By the part's value, a handler or the node for the next part.
+        mismatch_status: HTTP status for a request that matches no child.
     """
 
     select: Callable[[HttpRequest], str | None]
@@ -54,7 +54,7 @@
     mismatch_status: HTTPStatus = HTTPStatus.NOT_FOUND
 
     def match(self, request: HttpRequest) -> HandlerT | HTTPStatus:
-        """Returns the call's handler, or the status that says what doesn't fit."""
+        """Return the request's handler, or the status of the part that doesn't match."""
         child = self.children.get(self.select(request) or "")
         if isinstance(child, RouteNode):
             return child.match(request)
@@ -62,17 +62,17 @@
 
 
 def match_path(children: Mapping[str, RouteNode[HandlerT] | HandlerT]) -> RouteNode[HandlerT]:
-    """Returns a node that looks at the path."""
+    """Return a node that matches the path."""
     return RouteNode(lambda request: request.path, children, HTTPStatus.NOT_FOUND)
 
 
 def match_method(children: Mapping[str, RouteNode[HandlerT] | HandlerT]) -> RouteNode[HandlerT]:
-    """Returns a node that looks at the method."""
+    """Return a node that matches the method."""
     return RouteNode(lambda request: request.method, children, HTTPStatus.METHOD_NOT_ALLOWED)
 
 
 def match_query(
     name: str, children: Mapping[str, RouteNode[HandlerT] | HandlerT]
 ) -> RouteNode[HandlerT]:
-    """Returns a node that looks at one field of the query."""
+    """Return a node that matches one field of the query."""
     return RouteNode(lambda request: request.query.get(name), children, HTTPStatus.NOT_FOUND)
--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -1,7 +1,7 @@
-"""The servers that a registry knows, by their heartbeats or by other registries.
+"""The servers that a registry knows, from their heartbeats or from other registries.
 
-Of two rows of one server the one with the higher sequence is the newer. Pure: the clock's reading
-is given, in seconds.
+Of two rows of one server, the one with the higher sequence is newer. Pure: the clock's reading is
+an argument, in seconds.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 GONE = "gone"
 STATES = (READY, DRAINING, SILENT, GONE)
 
-# The sequence of a server that is gone: nothing that it ever sent comes after it.
+# Sequence of a server that is gone, higher than that of any of its heartbeats.
 GONE_SEQUENCE = 1 << 60
-# Heartbeats that a server may miss before it counts as silent: one call may go to three registries
-# in a row at a second each, which is two heartbeats. To call a server silent wrongly costs it for a
-# second, to do so late costs some requests.
+# Heartbeats that a server may miss before it is marked silent: a heartbeat may try three registries
+# in a row with a timeout of 1 s each, which takes two heartbeat intervals. Marking a server silent
+# wrongly takes it out of use for 1 s; marking it late fails some requests.
 MAX_MISSED_HEARTBEATS = 3.0
-# The end of a server is remembered for so long: any late call of its has come by then.
+# Time for which the row of a gone server is kept, so that its late calls are recognised.
 GONE_RETENTION_SECONDS = 120.0
 MILLISECONDS_PER_SECOND = 1000
 
@@ -37,11 +37,11 @@
         address: `host:port` at which it takes requests.
         service: Name of the service it belongs to.
         zone: Name of its zone.
-        slots: Requests that it serves at once.
+        slots: Number of requests that it serves concurrently.
         state: One of `STATES`.
         sequence: Number of its latest heartbeat.
-        slow_start_until: Until when it warms up, by the clock of this process.
-        changed_at_revision: The table's revision when it last changed.
+        slow_start_until: End of its slow start, by the steady clock of this process.
+        changed_at_revision: The table's revision of its last change.
     """
 
     id: str
@@ -56,10 +56,10 @@
 
     @classmethod
     def from_row(cls, row: InstanceRow, now: float) -> Instance:
-        """Reads a row.
+        """Convert a row of a message.
 
         Raises:
-            ValueError: There is no such state.
+            ValueError: The state is unknown.
         """
         if row.state not in STATES:
             raise ValueError(f"state {row.state!r}")
@@ -75,7 +75,7 @@
         )
 
     def to_row(self, now: float) -> InstanceRow:
-        """Returns the server as other programs get it."""
+        """Return the server as a row of a message."""
         left_seconds = self.slow_start_until - now
         return InstanceRow(
             self.id,
@@ -89,7 +89,7 @@
         )
 
     def differs(self, other: Instance) -> bool:
-        """Returns whether limiters must hear of it, if `other` was known before."""
+        """Return whether the change from `other` to this must be reported to limiters."""
         compared = replace(
             other,
             sequence=self.sequence,
@@ -100,14 +100,14 @@
 
 
 class InstanceTable:
-    """The servers.
+    """The table of servers.
 
     Attributes:
-        unreachable_after_seconds: How long after its last heartbeat a server counts as silent.
-        revision: Grows with every change that limiters must hear of.
-        by_id: The servers.
-        last_heartbeat_at: By id, when a server last called any registry.
-        id_by_address: By address, the server that has it.
+        unreachable_after_seconds: Time after its last heartbeat at which a server is marked silent.
+        revision: Number that grows with every change to be reported to limiters.
+        by_id: Servers by id.
+        last_heartbeat_at: By id, the time of the server's last call to any registry.
+        id_by_address: By address, the id of the server that uses it.
     """
 
     def __init__(self, heartbeat_seconds: float) -> None:
@@ -118,18 +118,18 @@
         self.id_by_address: dict[str, str] = {}
 
     def apply(self, instance: Instance, heartbeat_at: float) -> bool:
-        """A server called, or another registry tells of it.
+        """Apply a server's heartbeat, or its row from another registry.
 
         Returns:
-            Whether limiters must hear of what changed.
+            Whether a change must be reported to limiters.
         """
         current = self.by_id.get(instance.id)
         if current is not None and instance.sequence <= current.sequence:
-            return False  # a late call
+            return False  # a delayed call
         if instance.state != SILENT:
             self._record_heartbeat_time(instance.id, heartbeat_at)
         if current is not None and not instance.differs(current):
-            # the sequence alone is kept, so that a late call is recognised
+            # keeps the sequence, so that delayed calls are recognised
             self.by_id[instance.id] = replace(current, sequence=instance.sequence)
             return False
         self.revision += 1
@@ -146,16 +146,16 @@
         holder = self.id_by_address.get(instance.address)
         if instance.state != GONE:
             if holder is not None and holder != instance.id:
-                self.mark_gone(holder)  # another server has its address, so it has ended
+                self.mark_gone(holder)  # its address is used by another server, so it has ended
             self.id_by_address[instance.address] = instance.id
         elif holder == instance.id:
             del self.id_by_address[instance.address]
 
     def mark_gone(self, instance_id: str) -> bool:
-        """A server has ended.
+        """Mark a server as ended.
 
         Returns:
-            Whether limiters must hear of it.
+            Whether the change must be reported to limiters.
         """
         current = self.by_id.get(instance_id)
         if current is None or current.state == GONE:
@@ -164,11 +164,10 @@
         return self.apply(gone, self.last_heartbeat_at.get(instance_id, 0.0))
 
     def apply_heartbeat(self, instance_id: str, sequence: int, heartbeat_at: float) -> bool:
-        """Another registry heard a heartbeat.
+        """Apply a heartbeat that another registry received.
 
         Returns:
-            Whether that is all this table needs; else the server isn't known here, or as silent,
-            and its row is needed.
+            False if the server's row is needed because the server is unknown or silent here.
         """
         current = self.by_id.get(instance_id)
         if current is None:
@@ -183,10 +182,10 @@
         return True
 
     def expire(self, now: float) -> bool:
-        """Finds the servers that have fallen silent, and forgets those that ended long ago.
+        """Mark servers without heartbeats as silent or gone, and remove those gone for long.
 
         Returns:
-            Whether limiters must hear of what changed.
+            Whether a change must be reported to limiters.
         """
         revision_before = self.revision
         for instance in list(self.by_id.values()):
@@ -210,7 +209,7 @@
             self.mark_gone(instance.id)
 
     def changed_since(self, revision: int, now: float) -> list[InstanceRow]:
-        """Returns the servers that changed after a revision."""
+        """Return the rows of the servers that changed after a revision."""
         return [
             instance.to_row(now)
             for instance in self.by_id.values()
@@ -218,7 +217,7 @@
         ]
 
     def rows(self, instance_ids: Iterable[str], now: float) -> list[InstanceRow]:
-        """Returns these servers, as far as they are known."""
+        """Return the rows of these servers, without unknown ones."""
         return [
             self.by_id[instance_id].to_row(now)
             for instance_id in instance_ids
@@ -226,14 +225,14 @@
         ]
 
     def ages(self, instance_ids: Iterable[str], now: float) -> dict[str, float]:
-        """Returns by id the seconds since these servers were heard."""
+        """Return the seconds since the last heartbeat of each of these servers, by id."""
         return {
             instance_id: now - self.last_heartbeat_at.get(instance_id, now)
             for instance_id in instance_ids
         }
 
     def count_states(self) -> dict[str, dict[str, int]]:
-        """Returns by service how many servers are in each state, without those that are gone."""
+        """Return the number of servers in each state except `gone`, by service."""
         counts: dict[str, dict[str, int]] = {}
         for instance in self.by_id.values():
             if instance.state == GONE:
--- a/loomstand/registry/limiter_sessions.py
+++ b/loomstand/registry/limiter_sessions.py
@@ -1,6 +1,7 @@
-"""Limiters' sessions: each limiter asks again and again with the revisions that it knows.
+"""Limiters' sessions: each limiter long-polls the registry with the revisions that it knows.
 
-It is answered at once with what is newer, else when something changes, or empty after a while.
+The answer comes at once if the registry has newer state, else at the next change, or without
+changes after a timeout.
 """
 
 from __future__ import annotations
@@ -21,25 +22,25 @@
     SessionResponse,
 )
 
-# A limiter's call waits so long for a change: half of what a session stands.
+# Time for which a limiter's call waits for a change: half of the session timeout.
 SESSION_POLL_SECONDS = 0.6
-# A session's number has a count in its upper bits and chance in these, so that none is that of a
-# session before this registry's start.
+# A session id has a count in its upper bits and a random number in these lower bits, so that it
+# differs from the ids of sessions before this registry's start.
 SESSION_ID_RANDOM_BITS = 16
 INITIAL_COUNT_BITS = 14
-# Revisions that a limiter knows when it opens a session.
+# Revision of a limiter that opens a session and knows nothing yet.
 NO_REVISION = -1
 
 
 class SessionIdGenerator:
-    """Numbers sessions: calls a second to every limiter are kept short by it."""
+    """Generator of session ids, which keep the frequent calls of a session short."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
         self._count = rng.getrandbits(INITIAL_COUNT_BITS)
 
     def next(self) -> int:
-        """Returns the number of a new session; it isn't one of this registry's former start."""
+        """Return the id of a new session, which none had before this registry's start."""
         self._count += 1
         return self._count << SESSION_ID_RANDOM_BITS | self._rng.getrandbits(SESSION_ID_RANDOM_BITS)
 
@@ -64,17 +65,17 @@
         self._counting = counting
         self._replication = replication
         self._session_ids = session_ids
-        self._limiter_names: dict[int, str] = {}  # by the number of their session
+        self._limiter_names: dict[int, str] = {}  # by session id
 
     async def handle_session(self, request: SessionRequest) -> SessionResponse:
-        """A limiter asks for what is newer than what it knows."""
+        """Return the state newer than the limiter's, or wait `SESSION_POLL_SECONDS` for a change."""
         is_new = request.session_id not in self._limiter_names
         if is_new:
             request = self._open_session(request)
         name = self._limiter_names[request.session_id]
         self._limiters.record_call(name, self._context.clock())
         self._notifier.notify_limiters(self._limiters.revision)
-        # where all registries started anew, the shared clock goes on by the limiters
+        # after a restart of all registries, the shared clock is restored from the limiters
         if not self._shared_clock.is_known and request.shared_clock:
             clock_seconds = request.shared_clock / TICKS_PER_SECOND
             self._shared_clock.synchronize(clock_seconds, self._context.clock())
@@ -83,13 +84,14 @@
                 lambda: self._has_changes(request), SESSION_POLL_SECONDS
             )
         now = self._context.clock()
-        # A limiter that deregistered while its call waited has left: the call's end tells nothing.
+        # The end of a call isn't recorded for a limiter that deregistered while the call waited: it
+        # would make the limiter a member again.
         if self._limiters.has_called(name):
             self._limiters.record_call(name, now)
         return self._response(request, name, is_new, now)
 
     def _open_session(self, request: SessionRequest) -> SessionRequest:
-        """Returns the request as it is with the new session, in which nothing is known."""
+        """Open a session, and return the request with its id and without known revisions."""
         name = request.limiter_name
         if name is None:
             raise CallRefusedError("no such session")
@@ -136,7 +138,7 @@
                 self._counting.totals_since(request.known_buckets) if has_totals else None
             ),
             configuration_version=version if version > request.known_configuration else None,
-            # the limiter's may be all that is left of a configuration
+            # the limiter may hold the only copy of a newer configuration
             requests_configuration=version < request.known_configuration,
         )
         if self._notifier.system_state_revision == request.known_system_state_revision:
@@ -157,7 +159,7 @@
         )
 
     async def handle_deregister(self, request: DeregisterRequest) -> Acknowledgement:
-        """A limiter ends its sessions, with all registries."""
+        """End a limiter's session here, and forward the request to the other registries."""
         name = request.limiter_name
         self._limiters.deregister(name, self._context.clock())
         self._counting.grants.release(name)
--- a/loomstand/registry/limiters.py
+++ b/loomstand/registry/limiters.py
@@ -1,7 +1,7 @@
 """The limiters that a registry knows.
 
-A limiter is a member while its session with a registry stands; the registries tell each other their
-sessions. Pure: the clock's reading is given, in seconds.
+A limiter is a member while it has a session with any registry; registries replicate their sessions
+to each other. Pure: the clock's reading is an argument, in seconds.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 from loomstand.rpc.messages.session_messages import LimiterSetRow
 
-# A session stands for so long after its last call: calls end within 0.6 s, and the next comes at
-# once. A limiter that is cut off goes on with its quota share, so for as long as nobody knows, all
-# of them are that much over a quota together.
+# Time after a limiter's last call at which its session ends. A call ends within 0.6 s and the next
+# follows at once. A limiter that is cut off keeps using its quota share, so until this timeout
+# the limiters together exceed a quota by that share.
 SESSION_TIMEOUT_SECONDS = 1.2
-# What another registry tells of a limiter that never called here is up to a second older.
+# For a limiter that never called here, another registry's report is up to 1 s older.
 REPORTED_SESSION_TIMEOUT_SECONDS = 2.4
-# A limiter that fell silent may be cut off and go on with its quota share: its place is reserved
-# for so long. Cuts of twenty seconds are usual; one that was killed is back by then, or has
-# deregistered. Limiters shrink their shares before (`proxy/quota_credits.py`).
+# Time for which a silent limiter keeps its rank and quota share, as it may be cut off and still use
+# them. Network partitions of 20 s are common; a limiter that was killed has restarted or
+# deregistered by then. Limiters reduce their shares earlier (`proxy/quota_credits.py`).
 PLACE_RETENTION_SECONDS = 30.0
 
 
@@ -26,15 +26,16 @@
     """Limiters by name.
 
     Attributes:
-        revision: Grows when the set of members, or of silent limiters, changes.
-        last_contact_at: By name, when any registry last heard the limiter.
-        last_call_at: By name, when the limiter last called this registry.
-        present: Names of the limiters whose session stands, in order.
-        silent: Names of those whose place is reserved, in order.
-        ranks: By name, the place of each, present or silent, in the order of names.
-        next_expiry_at: Until when no session can end, whoever calls meanwhile. All sessions were
-            looked at in each call of each limiter: 0.4 ms of a call at 1,000 limiters, 2 ms at
-            3,000.
+        revision: Number that grows when the set of present or of silent limiters changes.
+        last_contact_at: By name, the time of the limiter's last call to any registry.
+        last_call_at: By name, the time of the limiter's last call to this registry.
+        present: Names of the limiters with a session, sorted.
+        silent: Names of the limiters whose session ended by timeout and whose rank is reserved,
+            sorted.
+        ranks: By name, the index of each present or silent limiter in the order of names.
+        next_expiry_at: Earliest time at which a session can end, whichever limiters call before.
+            It avoids a check of all sessions in each call, which took 0.4 ms at 1,000 limiters and
+            2 ms at 3,000.
     """
 
     def __init__(self) -> None:
@@ -47,23 +48,23 @@
         self.next_expiry_at = 0.0
 
     def limiter_set(self, name: str) -> LimiterSetRow:
-        """Returns what a limiter hears of the limiters: its place, how many, how many silent."""
+        """Return a limiter's rank, the number of limiters and the number of silent ones."""
         return LimiterSetRow(self.ranks.get(name, 0), len(self.ranks), len(self.silent))
 
     def session_digest(self) -> int:
-        """Returns a number that tells whether two registries have the same limiters' sessions."""
+        """Return a checksum of the limiters with a session at this registry."""
         return crc32("\n".join(sorted(self.last_call_at)).encode())
 
     def session_ages(self, now: float) -> dict[str, float]:
-        """Returns the limiters that called here, each with the seconds since."""
+        """Return the seconds since each limiter's last call to this registry, by name."""
         return {name: now - called_at for name, called_at in self.last_call_at.items()}
 
     def has_called(self, name: str) -> bool:
-        """Returns whether a limiter called here and hasn't deregistered since."""
+        """Return whether a limiter called this registry and hasn't deregistered since."""
         return name in self.last_call_at
 
     def record_call(self, name: str, now: float) -> None:
-        """A limiter called this registry."""
+        """Record a limiter's call to this registry."""
         is_member = (
             name in self.last_call_at
             and self.ranks.get(name) is not None
@@ -75,10 +76,10 @@
             self.expire(now)
 
     def record_report(self, name: str, last_contact_at: float, now: float) -> None:
-        """Another registry heard a limiter.
+        """Record another registry's report of a limiter's last call.
 
-        Where the limiter called here too, only that counts: limiters put together what all
-        registries say.
+        It is ignored if the limiter also called this registry: limiters combine the answers of all
+        registries themselves.
         """
         if name in self.last_call_at:
             return
@@ -87,16 +88,16 @@
             self.expire(now)
 
     def deregister(self, name: str, now: float) -> None:
-        """A limiter ended its session: no place is reserved for it."""
+        """Remove a limiter that ended its session, without reserving its rank."""
         self.last_call_at.pop(name, None)
         if self.last_contact_at.pop(name, None) is not None:
             self.expire(now)
 
     def expire(self, now: float) -> None:
-        """Ends the sessions that stand no more.
+        """End the sessions that timed out, and remove limiters silent for too long.
 
-        Times of limiters that call only grow, so until the first session that may end by what is
-        known now, only a limiter that is new or was silent changes anything.
+        The times of calls only grow. Until `next_expiry_at`, therefore, only a call of a new or
+        silent limiter can change the result.
         """
         for name, last_contact_at in list(self.last_contact_at.items()):
             if now - last_contact_at > PLACE_RETENTION_SECONDS:
--- a/loomstand/registry/operator_api.py
+++ b/loomstand/registry/operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' calls: to replace and read the configuration, the status, and a rescue."""
+"""The operators' HTTP API: replacing and reading the configuration, status and rescue."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 )
 from loomstand.rpc.network import transfer_seconds
 
-# An operator gets a configuration within this.
+# Timeout of a read of the configuration.
 READ_TIMEOUT_SECONDS = 0.8
-# Bytes of configurations that are replaced at the same time: each costs twenty times its size while
-# it is read, and is kept until the store has it. Eight of 8 MB at once took this process to 330 MB
-# of its 296; so they take it to 201.
+# Total size of the configurations that are being replaced: parsing one takes 20 times its size, and
+# it is kept until the store has it. Without this limit, 8 concurrent ones of 8 MB took the process
+# to 330 MB of its 296 MB of memory; with it, to 201 MB.
 MAX_PENDING_BYTES = 12 << 20
 MILLISECONDS_PER_SECOND = 1000
 
 
 class OperatorApi:
-    """Handles the operators' calls.
+    """Handlers of the operators' calls.
 
     Attributes:
-        pending_bytes: Bytes of the configurations that wait for the store.
+        pending_bytes: Total size of the configurations that are being replaced.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.pending_bytes = 0
 
     async def handle_replace(self, _request: HttpRequest, body: bytes) -> HttpResponse:
-        """Replaces the configuration."""
+        """Replace the configuration."""
         if self.pending_bytes and self.pending_bytes + len(body) > MAX_PENDING_BYTES:
             text = "busy with other large configurations"
             return error_response(HTTPStatus.SERVICE_UNAVAILABLE, text)
@@ -89,7 +89,7 @@
         return json_response(HTTPStatus.OK, {"version": committed})
 
     async def handle_read(self, _request: HttpRequest, _body: bytes) -> HttpResponse:
-        """Returns the committed configuration."""
+        """Return the committed configuration."""
         size_bytes = len(self._state.configuration.data)
         timeout_seconds = READ_TIMEOUT_SECONDS + transfer_seconds(size_bytes)
         result = await self._store_client.forward(ReadRequest(), ReadResponse, timeout_seconds)
@@ -99,7 +99,7 @@
         return error_response(HTTPStatus.SERVICE_UNAVAILABLE, text)
 
     async def handle_status(self, _request: HttpRequest, _body: bytes) -> HttpResponse:
-        """Returns how the system stands as seen from here."""
+        """Return the status of the system as this registry sees it."""
         store = await self._store_client.status()
         now = self._context.clock()
         configuration = self._state.configuration
@@ -127,13 +127,13 @@
         return json_response(HTTPStatus.OK, msgspec.to_builtins(status))
 
     async def handle_rescue(self, _request: HttpRequest, body: bytes) -> HttpResponse:
-        """Has a lost store looked at, or founded anew."""
+        """Inspect a lost store, or re-found it."""
         return await handle_rescue(self._context.network, self._context.local_store, body)
 
     def operator_addresses(self) -> list[str]:
-        """Returns where each core machine takes these calls.
+        """Return the address at which each core machine serves this API.
 
-        The seeds are known with their ports; the others are taken to have this one's.
+        The ports of seed nodes are known; the other machines are assumed to use this one's port.
         """
         ports = dict(self._context.settings.seed_nodes)
         own_address = self._context.settings.listen_addresses.control_plane
--- a/loomstand/registry/process.py
+++ b/loomstand/registry/process.py
@@ -1,4 +1,4 @@
-"""The registry with its HTTP server, on which servers and operators call."""
+"""The registry with its HTTP server for servers and operators."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from loomstand.rpc.network import Network
 from loomstand.rpc.operator_http import OperatorHttpServer
 
-# Bytes of a call: a configuration of 24,000 routes. With it a registry or a limiter takes 160 MB of
-# some 300, a store's file 40 of its disk's 256, and a frame of ours (rpc/frames.py) holds it with
-# room to spare.
+# Largest body of a request: a configuration of 24,000 routes. With it a registry or a limiter uses
+# 160 MB of about 300 MB of memory, the store's file 40 MB of its 256 MB disk, and it fits into an
+# RPC frame (rpc/frames.py).
 MAX_BODY_BYTES = 8 << 20
-# File descriptors that aren't for calls from outside: 200 are reserved by the platform, the rest is
-# for calls between the programs.
+# File descriptors that aren't available to the HTTP server: 200 are reserved by the platform, the
+# rest is for RPC between the programs.
 RESERVED_FILE_DESCRIPTORS = 400
-# Of the machine's memory a quarter is for the buffers of calls: bytes for each MB of the limit.
+# Buffer size for HTTP requests, in bytes per MB of the memory limit: a quarter of it.
 BUFFER_BYTES_PER_MB = 1 << 18
 
 
 class RegistryService(Registry):
-    """A registry that takes the calls from outside."""
+    """A registry that serves servers and operators by HTTP."""
 
-    def __init__(  # noqa: PLR0913 - the simulation gives the last three
+    def __init__(  # noqa: PLR0913 - the simulation passes the last three
         self,
         settings: Settings,
         network: Network,
@@ -35,15 +35,15 @@
         wall_seconds: float | None = None,
         streams: Streams | None = None,
     ) -> None:
-        """Makes the HTTP server beside the registry.
+        """Create the registry and its HTTP server.
 
         Args:
             settings: The machine's settings.
-            network: Carries the calls between the programs.
-            turns: The event loop's selector, which stamps arrivals; None without one.
+            network: Network for RPC between the programs.
+            turns: The event loop's selector, which records arrival times; None without one.
             clock: A steady clock, in seconds; None for the event loop's.
-            wall_seconds: The time of day at the start; None to read it.
-            streams: Where calls don't come by real sockets.
+            wall_seconds: The time of day at the start, in seconds since the epoch; None to read it.
+            streams: Source of connections in place of real sockets; None for sockets.
         """
         loop_clock = clock or asyncio.get_running_loop().time
         super().__init__(settings, network, loop_clock, wall_seconds)
@@ -57,7 +57,7 @@
         )
 
     async def run(self) -> None:
-        """Serves until `stop`."""
+        """Serve until `stop`."""
         address = self.context.settings.listen_addresses.control_plane
         if address is None:
             raise ValueError("listen_addresses.control_plane: not set")
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -1,4 +1,4 @@
-"""The registry: joins its parts, and serves their calls."""
+"""The registry: it connects its parts and serves their calls."""
 
 from __future__ import annotations
 
@@ -51,15 +51,15 @@
     """One registry.
 
     Attributes:
-        context: What its parts share.
-        state: What it knows.
-        counting: Counts for limiters, under the counting lease.
-        replication: Tells and hears the other registries.
-        store_client: Calls the store beside it.
+        context: Dependencies shared by its parts.
+        state: Its soft state.
+        counting: Counters and credits for limiters, under the counting lease.
+        replication: Replication with the other registries.
+        store_client: Client of the store on this machine.
         sessions: The limiters' sessions.
-        server_heartbeats: Handles the servers' calls.
-        operator_api: Handles the operators' calls.
-        requests: Handles the calls of limiters and other registries.
+        server_heartbeats: Handlers of the servers' calls.
+        operator_api: Handlers of the operators' calls.
+        requests: Router of the calls of limiters and other registries.
     """
 
     def __init__(
@@ -69,13 +69,13 @@
         clock: Callable[[], float],
         wall_seconds: float | None = None,
     ) -> None:
-        """Joins the parts.
+        """Create and connect the parts.
 
         Args:
             settings: The machine's settings.
-            network: Carries the calls to and from others.
+            network: Network for the calls to and from other programs.
             clock: A steady clock, in seconds.
-            wall_seconds: The time of day at the start; None to read it.
+            wall_seconds: The time of day at the start, in seconds since the epoch; None to read it.
         """
         incarnation = _incarnation(settings.ip_address, wall_seconds)
         rng = Random(incarnation)
@@ -129,7 +129,7 @@
         return match_path({"/api/rpc": by_method})
 
     async def run(self) -> None:
-        """Serves until `stop`."""
+        """Serve until `stop`."""
         settings = self.context.settings
         address = settings.registry_address(settings.ip_address)
         await self.context.network.listen(address, self.requests.serve)
@@ -145,20 +145,20 @@
             await self.context.tasks.close()
 
     def stop(self) -> None:
-        """Has `run` end, once the counting lease is given back."""
+        """Make `run` end, after it has released the counting lease."""
         self.context.is_stopping = True
         self.context.notifier.close()
         self.counting.stop()
 
     def reload(self, settings: Settings) -> None:
-        """The settings file has changed: a registry reads it at its start alone.
+        """Log that changed settings apply at the next start only.
 
-        The seeds are where it begins; the core machines come from the store afterwards.
+        The seed nodes are needed at the start only; afterwards the store reports the core machines.
         """
         logging.info("registry: settings_changed node=%s applies=next_start", settings.node_name)
 
     async def handle_http(self, method: bytes, target: bytes, body: bytes) -> HttpResponse:
-        """Answers a call of a server or an operator."""
+        """Handle an HTTP request of a server or an operator."""
         request = HttpRequest.parse(method, target)
         handler = self._http_routes.match(request)
         if isinstance(handler, HTTPStatus):
@@ -171,7 +171,7 @@
 
 
 def _incarnation(host: str, wall_seconds: float | None) -> str:
-    """Returns a text that names this start of the registry."""
+    """Return a text that identifies this start of the registry."""
     if wall_seconds is None:
         nanoseconds = time.time_ns()
     else:
--- a/loomstand/registry/quota_buckets.py
+++ b/loomstand/registry/quota_buckets.py
@@ -1,9 +1,9 @@
-"""Which tenants are near their limit, as the counting registry sees them: limiters hear of those.
+"""The tenants that are near their limit, which the counting registry reports to all limiters.
 
-A limiter learns of the others' use by its own calls, so by its own requests. Where a tenant's
-requests are few at each of many limiters, all are blind between two of them, and each admits its
-next one: 75 limiters took one and a third request each beyond a quota that allowed 498 in five
-seconds. Pure: the clock's reading is given, in seconds.
+A limiter learns of the usage at other limiters from the answers to its own calls, which it makes
+for its own requests. If each of many limiters gets few requests of a tenant, none has a recent
+total, and each admits its next request: 75 limiters admitted 1.33 requests each beyond a quota of
+498 requests in 5 s. Pure: the clock's reading is an argument, in seconds.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from loomstand.admission.identifiers import ATTEMPT_FACTOR, stable_digest
 from loomstand.config.configuration import Tenant
 
-# A bucket is near its limit above this share of its burst. At the usual six tenths of a quota, a
-# bucket of a burst of ten requests is there now and then; at a half, what limiters admit before
-# they hear of it still fits.
+# A bucket is near its limit above this share of its burst. A tenant at 0.6 of its quota, with a
+# burst of 10 requests, exceeds the share occasionally; the other half has room for the requests
+# that limiters admit until they are notified.
 NEAR_LIMIT_SHARE = 0.5
-# The lowest bits of a counter's name tell its interval; above them stands the tenant's digest.
+# Lowest bits of a counter's name, which hold the interval's slot; above is the tenant's digest.
 INTERVAL_SLOT_BITS = 15
-# A total's lower part, below this, is use; above it stand the attempts.
+# A total modulo this value is the usage; the part above counts attempts, admitted or not.
 USAGE_MODULUS = ATTEMPT_FACTOR * ATTEMPT_FACTOR
 
 
 @dataclass(slots=True)
 class UsageBucket:
-    """A tenant's use beyond its rate, over all limiters.
+    """A tenant's usage beyond its rate, over all limiters.
 
     Attributes:
-        rate: Requests a second that leak from the bucket.
-        burst: Requests that fit into it.
-        level: Requests in it.
-        updated_at: When `level` was right.
-        counter_name: Name of the running interval's counter.
-        total: That counter's total when limiters last needed to hear of it.
-        changed_at_revision: The table's revision then.
+        rate: Requests per second that leak from the bucket.
+        burst: Requests that fit into the bucket.
+        level: Requests in the bucket.
+        updated_at: Time of the last update of `level`.
+        counter_name: Name of the counter last reported to limiters, which names its interval.
+        total: That counter's total as last reported to limiters.
+        changed_at_revision: The table's revision of that report.
     """
 
     rate: float
@@ -47,10 +47,10 @@
     changed_at_revision: int = 0
 
     def add(self, requests: float, now: float) -> bool:
-        """Adds requests.
+        """Add requests.
 
         Returns:
-            Whether the bucket is near its limit with them.
+            Whether the bucket is near its limit with these requests.
         """
         leaked = self.rate * (now - self.updated_at)
         self.level = max(0.0, self.level - leaked) + requests
@@ -59,11 +59,11 @@
 
 
 class QuotaBuckets:
-    """All tenants' buckets.
+    """The buckets of all tenants.
 
     Attributes:
-        revision: Grows with each total that limiters need to hear of.
-        buckets: By the digest of the tenant's name.
+        revision: Number that grows with each total to be reported to limiters.
+        buckets: Buckets by the digest of the tenant's name.
     """
 
     def __init__(self) -> None:
@@ -71,7 +71,7 @@
         self.buckets: dict[int, UsageBucket] = {}
 
     def update_quotas(self, tenants: Iterable[Tenant]) -> None:
-        """Takes other quotas over; what is in the buckets stays."""
+        """Apply changed quotas; the levels of existing buckets stay."""
         buckets_before = self.buckets
         self.buckets = {}
         for tenant in tenants:
@@ -84,30 +84,30 @@
             self.buckets[digest] = bucket
 
     def reset(self) -> None:
-        """Empties the buckets, as counts begin anew: limiters repeat what they added."""
+        """Empty the buckets for new counters: limiters repeat their sums."""
         for bucket in self.buckets.values():
             bucket.level = 0.0
 
     def record(
         self, counter_name: int, step: float, total: float, now: float, is_complete: bool = True
     ) -> bool:
-        """A limiter incremented a counter.
+        """Record an increment of a counter by a limiter.
 
         Args:
-            counter_name: The counter.
-            step: What was added.
-            total: Its total, the step included.
+            counter_name: Name of the counter.
+            step: The increment.
+            total: Total of the counter, including the step.
             now: The clock's reading.
-            is_complete: Whether totals are complete. Limiters would take a low one for that of a
-                counter that lost its state.
+            is_complete: Whether totals are complete. An incomplete total isn't reported: limiters
+                would take it for that of a counter that lost its state.
 
         Returns:
-            Whether all limiters must hear of it.
+            Whether all limiters must be notified.
         """
         bucket = self.buckets.get(counter_name >> INTERVAL_SLOT_BITS)
         if bucket is None:
             return False
-        # a limiter that only reads gets the total by the answer; others know no less than before
+        # a read without an increment returns the total to its caller and changes nothing for others
         usage = total % USAGE_MODULUS
         is_same = counter_name == bucket.counter_name and usage == bucket.total % USAGE_MODULUS
         if not bucket.add(step % USAGE_MODULUS, now) or is_same or not is_complete:
@@ -119,5 +119,5 @@
         return True
 
     def changed_since(self, revision: int) -> list[UsageBucket]:
-        """Returns the buckets whose total limiters needed to hear of after that revision."""
+        """Return the buckets whose total changed for limiters after that revision."""
         return [bucket for bucket in self.buckets.values() if bucket.changed_at_revision > revision]
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -1,11 +1,12 @@
-"""Grants of quota: what a limiter may admit is charged to the tenant's bucket before it is used.
-
-Shares that limiters take by themselves sum to more than the quota as soon as limiters start, are
-cut off, or another registry counts. Here the counting registry keeps each tenant's bucket, and
-grants *credits* from it: a limiter admits no more than it holds. So whatever limiters do with them,
-and whoever of them is killed, in any window there come no more than `depth` + rate x window
-requests. A counter that begins doesn't know what the one before it granted: it has nearly full
-buckets, and grants by the rate. Pure: the clock's reading is given, in seconds.
+"""Grants of quota credits: what a limiter may admit is charged to the tenant's bucket before use.
+
+Shares that limiters compute by themselves add up to more than the quota as soon as limiters start,
+are cut off, or another registry counts. Therefore the counting registry keeps a leaky bucket per
+tenant and grants *credits* from it, one per request; a limiter admits no more requests than it
+holds credits. Whatever limiters do with their credits, and whichever of them are killed, no window
+gets more than `depth` + rate x window requests. A registry that starts counting doesn't know what
+its predecessor granted: its buckets start nearly full, and it grants at the tenant's rate. Pure:
+the clock's reading is an argument, in seconds.
 """
 
 from __future__ import annotations
@@ -20,41 +21,42 @@
 from loomstand.config.settings import RuleBounds
 from loomstand.rpc.messages.quota_messages import CreditDemandRow, CreditGrantRow, CreditRequest
 
-# A limiter that doesn't reach the counter admits this share of its even part: calm tenants use some
-# six tenths of their quotas. The counter leaves as much to those that it doesn't hear; with six in
-# ten of them killed the others keep 0.64 of the rate.
+# Share of its even part of the rate that a limiter admits while it can't reach the counting
+# registry: tenants under normal load use about 0.6 of their quota. The counting registry withholds
+# the same share for each limiter that doesn't call; with 60 % of the limiters killed, the others
+# keep 0.64 of the rate.
 ISOLATED_SHARE = 0.6
-# For so long after its last answered call a limiter lives on its credits alone; the counter takes
-# it to be isolated as long after its last call. Both count from the same call, so the two shares
-# don't overlap.
+# Time after its last answered call for which a limiter admits on credits alone. The counting
+# registry treats a limiter as isolated after the same time without a call. Both count from the same
+# call, so credits and isolated share don't overlap.
 ISOLATION_SECONDS = 0.8
-# For so long after the last answered call credits are valid, and for so long the counter reserves
-# them.
+# Time after the last answered call for which a limiter may use its credits, and the longer time for
+# which the counting registry reserves them.
 CREDIT_LIFETIME_SECONDS = 1.5
 CREDIT_RESERVATION_SECONDS = 2.5
-# Of what a rule lets run beyond rate and burst this share is in the buckets.
+# Share of the allowed overshoot that is part of a bucket's depth.
 CHARGED_OVERSHOOT_SHARE = 0.3
-# And this share is free at a counter that begins, whatever the one before it granted: two may begin
-# within a window. The rest is for what can't be charged: limiters that were isolated and never
-# heard, clocks that differ.
+# Share of the allowed overshoot that is free when a registry starts counting, whatever its
+# predecessor granted: counting may move twice within a window. The rest covers requests that can't
+# be charged: those of isolated limiters that never report, and differences between clocks.
 INITIAL_FREE_OVERSHOOT_SHARE = 0.3
-# Of a bucket at most this share is held ahead, so that bursts at one limiter find some free: with
-# all of it a tenant at 25 requests a second of 40 had one in 200 refused.
+# Largest share of a bucket that limiters hold ahead of use, so that a burst at one limiter finds
+# free credits: without a maximum, a tenant at 25 requests/s of its 40 had 1 in 200 refused.
 MAX_OUTSTANDING_SHARE = 0.6
-# Buckets of less than so many credits a limiter can't be shared out ahead: such a tenant's are
-# *open* while they are less than half full, and each limiter admits one request before it tells.
+# A bucket with fewer credits per limiter can't be shared out ahead of use. It is *open* while less
+# than half full: each limiter then admits one request before it reports it.
 MIN_CREDITS_PER_LIMITER = 1.5
-# Where less of a bucket than one part in so many is free, only a limiter without a credit gets one.
+# With less than this fraction (1/8) of a bucket free, only a limiter without a credit gets one.
 SCARCE_DIVISOR = 8
 
 
 def bucket_depth(rate: float, burst: float, bounds: RuleBounds) -> float:
-    """Returns the requests of a tenant that may come beyond its rate, as credits are charged."""
+    """Return the depth of a tenant's bucket, in requests beyond its rate."""
     return max(1.0, burst) + CHARGED_OVERSHOOT_SHARE * allowed_overshoot(rate, burst, bounds)
 
 
 def allowed_overshoot(rate: float, burst: float, bounds: RuleBounds) -> float:
-    """Returns the requests that a rule lets run in a window beyond rate x window + burst."""
+    """Return the requests that the rule allows in a window beyond rate x window + burst."""
     quota = rate * bounds.quota_window_seconds + burst
     return bounds.quota_overshoot * quota + bounds.quota_slack
 
@@ -64,13 +66,13 @@
     """A tenant's bucket.
 
     Attributes:
-        rate: Requests a second that leak from it.
+        rate: Requests per second that leak from it.
         depth: Requests that fit into it.
-        initial_level: The level at a counter that begins.
-        level: Requests charged and not leaked; never under what is held at limiters, as that may be
-            used at any time.
-        updated_at: When the level was right, in the time by which buckets leak.
-        outstanding: By limiter, the credits that it holds.
+        initial_level: The level when a registry starts counting.
+        level: Requests charged and not leaked; never below the credits that limiters hold, as they
+            may be used at any time.
+        updated_at: The `leak_time` of the last update of the level.
+        outstanding: Credits held, by limiter name.
     """
 
     rate: float
@@ -81,13 +83,13 @@
     outstanding: dict[str, float] = field(default_factory=dict)
 
     def leak(self, leak_time: float, unreported: float = 0.0, inherited: float = 0.0) -> None:
-        """Leaks up to a time, but not below what limiters may have.
+        """Leak up to a time, but not below the credits that limiters may hold.
 
         Args:
-            leak_time: The time by which buckets leak.
-            unreported: What isolated limiters may have, beside what is held.
-            inherited: What may be left of an earlier counter's grants, which was in the level from
-                the first on.
+            leak_time: The time by which buckets leak, in seconds.
+            unreported: Credits that isolated limiters may hold in addition to `outstanding`.
+            inherited: Credits that may be left of an earlier counting registry's grants; the level
+                contains them from the start.
         """
         floor = min(self.depth, sum(self.outstanding.values()) + unreported)
         leaked_level = self.level - self.rate * (leak_time - self.updated_at)
@@ -97,11 +99,11 @@
 
 
 class UnreportedCredits(NamedTuple):
-    """What limiters may hold that the counter doesn't hear.
+    """Credits of one bucket that limiters may hold without having reported them.
 
     Attributes:
-        shares: Of the shares that isolated limiters take.
-        inherited: Of an earlier counter's grants, at first.
+        shares: Credits for the shares that isolated limiters use.
+        inherited: Credits that an earlier counting registry granted, in the time after a reset.
     """
 
     shares: float
@@ -113,12 +115,12 @@
 
 @dataclass(slots=True)
 class CallingLimiter:
-    """A limiter that calls for credits.
+    """A limiter that requests credits.
 
     Attributes:
-        incarnation: Number of its start, drawn by it.
-        last_call_at: When it last called.
-        last_connected_at: When it last called and wasn't isolated.
+        incarnation: Random number that the limiter drew at its start.
+        last_call_at: Time of its last call.
+        last_connected_at: Time of its last call in which it wasn't isolated.
     """
 
     incarnation: int
@@ -127,19 +129,19 @@
 
 
 class QuotaGrants:
-    """All tenants' buckets, and the limiters that call.
+    """All tenants' buckets, and the limiters that request credits.
 
     Attributes:
-        bounds: The rules that quotas are judged by.
-        term: Another number wherever grants begin anew.
-        buckets: By the digest of the tenant's name.
-        callers: By name.
-        limiter_count: How many limiters share the quotas.
-        isolated_count: How many of them are taken to be isolated.
-        leak_factor: The share of its rate by which a bucket leaks now.
-        reset_at: When grants began anew.
-        leak_time: The time by which buckets leak; it runs slower while limiters are isolated.
-        updated_at: When `leak_time` was right.
+        bounds: Limits of the rules for quotas.
+        term: Random number that changes with every reset.
+        buckets: Buckets by the digest of the tenant's name.
+        callers: Limiters that request credits, by name.
+        limiter_count: Number of limiters that share the quotas.
+        isolated_count: Number of these limiters that are treated as isolated.
+        leak_factor: Share of its rate at which a bucket leaks at present.
+        reset_at: Time of the last reset.
+        leak_time: Seconds by which buckets leak; it runs slower while limiters are isolated.
+        updated_at: Time of the last update of `leak_time`.
     """
 
     def __init__(self, bounds: RuleBounds) -> None:
@@ -155,13 +157,13 @@
         self.updated_at = 0.0
 
     def reset(self, term: int, now: float, is_unused: bool = False) -> None:
-        """Begins anew: buckets are nearly full, as the counter before may have granted all.
+        """Start a new term with nearly full buckets, as all credits may have been granted before.
 
         Args:
-            term: The number of these grants.
+            term: Number of the new term.
             now: The clock's reading.
-            is_unused: Whether there was no configuration until now, so that nobody was granted
-                anything.
+            is_unused: Whether there was no configuration until now, so that no credits were
+                granted. Buckets then start empty.
         """
         self.term = term
         self.callers = {}
@@ -173,10 +175,10 @@
             bucket.updated_at = self.leak_time
 
     def update_quotas(self, tenants: Iterable[Tenant], is_counting: bool) -> None:
-        """Takes other quotas over.
+        """Apply changed quotas.
 
-        A bucket keeps its level, at most full; one that wasn't there is empty if this registry
-        counts.
+        A bucket keeps its level, up to its new depth. A new bucket starts empty if this registry is
+        counting, else at its initial level.
         """
         buckets_before = self.buckets
         self.buckets = {}
@@ -186,7 +188,7 @@
             digest = stable_digest(tenant.name)
             bucket = buckets_before.pop(digest, None)
             self.buckets[digest] = self._updated_bucket(bucket, tenant, is_counting)
-        for digest, bucket in buckets_before.items():  # tenants that went may come back
+        for digest, bucket in buckets_before.items():  # a removed tenant may be added again
             bucket.leak(self.leak_time)
             if bucket.level > 0:
                 self.buckets[digest] = bucket
@@ -210,16 +212,14 @@
         return bucket
 
     def advance(self, now: float, limiter_names: Iterable[str]) -> None:
-        """Moves the time by which buckets leak: by the rate less what isolated limiters may take.
+        """Advance `leak_time`, slowed by the share of the rate that isolated limiters may use.
 
         Args:
             now: The clock's reading.
-            limiter_names: Names of the limiters with a place; callers count beside them.
+            limiter_names: Names of connected and silent limiters; `callers` are added to them.
         """
         elapsed_seconds = max(0.0, now - self.updated_at)
-        all_isolated_seconds = max(
-            0.0, elapsed_seconds - ISOLATION_SECONDS
-        )  # nobody called for so long
+        all_isolated_seconds = max(0.0, elapsed_seconds - ISOLATION_SECONDS)  # without any call
         isolated_factor = 1.0 - ISOLATED_SHARE
         self.leak_time += (
             self.leak_factor * (elapsed_seconds - all_isolated_seconds)
@@ -236,9 +236,9 @@
         self.leak_factor = 1.0 - ISOLATED_SHARE * self.isolated_count / self.limiter_count
 
     def unreported(self, bucket: CreditBucket) -> UnreportedCredits:
-        """Returns what limiters may hold that this counter doesn't hear.
+        """Return the credits of a bucket that limiters may hold without having reported them.
 
-        Of quotas too small to share out it would be all, and is left out.
+        Zero for a bucket too small to be shared out: the reserve would take all of it.
         """
         if not self.isolated_count or self.is_small(bucket):
             return NO_UNREPORTED_CREDITS
@@ -250,11 +250,11 @@
         return UnreportedCredits(self.isolated_count * max(1.0, share), inherited)
 
     def is_small(self, bucket: CreditBucket) -> bool:
-        """Returns whether a bucket can't be shared out ahead."""
+        """Return whether a bucket is too small to be shared out ahead of use."""
         return bucket.depth < MIN_CREDITS_PER_LIMITER * self.limiter_count
 
     def release(self, limiter_name: str) -> None:
-        """A limiter ended its session: it admits nothing any more."""
+        """Release the credits of a limiter that ended its session: it admits no more requests."""
         self.callers.pop(limiter_name, None)
         self._release_credits(limiter_name)
 
@@ -263,7 +263,7 @@
             bucket.outstanding.pop(limiter_name, None)
 
     def expire(self, now: float, limiter_names: Iterable[str]) -> None:
-        """Drops what limiters held that called long ago, and those that nobody knows any more."""
+        """Release the credits of limiters that stopped calling, and remove unknown limiters."""
         names = {*limiter_names}
         for name, caller in list(self.callers.items()):
             if now - caller.last_call_at <= CREDIT_RESERVATION_SECONDS:
@@ -273,16 +273,16 @@
                 del self.callers[name]
 
     def handle_request(self, request: CreditRequest, now: float) -> list[CreditGrantRow] | None:
-        """Takes in what a limiter holds and spent, and grants what it may have.
+        """Record the credits that a limiter holds and spent, and grant new ones.
 
         Returns:
-            The credits granted; None if it went by another term: it must tell all that it holds
-            under this one.
+            The credits granted; None if the request is of another term: the limiter must first
+            report all credits that it holds under this term.
         """
         name = request.limiter_name
         caller = self.callers.get(name)
         if caller is None or caller.incarnation != request.incarnation:
-            self._release_credits(name)  # those of its former incarnation are lost with it
+            self._release_credits(name)  # credits of its previous incarnation are lost
             caller = CallingLimiter(request.incarnation, now, now - 2 * ISOLATION_SECONDS)
             self.callers[name] = caller
         caller.last_call_at = now
@@ -308,28 +308,31 @@
         return CreditGrantRow(demand.tenant, self.grant(bucket, limiter_name, demand), 0)
 
     def is_closed(self, tenant_digest: int) -> bool:
-        """Returns whether a bucket is half full, so that nobody admits before it tells."""
+        """Return whether a bucket is half full, so that no limiter admits before it reports."""
         bucket = self.buckets.get(tenant_digest)
         return bucket is not None and bucket.level >= self.closing_level(bucket)
 
     def closing_level(self, bucket: CreditBucket) -> float:
-        """Returns the level from which a small quota's bucket is closed.
+        """Return the level from which a small quota's bucket is closed.
 
-        Where limiters are as few as the leeway, a counter that begins doesn't open it: with 12
-        limiters and two moves of the counter 48 requests ran of 4 a second and 4.
+        With no more limiters than `quota_slack` requests, a registry that starts counting doesn't
+        open the bucket: with 12 limiters and two moves of the counting lease, 48 requests ran at a
+        rate of 4 requests/s and a burst of 4.
         """
         has_few_limiters = self.limiter_count <= self.bounds.quota_slack
         return min(bucket.depth, bucket.initial_level if has_few_limiters else inf) / 2
 
     def grant(self, bucket: CreditBucket, limiter_name: str, demand: CreditDemandRow) -> float:
-        """Grants whole requests: fractions at many limiters would let nobody admit any.
+        """Grant whole credits: with fractions at many limiters, none could admit a request.
 
-        Where less than half is free, a limiter whose tenant is idle gets none while it has one, nor
-        soon after a start of all; where less than an eighth, only a limiter without any gets some;
-        where most is held, nobody gets more than its even part.
+        - Less than 1/2 free: a limiter whose tenant is idle gets no credit while it holds one, nor
+          in the first `CREDIT_RESERVATION_SECONDS` after a reset.
+        - Less than 1/8 free: only a limiter without a credit gets some.
+        - More than `MAX_OUTSTANDING_SHARE` held: a limiter that holds a credit gets at most its
+          even part.
 
         Returns:
-            The credits granted.
+            The number of credits granted.
         """
         held, wanted = demand.held, demand.wanted
         free = bucket.depth - bucket.level
--- a/loomstand/registry/replication.py
+++ b/loomstand/registry/replication.py
@@ -1,7 +1,8 @@
-"""What registries tell each other: servers and limiters that they heard, and who counts.
+"""Replication between registries: servers, limiters, the counting term and the shared clock.
 
-A change is broadcast at once; in regular rounds each registry tells what it heard since, and gets
-back what the other one lacks (anti-entropy). One that starts takes a snapshot from the others.
+A change is broadcast at once. In regular rounds each registry sends the heartbeats received since
+the last round, and gets back which rows the other one lacks (anti-entropy). A registry that starts
+takes a snapshot from the others.
 """
 
 from __future__ import annotations
@@ -28,18 +29,18 @@
 from loomstand.rpc.messages.rows import CountingTermRow, InstanceRow
 from loomstand.rpc.network import Address
 
-# Between two rounds. A server that one registry alone hears is silent for the others after three
-# heartbeats, 4.5 s as they are set.
+# Interval between two rounds. A server that calls only one registry becomes silent at the others
+# after three heartbeat intervals, which is 4.5 s at an interval of 1.5 s.
 GOSSIP_INTERVAL_SECONDS = 1.0
-# The answer to a drain or an end waits so long for the other registries; servers and
-# limiters wait a second for it.
+# Timeout of a broadcast, for which the answer to a drain or an end waits; servers and limiters wait
+# 1 s for that answer.
 BROADCAST_TIMEOUT_SECONDS = 0.35
-# A registry that starts waits so long for the others' snapshots.
+# Timeout of a snapshot request at the start.
 SNAPSHOT_TIMEOUT_SECONDS = 0.5
 
 
 class Replication:
-    """One registry's part in replicating what registries hear."""
+    """Replication of this registry's soft state to the others, and of theirs to it."""
 
     def __init__(
         self, context: RegistryContext, state: RegistryState, counting: CountingService
@@ -50,16 +51,16 @@
         self._limiters = state.limiters
         self._shared_clock = state.shared_clock
         self._counting = counting
-        # by id, the sequence of the servers that called here since the last round
+        # by id, the sequence of each server that called this registry since the last round
         self._unsent_sequences: dict[str, int] = {}
-        # By registry, the servers that it hasn't acknowledged, as where it was cut off: they go
-        # with the next rounds.
+        # By registry, the servers whose rows it hasn't acknowledged, for example while it was cut
+        # off; they are sent in the next rounds.
         self._pending: dict[Address, set[str]] = {}
 
     # calls of other registries
 
     async def handle_gossip(self, request: GossipRequest) -> GossipResponse:
-        """Another registry tells what it heard."""
+        """Apply another registry's message, and return what this registry lacks."""
         now = self._context.clock()
         ages = request.instance_ages or {}
         for row in request.instances or ():
@@ -82,7 +83,7 @@
         )
 
     async def handle_snapshot(self, _request: SnapshotRequest) -> SnapshotResponse:
-        """A registry that has just started asks for all servers."""
+        """Return all servers to a registry that has just started."""
         now = self._context.clock()
         return SnapshotResponse(
             instances=self._instances.changed_since(0, now),
@@ -107,24 +108,24 @@
     # calls to other registries
 
     def record_heartbeat(self, instance: Instance) -> None:
-        """A server called here: the others hear of it in the next round."""
+        """Note a server's heartbeat, which is sent to the others in the next round."""
         self._unsent_sequences[instance.id] = max(
             instance.sequence, self._unsent_sequences.get(instance.id, 0)
         )
 
     async def broadcast(self, instance_id: str, timeout_seconds: float) -> bool:
-        """Tells the other registries of a server that changed.
+        """Send a changed server to the other registries.
 
-        Those that aren't reached hear of it in later rounds.
+        Registries that don't answer get the row in a later round.
 
         Returns:
-            Whether more than half of the registries know of it now, this one among them.
+            Whether more than half of the registries have the row now, including this one.
         """
         rows = self._instances.rows([instance_id], self._context.clock())
         request = GossipRequest(instances=rows)
 
         async def send(registry: Address) -> bool:
-            """Sends the row to a registry, or has it sent in a later round."""
+            """Send the row to a registry, or add it to a later round."""
             result = await self._call(registry, request, GossipResponse, timeout_seconds)
             if result.is_error():
                 self.add_pending(registry, [instance_id])
@@ -137,7 +138,7 @@
     async def call_others(
         self, request: Request, response_type: type[ResponseT], timeout_seconds: float
     ) -> list[Result[ResponseT, CallFailure]]:
-        """Calls all other registries at once, and returns their answers."""
+        """Call all other registries concurrently, and return their answers."""
         calls = (
             self._call(registry, request, response_type, timeout_seconds)
             for registry in self._context.other_registries()
@@ -145,11 +146,11 @@
         return await asyncio.gather(*calls)
 
     def add_pending(self, registry: Address, instance_ids: Iterable[str]) -> None:
-        """Has a registry told of these servers in the next round."""
+        """Add these servers to the next round for a registry."""
         self._pending.setdefault(registry, set()).update(instance_ids)
 
     async def bootstrap(self) -> None:
-        """Takes over what the others know, so that nobody waits for the next heartbeats."""
+        """Apply the others' snapshots, instead of waiting for the next heartbeats."""
         results = await self.call_others(
             SnapshotRequest(), SnapshotResponse, SNAPSHOT_TIMEOUT_SECONDS
         )
@@ -165,7 +166,7 @@
             self._shared_clock.synchronize(snapshot.clock_seconds, now)
 
     async def run(self) -> None:
-        """The maintenance loop: once a second, expires what is old and tells the others."""
+        """Expire old state and send a round to the other registries, once per interval."""
         while not self._context.is_stopping:
             await asyncio.sleep(GOSSIP_INTERVAL_SECONDS)
             now = self._context.clock()
@@ -214,7 +215,7 @@
         repair = GossipRequest()
         if result.ok.unknown_instances:
             repair = self._with_rows(repair, result.ok.unknown_instances)
-        # it has no session with some limiter that has one here, or the reverse
+        # some limiter has a session with only one of the two registries
         if not result.ok.has_same_limiters:
             limiter_ages = self._limiters.session_ages(self._context.clock())
             repair = msgspec.structs.replace(repair, limiter_ages=limiter_ages)
--- a/loomstand/registry/request_router.py
+++ b/loomstand/registry/request_router.py
@@ -1,4 +1,4 @@
-"""The calls of limiters and other registries: which of them are refused."""
+"""Routing of the RPC calls of limiters and other registries, and the refusal of invalid ones."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class RequestRouter(request_router.RequestRouter):
-    """A table from operations to handlers; what can't be used is refused, and named."""
+    """A table from operations to handlers; an invalid call is refused with the reason."""
 
     def unknown_call(self, operation: str) -> str:
         """See the base class."""
         return f"no call {operation!r}"
 
     async def serve(self, operation: str, body: Body) -> Body:
-        """Answers a call.
+        """Handle a call.
 
         Raises:
-            CallRefusedError: There is no such operation, or the body can't be used.
+            CallRefusedError: The operation is unknown, or the body is invalid.
         """
         try:
             return await super().serve(operation, body)
--- a/loomstand/registry/rescue.py
+++ b/loomstand/registry/rescue.py
@@ -1,4 +1,4 @@
-"""The operators' call by which a lost store is looked at and founded anew (docs/rescue.md)."""
+"""The operators' call that inspects a lost store and re-founds it (docs/rescue.md)."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from loomstand.rpc.messages.rescue_messages import RescueRequest, RescueResponse
 from loomstand.rpc.network import Address, Network
 
-# A look, and all of a rescue at the store that is chosen.
+# Timeout of an inspection, and of a whole rescue at the chosen store.
 RESCUE_TIMEOUT_SECONDS = 5.0
 
 
 def parse_rescue(body: bytes) -> RescueRequest:
-    """Reads an operator's `{"gone": [host], "token": text}`; both may be left out.
+    """Parse an operator's `{"gone": [host], "token": text}`; both fields are optional.
 
     Raises:
         ValueError: The body isn't JSON, or a field has the wrong type.
-        AttributeError: The body isn't an object.
-        RecursionError: The body is too deep.
+        AttributeError: The body isn't a JSON object.
+        RecursionError: The body is nested too deeply.
     """
     fields = json.loads(body or b"{}")
     gone_hosts = fields.get("gone", [])
     token = fields.get("token")
     if not isinstance(gone_hosts, list) or not isinstance(token, str | None):
-        # operators get this text in the answer, as for all other bad input
+        # a ValueError, like all other invalid input: operators get its text in the response
         raise ValueError("`gone` is a list of hosts, `token` a text")  # noqa: TRY004
     return RescueRequest(gone_hosts=[str(host) for host in gone_hosts], token=token)
 
 
 async def handle_rescue(network: Network, store: Address, body: bytes) -> HttpResponse:
-    """Forwards an operator's call to the store beside this registry.
+    """Forward an operator's call to the store on this machine.
 
     Returns:
-        How the store stands, or what was founded; 409 with the reasons unless the token is that of
-        the state as it is now.
+        The state of the store, or the view that was founded; 409 with the reasons if the token
+        isn't that of the present state.
     """
     try:
         request = parse_rescue(body)
--- a/loomstand/registry/server_heartbeats.py
+++ b/loomstand/registry/server_heartbeats.py
@@ -1,8 +1,8 @@
-"""Calls of servers: their heartbeats, and their end.
+"""HTTP calls of servers: heartbeats, drains and ends.
 
-An acknowledged departure binds every proxy that is in touch with the core. So a registry that is
-cut off from the others acknowledges none: proxies that don't hear it would still send there. The
-server then asks another registry.
+After an acknowledged departure no proxy that is connected to the core may send requests to the
+server. A registry that is cut off from the others therefore acknowledges none, as proxies that only
+reach the others would still send there. The server then calls another registry.
 """
 
 from __future__ import annotations
@@ -26,19 +26,20 @@
     Replication,
 )
 
-# A server that says it leaves ends within some seconds; a later heartbeat of it is told anew.
+# Time for which an acknowledged departure isn't broadcast again. A server that leaves ends within
+# seconds; a later heartbeat of it is broadcast again.
 DEPARTURE_RETENTION_SECONDS = 120.0
 NOT_REPLICATED = "too few registries are in reach to tell that the server leaves"
 
 
 class _HeartbeatParser:
-    """Reads the parts of a heartbeat, and knows which one it is at."""
+    """Parser of a heartbeat, with the field that it is at, for error messages."""
 
     def __init__(self) -> None:
         self.field = "body"
 
     def read(self, instance_id: str, body: bytes, now: float) -> Instance:
-        """Reads a heartbeat; whatever error comes is that of `field`."""
+        """Parse a heartbeat; an error raised here concerns `field`."""
         heartbeat = json.loads(body)
         self.field = "address"
         address = str(heartbeat["address"])
@@ -62,15 +63,15 @@
 
 
 def parse_heartbeat(instance_id: str, body: bytes, now: float) -> Instance:
-    """Reads a heartbeat.
+    """Parse a heartbeat.
 
     Args:
         instance_id: Id of the server.
-        body: The call's body, in JSON.
+        body: The request's body, in JSON.
         now: The clock's reading, in seconds.
 
     Raises:
-        BadRequestError: It can't be used; the text names the field.
+        BadRequestError: The heartbeat is invalid; the text names the field.
     """
     if not instance_id:
         raise BadRequestError("of: a server's id is needed")
@@ -83,7 +84,7 @@
 
 
 class ServerHeartbeats:
-    """Handles the calls of servers, and tells the other registries."""
+    """Handlers of the servers' calls, which also replicate them to the other registries."""
 
     def __init__(
         self, context: RegistryContext, state: RegistryState, replication: Replication
@@ -91,11 +92,11 @@
         self._context = context
         self._instances = state.instances
         self._replication = replication
-        # by id, when more than half of the registries knew that the server leaves
+        # by id, the time at which more than half of the registries had the server's departure
         self._acknowledged_at: dict[str, float] = {}
 
     async def handle_heartbeat(self, request: HttpRequest, body: bytes) -> HttpResponse:
-        """A server is alive; a drain is acknowledged once most registries know it."""
+        """Apply a heartbeat; acknowledge a drain once more than half of the registries have it."""
         instance = parse_heartbeat(request.query.get("of", ""), body, self._context.clock())
         now = self._context.clock()
         self._replication.record_heartbeat(instance)
@@ -110,19 +111,19 @@
         return EMPTY_RESPONSE
 
     async def handle_leave(self, request: HttpRequest, _body: bytes) -> HttpResponse:
-        """A server has ended; the call is acknowledged once most registries know it."""
+        """Mark a server as ended; acknowledge it once more than half of the registries have it."""
         instance_id = request.query.get("of", "")
         if not instance_id:
             raise BadRequestError("of: a server's id is needed")
         if instance_id not in self._instances.by_id:
-            return EMPTY_RESPONSE  # there is nothing to tell of it
+            return EMPTY_RESPONSE  # unknown here, so nothing to replicate
         if self._instances.mark_gone(instance_id):
-            self._acknowledged_at.pop(instance_id, None)  # of its drain, if it said that
+            self._acknowledged_at.pop(instance_id, None)  # that of its drain, if any
             self._context.notifier.notify()
         return await self._acknowledge_departure(instance_id)
 
     async def _acknowledge_departure(self, instance_id: str) -> HttpResponse:
-        """Acknowledges that a server leaves, if more than half of the registries know it."""
+        """Acknowledge a server's departure if more than half of the registries have it."""
         now = self._context.clock()
         self._forget_old_departures(now)
         if instance_id not in self._acknowledged_at:
@@ -134,5 +135,5 @@
     def _forget_old_departures(self, now: float) -> None:
         for instance_id, acknowledged_at in list(self._acknowledged_at.items()):
             if now - acknowledged_at < DEPARTURE_RETENTION_SECONDS:
-                return  # the oldest come first
+                return  # the entries are in order of time
             del self._acknowledged_at[instance_id]
--- a/loomstand/registry/shared_clock.py
+++ b/loomstand/registry/shared_clock.py
@@ -1,18 +1,17 @@
-"""The limiters' shared clock as a registry knows it: it names the intervals of counts.
+"""The limiters' shared clock as a registry knows it; counting intervals are named by it.
 
-Pure: readings of the steady clock are given, in seconds.
+Pure: readings of the steady clock are arguments, in seconds.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Limiters hear of a clock that moved by more than this.
+# A step of the clock larger than this is reported to limiters.
 MIN_STEP_SECONDS = 0.005
-# Limiters hear again and again of a clock that moved, for so long: a late notification counts for
-# less with them.
+# Time for which a step is reported repeatedly: limiters give a delayed report less weight.
 STEP_REPEAT_SECONDS = 3.0
-# Limiters get the clock in ticks of a tenth of a millisecond.
+# Limiters receive the clock in ticks of 0.1 ms.
 TICKS_PER_SECOND = 1e4
 
 
@@ -21,10 +20,10 @@
     """The shared clock, as an offset from the steady clock of this process.
 
     Attributes:
-        offset_seconds: How far it is ahead of the steady clock.
-        is_known: Whether it is known to be the limiters'; else it is the time of day of this
-            machine's start, which may be off.
-        stepped_at: When it last moved, by the steady clock.
+        offset_seconds: Shared clock minus steady clock.
+        is_known: Whether limiters use this clock. Before that, the offset is the time of day of
+            this machine at the start, which may be wrong.
+        stepped_at: Time of the last step, by the steady clock.
     """
 
     offset_seconds: float
@@ -32,22 +31,22 @@
     stepped_at: float = -STEP_REPEAT_SECONDS
 
     def read(self, now: float) -> float:
-        """Returns the shared clock's reading, in seconds."""
+        """Return the shared clock's reading, in seconds."""
         return now + self.offset_seconds
 
     def ticks(self, now: float, is_counting: bool) -> int | None:
-        """Returns the reading for limiters, in ticks; None while it isn't known.
+        """Return the reading for limiters, in ticks of 0.1 ms; None while the clock is unknown.
 
-        Whoever counts first sets the clock.
+        The first registry that counts sets the clock.
         """
         self.is_known = self.is_known or is_counting
         return round(self.read(now) * TICKS_PER_SECOND) if self.is_known else None
 
     def synchronize(self, reading: float, now: float) -> bool:
-        """Takes the clock over from another program that knows it.
+        """Set the clock to the reading of another program.
 
         Returns:
-            Whether it moved.
+            Whether the step is larger than `MIN_STEP_SECONDS`.
         """
         offset_before = self.offset_seconds
         self.offset_seconds = reading - now
@@ -58,5 +57,5 @@
         return True
 
     def has_recently_stepped(self, now: float) -> bool:
-        """Returns whether limiters must hear of the clock once more."""
+        """Return whether the clock must still be reported to limiters after a step."""
         return now - self.stepped_at < STEP_REPEAT_SECONDS
--- a/loomstand/registry/store_client.py
+++ b/loomstand/registry/store_client.py
@@ -1,7 +1,7 @@
-"""The store beside this registry: its status, and the configuration that it commits.
+"""The client of the store on this machine: its status, and the configuration that it commits.
 
-The registry waits at the store for changes, forwards operators' changes to it, and gives it back a
-configuration that it has lost. Limiters fetch the configuration here.
+The registry long-polls the store for changes, forwards operators' changes to it, and offers it a
+configuration that the store has lost. Limiters fetch the configuration from the registry.
 """
 
 from __future__ import annotations
@@ -30,26 +30,26 @@
 from loomstand.rpc.network import transfer_seconds
 from loomstand.store import freshness
 
-# The store answers a status within this.
+# Timeout of a status request to the store.
 STATUS_TIMEOUT_SECONDS = 0.4
-# The store holds a request for changes back for so long.
+# Time after which the store answers a long poll without a change.
 WAIT_SECONDS = 0.8
-# A report of the store counts for so long: the length of the store's lease.
+# Validity of a report of the store: the length of the store's lease.
 REPORT_LIFETIME_SECONDS = 1.2
-# Operators wait a second for the answer to a change.
+# Timeout of a change; operators wait 1 s for the answer.
 CHANGE_TIMEOUT_SECONDS = 0.95
-# Between two attempts at a store that doesn't answer.
+# Delay between two requests to a store that doesn't answer.
 RETRY_SECONDS = 0.1
-# With less time left no further store is tried.
+# With less time left before the deadline, no further store is tried.
 MIN_ATTEMPT_SECONDS = 0.05
-# Quotas of a configuration of so many bytes are read only once the limiters had the time to fetch
-# it, and that time: to read thousands of routes takes longer here than to hand them out.
+# Size from which the quotas of a configuration are read only after a delay, in which limiters fetch
+# it: parsing thousands of routes takes the registry longer than sending them.
 LARGE_CONFIGURATION_BYTES = 500_000
 LARGE_CONFIGURATION_DELAY_SECONDS = 0.2
 
 
 class StoreClient:
-    """Calls the store."""
+    """Client of the stores, for the registry and its callers."""
 
     def __init__(
         self, context: RegistryContext, state: RegistryState, counting: CountingService
@@ -64,7 +64,7 @@
     # calls of limiters
 
     async def handle_configuration(self, request: ConfigurationRequest) -> ConfigurationResponse:
-        """A limiter fetches the configuration, compressed if it is large and the limiter can."""
+        """Return the configuration, compressed if it is large and the limiter accepts that."""
         configuration = self._configuration
         if not request.accepts_compressed or not configuration.is_compressible():
             return ConfigurationResponse(version=configuration.version, data=configuration.data)
@@ -73,7 +73,7 @@
         )
 
     async def handle_offer(self, request: OfferRequest) -> Acknowledgement:
-        """A limiter holds a newer configuration than this registry: the store may have lost it."""
+        """Forward a limiter's newer configuration to the store, which may have lost it."""
         if request.version > self._configuration.version:
             offer = OfferRequest(version=request.version, data=request.data)
             timeout_seconds = CHANGE_TIMEOUT_SECONDS + transfer_seconds(len(request.data))
@@ -85,13 +85,13 @@
     async def forward(
         self, request: Request, response_type: type[ResponseT], timeout_seconds: float
     ) -> Result[ResponseT, CallFailure]:
-        """Has the store do something that its primary does.
+        """Send a request for the primary to the store on this machine.
 
-        The store beside this registry forwards it to the primary; where that one is down, the
-        others are tried.
+        That store forwards it to the primary. If it can't have run there, the other stores are
+        tried until the timeout.
 
         Returns:
-            The answer, or what the failure proves.
+            The response, or whether the request may have run.
         """
         sent_at = self._context.clock()
         deadline = sent_at + timeout_seconds
@@ -113,12 +113,12 @@
         lease_seconds = response.lease_seconds if isinstance(response, ReadResponse) else None
         now = self._context.clock()
         if not freshness.remaining_seconds(lease_seconds, sent_at, now, timeout_seconds):
-            # this process froze meanwhile, or the answer lay in a socket
+            # this process was frozen, or the answer was delayed in a socket buffer
             return Error(CallFailure.MAY_HAVE_RUN)
         return Ok(response)
 
     async def status(self) -> StatusResponse | None:
-        """Returns the status of the store beside this registry, None if it doesn't answer."""
+        """Return the status of the store on this machine, None if it doesn't answer."""
         result = await call(
             self._context.network,
             self._context.local_store,
@@ -129,7 +129,7 @@
         return result.ok if result.is_ok() else None
 
     async def run(self) -> None:
-        """Waits at the store for changes of its status and of the configuration."""
+        """Long-poll the store for changes of its status and of the configuration."""
         answered_at = self._context.clock()
         known_revision = 0
         while not self._context.is_stopping:
@@ -155,19 +155,19 @@
             await asyncio.sleep(RETRY_SECONDS)
 
     def close(self) -> None:
-        """Ends what waits for its time."""
+        """Cancel the delayed update of quotas."""
         if self._quota_timer is not None:
             self._quota_timer.cancel()
 
     def _expire_report(self, answered_at: float) -> None:
-        """The store doesn't answer: it may be cut off, as far as is known here."""
+        """Treat the configuration as possibly outdated once the store's last report expired."""
         is_silent = self._context.clock() - answered_at >= REPORT_LIFETIME_SECONDS
         if self._configuration.is_reported_current and is_silent:
             self._configuration.is_reported_current = False
             self._notifier.notify_system_state()
 
     def _apply_status(self, status: WaitResponse, sent_at: float) -> None:
-        """Takes in what the store says of itself, to a request sent at that time."""
+        """Apply the store's response to a request that was sent at `sent_at`."""
         configuration = self._configuration
         configuration.report_expires_at = sent_at + WAIT_SECONDS + REPORT_LIFETIME_SECONDS
         if status.version > configuration.version and isinstance(status.data, bytes):
@@ -175,7 +175,7 @@
         if status.version == 0 == configuration.version and status.is_ready and status.primary:
             configuration.confirmed_empty_at = self._context.clock()
         if status.version < configuration.version and not self._is_offering:
-            # the store has lost it, and may be the one that is asked what is left
+            # the store has lost it, and may be asked by a rescue which configuration is left
             self._is_offering = True
             self._context.tasks.spawn(self._offer())
         self._counting.observe_term(status.primary, status.counting_term)
@@ -210,13 +210,14 @@
         self._notifier.notify()
 
     def _update_quotas(self, is_change: bool) -> None:
-        """Takes over the quotas of the configuration held.
+        """Apply the quotas of the configuration held.
 
-        `is_change`: the one before it was known, or that there was none.
+        Args:
+            is_change: Whether the previous configuration was known, or was known not to exist.
         """
         try:
             configuration = self._configuration.parse(self._configuration.data)
-        except ConfigurationError as error:  # it was checked before it was stored: our own fault
+        except ConfigurationError as error:  # a defect: it was validated before it was stored
             logging.error(
                 "registry: configuration_unusable version=r%d error=%s",
                 self._configuration.version,
@@ -226,9 +227,9 @@
         self._counting.update_quotas(configuration.tenants or (), is_change)
 
     async def _offer(self) -> None:
-        """Gives the store beside this registry the configuration held.
+        """Offer the configuration held to the store on this machine.
 
-        The store doesn't know it to be committed.
+        The store doesn't know that this version was committed.
         """
         configuration = self._configuration
         request = OfferRequest(version=configuration.version, data=configuration.data)
--- a/loomstand/registry/system_status.py
+++ b/loomstand/registry/system_status.py
@@ -1,6 +1,6 @@
-"""How the system stands as seen from one registry, for operators. No API key is in it.
+"""The status of the system as one registry sees it, for operators. It contains no API keys.
 
-Operators get it as JSON with the names given here; versions are texts as `r7`.
+Operators get it as JSON with the field names given here; versions are texts such as `r7`.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 
 class CountingStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Who counts.
+    """The counting lease.
 
     Attributes:
-        holder: Host of the registry that counts, if it is known.
-        is_local: Whether the registry that answers counts.
-        lease_left: For how long still, as `914ms`.
+        holder: Host of the registry that counts, None if unknown.
+        is_local: Whether the registry that answers holds the lease.
+        lease_left: Time left of its lease, such as `914ms`.
     """
 
     holder: str | None = msgspec.field(name="by")
@@ -42,8 +42,8 @@
     """The limiters, by name.
 
     Attributes:
-        present: Those whose session stands.
-        silent: Those whose place is reserved.
+        present: Limiters with a session.
+        silent: Limiters whose session timed out and whose rank is reserved.
     """
 
     present: list[str]
@@ -51,16 +51,16 @@
 
 
 class StoreStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """What the store beside the registry says.
+    """The status of the store on the registry's machine.
 
     Attributes:
         version: Version of the committed configuration.
         epoch: Epoch of the newest view.
-        primary: Address of its primary, if it is in reach.
-        backup: Address of its backup, if there is one.
+        primary: Address of the view's primary, None if it isn't reachable.
+        backup: Address of the view's backup, if there is one.
         is_ready: Whether the store knows the newest configuration.
-        conflict_count: Changes refused since its start, as their version stands for another
-            content.
+        conflict_count: Changes refused since the store's start, as their version was taken by
+            different content.
     """
 
     version: str
@@ -72,17 +72,17 @@
 
 
 class SystemStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """How the system stands.
+    """The status of the system.
 
     Attributes:
         node_name: Name of the registry's node.
-        incarnation: Names this start of the registry.
+        incarnation: Text that identifies this start of the registry.
         configuration: The configuration held.
-        counting: Who counts.
+        counting: The counting lease.
         limiters: The limiters.
-        servers: By service, how many servers are in each state.
-        operator_addresses: Where each core machine takes operators' calls.
-        store: The store beside the registry, None if it doesn't answer.
+        servers: Number of servers in each state, by service.
+        operator_addresses: Address of each core machine for operators' calls.
+        store: Status of the store on this machine, None if it doesn't answer.
     """
 
     node_name: str = msgspec.field(name="name")
@@ -96,7 +96,7 @@
 
 
 def store_status(response: StatusResponse) -> StoreStatus:
-    """Returns what operators get of a store's answer."""
+    """Return the part of a store's answer that operators get."""
     return StoreStatus(
         version=f"r{response.version}",
         epoch=response.epoch,
