--- a/loomstand/registry/limiter_sessions.py
+++ b/loomstand/registry/limiter_sessions.py
@@ -68,7 +68,7 @@
         self._limiter_names: dict[int, str] = {}  # by session id
 
     async def handle_session(self, request: SessionRequest) -> SessionResponse:
-        """Return the state newer than the limiter's, or wait `SESSION_POLL_SECONDS` for a change."""
+        """Return state newer than the limiter's, or wait `SESSION_POLL_SECONDS` for a change."""
         is_new = request.session_id not in self._limiter_names
         if is_new:
             request = self._open_session(request)
--- a/tests/registry/test_instances.py
+++ b/tests/registry/test_instances.py
@@ -1,6 +1,4 @@
-"""Servers' heartbeats, drains and ends, between registries that were cut off from each other for a
-while.
-"""
+"""Heartbeats, drains and ends of servers while the registries are partitioned, and after."""
 
 from __future__ import annotations
 
@@ -12,97 +10,97 @@
 
 
 @pytest.fixture
-def town():
+def cluster():
     made = Cluster(11)
     made.do(made.begin())
     yield made
     made.close()
 
 
-def states(town: Cluster, id_: str) -> list[str]:
-    """What each registry holds of a server."""
-    return [town.registry(ip).state.instances.by_id[id_].state for ip in town.core_ips]
+def states(cluster: Cluster, id_: str) -> list[str]:
+    """The state of a server at each registry."""
+    return [cluster.registry(ip).state.instances.by_id[id_].state for ip in cluster.core_ips]
 
 
-def cut_off(town: Cluster) -> str:
+def cut_off(cluster: Cluster) -> str:
     """Cuts a registry's machine off from the other core machines; servers still reach it."""
-    alone = town.core_ips[1]
-    town.sky.apart([alone], [ip for ip in town.core_ips if ip != alone])
-    return alone
+    isolated = cluster.core_ips[1]
+    cluster.sky.apart([isolated], [ip for ip in cluster.core_ips if ip != isolated])
+    return isolated
 
 
-async def leaves_in_a_cut(town: Cluster, ends: bool) -> str:
-    """A server's drain, and its end if `ends`, are acknowledged by a registry that a third one
-    doesn't hear. After the cut the server speaks to the same one.
+async def leave_during_a_partition(cluster: Cluster, ends: bool) -> str:
+    """Drains a server, and ends it if `ends`. Both are acknowledged by a registry that can't reach
+    a third one. After the partition the server calls the same registry.
     """
-    server = town.servers["alpha"][0]
-    cut_off(town)
+    server = cluster.servers["alpha"][0]
+    cut_off(cluster)
     server.core = 0
     _, (acked_by, _) = await server.drain()
-    assert acked_by == town.core_ips[0]
+    assert acked_by == cluster.core_ips[0]
     if ends:
         await server.leave()
     return server.id
 
 
-def heal(town: Cluster) -> None:
-    """The cut ends; what it held up is lost, as their senders gave up those connections."""
-    town.sky.held.clear()
-    town.sky.mend()
-    town.wait(2.5)
+def heal(cluster: Cluster) -> None:
+    """Ends the partition; delayed messages are lost, as their senders closed the connections."""
+    cluster.sky.held.clear()
+    cluster.sky.mend()
+    cluster.wait(2.5)
 
 
 @pytest.mark.parametrize("ends", [False, True])
-def test_a_drain_or_an_end_that_a_registry_missed_in_a_cut_reaches_it_within_two_rounds_after(
-    town, ends
+def test_a_drain_or_an_end_missed_in_a_partition_is_replicated_within_two_rounds_after(
+    cluster, ends
 ):
-    id_ = town.do(leaves_in_a_cut(town, ends))
+    id_ = cluster.do(leave_during_a_partition(cluster, ends))
     wanted = GONE if ends else DRAINING
-    town.wait(0.5)
-    assert states(town, id_).count(wanted) == 2  # the third can't know
-    heal(town)
-    assert states(town, id_) == [wanted] * len(town.core_ips)
+    cluster.wait(0.5)
+    assert states(cluster, id_).count(wanted) == 2  # the third is cut off
+    heal(cluster)
+    assert states(cluster, id_) == [wanted] * len(cluster.core_ips)
 
 
 @pytest.mark.parametrize("ends", [False, True])
-def test_it_is_caught_where_what_others_missed_is_not_kept(town, monkeypatch, ends):
-    """The mutation: a registry tells of a server once, and forgets whom it didn't reach."""
+def test_a_missed_drain_or_end_is_not_replicated_without_pending_rows(cluster, monkeypatch, ends):
+    """Mutation: a registry sends a change once, and not again to registries that missed it."""
     monkeypatch.setattr(Replication, "add_pending", lambda *_: None)
-    id_ = town.do(leaves_in_a_cut(town, ends))
-    heal(town)
-    assert states(town, id_).count(GONE if ends else DRAINING) == 2
+    id_ = cluster.do(leave_during_a_partition(cluster, ends))
+    heal(cluster)
+    assert states(cluster, id_).count(GONE if ends else DRAINING) == 2
 
 
 @pytest.mark.parametrize("times", [1, 3])
-def test_a_registry_that_is_cut_off_acknowledges_no_drain_however_often_it_is_asked(town, times):
-    """Proxies that are in touch with the others may not hear of it: they would still send there.
+def test_a_registry_that_is_cut_off_acknowledges_no_drain_however_often_it_is_asked(cluster, times):
+    """Proxies that only reach the other registries would still send requests to the server.
 
-    An acknowledgement binds them all, so the server has to ask a registry that can tell them.
+    The server has to call a registry that can replicate the drain to them.
     """
-    server = town.servers["alpha"][0]
-    alone = cut_off(town)
+    server = cluster.servers["alpha"][0]
+    isolated = cut_off(cluster)
     server.state = "draining"
-    server.cores = [(alone, port) for ip, port in town.controls if ip == alone]
-    assert [town.do(server.beat()) for _ in range(times)] == [False] * times
-    assert states(town, server.id).count(DRAINING) == 1
-    server.cores = [*town.controls]
-    _, (acked_by, _) = town.do(server.drain())
-    assert acked_by != alone
-    assert states(town, server.id) == [DRAINING] * len(town.core_ips)
-
-
-def test_a_registry_that_is_cut_off_acknowledges_no_end(town):
-    server = town.servers["alpha"][0]
-    server.core = town.core_ips.index(cut_off(town))
-    assert not town.do(server.tell(f"instances.leave&of={server.id}", b""))
-    heal(town)
-    assert town.do(server.tell(f"instances.leave&of={server.id}", b""))
-    assert states(town, server.id) == [GONE] * len(town.core_ips)
-
-
-def test_a_drain_is_acknowledged_while_one_core_machine_of_three_is_lost(town):
-    server = town.servers["alpha"][0]
-    town.registries[town.core_ips[2]].kill()
+    server.cores = [(isolated, port) for ip, port in cluster.controls if ip == isolated]
+    assert [cluster.do(server.beat()) for _ in range(times)] == [False] * times
+    assert states(cluster, server.id).count(DRAINING) == 1
+    server.cores = [*cluster.controls]
+    _, (acked_by, _) = cluster.do(server.drain())
+    assert acked_by != isolated
+    assert states(cluster, server.id) == [DRAINING] * len(cluster.core_ips)
+
+
+def test_a_registry_that_is_cut_off_acknowledges_no_end(cluster):
+    server = cluster.servers["alpha"][0]
+    server.core = cluster.core_ips.index(cut_off(cluster))
+    assert not cluster.do(server.tell(f"instances.leave&of={server.id}", b""))
+    heal(cluster)
+    assert cluster.do(server.tell(f"instances.leave&of={server.id}", b""))
+    assert states(cluster, server.id) == [GONE] * len(cluster.core_ips)
+
+
+def test_a_drain_is_acknowledged_while_one_core_machine_of_three_is_lost(cluster):
+    server = cluster.servers["alpha"][0]
+    cluster.registries[cluster.core_ips[2]].kill()
     server.core = 0
-    _, (acked_by, _) = town.do(server.drain())
-    assert acked_by == town.core_ips[0]
+    _, (acked_by, _) = cluster.do(server.drain())
+    assert acked_by == cluster.core_ips[0]
--- a/tests/registry/test_limiter_sessions.py
+++ b/tests/registry/test_limiter_sessions.py
@@ -11,20 +11,20 @@
 
 @pytest.fixture
 def cluster() -> Iterator[Cluster]:
-    made = Cluster(1, proxies=4)
-    made.do(made.begin())
-    yield made
-    made.close()
+    started = Cluster(1, proxies=4)
+    started.do(started.begin())
+    yield started
+    started.close()
 
 
 @pytest.mark.parametrize("registries", [1, 2, 3])
-def test_a_limiter_that_deregistered_is_no_member_any_more(cluster, registries):
-    """A limiter that stops in order has a call in flight at each registry: it waits for a change.
+def test_a_deregistered_limiter_is_no_longer_a_member(cluster, registries):
+    """Guards against a deregistered limiter that becomes a member again.
 
-    Its deregistration is such a change. The call then ended as any other: by taking note that the
-    limiter had called, for a caller that had left. So it was a member again, and its place was kept
-    for 30 s, in which the others' quota shares were too small. Where several registries answered,
-    the deregistration that they forward to each other came later and hid it.
+    A limiter has a long poll in flight at each registry, which its deregistration ends. If the end
+    of that call is recorded as contact with the limiter, its rank is reserved for 30 s, in which
+    the others' quota shares are too small. With several registries, the deregistration that they
+    forward to each other arrives later and hides the fault.
     """
     cluster.wait(1.0)
     lost = cluster.core_ips[registries:]
--- a/tests/registry/test_program.py
+++ b/tests/registry/test_program.py
@@ -8,7 +8,7 @@
 from loomstand.testing.simulation.cluster import Cluster
 
 
-def test_background_tasks_end_with_their_owner():
+def test_background_tasks_are_cancelled_when_their_owner_closes():
     ended: list[str] = []
 
     async def work(name: str, seconds: float) -> None:
@@ -31,7 +31,7 @@
     assert ended == ["short done", "long cancelled"]
 
 
-def test_a_registry_whose_settings_file_changes_goes_on_as_it_is():
+def test_a_registry_ignores_changed_settings_until_its_next_start():
     cluster = Cluster(4, proxies=1)
     cluster.do(cluster.begin())
     registry = cluster.registry(cluster.core_ips[0])
--- a/tests/registry/test_quota_grants.py
+++ b/tests/registry/test_quota_grants.py
@@ -1,5 +1,5 @@
-"""Credits of quota: no worse than the rule in any window, whatever befalls limiters and the
-counter.
+"""Quota credits: no window exceeds the quota rule, whatever faults occur at limiters and at the
+counting registry (here: the counter).
 """
 
 from __future__ import annotations
@@ -22,76 +22,102 @@
 from loomstand.testing.simulation.cluster import Cluster
 
 BOUNDS = Cluster(1, 1, 1, 1).settings("10.1.0.1").bounds
-STEP = 0.02  # s; a call takes one there and one back
-WITHIN = 0.3  # s after which a call without an answer has failed
+STEP_SECONDS = 0.02  # simulation step; a response arrives one step after its request
+CALL_TIMEOUT_SECONDS = 0.3  # a call without an answer fails after this time
 
 
-Troubles = tuple[tuple[float, str], ...]
-ANY: Troubles = ()
+Faults = tuple[tuple[float, str], ...]
+RANDOM_FAULTS: Faults = ()
 
 
-def granted(counter: QuotaGrants, request: CreditRequest, now: float) -> CreditResponse:
-    """The counter's answer to a request for credits."""
+def credit_response(counter: QuotaGrants, request: CreditRequest, now: float) -> CreditResponse:
+    """The counter's response to a request for credits."""
     return CreditResponse(grant_term=counter.term, grants=counter.handle_request(request, now))
 
 
 class Limiter:
-    """One that takes all that it may while its tenants are hot, or as much as chance brings."""
+    """A limiter and the state of its calls to the counter."""
 
     def __init__(
-        self, name: str, life: int, tenants: dict[int, Tenant], many: int, now: float
+        self,
+        name: str,
+        incarnation: int,
+        tenants: dict[int, Tenant],
+        limiter_count: int,
+        now: float,
     ) -> None:
         self.name = name
-        self.credits = QuotaCredits(BOUNDS, life, now)
-        self.credits.set_limiter_count(many)
+        self.credits = QuotaCredits(BOUNDS, incarnation, now)
+        self.credits.set_limiter_count(limiter_count)
         self.credits.update_quotas(tenants)
-        self.next, self.waits, self.sent = now, False, 0.0
-        self.up, self.hears, self.heard = True, True, True
+        self.next_call_at, self.is_waiting, self.sent_at = now, False, 0.0
+        self.is_running, self.receives_answers, self.calls_arrive = True, True, True
 
 
-class Play:
-    """Limiters and their counter over `length` seconds, with an adversary; `ran` by tenant."""
+class CreditSimulation:
+    """Limiters and their counter under faults; `admitted_at` has the admission times by tenant."""
 
-    def __init__(self, seed: int, many: int, quotas: list[tuple[float, float]]) -> None:
-        self.rng, self.many, self.now, self.lives = Random(seed), many, 0.0, 0
+    def __init__(self, seed: int, limiter_count: int, quotas: list[tuple[float, float]]) -> None:
+        self.rng, self.limiter_count, self.now, self.start_count = (
+            Random(seed),
+            limiter_count,
+            0.0,
+            0,
+        )
         self.tenants = {
             stable_digest(f"t{n}"): Tenant(f"t{n}", (), 1, r, b) for n, (r, b) in enumerate(quotas)
         }
-        self.most = dict(self.tenants)
-        self.names = [f"l{n}" for n in range(many)]
+        self.highest_quotas = dict(self.tenants)
+        self.names = [f"l{n}" for n in range(limiter_count)]
         self.counter: QuotaGrants | None = QuotaGrants(BOUNDS)
         self.counter.update_quotas(self.tenants.values(), False)
         self.counter.reset(1, 0.0, is_unused=True)
-        self.numbers, self.there_at, self.moves = 1, 0.0, list[float]()
-        self.limiters = [self.born(name) for name in self.names]
-        self.ran: dict[int, list[float]] = {name: [] for name in self.tenants}
-        self.mail: list[tuple[float, Limiter, CreditResponse | None]] = []
-        self.due: list[tuple[float, Limiter, str]] = []
-
-    def born(self, name: str) -> Limiter:
-        self.lives += 1
-        return Limiter(name, self.lives, self.tenants, self.many, self.now)
-
-    def some(self, low: float, high: float) -> list[Limiter]:
-        return self.rng.sample(self.limiters, round(self.rng.uniform(low, high) * self.many))
-
-    def befall(self, what: str) -> None:
-        if what == "herd":
-            for limiter in self.some(0.3, 0.6):
-                limiter.up = False
-                self.due.append((self.now + self.rng.choice((0.1, 1.0, 3.0)), limiter, "start"))
-        elif what == "roll":
-            for n, limiter in enumerate(self.some(0.6, 1.0)):
-                self.due.append((self.now + 0.35 * n * min(1.0, 8 / self.many), limiter, "restart"))
-        elif what in ("cut", "deaf"):  # calls arrive, or don't; answers don't
-            for limiter in self.some(0.1, 0.5) if self.troubles is ANY else self.some(0.5, 0.5):
-                limiter.hears, limiter.heard = False, what == "deaf"
-                lasts = self.rng.choice((0.3, 1.0, 4.0, 22.0)) if self.troubles is ANY else 22.0
-                self.due.append((self.now + lasts, limiter, "join"))
-        elif what == "move" and self.counter and sum(m > self.now - 5 for m in self.moves) < 2:
-            self.counter, self.there_at = None, self.now + self.rng.choice((0.3, 1.0, 2.0))
-            self.moves.append(self.now)
-        elif what == "lower":
+        self.last_term, self.counter_ready_at, self.moved_at = 1, 0.0, list[float]()
+        self.limiters = [self.start_limiter(name) for name in self.names]
+        self.admitted_at: dict[int, list[float]] = {name: [] for name in self.tenants}
+        self.responses: list[tuple[float, Limiter, CreditResponse | None]] = []
+        self.scheduled: list[tuple[float, Limiter, str]] = []
+
+    def start_limiter(self, name: str) -> Limiter:
+        self.start_count += 1
+        return Limiter(name, self.start_count, self.tenants, self.limiter_count, self.now)
+
+    def sample_limiters(self, low: float, high: float) -> list[Limiter]:
+        return self.rng.sample(
+            self.limiters, round(self.rng.uniform(low, high) * self.limiter_count)
+        )
+
+    def inject(self, kind: str) -> None:
+        if kind == "crash":
+            for limiter in self.sample_limiters(0.3, 0.6):
+                limiter.is_running = False
+                self.scheduled.append(
+                    (self.now + self.rng.choice((0.1, 1.0, 3.0)), limiter, "start")
+                )
+        elif kind == "rolling_restart":
+            for n, limiter in enumerate(self.sample_limiters(0.6, 1.0)):
+                self.scheduled.append(
+                    (self.now + 0.35 * n * min(1.0, 8 / self.limiter_count), limiter, "restart")
+                )
+        elif kind in ("partition", "lose_answers"):  # answers are lost; calls only in a partition
+            for limiter in (
+                self.sample_limiters(0.1, 0.5)
+                if self.faults is RANDOM_FAULTS
+                else self.sample_limiters(0.5, 0.5)
+            ):
+                limiter.receives_answers, limiter.calls_arrive = False, kind == "lose_answers"
+                duration = (
+                    self.rng.choice((0.3, 1.0, 4.0, 22.0)) if self.faults is RANDOM_FAULTS else 22.0
+                )
+                self.scheduled.append((self.now + duration, limiter, "heal"))
+        elif (
+            kind == "move_counter"
+            and self.counter
+            and sum(m > self.now - 5 for m in self.moved_at) < 2
+        ):
+            self.counter, self.counter_ready_at = None, self.now + self.rng.choice((0.3, 1.0, 2.0))
+            self.moved_at.append(self.now)
+        elif kind == "lower_quota":
             name = self.rng.choice([*self.tenants])
             old = self.tenants[name]
             self.tenants[name] = Tenant(
@@ -100,247 +126,273 @@
             if self.counter:
                 self.counter.update_quotas(self.tenants.values(), True)
             for limiter in self.limiters:
-                if limiter.up and limiter.hears:
+                if limiter.is_running and limiter.receives_answers:
                     limiter.credits.update_quotas(self.tenants)
 
-    def tick(self) -> None:
-        due, self.due = self.due, []
-        for at, limiter, what in due:
+    def apply_scheduled(self) -> None:
+        scheduled, self.scheduled = self.scheduled, []
+        for at, limiter, kind in scheduled:
             if at > self.now:
-                self.due.append((at, limiter, what))
-            elif what == "join":
-                limiter.hears = limiter.heard = True
+                self.scheduled.append((at, limiter, kind))
+            elif kind == "heal":
+                limiter.receives_answers = limiter.calls_arrive = True
                 limiter.credits.update_quotas(self.tenants)
-            elif limiter in self.limiters and (what == "restart" or not limiter.up):
-                limiter.up = False
-                self.limiters[self.limiters.index(limiter)] = self.born(limiter.name)
-        if self.counter is None and self.now >= self.there_at:
-            self.numbers += 1
+            elif limiter in self.limiters and (kind == "restart" or not limiter.is_running):
+                limiter.is_running = False
+                self.limiters[self.limiters.index(limiter)] = self.start_limiter(limiter.name)
+        if self.counter is None and self.now >= self.counter_ready_at:
+            self.last_term += 1
             self.counter = QuotaGrants(BOUNDS)
             self.counter.update_quotas(self.tenants.values(), False)
-            self.counter.reset(self.numbers, self.now)
+            self.counter.reset(self.last_term, self.now)
 
-    def calls(self, limiter: Limiter) -> None:
+    def send_request(self, limiter: Limiter) -> None:
         credits = limiter.credits
-        if limiter.waits or self.now < limiter.next:
+        if limiter.is_waiting or self.now < limiter.next_call_at:
             return
-        limiter.waits, limiter.sent = True, self.now
+        limiter.is_waiting, limiter.sent_at = True, self.now
         request = credits.build_request(limiter.name, self.now)
         answer = None
-        if self.counter is not None and limiter.heard:
+        if self.counter is not None and limiter.calls_arrive:
             counter = self.counter
             counter.advance(self.now, self.names)
-            answer = granted(counter, request, self.now)
-        if answer is None or not limiter.hears:
-            self.mail.append((self.now + WITHIN, limiter, None))
+            answer = credit_response(counter, request, self.now)
+        if answer is None or not limiter.receives_answers:
+            self.responses.append((self.now + CALL_TIMEOUT_SECONDS, limiter, None))
         else:
-            self.mail.append((self.now + STEP, limiter, answer))
+            self.responses.append((self.now + STEP_SECONDS, limiter, answer))
 
-    def answers(self) -> None:
-        mail, self.mail = self.mail, []
-        for at, limiter, answer in mail:
+    def deliver_responses(self) -> None:
+        responses, self.responses = self.responses, []
+        for at, limiter, answer in responses:
             if at > self.now:
-                self.mail.append((at, limiter, answer))
+                self.responses.append((at, limiter, answer))
                 continue
-            limiter.waits, limiter.next = False, self.now + 0.1
-            if answer is not None and limiter.hears:
-                more = limiter.credits.apply_response(limiter.sent, self.now, answer)
-                short = any(limiter.credits.needs_request(name, self.now) for name in self.tenants)
-                limiter.next = self.now + (0.0 if more else STEP if short else 0.4)
+            limiter.is_waiting, limiter.next_call_at = False, self.now + 0.1
+            if answer is not None and limiter.receives_answers:
+                more = limiter.credits.apply_response(limiter.sent_at, self.now, answer)
+                needs_more = any(
+                    limiter.credits.needs_request(name, self.now) for name in self.tenants
+                )
+                limiter.next_call_at = self.now + (
+                    0.0 if more else STEP_SECONDS if needs_more else 0.4
+                )
 
-    def serve(self, hot: bool) -> None:
+    def admit_requests(self, hot: bool) -> None:
+        """Offers each limiter more requests of each tenant than it may admit if `hot`, else random
+        requests at 0.6 of the quotas.
+        """
         for limiter in self.limiters:
-            if not limiter.up:
+            if not limiter.is_running:
                 continue
             for name, tenant in self.tenants.items():
-                asked = (
+                requested = (
                     40
                     if hot
-                    else self.rng.random() < 0.6 * tenant.rate_per_second * STEP / self.many
+                    else self.rng.random()
+                    < 0.6 * tenant.rate_per_second * STEP_SECONDS / self.limiter_count
                 )
-                for _ in range(int(asked)):
+                for _ in range(int(requested)):
                     if not limiter.credits.may_admit(name, self.now):
                         break
                     limiter.credits.consume(name, self.now)
-                    self.ran[name].append(self.now)
-                if limiter.credits.needs_request(name, self.now) and not limiter.waits:
-                    limiter.next = min(limiter.next, self.now)
-            self.calls(limiter)
-
-    def play(self, length: float, troubles: Troubles) -> Play:
-        """`troubles`: at what time what befalls, and when all tenants turn hot and cool; ANY draws
-        them.
+                    self.admitted_at[name].append(self.now)
+                if limiter.credits.needs_request(name, self.now) and not limiter.is_waiting:
+                    limiter.next_call_at = min(limiter.next_call_at, self.now)
+            self.send_request(limiter)
+
+    def run(self, length: float, faults: Faults) -> CreditSimulation:
+        """Simulates `length` seconds. `faults` has times and kinds of faults, and the times at
+        which all tenants exceed their quotas ("hot") or stop that ("cool"); with RANDOM_FAULTS all
+        of these are drawn.
         """
-        self.troubles = troubles
-        coming, turns = list(troubles), 2.0
-        hot, befalls = False, 3.0
+        self.faults = faults
+        upcoming, next_toggle_at = list(faults), 2.0
+        hot, next_fault_at = False, 3.0
         while self.now < length:
-            self.now += STEP
-            if troubles is ANY and self.now >= befalls:
-                befalls += self.rng.expovariate(1 / 0.7)
-                self.befall(
-                    self.rng.choice(("herd", "roll", "cut", "cut", "deaf", "move", "lower", "none"))
+            self.now += STEP_SECONDS
+            if faults is RANDOM_FAULTS and self.now >= next_fault_at:
+                next_fault_at += self.rng.expovariate(1 / 0.7)
+                self.inject(
+                    self.rng.choice(
+                        (
+                            "crash",
+                            "rolling_restart",
+                            "partition",
+                            "partition",
+                            "lose_answers",
+                            "move_counter",
+                            "lower_quota",
+                            "none",
+                        )
+                    )
                 )
-            if troubles is ANY and self.now >= turns:
-                hot, turns = not hot, turns + self.rng.choice((1.0, 3.0, 6.0))
-            while coming and self.now >= coming[0][0]:
-                _, what = coming.pop(0)
-                hot = {"hot": True, "cool": False}.get(what, hot)
-                self.befall(what)
-            self.tick()
-            self.answers()
-            if self.counter is not None and self.now % 1.0 < STEP:
+            if faults is RANDOM_FAULTS and self.now >= next_toggle_at:
+                hot, next_toggle_at = not hot, next_toggle_at + self.rng.choice((1.0, 3.0, 6.0))
+            while upcoming and self.now >= upcoming[0][0]:
+                _, kind = upcoming.pop(0)
+                hot = {"hot": True, "cool": False}.get(kind, hot)
+                self.inject(kind)
+            self.apply_scheduled()
+            self.deliver_responses()
+            if self.counter is not None and self.now % 1.0 < STEP_SECONDS:
                 self.counter.expire(self.now, self.names)
-            self.serve(hot)
+            self.admit_requests(hot)
         return self
 
-    def worst(self) -> dict[str, float]:
-        """By tenant the share of the leeway that the worst window used: 1 is what the rule
-        allows.
+    def worst_overshoot(self) -> dict[str, float]:
+        """By tenant, the share of the allowed overshoot that the worst window used; the rule
+        allows 1.
         """
-        out = {}
-        for name, at in self.ran.items():
-            most = (
-                self.most[name].rate_per_second * BOUNDS.quota_window_seconds
-                + self.most[name].burst_size
+        shares = {}
+        for name, times in self.admitted_at.items():
+            quota = (
+                self.highest_quotas[name].rate_per_second * BOUNDS.quota_window_seconds
+                + self.highest_quotas[name].burst_size
             )
-            count = max((bisect_right(at, t + 5) - bisect_left(at, t) for t in at), default=0)
-            leeway = quota_grants.allowed_overshoot(
-                self.most[name].rate_per_second, self.most[name].burst_size, BOUNDS
+            count = max(
+                (bisect_right(times, t + 5) - bisect_left(times, t) for t in times), default=0
             )
-            out[self.most[name].name] = (count - most) / leeway
-        return out
+            overshoot = quota_grants.allowed_overshoot(
+                self.highest_quotas[name].rate_per_second,
+                self.highest_quotas[name].burst_size,
+                BOUNDS,
+            )
+            shares[self.highest_quotas[name].name] = (count - quota) / overshoot
+        return shares
 
 
 SMALL = (12, [(4, 4), (15, 15), (60, 60), (60, 120), (200, 100), (200, 400)])
 LARGE = (85, [(60, 150), (120, 120), (360, 360)])
-HERDS = ((6.0, "hot"), *((8.0 + 0.8 * n, "herd") for n in range(5)))
-LOWERED = ((6.0, "hot"), *((7.0 + 0.2 * n, "lower") for n in range(12)))
+REPEATED_CRASHES = ((6.0, "hot"), *((8.0 + 0.8 * n, "crash") for n in range(5)))
+REPEATED_LOWERING = ((6.0, "hot"), *((7.0 + 0.2 * n, "lower_quota") for n in range(12)))
 
 
 @pytest.mark.parametrize(
     ("size", "seed"), [(SMALL, n) for n in range(10)] + [(LARGE, n) for n in range(2)]
 )
-def test_no_window_of_a_hot_tenant_is_over_its_quota_whatever_befalls(size, seed):
-    """Herds, rolls, cuts both ways and one way, counters that move, lower quotas; all take what
-    they may.
+def test_no_window_exceeds_the_quota_rule_under_random_faults(size, seed):
+    """Crashes, rolling restarts, partitions, lost answers, moves of the counter and lower quotas;
+    limiters admit all that they may.
     """
-    many, quotas = size
-    play = Play(seed, many, quotas).play(24.0, ANY)
-    assert max(play.worst().values()) <= 1
+    limiter_count, quotas = size
+    simulation = CreditSimulation(seed, limiter_count, quotas).run(24.0, RANDOM_FAULTS)
+    assert max(simulation.worst_overshoot().values()) <= 1
     assert all(
-        len(at) > 0.2 * 24 * play.tenants[name].rate_per_second for name, at in play.ran.items()
+        len(times) > 0.2 * 24 * simulation.tenants[name].rate_per_second
+        for name, times in simulation.admitted_at.items()
     )
 
 
-def uncharged(monkeypatch) -> None:
-    """Credits count once they are used, as parts did."""
+def charge_on_use(monkeypatch) -> None:
+    """Mutation: credits are charged when they are used instead of when they are granted."""
     grant = QuotaGrants.grant
 
-    def free(self, bucket, *more):
+    def grant_uncharged(self, bucket, *more):
         granted = grant(self, bucket, *more)
         bucket.level -= granted
         return granted
 
-    monkeypatch.setattr(QuotaGrants, "grant", free)
+    monkeypatch.setattr(QuotaGrants, "grant", grant_uncharged)
 
 
-def rich(monkeypatch) -> None:
-    """A limiter that starts has its part of the bucket."""
+def start_with_even_part(monkeypatch) -> None:
+    """Mutation: a limiter starts with its even part of the bucket."""
     update_quotas = QuotaCredits.update_quotas
 
-    def start(self, quotas):
-        new = not self.tenants
+    def update_and_grant(self, quotas):
+        is_new = not self.tenants
         update_quotas(self, quotas)
-        for credit in self.tenants.values() if new else ():
+        for credit in self.tenants.values() if is_new else ():
             credit.granted = credit.bucket_depth / self.limiter_count
 
-    monkeypatch.setattr(QuotaCredits, "update_quotas", start)
+    monkeypatch.setattr(QuotaCredits, "update_quotas", update_and_grant)
 
 
-def unheard(monkeypatch) -> None:
-    """The counter leaves nothing to limiters that it doesn't hear."""
+def reserve_nothing_for_isolated(monkeypatch) -> None:
+    """Mutation: the counter withholds nothing for isolated limiters."""
     monkeypatch.setattr(quota_grants, "ISOLATED_SHARE", 0.0)
 
 
-def deaf(monkeypatch) -> None:
-    """A limiter that calls is taken to hear the answers."""
+def ignore_isolation(monkeypatch) -> None:
+    """Mutation: a limiter whose calls arrive isn't treated as isolated."""
     handle_request = QuotaGrants.handle_request
 
-    def heard(self, request, now):
+    def handle_as_connected(self, request, now):
         return handle_request(self, msgspec.structs.replace(request, is_isolated=False), now)
 
-    monkeypatch.setattr(QuotaGrants, "handle_request", heard)
+    monkeypatch.setattr(QuotaGrants, "handle_request", handle_as_connected)
 
 
-def emptied(monkeypatch) -> None:
-    """A counter that begins takes nothing to have been granted."""
+def start_with_empty_buckets(monkeypatch) -> None:
+    """Mutation: a new counter assumes that no credits were granted before."""
     reset = QuotaGrants.reset
     monkeypatch.setattr(
         QuotaGrants, "reset", lambda self, *given, **_: reset(self, *given[:2], True)
     )
 
 
-def relearnt(monkeypatch) -> None:
-    """Buckets of other quotas begin anew."""
+def reset_levels_on_change(monkeypatch) -> None:
+    """Mutation: a change of quotas resets the levels of buckets."""
     update_quotas = QuotaGrants.update_quotas
 
-    def afresh(self, tenants, is_counting):
+    def update_and_reset(self, tenants, is_counting):
         update_quotas(self, tenants, is_counting)
         for bucket in self.buckets.values():
             bucket.level = sum(bucket.outstanding.values())
 
-    monkeypatch.setattr(QuotaGrants, "update_quotas", afresh)
+    monkeypatch.setattr(QuotaGrants, "update_quotas", update_and_reset)
 
 
 @pytest.mark.parametrize(
-    ("troubles", "mutant"),
+    ("faults", "mutate"),
     [
-        (HERDS, uncharged),
-        (HERDS, rich),
-        (((6.0, "cut"), (9.0, "hot")), unheard),
-        (((6.0, "deaf"), (9.0, "hot")), deaf),
-        (((6.0, "hot"), (7.0, "move"), (9.0, "move")), emptied),
-        (LOWERED, relearnt),
+        (REPEATED_CRASHES, charge_on_use),
+        (REPEATED_CRASHES, start_with_even_part),
+        (((6.0, "partition"), (9.0, "hot")), reserve_nothing_for_isolated),
+        (((6.0, "lose_answers"), (9.0, "hot")), ignore_isolation),
+        (((6.0, "hot"), (7.0, "move_counter"), (9.0, "move_counter")), start_with_empty_buckets),
+        (REPEATED_LOWERING, reset_levels_on_change),
     ],
 )
-def test_each_defence_is_needed(troubles, mutant, monkeypatch):
-    def worst() -> float:
+def test_each_safeguard_is_necessary(faults, mutate, monkeypatch):
+    def worst_overshoot() -> float:
         return max(
-            max(Play(seed, *SMALL).play(15.0, troubles).worst().values()) for seed in range(2)
+            max(CreditSimulation(seed, *SMALL).run(15.0, faults).worst_overshoot().values())
+            for seed in range(2)
         )
 
-    assert worst() <= 1
-    mutant(monkeypatch)
-    assert worst() > 1
+    assert worst_overshoot() <= 1
+    mutate(monkeypatch)
+    assert worst_overshoot() > 1
 
 
-# --- step by step
+# --- single steps
 
 ANN = Tenant("ann", (), 1, 60.0, 120.0)
 NAME = stable_digest("ann")
 
 
-def pair(many: int = 4) -> tuple[QuotaGrants, QuotaCredits]:
-    """A counter that has known this limiter for long, and the limiter."""
+def make_pair(limiter_count: int = 4) -> tuple[QuotaGrants, QuotaCredits]:
+    """A counter, and a limiter that has all the credits that it requests."""
     grants, credits = QuotaGrants(BOUNDS), QuotaCredits(BOUNDS, 1, 10.0)
     grants.update_quotas([ANN], False)
     grants.reset(7, 0.0, is_unused=True)
-    credits.set_limiter_count(many)
+    credits.set_limiter_count(limiter_count)
     credits.update_quotas({NAME: ANN})
-    while call(grants, credits, 10.0):
+    while exchange(grants, credits, 10.0):
         pass
     return grants, credits
 
 
-def call(grants: QuotaGrants, credits: QuotaCredits, now: float) -> bool:
+def exchange(grants: QuotaGrants, credits: QuotaCredits, now: float) -> bool:
     request = credits.build_request("one", now)
     grants.advance(now, ["one"])
-    return credits.apply_response(now, now, granted(grants, request, now))
+    return credits.apply_response(now, now, credit_response(grants, request, now))
 
 
-def test_credits_are_void_after_a_while_without_an_answer_and_the_counter_holds_them_longer():
-    grants, credits = pair()
+def test_credits_expire_without_an_answer_and_the_counter_reserves_them_longer():
+    grants, credits = make_pair()
     held = grants.buckets[NAME].outstanding["one"]
     assert held == credits.tenants[NAME].granted >= 2
     credit = credits.tenants[NAME]
@@ -354,63 +406,63 @@
     assert lifetime < quota_grants.CREDIT_RESERVATION_SECONDS
     grants.expire(10.1 + quota_grants.CREDIT_RESERVATION_SECONDS, ["one"])
     assert "one" not in grants.buckets[NAME].outstanding
-    assert credits.build_request("one", 13.0).demands[0].held == 0  # it tells that it has none
+    assert credits.build_request("one", 13.0).demands[0].held == 0  # it reports that it holds none
 
 
-def test_another_counter_hears_all_that_is_held_before_it_grants():
-    grants, credits = pair()
+def test_a_new_counter_gets_reports_of_all_held_credits_before_it_grants():
+    grants, credits = make_pair()
     left = credits.tenants[NAME].granted
     grants.reset(8, 11.0)
     request = credits.build_request("one", 11.0)
     grants.advance(11.0, ["one"])
-    assert granted(grants, request, 11.0).grants is None and not request.demands
-    # no answer that keeps them good
+    assert credit_response(grants, request, 11.0).grants is None and not request.demands
+    # this answer doesn't extend the lifetime of credits
     assert credits.apply_response(11.0, 11.0, CreditResponse(grant_term=8))
     assert credits.last_answer_sent_at == 10.0
     (demand,) = credits.build_request("one", 11.0).demands
     assert (demand.tenant, demand.held) == (NAME, left)
-    call(grants, credits, 11.0)
+    exchange(grants, credits, 11.0)
     assert grants.buckets[NAME].outstanding["one"] >= left and credits.last_answer_sent_at == 11.0
 
 
-def test_a_limiter_without_word_takes_a_part_of_the_even_share_and_the_counter_leaves_it():
-    grants, credits = pair(many=2)
+def test_an_isolated_limiter_uses_part_of_its_even_share_and_the_counter_withholds_it():
+    grants, credits = make_pair(limiter_count=2)
     credits.tenants[NAME].granted = 0.0
-    ran, now = 0, 10.0
+    admitted, now = 0, 10.0
     while now < 20.0:
         now += 0.01
         while credits.may_admit(NAME, now):
             credits.consume(NAME, now)
-            ran += 1
+            admitted += 1
     part = quota_grants.ISOLATED_SHARE * ANN.rate_per_second / 2
-    assert ran == pytest.approx(part * (10 - quota_grants.ISOLATION_SECONDS), rel=0.05)
+    assert admitted == pytest.approx(part * (10 - quota_grants.ISOLATION_SECONDS), rel=0.05)
     grants.advance(10.5, ["one", "two"])
-    grants.advance(12.0, ["one", "two"])  # nobody called
+    grants.advance(12.0, ["one", "two"])  # no limiter called
     time = grants.leak_time
     grants.advance(12.5, ["one", "two"])
     assert (grants.leak_time - time) / 0.5 == pytest.approx(1 - quota_grants.ISOLATED_SHARE)
 
 
-def test_a_part_shrinks_before_the_counter_forgets_a_limiter():
+def test_an_isolated_share_shrinks_before_the_counter_removes_the_limiter():
     assert quota_credits.LONG_ISOLATION_SECONDS < limiters.PLACE_RETENTION_SECONDS
-    _, credits = pair(many=2)
-    late, ran, now = (
+    _, credits = make_pair(limiter_count=2)
+    shrunk_at, admitted, now = (
         10.0 + quota_credits.LONG_ISOLATION_SECONDS,
         0,
         10.0 + quota_credits.LONG_ISOLATION_SECONDS,
     )
-    credits.has_credit(NAME, late)
-    while now < late + 10:
+    credits.has_credit(NAME, shrunk_at)
+    while now < shrunk_at + 10:
         now += 0.01
         while credits.may_admit(NAME, now):
             credits.consume(NAME, now)
-            ran += 1
+            admitted += 1
     part = quota_grants.ISOLATED_SHARE * ANN.rate_per_second / 2
-    assert ran <= quota_credits.LONG_ISOLATION_SHARE * part * 10 + part + 1
+    assert admitted <= quota_credits.LONG_ISOLATION_SHARE * part * 10 + part + 1
 
 
-def test_what_limiters_hold_unheard_keeps_a_bucket_from_emptying():
-    grants, _ = pair()
+def test_credits_that_isolated_limiters_may_hold_keep_a_bucket_from_emptying():
+    grants, _ = make_pair()
     names = [f"l{n}" for n in range(20)]
     for now in (11.0, 12.0, 30.0):
         grants.advance(now, names)
@@ -419,59 +471,61 @@
     assert bucket.level >= 20 * quota_grants.ISOLATED_SHARE * ANN.rate_per_second / 20
 
 
-def test_small_quotas_are_open_until_half_full_and_then_for_credits_alone():
-    many, small = 75, Tenant("ann", (), 1, 4.0, 4.0)
+def test_small_buckets_are_open_until_half_full_and_then_need_credits():
+    limiter_count, small = 75, Tenant("ann", (), 1, 4.0, 4.0)
     grants = QuotaGrants(BOUNDS)
     grants.update_quotas([small], False)
     grants.reset(7, 0.0, is_unused=True)
-    names, ran = [f"l{n}" for n in range(many)], 0
-    all_of = {name: QuotaCredits(BOUNDS, 1, 1.0) for name in names}
+    names, admitted = [f"l{n}" for n in range(limiter_count)], 0
+    credits_by_name = {name: QuotaCredits(BOUNDS, 1, 1.0) for name in names}
     for now in (1.0, 1.1, 1.2):
-        for name, credits in all_of.items():
+        for name, credits in credits_by_name.items():
             if now == 1.0:
-                credits.set_limiter_count(many)
+                credits.set_limiter_count(limiter_count)
                 credits.update_quotas({NAME: small})
             request = credits.build_request(name, now)
             grants.advance(now, names)
-            credits.apply_response(now, now, granted(grants, request, now))
-    for credits in all_of.values():
+            credits.apply_response(now, now, credit_response(grants, request, now))
+    for credits in credits_by_name.values():
         if not grants.is_closed(NAME) and credits.may_admit(NAME, 1.3):
             credits.consume(NAME, 1.3)
-            ran += 1
-            assert not credits.has_credit(NAME, 1.3)  # one, until the counter knows of it
-            call(grants, credits, 1.3)
-    assert ran == pytest.approx(quota_grants.bucket_depth(4.0, 4.0, BOUNDS) / 2, abs=1)
+            admitted += 1
+            assert not credits.has_credit(NAME, 1.3)  # one request, until it is reported
+            exchange(grants, credits, 1.3)
+    assert admitted == pytest.approx(quota_grants.bucket_depth(4.0, 4.0, BOUNDS) / 2, abs=1)
     credits.mark_near_limit(NAME, 1.3)
     assert not credits.has_credit(NAME, 1.3) and credits.has_credit(
         NAME, 1.31 + quota_credits.NEAR_LIMIT_SECONDS
     )
 
 
-@pytest.mark.parametrize("waits", [True, False])
-def test_after_a_start_of_all_requests_wait_for_a_credit_so_that_fewer_are_refused(
-    waits, monkeypatch
+@pytest.mark.parametrize("has_credit_wait", [True, False])
+def test_after_a_restart_of_all_programs_requests_wait_for_credits_instead_of_being_rejected(
+    has_credit_wait, monkeypatch
 ):
-    """The counter begins with nearly full buckets, and all limiters with nothing."""
-    if not waits:
+    """After a restart, the counter has nearly full buckets, and limiters hold no credits."""
+    if not has_credit_wait:
         monkeypatch.setattr(admission_adapter, "CREDIT_WAIT_SHARE", 0.0)
-    town = Cluster(3, proxies=6)
-    town.usual()
-    town.tenant("ann", "key-of-ann", 20, 20)
-    town.do(town.begin())
-
-    async def day() -> None:
-        what = ("GET", "town.example", "/a/x", "key-of-ann")
-        calm = town.behind(town.flow(town.client, 12, 11, *what, idempotent=True, tries=1))
+    cluster = Cluster(3, proxies=6)
+    cluster.usual()
+    cluster.tenant("ann", "key-of-ann", 20, 20)
+    cluster.do(cluster.begin())
+
+    async def run_scenario() -> None:
+        request = ("GET", "town.example", "/a/x", "key-of-ann")
+        traffic = cluster.behind(
+            cluster.flow(cluster.client, 12, 11, *request, idempotent=True, tries=1)
+        )
         await asyncio.sleep(4)
-        hosts = [*town.proxies.values(), *town.registries.values(), *town.stores.values()]
+        hosts = [*cluster.proxies.values(), *cluster.registries.values(), *cluster.stores.values()]
         for host in hosts:
             host.kill()
         await asyncio.sleep(1)
         for host in hosts:
             host.start()
-        await calm
+        await traffic
 
-    town.do(day())
-    said = Counter(reply.status for reply in town.book.replies.values() if reply is not None)
-    assert (said[429] <= 5) is waits and said[200] > 100
-    town.close()
+    cluster.do(run_scenario())
+    statuses = Counter(reply.status for reply in cluster.book.replies.values() if reply is not None)
+    assert (statuses[429] <= 5) is has_credit_wait and statuses[200] > 100
+    cluster.close()
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry's and the proxy's pure parts: servers, limiters, counts, calls, frames."""
+"""Pure parts of the registry and the proxy: servers, limiters, counters, HTTP routing, frames."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     return Instance(id_, address, service, "z", 2, state, sequence, 0.0)
 
 
-def test_a_late_beat_takes_no_drain_back_and_a_beat_alone_is_no_news():
+def test_a_delayed_heartbeat_reverts_no_drain_and_a_mere_heartbeat_is_no_change():
     instances = InstanceTable(1.5)
     assert instances.apply(instance(sequence=1), 0.0)
     assert not instances.apply(instance(sequence=2), 1.5)
@@ -45,17 +45,17 @@
     assert instances.changed_since(instances.revision, 3.1) == []
 
 
-def test_a_server_that_left_stays_gone_and_a_new_one_at_its_address_ends_the_old():
+def test_a_gone_server_stays_gone_and_a_new_server_at_its_address_replaces_it():
     instances = InstanceTable(1.5)
     instances.apply(instance("i-1"), 0.0)
-    # has its address, and the old one never said so
+    # uses the address of the old server, which sent no end
     instances.apply(instance("i-2", service="b"), 3.0)
     states = {row.instance_id: row.state for row in instances.changed_since(0, 3.0)}
     assert states == {"i-1": GONE, "i-2": READY}
     assert not instances.apply(instance("i-1", sequence=99), 3.1)
 
 
-def test_silence_is_told_and_ends_by_any_registrys_word():
+def test_silence_is_reported_and_ends_with_a_heartbeat_at_any_registry():
     instances, other = InstanceTable(1.5), InstanceTable(1.5)
     instances.apply(instance(sequence=1), 0.0)
     other.apply(instance(sequence=1), 0.0)
@@ -66,11 +66,11 @@
     for row in other.rows(["i-1"], 5.2):
         assert instances.apply(Instance.from_row(row, 5.2), 5.2)
     assert instances.changed_since(0, 5.2)[0].state == READY
-    # another registry's word that it is alive keeps it from falling silent here
+    # a heartbeat at another registry keeps it from becoming silent here
     assert instances.apply_heartbeat("i-1", 4, 9.0) and not instances.expire(9.6)
 
 
-def test_a_limiter_is_a_member_while_its_session_stands_and_its_place_is_held_after():
+def test_a_limiter_is_present_during_its_session_and_silent_after_a_timeout():
     limiters = LimiterTable()
     limiters.record_call("f-1", 0.0)
     limiters.record_report("f-2", 0.0, 0.0)
@@ -78,20 +78,20 @@
     limiters.record_call("f-2", 0.0)
     limiters.record_report(
         "f-2", SESSION_TIMEOUT_SECONDS, SESSION_TIMEOUT_SECONDS
-    )  # one that spoke here is judged by that
+    )  # ignored: the limiter called this registry itself
     limiters.record_call("f-1", SESSION_TIMEOUT_SECONDS)
     limiters.expire(SESSION_TIMEOUT_SECONDS + 0.1)
     assert (limiters.present, limiters.silent) == (("f-1",), ("f-2",))
     version = limiters.revision
     limiters.record_call("f-2", SESSION_TIMEOUT_SECONDS + 0.3)
     assert limiters.present == ("f-1", "f-2") and limiters.revision > version
-    limiters.deregister("f-1", SESSION_TIMEOUT_SECONDS + 0.4)  # told: nothing is held for it
+    limiters.deregister("f-1", SESSION_TIMEOUT_SECONDS + 0.4)  # its rank isn't reserved
     assert (limiters.present, limiters.silent) == (("f-2",), ())
     limiters.expire(SESSION_TIMEOUT_SECONDS + PLACE_RETENTION_SECONDS + 1)
     assert (limiters.present, limiters.silent) == ((), ())
 
 
-def test_counts_live_as_long_as_asked_for():
+def test_counters_are_kept_for_the_requested_retention_time():
     counters = Counters(1)
     assert [counters.add(7, 2.0, 1.0, 0.0), counters.add(7, 3.0, 1.0, 0.5)] == [2.0, 5.0]
     counters.expire(1.2)
@@ -100,7 +100,7 @@
     assert counters.sums == {} and counters.add(7, 1.0, 1.0, 3.0) == 1.0
 
 
-def test_limiters_are_told_of_a_tenant_near_its_buckets_only_where_more_was_added():
+def test_a_tenant_near_its_limit_is_reported_only_after_an_increment():
     buckets, ann = QuotaBuckets(), stable_digest("ann")
     name, other = ann << INTERVAL_SLOT_BITS | 7, stable_digest("bob") << INTERVAL_SLOT_BITS | 7
     buckets.update_quotas([Tenant("ann", (), 1, 10.0, 10.0), Tenant("bob", (), 1, 0.0, 0.0)])
@@ -119,12 +119,10 @@
     ] and buckets.changed_since(buckets.revision) == []
     assert not buckets.record(
         name, 3.0 * ATTEMPT_FACTOR * ATTEMPT_FACTOR, 6 + 9 * ATTEMPT_FACTOR * ATTEMPT_FACTOR, 0.07
-    )  # asked, not taken
+    )  # attempts, not admitted requests
     buckets.update_quotas([Tenant("ann", (), 1, 10.0, 20.0)])
-    assert not buckets.record(
-        name, 1.0, 7.0, 0.08
-    )  # a larger quota, and what was spent stays spent
-    # a counter that has just come to count
+    assert not buckets.record(name, 1.0, 7.0, 0.08)  # a larger quota; the level stays
+    # totals are incomplete after a change of the counting registry
     assert not buckets.record(name, 9.0, 17.0, 0.09, is_complete=False)
     assert not buckets.record(other, 500.0, 500.0, 0.1)  # unlimited
     # at its rate
@@ -141,12 +139,12 @@
         (b"POST", b"/api", 404),
     ],
 )
-def test_calls_from_outside_are_found_by_a_tree_of_matchers(what, target, found):
+def test_http_requests_are_routed_by_a_tree_of_matchers(what, target, found):
     tree = match_path({"/api/rpc": match_method({"POST": match_query("call", {"x": "x"})})})
     assert tree.match(HttpRequest.parse(what, target)) == found
 
 
-def test_the_use_of_a_server_is_what_the_registries_say_together():
+def test_the_availability_of_a_server_combines_the_reports_of_all_registries():
     view = InstanceView()
 
     def row(state, sequence, id_="i-1"):
@@ -155,27 +153,27 @@
     assert view.update("one", [row(READY, 5)], is_new_session=True) == ["i-1"]
     assert (
         view.update("two", [row(SILENT, 4)], is_new_session=True) == []
-    )  # the one that hears it is right
+    )  # one registry that gets heartbeats suffices
     assert (
         view.update("one", [row(SILENT, 5)]) == ["i-1"]
         and view.instances["i-1"].availability == SILENT
     )
     assert (
         view.update("two", [], is_new_session=True) == []
-    )  # it started anew: the other still says silent
+    )  # restarted: the other still reports silent
     assert (
         view.update("one", [], is_new_session=True) == ["i-1"]
         and view.instances["i-1"].availability == READY
     )
     assert view.update("two", [row(DRAINING, 7)]) == ["i-1"]
-    assert view.update("one", [row(READY, 6)]) == []  # a late word
+    assert view.update("one", [row(READY, 6)]) == []  # a delayed report
     assert view.update("one", [row(GONE, 1 << 60)]) == ["i-1"]
     assert view.update("two", [row(READY, 9)]) == [] and view.instances["i-1"].availability == GONE
-    assert view.update("two", [row(GONE, 1 << 60, "i-0")]) == []  # never known here
+    assert view.update("two", [row(GONE, 1 << 60, "i-0")]) == []  # unknown here
 
 
 @given(st.lists(st.integers(0, 1 << 40), max_size=4), st.lists(st.integers(1, 7), max_size=40))
-def test_frames_come_whole_however_the_bytes_are_cut(numbers, cuts):
+def test_frames_are_decoded_however_the_bytes_are_split(numbers, cuts):
     raw = b"".join(encode_item([n, "op", {"n": n}]) for n in numbers)
     reader, got, at = FrameDecoder(), [], 0
     for cut in [*cuts, len(raw)]:
@@ -194,7 +192,7 @@
         encode_item([1, 2]),
     ],
 )
-def test_foreign_bytes_are_told_from_frames(raw):
+def test_bytes_that_are_no_frames_raise_an_error(raw):
     with pytest.raises(FrameError):
         list(FrameDecoder().feed(raw))
     assert cbor2.loads(encode_item([1, "x", {}])[4:]) == [1, "x", {}]
