--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -103,7 +103,7 @@
     """The table of servers.
 
     Attributes:
-        unreachable_after_seconds: Time after its last heartbeat at which a server is marked silent.
+        silent_after_seconds: Time after its last heartbeat at which a server is marked silent.
         revision: Number that grows with every change to be reported to limiters.
         by_id: Servers by id.
         last_heartbeat_at: By id, the time of the server's last call to any registry.
@@ -111,7 +111,7 @@
     """
 
     def __init__(self, heartbeat_seconds: float) -> None:
-        self.unreachable_after_seconds = MAX_MISSED_HEARTBEATS * heartbeat_seconds
+        self.silent_after_seconds = MAX_MISSED_HEARTBEATS * heartbeat_seconds
         self.revision = 0
         self.by_id: dict[str, Instance] = {}
         self.last_heartbeat_at: dict[str, float] = {}
@@ -198,9 +198,9 @@
             if age_seconds > GONE_RETENTION_SECONDS:
                 del self.by_id[instance.id]
                 self.last_heartbeat_at.pop(instance.id, None)
-        elif instance.state == DRAINING and age_seconds > 2 * self.unreachable_after_seconds:
+        elif instance.state == DRAINING and age_seconds > 2 * self.silent_after_seconds:
             self.mark_gone(instance.id)
-        elif instance.state == READY and age_seconds > self.unreachable_after_seconds:
+        elif instance.state == READY and age_seconds > self.silent_after_seconds:
             self.revision += 1
             self.by_id[instance.id] = replace(
                 instance, state=SILENT, changed_at_revision=self.revision
--- a/loomstand/registry/replication.py
+++ b/loomstand/registry/replication.py
@@ -29,8 +29,8 @@
 from loomstand.rpc.messages.rows import CountingTermRow, InstanceRow
 from loomstand.rpc.network import Address
 
-# Interval between two rounds. A server that calls only one registry becomes silent at the others
-# after three heartbeat intervals, which is 4.5 s at an interval of 1.5 s.
+# Interval between two rounds. Without a round, a server that calls only one registry becomes silent
+# at the others after three heartbeat intervals, which is 4.5 s at an interval of 1.5 s.
 GOSSIP_INTERVAL_SECONDS = 1.0
 # Timeout of a broadcast, for which the answer to a drain or an end waits; servers and limiters wait
 # 1 s for that answer.
