--- a/loomstand/registry/limiters.py
+++ b/loomstand/registry/limiters.py
@@ -19,7 +19,7 @@
 # Time for which a silent limiter keeps its rank and quota share, as it may be cut off and still use
 # them. Network partitions of 20 s are common; a limiter that was killed has restarted or
 # deregistered by then. Limiters reduce their shares earlier (`proxy/quota_credits.py`).
-PLACE_RETENTION_SECONDS = 30.0
+SILENT_RETENTION_SECONDS = 30.0
 
 
 class LimiterTable:
@@ -83,7 +83,7 @@
         """
         if name in self.last_call_at:
             return
-        if last_contact_at > self.last_contact_at.get(name, now - PLACE_RETENTION_SECONDS):
+        if last_contact_at > self.last_contact_at.get(name, now - SILENT_RETENTION_SECONDS):
             self.last_contact_at[name] = last_contact_at
             self.expire(now)
 
@@ -100,7 +100,7 @@
         silent limiter can change the result.
         """
         for name, last_contact_at in list(self.last_contact_at.items()):
-            if now - last_contact_at > PLACE_RETENTION_SECONDS:
+            if now - last_contact_at > SILENT_RETENTION_SECONDS:
                 del self.last_contact_at[name]
                 self.last_call_at.pop(name, None)
         timeouts = {
@@ -110,7 +110,7 @@
         }
         self.next_expiry_at = min(
             (
-                last_contact_at + timeouts.get(name, PLACE_RETENTION_SECONDS)
+                last_contact_at + timeouts.get(name, SILENT_RETENTION_SECONDS)
                 for name, last_contact_at in self.last_contact_at.items()
             ),
             default=now,
--- a/tests/registry/test_quota_grants.py
+++ b/tests/registry/test_quota_grants.py
@@ -444,7 +444,7 @@
 
 
 def test_an_isolated_share_shrinks_before_the_counter_removes_the_limiter():
-    assert quota_credits.LONG_ISOLATION_SECONDS < limiters.PLACE_RETENTION_SECONDS
+    assert quota_credits.LONG_ISOLATION_SECONDS < limiters.SILENT_RETENTION_SECONDS
     _, credits = make_pair(limiter_count=2)
     shrunk_at, admitted, now = (
         10.0 + quota_credits.LONG_ISOLATION_SECONDS,
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -21,8 +21,8 @@
     InstanceTable,
 )
 from loomstand.registry.limiters import (
-    PLACE_RETENTION_SECONDS,
     SESSION_TIMEOUT_SECONDS,
+    SILENT_RETENTION_SECONDS,
     LimiterTable,
 )
 from loomstand.registry.quota_buckets import INTERVAL_SLOT_BITS, QuotaBuckets
@@ -87,7 +87,7 @@
     assert limiters.present == ("f-1", "f-2") and limiters.revision > version
     limiters.deregister("f-1", SESSION_TIMEOUT_SECONDS + 0.4)  # its rank isn't reserved
     assert (limiters.present, limiters.silent) == (("f-2",), ())
-    limiters.expire(SESSION_TIMEOUT_SECONDS + PLACE_RETENTION_SECONDS + 1)
+    limiters.expire(SESSION_TIMEOUT_SECONDS + SILENT_RETENTION_SECONDS + 1)
     assert (limiters.present, limiters.silent) == ((), ())
 
 
--- a/tests/testing/simulation/test_bounds.py
+++ b/tests/testing/simulation/test_bounds.py
@@ -212,7 +212,7 @@
     tests/test_quota_grants.py).
     """
     if not held:
-        monkeypatch.setattr(limiters, "PLACE_RETENTION_SECONDS", limiters.SESSION_TIMEOUT_SECONDS)
+        monkeypatch.setattr(limiters, "SILENT_RETENTION_SECONDS", limiters.SESSION_TIMEOUT_SECONDS)
         monkeypatch.setattr(QuotaCredits, "may_admit", lambda *_: True)
     history, bounds = Parted(5, Setup(limiters=8, length=11.0, servers=3)).play()
     quota = {figure.name: figure for figure in judge(history, bounds)}[Q]
