--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -23,7 +23,7 @@
 # in a row with a timeout of 1 s each, which takes two heartbeat intervals. Marking a server silent
 # wrongly takes it out of use for 1 s; marking it late fails some requests.
 MAX_MISSED_HEARTBEATS = 3.0
-# Time for which the row of a gone server is kept, so that its late calls are recognised.
+# Time for which the row of a gone server is kept, so that its delayed calls are recognised.
 GONE_RETENTION_SECONDS = 120.0
 MILLISECONDS_PER_SECOND = 1000
 
--- a/loomstand/registry/operator_api.py
+++ b/loomstand/registry/operator_api.py
@@ -31,9 +31,9 @@
 
 # Timeout of a read of the configuration.
 READ_TIMEOUT_SECONDS = 0.8
-# Total size of the configurations that are being replaced: parsing one takes 20 times its size, and
-# it is kept until the store has it. Without this limit, 8 concurrent ones of 8 MB took the process
-# to 330 MB of its 296 MB of memory; with it, to 201 MB.
+# Total size of the configurations that are being replaced: parsing one takes memory of 20 times
+# its size, and it is kept until the store has it. Without this limit, 8 concurrent ones of 8 MB
+# took the process to 330 MB of its 296 MB of memory; with it, to 201 MB.
 MAX_PENDING_BYTES = 12 << 20
 MILLISECONDS_PER_SECOND = 1000
 
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -46,7 +46,7 @@
 # A bucket with fewer credits per limiter can't be shared out ahead of use. It is *open* while less
 # than half full: each limiter then admits one request before it reports it.
 MIN_CREDITS_PER_LIMITER = 1.5
-# With less than this fraction (1/8) of a bucket free, only a limiter without a credit gets one.
+# With less than 1 / SCARCE_DIVISOR of a bucket free, only a limiter without a credit gets one.
 SCARCE_DIVISOR = 8
 
 
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "target", "found"),
+    ("method", "target", "expected"),
     [
         (b"POST", b"/api/rpc?call=x&of=i-1", "x"),
         (b"POST", b"/api/rpc?of=i-1&call=x&call=y", "x"),
@@ -139,9 +139,9 @@
         (b"POST", b"/api", 404),
     ],
 )
-def test_http_requests_are_routed_by_a_tree_of_matchers(what, target, found):
+def test_http_requests_are_routed_by_a_tree_of_matchers(method, target, expected):
     tree = match_path({"/api/rpc": match_method({"POST": match_query("call", {"x": "x"})})})
-    assert tree.match(HttpRequest.parse(what, target)) == found
+    assert tree.match(HttpRequest.parse(method, target)) == expected
 
 
 def test_the_availability_of_a_server_combines_the_reports_of_all_registries():
