--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -1,4 +1,4 @@
-"""The registry: joins its parts, and serves their calls."""
+"""The registry: it connects its parts and serves their calls."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from loomstand.registry.configuration_cache import ConfigurationCache
 from loomstand.registry.context import RegistryContext, RegistryState
 from loomstand.registry.counting_service import CountingService
-from loomstand.registry.http_answers import BadRequestError, HttpAnswer, error_answer
+from loomstand.registry.http_responses import BadRequestError, HttpResponse, error_response
 from loomstand.registry.http_routing import (
-    HttpCall,
+    HttpRequest,
     RouteNode,
     match_method,
     match_path,
     match_query,
 )
 from loomstand.registry.instances import InstanceTable
-from loomstand.registry.limiter_sessions import LimiterSessions, SessionNumbers
+from loomstand.registry.limiter_sessions import LimiterSessions, SessionIdGenerator
 from loomstand.registry.limiters import LimiterTable
 from loomstand.registry.operator_api import OperatorApi
 from loomstand.registry.replication import Replication
@@ -44,22 +44,22 @@
 
 NANOSECONDS_PER_SECOND = 1e9
 
-HttpCallHandler = Callable[[HttpCall, bytes], Awaitable[HttpAnswer]]
+HttpHandler = Callable[[HttpRequest, bytes], Awaitable[HttpResponse]]
 
 
 class Registry:
     """One registry.
 
     Attributes:
-        context: What its parts share.
-        state: What it knows.
-        counting: Counts for limiters, under the counting lease.
-        replication: Tells and hears the other registries.
-        store_client: Calls the store beside it.
+        context: Dependencies shared by its parts.
+        state: Its soft state.
+        counting: Counters and credits for limiters, under the counting lease.
+        replication: Replication with the other registries.
+        store_client: Client of the store on this machine.
         sessions: The limiters' sessions.
-        server_heartbeats: Handles the servers' calls.
-        operator_api: Handles the operators' calls.
-        requests: Handles the calls of limiters and other registries.
+        server_heartbeats: Handlers of the servers' calls.
+        operator_api: Handlers of the operators' calls.
+        requests: Router of the calls of limiters and other registries.
     """
 
     def __init__(
@@ -69,13 +69,13 @@
         clock: Callable[[], float],
         wall_seconds: float | None = None,
     ) -> None:
-        """Joins the parts.
+        """Create and connect the parts.
 
         Args:
             settings: The machine's settings.
-            network: Carries the calls to and from others.
+            network: Network for the calls to and from other programs.
             clock: A steady clock, in seconds.
-            wall_seconds: The time of day at the start; None to read it.
+            wall_seconds: The time of day at the start, in seconds since the epoch; None to read it.
         """
         incarnation = _incarnation(settings.ip_address, wall_seconds)
         rng = Random(incarnation)
@@ -89,12 +89,12 @@
             shared_clock=SharedClock(time_of_day - now),
             configuration=ConfigurationCache(now),
         )
-        session_numbers = SessionNumbers(rng)
+        session_ids = SessionIdGenerator(rng)
         self.counting = CountingService(self.context, self.state)
         self.replication = Replication(self.context, self.state, self.counting)
         self.store_client = StoreClient(self.context, self.state, self.counting)
         self.sessions = LimiterSessions(
-            self.context, self.state, self.counting, self.replication, session_numbers
+            self.context, self.state, self.counting, self.replication, session_ids
         )
         self.server_heartbeats = ServerHeartbeats(self.context, self.state, self.replication)
         self.operator_api = OperatorApi(
@@ -115,8 +115,8 @@
         router.add(SnapshotRequest, self.replication.handle_snapshot)
         return router
 
-    def _make_http_routes(self) -> RouteNode[HttpCallHandler]:
-        calls: dict[str, RouteNode[HttpCallHandler] | HttpCallHandler] = {
+    def _make_http_routes(self) -> RouteNode[HttpHandler]:
+        handlers: dict[str, RouteNode[HttpHandler] | HttpHandler] = {
             "instances.heartbeat": self.server_heartbeats.handle_heartbeat,
             "instances.leave": self.server_heartbeats.handle_leave,
             "configuration.replace": self.operator_api.handle_replace,
@@ -124,12 +124,12 @@
             "system.status": self.operator_api.handle_status,
             "system.rescue": self.operator_api.handle_rescue,
         }
-        by_call: RouteNode[HttpCallHandler] = match_query("call", calls)
-        by_method: RouteNode[HttpCallHandler] = match_method({"POST": by_call})
+        by_call: RouteNode[HttpHandler] = match_query("call", handlers)
+        by_method: RouteNode[HttpHandler] = match_method({"POST": by_call})
         return match_path({"/api/rpc": by_method})
 
     async def run(self) -> None:
-        """Serves until `stop`."""
+        """Serve until `stop`."""
         settings = self.context.settings
         address = settings.registry_address(settings.ip_address)
         await self.context.network.listen(address, self.requests.serve)
@@ -145,33 +145,33 @@
             await self.context.tasks.close()
 
     def stop(self) -> None:
-        """Has `run` end, once the counting lease is given back."""
+        """Make `run` end, after it has released the counting lease."""
         self.context.is_stopping = True
         self.context.notifier.close()
         self.counting.stop()
 
     def reload(self, settings: Settings) -> None:
-        """The settings file has changed: a registry reads it at its start alone.
+        """Log that changed settings apply at the next start only.
 
-        The seeds are where it begins; the core machines come from the store afterwards.
+        The seed nodes are needed at the start only; afterwards the store reports the core machines.
         """
         logging.info("registry: settings_changed node=%s applies=next_start", settings.node_name)
 
-    async def handle_http(self, method: bytes, target: bytes, body: bytes) -> HttpAnswer:
-        """Answers a call of a server or an operator."""
-        call = HttpCall.parse(method, target)
-        handler = self._http_routes.match(call)
+    async def handle_http(self, method: bytes, target: bytes, body: bytes) -> HttpResponse:
+        """Handle an HTTP request of a server or an operator."""
+        request = HttpRequest.parse(method, target)
+        handler = self._http_routes.match(request)
         if isinstance(handler, HTTPStatus):
-            name = call.query.get("call", "")
-            return error_answer(handler, f"no call {call.method} {call.path} call={name}")
+            name = request.query.get("call", "")
+            return error_response(handler, f"no call {request.method} {request.path} call={name}")
         try:
-            return await handler(call, body)
+            return await handler(request, body)
         except BadRequestError as error:
-            return error_answer(HTTPStatus.BAD_REQUEST, str(error))
+            return error_response(HTTPStatus.BAD_REQUEST, str(error))
 
 
 def _incarnation(host: str, wall_seconds: float | None) -> str:
-    """Returns a text that names this start of the registry."""
+    """Return a text that identifies this start of the registry."""
     if wall_seconds is None:
         nanoseconds = time.time_ns()
     else:
