--- a/loomstand/proxy/__init__.py
+++ b/loomstand/proxy/__init__.py
@@ -2,13 +2,13 @@
 
 `program.Proxy` joins the modules of this package:
 
-- `admission_adapter`: clients' requests, the decision engine's events and actions
-- `request`, `upstream`, `stale_connections`: what goes to servers, on which connection
-- `startup`: requests that meet a starting proxy
-- `sessions`, `configuration_fetcher`: what the registries tell
+- `admission_adapter`: connects clients' requests with the decision engine's events and actions
+- `request`, `upstream`, `stale_connections`: encoding of requests and connections to servers
+- `startup`: queue of requests that arrive while the proxy starts
+- `sessions`, `configuration_fetcher`: polling of the registries
 - `configuration_updates`, `policy_compiler`, `client_limits`: the configuration in force
-- `instance_view`, `endpoint_updates`: the servers
+- `instance_view`, `endpoint_updates`: the known server instances
 - `counter_client`, `counter_replay`, `shared_clock`: counters at the counting registry
 - `credit_client`, `quota_credits`: quota credits
-- `readiness`: what the platform asks
+- `readiness`: the platform's readiness check
 """
--- a/loomstand/proxy/__main__.py
+++ b/loomstand/proxy/__main__.py
@@ -1,6 +1,6 @@
-"""Starts the proxy on its machine: `python -m loomstand.proxy`."""
+"""Runs the proxy program: `python -m loomstand.proxy`."""
 
-import loomstand.rpc.early_signals  # noqa: F401 - first, as it has to come before the long imports
+import loomstand.rpc.early_signals  # noqa: F401 - must precede the slow imports below
 
 # isort: split
 from random import Random
@@ -13,7 +13,7 @@
 
 
 async def make_proxy(settings: Settings, turns: Turns) -> Proxy:
-    """Makes the proxy, inside the event loop that it will run on."""
+    """Creates the proxy; must be called within the event loop that runs it."""
     return Proxy(settings, TcpNetwork(), Random(), turns)
 
 
--- a/loomstand/proxy/admission_adapter.py
+++ b/loomstand/proxy/admission_adapter.py
@@ -1,8 +1,8 @@
-"""Joins clients' requests with the decision engine.
+"""Connects clients' requests with the decision engine.
 
-Requests become events of the engine, and its actions become attempts and answers. Which tenant a
-request belongs to, by which route it goes, and whether its tenant has a credit is decided before
-the engine is asked. Uses sockets by its base class alone.
+Translates requests into engine events, and engine actions into attempts and responses. The tenant,
+the route and the availability of a quota credit are determined before the engine receives a
+request. Sockets are used only through the base class.
 """
 
 from __future__ import annotations
@@ -42,26 +42,31 @@
 from loomstand.proxy.upstream import UpstreamPool
 from loomstand.rpc.messages.session_messages import LimiterSetRow
 
-# Within a region a connection comes up in 3 ms and a server takes one more; where it doesn't in
-# this time the machine is gone or partitioned, and the request has time for another server.
+# Within a region a connection is established in 3 ms, plus 1 ms at the server. A connection attempt
+# that exceeds this timeout indicates a failed or partitioned machine, and leaves the request enough
+# time to try another server.
 CONNECT_TIMEOUT_SECONDS = 0.25
-MAX_IDLE_SECONDS = 60.0  # that a connection to a server is kept, whatever the server states
-STALL_TIMEOUT_SECONDS = 10.0  # for a message that is slow to come in, an answer that isn't taken
-FIXED_SOCKETS = 300  # 200 are reserved; sessions, files, the loop's own, and room for errors
-# Advice to clients, in seconds: after a request for whose body there was no memory, ...
+MAX_IDLE_SECONDS = 60.0  # for a connection to a server, even if the server allows more
+STALL_TIMEOUT_SECONDS = 10.0  # for a message received or a response sent without progress
+# File descriptors not available for connections: 200 reserved, the rest for registry sessions,
+# files, the event loop and error handling.
+RESERVED_FILE_DESCRIPTORS = 300
+# Values of the `Retry-After` header, in seconds, after a request whose body exceeded the memory for
+# buffers, ...
 MEMORY_RETRY_SECONDS = 0.15
-# ... and after one that came before there was a configuration.
+# ... and after a request received before the first configuration.
 NO_CONFIGURATION_RETRY_SECONDS = 0.3
 MIN_QUOTA_RETRY_SECONDS = 0.05
-# A request that found the servers full may be sent again after this share of its route's latency
-# target, drawn between the two: the queue has moved on by then, and those rejected together don't
-# come back together.
+# Bounds of the random `Retry-After` of a request rejected because the servers are full, as shares
+# of its route's latency target. By then the queue has advanced, and the random draw keeps clients
+# that were rejected together from retrying together.
 OVERLOAD_RETRY_SHARES = (0.35, 0.65)
-# After a start of all, the counting registry too, credits come by the quota's rate alone: a request
-# waits for one for less than the quarter of its route's latency target in which nothing is lost.
+# After a restart of all programs, including the counting registry, credits arrive only at the
+# quota's rate. A request waits for a credit for this share of its route's latency target; a delay
+# below a quarter of the target costs no value.
 CREDIT_WAIT_SHARE = 0.2
 QUOTA_REASONS = {QUOTA_EXHAUSTED, QUOTA_PROBABLY_EXHAUSTED, RATE_LIMITED}
-# A request that fails this close to its deadline, in ticks, has timed out.
+# A request that fails within this many ticks of its deadline counts as timed out.
 TIMEOUT_MARGIN_TICKS = 100
 NOT_RUN_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 NOT_FOUND = 404
@@ -73,25 +78,25 @@
 
 
 def _log(text: str) -> None:
-    """Writes what the base class has to say."""
+    """Logs a message of the base class with the proxy's prefix."""
     logging.info("proxy: %s", text)
 
 
 class AdmissionAdapter(GatewayCore[ProxyRequest]):
-    """Admits clients' requests and carries out what the decision engine decides of them.
+    """Admits clients' requests and carries out the decision engine's actions.
 
     Attributes:
-        settings: The settings file's settings.
-        rng: Draws services by weight, and advice to clients.
-        limiters: The limiters that share the quotas.
+        settings: Settings from the settings file.
+        rng: Random generator for services by weight and retry delays.
+        limiters: Size of the set of limiters that share the quotas, and this limiter's rank in it.
         policy: Indices and settings of the decision engine.
-        endpoints: The servers.
+        endpoints: The known servers.
         credits: The credits of tenants that have a quota.
         configuration: The configuration in force.
-        startup: What requests wait for at a start.
-        queue: The requests that do.
-        credit_client: Requests credits; set by the program.
-        counter_client: Increments counters; set by the program.
+        startup: Conditions for admitting requests during startup.
+        queue: Requests that wait for these conditions.
+        credit_client: Requests credits; set by `Proxy`.
+        counter_client: Increments counters; set by `Proxy`.
     """
 
     pool: UpstreamPool
@@ -103,7 +108,7 @@
     ) -> None:
         """See `Proxy`."""
         limits = settings.limits
-        sockets = limits.file_descriptors - FIXED_SOCKETS
+        sockets = limits.file_descriptors - RESERVED_FILE_DESCRIPTORS
         super().__init__(_log, turns, limits.memory_mb // 2, sockets)
         self.settings = settings
         self.rng = rng
@@ -127,22 +132,22 @@
         self.queue = RequestQueue(self.loop, self.startup, self.admit)
 
     def start_engine(self) -> DecisionEngine:
-        """Returns a decision engine as it is at the start."""
+        """Returns a decision engine in its initial state."""
         settings = self.policy.engine_settings(self.limiters)
         return DecisionEngine(settings, self.rng.getrandbits(64), self.now())
 
-    # events: requests of clients
+    # events: client requests
 
     def request_received(self, client: Asker, machine: RequestReceiver, at: float) -> None:
-        """Admits a request that arrived, or lets it wait for the end of the start.
+        """Admits a request, or queues it until startup has finished.
 
         Args:
-            client: The client's connection; from here on it is owed one answer.
+            client: The client's connection, which must be sent exactly one response.
             machine: The parser that holds the message.
-            at: When it arrived, by the event loop's clock.
+            at: Time of arrival in seconds by the event loop's clock.
 
         Raises:
-            Malformed: The request isn't proper.
+            Malformed: The request is invalid.
         """
         request = ProxyRequest(machine)
         request.client = client
@@ -153,7 +158,7 @@
             self.queue.add(request, at)
 
     def admit(self, request: ProxyRequest, arrived_at: float, has_waited: bool = False) -> None:
-        """Hands a request to the decision engine, or answers it at once."""
+        """Submits a request to the decision engine, or answers it immediately."""
         client = request.client
         if client is None:
             return
@@ -179,12 +184,12 @@
         request.service = self._choose_service(table, request)
         self.track_request(request, client, request.timeout_ticks(), arrived_at)
         self._submit_to_engine(request, plan, digest)
-        if request.attempts:  # the engine admitted it
+        if request.attempts:  # the engine admitted the request
             self.credits.consume(digest, now)
             self.credit_client.request_if_short(digest, now)
 
     def _find_route(self, table: RouteTable, request: ProxyRequest) -> bool:
-        """Sets a request's route and tenant; answers it and returns False if there is none."""
+        """Sets a request's route and tenant; answers it and returns False if either is unknown."""
         route = table.find_route(request.host, request.path)
         if route is None:
             self.answer(request, NOT_FOUND)
@@ -200,7 +205,7 @@
     def _handle_missing_credit(
         self, request: ProxyRequest, digest: int, arrived_at: float, has_waited: bool, now: float
     ) -> None:
-        """Lets a request wait for a credit at a start, else rejects it."""
+        """Queues a request for a credit during startup, otherwise rejects it."""
         if not has_waited and not self.startup.is_over(now):
             wait_seconds = CREDIT_WAIT_SHARE * request.route.target_latency_seconds
             self.queue.add(request, arrived_at, wait_seconds)
@@ -227,7 +232,7 @@
     def _choose_service(self, table: RouteTable, request: ProxyRequest) -> str:
         """Returns one of the route's services, drawn by weight.
 
-        Where that has no live server, another one that the route allows.
+        If the drawn service has no live server, returns another service of the route that has one.
         """
         drawn = table.choose_service(request.route, self.rng.random())
         live_by_service = self.endpoints.live_by_service
@@ -241,13 +246,13 @@
         return next(others, drawn)
 
     def _answer_retry(self, request: ProxyRequest, status: int, retry_after: str) -> None:
-        """Rejects a request with the advice to send it again after so many seconds."""
+        """Rejects a request with a `Retry-After` header, in seconds."""
         self.answer(request, status, extra=f"Retry-After: {retry_after}\r\n")
 
-    # events: ends of attempts
+    # events: completed attempts
 
     def endpoint_misdirected(self, attempt: Attempt[ProxyRequest]) -> None:
-        """Another server answers at the attempt's address, so this one is gone."""
+        """Marks the attempt's server as gone, as another server has its address."""
         endpoint = self.endpoints.mark_gone(attempt.endpoint_id)
         if endpoint is not None:
             self.loop.call_soon(self.handle_event, EndpointsUpdated((endpoint,), False))
@@ -256,10 +261,10 @@
         self,
         attempt: Attempt[ProxyRequest],
         outcome: Outcome,
-        metered: int = 0,  # noqa: ARG002 - as the base class passes it
-        body: bytes = b"",  # noqa: ARG002 - likewise; `server_response` has it
+        metered: int = 0,  # noqa: ARG002 - argument of the base class
+        body: bytes = b"",  # noqa: ARG002 - likewise; `server_response` holds the body
     ) -> None:
-        """Answers the request if a server did, and reports the attempt to the engine."""
+        """Answers the request if the attempt succeeded, and reports the outcome to the engine."""
         request = self.finish_attempt(attempt)
         if outcome not in NOT_RUN_OUTCOMES:
             request.may_have_run = True
@@ -279,9 +284,9 @@
         return ProxyAttempt(request, number, endpoint_id, self.now(), expires_at, instance_id)
 
     def attempt_limit(self, request: ProxyRequest) -> int:
-        """Returns how many attempts a request may have, whatever the engine decides.
+        """Returns the maximum number of attempts of a request, independent of the engine.
 
-        No more for one that isn't idempotent and may have run, or may run yet.
+        A non-idempotent request that may have run, or may still run, gets no further attempt.
         """
         if not request.route.idempotent:
             pending = sum(attempt is not None for attempt in request.attempts)
@@ -290,7 +295,10 @@
         return request.route.max_attempts
 
     def reject_request(self, act: Reject) -> None:
-        """Answers a request that the engine rejected; no promise while it may run yet."""
+        """Answers a request that the engine rejected.
+
+        While the request may still run, the status must not imply that it was not executed.
+        """
         request = self.requests.get(act.request_id)
         if request is None or request.client is None:
             return
@@ -306,7 +314,7 @@
         self.forget_request(request)
 
     def abort(self, act: Abort) -> None:
-        """Answers a request that failed."""
+        """Answers a request that the engine aborted."""
         request = self.requests.get(act.request_id)
         if request is not None and request.client is not None:
             self._answer_possibly_run(request)
@@ -317,7 +325,7 @@
         self.counter_client.increment(act)
 
     def _answer_possibly_run(self, request: ProxyRequest) -> None:
-        """Answers a request that may have run: with a server's own response, if there is one."""
+        """Answers a request that may have run, with a server's response if one was received."""
         if request.server_response is not None:
             self.answer(request, *request.server_response)
         elif self.now() >= request.deadline - TIMEOUT_MARGIN_TICKS:
--- a/loomstand/proxy/client_limits.py
+++ b/loomstand/proxy/client_limits.py
@@ -1,4 +1,4 @@
-"""Applies the configuration's limits on clients to connections that are open already. No I/O."""
+"""Applies the configuration's client limits to the listener and its open connections. No I/O."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from loomstand.config.configuration import ClientLimits
 from loomstand.limiter.client_connection import ClientListener
 
-# More than the configuration says, in seconds: connections are looked at once a second.
+# Added to the configured timeouts, as connections are checked only once a second.
 TIMEOUT_MARGIN_SECONDS = 1
-# A body is buffered whole, so it may take this part of the memory for buffers at most, whatever the
-# configuration allows.
+# A request body is buffered in full, so its size is limited to the memory for buffers divided by
+# this number, even if the configuration allows more.
 BODY_MEMORY_DIVISOR = 8
 
 
 class ClientLimitUpdates:
-    """What clients may send from their next request on, and how long they may idle.
+    """Applies size limits and timeouts to clients' connections, from their next request on.
 
     Attributes:
         listener: The listener whose limits are set.
-        idle_timeout_seconds: The idle time-out of the newest configuration.
+        idle_timeout_seconds: Idle timeout of the newest configuration, with the margin.
     """
 
     def __init__(
         self, listener: ClientListener, loop: asyncio.AbstractEventLoop, buffer_bytes: int
     ) -> None:
-        """`buffer_bytes` is the memory for buffers; the usual limits are applied at once."""
+        """Applies the default limits; `buffer_bytes` is the memory for buffers."""
         self.listener = listener
         self._loop = loop
         self._max_body_bytes = buffer_bytes // BODY_MEMORY_DIVISOR
@@ -38,7 +38,7 @@
         previous = self.listener.idle_timeout_seconds
         if self.idle_timeout_seconds >= previous:
             self.listener.idle_timeout_seconds = self.idle_timeout_seconds
-        else:  # a client that relies on the longer time may idle to its end
+        else:  # connections idle under the longer timeout may use it in full
             self._loop.call_later(previous, self._shorten_idle, self.idle_timeout_seconds)
         header_timeout = limits.header_timeout_seconds + TIMEOUT_MARGIN_SECONDS
         self.listener.header_timeout_seconds = header_timeout
@@ -46,5 +46,5 @@
         self.listener.max_body_bytes = min(limits.max_body_bytes, self._max_body_bytes)
 
     def _shorten_idle(self, seconds: float) -> None:
-        """Applies a shorter idle time-out; it may have become longer again since."""
+        """Applies a shorter idle timeout, unless it has been increased again since."""
         self.listener.idle_timeout_seconds = max(seconds, self.idle_timeout_seconds)
--- a/loomstand/proxy/configuration_fetcher.py
+++ b/loomstand/proxy/configuration_fetcher.py
@@ -1,6 +1,6 @@
-"""Fetches the configuration from registries: once for all sessions, hedged by another session.
+"""Fetches the configuration from registries: one fetch for all sessions, hedged by a second one.
 
-Makes calls by the network; owns the newest configuration that this limiter holds.
+Calls registries over the network and holds the newest configuration of this limiter.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from loomstand.rpc.network import Address, Network
 
 FETCH_TIMEOUT_SECONDS = 0.8
-MAX_FETCH_TIMEOUT_SECONDS = 3.2  # after fetches in vain
-# The most that a frame holds, so a registry has no configuration that is larger.
+MAX_FETCH_TIMEOUT_SECONDS = 3.2  # after failed fetches
+# Maximum size of a frame, which no registry's configuration can exceed.
 MAX_CONFIGURATION_BYTES = 16 << 20
-# Seconds after which another session may fetch it, too. On links that lose one packet in twenty the
-# first one to fetch held up all others for its whole time-out; usual answers take some ms.
+# Delay after which a second session may fetch the configuration as well. On links with 5% packet
+# loss, a single fetch delayed all sessions by its full timeout; responses normally take a few ms.
 HEDGE_SECONDS = 0.15
-FETCH_WAIT_SECONDS = 0.05  # that a session waits where another one fetches
+FETCH_WAIT_SECONDS = 0.05  # pause of a session while another session fetches
 
 
 class ConfigurationFetcher:
-    """Holds the newest configuration and fetches newer ones.
+    """Holds the configuration in force and fetches newer ones.
 
     Attributes:
-        version: Version of the configuration held; 0 if there is none.
-        data: The configuration held.
-        fetching_since: When the fetch under way began, by `clock`.
-        timeout_seconds: Time-out of the next fetch.
+        version: Version of the configuration in force; 0 before the first.
+        data: Serialized configuration in force.
+        fetching_since: Start of the fetch in progress, in seconds by `clock`.
+        timeout_seconds: Timeout of the next fetch.
     """
 
     def __init__(
@@ -41,7 +41,13 @@
         clock: Callable[[], float],
         apply: Callable[[int, bytes], bool],
     ) -> None:
-        """`apply` brings a configuration into force and returns whether it could."""
+        """Creates an empty fetcher.
+
+        Args:
+            network: Network for calls to registries.
+            clock: Monotonic clock, in seconds.
+            apply: Puts a configuration into force; returns False if it is unusable.
+        """
         self.version = 0
         self.data = b""
         self.fetching_since = -HEDGE_SECONDS
@@ -51,7 +57,7 @@
         self._apply = apply
 
     async def fetch(self, address: Address) -> None:
-        """Fetches the configuration from a registry, unless another session does."""
+        """Fetches the configuration from a registry, unless another session is fetching it."""
         if self._clock() - self.fetching_since < HEDGE_SECONDS:
             await asyncio.sleep(FETCH_WAIT_SECONDS)
             return
@@ -61,10 +67,12 @@
             self._network, address, request, ConfigurationResponse, self.timeout_seconds
         )
         self.fetching_since = -HEDGE_SECONDS
-        # thousands of routes to many limiters at once may take longer: a fetch in vain is followed
-        # by one with more time
-        took = self._clock() - started_at if result.is_ok() else self.timeout_seconds
-        self.timeout_seconds = max(FETCH_TIMEOUT_SECONDS, min(MAX_FETCH_TIMEOUT_SECONDS, 2 * took))
+        # sending thousands of routes to many limiters at once may exceed the timeout, so it is
+        # increased after a failed fetch
+        duration = self._clock() - started_at if result.is_ok() else self.timeout_seconds
+        self.timeout_seconds = max(
+            FETCH_TIMEOUT_SECONDS, min(MAX_FETCH_TIMEOUT_SECONDS, 2 * duration)
+        )
         if result.is_ok() and result.ok.version > self.version:
             self._replace(result.ok)
 
@@ -77,7 +85,7 @@
 
 
 def unpack(response: ConfigurationResponse) -> bytes:
-    """Returns the configuration of an answer; nothing if it can't be unpacked."""
+    """Returns the configuration in a response; empty if it can't be decompressed."""
     if response.compressed_data is None:
         return response.data or b""
     try:
--- a/loomstand/proxy/configuration_updates.py
+++ b/loomstand/proxy/configuration_updates.py
@@ -1,6 +1,6 @@
 """The configuration in force at this proxy, and whether it is known to be the newest.
 
-Pure: no I/O, and each method that needs it is given a reading of a steady clock in seconds.
+Pure: no I/O; methods take the time, in seconds of a monotonic clock, as an argument.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from loomstand.proxy.policy_compiler import PolicyCompiler
 from loomstand.proxy.quota_credits import QuotaCredits
 
-# A proxy that started while no registry knew of a primary store serves with the configuration that
-# it has after so many seconds.
+# If no registry can reach a primary store, a starting proxy accepts an unconfirmed configuration as
+# the newest after this delay.
 UNCONFIRMED_SECONDS = 3.0
 
 
 class ConfigurationUpdates:
-    """Brings configurations into force, each as a whole.
+    """Puts configurations into force atomically.
 
     Attributes:
         table: Routes and tenants of the configuration in force; None before the first.
-        current_at: When the configuration counts as the newest; None if that isn't known.
+        current_at: Time from which the configuration counts as the newest; None if unknown.
     """
 
     def __init__(self, policy: PolicyCompiler, quota_credits: QuotaCredits) -> None:
@@ -34,11 +34,11 @@
         self._credits = quota_credits
 
     def apply(self, version: int, data: bytes) -> Configuration | None:
-        """Brings a configuration into force that is newer than the one held.
+        """Puts a newer configuration into force.
 
         Returns:
-            The configuration; None if it can't be used. It was checked before it was stored, so
-            that is a fault of the programs.
+            The configuration; None if it is invalid. Configurations are validated before they are
+            stored, so an invalid one indicates a software fault.
         """
         try:
             configuration = self._reader.parse(data)
@@ -57,7 +57,7 @@
         return configuration
 
     def update_currency(self, is_current: bool, now: float) -> None:
-        """Takes over whether a registry knows the configuration held to be the newest."""
+        """Records whether a registry confirms that the configuration in force is the newest."""
         if self.current_at is None:
             if is_current:
                 self.current_at = now
--- a/loomstand/proxy/counter_client.py
+++ b/loomstand/proxy/counter_client.py
@@ -1,6 +1,6 @@
-"""Increments counters at the counting registry, for the decision engine.
+"""Increments counters at the counting registry on behalf of the decision engine.
 
-Makes calls by the network, and owns the tasks that do so.
+Calls the registry over the network and owns the tasks of these calls.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class CounterCaller(Protocol):
-    """Who knows the counting registry; `Sessions`."""
+    """Interface for calls to the counting registry; implemented by `Sessions`."""
 
     async def call_counter(
         self, request: Request, response_type: type[ResponseT], timeout_seconds: float
@@ -41,12 +41,12 @@
 
 
 class CounterClient:
-    """Sends increments, and repeats earlier ones to a registry that has just begun to count.
+    """Sends increments, and replays earlier ones to a registry that has just started counting.
 
     Attributes:
-        replay: What this limiter added to each counter.
-        tasks: The increments under way.
-        on_reply: Gets the counter's name, the outcome, the total and the ticks that it took.
+        replay: This limiter's sum for each counter.
+        tasks: The increments in progress.
+        on_reply: Called with the counter's name, the outcome, the total and the duration in ticks.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         clock_ticks: Callable[[], int],
         on_reply: Callable[[int, Outcome, float, int], None],
     ) -> None:
-        """`clock_ticks` is the proxy's clock."""
+        """`clock_ticks` returns the proxy's clock in ticks."""
         self.replay = CounterReplay()
         self.tasks: set[asyncio.Task[None]] = set()
         self._caller = caller
@@ -65,17 +65,18 @@
         self.on_reply = on_reply
 
     def increment(self, action: IncrementCounter) -> None:
-        """Increments a counter; `on_reply` is called when that has ended."""
+        """Starts an increment of a counter; calls `on_reply` when it completes."""
         task = self._loop.create_task(self.run_increment(action))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run_increment(self, action: IncrementCounter) -> None:
-        """Increments a counter, and calls `on_reply`.
+        """Increments a counter, and calls `on_reply` with the result.
 
-        Where the counting registry has just begun to count, this limiter's earlier increments are
-        repeated first: a total without them is too low. An increment without an answer may have
-        arrived, too, and is repeated to the next registry that counts.
+        If the counting registry has just started counting, this limiter's earlier increments are
+        replayed before the result is reported, as the total is too low without them. An increment
+        without a response may have been applied, so it is also replayed to the next counting
+        registry.
         """
         started_at = self._clock_ticks()
         name = action.counter_name
@@ -89,20 +90,20 @@
             )
             if term is not None:
                 await self._replay_missing(name, term, retention_seconds)
-            if missing:  # a total without it is too low
+            if missing:  # the total is too low without it
                 result = await self._send(name, missing, retention_seconds)
                 if result.is_error() or result.ok.counting_term != term:
                     self.replay.mark_missing(name)
                     outcome = Outcome.NO_RESPONSE
         if (
             result.is_ok() and result.ok.is_incomplete
-        ):  # other limiters may not have repeated theirs
+        ):  # other limiters may not have replayed their increments yet
             outcome = Outcome.NO_RESPONSE
         total = result.ok.total if outcome is Outcome.SUCCEEDED else 0.0
         self.on_reply(name, outcome, total, self._clock_ticks() - started_at)
 
     async def _replay_missing(self, name: int, term: int, retention_seconds: float) -> None:
-        """Repeats the tenant's other intervals to counters that began anew."""
+        """Replays the sums of the tenant's other intervals, whose counters restarted empty."""
         for other_name, added in self.replay.take_missing(name, term):
             result = await self._send(other_name, added, retention_seconds)
             if result.is_error():
--- a/loomstand/proxy/counter_replay.py
+++ b/loomstand/proxy/counter_replay.py
@@ -1,8 +1,8 @@
-"""Replays this limiter's increments to a registry that has just begun to count.
+"""Tracks this limiter's increments for replay to a registry that has just started counting.
 
-Such a registry begins with empty counters, so each limiter repeats what it added before. Counters
-belong to a counting term: another term means that they began anew. Pure: no I/O, and each method
-is given a reading of a steady clock in seconds.
+Such a registry starts with empty counters, so each limiter replays its earlier increments. Counters
+belong to a counting term: a change of the term means that they restarted empty. Pure: no I/O;
+methods take the time, in seconds of a monotonic clock, as an argument.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 from loomstand.registry.quota_buckets import INTERVAL_SLOT_BITS
 
-# Stands for a counting term that no registry has: the sum must be repeated to any.
+# A counting term that no registry has: the sum must be replayed whichever registry counts.
 UNKNOWN_TERM = -1
 
 
 @dataclass(slots=True)
 class LocalSum:
-    """What this limiter added to one counter.
+    """This limiter's sum for one counter.
 
     Attributes:
-        added: The sum of its increments, as far as they may have arrived.
-        counting_term: Counting term of the counters that have this sum.
-        expires_at: The counting registry keeps the counter until then, too.
+        added: Sum of the increments that were or may have been applied.
+        counting_term: Counting term of the registry that has this sum.
+        expires_at: Time until which the counting registry keeps the counter.
     """
 
     added: float
@@ -31,12 +31,12 @@
 
 
 class CounterReplay:
-    """This limiter's sums by the name of the counter.
+    """This limiter's sums by counter name.
 
     Attributes:
         sums: The sums by counter name.
-        counting_term: Counting term of the last answer.
-        complete_terms: By tenant, the counting term under which all of its intervals were repeated.
+        counting_term: Counting term of the last response.
+        complete_terms: By tenant, the counting term under which all of its intervals were replayed.
     """
 
     def __init__(self) -> None:
@@ -52,17 +52,17 @@
         now: float,
         counting_term: int | None = None,
     ) -> float:
-        """Records an increment that arrived, or may have arrived.
+        """Records an increment that was, or may have been, applied.
 
         Args:
             counter_name: The counter.
-            step: What was added.
-            retention_seconds: For how long the counter is kept at least.
-            now: A reading of the steady clock.
-            counting_term: Term of the answer; None if none came.
+            step: The increment.
+            retention_seconds: Minimum time for which the counter is kept.
+            now: Time in seconds of the monotonic clock.
+            counting_term: Counting term of the response; None if there was no response.
 
         Returns:
-            What was added under other terms, which the caller is to repeat now; 0 if nothing.
+            The sum added under other terms, which the caller must replay now; 0 if none.
         """
         if counting_term is not None:
             self.counting_term = counting_term
@@ -75,12 +75,13 @@
         return missing
 
     def take_missing(self, counter_name: int, counting_term: int) -> list[tuple[int, float]]:
-        """Returns the tenant's other counters that lack sums, which the caller is to repeat now.
+        """Returns the tenant's other counters with missing sums, and marks them as replayed.
 
-        What limiters admitted while nobody counted may stand in the last interval alone.
+        Requests that limiters admitted while no registry counted may be missing from the last
+        interval only.
 
         Returns:
-            Names of counters and what to add to each.
+            Counter names and the sum that the caller must add to each.
         """
         tenant = counter_name >> INTERVAL_SLOT_BITS
         if self.complete_terms.get(tenant) == counting_term:
@@ -96,13 +97,13 @@
         return [(name, local.added) for name, local in missing]
 
     def mark_missing(self, counter_name: int) -> None:
-        """Records that a repeated sum may not have arrived."""
+        """Records that a replayed sum may not have been applied."""
         self.complete_terms.pop(counter_name >> INTERVAL_SLOT_BITS, None)
         if counter_name in self.sums:  # else it has expired
             self.sums[counter_name].counting_term = UNKNOWN_TERM
 
     def remove_expired(self, now: float) -> None:
-        """Forgets sums of counters that are kept no more."""
+        """Removes the sums of expired counters."""
         expired = [name for name, local in self.sums.items() if local.expires_at < now]
         for name in expired:
             del self.sums[name]
--- a/loomstand/proxy/credit_client.py
+++ b/loomstand/proxy/credit_client.py
@@ -1,6 +1,6 @@
 """Requests quota credits from the counting registry, one call at a time.
 
-Makes calls by the network; `run` is one task, which its owner cancels and awaits.
+Calls the registry over the network; `run` is a task that its owner cancels and awaits.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from loomstand.proxy.quota_credits import QuotaCredits
 from loomstand.rpc.messages.quota_messages import CreditResponse
 
-REQUEST_INTERVAL_SECONDS = 0.4  # at the most: half of the time after which a limiter is isolated
+REQUEST_INTERVAL_SECONDS = 0.4  # maximum; half of the time after which a limiter is isolated
 MIN_REQUEST_INTERVAL_SECONDS = 0.02
-RETRY_SECONDS = 0.1  # after a request that failed
+RETRY_SECONDS = 0.1  # after a failed request
 
 
 class CreditClient:
-    """Requests credits when some run short, else to keep those held good.
+    """Requests credits when a tenant runs short, and periodically to keep the held ones valid.
 
     Attributes:
         credits: The credits held.
@@ -34,7 +34,7 @@
         clock: Callable[[], float],
         on_credits: Callable[[], None],
     ) -> None:
-        """`clock` is steady, in seconds; `on_credits` is called after each answer."""
+        """`clock` is monotonic, in seconds; `on_credits` is called after each response."""
         self.credits = quota_credits
         self.is_short = asyncio.Event()
         self._caller = caller
@@ -43,12 +43,12 @@
         self._on_credits = on_credits
 
     def request_if_short(self, tenant: int, now: float) -> None:
-        """Makes the next request come without delay if the tenant needs credits."""
+        """Triggers an immediate request if the tenant needs credits."""
         if self.credits.needs_request(tenant, now):
             self.is_short.set()
 
     async def run(self) -> None:
-        """Requests credits until it is cancelled."""
+        """Requests credits until the task is cancelled."""
         while True:
             self.is_short.clear()
             sent_at = self._clock()
--- a/loomstand/proxy/endpoint_updates.py
+++ b/loomstand/proxy/endpoint_updates.py
@@ -1,6 +1,6 @@
-"""Turns the registries' rows of servers into endpoints of the decision engine.
+"""Converts the registries' instance rows into endpoints of the decision engine.
 
-Owns the servers' indices, and tells the pool of connections where each server listens. No I/O.
+Assigns the servers' indices and sets their addresses in the connection pool. No I/O.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 
 
 class AddressTable(Protocol):
-    """Who must know where servers listen."""
+    """Interface of a component that needs the servers' addresses."""
 
     def set_address(self, endpoint_id: int, address: Address | None) -> None:
-        """Sets where a server listens; None if it is gone."""
+        """Sets a server's listen address; None if the server is gone."""
 
 
 class EndpointUpdates:
-    """The servers by index, and which of them are live.
+    """Indices of the servers, and the set of live servers of each service.
 
     Attributes:
-        view: The servers as the registries report them.
+        view: The servers as reported by the registries.
         instance_ids: Identifiers of servers by index; indices are never reused.
-        live_by_service: Indices of the live servers of each service that ever had a server.
+        live_by_service: Indices of the live servers of each service that has ever had a server.
     """
 
     def __init__(self, policy: PolicyCompiler, addresses: AddressTable) -> None:
@@ -51,7 +51,7 @@
     def update(
         self, registry: str, rows: Sequence[InstanceRow], is_new_session: bool
     ) -> tuple[Endpoint, ...]:
-        """Takes over rows of a registry; returns the endpoints that changed."""
+        """Applies rows from a registry; returns the endpoints that changed."""
         changed = []
         for instance_id in self.view.update(registry, rows, is_new_session):
             instance = self.view.instances[instance_id]
@@ -63,7 +63,7 @@
         return tuple(changed)
 
     def mark_gone(self, endpoint_id: int) -> Endpoint | None:
-        """Records that another server has the address; returns the endpoint if it changed."""
+        """Marks a server as gone, as another has its address; returns the endpoint if changed."""
         instance = self.view.instances.get(self.instance_ids[endpoint_id])
         if instance is None or instance.state == GONE:
             return None
@@ -71,7 +71,7 @@
         return self.endpoint(endpoint_id, instance)
 
     def endpoint(self, endpoint_id: int, instance: TrackedInstance) -> Endpoint:
-        """Takes over a server's availability; returns the server as an endpoint."""
+        """Applies a server's address and availability; returns the server as an endpoint."""
         state = ENDPOINT_STATES[instance.availability]
         is_gone = state is EndpointState.GONE
         address = None if is_gone else parse_address(instance.address)
--- a/loomstand/proxy/instance_view.py
+++ b/loomstand/proxy/instance_view.py
@@ -1,4 +1,4 @@
-"""The servers as this limiter sees them: the union of what several registries report.
+"""The servers known to this limiter: the union of the reports of several registries.
 
 Pure: no I/O and no clock.
 """
@@ -11,20 +11,20 @@
 from loomstand.registry.instances import DRAINING, GONE, READY, SILENT
 from loomstand.rpc.messages.rows import InstanceRow
 
-UNKNOWN_SEQUENCE = -1  # below that of any heartbeat
+UNKNOWN_SEQUENCE = -1  # lower than the sequence number of any heartbeat
 
 
 @dataclass(slots=True)
 class TrackedInstance:
-    """A server, by its newest row and by what each registry reports of it.
+    """A server, with its newest row and its state as reported by each registry.
 
     Attributes:
-        address: `host:port` at which it takes requests.
-        service: Name of the service it belongs to.
+        address: `host:port` at which it accepts requests.
+        service: Name of its service.
         zone: Name of its zone.
-        state: Its state by the newest row: `ready`, `draining` or `gone`.
-        sequence: Number of its latest heartbeat.
-        reported_states: Its state by the address of the registry that reports it.
+        state: State in the newest row: `ready`, `draining` or `gone`.
+        sequence: Sequence number of its latest heartbeat.
+        reported_states: State reported by each registry, by the registry's address.
     """
 
     address: str
@@ -38,7 +38,7 @@
     def availability(self) -> str:
         """`ready`, `draining`, `silent` or `gone`.
 
-        Silent if all registries that list it report it silent.
+        A server is silent if all registries that list it report it as silent.
         """
         if self.state in (GONE, DRAINING):
             return self.state
@@ -46,9 +46,9 @@
         return SILENT if states and all(state == SILENT for state in states) else READY
 
     def apply(self, registry: str, row: InstanceRow) -> None:
-        """Takes over a row of a registry.
+        """Applies a row from a registry.
 
-        `gone` is final, whichever registry reports it; else the newer row holds.
+        `gone` is final, whichever registry reports it; otherwise the newer row takes precedence.
         """
         self.reported_states[registry] = row.state
         is_newer = row.sequence > self.sequence
@@ -72,13 +72,13 @@
     def update(
         self, registry: str, rows: Iterable[InstanceRow], is_new_session: bool = False
     ) -> list[str]:
-        """Takes over rows of one registry.
+        """Applies rows from one registry.
 
         Args:
             registry: Address of the registry.
             rows: The rows.
-            is_new_session: Whether these are all rows of a registry that may have started anew: it
-                reports nothing of the servers that it doesn't list.
+            is_new_session: Whether these are all rows of a registry that may have restarted; its
+                earlier reports of servers that it doesn't list are discarded.
 
         Returns:
             Identifiers of the servers that are new or whose availability changed.
@@ -101,7 +101,7 @@
         ]
 
     def _withdraw_reports(self, registry: str) -> dict[str, str]:
-        """Removes what a registry reported; returns the former availability of these servers."""
+        """Discards a registry's reports; returns the previous availability of these servers."""
         before = {
             instance_id: instance.availability
             for instance_id, instance in self.instances.items()
--- a/loomstand/proxy/policy_compiler.py
+++ b/loomstand/proxy/policy_compiler.py
@@ -1,7 +1,7 @@
 """Compiles the configuration into settings of the decision engine.
 
-Routes become request classes (frontends), tenants quota plans. Pure: no I/O and no clock. Indices
-hold for the life of the process.
+Routes are compiled to request classes (frontends), and tenants to quota plans. Pure: no I/O and no
+clock. Indices remain valid until the process ends.
 """
 
 from __future__ import annotations
@@ -20,58 +20,60 @@
 from loomstand.registry.quota_grants import ISOLATED_SHARE
 from loomstand.rpc.messages.session_messages import LimiterSetRow
 
-# Value of a late answer, of an answer's in time. The configuration doesn't tell it: a tenth and
-# three tenths at the sites known.
+# Value of a late response relative to one in time. The configuration doesn't state it; known sites
+# use 0.1 and 0.3.
 LATE_VALUE_SHARE = 0.15
-# A total is trusted for a tenant well under its quota for so many intervals. Use beyond the quota
-# breaks a rule here, so the last split takes over as soon as one total is missing.
+# Intervals for which a counter total remains valid for a tenant well below its quota. Use beyond
+# the quota violates a rule, so the last split of the quota applies as soon as one total is missing.
 TOTAL_TRUST_INTERVALS = 1.5
-# Of the retry budget (ratio and slack a window, for each service and all limiters) each limiter
-# takes this share of the ratio for what it sends itself, and its even part of this share of the
-# slack, at once.
+# The retry budget is a ratio and a slack per window, for each service and all limiters together.
+# Each limiter uses the first share of the ratio for the requests that it sends itself, and an even
+# part of the second share of the slack, available in full from the start.
 RETRY_RATIO_SHARE = 0.6
 RETRY_SLACK_SHARE = 0.6
-# A limiter that starts may have spent its part of the burst just before: it has half of it, so that
-# six in ten limiters that are killed at once and come back stay within the overshoot, and all of
-# them serve what waits.
+# A limiter may have used its part of the burst just before a restart, so it starts with half of it.
+# If 60% of the limiters are killed and restarted at once, the total stays within the permitted
+# overshoot, and all of them can serve the waiting requests.
 INITIAL_BURST_SHARE = 0.5
-# A limiter's window is its part of what its service's servers hold, some three; two more come by
-# chance while the servers are idle.
+# A limiter's window is its part of the concurrency of its service's servers, about 3 requests.
+# While the servers are idle, 2 more requests can arrive by chance.
 WINDOW_HEADROOM = 2.0
-# What a server of another zone costs beside one of the own, and the own zone's share among the
-# servers that a limiter uses: bytes between zones are the dearest price. Tried on the bureaus'
-# grown quiet day: 1.4 and none of its own: 0.058 of the worth paid for them, 0.981 in time; 2.0 and
-# 0.8: 0.016, 0.985; 2.5 and 0.5: 0.022, 0.984. Under high load zones differ, and 2.0 and 0.8 leave
-# the busiest one to its own servers: grown scale-1 0.898 and the outlet's scale-2 0.798; 0.900 and
-# 0.813 with 0.67; 0.907 and 0.816 with these.
+# Cost of a server in another zone relative to one in the local zone, and the local zone's share of
+# the servers that a limiter uses. Traffic between zones is the most expensive resource. On a quiet
+# day of the site `bureaus`, cost 1.4 with no local share spent 0.058 of the value on this traffic,
+# with 0.981 of the responses in time; 2.0 and 0.8: 0.016 and 0.985; 2.5 and 0.5: 0.022 and 0.984.
+# Under high load, which differs by zone, 2.0 and 0.8 restrict the busiest zone to its own servers.
+# Scores in scale-1 of the grown sites and scale-2 of the site `outlet`: 0.898 and 0.798 with 2.0
+# and 0.8; 0.900 and 0.813 with a local share of 0.67; 0.907 and 0.816 with 2.5 and 0.5.
 REMOTE_ZONE_COST = 2.5
 LOCAL_ZONE_SHARE = 0.5
-COUNTER_TIMEOUT_MS = 300  # for a counter's call: under 5 ms where the counter is there
-ATTEMPT_LIMIT = 16  # most attempts of a request; routes state fewer
+COUNTER_TIMEOUT_MS = 300  # calls to a reachable counting registry take less than 5 ms
+ATTEMPT_LIMIT = 16  # maximum attempts of a request; routes set lower limits
 MAX_RETRY_AFTER_TICKS = 10_000_000
 METERING_PERIOD_TICKS = 10_000
-PUBLIC_TENANT = "\0public"  # whose the requests of public routes are
+PUBLIC_TENANT = "\0public"  # stands for the clients of public routes
 PUBLIC_PLAN = 0
-# Priorities are powers: 0 is the highest, and all beyond this one are alike.
+# Priorities are negative exponents of value: 0 is the highest, and all beyond this one are equal.
 LOWEST_PRIORITY = 8
-NEUTRAL_PRIORITY = 2  # has the value 1
+NEUTRAL_PRIORITY = 2  # corresponds to a value of 1
 ROUTE_PRIORITY_BASE = 2.0
-TENANT_PRIORITY_BASE = 1.1  # a tenant's goes first, but tells little of the value
+TENANT_PRIORITY_BASE = 1.1  # precedes the route's priority, but says little about value
 
 
 class PolicyCompiler:
-    """Hands out the decision engine's indices, and makes its settings.
+    """Assigns the decision engine's indices and builds its settings.
 
     Attributes:
+        bounds: Limits set by the rules, such as the retry budget.
         zones: Indices of the zones.
         services: Indices of the services.
-        tenants: Indices of the tenants, which are those of their plans, too.
+        tenants: Indices of the tenants, which are also those of their plans.
         own_zone: Index of this proxy's zone.
         frontends: Indices of the request classes.
-        digests: By index of a tenant, the digest of its name.
-        plan_by_digest: By digest, the index of a tenant of the configuration.
-        frontend_by_route: By name of a route of the configuration, the index of its request class.
-        configured_tenants: By index, the tenants of the configuration.
+        digests: Digests of tenant names, by tenant index.
+        plan_by_digest: Plan indices of the configured tenants, by digest.
+        frontend_by_route: Request class indices of the configured routes, by route name.
+        configured_tenants: The configured tenants, by index.
     """
 
     def __init__(self, bounds: RuleBounds, zones: list[str], own_zone: str) -> None:
@@ -87,7 +89,7 @@
         self.configured_tenants: dict[int, Tenant] = {}
 
     def update(self, configuration: Configuration) -> None:
-        """Takes over a new configuration."""
+        """Assigns indices for the routes and tenants of a new configuration."""
         self.frontend_by_route = {}
         for route in configuration.routes:
             frontend = frontend_of(route)
@@ -103,7 +105,7 @@
             self.plan_by_digest[self.digests[index]] = index
 
     def engine_settings(self, limiters: LimiterSetRow, clock_offset: int = 0) -> EngineSettings:
-        """Returns the engine's settings; `clock_offset` is the shared clock's lead in ticks."""
+        """Returns the engine's settings; `clock_offset` is shared minus local clock in ticks."""
         return EngineSettings(
             limiter_index=limiters.rank,
             limiter_count=limiters.total,
@@ -142,12 +144,12 @@
             clock_offset=clock_offset,
         )
 
-    def _retry_budget_max(self, limiters: int) -> float:
-        """Returns this proxy's part of the retries that all may make beyond the ratio."""
-        return max(1.0, RETRY_SLACK_SHARE * self.bounds.budget_slack / limiters)
+    def _retry_budget_max(self, limiter_count: int) -> float:
+        """Returns this proxy's part of the retries permitted beyond the ratio for all proxies."""
+        return max(1.0, RETRY_SLACK_SHARE * self.bounds.budget_slack / limiter_count)
 
     def _plans(self, limiters: LimiterSetRow) -> tuple[QuotaPlan, ...]:
-        """Returns the plans by index; quotas without what silent limiters admit by themselves."""
+        """Returns the plans by index; quotas exclude what silent limiters admit while isolated."""
         scale = 1 - ISOLATED_SHARE * limiters.silent / limiters.total
         return tuple(
             quota_plan(self.configured_tenants.get(index), scale)
@@ -156,7 +158,7 @@
 
 
 def quota_plan(tenant: Tenant | None, scale: float) -> QuotaPlan:
-    """Returns a tenant's plan, with `scale` of its quota; use beyond it has no value."""
+    """Returns a tenant's plan with its quota times `scale`; excess use has no value."""
     rate = tenant.rate_per_second * scale if tenant else 0.0
     burst = 0.0
     if tenant and tenant.rate_per_second:
@@ -175,7 +177,7 @@
 
 
 def frontend_of(route: Route) -> Frontend:
-    """Returns a route's request class; routes that differ only in name and place share one."""
+    """Returns a route's request class; routes that differ only in name or match share one."""
     value = ROUTE_PRIORITY_BASE ** (NEUTRAL_PRIORITY - min(LOWEST_PRIORITY, route.priority))
     return Frontend(
         effect=Effect.IDEMPOTENT if route.idempotent else Effect.NON_IDEMPOTENT,
@@ -191,7 +193,7 @@
 
 
 def tenant_value(tenant: Tenant | None) -> float:
-    """Returns the factor on the value of a tenant's requests, by its priority."""
+    """Returns the value factor of a tenant's requests, derived from its priority."""
     if tenant is None:
         return 1.0
     return TENANT_PRIORITY_BASE ** (NEUTRAL_PRIORITY - min(LOWEST_PRIORITY, tenant.priority))
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -1,7 +1,7 @@
-"""The proxy program: joins clients, the decision engine, servers and registries.
+"""The proxy program: connects clients, the decision engine, servers and registries.
 
-What each part does stands in a module of its own; here they are made, started and stopped, and
-what the registries tell is passed on to them.
+Creates, starts and stops the components of the proxy, and passes updates from the registries to
+them.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 from loomstand.rpc.network import Network
 
 SWEEP_INTERVAL_SECONDS = 1.0
-# After SIGTERM new connections come until the platform has missed two answers, a second apart.
+# After SIGTERM, new connections arrive until two readiness checks, one second apart, have failed.
 LINGER_SECONDS = 2.5
 
 
 class Proxy(AdmissionAdapter):
-    """One proxy.
+    """The proxy: serves clients and follows the registries' updates.
 
     Attributes:
         sessions: The sessions with the registries.
-        shared_clock: The clock by which limiters name the intervals of counters.
+        shared_clock: The clock that determines the interval in counter names.
         client_limits: The limits on clients' connections.
-        readiness: Answers the platform.
+        readiness: The readiness endpoint for the platform.
     """
 
     def __init__(
@@ -51,14 +51,14 @@
         turns: Turns | None = None,
         streams: Streams | None = None,
     ) -> None:
-        """Makes a proxy that doesn't serve yet.
+        """Creates a proxy that doesn't serve yet.
 
         Args:
-            settings: The settings file's settings.
-            network: Carries calls to registries.
-            rng: Draws what is drawn.
-            turns: The event loop's selector, if it notes when bytes arrive.
-            streams: Makes connections where these are not by real sockets.
+            settings: Settings from the settings file.
+            network: Network for calls to registries.
+            rng: Random generator for all random choices.
+            turns: The event loop's selector, if it records when bytes arrive.
+            streams: Replacement for real sockets, as in simulations.
         """
         super().__init__(settings, rng, turns, streams)
         self.client_limits = ClientLimitUpdates(self.listener, self.loop, self.room.left)
@@ -77,7 +77,7 @@
         )
 
     async def run(self) -> None:
-        """Serves until `stop`, and until all that was accepted is answered."""
+        """Serves until `stop` is called and all accepted requests are answered."""
         self.loop.set_exception_handler(self.on_loop_exception)
         addresses = self.settings.listen_addresses
         if addresses.frontend is None or addresses.readiness is None:
@@ -97,21 +97,21 @@
                 logging.error("proxy: credit_client_failed error=%r", error)
 
     def linger_seconds(self) -> float:
-        """Returns for how long new connections are accepted after `stop`."""
+        """Returns the seconds for which new connections are accepted after `stop`."""
         return LINGER_SECONDS
 
     def reload(self, settings: Settings) -> None:
-        """Takes over a changed settings file."""
+        """Applies a changed settings file."""
         self.settings = settings
         self.sessions.reload(settings)
 
     def on_sweep(self) -> None:
-        """Once a second: what depends on time alone."""
+        """Updates the state that depends on time alone; called once a second."""
         self.update_readiness()
         self.counter_client.replay.remove_expired(self.loop.time())
 
     def update_readiness(self) -> None:
-        """Ready once the newest configuration is held and any server is known."""
+        """Updates readiness: requires the newest configuration and at least one known server."""
         is_ready = (
             self.configuration.table is not None
             and self.configuration.is_current(self.loop.time())
@@ -123,16 +123,16 @@
             logging.info("proxy: readiness_changed ready=%s", is_ready)
 
     def update_engine_settings(self) -> None:
-        """Tells the decision engine its settings anew."""
+        """Sends the current settings to the decision engine."""
         settings = self.policy.engine_settings(self.limiters, self.shared_clock.offset)
         self.handle_event(SettingsChanged(settings))
 
-    # what the registries tell: see `sessions.SessionListener`
+    # updates from the registries: see `sessions.SessionListener`
 
     def update_instances(
         self, registry: str, rows: Sequence[InstanceRow], is_new_session: bool
     ) -> None:
-        """Takes over servers that changed."""
+        """Applies changes of servers."""
         changed = self.endpoints.update(registry, rows, is_new_session)
         if changed:
             self.handle_event(EndpointsUpdated(changed, False))
@@ -140,7 +140,7 @@
             self.queue.release_ready()
 
     def update_limiters(self, limiters: LimiterSetRow) -> None:
-        """Takes over the limiters that share the quotas."""
+        """Applies a change of the set of limiters that share the quotas."""
         total = max(1, limiters.total)
         newest = LimiterSetRow(rank=limiters.rank, total=total, silent=limiters.silent)
         if newest != self.limiters:
@@ -149,7 +149,7 @@
             self.update_engine_settings()
 
     def update_tenant_totals(self, totals: Sequence[TenantTotalRow]) -> None:
-        """Takes over the tenants near their limit; those closed are admitted by credits alone."""
+        """Applies totals of tenants near their limit; closed ones need a credit in advance."""
         for row in totals:
             digest = row.counter_name >> INTERVAL_SLOT_BITS
             if row.is_closed:
@@ -161,7 +161,7 @@
                 )
 
     def update_clock(self, shared_clock: int | None, is_current: bool) -> None:
-        """Takes over a registry's clock, and whether the configuration held is the newest."""
+        """Applies a registry's clock, and whether the configuration in force is the newest."""
         self.configuration.update_currency(is_current, self.loop.time())
         if shared_clock is not None and self.shared_clock.observe(shared_clock, self.now()):
             offset_seconds = self.shared_clock.offset / TICKS_PER_SECOND
@@ -170,7 +170,7 @@
         self.update_readiness()
 
     def apply_configuration(self, version: int, data: bytes) -> bool:
-        """Brings a configuration into force that is newer than the one held."""
+        """Puts a newer configuration into force; returns False if it is invalid."""
         configuration = self.configuration.apply(version, data)
         if configuration is None:
             return False
@@ -182,5 +182,5 @@
         return True
 
     def shared_clock_reading(self) -> int | None:
-        """Returns the shared clock in ticks, if any registry told it."""
+        """Returns the shared clock in ticks; None if no registry has reported it."""
         return self.now() + self.shared_clock.offset if self.shared_clock.is_set else None
--- a/loomstand/proxy/quota_credits.py
+++ b/loomstand/proxy/quota_credits.py
@@ -1,12 +1,12 @@
-"""Credits by which this limiter admits requests of tenants that have a quota.
+"""Credits with which this limiter admits requests of tenants that have a quota.
 
-The counting registry grants credits ahead of use and charges them to the tenant's quota at once
+The counting registry grants credits ahead of use and charges them to the tenant's quota immediately
 (`registry/quota_grants.py`). The decision engine admits by its smoothed token buckets; credits are
-the bound that holds whatever these believe. Without an answer of the counting registry a limiter is
-isolated and admits by a part of its even share.
+a hard limit, independent of the state of these buckets. Without responses from the counting
+registry a limiter is isolated, and admits only a part of its even share of the quota.
 
-Pure: no I/O, and each method is given a reading of a steady clock in seconds. Tenants go by the
-digest of their name.
+Pure: no I/O; methods take the time, in seconds of a monotonic clock, as an argument. Tenants are
+identified by the digest of their name.
 """
 
 from __future__ import annotations
@@ -31,32 +31,32 @@
     CreditResponse,
 )
 
-# Credits held of a tenant with few requests, as requests often come in pairs; more where this share
-# of the limiter's part of the bucket is more.
+# Credits held for a tenant with few requests: the larger of this number, as requests often arrive
+# in pairs, and this share of the limiter's part of the bucket.
 MIN_TARGET_CREDITS = 2.0
 TARGET_DEPTH_SHARE = 0.2
-# To these is added what comes in so many seconds: a call takes some ms, but a counter that moves
-# to another registry takes a second.
+# The target also covers the requests expected within this time: a call takes a few ms, but moving
+# the counters to another registry takes a second.
 LOOKAHEAD_SECONDS = 1.0
-REFILL_SHARE = 0.5  # more credits are requested once no more than this share of the target is left
+REFILL_SHARE = 0.5  # credits are requested when at most this share of the target is left
 RATE_SMOOTHING_SECONDS = 1.0  # time constant of a tenant's smoothed request rate
-DEPLETED_RETRY_SECONDS = 0.05  # before credits are requested again after none were granted
-MAX_RETRY_AFTER_SECONDS = 2.0  # the longest advice to a client
-NEAR_LIMIT_SECONDS = 1.0  # for which a report that a tenant is near its limit counts
-# After so many seconds of isolation the even share shrinks to the part below: the counter forgets a
-# limiter after 30 s, and then leaves it nothing.
+DEPLETED_RETRY_SECONDS = 0.05  # delay before the next request after none were granted
+MAX_RETRY_AFTER_SECONDS = 2.0  # maximum `Retry-After` sent to a client
+NEAR_LIMIT_SECONDS = 1.0  # validity of a report that a tenant is near its limit
+# After this time in isolation the even share is reduced by the factor below, as the counting
+# registry removes a limiter after 30 s and then reserves no quota for it.
 LONG_ISOLATION_SECONDS = 25.0
 LONG_ISOLATION_SHARE = 0.2
 
 
 class CreditSource(Enum):
-    """What a request is admitted by.
+    """Source of the credit with which a request is admitted.
 
     Attributes:
-        NONE: Nothing: it isn't admitted.
-        GRANTED: A credit that the counting registry granted.
-        UNREPORTED: A tenant with a large part of its bucket left: admitted first, reported next.
-        ISOLATED: The even share of a limiter that has no answer of the counting registry.
+        NONE: No credit; the request isn't admitted.
+        GRANTED: A credit granted by the counting registry.
+        UNREPORTED: Admission ahead of its report, as a large part of the tenant's bucket is left.
+        ISOLATED: The even share of a limiter without responses from the counting registry.
     """
 
     NONE = "none"
@@ -67,19 +67,19 @@
 
 @dataclass(slots=True)
 class TenantCredits:
-    """One tenant's credits at this limiter; times are readings of the steady clock in seconds.
+    """One tenant's credits at this limiter; times are in seconds of the monotonic clock.
 
     Attributes:
-        rate: The tenant's quota over all limiters, in requests a second.
+        rate: The tenant's quota for all limiters together, in requests per second.
         bucket_depth: Depth of its bucket at the counting registry, in requests.
-        granted: Credits left of those granted.
-        unreported: Requests admitted ahead of any credit and not reported.
-        near_limit_until: Until then no request is admitted ahead of a credit.
-        isolated: Credits left of the even share while isolated.
-        isolated_updated_at: When `isolated` was last brought up to date.
-        request_rate: Smoothed rate of requests, a second.
-        request_rate_at: When `request_rate` was last brought up to date.
-        retry_at: Credits are not requested again before.
+        granted: Remaining granted credits.
+        unreported: Requests admitted without a credit and not yet reported.
+        near_limit_until: Time until which no request is admitted without a credit.
+        isolated: Remaining credits of the even share while isolated.
+        isolated_updated_at: Time of the last update of `isolated`.
+        request_rate: Smoothed request rate, in requests per second.
+        request_rate_at: Time of the last update of `request_rate`.
+        retry_at: Earliest time of the next request for credits.
     """
 
     rate: float
@@ -95,18 +95,19 @@
 
     def count_request(self, now: float) -> None:
         """Adds a request to the smoothed rate."""
-        elapsed = self.request_rate_at - now
+        negative_elapsed = self.request_rate_at - now
         self.request_rate = (
-            self.request_rate * exp(elapsed / RATE_SMOOTHING_SECONDS) + 1 / RATE_SMOOTHING_SECONDS
+            self.request_rate * exp(negative_elapsed / RATE_SMOOTHING_SECONDS)
+            + 1 / RATE_SMOOTHING_SECONDS
         )
         self.request_rate_at = now
 
     def is_active(self, now: float) -> bool:
-        """Returns whether requests came lately, so that credits are not held idly."""
+        """Returns whether requests arrived recently, so that held credits are likely to be used."""
         return self.request_rate > 0 and now - self.request_rate_at <= RATE_SMOOTHING_SECONDS
 
     def target(self, now: float, limiter_count: int) -> float:
-        """Returns how many credits this limiter should hold."""
+        """Returns the number of credits that this limiter should hold."""
         decay = exp((self.request_rate_at - now) / RATE_SMOOTHING_SECONDS)
         minimum = max(MIN_TARGET_CREDITS, TARGET_DEPTH_SHARE * self.bucket_depth / limiter_count)
         return minimum + LOOKAHEAD_SECONDS * self.request_rate * decay
@@ -116,15 +117,16 @@
     """The credits of all tenants that have a quota.
 
     Attributes:
-        bounds: The rules' figures, which set the depth of buckets.
-        incarnation: Number of this limiter's start, drawn at random.
+        bounds: Limits set by the rules, which determine the depth of buckets.
+        incarnation: Random identifier of this run of the limiter.
         tenants: Credits by the tenant's digest.
-        limiter_count: How many limiters share the quotas.
-        grant_term: Number of the counting registry's grants that the credits are of; -1 for none.
-        has_reported_all: Whether the counting registry knows all that is held, under that term.
-        has_answer: Whether a request for credits was ever answered.
-        last_answer_sent_at: When the last answered request was sent.
-        unreported_in_request: By tenant, what the request under way reports as unreported.
+        limiter_count: Number of limiters that share the quotas.
+        grant_term: Term in which the counting registry granted the credits; -1 for none.
+        has_reported_all: Whether all held credits were reported in that term.
+        has_answer: Whether a request for credits has ever been answered.
+        last_answer_sent_at: Time at which the last answered request was sent.
+        unreported_in_request: By tenant, the unreported requests included in the request in
+            progress.
     """
 
     def __init__(self, bounds: RuleBounds, incarnation: int, now: float) -> None:
@@ -139,13 +141,13 @@
         self.unreported_in_request: dict[int, float] = {}
 
     def update_quotas(self, quotas: Mapping[int, Tenant]) -> None:
-        """Takes over the tenants that have a quota, by digest."""
+        """Sets the tenants that have a quota, by digest."""
         previous = self.tenants
         self.tenants = {}
         for digest, tenant in quotas.items():
             depth = bucket_depth(tenant.rate_per_second, tenant.burst_size, self.bounds)
             credit = previous.get(digest) or TenantCredits(tenant.rate_per_second, depth)
-            if tenant.rate_per_second < credit.rate:  # these are parts of the former quota
+            if tenant.rate_per_second < credit.rate:  # granted from the previous quota
                 credit.granted = min(credit.granted, MIN_TARGET_CREDITS)
             credit.rate = tenant.rate_per_second
             credit.bucket_depth = depth
@@ -153,33 +155,33 @@
         self.has_reported_all = False
 
     def set_limiter_count(self, count: int) -> None:
-        """Sets how many limiters share the quotas."""
+        """Sets the number of limiters that share the quotas."""
         self.limiter_count = max(1, count)
 
     def is_isolated(self, now: float) -> bool:
-        """Returns whether the counting registry hasn't answered for too long."""
+        """Returns whether the last answered request is older than `ISOLATION_SECONDS`."""
         return now - self.last_answer_sent_at > ISOLATION_SECONDS
 
     def is_on_demand(self, credit: TenantCredits) -> bool:
         """Returns whether the quota is too small to be granted to all limiters ahead of use."""
         return credit.bucket_depth < MIN_CREDITS_PER_LIMITER * self.limiter_count
 
-    def admits_ahead(self, credit: TenantCredits, now: float) -> bool:
+    def admits_unreported(self, credit: TenantCredits, now: float) -> bool:
         """Returns whether a request may be admitted before it is reported."""
         return self.is_on_demand(credit) and now >= credit.near_limit_until
 
     def source(self, credit: TenantCredits, now: float) -> CreditSource:
-        """Returns what a request of the tenant would be admitted by now."""
+        """Returns the source of the credit for a request of the tenant at this time."""
         self._accrue_isolated(credit, now)
         if now - self.last_answer_sent_at <= CREDIT_LIFETIME_SECONDS:
             if credit.granted >= 1:
                 return CreditSource.GRANTED
-            if self.admits_ahead(credit, now) and credit.unreported < 1 and self.has_answer:
+            if self.admits_unreported(credit, now) and credit.unreported < 1 and self.has_answer:
                 return CreditSource.UNREPORTED
         return CreditSource.ISOLATED if credit.isolated >= 1 else CreditSource.NONE
 
     def may_admit(self, tenant: int, now: float) -> bool:
-        """Counts a request that arrived, and returns whether there is a credit for it."""
+        """Counts an arriving request, and returns whether there is a credit for it."""
         credit = self.tenants.get(tenant)
         if credit is None:
             return True
@@ -187,12 +189,12 @@
         return self.source(credit, now) is not CreditSource.NONE
 
     def has_credit(self, tenant: int, now: float) -> bool:
-        """Returns whether there is a credit for a request that was counted before."""
+        """Returns whether there is a credit for a request that has already been counted."""
         credit = self.tenants.get(tenant)
         return credit is None or self.source(credit, now) is not CreditSource.NONE
 
     def consume(self, tenant: int, now: float) -> None:
-        """Takes the credit of a request that was admitted."""
+        """Uses up the credit of an admitted request."""
         credit = self.tenants.get(tenant)
         if credit is None:
             return
@@ -205,7 +207,7 @@
             credit.unreported += 1
 
     def retry_after_seconds(self, tenant: int, now: float) -> float:
-        """Returns after how many seconds a client should send a rejected request again."""
+        """Returns the delay in seconds after which a client should retry a rejected request."""
         credit = self.tenants[tenant]
         if now >= credit.retry_at:
             return DEPLETED_RETRY_SECONDS
@@ -213,7 +215,7 @@
         return max(DEPLETED_RETRY_SECONDS, min(MAX_RETRY_AFTER_SECONDS, even_share_interval))
 
     def mark_near_limit(self, tenant: int, now: float) -> None:
-        """Records that the counting registry sees the tenant near its limit."""
+        """Records that the counting registry reports the tenant as near its limit."""
         if credit := self.tenants.get(tenant):
             credit.near_limit_until = now + NEAR_LIMIT_SECONDS
 
@@ -225,8 +227,8 @@
     def build_request(self, limiter_name: str, now: float) -> CreditRequest:
         """Returns the next request for credits.
 
-        It has only the tenants of which there is something to tell. Credits that are too old, or
-        more than twice the target, are given up.
+        It includes only tenants with a demand or a change to report. Expired credits, and those
+        beyond twice the target, are released.
         """
         demands = []
         self.unreported_in_request = {}
@@ -234,9 +236,9 @@
             if now - self.last_answer_sent_at > CREDIT_LIFETIME_SECONDS:
                 credit.granted = 0.0
             granted_before = credit.granted
-            # other limiters may need the rest
-            most = max(MIN_TARGET_CREDITS, 2 * credit.target(now, self.limiter_count))
-            credit.granted = min(granted_before, most)
+            # releases the rest, which other limiters may need
+            max_granted = max(MIN_TARGET_CREDITS, 2 * credit.target(now, self.limiter_count))
+            credit.granted = min(granted_before, max_granted)
             wanted = self._wanted(credit, now)
             has_changed = credit.unreported or credit.granted != granted_before
             if not self.has_reported_all or wanted > 0 or has_changed:
@@ -259,16 +261,16 @@
         )
 
     def apply_response(self, sent_at: float, now: float, response: CreditResponse) -> bool:
-        """Takes the credits of an answer.
+        """Adds the credits of a response.
 
         Args:
-            sent_at: When the request was sent.
-            now: When the answer came.
-            response: The answer.
+            sent_at: Time at which the request was sent.
+            now: Time at which the response was received.
+            response: The response.
 
         Returns:
-            Whether the next request must be sent at once: the registry grants under another term
-            and must learn all that is held, or takes this limiter for isolated.
+            Whether the next request must be sent immediately, because the registry grants in
+            another term and needs a report of all held credits, or treats this limiter as isolated.
         """
         if response.grant_term != self.grant_term or response.grants is None:
             self.grant_term = response.grant_term
@@ -293,24 +295,24 @@
         return was_isolated
 
     def _accrue_isolated(self, credit: TenantCredits, now: float) -> None:
-        """Adds what comes of the even share while isolated; after that none of it is kept."""
+        """Accrues credits of the even share while isolated, and discards them otherwise."""
         if not self.is_isolated(now):
             credit.isolated = 0.0
             credit.isolated_updated_at = now
             return
         since = max(credit.isolated_updated_at, self.last_answer_sent_at + ISOLATION_SECONDS)
         is_long = now - self.last_answer_sent_at >= LONG_ISOLATION_SECONDS
-        shrink = LONG_ISOLATION_SHARE if is_long else 1.0
-        share = ISOLATED_SHARE * credit.rate / self.limiter_count * shrink
+        factor = LONG_ISOLATION_SHARE if is_long else 1.0
+        share = ISOLATED_SHARE * credit.rate / self.limiter_count * factor
         accrued = credit.isolated + share * max(0.0, now - since)
         credit.isolated = min(max(1.0, share), accrued)
         credit.isolated_updated_at = now
 
     def _wanted(self, credit: TenantCredits, now: float) -> float:
-        """Returns how many credits to request; 0 where enough are left, or it's too early."""
+        """Returns the credits to request; 0 if enough are left or it is too early to retry."""
         target = credit.target(now, self.limiter_count)
         if self.is_on_demand(credit):
-            is_idle = self.admits_ahead(credit, now) or not credit.is_active(now)
+            is_idle = self.admits_unreported(credit, now) or not credit.is_active(now)
             target = 0.0 if is_idle else 1.0
         if target and credit.granted <= REFILL_SHARE * target and now >= credit.retry_at:
             return target - credit.granted
--- a/loomstand/proxy/readiness.py
+++ b/loomstand/proxy/readiness.py
@@ -1,4 +1,4 @@
-"""Answers the platform whether this proxy is ready, by HTTP on a socket of its own."""
+"""HTTP endpoint for the platform's readiness checks, on a separate listening socket."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
     def __init__(
         self, is_ready: Callable[[], bool], turns: Turns | None, streams: Streams | None
     ) -> None:
-        """See `Proxy`; `is_ready` is asked at each call."""
+        """See `Proxy`; `is_ready` is called for each request."""
         self._is_ready = is_ready
         self._server = OperatorHttpServer(
             self._answer, turns, BUFFER_BYTES, MAX_CONNECTIONS, MAX_BODY_BYTES, streams
         )
 
     async def listen(self, address: Address) -> None:
-        """Begins to serve."""
+        """Starts serving on the address."""
         await self._server.listen(address)
 
     def stop(self) -> None:
-        """Ends the server."""
+        """Stops the server."""
         self._server.stop()
 
     async def _answer(self, _method: bytes, target: bytes, _body: bytes) -> tuple[int, bytes]:
--- a/loomstand/proxy/request.py
+++ b/loomstand/proxy/request.py
@@ -1,4 +1,4 @@
-"""A client's request: checked as it arrives, and written anew for a server. No I/O."""
+"""A client's request: validation on arrival and encoding for a server. No I/O."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 REQUEST_ID_FIELD = b"loomstand-request-id"
 DEADLINE_FIELD = b"loomstand-deadline-remaining"
-# Fields that never go on from a client to a server; some of them the proxy writes itself.
+# Fields that are never forwarded from a client to a server; the proxy sets some of them itself.
 PROXY_FIELDS = HOP_FIELDS | {
     b"authorization",
     DEADLINE_FIELD,
     b"loomstand-expected-instance",
     b"loomstand-tenant-name",
 }
-# Fields that go on even if the client's `Connection` lists them.
+# Fields that are forwarded even if the client's `Connection` field lists them.
 REQUIRED_FIELDS = {b"host", REQUEST_ID_FIELD}
-ANSWER_TRAVEL_MS = 20  # of a client's time are left for the way back of its answer
+RESPONSE_TRANSIT_MS = 20  # reserved of a client's deadline for the transit of the response
 
 
 class ServerResponse(NamedTuple):
-    """A server's complete response, as it goes on to the client.
+    """A server's complete response, as forwarded to the client.
 
     Attributes:
         status: The status code.
         body: The body.
-        encoded_headers: Its fields that go on, as lines with their ends.
+        encoded_headers: Forwarded header lines, each terminated by CRLF.
     """
 
     status: int
@@ -41,17 +41,17 @@
     """A client's request at the proxy.
 
     Attributes:
-        request_id: The id that the client gave it; never empty.
-        deadline_remaining_ms: How long the client says that it waits; None if it doesn't say.
-        api_key: The key of its `Authorization`; empty if there is none.
-        excluded_fields: Names of the fields that don't go on to a server.
-        route: Its route, once it is admitted.
-        service: Name of the service that is to answer it, once it is admitted.
-        tenant: Its tenant; None before that is known, and on public routes.
-        server_response: The last complete response of a server, if there is one.
-        attempted_endpoints: Indices of the servers that it was sent to.
-        may_have_run: Whether an attempt ended without proof that it didn't run.
-        needs_new_connection: Whether it goes by new connections only.
+        request_id: The id assigned by the client; never empty.
+        deadline_remaining_ms: Time for which the client waits, in ms; None if not stated.
+        api_key: The bearer token of its `Authorization` field; empty if there is none.
+        excluded_fields: Names of the fields that are not forwarded to a server.
+        route: The matched route; set on admission.
+        service: Name of the service that handles it; set on admission.
+        tenant: Its tenant; None before admission and on public routes.
+        server_response: The last complete response from a server, if any.
+        attempted_endpoints: Indices of the servers to which it was sent.
+        may_have_run: Whether an attempt ended without proof that the request was not executed.
+        needs_new_connection: Whether it must not be sent on a reused connection.
     """
 
     __slots__ = (
@@ -70,10 +70,10 @@
     route: Route
 
     def __init__(self, parser: RequestReceiver) -> None:
-        """Takes the parser's complete message.
+        """Creates a request from the parser's complete message.
 
         Raises:
-            Malformed: The request isn't proper; answered with 400.
+            Malformed: The request is invalid; it is answered with status 400.
         """
         super().__init__(parser)
         fields = parser.fields
@@ -104,23 +104,23 @@
 
     @property
     def path(self) -> bytes:
-        """The path of its target, without the query."""
+        """The path of the request target, without the query."""
         return self.line[1].partition(b"?")[0]
 
     def timeout_ticks(self) -> int:
-        """Returns how long it may take, by its route and by what the client says."""
+        """Returns the time limit in ticks: the lower of the route's timeout and the client's."""
         timeout = self.route.timeout_seconds * TICKS_PER_SECOND
         if self.deadline_remaining_ms is not None:
-            remaining_ms = self.deadline_remaining_ms - ANSWER_TRAVEL_MS
+            remaining_ms = self.deadline_remaining_ms - RESPONSE_TRANSIT_MS
             timeout = min(timeout, remaining_ms * TICKS_PER_MILLISECOND)
         return max(1, int(timeout))
 
     def encode_for(self, instance_id: bytes, timeout_ms: int) -> bytes:
-        """Returns its bytes for a server.
+        """Returns the encoded request for a server.
 
         Args:
             instance_id: Identifier of the server.
-            timeout_ms: How long the server's answer is waited for.
+            timeout_ms: Time limit for the server's response, in ms.
         """
         tenant_header = b""
         if self.tenant is not None:
@@ -137,7 +137,7 @@
 
 
 class ProxyAttempt(Attempt[ProxyRequest]):
-    """An attempt at one server.
+    """An attempt to have a request executed by one server.
 
     Attributes:
         instance_id: Identifier of the server.
@@ -145,7 +145,7 @@
 
     __slots__ = ("instance_id",)
 
-    def __init__(  # noqa: PLR0913, PLR0917 - the base class's arguments and one more
+    def __init__(  # noqa: PLR0913, PLR0917 - base class arguments and `instance_id`
         self,
         request: ProxyRequest,
         number: int,
@@ -159,5 +159,5 @@
         self.instance_id = instance_id.encode()
 
     def raw(self, wait: int) -> bytes:
-        """Returns its bytes for the server, whose answer is waited for `wait` ms."""
+        """Returns the encoded request; `wait` is the time limit for the response in ms."""
         return self.request.encode_for(self.instance_id, wait)
--- a/loomstand/proxy/sessions.py
+++ b/loomstand/proxy/sessions.py
@@ -1,7 +1,7 @@
 """This limiter's sessions with the registries, one for each core machine.
 
-In a session the limiter asks a registry, again and again, for what is newer than what it knows.
-Makes calls by the network, and owns the tasks that do so.
+In a session the limiter polls a registry for changes since the revisions that it already has. Calls
+the registries over the network, and owns the tasks of the sessions.
 """
 
 from __future__ import annotations
@@ -32,17 +32,17 @@
 )
 from loomstand.rpc.network import Address, Network
 
-POLL_TIMEOUT_SECONDS = 1.0  # a registry answers after 0.6 s where there is nothing newer
-# Seconds between two calls to one registry. Where much changes at once, as when all start, each
-# change was an answer to every limiter; so they come together. The first comes at once, others
-# later by this.
+POLL_TIMEOUT_SECONDS = 1.0  # a registry without changes responds after 0.6 s
+# Minimum interval between the starts of two calls to one registry, so that several changes are
+# combined into one response. Without it, many changes at once, as at a restart of all programs,
+# cause one response per change to every limiter. The first change is not delayed.
 POLL_INTERVAL_SECONDS = 0.1
-IN_TOUCH_SECONDS = 2.0  # for which a registry's last answer counts
+ANSWER_VALIDITY_SECONDS = 2.0  # for which a registry's last response is considered
 DEREGISTER_TIMEOUT_SECONDS = 0.2
-# The first and the longest backoff before a registry that fails is called again.
+# Initial and maximum backoff before the next call to a registry that failed.
 BACKOFF_SECONDS = (0.1, 0.5)
-# Seconds for which a registry that nobody lists and that doesn't answer is called on: seeds may be
-# exchanged.
+# Time after which calls to an unresponsive registry stop if no registry lists it and it isn't a
+# seed, as core machines may be replaced.
 UNLISTED_SECONDS = 10.0
 
 ValueT = TypeVar("ValueT")
@@ -50,41 +50,41 @@
 
 
 class SessionListener(Protocol):
-    """Who is told what the registries answer."""
+    """Receives the updates from the registries."""
 
     def update_instances(
         self, registry: str, rows: Sequence[InstanceRow], is_new_session: bool
     ) -> None:
-        """Called with servers that changed; with all of them in a new session."""
+        """Called with changed servers, and with all servers in a new session."""
 
     def update_limiters(self, limiters: LimiterSetRow) -> None:
-        """Called with the limiters, as the registry knows them that knows most."""
+        """Called with the limiter set of the registry with the most complete information."""
 
     def update_tenant_totals(self, totals: Sequence[TenantTotalRow]) -> None:
-        """Called with the tenants near their limit."""
+        """Called with the totals of tenants near their limit."""
 
     def update_clock(self, shared_clock: int | None, is_current: bool) -> None:
-        """Called with a registry's clock, and whether the configuration held is the newest."""
+        """Called with a registry's clock, and whether the held configuration is the newest."""
 
     def apply_configuration(self, version: int, data: bytes) -> bool:
-        """Brings a configuration into force; returns whether it could."""
+        """Puts a configuration into force; returns False if it is invalid."""
 
     def shared_clock_reading(self) -> int | None:
-        """Returns the shared clock in ticks, if this limiter knows it."""
+        """Returns the shared clock in ticks; None if unknown to this limiter."""
 
 
 @dataclass(slots=True)
 class SessionState:
-    """What a limiter knows from one registry.
+    """State of the session with one registry.
 
     Attributes:
         host: IP address of the registry's machine.
         address: Address of the registry.
         session_id: Number of the session; 0 if none is open.
-        instances_revision: Revision of the registry's table of servers.
-        system_state_revision: Revision of the registry's system state.
-        buckets_revision: Revision of the registry's quota buckets.
-        is_current: Whether the registry's configuration was known to be the newest.
+        instances_revision: Last received revision of the registry's instance table.
+        system_state_revision: Last received revision of the registry's system state.
+        buckets_revision: Last received revision of the registry's quota buckets.
+        is_current: Whether the registry last reported its configuration as the newest.
     """
 
     host: str
@@ -101,11 +101,11 @@
 
     Attributes:
         configuration: Holds and fetches the configuration.
-        counters: By registry, the counting registry that it told.
-        limiter_sets: By registry, the limiters that it told.
-        tasks: By address of a core machine, its session.
-        last_listed_at: By core machine, when a registry listed it or it answered.
-        last_answer_at: By registry, when it last answered.
+        counters: By registry, the counting registry that it reported.
+        limiter_sets: By registry, the limiter set that it reported.
+        tasks: By address of a core machine, the task of its session.
+        last_listed_at: By core machine, the last time that a registry listed it or it responded.
+        last_answer_at: By registry, the time of its last response.
     """
 
     def __init__(
@@ -116,7 +116,7 @@
         rng: Random,
         listener: SessionListener,
     ) -> None:
-        """`clock` is steady, in seconds."""
+        """`clock` is monotonic, in seconds."""
         self.configuration = ConfigurationFetcher(
             network, clock, lambda version, data: listener.apply_configuration(version, data)
         )
@@ -133,17 +133,17 @@
         self._is_stopping = False
 
     def start(self) -> None:
-        """Begins a session with each seed."""
+        """Starts a session with each seed node."""
         for host, _ in self._settings.seed_nodes:
             self._add_core(host)
 
     def reload(self, settings: Settings) -> None:
-        """Takes over changed settings: the seeds may be others."""
+        """Applies changed settings, and starts sessions with new seed nodes."""
         self._settings = settings
         self.start()
 
     async def stop(self) -> None:
-        """Ends the sessions, so that the limiter's rank is free at once."""
+        """Ends the sessions and deregisters, so that the limiter's rank is freed immediately."""
         self._is_stopping = True
         tasks = list(self.tasks.values())
         self.tasks = {}
@@ -166,14 +166,14 @@
                 logging.error("proxy: session_failed error=%r", error)
 
     def counting_registry(self) -> CounterEndpointRow | None:
-        """Returns the counting registry of the highest term that is told, if any is."""
-        endpoints = self._in_touch(self.counters) or list(self.counters.values())
+        """Returns the reported counting registry of the highest term; None if there is none."""
+        endpoints = self._recently_reported(self.counters) or list(self.counters.values())
         return max(endpoints, key=_counter_order, default=None)
 
     async def call_counter(
         self, request: Request, response_type: type[ResponseT], timeout_seconds: float
     ) -> Result[ResponseT, CallFailure]:
-        """Calls the counting registry, wherever it is."""
+        """Calls the current counting registry; fails with `NEVER_RAN` if none is known."""
         counter = self.counting_registry()
         if counter is None:
             return Error(CallFailure.NEVER_RAN)
@@ -186,7 +186,7 @@
             self.tasks[host] = asyncio.get_running_loop().create_task(self._run_session(host))
 
     async def _run_session(self, host: str) -> None:
-        """Calls one registry again and again, until nobody lists it any more."""
+        """Polls one registry until it fails and is no longer listed."""
         state = SessionState(host, self._settings.registry_address(host))
         backoff = BACKOFF_SECONDS[0]
         while True:
@@ -197,7 +197,7 @@
             )
             if result.is_error():
                 if result.error is CallFailure.REFUSED and state.session_id:
-                    state.session_id = 0  # the registry has started anew
+                    state.session_id = 0  # the registry has restarted
                     continue
                 if self._is_unlisted(host):
                     self.last_answer_at.pop(host, None)
@@ -208,9 +208,9 @@
                 continue
             backoff = BACKOFF_SECONDS[0]
             await self._handle_response(state, result.ok)
-            early_seconds = called_at + POLL_INTERVAL_SECONDS - self._clock()
-            if early_seconds > 0:
-                await asyncio.sleep(early_seconds)
+            remaining_seconds = called_at + POLL_INTERVAL_SECONDS - self._clock()
+            if remaining_seconds > 0:
+                await asyncio.sleep(remaining_seconds)
 
     def _request(self, state: SessionState) -> SessionRequest:
         if state.session_id:
@@ -246,7 +246,7 @@
             state.system_state_revision = response.system_state_revision
             state.is_current = bool(response.is_current)
             self._update_system(state.host, response)
-            # what is held is surely the newest only once it is what the registry has
+            # the held configuration is the newest only if it is not older than the registry's
             clock = response.shared_clock
             self._listener.update_clock(
                 None if isinstance(clock, msgspec.UnsetType) else clock,
@@ -270,10 +270,11 @@
             self._listener.update_instances(state.host, response.instances or [], is_new_session)
 
     def _update_system(self, host: str, response: SessionResponse) -> None:
-        """Takes over what a registry tells beside servers.
+        """Applies the core machines, the counting registry and the limiter set of a response.
 
-        Of limiters the registry is right that knows most: one that just started doesn't know those
-        that are cut off. Of two that know as many, the one that is in touch with more.
+        The limiter set of the registry that knows the most limiters takes precedence, as a registry
+        that has just started doesn't know limiters that can't reach it. Among equals, the registry
+        with the fewest silent limiters takes precedence.
         """
         for core_host in response.core_hosts or ():
             self._add_core(core_host)
@@ -281,10 +282,12 @@
             self.counters[host] = response.counter
         if response.limiters is not None:
             self.limiter_sets[host] = response.limiters
-            self._listener.update_limiters(max(self._in_touch(self.limiter_sets), key=_set_order))
+            self._listener.update_limiters(
+                max(self._recently_reported(self.limiter_sets), key=_set_order)
+            )
 
     async def _offer_configuration(self, address: Address) -> None:
-        """Gives the registry a configuration that it may have lost."""
+        """Sends the held configuration to a registry that may have lost it."""
         request = OfferRequest(version=self.configuration.version, data=self.configuration.data)
         result = await client.call(
             self._network, address, request, Acknowledgement, FETCH_TIMEOUT_SECONDS
@@ -292,13 +295,14 @@
         if result.is_error():
             logging.info("proxy: offer_failed registry=%s:%d", *address)
 
-    def _in_touch(self, by_registry: dict[str, ValueT]) -> list[ValueT]:
-        """Returns the values of the registries that answered lately."""
+    def _recently_reported(self, by_registry: dict[str, ValueT]) -> list[ValueT]:
+        """Returns the values of the registries that responded recently."""
         now = self._clock()
         return [
             value
             for host, value in by_registry.items()
-            if now - self.last_answer_at.get(host, -IN_TOUCH_SECONDS) <= IN_TOUCH_SECONDS
+            if now - self.last_answer_at.get(host, -ANSWER_VALIDITY_SECONDS)
+            <= ANSWER_VALIDITY_SECONDS
         ]
 
 
--- a/loomstand/proxy/shared_clock.py
+++ b/loomstand/proxy/shared_clock.py
@@ -1,33 +1,33 @@
-"""The clock by which all limiters name the intervals of counters, as this limiter knows it.
+"""This limiter's estimate of the shared clock, which determines the interval in counter names.
 
-Limiters whose clocks differ count under different names: each sees only some of a tenant's use, and
-all of them together admit its quota twice. That befell limiters that started while no registry was
-in reach, or whose time of day had jumped, as they kept the clock that they started with.
+Limiters with different clocks count under different names: each sees only a part of a tenant's use,
+and together they admit its quota twice. This occurs with limiters that started while no registry
+was reachable, or whose wall clock was stepped, if they keep the clock that they started with.
 
-Pure: readings of the limiter's own clock are given. Times are ticks of 0.1 ms.
+Pure: methods take a reading of the limiter's local clock. Times are ticks of 0.1 ms.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-TOLERANCE_TICKS = 50  # by which an offset may be off: an answer may wait its turn for some ms
-ONE_WAY_TICKS = 10  # that an answer takes, between zones
-# For so long an offset must look behind before the clock follows. Late answers make it look so, on
-# lossy links by a fifth of a second; registries repeat a clock that moved for three seconds.
+TOLERANCE_TICKS = 50  # ignored difference of offsets: a response may be queued for a few ms
+ONE_WAY_TICKS = 10  # transit time of a response between zones
+# Time for which smaller offsets must persist before the clock is set back. Late responses cause
+# smaller offsets, by 0.2 s on lossy links; registries repeat a changed clock for 3 s.
 BEHIND_TICKS = 8_000
 
 
 @dataclass(slots=True)
 class SharedClock:
-    """The shared clock as an offset from the limiter's own.
+    """The shared clock as an offset from the local clock.
 
     Attributes:
-        offset: Ticks by which the shared clock is ahead of the own one.
-        is_set: Whether any registry told the shared clock.
-        behind_offset: The largest offset observed since `behind_since`, where all observed since
-            were smaller than `offset`; else None.
-        behind_since: Reading of the own clock.
+        offset: Ticks by which the shared clock is ahead of the local clock.
+        is_set: Whether any registry has reported the shared clock.
+        behind_offset: The largest offset observed since `behind_since`, if all of these were
+            smaller than `offset`; otherwise None.
+        behind_since: Local time of the first of these observations.
     """
 
     offset: int = 0
@@ -36,10 +36,10 @@
     behind_since: int = 0
 
     def observe(self, shared_clock: int, now: int) -> bool:
-        """Takes over a reading of the shared clock that came at `now` of the own clock.
+        """Processes a reading of the shared clock received at `now` by the local clock.
 
-        An answer that comes late makes the shared clock look behind, never ahead. So a larger
-        offset counts at once, a smaller one only if it persists.
+        A delayed response makes the shared clock appear behind, never ahead. A larger offset is
+        therefore applied immediately, a smaller one only if it persists.
 
         Returns:
             Whether `offset` changed.
--- a/loomstand/proxy/stale_connections.py
+++ b/loomstand/proxy/stale_connections.py
@@ -1,29 +1,30 @@
-"""How long a connection may have been idle to carry a request that must not run twice.
+"""Limits the idle time of connections that are reused for non-idempotent requests.
 
-A server may drop idle connections without notice, many at once. What is sent on one of them then
-is reset, and nobody knows for sure that it didn't run: an idempotent request is retried on a new
-connection, another one is lost. Pure: a reading of a steady clock in seconds is given.
+A server may drop idle connections without notice, many at once. A request sent on one of them is
+then reset, without proof that it was not executed: an idempotent request is retried on a new
+connection, a non-idempotent one is lost. Pure: methods take the time, in seconds of a monotonic
+clock, as an argument.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-# A machine that dropped a connection resets it within a round trip, some 3 ms between zones, or
-# later on a busy core; a request that ran takes longer.
-RESET_WITHIN_SECONDS = 0.03
-# Of the idle time after which a connection was lost, the share that is trusted from then on: the
-# first one to be lost was idle longer than need be.
+# A machine that dropped a connection resets it within a round trip, about 3 ms between zones, or
+# later on a busy CPU. A request that was executed takes longer.
+MAX_RESET_DELAY_SECONDS = 0.03
+# Share of the idle time of a lost connection up to which others are still reused. It is less than 1
+# because the server may have dropped the first lost connection some time before its reuse.
 TRUSTED_IDLE_SHARE = 0.5
-# For how long a loss counts: such times last some six seconds, and a new connection costs little.
-MEMORY_SECONDS = 8.0
+# Validity of a recorded loss. Such failures last about 6 s, and a new connection costs little.
+LOSS_VALIDITY_SECONDS = 8.0
 
 
 class StaleConnections:
-    """The losses of idle connections, by service.
+    """Recorded losses of idle connections, by service.
 
     Attributes:
-        trusted_idle: By service, the trusted idle time and until when it holds.
+        trusted_idle: By service, the trusted idle time in seconds and the time when it expires.
     """
 
     def __init__(self) -> None:
@@ -36,15 +37,15 @@
 
         Args:
             service: Service of the server.
-            idle_seconds: For how long the connection had been idle when the request was sent.
-            seconds_to_loss: Time from the sending to the loss.
-            now: A reading of the steady clock.
+            idle_seconds: Idle time of the connection when the request was sent.
+            seconds_to_loss: Time from sending the request to the loss.
+            now: Time of the monotonic clock.
         """
-        if seconds_to_loss <= RESET_WITHIN_SECONDS:
+        if seconds_to_loss <= MAX_RESET_DELAY_SECONDS:
             trusted = min(self.max_idle_seconds(service, now), TRUSTED_IDLE_SHARE * idle_seconds)
-            self.trusted_idle[service] = (trusted, now + MEMORY_SECONDS)
+            self.trusted_idle[service] = (trusted, now + LOSS_VALIDITY_SECONDS)
 
     def max_idle_seconds(self, service: str, now: float) -> float:
-        """Returns for how long a connection may have been idle; infinite if none was lost."""
+        """Returns the maximum idle time of a reused connection; infinite if none was lost."""
         trusted, until = self.trusted_idle.get(service, (inf, -inf))
         return trusted if now < until else inf
--- a/loomstand/proxy/startup.py
+++ b/loomstand/proxy/startup.py
@@ -1,7 +1,8 @@
-"""Requests that meet a starting proxy: what they wait for, and the queue in which they do.
+"""Queues requests that arrive while the proxy is starting.
 
-At a start the configuration, the servers' heartbeats and the first credits are under way. A request
-waits for them for a moment, as all proxies would reject it alike. No sockets; owns timers.
+During startup the configuration, the servers' heartbeats and the first credits have not arrived
+yet. A request waits for them briefly, as after a restart of all proxies each would reject it. No
+sockets; owns timers.
 """
 
 from __future__ import annotations
@@ -15,14 +16,17 @@
 from loomstand.proxy.quota_credits import QuotaCredits
 from loomstand.proxy.request import ProxyRequest
 
-# The most that a request waits, and half of its client's time: when all start at once the
-# configuration comes within 0.6 s, and servers' heartbeats 1.5 s apart.
+# Maximum time in the queue, further limited to half of the client's deadline. When all programs
+# start at once, the configuration arrives within 0.6 s; servers send heartbeats every 1.5 s.
 MAX_WAIT_SECONDS = 0.8
-STARTUP_SECONDS = 4.0  # after which a limiter knows all servers that there are
+STARTUP_SECONDS = 4.0  # after this time a limiter knows all existing servers
 
 
 class StartupConditions:
-    """What must have come before a request is admitted; after `STARTUP_SECONDS` nothing."""
+    """Conditions for admitting a request during startup.
+
+    After `STARTUP_SECONDS`, an arriving request requires only a configuration.
+    """
 
     def __init__(
         self,
@@ -31,7 +35,7 @@
         endpoints: EndpointUpdates,
         quota_credits: QuotaCredits,
     ) -> None:
-        """The start is now, by `clock`, which is steady, in seconds."""
+        """Startup begins now by `clock`, which is monotonic, in seconds."""
         self.started_at = clock()
         self._clock = clock
         self._configuration = configuration
@@ -39,11 +43,11 @@
         self._credits = quota_credits
 
     def is_over(self, now: float) -> bool:
-        """Returns whether the start is over."""
+        """Returns whether startup is over."""
         return now - self.started_at >= STARTUP_SECONDS
 
     def are_met(self, request: ProxyRequest) -> bool:
-        """Returns whether a request that arrived need not wait."""
+        """Returns whether an arriving request can be admitted without waiting."""
         return (
             self._configuration.table is not None
             and self._has_server(request)
@@ -51,15 +55,15 @@
         )
 
     def are_met_in_queue(self, request: ProxyRequest) -> bool:
-        """Returns whether a request that waits need wait no longer."""
+        """Returns whether a queued request can be admitted."""
         return self.are_met(request) and not self._lacks_credit(request)
 
     def _has_server(self, request: ProxyRequest) -> bool:
         """Returns whether a server is known that could serve the request.
 
-        After the start, a server that isn't known isn't there.
+        After startup always True, as a server still unknown by then doesn't exist.
         """
-        if self._clock() - self.started_at > STARTUP_SECONDS:  # first, as each request asks
+        if self._clock() - self.started_at > STARTUP_SECONDS:  # first, as this runs per request
             return True
         table = self._configuration.table
         route = table.find_route(request.host, request.path) if table is not None else None
@@ -71,7 +75,7 @@
         )
 
     def _has_first_credits(self) -> bool:
-        """Returns whether the first credits have come, if any tenant needs some."""
+        """Returns whether the first credits have arrived, or no tenant needs any."""
         return (
             self._credits.has_answer
             or self._clock() - self.started_at > STARTUP_SECONDS
@@ -79,7 +83,7 @@
         )
 
     def _lacks_credit(self, request: ProxyRequest) -> bool:
-        """Returns whether a request waits for a credit."""
+        """Returns whether no credit is available for a request."""
         if request.tenant is None:
             return False
         digest = stable_digest(request.tenant.name)
@@ -87,10 +91,10 @@
 
 
 class RequestQueue:
-    """The requests that wait for the end of the start.
+    """Queue of requests that wait for startup to finish.
 
     Attributes:
-        arrived_at: The requests that wait, and when each arrived.
+        arrived_at: Arrival times of the queued requests.
     """
 
     def __init__(
@@ -99,7 +103,7 @@
         conditions: StartupConditions,
         admit: Callable[[ProxyRequest, float, bool], None],
     ) -> None:
-        """`admit` gets the request, when it arrived, and that it has waited."""
+        """`admit` is called with the request, its arrival time and `has_waited=True`."""
         self.arrived_at: dict[ProxyRequest, float] = {}
         self._loop = loop
         self._conditions = conditions
@@ -108,7 +112,7 @@
     def add(
         self, request: ProxyRequest, arrived_at: float, max_wait_seconds: float = MAX_WAIT_SECONDS
     ) -> None:
-        """Lets a request wait; half of its client's time at the most."""
+        """Queues a request, for at most half of its client's deadline."""
         self.arrived_at[request] = arrived_at
         if request.deadline_remaining_ms is not None:
             half_seconds = request.deadline_remaining_ms / 2000
@@ -116,7 +120,7 @@
         self._loop.call_later(max_wait_seconds, self._release, request)
 
     def release_ready(self) -> None:
-        """Admits the requests that need wait no longer, after something came."""
+        """Admits the queued requests whose conditions are met; called after updates."""
         for request in list(self.arrived_at):
             if request.client is None or self._conditions.are_met_in_queue(request):
                 self._release(request)
--- a/loomstand/proxy/upstream.py
+++ b/loomstand/proxy/upstream.py
@@ -1,7 +1,7 @@
-"""Connections to servers: which response belongs to which request, and which connection is reused.
+"""Connections to servers: matching of responses with requests, and reuse of connections.
 
-Owns the sockets to servers. A response that isn't surely a server's own to this very request is
-never passed on.
+Owns the sockets to servers. A response is forwarded only if it was verifiably sent by a server of
+the system for this request.
 """
 
 from __future__ import annotations
@@ -24,55 +24,55 @@
 from loomstand.proxy.stale_connections import StaleConnections
 
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=([0-9]{1,6})").search
-# A server's idle close and the next request may cross on the way; a request that isn't idempotent
-# is lost by that. The stated time is in whole seconds, so it may be rounded.
+# A server may close an idle connection while the next request is in transit, which loses a
+# non-idempotent request. The keep-alive timeout is stated in whole seconds, so it may be rounded.
 IDLE_CLOSE_MARGIN_SECONDS = 1.0
-# Seconds for which a connection is kept where the server states nothing: those seen keep ten.
+# Time for which a connection is kept if the server states no timeout; known servers keep them 10 s.
 DEFAULT_IDLE_SECONDS = 4.0
 CONNECTION_LOSSES = {Ending.CLOSED, Ending.RESET}
 MISDIRECTED = 421
-# Statuses that clients take for a promise that the request didn't run and never will.
+# Statuses that guarantee to clients that the request was not and will not be executed.
 NOT_EXECUTED_STATUSES = {408, MISDIRECTED, 429, 503}
-# Surplus responses that are skipped for one request. A server sends one or two by mistake; where
-# more come, each costs a turn of the parser within one piece of bytes.
+# Maximum number of surplus responses skipped for one request. A faulty server sends one or two; the
+# limit bounds the parsing work for a single read.
 MAX_SURPLUS_RESPONSES = 8
 
 
 class AttemptListener(Sends[Attempt[ProxyRequest]], Protocol):
-    """What connections to servers need of the proxy."""
+    """Interface of the proxy for connections to servers."""
 
     def endpoint_misdirected(self, attempt: Attempt[ProxyRequest]) -> None:
-        """Called when another server answers at the attempt's address."""
+        """Called when another server responds at the attempt's address."""
 
 
 class UpstreamConnection(ServerConnection[ProxyRequest]):
     """One connection to a server.
 
-    Responses carry the id of their request; a surplus one of an earlier request is skipped.
+    Responses carry the id of their request; a surplus response to an earlier request is skipped.
 
     Attributes:
-        surplus: How many surplus responses were skipped.
+        surplus: Number of skipped surplus responses.
     """
 
     __slots__ = ("surplus",)
     pool: UpstreamPool
 
     def __init__(self, pool: UpstreamPool, endpoint_id: int) -> None:
-        """Makes a connection that isn't open yet."""
+        """Creates a connection that isn't open yet."""
         super().__init__(pool, endpoint_id)
         self.surplus = 0
         self.idle_timeout_seconds = DEFAULT_IDLE_SECONDS
 
     def opened(self) -> None:
-        """Sends the request, if anybody waits for it still."""
+        """Sends the request, unless it has expired or its client has disconnected."""
         if self.attempt is not None and self.attempt.expires_at <= self.pool.limiter.now():
-            # this process stood still while it came up, and nothing was sent
+            # the process was suspended while connecting, and nothing was sent
             self.wire.stop(Ending.EXPIRED)
             return
         super().opened()
 
     def response_received(self) -> None:
-        """Matches a complete response with the request, and reports how the attempt ended."""
+        """Matches a complete response with the request, and reports the attempt's outcome."""
         attempt = self.attempt
         if attempt is None:
             return
@@ -87,7 +87,7 @@
         has_not_run = b"loomstand-not-executed" in fields or status == MISDIRECTED
         is_own = is_server_response(status, fields, has_not_run)
         if response_id != request.request_id or not is_own:
-            self.wire.stop(Ending.MALFORMED)  # the request may have run
+            self.wire.stop(Ending.MALFORMED)  # the request may have been executed
             return
         if (keep_alive := KEEP_ALIVE_TIMEOUT(fields.get(b"keep-alive", b""))) is not None:
             self.idle_timeout_seconds = max(0.0, int(keep_alive[1]) - IDLE_CLOSE_MARGIN_SECONDS)
@@ -99,17 +99,17 @@
             listener.attempt_ended(attempt, Outcome.REJECTED)
             return
         request.server_response = ServerResponse(status, body, encoded_headers(fields))
-        is_error = status >= 500  # noqa: PLR2004 - HTTP's class of server errors
+        is_error = status >= 500  # noqa: PLR2004 - HTTP server errors
         listener.attempt_ended(attempt, Outcome.SERVER_ERROR if is_error else Outcome.SUCCEEDED)
 
     def ended(self, ending: Ending) -> None:
-        """Reports the attempt under way; a reused connection that was lost is remembered."""
+        """Reports the attempt in progress, and records the loss of a reused connection."""
         if self.attempt is not None and self.idle_at and ending in CONNECTION_LOSSES:
             self.pool.discard_stale(self, self.attempt)
         super().ended(ending)
 
     def _skip_surplus(self) -> None:
-        """Skips a response to an earlier request: the right one follows."""
+        """Skips a response to an earlier request, and parses the remaining input."""
         self.surplus += 1
         self.machine.reset()
         if self.wire.inbound.used:
@@ -117,7 +117,7 @@
 
 
 def encoded_headers(fields: dict[bytes, bytes]) -> str:
-    """Returns a response's fields that go on to the client, as lines with their ends."""
+    """Returns the response's forwarded header lines, each terminated by CRLF."""
     excluded = HOP_FIELDS
     if (connection_field := fields.get(b"connection")) is not None:
         listed = {name.strip().lower() for name in connection_field.split(b",")}
@@ -130,12 +130,13 @@
 
 
 def is_server_response(status: int, fields: dict[bytes, bytes], has_not_run: bool) -> bool:
-    """Returns whether a server of the system can have sent this.
+    """Returns whether the response can have been sent by a server of the system.
 
-    A success has the server's stamp, was executed, and has no coding that nobody asked for. A
-    status that clients take for a promise has a field that says so, too.
+    A success must have the server's stamp, must not be marked as not executed, and must have no
+    content coding, as none was requested. A status that guarantees that the request was not
+    executed must also have the header field that states this.
     """
-    if 200 <= status < 300:  # noqa: PLR2004 - HTTP's class of successes
+    if 200 <= status < 300:  # noqa: PLR2004 - HTTP success statuses
         return (
             not has_not_run
             and b"loomstand-response-stamp" in fields
@@ -148,8 +149,8 @@
     """Connections to all servers.
 
     Attributes:
-        limiter: The proxy, which is told how attempts end.
-        stale_connections: What is known of connections that servers dropped.
+        limiter: The proxy, which receives the outcomes of attempts.
+        stale_connections: Recorded losses of connections that servers dropped.
     """
 
     connection_type = UpstreamConnection
@@ -158,16 +159,16 @@
     def __init__(
         self, listener: AttemptListener, connect_timeout_seconds: float, max_idle_seconds: float
     ) -> None:
-        """Makes an empty pool; a connection is idle for `max_idle_seconds` at most."""
+        """Creates an empty pool that reuses connections idle for less than `max_idle_seconds`."""
         super().__init__(listener, connect_timeout_seconds, max_idle_seconds)
         self.stale_connections = StaleConnections()
 
     def send(self, attempt: Attempt[ProxyRequest]) -> None:
-        """Sends on a connection that is trusted for this request, or on a new one.
+        """Sends an attempt on an idle connection that may carry its request, or on a new one.
 
-        A request that was lost on a reused connection goes on a new one, as does one that was sent
-        to that server before: a second copy of its first response has the same id. One that isn't
-        idempotent goes on none that the server may have dropped.
+        A new connection is used for a request that was lost on a reused one, and for a request that
+        was sent to this server before, as a duplicate of its first response has the same id. A
+        non-idempotent request is not sent on a connection that the server may have dropped.
         """
         request = attempt.request
         endpoint_id = attempt.endpoint_id
@@ -191,9 +192,9 @@
         self.idle[endpoint_id] = untrusted + self.idle.get(endpoint_id, [])
 
     def give_up(self, attempt: Attempt[ProxyRequest], ending: Ending) -> None:
-        """Stops waiting for an attempt; what of it wasn't delivered never is.
+        """Stops waiting for an attempt, and ensures that undelivered data is never delivered.
 
-        Behind a network partition the operating system would send it again for minutes.
+        During a network partition the operating system would retransmit the data for minutes.
         """
         connection = attempt.connection
         if connection is not None and connection.attempt is attempt:
@@ -201,10 +202,10 @@
         super().give_up(attempt, ending)
 
     def discard_stale(self, connection: UpstreamConnection, attempt: Attempt[ProxyRequest]) -> None:
-        """Takes note that a reused connection was lost by what was sent on it.
+        """Records the loss of a reused connection, and closes older idle ones to the server.
 
-        A server may drop many idle connections at once: those to it that were idle longer aren't
-        used again, and the request's retries, which are few, meet no other reused one.
+        A server may drop many idle connections at once, so those that have been idle longer are not
+        reused. The request's retries are few, and use new connections only.
         """
         request = attempt.request
         request.needs_new_connection = True
