--- a/tests/proxy/test_abandoned_requests.py
+++ b/tests/proxy/test_abandoned_requests.py
@@ -1,22 +1,10 @@
-"""Clients that close their connection before the answer, on whole clusters.
+"""Clients that disconnect before the response, on simulated clusters.
 
-The failure: users saw back ends busy with requests whose clients had left. Reads became slow, as
-some servers failed; clients gave up after 0.1 s, and each departure left a run that went on to the
-deadline that the server had been given, 0.7 s and more. All such runs went on, on every proxy,
-whether or not it had been restarted shortly before.
-
-The order of events: a client's request is sent to a server; the server begins it; the client closes
-its connection; the proxy takes note and forgets whom to answer; the server finishes, and its answer
-is thrown away.
-
-The cause: the decision engine took a departure for nothing but the end of a debt. It never
-cancelled an attempt, and nothing else did, so the connection to the server stayed open until the
-answer came or the attempt expired.
-
-The evidence: of 24 such requests each of two proxies counted `requests=12 attempts=12 cancelled=0`
-in the second of their departure, and `finished=12` a second later. So departures were noticed, and
-no attempt was cancelled. In service, where a proxy gave an attempt up at its expiry, the server's
-run ended within a millisecond: a closed connection does reach it.
+Guards against servers that keep processing requests of disconnected clients. If the decision engine
+doesn't cancel the attempts of such a request, the connection to the server stays open, and the
+server works until the deadline that it was given (0.7 s and more, with clients that time out after
+0.1 s): of 24 such requests, each of two proxies logged `requests=12 attempts=12 cancelled=0`, and
+`finished=12` a second later. A server stops within a millisecond once its connection is closed.
 """
 
 from __future__ import annotations
@@ -33,8 +21,8 @@
 from loomstand.testing.simulation.http_log import Ask
 
 COUNT = re.compile(r"(\w+)=(\d+)")
-PATIENCE_SECONDS = 0.11  # the clients' here; a slow server's run takes over a second
-MAX_RUN_AFTER_DEPARTURE_SECONDS = 0.5  # the users' bound
+CLIENT_TIMEOUT_SECONDS = 0.11  # a slow server takes more than a second for a request
+MAX_RUN_AFTER_DISCONNECT_SECONDS = 0.5  # as required by users
 
 
 @pytest.fixture
@@ -46,7 +34,7 @@
 
 
 def slow_servers(cluster: Cluster) -> None:
-    """Servers take a second, each many requests; no attempt is given up as early as that."""
+    """Makes servers take a second per request, many at once, within the attempts' timeout."""
     cluster.route("patient", "alpha", target_latency="3000ms")
     cluster.do(cluster.replace())
     cluster.wait(1.0)
@@ -55,32 +43,32 @@
         server.slots = 24
 
 
-async def leave_early(cluster: Cluster, count: int) -> list[Ask]:
-    """Clients of requests that may be repeated, which leave while a server is at work on them."""
+async def disconnect_early(cluster: Cluster, count: int) -> list[Ask]:
+    """Sends idempotent requests whose clients disconnect while a server processes them."""
 
-    async def leave(number: int) -> Ask:
+    async def disconnect(number: int) -> Ask:
         ask = cluster.client.ask("GET", "town.example", "/patient/x", "key-of-ann", idempotent=True)
         front = cluster.inside[number % len(cluster.inside)]
-        await cluster.someone().once(ask, front, within=5.0, patience=PATIENCE_SECONDS)
+        await cluster.someone().once(ask, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS)
         return ask
 
-    return list(await asyncio.gather(*(leave(number) for number in range(count))))
+    return list(await asyncio.gather(*(disconnect(number) for number in range(count))))
 
 
-def test_servers_stop_work_on_requests_whose_clients_have_left(cluster):
+def test_servers_stop_processing_requests_of_disconnected_clients(cluster):
     slow_servers(cluster)
-    asks = cluster.do(leave_early(cluster, 24))
+    asks = cluster.do(disconnect_early(cluster, 24))
     cluster.wait(4.0)
     assert sum(bool(cluster.book.runs(ask.id)) for ask in asks) == len(asks)
-    assert cluster.book.runs_after_departure(MAX_RUN_AFTER_DEPARTURE_SECONDS) == []
+    assert cluster.book.runs_after_departure(MAX_RUN_AFTER_DISCONNECT_SECONDS) == []
 
 
-def test_departures_and_cancelled_attempts_are_logged(cluster):
+def test_disconnects_and_cancelled_attempts_are_logged(cluster):
     slow_servers(cluster)
     lines: list[str] = []
     for proxy in cluster.all_proxies():
         proxy.log = lines.append
-    cluster.do(leave_early(cluster, 24))
+    cluster.do(disconnect_early(cluster, 24))
     cluster.wait(4.0)
     counts: Counter[str] = Counter()
     for line in lines:
@@ -89,33 +77,33 @@
     assert counts == {"requests": 24, "attempts": 24, "cancelled": 24, "finished": 0}
 
 
-def test_what_must_not_run_twice_runs_to_its_end_though_its_client_has_left(cluster):
+def test_non_idempotent_request_runs_to_completion_after_its_client_disconnects(cluster):
     slow_servers(cluster)
 
-    async def leave() -> Ask:
+    async def disconnect() -> Ask:
         ask = cluster.client.ask("POST", "town.example", "/once/x", "key-of-ann", b"body")
         front = cluster.inside[0]
-        await cluster.someone().once(ask, front, within=5.0, patience=PATIENCE_SECONDS)
+        await cluster.someone().once(ask, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS)
         return ask
 
-    ask = cluster.do(leave())
+    ask = cluster.do(disconnect())
     cluster.wait(4.0)
     (run,) = cluster.book.runs(ask.id)
     assert run.ended - run.at > 1.0
 
 
-def test_a_request_whose_client_left_while_the_connection_came_up_is_not_sent(cluster):
-    """Nobody waits for it any more, whether or not it may be repeated."""
+def test_request_is_not_sent_if_its_client_disconnects_while_connecting(cluster):
+    """Applies to idempotent and non-idempotent requests."""
     for server in cluster.servers["alpha"]:
         cluster.sky.slow[server.address[0]] = 0.1
 
-    async def leave(method: str, path: str, idempotent: bool) -> Ask:
+    async def disconnect(method: str, path: str, idempotent: bool) -> Ask:
         ask = cluster.client.ask(method, "town.example", path, "key-of-ann", idempotent=idempotent)
         await cluster.someone().once(ask, cluster.inside[0], within=5.0, patience=0.05)
         return ask
 
-    cluster.do(leave("GET", "/a/x", True))
-    cluster.do(leave("POST", "/once/x", False))
+    cluster.do(disconnect("GET", "/a/x", True))
+    cluster.do(disconnect("POST", "/once/x", False))
     cluster.wait(3.0)
     assert cluster.book.arrivals == []
 
@@ -125,11 +113,11 @@
     return [b for proxy in proxies for b in proxy.engine.admission.load_balancers.values()]
 
 
-def test_what_was_cancelled_says_nothing_of_the_servers(cluster):
-    """Clients in a hurry make no server look ill, and no window grow or shrink."""
+def test_cancelled_attempts_do_not_affect_server_statistics(cluster):
+    """Early disconnects neither eject a server nor change the size of a window."""
     slow_servers(cluster)
     sizes = [balancer.window.size for balancer in balancers(cluster)]
-    cluster.do(leave_early(cluster, 24))
+    cluster.do(disconnect_early(cluster, 24))
     cluster.wait(0.1)
     for balancer in balancers(cluster):
         for server in balancer.servers.values():
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -1,6 +1,4 @@
-"""The proxy among whole clusters in simulated simulation: what must hold of a request, a quota, a
-budget.
-"""
+"""The proxy in simulated clusters: rules for requests, responses, quotas and the retry budget."""
 
 from __future__ import annotations
 
@@ -26,80 +24,81 @@
     made.close()
 
 
-def trouble(
-    cluster: Cluster, what: str, share: float = 1.0, few: int = 99, service: str = "alpha"
+def inject_fault(
+    cluster: Cluster, fault: str, share: float = 1.0, few: int = 99, service: str = "alpha"
 ) -> None:
+    """Injects a fault into the first `few` servers of a service, for a share of the requests."""
     servers = cluster.servers[service]
-    if few == 1:  # the one that is used: a proxy of few requests keeps to some
-        cluster.do(gets(cluster, 6, name=service[0]))
+    if few == 1:  # the most used server: at a low rate a proxy uses only some of them
+        cluster.do(send_gets(cluster, 6, name=service[0]))
         servers = sorted(
             servers, key=lambda s: -sum(r.server == s.id for r in cluster.book.arrivals)
         )
     for server in servers[:few]:
-        server.trouble, server.share = what, share
+        server.trouble, server.share = fault, share
 
 
-def tried(cluster: Cluster) -> Counter[str]:
-    """How often each request came to any server."""
+def arrival_counts(cluster: Cluster) -> Counter[str]:
+    """Returns how often each request arrived at any server."""
     return Counter(run.id for run in cluster.book.arrivals)
 
 
-async def gets(cluster: Cluster, count: int, tries: int = 1, name: str = "a") -> Counter[int]:
+async def send_gets(cluster: Cluster, count: int, tries: int = 1, name: str = "a") -> Counter[int]:
     return Counter([(await cluster.get(name, tries=tries)).status for _ in range(count)])
 
 
-# --- the streams themselves
+# --- simulated streams
 
 
-def test_a_peer_that_does_not_read_holds_up_the_writer_and_no_byte_is_lost_or_swapped():
+def test_stream_applies_backpressure_without_losing_or_reordering_bytes():
     async def work() -> None:
         sky = SimNetwork(Random(1))
         cables = Cables(sky, Random(2))
         here, there = (Streams(cables, host, Life()) for host in ("10.0.0.1", "10.0.0.2"))
-        taken: list[Talk] = []
+        accepted: list[Talk] = []
         loop = asyncio.get_running_loop()
 
         def make() -> Talk:
-            taken.append(Talk())
-            return taken[-1]
+            accepted.append(Talk())
+            return accepted[-1]
 
         await there.listen(loop, make, ("10.0.0.2", 80))
         talk = await here.open(Talk, ("10.0.0.2", 80), 1.0)
         await asyncio.sleep(0.1)
-        taken[0].transport.pause_reading()
+        accepted[0].transport.pause_reading()
         data = Random(3).randbytes(5 * WINDOW)
         for at in range(0, len(data), 777):
             talk.transport.write(data[at : at + 777])
         await asyncio.sleep(1.0)
-        assert talk.transport.get_write_buffer_size() == 4 * WINDOW and not taken[0].buf
+        assert talk.transport.get_write_buffer_size() == 4 * WINDOW and not accepted[0].buf
         sky.cut("10.0.0.1", "10.0.0.2")
-        taken[0].transport.resume_reading()
+        accepted[0].transport.resume_reading()
         await asyncio.sleep(3.0)
-        assert bytes(taken[0].buf) == data[:WINDOW]
+        assert bytes(accepted[0].buf) == data[:WINDOW]
         sky.mend()
         await asyncio.sleep(10.0)
-        assert bytes(taken[0].buf) == data
+        assert bytes(accepted[0].buf) == data
         talk.transport.close()
         await asyncio.sleep(0.1)
-        assert taken[0].over == "closed"
+        assert accepted[0].over == "closed"
 
     play(work)
 
 
-def test_a_reset_after_a_cut_leaves_no_gap_in_what_is_read():
-    """Bytes that met the cut are lost by the reset; those written after it came alone, as a
-    request.
+def test_reset_after_a_partition_leaves_no_gap_in_the_received_bytes():
+    """Guards against a reset that loses only the bytes sent during the partition, so that bytes
+    written later arrive without them and could be read as a request.
     """
 
     async def work() -> None:
         sky = SimNetwork(Random(1))
         cables = Cables(sky, Random(2))
         here, there = (Streams(cables, host, Life()) for host in ("10.0.0.1", "10.0.0.2"))
-        taken: list[Talk] = []
+        accepted: list[Talk] = []
 
         def make() -> Talk:
-            taken.append(Talk())
-            return taken[-1]
+            accepted.append(Talk())
+            return accepted[-1]
 
         await there.listen(asyncio.get_running_loop(), make, ("10.0.0.2", 80))
         talk = await here.open(Talk, ("10.0.0.2", 80), 1.0)
@@ -111,77 +110,77 @@
         talk.transport.write(b"/1.1")
         talk.transport.abort()
         await asyncio.sleep(2.0)
-        assert (bytes(taken[0].buf), taken[0].over) == (b"", "reset")
+        assert (bytes(accepted[0].buf), accepted[0].over) == (b"", "reset")
 
     play(work)
 
 
-@pytest.mark.parametrize("how", ["kill", "off", "cut", "nobody"])
-def test_connections_end_as_their_machines_do(how):
+@pytest.mark.parametrize("failure", ["kill", "off", "cut", "no listener"])
+def test_connection_ends_according_to_the_failure_of_its_machine(failure):
     async def work() -> None:
         sky = SimNetwork(Random(1))
         cables = Cables(sky, Random(2))
         client, life = Streams(cables, "10.0.0.1", Life()), Life()
         loop, address = asyncio.get_running_loop(), ("10.0.0.2", 80)
-        if how == "nobody":
+        if failure == "no listener":
             with pytest.raises(ConnectionRefusedError):
                 await client.open(Talk, address, 1.0)
             assert loop.time() < 0.02 and not cables.ends
             return
         port = await Streams(cables, "10.0.0.2", life).listen(loop, Talk, address)
         talk = await client.open(Talk, address, 1.0)
-        if how == "cut":
+        if failure == "cut":
             sky.cut("10.0.0.1", "10.0.0.2")
         else:
             life.alive = False
             port.close()
-            if how == "off":
+            if failure == "off":
                 sky.off.add("10.0.0.2")
             cables.died(life)
         await asyncio.sleep(5.0)
-        assert bool(talk.over) == (how == "kill")
-        begun = loop.time()
-        with pytest.raises(ConnectionRefusedError if how == "kill" else TimeoutError):
+        assert bool(talk.over) == (failure == "kill")
+        started_at = loop.time()
+        with pytest.raises(ConnectionRefusedError if failure == "kill" else TimeoutError):
             await client.open(Talk, address, 1.0)
-        assert loop.time() - begun < (0.02 if how == "kill" else 1.01)
+        assert loop.time() - started_at < (0.02 if failure == "kill" else 1.01)
         sky.mend()
         sky.off.clear()
-        talk.transport.write(b"x")  # the machine that was off knows nothing of it
+        talk.transport.write(b"x")  # a machine that was powered off has lost the connection
         await asyncio.sleep(5.0)
-        assert bool(talk.over) == (how != "cut")
+        assert bool(talk.over) == (failure != "cut")
 
     play(work)
 
 
-# --- TWICE and REFUSED
+# --- at most one execution, and no false guarantee that a request was not executed
 
 
-@pytest.mark.parametrize("what", ["close", "silent", "reset", "cut", "spoilt", "bare", "slow"])
-def test_a_request_not_to_be_repeated_whose_answer_is_lost_runs_once_and_no_promise_is_given(
-    cluster, what
+@pytest.mark.parametrize("fault", ["close", "silent", "reset", "cut", "spoilt", "bare", "slow"])
+def test_non_idempotent_request_with_a_lost_response_runs_once_and_gets_no_guarantee(
+    cluster, fault
 ):
-    if what == "slow":  # its server goes before it answers
-        trouble(cluster, what)
-        doing = cluster.behind(cluster.once())
+    if fault == "slow":  # the server is killed before it responds
+        inject_fault(cluster, fault)
+        pending = cluster.behind(cluster.once())
         cluster.wait(0.5)
         for server in cluster.servers["alpha"]:
             server.kill()
-        ask, reply = cluster.do(doing)
+        ask, reply = cluster.do(pending)
     else:
-        trouble(cluster, what)
+        inject_fault(cluster, fault)
         ask, reply = cluster.do(cluster.once())
     assert reply.status in (502, 504), reply
-    assert len(cluster.book.runs(ask.id)) == tried(cluster)[ask.id] == 1
-    assert reply.at - ask.sent < (5.0 if what == "silent" else 1.0)
+    assert len(cluster.book.runs(ask.id)) == arrival_counts(cluster)[ask.id] == 1
+    assert reply.at - ask.sent < (5.0 if fault == "silent" else 1.0)
 
 
-def test_a_request_turned_away_goes_to_another_server_also_where_it_must_not_run_twice(cluster):
-    trouble(cluster, "full", few=1)
-    said = Counter(cluster.do(cluster.once())[1].status for _ in range(40))
+def test_rejected_non_idempotent_request_is_retried_on_another_server(cluster):
+    inject_fault(cluster, "full", few=1)
+    statuses = Counter(cluster.do(cluster.once())[1].status for _ in range(40))
     cluster.wait(0.1)
-    assert said[200] >= 38  # the budget may not have been there for the very first
-    assert max(tried(cluster).values()) == 2 and {
-        len(cluster.book.runs(id_)) for id_ in tried(cluster)
+    assert statuses[200] >= 38  # the retry budget may not suffice for the first requests
+    assert max(arrival_counts(cluster).values()) == 2 and {
+        len(cluster.book.runs(id_)) for id_ in arrival_counts(cluster)
     } <= {
         0,
         1,
@@ -189,96 +188,96 @@
     assert not all(run.ran for run in cluster.book.arrivals)
 
 
-def test_where_all_servers_are_full_the_answer_is_a_promise_and_nothing_runs(cluster):
-    trouble(cluster, "full")
+def test_request_is_answered_503_and_not_executed_if_all_servers_are_full(cluster):
+    inject_fault(cluster, "full")
     for _ in range(10):
         _, reply = cluster.do(cluster.once())
-        # of a second
+        # in seconds
         assert reply.status == 503 and 0.05 <= float(reply.fields["retry-after"]) <= 0.65
     assert not cluster.book.runs()
 
 
-@pytest.mark.parametrize("how", ["refused", "off"])
-def test_a_server_that_cannot_be_reached_costs_a_connect_and_the_request_goes_on(cluster, how):
+@pytest.mark.parametrize("failure", ["refused", "off"])
+def test_request_is_retried_after_a_failed_connection_to_a_server(cluster, failure):
     first, *rest = cluster.servers["alpha"]
     for server in cluster.servers["alpha"]:
-        # what is written to a kept connection may have run, and is no matter for a promise
+        # a request sent on a reused connection may have run, so it could not be answered with 503
         server.keep = 0
 
     def down(server: Server) -> None:
         server.kill()
-        if how == "off":
+        if failure == "off":
             cluster.sky.off.add(server.address[0])
 
     down(first)
-    said = [cluster.do(cluster.once()) for _ in range(20)]
-    assert sum(reply.status == 200 for _, reply in said) >= 19
-    assert all(reply.at - ask.sent < 0.5 for ask, reply in said)
+    replies = [cluster.do(cluster.once()) for _ in range(20)]
+    assert sum(reply.status == 200 for _, reply in replies) >= 19
+    assert all(reply.at - ask.sent < 0.5 for ask, reply in replies)
     for server in rest:
         down(server)
     ask, reply = cluster.do(cluster.once())
     assert reply.status == 503 and "retry-after" in reply.fields
-    assert reply.at - ask.sent < (0.1 if how == "refused" else 1.0) and not cluster.book.runs(
+    assert reply.at - ask.sent < (0.1 if failure == "refused" else 1.0) and not cluster.book.runs(
         ask.id
     )
 
 
-@pytest.mark.parametrize("what", ["close", "reset", "cut", "spoilt", "error"])
-def test_a_repeatable_request_is_tried_again_elsewhere_but_not_more_often_than_allowed(
-    cluster, what
-):
-    trouble(cluster, what, few=1)
-    assert cluster.do(gets(cluster, 60))[200] >= 58
-    many = tried(cluster)
-    assert max(many.values()) >= 2
-    trouble(cluster, what)
+@pytest.mark.parametrize("fault", ["close", "reset", "cut", "spoilt", "error"])
+def test_idempotent_request_is_retried_on_other_servers_up_to_the_limit(cluster, fault):
+    inject_fault(cluster, fault, few=1)
+    assert cluster.do(send_gets(cluster, 60))[200] >= 58
+    arrivals = arrival_counts(cluster)
+    assert max(arrivals.values()) >= 2
+    inject_fault(cluster, fault)
     cluster.wait(1.0)
-    said = cluster.do(gets(cluster, 30))
-    assert set(said) <= {500, 502, 503, 504}, said
-    assert max(tried(cluster).values()) <= 3
+    statuses = cluster.do(send_gets(cluster, 30))
+    assert set(statuses) <= {500, 502, 503, 504}, statuses
+    assert max(arrival_counts(cluster).values()) <= 3
 
 
-def test_maximum_attempts_of_one_is_one(cluster):
+def test_maximum_attempts_of_one_prevents_retries(cluster):
     cluster.route("a", "alpha", maximum_attempts=1)
     assert cluster.do(cluster.replace())
     cluster.wait(0.5)
-    trouble(cluster, "close", few=1)
-    cluster.do(gets(cluster, 40))
-    assert max(tried(cluster).values()) == 1 and set(cluster.do(gets(cluster, 20))) <= {200, 502}
+    inject_fault(cluster, "close", few=1)
+    cluster.do(send_gets(cluster, 40))
+    assert max(arrival_counts(cluster).values()) == 1 and set(
+        cluster.do(send_gets(cluster, 20))
+    ) <= {200, 502}
 
 
-# --- MIXED
+# --- matching of responses with requests
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("what", ["surplus", "late"])
-def test_a_surplus_answer_reaches_no_other_request(what, seed):
+@pytest.mark.parametrize("fault", ["surplus", "late"])
+def test_surplus_response_is_never_delivered_to_another_request(fault, seed):
     cluster = Cluster(seed, proxies=2, servers=1)
     cluster.do(cluster.begin())
-    trouble(cluster, what, share=0.7)
+    inject_fault(cluster, fault, share=0.7)
     target = ("GET", "town.example", "/a/x", "key-of-ann")
-    said = cluster.do(cluster.flow(cluster.client, 60, 4, *target, idempotent=True))
-    assert sum(reply.status == 200 for reply in said) > 0.9 * len(said) > 150
-    said = [cluster.do(cluster.once()) for _ in range(40)]
-    assert sum(reply.status == 200 for _, reply in said) >= 30
-    cluster.close()  # checks each answer's id, stamp and body
+    replies = cluster.do(cluster.flow(cluster.client, 60, 4, *target, idempotent=True))
+    assert sum(reply.status == 200 for reply in replies) > 0.9 * len(replies) > 150
+    replies = [cluster.do(cluster.once()) for _ in range(40)]
+    assert sum(reply.status == 200 for _, reply in replies) >= 30
+    cluster.close()  # checks the id, stamp and body of each response
 
 
-@pytest.mark.parametrize("what", ["cut", "spoilt", "bare"])
+@pytest.mark.parametrize("fault", ["cut", "spoilt", "bare"])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_what_is_no_whole_answer_of_a_server_is_not_passed_on(what, seed):
+def test_incomplete_or_unverified_response_is_not_forwarded(fault, seed):
     cluster = Cluster(seed, proxies=1, servers=1)
     cluster.do(cluster.begin())
-    trouble(cluster, what)
+    inject_fault(cluster, fault)
     for _ in range(12):
         ask, reply = cluster.do(cluster.once())
-        # "set aside": a server of which all answers fail is refused rather than tried
+        # a server whose responses all fail is ejected, so requests are rejected without an attempt
         assert reply.status == (502 if cluster.book.runs(ask.id) else 503), reply
     assert len(cluster.book.runs()) >= 3
     cluster.close()
 
 
-def test_long_bodies_in_chunks_and_slow_links_arrive_whole(cluster):
+def test_large_chunked_bodies_arrive_complete_over_slow_links(cluster):
     cluster.client.chunked = True
     cluster.sky.slow["10.9.0.1"] = 0.02
     body = Random(4).randbytes(300_000)
@@ -288,45 +287,47 @@
     assert reply.status == 200
     for keep in (True, False):
         cluster.client.keep = keep
-        assert cluster.do(gets(cluster, 5)) == {200: 5}
+        assert cluster.do(send_gets(cluster, 5)) == {200: 5}
 
 
-# --- ROUTE
+# --- misdirected requests
 
 
-def test_an_address_that_another_service_took_answers_421_runs_nothing_and_is_left_alone(cluster):
-    gone = cluster.servers["alpha"][0]
-    gone.kill()
-    thief = Server(
-        cluster.cables, cluster.book, Random(9), (gone.address[0], SERVING), "beta", "east", []
+def test_address_taken_by_another_service_executes_nothing_and_is_no_longer_used(cluster):
+    previous = cluster.servers["alpha"][0]
+    previous.kill()
+    replacement = Server(
+        cluster.cables, cluster.book, Random(9), (previous.address[0], SERVING), "beta", "east", []
     )
 
-    async def moves_in() -> None:
-        thief.start()
+    async def start_replacement() -> None:
+        replacement.start()
 
-    cluster.do(moves_in())
+    cluster.do(start_replacement())
     target = ("POST", "town.example", "/once/x", "key-of-ann", b"body")
-    said = cluster.do(cluster.flow(cluster.client, 80, 4, *target, tries=1))
-    assert sum(reply.status == 200 for reply in said) >= len(said) - 2
-    there = [run for run in cluster.book.arrivals if run.server == thief.id]
-    assert 1 <= len(there) <= len(cluster.proxies) and not any(run.ran for run in there)
+    replies = cluster.do(cluster.flow(cluster.client, 80, 4, *target, tries=1))
+    assert sum(reply.status == 200 for reply in replies) >= len(replies) - 2
+    misdirected = [run for run in cluster.book.arrivals if run.server == replacement.id]
+    assert 1 <= len(misdirected) <= len(cluster.proxies) and not any(run.ran for run in misdirected)
 
 
-# --- QUOTA
+# --- quotas
 
 
-def over(cluster: Cluster, tenant: str, rate: float, burst: float) -> list[tuple[float, int]]:
-    """The windows of 5 s in which more of a tenant's requests ran than the rule allows."""
-    at = sorted(run.at for run in cluster.book.runs() if run.tenant == tenant)
-    most = (rate * 5 + burst) * 1.1 + 20
-    counts = [(t, sum(t <= other < t + 5 for other in at)) for t in at]
-    return [(t, n) for t, n in counts if n > most]
+def quota_violations(
+    cluster: Cluster, tenant: str, rate: float, burst: float
+) -> list[tuple[float, int]]:
+    """Returns the 5 s windows in which more of a tenant's requests ran than the rule permits."""
+    run_times = sorted(run.at for run in cluster.book.runs() if run.tenant == tenant)
+    limit = (rate * 5 + burst) * 1.1 + 20
+    counts = [(t, sum(t <= other < t + 5 for other in run_times)) for t in run_times]
+    return [(t, n) for t, n in counts if n > limit]
 
 
 @pytest.mark.parametrize(
-    ("seed", "lost"), [(1, "killed"), (2, "machine"), (3, "frozen"), (4, "cut")]
+    ("seed", "failure"), [(1, "killed"), (2, "machine"), (3, "frozen"), (4, "cut")]
 )
-def test_a_quota_holds_over_all_proxies_also_while_the_counter_is_lost(seed, lost):
+def test_quota_holds_across_proxies_while_the_counting_registry_fails(seed, failure):
     cluster = Cluster(seed, proxies=6)
     cluster.usual()
     cluster.tenant("greedy", "key-of-greedy", 40, 40)
@@ -337,64 +338,70 @@
     greedy, modest = cluster.someone(), cluster.someone()
     weights = [8, 4, 2, 1, 1, 0]
     greedy.fronts = lambda: [(rng.choices(ips, weights)[0], FRONT)]
-    what = ("GET", "town.example")
+    target = ("GET", "town.example")
 
-    async def day() -> None:
-        if lost == "cut":  # the one that counts isn't beside the primary store, which it will lose
+    async def run_scenario() -> None:
+        # moves counting away from the machine of the primary store, to be partitioned from it later
+        if failure == "cut":
             cluster.registries[first].kill()
             await cluster.until(lambda: cluster.counters() not in ([], [first]), 2.0)
             cluster.registries[first].start()
         calm = cluster.loop.create_task(
-            cluster.flow(modest, 25, 19, *what, "/m/x", "key-of-modest", idempotent=True)
+            cluster.flow(modest, 25, 19, *target, "/m/x", "key-of-modest", idempotent=True)
         )
         flood = cluster.loop.create_task(
-            cluster.flow(greedy, 200, 19, *what, "/a/x", "key-of-greedy", idempotent=True, tries=1)
+            cluster.flow(
+                greedy, 200, 19, *target, "/a/x", "key-of-greedy", idempotent=True, tries=1
+            )
         )
         await asyncio.sleep(8)
         registry, store = cluster.core(counting := cluster.counting())
-        if lost == "cut":
+        if failure == "cut":
             cluster.sky.cut(first, counting)
         before.update(cluster.book.replies)
-        if lost == "frozen":
+        if failure == "frozen":
             registry.freeze()
-        elif lost != "cut":
+        elif failure != "cut":
             registry.kill()
-        if lost == "machine":
+        if failure == "machine":
             store.kill()
         await asyncio.sleep(2)
-        assert lost == "machine" or cluster.counting() != counting
-        weights.reverse()  # the last split's parts are all at the wrong proxies
+        assert failure == "machine" or cluster.counting() != counting
+        weights.reverse()  # so that the last split favours the wrong proxies
         await asyncio.sleep(3)
         cluster.sky.mend()
         (registry.thaw if registry.up else registry.start)()
-        if lost == "machine":
+        if failure == "machine":
             store.start()
         await asyncio.gather(calm, flood)
 
     first, before = cluster.counting(), set[str]()
-    cluster.do(day())
-    assert not over(cluster, "greedy", 40, 40) and not over(cluster, "modest", 40, 40)
+    cluster.do(run_scenario())
+    assert not quota_violations(cluster, "greedy", 40, 40) and not quota_violations(
+        cluster, "modest", 40, 40
+    )
     ran = Counter(run.tenant for run in cluster.book.runs())
-    assert ran["greedy"] >= 0.6 * 40 * 19  # what is allowed is also given
-    modest_said = Counter(
+    assert ran["greedy"] >= 0.6 * 40 * 19  # most of the quota is usable
+    modest_statuses = Counter(
         cluster.book.replies[a.id].status
         for a in cluster.book.asks.values()
         if a.key == "key-of-modest"
     )
-    calm_said = Counter(
+    statuses_before = Counter(
         cluster.book.replies[a.id].status
         for a in cluster.book.asks.values()
-        if a.key == "key-of-modest" and a.id in before  # by value a 429 of the other looks the same
+        # matched by id, as replies with status 429 to the other tenant are equal by value
+        if a.key == "key-of-modest" and a.id in before
     )
-    assert calm_said[429] == 0 and sum(calm_said.values()) > 150
-    assert modest_said[429] <= 0.1 * modest_said[200]
+    assert statuses_before[429] == 0 and sum(statuses_before.values()) > 150
+    assert modest_statuses[429] <= 0.1 * modest_statuses[200]
     cluster.close()
 
 
 @pytest.mark.parametrize(("rate", "usual", "hot"), [(40, 24, 130), (5, 3, 40)])
-def test_a_tenant_that_turns_hot_at_many_proxies_at_once_stays_within_its_quota(rate, usual, hot):
-    """Each proxy sees some two of its requests a second, or less: what the others let in it hears
-    unasked.
+def test_tenant_with_a_traffic_surge_at_many_proxies_stays_within_its_quota(rate, usual, hot):
+    """Each proxy receives at most about two of the tenant's requests per second, so it depends on
+    the registry to report, unrequested, what the other proxies admit.
     """
     cluster = Cluster(3, proxies=60, servers=20)
     cluster.usual()
@@ -404,32 +411,34 @@
     greedy, rng = cluster.someone(), Random(3)
     greedy.fronts = lambda: [(rng.choice(fronts), FRONT)]
     cluster.do(cluster.flow(greedy, usual, 6, *target, idempotent=True, tries=1))
-    asked = cluster.book.replies.copy()
+    replies_before = cluster.book.replies.copy()
     cluster.do(cluster.flow(greedy, hot, 8, *target, idempotent=True, tries=1))
-    assert not over(cluster, "greedy", rate, rate)
-    said = Counter(reply.status for id, reply in cluster.book.replies.items() if id not in asked)
-    assert said[200] >= 0.9 * rate * 8  # what is allowed is also given
-    # and nobody is denied for the telling
-    assert Counter(reply.status for reply in asked.values())[429] <= 4
+    assert not quota_violations(cluster, "greedy", rate, rate)
+    statuses = Counter(
+        reply.status for id, reply in cluster.book.replies.items() if id not in replies_before
+    )
+    assert statuses[200] >= 0.9 * rate * 8  # the quota is usable
+    # reporting doesn't cause rejections at the usual rate
+    assert Counter(reply.status for reply in replies_before.values())[429] <= 4
     cluster.close()
 
 
-# --- BUDGET
+# --- retry budget
 
 
-@pytest.mark.parametrize("what", ["full", "error", "reset"])
+@pytest.mark.parametrize("fault", ["full", "error", "reset"])
 @pytest.mark.parametrize(("few", "share"), [(2, 1.0), (4, 0.5)])
-def test_further_tries_keep_the_budget_of_all_proxies(what, few, share):
+def test_retries_stay_within_the_budget_shared_by_all_proxies(fault, few, share):
     cluster = Cluster(1, proxies=4, servers=4)
     cluster.do(cluster.begin())
-    trouble(cluster, what, share, few)
+    inject_fault(cluster, fault, share, few)
     target = ("GET", "town.example", "/a/x", "key-of-ann")
     cluster.do(cluster.flow(cluster.client, 100, 14, *target, idempotent=True))
-    asked = sorted(a.sent for a in cluster.book.asks.values() if a.path == "/a/x")
+    request_times = sorted(a.sent for a in cluster.book.asks.values() if a.path == "/a/x")
     seen: set[str] = set()
-    more = [r.at for r in cluster.book.arrivals if r.id in seen or seen.add(r.id)]
-    for t in more:
-        extra = sum(t <= other < t + 10 for other in more)
-        assert extra <= 0.2 * sum(t <= other < t + 10 for other in asked) + 56
-    assert len(more) >= (100 if share < 1 else 10)  # so it was put to use
+    retry_times = [r.at for r in cluster.book.arrivals if r.id in seen or seen.add(r.id)]
+    for t in retry_times:
+        retries = sum(t <= other < t + 10 for other in retry_times)
+        assert retries <= 0.2 * sum(t <= other < t + 10 for other in request_times) + 56
+    assert len(retry_times) >= (100 if share < 1 else 10)  # the budget was used
     cluster.close()
--- a/tests/proxy/test_sessions.py
+++ b/tests/proxy/test_sessions.py
@@ -1,4 +1,4 @@
-"""What a limiter makes of several registries' words."""
+"""How a limiter combines the reports of several registries."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from loomstand.testing.simulation.loop import play
 
 
-class Registries:
-    """A network on which each registry answers once, then never again."""
+class ScriptedNetwork:
+    """A network on which each registry returns its scripted responses, then times out."""
 
-    def __init__(self, said):
-        self.said = said
+    def __init__(self, responses):
+        self.responses = responses
 
     async def call(self, address, op, body, within):
-        if self.said.get(address[0]) and op == "ask":
-            return Ok(self.said[address[0]].pop(0))
+        if self.responses.get(address[0]) and op == "ask":
+            return Ok(self.responses[address[0]].pop(0))
         await asyncio.sleep(within)
         return Error(CallFailure.MAY_HAVE_RUN)
 
 
-class Listener:
+class RecordingListener:
     def __init__(self):
         self.limiters = []
 
@@ -43,7 +43,7 @@
         return None
 
 
-def answer(*fleet, cores=("c1", "c2", "c3")):
+def session_response(*fleet, cores=("c1", "c2", "c3")):
     return {
         "s": 7,
         "h": 1,
@@ -57,105 +57,123 @@
     }
 
 
-def heard(said, seconds=1.0):
+def run_sessions(responses, seconds=1.0):
+    """Returns the reported limiter sets, and the core machines that are being polled."""
+
     async def work():
-        loop, user = asyncio.get_running_loop(), Listener()
+        loop, listener = asyncio.get_running_loop(), RecordingListener()
         settings = SimpleNamespace(
             seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
         )
-        sessions = Sessions(settings, Registries(said), loop.time, Random(1), user)
+        sessions = Sessions(settings, ScriptedNetwork(responses), loop.time, Random(1), listener)
         sessions.start()
         await asyncio.sleep(seconds)
-        return user.limiters, set(sessions.tasks)
+        return listener.limiters, set(sessions.tasks)
 
     return play(work)
 
 
-def test_a_limiter_is_missing_only_if_no_registry_that_stands_has_it():
-    """A registry that has just started knows nothing of a limiter that is cut off; its word took
-    the place of the others', so that parts grew and the quota broke (scale-2 of the outlet).
+def test_limiter_set_of_the_most_complete_registry_takes_precedence():
+    """A registry that has just started doesn't know a limiter that can't reach it. If its report
+    replaced the others', the quota shares would grow and the quota would be exceeded, as in
+    scale-2 of the site `outlet`.
     """
-    said = {"c1": [answer(1, 3, 1)], "c2": [answer(1, 3, 2)], "c3": [answer(0, 1, 0)]}
-    sets, cores = heard(said)
-    assert cores == {"c1", "c2", "c3"}  # those that were told are asked as well
+    responses = {
+        "c1": [session_response(1, 3, 1)],
+        "c2": [session_response(1, 3, 2)],
+        "c3": [session_response(0, 1, 0)],
+    }
+    sets, cores = run_sessions(responses)
+    assert cores == {"c1", "c2", "c3"}  # listed core machines are polled as well as the seed
     assert sets[-1] == (1, 3, 1)
 
 
-def test_a_core_machine_that_nobody_lists_and_that_is_silent_is_asked_no_more():
-    said = {"c1": [answer(0, 1, 0, cores=("c1", "old"))]}
-    assert "old" in heard(dict(said), 5.0)[1]
-    said = {"c1": [answer(0, 1, 0, cores=("c1", "old"))]}
-    assert heard(said, 20.0)[1] == {"c1"}  # a seed is asked for ever
+def test_unlisted_unresponsive_core_machine_is_no_longer_polled():
+    responses = {"c1": [session_response(0, 1, 0, cores=("c1", "old"))]}
+    assert "old" in run_sessions(dict(responses), 5.0)[1]
+    responses = {"c1": [session_response(0, 1, 0, cores=("c1", "old"))]}
+    assert run_sessions(responses, 20.0)[1] == {"c1"}  # a seed is polled indefinitely
 
 
-def test_a_registry_that_started_anew_gets_a_new_session():
-    class Anew(Registries):
+def test_restarted_registry_gets_a_new_session():
+    class RestartingNetwork(ScriptedNetwork):
         async def call(self, address, op, body, within):
-            asked.append(body)
-            if body.get("s") == 7 and len(asked) == 3:
+            requests.append(body)
+            if body.get("s") == 7 and len(requests) == 3:
                 return Error(CallFailure.REFUSED)
             return await super().call(address, op, body, within)
 
-    asked = []
-    said = {"c1": [answer(0, 1, 0, cores=("c1",)), {}, answer(0, 1, 0, cores=("c1",))]}
+    requests = []
+    responses = {
+        "c1": [
+            session_response(0, 1, 0, cores=("c1",)),
+            {},
+            session_response(0, 1, 0, cores=("c1",)),
+        ]
+    }
 
     async def work():
         loop = asyncio.get_running_loop()
         settings = SimpleNamespace(
             seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
         )
-        Sessions(settings, Anew(said), loop.time, Random(1), Listener()).start()
+        Sessions(
+            settings, RestartingNetwork(responses), loop.time, Random(1), RecordingListener()
+        ).start()
         await asyncio.sleep(0.5)
 
     play(work)
-    assert ["s" in body for body in asked[:5]] == [False, True, True, False, True]
-    assert all("name" in body for body in asked if "s" not in body)
+    assert ["s" in body for body in requests[:5]] == [False, True, True, False, True]
+    assert all("name" in body for body in requests if "s" not in body)
 
 
-# --- the common clock
+# --- the shared clock
 
 
-def test_late_word_of_the_common_clock_is_passed_over_and_a_clock_that_moved_is_followed():
+def test_shared_clock_ignores_delayed_readings_and_follows_a_changed_clock():
     shared_clock = SharedClock()
     assert (
         shared_clock.observe(5_000 - ONE_WAY_TICKS, 0) and shared_clock.offset == 5_000
-    )  # the first word counts
-    # the latter came 10 ms late
+    )  # the first reading is applied
+    # the second reading on the next line is 10 ms late
     assert not shared_clock.observe(5_990, 1_000) and not shared_clock.observe(9_900, 5_000)
-    assert not shared_clock.observe(13_000, 10_000)  # 200 ms late, on a lossy link
-    assert not shared_clock.observe(15_000, 10_100)  # as ever: the one before was only late
-    # ahead: nothing makes it look so
+    assert not shared_clock.observe(13_000, 10_000)  # 200 ms late, as on a lossy link
+    assert not shared_clock.observe(15_000, 10_100)  # unchanged: the previous reading was only late
+    # a larger offset is applied immediately, as delays can't cause it
     assert shared_clock.observe(25_000, 11_000) and shared_clock.offset == 14_010
     assert not shared_clock.observe(3_000, 12_000) and not shared_clock.observe(4_500, 13_000)
-    # the least late word of the last second
+    # the least delayed reading of the last second is applied
     assert shared_clock.observe(12_000, 20_500) and shared_clock.offset == -8_490
 
 
-def test_a_limiter_that_began_with_another_time_of_day_counts_with_the_others():
-    """The core was away as one proxy started, and its machine's time of day is 1,600 s off."""
+def test_limiter_started_with_a_wrong_wall_clock_uses_the_shared_clock():
+    """A proxy starts while the core is down, on a machine whose wall clock is off by 1,600 s."""
     cluster = Cluster(5, proxies=3)
     cluster.usual()
     cluster.tenant("greedy", "key-of-greedy", 40, 40)
     cluster.do(cluster.begin())
-    odd = next(iter(cluster.proxies))
+    skewed = next(iter(cluster.proxies))
     core = [host for ip in cluster.core_ips for host in cluster.core(ip)]
 
-    async def away() -> None:
-        for host in [*core, cluster.proxies[odd]]:
+    async def restart_without_core() -> None:
+        for host in [*core, cluster.proxies[skewed]]:
             host.kill()
-        cluster.steps[odd] = 1600.0
-        cluster.proxies[odd].start()
+        cluster.steps[skewed] = 1600.0
+        cluster.proxies[skewed].start()
         await asyncio.sleep(4.0)
         for host in core:
             host.start()
         await asyncio.sleep(4.0)
 
-    cluster.do(away())
+    cluster.do(restart_without_core())
     clocks = [proxy.now() + proxy.shared_clock.offset for proxy in cluster.all_proxies()]
     assert max(clocks) - min(clocks) <= 50  # 5 ms
-    greedy, what = cluster.someone(), ("GET", "town.example", "/a/x", "key-of-greedy")
-    cluster.do(cluster.flow(greedy, 200, 8, *what, idempotent=True, tries=1))
-    at = sorted(run.at for run in cluster.book.runs() if run.tenant == "greedy")
-    assert max(sum(t <= other < t + 5 for other in at) for t in at) <= (40 * 5 + 40) * 1.1 + 20
-    assert len(at) >= 0.8 * 40 * 8
+    greedy, target = cluster.someone(), ("GET", "town.example", "/a/x", "key-of-greedy")
+    cluster.do(cluster.flow(greedy, 200, 8, *target, idempotent=True, tries=1))
+    run_times = sorted(run.at for run in cluster.book.runs() if run.tenant == "greedy")
+    assert (
+        max(sum(t <= other < t + 5 for other in run_times) for t in run_times)
+        <= (40 * 5 + 40) * 1.1 + 20
+    )
+    assert len(run_times) >= 0.8 * 40 * 8
     cluster.close()
--- a/tests/proxy/test_unusual_faults.py
+++ b/tests/proxy/test_unusual_faults.py
@@ -1,5 +1,5 @@
-"""The stranger failures of the grown sites, on whole clusters: servers that fail half of what they
-get, that go down and up by turns, that forget idle connections; links that lose packets.
+"""Unusual failures on simulated clusters: servers that fail half of their requests, that flap, or
+that drop idle connections; links that lose packets.
 """
 
 from __future__ import annotations
@@ -24,32 +24,34 @@
     made = Cluster(request.param, proxies=2, servers=4)
     made.do(made.begin())
     yield made
-    made.close()  # checks among all else that nothing ran twice that must not
+    made.close()  # also checks that no non-idempotent request ran twice
 
 
-def flows(cluster: Cluster, rate: float, seconds: float) -> list[asyncio.Task[list[Reply]]]:
-    """Of requests that may be repeated and of others, of which no client makes a further try."""
+def start_flows(cluster: Cluster, rate: float, seconds: float) -> list[asyncio.Task[list[Reply]]]:
+    """Starts flows of idempotent and of non-idempotent requests, without retries by clients."""
     return [
         cluster.behind(
-            cluster.flow(cluster.someone(), rate / 2, seconds, *what, idempotent=again, tries=1)
+            cluster.flow(
+                cluster.someone(), rate / 2, seconds, *target, idempotent=idempotent, tries=1
+            )
         )
-        for what, again in ((GET, True), (POST, False))
+        for target, idempotent in ((GET, True), (POST, False))
     ]
 
 
-def good(replies: list[Reply]) -> float:
+def success_ratio(replies: list[Reply]) -> float:
     return sum(reply.status == 200 for reply in replies) / len(replies)
 
 
-def share(cluster: Cluster, server: Server, since: float, method: str) -> float:
-    """The part of a service's requests that a server has had."""
-    at = [r for r in cluster.book.arrivals if r.at >= since and r.service == server.service]
-    at = [r for r in at if cluster.book.asks[r.id].method == method]
-    return sum(r.server == server.id for r in at) / len(at)
+def traffic_share(cluster: Cluster, server: Server, since: float, method: str) -> float:
+    """Returns the share of a service's requests that were sent to a server."""
+    arrivals = [r for r in cluster.book.arrivals if r.at >= since and r.service == server.service]
+    arrivals = [r for r in arrivals if cluster.book.asks[r.id].method == method]
+    return sum(r.server == server.id for r in arrivals) / len(arrivals)
 
 
-def forget(cluster: Cluster, servers: list[Server]) -> int:
-    """Their ends of all connections are gone without a word; how many that were."""
+def drop_connections(cluster: Cluster, servers: list[Server]) -> int:
+    """Drops the servers' ends of all connections without notice; returns their number."""
     lives = {server.life for server in servers}
     ends = [end for end in cluster.cables.ends if end.life in lives and not end.gone]
     for end in ends:
@@ -58,29 +60,32 @@
     return len(ends)
 
 
-# --- half-ill servers
+# --- servers that fail half of their requests
 
 
 @seeds
-@pytest.mark.parametrize("what", ["error", "reset"])
-def test_a_server_that_fails_half_of_what_it_gets_loses_most_of_it_in_seconds(cluster, what):
-    grey = cluster.servers["alpha"][0]
-    both = flows(cluster, 80, 9.0)
+@pytest.mark.parametrize("fault", ["error", "reset"])
+def test_server_that_fails_half_of_its_requests_loses_most_traffic_within_seconds(cluster, fault):
+    faulty = cluster.servers["alpha"][0]
+    both = start_flows(cluster, 80, 9.0)
     cluster.wait(1.0)
-    grey.trouble, grey.share = what, 0.5
+    faulty.trouble, faulty.share = fault, 0.5
     cluster.wait(3.0)
     since = cluster.loop.time()
     reads, writes = (cluster.do(flow) for flow in both)
-    # not all that must not run twice can be saved
-    assert good(reads) == 1.0 and good(writes) >= 0.92
-    assert share(cluster, grey, since, "GET") < 0.12 and share(cluster, grey, since, "POST") < 0.12
+    # some non-idempotent requests are lost, as they can't be retried
+    assert success_ratio(reads) == 1.0 and success_ratio(writes) >= 0.92
+    assert (
+        traffic_share(cluster, faulty, since, "GET") < 0.12
+        and traffic_share(cluster, faulty, since, "POST") < 0.12
+    )
 
 
-# --- servers that go down and up by turns
+# --- flapping servers
 
 
 @seeds
-def test_servers_that_flap_cost_hardly_a_request(cluster):
+def test_flapping_servers_cause_few_failed_requests(cluster):
     async def flap(server: Server, first: float) -> None:
         await asyncio.sleep(first)
         for _ in range(3):
@@ -89,93 +94,95 @@
             server.start()
             await asyncio.sleep(1.2)
 
-    both = flows(cluster, 80, 9.0)
+    both = start_flows(cluster, 80, 9.0)
     for n, server in enumerate(cluster.servers["alpha"][:2]):
         cluster.behind(flap(server, 1.0 + 1.2 * n))
     reads, writes = (cluster.do(flow) for flow in both)
-    assert good(reads) == 1.0 and good(writes) >= 0.985
+    assert success_ratio(reads) == 1.0 and success_ratio(writes) >= 0.985
     cluster.wait(1.0)
     since = cluster.loop.time()
-    for flow in flows(cluster, 80, 3.0):
-        assert good(cluster.do(flow)) == 1.0
-    # each life of a server is judged by itself: all are in use again
-    assert all(share(cluster, server, since, "GET") > 0.02 for server in cluster.servers["alpha"])
+    for flow in start_flows(cluster, 80, 3.0):
+        assert success_ratio(cluster.do(flow)) == 1.0
+    # failures of a previous run of a server don't count: all servers are used again
+    assert all(
+        traffic_share(cluster, server, since, "GET") > 0.02 for server in cluster.servers["alpha"]
+    )
 
 
-# --- connections that their servers forgot
+# --- connections dropped by servers
 
 
-def warm(cluster: Cluster) -> None:
-    """Connections at work, and then idle."""
-    for flow in flows(cluster, 150, 2.0):
+def create_idle_connections(cluster: Cluster) -> None:
+    """Sends requests, so that their connections are idle afterwards."""
+    for flow in start_flows(cluster, 150, 2.0):
         cluster.do(flow)
     cluster.wait(0.5)
 
 
 @seeds
-@pytest.mark.parametrize("many", [1, 4])
-def test_a_repeatable_request_is_served_whatever_connections_were_forgotten(cluster, many):
+@pytest.mark.parametrize("server_count", [1, 4])
+def test_idempotent_requests_succeed_after_servers_drop_idle_connections(cluster, server_count):
     for _ in range(3):
-        warm(cluster)
-        forgotten = forget(cluster, cluster.servers["alpha"][:many])
-        assert forgotten >= 2 * many
-        said = [cluster.do(cluster.get(tries=1)) for _ in range(10)]
-        assert Counter(reply.status for reply in said) == {200: 10}
+        create_idle_connections(cluster)
+        dropped = drop_connections(cluster, cluster.servers["alpha"][:server_count])
+        assert dropped >= 2 * server_count
+        replies = [cluster.do(cluster.get(tries=1)) for _ in range(10)]
+        assert Counter(reply.status for reply in replies) == {200: 10}
     assert max(Counter(run.id for run in cluster.book.arrivals).values()) == 1
 
 
 @seeds
-def test_one_not_to_be_repeated_is_lost_hardly_more_than_once_a_proxy_where_servers_forgot(cluster):
-    all_lost = 0
+def test_few_non_idempotent_requests_are_lost_after_servers_drop_idle_connections(cluster):
+    lost_count = 0
     for _ in range(3):
-        warm(cluster)
-        forgotten = forget(cluster, cluster.servers["alpha"])
-        assert forgotten >= 8
-        said = [cluster.do(cluster.once()) for _ in range(30)]
-        lost = [ask.id for ask, reply in said if reply.status != 200]
-        # from each proxy's view it may have run; here it never did, and never will
-        assert {reply.status for _, reply in said} <= {200, 502}
-        all_lost += len(lost)
+        create_idle_connections(cluster)
+        dropped = drop_connections(cluster, cluster.servers["alpha"])
+        assert dropped >= 8
+        replies = [cluster.do(cluster.once()) for _ in range(30)]
+        lost = [ask.id for ask, reply in replies if reply.status != 200]
+        # a proxy must assume that a lost request may have run, although it never does here
+        assert {reply.status for _, reply in replies} <= {200, 502}
+        lost_count += len(lost)
         cluster.wait(1.0)
         assert not any(cluster.book.runs(id_) for id_ in lost)
         assert all(
-            len(cluster.book.runs(ask.id)) == 1 for ask, reply in said if reply.status == 200
+            len(cluster.book.runs(ask.id)) == 1 for ask, reply in replies if reply.status == 200
         )
-    # the first loss tells a proxy what all kept connections are worth; each server's cost one
-    # before
-    assert 1 <= all_lost <= 2 * len(cluster.proxies)
+    # after the first loss a proxy distrusts the idle connections to all servers of the service;
+    # otherwise one request would be lost for each server
+    assert 1 <= lost_count <= 2 * len(cluster.proxies)
 
 
 # --- lossy links
 
 
 @seeds
-def test_on_lossy_links_all_stay_ready_and_known_and_news_come(cluster):
+def test_lossy_links_keep_proxies_ready_and_deliver_configuration_changes(cluster):
     cluster.sky.lost = 0.05
-    both, seen = flows(cluster, 80, 9.0), []
+    both, states = start_flows(cluster, 80, 9.0), []
 
-    async def look() -> None:
+    async def sample_states() -> None:
         while True:
-            seen.extend(
+            states.extend(
                 (proxy.is_ready, proxy.limiters.total, proxy.limiters.silent)
                 for proxy in cluster.all_proxies()
             )
             await asyncio.sleep(0.05)
 
-    cluster.behind(look())
+    cluster.behind(sample_states())
     for n in range(3):
         cluster.wait(2.0)
         cluster.route(f"new{n}", "beta")
         assert cluster.do(cluster.replace(3.0))
 
-        def there():
+        def is_distributed():
             return all(
                 proxy.configuration.table.version == cluster.version
                 for proxy in cluster.all_proxies()
             )
 
-        assert cluster.do(cluster.until(there, 2.5)) < 1.0
+        assert cluster.do(cluster.until(is_distributed, 2.5)) < 1.0
     for flow in both:
-        assert good(cluster.do(flow)) >= 0.99
-    ready = sum(state == (True, 2, 0) for state in seen)
-    assert ready >= 0.97 * len(seen) > 200, Counter(seen)
+        assert success_ratio(cluster.do(flow)) >= 0.99
+    ready = sum(state == (True, 2, 0) for state in states)
+    assert ready >= 0.97 * len(states) > 200, Counter(states)
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -1,5 +1,5 @@
-"""Answers and their callers on simulated streams: each to its own, and none run twice that must
-not.
+"""Matching of responses with requests on simulated streams, and at most one execution of
+non-idempotent requests.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from loomstand.admission.actions import Reject, SendAttempt
 from loomstand.admission.outcome import Outcome
-from loomstand.limiter import upstream as servers
+from loomstand.limiter import upstream as limiter_upstream
 from loomstand.limiter.client_connection import Client as FrontClient
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Wire
@@ -38,53 +38,59 @@
 )
 
 
-def staged(work: Callable[[Stage], Any]) -> None:
+def run_stage(work: Callable[[Stage], Any]) -> None:
     async def run() -> None:
         stage = await Stage().open()
         await work(stage)
         stage.sky.mend()
-        await asyncio.sleep(20.0)  # what is late comes now
+        await asyncio.sleep(20.0)  # until delayed data has arrived
         stage.check()
 
     play(run)
 
 
-# --- from servers, at each byte
+# --- responses interrupted or repeated at each byte
 
 
-def every_byte() -> None:
-    for how in ("close", "reset", "half", "silence", "pause"):
+def interrupt_at_every_byte() -> None:
+    for interruption in ("close", "reset", "half", "silence", "pause"):
 
-        async def work(stage: Stage, how: str = how) -> None:
+        async def work(stage: Stage, interruption: str = interruption) -> None:
             for at in range(len(whole("r000"))):
                 id_ = f"r{at:03}"
                 raw = whole(id_)
-                steps = {"silence": [2.0, raw[at:]], "pause": [0.02, raw[at:]]}.get(how, [how])
+                steps = {"silence": [2.0, raw[at:]], "pause": [0.02, raw[at:]]}.get(
+                    interruption, [interruption]
+                )
                 stage.plays = [[raw[:at], *steps]]
                 stage.send(stage.request(id_), 0.2)
                 await asyncio.sleep(0.25)
-                passes = Outcome.SUCCEEDED if how == "pause" else None
-                lost = Outcome.NO_RESPONSE if how == "silence" else Outcome.CONNECTION_LOST
-                assert stage.came_of[id_] == [passes or lost], (how, at)
+                success = Outcome.SUCCEEDED if interruption == "pause" else None
+                failure = (
+                    Outcome.NO_RESPONSE if interruption == "silence" else Outcome.CONNECTION_LOST
+                )
+                assert stage.came_of[id_] == [success or failure], (interruption, at)
                 stage.plays = []
 
-        staged(work)
+        run_stage(work)
 
 
-def test_an_answer_cut_at_any_byte_passes_only_whole_and_proves_nothing():
-    every_byte()
+def test_interrupted_response_is_not_forwarded_and_does_not_prove_non_execution():
+    interrupt_at_every_byte()
 
 
-def surplus(made: Callable[[str], bytes], *, ahead: bool) -> Callable[[Stage], Any]:
-    """One request's second answer, cut at each byte: the rest of it comes where the next one's is
-    due.
+def surplus_response(
+    make_response: Callable[[str], bytes], *, ahead: bool
+) -> Callable[[Stage], Any]:
+    """Splits a surplus response at each byte: its rest is sent in answer to the next request, in
+    one write with that request's own response if `ahead`, else shortly before it.
     """
 
     async def work(stage: Stage) -> None:
-        size = len(made("r0000"))
+        size = len(make_response("r0000"))
         for at in range(size + 1):
             first, second = f"r{at:04}", f"n{at:04}"
-            extra, own = made(first), whole(second)
+            extra, own = make_response(first), whole(second)
             stage.plays = [
                 [whole(first), extra[:at]],
                 [extra[at:] + own] if ahead else [extra[at:], 0.01, own],
@@ -103,43 +109,43 @@
 
 
 SURPLUS: dict[str, Callable[[str], bytes]] = {
-    "again": lambda id_: whole(id_),
-    "refusal": lambda id_: said(503, id_, "Loomstand-Not-Executed: true"),
-    "nobody's refusal": lambda id_: said(503, "", "Loomstand-Not-Executed: true"),
-    "nobody's error": lambda id_: said(500, ""),
+    "duplicate": lambda id_: whole(id_),
+    "rejection": lambda id_: said(503, id_, "Loomstand-Not-Executed: true"),
+    "rejection without id": lambda id_: said(503, "", "Loomstand-Not-Executed: true"),
+    "error without id": lambda id_: said(500, ""),
     "interim": lambda id_: b"HTTP/1.1 100 Continue\r\n\r\n" + whole(id_),
 }
 
 
 @pytest.mark.parametrize("ahead", [True, False])
-@pytest.mark.parametrize("what", SURPLUS)
-def test_a_surplus_answer_in_pieces_is_never_the_next_ones(what, ahead):
-    staged(surplus(SURPLUS[what], ahead=ahead))
+@pytest.mark.parametrize("kind", SURPLUS)
+def test_fragmented_surplus_response_is_never_matched_with_the_next_request(kind, ahead):
+    run_stage(surplus_response(SURPLUS[kind], ahead=ahead))
 
 
-REFUSED = "Loomstand-Not-Executed: true"
+NOT_EXECUTED = "Loomstand-Not-Executed: true"
 
 
-async def refused_twice(stage: Stage) -> None:
-    size = len(said(503, "r0000", REFUSED))
+async def duplicate_rejection(stage: Stage) -> None:
+    size = len(said(503, "r0000", NOT_EXECUTED))
     for at in range(0, size + 1, 3):
         id_, request = f"r{at:04}", stage.request(f"r{at:04}")
-        raw = said(503, id_, REFUSED)
+        raw = said(503, id_, NOT_EXECUTED)
         stage.plays = [["refuse", raw, raw[:at], 0.02, raw[at:]], [0.05, whole(id_)]]
         stage.send(request)
         await asyncio.sleep(0.012)
-        stage.send(request)  # as where no other server has room
+        stage.send(request)  # as if no other server had capacity
         await asyncio.sleep(0.2)
         assert stage.came_of[id_] == [Outcome.REJECTED, Outcome.SUCCEEDED]
 
 
-def test_a_second_copy_of_a_refusal_is_not_the_answer_to_the_second_sending():
-    staged(refused_twice)
+def test_duplicate_rejection_is_not_matched_with_the_second_attempt():
+    run_stage(duplicate_rejection)
 
 
-def bare_promises(status: int) -> Callable[[Stage], Any]:
+def not_executed_status(status: int) -> Callable[[Stage], Any]:
     async def work(stage: Stage) -> None:
-        for id_, lines in ("bare", []), ("with", [REFUSED]):
+        for id_, lines in ("bare", []), ("with", [NOT_EXECUTED]):
             proof = status != 200 if lines else status == 421
             success = [STAMP] if status == 200 else []
             stage.plays = [
@@ -154,16 +160,16 @@
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503, 200])
-def test_what_clients_take_for_a_promise_comes_from_a_server_only_with_its_own_word(status):
-    staged(bare_promises(status))
+def test_not_executed_status_is_accepted_only_with_its_header_field(status):
+    run_stage(not_executed_status(status))
 
 
-# --- to servers
+# --- requests to servers
 
 
-async def behind_a_cut(stage: Stage) -> None:
-    """Bodies below and above the window, cut off at several moments, given up, and the cut
-    healed.
+async def expire_during_partition(stage: Stage) -> None:
+    """Sends bodies below and above the window, partitions the link at several times, and heals it
+    after the attempt has expired.
     """
     for n, size in enumerate((0, 100, WINDOW - 400, WINDOW, 3 * WINDOW, 6 * WINDOW)):
         for after in (0.0, 0.001, 0.004, 0.006, 0.009, 0.013, 0.02):
@@ -173,41 +179,43 @@
             await asyncio.sleep(after)
             stage.sky.cut(US, THEM)
             await asyncio.sleep(0.4)
-            given_up = stage.loop.time()
+            expired_at = stage.loop.time()
             stage.sky.mend()
             await asyncio.sleep(6.0)
-            assert stage.ran_at.get(id_, 0.0) < given_up, f"{id_} ran late, of {stage.came_of[id_]}"
+            assert stage.ran_at.get(id_, 0.0) < expired_at, (
+                f"{id_} ran after its expiry, with the outcomes {stage.came_of[id_]}"
+            )
 
 
-def test_what_is_given_up_behind_a_cut_is_not_delivered_when_that_heals():
-    staged(behind_a_cut)
+def test_expired_request_is_not_delivered_after_a_partition_heals():
+    run_stage(expire_during_partition)
 
 
-def test_a_connect_under_way_at_the_deadline_carries_nothing_later():
+def test_connection_pending_at_the_deadline_sends_nothing_later():
     async def work(stage: Stage) -> None:
         for n in range(20):
             stage.send(stage.request(f"r{n}"), 0.0005 * n)
             await asyncio.sleep(0.1)
             assert len(stage.came_of[f"r{n}"]) == 1
 
-    staged(work)
+    run_stage(work)
 
 
-async def thaws_late(stage: Stage) -> None:
+async def resume_after_deadline(stage: Stage) -> None:
     attempt = stage.send(stage.request("r"))
     attempt.timer.cancel()
-    attempt.expires_at = stage.now()  # this process stood still until after that
+    attempt.expires_at = stage.now()  # as if the process had been suspended until after that
     await asyncio.sleep(0.5)
     assert stage.came_of == {"r": [Outcome.CONNECT_FAILED]} and stage.ran == []
 
 
-def test_a_process_that_stood_still_past_the_deadline_sends_nothing():
-    staged(thaws_late)
+def test_process_suspended_past_the_deadline_sends_nothing():
+    run_stage(resume_after_deadline)
 
 
-async def a_silence(stage: Stage) -> None:
+async def unresponsive_server(stage: Stage) -> None:
     stage.plays = [[0.05, whole("a")], [0.05, whole("b")], [], [whole("d")]]
-    for id_ in "ab":  # two kept connections
+    for id_ in "ab":  # creates two idle connections
         stage.send(stage.request(id_))
     await asyncio.sleep(0.2)
     assert len(stage.talks) == 2
@@ -215,23 +223,23 @@
     stage.send(stage.request("c"), 0.2)
     await asyncio.sleep(0.3)
     assert stage.came_of["c"] == [Outcome.NO_RESPONSE]
-    stage.life.thaw()  # and it runs what is in its buffers
+    stage.life.thaw()  # the server executes the requests in its buffers
     await asyncio.sleep(0.1)
     assert stage.ran == ["a", "b", "c"]
     stage.send(stage.request("d"))
     await asyncio.sleep(0.1)
     assert stage.came_of["d"] == [Outcome.SUCCEEDED] and len(stage.talks) == 3, (
-        "a connection of before a silence"
+        "reused a connection older than the timeout"
     )
 
 
-def test_after_a_silence_no_connection_of_before_is_used_and_a_late_run_breaks_no_word():
-    staged(a_silence)
+def test_timeout_closes_older_connections_and_late_execution_contradicts_no_outcome():
+    run_stage(unresponsive_server)
 
 
-def answered_early(status: int) -> Callable[[Stage], Any]:
+def early_response(status: int) -> Callable[[Stage], Any]:
     async def work(stage: Stage) -> None:
-        stage.early, raw = True, whole("r") if status == 200 else said(503, "r", REFUSED)
+        stage.early, raw = True, whole("r") if status == 200 else said(503, "r", NOT_EXECUTED)
         stage.plays = [[raw], [whole("n")]]
         stage.send(stage.request("r", bytes(5 * WINDOW)))
         await asyncio.sleep(0.2)
@@ -245,21 +253,21 @@
 
 
 @pytest.mark.parametrize("status", [200, 503])
-def test_an_answer_that_comes_before_its_request_is_written_ends_that_connection(status):
-    staged(answered_early(status))
+def test_response_before_the_request_is_fully_sent_closes_the_connection(status):
+    run_stage(early_response(status))
 
 
-def test_surplus_answers_without_end_do_not_keep_a_request():
+def test_excessive_surplus_responses_do_not_hold_a_request():
     async def work(stage: Stage) -> None:
         stage.plays = [[whole("x") * 40 + whole("r")]]
         stage.send(stage.request("r"))
         await asyncio.sleep(0.2)
         assert stage.came_of["r"] == [Outcome.CONNECTION_LOST]
 
-    staged(work)
+    run_stage(work)
 
 
-# --- the whole proxy, drawn
+# --- the whole proxy, with random faults
 
 
 SCRIPT = st.lists(st.tuples(st.sampled_from(BEFALLS), st.integers(0, 250)), max_size=12)
@@ -289,12 +297,12 @@
             await asyncio.sleep(gap)
             tasks.append(cluster.loop.create_task(cluster.asks(*request)))
         await asyncio.gather(*tasks)
-        await asyncio.sleep(12.0)  # what is late comes now
+        await asyncio.sleep(12.0)  # until delayed data has arrived
 
     try:
         cluster.do(work())
         early = {run.id for run in cluster.book.runs()} - cluster.whole
-        assert not early, f"ran before they were sent whole: {early}"
+        assert not early, f"executed before they were sent completely: {early}"
     finally:
         cluster.close()
     return cluster
@@ -315,12 +323,13 @@
     played(script, requests, events)
 
 
-# --- the fences around the module's decisions
+# --- engine actions that the proxy must not carry out
 
 
-async def held_up(cluster: OddCluster) -> tuple[Any, Any, asyncio.Task[Any]]:
-    """A request not to be repeated that is out at a server; the proxy, its request there, its
-    end.
+async def pending_request(cluster: OddCluster) -> tuple[Any, Any, asyncio.Task[Any]]:
+    """Sends a non-idempotent request that stays pending at a server.
+
+    Returns the proxy, the proxy's request and the task that awaits the reply.
     """
     ask = cluster.client.ask("PUT", "town.example", "/once/x", "key-of-ann", b"body")
     task = cluster.loop.create_task(cluster.client.once(ask, cluster.front))
@@ -331,12 +340,12 @@
     return proxy, request, task
 
 
-def fenced(act: str) -> None:
-    cluster = OddCluster([("pause", 50)] if act == "deny" else [("long pause", 0)])
+def check_engine_action(action: str) -> None:
+    cluster = OddCluster([("pause", 50)] if action == "reject" else [("long pause", 0)])
 
     async def work() -> None:
-        proxy, request, task = await held_up(cluster)
-        if act == "deny":
+        proxy, request, task = await pending_request(cluster)
+        if action == "reject":
             proxy.reject_request(Reject(request.id, "given up", 0))
         else:
             for endpoint_id in proxy.endpoints.instance_ids:
@@ -351,16 +360,16 @@
         cluster.close()
 
 
-@pytest.mark.parametrize("act", ["deny", "dispatch"])
-def test_whatever_the_module_says_no_promise_and_no_second_sending_while_one_is_out(act):
-    fenced(act)
+@pytest.mark.parametrize("action", ["reject", "send"])
+def test_pending_non_idempotent_request_is_neither_rejected_nor_sent_again(action):
+    check_engine_action(action)
 
 
-# --- at a start, at a stop, and of a client that does not wait
+# --- startup, shutdown and pipelining
 
 
-async def at_a_start(cluster: OddCluster) -> None:
-    """Requests that come while there is no configuration and no server yet."""
+async def requests_during_startup(cluster: OddCluster) -> None:
+    """Sends requests while the proxy has no configuration and knows no server."""
     host = cluster.proxies[US]
     host.kill()
     await asyncio.sleep(2.0)
@@ -373,8 +382,8 @@
     await asyncio.gather(*tasks)
 
 
-async def at_a_stop(cluster: OddCluster) -> None:
-    """Requests on new and kept connections, from before a SIGTERM until after the next start."""
+async def requests_during_restart(cluster: OddCluster) -> None:
+    """Sends requests on new and reused connections from before a SIGTERM until after a restart."""
     host, tasks = cluster.proxies[US], []
     for n in range(150):
         if n == 50:
@@ -387,14 +396,14 @@
     assert host.up
 
 
-async def not_waiting(cluster: OddCluster) -> None:
-    """Two requests in one piece, of which the first takes longer."""
+async def pipelined_requests(cluster: OddCluster) -> None:
+    """Sends two pipelined requests, of which the first takes longer."""
     for n in range(20):
         cluster.script[:] = [("pause", 9 * n), ("", 0)]
         await cluster.asks(n % 2 == 0, "pipelined", 0, 100)
 
 
-def odd(work: Callable[[OddCluster], Any]) -> None:
+def run_odd_cluster(work: Callable[[OddCluster], Any]) -> None:
     cluster = OddCluster()
 
     async def run() -> None:
@@ -408,125 +417,146 @@
         cluster.close()
 
 
-@pytest.mark.parametrize("work", [at_a_start, at_a_stop, not_waiting])
-def test_each_request_has_one_end_around(work):
-    odd(work)
+@pytest.mark.parametrize(
+    "work", [requests_during_startup, requests_during_restart, pipelined_requests]
+)
+def test_each_request_is_answered_once_around(work):
+    run_odd_cluster(work)
 
 
-# --- each defence taken out is noticed
+# --- mutants without one of the safeguards
 
 
-def taken_at_once(client: Any, handle: Any = FrontClient.handle) -> None:
+def handle_without_waiting(client: Any, handle: Any = FrontClient.handle) -> None:
     handle(client)
     client.request = None
 
 
-def by_position(connection: Any, took: Any = UpstreamConnection.response_received) -> None:
+def match_by_position(
+    connection: Any, original: Any = UpstreamConnection.response_received
+) -> None:
     connection.machine.fields = connection.machine.fields | {
         b"loomstand-request-id": connection.attempt.request.request_id
     }
-    took(connection)
+    original(connection)
 
 
-def without_id_by_position(
-    connection: Any, took: Any = UpstreamConnection.response_received
+def match_missing_id_by_position(
+    connection: Any, original: Any = UpstreamConnection.response_received
 ) -> None:
-    took(connection) if b"loomstand-request-id" in connection.machine.fields else by_position(
-        connection, took
+    original(
+        connection
+    ) if b"loomstand-request-id" in connection.machine.fields else match_by_position(
+        connection, original
     )
 
 
-def used_after_a_silence(pool: Any, attempt: Any, why: Ending) -> None:
+def keep_idle_connections(pool: Any, attempt: Any, ending: Ending) -> None:
     if attempt.connection is not None and attempt.connection.attempt is attempt:
-        attempt.connection.wire.stop(why)  # and the others stay
+        attempt.connection.wire.stop(ending)  # keeps the idle connections
 
 
-def same_connection(pool: Any, attempt: Any, send: Any = UpstreamPool.send) -> None:
+def reuse_connection(pool: Any, attempt: Any, send: Any = UpstreamPool.send) -> None:
     attempt.request.attempted_endpoints = ()
     send(pool, attempt)
 
 
-def kept_early(connection: Any, close: bool) -> None:
+def release_without_closing(connection: Any, close: bool) -> None:
     connection.attempt = None
     connection.machine.reset()
     connection.pool.release(connection)
 
 
-def reset_proves(ending: Ending, written: bool) -> Outcome:
+def reset_proves_non_execution(ending: Ending, written: bool) -> Outcome:
     return (
         Outcome.CONNECT_FAILED if ending in (Ending.RESET, Ending.CLOSED) else Outcome.NO_RESPONSE
     )
 
 
-def refused_anyhow(proxy: Any, act: Any) -> None:
+def reject_unconditionally(proxy: Any, act: Any) -> None:
     proxy.answer(proxy.requests[act.request_id], 503)
 
 
-AHEAD = surplus(SURPLUS["again"], ahead=True)
-NOBODYS = surplus(SURPLUS["nobody's refusal"], ahead=True)
+SURPLUS_DUPLICATE = surplus_response(SURPLUS["duplicate"], ahead=True)
+SURPLUS_WITHOUT_ID = surplus_response(SURPLUS["rejection without id"], ahead=True)
 MUTANTS: dict[str, tuple[Any, str, Any, Callable[[], None]]] = {
     "match by position": (
         UpstreamConnection,
         "response_received",
-        by_position,
-        lambda: staged(AHEAD),
+        match_by_position,
+        lambda: run_stage(SURPLUS_DUPLICATE),
     ),
-    "match by position where there is no id": (
+    "match by position if the id is missing": (
         UpstreamConnection,
         "response_received",
-        without_id_by_position,
-        lambda: staged(NOBODYS),
+        match_missing_id_by_position,
+        lambda: run_stage(SURPLUS_WITHOUT_ID),
     ),
-    "reuse after a silence": (
+    "reuse of idle connections after a timeout": (
         UpstreamPool,
         "give_up",
-        used_after_a_silence,
-        lambda: staged(a_silence),
+        keep_idle_connections,
+        lambda: run_stage(unresponsive_server),
+    ),
+    "close without a reset": (
+        Wire,
+        "sever",
+        lambda wire: None,
+        lambda: run_stage(expire_during_partition),
     ),
-    "close without a reset": (Wire, "sever", lambda wire: None, lambda: staged(behind_a_cut)),
-    "second sending on the same connection": (
+    "second attempt on the same connection": (
         UpstreamPool,
         "send",
-        same_connection,
-        lambda: staged(refused_twice),
+        reuse_connection,
+        lambda: run_stage(duplicate_rejection),
     ),
-    "a bare 503 is a promise": (
+    "a 503 without the header field is trusted": (
         upstream,
         "is_server_response",
         lambda *_: True,
-        lambda: staged(bare_promises(503)),
+        lambda: run_stage(not_executed_status(503)),
     ),
-    "an early answer's connection is kept": (
+    "reuse of a connection after an early response": (
         UpstreamConnection,
         "finish_response",
-        kept_early,
-        lambda: staged(answered_early(503)),
+        release_without_closing,
+        lambda: run_stage(early_response(503)),
     ),
-    "a reset is a proof": (servers, "outcome", reset_proves, every_byte),
-    "sent past its deadline": (
+    "a reset proves non-execution": (
+        limiter_upstream,
+        "outcome",
+        reset_proves_non_execution,
+        interrupt_at_every_byte,
+    ),
+    "sending after the deadline": (
         UpstreamConnection,
         "opened",
         ServerConnection.opened,
-        lambda: staged(thaws_late),
+        lambda: run_stage(resume_after_deadline),
     ),
-    "the next request is taken up while one is out": (
+    "handling of the next request while one is pending": (
         FrontClient,
         "handle",
-        taken_at_once,
-        lambda: odd(not_waiting),
+        handle_without_waiting,
+        lambda: run_odd_cluster(pipelined_requests),
+    ),
+    "rejection of a pending request": (
+        Proxy,
+        "reject_request",
+        reject_unconditionally,
+        lambda: check_engine_action("reject"),
     ),
-    "a refusal while it is out": (Proxy, "reject_request", refused_anyhow, lambda: fenced("deny")),
-    "a second sending while one is out": (
+    "second attempt of a pending request": (
         Proxy,
         "attempt_limit",
         lambda proxy, request: 9,
-        lambda: fenced("dispatch"),
+        lambda: check_engine_action("send"),
     ),
 }
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_without_a_defence_its_test_fails(name, monkeypatch):
+def test_removing_a_safeguard_fails_its_test(name, monkeypatch):
     owner, attribute, mutant, test = MUTANTS[name]
     monkeypatch.setattr(owner, attribute, mutant)
     with pytest.raises(AssertionError):
