--- a/loomstand/failover/__init__.py
+++ b/loomstand/failover/__init__.py
@@ -1,6 +1,6 @@
-"""What a fleet does about the loss of a whole site: a plan, evidence, an order of refusal
+"""Failover after the loss of a whole zone: plan, loss detection and load shedding order
 (docs/sites.md).
 
-Pure: no I/O and no clock of its own. The decision module asks `guide.Guide`; everything else is
-behind it.
+Everything here is pure: no I/O and no clock. The decision engine calls `engine_view.Guide`, which
+uses the other modules.
 """
--- a/loomstand/failover/engine_view.py
+++ b/loomstand/failover/engine_view.py
@@ -1,8 +1,8 @@
-"""What the decision module asks about sites: one object behind a narrow interface, or none at all.
+"""The decision engine's view of zone failover: one object with a narrow interface.
 
-The module tells it the list, each dispatch and each end; it asks which servers to leave alone,
-whether a req is let in, and what to say to the operators. With no plan the module has no guide and
-decides as before.
+The engine reports the endpoint list and the start and end of each attempt. It asks which zones to
+avoid, whether to admit a request, and which changes to log. Without a plan the engine has no such
+object and all zones count as whole.
 """
 
 from __future__ import annotations
@@ -13,20 +13,29 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.settings import EngineSettings
 from loomstand.admission.ticks import TICKS_PER_SECOND
-from loomstand.failover.shedding_order import Order, Room
-from loomstand.failover.zone_loss_detector import State, Watch
+from loomstand.failover.shedding_order import SheddingOrder, WindowController
+from loomstand.failover.zone_loss_detector import ZoneLossDetector, ZoneState
 from loomstand.failover.zone_plan import SitePlan
 
-# Of what is refused first, to a lost zone: a limiter of eight such reqs a second has the two
-# answers that tell of a healed cut within five seconds, and meanwhile it costs a twentieth of those
-# reqs.
-PROBE = 1 / 20
-ALIVE = {Outcome.SUCCEEDED, Outcome.SERVER_ERROR, Outcome.REJECTED}
-SAYS_NOTHING = {Outcome.NOT_SENT, Outcome.CANCELLED}  # our own doing
+# Share of the requests of rank 0 that probe a lost zone. At eight such requests/s the two answers
+# that show a healed partition arrive within 5 s, at the cost of a twentieth of these requests.
+LOST_ZONE_PROBE_SHARE = 1 / 20
+ANSWERED_OUTCOMES = {Outcome.SUCCEEDED, Outcome.SERVER_ERROR, Outcome.REJECTED}
+# caused by the limiter itself, so no evidence about the server
+IGNORED_OUTCOMES = {Outcome.NOT_SENT, Outcome.CANCELLED}
+# in flight at once, from all limiters; the same as in `loomstand.admission.concurrency_window`
+MIN_ATTEMPTS_PER_SERVER = 5
 
 
 class Guide:
-    """`names` are those of the settings' frontends, plans and zones, in their order."""
+    """Avoidance of lost zones and load shedding by the zone plan.
+
+    Args:
+        plan: The plan.
+        settings: The engine's settings.
+        names: The names of the settings' frontends, plans and zones, in their order.
+        now: The time in ticks.
+    """
 
     def __init__(
         self,
@@ -36,125 +45,159 @@
         now: int,
     ) -> None:
         self.names, self.now = names, now
-        patience = max(f.latency_target for f in settings.frontends)
-        self.watch = Watch(
-            patience, settings.slow_start_period, settings.slow_start_initial_capacity
+        answer_timeout = max(f.latency_target for f in settings.frontends)
+        self.detector = ZoneLossDetector(
+            answer_timeout, settings.slow_start_period, settings.slow_start_initial_capacity
         )
-        self.scale, self.room, self.usual = 1.0, Room(), 0
+        self.scale, self.window_controller, self.usual = 1.0, WindowController(), 0
         self.take(plan)
 
     def take(self, plan: SitePlan) -> None:
-        """Another plan from now on; what is known of zones and of room stands."""
+        """Replace the plan; the states of the zones and of the window controller are kept."""
         self.plan = plan
-        self.stated = sum(d.rate * d.work_ms / 1000 for d in plan.demand) if plan.zones else 0.0
-        self.order = Order(plan.ranks(), plan.keep.share if plan.keep else 0.0, self.now)
-        fronts, plans, _ = self.names
+        self.planned_demand = (
+            sum(d.rate * d.work_ms / 1000 for d in plan.demand) if plan.zones else 0.0
+        )
+        self.order = SheddingOrder(plan.ranks(), plan.keep.share if plan.keep else 0.0, self.now)
+        frontend_names, plan_names, _ = self.names
 
         @lru_cache(1 << 10)
-        def rank(front: int, plan_: int, retry: bool, beyond: bool) -> int:
-            name = plans[plan_] if 0 <= plan_ < len(plans) else ""
-            return plan.rank(fronts[front], name, retry, beyond)
+        def rank(frontend: int, plan_index: int, is_retry: bool, is_over_quota: bool) -> int:
+            name = plan_names[plan_index] if 0 <= plan_index < len(plan_names) else ""
+            return plan.rank(frontend_names[frontend], name, is_retry, is_over_quota)
 
         self.rank = rank
 
-    # told
+    # reports of the engine
 
     def listed(self, now: int, servers: Iterable[tuple[int, int, int]]) -> None:
-        there = list(servers)
-        self.watch.listed(now, there)
-        if all(z.state is State.WHOLE for z in self.watch.zones.values()):
-            self.usual = len(there)  # a lost zone's limiters are gone too: the others reach further
+        """Follow the live servers, each with its number, zone and start time."""
+        live = list(servers)
+        self.detector.update_endpoints(now, live)
+        # A lost zone takes its limiters with it, so the remaining limiters need larger subsets: the
+        # server count from before the loss is kept.
+        if all(z.state is ZoneState.WHOLE for z in self.detector.zones.values()):
+            self.usual = len(live)
 
-    def sent(self, now: int, key: tuple[int, int], zone: int, srv: int) -> None:
-        self.watch.sent(now, key, zone, srv)
+    def sent(self, now: int, key: tuple[int, int], zone: int, server: int) -> None:
+        self.detector.attempt_sent(now, key, zone, server)
 
     def ended(
-        self, now: int, key: tuple[int, int], zone: int, srv: int, outcome: Outcome, late: bool
+        self,
+        now: int,
+        key: tuple[int, int],
+        zone: int,
+        server: int,
+        outcome: Outcome,
+        is_late: bool,
     ) -> None:
-        if outcome in SAYS_NOTHING:
-            self.watch.zones[zone].open.pop(key, None)
+        if outcome in IGNORED_OUTCOMES:
+            self.detector.zones[zone].in_flight.pop(key, None)
         else:
-            self.watch.ended(now, key, zone, srv, outcome in ALIVE, late)
+            self.detector.attempt_ended(
+                now, key, zone, server, outcome in ANSWERED_OUTCOMES, is_late
+            )
+
+    def remaining_limiter_share(self, lost_zone: int = -1) -> float:
+        """Return the share of all limiters outside lost zones.
 
-    def limiters(self, gone: int = -1) -> float:
-        """The share of all limiters that is left: those of lost zones are taken for gone with them,
-        as their clients come to the others; `gone` is a zone that counts as lost too.
+        The limiters of a lost zone count as lost with it, because their clients move to the others.
+
+        Args:
+            lost_zone: Another zone that counts as lost.
         """
-        count = {z.name: z.limiters for z in self.plan.zones}
-        every, left = sum(count.values()), 0
-        for n, name in enumerate(self.names[2]):
-            left += 0 if n == gone or self.avoided(n) else count.get(name, 0)
-        return left / every if left else 1.0
+        counts = {z.name: z.limiters for z in self.plan.zones}
+        total, remaining = sum(counts.values()), 0
+        for zone, name in enumerate(self.names[2]):
+            remaining += 0 if zone == lost_zone or self.avoided(zone) else counts.get(name, 0)
+        return remaining / total if remaining else 1.0
 
     def least(self, limiters: int) -> float:
-        """The least room: five a server, by all limiters that are left together (as the
-        module's).
-        """
-        live = sum(len(z.live) for n, z in self.watch.zones.items() if not self.avoided(n))
-        return 5 * live / max(1.0, limiters * self.limiters())
+        """Return the smallest window: this limiter's part of five attempts for each server."""
+        live = sum(len(z.live) for zone, z in self.detector.zones.items() if not self.avoided(zone))
+        return MIN_ATTEMPTS_PER_SERVER * live / max(1.0, limiters * self.remaining_limiter_share())
 
-    def answered(self, size: float, least: float, zone: int, bad: float, out: int) -> float:
-        """The room after an answer; one that a lost zone owed tells nothing of the others."""
+    def answered(
+        self, size: float, min_size: float, zone: int, lateness: float, in_flight: int
+    ) -> float:
+        """Return the window size after an answer.
+
+        An answer from a lost zone changes nothing, as it says nothing about the other zones.
+        """
         if self.avoided(zone):
             return size
-        return max(least, min(self.fair(), self.room.answered(size, least, bad, out)))
+        return max(
+            min_size,
+            min(
+                self.max_window(),
+                self.window_controller.update(size, min_size, lateness, in_flight),
+            ),
+        )
+
+    def max_window(self) -> float:
+        """Return the largest window: this limiter's part of the remaining zones' planned capacity.
 
-    def fair(self) -> float:
-        """The most room that this limiter may take: what the plan's zones that are left can do, in
-        the share that its clients ask of all that the plan says is asked. Found on the rig: by
-        answers alone one of eight limiters came to twice the room of the others, and let in what is
-        refused first while those refused what is worth five times as much.
+        The part is the demand at this limiter divided by the plan's total demand. Without this
+        bound, one of eight limiters reached twice the window of the others, and admitted requests
+        of rank 0 while the others shed requests of five times the value.
         """
-        if not self.stated:
+        if not self.planned_demand:
             return float("inf")
         names = self.names[2]
-        lost = {names[n] for n in range(len(names)) if self.avoided(n)}
+        lost = {names[zone] for zone in range(len(names)) if self.avoided(zone)}
         slots = sum(z.servers * z.slots for z in self.plan.zones if z.name not in lost)
-        return sum(self.order.demand(self.now)) * slots * self.plan.fill / self.stated
+        return sum(self.order.demand(self.now)) * slots * self.plan.fill / self.planned_demand
 
-    # asked
+    # queries of the engine
 
     def avoided(self, zone: int) -> bool:
-        return self.watch.avoided(zone)
+        return self.detector.is_avoided(zone)
 
-    def passes(self, zone: int, warmth: float, chance: float) -> bool:
-        """Whether a server may be chosen this time: a cold one by its warmth, so that all limiters
-        together send it what it can do; one of a returning zone by the zone's share, unless it is
-        cold anyway and the zone was not lost again after its last return.
+    def passes(self, zone: int, capacity: float, draw: float) -> bool:
+        """Return whether a server may be chosen for this attempt.
+
+        A server that warms up is chosen in proportion to its capacity, so that all limiters
+        together send it what it can handle. A server of a returning zone is chosen by the zone's
+        share too, unless it warms up and the zone was not lost again soon after its last return.
         """
-        share = self.watch.share(zone)
-        if warmth < 1.0 and share < 1.0 and self.watch.zones[zone].hold == 1:
+        share = self.detector.traffic_share(zone)
+        if capacity < 1.0 and share < 1.0 and self.detector.zones[zone].return_backoff == 1:
             share = 1.0
-        return chance < share * warmth
+        return draw < share * capacity
+
+    def probes(self, zone: int, rank: int, probe_share: float, draw: float) -> bool:
+        """Return whether a request may probe an ejected server.
 
-    def probes(self, zone: int, rank: int, trickle: float, chance: float) -> bool:
-        """Whether a req may be spent on a server set aside: only of what is refused first, and by
-        the server's own trickle unless its zone is lost.
+        Only requests of rank 0 may: by the server's own probe share, or by a fixed one where its
+        zone is lost.
         """
-        return rank == 0 and chance < (PROBE if self.avoided(zone) else trickle)
+        return rank == 0 and draw < (LOST_ZONE_PROBE_SHARE if self.avoided(zone) else probe_share)
 
-    def admits(self, now: int, rank: int, work: float, room: float, chance: float) -> bool:
-        return self.order.admits(now, rank, work, room, chance)
+    def admits(self, now: int, rank: int, work: float, window: float, draw: float) -> bool:
+        return self.order.admits(now, rank, work, window, draw)
 
     def moved(self, now: int) -> list[str]:
-        """Judges the zones; what changed, as lines for the operators. `scale` is what is left of
-        the room.
+        """Evaluate the zones and return their changes as log lines.
+
+        Sets `scale`, the factor by which the changes enlarge or shrink the window.
         """
         self.now = now
-        self.watch.look(now)
+        self.detector.evaluate(now)
         self.scale, lines = 1.0, []
-        for move in self.watch.moves:
-            zones = self.names[2]
-            name = zones[move.zone] if move.zone < len(zones) else str(move.zone)
+        for change in self.detector.transitions:
+            zone_names = self.names[2]
+            name = zone_names[change.zone] if change.zone < len(zone_names) else str(change.zone)
             lines.append(
-                f"{now / TICKS_PER_SECOND:.2f}: zone {name}: {move.old.value} to "
-                f"{move.new.value}, {move.why}"
+                f"{now / TICKS_PER_SECOND:.2f}: zone {name}: {change.old.value} to "
+                f"{change.new.value}, {change.reason}"
             )
-            if move.new is State.DOUBTFUL or (
-                move.new is State.LOST and move.old is not State.DOUBTFUL
+            if change.new is ZoneState.DOUBTFUL or (
+                change.new is ZoneState.LOST and change.old is not ZoneState.DOUBTFUL
             ):
-                self.scale *= (1 - move.part) / self.limiters(move.zone)
-            elif move.old is State.DOUBTFUL and move.new is State.WHOLE:
-                self.scale /= max(0.1, 1 - move.part) / self.limiters(move.zone)
-        self.watch.moves = []
+                self.scale *= (1 - change.server_share) / self.remaining_limiter_share(change.zone)
+            elif change.old is ZoneState.DOUBTFUL and change.new is ZoneState.WHOLE:
+                self.scale /= max(0.1, 1 - change.server_share) / self.remaining_limiter_share(
+                    change.zone
+                )
+        self.detector.transitions = []
         return lines
--- a/loomstand/failover/shedding_order.py
+++ b/loomstand/failover/shedding_order.py
@@ -1,10 +1,10 @@
-"""Who is let in when there is too little room: by rank, the same order at every limiter.
+"""Load shedding by rank when capacity is short, in the same order at every limiter.
 
-Each limiter meters the work that each rank asks of it and fills its own room from the last rank
-down: what must not be refused first, then the ranks in order, and the one at which the room ends
-gets a share by chance. A bound on what is out at once can't do this where a limiter has some eight
-dispatches out: their number varies by a third, and at each peak it refuses what came last, not what
-is worth least.
+Each limiter measures the work that the requests of each rank demand and assigns its concurrency
+window from the last rank down: first the protected rank, then the others in order. The rank at
+which the window is used up is admitted in part, at random. A limit on the number of attempts in
+flight can't do this where a limiter has about eight in flight: that number varies by a third, and
+each peak would reject the latest requests instead of those with the least value.
 """
 
 from __future__ import annotations
@@ -12,103 +12,123 @@
 from collections.abc import Sequence
 from math import exp
 
-# Demand is metered over two spans, and the larger counts. Over 2 s alone half as much again was let
-# in for as long when clients moved at once; over 0.6 s alone a limiter of 25 reqs a second knows it
-# to a third, and what is refused first was let in whenever the rest seemed to ask less (both found
-# on the rig).
-SPANS = (6_000, 30_000)
-EVERY = SPANS[0] // 5  # how often shares are worked out anew
+# Demand is measured over two spans (0.6 s and 3 s, in ticks of 0.1 ms), and the larger result
+# counts. With 2 s alone, clients that moved to this limiter all at once got half as much again
+# admitted for 2 s. With 0.6 s alone, a limiter at 25 requests/s measures demand to within a third
+# only, and admitted the lowest rank whenever the demand of the others appeared to fall.
+DEMAND_SPANS = (6_000, 30_000)
+SHARE_UPDATE_INTERVAL = DEMAND_SPANS[0] // 5  # ticks
 
 
-class Meter:
-    """Work that came, by rank, fading over a span."""
+class DemandMeter:
+    """Work of the arrived requests by rank, with exponential decay over `span` ticks."""
 
-    def __init__(self, span: int, ranks: int, now: int) -> None:
-        self.span, self.began, self.at, self.came = span, now, now, [0.0] * ranks
+    def __init__(self, span: int, rank_count: int, now: int) -> None:
+        self.span, self.started_at, self.decayed_at, self.work = span, now, now, [0.0] * rank_count
 
     def add(self, now: int, rank: int, work: float) -> None:
-        self.fade(now)
-        self.came[rank] += work
+        self.decay(now)
+        self.work[rank] += work
 
-    def fade(self, now: int) -> None:
-        if now > self.at:
-            keep = exp((self.at - now) / self.span)
-            self.came = [c * keep for c in self.came]
-            self.at = now
+    def decay(self, now: int) -> None:
+        if now > self.decayed_at:
+            factor = exp((self.decayed_at - now) / self.span)
+            self.work = [w * factor for w in self.work]
+            self.decayed_at = now
 
     def demand(self, now: int) -> list[float]:
-        """By rank: how many dispatches would be out at once if all were let in."""
-        self.fade(now)
-        seen = self.span * (1 - exp((self.began - now) / self.span))  # it began empty
-        return [c / max(seen, self.span / 20) for c in self.came]
+        """Return for each rank the mean number of attempts in flight if all were admitted."""
+        self.decay(now)
+        # the meter starts at zero: divide by the weight of the time since then
+        observed = self.span * (1 - exp((self.started_at - now) / self.span))
+        return [w / max(observed, self.span / 20) for w in self.work]
 
 
-class Order:
-    """`kept` is the share of the room that only the last rank may use."""
+class SheddingOrder:
+    """Admission by rank. `reserved_share` is the part of the window for the last rank only."""
 
-    def __init__(self, ranks: int, kept: float, now: int) -> None:
-        self.meters = [Meter(span, ranks, now) for span in SPANS]
-        self.shares = [1.0] * ranks
-        self.kept, self.worked_out = kept, now - EVERY
+    def __init__(self, rank_count: int, reserved_share: float, now: int) -> None:
+        self.meters = [DemandMeter(span, rank_count, now) for span in DEMAND_SPANS]
+        self.shares = [1.0] * rank_count
+        self.reserved_share, self.shares_updated_at = reserved_share, now - SHARE_UPDATE_INTERVAL
 
     def demand(self, now: int) -> list[float]:
-        return [max(both) for both in zip(*(m.demand(now) for m in self.meters), strict=True)]
+        return [max(by_span) for by_span in zip(*(m.demand(now) for m in self.meters), strict=True)]
 
-    def admits(self, now: int, rank: int, work: float, room: float, chance: float) -> bool:
-        """Whether a req that takes `work` (tenths) is let in, with room for so many dispatches at
-        once.
+    def admits(self, now: int, rank: int, work: float, window: float, draw: float) -> bool:
+        """Record a request and return whether it is admitted.
+
+        Args:
+            now: The time in ticks.
+            rank: The request's rank; 0 is shed first.
+            work: The time that a server needs for it, in ticks.
+            window: How many attempts may be in flight.
+            draw: A random number in [0, 1).
         """
         for meter in self.meters:
             meter.add(now, rank, work)
-        if now - self.worked_out >= EVERY:
-            self.worked_out = now
-            self.shares = shares(self.demand(now), room, self.kept)
-        return chance < self.shares[rank]
+        if now - self.shares_updated_at >= SHARE_UPDATE_INTERVAL:
+            self.shares_updated_at = now
+            self.shares = admitted_shares(self.demand(now), window, self.reserved_share)
+        return draw < self.shares[rank]
+
 
+def admitted_shares(demand: Sequence[float], window: float, reserved_share: float) -> list[float]:
+    """Return for each rank the share of its requests to admit.
 
-def shares(demand: Sequence[float], room: float, kept: float) -> list[float]:
-    """By rank: the share let in. Room goes to the last rank first; the others may not use what is
-    kept.
+    The window is assigned from the last rank down; the others can't use the reserved share.
     """
-    out, last = [0.0] * len(demand), len(demand) - 1
-    left = room
+    admitted, last = [0.0] * len(demand), len(demand) - 1
+    remaining = window
     for rank in range(last, -1, -1):
         if rank == last - 1:
-            left = min(left, room * (1 - kept))
-        given = min(demand[rank], max(0.0, left))
-        out[rank] = given / demand[rank] if demand[rank] > 0 else float(left > 0)
-        left -= given
-    return out
-
-
-class Room:
-    """How many dispatches may be out at once, in rounds of as many answers: a round with late ones
-    takes off a quarter of the share that is late lately, a clean one that used the room adds a
-    twentieth of `least`, the same at all limiters, so that their rooms become alike. (As DCTCP does
-    for a link.)
-
-    The module's own window takes one off for each late answer: all of a peak come late together,
-    the window of a limiter of eight falls to half, and the fleet swings between half empty and
-    overfull.
+            remaining = min(remaining, window * (1 - reserved_share))
+        assigned = min(demand[rank], max(0.0, remaining))
+        admitted[rank] = assigned / demand[rank] if demand[rank] > 0 else float(remaining > 0)
+        remaining -= assigned
+    return admitted
+
+
+class WindowController:
+    """Control of the concurrency window, similar to DCTCP on a network link.
+
+    A round is as many answers as the window is large. After a round with late answers the window
+    shrinks by a quarter of the smoothed late share. After a round without, in which the window was
+    used, it grows by a twentieth of `min_size`: the step is the same at all limiters, so their
+    windows converge.
+
+    The window of the decision engine shrinks by one for each late answer. All answers of a load
+    peak are late together, so the window of a limiter with eight attempts in flight halves, and the
+    fleet oscillates between half used and overloaded.
     """
 
-    GAIN = 1 / 16  # of the late share, an answer: DCTCP's
-    GROW = 1 / 20  # of the least, a clean round: from two thirds to the whole in some ten rounds
-    USED = 0.8  # on the mean of a round: room that was not used is not known to be there
+    LATE_SHARE_GAIN = 1 / 16  # for each answer, as in DCTCP
+    GROWTH = 1 / 20  # of `min_size`, for each round: from two thirds to the whole in ten rounds
+    MIN_UTILIZATION = 0.8  # mean of a round; the capacity of an unused window is not known
 
     def __init__(self) -> None:
-        self.late = 0.0
-        self.answers, self.out, self.clean = 0, 0, True
-
-    def answered(self, size: float, least: float, bad: float, out: int) -> float:
-        """The size after an answer: how bad it was (0 to 1), and what is out beside it."""
-        self.late += self.GAIN * (bad - self.late)
-        self.answers, self.out = self.answers + 1, self.out + out + 1
-        self.clean = self.clean and not bad
+        self.late_share = 0.0
+        self.answers, self.in_flight_sum, self.is_clean = 0, 0, True
+
+    def update(self, size: float, min_size: float, lateness: float, in_flight: int) -> float:
+        """Return the window size after an answer.
+
+        Args:
+            size: The size before.
+            min_size: The lower bound of the size.
+            lateness: How much the answer counts as late, from 0 to 1.
+            in_flight: The other attempts in flight.
+        """
+        self.late_share += self.LATE_SHARE_GAIN * (lateness - self.late_share)
+        self.answers, self.in_flight_sum = self.answers + 1, self.in_flight_sum + in_flight + 1
+        self.is_clean = self.is_clean and not lateness
         if self.answers < size:
             return size
-        used, clean = self.out >= self.USED * size * self.answers, self.clean
-        self.answers, self.out, self.clean = 0, 0, True
-        if not clean:
-            return max(least, size * (1 - self.late / 4))
-        return size + self.GROW * least if used else size
+        is_used, is_clean = (
+            self.in_flight_sum >= self.MIN_UTILIZATION * size * self.answers,
+            self.is_clean,
+        )
+        self.answers, self.in_flight_sum, self.is_clean = 0, 0, True
+        if not is_clean:
+            return max(min_size, size * (1 - self.late_share / 4))
+        return size + self.GROWTH * min_size if is_used else size
--- a/loomstand/failover/subset_selection.py
+++ b/loomstand/failover/subset_selection.py
@@ -1,6 +1,4 @@
-"""Which of a service's servers a limiter uses: a stretch of their ring, the same few for long.
-Pure.
-"""
+"""Selection of the servers that a limiter uses: a stable subset of the server ring. Pure."""
 
 from __future__ import annotations
 
@@ -9,75 +7,88 @@
 
 from loomstand.admission.settings import EngineSettings
 
-# Places at this step apart lie evenly, whichever run of neighbours is looked at. Limiters' places
-# go by their names, so those of one zone are neighbours: at steps of 1/n they would all begin in
-# one part of the ring.
-GOLDEN = 0.6180339887498949
+# Fraction of the golden ratio. Multiples of it modulo 1 are spread evenly over any run of adjacent
+# limiter indices. Indices follow limiter names, so limiters of one zone are adjacent: with steps of
+# 1/n they would all start in the same part of the ring.
+GOLDEN_RATIO_FRACTION = 0.6180339887498949
 
 
-class Entry(Protocol):
+class Endpoint(Protocol):
     @property
     def zone(self) -> int: ...
 
 
-class Placed(Protocol):
-    rejection_rates: dict[int, float]  # by frontend: what share of the reqs it turns away
+class Server(Protocol):
+    rejection_rates: dict[int, float]  # by frontend: share of the requests that the server rejects
 
     @property
-    def endpoint(self) -> Entry: ...
+    def endpoint(self) -> Endpoint: ...
 
     def is_ejected(self, frontend: int) -> bool: ...
 
 
-S = TypeVar("S", bound=Placed)
+ServerT = TypeVar("ServerT", bound=Server)
 
 
-def stretch(ring: Sequence[S], settings: EngineSettings, most: int) -> list[S]:
-    """At most `most` servers of the ring, the ones to use first.
+def preferred_servers(
+    ring: Sequence[ServerT], settings: EngineSettings, max_count: int
+) -> list[ServerT]:
+    """Return at most `max_count` servers of the ring in order of preference.
 
-    With `settings.local_zone_share` that share of any few is of the own zone, as long as it has
-    any: bytes between zones are dear. The rest stays in use a little, as its answers tell when the
-    own zone is the busier one.
+    With `settings.local_zone_share`, every prefix of the list has that share of servers in the
+    limiter's own zone while there are any, as traffic between zones is expensive. The other servers
+    keep a little traffic, because their answers show when the own zone is the busier one.
     """
     if not settings.local_zone_share:
         first = settings.limiter_index * len(ring) // max(1, settings.limiter_count)
-        return [ring[n % len(ring)] for n in range(first, first + min(len(ring), most))]
-    own = _from(settings.limiter_index, [v for v in ring if v.endpoint.zone == settings.zone])
-    far = _from(settings.limiter_index, [v for v in ring if v.endpoint.zone != settings.zone])
-    found: list[S] = []
-    owns = 0
-    while len(found) < most and (own or far):
-        if own and (not far or owns <= len(found) * settings.local_zone_share):
-            found.append(own.pop())
-            owns += 1
+        return [ring[n % len(ring)] for n in range(first, first + min(len(ring), max_count))]
+    local = _reversed_from_offset(
+        settings.limiter_index, [s for s in ring if s.endpoint.zone == settings.zone]
+    )
+    remote = _reversed_from_offset(
+        settings.limiter_index, [s for s in ring if s.endpoint.zone != settings.zone]
+    )
+    selected: list[ServerT] = []
+    local_count = 0
+    while len(selected) < max_count and (local or remote):
+        if local and (not remote or local_count <= len(selected) * settings.local_zone_share):
+            selected.append(local.pop())
+            local_count += 1
         else:
-            found.append(far.pop())
-    return found
+            selected.append(remote.pop())
+    return selected
 
 
 def used(
-    ring: Sequence[S], lost: list[S], settings: EngineSettings, reach: int, fronts: int
-) -> tuple[list[list[S]], list[list[S]]]:
-    """By frontend the servers to use, and those of them that are set aside, beside the `lost` ones.
-
-    Always the same `reach` servers, so that outcomes tell soon; those set aside are out, and others
-    of the stretch come in for them, unless it is most: then it is no server's fault.
+    ring: Sequence[ServerT],
+    lost: list[ServerT],
+    settings: EngineSettings,
+    subset_size: int,
+    frontend_count: int,
+) -> tuple[list[list[ServerT]], list[list[ServerT]]]:
+    """Return for each frontend the servers to use and the ejected servers, which include `lost`.
+
+    The subset stays the same, so that outcomes accumulate quickly for its servers. Ejected servers
+    are replaced by the next ones in order of preference, unless most are ejected: then the fault is
+    not in the servers, and the subset is used as it is.
     """
-    found = stretch(ring, settings, 3 * reach)
-    near, off = list[list[S]](), list[list[S]]()
-    for v in found:
-        v.rejection_rates = {
-            n: f / 2 for n, f in v.rejection_rates.items()
-        }  # one that is passed over shows nothing new
-    for front in range(fronts):
-        well = [v for v in found if not v.is_ejected(front)][:reach]
-        few = len(well) * 3 < reach
-        near.append(found[:reach] if few else well)
-        off.append(lost + ([] if few else [v for v in found[:reach] if v.is_ejected(front)]))
-    return near, off
-
-
-def _from(me: int, ring: list[S]) -> list[S]:
-    """The ring from a limiter's place on, the first last."""
-    at = int(len(ring) * (me * GOLDEN % 1.0))
-    return [*ring[at:], *ring[:at]][::-1]
+    candidates = preferred_servers(ring, settings, 3 * subset_size)
+    selected, ejected = list[list[ServerT]](), list[list[ServerT]]()
+    for server in candidates:
+        # a server that is not used yields no new outcomes, so its rejection rates decay
+        server.rejection_rates = {n: rate / 2 for n, rate in server.rejection_rates.items()}
+    for frontend in range(frontend_count):
+        healthy = [s for s in candidates if not s.is_ejected(frontend)][:subset_size]
+        too_few = len(healthy) * 3 < subset_size
+        selected.append(candidates[:subset_size] if too_few else healthy)
+        ejected.append(
+            lost
+            + ([] if too_few else [s for s in candidates[:subset_size] if s.is_ejected(frontend)])
+        )
+    return selected, ejected
+
+
+def _reversed_from_offset(limiter_index: int, ring: list[ServerT]) -> list[ServerT]:
+    """Return the ring starting at the limiter's offset, in reverse order for `pop`."""
+    offset = int(len(ring) * (limiter_index * GOLDEN_RATIO_FRACTION % 1.0))
+    return [*ring[offset:], *ring[:offset]][::-1]
--- a/loomstand/failover/zone_loss_detector.py
+++ b/loomstand/failover/zone_loss_detector.py
@@ -1,12 +1,11 @@
-"""Evidence of the loss of a zone, as one limiter has it, and of its return.
+"""Detection of the loss of a zone and of its return, from what one limiter observes.
 
-A zone is whole, doubtful (its servers are silent, most of those in use and all at once), lost, or
-returning. Nothing is sent to a doubtful or lost zone but probes; a returning one gets a share that
-grows. How soon is derived from the settings: an answer is overdue after its frontend's response
-target, when it is worth nothing any more; a zone comes back over the time for which a server is
-cold.
+A zone is whole, doubtful (most of its servers in use stopped answering at the same time), lost or
+returning. A doubtful or lost zone receives probes only; a returning zone receives a growing share
+of its traffic. The time limits come from the settings: an answer is overdue after the frontend's
+response target, when it has no value any more; a zone returns over the warm-up time of a server.
 
-Every time is a clock reading or span in tenths of a millisecond, told by the caller.
+All times and durations are in ticks of 0.1 ms; the caller passes the clock readings in.
 """
 
 from __future__ import annotations
@@ -16,11 +15,12 @@
 from enum import Enum
 
 NEVER = -(1 << 60)
-LATELY = 100_000  # 10 s: servers used within it are in use, by a limiter of a few reqs a second too
-MOST = 8  # doublings stop here: three in a row are a habit
+# 10 s in ticks: long enough that a limiter of a few requests/s has used each of its servers
+IN_USE_PERIOD = 100_000
+MAX_BACKOFF = 8  # three doublings, after repeated losses or false alarms
 
 
-class State(Enum):
+class ZoneState(Enum):
     WHOLE = "whole"
     DOUBTFUL = "doubtful"
     LOST = "lost"
@@ -28,195 +28,255 @@
 
 
 @dataclass(slots=True)
-class Move:
-    """A zone went from one state to another."""
+class Transition:
+    """A change of a zone's state."""
 
     zone: int
-    old: State
-    new: State
-    why: str
-    part: float  # of all live servers that were not lost before, those of this zone
+    old: ZoneState
+    new: ZoneState
+    reason: str
+    server_share: float  # the zone's part of all live servers that were not lost before
 
 
 @dataclass(slots=True)
-class Zone:
-    """What is known of one zone."""
+class ZoneHealth:
+    """What a limiter has observed of one zone."""
 
-    # servers that the list has, with their start
+    # servers live by the endpoint list, with their start times
     live: dict[int, int] = field(default_factory=dict)
-    # sent, due, server
-    open: dict[tuple[int, int], tuple[int, int, int]] = field(default_factory=dict)
-    heard: dict[int, int] = field(default_factory=dict)  # by server: its last sign of life
-    failed: dict[int, int] = field(default_factory=dict)  # by server: its last end without one
-    heard_at: int = NEVER
-    state: State = State.WHOLE
-    since: int = NEVER
-    wary: int = 1  # how many times as long the next doubt takes, after doubts that were none
-    hold: int = 1  # how many times as long the next return takes, after returns that didn't last
-    calm_at: int = NEVER  # since when it is whole
+    # attempts in flight: when sent, when due, server
+    in_flight: dict[tuple[int, int], tuple[int, int, int]] = field(default_factory=dict)
+    answered_at: dict[int, int] = field(default_factory=dict)  # by server: its last answer
+    failed_at: dict[int, int] = field(default_factory=dict)  # by server: its last missing answer
+    last_answer_at: int = NEVER
+    state: ZoneState = ZoneState.WHOLE
+    state_since: int = NEVER
+    doubt_backoff: int = 1  # factor on the time to the next doubt, raised by false alarms
+    return_backoff: int = 1  # factor on the time of the next return, raised by repeated losses
+    stable_since: int = NEVER  # when the zone became whole, or its doubt_backoff last fell
     lost_at: int = NEVER
-    progress: int = 0  # of the return
-    moved_at: int = 0
-    held_until: int = NEVER  # the return waits
+    return_progress: int = 0  # ticks
+    progress_updated_at: int = 0
+    paused_until: int = NEVER  # the return makes no progress until then
 
 
-class Watch:
-    """All zones as one limiter sees them. `patience` is the response target (the longest of all
-    frontends where they differ: a zone is not lost because one frontend is slow), `ramp` how long a
-    return takes and `start` the share that it begins with.
+class ZoneLossDetector:
+    """The states of all zones from one limiter's point of view.
+
+    Args:
+        answer_timeout: The response target in ticks; the longest where frontends differ, as a zone
+            is not lost because one frontend is slow.
+        return_duration: How long a return takes, in ticks.
+        initial_share: The share of its traffic that a returning zone receives at first.
     """
 
-    def __init__(self, patience: int, ramp: int, start: float) -> None:
-        self.patience, self.ramp, self.start = patience, max(ramp, 4 * patience), start
-        self.zones: dict[int, Zone] = {}
-        self.moves: list[Move] = []
-        self.looked = NEVER
+    def __init__(self, answer_timeout: int, return_duration: int, initial_share: float) -> None:
+        self.answer_timeout, self.return_duration, self.initial_share = (
+            answer_timeout,
+            max(return_duration, 4 * answer_timeout),
+            initial_share,
+        )
+        self.zones: dict[int, ZoneHealth] = {}
+        self.transitions: list[Transition] = []
+        self.evaluated_at = NEVER
+
+    # observations
 
-    # what happens
+    def update_endpoints(self, now: int, servers: Iterable[tuple[int, int, int]]) -> None:
+        """Follow an endpoint list.
 
-    def listed(self, now: int, servers: Iterable[tuple[int, int, int]]) -> None:
-        """The servers that the list has as live now: server, zone, when it started (0: long
-        ago).
+        Args:
+            now: The time in ticks.
+            servers: For each live server its number, zone and start time (0: not recent).
         """
-        there: dict[int, dict[int, int]] = {}
-        for srv, zone, booted in servers:
-            there.setdefault(zone, {})[srv] = booted
-        for n in there.keys() | self.zones.keys():
-            zone, live = self.zones.setdefault(n, Zone()), there.get(n, {})
-            for srv in zone.live.keys() - live.keys():
-                zone.heard.pop(srv, None)
-                zone.failed.pop(srv, None)
-            for srv, booted in live.items():
-                # another process: what the old one did is over
-                if zone.live.get(srv, booted) != booted:
-                    zone.heard.pop(srv, None)
-                    zone.failed.pop(srv, None)
-            had, zone.live = zone.live, live
-            if had and not live and zone.state is not State.LOST:
-                self.move(now, n, State.LOST, "the list has none of its servers any more", len(had))
-            new = sum(booted > zone.since for booted in live.values())
-            if zone.state is State.LOST and live and (2 * new > len(live) or not had):
-                self.move(now, n, State.RETURNING, "the list has new servers of it")
-
-    def sent(self, now: int, key: tuple[int, int], zone: int, srv: int) -> None:
-        self.zones.setdefault(zone, Zone()).open[key] = (now, now + self.patience, srv)
-
-    def ended(
-        self, now: int, key: tuple[int, int], zone: int, srv: int, alive: bool, late: bool
+        by_zone: dict[int, dict[int, int]] = {}
+        for server, zone_id, started_at in servers:
+            by_zone.setdefault(zone_id, {})[server] = started_at
+        for zone_id in by_zone.keys() | self.zones.keys():
+            zone, live = self.zones.setdefault(zone_id, ZoneHealth()), by_zone.get(zone_id, {})
+            for server in zone.live.keys() - live.keys():
+                zone.answered_at.pop(server, None)
+                zone.failed_at.pop(server, None)
+            for server, started_at in live.items():
+                # a restarted process: observations of the previous one no longer apply
+                if zone.live.get(server, started_at) != started_at:
+                    zone.answered_at.pop(server, None)
+                    zone.failed_at.pop(server, None)
+            live_before, zone.live = zone.live, live
+            if live_before and not live and zone.state is not ZoneState.LOST:
+                self.set_state(
+                    now,
+                    zone_id,
+                    ZoneState.LOST,
+                    "the endpoint list has no servers of the zone",
+                    len(live_before),
+                )
+            new_count = sum(started_at > zone.state_since for started_at in live.values())
+            if (
+                zone.state is ZoneState.LOST
+                and live
+                and (2 * new_count > len(live) or not live_before)
+            ):
+                self.set_state(
+                    now,
+                    zone_id,
+                    ZoneState.RETURNING,
+                    "the endpoint list has new servers of the zone",
+                )
+
+    def attempt_sent(self, now: int, key: tuple[int, int], zone_id: int, server: int) -> None:
+        self.zones.setdefault(zone_id, ZoneHealth()).in_flight[key] = (
+            now,
+            now + self.answer_timeout,
+            server,
+        )
+
+    def attempt_ended(
+        self,
+        now: int,
+        key: tuple[int, int],
+        zone_id: int,
+        server: int,
+        is_answered: bool,
+        is_late: bool,
     ) -> None:
-        """A dispatch ended; `alive` if something came from the server, `late` if after its
-        target.
+        """Follow the end of an attempt.
+
+        Args:
+            now: The time in ticks.
+            key: The request and the number of its attempt.
+            zone_id: The server's zone.
+            server: The server.
+            is_answered: Whether the server sent anything.
+            is_late: Whether the attempt ended after the frontend's response target.
         """
-        here = self.zones.setdefault(zone, Zone())
-        here.open.pop(key, None)
-        if srv not in here.live:
+        zone = self.zones.setdefault(zone_id, ZoneHealth())
+        zone.in_flight.pop(key, None)
+        if server not in zone.live:
             return
-        if not alive:
-            here.failed[srv] = now
+        if not is_answered:
+            zone.failed_at[server] = now
         else:
-            here.heard[srv] = here.heard_at = now
-        if here.state is State.RETURNING and (late or not alive):
-            self.advance(now, here)
-            here.held_until = now + self.patience  # answers worsen: no further for now
-        if alive and here.state in (State.DOUBTFUL, State.LOST):
-            self.sign_of_life(now, zone, here)
-
-    def sign_of_life(self, now: int, n: int, zone: Zone) -> None:
-        if zone.state is State.DOUBTFUL:
-            # somebody is there: single servers are the module's to set aside
-            zone.wary = min(MOST, 2 * zone.wary)
-            self.move(now, n, State.WHOLE, "a server of it answered")
+            zone.answered_at[server] = zone.last_answer_at = now
+        if zone.state is ZoneState.RETURNING and (is_late or not is_answered):
+            self.advance_return(now, zone)
+            # answers are getting worse, so the share stops growing for a while
+            zone.paused_until = now + self.answer_timeout
+        if is_answered and zone.state in (ZoneState.DOUBTFUL, ZoneState.LOST):
+            self.on_recovery_answer(now, zone_id, zone)
+
+    def on_recovery_answer(self, now: int, zone_id: int, zone: ZoneHealth) -> None:
+        if zone.state is ZoneState.DOUBTFUL:
+            # the zone is reachable: the decision engine ejects single servers
+            zone.doubt_backoff = min(MAX_BACKOFF, 2 * zone.doubt_backoff)
+            self.set_state(now, zone_id, ZoneState.WHOLE, "a server of the zone answered")
             return
-        came = sum(at > zone.since for at in zone.heard.values())
-        if came >= min(2, len(zone.live)):
-            self.move(now, n, State.RETURNING, f"{came} servers of it answered")
+        answered = sum(at > zone.state_since for at in zone.answered_at.values())
+        if answered >= min(2, len(zone.live)):
+            self.set_state(
+                now, zone_id, ZoneState.RETURNING, f"{answered} servers of the zone answered"
+            )
+
+    # evaluation
 
-    # what follows
+    def silent_servers(self, now: int, zone: ZoneHealth) -> tuple[set[int], set[int]]:
+        """Return the silent servers and all servers in use.
 
-    def silent(self, now: int, zone: Zone) -> tuple[set[int], set[int]]:
-        """Servers that owe a sign of life since the zone's last one (an answer was due, or failed
-        to come), and all that were used lately. What was due before tells of single servers: others
-        answered since.
+        A server is silent if an answer has been overdue or missing since the zone's last answer.
+        Answers that were overdue before concern single servers: others have answered since.
         """
-        out = {srv for srv, t in zone.failed.items() if t > zone.heard_at}
-        for _, due, srv in zone.open.values():
+        silent = {server for server, at in zone.failed_at.items() if at > zone.last_answer_at}
+        for _, due, server in zone.in_flight.values():
             if due > now:
-                break  # the rest was sent later
-            if due > zone.heard_at:
-                out.add(srv)
-        used = {srv for _, _, srv in zone.open.values()}
-        for at in (zone.heard, zone.failed):
-            used |= {srv for srv, t in at.items() if now - t < LATELY}
-        return out & zone.live.keys(), used & zone.live.keys()
-
-    def look(self, now: int) -> None:
-        """Judges all zones; called with whatever happens, it does something every eighth of the
-        patience.
-        """
-        if now - self.looked < self.patience // 8:
+                break  # the remaining attempts were sent later
+            if due > zone.last_answer_at:
+                silent.add(server)
+        in_use = {server for _, _, server in zone.in_flight.values()}
+        for times in (zone.answered_at, zone.failed_at):
+            in_use |= {server for server, at in times.items() if now - at < IN_USE_PERIOD}
+        return silent & zone.live.keys(), in_use & zone.live.keys()
+
+    def evaluate(self, now: int) -> None:
+        """Update the states of all zones, at most once in an eighth of the answer timeout."""
+        if now - self.evaluated_at < self.answer_timeout // 8:
             return
-        self.looked = now
-        for n, zone in self.zones.items():
-            calm = now - zone.calm_at > 20 * self.patience * zone.wary
-            if zone.state is State.WHOLE and zone.wary > 1 and calm:
-                zone.wary //= 2
-                zone.calm_at = now
-            quiet_for = now - max(zone.heard_at, zone.since)
-            if zone.state is State.DOUBTFUL:
-                if now - zone.since >= self.patience:
-                    self.move(now, n, State.LOST, "it stayed silent")
+        self.evaluated_at = now
+        for zone_id, zone in self.zones.items():
+            is_stable = now - zone.stable_since > 20 * self.answer_timeout * zone.doubt_backoff
+            if zone.state is ZoneState.WHOLE and zone.doubt_backoff > 1 and is_stable:
+                zone.doubt_backoff //= 2
+                zone.stable_since = now
+            silence = now - max(zone.last_answer_at, zone.state_since)
+            if zone.state is ZoneState.DOUBTFUL:
+                if now - zone.state_since >= self.answer_timeout:
+                    self.set_state(now, zone_id, ZoneState.LOST, "no server of the zone answered")
                 continue
-            if zone.state is State.LOST:
+            if zone.state is ZoneState.LOST:
                 continue
-            silent, used = self.silent(now, zone)
-            most = 2 * len(silent) > len(used) and len(silent) >= min(2, len(zone.live))
-            if quiet_for >= self.patience * zone.wary and silent and most:
-                new = State.DOUBTFUL if zone.state is State.WHOLE else State.LOST
-                self.move(now, n, new, f"{len(silent)} of {len(used)} servers in use are silent")
-            if zone.state is State.RETURNING:
-                self.advance(now, zone)
-                if zone.progress >= self.ramp * zone.hold:
-                    self.move(now, n, State.WHOLE, "it bore its whole share")
-
-    def advance(self, now: int, zone: Zone) -> None:
-        """The return goes on for as long as answers are good."""
-        if now > zone.held_until:
-            zone.progress += now - max(zone.moved_at, zone.held_until)
-        zone.moved_at = now
-
-    def move(self, now: int, n: int, new: State, why: str, had: int = 0) -> None:
-        zone = self.zones[n]
-        mine = had or len(zone.live)
+            silent, in_use = self.silent_servers(now, zone)
+            is_majority = 2 * len(silent) > len(in_use) and len(silent) >= min(2, len(zone.live))
+            if silence >= self.answer_timeout * zone.doubt_backoff and silent and is_majority:
+                new = ZoneState.DOUBTFUL if zone.state is ZoneState.WHOLE else ZoneState.LOST
+                self.set_state(
+                    now, zone_id, new, f"{len(silent)} of {len(in_use)} servers in use are silent"
+                )
+            if zone.state is ZoneState.RETURNING:
+                self.advance_return(now, zone)
+                if zone.return_progress >= self.return_duration * zone.return_backoff:
+                    self.set_state(now, zone_id, ZoneState.WHOLE, "the zone handled its full share")
+
+    def advance_return(self, now: int, zone: ZoneHealth) -> None:
+        """Add the time since the last update to the return, without the time it was paused."""
+        if now > zone.paused_until:
+            zone.return_progress += now - max(zone.progress_updated_at, zone.paused_until)
+        zone.progress_updated_at = now
+
+    def set_state(
+        self, now: int, zone_id: int, new: ZoneState, reason: str, live_before: int = 0
+    ) -> None:
+        """Change a zone's state; `live_before` counts its servers where the list has none now."""
+        zone = self.zones[zone_id]
+        own = live_before or len(zone.live)
         others = sum(
-            len(z.live) for z in self.zones.values() if z is not zone and z.state is not State.LOST
+            len(z.live)
+            for z in self.zones.values()
+            if z is not zone and z.state is not ZoneState.LOST
         )
-        self.moves.append(Move(n, zone.state, new, why, mine / max(1, mine + others)))
-        zone.state, zone.since = new, now
-        zone.progress, zone.moved_at, zone.held_until = 0, now, NEVER
-        if new is State.WHOLE:
-            zone.calm_at = now
-        if new is State.LOST:
-            # longer each time it is lost again within so long of the return before
-            again = now - zone.lost_at < 8 * self.ramp * zone.hold
-            zone.hold, zone.lost_at = min(MOST, 2 * zone.hold) if again else 1, now
-            # they are given up by their own expiry; nothing new is learnt from that
-            zone.open.clear()
-            zone.heard.clear()
-
-    # what the limiter asks
-
-    def avoided(self, zone: int) -> bool:
-        """Whether nothing but probes goes there: never all zones, as something must be tried."""
-        here = self.zones.get(zone)
-        if here is None or here.state not in (State.DOUBTFUL, State.LOST):
+        self.transitions.append(
+            Transition(zone_id, zone.state, new, reason, own / max(1, own + others))
+        )
+        zone.state, zone.state_since = new, now
+        zone.return_progress, zone.progress_updated_at, zone.paused_until = 0, now, NEVER
+        if new is ZoneState.WHOLE:
+            zone.stable_since = now
+        if new is ZoneState.LOST:
+            # each loss soon after the one before doubles the time of the next return
+            is_repeated = now - zone.lost_at < 8 * self.return_duration * zone.return_backoff
+            zone.return_backoff, zone.lost_at = (
+                min(MAX_BACKOFF, 2 * zone.return_backoff) if is_repeated else 1,
+                now,
+            )
+            # attempts in flight end by their own expiry and give no further evidence
+            zone.in_flight.clear()
+            zone.answered_at.clear()
+
+    # queries
+
+    def is_avoided(self, zone_id: int) -> bool:
+        """Return whether the zone receives probes only. Never true of all zones at once."""
+        zone = self.zones.get(zone_id)
+        if zone is None or zone.state not in (ZoneState.DOUBTFUL, ZoneState.LOST):
             return False
         return any(
-            z.live and z.state not in (State.DOUBTFUL, State.LOST) for z in self.zones.values()
+            z.live and z.state not in (ZoneState.DOUBTFUL, ZoneState.LOST)
+            for z in self.zones.values()
         )
 
-    def share(self, zone: int) -> float:
-        """Of the usual, what a zone gets now: 1 unless it returns."""
-        here = self.zones.get(zone)
-        if here is None or here.state is not State.RETURNING:
+    def traffic_share(self, zone_id: int) -> float:
+        """Return the share of its usual traffic that a zone receives: 1 unless it is returning."""
+        zone = self.zones.get(zone_id)
+        if zone is None or zone.state is not ZoneState.RETURNING:
             return 1.0
-        return self.start + (1 - self.start) * min(1.0, here.progress / (self.ramp * here.hold))
+        return self.initial_share + (1 - self.initial_share) * min(
+            1.0, zone.return_progress / (self.return_duration * zone.return_backoff)
+        )
--- a/loomstand/failover/zone_plan.py
+++ b/loomstand/failover/zone_plan.py
@@ -1,8 +1,7 @@
-"""The site plan: what each zone is worth, and in which order reqs are refused; and what it
-foretells.
+"""The zone plan: the capacity of each zone, the load shedding order, and a forecast from both.
 
-A TOML file of the operators', checked; a fault names its key (`PlanError`). The same file at all
-limiters gives the same order at all of them.
+Operators write the plan as a TOML file; an error names its key (`PlanError`). All limiters with the
+same file shed load in the same order.
 """
 
 from __future__ import annotations
@@ -22,94 +21,107 @@
 Positive = Annotated[float, Meta(gt=0.0)]
 
 
-class Zone(StrictStruct):
-    """What a zone has."""
+class ZoneCapacity(StrictStruct):
+    """What a zone contains."""
 
     name: str
     servers: Annotated[int, Meta(ge=0)]
-    slots: Annotated[int, Meta(ge=1)]  # reqs that one of its servers works on at once
-    limiters: Annotated[int, Meta(ge=0)] = 0  # that stand in it, and are lost with it
+    slots: Annotated[int, Meta(ge=1)]  # requests that a server processes at once
+    limiters: Annotated[int, Meta(ge=0)] = 0  # located in the zone and lost with it
 
 
-class Demand(StrictStruct):
-    """What a frontend's clients ask, at the time that the plan is made for."""
+class FrontendDemand(StrictStruct):
+    """The load on a frontend at the time that the plan is made for."""
 
     frontend: str
-    rate: Positive  # reqs a second, over all zones
-    work_ms: Positive  # at a server with nothing else to do
-    value: Positive = 1.0
-    plan: str = ""  # only this plan's customers; empty for all
+    rate: Positive  # requests/s over all zones
+    work_ms: Positive  # processing time of a request at an idle server
+    value: Positive = 1.0  # of a request, relative to others
+    plan: str = ""  # the customers' plan; empty for all customers
 
 
-class Rank(StrictStruct):
-    """Reqs that are refused together: those that all of its keys fit. What is empty fits any."""
+class SheddingRule(StrictStruct):
+    """Selects the requests of one rank by all of its keys. An empty key matches any request."""
 
     name: str
     frontends: list[str] = msgspec.field(default_factory=list)
     plans: list[str] = msgspec.field(default_factory=list)
-    retries: bool = False  # only reqs marked as a client's retry
-    beyond: bool = False  # only reqs of customers that ask more than their quota
+    retries: bool = False  # only requests marked as a client's retry
+    beyond: bool = False  # only requests of customers over their quota
 
-    def fits(self, frontend: str, plan: str, retry: bool, beyond: bool) -> bool:
-        named = (not self.frontends or frontend in self.frontends) and (
+    def matches(self, frontend: str, plan: str, is_retry: bool, is_over_quota: bool) -> bool:
+        is_named = (not self.frontends or frontend in self.frontends) and (
             not self.plans or plan in self.plans
         )
-        return named and (retry or not self.retries) and (beyond or not self.beyond)
+        return is_named and (is_retry or not self.retries) and (is_over_quota or not self.beyond)
 
 
-class Keep(Rank):
-    """What must not be refused, and the share of the room that is kept for it."""
+class ProtectedTraffic(SheddingRule):
+    """Selects the requests that must not be refused, and reserves a share of the window."""
 
     name: str = "keep"
     share: Share = 0.2
 
 
 class SitePlan(StrictStruct):
-    """A whole plan. `refuse` is in order, the first to be refused first."""
+    """A complete plan. Requests of the first entry of `refuse` are refused first."""
 
-    refuse: Annotated[list[Rank], Meta(min_length=1)]
-    keep: Keep | None = None
-    zones: list[Zone] = msgspec.field(default_factory=list)
-    demand: list[Demand] = msgspec.field(default_factory=list)
-    fill: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.9  # of the survivors' slots that work may take
+    refuse: Annotated[list[SheddingRule], Meta(min_length=1)]
+    keep: ProtectedTraffic | None = None
+    zones: list[ZoneCapacity] = msgspec.field(default_factory=list)
+    demand: list[FrontendDemand] = msgspec.field(default_factory=list)
+    fill: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.9  # usable share of the remaining slots
 
     def __post_init__(self) -> None:
         names = [z.name for z in self.zones]
         for n, name in enumerate(names):
             if name in names[:n]:
                 raise PlanError(f"key 'zones[{n}].name': '{name}' is there twice")
-        ranks = [r.name for r in self.refuse]
-        for n, name in enumerate(ranks):
-            if name in ranks[:n]:
+        rule_names = [r.name for r in self.refuse]
+        for n, name in enumerate(rule_names):
+            if name in rule_names[:n]:
                 raise PlanError(f"key 'refuse[{n}].name': '{name}' is there twice")
 
     def ranks(self) -> int:
-        """How many ranks there are: those of `refuse`, the rest, and what is kept."""
+        """Return the number of ranks: those of `refuse`, unmatched requests and `keep`."""
         return len(self.refuse) + 2
 
-    def rank(self, frontend: str, plan: str, retry: bool, beyond: bool) -> int:
-        """The rank of a req, 0 for what is refused first. What `keep` fits has the last one; of
-        `refuse` the first entry that fits counts; what none fits is refused after all of those.
+    def rank(self, frontend: str, plan: str, is_retry: bool, is_over_quota: bool) -> int:
+        """Return the rank of a request; 0 is refused first.
+
+        Requests that match `keep` have the last rank. For others the first matching entry of
+        `refuse` counts; requests that match none are refused after all entries.
         """
-        if self.keep is not None and self.keep.fits(frontend, plan, retry, beyond):
+        if self.keep is not None and self.keep.matches(frontend, plan, is_retry, is_over_quota):
             return len(self.refuse) + 1
-        fitting = (n for n, r in enumerate(self.refuse) if r.fits(frontend, plan, retry, beyond))
-        return next(fitting, len(self.refuse))
+        matching = (
+            n
+            for n, r in enumerate(self.refuse)
+            if r.matches(frontend, plan, is_retry, is_over_quota)
+        )
+        return next(matching, len(self.refuse))
 
 
 def parse(table: dict, frontends: Sequence[str] = (), plans: Sequence[str] = ()) -> SitePlan:
-    """The plan in a table. Where names of frontends and plans are given, it may name no other.
-    Raises PlanError naming the key.
+    """Convert a TOML table to a plan.
+
+    Args:
+        table: The table.
+        frontends: The frontends that the plan may name; empty to allow any.
+        plans: The customers' plans that it may name; empty to allow any.
+
+    Raises:
+        PlanError: The table is not a valid plan. The message names the key.
     """
     plan = convert_table(table, SitePlan)
-    places = [(f"refuse[{n}]", r) for n, r in enumerate(plan.refuse)]
-    places += [("keep", plan.keep)] if plan.keep else []
-    for where, rank in places:
-        for key, known in (("frontends", frontends), ("plans", plans)):
-            for n, name in enumerate(getattr(rank, key)):
-                if known and name not in known:
+    rules = [(f"refuse[{n}]", r) for n, r in enumerate(plan.refuse)]
+    rules += [("keep", plan.keep)] if plan.keep else []
+    for path, rule in rules:
+        for key, valid_names in (("frontends", frontends), ("plans", plans)):
+            for n, name in enumerate(getattr(rule, key)):
+                if valid_names and name not in valid_names:
                     raise PlanError(
-                        f"key '{where}.{key}[{n}]': there is no '{name}' in the settings"
+                        f"key '{path}.{key}[{n}]': there is no '{name}' in the settings"
                     )
     for n, d in enumerate(plan.demand):
         if frontends and d.frontend not in frontends:
@@ -120,21 +132,25 @@
 
 
 def load(path: str, frontends: Sequence[str] = (), plans: Sequence[str] = ()) -> SitePlan:
-    """The plan in a file. Raises PlanError naming the file and the key."""
+    """Read a plan from a file; see `parse`.
+
+    Raises:
+        PlanError: The file can't be used. The message names the file and the key.
+    """
     table = read_toml(path)
     try:
         return parse(table, frontends, plans)
-    except PlanError as why:
-        raise PlanError(f"{path}: {why}") from None
+    except PlanError as error:
+        raise PlanError(f"{path}: {error}") from None
 
 
-# what it foretells
+# forecast
 # ---------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
-class Refused:
-    """What of a rank is refused: slots asked for and slots given."""
+class RankForecast:
+    """Demand and admitted load of a rank, both in slots."""
 
     rank: int
     name: str
@@ -143,63 +159,77 @@
 
     @property
     def share(self) -> float:
+        """The share of the demand that is refused."""
         return 1 - self.given / self.asked if self.asked else 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Forecast:
-    """What the loss of a zone (or of none) means."""
+    """The effects of the loss of a zone, or of none."""
 
     lost: str
-    room: float  # slots that may be filled on what is left
-    asked: float  # slots' worth of work that is asked for
-    use: float  # of all slots that are left, by what is let in
-    goes: dict[str, float]  # slots of the lost zone's work that each survivor takes
-    ranks: tuple[Refused, ...]
-    worth: float  # share of the worth asked for that is let in
-    missing: int  # servers missing for what must not be refused, 0 where the fleet bears the loss
-    missing_all: int  # servers missing for all that is asked
+    room: float  # usable slots of the remaining zones
+    asked: float  # demand in slots
+    use: float  # share of the remaining slots in use by the admitted load
+    goes: dict[str, float]  # slots of the lost zone's load that each remaining zone takes
+    ranks: tuple[RankForecast, ...]
+    worth: float  # share of the demanded value that is admitted
+    missing: int  # servers missing for the requests that must not be refused
+    missing_all: int  # servers missing for the whole demand
 
 
 def forecast(plan: SitePlan, lost: str) -> Forecast:
-    """The loss of a zone, `lost` empty for none: its work goes to the survivors by the room that
-    each has, and what they have no room for is refused in the plan's order.
+    """Compute the effects of the loss of a zone.
+
+    The zone's load is distributed over the remaining zones by their capacity; load beyond their
+    usable capacity is refused in the plan's order.
+
+    Args:
+        plan: The plan.
+        lost: The name of the zone; empty for none.
     """
-    left = [z for z in plan.zones if z.name != lost]
-    slots = sum(z.servers * z.slots for z in left)
-    room = slots * plan.fill
-    asked = [0.0] * plan.ranks()
+    remaining_zones = [z for z in plan.zones if z.name != lost]
+    slots = sum(z.servers * z.slots for z in remaining_zones)
+    usable = slots * plan.fill
+    demand = [0.0] * plan.ranks()
     value = [0.0] * plan.ranks()
     for d in plan.demand:
         rank = plan.rank(d.frontend, d.plan, False, False)
-        asked[rank] += d.rate * d.work_ms / 1000
+        demand[rank] += d.rate * d.work_ms / 1000
         value[rank] += d.rate * d.value
-    given, over = [0.0] * plan.ranks(), room
-    for rank in reversed(range(plan.ranks())):  # what is refused last takes its room first
-        most = over
+    admitted, unassigned = [0.0] * plan.ranks(), usable
+    for rank in reversed(range(plan.ranks())):  # the last rank is assigned first
+        limit = unassigned
         if plan.keep is not None and rank < plan.ranks() - 1:
-            most = min(over, room * (1 - plan.keep.share) - sum(given[rank + 1 : plan.ranks() - 1]))
-        given[rank] = min(asked[rank], max(0.0, most))
-        over -= given[rank]
+            limit = min(
+                unassigned,
+                usable * (1 - plan.keep.share) - sum(admitted[rank + 1 : plan.ranks() - 1]),
+            )
+        admitted[rank] = min(demand[rank], max(0.0, limit))
+        unassigned -= admitted[rank]
     names = [r.name for r in plan.refuse] + ["the rest", plan.keep.name if plan.keep else "keep"]
     ranks = tuple(
-        Refused(n, names[n], asked[n], given[n]) for n in range(plan.ranks()) if asked[n] > 0
+        RankForecast(n, names[n], demand[n], admitted[n])
+        for n in range(plan.ranks())
+        if demand[n] > 0
+    )
+    total_slots = sum(z.servers * z.slots for z in plan.zones)
+    moved = sum(demand) * (1 - slots / total_slots) if total_slots else 0.0
+    moved_by_zone = (
+        {z.name: moved * z.servers * z.slots / slots for z in remaining_zones} if slots else {}
     )
-    whole = sum(z.servers * z.slots for z in plan.zones)
-    moved = sum(asked) * (1 - slots / whole) if whole else 0.0
-    goes = {z.name: moved * z.servers * z.slots / slots for z in left} if slots else {}
-    per = plan.fill * max((z.slots for z in plan.zones), default=1)
-    # what must not be refused: what is kept, or where nothing is, the rank that is refused last
-    must = asked[-1] if plan.keep else next((a for a in reversed(asked) if a), 0.0)
+    slots_per_server = plan.fill * max((z.slots for z in plan.zones), default=1)
+    # must not be refused: `keep`, or without it the last rank that has any demand
+    protected = demand[-1] if plan.keep else next((d for d in reversed(demand) if d), 0.0)
     return Forecast(
         lost=lost,
-        room=room,
-        asked=sum(asked),
-        use=sum(given) / slots if slots else 0.0,
-        goes=goes,
+        room=usable,
+        asked=sum(demand),
+        use=sum(admitted) / slots if slots else 0.0,
+        goes=moved_by_zone,
         ranks=ranks,
-        worth=sum(v * g / a for v, g, a in zip(value, given, asked, strict=True) if a)
+        worth=sum(v * a / d for v, a, d in zip(value, admitted, demand, strict=True) if d)
         / (sum(value) or 1.0),
-        missing=max(0, ceil((must - room) / per - 1e-9)),
-        missing_all=max(0, ceil((sum(asked) - room) / per - 1e-9)),
+        missing=max(0, ceil((protected - usable) / slots_per_server - 1e-9)),
+        missing_all=max(0, ceil((sum(demand) - usable) / slots_per_server - 1e-9)),
     )
