--- a/loomstand/membership/__init__.py
+++ b/loomstand/membership/__init__.py
@@ -1,6 +1,5 @@
-"""Limiters that know of each other: who is there, and lists of servers from one to the next
-(docs/peers.md).
+"""Group membership of limiters, and the distribution of endpoint lists among them (docs/peers.md).
 
-`members` and `lists` are pure, `messages` is their form, `driver` puts them on datagrams. Off
-without the key `peers` of the configuration; the platform of the benches names none.
+`members` and `endpoint_lists` are pure, `messages` defines the datagrams, and `driver` sends and
+receives them. Only in use where a limiter's configuration has the key `peers`.
 """
--- a/loomstand/membership/endpoint_lists.py
+++ b/loomstand/membership/endpoint_lists.py
@@ -1,10 +1,10 @@
-"""Lists of servers from one limiter to the next: who asks discovery, what is believed and passed
-on; pure.
+"""Distribution of endpoint lists among limiters: who watches discovery, what is accepted and
+forwarded. Pure.
 
-A few limiters, the first of those alive by number, hold a watch on discovery; the others get lists
-and changes from peers. Each message says which revision its sender holds and how old discovery's
-last word is; one that holds less wants more, and where the word gets old for all, further ones ask
-discovery in turn.
+The first few of the live limiters, by number, watch discovery; the others receive lists and changes
+from peers. Each message states the revision of its sender's list and how long ago discovery
+confirmed it. A limiter with an older revision requests the list. If the last confirmation is too
+old for all, further limiters start to watch discovery one after another.
 
 Times are seconds on the caller's monotonic clock.
 """
@@ -16,144 +16,174 @@
 from loomstand.config.limiter import BackendList, BackendRecord
 from loomstand.membership.messages import Part
 
-WATCHERS = 3  # two can die together and a third still has every change at once
-# s between two limiters that begin to ask discovery: four a second, under any discovery's room
-STEP = 0.25
-# s: discovery beats every 2 s, and word of it takes some log2(N) pings of 1 s to reach all
-OLD = 10.0
-PIECE = 40  # members a datagram: some 5 KB
-MOST = 20_000  # members of a list: larger ones are no list
-TORN = 2.0  # s that the pieces of a list may take
-PASS_ON = 4  # limiters that a change is passed on to when it is new: all have it in log4(N) steps
-AGAIN = 0.2  # s between two requests for a list
+WATCHERS = 3  # if two of them die together, the third still receives every change at once
+# between two limiters that start to watch: 4/s, less than any discovery service can handle
+WATCH_STAGGER_SECONDS = 0.25
+# Discovery confirms the list every 2 s; that reaches all limiters after about log2(N) pings of 1 s.
+STALE_SECONDS = 10.0
+PART_SERVERS = 40  # servers in a datagram, about 5 KB
+MAX_SERVERS = 20_000  # in a list; larger ones are rejected
+PARTS_TIMEOUT_SECONDS = 2.0  # from the first to the last part of a list
+FORWARD_COUNT = 4  # limiters that a new change is sent on to: it reaches all in log4(N) steps
+REQUEST_INTERVAL_SECONDS = 0.2  # between two requests for a list
 
 
 class Lists:
-    """What one limiter holds of the list, and its part in passing it on. `me` is its number, of so
-    many.
+    """A limiter's copy of the endpoint list, and its part in the distribution.
+
+    Args:
+        limiter_id: The limiter's number.
+        now: The time in seconds.
+        limiter_count: Number of limiters by the settings; 0 if not known.
     """
 
-    def __init__(self, me: int, now: float, limiters: int = 0) -> None:
-        self.me, self.began, self.limiters = me, now, limiters
+    def __init__(self, limiter_id: int, now: float, limiter_count: int = 0) -> None:
+        self.limiter_id, self.began, self.limiter_count = limiter_id, now, limiter_count
         self.revision, self.members = 0, dict[str, BackendRecord]()
-        self.left: dict[str, int] = {}  # servers that have left, with the revision that said so
-        self.fresh = -OLD * 10  # when discovery last said anything, to anybody
-        self.pieces: dict[tuple[int, int], tuple[float, list[Part | None]]] = {}
-        self.refused = 0
-        self.asked = -AGAIN
+        self.removed: dict[str, int] = {}  # removed servers, by the revision that removed them
+        self.fresh = -STALE_SECONDS * 10  # when discovery last confirmed it to any limiter
+        # incomplete lists, by sender and revision: when the first part arrived, the parts
+        self.partial_lists: dict[tuple[int, int], tuple[float, list[Part | None]]] = {}
+        self.rejected_parts = 0
+        self.requested_at = -REQUEST_INTERVAL_SECONDS
 
-    # who asks discovery
+    # watching discovery
 
     def watching(self, now: float, alive: Sequence[int]) -> bool:
-        """Whether this limiter is to ask discovery now. Until others have had the time to be heard
-        of, the rank is the number that the settings give: a whole fleet that starts knows nobody,
-        and one that knows a fourth of the others would take itself for one of the first three.
+        """Return whether this limiter is to watch discovery now.
+
+        The rank among the live limiters decides. Until enough of them are known, the limiter's
+        number takes its place: at a simultaneous start nobody knows the others, and a limiter that
+        knows a quarter of them would count itself among the first three.
         """
-        young = now - self.began < 2.0 or len(alive) < max(2, self.limiters / 2)
-        rank = self.me if young else list(alive).index(self.me)
+        is_early = now - self.began < 2.0 or len(alive) < max(2, self.limiter_count / 2)
+        rank = self.limiter_id if is_early else list(alive).index(self.limiter_id)
         if rank < WATCHERS:
             return True
-        since = max(self.began, self.fresh + OLD) if self.revision else self.began
-        return now - since > rank * STEP
+        since = max(self.began, self.fresh + STALE_SECONDS) if self.revision else self.began
+        return now - since > rank * WATCH_STAGGER_SECONDS
 
     def heard(self, now: float, age: float) -> None:
-        """A peer says how old discovery's word is with it; below 0 where it has none."""
+        """Note how many seconds ago discovery confirmed a peer's list; below 0 for never."""
         if age >= 0:
             self.fresh = max(self.fresh, now - age)
 
     def age(self, now: float) -> float:
+        """Return how many seconds ago discovery confirmed the list; -1 without a list."""
         return now - self.fresh if self.revision else -1.0
 
     def wants(self, now: float, revision: int) -> bool:
-        """Whether to ask a peer that holds this revision for its list, now."""
-        if revision <= self.revision or now - self.asked < AGAIN:
+        """Return whether to request the list of a peer with this revision; counts as requested."""
+        if revision <= self.revision or now - self.requested_at < REQUEST_INTERVAL_SECONDS:
             return False
-        self.asked = now
+        self.requested_at = now
         return True
 
-    # what is believed
+    # accepting lists
 
-    def from_discovery(self, now: float, told: BackendList) -> Part | None:
-        """Discovery itself is always believed, also when it goes back. What is to be passed on, if
-        anything changed.
+    def from_discovery(self, now: float, received: BackendList) -> Part | None:
+        """Apply a list from discovery, which is always accepted, even with a lower revision.
+
+        Returns:
+            The change to forward, or None if nothing changed.
         """
         since, self.fresh = self.revision, now
-        if told.complete:
-            gone = [self.members[i] for i in self.members.keys() - {m.id for m in told.backends}]
-            self.members, self.left = {}, {m.id: told.revision for m in gone}
-        self.put(told.backends, told.revision)
-        changed, self.revision = told.revision != since or told.complete, told.revision
-        if not changed:
+        if received.complete:
+            missing = [
+                self.members[i] for i in self.members.keys() - {m.id for m in received.backends}
+            ]
+            self.members, self.removed = {}, {m.id: received.revision for m in missing}
+        self.apply(received.backends, received.revision)
+        is_changed, self.revision = (
+            received.revision != since or received.complete,
+            received.revision,
+        )
+        if not is_changed:
             return None
         return Part(
-            self.me, 0, self.revision, [], whole=told.complete, since=since, members=told.backends
+            self.limiter_id,
+            0,
+            self.revision,
+            [],
+            whole=received.complete,
+            since=since,
+            members=received.backends,
         )
 
-    def put(self, members: Sequence[BackendRecord], revision: int) -> None:
-        for m in members:
-            if m.phase == "left":
-                self.members.pop(m.id, None)
-                self.left[m.id] = revision
+    def apply(self, members: Sequence[BackendRecord], revision: int) -> None:
+        for server in members:
+            if server.phase == "left":
+                self.members.pop(server.id, None)
+                self.removed[server.id] = revision
             else:
-                self.members[m.id] = m
-                self.left.pop(m.id, None)
+                self.members[server.id] = server
+                self.removed.pop(server.id, None)
 
     def from_peer(self, now: float, part: Part) -> BackendList | None:
-        """What the limiter is to be told, if a piece of a list makes one that is newer than what is
-        held. Never backwards: a server that left comes back by discovery's own word or a higher
-        revision, and from a peer alone no server is believed to be gone because it is not named.
+        """Apply a part of a peer's list.
+
+        The list never goes back: a removed server returns with discovery's own list or a higher
+        revision only, and a server that is missing in a peer's list is not removed.
+
+        Returns:
+            The changes, if the part completes a newer list.
         """
         if (
-            not 0 <= part.n < part.of <= MOST // PIECE
-            or len(part.members) > 2 * PIECE
+            not 0 <= part.n < part.of <= MAX_SERVERS // PART_SERVERS
+            or len(part.members) > 2 * PART_SERVERS
             or part.revision < 1
         ):
-            self.refused += 1
+            self.rejected_parts += 1
             return None
         if part.revision <= self.revision:
             return None
         if not part.whole and part.since > self.revision:
-            return None  # something between is missing: the next ping asks for the whole
-        self.pieces = {k: p for k, p in self.pieces.items() if now - p[0] < TORN}
+            return None  # changes in between are missing: the next ping requests the whole list
+        self.partial_lists = {
+            k: p for k, p in self.partial_lists.items() if now - p[0] < PARTS_TIMEOUT_SECONDS
+        }
         key = (part.id, part.revision)
-        since, pieces = self.pieces.get(key, (now, [None] * part.of))
-        if len(pieces) != part.of:
-            self.refused += 1
-            self.pieces.pop(key, None)
+        since, parts = self.partial_lists.get(key, (now, [None] * part.of))
+        if len(parts) != part.of:
+            self.rejected_parts += 1
+            self.partial_lists.pop(key, None)
             return None
-        pieces[part.n] = part
-        self.pieces[key] = (since, pieces)
-        if any(p is None for p in pieces):
+        parts[part.n] = part
+        self.partial_lists[key] = (since, parts)
+        if any(p is None for p in parts):
             return None
-        self.pieces.pop(key, None)
-        members = [m for p in pieces for m in p.members if self.left.get(m.id, -1) < part.revision]
-        self.put(members, part.revision)
+        self.partial_lists.pop(key, None)
+        members = [
+            s for p in parts for s in p.members if self.removed.get(s.id, -1) < part.revision
+        ]
+        self.apply(members, part.revision)
         self.revision = part.revision
         return BackendList(revision=part.revision, complete=False, backends=members)
 
     def whole(self) -> list[Part]:
-        """The whole list in pieces, for a peer that wants it; none where none is held."""
+        """Return the parts of the whole list; none without a list."""
         if not self.revision:
             return []
-        gone = [BackendRecord(id=i, address="127.0.0.1:1", phase="left") for i in self.left]
-        every = [*self.members.values(), *gone]
-        of = max(1, -(-len(every) // PIECE))
+        removed = [BackendRecord(id=i, address="127.0.0.1:1", phase="left") for i in self.removed]
+        members = [*self.members.values(), *removed]
+        of = max(1, -(-len(members) // PART_SERVERS))
         return [
             Part(
-                self.me,
+                self.limiter_id,
                 0,
                 self.revision,
                 [],
                 n=n,
                 of=of,
-                members=every[n * PIECE : (n + 1) * PIECE],
+                members=members[n * PART_SERVERS : (n + 1) * PART_SERVERS],
             )
             for n in range(of)
         ]
 
-    def known(self, told: BackendList) -> None:
-        """The list of the configuration, which may be old: its revision counts, it is nobody's
-        fresh word.
+    def from_configuration(self, configured: BackendList) -> None:
+        """Apply the list of the configuration file.
+
+        It may be out of date: its revision counts, but not as a confirmation by discovery.
         """
-        self.put(told.backends, told.revision)
-        self.revision = told.revision
+        self.apply(configured.backends, configured.revision)
+        self.revision = configured.revision
--- a/loomstand/membership/members.py
+++ b/loomstand/membership/members.py
@@ -1,14 +1,15 @@
-"""Who is there: a membership machine after SWIM (Das, Gupta and Motivala, 2002), pure.
-
-Every period a limiter pings one other, in a shuffled round; one that does not answer is asked for
-through three others, then suspected, and dead when a suspicion has stood for so many periods that
-it could have refuted it. One that hears that it is suspected or dead says a higher incarnation;
-only it may raise it, and a start takes the clock's, so that a restart counts as another life. News
-rides on pings and answers, each so often that all have it. Sent a period and a limiter: one ping
-and one answer, whatever the number; four more for each that does not answer.
-
-Times are seconds on the caller's monotonic clock; incarnations are Unix milliseconds. `out` holds
-what is to be sent, as (limiter number or address, message).
+"""Group membership of limiters after SWIM (Das, Gupta and Motivala, 2002). Pure.
+
+In each period a limiter pings one other, in shuffled rounds. A member that does not answer is
+pinged through three others, then suspected, and dead when the suspicion lasted long enough for the
+member to refute it. A member that learns that it is suspected or dead raises its incarnation, which
+nobody else may do. A start takes its incarnation from the clock, so that a restart overrides the
+previous process. State updates are piggybacked on pings and acknowledgements, each often enough to
+reach all members. A limiter sends one ping and one acknowledgement per period whatever the size of
+the group, and four more messages for each member that does not answer.
+
+Times are seconds on the caller's monotonic clock; incarnations are Unix milliseconds. `outbox`
+holds the messages to send, each with a limiter's number or an address.
 """
 
 from __future__ import annotations
@@ -19,21 +20,23 @@
 from math import ceil, log2
 from random import Random
 
-from loomstand.membership.messages import Ack, Base, Check, Ping, Word
+from loomstand.membership.messages import Ack, Check, Message, Ping, Word
 
-# s: SWIM's; a death is known to all some log2(N) periods later, soon beside the 6 s of a list
-PERIOD = 1.0
-ANSWER = 0.3 * PERIOD  # direct; the rest of the period is for those asked in between
-ASKED = 3  # that are asked to ping for us: one lossy path of ours is then no suspicion
-# a message, a kilobyte of them: six took a minute and a half to tell of a thousand that start
-WORDS = 40
-SPREAD = 3  # times log2(N) that a word rides along
-DOUBT = 3  # times log2(N) periods that a suspicion stands: a refutation takes about one times that
-FORGET = 60.0  # s that the dead are remembered, so that old words of them revive nobody
+# as in SWIM: a death is known to all members some log2(N) periods later, within about 6 s
+PROBE_PERIOD_SECONDS = 1.0
+# for a direct answer; the rest of the period is for indirect ones
+DIRECT_TIMEOUT_SECONDS = 0.3 * PROBE_PERIOD_SECONDS
+INDIRECT_PROBES = 3  # members asked to ping it too, so that one lossy path raises no suspicion
+# In a message, about 1 KB. With six, news of 1,000 starting limiters took 90 s to reach all.
+MAX_UPDATES = 40
+UPDATE_REPEAT_FACTOR = 3  # an update is sent this many times log2(N)
+# A suspicion lasts this many times log2(N) periods; a refutation takes about log2(N).
+SUSPICION_FACTOR = 3
+DEAD_RETENTION_SECONDS = 60.0  # so that outdated updates don't revive a dead member
 
 
-class State(IntEnum):
-    """In the order in which one overrides the other at the same incarnation."""
+class MemberState(IntEnum):
+    """The state of a limiter. Of two with equal incarnations the greater one overrides."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -48,145 +51,191 @@
     id: int
     at: str
     inc: int = 0
-    state: State = State.ALIVE
-    since: float = 0.0
-    revision: int = 0  # of the list it said it holds
-    heard: bool = False  # from itself, not only of it
+    state: MemberState = MemberState.ALIVE
+    state_since: float = 0.0
+    revision: int = 0  # of its endpoint list
+    has_sent: bool = False  # whether it has sent a message itself
 
 
 class Members:
-    """The view of one limiter. `given` are the addresses that the configuration names."""
+    """The view that one limiter has of the group.
+
+    Args:
+        limiter_id: The limiter's number.
+        address: Its address for peers; empty to announce none.
+        incarnation: Its start time in Unix ms.
+        configured_addresses: The addresses of peers in its configuration.
+        seed: For random choices.
+        now: The time in seconds.
+    """
 
     def __init__(
-        self, me: int, at: str, inc: int, given: Iterable[str], seed: int, now: float
+        self,
+        limiter_id: int,
+        at: str,
+        inc: int,
+        given: Iterable[str],
+        seed: int,
+        now: float,
     ) -> None:
-        self.me, self.at, self.inc = me, at, inc
+        self.limiter_id, self.at, self.inc = limiter_id, at, inc
         self.rng = Random(seed)
         self.given = [a for a in given if a != at]
         self.peers: dict[int, Peer] = {}
-        self.words: dict[int, list] = {}  # by limiter: its word, and how often it has still to ride
-        self.round: list[int] = []
-        self.waiting: dict[
-            int, tuple[int, float, bool]
-        ] = {}  # by seq: whom, since, whether others were asked
-        self.relayed: dict[
-            int, tuple[int, int, float]
-        ] = {}  # pings made for others: who asked, with which seq
+        self.updates: dict[
+            int, list
+        ] = {}  # by limiter: the update, and how often it is still to be sent
+        self.ping_round: list[int] = []
+        # by sequence number: the pinged member, since when, whether others were asked to ping it
+        self.pending_pings: dict[int, tuple[int, float, bool]] = {}
+        # pings made for others, by sequence number: who asked, with which number, when
+        self.relayed_pings: dict[int, tuple[int, int, float]] = {}
         self.seq = self.revision = 0
-        self.age = -1.0  # of the list held, for what is sent
-        self.due = now
-        self.out: list[tuple[int | str, Base]] = []
-        self.moved: list[tuple[int, State, State]] = []
-        self.left = False
-        self.tell(Word(me, at, inc, State.ALIVE))
+        self.age = -1.0  # of the endpoint list, for messages
+        self.next_ping_at = now
+        self.out: list[tuple[int | str, Message]] = []
+        self.transitions: list[tuple[int, MemberState, MemberState]] = []
+        self.has_left = False
+        self.spread(Word(limiter_id, at, inc, MemberState.ALIVE))
 
-    # what is asked of the view
+    # queries
 
     def alive(self) -> list[int]:
-        """Numbers of those that are taken to be there, this one too, in order."""
-        there = [p.id for p in self.peers.values() if p.state in (State.ALIVE, State.SUSPECTED)]
-        return sorted([*there, self.me])
+        """Return the sorted numbers of the members that count as alive, including this one."""
+        alive = [
+            p.id
+            for p in self.peers.values()
+            if p.state in (MemberState.ALIVE, MemberState.SUSPECTED)
+        ]
+        return sorted([*alive, self.limiter_id])
 
-    def knows(self, id_: int, source: str) -> bool:
-        """Whether a message that says it is from a limiter came from where that one is known to
-        be.
-        """
+    def is_known_source(self, id_: int, source: str) -> bool:
+        """Return whether a message from limiter `id_` came from a known address of a peer."""
         peer = self.peers.get(id_)
         return source in self.given or (peer is not None and peer.at == source)
 
-    def lasting(self) -> float:
-        """Seconds that a suspicion stands."""
-        return DOUBT * PERIOD * max(1.0, log2(len(self.peers) + 2))
+    def suspicion_seconds(self) -> float:
+        """Return how long a suspicion lasts before the member counts as dead."""
+        return SUSPICION_FACTOR * PROBE_PERIOD_SECONDS * max(1.0, log2(len(self.peers) + 2))
 
-    # time
+    # timer
 
     def tick(self, now: float) -> None:
-        """Called some ten times a second: overdue answers, suspicions that have stood, the next
-        ping.
+        """Handle overdue answers and expired suspicions, and send the next ping.
+
+        Call it about ten times a second.
         """
-        for seq, (whom, since, asked) in list(self.waiting.items()):
-            peer = self.peers.get(whom)
-            if now - since >= PERIOD or peer is None:
-                del self.waiting[seq]
-                if peer is not None and peer.state is State.ALIVE:
-                    self.learn(now, Word(whom, peer.at, peer.inc, State.SUSPECTED))
-            elif now - since >= ANSWER and not asked:
-                self.waiting[seq] = (whom, since, True)
+        for seq, (target, since, is_relayed) in list(self.pending_pings.items()):
+            peer = self.peers.get(target)
+            if now - since >= PROBE_PERIOD_SECONDS or peer is None:
+                del self.pending_pings[seq]
+                if peer is not None and peer.state is MemberState.ALIVE:
+                    self.apply_update(
+                        now,
+                        Word(target, peer.at, peer.inc, MemberState.SUSPECTED),
+                    )
+            elif now - since >= DIRECT_TIMEOUT_SECONDS and not is_relayed:
+                self.pending_pings[seq] = (target, since, True)
                 others = [
-                    p.id for p in self.peers.values() if p.id != whom and p.state is State.ALIVE
+                    p.id
+                    for p in self.peers.values()
+                    if p.id != target and p.state is MemberState.ALIVE
                 ]
-                for other in self.rng.sample(others, min(ASKED, len(others))):
-                    self.send(other, Check(*self.head(), seq, whom))
-        self.relayed = {seq: r for seq, r in self.relayed.items() if now - r[2] < PERIOD}
+                for other in self.rng.sample(others, min(INDIRECT_PROBES, len(others))):
+                    self.send(other, Check(*self.head(), seq, target))
+        self.relayed_pings = {
+            seq: r for seq, r in self.relayed_pings.items() if now - r[2] < PROBE_PERIOD_SECONDS
+        }
         for peer in list(self.peers.values()):
-            if peer.state is State.SUSPECTED and now - peer.since >= self.lasting():
-                self.learn(now, Word(peer.id, peer.at, peer.inc, State.DEAD))
-            elif peer.state in (State.DEAD, State.LEFT) and now - peer.since >= FORGET:
+            if (
+                peer.state is MemberState.SUSPECTED
+                and now - peer.state_since >= self.suspicion_seconds()
+            ):
+                self.apply_update(
+                    now,
+                    Word(peer.id, peer.at, peer.inc, MemberState.DEAD),
+                )
+            elif (
+                peer.state in (MemberState.DEAD, MemberState.LEFT)
+                and now - peer.state_since >= DEAD_RETENTION_SECONDS
+            ):
                 del self.peers[peer.id]
-                self.words.pop(peer.id, None)
-        if now >= self.due and not self.left:
-            self.due = max(self.due + PERIOD, now)
+                self.updates.pop(peer.id, None)
+        if now >= self.next_ping_at and not self.has_left:
+            self.next_ping_at = max(self.next_ping_at + PROBE_PERIOD_SECONDS, now)
             self.ping(now)
 
     def ping(self, now: float) -> None:
-        """One member of the round; beside it one given address that nobody has been heard from."""
-        while self.round and self.able(self.round[-1]) is None:
-            self.round.pop()
-        if not self.round:
-            self.round = [p.id for p in self.peers.values() if self.able(p.id) is not None]
-            self.rng.shuffle(self.round)
-        if self.round:
-            whom = self.round.pop()
+        """Ping the next member of the round, and one configured address without a live member."""
+        while self.ping_round and self.live_peer(self.ping_round[-1]) is None:
+            self.ping_round.pop()
+        if not self.ping_round:
+            self.ping_round = [
+                p.id for p in self.peers.values() if self.live_peer(p.id) is not None
+            ]
+            self.rng.shuffle(self.ping_round)
+        if self.ping_round:
+            target = self.ping_round.pop()
             self.seq += 1
-            self.waiting[self.seq] = (whom, now, False)
-            self.send(whom, Ping(*self.head(), self.seq))
-        here = {
+            self.pending_pings[self.seq] = (target, now, False)
+            self.send(target, Ping(*self.head(), self.seq))
+        live_addresses = {
             p.at
             for p in self.peers.values()
-            if p.heard and p.state in (State.ALIVE, State.SUSPECTED)
+            if p.has_sent and p.state in (MemberState.ALIVE, MemberState.SUSPECTED)
         }
-        unknown = [a for a in self.given if a not in here]
-        if unknown:  # also those that were given up: a cut that heals is found from either side
+        unreached = [a for a in self.given if a not in live_addresses]
+        # includes addresses of dead members, so that both sides notice when a partition heals
+        if unreached:
             self.seq += 1
-            self.send(self.rng.choice(unknown), Ping(*self.head(), self.seq))
+            self.send(self.rng.choice(unreached), Ping(*self.head(), self.seq))
 
-    def able(self, id_: int) -> Peer | None:
+    def live_peer(self, id_: int) -> Peer | None:
         peer = self.peers.get(id_)
-        return peer if peer is not None and peer.state in (State.ALIVE, State.SUSPECTED) else None
+        return (
+            peer
+            if peer is not None and peer.state in (MemberState.ALIVE, MemberState.SUSPECTED)
+            else None
+        )
 
     def leave(self) -> None:
-        """Says goodbye to some, who say it on."""
-        self.left = True
-        self.tell(Word(self.me, self.at, self.inc, State.LEFT))
-        there = [p.id for p in self.peers.values() if p.state is State.ALIVE]
-        for whom in self.rng.sample(there, min(2 * ASKED, len(there))):
-            self.send(whom, Ping(*self.head(), 0))
+        """Announce to some members that this one leaves; they spread the update."""
+        self.has_left = True
+        self.spread(Word(self.limiter_id, self.at, self.inc, MemberState.LEFT))
+        alive = [p.id for p in self.peers.values() if p.state is MemberState.ALIVE]
+        for target in self.rng.sample(alive, min(2 * INDIRECT_PROBES, len(alive))):
+            self.send(target, Ping(*self.head(), 0))
 
     # messages
 
     def head(self) -> tuple[int, int, int, list[Word], float]:
-        return self.me, self.inc, self.revision, self.news(), self.age
-
-    def news(self) -> list[Word]:
-        """The words that have ridden least."""
-        most = sorted(self.words.items(), key=lambda w: -w[1][1])[:WORDS]
-        for id_, word in most:
-            word[1] -= 1
-            if word[1] <= 0:
-                del self.words[id_]
-        return [word[0] for _, word in most]
-
-    def tell(self, word: Word) -> None:
-        self.words[word.id] = [word, ceil(SPREAD * log2(len(self.peers) + 2)) + 1]
-
-    def send(self, whom: int | str, message: Base) -> None:
-        self.out.append((whom, message))
-
-    def took(self, now: float, message: Base, source: str) -> None:
-        """A message came from a known place."""
-        self.meet(now, message, source)
-        for word in message.words:
-            self.learn(now, word)
+        """Return the fields of `Message` for the next message; counts its updates as sent."""
+        return self.limiter_id, self.inc, self.revision, self.next_updates(), self.age
+
+    def next_updates(self) -> list[Word]:
+        """Return the updates that were sent least often."""
+        selected = sorted(self.updates.items(), key=lambda u: -u[1][1])[:MAX_UPDATES]
+        for id_, update in selected:
+            update[1] -= 1
+            if update[1] <= 0:
+                del self.updates[id_]
+        return [update[0] for _, update in selected]
+
+    def spread(self, update: Word) -> None:
+        """Send an update along with the next messages."""
+        self.updates[update.id] = [
+            update,
+            ceil(UPDATE_REPEAT_FACTOR * log2(len(self.peers) + 2)) + 1,
+        ]
+
+    def send(self, recipient: int | str, message: Message) -> None:
+        self.out.append((recipient, message))
+
+    def took(self, now: float, message: Message, source: str) -> None:
+        """Handle a message from a known address."""
+        self.update_sender(now, message, source)
+        for update in message.updates:
+            self.apply_update(now, update)
         match message:
             case Ping():
                 self.send(
@@ -194,55 +243,56 @@
                     Ack(*self.head(), message.seq),
                 )
             case Ack(of=-1):
-                self.answered(message.seq, message.id)
+                self.ping_answered(message.seq, message.id)
             case Ack():
-                self.answered(message.seq, message.of)
-            case Check(whom=whom) if self.able(whom) is not None:
+                self.ping_answered(message.seq, message.of)
+            case Check(whom=target) if self.live_peer(target) is not None:
                 self.seq += 1
-                self.relayed[self.seq] = (message.id, message.seq, now)
-                self.send(whom, Ping(*self.head(), self.seq))
+                self.relayed_pings[self.seq] = (message.id, message.seq, now)
+                self.send(target, Ping(*self.head(), self.seq))
 
-    def answered(self, seq: int, whom: int) -> None:
-        self.waiting.pop(seq, None)
-        if seq in self.relayed:
-            asker, theirs, _ = self.relayed.pop(seq)
-            self.send(asker, Ack(*self.head(), theirs, whom))
+    def ping_answered(self, seq: int, target: int) -> None:
+        self.pending_pings.pop(seq, None)
+        if seq in self.relayed_pings:
+            requester, requester_seq, _ = self.relayed_pings.pop(seq)
+            self.send(requester, Ack(*self.head(), requester_seq, target))
 
-    def meet(self, now: float, message: Base, source: str) -> None:
-        """The sender itself is there: it says so with its incarnation."""
+    def update_sender(self, now: float, message: Message, source: str) -> None:
+        """Record that the sender of a message is alive in its stated incarnation."""
         known = self.peers.get(message.id)
         if known is None or message.inc > known.inc:
-            self.learn(now, Word(message.id, source, message.inc, State.ALIVE))
+            self.apply_update(now, Word(message.id, source, message.inc, MemberState.ALIVE))
         peer = self.peers.get(message.id)
         if peer is not None and message.inc == peer.inc:
-            peer.heard, peer.revision = True, message.revision
-            if peer.state is not State.ALIVE and peer.state is not State.LEFT:
-                # it lives, but must say so itself to all: tell it what is said of it
-                self.tell(Word(peer.id, peer.at, peer.inc, peer.state))
-
-    def learn(self, now: float, word: Word) -> None:
-        """News of a limiter, by the rules that make all views the same: the higher incarnation, and
-        at the same one the worse state.
+            peer.has_sent, peer.revision = True, message.revision
+            if peer.state is not MemberState.ALIVE and peer.state is not MemberState.LEFT:
+                # only the sender can refute its state: repeat the update, which reaches it too
+                self.spread(Word(peer.id, peer.at, peer.inc, peer.state))
+
+    def apply_update(self, now: float, update: Word) -> None:
+        """Apply a state update by the rules that make all views converge.
+
+        The higher incarnation overrides, and at equal incarnations the greater state.
         """
-        if word.id == self.me:
-            if word.state != State.ALIVE and word.inc >= self.inc and not self.left:
-                self.inc = word.inc + 1  # refuted
-                self.tell(Word(self.me, self.at, self.inc, State.ALIVE))
+        if update.id == self.limiter_id:
+            if update.state != MemberState.ALIVE and update.inc >= self.inc and not self.has_left:
+                self.inc = update.inc + 1  # refutes the update
+                self.spread(Word(self.limiter_id, self.at, self.inc, MemberState.ALIVE))
             return
-        known, state = self.peers.get(word.id), State(word.state)
+        known, state = self.peers.get(update.id), MemberState(update.state)
         if known is None:
-            if state in (State.DEAD, State.LEFT):
-                return  # of nobody
-            self.peers[word.id] = Peer(word.id, word.at, word.inc, state, now)
-            self.moved.append((word.id, State.DEAD, state))
+            if state in (MemberState.DEAD, MemberState.LEFT):
+                return  # an unknown member
+            self.peers[update.id] = Peer(update.id, update.at, update.inc, state, now)
+            self.transitions.append((update.id, MemberState.DEAD, state))
         else:
-            if (word.inc, state) <= (known.inc, known.state):
+            if (update.inc, state) <= (known.inc, known.state):
                 return
             if known.state is not state:
-                self.moved.append((word.id, known.state, state))
-            if word.inc > known.inc and not known.heard:
-                known.at = word.at
-            known.inc, known.state, known.since = word.inc, state, now
-            if state in (State.DEAD, State.LEFT):
-                known.heard = False
-        self.tell(Word(word.id, self.peers[word.id].at, word.inc, state))
+                self.transitions.append((update.id, known.state, state))
+            if update.inc > known.inc and not known.has_sent:
+                known.at = update.at
+            known.inc, known.state, known.state_since = update.inc, state, now
+            if state in (MemberState.DEAD, MemberState.LEFT):
+                known.has_sent = False
+        self.spread(Word(update.id, self.peers[update.id].at, update.inc, state))
--- a/loomstand/membership/messages.py
+++ b/loomstand/membership/messages.py
@@ -1,4 +1,4 @@
-"""What limiters say to each other, as msgspec structures in msgpack: one message a datagram."""
+"""The messages between limiters: msgspec structures in msgpack, one message per datagram."""
 
 from __future__ import annotations
 
@@ -6,73 +6,96 @@
 
 from loomstand.config.limiter import BackendRecord
 
-MOST = 8192  # bytes a datagram: well under what loopback and fragmented networks carry
+# bytes: well under what loopback and networks that fragment can carry
+MOST = 8192
 
 
 class Word(msgspec.Struct, array_like=True):
-    """What is said of one limiter: its number, where it listens to peers, its incarnation and
-    state.
+    """The state of one limiter as known to the sender.
+
+    Attributes:
+        id: The limiter's number.
+        at: Where it receives datagrams of peers.
+        inc: Its incarnation in Unix ms.
+        state: Number of its `loomstand.membership.members.MemberState`.
     """
 
     id: int
     at: str
     inc: int
-    state: int  # members.State
+    state: int
+
 
+class Message(msgspec.Struct, array_like=True, tag=True):
+    """The fields that all messages have.
 
-class Base(msgspec.Struct, array_like=True, tag=True):
-    """Who sends, what list it holds (0 for none), news of others, and how many seconds old
-    discovery's last word is with it (below 0: it has none).
+    Attributes:
+        id: The sender's number.
+        inc: The sender's incarnation in Unix ms.
+        revision: Revision of the sender's endpoint list; 0 for none.
+        updates: States of other limiters.
+        age: Seconds since discovery last confirmed the sender's list; below 0 if it never did.
     """
 
     id: int
     inc: int
     revision: int
-    words: list[Word]
+    updates: list[Word]
     age: float = -1.0
 
 
-class Ping(Base):
-    """Are you there?"""
+class Ping(Message):
+    """Asks whether the recipient is alive."""
 
     seq: int = 0
 
 
-class Ack(Base):
-    """I am. With `of` set: that one is, as I have just heard."""
+class Ack(Message):
+    """Answers a ping; with `of` set, relays the answer of that limiter."""
 
     seq: int = 0
     of: int = -1
 
 
-class Check(Base):
-    """Ping that one for me, it does not answer me."""
+class Check(Message):
+    """Asks the recipient to ping limiter `whom`, which did not answer the sender."""
 
     seq: int = 0
     whom: int = -1
 
 
-class Want(Base):
-    """Send me what you hold of the list; I hold this revision."""
+class Want(Message):
+    """Asks for the recipient's endpoint list; `revision` is the sender's."""
 
 
-class Part(Base):
-    """A piece of a list as discovery told it: the nth of so many; whole lists, or what changed."""
+class Part(Message):
+    """A part of an endpoint list as discovery sent it.
+
+    Attributes:
+        n: Number of the part, from 0.
+        of: Number of parts.
+        whole: Whether the parts make a whole list; else they are changes.
+        since: The revision that changes apply to; 0 for a whole list.
+        members: The servers of the part.
+    """
 
     n: int = 0
     of: int = 1
     whole: bool = True
-    since: int = 0  # the revision that changes follow; 0 for whole lists
+    since: int = 0
     members: list[BackendRecord] = msgspec.field(default_factory=list)
 
 
-Message = Ping | Ack | Check | Want | Part
-decoder = msgspec.msgpack.Decoder(Message)
+AnyMessage = Ping | Ack | Check | Want | Part
+decoder = msgspec.msgpack.Decoder(AnyMessage)
 encode = msgspec.msgpack.Encoder().encode
 
 
-def decode(raw: bytes) -> Message:
-    """The message in a datagram. Raises msgspec.DecodeError (or ValidationError) where it is none,
-    and ConfigError where a member's address is none.
+def decode(raw: bytes) -> AnyMessage:
+    """Decode a datagram.
+
+    Raises:
+        msgspec.DecodeError: It is not a valid message (includes msgspec.ValidationError).
+        ConfigError: A server's address is not valid.
     """
     return decoder.decode(raw)
