--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -16,9 +16,9 @@
 from random import Random
 
 from loomstand.config.limiter import BackendList, BackendRecord
-from loomstand.membership.driver import TICK
-from loomstand.membership.endpoint_lists import Lists
-from loomstand.membership.members import Members as Membership
+from loomstand.membership.driver import TICK_SECONDS
+from loomstand.membership.endpoint_lists import EndpointLists
+from loomstand.membership.members import Membership
 from loomstand.membership.messages import Part, Want
 
 BEARS, LOSS, GIVEN, SERVERS = 10.0, 0.01, 8, 300
@@ -32,7 +32,7 @@
         self.heap: list[tuple[float, int, int, object]] = []
         self.order = self.sent = 0
         self.machines: list[Membership | None] = [None] * n
-        self.lists: list[Lists | None] = [None] * n
+        self.lists: list[EndpointLists | None] = [None] * n
         self.held: list[bool] = [False] * n
         self.ready: list[float] = [-1.0] * n
         self.started = [self.rng.random() for _ in range(n)]
@@ -50,7 +50,7 @@
     def begin(self, i: int) -> None:
         given = [str(self.rng.randrange(self.n)) for _ in range(GIVEN)]
         self.machines[i] = Membership(i, str(i), 1, given, self.rng.getrandbits(32), self.now)
-        self.lists[i] = Lists(i, self.now, self.n)
+        self.lists[i] = EndpointLists(i, self.now, self.n)
 
     def discovery(self, i: int) -> None:
         """A call for the list: answered at once, or turned away."""
@@ -72,25 +72,25 @@
         m, lists, now = self.machines[i], self.lists[i], self.now
         m.revision, m.age = lists.revision, lists.age(now)
         m.tick(now)
-        if not lists.revision or now - lists.began < 1.0:
-            here = [p.at for p in m.peers.values() if p.at] or m.given
+        if not lists.revision or now - lists.started_at < 1.0:
+            here = [p.address for p in m.peers.values() if p.address] or m.configured_addresses
             for whom in self.rng.sample(here, min(2, len(here))):
-                m.send(whom, Want(*m.head()))
-        on = lists.watching(now, m.alive())
+                m.send(whom, Want(*m.header()))
+        on = lists.should_watch(now, m.alive())
         if on and not self.held[i]:
             self.discovery(i)
         elif not on:
             self.held[i] = False
         if self.held[i]:
-            lists.fresh = now  # its beats
+            lists.confirmed_at = now  # its beats
         self.flush(i)
-        self.push(now + 2 * TICK, i, None)
+        self.push(now + 2 * TICK_SECONDS, i, None)
 
     def flush(self, i: int) -> None:
         m = self.machines[i]
-        out, m.out = m.out, []
+        out, m.outbox = m.outbox, []
         for whom, message in out:
-            at = whom if isinstance(whom, str) else m.peers[whom].at if whom in m.peers else ""
+            at = whom if isinstance(whom, str) else m.peers[whom].address if whom in m.peers else ""
             if at:
                 self.sent += 1
                 if self.rng.random() >= LOSS:
@@ -101,18 +101,18 @@
         if m is None or message.id == i:
             return
         m.revision, m.age = lists.revision, lists.age(self.now)
-        m.took(self.now, message, str(message.id))
-        lists.heard(self.now, message.age)
+        m.receive(self.now, message, str(message.id))
+        lists.observe_age(self.now, message.age)
         match message:
             case Part():
                 if lists.from_peer(self.now, message) is not None:
                     self.got(i)
             case Want() if message.revision < lists.revision:
-                for part in lists.whole():
-                    part.inc, part.age = m.inc, lists.age(self.now)
+                for part in lists.whole_list():
+                    part.incarnation, part.age = m.incarnation, lists.age(self.now)
                     m.send(message.id, part)
-        if lists.wants(self.now, message.revision):
-            m.send(message.id, Want(*m.head()))
+        if lists.should_request(self.now, message.revision):
+            m.send(message.id, Want(*m.header()))
         self.flush(i)
 
     def play(self, until: float) -> None:
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -81,14 +81,14 @@
         self.peers = None
         if config.peer_addresses:
             # only where there are any: a start counts its CPU
-            from loomstand.membership.driver import Peers
+            from loomstand.membership.driver import PeerProtocol
 
             own, fleet, known = (
                 self.settings.limiter_index,
                 self.settings.limiter_count,
                 config.initial_backends,
             )
-            self.peers = Peers(
+            self.peers = PeerProtocol(
                 self,
                 self.watch,
                 own,
@@ -160,12 +160,12 @@
     def told(self, list_: BackendList) -> None:
         """Discovery itself spoke."""
         if self.peers is not None:
-            self.peers.from_discovery(list_)
+            self.peers.discovery_listed(list_)
         self.listed(list_)
 
     def beat(self) -> None:
         if self.peers is not None:
-            self.peers.beat()
+            self.peers.discovery_confirmed()
 
     def listed(self, list_: BackendList) -> None:
         if list_.complete:
--- a/loomstand/membership/driver.py
+++ b/loomstand/membership/driver.py
@@ -15,12 +15,12 @@
 
 from loomstand.config.limiter import BackendList, LimiterConfigError, parse_host_port
 from loomstand.membership import messages
-from loomstand.membership.endpoint_lists import FORWARD_COUNT, PART_SERVERS, Lists
-from loomstand.membership.members import Members, MemberState
+from loomstand.membership.endpoint_lists import FORWARD_COUNT, PART_SERVERS, EndpointLists
+from loomstand.membership.members import Membership, MemberState
 from loomstand.membership.messages import Part, Want
 
 # a starting limiter without a list requests one at every second tick
-TICK = 0.05
+TICK_SECONDS = 0.05
 
 
 class Limiter(Protocol):
@@ -41,7 +41,7 @@
     def hold(self, on: bool) -> None: ...
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerProtocol(asyncio.DatagramProtocol):
     """Exchange of datagrams with the other limiters.
 
     Args:
@@ -61,19 +61,23 @@
         watch: DiscoveryWatch,
         limiter_id: int,
         limiter_count: int,
-        at: str,
-        given: Sequence[str],
+        address: str,
+        configured_addresses: Sequence[str],
         initial_list: BackendList,
         seed: int,
     ) -> None:
         now = limiter.loop.time()
-        self.limiter, self.watch, self.at = limiter, watch, at
+        self.limiter, self.watch, self.address = limiter, watch, address
         # Where the configuration names all peers, no address is announced: none has to be found,
         # and an address may be valid for one pair of limiters only.
-        announced = "" if len(set(given) - {at}) >= limiter_count - 1 else at
-        inc = time.time_ns() // 1_000_000
-        self.members = Members(limiter_id, announced, inc, given, seed, now)
-        self.lists = Lists(limiter_id, now, limiter_count)
+        announced = (
+            "" if len(set(configured_addresses) - {address}) >= limiter_count - 1 else address
+        )
+        incarnation = time.time_ns() // 1_000_000
+        self.members = Membership(
+            limiter_id, announced, incarnation, configured_addresses, seed, now
+        )
+        self.lists = EndpointLists(limiter_id, now, limiter_count)
         if initial_list.backends:
             self.lists.from_configuration(initial_list)
         self.transport: asyncio.DatagramTransport | None = None
@@ -81,7 +85,7 @@
 
     async def listen(self) -> None:
         await self.limiter.loop.create_datagram_endpoint(
-            lambda: self, parse_host_port(self.at, "peer")
+            lambda: self, parse_host_port(self.address, "peer")
         )
         self.tick()
 
@@ -97,14 +101,16 @@
         self.members.tick(now)
         # At a start, request a list from anyone: the limiter has none, or an old one of its
         # configuration.
-        if self.ticks % 2 == 0 and (not self.lists.revision or now - self.lists.began < 1.0):
+        if self.ticks % 2 == 0 and (not self.lists.revision or now - self.lists.started_at < 1.0):
             alive = [
-                p.at for p in self.members.peers.values() if p.at and p.state is MemberState.ALIVE
+                p.address
+                for p in self.members.peers.values()
+                if p.address and p.state is MemberState.ALIVE
             ]
-            candidates = alive or self.members.given
+            candidates = alive or self.members.configured_addresses
             for recipient in self.members.rng.sample(candidates, min(2, len(candidates))):
-                self.members.send(recipient, Want(*self.members.head()))
-        self.watch.hold(self.lists.watching(now, self.members.alive()))
+                self.members.send(recipient, Want(*self.members.header()))
+        self.watch.hold(self.lists.should_watch(now, self.members.alive()))
         self.ticks += 1
         if self.ticks % 200 == 0 and self.counts:
             tally = ", ".join(f"{k} {n}" for k, n in sorted(self.counts.items()))
@@ -113,43 +119,43 @@
             )
             self.counts.clear()
         self.flush()
-        self.limiter.loop.call_later(TICK, self.tick)
+        self.limiter.loop.call_later(TICK_SECONDS, self.tick)
 
     def flush(self) -> None:
         """Send the messages in the outbox, and log changes of members' states."""
-        out, self.members.out = self.members.out, []
-        for recipient, message in out:
-            at = (
+        outbox, self.members.outbox = self.members.outbox, []
+        for recipient, message in outbox:
+            address = (
                 recipient
                 if isinstance(recipient, str)
-                else getattr(self.members.peers.get(recipient), "at", "")
+                else getattr(self.members.peers.get(recipient), "address", "")
             )
-            if at and self.transport is not None and not self.transport.is_closing():
+            if address and self.transport is not None and not self.transport.is_closing():
                 raw = messages.encode(message)
                 self.counts["sent"] += 1
-                self.transport.sendto(raw, parse_host_port(at, "peers"))
+                self.transport.sendto(raw, parse_host_port(address, "peers"))
         transitions, self.members.transitions = self.members.transitions, []
         for id_, old, new in transitions:
             if MemberState.SUSPECTED in (old, new) or new in (MemberState.DEAD, MemberState.LEFT):
                 self.limiter.log(f"peer {id_}: {old.name.lower()} to {new.name.lower()}")
 
     def datagram_received(self, raw: bytes, source: tuple[str, int]) -> None:
-        now, at = self.limiter.loop.time(), f"{source[0]}:{source[1]}"
+        now, address = self.limiter.loop.time(), f"{source[0]}:{source[1]}"
         try:
             message = messages.decode(raw)
             if (
-                not self.members.is_known_source(message.id, at)
+                not self.members.is_known_source(message.id, address)
                 or message.id == self.members.limiter_id
             ):
                 raise ValueError("the sender is not a known member")
         except (msgspec.DecodeError, LimiterConfigError, ValueError) as error:
             self.counts["spoilt"] += 1
-            self.limiter.log(f"peers: a datagram from {at} changes nothing: {error}")
+            self.limiter.log(f"peers: a datagram from {address} changes nothing: {error}")
             return
         self.counts["came"] += 1
         self.members.revision, self.members.age = self.lists.revision, self.lists.age(now)
-        self.members.took(now, message, at)
-        self.lists.heard(now, message.age)
+        self.members.receive(now, message, address)
+        self.lists.observe_age(now, message.age)
         match message:
             case Part():
                 rejected, changes = (
@@ -163,11 +169,13 @@
                 if changes is not None:
                     self.apply_from_peer(changes, message)
             case Want() if message.revision < self.lists.revision:
-                for part in self.lists.whole():
-                    part.inc, part.age = self.members.inc, self.lists.age(now)
-                    self.members.send(message.id if message.id in self.members.peers else at, part)
-        if self.lists.wants(now, message.revision):
-            self.members.send(message.id, Want(*self.members.head()))
+                for part in self.lists.whole_list():
+                    part.incarnation, part.age = self.members.incarnation, self.lists.age(now)
+                    self.members.send(
+                        message.id if message.id in self.members.peers else address, part
+                    )
+        if self.lists.should_request(now, message.revision):
+            self.members.send(message.id, Want(*self.members.header()))
         self.flush()
 
     def apply_from_peer(self, changes: BackendList, part: Part) -> None:
@@ -175,33 +183,33 @@
         self.watch.revision = max(self.watch.revision, changes.revision)
         self.counts["lists from peers"] += 1
         self.limiter.listed(changes)
-        if not part.whole:
+        if not part.is_whole:
             self.forward(part)
 
-    def from_discovery(self, received: BackendList) -> None:
+    def discovery_listed(self, received: BackendList) -> None:
         """Apply a list from discovery, and forward a change to peers."""
         part = self.lists.from_discovery(self.limiter.loop.time(), received)
         if part is not None:
             self.counts["lists from discovery"] += 1
-            if len(part.members) <= PART_SERVERS and not part.whole:
+            if len(part.servers) <= PART_SERVERS and not part.is_whole:
                 self.forward(part)
             self.flush()
 
-    def beat(self) -> None:
+    def discovery_confirmed(self) -> None:
         """Note that discovery confirmed the list as unchanged."""
         if self.lists.revision:
-            self.lists.fresh = self.limiter.loop.time()
+            self.lists.confirmed_at = self.limiter.loop.time()
 
     def forward(self, part: Part) -> None:
         others = [p.id for p in self.members.peers.values() if p.state is MemberState.ALIVE]
-        head = self.members.head()
+        header = self.members.header()
         own_part = Part(
-            *head,
-            n=part.n,
-            of=part.of,
-            whole=part.whole,
-            since=part.since,
-            members=part.members,
+            *header,
+            number=part.number,
+            count=part.count,
+            is_whole=part.is_whole,
+            base_revision=part.base_revision,
+            servers=part.servers,
         )
         own_part.revision = part.revision
         for recipient in self.members.rng.sample(others, min(FORWARD_COUNT, len(others))):
--- a/loomstand/membership/endpoint_lists.py
+++ b/loomstand/membership/endpoint_lists.py
@@ -28,7 +28,7 @@
 REQUEST_INTERVAL_SECONDS = 0.2  # between two requests for a list
 
 
-class Lists:
+class EndpointLists:
     """A limiter's copy of the endpoint list, and its part in the distribution.
 
     Args:
@@ -38,10 +38,10 @@
     """
 
     def __init__(self, limiter_id: int, now: float, limiter_count: int = 0) -> None:
-        self.limiter_id, self.began, self.limiter_count = limiter_id, now, limiter_count
-        self.revision, self.members = 0, dict[str, BackendRecord]()
+        self.limiter_id, self.started_at, self.limiter_count = limiter_id, now, limiter_count
+        self.revision, self.servers = 0, dict[str, BackendRecord]()
         self.removed: dict[str, int] = {}  # removed servers, by the revision that removed them
-        self.fresh = -STALE_SECONDS * 10  # when discovery last confirmed it to any limiter
+        self.confirmed_at = -STALE_SECONDS * 10  # when discovery last confirmed it to any limiter
         # incomplete lists, by sender and revision: when the first part arrived, the parts
         self.partial_lists: dict[tuple[int, int], tuple[float, list[Part | None]]] = {}
         self.rejected_parts = 0
@@ -49,30 +49,34 @@
 
     # watching discovery
 
-    def watching(self, now: float, alive: Sequence[int]) -> bool:
+    def should_watch(self, now: float, alive: Sequence[int]) -> bool:
         """Return whether this limiter is to watch discovery now.
 
         The rank among the live limiters decides. Until enough of them are known, the limiter's
         number takes its place: at a simultaneous start nobody knows the others, and a limiter that
         knows a quarter of them would count itself among the first three.
         """
-        is_early = now - self.began < 2.0 or len(alive) < max(2, self.limiter_count / 2)
+        is_early = now - self.started_at < 2.0 or len(alive) < max(2, self.limiter_count / 2)
         rank = self.limiter_id if is_early else list(alive).index(self.limiter_id)
         if rank < WATCHERS:
             return True
-        since = max(self.began, self.fresh + STALE_SECONDS) if self.revision else self.began
+        since = (
+            max(self.started_at, self.confirmed_at + STALE_SECONDS)
+            if self.revision
+            else self.started_at
+        )
         return now - since > rank * WATCH_STAGGER_SECONDS
 
-    def heard(self, now: float, age: float) -> None:
+    def observe_age(self, now: float, age: float) -> None:
         """Note how many seconds ago discovery confirmed a peer's list; below 0 for never."""
         if age >= 0:
-            self.fresh = max(self.fresh, now - age)
+            self.confirmed_at = max(self.confirmed_at, now - age)
 
     def age(self, now: float) -> float:
         """Return how many seconds ago discovery confirmed the list; -1 without a list."""
-        return now - self.fresh if self.revision else -1.0
+        return now - self.confirmed_at if self.revision else -1.0
 
-    def wants(self, now: float, revision: int) -> bool:
+    def should_request(self, now: float, revision: int) -> bool:
         """Return whether to request the list of a peer with this revision; counts as requested."""
         if revision <= self.revision or now - self.requested_at < REQUEST_INTERVAL_SECONDS:
             return False
@@ -87,12 +91,12 @@
         Returns:
             The change to forward, or None if nothing changed.
         """
-        since, self.fresh = self.revision, now
+        since, self.confirmed_at = self.revision, now
         if received.complete:
             missing = [
-                self.members[i] for i in self.members.keys() - {m.id for m in received.backends}
+                self.servers[i] for i in self.servers.keys() - {m.id for m in received.backends}
             ]
-            self.members, self.removed = {}, {m.id: received.revision for m in missing}
+            self.servers, self.removed = {}, {m.id: received.revision for m in missing}
         self.apply(received.backends, received.revision)
         is_changed, self.revision = (
             received.revision != since or received.complete,
@@ -105,18 +109,18 @@
             0,
             self.revision,
             [],
-            whole=received.complete,
-            since=since,
-            members=received.backends,
+            is_whole=received.complete,
+            base_revision=since,
+            servers=received.backends,
         )
 
-    def apply(self, members: Sequence[BackendRecord], revision: int) -> None:
-        for server in members:
+    def apply(self, servers: Sequence[BackendRecord], revision: int) -> None:
+        for server in servers:
             if server.phase == "left":
-                self.members.pop(server.id, None)
+                self.servers.pop(server.id, None)
                 self.removed[server.id] = revision
             else:
-                self.members[server.id] = server
+                self.servers[server.id] = server
                 self.removed.pop(server.id, None)
 
     def from_peer(self, now: float, part: Part) -> BackendList | None:
@@ -129,55 +133,55 @@
             The changes, if the part completes a newer list.
         """
         if (
-            not 0 <= part.n < part.of <= MAX_SERVERS // PART_SERVERS
-            or len(part.members) > 2 * PART_SERVERS
+            not 0 <= part.number < part.count <= MAX_SERVERS // PART_SERVERS
+            or len(part.servers) > 2 * PART_SERVERS
             or part.revision < 1
         ):
             self.rejected_parts += 1
             return None
         if part.revision <= self.revision:
             return None
-        if not part.whole and part.since > self.revision:
+        if not part.is_whole and part.base_revision > self.revision:
             return None  # changes in between are missing: the next ping requests the whole list
         self.partial_lists = {
             k: p for k, p in self.partial_lists.items() if now - p[0] < PARTS_TIMEOUT_SECONDS
         }
         key = (part.id, part.revision)
-        since, parts = self.partial_lists.get(key, (now, [None] * part.of))
-        if len(parts) != part.of:
+        since, parts = self.partial_lists.get(key, (now, [None] * part.count))
+        if len(parts) != part.count:
             self.rejected_parts += 1
             self.partial_lists.pop(key, None)
             return None
-        parts[part.n] = part
+        parts[part.number] = part
         self.partial_lists[key] = (since, parts)
         if any(p is None for p in parts):
             return None
         self.partial_lists.pop(key, None)
-        members = [
-            s for p in parts for s in p.members if self.removed.get(s.id, -1) < part.revision
+        servers = [
+            s for p in parts for s in p.servers if self.removed.get(s.id, -1) < part.revision
         ]
-        self.apply(members, part.revision)
+        self.apply(servers, part.revision)
         self.revision = part.revision
-        return BackendList(revision=part.revision, complete=False, backends=members)
+        return BackendList(revision=part.revision, complete=False, backends=servers)
 
-    def whole(self) -> list[Part]:
+    def whole_list(self) -> list[Part]:
         """Return the parts of the whole list; none without a list."""
         if not self.revision:
             return []
         removed = [BackendRecord(id=i, address="127.0.0.1:1", phase="left") for i in self.removed]
-        members = [*self.members.values(), *removed]
-        of = max(1, -(-len(members) // PART_SERVERS))
+        servers = [*self.servers.values(), *removed]
+        count = max(1, -(-len(servers) // PART_SERVERS))
         return [
             Part(
                 self.limiter_id,
                 0,
                 self.revision,
                 [],
-                n=n,
-                of=of,
-                members=members[n * PART_SERVERS : (n + 1) * PART_SERVERS],
+                number=n,
+                count=count,
+                servers=servers[n * PART_SERVERS : (n + 1) * PART_SERVERS],
             )
-            for n in range(of)
+            for n in range(count)
         ]
 
     def from_configuration(self, configured: BackendList) -> None:
--- a/loomstand/membership/members.py
+++ b/loomstand/membership/members.py
@@ -20,7 +20,7 @@
 from math import ceil, log2
 from random import Random
 
-from loomstand.membership.messages import Ack, Check, Message, Ping, Word
+from loomstand.membership.messages import Ack, Check, MemberUpdate, Message, Ping
 
 # as in SWIM: a death is known to all members some log2(N) periods later, within about 6 s
 PROBE_PERIOD_SECONDS = 1.0
@@ -49,15 +49,15 @@
     """What is known of another limiter."""
 
     id: int
-    at: str
-    inc: int = 0
+    address: str
+    incarnation: int = 0
     state: MemberState = MemberState.ALIVE
     state_since: float = 0.0
     revision: int = 0  # of its endpoint list
     has_sent: bool = False  # whether it has sent a message itself
 
 
-class Members:
+class Membership:
     """The view that one limiter has of the group.
 
     Args:
@@ -72,15 +72,15 @@
     def __init__(
         self,
         limiter_id: int,
-        at: str,
-        inc: int,
-        given: Iterable[str],
+        address: str,
+        incarnation: int,
+        configured_addresses: Iterable[str],
         seed: int,
         now: float,
     ) -> None:
-        self.limiter_id, self.at, self.inc = limiter_id, at, inc
+        self.limiter_id, self.address, self.incarnation = limiter_id, address, incarnation
         self.rng = Random(seed)
-        self.given = [a for a in given if a != at]
+        self.configured_addresses = [a for a in configured_addresses if a != address]
         self.peers: dict[int, Peer] = {}
         self.updates: dict[
             int, list
@@ -93,10 +93,10 @@
         self.seq = self.revision = 0
         self.age = -1.0  # of the endpoint list, for messages
         self.next_ping_at = now
-        self.out: list[tuple[int | str, Message]] = []
+        self.outbox: list[tuple[int | str, Message]] = []
         self.transitions: list[tuple[int, MemberState, MemberState]] = []
         self.has_left = False
-        self.spread(Word(limiter_id, at, inc, MemberState.ALIVE))
+        self.spread(MemberUpdate(limiter_id, address, incarnation, MemberState.ALIVE))
 
     # queries
 
@@ -112,7 +112,7 @@
     def is_known_source(self, id_: int, source: str) -> bool:
         """Return whether a message from limiter `id_` came from a known address of a peer."""
         peer = self.peers.get(id_)
-        return source in self.given or (peer is not None and peer.at == source)
+        return source in self.configured_addresses or (peer is not None and peer.address == source)
 
     def suspicion_seconds(self) -> float:
         """Return how long a suspicion lasts before the member counts as dead."""
@@ -132,7 +132,7 @@
                 if peer is not None and peer.state is MemberState.ALIVE:
                     self.apply_update(
                         now,
-                        Word(target, peer.at, peer.inc, MemberState.SUSPECTED),
+                        MemberUpdate(target, peer.address, peer.incarnation, MemberState.SUSPECTED),
                     )
             elif now - since >= DIRECT_TIMEOUT_SECONDS and not is_relayed:
                 self.pending_pings[seq] = (target, since, True)
@@ -142,7 +142,7 @@
                     if p.id != target and p.state is MemberState.ALIVE
                 ]
                 for other in self.rng.sample(others, min(INDIRECT_PROBES, len(others))):
-                    self.send(other, Check(*self.head(), seq, target))
+                    self.send(other, Check(*self.header(), seq, target))
         self.relayed_pings = {
             seq: r for seq, r in self.relayed_pings.items() if now - r[2] < PROBE_PERIOD_SECONDS
         }
@@ -153,7 +153,7 @@
             ):
                 self.apply_update(
                     now,
-                    Word(peer.id, peer.at, peer.inc, MemberState.DEAD),
+                    MemberUpdate(peer.id, peer.address, peer.incarnation, MemberState.DEAD),
                 )
             elif (
                 peer.state in (MemberState.DEAD, MemberState.LEFT)
@@ -178,17 +178,17 @@
             target = self.ping_round.pop()
             self.seq += 1
             self.pending_pings[self.seq] = (target, now, False)
-            self.send(target, Ping(*self.head(), self.seq))
+            self.send(target, Ping(*self.header(), self.seq))
         live_addresses = {
-            p.at
+            p.address
             for p in self.peers.values()
             if p.has_sent and p.state in (MemberState.ALIVE, MemberState.SUSPECTED)
         }
-        unreached = [a for a in self.given if a not in live_addresses]
+        unreached = [a for a in self.configured_addresses if a not in live_addresses]
         # includes addresses of dead members, so that both sides notice when a partition heals
         if unreached:
             self.seq += 1
-            self.send(self.rng.choice(unreached), Ping(*self.head(), self.seq))
+            self.send(self.rng.choice(unreached), Ping(*self.header(), self.seq))
 
     def live_peer(self, id_: int) -> Peer | None:
         peer = self.peers.get(id_)
@@ -201,18 +201,18 @@
     def leave(self) -> None:
         """Announce to some members that this one leaves; they spread the update."""
         self.has_left = True
-        self.spread(Word(self.limiter_id, self.at, self.inc, MemberState.LEFT))
+        self.spread(MemberUpdate(self.limiter_id, self.address, self.incarnation, MemberState.LEFT))
         alive = [p.id for p in self.peers.values() if p.state is MemberState.ALIVE]
         for target in self.rng.sample(alive, min(2 * INDIRECT_PROBES, len(alive))):
-            self.send(target, Ping(*self.head(), 0))
+            self.send(target, Ping(*self.header(), 0))
 
     # messages
 
-    def head(self) -> tuple[int, int, int, list[Word], float]:
+    def header(self) -> tuple[int, int, int, list[MemberUpdate], float]:
         """Return the fields of `Message` for the next message; counts its updates as sent."""
-        return self.limiter_id, self.inc, self.revision, self.next_updates(), self.age
+        return self.limiter_id, self.incarnation, self.revision, self.next_updates(), self.age
 
-    def next_updates(self) -> list[Word]:
+    def next_updates(self) -> list[MemberUpdate]:
         """Return the updates that were sent least often."""
         selected = sorted(self.updates.items(), key=lambda u: -u[1][1])[:MAX_UPDATES]
         for id_, update in selected:
@@ -221,7 +221,7 @@
                 del self.updates[id_]
         return [update[0] for _, update in selected]
 
-    def spread(self, update: Word) -> None:
+    def spread(self, update: MemberUpdate) -> None:
         """Send an update along with the next messages."""
         self.updates[update.id] = [
             update,
@@ -229,9 +229,9 @@
         ]
 
     def send(self, recipient: int | str, message: Message) -> None:
-        self.out.append((recipient, message))
+        self.outbox.append((recipient, message))
 
-    def took(self, now: float, message: Message, source: str) -> None:
+    def receive(self, now: float, message: Message, source: str) -> None:
         """Handle a message from a known address."""
         self.update_sender(now, message, source)
         for update in message.updates:
@@ -240,59 +240,69 @@
             case Ping():
                 self.send(
                     message.id if message.id in self.peers else source,
-                    Ack(*self.head(), message.seq),
+                    Ack(*self.header(), message.seq),
                 )
-            case Ack(of=-1):
+            case Ack(target=-1):
                 self.ping_answered(message.seq, message.id)
             case Ack():
-                self.ping_answered(message.seq, message.of)
-            case Check(whom=target) if self.live_peer(target) is not None:
+                self.ping_answered(message.seq, message.target)
+            case Check(target=target) if self.live_peer(target) is not None:
                 self.seq += 1
                 self.relayed_pings[self.seq] = (message.id, message.seq, now)
-                self.send(target, Ping(*self.head(), self.seq))
+                self.send(target, Ping(*self.header(), self.seq))
 
     def ping_answered(self, seq: int, target: int) -> None:
         self.pending_pings.pop(seq, None)
         if seq in self.relayed_pings:
             requester, requester_seq, _ = self.relayed_pings.pop(seq)
-            self.send(requester, Ack(*self.head(), requester_seq, target))
+            self.send(requester, Ack(*self.header(), requester_seq, target))
 
     def update_sender(self, now: float, message: Message, source: str) -> None:
         """Record that the sender of a message is alive in its stated incarnation."""
         known = self.peers.get(message.id)
-        if known is None or message.inc > known.inc:
-            self.apply_update(now, Word(message.id, source, message.inc, MemberState.ALIVE))
+        if known is None or message.incarnation > known.incarnation:
+            self.apply_update(
+                now, MemberUpdate(message.id, source, message.incarnation, MemberState.ALIVE)
+            )
         peer = self.peers.get(message.id)
-        if peer is not None and message.inc == peer.inc:
+        if peer is not None and message.incarnation == peer.incarnation:
             peer.has_sent, peer.revision = True, message.revision
             if peer.state is not MemberState.ALIVE and peer.state is not MemberState.LEFT:
                 # only the sender can refute its state: repeat the update, which reaches it too
-                self.spread(Word(peer.id, peer.at, peer.inc, peer.state))
+                self.spread(MemberUpdate(peer.id, peer.address, peer.incarnation, peer.state))
 
-    def apply_update(self, now: float, update: Word) -> None:
+    def apply_update(self, now: float, update: MemberUpdate) -> None:
         """Apply a state update by the rules that make all views converge.
 
         The higher incarnation overrides, and at equal incarnations the greater state.
         """
         if update.id == self.limiter_id:
-            if update.state != MemberState.ALIVE and update.inc >= self.inc and not self.has_left:
-                self.inc = update.inc + 1  # refutes the update
-                self.spread(Word(self.limiter_id, self.at, self.inc, MemberState.ALIVE))
+            if (
+                update.state != MemberState.ALIVE
+                and update.incarnation >= self.incarnation
+                and not self.has_left
+            ):
+                self.incarnation = update.incarnation + 1  # refutes the update
+                self.spread(
+                    MemberUpdate(self.limiter_id, self.address, self.incarnation, MemberState.ALIVE)
+                )
             return
         known, state = self.peers.get(update.id), MemberState(update.state)
         if known is None:
             if state in (MemberState.DEAD, MemberState.LEFT):
                 return  # an unknown member
-            self.peers[update.id] = Peer(update.id, update.at, update.inc, state, now)
+            self.peers[update.id] = Peer(update.id, update.address, update.incarnation, state, now)
             self.transitions.append((update.id, MemberState.DEAD, state))
         else:
-            if (update.inc, state) <= (known.inc, known.state):
+            if (update.incarnation, state) <= (known.incarnation, known.state):
                 return
             if known.state is not state:
                 self.transitions.append((update.id, known.state, state))
-            if update.inc > known.inc and not known.has_sent:
-                known.at = update.at
-            known.inc, known.state, known.state_since = update.inc, state, now
+            if update.incarnation > known.incarnation and not known.has_sent:
+                known.address = update.address
+            known.incarnation, known.state, known.state_since = update.incarnation, state, now
             if state in (MemberState.DEAD, MemberState.LEFT):
                 known.has_sent = False
-        self.spread(Word(update.id, self.peers[update.id].at, update.inc, state))
+        self.spread(
+            MemberUpdate(update.id, self.peers[update.id].address, update.incarnation, state)
+        )
--- a/loomstand/membership/messages.py
+++ b/loomstand/membership/messages.py
@@ -7,22 +7,22 @@
 from loomstand.config.limiter import BackendRecord
 
 # bytes: well under what loopback and networks that fragment can carry
-MOST = 8192
+MAX_DATAGRAM_BYTES = 8192
 
 
-class Word(msgspec.Struct, array_like=True):
+class MemberUpdate(msgspec.Struct, array_like=True):
     """The state of one limiter as known to the sender.
 
     Attributes:
         id: The limiter's number.
-        at: Where it receives datagrams of peers.
-        inc: Its incarnation in Unix ms.
+        address: Where it receives datagrams of peers.
+        incarnation: Its incarnation in Unix ms.
         state: Number of its `loomstand.membership.members.MemberState`.
     """
 
     id: int
-    at: str
-    inc: int
+    address: str
+    incarnation: int
     state: int
 
 
@@ -31,16 +31,16 @@
 
     Attributes:
         id: The sender's number.
-        inc: The sender's incarnation in Unix ms.
+        incarnation: The sender's incarnation in Unix ms.
         revision: Revision of the sender's endpoint list; 0 for none.
         updates: States of other limiters.
         age: Seconds since discovery last confirmed the sender's list; below 0 if it never did.
     """
 
     id: int
-    inc: int
+    incarnation: int
     revision: int
-    updates: list[Word]
+    updates: list[MemberUpdate]
     age: float = -1.0
 
 
@@ -51,17 +51,17 @@
 
 
 class Ack(Message):
-    """Answers a ping; with `of` set, relays the answer of that limiter."""
+    """Answers a ping; with `target` set, relays the answer of that limiter."""
 
     seq: int = 0
-    of: int = -1
+    target: int = -1
 
 
 class Check(Message):
-    """Asks the recipient to ping limiter `whom`, which did not answer the sender."""
+    """Asks the recipient to ping limiter `target`, which did not answer the sender."""
 
     seq: int = 0
-    whom: int = -1
+    target: int = -1
 
 
 class Want(Message):
@@ -72,18 +72,18 @@
     """A part of an endpoint list as discovery sent it.
 
     Attributes:
-        n: Number of the part, from 0.
-        of: Number of parts.
-        whole: Whether the parts make a whole list; else they are changes.
-        since: The revision that changes apply to; 0 for a whole list.
-        members: The servers of the part.
+        number: Number of the part, from 0.
+        count: Number of parts.
+        is_whole: Whether the parts make a whole list; else they are changes.
+        base_revision: The revision that changes apply to; 0 for a whole list.
+        servers: The servers of the part.
     """
 
-    n: int = 0
-    of: int = 1
-    whole: bool = True
-    since: int = 0
-    members: list[BackendRecord] = msgspec.field(default_factory=list)
+    number: int = 0
+    count: int = 1
+    is_whole: bool = True
+    base_revision: int = 0
+    servers: list[BackendRecord] = msgspec.field(default_factory=list)
 
 
 AnyMessage = Ping | Ack | Check | Want | Part
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -20,14 +20,14 @@
     parse_limiter_config,
 )
 from loomstand.membership import messages
-from loomstand.membership.driver import TICK, Peers
+from loomstand.membership.driver import TICK_SECONDS, PeerProtocol
 from loomstand.membership.endpoint_lists import (
     STALE_SECONDS,
     WATCH_STAGGER_SECONDS,
     WATCHERS,
-    Lists,
+    EndpointLists,
 )
-from loomstand.membership.members import Members, MemberState
+from loomstand.membership.members import Membership, MemberState
 from loomstand.membership.messages import Part, Ping
 from loomstand.testing.emulator.scenario import ScenarioError, from_table
 from loomstand.testing.rehearsal import checker, scenario
@@ -41,7 +41,7 @@
         self.rng, self.now, self.n, self.configured_count = Random(seed), 0.0, n, configured_count
         self.loss = self.duplication = 0.0
         self.partition: set[int] = set()  # the members of one side
-        self.members: dict[int, Members | None] = {}
+        self.members: dict[int, Membership | None] = {}
         self.in_flight: list[tuple[float, int, int, bytes]] = []
         self.sent = 0
         for i in range(n):
@@ -52,7 +52,7 @@
 
     def start(self, i: int) -> None:
         configured = [self.address(j) for j in range(self.configured_count)]
-        self.members[i] = Members(
+        self.members[i] = Membership(
             i, self.address(i), int(self.now * 1000) + 1, configured, i, self.now
         )
 
@@ -70,16 +70,16 @@
                 member = self.members.get(j)
                 if member is not None and (i in self.partition) == (j in self.partition):
                     message = messages.decode(raw)
-                    member.took(self.now, message, self.address(i))
+                    member.receive(self.now, message, self.address(i))
                     self.collect(j, member)
 
-    def collect(self, i: int, member: Members) -> None:
-        out, member.out = member.out, []
-        for recipient, message in out:
+    def collect(self, i: int, member: Membership) -> None:
+        outbox, member.outbox = member.outbox, []
+        for recipient, message in outbox:
             address = (
                 recipient
                 if isinstance(recipient, str)
-                else member.peers[recipient].at
+                else member.peers[recipient].address
                 if recipient in member.peers
                 else ""
             )
@@ -161,52 +161,59 @@
     return BackendList(revision=revision, complete=complete, backends=[server(i) for i in ids])
 
 
-def send_whole_list(lists: Lists, to: Lists, now: float) -> list:
-    return [changes for part in lists.whole() if (changes := to.from_peer(now, part)) is not None]
+def send_whole_list(lists: EndpointLists, to: EndpointLists, now: float) -> list:
+    return [
+        changes for part in lists.whole_list() if (changes := to.from_peer(now, part)) is not None
+    ]
 
 
 def test_a_list_passes_between_peers_and_never_goes_back():
-    one, two, three = Lists(0, 0.0), Lists(1, 0.0), Lists(2, 0.0)
+    one, two, three = EndpointLists(0, 0.0), EndpointLists(1, 0.0), EndpointLists(2, 0.0)
     one.from_discovery(1.0, server_list(5, *(f"s{n}" for n in range(100))))
-    old_parts = one.whole()
+    old_parts = one.whole_list()
     assert len(old_parts) == 3
     assert (
-        len(send_whole_list(one, two, 1.0)) == 1 and len(two.members) == 100 and two.revision == 5
+        len(send_whole_list(one, two, 1.0)) == 1 and len(two.servers) == 100 and two.revision == 5
     )
     change = BackendList(revision=6, complete=False, backends=[server("s7", "left")])
     part = one.from_discovery(2.0, change)
-    assert two.from_peer(2.0, part) is not None and "s7" not in two.members
+    assert two.from_peer(2.0, part) is not None and "s7" not in two.servers
     assert [two.from_peer(3.0, p) for p in old_parts] == [None] * 3
     assert three.from_peer(3.0, part) is None  # changes in between are missing
     send_whole_list(two, three, 3.0)
-    assert "s7" not in three.members and len(three.members) == 99
+    assert "s7" not in three.servers and len(three.servers) == 99
 
 
 def test_servers_missing_in_a_list_from_a_peer_are_not_removed():
-    one, two = Lists(0, 0.0), Lists(1, 0.0)
+    one, two = EndpointLists(0, 0.0), EndpointLists(1, 0.0)
     for lists in (one, two):
         lists.from_discovery(1.0, server_list(5, "a", "b", "c"))
-    shorter = Part(0, 0, 9, [], members=[server("a")])
+    shorter = Part(0, 0, 9, [], servers=[server("a")])
     changes = two.from_peer(2.0, shorter)
-    assert not changes.complete and set(two.members) == {"a", "b", "c"}
+    assert not changes.complete and set(two.servers) == {"a", "b", "c"}
     two.from_discovery(3.0, server_list(6, "a"))  # discovery may even go back to a lower revision
-    assert set(two.members) == {"a"} and two.revision == 6
+    assert set(two.servers) == {"a"} and two.revision == 6
 
 
 @pytest.mark.parametrize(
-    "n, of, revision", [(3, 3, 9), (-1, 3, 9), (0, 100_000, 9), (0, 1, 0), (0, 1, -5)]
+    "number, count, revision", [(3, 3, 9), (-1, 3, 9), (0, 100_000, 9), (0, 1, 0), (0, 1, -5)]
 )
-def test_an_invalid_part_changes_nothing(n, of, revision):
-    lists = Lists(1, 0.0)
+def test_an_invalid_part_changes_nothing(number, count, revision):
+    lists = EndpointLists(1, 0.0)
     lists.from_discovery(1.0, server_list(5, "a"))
-    assert lists.from_peer(2.0, Part(0, 0, revision, [], n=n, of=of, members=[server("x")])) is None
-    assert set(lists.members) == {"a"} and lists.revision == 5
+    assert (
+        lists.from_peer(
+            2.0, Part(0, 0, revision, [], number=number, count=count, servers=[server("x")])
+        )
+        is None
+    )
+    assert set(lists.servers) == {"a"} and lists.revision == 5
 
 
 def test_an_incomplete_list_is_dropped_after_the_timeout():
-    one, two = Lists(0, 0.0), Lists(1, 0.0)
+    one, two = EndpointLists(0, 0.0), EndpointLists(1, 0.0)
     one.from_discovery(1.0, server_list(5, *(f"s{n}" for n in range(100))))
-    a, b, c = one.whole()
+    a, b, c = one.whole_list()
     assert two.from_peer(1.0, a) is two.from_peer(1.1, b) is None
     assert two.from_peer(9.0, c) is None and two.revision == 0
     assert two.from_peer(9.1, a) is None and two.from_peer(9.2, b) is not None
@@ -214,14 +221,14 @@
 
 def test_few_limiters_watch_discovery_and_more_of_them_when_its_confirmation_is_stale():
     alive = list(range(50))
-    fleet = [Lists(n, 0.0) for n in alive]
+    fleet = [EndpointLists(n, 0.0) for n in alive]
     # a simultaneous start
-    assert [n for n in alive if fleet[n].watching(0.0, [n])] == list(range(WATCHERS))
+    assert [n for n in alive if fleet[n].should_watch(0.0, [n])] == list(range(WATCHERS))
     for lists in fleet:
         lists.from_configuration(server_list(5, "a"))
-        lists.heard(3.0, 0.0)
-    assert [n for n in alive if fleet[n].watching(8.0, alive)] == list(range(WATCHERS))
-    assert [n for n in alive if fleet[n].watching(8.0, alive[2:] if n > 1 else alive)] == [
+        lists.observe_age(3.0, 0.0)
+    assert [n for n in alive if fleet[n].should_watch(8.0, alive)] == list(range(WATCHERS))
+    assert [n for n in alive if fleet[n].should_watch(8.0, alive[2:] if n > 1 else alive)] == [
         0,
         1,
         2,
@@ -229,7 +236,7 @@
         4,
     ]
     watching = [
-        sum(lists.watching(3.0 + STALE_SECONDS + t, alive) for lists in fleet)
+        sum(lists.should_watch(3.0 + STALE_SECONDS + t, alive) for lists in fleet)
         for t in (0.0, 1.0, 2.0)
     ]
     assert watching[0] == 3 and watching[1] <= 5 and watching[2] <= 9
@@ -348,9 +355,9 @@
     """
 
     def __init__(
-        self, n: int, fleet: list[SimulatedLimiter], loop: SimulatedLoop, rng: Random
+        self, number: int, fleet: list[SimulatedLimiter], loop: SimulatedLoop, rng: Random
     ) -> None:
-        self.n, self.fleet, self.loop, self.rng = n, fleet, loop, rng
+        self.number, self.fleet, self.loop, self.rng = number, fleet, loop, rng
         (
             self.is_up,
             self.is_cut_off,
@@ -368,15 +375,15 @@
         )
         self.is_watching, self.log = False, lambda text: None
         addresses = [f"127.0.0.1:{1000 + n}" for n in range(6)]
-        self.peers = Peers(
+        self.peers = PeerProtocol(
             self,
             self,
-            n,
+            number,
             6,
-            addresses[n],
-            [a for a in addresses if a != addresses[n]],
+            addresses[number],
+            [a for a in addresses if a != addresses[number]],
             BackendList(),
-            n,
+            number,
         )
         self.peers.connection_made(self)
         loop.call_later(rng.random() * 0.05, self.peers.tick)
@@ -391,7 +398,7 @@
         if self.is_up and not self.is_cut_off and self.is_watching:
             list_ = server_list(1, *(f"s{n}" for n in range(100)))  # three datagrams
             self.listed(list_)
-            self.peers.from_discovery(list_)
+            self.peers.discovery_listed(list_)
 
     def listed(self, list_: BackendList) -> None:
         self.listed_at = self.loop.now if self.listed_at is None else self.listed_at
@@ -401,9 +408,9 @@
 
     def sendto(self, raw: bytes, to: tuple[str, int]) -> None:
         recipient = self.fleet[to[1] - 1000]
-        self.loop.call_later(self.rng.random() * 0.01, recipient.took, raw, self.peers.at)
+        self.loop.call_later(self.rng.random() * 0.01, recipient.receive, raw, self.peers.address)
 
-    def took(self, raw: bytes, source: str) -> None:
+    def receive(self, raw: bytes, source: str) -> None:
         if self.is_up:
             self.peers.datagram_received(raw, ("127.0.0.1", int(source.split(":")[1])))
 
@@ -426,7 +433,7 @@
         ):
             loop.call_later(rng.random() * 0.1, setattr, fleet[n], attribute, value)
         # until the last limiter has started and has had its turn to ask discovery
-        loop.run(0.05 + 5 * WATCH_STAGGER_SECONDS + 2 * TICK)
+        loop.run(0.05 + 5 * WATCH_STAGGER_SECONDS + 2 * TICK_SECONDS)
         if any(m.listed_at is None for m in fleet[2:]) or any(m.discovery_calls > 1 for m in fleet):
             failed.append(seed)
     return failed
@@ -441,9 +448,11 @@
 )
 def test_a_start_needs_both_sources_of_a_list(mutant, monkeypatch):
     if mutant.endswith("discovery"):
-        monkeypatch.setattr(Lists, "watching", lambda self, now, alive: self.limiter_id < WATCHERS)
+        monkeypatch.setattr(
+            EndpointLists, "should_watch", lambda self, now, alive: self.limiter_id < WATCHERS
+        )
     else:
-        monkeypatch.setattr(Lists, "whole", lambda self: [])
+        monkeypatch.setattr(EndpointLists, "whole_list", lambda self: [])
     assert failed_starts(range(200))
 
 
@@ -468,10 +477,10 @@
     limiter = SimpleNamespace(
         loop=loop, log=lines.append, listed=lambda list_: lines.append("listed")
     )
-    peers = Peers(
+    peers = PeerProtocol(
         limiter, SimpleNamespace(revision=0), 0, 9, "127.0.0.1:1", ["127.0.0.1:2"], BackendList(), 1
     )
-    part = Part(3, 1, 9, [], members=[server("x")])
+    part = Part(3, 1, 9, [], servers=[server("x")])
     for raw in (
         b"",
         b"\x00",
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -476,7 +476,10 @@
 
 
 def datagrams() -> dict[str, Any]:
-    words = [messages.Word(3, "10.0.0.3:7000", 2, 1), messages.Word(4, "10.0.0.4:7000", 1, 0)]
+    words = [
+        messages.MemberUpdate(3, "10.0.0.3:7000", 2, 1),
+        messages.MemberUpdate(4, "10.0.0.4:7000", 1, 0),
+    ]
     base = (1, 5, 42, words)
     servers = [
         config.BackendRecord(id="s1", address="10.0.1.1:80", phase="active", zone="east", pod=1),
@@ -491,10 +494,10 @@
     ]
     kinds = [
         messages.Ping(*base, age=0.25, seq=9),
-        messages.Ack(*base, age=-1.0, seq=9, of=4),
-        messages.Check(*base, seq=10, whom=4),
+        messages.Ack(*base, age=-1.0, seq=9, target=4),
+        messages.Check(*base, seq=10, target=4),
         messages.Want(1, 5, 0, [], age=3.5),
-        messages.Part(*base, n=1, of=3, whole=False, since=41, members=servers),
+        messages.Part(*base, number=1, count=3, is_whole=False, base_revision=41, servers=servers),
         messages.Ping(0, 0, 0, []),
         messages.Part(2, 1, 7, []),
     ]
@@ -528,7 +531,7 @@
             said[name] = msgspec.to_builtins(messages.decode(raw))
         except (msgspec.DecodeError, config.LimiterConfigError, UnicodeDecodeError) as why:
             said[name] = f"{type(why).__name__}: {why}"
-    return said | {"most bytes": messages.MOST}
+    return said | {"most bytes": messages.MAX_DATAGRAM_BYTES}
 
 
 # --- the configuration of the stand-alone limiter
