--- a/loomstand/admission/admission_control.py
+++ b/loomstand/admission/admission_control.py
@@ -36,7 +36,7 @@
 from loomstand.admission.settings import Effect
 from loomstand.admission.tenant_limiter import TenantLimiter
 from loomstand.admission.ticks import TICKS_PER_SECOND
-from loomstand.failover.engine_view import Guide
+from loomstand.failover.engine_view import FailoverPolicy
 
 DEFAULT_SERVICE = 0  # the one that a zone plan is about
 MANY_TENANTS = 1_000  # beyond which tenants are forgotten sooner: they fill a megabyte
@@ -59,12 +59,14 @@
         counts: Counts for the log.
     """
 
-    def __init__(self, loop: ActorLoop, counter_client: CounterClient, guide: Guide | None) -> None:
+    def __init__(
+        self, loop: ActorLoop, counter_client: CounterClient, failover: FailoverPolicy | None
+    ) -> None:
         super().__init__(loop)
         self.counter_client = counter_client
         self.tenants: dict[int, TenantLimiter] = {}
         self.tenants_by_digest: dict[int, TenantLimiter] = {}
-        self.load_balancers = {DEFAULT_SERVICE: LoadBalancer(loop, guide)}
+        self.load_balancers = {DEFAULT_SERVICE: LoadBalancer(loop, failover)}
         self.pending: dict[int, PendingRequest] = {}
         self.counts = EventCounts(COUNTS_PERIOD, loop.now)
 
--- a/loomstand/admission/decision_engine.py
+++ b/loomstand/admission/decision_engine.py
@@ -26,7 +26,7 @@
     TimerFired,
 )
 from loomstand.admission.settings import EngineSettings
-from loomstand.failover.engine_view import Guide
+from loomstand.failover.engine_view import FailoverPolicy
 
 
 class DecisionEngine:
@@ -41,16 +41,16 @@
         settings: The settings in force.
         seed: Of all random draws.
         now: Reading of the common clock, in ticks.
-        guide: The zone plan's view of the default service's servers, or None without such a plan.
+        failover: The zone plan's view of the default service's servers, or None without a plan.
     """
 
     def __init__(
-        self, settings: EngineSettings, seed: int, now: int, guide: Guide | None = None
+        self, settings: EngineSettings, seed: int, now: int, failover: FailoverPolicy | None = None
     ) -> None:
         self.loop = ActorLoop(settings, seed, now)
         self.counter_client = CounterClient(self.loop)
-        self.admission = AdmissionControl(self.loop, self.counter_client, guide)
-        self._zoned = self.admission.load_balancers[DEFAULT_SERVICE] if guide else None
+        self.admission = AdmissionControl(self.loop, self.counter_client, failover)
+        self._zoned = self.admission.load_balancers[DEFAULT_SERVICE] if failover else None
         admission = self.admission
         # Any: each handler takes its own class of event, which a mapping's type can't say
         self._handlers: dict[type, tuple[Actor, Callable[[Any], None]]] = {
--- a/loomstand/admission/load_balancer.py
+++ b/loomstand/admission/load_balancer.py
@@ -2,7 +2,7 @@
 
 All limiters order the live servers alike on a ring. Each uses a few of them, its subset, so that
 outcomes tell it soon how they do (`loomstand.failover.subset_selection`). Under a zone plan the
-`Guide` decides in place of some of the rules here.
+`FailoverPolicy` decides in place of some of the rules here.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from loomstand.admission.ring import Ring
 from loomstand.admission.settings import Effect
 from loomstand.admission.slow_start import SuccessRates
-from loomstand.failover.engine_view import Guide
-from loomstand.failover.subset_selection import used
+from loomstand.failover.engine_view import FailoverPolicy
+from loomstand.failover.subset_selection import select_servers
 
 SUBSET_SERVERS = 6  # enough to have a choice; more where they warm up
 SUBSET_SHARES = 4  # or where limiters are few: so many limiters use a server
@@ -55,7 +55,7 @@
     """Admits requests to a service's servers and chooses a server for each attempt.
 
     Attributes:
-        guide: The zone plan's view, or None.
+        failover: The zone plan's view, or None.
         retry_budget: Retries that may be sent.
         stats: Durations of answers by request class.
         servers: All servers by index, also those that are gone but have attempts in flight.
@@ -66,9 +66,9 @@
         successes: How much the servers answer.
     """
 
-    def __init__(self, loop: ActorLoop, guide: Guide | None = None) -> None:
+    def __init__(self, loop: ActorLoop, failover: FailoverPolicy | None = None) -> None:
         self.loop = loop
-        self.guide = guide
+        self.failover = failover
         self.retry_budget = RetryBudget(loop.settings)
         self.stats = [FrontendStats(frontend) for frontend in loop.settings.frontends]
         self.servers: dict[int, Backend] = {}
@@ -91,9 +91,9 @@
         for endpoint in endpoints:
             self._update_endpoint(endpoint)
         self._subset_at = NEVER
-        if self.guide:
+        if self.failover:
             live = ((s.endpoint_id, s.endpoint.zone, s.endpoint.started_at) for s in self.ring)
-            self.guide.listed(self.loop.now, live)
+            self.failover.update_endpoints(self.loop.now, live)
         # servers that come one by one each bring their capacity
         if servers_before and self.loop.settings.window_follows_endpoints:
             self.window.size *= len(self.ring) / servers_before
@@ -109,29 +109,29 @@
 
     def apply_zone_changes(self) -> None:
         """Follows the zones that were lost or came back: the window changes with them at once."""
-        if not self.guide:
+        if not self.failover:
             return
-        for line in self.guide.moved(self.loop.now):
+        for line in self.failover.evaluate_zones(self.loop.now):
             self._subset_at = NEVER
             self.loop.actions.append(LogMessage(line))
-        self.window.size *= self.guide.scale
+        self.window.size *= self.failover.window_scale
 
     def select_subset(self) -> None:
         """Chooses the servers to use."""
         settings = self.loop.settings
-        guide = self.guide
+        failover = self.failover
         ring: list[Backend] = self.ring
         lost: list[Backend] = []
-        if guide:
-            lost = [s for s in ring if guide.avoided(s.endpoint.zone)]
+        if failover:
+            lost = [s for s in ring if failover.is_avoided(s.endpoint.zone)]
             ring = [s for s in ring if s not in lost] if lost else ring
         live = len(ring)
-        usual = max(len(self.ring), guide.usual if guide else 0)
-        capacity = sum(s.capacity() for s in ring) if guide else live
+        usual = max(len(self.ring), failover.usual_server_count if failover else 0)
+        capacity = sum(s.capacity() for s in ring) if failover else live
         enough = int(SUBSET_SERVERS * usual / max(1.0, capacity))
         share = SUBSET_SHARES * usual // max(1, settings.limiter_count)
         size = min(live, max(enough, share))
-        self.subset, self.ejected = used(ring, lost, settings, size, len(self.stats))
+        self.subset, self.ejected = select_servers(ring, lost, settings, size, len(self.stats))
         self._subset_at = self.loop.now
 
     def _update_endpoint(self, endpoint: Endpoint) -> None:
@@ -153,10 +153,10 @@
         work = self.stats[pending.arrival.frontend].durations.mean(PRIOR_DURATION, PRIOR_WEIGHT)
         value = pending.value / work
         pressure = self.window.pressure(value)
-        if self.guide:
+        if self.failover:
             size = self.window.size
-            rank = _shedding_rank(self.guide, pending)
-            return self.guide.admits(self.loop.now, rank, work, size, self.loop.random())
+            rank = _shedding_rank(self.failover, pending)
+            return self.failover.admits(self.loop.now, rank, work, size, self.loop.random())
         return self.window.admits(pressure, value, pending.tenant_limiter.is_unknown())
 
     def pick(self, pending: PendingRequest) -> Backend | None:
@@ -239,16 +239,18 @@
         server = ejected[int(self.loop.random() * len(ejected))]
         draw = self.loop.random()
         is_probed = draw < server.probe_share
-        if self.guide:
-            rank = _shedding_rank(self.guide, pending)
-            is_probed = self.guide.probes(server.endpoint.zone, rank, server.probe_share, draw)
+        if self.failover:
+            rank = _shedding_rank(self.failover, pending)
+            is_probed = self.failover.may_probe(
+                server.endpoint.zone, rank, server.probe_share, draw
+            )
         return server if is_probed and self.allows_slow_start(server) else None
 
     def _pick_in_use(self, pending: PendingRequest) -> Backend | None:
         """Returns a server in use, the likelier the less it is expected to let the request wait."""
         settings = self.loop.settings
         random = self.loop.random
-        guide = self.guide
+        failover = self.failover
         frontend = pending.arrival.frontend
         servers = self.subset[frontend]
         attempted = {attempt.endpoint_id for attempt in pending.attempts}
@@ -261,10 +263,10 @@
             if not self.is_safe_to_send(pending, server) or server.in_flight > max_load:
                 continue
             zone = server.endpoint.zone
-            if guide and not guide.passes(zone, server.capacity(), random()):
+            if failover and not failover.may_use_server(zone, server.capacity(), random()):
                 continue
-            # under a guide, servers that warm up were passed over by chance already
-            capacity = 1.0 if guide else server.capacity()
+            # under a zone plan, servers that warm up were passed over by chance already
+            capacity = 1.0 if failover else server.capacity()
             wait = server.durations.mean(mean, PRIOR_SERVER_WEIGHT) / capacity
             cost = wait * (1 + server.in_flight)
             if server.endpoint_id in attempted:
@@ -294,9 +296,9 @@
         self.retry_budget.attempt_sent(self.loop.settings, is_first=not number)
         expires_at = self._expiry(pending)
         self.window.in_flight[request_id, number] = now
-        if self.guide:
+        if self.failover:
             key = (request_id, number)
-            self.guide.sent(now, key, server.endpoint.zone, server.endpoint_id)
+            self.failover.attempt_sent(now, key, server.endpoint.zone, server.endpoint_id)
         server.post(server.send, request_id, expires_at)
         pending.attempts.append(Attempt(server.endpoint_id, now))
 
@@ -312,9 +314,11 @@
         key = (event.request_id, event.attempt)
         self.window.in_flight.pop(key, None)
         zone = server.endpoint.zone
-        if self.guide:
+        if self.failover:
             is_late = event.duration > stats.frontend.latency_target
-            self.guide.ended(self.loop.now, key, zone, server.endpoint_id, event.outcome, is_late)
+            self.failover.attempt_ended(
+                self.loop.now, key, zone, server.endpoint_id, event.outcome, is_late
+            )
         if not pending.is_cancelled:
             self.adjust_window(event, stats, zone)
         return True
@@ -325,10 +329,12 @@
         self.successes.add(event.outcome is Outcome.SUCCEEDED, self.loop.now)
         min_size = self._attempts_per_server(MIN_ATTEMPTS_PER_SERVER)
         verdict = window.judge(event, stats, min_size)
-        if self.guide:
-            min_size = self.guide.least(self.loop.settings.limiter_count)
+        if self.failover:
+            min_size = self.failover.min_window(self.loop.settings.limiter_count)
             count = len(window.in_flight)
-            window.size = self.guide.answered(window.size, min_size, zone, verdict.weight, count)
+            window.size = self.failover.window_after_answer(
+                window.size, min_size, zone, verdict.weight, count
+            )
         else:
             window.adjust(verdict, min_size)
 
@@ -347,8 +353,8 @@
         return deadline
 
 
-def _shedding_rank(guide: Guide, pending: PendingRequest) -> int:
+def _shedding_rank(failover: FailoverPolicy, pending: PendingRequest) -> int:
     """Returns the zone plan's rank of a request; 0 is rejected first."""
     arrival = pending.arrival
     is_over_quota = pending.tenant_limiter.is_over_quota()
-    return guide.rank(arrival.frontend, arrival.plan, arrival.is_retry, is_over_quota)
+    return failover.rank(arrival.frontend, arrival.plan, arrival.is_retry, is_over_quota)
--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -299,21 +299,25 @@
         f = forecast(told, lost)
         click.echo(f"zone {lost} lost:" if lost else "no zone lost:")
         click.echo(
-            f"  asked {f.asked:.1f} slots, room for {f.room:.1f}; use {f.use:.2f}; worth "
-            f"{f.worth:.3f}"
+            f"  asked {f.demand_slots:.1f} slots, room for {f.usable_slots:.1f}; "
+            f"use {f.utilization:.2f}; worth {f.admitted_value_share:.3f}"
         )
         if lost:
             click.echo(
-                "  its load goes to " + ", ".join(f"{z} {n:.1f} slots" for z, n in f.goes.items())
+                "  its load goes to "
+                + ", ".join(f"{z} {n:.1f} slots" for z, n in f.moved_slots.items())
             )
         for r in f.ranks:
-            if r.share > 0:
-                click.echo(f"  refused: {r.share:.0%} of {r.name} ({r.asked - r.given:.1f} slots)")
-        if f.missing_all:
-            click.echo(f"  {f.missing_all} more servers would bear all that is asked")
-        if f.missing:
+            if r.refused_share > 0:
+                click.echo(
+                    f"  refused: {r.refused_share:.0%} of {r.name} "
+                    f"({r.demand_slots - r.admitted_slots:.1f} slots)"
+                )
+        if f.missing_servers_for_all:
+            click.echo(f"  {f.missing_servers_for_all} more servers would bear all that is asked")
+        if f.missing_servers:
             borne = False
-            s = "" if f.missing == 1 else "s"
-            click.echo(f"  the fleet does not bear this: {f.missing} more server{s} needed")
+            s = "" if f.missing_servers == 1 else "s"
+            click.echo(f"  the fleet does not bear this: {f.missing_servers} more server{s} needed")
     if not borne:
         raise SystemExit(1)
--- a/loomstand/config/limiter/loader.py
+++ b/loomstand/config/limiter/loader.py
@@ -18,7 +18,7 @@
 from loomstand.config.units import Address
 from loomstand.config.validation import locate_error
 from loomstand.failover import zone_plan
-from loomstand.failover.zone_plan import SitePlan
+from loomstand.failover.zone_plan import ZonePlan
 
 CONFIG_VARIABLE = "PROXY_CONFIG"
 """The variable of the environment that names the file."""
@@ -95,7 +95,7 @@
     limits: ResourceLimits
     initial_backends: BackendList
     settings: WireSettings
-    zone_plan: SitePlan | None = None
+    zone_plan: ZonePlan | None = None
     peer_address: str = ""
     peer_addresses: tuple[str, ...] = ()
 
@@ -203,7 +203,7 @@
     return parse_host_port(text, key)
 
 
-def _load_zone_plan(path: str, settings: WireSettings) -> SitePlan:
+def _load_zone_plan(path: str, settings: WireSettings) -> ZonePlan:
     """Loads a zone plan, which may name the frontends and plans of these settings."""
     frontends = [frontend.name for frontend in settings.frontends]
     plans = [plan.name for plan in settings.plans]
--- a/loomstand/failover/__init__.py
+++ b/loomstand/failover/__init__.py
@@ -1,6 +1,6 @@
 """Failover after the loss of a whole zone: plan, loss detection and load shedding order
 (docs/sites.md).
 
-Everything here is pure: no I/O and no clock. The decision engine calls `engine_view.Guide`, which
-uses the other modules.
+Everything here is pure: no I/O and no clock. The decision engine calls
+`engine_view.FailoverPolicy`, which uses the other modules.
 """
--- a/loomstand/failover/engine_view.py
+++ b/loomstand/failover/engine_view.py
@@ -15,7 +15,7 @@
 from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.failover.shedding_order import SheddingOrder, WindowController
 from loomstand.failover.zone_loss_detector import ZoneLossDetector, ZoneState
-from loomstand.failover.zone_plan import SitePlan
+from loomstand.failover.zone_plan import ZonePlan
 
 # Share of the requests of rank 0 that probe a lost zone. At eight such requests/s the two answers
 # that show a healed partition arrive within 5 s, at the cost of a twentieth of these requests.
@@ -27,7 +27,7 @@
 MIN_ATTEMPTS_PER_SERVER = 5
 
 
-class Guide:
+class FailoverPolicy:
     """Avoidance of lost zones and load shedding by the zone plan.
 
     Args:
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        plan: SitePlan,
+        plan: ZonePlan,
         settings: EngineSettings,
         names: tuple[Sequence[str], Sequence[str], Sequence[str]],
         now: int,
@@ -49,16 +49,22 @@
         self.detector = ZoneLossDetector(
             answer_timeout, settings.slow_start_period, settings.slow_start_initial_capacity
         )
-        self.scale, self.window_controller, self.usual = 1.0, WindowController(), 0
-        self.take(plan)
+        self.window_scale, self.window_controller, self.usual_server_count = (
+            1.0,
+            WindowController(),
+            0,
+        )
+        self.replace_plan(plan)
 
-    def take(self, plan: SitePlan) -> None:
+    def replace_plan(self, plan: ZonePlan) -> None:
         """Replace the plan; the states of the zones and of the window controller are kept."""
         self.plan = plan
         self.planned_demand = (
             sum(d.rate * d.work_ms / 1000 for d in plan.demand) if plan.zones else 0.0
         )
-        self.order = SheddingOrder(plan.ranks(), plan.keep.share if plan.keep else 0.0, self.now)
+        self.order = SheddingOrder(
+            plan.rank_count(), plan.keep.share if plan.keep else 0.0, self.now
+        )
         frontend_names, plan_names, _ = self.names
 
         @lru_cache(1 << 10)
@@ -70,19 +76,19 @@
 
     # reports of the engine
 
-    def listed(self, now: int, servers: Iterable[tuple[int, int, int]]) -> None:
+    def update_endpoints(self, now: int, servers: Iterable[tuple[int, int, int]]) -> None:
         """Follow the live servers, each with its number, zone and start time."""
         live = list(servers)
         self.detector.update_endpoints(now, live)
         # A lost zone takes its limiters with it, so the remaining limiters need larger subsets: the
         # server count from before the loss is kept.
         if all(z.state is ZoneState.WHOLE for z in self.detector.zones.values()):
-            self.usual = len(live)
+            self.usual_server_count = len(live)
 
-    def sent(self, now: int, key: tuple[int, int], zone: int, server: int) -> None:
+    def attempt_sent(self, now: int, key: tuple[int, int], zone: int, server: int) -> None:
         self.detector.attempt_sent(now, key, zone, server)
 
-    def ended(
+    def attempt_ended(
         self,
         now: int,
         key: tuple[int, int],
@@ -109,22 +115,24 @@
         counts = {z.name: z.limiters for z in self.plan.zones}
         total, remaining = sum(counts.values()), 0
         for zone, name in enumerate(self.names[2]):
-            remaining += 0 if zone == lost_zone or self.avoided(zone) else counts.get(name, 0)
+            remaining += 0 if zone == lost_zone or self.is_avoided(zone) else counts.get(name, 0)
         return remaining / total if remaining else 1.0
 
-    def least(self, limiters: int) -> float:
+    def min_window(self, limiters: int) -> float:
         """Return the smallest window: this limiter's part of five attempts for each server."""
-        live = sum(len(z.live) for zone, z in self.detector.zones.items() if not self.avoided(zone))
+        live = sum(
+            len(z.live) for zone, z in self.detector.zones.items() if not self.is_avoided(zone)
+        )
         return MIN_ATTEMPTS_PER_SERVER * live / max(1.0, limiters * self.remaining_limiter_share())
 
-    def answered(
+    def window_after_answer(
         self, size: float, min_size: float, zone: int, lateness: float, in_flight: int
     ) -> float:
         """Return the window size after an answer.
 
         An answer from a lost zone changes nothing, as it says nothing about the other zones.
         """
-        if self.avoided(zone):
+        if self.is_avoided(zone):
             return size
         return max(
             min_size,
@@ -144,16 +152,16 @@
         if not self.planned_demand:
             return float("inf")
         names = self.names[2]
-        lost = {names[zone] for zone in range(len(names)) if self.avoided(zone)}
+        lost = {names[zone] for zone in range(len(names)) if self.is_avoided(zone)}
         slots = sum(z.servers * z.slots for z in self.plan.zones if z.name not in lost)
         return sum(self.order.demand(self.now)) * slots * self.plan.fill / self.planned_demand
 
     # queries of the engine
 
-    def avoided(self, zone: int) -> bool:
+    def is_avoided(self, zone: int) -> bool:
         return self.detector.is_avoided(zone)
 
-    def passes(self, zone: int, capacity: float, draw: float) -> bool:
+    def may_use_server(self, zone: int, capacity: float, draw: float) -> bool:
         """Return whether a server may be chosen for this attempt.
 
         A server that warms up is chosen in proportion to its capacity, so that all limiters
@@ -165,25 +173,27 @@
             share = 1.0
         return draw < share * capacity
 
-    def probes(self, zone: int, rank: int, probe_share: float, draw: float) -> bool:
+    def may_probe(self, zone: int, rank: int, probe_share: float, draw: float) -> bool:
         """Return whether a request may probe an ejected server.
 
         Only requests of rank 0 may: by the server's own probe share, or by a fixed one where its
         zone is lost.
         """
-        return rank == 0 and draw < (LOST_ZONE_PROBE_SHARE if self.avoided(zone) else probe_share)
+        return rank == 0 and draw < (
+            LOST_ZONE_PROBE_SHARE if self.is_avoided(zone) else probe_share
+        )
 
     def admits(self, now: int, rank: int, work: float, window: float, draw: float) -> bool:
         return self.order.admits(now, rank, work, window, draw)
 
-    def moved(self, now: int) -> list[str]:
+    def evaluate_zones(self, now: int) -> list[str]:
         """Evaluate the zones and return their changes as log lines.
 
-        Sets `scale`, the factor by which the changes enlarge or shrink the window.
+        Sets `window_scale`, the factor by which the changes enlarge or shrink the window.
         """
         self.now = now
         self.detector.evaluate(now)
-        self.scale, lines = 1.0, []
+        self.window_scale, lines = 1.0, []
         for change in self.detector.transitions:
             zone_names = self.names[2]
             name = zone_names[change.zone] if change.zone < len(zone_names) else str(change.zone)
@@ -194,10 +204,12 @@
             if change.new is ZoneState.DOUBTFUL or (
                 change.new is ZoneState.LOST and change.old is not ZoneState.DOUBTFUL
             ):
-                self.scale *= (1 - change.server_share) / self.remaining_limiter_share(change.zone)
-            elif change.old is ZoneState.DOUBTFUL and change.new is ZoneState.WHOLE:
-                self.scale /= max(0.1, 1 - change.server_share) / self.remaining_limiter_share(
+                self.window_scale *= (1 - change.server_share) / self.remaining_limiter_share(
                     change.zone
                 )
+            elif change.old is ZoneState.DOUBTFUL and change.new is ZoneState.WHOLE:
+                self.window_scale /= max(
+                    0.1, 1 - change.server_share
+                ) / self.remaining_limiter_share(change.zone)
         self.detector.transitions = []
         return lines
--- a/loomstand/failover/subset_selection.py
+++ b/loomstand/failover/subset_selection.py
@@ -59,7 +59,7 @@
     return selected
 
 
-def used(
+def select_servers(
     ring: Sequence[ServerT],
     lost: list[ServerT],
     settings: EngineSettings,
--- a/loomstand/failover/zone_plan.py
+++ b/loomstand/failover/zone_plan.py
@@ -63,7 +63,7 @@
     share: Share = 0.2
 
 
-class SitePlan(StrictStruct):
+class ZonePlan(StrictStruct):
     """A complete plan. Requests of the first entry of `refuse` are refused first."""
 
     refuse: Annotated[list[SheddingRule], Meta(min_length=1)]
@@ -82,7 +82,7 @@
             if name in rule_names[:n]:
                 raise PlanError(f"key 'refuse[{n}].name': '{name}' is there twice")
 
-    def ranks(self) -> int:
+    def rank_count(self) -> int:
         """Return the number of ranks: those of `refuse`, unmatched requests and `keep`."""
         return len(self.refuse) + 2
 
@@ -102,7 +102,7 @@
         return next(matching, len(self.refuse))
 
 
-def parse(table: dict, frontends: Sequence[str] = (), plans: Sequence[str] = ()) -> SitePlan:
+def parse(table: dict, frontends: Sequence[str] = (), plans: Sequence[str] = ()) -> ZonePlan:
     """Convert a TOML table to a plan.
 
     Args:
@@ -113,7 +113,7 @@
     Raises:
         PlanError: The table is not a valid plan. The message names the key.
     """
-    plan = convert_table(table, SitePlan)
+    plan = convert_table(table, ZonePlan)
     rules = [(f"refuse[{n}]", r) for n, r in enumerate(plan.refuse)]
     rules += [("keep", plan.keep)] if plan.keep else []
     for path, rule in rules:
@@ -131,7 +131,7 @@
     return plan
 
 
-def load(path: str, frontends: Sequence[str] = (), plans: Sequence[str] = ()) -> SitePlan:
+def load(path: str, frontends: Sequence[str] = (), plans: Sequence[str] = ()) -> ZonePlan:
     """Read a plan from a file; see `parse`.
 
     Raises:
@@ -154,13 +154,13 @@
 
     rank: int
     name: str
-    asked: float
-    given: float
+    demand_slots: float
+    admitted_slots: float
 
     @property
-    def share(self) -> float:
+    def refused_share(self) -> float:
         """The share of the demand that is refused."""
-        return 1 - self.given / self.asked if self.asked else 0.0
+        return 1 - self.admitted_slots / self.demand_slots if self.demand_slots else 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -168,17 +168,17 @@
     """The effects of the loss of a zone, or of none."""
 
     lost: str
-    room: float  # usable slots of the remaining zones
-    asked: float  # demand in slots
-    use: float  # share of the remaining slots in use by the admitted load
-    goes: dict[str, float]  # slots of the lost zone's load that each remaining zone takes
+    usable_slots: float  # of the remaining zones
+    demand_slots: float
+    utilization: float  # share of the remaining slots in use by the admitted load
+    moved_slots: dict[str, float]  # of the lost zone's load, by remaining zone
     ranks: tuple[RankForecast, ...]
-    worth: float  # share of the demanded value that is admitted
-    missing: int  # servers missing for the requests that must not be refused
-    missing_all: int  # servers missing for the whole demand
+    admitted_value_share: float  # share of the demanded value that is admitted
+    missing_servers: int  # for the requests that must not be refused
+    missing_servers_for_all: int  # for the whole demand
 
 
-def forecast(plan: SitePlan, lost: str) -> Forecast:
+def forecast(plan: ZonePlan, lost: str) -> Forecast:
     """Compute the effects of the loss of a zone.
 
     The zone's load is distributed over the remaining zones by their capacity; load beyond their
@@ -191,26 +191,26 @@
     remaining_zones = [z for z in plan.zones if z.name != lost]
     slots = sum(z.servers * z.slots for z in remaining_zones)
     usable = slots * plan.fill
-    demand = [0.0] * plan.ranks()
-    value = [0.0] * plan.ranks()
+    demand = [0.0] * plan.rank_count()
+    value = [0.0] * plan.rank_count()
     for d in plan.demand:
         rank = plan.rank(d.frontend, d.plan, False, False)
         demand[rank] += d.rate * d.work_ms / 1000
         value[rank] += d.rate * d.value
-    admitted, unassigned = [0.0] * plan.ranks(), usable
-    for rank in reversed(range(plan.ranks())):  # the last rank is assigned first
+    admitted, unassigned = [0.0] * plan.rank_count(), usable
+    for rank in reversed(range(plan.rank_count())):  # the last rank is assigned first
         limit = unassigned
-        if plan.keep is not None and rank < plan.ranks() - 1:
+        if plan.keep is not None and rank < plan.rank_count() - 1:
             limit = min(
                 unassigned,
-                usable * (1 - plan.keep.share) - sum(admitted[rank + 1 : plan.ranks() - 1]),
+                usable * (1 - plan.keep.share) - sum(admitted[rank + 1 : plan.rank_count() - 1]),
             )
         admitted[rank] = min(demand[rank], max(0.0, limit))
         unassigned -= admitted[rank]
     names = [r.name for r in plan.refuse] + ["the rest", plan.keep.name if plan.keep else "keep"]
     ranks = tuple(
         RankForecast(n, names[n], demand[n], admitted[n])
-        for n in range(plan.ranks())
+        for n in range(plan.rank_count())
         if demand[n] > 0
     )
     total_slots = sum(z.servers * z.slots for z in plan.zones)
@@ -223,13 +223,15 @@
     protected = demand[-1] if plan.keep else next((d for d in reversed(demand) if d), 0.0)
     return Forecast(
         lost=lost,
-        room=usable,
-        asked=sum(demand),
-        use=sum(admitted) / slots if slots else 0.0,
-        goes=moved_by_zone,
+        usable_slots=usable,
+        demand_slots=sum(demand),
+        utilization=sum(admitted) / slots if slots else 0.0,
+        moved_slots=moved_by_zone,
         ranks=ranks,
-        worth=sum(v * a / d for v, a, d in zip(value, admitted, demand, strict=True) if d)
+        admitted_value_share=sum(
+            v * a / d for v, a, d in zip(value, admitted, demand, strict=True) if d
+        )
         / (sum(value) or 1.0),
-        missing=max(0, ceil((protected - usable) / slots_per_server - 1e-9)),
-        missing_all=max(0, ceil((sum(demand) - usable) / slots_per_server - 1e-9)),
+        missing_servers=max(0, ceil((protected - usable) / slots_per_server - 1e-9)),
+        missing_servers_for_all=max(0, ceil((sum(demand) - usable) / slots_per_server - 1e-9)),
     )
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -49,12 +49,12 @@
         # this process has run at least as long as it has worked: so long it surely passed nothing
         started = self.now() - int(time.process_time() * 10_000)
         names = ([f.name for f in conf.frontends], [p.name for p in conf.plans], conf.zones)
-        self.guide = None
+        self.failover = None
         if config.zone_plan:
-            from loomstand.failover.engine_view import Guide
+            from loomstand.failover.engine_view import FailoverPolicy
 
-            self.guide = Guide(config.zone_plan, self.settings, names, started)
-        self.engine = DecisionEngine(self.settings, config.random_seed, started, self.guide)
+            self.failover = FailoverPolicy(config.zone_plan, self.settings, names, started)
+        self.engine = DecisionEngine(self.settings, config.random_seed, started, self.failover)
         self.names = Names(
             [f.name for f in conf.frontends], [p.name for p in conf.plans], self.settings
         )
@@ -136,8 +136,8 @@
         ):
             self.counter.move(config.counter_address)
         fixed = ["name", "listen_address", "limits", "settings"]
-        if self.guide and config.zone_plan:
-            self.guide.take(config.zone_plan)
+        if self.failover and config.zone_plan:
+            self.failover.replace_plan(config.zone_plan)
         else:
             fixed.append("zone_plan")
         kept = [f for f in fixed if getattr(config, f) != getattr(old, f)]
--- a/loomstand/testing/emulator/runner.py
+++ b/loomstand/testing/emulator/runner.py
@@ -19,7 +19,7 @@
 from loomstand.admission.decision_engine import DecisionEngine
 from loomstand.admission.settings import EngineSettings
 from loomstand.admission.ticks import TICKS_PER_SECOND
-from loomstand.failover.engine_view import Guide
+from loomstand.failover.engine_view import FailoverPolicy
 from loomstand.testing.emulator import scenario as sc
 from loomstand.testing.emulator.baselines import POLICIES
 from loomstand.testing.emulator.checker import Verdict, check
@@ -34,11 +34,11 @@
     be.
     """
     s, now = fleet.scenario, fleet.engine.now
-    guide = None
+    failover = None
     if s.site is not None and s.sited:
         names = ([f.name for f in s.frontends], [p.name for p in s.plans], s.fleet.zones)
-        guide = Guide(s.site, settings, names, now)
-    return DecisionEngine(settings, seed, now, guide)
+        failover = FailoverPolicy(s.site, settings, names, now)
+    return DecisionEngine(settings, seed, now, failover)
 
 
 MAKERS: dict[str, PolicyMaker] = {"brain": brain, **POLICIES}
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -22,7 +22,7 @@
 )
 from loomstand.config.toml_tables import StrictStruct, TableError, convert_table, parse_toml
 from loomstand.config.toml_tables import read_toml as table_of
-from loomstand.failover.zone_plan import SitePlan
+from loomstand.failover.zone_plan import ZonePlan
 
 T = TypeVar("T")
 ScenarioError = TableError  # a scenario that can't be played; the message names the key
@@ -182,7 +182,7 @@
         default_factory=lambda: [Plan(name="basic", rate=10.0, burst=20.0)]
     )
     faults: list[Fault] = msgspec.field(default_factory=list)
-    site: SitePlan | None = None  # a site plan for the module (docs/sites.md)
+    site: ZonePlan | None = None  # a site plan for the module (docs/sites.md)
     sited: bool = True  # whether the module has it
 
     def __post_init__(self) -> None:
--- a/loomstand/testing/rehearsal/checker.py
+++ b/loomstand/testing/rehearsal/checker.py
@@ -24,7 +24,7 @@
 T = 10_000
 MS = T // 1000
 EXTRA_MS = 50  # PROTOCOL adds this to time limits on sockets
-MOVE = re.compile(r": (\d+\.\d+): zone (\S+): (\w+) to (\w+)").findall  # what the guide logs
+MOVE = re.compile(r": (\d+\.\d+): zone (\S+): (\w+) to (\w+)").findall  # failover logs it
 SETTLE = 0.25  # s: on a machine of many processes, between an order and what it does
 
 
--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -21,7 +21,7 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.cli.main import main
 from loomstand.failover import zone_plan as plans
-from loomstand.failover.engine_view import Guide
+from loomstand.failover.engine_view import FailoverPolicy
 from loomstand.failover.shedding_order import (
     SheddingOrder,
     WindowController,
@@ -81,7 +81,7 @@
     assert rank("look", "basic", False, True) == 1
     assert rank("look", "basic", False, False) == 2
     assert rank("look", "top", False, False) == rank("quote", "basic", False, False) == 3
-    assert rank("book", "basic", True, True) == 4 == plan.ranks() - 1
+    assert rank("book", "basic", True, True) == 4 == plan.rank_count() - 1
 
 
 # the forecast
@@ -94,15 +94,18 @@
     """
     plan = plans.parse(table())
     normal = plans.forecast(plan, "b")
-    assert normal.room == pytest.approx(57.6) and normal.asked == pytest.approx(54.0)
-    assert normal.worth == 1.0 and normal.missing == normal.missing_all == 0
-    assert normal.goes == {"a": pytest.approx(9.0), "c": pytest.approx(9.0)}
+    assert normal.usable_slots == pytest.approx(57.6) and normal.demand_slots == pytest.approx(54.0)
+    assert (
+        normal.admitted_value_share == 1.0
+        and normal.missing_servers == normal.missing_servers_for_all == 0
+    )
+    assert normal.moved_slots == {"a": pytest.approx(9.0), "c": pytest.approx(9.0)}
     looks = {"frontend": "look", "rate": 200, "work_ms": 270, "value": 1}
     overloaded = plans.forecast(plans.parse(table(demand=[looks, table()["demand"][1]])), "b")
-    refused = {r.name: r.share for r in overloaded.ranks}
+    refused = {r.name: r.refused_share for r in overloaded.ranks}
     assert refused == {"cheap": pytest.approx(1 - 30.6 / 54), "keep": 0.0}
     # 23.4 slots at 7.2 per server
-    assert overloaded.missing == 0 and overloaded.missing_all == 4
+    assert overloaded.missing_servers == 0 and overloaded.missing_servers_for_all == 4
 
 
 def test_plan_show_reports_the_missing_servers_of_a_fleet_that_is_too_small(tmp_path):
@@ -367,7 +370,7 @@
     engine_settings = settings(limiters=1, **over)
     names = (["look", "book", "uniqued", "any"], ["a", "b", "c", "d"], ["east", "west"])
     plan = plans.parse(table(refuse=[{"name": "cheap", "frontends": ["look"]}]))
-    engine = DecisionEngine(engine_settings, 7, 0, Guide(plan, engine_settings, names, 0))
+    engine = DecisionEngine(engine_settings, 7, 0, FailoverPolicy(plan, engine_settings, names, 0))
     engine.handle(0, EndpointsUpdated(tuple(entry(n, hall=n % 2) for n in range(8)), True))
     return engine
 
@@ -420,18 +423,18 @@
     result = send_requests(engine, 10, {1}, result["now"], 1000, frontend=1)
     sent = result["sent"][1]
     assert sent[-1] - sent[0] <= 2 * S  # two response targets
-    assert engine.admission.load_balancers[0].guide.detector.zones[1].state is ZoneState.LOST
+    assert engine.admission.load_balancers[0].failover.detector.zones[1].state is ZoneState.LOST
 
 
 def test_replacing_the_plan_keeps_the_zone_states():
     engine = engine_with_plan()
     result = send_requests(engine, 5, set(), 0, 1)
     send_requests(engine, 5, {1}, result["now"], 1000)
-    guide = engine.admission.load_balancers[0].guide
-    guide.take(
+    failover = engine.admission.load_balancers[0].failover
+    failover.replace_plan(
         plans.parse(
             table(refuse=[{"name": "b", "frontends": ["book"]}], keep={"frontends": ["look"]})
         )
     )
-    assert guide.detector.zones[1].state is ZoneState.LOST
-    assert guide.rank(0, 2, False, False) == 2 and guide.rank(1, 2, False, False) == 0
+    assert failover.detector.zones[1].state is ZoneState.LOST
+    assert failover.rank(0, 2, False, False) == 2 and failover.rank(1, 2, False, False) == 0
