--- a/loomstand/failover/shedding_order.py
+++ b/loomstand/failover/shedding_order.py
@@ -90,7 +90,7 @@
 
 
 class WindowController:
-    """Control of the concurrency window, similar to DCTCP on a network link.
+    """Adjusts the concurrency window to late answers, as DCTCP does for a network link.
 
     A round is as many answers as the window is large. After a round with late answers the window
     shrinks by a quarter of the smoothed late share. After a round without, in which the window was
--- a/loomstand/failover/zone_plan.py
+++ b/loomstand/failover/zone_plan.py
@@ -76,11 +76,11 @@
         names = [z.name for z in self.zones]
         for n, name in enumerate(names):
             if name in names[:n]:
-                raise PlanError(f"key 'zones[{n}].name': '{name}' is there twice")
+                raise PlanError(f"key 'zones[{n}].name': '{name}' occurs twice")
         rule_names = [r.name for r in self.refuse]
         for n, name in enumerate(rule_names):
             if name in rule_names[:n]:
-                raise PlanError(f"key 'refuse[{n}].name': '{name}' is there twice")
+                raise PlanError(f"key 'refuse[{n}].name': '{name}' occurs twice")
 
     def rank_count(self) -> int:
         """Return the number of ranks: those of `refuse`, unmatched requests and `keep`."""
@@ -219,7 +219,7 @@
         {z.name: moved * z.servers * z.slots / slots for z in remaining_zones} if slots else {}
     )
     slots_per_server = plan.fill * max((z.slots for z in plan.zones), default=1)
-    # must not be refused: `keep`, or without it the last rank that has any demand
+    # demand that must not be refused: of `keep`, or without it of the last rank that has any
     protected = demand[-1] if plan.keep else next((d for d in reversed(demand) if d), 0.0)
     return Forecast(
         lost=lost,
--- a/loomstand/membership/members.py
+++ b/loomstand/membership/members.py
@@ -22,7 +22,8 @@
 
 from loomstand.membership.messages import Ack, Check, MemberUpdate, Message, Ping
 
-# as in SWIM: a death is known to all members some log2(N) periods later, within about 6 s
+# As in SWIM: a death is known to all members some log2(N) periods later, which is short compared
+# with the 6 s of an endpoint list.
 PROBE_PERIOD_SECONDS = 1.0
 # for a direct answer; the rest of the period is for indirect ones
 DIRECT_TIMEOUT_SECONDS = 0.3 * PROBE_PERIOD_SECONDS
