--- a/loomstand/admission/decision_engine.py
+++ b/loomstand/admission/decision_engine.py
@@ -26,7 +26,7 @@
     TimerFired,
 )
 from loomstand.admission.settings import EngineSettings
-from loomstand.failover.engine_view import Guide
+from loomstand.failover.engine_view import FailoverPolicy
 
 
 class DecisionEngine:
@@ -41,16 +41,16 @@
         settings: The settings in force.
         seed: Seed of the random number generator.
         now: Reading of the common clock, in ticks.
-        guide: The zone plan's view of the default service's servers, or None without such a plan.
+        failover: The zone plan's view of the default service's servers, or None without a plan.
     """
 
     def __init__(
-        self, settings: EngineSettings, seed: int, now: int, guide: Guide | None = None
+        self, settings: EngineSettings, seed: int, now: int, failover: FailoverPolicy | None = None
     ) -> None:
         self.loop = ActorLoop(settings, seed, now)
         self.counter_client = CounterClient(self.loop)
-        self.admission = AdmissionControl(self.loop, self.counter_client, guide)
-        self._guided_balancer = self.admission.load_balancers[DEFAULT_SERVICE] if guide else None
+        self.admission = AdmissionControl(self.loop, self.counter_client, failover)
+        self._guided_balancer = self.admission.load_balancers[DEFAULT_SERVICE] if failover else None
         admission = self.admission
         # Any: each handler takes its own class of event, which a mapping's type can't express
         self._handlers: dict[type, tuple[Actor, Callable[[Any], None]]] = {
@@ -65,14 +65,11 @@
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Updates the state with an event and returns the actions that result.
+        """Updates the state with an event and returns the actions to carry out, in order.
 
         Args:
             now: Reading of the common clock, in ticks; never moves the engine's time backwards.
             event: What happened.
-
-        Returns:
-            The actions to carry out, in order.
         """
         self.loop.now = max(self.loop.now, now)
         if self._guided_balancer:
--- a/loomstand/admission/load_balancer.py
+++ b/loomstand/admission/load_balancer.py
@@ -2,7 +2,7 @@
 
 All limiters order the live servers alike on a ring. Each uses a small subset of them, so that it
 has recent outcomes of every server in it (`loomstand.failover.subset_selection`). Under a zone
-plan the `Guide` replaces some of the rules here.
+plan the `FailoverPolicy` replaces some of the rules here.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from loomstand.admission.ring import Ring
 from loomstand.admission.settings import Effect
 from loomstand.admission.slow_start import SuccessRates
-from loomstand.failover.engine_view import Guide
-from loomstand.failover.subset_selection import used
+from loomstand.failover.engine_view import FailoverPolicy
+from loomstand.failover.subset_selection import select_servers
 
 SUBSET_SERVERS = 6  # enough to have a choice; more during slow start
 MIN_LIMITERS_PER_SERVER = 4  # few limiters use larger subsets, up to all servers
@@ -44,8 +44,7 @@
 ATTEMPTED_COST = 100  # factor: a server that the request was already sent to is the last choice
 REJECTION_COST = 9  # factor of the rejection rate: a server that rejects looks idle
 MAX_LOAD = 2  # most attempts in flight at one server, in even shares of the window
-# An attempt times out after this multiple of this quantile of response times, if another attempt
-# can still be in time.
+# An attempt times out after this multiple of this quantile, if another attempt can be in time.
 TIMEOUT_MULTIPLE = 3
 TIMEOUT_QUANTILE = 0.97
 PRIOR_DURATION_SHARE = 1 / 4  # of the target: assumed response time before any is measured
@@ -55,7 +54,7 @@
     """Admits requests to a service's servers and chooses a server for each attempt.
 
     Attributes:
-        guide: The rules of the zone plan, or None without a plan.
+        failover: The rules of the zone plan, or None without a plan.
         retry_budget: Budget of the retries to this service.
         stats: Response times by request class.
         servers: All servers by index, including removed ones with attempts in flight.
@@ -66,9 +65,9 @@
         successes: Rates of successful answers from the servers.
     """
 
-    def __init__(self, loop: ActorLoop, guide: Guide | None = None) -> None:
+    def __init__(self, loop: ActorLoop, failover: FailoverPolicy | None = None) -> None:
         self.loop = loop
-        self.guide = guide
+        self.failover = failover
         self.retry_budget = RetryBudget(loop.settings)
         self.stats = [FrontendStats(frontend) for frontend in loop.settings.frontends]
         self.servers: dict[int, Backend] = {}
@@ -91,9 +90,9 @@
         for endpoint in endpoints:
             self._update_endpoint(endpoint)
         self._subset_at = NEVER
-        if self.guide:
+        if self.failover:
             live = ((s.endpoint_id, s.endpoint.zone, s.endpoint.started_at) for s in self.ring)
-            self.guide.listed(self.loop.now, live)
+            self.failover.update_endpoints(self.loop.now, live)
         # servers added one by one each add their capacity
         if servers_before and self.loop.settings.window_follows_endpoints:
             self.window.size *= len(self.ring) / servers_before
@@ -109,29 +108,29 @@
 
     def apply_zone_changes(self) -> None:
         """Applies losses and recoveries of zones: logs them, and scales the window at once."""
-        if not self.guide:
+        if not self.failover:
             return
-        for line in self.guide.moved(self.loop.now):
+        for line in self.failover.evaluate_zones(self.loop.now):
             self._subset_at = NEVER
             self.loop.actions.append(LogMessage(line))
-        self.window.size *= self.guide.scale
+        self.window.size *= self.failover.window_scale
 
     def select_subset(self) -> None:
         """Selects the servers to use."""
         settings = self.loop.settings
-        guide = self.guide
+        failover = self.failover
         ring: list[Backend] = self.ring
         lost: list[Backend] = []
-        if guide:
-            lost = [s for s in ring if guide.avoided(s.endpoint.zone)]
+        if failover:
+            lost = [s for s in ring if failover.is_avoided(s.endpoint.zone)]
             ring = [s for s in ring if s not in lost] if lost else ring
         live = len(ring)
-        usual = max(len(self.ring), guide.usual if guide else 0)
-        capacity = sum(s.capacity() for s in ring) if guide else live
+        usual = max(len(self.ring), failover.usual_server_count if failover else 0)
+        capacity = sum(s.capacity() for s in ring) if failover else live
         enough = int(SUBSET_SERVERS * usual / max(1.0, capacity))
         share = MIN_LIMITERS_PER_SERVER * usual // max(1, settings.limiter_count)
         size = min(live, max(enough, share))
-        self.subset, self.ejected = used(ring, lost, settings, size, len(self.stats))
+        self.subset, self.ejected = select_servers(ring, lost, settings, size, len(self.stats))
         self._subset_at = self.loop.now
 
     def _update_endpoint(self, endpoint: Endpoint) -> None:
@@ -153,10 +152,10 @@
         mean = self.stats[pending.arrival.frontend].durations.mean(PRIOR_DURATION, PRIOR_WEIGHT)
         value = pending.value / mean
         pressure = self.window.pressure(value)
-        if self.guide:
+        if self.failover:
             size = self.window.size
-            rank = _shedding_rank(self.guide, pending)
-            return self.guide.admits(self.loop.now, rank, mean, size, self.loop.random())
+            rank = _shedding_rank(self.failover, pending)
+            return self.failover.admits(self.loop.now, rank, mean, size, self.loop.random())
         return self.window.admits(pressure, value, pending.tenant_limiter.is_usage_unknown())
 
     def pick(self, pending: PendingRequest) -> Backend | None:
@@ -239,16 +238,16 @@
         server = ejected[int(self.loop.random() * len(ejected))]
         draw = self.loop.random()
         is_probed = draw < server.probe_share
-        if self.guide:
-            rank = _shedding_rank(self.guide, pending)
-            is_probed = self.guide.probes(server.endpoint.zone, rank, server.probe_share, draw)
+        if self.failover:
+            rank = _shedding_rank(self.failover, pending)
+            is_probed = self.failover.is_probe(server.endpoint.zone, rank, server.probe_share, draw)
         return server if is_probed and self.allows_slow_start(server) else None
 
     def _pick_in_use(self, pending: PendingRequest) -> Backend | None:
         """Returns a server of the subset, chosen at random in favour of short expected waits."""
         settings = self.loop.settings
         random = self.loop.random
-        guide = self.guide
+        failover = self.failover
         frontend = pending.arrival.frontend
         servers = self.subset[frontend]
         attempted = {attempt.endpoint_id for attempt in pending.attempts}
@@ -261,10 +260,10 @@
             if not self.is_safe_to_send(pending, server) or server.in_flight > max_load:
                 continue
             zone = server.endpoint.zone
-            if guide and not guide.passes(zone, server.capacity(), random()):
+            if failover and not failover.may_use_server(zone, server.capacity(), random()):
                 continue
-            # with a guide, `passes` already skipped servers in slow start at random
-            capacity = 1.0 if guide else server.capacity()
+            # with a zone plan, `may_use_server` already skipped servers in slow start at random
+            capacity = 1.0 if failover else server.capacity()
             wait = server.durations.mean(mean, PRIOR_SERVER_WEIGHT) / capacity
             cost = wait * (1 + server.in_flight)
             if server.endpoint_id in attempted:
@@ -294,9 +293,9 @@
         self.retry_budget.attempt_sent(self.loop.settings, is_first=not number)
         expires_at = self._expiry(pending)
         self.window.in_flight[request_id, number] = now
-        if self.guide:
+        if self.failover:
             key = (request_id, number)
-            self.guide.sent(now, key, server.endpoint.zone, server.endpoint_id)
+            self.failover.attempt_sent(now, key, server.endpoint.zone, server.endpoint_id)
         server.post(server.send, request_id, expires_at)
         pending.attempts.append(Attempt(server.endpoint_id, now))
 
@@ -312,9 +311,11 @@
         key = (event.request_id, event.attempt)
         self.window.in_flight.pop(key, None)
         zone = server.endpoint.zone
-        if self.guide:
+        if self.failover:
             is_late = event.duration > stats.frontend.latency_target
-            self.guide.ended(self.loop.now, key, zone, server.endpoint_id, event.outcome, is_late)
+            self.failover.attempt_ended(
+                self.loop.now, key, zone, server.endpoint_id, event.outcome, is_late
+            )
         if not pending.is_cancelled:
             self.adjust_window(event, stats, zone)
         return True
@@ -325,10 +326,10 @@
         self.successes.add(event.outcome is Outcome.SUCCEEDED, self.loop.now)
         min_size = self._share_of_attempts(MIN_ATTEMPTS_PER_SERVER)
         signal = window.evaluate(event, stats, min_size)
-        if self.guide:
-            min_size = self.guide.least(self.loop.settings.limiter_count)
+        if self.failover:
+            min_size = self.failover.min_window(self.loop.settings.limiter_count)
             count = len(window.in_flight)
-            window.size = self.guide.answered(window.size, min_size, zone, signal.weight, count)
+            window.size = self.failover.new_size(window.size, min_size, zone, signal.weight, count)
         else:
             window.adjust(signal, min_size)
 
@@ -347,8 +348,8 @@
         return deadline
 
 
-def _shedding_rank(guide: Guide, pending: PendingRequest) -> int:
+def _shedding_rank(failover: FailoverPolicy, pending: PendingRequest) -> int:
     """Returns the zone plan's rank of a request; 0 is rejected first."""
     arrival = pending.arrival
     is_over_quota = pending.tenant_limiter.is_over_quota()
-    return guide.rank(arrival.frontend, arrival.plan, arrival.is_retry, is_over_quota)
+    return failover.rank(arrival.frontend, arrival.plan, arrival.is_retry, is_over_quota)
--- a/loomstand/membership/messages.py
+++ b/loomstand/membership/messages.py
@@ -1,4 +1,4 @@
-"""What limiters say to each other, as msgspec structures in msgpack: one message a datagram."""
+"""The messages between limiters: msgspec structures in msgpack, one message per datagram."""
 
 from __future__ import annotations
 
@@ -6,73 +6,96 @@
 
 from loomstand.config.limiter import BackendRecord
 
-MOST = 8192  # bytes a datagram: well under what loopback and fragmented networks carry
+# bytes: well under what loopback and networks that fragment can carry
+MAX_DATAGRAM_BYTES = 8192
 
 
-class Word(msgspec.Struct, array_like=True):
-    """What is said of one limiter: its number, where it listens to peers, its incarnation and
-    state.
+class MemberUpdate(msgspec.Struct, array_like=True):
+    """The state of one limiter as known to the sender.
+
+    Attributes:
+        id: The limiter's number.
+        address: Where it receives datagrams of peers.
+        incarnation: Its incarnation in Unix ms.
+        state: Number of its `loomstand.membership.members.MemberState`.
     """
 
     id: int
-    at: str
-    inc: int
-    state: int  # members.State
+    address: str
+    incarnation: int
+    state: int
+
 
+class Message(msgspec.Struct, array_like=True, tag=True):
+    """The fields that all messages have.
 
-class Base(msgspec.Struct, array_like=True, tag=True):
-    """Who sends, what list it holds (0 for none), news of others, and how many seconds old
-    discovery's last word is with it (below 0: it has none).
+    Attributes:
+        id: The sender's number.
+        incarnation: The sender's incarnation in Unix ms.
+        revision: Revision of the sender's endpoint list; 0 for none.
+        updates: States of other limiters.
+        age: Seconds since discovery last confirmed the sender's list; below 0 if it never did.
     """
 
     id: int
-    inc: int
+    incarnation: int
     revision: int
-    words: list[Word]
+    updates: list[MemberUpdate]
     age: float = -1.0
 
 
-class Ping(Base):
-    """Are you there?"""
+class Ping(Message):
+    """Asks whether the recipient is alive."""
 
     seq: int = 0
 
 
-class Ack(Base):
-    """I am. With `of` set: that one is, as I have just heard."""
+class Ack(Message):
+    """Answers a ping; with `target` set, relays the answer of that limiter."""
 
     seq: int = 0
-    of: int = -1
+    target: int = -1
 
 
-class Check(Base):
-    """Ping that one for me, it does not answer me."""
+class Check(Message):
+    """Asks the recipient to ping limiter `target`, which did not answer the sender."""
 
     seq: int = 0
-    whom: int = -1
+    target: int = -1
 
 
-class Want(Base):
-    """Send me what you hold of the list; I hold this revision."""
+class Want(Message):
+    """Asks for the recipient's endpoint list; `revision` is the sender's."""
 
 
-class Part(Base):
-    """A piece of a list as discovery told it: the nth of so many; whole lists, or what changed."""
+class Part(Message):
+    """A part of an endpoint list as discovery sent it.
 
-    n: int = 0
-    of: int = 1
-    whole: bool = True
-    since: int = 0  # the revision that changes follow; 0 for whole lists
-    members: list[BackendRecord] = msgspec.field(default_factory=list)
+    Attributes:
+        number: Number of the part, from 0.
+        count: Number of parts.
+        is_whole: Whether the parts make a whole list; else they are changes.
+        base_revision: The revision that changes apply to; 0 for a whole list.
+        servers: The servers of the part.
+    """
 
+    number: int = 0
+    count: int = 1
+    is_whole: bool = True
+    base_revision: int = 0
+    servers: list[BackendRecord] = msgspec.field(default_factory=list)
 
-Message = Ping | Ack | Check | Want | Part
-decoder = msgspec.msgpack.Decoder(Message)
+
+AnyMessage = Ping | Ack | Check | Want | Part
+decoder = msgspec.msgpack.Decoder(AnyMessage)
 encode = msgspec.msgpack.Encoder().encode
 
 
-def decode(raw: bytes) -> Message:
-    """The message in a datagram. Raises msgspec.DecodeError (or ValidationError) where it is none,
-    and ConfigError where a member's address is none.
+def decode(raw: bytes) -> AnyMessage:
+    """Decode a datagram.
+
+    Raises:
+        msgspec.DecodeError: It is not a valid message (includes msgspec.ValidationError).
+        ConfigError: A server's address is not valid.
     """
     return decoder.decode(raw)
