--- a/loomstand/admission/tenant_limiter.py
+++ b/loomstand/admission/tenant_limiter.py
@@ -1,7 +1,7 @@
 """One tenant's limiter: admits requests within this limiter's share of the tenant's quota. Pure.
 
-The quota is a leaky bucket (rules: docs/design.md): one unit per emission interval, and a burst beyond
-that rate; a full bucket rejects at once. Thousands of tenants are kept, so their size matters.
+The quota is a leaky bucket: one unit per emission interval, and a burst beyond that rate; a full
+bucket rejects at once (docs/design.md). Thousands of tenants are kept, so their size matters.
 """
 
 from __future__ import annotations
