--- a/loomstand/store/acceptor.py
+++ b/loomstand/store/acceptor.py
@@ -1,4 +1,4 @@
-"""What candidates and primaries ask of this store: promises, writes, its configuration, views."""
+"""The acceptor: handles the prepare, write, read and install requests of other members."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class Acceptor:
-    """Answers once the replica's change is on disk."""
+    """Handles protocol requests; each response is sent once the replica's change is on disk."""
 
     def __init__(self, io: ReplicaIO, counting_leases: CountingLeaseService) -> None:
-        """Sets the acceptor up; a granted counting lease may bar promises."""
+        """Sets the acceptor up; a granted counting lease may prevent promises."""
         self._io = io
         self._counting_leases = counting_leases
 
     async def handle_prepare(self, request: PrepareRequest) -> PrepareResponse:
-        """A candidate asks for a promise, or whether there would be one."""
+        """Promises an epoch to a candidate; epoch 0 only asks whether it would, without a write."""
         is_promised = False
         if not self._counting_leases.bars_promise(request.released_epoch):
             if request.epoch == 0:
@@ -63,7 +63,7 @@
         return True
 
     async def handle_write(self, request: WriteRequest) -> Acknowledgement:
-        """The primary or a candidate has this store write a configuration."""
+        """Writes a configuration of the primary or a candidate to this disk."""
         version, data = request.version, request.data
         history = ChangeHistory.from_row(request.history, version, data)
         await self._io.persist(
@@ -74,7 +74,7 @@
         return Acknowledgement()
 
     async def handle_read(self, request: CandidateReadRequest) -> CandidateReadResponse:
-        """A candidate reads what this store has on disk."""
+        """Returns the configuration on this disk to a candidate."""
         record = await self._io.persist(
             lambda _now: self._io.replica.read_for_candidate(request.epoch, request.candidate_id)
         )
@@ -83,7 +83,7 @@
         )
 
     async def handle_install(self, request: InstallViewRequest) -> Acknowledgement:
-        """An elected primary has this store write its view, which is a lease grant as well."""
+        """Installs the view of an elected primary, and grants it the lease."""
         view = View.from_row(request.view)
         if view is not None:
             await self._io.persist(lambda _now: self._io.replica.install(view))
--- a/loomstand/store/change_history.py
+++ b/loomstand/store/change_history.py
@@ -1,9 +1,8 @@
-"""What a configuration change gets, by its version and content: a pure decision.
+"""The verdict on a configuration change, decided by its version and content.
 
-The first content that was acknowledged under a version is the only one, whether it was committed or
-came too late for that. So that this outlives a takeover and a restart, the digests of the newest
-versions are written together with the configuration, in the same write, and go with it wherever it
-goes.
+Only one content is ever acknowledged under a version: the first one, whether it was committed or
+superseded by a higher version. To keep this rule over takeovers and restarts, the digests of the
+newest versions are written and replicated together with the configuration, in the same write.
 """
 
 from __future__ import annotations
@@ -16,17 +15,17 @@
 
 from loomstand.rpc.messages.rows import ChangeHistoryRow
 
-# Versions remembered, the newest. More than a day of hundreds of changes has, and at ten changes a
-# second over a minute and a half, while an operator repeats an unclear change for seconds. They go
-# with each write, as 12 bytes each. A version that was forgotten is answered as one never taken.
+# The newest versions are kept: more than a day of hundreds of changes, and over a minute and a half
+# of ten changes a second, while an operator repeats a change with an unclear outcome for seconds.
+# Each entry adds 12 bytes to each write. A dropped version is treated as one never acknowledged.
 MAX_ENTRIES = 1024
 
-# Two contents of one version that share so many bytes by chance are one in 10**19.
+# Two contents have the same 8 bytes of digest by chance with a probability of 1 in 10**19.
 DIGEST_BYTES = 8
 
 
 class Verdict(Enum):
-    """What a change gets."""
+    """How a change is answered."""
 
     ACCEPT = "its version is higher than the committed one: written, then acknowledged"
     REPEATED = "it was accepted before: acknowledged again"
@@ -37,22 +36,22 @@
     CONFLICT = "its version stands for another content: refused for good"
 
 
-@lru_cache(maxsize=2)  # the change in hand and the one committed: each write asks for both
+@lru_cache(maxsize=2)  # each write needs the digests of the new and the committed configuration
 def digest(data: bytes) -> bytes:
     """The digest of a configuration's bytes.
 
-    Of the bytes and not of what they mean: a change is repeated unchanged, and the digest of 3 MB
-    costs 2 ms.
+    The bytes aren't normalized first: a repeated change has the same bytes, and the digest of 3 MB
+    takes 2 ms.
     """
     return sha256(data).digest()[:DIGEST_BYTES]
 
 
 def is_same_configuration(one: bytes, other: bytes) -> bool:
-    """Whether two configurations say the same.
+    """Whether two configurations are equal as JSON values.
 
-    The order of keys, blanks, ways to escape a character, and 1.0 for 1 don't matter; the order of
-    lists does. For the committed one, whose bytes are there: a tool that reads it and writes it
-    anew must not be refused. What isn't JSON is compared by its bytes.
+    The order of keys, whitespace, the escaping of characters, and 1.0 for 1 don't matter; the order
+    of lists does. Used for the committed configuration, whose bytes are known: a tool that reads it
+    and sends it back re-encoded must not be refused. Other data than JSON is compared by its bytes.
     """
     try:
         return one == other or _canonical_json(one) == _canonical_json(other)
@@ -71,19 +70,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeHistory:
-    """Versions with the digests of their contents, ascending.
+    """Versions with the digests of their contents, in ascending order.
 
-    The last is that of the configuration written with them. What stands in it may lack its
-    acknowledgement yet: its sender has no answer then, and gets one when it repeats the change.
+    The last entry is the configuration that the history is written with. It may not be acknowledged
+    yet: then its sender has no answer, and gets one when it repeats the change.
 
     Attributes:
-        entries: The versions with the digests.
+        entries: Pairs of a version and the digest of its content.
     """
 
     entries: tuple[tuple[int, bytes], ...] = ()
 
     def content(self, version: int) -> bytes | None:
-        """The digest of the content that a version stands for, None if that isn't known."""
+        """The digest of the content of a version, None if the version isn't in the history."""
         for known_version, content in reversed(self.entries):
             if known_version == version:
                 return content
@@ -92,7 +91,7 @@
     def judge(
         self, committed_version: int, committed_data: bytes, version: int, data: bytes
     ) -> Verdict:
-        """What the change to `data` under `version` gets."""
+        """The verdict on the change to `data` under `version`."""
         if version > committed_version:
             return Verdict.ACCEPT
         content = self.content(version)
@@ -105,29 +104,29 @@
         return Verdict.CONFLICT
 
     def ends_with(self, version: int, content: bytes) -> bool:
-        """Whether it is the history of that configuration."""
+        """Whether the last entry is that version with that digest."""
         return bool(self.entries) and self.entries[-1] == (version, content)
 
     def appended(self, version: int, content: bytes) -> ChangeHistory:
-        """With a version that is committed, above which nothing is."""
+        """The history with a version added that is committed and the highest."""
         older = tuple(entry for entry in self.entries if entry[0] < version)
         return ChangeHistory((*older, (version, content))[-MAX_ENTRIES:])
 
     def with_superseded(self, version: int, content: bytes) -> ChangeHistory:
-        """With a version that came too late, unless as many higher ones are known."""
+        """The history with a superseded version added, unless it is full of higher versions."""
         return ChangeHistory(tuple(sorted((*self.entries, (version, content))))[-MAX_ENTRIES:])
 
     def to_row(self) -> ChangeHistoryRow:
-        """The history as it stands in messages and on disk."""
+        """The history as encoded in messages and on disk."""
         versions = [version for version, _ in self.entries]
         return ChangeHistoryRow(versions, b"".join(content for _, content in self.entries))
 
     @staticmethod
     def from_row(row: ChangeHistoryRow | None, version: int, data: bytes) -> ChangeHistory:
-        """The history that came with a configuration, by call or from disk.
+        """The history that came with a configuration, in a message or on disk.
 
-        It is empty where it isn't that configuration's: a program that doesn't know of histories
-        writes the configuration alone.
+        Empty if it doesn't match the configuration: an earlier release, without histories, writes
+        the configuration alone.
         """
         if row is None:
             return EMPTY_HISTORY
--- a/loomstand/store/disk.py
+++ b/loomstand/store/disk.py
@@ -1,4 +1,4 @@
-"""The disk of a store: pages written together or not at all, and synced before a write ends."""
+"""The disk of a store: pages are written atomically, and synced before a write returns."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 from loomstand.store.pages import Pages
 
-# Mapped, half of the disk. A write needs the old value, the new one and those that the last two
-# writes freed, each in one piece: of configurations of up to 8 MB the file grew to 40 MB. It takes
-# what it needs.
+# Size of the memory map, which limits the file: half of the disk. A write needs contiguous space
+# for the old value, the new one and those freed by the last two writes: with configurations of up
+# to 8 MB the file grew to 40 MB. The file itself only grows as needed.
 MAP_BYTES = 128 * 2**20
 
-# Before each page there is its CRC-32.
+# Each page is stored after its CRC-32.
 CHECKSUM_BYTES = 4
 
-# What lmdb says of bytes that are no database, or a torn one. All else it says, as that the disk
-# refuses or has no space, tells nothing of what is on it.
+# The errors of lmdb for bytes that aren't a database, or a torn one. Its other errors, such as an
+# I/O error or a full disk, don't prove that the data is damaged.
 DAMAGE_ERRORS = (
     lmdb.InvalidError,
     lmdb.CorruptedError,
@@ -35,13 +35,13 @@
 
 
 class Disk(Protocol):
-    """Where a store's pages are, by name."""
+    """Persistent storage of a store's pages, by name."""
 
     async def load(self) -> Pages:
-        """All pages; none if the disk is empty or what is on it is proven damaged.
+        """Reads all pages; none if the disk is empty or its data is proven to be damaged.
 
         Raises:
-            OSError: It can't be read now, and nothing is changed; another attempt may succeed.
+            OSError: The disk can't be read now, and is unchanged; another attempt may succeed.
         """
         ...
 
@@ -49,22 +49,22 @@
         """Writes the pages and syncs them.
 
         Raises:
-            OSError: Whether they are there is open.
+            OSError: The write failed; whether the pages are on disk is unknown.
         """
         ...
 
 
 class LmdbDisk:
-    """A `Disk` in a folder, over lmdb.
+    """A `Disk` in a folder, stored with lmdb.
 
-    One thread does all its work, so that writes keep their order.
+    A single thread does all reads and writes, so that writes keep their order.
 
     Attributes:
-        folder: Where the database is; made when it is first opened.
+        folder: The folder of the database; created when it is first opened.
     """
 
     def __init__(self, folder: str | Path) -> None:
-        """Nothing is opened before the first `load` or `save`."""
+        """Sets the disk up; the database is opened by the first `load` or `save`."""
         self.folder = Path(folder)
         self._environment: lmdb.Environment | None = None
         self._thread = ThreadPoolExecutor(1, "store-disk")
@@ -78,15 +78,15 @@
         await asyncio.get_running_loop().run_in_executor(self._thread, self._save, pages)
 
     def close(self) -> None:
-        """Waits for the writes under way."""
+        """Waits for writes in progress, and closes the database."""
         self._thread.shutdown()
         self._close_environment()
 
     def _open(self) -> lmdb.Environment:
         if self._environment is None:
             self.folder.mkdir(parents=True, exist_ok=True)
-            # the system's disks grant locks that do nothing, and this is the only process that
-            # opens it
+            # no locks: they have no effect on the disks that the system runs on, and this process
+            # is the only one that opens the database
             environment = lmdb.open(str(self.folder), map_size=MAP_BYTES, lock=False, max_readers=4)
             try:
                 self._sync_names()
@@ -97,11 +97,11 @@
         return self._environment
 
     def _sync_names(self) -> None:
-        """Syncs the folder and the one that it is in.
+        """Syncs the folder and its parent.
 
-        lmdb syncs its file's bytes but not its name: after a loss of power a new file could be
-        gone, and all that was acknowledged in it. At each opening, as the process that made it may
-        have ended before its sync.
+        lmdb syncs the contents of its file but not its directory entry: after a power failure a new
+        file could be missing, with all acknowledged writes in it. Done at each opening, as the
+        process that created the file may have ended before this sync.
         """
         for folder in (self.folder, self.folder.parent):
             descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
@@ -123,7 +123,11 @@
             raise OSError(str(error)) from error
 
     def _read_pages(self) -> Pages:
-        """Reads all pages; ValueError if the checksum of one is wrong."""
+        """Reads all pages.
+
+        Raises:
+            ValueError: The checksum of a page is wrong.
+        """
         with self._open().begin() as transaction:
             stored = {bytes(key).decode(): bytes(value) for key, value in transaction.cursor()}
         pages = {name: value[CHECKSUM_BYTES:] for name, value in stored.items()}
@@ -145,6 +149,6 @@
                     transaction.put(name.encode(), checksum + page)
         except lmdb.Error as error:
             if isinstance(error, lmdb.PanicError):
-                # after a failed sync it takes nothing until it is opened anew
+                # after a failed sync lmdb rejects all writes until the database is reopened
                 self._close_environment()
             raise OSError(str(error)) from error
--- a/loomstand/store/dissemination.py
+++ b/loomstand/store/dissemination.py
@@ -1,6 +1,6 @@
-"""How the committed configuration gets to every store: pushed by the primary, pulled by others.
+"""Dissemination of the committed configuration: pushed by the primary, pulled by other stores.
 
-Every store keeps it in memory; those that are neither primary nor backup also write it to disk
+Every store keeps it in memory; stores that are neither primary nor backup also write it to disk
 (`learner`).
 """
 
@@ -23,19 +23,19 @@
 from loomstand.store.replica_io import CALL_SECONDS, ReplicaIO
 from loomstand.store.timing import REPLACE_VOTER_AFTER_SECONDS
 
-# The longest time for pulling the configuration: 8 MB with much else on the link.
+# The longest timeout for pulling a configuration: enough for 8 MB on a busy link.
 MAX_PULL_SECONDS = 2.0
 
 
 class Dissemination:
-    """The committed configuration on its way to and from one store.
+    """Sends and receives the committed configuration of one store.
 
     Attributes:
-        learner: The copy on this store's disk.
+        learner: The learner, which decides on the copy on this store's disk.
     """
 
     def __init__(self, io: ReplicaIO, learner: Learner, on_new_version: Callable[[], None]) -> None:
-        """Sets it up; `on_new_version` is called when this store has something new to tell."""
+        """Sets it up; `on_new_version` is called when this store learns a new committed version."""
         self._io = io
         self.learner = learner
         self._on_new_version = on_new_version
@@ -43,7 +43,7 @@
         self._pull_timeout_seconds = CALL_SECONDS
 
     def push(self) -> None:
-        """Tells all others at once what is committed."""
+        """Sends the committed configuration to all stores that answered lately, concurrently."""
         self._on_new_version()
         replica = self._io.replica
         now = self._io.clock()
@@ -58,7 +58,7 @@
                 )
 
     async def pull(self, address: Address) -> None:
-        """Fetches what is committed from a store that knows more, one call at a time."""
+        """Fetches the committed configuration from a store with a newer one, one call at a time."""
         if self._is_pulling:
             return
         self._is_pulling = True
@@ -75,7 +75,7 @@
                     self._learn(response.version, response.data)
                     self._pull_timeout_seconds = CALL_SECONDS
                 case _:
-                    # it may be larger than the one held here: the next attempt is given more
+                    # the configuration may be too large for the timeout: the next one is doubled
                     self._pull_timeout_seconds = min(
                         MAX_PULL_SECONDS, 2 * self._pull_timeout_seconds
                     )
@@ -88,7 +88,7 @@
             self.copy_if_due()
 
     def copy_if_due(self) -> None:
-        """Has the committed configuration written to this disk, where the learner wants it."""
+        """Writes the committed configuration to this disk in the background, if due (`learner`)."""
         if self.learner.next_copy(self._io.replica) and not self._io.write_lock.locked():
             self._io.spawn(self._copy())
 
@@ -98,18 +98,18 @@
             await self._io.persist_pages(self.learner.pages(copy))
             self.learner.copy = copy
 
-    # --- what other stores ask
+    # --- requests of other stores
 
     async def handle_commit(self, request: CommitRequest) -> Acknowledgement:
-        """The primary tells what is committed."""
+        """Learns the committed configuration that the primary pushes."""
         self._learn(request.version, request.data)
         return Acknowledgement()
 
     async def handle_committed(self, _request: CommittedRequest) -> CommittedResponse:
-        """Another store asks what is committed.
+        """Returns the committed configuration to another store.
 
         Raises:
-            CallRefusedError: This store has heard of nothing since its start.
+            CallRefusedError: This store has learned of no committed configuration since its start.
         """
         replica = self._io.replica
         if not replica.knows_committed:
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -1,7 +1,7 @@
-"""How a member becomes primary, or a primary changes its view: the calls of an election.
+"""The calls of an election, by which a member becomes primary or a primary changes its view.
 
-In this order: promises, the configuration, a backup that writes it, the view, the lease. What
-decides is in `election_rules`.
+The steps, in order: collect promises, read the configuration, replicate it to a backup, install the
+view, and obtain the lease. The decisions are in `election_rules`.
 """
 
 from __future__ import annotations
@@ -27,18 +27,19 @@
 from loomstand.store.timing import FOUNDING_WAIT_SECONDS
 from loomstand.store.views import Member, View
 
-# So many views may turn out to be newer in one attempt; more means that others are ahead.
+# An attempt is repeated on each newer view that it discovers; after this many rounds it is given
+# up, as other candidates are faster.
 MAX_ROUNDS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipTransfer:
-    """What a primary that leaves tells its backup: that it serves no more.
+    """The handover of a leaving primary to its backup.
 
     Attributes:
         primary_id: Member id of the primary.
-        epoch: The epoch that it promised to the backup.
-        released_epoch: Epoch of the view under which it serves no more.
+        epoch: The epoch that the primary promised to the backup.
+        released_epoch: Epoch of the view under which the primary has stopped serving.
     """
 
     primary_id: str
@@ -54,10 +55,10 @@
 async def run_election(
     io: ReplicaIO, action: Action, transfer: LeadershipTransfer | None = None
 ) -> bool:
-    """Runs an action's election; only one may run at a time.
+    """Runs the election for an action; only one may run at a time.
 
     Returns:
-        Whether the action's view is installed and its primary, this member, has the lease.
+        Whether the new view is installed and this member, its primary, has the lease.
     """
     for _ in range(MAX_ROUNDS):
         base = None
@@ -78,10 +79,10 @@
     """One election.
 
     Attributes:
-        io: The member that stands.
-        rules: What decides.
-        transfer: Told by the primary, where that handed over.
-        promised_ids: Member ids of those that promised.
+        io: The candidate's replica, with its disk and calls.
+        rules: The decisions of the election.
+        transfer: The handover by the former primary, None if there was none.
+        promised_ids: Ids of the members that promised the epoch.
     """
 
     io: ReplicaIO
@@ -90,7 +91,7 @@
     promised_ids: set[str] = field(default_factory=set)
 
     async def run(self) -> bool | None:
-        """Returns whether it was won, None if a newer view has shown up."""
+        """Returns whether the election was won, None if a newer view was discovered."""
         if self.rules.action.kind is not ActionKind.CHANGE_VIEW:
             self.io.replica.end_term()
             if self.transfer is None and not await self._would_win():
@@ -110,7 +111,7 @@
         return await self._install(epoch, choice.backup)
 
     async def _install(self, epoch: int, backup: Member | None) -> bool:
-        """Has all members of the new view write it; whether that brought the lease."""
+        """Installs the new view at all its members; returns whether this member got the lease."""
         replica = self.io.replica
         view = self.rules.new_view(replica, epoch, backup, self.promised_ids)
         replica.replicated_epoch = epoch
@@ -136,14 +137,14 @@
         return self.rules.is_outdated(self.io.replica)
 
     async def _would_win(self) -> bool:
-        """Whether enough would promise: a member that is cut off mustn't raise epochs in vain."""
+        """Whether a quorum would promise: a partitioned member must not raise epochs in vain."""
         replica = self.io.replica
         own_id = replica.member.id
         if not replica.may_promise(self.io.clock(), replica.promised_epoch + 1, own_id, 0):
             return False
 
         def is_enough(responses: dict[str, PrepareResponse]) -> bool:
-            """Whether a quorum promised, or a newer view is known."""
+            """Whether a quorum would promise, or a newer view is known."""
             return self._is_outdated() or self.rules.has_quorum(
                 replica, [own_id, *_promising(responses)]
             )
@@ -162,7 +163,7 @@
         replica.highest_epoch_observed = max([replica.highest_epoch_observed, *epochs])
 
     async def _collect_promises(self) -> int | None:
-        """Returns the epoch that enough of them promised, or None."""
+        """Returns the epoch that a quorum promised, None if there is none."""
         replica = self.io.replica
         transfer = self.transfer
         epoch = self.rules.next_epoch(replica.highest_known_epoch())
@@ -177,10 +178,10 @@
         await self.io.persist(lambda now: replica.promise(now, epoch, own_id, released_epoch))
 
         def is_enough(responses: dict[str, PrepareResponse]) -> bool:
-            """Whether a quorum would promise, or a newer view is known."""
+            """Whether a quorum has promised, or a newer view is known."""
             if self._is_outdated():
                 return True
-            # a founder would rather have all seeds, so that they all vote from the start
+            # a founder waits for the answers of all seeds, so that all vote from the start
             return self.rules.base is not None and self.rules.has_quorum(
                 replica, certain_ids | _promising(responses)
             )
@@ -197,14 +198,17 @@
         return epoch if self.rules.is_won(replica, self.promised_ids) else None
 
     def _waits_for_seeds(self) -> bool:
-        """Whether a founder rather tries again: two voters could lose neither."""
+        """Whether a founder should retry to get all seeds: of two voters neither may fail."""
         replica = self.io.replica
         is_early = self.io.clock() < replica.started_at + FOUNDING_WAIT_SECONDS
         lacks_seeds = len(self.promised_ids) < len(replica.seeds)
         return self.rules.base is None and is_early and lacks_seeds
 
     async def _read_configuration(self, epoch: int) -> VersionedData | None:
-        """Returns what the base committed, or may have: of its backup, else of its primary."""
+        """Returns the newest configuration that the base may have committed, None if unreadable.
+
+        It is read from the base's backup, or else from its primary, unless this member has it.
+        """
         replica = self.io.replica
         found = self.rules.own_configuration(replica)
         replica.inherited_history = EMPTY_HISTORY
@@ -226,7 +230,7 @@
         return VersionedData(response.version, response.data)
 
     async def _choose_backup(self, epoch: int, configuration: VersionedData) -> _BackupChoice:
-        """Has another member write the configuration; a core of one machine needs nobody."""
+        """Replicates the configuration to a backup; a store of a single machine needs none."""
         replica = self.io.replica
         for member in replica.peers.backup_candidates(self.io.clock(), self.rules.base):
             if not self.rules.may_be_backup(member, self.promised_ids):
--- a/loomstand/store/election_rules.py
+++ b/loomstand/store/election_rules.py
@@ -1,7 +1,7 @@
-"""What decides an election: whose promises suffice, whose data counts, which view comes of it.
+"""The rules of an election: the quorum of promises, the source of the configuration, the new view.
 
-Apart from the calls (`election`), so that the model checker drives these very decisions through all
-orders of events. No disk, network or clock.
+Separate from the calls (`election`), so that the model checker runs this code through all orders of
+events. No disk, network or clock.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ElectionRules:
-    """One election of one candidate.
+    """The rules of one election of one candidate.
 
     Attributes:
-        action: What the candidate wants.
-        base: The view that the new one is to follow, None for the first of all.
+        action: The action that the election carries out.
+        base: The view that the new one succeeds, None for the first view of the store.
     """
 
     action: Action
     base: View | None
 
     def is_outdated(self, replica: Replica) -> bool:
-        """Whether a view newer than the base has shown up, whose electors must be asked instead."""
+        """Whether a view newer than the base is known, whose electors must be asked instead."""
         known_view = replica.newest_known_view()
         return known_view is not None and (self.base is None or known_view.epoch > self.base.epoch)
 
     def electors(self, replica: Replica) -> list[Member]:
-        """The members whose promises are asked for."""
+        """The members that are asked for promises."""
         if self.base is not None:
             return list(self.base.electors().values())
         peers = ((at, replica.peers.by_address.get(at)) for at in replica.seeds)
@@ -45,9 +45,10 @@
         ]
 
     def next_epoch(self, highest_epoch: int) -> int | None:
-        """The epoch to stand for, `highest_epoch` being the highest promised as far as is known.
+        """The epoch to stand for, given the highest promised epoch that is known.
 
-        None if that is above a rescue's: whoever promised that one has given up the base for good.
+        None if it isn't in the epoch range of the base: then a member has promised the epoch of a
+        later rescue, which gave up the base for good.
         """
         rescue_epoch = self.base.rescue_epoch if self.base else 0
         epoch = highest_epoch + 1
@@ -64,27 +65,27 @@
         return not self.is_outdated(replica) and self.has_quorum(replica, member_ids)
 
     def own_configuration(self, replica: Replica) -> VersionedData | None:
-        """The base's configuration where this member has it, None if it has to be read."""
+        """The base's configuration if this member has it, None if it has to be read."""
         if self.base is None:
             return NO_CONFIGURATION
         return replica.record.configuration if self.base.has_data(replica.member.id) else None
 
     def sources(self) -> list[Member]:
-        """Whom to read the configuration from, in this order; the first answer will do."""
+        """The members to read the configuration from, in this order; the first answer counts."""
         data_members = (self.base.backup, self.base.primary) if self.base else ()
         return [member for member in data_members if member is not None]
 
     def newest_configuration(
         self, replica: Replica, found: VersionedData | None
     ) -> VersionedData | None:
-        """What the base committed, or may have; `found` is what was read."""
+        """The newest configuration that the base may have committed; `found` is the one read."""
         if found is not None and replica.version > found.version:
-            # both disks lost it, but it was committed
+            # committed, but lost from the disks of both primary and backup
             return VersionedData(replica.version, replica.data)
         return found
 
     def may_be_backup(self, member: Member, promised_ids: Collection[str]) -> bool:  # noqa: ARG002
-        """Whether the member may be the backup, once those have promised; a rescue is stricter."""
+        """Whether the member may be the backup, given the promises; a rescue is stricter."""
         return True
 
     def new_view(
--- a/loomstand/store/freshness.py
+++ b/loomstand/store/freshness.py
@@ -1,11 +1,11 @@
-"""Whether an answer of the store may still be passed on, at the moment of passing it on.
+"""The remaining validity of a store's answer, checked when the answer is passed on.
 
-A process may freeze, or its bytes wait in a socket, after the lease was looked at; meanwhile others
-may serve and acknowledge more. So an answer that tells what is committed says for how long nobody
-else can serve, and whoever passes it on counts that from when it *asked*: the store looked at its
-lease after that. An acknowledgement stays true for good; one that comes later than it was waited
-for is no answer all the same, as its asker has gone on. What isn't passed on is no answer (503),
-never a verdict on the change.
+A process may freeze, or its bytes may wait in a socket, after it checked the lease; another primary
+may then serve and acknowledge newer changes. So an answer with the committed configuration carries
+the remaining seconds of the lease, during which no other member can serve. The receiver counts
+these from the time of its *request*, as the store checked its lease after that. An acknowledgement
+doesn't become invalid, but one that arrives after the timeout is dropped too, as its caller has
+given up. A dropped answer becomes 503, never a verdict on the change.
 """
 
 from __future__ import annotations
@@ -14,15 +14,14 @@
 def remaining_seconds(
     lease_seconds: float | None, asked_at: float, now: float, timeout_seconds: float
 ) -> float:
-    """Seconds for which an answer may be passed on, 0.0 if it is none any more.
+    """Seconds for which an answer may still be passed on, 0.0 if it has expired.
 
     Args:
-        lease_seconds: From the sending of the answer on nobody else can serve for so long; None
-            where the answer doesn't say, as of a store of an earlier release: only the time-out
-            counts then.
-        asked_at: When it was asked for.
-        now: The present.
-        timeout_seconds: For how long it was waited for.
+        lease_seconds: Remaining seconds of the store's lease when it sent the answer; None if the
+            answer lacks it, as from a store of an earlier release: then only the timeout counts.
+        asked_at: When the request was sent.
+        now: The current time.
+        timeout_seconds: The timeout of the request.
     """
     valid_seconds = timeout_seconds if lease_seconds is None else lease_seconds
     return max(0.0, asked_at + min(timeout_seconds, float(valid_seconds)) - now)
--- a/loomstand/store/heartbeats.py
+++ b/loomstand/store/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats to all other stores, and what follows from their answers."""
+"""Heartbeats to all other stores, and the handling of their responses."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from loomstand.store.timing import HEARTBEAT_INTERVAL_SECONDS
 from loomstand.store.views import Member
 
-# An answer that takes longer than three intervals is of no more use than the next one.
+# After three intervals a newer heartbeat is more useful than a late response.
 HEARTBEAT_TIMEOUT_SECONDS = 3 * HEARTBEAT_INTERVAL_SECONDS
 
 
 class Heartbeats:
-    """The heartbeats of one store, one at a time to each address."""
+    """Sends the heartbeats of one store, at most one in flight to each address."""
 
     def __init__(
         self,
@@ -34,10 +34,10 @@
 
         Args:
             io: The store's replica.
-            counting_leases: Tells who counts.
-            dissemination: Pulls the configuration where another store knows more.
-            on_answer: Does what an answer makes due, without waiting for the next tick.
-            on_status: Called when another store's heartbeat changed what is known here.
+            counting_leases: The counting lease, whose holder heartbeats report.
+            dissemination: Pulls the configuration from a store that reports a newer version.
+            on_answer: Called after each response, to start due actions before the next tick.
+            on_status: Called after each heartbeat of another store.
         """
         self._io = io
         self._counting_leases = counting_leases
@@ -47,7 +47,7 @@
         self._in_flight: set[Address] = set()
 
     def send_all(self) -> None:
-        """Sends a heartbeat to every other store, unless one to it is under way."""
+        """Sends a heartbeat to every other store, except where one is still in flight."""
         for address in list(self._io.replica.peers.by_address):
             if address not in self._in_flight:
                 self._in_flight.add(address)
@@ -92,7 +92,7 @@
             await self._dissemination.pull(address)
 
     async def handle(self, request: HeartbeatRequest) -> HeartbeatResponse:
-        """Another store's heartbeat came."""
+        """Handles another store's heartbeat."""
         now = self._io.clock()
         response = self._io.replica.on_heartbeat(now, request)
         self._counting_leases.on_status(request, now)
--- a/loomstand/store/leadership.py
+++ b/loomstand/store/leadership.py
@@ -1,6 +1,6 @@
-"""What a member does as primary or candidate: elections, changes of its view, transfer, repair.
+"""The actions of a primary or candidate: elections, view changes, leadership transfer, replication.
 
-What is to be done is decided in `planning`.
+`planning` decides which action is due.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 
 class Leadership:
-    """Carries out what a primary or candidate does, one thing at a time.
+    """Carries out the actions of a primary or candidate, one at a time.
 
     Attributes:
-        lock: Held over whatever a primary or candidate does: a change, a repair, an election.
+        lock: Held during each configuration change, replication and election.
     """
 
     def __init__(
@@ -43,8 +43,8 @@
         Args:
             io: The store's replica.
             counting_leases: The counting lease, which a transfer hands over.
-            dissemination: Tells others what is committed.
-            become_serving: Has the store serve if it can.
+            dissemination: Pushes the committed configuration to the other stores.
+            become_serving: Lets the store begin to serve, if it can.
             on_view_change: Called after each election.
         """
         self._io = io
@@ -55,7 +55,7 @@
         self.lock = asyncio.Lock()
 
     def act_if_due(self, now: float) -> None:
-        """Has the next action begin, unless one is under way."""
+        """Starts the next action, unless one is in progress."""
         if not self.lock.locked() and next_action(self._io.replica, now) is not None:
             self._io.spawn(self._act())
 
@@ -81,9 +81,9 @@
                 self._io.replica.back_off(self._io.clock())
 
     async def elect(self, action: Action, transfer: LeadershipTransfer | None = None) -> bool:
-        """Runs an election, with the lock held; whether it was won."""
+        """Runs an election, with the lock held by the caller; returns whether it was won."""
         is_elected = await run_election(self._io, action, transfer)
-        # it served before: its new backup has what it holds
+        # a primary that changed its view: the new backup has written the record, so it is committed
         if is_elected and self._io.replica.can_write(self._io.clock()):
             self.commit_record()
         self._become_serving()
@@ -91,18 +91,18 @@
         return is_elected
 
     def commit_record(self) -> None:
-        """What is on this disk and the backup's is committed."""
+        """Commits the record's configuration, which the backup has written, and pushes it."""
         record = self._io.replica.record
         if self._io.replica.commit(record.version, record.data):
             self._dissemination.push()
 
     async def replicate_record(self) -> bool:
-        """Has the backup write once more what the primary holds, which commits it.
+        """Replicates the primary's record to the backup again, which commits it.
 
-        The lock is held.
+        The caller holds the lock.
 
         Returns:
-            Whether it is committed.
+            Whether the replication succeeded.
         """
         replica = self._io.replica
         record = replica.record
@@ -112,7 +112,7 @@
         if view.backup is not None:
             failure = await self._io.replicate(view.backup, view.epoch, record.configuration)
             if failure is CallFailure.REFUSED:
-                # it has something later of this epoch, or can't write
+                # the backup has a later write of this epoch or a higher promise, or its disk failed
                 return await self.elect(change_view("its backup doesn't follow", view))
             if failure is not None:
                 return False
@@ -127,19 +127,19 @@
     # --- transfer of leadership
 
     async def _transfer(self) -> bool:
-        """Hands over to the backup; whether that heard it."""
+        """Transfers leadership to the backup; returns whether the backup acknowledged it."""
         replica = self._io.replica
         view = replica.record.view
         if view is None or view.backup is None:
             return False
         backup = view.backup
         epoch = replica.promised_epoch + 1
-        # the promise ends its serving for good, a restart included: so nobody need wait for grants
-        # to end
+        # the promise on disk ends this member's term even over a restart, so the backup need not
+        # wait until the grants expire
         replica.is_established = False
         await self._io.persist(lambda now: replica.promise(now, epoch, backup.id, view.epoch))
         logging.info("store: leadership transferred to=%s epoch=%d", backup.address[0], epoch)
-        # nor need the registry that counts stop: the next primary hears of it
+        # the counting lease is handed over too, so its holder goes on counting
         request = TransferLeadershipRequest(
             primary_id=replica.member.id,
             epoch=epoch,
@@ -150,7 +150,7 @@
         return not isinstance(answer, CallFailure)
 
     async def handle_transfer(self, request: TransferLeadershipRequest) -> Acknowledgement:
-        """The primary hands over to this store, its backup; the election goes on by itself."""
+        """Starts an election in the background, as the primary hands over to this backup."""
         transfer = LeadershipTransfer(request.primary_id, request.epoch, request.released_epoch)
         self._io.spawn(self._take_over(transfer, request.counting_lease))
         return Acknowledgement()
--- a/loomstand/store/learner.py
+++ b/loomstand/store/learner.py
@@ -1,15 +1,16 @@
-"""The third copy: what is committed, written by every member that isn't primary or backup.
+"""Learners: members other than primary and backup that keep a copy of the committed configuration.
 
-An acknowledgement stands for two disks. Should both be lost, one before the other was repaired, no
-disk would have the newest version; it would be in the others' memory, and gone with the next loss
-of power. So every other member writes what it hears to be committed to a page of its own, after the
-acknowledgement. It hears it anyway: no byte goes between machines for it, and no acknowledgement
-waits for it. Decisions only; `dissemination` makes the writes.
+An acknowledged change is on two disks. If both were lost before either could be replaced, no disk
+would have the newest version: the other members would have it in memory only, and lose it with the
+next power failure. So every other member writes the committed configuration to a page of its own,
+after the acknowledgement. It receives the configuration in any case (`dissemination`): the copy
+adds no traffic between machines, and no acknowledgement waits for it. This module decides what to
+write; `dissemination` writes it.
 
-The page tells what was committed, it is no vote: elections go by the view's two disks. It counts
-where both are gone: a rescue (`rescue`) finds it though all lost power, as if it had been given
-back. What was committed before a restart may be old, so it isn't told to registries. Programs that
-don't know the page ignore it.
+The copy isn't a vote: elections read the configuration from the view's primary or backup. It counts
+where both disks are lost: a rescue (`rescue`) finds it even after a power failure of all machines.
+As it may be outdated after a restart, it isn't reported to registries. Earlier releases ignore the
+page.
 """
 
 from __future__ import annotations
@@ -22,24 +23,24 @@
 from loomstand.store.record import NO_CONFIGURATION, VersionedData
 from loomstand.store.replica import Replica
 
-# A larger configuration isn't copied: its write would hold up the disk that the next change may
-# need. Ten thousand routes take 2.7 MB.
+# A larger configuration isn't copied: its write would delay the next change, which may need this
+# disk. A configuration with ten thousand routes takes 2.7 MB.
 MAX_COPY_BYTES = 4 << 20
 
 
 @dataclass(slots=True)
 class Learner:
-    """The copy of one member.
+    """The learner's copy on one member's disk.
 
     Attributes:
-        copy: What the page has on disk for sure.
+        copy: The copy whose write to disk has completed.
     """
 
     copy: VersionedData = NO_CONFIGURATION
 
     @staticmethod
     def from_pages(pages: Pages) -> Learner:
-        """From the pages found at the start; a page that can't be read is none."""
+        """The learner with the copy found on disk, without one if the page can't be decoded."""
         try:
             version, data = cbor2.loads(pages[COPY_PAGE])
             return Learner(VersionedData(int(version), bytes(data)))
@@ -47,16 +48,16 @@
             return Learner()
 
     def next_copy(self, replica: Replica) -> VersionedData | None:
-        """What to write now: the newest committed, unless it is on this disk already."""
+        """The committed configuration to copy now, None if there is nothing to write."""
         committed = VersionedData(replica.version, replica.data)
-        # after a restart others may tell it of older ones first
+        # after a restart the first versions received may be older than the copy
         if replica.version <= self.copy.version or committed == replica.record.configuration:
             return None
         if len(replica.data) > MAX_COPY_BYTES:
             return None
         view = replica.newest_known_view()
         if view is not None and view.has_data(replica.member.id):
-            return None  # its disk is for the next change, which may be on its way
+            return None  # the primary and the backup keep their disks free for the next change
         return committed
 
     @staticmethod
--- a/loomstand/store/lease.py
+++ b/loomstand/store/lease.py
@@ -1,4 +1,4 @@
-"""The lease of the primary: the grants that the electors gave it, and for how long they last.
+"""The lease of the primary: the grants of the electors, and how long a quorum of them lasts.
 
 A state machine without clock, disk or network.
 """
@@ -16,8 +16,8 @@
     """One elector's grant.
 
     Attributes:
-        epoch: The epoch under which it was asked for and given.
-        sent_at: When the heartbeat was sent that asked for it.
+        epoch: The epoch under which it was requested and granted.
+        sent_at: When the primary sent the request, a heartbeat or an installation of its view.
     """
 
     epoch: int
@@ -26,12 +26,16 @@
 
 @dataclass(slots=True)
 class LeaseGrants:
-    """The grants that a primary has, by the member id of the elector."""
+    """The grants that a primary has received.
+
+    Attributes:
+        by_member: The newest grant of each elector, by member id.
+    """
 
     by_member: dict[str, Grant] = field(default_factory=dict)
 
     def add(self, member_id: str, epoch: int, sent_at: float) -> None:
-        """An elector granted the lease to the heartbeat sent at `sent_at`; late ones are normal."""
+        """Records an elector's grant for a request sent at `sent_at`; grants may arrive late."""
         previous = self.by_member.get(member_id, Grant(0, LONG_AGO))
         self.by_member[member_id] = Grant(epoch, max(sent_at, previous.sent_at))
 
@@ -43,11 +47,12 @@
         """Seconds that the lease of `view`'s primary lasts, 0 without a quorum of grants.
 
         Args:
-            now: The present.
+            now: The current time.
             view: The view on the primary's disk.
             least_epoch: Grants of earlier epochs don't count.
         """
-        # the primary promises nobody else anything while the others' grants stand
+        # the primary's own grant is always valid: it promises nothing to other members while the
+        # grants of the others last
         own_grant = Grant(view.epoch, now)
         grants = self.by_member | {view.primary.id: own_grant}
         member_ids: set[str] = set()
--- a/loomstand/store/pages.py
+++ b/loomstand/store/pages.py
@@ -1,17 +1,17 @@
-"""The pages on a store's disk: their names, which disks in service carry, and their type."""
+"""The pages on a store's disk: their type, and their names, which are part of the disk format."""
 
-# What a disk has: the bytes of each page, by its name.
+# The contents of the pages, by page name.
 Pages = dict[str, bytes]
 
-# Of `record`: the member's id; what it promised and its view; its configuration; the history of
-# changes, a page of its own so that older programs read the rest.
+# Pages of `record`: the member's id; the promised epoch and the view; the configuration; the change
+# history, in a page of its own so that earlier releases can read the others.
 MEMBER_PAGE = "member"
 VOTE_PAGE = "vote"
 CONFIGURATION_PAGE = "configuration"
 HISTORY_PAGE = "orders"
 
-# Of `counting_lease_service`: who holds the counting lease.
+# Page of `counting_lease_service`: the holder of the counting lease.
 COUNTING_LEASE_PAGE = "duty"
 
-# Of `learner`: the third copy.
+# Page of `learner`: the copy of the committed configuration.
 COPY_PAGE = "copy"
--- a/loomstand/store/planning.py
+++ b/loomstand/store/planning.py
@@ -1,4 +1,4 @@
-"""What a member should do next: maintain its view, stand for election, or found the store.
+"""Planning of a member's next action: maintain its view, stand for election, or found the store.
 
 Pure decisions on a `Replica`, without clock, disk or network; `leadership` carries them out.
 """
@@ -23,25 +23,25 @@
 
 
 class ActionKind(Enum):
-    """What a member does; the values are for the log."""
+    """The kinds of actions; the values are written to the log."""
 
-    FOUND = "found"  # the first view of all
-    TAKE_OVER = "take_over"  # from a primary that is gone or hands over
-    CHANGE_VIEW = "change_view"  # as the primary, with its lease standing
-    REPLICATE = "replicate"  # the backup writes once more what the primary holds
+    FOUND = "found"  # create the first view of the store
+    TAKE_OVER = "take_over"  # become primary after the lease expired, or at a handover
+    CHANGE_VIEW = "change_view"  # as the primary, while its lease is valid
+    REPLICATE = "replicate"  # have the backup write the primary's record again
     TRANSFER_LEADERSHIP = "transfer_leadership"
-    RESCUE = "rescue"  # re-found the store as operators ask
+    RESCUE = "rescue"  # re-found the store on an operator's request
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """What a member should do next.
+    """An action that is due.
 
     Attributes:
-        kind: What it does.
-        reason: Why, for the log.
-        voters: The voters of the view that would come of it.
-        former_voters: Its former voters.
+        kind: The kind of action.
+        reason: The reason, for the log.
+        voters: The voters of the resulting view.
+        former_voters: The former voters of the resulting view.
     """
 
     kind: ActionKind
@@ -51,7 +51,7 @@
 
 
 def take_over(reason: str, base: View) -> Action:
-    """The action of standing for election, with the voters of the view to follow."""
+    """The action of standing for election, keeping the voters of the view `base`."""
     return Action(ActionKind.TAKE_OVER, reason, base.voters, base.former_voters)
 
 
@@ -61,7 +61,7 @@
 
 
 def next_action(replica: Replica, now: float) -> Action | None:
-    """What the member should do now, None if there is nothing to do."""
+    """The action that is due now, None if there is none."""
     view = replica.record.view
     if view is not None and (replica.lease_left(now) > 0.0 or replica.is_leader(now)):
         return _primary_action(replica, now, view)
@@ -75,20 +75,20 @@
 
 
 def _primary_action(replica: Replica, now: float, view: View) -> Action | None:
-    """One change at a time, the backup's place first."""
+    """The primary's next action, one change at a time; a missing backup is replaced first."""
     if now < replica.backoff_until:
         return None
     live = replica.peers.live_members(now)
     is_backup_usable = view.backup is not None and replica.peers.is_usable(now, view.backup)
     if live and _needs_backup(replica, now, view, live):
-        return change_view("its backup is gone or unfit", view)
+        return change_view("backup is missing, unreachable or unhealthy", view)
     if _is_outbid(replica, view):
         return change_view("a higher epoch was promised", view) if is_backup_usable else None
     if not replica.is_leader(now):
         return None
     if replica.replicated_epoch != view.epoch or replica.record.version > replica.version:
         may_replicate = is_backup_usable or view.backup is None
-        action = Action(ActionKind.REPLICATE, "its backup may not hold all")
+        action = Action(ActionKind.REPLICATE, "backup may not have the newest record")
         return action if may_replicate else None
     return _stable_view_action(replica, now, view, live) if is_backup_usable else None
 
@@ -96,16 +96,19 @@
 def _stable_view_action(
     replica: Replica, now: float, view: View, live: list[Member]
 ) -> Action | None:
-    """With all committed and the backup usable: complete a change, leave, or change the voters."""
+    """The action once all is committed and the backup is usable.
+
+    In this order: complete a change of voters, transfer leadership when leaving, change the voters.
+    """
     if view.former_voters:
         return Action(ActionKind.CHANGE_VIEW, "the change of voters is complete", view.voters)
     if replica.state is MemberState.LEAVING:
-        return Action(ActionKind.TRANSFER_LEADERSHIP, "it leaves")
+        return Action(ActionKind.TRANSFER_LEADERSHIP, "the primary is leaving")
     return _membership_change(replica, now, view, live)
 
 
 def _needs_backup(replica: Replica, now: float, view: View, live: list[Member]) -> bool:
-    """Whether the view has no backup, or one that another should replace."""
+    """Whether the view has no backup, or one that should be replaced."""
     backup = view.backup
     if backup is None:
         return True
@@ -116,7 +119,7 @@
 
 
 def _is_outbid(replica: Replica, view: View) -> bool:
-    """Whether it, or another member of its view, promised a higher epoch."""
+    """Whether this member or another member of its view promised a higher epoch."""
     if replica.promised_epoch > view.epoch:
         return True
     members = view.members()
@@ -129,12 +132,12 @@
 def _membership_change(
     replica: Replica, now: float, view: View, live: list[Member]
 ) -> Action | None:
-    """Replaces a voter that is gone, or adds one where there are too few."""
+    """The replacement of a lost or leaving voter, or the addition of one if there are too few."""
     voter_ids = {member.id for member in view.voters}
     stand_by = [member for member in live if member.id not in voter_ids]
     if not stand_by:
         return None
-    # a backup without a vote comes first, as it has to hear of views anyway
+    # a backup without a vote comes first, as it has to install views in any case
     stand_by.sort(key=lambda member: not view.has_data(member.id))
     newcomer = stand_by[0]
     for voter in view.voters:
@@ -159,17 +162,18 @@
     return replica.peers.is_leaving(member)
 
 
-# --- as a voter whose grant has run out
+# --- as a voter whose grant has expired
 
 
 def _candidacy(replica: Replica, now: float, base: View) -> Action | None:
-    """Stands for election when its turn has come: the backup first, the others by their places."""
+    """Stands for election after a delay: the backup first, the others staggered by rank."""
     own_id = replica.member.id
     electors = base.electors()
     if own_id not in electors and not base.has_data(own_id):
         return None
     if base.primary.id == own_id and replica.is_primary() and not _is_base_outbid(replica, base):
-        # its heartbeats ask for the lease again; only a higher promise keeps it from coming
+        # as primary it regains the lease by its heartbeats, unless an elector promised a higher
+        # epoch
         return None
     order = sorted(
         electors.values(), key=lambda member: (member.id != base.primary.id, member.address)
@@ -182,14 +186,14 @@
     if replica.state is MemberState.LEAVING:
         delay += CANDIDACY_SPACING_SECONDS * VOTER_COUNT
     free_at = max(replica.grant_ends_at, replica.started_at + GRANT_SECONDS)
-    return take_over("no lease stands", base) if now >= free_at + delay else None
+    return take_over("the lease expired", base) if now >= free_at + delay else None
 
 
 def _first_candidates(replica: Replica, base: View, order: list[Member]) -> set[str]:
-    """The ids of those that stand without waiting for their turn: that is the backup.
+    """Ids of the members that stand for election with the shortest delay: the backup.
 
-    Where the backup leaves, one that stays stands as well, so that the backup's copy, maybe the
-    only one, is read before it ends.
+    If the backup is leaving, a voter that stays is added, so that the backup's configuration, which
+    may be the only copy, is read before the backup stops.
     """
     if base.backup is None:
         return set()
@@ -216,7 +220,7 @@
 
 
 def _founding(replica: Replica, now: float) -> Action | None:
-    """Founds the store once all seeds are there, or after a while with a majority of them."""
+    """Founds the store once all seeds are reachable, or after a wait with a majority of them."""
     own_address = replica.member.address
     if not replica.record.is_founder or own_address not in replica.seeds:
         return None
@@ -232,7 +236,7 @@
     )
     has_majority = len(founders) * 2 > len(replica.seeds)
     if (is_complete and min(founders) == own_address) or (has_majority and overdue_seconds >= 0.0):
-        return Action(ActionKind.FOUND, "nobody has a view")
+        return Action(ActionKind.FOUND, "no member has a view")
     return None
 
 
--- a/loomstand/store/record.py
+++ b/loomstand/store/record.py
@@ -1,4 +1,4 @@
-"""What a member has on disk, and its pages there. Values only: `disk` reads and writes them."""
+"""The record that a member keeps on disk, and its encoding as pages, which `disk` stores."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class VersionedData(NamedTuple):
-    """A configuration under its version; version 0 with no data where there never was one."""
+    """A configuration with its version; version 0 and no data if there never was one."""
 
     version: int
     data: bytes
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What is on a member's disk.
+    """The persistent state of a member.
 
     Attributes:
         id: The member's id.
@@ -41,8 +41,7 @@
         version: Version of the configuration that it wrote, committed or not.
         data: That configuration.
         written_epoch: The epoch under which the configuration was written.
-        history: The changes acknowledged; the last one is this configuration. Empty where that
-            isn't known.
+        history: The acknowledged changes, with this configuration as the last; empty if unknown.
     """
 
     id: str
@@ -60,7 +59,7 @@
         return VersionedData(self.version, self.data)
 
     def pages(self, previous: Record | None = None) -> Pages:
-        """The pages that differ from `previous`: a promise doesn't write the configuration anew."""
+        """The pages that differ from `previous`: a promise doesn't rewrite the configuration."""
         pages: Pages = {}
         if previous is None or (previous.id, previous.is_founder) != (self.id, self.is_founder):
             pages[MEMBER_PAGE] = cbor2.dumps([self.id, self.is_founder])
@@ -76,7 +75,7 @@
 
     @staticmethod
     def from_pages(pages: Pages) -> Record | None:
-        """The record of a disk, None if nothing usable is there (empty, or broken)."""
+        """The record in a disk's pages, None if the disk is empty or the pages can't be decoded."""
         if MEMBER_PAGE not in pages:
             return None
         try:
--- a/loomstand/store/recovery.py
+++ b/loomstand/store/recovery.py
@@ -1,4 +1,4 @@
-"""A member's first look at its disk: it waits for one that fails, and never takes it for empty."""
+"""Reads a member's disk at its start; a disk that fails is retried and never taken for empty."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from loomstand.store.pages import Pages
 from loomstand.store.record import Record
 
-# Until the second look, and the longest pause: a disk that stalls is back within a second or so.
+# The first and the longest pause between attempts: a stalled disk usually recovers within a second.
 RETRY_SECONDS = (0.2, 1.0)
 
 
 class Recovered(NamedTuple):
-    """What a disk had at the start.
+    """The contents of a disk at the start.
 
     Attributes:
-        record: The member's record.
-        pages: All pages as they were found.
+        record: The member's record; a new one if the disk was empty.
+        pages: All pages found on the disk.
     """
 
     record: Record
@@ -31,19 +31,20 @@
 async def recover(
     disk: Disk, new_record: Callable[[], Record], stopped: asyncio.Event
 ) -> Recovered | None:
-    """Reads the disk; an empty one gets a new record.
+    """Reads the disk; an empty disk gets a new record.
 
-    A disk that only refuses for a while keeps its member: one that wiped it would lose data and
-    vote for good, and a restart of all in a bad moment would lose every copy. So it is tried
-    without end; meanwhile others take the member for unreachable, and replace it as a voter.
+    A disk that fails temporarily keeps its member: wiping it would lose its data and its vote for
+    good, and if all members restarted while their disks fail, every copy would be lost. So reading
+    is retried without limit. Until it succeeds the other members treat this one as unreachable, and
+    replace it as a voter.
 
     Args:
         disk: The disk.
-        new_record: Makes the record of an empty disk.
-        stopped: Set when the store is to end.
+        new_record: Creates the record for an empty disk.
+        stopped: Set when the store is to stop.
 
     Returns:
-        What the disk had, None if `stopped` came first.
+        The contents of the disk, None if `stopped` was set first.
     """
     backoff_seconds, max_backoff_seconds = RETRY_SECONDS
     logged = ""
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -1,15 +1,17 @@
-"""One member's part in the replication protocol: promises, writes, the lease and what is committed.
+"""The replication state of one member: promises, writes, the lease and the committed configuration.
 
-A state machine without clock, disk or network. `now` is always a steady clock's seconds. The driver
-(`replica_io`) writes each `Record` that a method returns to disk, gives it back by `on_persisted`,
-and only then answers the caller. What holds the protocol together:
+A state machine without clock, disk or network. `now` is always in seconds of a monotonic clock. The
+driver (`replica_io`) writes each `Record` that a method returns to disk, passes it to
+`on_persisted`, and only then answers the caller. The protocol's invariants:
 
-- A configuration is committed once primary and backup of a view have it on disk. Whoever wants to
-  end that view needs promises from its electors and the data of one of those two, who by handing it
-  out promise to write nothing more under it. So either of them has all that was ever acknowledged.
+- A configuration is committed once the primary and the backup of a view have it on disk. A
+  candidate that ends that view needs promises from a quorum of its electors, and the configuration
+  of its primary or backup; a member that hands it out promises to write nothing more under that
+  view. So each of the two has every acknowledged change.
 - A voter grants the lease only to the primary of the view on its own disk, and only while it has
-  promised nothing higher. So a lease from the electors says besides that they installed the view.
-- While a grant stands nobody else is promised anything: no two members serve at one moment.
+  promised no higher epoch. So a quorum of grants also shows that those electors installed the view.
+- While a voter's grant is valid, it promises no epoch to any other member: no two members serve at
+  the same time.
 """
 
 from __future__ import annotations
@@ -46,30 +48,32 @@
 
     Attributes:
         member: This member.
-        seeds: The stores' addresses at the seeds of the settings.
-        record: What is on its disk for sure.
-        started_at: When it started.
-        rng: Draws the spread of its backoff, and the epoch of a rescue.
-        promised_epoch: Never under the record's: raised before the disk is asked.
-        promised_candidate: Member id of whom it promised that epoch to.
-        newest_view: The newest view that it heard of.
+        seeds: Addresses of the stores on the seed nodes of the settings.
+        record: The record whose write to disk has completed.
+        started_at: Time of this member's start.
+        rng: Random source for the backoff and for the epoch of a rescue.
+        promised_epoch: The highest epoch promised. Never below the record's, as it is raised before
+            the write to disk.
+        promised_candidate: Member id of the candidate that `promised_epoch` was promised to.
+        newest_view: The newest view observed, on disk or in messages.
         peers: The other stores.
-        granted_to: Member id of whom this voter granted the lease to.
-        grant_ends_at: Until when.
-        grants: The grants that it has as a primary.
-        replicated_epoch: The epoch under which the backup wrote, since this start, what the record
-            holds.
+        granted_to: Member id of the primary that this voter last granted the lease to.
+        grant_ends_at: Time at which that grant expires.
+        grants: The lease grants received as primary.
+        replicated_epoch: The epoch under which the backup wrote the record's configuration since
+            this start, 0 if it didn't.
         is_established: Whether it began to serve as the primary of its view; its lease may have
-            run out since.
-        version: The newest version committed, as it knows.
+            expired since.
+        version: The newest committed version known to this member.
         data: The configuration of that version.
-        history: The changes acknowledged, while it is established.
-        inherited_history: Came with the configuration that it read as a candidate.
-        knows_committed: Whether `version` is from a serving primary, if only by way of others.
+        history: The acknowledged changes, kept while it is established.
+        inherited_history: The change history read with the configuration as a candidate.
+        knows_committed: Whether `version` comes from a serving primary, directly or through other
+            members.
         state: Its own state.
-        highest_epoch_observed: The highest epoch that anybody said to have promised.
-        backoff_until: Until when it doesn't stand for election: another one just has, or itself in
-            vain.
+        highest_epoch_observed: The highest promised epoch that a member reported in an election.
+        backoff_until: Time until which it starts no action (`planning`), after its own failed
+            attempt or a promise to another candidate.
     """
 
     member: Member
@@ -104,31 +108,31 @@
     # --- the other stores and the views
 
     def update_seeds(self, now: float, seeds: tuple[Address, ...]) -> None:
-        """The settings name other seeds; those of the first start decide until there is a view."""
+        """Applies new seeds, once there is a view; the initial seeds decide on the first one."""
         if seeds != self.seeds and self.newest_view is not None:
             self.seeds = seeds
             self.peers.add(now, seeds)
 
     def forget_addresses(self, now: float) -> None:
-        """Drops the addresses of stores that are gone."""
+        """Drops addresses that no store reported lately, except seeds and the view's members."""
         members = self.newest_view.members().values() if self.newest_view else ()
         self.peers.forget(now, {*self.seeds, *(member.address for member in members)})
 
     def observe_view(self, view: View | None) -> None:
-        """Somebody told of a view."""
+        """Records a view from a message or from disk, if it is newer than all seen so far."""
         if view is None or (self.newest_view is not None and view.epoch <= self.newest_view.epoch):
             return
         self.newest_view = view
-        # its own view was given up: no more service or vote under it
+        # a rescue gave up the view on this disk: the member must not serve or vote under it
         if view.rescue_epoch > self._rescue_epoch():
             self._raise_promise(view.epoch, view.primary.id)
 
     def newest_known_view(self) -> View | None:
-        """The newest view, on its disk or heard of."""
+        """The newest view, on its disk or observed in messages."""
         return newest(self.record.view, self.newest_view)
 
     def highest_known_epoch(self) -> int:
-        """The highest epoch that was promised, as far as is known here."""
+        """The highest promised epoch known to this member."""
         return max(
             self.highest_epoch_observed, self.promised_epoch, self.peers.highest_promised_epoch(), 0
         )
@@ -137,9 +141,10 @@
         return self.record.view.rescue_epoch if self.record.view else 0
 
     def fencing_record(self) -> Record | None:
-        """What to write once its view was given up by a rescue, None if nothing is to be written.
+        """The record that fences this member off from a view that a rescue gave up.
 
-        A restart must not make it forget that it stood down.
+        Written to disk, so that the member stays fenced after a restart. None if there is nothing
+        to write.
         """
         view = self.newest_view
         if view is None or view.rescue_epoch <= self._rescue_epoch():
@@ -151,7 +156,7 @@
     # --- heartbeats
 
     def heartbeat(self, address: Address, serving: ServingRow | None = None) -> HeartbeatRequest:
-        """The heartbeat to a store; `serving` is told by the primary that serves."""
+        """The heartbeat to the store at `address`; `serving` is set by the serving primary."""
         return HeartbeatRequest(**self._status(address), serving=serving)
 
     def _status(self, address: Address) -> dict[str, Any]:
@@ -174,7 +179,7 @@
         }
 
     def is_primary(self) -> bool:
-        """Whether its view makes it primary and nothing higher was promised, not even by itself."""
+        """Whether it is primary of its view and has promised no higher epoch, even to itself."""
         view = self.record.view
         return (
             view is not None
@@ -188,7 +193,7 @@
         return peer
 
     def on_heartbeat(self, now: float, request: HeartbeatRequest) -> HeartbeatResponse:
-        """Takes in a heartbeat, and grants the lease where it is asked for rightly."""
+        """Handles a heartbeat, and grants the lease if the primary of this view requests it."""
         self._on_status(now, request)
         sender = Member.from_row(request.member)
         epoch = request.requested_lease_epoch
@@ -210,10 +215,10 @@
     def on_heartbeat_response(
         self, now: float, sent_at: float, response: HeartbeatResponse
     ) -> Peer:
-        """Takes in the answer to a heartbeat that was sent at `sent_at`; the peer that answered."""
+        """Handles the response to a heartbeat sent at `sent_at`; returns the responding peer."""
         peer = self._on_status(now, response)
         sender = Member.from_row(response.member)
-        if sender.address in self.peers.by_address:  # not an echo of our own
+        if sender.address in self.peers.by_address:  # false for a response from this member itself
             peer.answered_at = now
             self.peers.answered_at[sender.id] = now
             self.peers.add(now, response.known_addresses)
@@ -223,7 +228,7 @@
     # --- the lease
 
     def on_grant(self, member_id: str, epoch: int, sent_at: float) -> None:
-        """A voter granted the lease of `epoch` to what was sent at `sent_at`."""
+        """Records a voter's grant for `epoch`, in response to a request sent at `sent_at`."""
         view = self.record.view
         if view is not None and epoch == view.epoch and view.primary.id == self.member.id:
             self.grants.add(member_id, epoch, sent_at)
@@ -233,7 +238,7 @@
         self.grant_ends_at = now + GRANT_SECONDS
 
     def _lease_left(self, now: float, least_epoch: int) -> float:
-        """Seconds that the grants given since `least_epoch` last, 0 if they are no quorum."""
+        """Seconds that a quorum of grants of `least_epoch` or later lasts, 0 if there is none."""
         view = self.record.view
         if view is None or view.primary.id != self.member.id:
             return 0.0
@@ -242,19 +247,20 @@
         return self.grants.remaining_seconds(now, view, least_epoch)
 
     def lease_left(self, now: float) -> float:
-        """Seconds for which this member serves and nobody else can; 0 if it doesn't serve.
+        """Seconds for which only this member can serve; 0 if it doesn't serve.
 
-        Grants of an earlier epoch of the same term count: they bar the others just as well while it
-        changes its own view, and nothing is written under the new one before the electors have it.
+        Grants of an earlier epoch of the same term count: while the primary changes its own view
+        they still keep other members from serving, and no change is written under the new view
+        before the electors have installed it.
         """
         return self._lease_left(now, 0) if self.is_established else 0.0
 
     def is_leader(self, now: float) -> bool:
-        """Whether the electors agree on the view on its disk, with this member as its primary."""
+        """Whether it is primary of the view on its disk and a quorum granted the lease for it."""
         return self.is_primary() and self._lease_left(now, self.promised_epoch) > 0.0
 
     def can_write(self, now: float) -> bool:
-        """Whether a change may be taken, or one that both disks have be acknowledged."""
+        """Whether it may accept a change, or acknowledge one that is on both disks."""
         return (
             self.is_leader(now) and self.is_established and self.state is not MemberState.UNHEALTHY
         )
@@ -262,20 +268,24 @@
     # --- what is committed
 
     def become_established(self, now: float) -> bool:
-        """Begins to serve once it can, by committing what its backup wrote; whether it began."""
+        """Begins to serve once the lease and the backup's write allow it, and commits the record.
+
+        Returns:
+            Whether it began to serve with this call.
+        """
         if self.is_established or not self.is_leader(now):
             return False
         if self.replicated_epoch != self.promised_epoch:
             return False
         self.is_established = True
-        # of an earlier term; the record has what was written with it
+        # both are from an earlier term; the record has the history written with its configuration
         self.history = EMPTY_HISTORY
         self.inherited_history = EMPTY_HISTORY
         self.commit(self.record.version, self.record.data)
         return True
 
     def commit(self, version: int, data: bytes) -> bool:
-        """This configuration is committed; whether that is new to this member."""
+        """Records a committed configuration; returns whether it is new to this member."""
         is_newer = version > self.version or not self.knows_committed
         if self.is_established and (version, data) == self.record.configuration:
             self.history = self.history_with(version, data)
@@ -286,7 +296,7 @@
         return is_newer
 
     def history_with(self, version: int, data: bytes) -> ChangeHistory:
-        """The history to be written together with a configuration, which is its last entry."""
+        """The history to write together with a configuration, which is its last entry."""
         if not version:
             return EMPTY_HISTORY
         content = digest(data)
@@ -297,22 +307,22 @@
         return own_history.appended(version, content)
 
     def end_term(self) -> None:
-        """Before it stands for election: what counts from here on is given anew."""
+        """Ends the current term before an election: drops all grants and stops serving."""
         self.grants.clear()
         self.is_established = False
         self.replicated_epoch = 0
 
-    # --- what other members ask. Each method returns the record that has to be on disk before the
-    # answer goes, and raises CallRefusedError if it refuses.
+    # --- requests of other members. Each method returns the record that has to be on disk before
+    # the response is sent, and raises CallRefusedError if it refuses the request.
 
     def may_promise(self, now: float, epoch: int, candidate_id: str, released_epoch: int) -> bool:
         """Whether it may promise `epoch` to a candidate.
 
         Args:
-            now: The present.
+            now: The current time.
             epoch: The epoch that the candidate stands for.
             candidate_id: Member id of the candidate.
-            released_epoch: Epoch of the view whose primary handed over to it, 0 if none.
+            released_epoch: Epoch of the view whose primary handed over to the candidate, 0 if none.
         """
         view = self.record.view
         if epoch <= self.promised_epoch:
@@ -323,11 +333,11 @@
             return True
         if now < self.grant_ends_at and self.granted_to != candidate_id:
             return False
-        # what this disk granted before its restart may stand until then
+        # a grant that this voter gave before its restart isn't on disk and may be valid until then
         return view.primary.id == candidate_id or now >= self.started_at + GRANT_SECONDS
 
     def promise(self, now: float, epoch: int, candidate_id: str, released_epoch: int) -> Record:
-        """Promises `epoch`, see `may_promise`."""
+        """Promises `epoch` to a candidate, see `may_promise`."""
         if not self.may_promise(now, epoch, candidate_id, released_epoch):
             raise CallRefusedError("promises nothing now")
         self._raise_promise(epoch, candidate_id)
@@ -343,7 +353,7 @@
                 self.is_established = False
 
     def check_recipient(self, member_id: str) -> None:
-        """Refuses what is meant for the disk that was here before."""
+        """Refuses a request for another member, such as an earlier disk at this address."""
         if member_id != self.member.id:
             raise CallRefusedError("another disk")
 
@@ -355,9 +365,9 @@
         data: bytes,
         history: ChangeHistory = EMPTY_HISTORY,
     ) -> Record:
-        """Accepts the primary's write, or a candidate's copy; `history` as the writer has it.
+        """Accepts a write of the primary or a candidate, with the writer's change `history`.
 
-        Within an epoch versions only grow: bytes that a partition delayed may come after later
+        Within an epoch versions only grow: a write that a partition delayed may arrive after later
         ones.
         """
         if epoch < self.promised_epoch:
@@ -373,7 +383,7 @@
         return self._with_configuration(epoch, version, data, history)
 
     def accept_own_write(self, epoch: int, version: int, data: bytes) -> Record:
-        """Accepts the write of this member, as primary or candidate, to its own disk."""
+        """Accepts this member's own write, as primary or candidate, to its disk."""
         if epoch != self.promised_epoch:
             raise CallRefusedError("a newer epoch")
         return self._with_configuration(epoch, version, data, self.history_with(version, data))
@@ -391,7 +401,7 @@
         )
 
     def read_for_candidate(self, epoch: int, candidate_id: str) -> Record:
-        """Hands its configuration to a candidate, and promises its epoch by that."""
+        """Promises a candidate's epoch; the returned record has the configuration it reads."""
         if epoch < self.promised_epoch:
             raise CallRefusedError("a newer epoch")
         self._raise_promise(epoch, candidate_id)
@@ -405,7 +415,7 @@
         return replace(self.record, promised_epoch=view.epoch, view=view)
 
     def on_persisted(self, record: Record) -> None:
-        """The record is on disk."""
+        """Takes over a record whose write to disk has completed."""
         self.record = record
         view = record.view
         if view is not None:
@@ -418,34 +428,34 @@
         """Grants the lease to the primary of a view that was just installed.
 
         Raises:
-            CallRefusedError: More was promised meanwhile.
+            CallRefusedError: A higher epoch was promised during the write of the view.
         """
         if self.promised_epoch != view.epoch or self.record.view != view:
             raise CallRefusedError("a newer epoch")
         self._grant_to(now, view.primary.id)
 
-    # --- when it stands back
+    # --- backing off and leaving
 
     def back_off(self, now: float) -> None:
-        """An attempt failed: the next comes after a while, by chance not at another's moment."""
+        """Delays the next attempt after a failed one, with jitter against competing candidates."""
         delay = BACKOFF_SECONDS + BACKOFF_SPREAD_SECONDS * self.rng.random()
         self.backoff_until = max(self.backoff_until, now + delay)
 
     def is_dispensable(self, now: float) -> bool:
-        """Whether a leaving member can go.
+        """Whether a leaving member can stop.
 
-        That is where no view known names it, or where nobody is there to take its place and the
-        others need neither its data nor its vote.
+        True if the newest view known doesn't include it, or if no live member can take its place
+        and the live members need neither its data nor its vote.
         """
         view = self.newest_view
         if self.promised_epoch > (view.epoch if view else 0):
-            return False  # a view that names it may stand, of which it hasn't heard yet
+            return False  # a view that includes it may exist that it hasn't received yet
         if view is None or self.member.id not in view.members():
             return True
         live = self.peers.live_members(now)
         electors = view.electors()
-        # a backup without a vote may take a place as well; a change under way needs the former
-        # voters, too
+        # a live member without a vote, the backup included, can replace it as a voter; and an
+        # unfinished change of voters needs the former voters, too
         if any(member.id not in electors for member in live) or view.former_voters:
             return False
         return not view.has_data(self.member.id) and view.has_quorum([m.id for m in live])
--- a/loomstand/store/rescue_election_rules.py
+++ b/loomstand/store/rescue_election_rules.py
@@ -1,4 +1,4 @@
-"""What decides the election of a rescue. No disk, network or clock."""
+"""The rules of a rescue's election. No disk, network or clock."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from loomstand.store.timing import VOTER_COUNT
 from loomstand.store.views import EPOCH_RANGE, Member, View
 
-# Where in its range a rescue's epoch falls is drawn from the first so many, so that two rescues on
-# both sides of a partition, which operators shouldn't make, don't have one epoch: the higher view
-# prevails once they meet.
+# A rescue's epoch is drawn at random from this many at the start of its range. Two rescues on both
+# sides of a partition, an operator's error, so get different epochs: the view with the higher epoch
+# prevails once the partition ends.
 DRAWN_EPOCHS = EPOCH_RANGE // 10
 
 
 @dataclass(frozen=True, slots=True)
 class RescueElectionRules(ElectionRules):
-    """An election for which all in reach must promise, in the place of electors that are no more.
+    """An election that needs the promises of all reachable members, instead of lost electors.
 
-    That all of them do bars two rescues from one reach: where two overlap, one doesn't get a
-    promise, or its writes. A grant that stands somewhere in reach keeps its giver from promising:
-    no primary is passed over.
+    As all of them must promise, two concurrent rescues among the same members can't both succeed:
+    one of them lacks a promise, or its writes are refused. A reachable member with a valid grant
+    doesn't promise, so a rescue doesn't depose a primary that may still serve.
 
     Attributes:
-        case: What was found.
-        configuration: The newest that the candidate holds.
-        drawn: Where in its range the epoch falls.
+        case: The reports of the members that the rescue is based on.
+        configuration: The newest configuration that the candidate has.
+        drawn: Random offset of the epoch in its range.
     """
 
     case: RescueCase
@@ -39,24 +39,24 @@
     drawn: int
 
     def next_epoch(self, highest_epoch: int) -> int:
-        """The epoch to stand for, in the next range above all that is known in reach."""
+        """The epoch to stand for, in the next range above all epochs that are known."""
         known_epoch = max(highest_epoch, self.case.highest_epoch())
         return (known_epoch // EPOCH_RANGE + 1) * EPOCH_RANGE + self.drawn
 
     def electors(self, replica: Replica) -> list[Member]:  # noqa: ARG002
-        """All members in reach."""
+        """All reachable members."""
         return [report.member for report in self.case.reachable()]
 
     def has_quorum(self, replica: Replica, member_ids: Collection[str]) -> bool:
-        """Whether all in reach promised."""
+        """Whether all reachable members promised."""
         return all(member.id in member_ids for member in self.electors(replica))
 
     def own_configuration(self, replica: Replica) -> VersionedData | None:  # noqa: ARG002
-        """The newest that the candidate holds, of whatever source."""
+        """The newest configuration that the candidate has, from any source."""
         return self.configuration
 
     def may_be_backup(self, member: Member, promised_ids: Collection[str]) -> bool:
-        """Whether it promised: an old disk that has just come back may still grant a lease."""
+        """Whether the member promised: a disk that just came back may still have a valid grant."""
         return member.id in promised_ids
 
     def new_view(
@@ -66,7 +66,7 @@
         backup: Member | None,
         promised_ids: Collection[str],  # noqa: ARG002
     ) -> View:
-        """The view to install, of members in reach."""
+        """The view to install, made up of reachable members."""
         data_members = [replica.member, *([backup] if backup else [])]
         others = [m for m in self.electors(replica) if m not in data_members]
         voters = tuple([*data_members, *others][:VOTER_COUNT])
@@ -76,7 +76,7 @@
 def make_rescue_rules(
     case: RescueCase, configuration: VersionedData, rng: Random
 ) -> RescueElectionRules:
-    """The rules for a candidate that holds `configuration`."""
-    lost_hosts = " ".join(member.address[0] for member in case.lost_members()) or "nobody known"
+    """The rules for a candidate that has `configuration`."""
+    lost_hosts = " ".join(member.address[0] for member in case.lost_members()) or "no known member"
     action = Action(ActionKind.RESCUE, f"operators gave up {lost_hosts}")
     return RescueElectionRules(action, case.view, case, configuration, rng.randrange(DRAWN_EPOCHS))
--- a/loomstand/store/views.py
+++ b/loomstand/store/views.py
@@ -1,4 +1,4 @@
-"""Members and views: who is primary and backup, and whose votes decide on the next view.
+"""Members and views: the primary, the backup, and the voters that elect the next primary.
 
 Immutable values, without disk, network or clock.
 """
@@ -14,27 +14,27 @@
 from loomstand.rpc.messages.rows import MemberRow, ViewRow
 
 # Epochs are divided into ranges of this size. A rescue's epoch is in the next range above every
-# epoch known in reach, and views that follow stay within their range (`ElectionRules.next_epoch`):
-# so members that were given up, wherever they are, never get above it. The number of the range
-# counts the rescues. Without faults views don't change; at two changes a second a range lasts six
-# days.
+# epoch that reachable members know, and later views stay within their range
+# (`ElectionRules.next_epoch`): so members that a rescue gave up, such as those behind a partition,
+# never reach a higher epoch. The number of the range counts the rescues. Without faults views don't
+# change; at two view changes a second a range lasts six days.
 EPOCH_RANGE = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A disk of the store.
+    """A member of the store, identified by its disk: a new disk is a new member.
 
     Attributes:
-        id: Drawn when the disk's folder was empty.
-        address: Where its store listens.
+        id: Random id, drawn when the disk's folder was empty.
+        address: Address on which its store listens.
     """
 
     id: str
     address: Address
 
     def to_row(self) -> MemberRow:
-        """The member as it stands in messages and on disk."""
+        """The member as encoded in messages and on disk."""
         return MemberRow(self.id, self.address[0], self.address[1])
 
     @staticmethod
@@ -51,21 +51,21 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """The term of one primary.
+    """The roles of the members during one epoch.
 
-    While `former_voters` isn't empty, whatever needs the voters needs a majority of both sets: two
-    majorities of sets that differ by one member need not meet, so a view that is installed at few
-    members must not decide by its own set.
+    While `former_voters` isn't empty, a quorum needs a majority of both sets of voters: majorities
+    of two sets that differ by one member need not overlap, so a view that only a few members have
+    installed must not be decided by its new set alone.
 
     Attributes:
         epoch: Number of the view; views are totally ordered by it.
         primary: The member that serves.
-        backup: The member that writes each change beside the primary, if there is one.
+        backup: The member that writes each change beside the primary, None if there is none.
         voters: The members that elect the next primary.
-        former_voters: The voters before a membership change, until that is known to be complete.
+        former_voters: The voters before a membership change, until the change is complete.
         rescue_epoch: The epoch at which operators last re-founded the store (`rescue`), 0 if never;
-            later views inherit it. A member that hears of a later one than its own view's stands
-            down: the votes that its view rests on were given up.
+            later views inherit it. A member that observes a higher one than its own view's stops
+            serving and voting: the rescue gave up the votes behind its view.
     """
 
     epoch: int
@@ -76,13 +76,13 @@
     rescue_epoch: int = 0
 
     def has_quorum(self, member_ids: Collection[str]) -> bool:
-        """Whether `member_ids` suffice to grant the lease, to agree on this view or to end it."""
+        """Whether `member_ids` are a quorum: to grant the lease, or to install or end the view."""
         if not has_majority(member_ids, self.voters):
             return False
         return not self.former_voters or has_majority(member_ids, self.former_voters)
 
     def electors(self) -> dict[str, Member]:
-        """The voters, present and former, by id."""
+        """The current and former voters, by id."""
         return {member.id: member for member in (*self.voters, *self.former_voters)}
 
     def members(self) -> dict[str, Member]:
@@ -91,13 +91,13 @@
         return self.electors() | {member.id: member for member in data_members}
 
     def has_data(self, member_id: str) -> bool:
-        """Whether that member has the configuration: only the primary and its backup do."""
+        """Whether the view has that member store the configuration, as its primary or backup."""
         if member_id == self.primary.id:
             return True
         return self.backup is not None and member_id == self.backup.id
 
     def to_row(self) -> ViewRow:
-        """The view as it stands in messages."""
+        """The view as encoded in messages."""
         return ViewRow(
             self.epoch,
             self.primary.to_row(),
@@ -122,7 +122,10 @@
         )
 
     def to_page(self) -> list[object]:
-        """The view as it stands on disk, where programs may read it that know no rescue."""
+        """The view as encoded on disk; earlier releases, without rescues, read it too.
+
+        The last field is left out if there was no rescue.
+        """
         page: list[object] = msgspec.to_builtins(self.to_row())
         if not self.rescue_epoch:
             page.pop()
@@ -133,7 +136,7 @@
         """The view of a page.
 
         Raises:
-            ValueError: The page isn't a view's.
+            ValueError: The page doesn't encode a view.
         """
         if not page:
             return None
