--- a/loomstand/store/change_history.py
+++ b/loomstand/store/change_history.py
@@ -30,10 +30,10 @@
     ACCEPT = "its version is higher than the committed one: written, then acknowledged"
     REPEATED = "it was accepted before: acknowledged again"
     SUPERSEDED = (
-        "a higher version is committed, and nothing is known of its version: acknowledged, and not "
+        "a higher version is committed, and its own isn't in the history: acknowledged, but not "
         "committed"
     )
-    CONFLICT = "its version stands for another content: refused for good"
+    CONFLICT = "its version has another content: refused permanently"
 
 
 @lru_cache(maxsize=2)  # each write needs the digests of the new and the committed configuration
@@ -81,11 +81,11 @@
 
     entries: tuple[tuple[int, bytes], ...] = ()
 
-    def content(self, version: int) -> bytes | None:
+    def content_digest(self, version: int) -> bytes | None:
         """The digest of the content of a version, None if the version isn't in the history."""
-        for known_version, content in reversed(self.entries):
+        for known_version, content_digest in reversed(self.entries):
             if known_version == version:
-                return content
+                return content_digest
         return None
 
     def judge(
@@ -94,32 +94,36 @@
         """The verdict on the change to `data` under `version`."""
         if version > committed_version:
             return Verdict.ACCEPT
-        content = self.content(version)
-        if content == digest(data):
+        content_digest = self.content_digest(version)
+        if content_digest == digest(data):
             return Verdict.REPEATED
         if version == committed_version and is_same_configuration(committed_data, data):
             return Verdict.REPEATED
-        if content is None and version < committed_version:
+        if content_digest is None and version < committed_version:
             return Verdict.SUPERSEDED
         return Verdict.CONFLICT
 
-    def ends_with(self, version: int, content: bytes) -> bool:
+    def ends_with(self, version: int, content_digest: bytes) -> bool:
         """Whether the last entry is that version with that digest."""
-        return bool(self.entries) and self.entries[-1] == (version, content)
+        return bool(self.entries) and self.entries[-1] == (version, content_digest)
 
-    def appended(self, version: int, content: bytes) -> ChangeHistory:
+    def appended(self, version: int, content_digest: bytes) -> ChangeHistory:
         """The history with a version added that is committed and the highest."""
         older = tuple(entry for entry in self.entries if entry[0] < version)
-        return ChangeHistory((*older, (version, content))[-MAX_ENTRIES:])
+        return ChangeHistory((*older, (version, content_digest))[-MAX_ENTRIES:])
 
-    def with_superseded(self, version: int, content: bytes) -> ChangeHistory:
+    def with_superseded(self, version: int, content_digest: bytes) -> ChangeHistory:
         """The history with a superseded version added, unless it is full of higher versions."""
-        return ChangeHistory(tuple(sorted((*self.entries, (version, content))))[-MAX_ENTRIES:])
+        return ChangeHistory(
+            tuple(sorted((*self.entries, (version, content_digest))))[-MAX_ENTRIES:]
+        )
 
     def to_row(self) -> ChangeHistoryRow:
         """The history as encoded in messages and on disk."""
         versions = [version for version, _ in self.entries]
-        return ChangeHistoryRow(versions, b"".join(content for _, content in self.entries))
+        return ChangeHistoryRow(
+            versions, b"".join(content_digest for _, content_digest in self.entries)
+        )
 
     @staticmethod
     def from_row(row: ChangeHistoryRow | None, version: int, data: bytes) -> ChangeHistory:
--- a/loomstand/store/disk.py
+++ b/loomstand/store/disk.py
@@ -89,14 +89,14 @@
             # is the only one that opens the database
             environment = lmdb.open(str(self.folder), map_size=MAP_BYTES, lock=False, max_readers=4)
             try:
-                self._sync_names()
+                self._sync_directories()
             except OSError:
                 environment.close()
                 raise
             self._environment = environment
         return self._environment
 
-    def _sync_names(self) -> None:
+    def _sync_directories(self) -> None:
         """Syncs the folder and its parent.
 
         lmdb syncs the contents of its file but not its directory entry: after a power failure a new
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -169,10 +169,10 @@
         epoch = self.rules.next_epoch(replica.highest_known_epoch())
         if epoch is None:
             return None
-        certain_ids = {replica.member.id}
+        known_promise_ids = {replica.member.id}
         if transfer is not None and epoch <= transfer.epoch:
             epoch = transfer.epoch
-            certain_ids.add(transfer.primary_id)
+            known_promise_ids.add(transfer.primary_id)
         released_epoch = transfer.released_epoch if transfer else 0
         own_id = replica.member.id
         await self.io.persist(lambda now: replica.promise(now, epoch, own_id, released_epoch))
@@ -183,16 +183,16 @@
                 return True
             # a founder waits for the answers of all seeds, so that all vote from the start
             return self.rules.base is not None and self.rules.has_quorum(
-                replica, certain_ids | _promising(responses)
+                replica, known_promise_ids | _promising(responses)
             )
 
         responses = await self.io.prepare(
-            [m for m in self.rules.electors(replica) if m.id not in certain_ids],
+            [m for m in self.rules.electors(replica) if m.id not in known_promise_ids],
             PrepareRequest(epoch=epoch, released_epoch=released_epoch, candidate_id=own_id),
             is_enough,
         )
         self._observe_epochs(responses)
-        self.promised_ids = certain_ids | _promising(responses)
+        self.promised_ids = known_promise_ids | _promising(responses)
         if self._waits_for_seeds():
             return None
         return epoch if self.rules.is_won(replica, self.promised_ids) else None
--- a/loomstand/store/planning.py
+++ b/loomstand/store/planning.py
@@ -82,7 +82,7 @@
     is_backup_usable = view.backup is not None and replica.peers.is_usable(now, view.backup)
     if live and _needs_backup(replica, now, view, live):
         return change_view("backup is missing, unreachable or unhealthy", view)
-    if _is_outbid(replica, view):
+    if _higher_epoch_promised(replica, view):
         return change_view("a higher epoch was promised", view) if is_backup_usable else None
     if not replica.is_leader(now):
         return None
@@ -118,7 +118,7 @@
     return has_better and replica.peers.is_avoided(now, backup)
 
 
-def _is_outbid(replica: Replica, view: View) -> bool:
+def _higher_epoch_promised(replica: Replica, view: View) -> bool:
     """Whether this member or another member of its view promised a higher epoch."""
     if replica.promised_epoch > view.epoch:
         return True
@@ -134,24 +134,26 @@
 ) -> Action | None:
     """The replacement of a lost or leaving voter, or the addition of one if there are too few."""
     voter_ids = {member.id for member in view.voters}
-    stand_by = [member for member in live if member.id not in voter_ids]
-    if not stand_by:
+    standby_members = [member for member in live if member.id not in voter_ids]
+    if not standby_members:
         return None
     # a backup without a vote comes first, as it has to install views in any case
-    stand_by.sort(key=lambda member: not view.has_data(member.id))
-    newcomer = stand_by[0]
+    standby_members.sort(key=lambda member: not view.has_data(member.id))
+    new_voter = standby_members[0]
     for voter in view.voters:
-        if _is_gone(replica, now, voter):
-            rest = tuple(member for member in view.voters if member != voter)
+        if _is_lost_or_leaving(replica, now, voter):
+            remaining_voters = tuple(member for member in view.voters if member != voter)
             reason = f"voter {voter.address[0]} is replaced"
-            return Action(ActionKind.CHANGE_VIEW, reason, (*rest, newcomer), view.voters)
+            return Action(
+                ActionKind.CHANGE_VIEW, reason, (*remaining_voters, new_voter), view.voters
+            )
     if len(view.voters) < VOTER_COUNT:
-        voters = (*view.voters, newcomer)
+        voters = (*view.voters, new_voter)
         return Action(ActionKind.CHANGE_VIEW, "a voter is added", voters, view.voters)
     return None
 
 
-def _is_gone(replica: Replica, now: float, voter: Member) -> bool:
+def _is_lost_or_leaving(replica: Replica, now: float, voter: Member) -> bool:
     unreachable_seconds = replica.peers.seconds_since_contact(now, voter)
     return unreachable_seconds >= REPLACE_VOTER_AFTER_SECONDS or _is_leaving(replica, voter)
 
@@ -171,7 +173,11 @@
     electors = base.electors()
     if own_id not in electors and not base.has_data(own_id):
         return None
-    if base.primary.id == own_id and replica.is_primary() and not _is_base_outbid(replica, base):
+    if (
+        base.primary.id == own_id
+        and replica.is_primary()
+        and not _elector_promised_higher(replica, base)
+    ):
         # as primary it regains the lease by its heartbeats, unless an elector promised a higher
         # epoch
         return None
@@ -181,12 +187,12 @@
     if own_id in _first_candidates(replica, base, order):
         delay = FIRST_CANDIDATE_DELAY_SECONDS
     else:
-        place = next((i for i, member in enumerate(order) if member.id == own_id), 0) + 1
-        delay = place * CANDIDACY_SPACING_SECONDS
+        rank = next((i for i, member in enumerate(order) if member.id == own_id), 0) + 1
+        delay = rank * CANDIDACY_SPACING_SECONDS
     if replica.state is MemberState.LEAVING:
         delay += CANDIDACY_SPACING_SECONDS * VOTER_COUNT
-    free_at = max(replica.grant_ends_at, replica.started_at + GRANT_SECONDS)
-    return take_over("the lease expired", base) if now >= free_at + delay else None
+    grants_end_at = max(replica.grant_ends_at, replica.started_at + GRANT_SECONDS)
+    return take_over("the lease expired", base) if now >= grants_end_at + delay else None
 
 
 def _first_candidates(replica: Replica, base: View, order: list[Member]) -> set[str]:
@@ -208,7 +214,7 @@
     return candidates
 
 
-def _is_base_outbid(replica: Replica, base: View) -> bool:
+def _elector_promised_higher(replica: Replica, base: View) -> bool:
     electors = base.electors()
     return any(
         peer.promised_epoch > base.epoch and peer.id in electors
@@ -230,9 +236,9 @@
         if address == own_address or _is_founder(replica, now, address)
     ]
     is_complete = len(founders) == len(replica.seeds)
-    place = sorted(founders).index(own_address)
+    rank = sorted(founders).index(own_address)
     overdue_seconds = (
-        now - replica.started_at - FOUNDING_WAIT_SECONDS - CANDIDACY_SPACING_SECONDS * place
+        now - replica.started_at - FOUNDING_WAIT_SECONDS - CANDIDACY_SPACING_SECONDS * rank
     )
     has_majority = len(founders) * 2 > len(replica.seeds)
     if (is_complete and min(founders) == own_address) or (has_majority and overdue_seconds >= 0.0):
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -299,12 +299,12 @@
         """The history to write together with a configuration, which is its last entry."""
         if not version:
             return EMPTY_HISTORY
-        content = digest(data)
+        content_digest = digest(data)
         own_history = self.history if self.is_established else EMPTY_HISTORY
         for history in (own_history, self.inherited_history, self.record.history):
-            if history.ends_with(version, content):
+            if history.ends_with(version, content_digest):
                 return history
-        return own_history.appended(version, content)
+        return own_history.appended(version, content_digest)
 
     def end_term(self) -> None:
         """Ends the current term before an election: drops all grants and stops serving."""
--- a/loomstand/store/rescue_election_rules.py
+++ b/loomstand/store/rescue_election_rules.py
@@ -17,7 +17,7 @@
 # A rescue's epoch is drawn at random from this many at the start of its range. Two rescues on both
 # sides of a partition, an operator's error, so get different epochs: the view with the higher epoch
 # prevails once the partition ends.
-DRAWN_EPOCHS = EPOCH_RANGE // 10
+EPOCH_OFFSET_RANGE = EPOCH_RANGE // 10
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,17 +31,17 @@
     Attributes:
         case: The reports of the members that the rescue is based on.
         configuration: The newest configuration that the candidate has.
-        drawn: Random offset of the epoch in its range.
+        epoch_offset: Random offset of the epoch in its range.
     """
 
     case: RescueCase
     configuration: VersionedData
-    drawn: int
+    epoch_offset: int
 
     def next_epoch(self, highest_epoch: int) -> int:
         """The epoch to stand for, in the next range above all epochs that are known."""
         known_epoch = max(highest_epoch, self.case.highest_epoch())
-        return (known_epoch // EPOCH_RANGE + 1) * EPOCH_RANGE + self.drawn
+        return (known_epoch // EPOCH_RANGE + 1) * EPOCH_RANGE + self.epoch_offset
 
     def electors(self, replica: Replica) -> list[Member]:  # noqa: ARG002
         """All reachable members."""
@@ -79,4 +79,6 @@
     """The rules for a candidate that has `configuration`."""
     lost_hosts = " ".join(member.address[0] for member in case.lost_members()) or "no known member"
     action = Action(ActionKind.RESCUE, f"operators gave up {lost_hosts}")
-    return RescueElectionRules(action, case.view, case, configuration, rng.randrange(DRAWN_EPOCHS))
+    return RescueElectionRules(
+        action, case.view, case, configuration, rng.randrange(EPOCH_OFFSET_RANGE)
+    )
--- a/tests/store/test_disk.py
+++ b/tests/store/test_disk.py
@@ -1,6 +1,4 @@
-"""The store's disk through losses of power that take names which were made without a sync of their
-folder.
-"""
+"""The store's disk after power failures that lose directory entries which weren't synced."""
 
 from __future__ import annotations
 
@@ -17,29 +15,29 @@
 
 @pytest.fixture
 def synced(monkeypatch):
-    """By folder: the names that were in it as it was last synced."""
-    found: dict[str, set[str]] = {}
-    usual = os.fsync
+    """The names in each folder at its last sync, by folder."""
+    names_by_folder: dict[str, set[str]] = {}
+    os_fsync = os.fsync
 
     def fsync(fd: int) -> None:
         path = os.readlink(f"/proc/self/fd/{fd}")
         if os.path.isdir(path):
-            found[path] = set(os.listdir(path))
-        usual(fd)
+            names_by_folder[path] = set(os.listdir(path))
+        os_fsync(fd)
 
     monkeypatch.setattr(os, "fsync", fsync)
-    return found
+    return names_by_folder
 
 
-def power_lost(top, synced: dict[str, set[str]]) -> None:
-    """Each name goes that its folder's last sync hadn't seen."""
+def lose_unsynced_names(top, synced: dict[str, set[str]]) -> None:
+    """Removes every file and folder that was created after the last sync of its parent folder."""
     for path, folders, files in os.walk(top):
         for name in set(folders + files) - synced.get(path, set()):
-            gone = os.path.join(path, name)
-            shutil.rmtree(gone) if os.path.isdir(gone) else os.remove(gone)
+            unsynced = os.path.join(path, name)
+            shutil.rmtree(unsynced) if os.path.isdir(unsynced) else os.remove(unsynced)
 
 
-def lived(folder, work):
+def run_with_disk(folder, work):
     disk = LmdbDisk(folder)
     try:
         return asyncio.run(work(disk))
@@ -47,62 +45,58 @@
         disk.close()
 
 
-async def written(disk: LmdbDisk) -> dict[str, bytes]:
+async def load_and_save(disk: LmdbDisk) -> dict[str, bytes]:
     before = await disk.load()
     await disk.save(PAGES)
     return before
 
 
-def test_what_was_written_is_there_after_a_loss_of_power_right_after_the_first_start(
-    tmp_path, synced
-):
-    assert lived(tmp_path / "granary", written) == {}
-    power_lost(tmp_path, synced)
-    assert lived(tmp_path / "granary", LmdbDisk.load) == PAGES
+def test_a_write_survives_a_power_failure_right_after_the_first_start(tmp_path, synced):
+    assert run_with_disk(tmp_path / "store", load_and_save) == {}
+    lose_unsynced_names(tmp_path, synced)
+    assert run_with_disk(tmp_path / "store", LmdbDisk.load) == PAGES
 
 
-def test_and_where_the_process_that_made_the_file_ended_before_its_sync(
+def test_a_write_survives_a_power_failure_where_the_creating_process_ended_before_its_sync(
     tmp_path, synced, monkeypatch
 ):
-    def ended(self):
+    def fail_sync(self):
         raise OSError("killed here")
 
     with monkeypatch.context() as killed:
-        killed.setattr(LmdbDisk, "_sync_names", ended)
+        killed.setattr(LmdbDisk, "_sync_directories", fail_sync)
         with pytest.raises(OSError, match="killed here"):
-            lived(tmp_path / "granary", LmdbDisk.load)
-    assert (tmp_path / "granary" / "data.mdb").exists()
-    lived(tmp_path / "granary", written)
-    power_lost(tmp_path, synced)
-    assert lived(tmp_path / "granary", LmdbDisk.load) == PAGES
+            run_with_disk(tmp_path / "store", LmdbDisk.load)
+    assert (tmp_path / "store" / "data.mdb").exists()
+    run_with_disk(tmp_path / "store", load_and_save)
+    lose_unsynced_names(tmp_path, synced)
+    assert run_with_disk(tmp_path / "store", LmdbDisk.load) == PAGES
 
 
-def test_a_sync_that_the_disk_refuses_is_tried_again_before_any_read_or_write(
-    tmp_path, monkeypatch
-):
-    tries = []
+def test_a_failed_folder_sync_is_retried_before_any_read_or_write(tmp_path, monkeypatch):
+    sync_allowed = []
 
-    async def twice(disk: LmdbDisk) -> dict[str, bytes]:
+    async def fail_then_save(disk: LmdbDisk) -> dict[str, bytes]:
         for _ in range(2):
             with pytest.raises(OSError, match="no sync"):
                 await disk.load()
         with pytest.raises(OSError, match="no sync"):
             await disk.save(PAGES)
-        tries.append("now")
-        return await written(disk)
+        sync_allowed.append(True)
+        return await load_and_save(disk)
 
-    def refuses(fd: int) -> None:
-        if not tries:
+    def fail_until_allowed(fd: int) -> None:
+        if not sync_allowed:
             raise OSError("no sync")
 
-    monkeypatch.setattr(os, "fsync", refuses)
-    assert lived(tmp_path / "granary", twice) == {}
-    assert lived(tmp_path / "granary", LmdbDisk.load) == PAGES
+    monkeypatch.setattr(os, "fsync", fail_until_allowed)
+    assert run_with_disk(tmp_path / "store", fail_then_save) == {}
+    assert run_with_disk(tmp_path / "store", LmdbDisk.load) == PAGES
 
 
-def test_it_is_caught_where_names_are_not_synced(tmp_path, synced, monkeypatch):
-    """The mutation: the file's bytes are synced, its name and its folder's aren't."""
-    monkeypatch.setattr(LmdbDisk, "_sync_names", lambda _: None)
-    lived(tmp_path / "granary", written)
-    power_lost(tmp_path, synced)
-    assert lived(tmp_path / "granary", LmdbDisk.load) == {}
+def test_a_missing_folder_sync_is_detected(tmp_path, synced, monkeypatch):
+    """Mutation check: without the sync of the folders the written pages are lost."""
+    monkeypatch.setattr(LmdbDisk, "_sync_directories", lambda _: None)
+    run_with_disk(tmp_path / "store", load_and_save)
+    lose_unsynced_names(tmp_path, synced)
+    assert run_with_disk(tmp_path / "store", LmdbDisk.load) == {}
