--- a/tests/features/store.feature
+++ b/tests/features/store.feature
@@ -1,7 +1,7 @@
 Feature: The store of configuration
   Four core machines; three of them are the seeds. A change is acknowledged once two disks have it.
 
-  Scenario: A calm start
+  Scenario: A start without faults
     Given a core that has just started
     When 2 s pass
     Then a change is acknowledged within 0.1 s
@@ -12,13 +12,13 @@
     When 6 s pass
     Then a change is acknowledged within 0.1 s
 
-  Scenario: The primary dies
+  Scenario: The primary is killed
     Given a core at work
     When the primary is killed
     Then a change is acknowledged within 3 s
     And nothing acknowledged is lost
 
-  Scenario Outline: The primary dies while it takes a change
+  Scenario Outline: The primary is killed during a change
     Given a core at work
     When the primary is killed <instant> ms into a change
     Then a change is acknowledged within 3 s
@@ -35,7 +35,7 @@
       | 13      |
       | 16      |
 
-  Scenario: All lose power right after an acknowledgement
+  Scenario: All machines lose power right after an acknowledgement
     Given a core at work
     When a change is acknowledged and all machines lose power for 1 s
     Then a change is acknowledged within 3 s
@@ -47,7 +47,7 @@
     Then a change is acknowledged within 3 s
     And nothing acknowledged is lost
 
-  Scenario Outline: One disk is lost as all others lose power
+  Scenario Outline: One disk is lost when all machines lose power
     Given a core at work
     When a change is acknowledged, all machines lose power for 1 s and the disk of <whom> is empty
     Then a change is acknowledged within 3 s
@@ -60,33 +60,33 @@
       | a voter     |
       | a stand-by  |
 
-  Scenario: The primary alone behind a cut
+  Scenario: The primary is partitioned from all others
     Given a core at work
-    When the primary is cut off from all others
+    When the primary is partitioned from all others
     And 1.3 s pass
     Then the old primary acknowledges nothing
     And a change is acknowledged within 1.7 s by the others
-    When the cut is mended
+    When the partition heals
     And 1 s pass
     Then nothing acknowledged is lost
 
-  Scenario: Two against two
+  Scenario: A partition into two halves
     Given a core at work
-    When the primary and the stand-by are cut off from the others
+    When the primary and the stand-by are partitioned from the others
     And 1.3 s pass
     Then the old primary acknowledges nothing
     And a change is acknowledged within 1.7 s by the others
-    When the cut is mended
+    When the partition heals
     And 1 s pass
     Then nothing acknowledged is lost
 
-  Scenario: The primary hears nobody, though it is heard
+  Scenario: The primary receives nothing, while its own messages arrive
     Given a core at work
-    When nothing comes through to the primary
+    When the primary receives no messages
     And 1.3 s pass
     Then the old primary acknowledges nothing
     And a change is acknowledged within 1.7 s by the others
-    When the cut is mended
+    When the partition heals
     And 1 s pass
     Then nothing acknowledged is lost
 
@@ -98,27 +98,27 @@
 
   Scenario: The backup can't be written to
     Given a core at work
-    When the backup hears nothing from the primary, whose disk is lost after an acknowledgement with all power
+    When the backup receives nothing from the primary, and all power and the primary's disk are lost after an acknowledgement
     Then a change is acknowledged within 3 s
     And nothing acknowledged is lost
 
   Scenario: Only a voter without data is left, until the backup is back
     Given a core at work
-    When all are killed, and the primary stays away, the backup for 2.2 s
+    When all are killed, the primary stays down, and the backup for 2.2 s
     Then a change is acknowledged within 3 s
     And nothing acknowledged is lost
 
-  Scenario: A frozen primary wakes up after its time
+  Scenario: A frozen primary resumes after its lease expired
     Given a core at work
     When the primary is frozen 6 ms into a change
     And 4 s pass
     Then a change is acknowledged within 0.1 s by the others
-    When the primary thaws
-    Then the change that froze with it was not acknowledged
-    And the old primary acknowledges nothing for its own part
+    When the primary resumes
+    Then the change in progress at the freeze was not acknowledged
+    And the old primary itself can't acknowledge a change
     And nothing acknowledged is lost
 
-  Scenario Outline: A disk in trouble
+  Scenario Outline: A faulty disk
     Given a core at work
     When the disk of <whom> <trouble>
     Then a change is acknowledged within 3.5 s
@@ -139,9 +139,9 @@
     Then a change is acknowledged within 0.5 s
     And nothing acknowledged is lost
 
-  Scenario: All machines are exchanged, and the old ones come back
+  Scenario: All machines are replaced, and the old ones come back
     Given a core at work
-    When the machines are exchanged one after the other for new ones
+    When the machines are replaced by new ones one after the other
     Then a change is acknowledged within 0.1 s
     When the old machines come back
     And 3 s pass
@@ -149,7 +149,7 @@
     And a change is acknowledged within 0.1 s
     And nothing acknowledged is lost
 
-  Scenario: A torn database is another member
-    Given a store on a real disk with one record
+  Scenario: A corrupt database loads as an empty disk
+    Given a store on a real disk with two pages
     When its database is overwritten
     Then it loads as an empty disk and can be written again
--- a/tests/store/test_change_history.py
+++ b/tests/store/test_change_history.py
@@ -1,5 +1,5 @@
-"""What an order gets by its number and content: the pure decision, and whole cores under lost
-answers.
+"""The verdict on a configuration change by its version and content: the pure decision, and whole
+clusters whose answers get lost.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def served(sent: list[tuple[int, bytes]]):
-    """What a register that never fails answers, each with what is remembered then."""
+    """The verdicts of a single store that never fails, each with the change history after it."""
     held, data, known = 0, b"", EMPTY_HISTORY
     for version, content in sent:
         answer = known.judge(held, data, version, content)
@@ -66,7 +66,7 @@
             )
 
 
-def test_what_comes_with_another_configuration_or_spoilt_is_not_taken_over():
+def test_a_history_of_another_configuration_or_a_malformed_one_is_dropped():
     known = EMPTY_HISTORY.appended(3, digest(b"x")).appended(7, digest(b"seven"))
     numbers, contents = known.to_row().versions, known.to_row().digests
     assert ChangeHistory.from_row(ChangeHistoryRow(numbers, contents), 7, b"seven") == known
@@ -86,19 +86,19 @@
     )
     record = Record("a", True, 3, None, 7, b"seven", 3, known)
     assert Record.from_pages(record.pages()) == record
-    for page in (None, []):  # as a page, which nobody checked before
+    for page in (None, []):  # pages that aren't a history
         spoilt = record.pages() | {"orders": cbor2.dumps(page)}
         assert Record.from_pages(spoilt).history == EMPTY_HISTORY
     ninth = Record("a", True, 3, None, 9, b"nine", 4).pages()["configuration"]
     older = record.pages() | {"configuration": ninth}
     assert (
         Record.from_pages(older).history == EMPTY_HISTORY
-    )  # an older program wrote the configuration alone
+    )  # an earlier release wrote the configuration without the history
     del older["orders"]
     assert Record.from_pages(older).version == 9
 
 
-def test_the_one_held_is_compared_by_what_it_says_and_older_ones_by_their_bytes():
+def test_the_committed_content_is_compared_as_json_and_older_ones_by_their_bytes():
     one = b'{"version":"r7","resources":[{"a":1,"b":"\\u00e9"}]}'
     anew = b'{ "resources": [{"b": "\xc3\xa9", "a": 1.0}], "version": "r7" }'
     known = EMPTY_HISTORY.appended(7, digest(one))
@@ -110,14 +110,21 @@
     assert known.appended(9, digest(b"{}")).judge(9, b"{}", 7, anew) is Verdict.CONFLICT
     assert (
         EMPTY_HISTORY.judge(7, one, 7, b"{}") is Verdict.CONFLICT
-    )  # held, and nothing known of its orders
+    )  # committed, with an empty history
 
 
-# --- whole cores
+# --- whole clusters
 
 
 class Ledger:
-    """What operators sent and were told, each look at the promises as an answer comes."""
+    """The changes that operators sent and their answers, which are checked as each one arrives.
+
+    Attributes:
+        confirmed: The acknowledged content of each version.
+        refused: The versions and contents that were refused.
+        sent: The versions and operators' marks of all changes, in the order of sending.
+        counts: The number of changes acknowledged (True), refused (False) and unclear (None).
+    """
 
     def __init__(self, cluster: StoreCluster) -> None:
         self.cluster = cluster
@@ -126,8 +133,13 @@
         self.sent: list[tuple[int, str]] = []
         self.counts = {True: 0, False: 0, None: 0}
 
-    async def order(self, host: str, version: int, mark: str, lost: bool = False) -> bool | None:
-        """True if it was acknowledged, False if refused, None if nothing clear came back."""
+    async def send_change(
+        self, host: str, version: int, mark: str, lost: bool = False
+    ) -> bool | None:
+        """Sends a change; True if acknowledged, False if refused, None if the outcome is unclear.
+
+        `lost`: treat the outcome as unclear even if an answer arrived.
+        """
         cluster, data = self.cluster, f"{version} {mark}".encode()
         cluster.sent = max(cluster.sent, version)
         cluster.contents.setdefault(version, set()).add(data)
@@ -159,10 +171,8 @@
             assert self.confirmed.get(version, data) == data, f"another r{version} was confirmed"
 
 
-async def operate(ledger: Ledger, rng: Random, mark: str, pause: float) -> None:
-    """An operator whose answers get lost, who sends again what was unclear, clear, and long
-    over.
-    """
+async def run_operator(ledger: Ledger, rng: Random, mark: str, pause: float) -> None:
+    """Runs an operator that loses some answers and repeats changes, whatever their outcome."""
     cluster = ledger.cluster
     while True:
         await asyncio.sleep(rng.uniform(0.0, pause))
@@ -172,22 +182,23 @@
             version, mine = rng.choice(ledger.sent[-12:] if step < 0.3 else ledger.sent)
         else:
             version, mine = max(1, cluster.sent + rng.choice((-2, -1, 0, 0, 1, 1, 1, 2))), mark
-        if rng.random() < 0.2:  # to two machines at once
+        if rng.random() < 0.2:  # to two machines concurrently
             other, lost = rng.choice((mine, mark + "'")), rng.random() < 0.3
-            again = ledger.order(rng.choice(hosts), version, other, lost)
-            await asyncio.gather(again, ledger.order(rng.choice(hosts), version, mine))
+            again = ledger.send_change(rng.choice(hosts), version, other, lost)
+            await asyncio.gather(again, ledger.send_change(rng.choice(hosts), version, mine))
         else:
-            await ledger.order(rng.choice(hosts), version, mine, rng.random() < 0.3)
+            await ledger.send_change(rng.choice(hosts), version, mine, rng.random() < 0.3)
 
 
-async def a_day(cluster: StoreCluster, rng: Random) -> Ledger:
+async def run_random_faults(cluster: StoreCluster, rng: Random) -> Ledger:
     ledger = Ledger(cluster)
     for machine in cluster.machines.values():
         machine.start()
     await asyncio.sleep(1.5)
     cluster.first = False
     work = [
-        asyncio.create_task(operate(ledger, Random(rng.random()), f"op{n}", 0.25)) for n in range(8)
+        asyncio.create_task(run_operator(ledger, Random(rng.random()), f"op{n}", 0.25))
+        for n in range(8)
     ]
     for _ in range(5):
         if rng.random() < 0.2:
@@ -207,9 +218,9 @@
     for task in work:
         task.cancel()
     for version, mark in [*dict.fromkeys(ledger.sent)][-40:]:
-        # calm: each order gets a clear answer now, and the same from every machine
+        # without faults each change gets a clear answer, the same from every machine
         for _ in range(20):
-            answers = [await ledger.order(h, version, mark) for h in cluster.machines]
+            answers = [await ledger.send_change(h, version, mark) for h in cluster.machines]
             if None not in answers:
                 break
         assert len({*answers}) == 1
@@ -218,10 +229,10 @@
     return ledger
 
 
-def play(seed: int) -> Ledger:
+def run_seed(seed: int) -> Ledger:
     cluster = StoreCluster(seed)
     try:
-        ledger = cluster.do(a_day(cluster, Random(seed)))
+        ledger = cluster.do(run_random_faults(cluster, Random(seed)))
         cluster.close()
         return ledger
     finally:
@@ -229,12 +240,12 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_orders_sent_again_and_raced_through_takeovers_keep_one_content(seed):
-    counts = play(seed).counts
+def test_repeated_and_concurrent_changes_through_takeovers_keep_one_content_per_version(seed):
+    counts = run_seed(seed).counts
     assert all(counts.values())
 
 
-def forgets_at_start(patch) -> None:
+def drops_history_at_start(patch) -> None:
     read = Record.from_pages
     patch.setattr(
         Record,
@@ -243,16 +254,16 @@
     )
 
 
-def forgets_at_the_backup(patch) -> None:
+def drops_history_at_the_backup(patch) -> None:
     keep = Replica.accept_write
     patch.setattr(Replica, "accept_write", lambda self, *parts: keep(self, *parts[:4]))
 
 
-def forgets_what_came_too_late(patch) -> None:
+def drops_superseded_versions(patch) -> None:
     patch.setattr(ChangeHistory, "with_superseded", lambda self, *_: self)
 
 
-def answers_all_the_same(patch) -> None:
+def acknowledges_conflicts(patch) -> None:
     judge = ChangeHistory.judge
     patch.setattr(
         ChangeHistory,
@@ -261,7 +272,7 @@
     )
 
 
-def refuses_what_it_does_not_know(patch) -> None:
+def refuses_unknown_versions(patch) -> None:
     judge = ChangeHistory.judge
     patch.setattr(
         ChangeHistory,
@@ -271,27 +282,27 @@
 
 
 MUTANTS = (
-    forgets_at_start,
-    forgets_at_the_backup,
-    forgets_what_came_too_late,
-    answers_all_the_same,
-    refuses_what_it_does_not_know,
+    drops_history_at_start,
+    drops_history_at_the_backup,
+    drops_superseded_versions,
+    acknowledges_conflicts,
+    refuses_unknown_versions,
 )
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda m: m.__name__)
-def test_without_its_memory_a_core_is_caught(mutant, monkeypatch):
+def test_a_store_that_violates_the_history_rules_is_detected(mutant, monkeypatch):
     mutant(monkeypatch)
     with pytest.raises(AssertionError):
         for seed in range(8):
-            play(seed)
+            run_seed(seed)
 
 
-# --- by the registry, and after a rescue
+# --- through the registries, and after a rescue
 
 
-def said(system: Cluster, ip: str, version: int, more: str = "") -> int:
-    """The status that a registry answers an order with, sent again until it's clear."""
+def replace_status(system: Cluster, ip: str, version: int, more: str = "") -> int:
+    """The status of a registry's answer to a change, which is repeated until it is clear."""
 
     async def send() -> int:
         body = system.body(version).replace(b"5000ms", more.encode() or b"5000ms")
@@ -303,23 +314,27 @@
     return system.do(send())
 
 
-def test_registries_refuse_another_content_through_takeover_restart_and_a_lost_disk():
+def test_registries_refuse_another_content_after_takeover_restart_and_a_lost_disk():
     system = Cluster(3)
     system.do(system.begin())
     first, number = system.core_ips, system.version + 5
     held = (number, number + 4)
-    assert said(system, first[0], held[0]) == 200 == said(system, first[1], held[1])
+    assert (
+        replace_status(system, first[0], held[0])
+        == 200
+        == replace_status(system, first[1], held[1])
+    )
 
-    def look() -> None:
+    def check_answers() -> None:
         for ip in system.core_ips:
             for version in held:
-                assert said(system, ip, version) == 200
-                assert said(system, ip, version, "4000ms") == 409
-            assert said(system, ip, number + 1) == 200  # a lower one that was never taken
-            assert said(system, ip, number + 1, "4000ms") == 409
+                assert replace_status(system, ip, version) == 200
+                assert replace_status(system, ip, version, "4000ms") == 409
+            assert replace_status(system, ip, number + 1) == 200  # a lower one that was never taken
+            assert replace_status(system, ip, number + 1, "4000ms") == 409
         assert json.loads(system.do(system.operator.read()))["version"] == f"r{held[1]}"
 
-    look()
+    check_answers()
     for trouble in ("kill", "power", "wipe"):
         struck = [ip for ip in first if system.serves(ip)] if trouble != "power" else first
         assert struck
@@ -327,7 +342,7 @@
             for host in system.core(ip):
                 host.kill() if trouble == "kill" else host.power_off(wipe=trouble == "wipe")
         if trouble == "kill":
-            system.wait(2.0)  # another takes over meanwhile
+            system.wait(2.0)  # another member takes over in this time
 
         async def back(hosts) -> None:
             for host in hosts:
@@ -335,18 +350,18 @@
             await asyncio.sleep(4.0)
 
         system.do(back([host for ip in struck for host in system.core(ip)]))
-        look()
+        check_answers()
     system.close()
 
 
-def test_after_a_rescue_what_was_confirmed_is_not_refused():
+def test_changes_acknowledged_before_a_rescue_are_not_refused_after_it():
     cluster = StoreCluster(5)
     cluster.start()
     cluster.wait(2.0)
     cluster.first = False
     ledger = Ledger(cluster)
     for version in (2, 5, 7):
-        assert cluster.do(ledger.order("10.1.0.1", version, "ann"))
+        assert cluster.do(ledger.send_change("10.1.0.1", version, "ann"))
     lost = [cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")]
     for machine in lost:
         machine.power_off(wipe=True)
@@ -357,14 +372,15 @@
     cluster.do(rescue(cluster))
     cluster.wait(1.0)
     for host in cluster.machines:
-        assert all(cluster.do(ledger.order(host, version, "ann")) for version in (2, 5, 7))
-        assert cluster.do(ledger.order(host, 7, "bob")) is False
+        assert all(cluster.do(ledger.send_change(host, version, "ann")) for version in (2, 5, 7))
+        assert cluster.do(ledger.send_change(host, 7, "bob")) is False
     cluster.close()
 
 
-def leads_again() -> bool | None:
-    """What another content gets of one that led before, was away while the first was acknowledged,
-    and leads anew.
+def second_term_accepts_other_content() -> bool | None:
+    """Whether another content of an acknowledged version is accepted by a primary in a second term.
+
+    The version was acknowledged by another primary, while this one was partitioned.
     """
     cluster = StoreCluster(2, tuple(f"10.{zone}.0.1" for zone in range(1, 4)))
     ledger = Ledger(cluster)
@@ -373,28 +389,28 @@
         cluster.wait(2.0)
         cluster.first = False
         old = cluster.primary()
-        assert cluster.do(ledger.order(old.host, 9, "ann"))
+        assert cluster.do(ledger.send_change(old.host, 9, "ann"))
         rest = [h for h in cluster.machines if h != old.host]
         cluster.network.apart([old.host], rest)
         cluster.wait(4.0)
         assert cluster.do(
-            ledger.order(cluster.primary().host, 7, "ann")
-        )  # too late, and acknowledged
+            ledger.send_change(cluster.primary().host, 7, "ann")
+        )  # superseded by version 9, and acknowledged
         cluster.network.mend()
         cluster.wait(3.0)
         for _ in range(6):
             if (now := cluster.primary()) is old:
-                return cluster.do(ledger.order(old.host, 7, "bob"))
+                return cluster.do(ledger.send_change(old.host, 7, "bob"))
             now.power_off()
             cluster.wait(4.0)
             cluster.start()
             cluster.wait(4.0)
-        raise LookupError("it never led again")
+        raise LookupError("the first primary wasn't elected again")
     finally:
         cluster.loop.close()
 
 
-def keeps_what_an_earlier_term_knew(patch) -> None:
+def keeps_history_of_an_earlier_term(patch) -> None:
     become_established = Replica.become_established
 
     def mine(self, now):
@@ -406,8 +422,8 @@
     patch.setattr(Replica, "become_established", mine)
 
 
-def test_one_that_leads_again_knows_what_was_acknowledged_meanwhile(monkeypatch):
-    assert leads_again() is False
-    keeps_what_an_earlier_term_knew(monkeypatch)
+def test_a_primary_in_a_second_term_has_the_changes_acknowledged_in_between(monkeypatch):
+    assert second_term_accepts_other_content() is False
+    keeps_history_of_an_earlier_term(monkeypatch)
     with pytest.raises(AssertionError, match="two confirmed under r7"):
-        leads_again()
+        second_term_accepts_other_content()
--- a/tests/store/test_first_start.py
+++ b/tests/store/test_first_start.py
@@ -1,5 +1,5 @@
-"""The first start: all machines within 0.3 s of each other, in any order, none of the seeds
-listening yet.
+"""The first start of the whole system: all machines start within 0.3 s of each other, in any order,
+and no seed listens yet.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 from loomstand.proxy import sessions
 from loomstand.testing.simulation.cluster import Cluster
 
-APART = 0.3  # seconds between the first machine's start and the last's, by the operators' page
-READY = 4.0  # seconds by which all proxies take requests: the traffic begins 10 s after the start
+START_SPREAD_SECONDS = 0.3  # between the first and the last machine's start, as documented
+READY_SECONDS = 4.0  # until all proxies are ready: traffic begins 10 s after the start
 
 
-async def starts(system: Cluster, seeds_last: bool) -> float:
-    """All start, each program at a moment of its own; seconds until every proxy is ready."""
+async def start_all(system: Cluster, seeds_last: bool) -> float:
+    """Starts each program at a random time; returns the seconds until every proxy is ready."""
     rng = system.rng
     hosts = [*system.proxies.values(), *system.registries.values(), *system.stores.values()]
-    moments = {host: rng.uniform(0, APART) for host in hosts}
+    start_times = {host: rng.uniform(0, START_SPREAD_SECONDS) for host in hosts}
     if seeds_last:
         for ip in system.core_ips[:3]:
-            moments |= dict.fromkeys(system.core(ip), APART)
+            start_times |= dict.fromkeys(system.core(ip), START_SPREAD_SECONDS)
     now = system.loop.time()
-    for host, at in moments.items():
+    for host, at in start_times.items():
         system.loop.call_later(at, host.start)
     for server in (s for many in system.servers.values() for s in many):
-        system.loop.call_later(rng.uniform(0, APART), server.start)
-    await asyncio.sleep(APART)
+        system.loop.call_later(rng.uniform(0, START_SPREAD_SECONDS), server.start)
+    await asyncio.sleep(START_SPREAD_SECONDS)
     assert await system.replace(20.0)
     while not all([await system.ready(ip) for ip in system.proxies]):
         await asyncio.sleep(0.1)
@@ -44,10 +44,10 @@
 
 
 @pytest.mark.parametrize("seeds_last", [False, True])
-def test_all_are_ready_soon_and_there_is_one_core(system, seeds_last):
-    assert system.do(starts(system, seeds_last)) < READY
+def test_all_proxies_are_ready_soon_and_one_store_is_founded(system, seeds_last):
+    assert system.do(start_all(system, seeds_last)) < READY_SECONDS
     system.wait(1.5)
-    assert sum(system.serves(ip) for ip in system.core_ips) == 1  # nobody founded another
+    assert sum(system.serves(ip) for ip in system.core_ips) == 1  # no second store was founded
     assert len(system.counters()) == 1
     assert all(
         sorted(system.registry(ip).context.core_hosts) == system.core_ips for ip in system.core_ips
@@ -55,11 +55,11 @@
     assert not system.book.faults
 
 
-def test_it_is_caught_where_a_proxy_that_finds_nobody_is_in_no_hurry(monkeypatch):
-    """The mutation: the pause after a seed that doesn't listen yet is that of a machine that is
-    gone.
+def test_a_long_pause_between_connection_attempts_of_a_proxy_is_detected(monkeypatch):
+    """Mutation check: a proxy pauses after a seed that doesn't listen yet as long as after a lost
+    machine.
     """
     monkeypatch.setattr(sessions, "BACKOFF_SECONDS", (8.0, 8.0))
     system = Cluster(1, proxies=3)
-    assert system.do(starts(system, True)) > READY
+    assert system.do(start_all(system, True)) > READY_SECONDS
     system.close()
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,5 +1,5 @@
-"""The store of configuration in simulated simulation: stories, and random faults under its
-invariants.
+"""The replicated configuration store under simulation: scenarios, the rules of one member, and
+random faults with the invariants checked throughout.
 """
 
 from __future__ import annotations
@@ -27,8 +27,20 @@
 
 
 class StoreCluster:
-    """A core with its operators, who keep what they sent and what was acknowledged; checked all the
-    while.
+    """Simulated core machines with their stores, and the client that changes the configuration.
+
+    The invariants (`check`) are checked every 20 ms of simulated time.
+
+    Attributes:
+        first: Whether the settings say that this is the first start of the whole system.
+        seeds: Hosts of the seed nodes in the settings.
+        sent: The highest version sent in a change.
+        acknowledged_version: The highest version acknowledged.
+        contents: All contents sent, by version.
+        committed: The content committed at any store, by version.
+        versions_by_store: The newest committed version seen at each running store.
+        check_failure: A failed check that is still to be raised.
+        check_task: The task that checks the invariants.
     """
 
     def __init__(self, seed: int = 1, hosts: tuple[str, ...] = (*HOSTS,)) -> None:
@@ -44,14 +56,14 @@
         self.contents: dict[int, set[bytes]] = {}
         self.committed: dict[int, bytes] = {}
         self.versions_by_store: dict[object, int] = {}
-        self.broken: AssertionError | None = None
-        self.watch = self.loop.create_task(self.watching())
+        self.check_failure: AssertionError | None = None
+        self.check_task = self.loop.create_task(self.check_periodically())
 
     def maker(self, host: str):
         def make(net, disk, clock, rng):
             seeds = tuple((h, PORT) for h in self.seeds)
             settings = StoreSettings((host, PORT), seeds, self.first)
-            return Watched(self, settings, net, disk, clock, rng)
+            return CheckedStore(self, settings, net, disk, clock, rng)
 
         return make
 
@@ -60,8 +72,8 @@
 
     def wait(self, seconds: float) -> None:
         self.do(asyncio.sleep(seconds))
-        if self.watch.done():
-            self.watch.result()
+        if self.check_task.done():
+            self.check_task.result()
 
     def start(self, *but: str) -> None:
         async def all_() -> None:
@@ -71,32 +83,40 @@
 
         self.do(all_())
 
-    async def watching(self) -> None:
+    async def check_periodically(self) -> None:
         while True:
             self.check()
-            if self.broken:
-                raise self.broken
+            if self.check_failure:
+                raise self.check_failure
             await asyncio.sleep(0.02)
 
-    def check_soon(self) -> None:
-        """Checks at once; a failure is raised when the story goes on."""
+    def check_now(self) -> None:
+        """Checks the invariants now; a failure is raised by the checking task or by `close`."""
         try:
             self.check()
         except AssertionError as error:
-            self.broken = error
+            self.check_failure = error
 
     def stores(self) -> list[tuple[Machine, Store]]:
         return [
-            (m, g) for m in self.machines.values() if m.runs for g in m.programs if g.is_running
+            (m, store)
+            for m in self.machines.values()
+            if m.runs
+            for store in m.programs
+            if store.is_running
         ]
 
     def check(self) -> None:
-        """No two serve; what is in force was sent, has one content for good, and nothing goes
-        back.
+        """Checks the invariants: at most one store serves, and it has every acknowledged version.
+
+        A committed version was sent, never changes its content, and the committed version of a
+        store never decreases.
         """
-        serving = [g for _, g in self.stores() if g.replica.lease_left(g.clock()) > 0.0]
+        serving = [
+            store for _, store in self.stores() if store.replica.lease_left(store.clock()) > 0.0
+        ]
         assert len(serving) <= 1, f"two serve at {self.loop.time()}"
-        assert all(g.replica.version >= self.acknowledged_version for g in serving), (
+        assert all(store.replica.version >= self.acknowledged_version for store in serving), (
             "an acknowledged version is lost"
         )
         for _, store in self.stores():
@@ -113,7 +133,9 @@
         return found
 
     def find_primary(self) -> Machine | None:
-        return next((m for m, g in self.stores() if g.replica.lease_left(g.clock()) > 0.0), None)
+        return next(
+            (m for m, store in self.stores() if store.replica.lease_left(store.clock()) > 0.0), None
+        )
 
     def machine_in_role(self, words: str) -> Machine:
         view = self.primary().programs[0].replica.record.view
@@ -140,8 +162,8 @@
         return answer.is_ok()
 
     async def put_within(self, seconds: float, but: tuple[str, ...] = ()) -> bool:
-        """Whether a change is acknowledged in time, by whichever machine is asked; each try is sent
-        anew.
+        """Whether a change is acknowledged in time; each attempt is a new change to a random
+        machine.
         """
         until = self.loop.time() + seconds
         while self.loop.time() < until:
@@ -161,21 +183,21 @@
                 assert answer.ok["data"] in self.contents[answer.ok["version"]]
                 return answer.ok["version"]
             await asyncio.sleep(0.05)
-        raise AssertionError("nobody answers a question")
+        raise AssertionError("no machine answers a read")
 
     def close(self) -> None:
         try:
             self.check()
-            if self.broken:
-                raise self.broken
-            if self.watch.done():
-                self.watch.result()
+            if self.check_failure:
+                raise self.check_failure
+            if self.check_task.done():
+                self.check_task.result()
         finally:
             self.loop.close()
 
 
-class Watched(Store):
-    """One that is looked at as it begins to serve, before it takes anything new."""
+class CheckedStore(Store):
+    """A store that has the invariants checked when it begins to serve, before any new change."""
 
     def __init__(self, cluster: StoreCluster, *parts) -> None:
         super().__init__(*parts)
@@ -185,7 +207,7 @@
         before = self.replica.is_established
         super()._become_serving()
         if self.replica.is_established and not before:
-            self.cluster.check_soon()
+            self.cluster.check_now()
 
 
 @pytest.fixture
@@ -241,19 +263,19 @@
     return cluster.do(_into_a_change(cluster, ms, old.freeze))
 
 
-@when("the primary thaws")
+@when("the primary resumes")
 def _(cluster, old):
     cluster.do(asyncio.sleep(0))
     cluster.loop.call_soon(old.thaw)
     cluster.check()
 
 
-@then("the change that froze with it was not acknowledged")
+@then("the change in progress at the freeze was not acknowledged")
 def _(cluster, change):
     assert cluster.do(change) is False
 
 
-@then("the old primary acknowledges nothing for its own part")
+@then("the old primary itself can't acknowledge a change")
 def _(cluster, old):
     assert not old.programs[0].replica.can_write(old.programs[0].clock())
     cluster.wait(0.5)
@@ -291,24 +313,24 @@
     cluster.start()
 
 
-@when("the primary is cut off from all others")
+@when("the primary is partitioned from all others")
 def _(cluster, old):
     cluster.network.apart([old.host], [h for h in HOSTS if h != old.host])
 
 
-@when("the primary and the stand-by are cut off from the others")
+@when("the primary and the stand-by are partitioned from the others")
 def _(cluster, old):
     side = [old.host, cluster.machine_in_role("a stand-by").host]
     cluster.network.apart(side, [h for h in HOSTS if h not in side])
 
 
-@when("nothing comes through to the primary")
+@when("the primary receives no messages")
 def _(cluster, old):
     for host in HOSTS:
         cluster.network.cut(host, old.host, both=False)
 
 
-@when("the cut is mended")
+@when("the partition heals")
 def _(cluster):
     cluster.network.mend()
 
@@ -336,7 +358,9 @@
 @then(parsers.parse("all machines hold the newest acknowledged version within {s:g} s"))
 def _(cluster, s):
     cluster.wait(s)
-    assert {g.replica.version for _, g in cluster.stores()} == {cluster.acknowledged_version}
+    assert {store.replica.version for _, store in cluster.stores()} == {
+        cluster.acknowledged_version
+    }
 
 
 @when("the backup loses power")
@@ -356,13 +380,13 @@
     cluster.loop.create_task(old.leave())
 
 
-@when("the machines are exchanged one after the other for new ones")
+@when("the machines are replaced by new ones one after the other")
 def _(cluster):
     new = [f"10.{zone}.0.2" for zone in range(1, 5)]
     cluster.old_hosts, cluster.seeds = [*HOSTS], new[:3]
     fresh = machines(cluster.network, cluster.rng, new, lambda h: [cluster.maker(h)])
     for gone, come in zip(HOSTS, new, strict=True):
-        # a new machine knows one seed that is there before it and two that may not be
+        # the seeds of a new machine: itself, up to two old machines that run, the first new one
         cluster.seeds = [come, *[h for h in HOSTS if cluster.machines[h].up][:2], *new[:1]][:3]
         cluster.machines[come] = fresh[come]
         cluster.start(*[h for h in HOSTS if not cluster.machines[h].up])
@@ -384,38 +408,38 @@
     assert len(view.voters) == 3
 
 
-@given("a store on a real disk with one record", target_fixture="shelf")
+@given("a store on a real disk with two pages", target_fixture="disk_folder")
 def _(cluster, tmp_path):
-    shelf = LmdbDisk(tmp_path / "granary")
+    disk = LmdbDisk(tmp_path / "store")
     with asyncio.Runner() as runner:
-        assert runner.run(shelf.load()) == {}
-        runner.run(shelf.save({"vote": b"1", "member": b"a" * 9000}))
-        shelf.close()
-        again = LmdbDisk(tmp_path / "granary")
-        assert runner.run(again.load()) == {"vote": b"1", "member": b"a" * 9000}
-        again.close()
-    return tmp_path / "granary"
+        assert runner.run(disk.load()) == {}
+        runner.run(disk.save({"vote": b"1", "member": b"a" * 9000}))
+        disk.close()
+        reopened_disk = LmdbDisk(tmp_path / "store")
+        assert runner.run(reopened_disk.load()) == {"vote": b"1", "member": b"a" * 9000}
+        reopened_disk.close()
+    return tmp_path / "store"
 
 
 @when("its database is overwritten")
-def _(shelf):
-    file = shelf / "data.mdb"
+def _(disk_folder):
+    file = disk_folder / "data.mdb"
     file.write_bytes(b"torn" * (file.stat().st_size // 4))
 
 
 @then("it loads as an empty disk and can be written again")
-def _(shelf):
+def _(disk_folder):
     with asyncio.Runner() as runner:
-        again = LmdbDisk(shelf)
-        assert runner.run(again.load()) == {}
-        runner.run(again.save({"vote": b"2"}))
-        assert runner.run(again.load()) == {"vote": b"2"}
-        again.close()
+        reopened_disk = LmdbDisk(disk_folder)
+        assert runner.run(reopened_disk.load()) == {}
+        runner.run(reopened_disk.save({"vote": b"2"}))
+        assert runner.run(reopened_disk.load()) == {"vote": b"2"}
+        reopened_disk.close()
 
 
 @when(
-    "the backup hears nothing from the primary, whose disk is lost after an acknowledgement with "
-    "all power"
+    "the backup receives nothing from the primary, and all power and the primary's disk are lost "
+    "after an acknowledgement"
 )
 def _(cluster, old):
     cluster.network.cut(old.host, cluster.machine_in_role("the backup").host)
@@ -430,7 +454,7 @@
     cluster.start()
 
 
-@when(parsers.parse("all are killed, and the primary stays away, the backup for {s:g} s"))
+@when(parsers.parse("all are killed, the primary stays down, and the backup for {s:g} s"))
 def _(cluster, old, s):
     backup = cluster.machine_in_role("the backup")
     for machine in cluster.machines.values():
@@ -447,16 +471,16 @@
 VIEW = View(3, A, B, (A, B, C))
 
 
-def member(me: Member, now: float = 0.0) -> Replica:
+def member(own: Member, now: float = 0.0) -> Replica:
     """A member in VIEW that holds version 7, started at `now`."""
-    record = Record(me.id, True, 3, VIEW, 7, b"seven", 3)
-    replica = Replica(me, tuple(m.address for m in MEMBERS[:3]), record, now, Random(1))
+    record = Record(own.id, True, 3, VIEW, 7, b"seven", 3)
+    replica = Replica(own, tuple(m.address for m in MEMBERS[:3]), record, now, Random(1))
     for peer in replica.peers.by_address.values():
-        peer.answered_at = 1e9  # all the while
+        peer.answered_at = 1e9  # always reachable
     return replica
 
 
-def test_a_backup_writes_nothing_older_than_what_it_has():
+def test_a_backup_refuses_writes_older_than_its_record():
     for stale in ((2, 8, b"eight"), (3, 6, b"six"), (3, 7, b"other")):
         with pytest.raises(CallRefusedError):
             member(B).accept_write(stale[0], "a", *stale[1:])
@@ -464,7 +488,7 @@
     assert member(B).accept_write(4, "c", 6, b"six").written_epoch == 4
 
 
-def test_who_hands_out_its_data_takes_nothing_more_of_that_epoch():
+def test_a_member_read_by_a_candidate_refuses_lower_epochs():
     replica = member(B)
     replica.read_for_candidate(5, "c")
     with pytest.raises(CallRefusedError):
@@ -481,9 +505,10 @@
     assert not primary.is_leader(9.1)
 
 
-def test_a_voter_promises_nobody_else_while_a_grant_may_stand():
+def test_a_voter_promises_no_other_candidate_while_its_grant_may_be_valid():
     replica = member(C, now=10.0)
-    assert not replica.may_promise(10.0 + GRANT_SECONDS - 0.01, 4, "b", 0)  # of an earlier life
+    # a grant from before the restart may still be valid
+    assert not replica.may_promise(10.0 + GRANT_SECONDS - 0.01, 4, "b", 0)
     assert replica.may_promise(10.1, 4, "a", 0) and replica.may_promise(10.1, 4, "b", 3)
     assert replica.may_promise(10.0 + GRANT_SECONDS, 4, "b", 0) and not replica.may_promise(
         12.0, 3, "b", 0
@@ -512,7 +537,7 @@
         and replica.can_write(5.0 + LEASE_SECONDS - 0.01)
     )
     assert not replica.may_promise(5.0 + LEASE_SECONDS - 0.01, 4, "b", 0)
-    # a change of its own view begins: it serves on, but writes nothing
+    # it begins to change its own view: it still serves, but writes no changes
     replica.promise(5.2, 4, "a", 0)
     assert replica.lease_left(5.3) > 0.0 and not replica.can_write(5.3)
     assert replica.lease_left(5.0 + LEASE_SECONDS) == 0.0 and not replica.can_write(
@@ -536,7 +561,7 @@
 
 
 async def _operate(cluster: StoreCluster, name: str, rng: Random) -> None:
-    """Puts versions that sometimes are another operator's too, at any machine."""
+    """Sends changes to random machines; another operator may use the same version."""
     while True:
         await asyncio.sleep(rng.uniform(0.02, 0.5))
         hosts = [h for h, m in cluster.machines.items() if m.up] or HOSTS
@@ -545,7 +570,7 @@
 
 
 async def _fault(cluster: StoreCluster, rng: Random, machine: Machine, alone: bool) -> None:
-    """Something happens to a machine, and is over when this returns."""
+    """Applies a random fault to a machine, and ends it; wipes its disk only if `alone`."""
     lasts, others = (
         rng.choice((0.1, 0.6, 1.5, 3.0)),
         [h for h in cluster.machines if h != machine.host],
@@ -592,10 +617,10 @@
         platter.hangs, platter.refuses, platter.slower = False, False, 1.0
 
 
-async def _day(cluster: StoreCluster, rng: Random) -> None:
+async def _run_random_faults(cluster: StoreCluster, rng: Random) -> None:
     for machine in cluster.machines.values():
         machine.start()
-    cluster.first = rng.random() < 0.5  # seldom it is still said to be the first start
+    cluster.first = rng.random() < 0.5  # for stores that are created until it is cleared below
     await asyncio.sleep(1.5)
     cluster.first = False
     operators = [asyncio.create_task(_operate(cluster, n, rng)) for n in ("ann", "bob")]
@@ -607,7 +632,7 @@
             for machine in cluster.machines.values():
                 machine.start()
         else:
-            # a disk is lost only while all else is well; other troubles may meet
+            # a disk is only lost while there is no other fault; other faults may coincide
             struck = rng.sample([*cluster.machines.values()], rng.choice((1, 1, 2)))
             if rng.random() < 0.6 and (first := cluster.find_primary()):
                 struck = [first, *struck[1:]] if first not in struck[1:] else struck
@@ -617,12 +642,12 @@
     for operator in operators:
         operator.cancel()
     bound = 4.0 if cluster.network.lost or cluster.network.slow else 0.3
-    assert await cluster.put_within(bound), "calm, and nothing is acknowledged"
+    assert await cluster.put_within(bound), "no change is acknowledged after the faults have ended"
     assert await cluster.read_newest() >= cluster.acknowledged_version
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_random_faults_lose_nothing(seed):
     cluster = StoreCluster(seed, (*HOSTS, "10.5.0.1")[: 3 + seed % 3])
-    cluster.do(_day(cluster, Random(seed + 1000)))
+    cluster.do(_run_random_faults(cluster, Random(seed + 1000)))
     cluster.close()
