--- a/loomstand/store/change_history.py
+++ b/loomstand/store/change_history.py
@@ -1,6 +1,6 @@
 """The verdict on a configuration change, decided by its version and content.
 
-Only one content is ever acknowledged under a version: the first one, whether it was committed or
+Only one content is acknowledged under a version: the first one, whether it was committed or
 superseded by a higher version. To keep this rule over takeovers and restarts, the digests of the
 newest versions are written and replicated together with the configuration, in the same write.
 """
--- a/loomstand/store/rescue_election_rules.py
+++ b/loomstand/store/rescue_election_rules.py
@@ -14,9 +14,9 @@
 from loomstand.store.timing import VOTER_COUNT
 from loomstand.store.views import EPOCH_RANGE, Member, View
 
-# A rescue's epoch is drawn at random from this many at the start of its range. Two rescues on both
-# sides of a partition, an operator's error, so get different epochs: the view with the higher epoch
-# prevails once the partition ends.
+# A rescue's epoch is drawn at random from this many at the start of its range. So two rescues on
+# both sides of a partition, which would be an operator's error, get different epochs: the view with
+# the higher epoch prevails once the partition ends.
 EPOCH_OFFSET_RANGE = EPOCH_RANGE // 10
 
 
--- a/loomstand/store/views.py
+++ b/loomstand/store/views.py
@@ -91,7 +91,7 @@
         return self.electors() | {member.id: member for member in data_members}
 
     def has_data(self, member_id: str) -> bool:
-        """Whether the view has that member store the configuration, as its primary or backup."""
+        """Whether that member stores the configuration in this view, as primary or backup."""
         if member_id == self.primary.id:
             return True
         return self.backup is not None and member_id == self.backup.id
--- a/tests/features/store.feature
+++ b/tests/features/store.feature
@@ -49,12 +49,12 @@
 
   Scenario Outline: One disk is lost when all machines lose power
     Given a core at work
-    When a change is acknowledged, all machines lose power for 1 s and the disk of <whom> is empty
+    When a change is acknowledged, all machines lose power for 1 s and the disk of <role> is empty
     Then a change is acknowledged within 3 s
     And nothing acknowledged is lost
 
     Examples:
-      | whom        |
+      | role        |
       | the primary |
       | the backup  |
       | a voter     |
@@ -120,12 +120,12 @@
 
   Scenario Outline: A faulty disk
     Given a core at work
-    When the disk of <whom> <trouble>
+    When the disk of <role> <fault>
     Then a change is acknowledged within 3.5 s
     And nothing acknowledged is lost
 
     Examples:
-      | whom        | trouble |
+      | role        | fault   |
       | the primary | hangs   |
       | the backup  | hangs   |
       | the primary | refuses |
--- a/tests/store/test_change_history.py
+++ b/tests/store/test_change_history.py
@@ -67,47 +67,50 @@
 
 
 def test_a_history_of_another_configuration_or_a_malformed_one_is_dropped():
-    known = EMPTY_HISTORY.appended(3, digest(b"x")).appended(7, digest(b"seven"))
-    numbers, contents = known.to_row().versions, known.to_row().digests
-    assert ChangeHistory.from_row(ChangeHistoryRow(numbers, contents), 7, b"seven") == known
+    history = EMPTY_HISTORY.appended(3, digest(b"x")).appended(7, digest(b"seven"))
+    versions, digests = history.to_row().versions, history.to_row().digests
+    assert ChangeHistory.from_row(ChangeHistoryRow(versions, digests), 7, b"seven") == history
     for row in (
         None,
         ChangeHistoryRow([], b""),
-        ChangeHistoryRow([7, 3], contents),
-        ChangeHistoryRow([3, 3], contents),
-        ChangeHistoryRow(numbers, contents[:-1]),
-        ChangeHistoryRow(numbers, b""),
+        ChangeHistoryRow([7, 3], digests),
+        ChangeHistoryRow([3, 3], digests),
+        ChangeHistoryRow(versions, digests[:-1]),
+        ChangeHistoryRow(versions, b""),
     ):
         assert ChangeHistory.from_row(row, 7, b"seven") == EMPTY_HISTORY
     assert (
-        ChangeHistory.from_row(known.to_row(), 8, b"seven")
-        == ChangeHistory.from_row(known.to_row(), 7, b"other")
+        ChangeHistory.from_row(history.to_row(), 8, b"seven")
+        == ChangeHistory.from_row(history.to_row(), 7, b"other")
         == EMPTY_HISTORY
     )
-    record = Record("a", True, 3, None, 7, b"seven", 3, known)
+    record = Record("a", True, 3, None, 7, b"seven", 3, history)
     assert Record.from_pages(record.pages()) == record
     for page in (None, []):  # pages that aren't a history
-        spoilt = record.pages() | {"orders": cbor2.dumps(page)}
-        assert Record.from_pages(spoilt).history == EMPTY_HISTORY
-    ninth = Record("a", True, 3, None, 9, b"nine", 4).pages()["configuration"]
-    older = record.pages() | {"configuration": ninth}
+        malformed = record.pages() | {"orders": cbor2.dumps(page)}
+        assert Record.from_pages(malformed).history == EMPTY_HISTORY
+    newer_page = Record("a", True, 3, None, 9, b"nine", 4).pages()["configuration"]
+    mixed_pages = record.pages() | {"configuration": newer_page}
     assert (
-        Record.from_pages(older).history == EMPTY_HISTORY
+        Record.from_pages(mixed_pages).history == EMPTY_HISTORY
     )  # an earlier release wrote the configuration without the history
-    del older["orders"]
-    assert Record.from_pages(older).version == 9
+    del mixed_pages["orders"]
+    assert Record.from_pages(mixed_pages).version == 9
 
 
 def test_the_committed_content_is_compared_as_json_and_older_ones_by_their_bytes():
     one = b'{"version":"r7","resources":[{"a":1,"b":"\\u00e9"}]}'
-    anew = b'{ "resources": [{"b": "\xc3\xa9", "a": 1.0}], "version": "r7" }'
-    known = EMPTY_HISTORY.appended(7, digest(one))
-    assert is_same_configuration(one, anew) and known.judge(7, one, 7, anew) is Verdict.REPEATED
-    assert known.judge(7, one, 7, one.replace(b"1", b"2")) is Verdict.CONFLICT
+    reencoded = b'{ "resources": [{"b": "\xc3\xa9", "a": 1.0}], "version": "r7" }'
+    history = EMPTY_HISTORY.appended(7, digest(one))
+    assert (
+        is_same_configuration(one, reencoded)
+        and history.judge(7, one, 7, reencoded) is Verdict.REPEATED
+    )
+    assert history.judge(7, one, 7, one.replace(b"1", b"2")) is Verdict.CONFLICT
     assert not is_same_configuration(b"[" * 100_000, b"[" * 100_001) and not is_same_configuration(
         b"{", b"["
     )
-    assert known.appended(9, digest(b"{}")).judge(9, b"{}", 7, anew) is Verdict.CONFLICT
+    assert history.appended(9, digest(b"{}")).judge(9, b"{}", 7, reencoded) is Verdict.CONFLICT
     assert (
         EMPTY_HISTORY.judge(7, one, 7, b"{}") is Verdict.CONFLICT
     )  # committed, with an empty history
@@ -179,15 +182,20 @@
         hosts = [h for h, m in cluster.machines.items() if m.up] or [*cluster.machines]
         step = rng.random()
         if ledger.sent and step < 0.4:
-            version, mine = rng.choice(ledger.sent[-12:] if step < 0.3 else ledger.sent)
+            version, change_mark = rng.choice(ledger.sent[-12:] if step < 0.3 else ledger.sent)
         else:
-            version, mine = max(1, cluster.sent + rng.choice((-2, -1, 0, 0, 1, 1, 1, 2))), mark
+            version, change_mark = (
+                max(1, cluster.sent + rng.choice((-2, -1, 0, 0, 1, 1, 1, 2))),
+                mark,
+            )
         if rng.random() < 0.2:  # to two machines concurrently
-            other, lost = rng.choice((mine, mark + "'")), rng.random() < 0.3
-            again = ledger.send_change(rng.choice(hosts), version, other, lost)
-            await asyncio.gather(again, ledger.send_change(rng.choice(hosts), version, mine))
+            other_mark, lost = rng.choice((change_mark, mark + "'")), rng.random() < 0.3
+            concurrent_change = ledger.send_change(rng.choice(hosts), version, other_mark, lost)
+            await asyncio.gather(
+                concurrent_change, ledger.send_change(rng.choice(hosts), version, change_mark)
+            )
         else:
-            await ledger.send_change(rng.choice(hosts), version, mine, rng.random() < 0.3)
+            await ledger.send_change(rng.choice(hosts), version, change_mark, rng.random() < 0.3)
 
 
 async def run_random_faults(cluster: StoreCluster, rng: Random) -> Ledger:
@@ -208,9 +216,9 @@
             for machine in cluster.machines.values():
                 machine.start()
         else:
-            struck = rng.choice([*cluster.machines.values()])
-            first = cluster.find_primary() if rng.random() < 0.7 else None
-            await _fault(cluster, rng, first or struck, True)
+            random_machine = rng.choice([*cluster.machines.values()])
+            primary = cluster.find_primary() if rng.random() < 0.7 else None
+            await _fault(cluster, rng, primary or random_machine, True)
         await asyncio.sleep(rng.choice((0.05, 0.5, 2.0, 4.0)))
         for task in work:
             assert not task.done() or task.result()
@@ -317,39 +325,39 @@
 def test_registries_refuse_another_content_after_takeover_restart_and_a_lost_disk():
     system = Cluster(3)
     system.do(system.begin())
-    first, number = system.core_ips, system.version + 5
-    held = (number, number + 4)
+    hosts, number = system.core_ips, system.version + 5
+    versions = (number, number + 4)
     assert (
-        replace_status(system, first[0], held[0])
+        replace_status(system, hosts[0], versions[0])
         == 200
-        == replace_status(system, first[1], held[1])
+        == replace_status(system, hosts[1], versions[1])
     )
 
     def check_answers() -> None:
         for ip in system.core_ips:
-            for version in held:
+            for version in versions:
                 assert replace_status(system, ip, version) == 200
                 assert replace_status(system, ip, version, "4000ms") == 409
-            assert replace_status(system, ip, number + 1) == 200  # a lower one that was never taken
+            assert replace_status(system, ip, number + 1) == 200  # lower, and never committed
             assert replace_status(system, ip, number + 1, "4000ms") == 409
-        assert json.loads(system.do(system.operator.read()))["version"] == f"r{held[1]}"
+        assert json.loads(system.do(system.operator.read()))["version"] == f"r{versions[1]}"
 
     check_answers()
-    for trouble in ("kill", "power", "wipe"):
-        struck = [ip for ip in first if system.serves(ip)] if trouble != "power" else first
-        assert struck
-        for ip in struck:
+    for fault in ("kill", "power", "wipe"):
+        targets = [ip for ip in hosts if system.serves(ip)] if fault != "power" else hosts
+        assert targets
+        for ip in targets:
             for host in system.core(ip):
-                host.kill() if trouble == "kill" else host.power_off(wipe=trouble == "wipe")
-        if trouble == "kill":
+                host.kill() if fault == "kill" else host.power_off(wipe=fault == "wipe")
+        if fault == "kill":
             system.wait(2.0)  # another member takes over in this time
 
-        async def back(hosts) -> None:
+        async def restart(hosts) -> None:
             for host in hosts:
                 host.start()
             await asyncio.sleep(4.0)
 
-        system.do(back([host for ip in struck for host in system.core(ip)]))
+        system.do(restart([host for ip in targets for host in system.core(ip)]))
         check_answers()
     system.close()
 
@@ -413,13 +421,13 @@
 def keeps_history_of_an_earlier_term(patch) -> None:
     become_established = Replica.become_established
 
-    def mine(self, now):
+    def become_established_with_history(self, now):
         before, done = self.history, become_established(self, now)
         if done and before.entries:
             self.history = before
         return done
 
-    patch.setattr(Replica, "become_established", mine)
+    patch.setattr(Replica, "become_established", become_established_with_history)
 
 
 def test_a_primary_in_a_second_term_has_the_changes_acknowledged_in_between(monkeypatch):
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -75,10 +75,10 @@
         if self.check_task.done():
             self.check_task.result()
 
-    def start(self, *but: str) -> None:
+    def start(self, *excluded: str) -> None:
         async def all_() -> None:
             for host, machine in self.machines.items():
-                if host not in but and not machine.up:
+                if host not in excluded and not machine.up:
                     machine.start()
 
         self.do(all_())
@@ -161,13 +161,13 @@
             self.acknowledged_version = max(self.acknowledged_version, answer.ok["version"])
         return answer.is_ok()
 
-    async def put_within(self, seconds: float, but: tuple[str, ...] = ()) -> bool:
+    async def put_within(self, seconds: float, excluded: tuple[str, ...] = ()) -> bool:
         """Whether a change is acknowledged in time; each attempt is a new change to a random
         machine.
         """
         until = self.loop.time() + seconds
         while self.loop.time() < until:
-            hosts = [h for h, m in self.machines.items() if m.up and h not in but]
+            hosts = [h for h, m in self.machines.items() if m.up and h not in excluded]
             if await self.put(self.rng.choice(hosts)):
                 return self.loop.time() <= until
             await asyncio.sleep(0.02)
@@ -294,12 +294,12 @@
 
 @when(
     parsers.parse(
-        "a change is acknowledged, all machines lose power for {s:g} s and the disk of {whom} is "
+        "a change is acknowledged, all machines lose power for {s:g} s and the disk of {role} is "
         "empty"
     )
 )
-def _(cluster, s, whom):
-    _all_down(cluster, s, cluster.machine_in_role(whom))
+def _(cluster, s, role):
+    _all_down(cluster, s, cluster.machine_in_role(role))
 
 
 def _all_down(cluster, seconds, wiped):
@@ -368,11 +368,11 @@
     cluster.machine_in_role("the backup").power_off()
 
 
-@when(parsers.re("the disk of (?P<whom>.*) (?P<trouble>hangs|refuses|is slow)"))
-def _(cluster, whom, trouble):
-    platter = cluster.machine_in_role(whom).platter
-    platter.hangs, platter.refuses = trouble == "hangs", trouble == "refuses"
-    platter.slower = 60.0 if trouble == "is slow" else 1.0
+@when(parsers.re("the disk of (?P<role>.*) (?P<fault>hangs|refuses|is slow)"))
+def _(cluster, role, fault):
+    platter = cluster.machine_in_role(role).platter
+    platter.hangs, platter.refuses = fault == "hangs", fault == "refuses"
+    platter.slower = 60.0 if fault == "is slow" else 1.0
 
 
 @when("the primary is told to stop")
@@ -384,14 +384,14 @@
 def _(cluster):
     new = [f"10.{zone}.0.2" for zone in range(1, 5)]
     cluster.old_hosts, cluster.seeds = [*HOSTS], new[:3]
-    fresh = machines(cluster.network, cluster.rng, new, lambda h: [cluster.maker(h)])
-    for gone, come in zip(HOSTS, new, strict=True):
+    new_machines = machines(cluster.network, cluster.rng, new, lambda h: [cluster.maker(h)])
+    for old_host, new_host in zip(HOSTS, new, strict=True):
         # the seeds of a new machine: itself, up to two old machines that run, the first new one
-        cluster.seeds = [come, *[h for h in HOSTS if cluster.machines[h].up][:2], *new[:1]][:3]
-        cluster.machines[come] = fresh[come]
+        cluster.seeds = [new_host, *[h for h in HOSTS if cluster.machines[h].up][:2], *new[:1]][:3]
+        cluster.machines[new_host] = new_machines[new_host]
         cluster.start(*[h for h in HOSTS if not cluster.machines[h].up])
         cluster.wait(1.0)
-        cluster.do(cluster.machines[gone].leave())
+        cluster.do(cluster.machines[old_host].leave())
         cluster.wait(3.0)
         assert cluster.do(cluster.put_within(0.5))
 
@@ -571,7 +571,7 @@
 
 async def _fault(cluster: StoreCluster, rng: Random, machine: Machine, alone: bool) -> None:
     """Applies a random fault to a machine, and ends it; wipes its disk only if `alone`."""
-    lasts, others = (
+    duration, others = (
         rng.choice((0.1, 0.6, 1.5, 3.0)),
         [h for h in cluster.machines if h != machine.host],
     )
@@ -592,28 +592,28 @@
     platter = machine.platter
     if kind in ("kill", "power", "wipe"):
         machine.kill() if kind == "kill" else machine.power_off(wipe=kind == "wipe")
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         machine.start()
         if kind == "wipe":
             await asyncio.sleep(4.0)
     elif kind == "freeze":
         machine.freeze()
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         machine.thaw()
     elif kind == "leave":
         await machine.leave()
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         machine.start()
     elif kind in ("cut", "in", "out"):
         for other in others:
             ends = (machine.host, other) if kind == "out" else (other, machine.host)
             cluster.network.cut(*ends, both=kind == "cut")
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         cluster.network.mend()
     else:
         platter.hangs, platter.refuses = kind == "hangs", kind == "refuses"
         platter.slower = 100.0 if kind == "slow" else 1.0
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         platter.hangs, platter.refuses, platter.slower = False, False, 1.0
 
 
@@ -633,10 +633,10 @@
                 machine.start()
         else:
             # a disk is only lost while there is no other fault; other faults may coincide
-            struck = rng.sample([*cluster.machines.values()], rng.choice((1, 1, 2)))
+            targets = rng.sample([*cluster.machines.values()], rng.choice((1, 1, 2)))
             if rng.random() < 0.6 and (first := cluster.find_primary()):
-                struck = [first, *struck[1:]] if first not in struck[1:] else struck
-            await asyncio.gather(*(_fault(cluster, rng, m, len(struck) == 1) for m in struck))
+                targets = [first, *targets[1:]] if first not in targets[1:] else targets
+            await asyncio.gather(*(_fault(cluster, rng, m, len(targets) == 1) for m in targets))
         await asyncio.sleep(rng.choice((0.05, 0.5, 2.0, 4.0)))
     await asyncio.sleep(5.0)
     for operator in operators:
