--- a/loomstand/store/dissemination.py
+++ b/loomstand/store/dissemination.py
@@ -112,6 +112,6 @@
             CallRefusedError: This store has learned of no committed configuration since its start.
         """
         replica = self._io.replica
-        if not replica.knows_committed:
+        if not replica.has_committed_version:
             raise CallRefusedError("nothing known to be in force")
         return CommittedResponse(version=replica.version, data=replica.data)
--- a/loomstand/store/heartbeats.py
+++ b/loomstand/store/heartbeats.py
@@ -88,7 +88,7 @@
             and member.id in view.members()
         ):
             await self._io.install_view(member, view)
-        if peer.committed_version > (replica.version if replica.knows_committed else -1):
+        if peer.committed_version > (replica.version if replica.has_committed_version else -1):
             await self._dissemination.pull(address)
 
     async def handle(self, request: HeartbeatRequest) -> HeartbeatResponse:
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -39,7 +39,7 @@
     GRANT_SECONDS,
     LONG_AGO,
 )
-from loomstand.store.views import Member, View, newest
+from loomstand.store.views import Member, View, newest_view
 
 
 @dataclass(slots=True)
@@ -68,8 +68,8 @@
         data: The configuration of that version.
         history: The acknowledged changes, kept while it is established.
         inherited_history: The change history read with the configuration as a candidate.
-        knows_committed: Whether `version` comes from a serving primary, directly or through other
-            members.
+        has_committed_version: Whether `version` comes from a serving primary, directly or through
+            other members.
         state: Its own state.
         highest_epoch_observed: The highest promised epoch that a member reported in an election.
         backoff_until: Time until which it starts no action (`planning`), after its own failed
@@ -94,7 +94,7 @@
     data: bytes = b""
     history: ChangeHistory = EMPTY_HISTORY
     inherited_history: ChangeHistory = EMPTY_HISTORY
-    knows_committed: bool = False
+    has_committed_version: bool = False
     state: MemberState = MemberState.HEALTHY
     highest_epoch_observed: int = 0
     backoff_until: float = LONG_AGO
@@ -129,7 +129,7 @@
 
     def newest_known_view(self) -> View | None:
         """The newest view, on its disk or observed in messages."""
-        return newest(self.record.view, self.newest_view)
+        return newest_view(self.record.view, self.newest_view)
 
     def highest_known_epoch(self) -> int:
         """The highest promised epoch known to this member."""
@@ -173,7 +173,7 @@
             "view_epoch": view.epoch if view else 0,
             "newest_view_epoch": newest_epoch,
             "promised_epoch": self.promised_epoch,
-            "committed_version": self.version if self.knows_committed else -1,
+            "committed_version": self.version if self.has_committed_version else -1,
             "view": view_to_send.to_row() if view_to_send else None,
             "requested_lease_epoch": view.epoch if view is not None and asks_lease else 0,
         }
@@ -286,13 +286,13 @@
 
     def commit(self, version: int, data: bytes) -> bool:
         """Records a committed configuration; returns whether it is new to this member."""
-        is_newer = version > self.version or not self.knows_committed
+        is_newer = version > self.version or not self.has_committed_version
         if self.is_established and (version, data) == self.record.configuration:
             self.history = self.history_with(version, data)
         if version > self.version:
             self.version = version
             self.data = data
-        self.knows_committed = True
+        self.has_committed_version = True
         return is_newer
 
     def history_with(self, version: int, data: bytes) -> ChangeHistory:
--- a/loomstand/store/rescue.py
+++ b/loomstand/store/rescue.py
@@ -20,7 +20,7 @@
 )
 from loomstand.store.member_report import MemberReport
 from loomstand.store.peers import MemberState
-from loomstand.store.views import EPOCH_RANGE, Member, View, newest
+from loomstand.store.views import EPOCH_RANGE, Member, View, newest_view
 
 # A member must have run for so long: limiters and registries give back what they hold within two
 # seconds.
@@ -249,5 +249,5 @@
 ) -> RescueCase:
     """The case of these reports; of two by one member the later counts."""
     by_member = {report.member.id: report for report in reports}
-    view = newest(*(report.view for report in by_member.values()))
+    view = newest_view(*(report.view for report in by_member.values()))
     return RescueCase(tuple(by_member.values()), view, frozenset(gone_hosts), len(seeds) == 1)
--- a/loomstand/store/status_board.py
+++ b/loomstand/store/status_board.py
@@ -72,7 +72,7 @@
         return KnownPrimary(view.epoch, view.primary.address if is_reachable else None)
 
     def _is_ready(self) -> bool:
-        return self._io.replica.knows_committed and self._counting_leases.is_fresh()
+        return self._io.replica.has_committed_version and self._counting_leases.is_fresh()
 
     def status(self) -> StatusResponse:
         """The status for registries."""
--- a/loomstand/store/views.py
+++ b/loomstand/store/views.py
@@ -150,7 +150,7 @@
         return f"{text} voters={voters}" + (f" former_voters={former}" if former else "")
 
 
-def newest(*views: View | None) -> View | None:
+def newest_view(*views: View | None) -> View | None:
     """The view with the highest epoch, None if there is no view."""
     known_views = [view for view in views if view is not None]
     return max(known_views, key=lambda view: view.epoch, default=None)
--- a/loomstand/testing/model_checker/member.py
+++ b/loomstand/testing/model_checker/member.py
@@ -184,7 +184,7 @@
         replica.is_established = snapshot.is_established
         replica.version = snapshot.version
         replica.data = snapshot.data
-        replica.knows_committed = True
+        replica.has_committed_version = True
         for m in seeds:  # as a founder knows the others
             if m != me:
                 # so it may ask for its lease
--- a/loomstand/testing/model_checker/state_space.py
+++ b/loomstand/testing/model_checker/state_space.py
@@ -14,7 +14,7 @@
 from loomstand.store.record import NO_CONFIGURATION, Record
 from loomstand.store.rescue import make_case
 from loomstand.store.timing import LEASE_SECONDS
-from loomstand.store.views import EPOCH_RANGE, Member, View, newest
+from loomstand.store.views import EPOCH_RANGE, Member, View, newest_view
 from loomstand.testing.model_checker.member import (
     TICK_SECONDS,
     CodeUnderTest,
@@ -535,7 +535,7 @@
         after = state._replace(snapshots=tuple(snapshots), late=tuple(sorted({*late})))
         label = ("{} " + words, (self.snapshots[state.snapshots[i]].record.id,))
         views = (v for c in after.snapshots for v in self.facts[c][2])
-        view = newest(*views) if self.bounds.rescues else None
+        view = newest_view(*views) if self.bounds.rescues else None
         if view is None:
             yield label, self._tidy(after)
         for _, greeted in self._take(after, i, ("hear_newest_view", view)) if view else ():
@@ -697,7 +697,7 @@
         snapshots = [
             self.snapshots[c] for i, c in enumerate(state.snapshots) if i not in state.gone
         ]
-        return newest(*(v for c in snapshots for v in (c.record.view, c.newest_view))), [
+        return newest_view(*(v for c in snapshots for v in (c.record.view, c.newest_view))), [
             c.record.id for c in snapshots
         ]
 
