--- a/loomstand/rpc/__init__.py
+++ b/loomstand/rpc/__init__.py
@@ -1,12 +1,12 @@
-"""Calls between the system's three programs (proxy, registry, store), and how a program starts.
+"""Calls between the system's three programs (proxy, registry, store), and program startup.
 
-- `network`: what a program is handed to call others: an interface, without sockets
+- `network`: the interface by which a program calls others, independent of sockets
 - `client`, `messages`: calls with typed messages, over any network
-- `frames`: how calls stand in a stream of bytes; pure
-- `tcp_connection`, `tcp_network`: the network of real sockets
-- `errors`: what a failure proves, and the errors raised here
+- `frames`: the encoding of calls in a byte stream; pure
+- `tcp_connection`, `tcp_network`: the network over TCP sockets
+- `errors`: what a failed call proves, and the errors raised here
 - `operator_http`: the HTTP listener for calls of operators and servers
-- `request_router`: from the operation of a call to its handler
+- `request_router`: dispatches each call to the handler of its operation
 - `start`, `early_signals`: settings, signals and event loop of a program
 """
 
--- a/loomstand/rpc/client.py
+++ b/loomstand/rpc/client.py
@@ -1,4 +1,4 @@
-"""A call with typed messages, over any `Network`."""
+"""Calls with typed messages, over any `Network`."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
     response_type: type[ResponseT],
     timeout_seconds: float,
 ) -> Result[ResponseT, CallFailure]:
-    """Sends a request and waits for its answer, never longer than `timeout_seconds`.
+    """Sends a request and waits at most `timeout_seconds` for its response.
 
     Args:
-        network: Carries the call.
-        address: Where the other program listens.
-        request: Its class names the operation.
-        response_type: Class of the answer.
-        timeout_seconds: For the whole call, connecting included.
+        network: The network that carries the call.
+        address: Address at which the other program listens.
+        request: The request; its class defines the operation.
+        response_type: Class of the response.
+        timeout_seconds: Limit in seconds for the whole call, connection setup included.
 
     Returns:
-        The answer, or what the failure proves.
+        The response, or what the failure proves.
 
     Raises:
-        MessageError: The answer isn't a message of `response_type`.
+        MessageError: The response isn't a message of `response_type`.
     """
     body = request.to_wire()
     result = await network.call(address, request.operation, body, timeout_seconds)
--- a/loomstand/rpc/early_signals.py
+++ b/loomstand/rpc/early_signals.py
@@ -1,8 +1,8 @@
-"""Imported first by each program: SIGHUP doesn't end a process that is still starting.
+"""Ignores SIGHUP during startup; each program imports this module first.
 
-Until a program has set up its signals the system's default holds, which ends the process; most of a
-start is the loading of its code. A file that changes meanwhile isn't missed: the program reads it
-later, or sees that it has another stamp (`loomstand.rpc.start`).
+Until a program has installed its signal handlers, SIGHUP ends the process by default, and most of
+the startup time is spent loading code. A settings file that changes during that time isn't missed:
+the program reads it later, or detects that its stamp has changed (`loomstand.rpc.start`).
 """
 
 import signal
--- a/loomstand/rpc/errors.py
+++ b/loomstand/rpc/errors.py
@@ -1,6 +1,6 @@
-"""How calls fail: what a failure proves to the caller, and the errors of this package.
+"""Failures of calls, by what they prove to the caller, and the errors of this package.
 
-Whoever sees a failure asks one thing only: may what was asked have been executed?
+A caller needs to know one thing about a failed call: whether it may have been executed.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 
 
 class CallFailure(Enum):
-    """How a call failed, by what that proves. The values go out in answers to operators."""
+    """What a failed call proves. The values are part of responses to operators."""
 
     NEVER_RAN = "never ran"
-    """Nothing of it can have reached the other end."""
+    """No part of the call can have reached the other program."""
 
     MAY_HAVE_RUN = "may have run"
-    """It was sent, and no answer came."""
+    """The call was sent, and no answer was received."""
 
     REFUSED = "refused"
-    """The other end says that it did nothing."""
+    """The other program answered that it did nothing."""
 
 
 class RpcError(Exception):
@@ -26,11 +26,11 @@
 
 
 class CallRefusedError(RpcError):
-    """Raised by whoever serves a call: it did nothing, and the caller may ask elsewhere.
+    """Raised by a call's handler if it did nothing, so that the caller may call another program.
 
-    The text goes to the caller, as the reason.
+    The text is sent to the caller as the reason.
     """
 
 
 class FrameError(RpcError):
-    """Bytes that aren't a frame; the connection they came on is of no further use."""
+    """Received bytes aren't a valid frame; their connection can't be used any further."""
--- a/loomstand/rpc/frames.py
+++ b/loomstand/rpc/frames.py
@@ -1,12 +1,12 @@
-"""Frames: how calls and answers stand in a stream of bytes. A state machine without I/O.
+"""Frames: the encoding of calls and answers in a byte stream. A state machine without I/O.
 
-A frame is four bytes of length (big-endian), one `cbor2` item, and the item's CRC-32 in four bytes
-(big-endian); the length counts the item and its checksum. The item is a list of three: a call is
-[number, operation, body], an answer [number, whether it succeeded, body].
+A frame is a length of four bytes (big-endian), one CBOR data item, and the item's CRC-32 in four
+bytes (big-endian); the length counts the item and its checksum. The item is a list of three
+elements: a call is [number, operation, body], an answer [number, whether it succeeded, body].
 
-The checksum is there as that of TCP has sixteen bits only, and some faults of memory and of network
-cards come before it is made. Programs of early releases send no checksum, and read over what
-follows the item; so one is required only after the first frame that has it.
+TCP's checksum doesn't suffice: it has only 16 bits, and faults of memory or network cards can
+corrupt data before it is computed. Programs of early releases send no checksum, and ignore the
+bytes after the item; so a checksum is required only after the first frame that has one.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 from loomstand.rpc.errors import FrameError
 from loomstand.rpc.network import Body
 
-# A configuration of thousands of routes takes some MB, the largest message there is.
+# The largest message is a configuration: one of thousands of routes takes a few MB.
 MAX_FRAME_BYTES = 16 << 20
 _UINT32 = struct.Struct(">I")
 LENGTH_BYTES = _UINT32.size
 CHECKSUM_BYTES = _UINT32.size
-ELEMENTS = 3  # of an item
+ITEM_ELEMENTS = 3  # number, operation or outcome, body
 
 
 class CallFrame(msgspec.Struct, frozen=True):
     """A call.
 
     Attributes:
-        number: Of the call on its connection; its answer has the same one.
+        number: Number of the call on its connection; its answer has the same one.
         operation: Name of the operation.
-        body: The request's body.
+        body: Body of the request.
     """
 
     number: int
@@ -52,9 +52,9 @@
     """The answer to a call.
 
     Attributes:
-        number: That of the call.
-        is_ok: Whether the call was executed; else it was refused.
-        body: The response's body, or {"why": the reason of the refusal}.
+        number: Number of the call.
+        is_ok: Whether the call was executed; false if it was refused.
+        body: Body of the response, or {"why": the reason of the refusal}.
     """
 
     number: int
@@ -75,16 +75,16 @@
 
 
 def encode_item(item: object) -> bytes:
-    """Returns an item with its length and checksum; `encode_frame` for what needn't be a frame."""
+    """Encodes an item, which needn't be a valid frame, with its length and checksum."""
     encoded = cbor2.dumps(item)
     length = len(encoded) + CHECKSUM_BYTES
     return _UINT32.pack(length) + encoded + _UINT32.pack(crc32(encoded))
 
 
 class FrameDecoder:
-    """Is fed with the bytes of one connection as they come, and gives the frames that are complete.
+    """Decodes the bytes of one connection, in the pieces received, into frames.
 
-    State: the bytes of the frame that isn't complete yet, and whether the sender makes checksums.
+    State: the bytes of the incomplete frame, and whether the sender adds checksums.
     """
 
     __slots__ = ("_has_checksums", "_incomplete")
@@ -94,14 +94,14 @@
         self._has_checksums = False
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Yields each frame that is complete with these bytes.
+        """Yields each frame that these bytes complete.
 
         Raises:
-            FrameError: The bytes can't be a frame.
+            FrameError: The bytes aren't a valid frame.
         """
         incomplete = self._incomplete
         if not incomplete and _frame_end(data) == len(data):
-            yield self._decode(data)  # one frame, as usual: it needn't go through the buffer
+            yield self._decode(data)  # exactly one frame, the usual case: no buffering
             return
         incomplete += data
         end = _frame_end(incomplete)
@@ -120,21 +120,21 @@
                 self._has_checksums = True
                 return _decode_item(item)
         if self._has_checksums:
-            raise FrameError("a frame that was changed on its way")
+            raise FrameError("checksum mismatch")
         return _decode_item(frame[LENGTH_BYTES:])
 
 
 def _frame_end(buffer: bytes | bytearray) -> int | None:
-    """Returns where the first frame ends; None if it isn't complete.
+    """Returns the offset of the first frame's end; None if the frame is incomplete.
 
     Raises:
-        FrameError: It is longer than any frame.
+        FrameError: The length is 0 or above MAX_FRAME_BYTES.
     """
     if len(buffer) < LENGTH_BYTES:
         return None
     (length,) = _UINT32.unpack_from(buffer)
     if not 0 < length <= MAX_FRAME_BYTES:
-        raise FrameError(f"a frame of {length} bytes")
+        raise FrameError(f"length {length} is not between 1 and {MAX_FRAME_BYTES} bytes")
     end = LENGTH_BYTES + int(length)
     return end if len(buffer) >= end else None
 
@@ -142,13 +142,13 @@
 def _decode_item(item: bytes) -> Frame:
     try:
         decoded: Any = cbor2.loads(item)
-    except Exception as error:  # noqa: BLE001  # bytes from outside: the library raises many kinds
-        raise FrameError(f"no item: {type(error).__name__}") from None
-    if isinstance(decoded, list) and len(decoded) == ELEMENTS:
+    except Exception as error:  # noqa: BLE001  # untrusted bytes: cbor2 raises errors of many types
+        raise FrameError(f"item is not valid CBOR: {type(error).__name__}") from None
+    if isinstance(decoded, list) and len(decoded) == ITEM_ELEMENTS:
         number, kind, body = decoded
         if isinstance(number, int) and isinstance(body, dict):
             if isinstance(kind, str):
                 return CallFrame(number, kind, body)
             if isinstance(kind, bool):
                 return AnswerFrame(number, kind, body)
-    raise FrameError("no call and no answer")
+    raise FrameError("item is neither a call nor an answer")
--- a/loomstand/rpc/network.py
+++ b/loomstand/rpc/network.py
@@ -1,6 +1,6 @@
-"""What a program is handed to call others: an interface, without sockets.
+"""The interface by which a program calls others, independent of sockets.
 
-`tcp_network` is the one of real sockets; simulated ones stand in `loomstand.testing.simulation`.
+`tcp_network` implements it over TCP; simulated networks are in `loomstand.testing.simulation`.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 
 from loomstand.rpc.errors import CallFailure
 
-# Bytes a second at which a call's body is taken to be encoded, sent, decoded and written at least,
-# on a slow link with other calls beside it. Ten thousand routes are 3.4 MB; a usual configuration
-# adds a millisecond.
+# Lowest rate in bytes per second at which a call's body is assumed to be encoded, sent, decoded and
+# written, on a slow link with other calls in flight. Ten thousand routes are 3.4 MB; a usual
+# configuration adds 1 ms to a timeout.
 MIN_TRANSFER_BYTES_PER_SECOND = 8e6
 
 Address = tuple[str, int]
 """IP address and TCP port."""
 
 Body = dict[str, Any]
-"""What a call or an answer carries: numbers, text, bytes, lists, mappings and None, by key."""
+"""Contents of a request or response: numbers, text, bytes, lists, mappings and None, by key."""
 
 CallHandler = Callable[[str, Body], Awaitable[Body]]
 """Serves a call: takes the operation's name and the request's body, returns the response's body."""
 
 
 def transfer_seconds(size_bytes: int) -> float:
-    """Returns the seconds by which a call's timeout is longer for a body of this size."""
+    """Returns the time in seconds to add to a call's timeout for a body of this size."""
     return size_bytes / MIN_TRANSFER_BYTES_PER_SECOND
 
 
 class Network(Protocol):
-    """Calls between programs. Bodies are plain; `rpc.client` calls with typed messages."""
+    """Calls between programs with untyped bodies; `rpc.client` calls with typed messages."""
 
     async def call(
         self, address: Address, operation: str, body: Body, timeout_seconds: float
@@ -41,13 +41,13 @@
         """Calls the program that listens at `address`.
 
         Args:
-            address: Where it listens.
+            address: Address at which the program listens.
             operation: Name of the operation.
-            body: The request's body.
-            timeout_seconds: For the whole call, connecting included; it never takes longer.
+            body: Body of the request.
+            timeout_seconds: Limit in seconds for the whole call, connection setup included.
 
         Returns:
-            The response's body, or what the failure proves.
+            Body of the response, or what the failure proves.
         """
         ...
 
@@ -55,7 +55,7 @@
         """Serves calls at `address` until the program ends.
 
         Args:
-            address: Where to listen.
-            handler: Serves each call; it raises `CallRefusedError` where it did nothing.
+            address: Address to listen at.
+            handler: Serves each call; it raises `CallRefusedError` if it did nothing.
         """
         ...
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -1,6 +1,6 @@
-"""The HTTP listener for calls from outside: of operators and of the servers' heartbeats.
+"""The HTTP listener for external calls: those of operators and the heartbeats of servers.
 
-It stands on the listener and the HTTP parser of the stand-alone limiter (`loomstand.limiter`).
+It is built on the listener and the HTTP parser of the stand-alone limiter (`loomstand.limiter`).
 """
 
 from __future__ import annotations
@@ -19,33 +19,34 @@
 from loomstand.limiter.protocols import Asker
 from loomstand.rpc.network import Address
 
-# Share of the sockets that callers may keep open between calls; the others are for new calls and,
-# in a registry, for limiters' sessions. With a sixth, as a limiter grants its clients, beyond 616
-# servers a registry each heartbeat needed a new connection: the one idle longest was closed, which
-# was the next to be used.
+# Share of the sockets that callers may keep open between calls; the rest is for new calls and, in a
+# registry, for limiters' sessions. With a sixth, the share that a limiter gives its clients, each
+# heartbeat needed a new connection beyond 616 servers per registry: the listener closed the
+# connection idle longest, which was the next one to be used.
 KEEP_ALIVE_SHARE = 0.5
-# Sockets that may wait to be accepted: a tenth, and eight where there are few.
+# The listen backlog is a tenth of the sockets, and at least 8.
 MIN_BACKLOG = 8
 BACKLOG_DIVISOR = 10
-IDLE_TIMEOUT_SECONDS = 20.0  # after which a connection without a call is closed
-MESSAGE_TIMEOUT_SECONDS = 10.0  # for which a caller may stall within a message
+IDLE_TIMEOUT_SECONDS = 20.0  # of a connection without a call, after which it is closed
+MESSAGE_TIMEOUT_SECONDS = 10.0  # longest stall of a caller within a message
 SWEEP_INTERVAL_SECONDS = 1.0
-# Age from which a connection that never sent anything is closed first where sockets run short.
+# Age in seconds from which connections that never sent a byte are the first to be closed if sockets
+# run short.
 SILENT_SECONDS = 1.0
-LOGGED_TARGET_BYTES = 80  # of a call that failed
+LOGGED_TARGET_BYTES = 80  # of the request target of a failed call
 
 HttpHandler = Callable[[bytes, bytes, bytes], Awaitable[tuple[int, bytes]]]
-"""Serves a call: takes method, target and body, returns status and body of the answer."""
+"""Serves a call: takes method, target and body, returns status and body of the response."""
 
 
 class OperatorHttpServer:
-    """Answers each call with what the handler gives; bodies of answers are JSON.
+    """Answers each call with the handler's result; response bodies are JSON.
 
-    State: its listener with the callers' connections, and a task for each call that is served. It
-    is also what the listener asks for sockets and buffers (`loomstand.limiter.protocols.Takes`).
+    State: its listener with the callers' connections, and a task for each call in progress. It also
+    manages sockets and buffers for the listener (`loomstand.limiter.protocols.Takes`).
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917  # the programs that own it size it
+    def __init__(  # noqa: PLR0913, PLR0917  # the owning programs set its limits
         self,
         handler: HttpHandler,
         turns: Turns | None,
@@ -54,15 +55,15 @@
         max_body_bytes: int,
         streams: Streams | None = None,
     ) -> None:
-        """Begins without listening.
+        """Creates a server that doesn't listen yet.
 
         Args:
             handler: Serves the calls.
-            turns: The event loop's selector; None on a loop of somebody else's.
-            memory_bytes: For all buffers together.
-            max_sockets: Connections at once.
-            max_body_bytes: Of one call, and of one answer.
-            streams: Accepts connections, where not by real sockets.
+            turns: The event loop's selector; None on an event loop with another selector.
+            memory_bytes: Memory in bytes for all buffers together.
+            max_sockets: Maximum number of concurrent connections.
+            max_body_bytes: Maximum size in bytes of a request body or response body.
+            streams: Accepts simulated connections in place of sockets.
         """
         self.handler = handler
         self.loop = asyncio.get_running_loop()
@@ -78,7 +79,7 @@
     def _make_listener(
         self, max_sockets: int, max_body_bytes: int, streams: Streams | None
     ) -> ClientListener:
-        # Its type of a limiter knows less of connections and calls than it passes on.
+        # The listener's declared type for its limiter is narrower than what it passes to it.
         limiter: Any = self
         listener = ClientListener(
             limiter, max(MIN_BACKLOG, max_sockets // BACKLOG_DIVISOR), max_sockets
@@ -92,26 +93,26 @@
         return listener
 
     async def listen(self, address: Address) -> None:
-        """Takes calls at this address, until `stop`.
+        """Accepts calls at this address, until `stop`.
 
         Raises:
-            OSError: The address can't be listened at.
+            OSError: Listening at the address failed.
         """
         await self.listener.listen(address)
         self.loop.call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
 
     def sweep(self) -> None:
-        """Closes connections that stall or stay idle, again and again until `stop`."""
+        """Closes stalled and idle connections, and reschedules itself until `stop`."""
         self.listener.sweep(MESSAGE_TIMEOUT_SECONDS)
         if not self.listener.stopping:
             self.loop.call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
 
     def spare_sockets(self) -> int:
-        """Returns how many connections more there may be; below 0 where there are too many."""
+        """Returns how many more connections are allowed; negative if there are too many."""
         return self.sockets - len(self.listener.clients)
 
     def make_room(self, spared: Asker | None = None) -> bool:
-        """Closes a connection that nobody needs, other than `spared`; whether there was one."""
+        """Closes an unused connection other than `spared`; returns whether there was one."""
         return self.listener.close_silent(spared, SILENT_SECONDS) or self.listener.close_idle(
             spared
         )
@@ -119,12 +120,12 @@
     def request_received(
         self, client: Client, machine: http_parser.RequestReceiver, at: float
     ) -> None:
-        """Begins to serve the call that came on a connection.
+        """Starts serving a call that was received on a connection.
 
         Args:
             client: The connection.
-            machine: Holds the call.
-            at: When it came, by the event loop's clock; nothing depends on it here.
+            machine: The parser that holds the call.
+            at: Time of receipt in seconds of the event loop's clock; not used here.
         """
         del at
         pending = PendingCall(client)
@@ -137,10 +138,10 @@
         task.add_done_callback(self.tasks.discard)
 
     async def serve(self, pending: PendingCall, method: bytes, target: bytes, body: bytes) -> None:
-        """Has the handler serve a call, and answers it if its caller is still there."""
+        """Runs the handler of a call, and responds if the caller is still connected."""
         try:
             status, answer = await self.handler(method, target, body)
-        except Exception as error:  # noqa: BLE001  # of one call; it gets its answer, others go on
+        except Exception as error:  # noqa: BLE001  # the call gets status 500, other calls continue
             logging.error(
                 "rpc: operator call failed: target=%s error=%s: %s",
                 target[:LOGGED_TARGET_BYTES],
@@ -158,24 +159,24 @@
             self.loop.call_soon(client.next)
 
     def client_disconnected(self, pending: PendingCall) -> None:
-        """The caller has closed the connection: the call is served, and not answered."""
+        """Called when the caller has disconnected: the call is served without a response."""
         pending.client = None
 
     def stop(self) -> None:
-        """Listens no more, and closes the connections without a call."""
+        """Stops listening, and closes the connections without a call."""
         self.listener.stop()
         self.listener.close()
 
 
 class PendingCall:
-    """A call that is owed its answer.
+    """A call in progress.
 
     Attributes:
-        client: The connection to answer on; None once it is answered, or its caller is gone.
+        client: Connection for the response; None once it is sent, or the caller has disconnected.
     """
 
     __slots__ = ("client",)
 
     def __init__(self, client: Client | None) -> None:
-        """Begins unanswered."""
+        """Creates a call that hasn't been answered."""
         self.client = client
--- a/loomstand/rpc/request_router.py
+++ b/loomstand/rpc/request_router.py
@@ -1,6 +1,6 @@
-"""From the operation of a call to its handler.
+"""Dispatches each call to the handler of its operation.
 
-Bodies are read and written here; handlers get and return typed messages.
+Bodies are decoded and encoded here; handlers take and return typed messages.
 """
 
 from __future__ import annotations
@@ -29,25 +29,25 @@
     def add(
         self, request_type: type[RequestT], handle: Callable[[RequestT], Awaitable[Message]]
     ) -> None:
-        """Has requests of a class handled by `handle`.
+        """Registers `handle` for requests of a class.
 
-        That raises CallRefusedError if it did nothing.
+        The handler raises CallRefusedError if it did nothing.
         """
         self._routes[request_type.operation] = _Route(request_type.from_wire, handle)
 
     def check(self, request: Request) -> None:
-        """Refuses requests that are not for this program by CallRefusedError; here none."""
+        """Raises CallRefusedError for requests not meant for this program; accepts all here."""
 
     def unknown_call(self, operation: str) -> str:
-        """Returns the text by which a call is refused that isn't in the table."""
+        """Returns the reason sent when a call of an unknown operation is refused."""
         return f"no such call: {operation}"
 
     async def serve(self, operation: str, body: Body) -> Body:
         """Answers a call.
 
         Raises:
-            CallRefusedError: There is no such operation, or the program did nothing.
-            MessageError: The body isn't the operation's.
+            CallRefusedError: The operation is unknown, or the program did nothing.
+            MessageError: The body isn't a valid request of the operation.
         """
         route = self._routes.get(operation)
         if route is None:
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -1,7 +1,7 @@
-"""How each program of the system runs: its settings, log, signals and event loop.
+"""Runs each program of the system: its settings, log, signals and event loop.
 
-A program is started with the path of its settings file in the environment. Settings that can't be
-used end it at the start; later the settings held stay.
+The environment has the path of a program's settings file. Settings that can't be read or are
+invalid end the program at startup; at a later reload the program keeps its current ones.
 """
 
 from __future__ import annotations
@@ -20,35 +20,35 @@
 from loomstand.limiter.event_loop import Turns
 
 SETTINGS_VARIABLE = "LOOMSTAND_CONFIG"
-SETTINGS_POLL_SECONDS = 1.0  # between looks at the file, which may change without a signal
+SETTINGS_POLL_SECONDS = 1.0  # detects changes that come without SIGHUP
 
 
 class Program(Protocol):
-    """What runs in a process."""
+    """A program that runs in a process."""
 
     async def run(self) -> None:
-        """Serves until it is stopped."""
+        """Serves until the program is stopped."""
         ...
 
     def stop(self) -> None:
-        """Begins a graceful shutdown, at SIGTERM and SIGINT: `run` returns in the end."""
+        """Begins a graceful shutdown at SIGTERM or SIGINT; `run` returns when it is complete."""
         ...
 
     def reload(self, settings: Settings) -> None:
-        """Takes changed settings."""
+        """Applies changed settings."""
         ...
 
 
 ProgramFactory = Callable[[Settings, Turns], Awaitable[Program]]
-"""Makes the program from its settings and the event loop's selector."""
+"""Creates the program from its settings and the event loop's selector."""
 
 
 class FileStamp(NamedTuple):
-    """What changes with a file's contents.
+    """File metadata that changes with the contents.
 
     Attributes:
-        modified_ns: When it was last written, in ns since the epoch.
-        size_bytes: Its size.
+        modified_ns: Modification time in ns since the Unix epoch.
+        size_bytes: Size in bytes.
     """
 
     modified_ns: int
@@ -56,7 +56,7 @@
 
     @staticmethod
     def of(path: Path) -> FileStamp | None:
-        """Returns the stamp of a file; None where it can't be read."""
+        """Returns the stamp of a file; None if it can't be read."""
         try:
             status = path.stat()
         except OSError:
@@ -65,11 +65,11 @@
 
 
 def run_program(make: ProgramFactory) -> None:
-    """Runs the program that `make` gives; settings that can't be used end it with one line."""
+    """Runs the program that `make` creates; invalid settings exit with a one-line message."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
         sys.exit(f"{SETTINGS_VARIABLE}: not set; it names the settings file")
-    stamp = FileStamp.of(Path(path))  # before the reading, so that no change after it is missed
+    stamp = FileStamp.of(Path(path))  # before the file is read, so that no change is missed
     try:
         settings = read_settings(path)
     except SettingsError as error:
@@ -99,9 +99,9 @@
 
 
 def _ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Has no further signal end the process otherwise than with status 0: its work is done.
+    """Ignores further signals, so that the process exits with status 0 when its work is done.
 
-    The event loop's end would give the signals their defaults back.
+    Closing the event loop would restore the signals' default actions, which end the process.
     """
     for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         loop.remove_signal_handler(signal_number)
@@ -109,20 +109,20 @@
 
 
 class SettingsWatcher:
-    """Has a program reload its settings file when that changes. State: the stamp last seen."""
+    """Reloads a program's settings file when it changes. State: the stamp last seen."""
 
     def __init__(self, path: str, program: Program, stamp: FileStamp | None) -> None:
-        """`stamp` is the file's at the reading of the settings that the program has."""
+        """Creates a watcher; `stamp` is that of the file when the current settings were read."""
         self.path = path
         self.program = program
         self.last_stamp = stamp
 
     def start(self) -> None:
-        """Looks at the file again and again, until the event loop ends."""
+        """Polls the file every `SETTINGS_POLL_SECONDS`, until the event loop ends."""
         asyncio.get_running_loop().call_later(SETTINGS_POLL_SECONDS, self._poll)
 
     def reload(self) -> None:
-        """Reads the file; settings that can't be used leave those held."""
+        """Reloads the file; the program keeps its settings if the new ones are invalid."""
         self.last_stamp = FileStamp.of(Path(self.path))
         try:
             self.program.reload(read_settings(self.path))
--- a/loomstand/rpc/tcp_connection.py
+++ b/loomstand/rpc/tcp_connection.py
@@ -1,8 +1,8 @@
-"""One TCP connection between two programs, either end of it: frames in, frames out.
+"""One TCP connection between two programs, from either end: sends and receives frames.
 
-A caller holds a `ClientConnection`, on which its calls go side by side; the program that serves
-holds a `ServerConnection`, which runs a task for each call. Either end is closed at the first bytes
-that aren't a frame it expects.
+A caller holds a `ClientConnection`, which multiplexes concurrent calls; the serving program holds a
+`ServerConnection`, which runs a task for each call. Either end closes the connection at the first
+invalid or unexpected frame.
 """
 
 from __future__ import annotations
@@ -17,36 +17,36 @@
 from loomstand.rpc.frames import AnswerFrame, CallFrame, Frame, FrameDecoder, encode_frame
 from loomstand.rpc.network import Body, CallHandler
 
-# Milliseconds for which bytes may stay unacknowledged by the other machine before the system ends
-# the connection: longer than any call, so calls fail by their own timeouts first.
+# Milliseconds that sent bytes may stay unacknowledged before the kernel closes the connection:
+# longer than any call, so calls fail by their own timeouts first.
 UNACKNOWLEDGED_TIMEOUT_MS = 2000
 
 
 class ConnectionOwner(Protocol):
-    """What a connection tells whoever opened or accepted it."""
+    """Callbacks of a connection to the object that opened or accepted it."""
 
     def on_accepted(self, connection: ServerConnection) -> None:
-        """A caller has connected."""
+        """Called when a caller has connected."""
         ...
 
     def on_closed(self, connection: TcpConnection) -> None:
-        """The connection is over."""
+        """Called when the connection has been closed."""
         ...
 
     def on_frame_error(self, error: FrameError) -> None:
-        """Bytes came that aren't a frame."""
+        """Called when received bytes aren't a valid frame."""
         ...
 
     def on_handler_error(self, operation: str, error: Exception) -> None:
-        """A call failed by a fault of this program."""
+        """Called when a handler fails by an unexpected error."""
         ...
 
 
 class TcpConnection(asyncio.Protocol):
-    """What both ends share. State: the frame that isn't complete yet, and the transport."""
+    """Base class of both ends. State: the incomplete frame, and the transport."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        """Begins unconnected; `transport` is None until `connection_made`."""
+        """Creates an unconnected end; `transport` is None until `connection_made`."""
         self.owner = owner
         self.decoder = FrameDecoder()
         self.transport: asyncio.Transport | None = None
@@ -56,18 +56,18 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the event loop: the connection is established."""
+        """Called by the event loop when the connection is established."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         sock = transport.get_extra_info("socket")
         if sock is None:
             return
-        with suppress(OSError):  # it may be reset already
+        with suppress(OSError):  # the connection may have been reset already
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def data_received(self, data: bytes) -> None:
-        """Called by the event loop: bytes have come."""
+        """Called by the event loop when bytes have been received."""
         try:
             for frame in self.decoder.feed(data):
                 self.frame_received(frame)
@@ -76,22 +76,22 @@
             self.close()
 
     def frame_received(self, frame: Frame) -> None:
-        """Takes a frame that came.
+        """Handles a received frame.
 
         Raises:
-            FrameError: This end expects no such frame.
+            FrameError: This end doesn't expect a frame of this kind.
         """
         raise NotImplementedError
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the event loop: the connection is over, for whatever reason."""
+        """Called by the event loop when the connection has been closed for any reason."""
         del exc
         self.owner.on_closed(self)
 
     def close(self) -> None:
-        """Ends it by a reset, so that the system delivers nothing that still waits in it.
+        """Resets the connection, so that the kernel delivers no bytes that are still queued.
 
-        Calls that were given up behind a network partition would else run when it heals.
+        Otherwise calls that timed out during a network partition would run when it heals.
         """
         if self.transport is not None:
             reset_on_close(self.transport)
@@ -99,29 +99,29 @@
 
 
 class ClientConnection(TcpConnection):
-    """The caller's end.
+    """The caller's end of a connection.
 
-    State: the calls in flight by number. A number is for one call of this connection, so an answer
-    that is late or doubled finds no call.
+    State: the calls in flight by number. A number is never reused on a connection, so a late or
+    duplicate answer matches no call and is ignored.
     """
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        """Begins without calls."""
+        """Creates an unconnected end without calls."""
         super().__init__(owner)
         self.pending_calls: dict[int, asyncio.Future[AnswerFrame | None]] = {}
         self.last_number = 0
-        self.unanswered_calls = 0  # in a row
+        self.unanswered_calls = 0  # consecutive
 
     async def call(self, operation: str, body: Body, deadline: float) -> AnswerFrame | None:
         """Sends a call and waits for its answer.
 
         Args:
             operation: Name of the operation.
-            body: The request's body.
-            deadline: Reading of the event loop's clock until which to wait.
+            body: Body of the request.
+            deadline: When to stop waiting, in seconds of the event loop's clock.
 
         Returns:
-            The answer; None if there is none by the deadline, or the connection ended before.
+            The answer; None if none arrives by the deadline, or the connection closes before.
         """
         assert self.transport is not None
         loop = asyncio.get_running_loop()
@@ -140,13 +140,13 @@
         return answer
 
     def frame_received(self, frame: Frame) -> None:
-        """Gives an answer to its call, if that still waits."""
+        """Passes an answer to its call, if the call is still waiting."""
         if not isinstance(frame, AnswerFrame):
-            raise FrameError("no answer")
+            raise FrameError("a caller expects answers only")
         resolve(self.pending_calls.pop(frame.number, None), frame)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the event loop: no call in flight gets an answer any more."""
+        """Called by the event loop on close: ends all calls in flight without an answer."""
         super().connection_lost(exc)
         pending_calls = self.pending_calls
         self.pending_calls = {}
@@ -155,50 +155,50 @@
 
 
 def resolve(pending: asyncio.Future[AnswerFrame | None] | None, answer: AnswerFrame | None) -> None:
-    """Ends the wait of a call, if it still waits.
+    """Ends the wait of a call, if it is still waiting.
 
-    Never by cancelling, as that is how whoever waits for the call gives it up.
+    It sets a result and never cancels the future: a cancellation means that the caller gave up.
     """
     if pending is not None and not pending.done():
         pending.set_result(answer)
 
 
 class ServerConnection(TcpConnection):
-    """The end that serves.
+    """The serving end of a connection.
 
-    State: a task for each call that is served. They outlive the connection, as a call that has
-    begun is executed whether or not its answer can be sent.
+    State: a task for each call in progress. Tasks outlive the connection: a call that has started
+    is completed whether or not its answer can be sent.
     """
 
     def __init__(self, owner: ConnectionOwner, handler: CallHandler) -> None:
-        """`handler` serves the calls."""
+        """Creates an unconnected end whose calls `handler` serves."""
         super().__init__(owner)
         self.handler = handler
         self.tasks: set[asyncio.Task[None]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the event loop: the connection is established."""
+        """Called by the event loop when the connection is established."""
         super().connection_made(transport)
         self.owner.on_accepted(self)
 
     def frame_received(self, frame: Frame) -> None:
-        """Begins to serve a call."""
+        """Starts a task that serves a call."""
         if not isinstance(frame, CallFrame):
-            raise FrameError("no call")
+            raise FrameError("a server expects calls only")
         task = asyncio.get_running_loop().create_task(self.serve_call(frame))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def serve_call(self, call: CallFrame) -> None:
-        """Has the handler serve a call, and sends its answer.
+        """Runs the handler of a call, and sends the answer.
 
-        A call that fails by a fault of this program gets none: whether it was executed isn't known.
+        If the handler fails unexpectedly no answer is sent: it isn't known what was executed.
         """
         try:
             answer = AnswerFrame(call.number, True, await self.handler(call.operation, call.body))
         except CallRefusedError as error:
             answer = AnswerFrame(call.number, False, {"why": str(error)})
-        except Exception as error:  # noqa: BLE001  # of one call; the connection's others go on
+        except Exception as error:  # noqa: BLE001  # the connection's other calls continue
             self.owner.on_handler_error(call.operation, error)
             return
         if self.is_open():
--- a/loomstand/rpc/tcp_network.py
+++ b/loomstand/rpc/tcp_network.py
@@ -1,4 +1,4 @@
-"""The network of real sockets: one connection to each address, made when it is first needed."""
+"""The network over TCP: one connection to each address, opened when it is first needed."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 from loomstand.rpc.network import Address, Body, CallHandler
 from loomstand.rpc.tcp_connection import ClientConnection, ServerConnection, TcpConnection
 
-# Seconds in which a connection must come up. Within a region it takes 3 ms; where it takes longer
-# than this the machine is gone or cut off.
+# Limit in seconds for opening a connection. Within a region it takes 3 ms; if it takes longer than
+# this limit, the other machine is down or unreachable.
 CONNECT_TIMEOUT_SECONDS = 0.5
-# Calls without an answer, in a row, after which a connection is replaced. Behind a network
-# partition TCP sends again ever more rarely, and goes on only seconds after the partition has
-# healed; a new connection comes up at once.
+# Consecutive calls without an answer after which a connection is replaced. During a network
+# partition TCP's retransmissions back off exponentially, so the old connection resumes only seconds
+# after the partition has healed; a new connection opens at once.
 MAX_UNANSWERED_CALLS = 2
-# One line in the log for so many connections that sent something else than frames, after the first.
+# Connections closed for invalid frames per log line; the first one is always logged.
 FRAME_ERRORS_PER_LOG_LINE = 100
 
 
 class TcpNetwork:
-    """`Network` on TCP. It owns its connections and listeners, until `close`.
+    """`Network` over TCP. It owns its connections and listeners, until `close`.
 
     Attributes:
-        connections: To other programs, by address.
+        connections: Connections to other programs, by address.
         accepted: Connections of other programs to this one.
-        frame_errors: Connections ended as they sent something else than frames.
-        handler_errors: Calls that failed by a fault of this program.
+        frame_errors: Number of connections closed for invalid frames.
+        handler_errors: Number of calls whose handler failed by an unexpected error.
     """
 
     client_connection_type: type[ClientConnection] = ClientConnection
 
     def __init__(self) -> None:
-        """Begins without connections."""
+        """Creates a network without connections."""
         self.connections: dict[Address, ClientConnection] = {}
         self.accepted: set[ServerConnection] = set()
         self.frame_errors = 0
@@ -68,7 +68,7 @@
         return Ok(answer.body) if answer.is_ok else Error(CallFailure.REFUSED)
 
     def _replace_if_dead(self, address: Address, connection: ClientConnection) -> None:
-        """Gives up a connection on which calls stay unanswered: the next call makes another."""
+        """Closes a connection whose calls stay unanswered; the next call opens a new one."""
         if connection.unanswered_calls < MAX_UNANSWERED_CALLS:
             return
         if self.connections.get(address) is connection:
@@ -76,10 +76,10 @@
             del self.connections[address]
 
     async def _connect(self, address: Address, timeout_seconds: float) -> ClientConnection | None:
-        """Waits for the connection to an address, which is made once for all who wait for it.
+        """Waits for the connection to an address; concurrent calls share one attempt to open it.
 
         Returns:
-            The connection; None if there is none in time, or the other machine refuses it.
+            The connection; None if it isn't open in time, or the other machine refuses it.
         """
         task = self._connecting.get(address)
         if task is None:
@@ -92,16 +92,16 @@
             return None
 
     def _on_connecting_ended(self, address: Address, task: asyncio.Task[ClientConnection]) -> None:
-        """Forgets the task, and takes note of its error, which asyncio would else report."""
+        """Removes the task, and retrieves its error, which asyncio would log otherwise."""
         self._connecting.pop(address, None)
         task.exception()
 
     async def open_connection(self, address: Address) -> ClientConnection:
-        """Makes the connection to an address.
+        """Opens the connection to an address.
 
         Raises:
-            OSError: The other machine refuses it, or can't be reached.
-            TimeoutError: It didn't come up in time.
+            OSError: The other machine refuses the connection, or can't be reached.
+            TimeoutError: The connection wasn't open within `CONNECT_TIMEOUT_SECONDS`.
         """
         loop = asyncio.get_running_loop()
         host, port = address
@@ -121,8 +121,8 @@
         if isinstance(connection, ServerConnection):
             self.accepted.discard(connection)
             return
-        for address, known in list(self.connections.items()):
-            if known is connection:
+        for address, candidate in list(self.connections.items()):
+            if candidate is connection:
                 del self.connections[address]
 
     def on_frame_error(self, error: FrameError) -> None:
@@ -141,7 +141,7 @@
         self.handler_errors += 1
 
     def close(self) -> None:
-        """Ends all listeners and connections at once."""
+        """Closes all listeners and connections immediately."""
         for listener in self._listeners:
             listener.close()
         for connection in [*self.connections.values(), *self.accepted]:
