--- a/loomstand/config/errors.py
+++ b/loomstand/config/errors.py
@@ -1,11 +1,11 @@
-"""The base of the errors of this package.
+"""The base class of the errors of this package.
 
-Each module that reads something has an error class of its own beneath it, whose message is one
-line that names the place (a key, a line, a resource) and what is wrong there.
+Each parser has its own subclass, whose message is one line that names the location (a key, a line,
+a resource) and the problem.
 """
 
 from __future__ import annotations
 
 
 class ConfigError(ValueError):
-    """Settings or a configuration that can't be used."""
+    """Invalid settings or an invalid configuration."""
--- a/loomstand/config/routes.py
+++ b/loomstand/config/routes.py
@@ -1,13 +1,13 @@
-"""The routes and API keys of a configuration as a table for look-ups by request. Pure.
+"""The routes and API keys of a configuration as a table for lookups by request. Pure.
 
-A table is built once for a configuration and never changed; a program swaps it for the next one.
+A table is built once per configuration and is immutable; a program replaces it by the next one.
 
 A request's route is found in this order (PROTOCOL.md, "Requests"):
 
-1. By host, in any case: the Host header as it stands, else without its port. A host that no route
-   names has no route.
-2. By path: of that host's routes, the one with the longest prefix that begins the path. Prefixes
-   end with a slash, so they match whole segments; the path comes without its query.
+1. By host, case-insensitively: the complete Host header, otherwise the header without its port. A
+   request for any other host has no route.
+2. By path: among that host's routes, the one with the longest prefix that matches the path.
+   Prefixes end with a slash, so they match whole segments; the path excludes the query.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
     """The table of one configuration.
 
     Attributes:
-        configuration: What the table was built from.
-        allowed_services: By host and path prefix, the services that requests may go to: those with
-            a weight over 0.
+        configuration: The configuration that the table was built from.
+        allowed_services: By host and path prefix, the services that requests may be sent to: those
+            with a weight above 0.
     """
 
     configuration: Configuration
@@ -44,7 +44,7 @@
 
     @classmethod
     def from_configuration(cls, configuration: Configuration) -> RouteTable:
-        """Builds the table of a checked configuration."""
+        """Builds the table of a validated configuration."""
         by_host: dict[bytes, dict[bytes, Route]] = {}
         allowed_services: dict[tuple[str, str], frozenset[str]] = {}
         for route in configuration.routes:
@@ -61,7 +61,7 @@
             key.encode(): tenant
             for tenant in configuration.tenants or ()
             for key in tenant.api_keys
-            if key  # a request without a key must not find the tenant of an empty one
+            if key  # a request without a key must not match a tenant with an empty key
         }
         return cls(configuration, MappingProxyType(allowed_services), hosts, tenants)
 
@@ -71,11 +71,11 @@
         return self.configuration.version
 
     def find_route(self, host: bytes, path: bytes) -> Route | None:
-        """Finds the route of a request by the order that the module describes.
+        """Finds the route of a request in the order given in the module's docstring.
 
         Args:
-            host: The Host header, in any case, with or without a port.
-            path: The path without its query.
+            host: The Host header in upper or lower case, with or without a port.
+            path: The path without the query.
         """
         host = host.lower()
         routes = self._hosts.get(host)
@@ -83,7 +83,7 @@
             routes = self._hosts.get(host[: host.rfind(b":")])
         if routes is None:
             return None
-        # Only as much of the path as the longest prefix has: a long path of slashes would be dear.
+        # Searches only the length of the longest prefix: a long path of slashes would be slow.
         end = path.rfind(b"/", 0, routes.longest_prefix) + 1
         while end > 0:
             route = routes.by_prefix.get(path[:end])
@@ -97,7 +97,7 @@
         return self._tenants.get(api_key)
 
     def requires_api_key(self, route: Route) -> bool:
-        """Whether a request of this route must show a key that a tenant holds."""
+        """Whether a request of this route requires the API key of a tenant."""
         return not route.public and self.configuration.tenants is not None
 
     def choose_service(self, route: Route, draw: float) -> str:
@@ -105,7 +105,7 @@
 
         Args:
             route: A route of this table.
-            draw: A random number of at least 0 and under 1.
+            draw: A random number of at least 0 and less than 1.
         """
         split = route.traffic_split
         if len(split) == 1:
@@ -117,7 +117,7 @@
         chosen = split[0]
         for service in split:
             weight = service.weight
-            if weight > 0:  # one of no weight is never chosen, whatever the draw
+            if weight > 0:  # a service of weight 0 is never chosen, whatever the draw
                 chosen = service
                 remaining -= weight
                 if remaining < 0:
--- a/loomstand/config/toml_tables.py
+++ b/loomstand/config/toml_tables.py
@@ -1,4 +1,4 @@
-"""TOML files as checked structs; an error names the file and the key. Touches the disk."""
+"""TOML files as validated structs; an error names the file and the key. Reads files."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 StructT = TypeVar("StructT")
 
 TomlTable = dict[str, Any]
-"""A table as TOML reads it, unchecked."""
+"""A parsed TOML table before validation."""
 
 
 class TableError(ConfigError):
-    """A file that can't be used; the message names the key."""
+    """An unreadable or invalid file; the message names the file or the key."""
 
 
 class StrictStruct(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A table of a file. Unknown keys are refused, so that a misspelt one is found."""
+    """A table of a file. Unknown keys are errors, so that misspelt ones are found."""
 
 
 def parse_toml(raw: str | bytes, source: str) -> TomlTable:
@@ -29,10 +29,10 @@
 
     Args:
         raw: The text.
-        source: Where it is from, for errors.
+        source: Name of the source, for errors.
 
     Raises:
-        TableError: It is no TOML.
+        TableError: The text isn't valid TOML.
     """
     try:
         return tomllib.loads(raw.decode() if isinstance(raw, bytes) else raw)
@@ -44,10 +44,10 @@
     """Reads a TOML file.
 
     Raises:
-        TableError: It can't be read, or is no TOML.
+        TableError: The file can't be read, or isn't valid TOML.
     """
     try:
-        # not pathlib, which would change how errors of the system repeat the path
+        # not pathlib, which would change the path in the operating system's errors
         with open(path, "rb") as file:  # noqa: PTH123
             raw = file.read()
     except OSError as error:
@@ -56,15 +56,17 @@
 
 
 def convert_table(table: TomlTable, kind: type[StructT]) -> StructT:
-    """Checks a table and converts it to a struct.
+    """Validates a table and converts it to a struct.
 
     Raises:
-        TableError: A key is missing, unknown or of another type.
+        TableError: A key is missing or unknown, or a value is invalid.
     """
     try:
         return msgspec.convert(table, type=kind)
     except msgspec.ValidationError as error:
-        if isinstance(error.__cause__, TableError):  # from a struct's own check, with its key
+        if isinstance(
+            error.__cause__, TableError
+        ):  # raised by a struct's own check, includes the key
             raise TableError(str(error.__cause__)) from None
         key, problem = locate_error(error)
         raise TableError(f"key '{key or '(top)'}': {problem}") from None
--- a/loomstand/config/units.py
+++ b/loomstand/config/units.py
@@ -1,7 +1,7 @@
-"""The written forms of times, versions, numbers and addresses, parsed strictly.
+"""Text formats of times, versions, numbers and addresses, parsed strictly. Pure.
 
-Each parser raises UnitError, whose message says what is wrong with the value; its caller knows the
-key and puts it in front. Pure.
+Each parser raises UnitError, whose message describes the problem with the value; the caller
+prepends the key.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from loomstand.config.errors import ConfigError
 
 Address = tuple[str, int]
-"""An IPv4 number and a port."""
+"""An IPv4 address and a port."""
 
 MAX_VERSION = 2**63 - 1
-"""The highest version of a configuration: it fits the eight bytes that a key on disk gives it."""
+"""The highest version of a configuration: a key on disk has eight bytes for it."""
 
-_MAX_VERSION_DIGITS = 4000  # under the digits at which int() refuses a text with an error
+_MAX_VERSION_DIGITS = 4000  # below the limit above which int() raises ValueError
 _MAX_PORT = 65535
 _MAX_PORT_DIGITS = 5
 _IPV4_PARTS = 4
 _MAX_IPV4_PART = 255
 _MAX_IPV4_PART_DIGITS = 3
-_MAX_QUOTED_CHARACTERS = 60  # more of a value would only fill the log
+_MAX_QUOTED_CHARACTERS = 60  # limits the length of log lines
 _MILLISECONDS_PER_SECOND = 1000
 _TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
 
 
 class UnitError(ConfigError):
-    """A value that isn't written as its unit requires."""
+    """A value that isn't in the format of its unit."""
 
 
 def quote_value(value: object) -> str:
-    """Formats a value for an error message: one line of ASCII of limited length."""
+    """Formats a value for an error message as one line of ASCII of limited length."""
     text = ascii(value)
     if len(text) <= _MAX_QUOTED_CHARACTERS:
         return text
@@ -47,7 +47,7 @@
         The time in seconds: finite and not negative.
 
     Raises:
-        UnitError: The text is no time.
+        UnitError: The text isn't a time.
     """
     match = _TIME.fullmatch(text)
     if match is None:
@@ -62,7 +62,7 @@
     """Parses `true` or `false`.
 
     Raises:
-        UnitError: The text is neither.
+        UnitError: The text is neither of them.
     """
     if text not in ("true", "false"):
         raise UnitError(f"{quote_value(text)} is neither true nor false")
@@ -73,7 +73,7 @@
     """Parses a finite decimal number of 0 or more.
 
     Raises:
-        UnitError: The text is no such number.
+        UnitError: The text isn't such a number.
     """
     try:
         value = float(text) if text.isascii() and "_" not in text else -1.0
@@ -85,10 +85,10 @@
 
 
 def parse_whole_number(text: str) -> int:
-    """Parses a whole number of 0 or more; `2.0` is one.
+    """Parses a whole number of 0 or more; `2.0` is accepted.
 
     Raises:
-        UnitError: The text is no such number.
+        UnitError: The text isn't such a number.
     """
     value = parse_number(text)
     if not value.is_integer():
@@ -97,7 +97,7 @@
 
 
 def parse_non_empty(text: str) -> str:
-    """Returns a text as it stands.
+    """Checks that a text isn't empty and returns it unchanged.
 
     Raises:
         UnitError: The text is empty.
@@ -108,7 +108,7 @@
 
 
 def parse_list(text: str) -> tuple[str, ...]:
-    """Splits a text at its commas; an empty text is an empty list.
+    """Splits a text at commas; an empty text gives an empty list.
 
     Raises:
         UnitError: An item is empty.
@@ -123,7 +123,7 @@
     """Parses a version of a configuration: `r12` is 12.
 
     Raises:
-        UnitError: The text is no version, or one above MAX_VERSION.
+        UnitError: The text isn't a version, or is above MAX_VERSION.
     """
     digits = text[1:]
     if text[:1] != "r" or not (digits.isascii() and digits.isdigit()):
@@ -148,7 +148,7 @@
     """Parses a port from 1 to 65535.
 
     Raises:
-        UnitError: The text is no port.
+        UnitError: The text isn't a port.
     """
     digits = text.isascii() and text.isdigit() and len(text) <= _MAX_PORT_DIGITS
     if not digits or not 0 < int(text) <= _MAX_PORT:
@@ -157,11 +157,11 @@
 
 
 def parse_ipv4(text: str) -> str:
-    """Checks an IPv4 number and returns it as it stands; names are never looked up.
+    """Checks an IPv4 address and returns it unchanged; host names are not accepted.
 
     Raises:
-        UnitError: The text is no IPv4 number, or a part has a leading zero, as some programs read
-            such a part as octal.
+        UnitError: The text isn't an IPv4 address, or a part has a leading zero, which some programs
+            read as octal.
     """
     parts = text.split(".")
     if len(parts) != _IPV4_PARTS or not all(_is_ipv4_part(part) for part in parts):
@@ -170,7 +170,7 @@
 
 
 def _is_ipv4_part(part: str) -> bool:
-    """Whether a text is one of the four parts of an IPv4 number, without a leading zero."""
+    """Whether a text is one of the four parts of an IPv4 address, without a leading zero."""
     if not (part.isascii() and part.isdigit() and len(part) <= _MAX_IPV4_PART_DIGITS):
         return False
     return int(part) <= _MAX_IPV4_PART and str(int(part)) == part
@@ -180,7 +180,7 @@
     """Parses an address such as `10.1.0.3:8783`.
 
     Raises:
-        UnitError: The text is no IPv4 number with a port.
+        UnitError: The text isn't an IPv4 address with a port.
     """
     host, colon, port = text.rpartition(":")
     if not colon:
--- a/loomstand/config/validation.py
+++ b/loomstand/config/validation.py
@@ -1,4 +1,4 @@
-"""What msgspec found wrong, with the key of the field. Pure."""
+"""Validation errors of msgspec, split into the field's key and the problem. Pure."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class FieldError(NamedTuple):
-    """What is wrong with a field.
+    """An invalid field.
 
     Attributes:
-        key: The field's key, as in `settings.grades[1].effect`; empty for the whole document.
-        problem: What is wrong there.
+        key: The field's key, such as `settings.grades[1].effect`; empty for the whole document.
+        problem: Description of the problem.
     """
 
     key: str
@@ -22,8 +22,8 @@
 def locate_error(error: msgspec.ValidationError) -> FieldError:
     """Splits an error of msgspec, whose form is "problem - at `$.path.of.field`".
 
-    The name of a field that is unknown or missing stands at the end of the problem and isn't part
-    of the path: it is added here.
+    For an unknown or missing field msgspec gives the name at the end of the problem and not in the
+    path; it is appended to the key here.
     """
     problem, _, path = str(error).partition(" - at `$")
     key = path.rstrip("`").lstrip(".")
--- a/loomstand/rpc/messages/base.py
+++ b/loomstand/rpc/messages/base.py
@@ -1,4 +1,4 @@
-"""What all messages share: conversion from and to the mapping on the wire, and its error."""
+"""Base classes of all messages: conversion from and to the mapping on the wire, and its error."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from loomstand.rpc.errors import RpcError
 from loomstand.rpc.network import Body
 
-# `msgspec` would write bytes as base64 text; frames carry them as they are.
+# By default msgspec converts bytes to base64 text; frames carry them unchanged.
 _NATIVE_TYPES = (bytes,)
 
 
 class MessageError(RpcError, ValueError):
     """A body isn't a message of the expected class.
 
-    The text is what a registry refuses the call with, after the operation's name. Callers see it,
-    so it stays as it was: `KeyError: 'name'` for a missing key.
+    A registry refuses the call with this text, after the operation's name. It is part of the wire
+    format and must not change: `KeyError: 'name'` for a missing key.
     """
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True):
-    """A request or an answer; each subclass documents its fields.
+    """A request or a response; each subclass documents its fields.
 
-    Keys that a class doesn't know are ignored, and fields with a default may be absent: so programs
-    of neighbouring releases understand each other. Numbers are read leniently: `"5"` and `5.0` are
-    5, as for earlier releases; a whole number isn't read from `5.5`, which no release sends.
+    Unknown keys are ignored, and fields with a default may be absent, so that programs of adjacent
+    releases are compatible. Numbers are read leniently: `"5"` and `5.0` are 5, as in earlier
+    releases; `5.5`, which no release sends, isn't accepted for an integer.
     """
 
     def to_wire(self) -> Body:
@@ -38,18 +38,18 @@
         if _carries_bytes(type(self)):
             body = msgspec.to_builtins(self, builtin_types=_NATIVE_TYPES)
         else:
-            body = msgspec.to_builtins(self)  # without the argument it takes half as long
+            body = msgspec.to_builtins(self)  # half the time of the call with `builtin_types`
         return body
 
     @classmethod
     def from_wire(cls, body: Body) -> Self:
-        """Reads a body.
+        """Decodes a body.
 
         Raises:
             MessageError: A key is missing, or a value has the wrong type.
         """
         try:
-            return msgspec.convert(body, cls)  # what programs of this release send
+            return msgspec.convert(body, cls)  # accepts what programs of this release send
         except msgspec.ValidationError:
             return cls._from_lenient_wire(body)
 
@@ -66,12 +66,12 @@
 
 @cache
 def _carries_bytes(message_type: type[Message]) -> bool:
-    """Returns whether a field of the class, or of a value in it, is of bytes."""
+    """Returns whether a field of the class, or of a value nested in it, has type bytes."""
     return _has_bytes(inspect.type_info(message_type))
 
 
 def _has_bytes(type_info: inspect.Type) -> bool:
-    """Looks into structures, unions and collections."""
+    """Returns whether a type is bytes or contains it in a struct, union or collection."""
     inner: list[inspect.Type] = []
     for attribute in ("types", "item_type", "item_types", "key_type", "value_type"):
         found = getattr(type_info, attribute, ())
@@ -88,7 +88,7 @@
 
 
 class Request(Message, frozen=True, kw_only=True):
-    """A call: the operation is sent beside the body, in the frame."""
+    """A request; the frame carries its operation beside the body."""
 
     operation: ClassVar[str]
 
@@ -98,4 +98,4 @@
 
 
 class Acknowledgement(Message, frozen=True, kw_only=True):
-    """The empty answer: what was asked is done."""
+    """The empty response: the request was executed."""
--- a/loomstand/rpc/messages/configuration_messages.py
+++ b/loomstand/rpc/messages/configuration_messages.py
@@ -1,6 +1,6 @@
 """Messages by which registries change, read and watch the store's configuration.
 
-A store that isn't the primary forwards changes and reads to it; `hops` counts how often.
+A store that isn't the primary forwards changes and reads to it; `hops` counts the forwardings.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
 
 
 class OfferRequest(PutRequest, frozen=True, kw_only=True, omit_defaults=True):
-    """A limiter or registry gives back a configuration that the receiver may have lost.
+    """A limiter or registry returns a configuration that the receiver may have lost.
 
-    Registries take it from limiters, stores from registries.
+    Limiters send it to registries, registries to stores.
     """
 
     operation: ClassVar[str] = "offer"
 
 
 class PutResponse(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """The change is acknowledged, or refused for good.
+    """The change is acknowledged, or refused permanently.
 
     Attributes:
-        version: The version committed now.
-        has_conflict: Whether the change's version stands for another content: it is refused.
+        version: The committed version after the request.
+        has_conflict: Whether the change is refused because its version already has other content.
     """
 
     version: int
@@ -62,13 +62,13 @@
 
 
 class ReadResponse(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """The committed configuration, as the primary has it.
+    """The committed configuration, as held by the primary.
 
     Attributes:
-        version: Its version, 0 if there never was one.
+        version: The configuration's version, 0 if none was ever committed.
         data: The configuration.
-        lease_seconds: For how long, from the sending, nobody else can serve; absent from earlier
-            releases (see `loomstand.store.freshness`).
+        lease_seconds: Time from sending during which no other store can serve; earlier releases
+            don't send it (see `loomstand.store.freshness`).
     """
 
     version: int
@@ -77,25 +77,25 @@
 
 
 class StatusRequest(EmptyRequest, frozen=True, kw_only=True):
-    """Asks a store how it sees the store as a whole."""
+    """Asks a member of the replicated store for its status."""
 
     operation: ClassVar[str] = "status"
 
 
 class StatusResponse(Message, frozen=True, kw_only=True):
-    """How a store sees the store as a whole.
+    """Status of the replicated store, as known to one member.
 
     Attributes:
-        version: Version of the committed configuration that it knows.
-        epoch: Epoch of the newest view that it knows, 0 if it knows none.
-        primary: Address of that view's primary, if it is in reach.
+        version: Version of the newest committed configuration known to the member.
+        epoch: Epoch of the newest view known to the member, 0 if it knows none.
+        primary: Address of that view's primary, if it is reachable.
         backup: Address of that view's backup, if there is one.
-        core_addresses: The stores that lately answered, itself included.
-        is_ready: Whether nothing newer can be committed that this store doesn't know.
-        counting_term: Who counts, as it knows.
-        conflict_count: Changes refused since its start, as their version stands for another
-            content.
-        revision: Number of this status; another one whenever it changes, and after a start.
+        core_addresses: Addresses of the members that answered recently, this one included.
+        is_ready: Whether no newer committed configuration than the known one can exist.
+        counting_term: The holder and term of the counting lease, as known to the member.
+        conflict_count: Number of changes refused since the member's start because their version
+            already has other content.
+        revision: Number of this status; it differs after each change and after a restart.
     """
 
     version: int
@@ -114,8 +114,8 @@
 
     Attributes:
         known_version: Version of the configuration that the registry holds.
-        known_revision: `revision` of the status that it holds; absent if any will do.
-        timeout_seconds: After how long the store answers without a change.
+        known_revision: `revision` of the status that the registry holds; None accepts any status.
+        timeout_seconds: Time after which the store answers if nothing has changed.
     """
 
     operation: ClassVar[str] = "wait"
@@ -125,7 +125,7 @@
 
 
 class WaitResponse(StatusResponse, frozen=True, kw_only=True):
-    """The status, with the configuration if the registry hasn't got it.
+    """The status, with the configuration if the registry lacks it.
 
     Attributes:
         data: The committed configuration, if it is newer than `known_version`.
--- a/loomstand/rpc/messages/counting_lease_messages.py
+++ b/loomstand/rpc/messages/counting_lease_messages.py
@@ -11,14 +11,14 @@
 
 
 class CountingLeaseRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
-    """A registry asks for the counting lease, or releases it.
+    """A registry requests the counting lease, or releases it.
 
-    A release is answered by `Acknowledgement`.
+    The response to a release is `Acknowledgement`.
 
     Attributes:
         host: IP address of the registry.
-        incarnation: Number of the registry's start, drawn by it.
-        is_release: Whether it gives the lease back.
+        incarnation: Random number that the registry chose at its start.
+        is_release: Whether the registry releases the lease.
     """
 
     operation: ClassVar[str] = "duty"
@@ -31,8 +31,8 @@
     """The lease is granted.
 
     Attributes:
-        lease_seconds: For how long the registry counts, from the sending of its request.
-        counting_term: Who counts, as the store knows.
+        lease_seconds: Length of the lease, from the time at which the registry sent its request.
+        counting_term: The holder and term of the counting lease, as known to the store.
     """
 
     lease_seconds: float = msgspec.field(name="span")
--- a/loomstand/rpc/messages/gossip_messages.py
+++ b/loomstand/rpc/messages/gossip_messages.py
@@ -1,6 +1,6 @@
-"""Messages among the registries: what each heard of servers and limiters, and who counts.
+"""Messages between registries about servers, limiters and the holder of the counting lease.
 
-Ages are in seconds before the sending, as registries' clocks differ.
+Times are sent as ages in seconds before the sending, as the registries' clocks differ.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
     """A server's latest heartbeat at a registry.
 
     Attributes:
-        sequence: The heartbeat's number.
-        age_seconds: Since it came.
+        sequence: Number of the heartbeat.
+        age_seconds: Time since the registry received it.
     """
 
     sequence: int
@@ -26,19 +26,19 @@
 
 
 class GossipRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
-    """A registry tells another one what it heard.
+    """A registry sends another one the state that it received from servers and limiters.
 
-    `recent_heartbeats`, `limiters_digest`, `clock_seconds` and `counting_term` are present in the
-    regular rounds; the rest where the other registry lacks it.
+    `recent_heartbeats`, `limiters_digest`, `clock_seconds` and `counting_term` are present in
+    periodic rounds; the other fields are present if the receiver lacks them.
 
     Attributes:
-        recent_heartbeats: By instance id, the servers that spoke here since the last round.
-        limiters_digest: Checksum of the names of the limiters with a session here.
+        recent_heartbeats: By instance id, the servers' heartbeats received since the last round.
+        limiters_digest: Checksum of the names of the limiters with a session at the sender.
         clock_seconds: The shared clock, in seconds.
-        counting_term: This registry's term if it counts, None if it doesn't.
-        instances: Servers that changed, or that the other registry doesn't know.
-        instance_ages: By instance id, the age of its latest heartbeat in seconds.
-        limiter_ages: By name, the limiters that spoke here, with the seconds since.
+        counting_term: The sender's term if it holds the counting lease, otherwise None.
+        instances: Servers that changed, or that the receiver doesn't know.
+        instance_ages: By instance id, the age of the latest heartbeat in seconds.
+        limiter_ages: By name of a limiter, the seconds since its last message to the sender.
     """
 
     operation: ClassVar[str] = "tell"
@@ -54,11 +54,11 @@
 
 
 class GossipResponse(Message, frozen=True, kw_only=True):
-    """What the registry that was told lacks.
+    """What the receiver of a `GossipRequest` lacks.
 
     Attributes:
-        unknown_instances: Ids of the servers it was told of whose rows it needs.
-        has_same_limiters: Whether the same limiters have a session with it.
+        unknown_instances: Ids of servers in the request whose rows the receiver needs.
+        has_same_limiters: Whether the same limiters have a session with the receiver.
     """
 
     unknown_instances: list[str] = msgspec.field(name="unknown", default_factory=list)
@@ -66,17 +66,17 @@
 
 
 class SnapshotRequest(EmptyRequest, frozen=True, kw_only=True):
-    """A registry that has just started asks for all that another one knows of servers."""
+    """A registry that has just started requests another one's complete table of servers."""
 
     operation: ClassVar[str] = "whole"
 
 
 class SnapshotResponse(Message, frozen=True, kw_only=True):
-    """All that a registry knows of servers.
+    """A registry's complete table of servers.
 
     Attributes:
         instances: The servers.
-        instance_ages: By instance id, the age of its latest heartbeat in seconds.
+        instance_ages: By instance id, the age of the latest heartbeat in seconds.
         clock_seconds: The shared clock, in seconds.
         is_clock_set: Whether the shared clock was set by another program.
     """
--- a/loomstand/rpc/messages/quota_messages.py
+++ b/loomstand/rpc/messages/quota_messages.py
@@ -1,7 +1,7 @@
 """Messages by which limiters increment counters and get quota credits from the counting registry.
 
-Tenants go by the digest of their name; a counter's name is that digest with the interval's slot in
-its lowest bits.
+A tenant is identified by the digest of its name; a counter's name is that digest with the slot
+number of the interval in its lowest bits.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
     """Adds to a counter.
 
     Attributes:
-        counter_name: The counter.
-        step: What is added.
-        retention_seconds: For how long the counter is kept at least.
+        counter_name: Name of the counter.
+        step: Amount to add.
+        retention_seconds: Minimum time for which the counter is kept.
     """
 
     operation: ClassVar[str] = "count"
@@ -33,10 +33,11 @@
     """The counter's total.
 
     Attributes:
-        total: The sum over all limiters, this step included.
-        counting_term: Number of the registry's counters; another one where they began anew.
-        is_incomplete: Present and true while limiters may not have repeated their sums to counters
-            that began anew.
+        total: Sum over all limiters, this step included.
+        counting_term: Number that identifies the registry's set of counters; it changes when the
+            counters are reset.
+        is_incomplete: Present and true while limiters may not yet have resent their sums to
+            counters that were reset.
     """
 
     total: float
@@ -45,14 +46,14 @@
 
 
 class CreditDemandRow(Row, frozen=True, array_like=True):
-    """What a limiter tells of a tenant's credits.
+    """A limiter's state and demand of a tenant's credits.
 
     Attributes:
         tenant: Digest of the tenant's name.
-        held: Credits that it holds.
-        spent: Requests that it admitted ahead of any credit and has not told before.
-        wanted: Credits that it asks for.
-        is_active: 1 if requests of the tenant came lately, else 0.
+        held: Credits that the limiter holds.
+        spent: Requests that the limiter admitted without a credit and hasn't reported before.
+        wanted: Credits that the limiter requests.
+        is_active: 1 if the limiter recently received requests of the tenant, else 0.
     """
 
     tenant: int
@@ -63,14 +64,15 @@
 
 
 class CreditRequest(Request, frozen=True, kw_only=True):
-    """A limiter tells the credits that it holds, and asks for more.
+    """A limiter reports the credits that it holds, and requests more.
 
     Attributes:
         limiter_name: Name of the limiter's node.
-        incarnation: Number of the limiter's start, drawn by it.
-        grant_term: Number of the grants that it holds; -1 if it holds none.
-        is_isolated: Whether it had no answer for so long that it admits by its own share.
-        demands: The tenants of which there is something to tell.
+        incarnation: Random number that the limiter chose at its start.
+        grant_term: Term of the grants that the limiter holds; -1 if it holds none.
+        is_isolated: Whether the limiter, for lack of answers, limits tenants by a local share of
+            their quota.
+        demands: Tenants for which the limiter reports or requests credits.
     """
 
     operation: ClassVar[str] = "grant"
@@ -82,12 +84,12 @@
 
 
 class CreditGrantRow(Row, frozen=True, array_like=True):
-    """A tenant's credits granted.
+    """Credits granted for a tenant.
 
     Attributes:
         tenant: Digest of the tenant's name.
         granted: Credits granted.
-        is_open: 1 if the limiter may admit a request before it tells, else 0.
+        is_open: 1 if the limiter may admit a request before it reports it, else 0.
     """
 
     tenant: int
@@ -99,9 +101,10 @@
     """Credits granted.
 
     Attributes:
-        grant_term: Number of the registry's grants; another one where they began anew.
-        grants: The credits granted; absent if the limiter went by another term and must tell all
-            that it holds under this one.
+        grant_term: Number that identifies the registry's set of grants; it changes when the grants
+            are reset.
+        grants: The credits granted; None if the request had another term, and the limiter must
+            report all credits that it holds under this one.
     """
 
     grant_term: int = msgspec.field(name="number")
--- a/loomstand/rpc/messages/replication_messages.py
+++ b/loomstand/rpc/messages/replication_messages.py
@@ -1,7 +1,7 @@
-"""Messages among the stores: heartbeats, elections, writes and what is committed.
+"""Messages between stores: heartbeats, elections, writes and committed configurations.
 
-`recipient` in a request is the id of the member that it is meant for: a store whose disk is another
-one refuses it. It is absent where any member at that address may answer.
+`recipient` in a request is the id of the member that it is meant for: a store with a different disk
+has a different id and refuses the request. It is absent if any member at that address may answer.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class ServingRow(Row, frozen=True, array_like=True):
-    """What the serving primary tells of itself and of the counting lease, in its heartbeats.
+    """State of the serving primary and of the counting lease, sent in its heartbeats.
 
     Attributes:
         number: Number of the counting lease's holder under this primary.
-        holder: Host of the registry that holds the counting lease; empty if any may ask for it.
-        lease_ms: Milliseconds for which the primary still serves, from the sending.
+        holder: Host of the registry that holds the counting lease; empty if any may request it.
+        lease_ms: Remaining milliseconds of the primary's lease at the time of sending.
     """
 
     number: int
@@ -30,14 +30,14 @@
 
 
 class LeaseHandoverRow(Row, frozen=True, array_like=True):
-    """The counting lease as a primary that hands over knows it.
+    """The counting lease, as known to a primary that transfers leadership.
 
     Attributes:
-        epoch: Epoch of the primary that granted it.
+        epoch: Epoch of the primary that granted the lease.
         number: Number of the holder under that primary.
-        holder: Host of the registry that holds it; empty if nobody does.
-        incarnation: Number of that registry's start, as it told.
-        remaining_seconds: For how long the holder may still count.
+        holder: Host of the registry that holds the lease; empty if none does.
+        incarnation: Random number that the registry chose at its start.
+        remaining_seconds: Remaining time of the holder's lease.
     """
 
     epoch: int
@@ -48,7 +48,7 @@
 
 
 class ViewMessage(Message, frozen=True, kw_only=True):
-    """A message with a field `view`, whose last element is left out where it is 0."""
+    """A message with a field `view`, whose last element is omitted if it is 0."""
 
     def to_wire(self) -> Body:
         """Returns the mapping that `frames.encode_frame` takes; see `ViewRow.rescue_epoch`."""
@@ -60,7 +60,7 @@
 
 
 class MemberStatus(ViewMessage, frozen=True, kw_only=True):
-    """What a store tells of itself in each heartbeat and in the answer to one.
+    """Status of a store, sent in each heartbeat and in the response to one.
 
     Attributes:
         member: The sender.
@@ -70,10 +70,10 @@
         newest_view_epoch: Epoch of the newest view that it knows, 0 if it knows none.
         promised_epoch: Highest epoch that it promised.
         committed_version: Version of the newest committed configuration that it knows; -1 if it
-            hasn't heard of any since its start.
-        view: The newest view that it knows, where the receiver isn't known to have it.
-        requested_lease_epoch: Epoch under which it asks for the receiver's lease grant, 0 if it
-            doesn't.
+            hasn't learned of any since its start.
+        view: The newest view that it knows, unless the receiver is known to have it.
+        requested_lease_epoch: Epoch for which it requests a lease grant from the receiver, 0 if it
+            requests none.
     """
 
     member: MemberRow
@@ -88,10 +88,10 @@
 
 
 class HeartbeatRequest(MemberStatus, Request, frozen=True, kw_only=True, omit_defaults=True):
-    """A store is alive, and asks for a lease grant where it is primary.
+    """A store's heartbeat; a primary requests a lease grant by it.
 
     Attributes:
-        serving: Told by the primary while it serves.
+        serving: Sent by the primary while it serves.
     """
 
     operation: ClassVar[str] = "beat"
@@ -102,9 +102,9 @@
     """The receiver's status, and its lease grant.
 
     Attributes:
-        granted_epoch: Epoch under which the lease is granted to the sender, 0 if it isn't.
-        known_addresses: The other stores that lately answered.
-        serving: Told by the primary while it serves.
+        granted_epoch: Epoch for which the lease is granted to the sender, 0 if it isn't.
+        known_addresses: Addresses of the other stores that answered recently.
+        serving: Sent by the primary while it serves.
     """
 
     granted_epoch: int = msgspec.field(name="granted")
@@ -116,8 +116,9 @@
     """A candidate asks a voter to promise an epoch.
 
     Attributes:
-        epoch: The epoch to promise; 0 asks only whether the voter would promise the next one.
-        released_epoch: Epoch of the view whose primary handed over to the candidate, 0 if none.
+        epoch: The epoch to promise; 0 only asks whether the voter would promise the next one.
+        released_epoch: Epoch of the view whose primary transferred leadership to the candidate, 0
+            if none did.
         candidate_id: Member id of the candidate.
         recipient: Member id of the voter.
     """
@@ -133,9 +134,9 @@
     """A voter's answer to a candidate.
 
     Attributes:
-        is_promised: Whether it promised, or would promise.
-        promised_epoch: Highest epoch that it promised.
-        view: The newest view that it knows.
+        is_promised: Whether the voter promised, or would promise.
+        promised_epoch: Highest epoch that the voter promised.
+        view: The newest view that the voter knows.
     """
 
     is_promised: bool = msgspec.field(name="ok")
@@ -147,11 +148,11 @@
     """A primary or candidate has the backup write a configuration.
 
     Attributes:
-        epoch: Epoch under which it is written.
+        epoch: Epoch of the write.
         writer_id: Member id of the primary or candidate.
         version: The configuration's version.
         data: The configuration.
-        history: The changes acknowledged before, with this one; absent from earlier releases.
+        history: The acknowledged changes, this one included; earlier releases don't send it.
         recipient: Member id of the backup.
     """
 
@@ -165,12 +166,12 @@
 
 
 class CandidateReadRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
-    """A candidate reads what the previous view's primary or backup has on disk.
+    """A candidate reads the configuration on the disk of the previous view's primary or backup.
 
     Attributes:
         epoch: The candidate's epoch; the member promises it by answering.
         candidate_id: Member id of the candidate.
-        recipient: Member id of the member asked.
+        recipient: Member id of the primary or backup.
     """
 
     operation: ClassVar[str] = "fetch"
@@ -180,12 +181,12 @@
 
 
 class CandidateReadResponse(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """What a member has on disk, committed or not.
+    """The configuration on a member's disk, committed or not.
 
     Attributes:
         version: The configuration's version, 0 if there is none.
         data: The configuration.
-        history: The changes acknowledged with it; absent from earlier releases.
+        history: The acknowledged changes; earlier releases don't send it.
     """
 
     version: int
@@ -194,10 +195,10 @@
 
 
 class InstallViewRequest(ViewMessage, Request, frozen=True, kw_only=True, omit_defaults=True):
-    """An elected primary has a member write its view, which is a lease grant as well.
+    """An elected primary has a member write its view; writing it also grants the lease.
 
     Attributes:
-        view: The view; None does nothing.
+        view: The view; a request with None has no effect.
         recipient: Member id of the member that writes.
     """
 
@@ -207,13 +208,13 @@
 
 
 class TransferLeadershipRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
-    """A primary that leaves tells its backup to take over.
+    """A primary that shuts down transfers leadership to its backup.
 
     Attributes:
-        primary_id: Member id of the primary that leaves.
-        epoch: Epoch that it promised to the backup.
-        released_epoch: Epoch of the view under which it serves no more.
-        counting_lease: The counting lease as it knows it; absent from earlier releases.
+        primary_id: Member id of the primary.
+        epoch: Epoch that the primary promised to the backup.
+        released_epoch: Epoch of the view under which the primary no longer serves.
+        counting_lease: The counting lease, as known to the primary; earlier releases don't send it.
         recipient: Member id of the backup.
     """
 
@@ -226,7 +227,7 @@
 
 
 class CommitRequest(Request, frozen=True, kw_only=True):
-    """The primary tells the other stores what is committed.
+    """The primary sends the committed configuration to the other stores.
 
     Attributes:
         version: The committed configuration's version.
@@ -239,7 +240,7 @@
 
 
 class CommittedRequest(EmptyRequest, frozen=True, kw_only=True):
-    """A store asks another one for the committed configuration that it knows."""
+    """Asks a store for the newest committed configuration that it knows."""
 
     operation: ClassVar[str] = "held"
 
@@ -248,7 +249,7 @@
     """The newest committed configuration that a store knows.
 
     Attributes:
-        version: Its version, 0 if there never was one.
+        version: The configuration's version, 0 if none was ever committed.
         data: The configuration.
     """
 
--- a/loomstand/rpc/messages/rescue_messages.py
+++ b/loomstand/rpc/messages/rescue_messages.py
@@ -1,4 +1,4 @@
-"""Messages of a rescue: operators have a lost store founded anew (docs/rescue.md)."""
+"""Messages of a rescue, by which operators re-create a lost store (docs/rescue.md)."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class MemberReportRequest(EmptyRequest, frozen=True, kw_only=True):
-    """Asks a store what it holds."""
+    """Asks a store for the state that it holds."""
 
     operation: ClassVar[str] = "told"
 
 
 class MemberReportResponse(ViewMessage, frozen=True, kw_only=True):
-    """What a store holds. Versions are 0 where it holds none.
+    """The state that a store holds. A version is 0 if the store holds none.
 
     Attributes:
-        member: The store that answers.
+        member: The responding store.
         state: Number of its `loomstand.store.peers.MemberState`.
         is_founder: Whether its disk was empty at the first start of the whole system.
-        uptime_seconds: Since its start.
-        lease_seconds: For how long its lease as primary lasts, 0 if it has none.
+        uptime_seconds: Time since the store's start.
+        lease_seconds: Remaining time of its lease as primary, 0 if it has none.
         highest_epoch: The highest epoch that it promised or knows of.
         view: The newest view that it knows.
-        committed_version: The version that it knows to have been committed.
-        offered_version: The highest version given back to it since its start.
+        committed_version: The newest version that it knows to be committed.
+        offered_version: The highest version offered to it since its start.
         disk_version: The version on its disk, committed or not.
     """
 
@@ -46,13 +46,13 @@
 
 
 class RescueRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
-    """Operators ask how a lost store stands, or have it founded anew.
+    """Operators ask for the state of a lost store, or have it re-created.
 
     Attributes:
-        gone_hosts: Hosts that operators vouch never come back.
-        token: The token of the case that they agree to; None to look only.
-        is_handed_on: Whether another store already chose the receiver to found the view.
-        recipient: Member id of the store chosen.
+        gone_hosts: Hosts that, as operators confirm, will never return.
+        token: Token of the `RescueCaseReport` that operators accept; None only asks for a report.
+        is_handed_on: Whether another store forwards the request to the store that it chose.
+        recipient: Member id of the chosen store.
     """
 
     operation: ClassVar[str] = "rescue"
@@ -63,14 +63,14 @@
 
 
 class RescueMember(msgspec.Struct, frozen=True, kw_only=True):
-    """A member of the newest view known.
+    """A member of the newest known view.
 
     Attributes:
-        host: Its IP address.
-        member_id: Its id, which names its disk.
-        is_voter: Whether it elects the next primary.
+        host: IP address of the member.
+        member_id: Id of the member, which identifies its disk.
+        is_voter: Whether it votes for the next primary.
         has_data: Whether it is the view's primary or backup.
-        is_lost: Whether its disk isn't in reach.
+        is_lost: Whether its disk isn't reachable.
     """
 
     host: str
@@ -81,14 +81,14 @@
 
 
 class ReachableMember(msgspec.Struct, frozen=True, kw_only=True):
-    """A store that answered. Versions are texts as `r7`.
+    """A store that answered. Versions are texts such as `r7`.
 
     Attributes:
-        host: Its IP address.
-        member_id: Its id, which names its disk.
-        is_disk_faulty: Whether its disk hangs or refuses.
-        committed_version: The version that it knows to have been committed.
-        offered_version: The highest version given back to it since its start.
+        host: IP address of the store.
+        member_id: Id of the store, which identifies its disk.
+        is_disk_faulty: Whether its disk hangs or fails.
+        committed_version: The newest version that it knows to be committed.
+        offered_version: The highest version offered to it since its start.
         disk_version: The version on its disk, committed or not.
     """
 
@@ -101,18 +101,18 @@
 
 
 class RescueCaseReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What all stores in reach say together; operators get it as JSON with these keys.
+    """Combined state of all reachable stores; operators get it as JSON with the wire keys.
 
     Attributes:
-        epoch: Epoch of the newest view known, 0 if there is none.
-        highest_epoch: The highest epoch that any of them promised or knows of.
-        members: The members of the newest view known.
+        epoch: Epoch of the newest known view, 0 if there is none.
+        highest_epoch: The highest epoch that any of these stores promised or knows of.
+        members: Members of the newest known view.
         reachable: The stores that answered.
-        gone_hosts: Hosts that operators vouch never come back.
-        version: The newest version found, as `r7`.
-        chosen_host: Host of the store that is to found the view, if there is one.
-        obstacles: Why nothing may be done; empty if a rescue is due.
-        token: Names this very state; a rescue is asked for with it.
+        gone_hosts: Hosts that, as operators confirm, will never return.
+        version: The newest version found, such as `r7`.
+        chosen_host: Host of the store chosen to create the new view, if there is one.
+        obstacles: Reasons that prevent a rescue; empty if a rescue is possible and needed.
+        token: Identifies this state; a rescue request must repeat it.
     """
 
     epoch: int
@@ -127,14 +127,14 @@
 
 
 class RescueResult(msgspec.Struct, frozen=True, kw_only=True):
-    """The view that was founded; operators get it as JSON with these keys.
+    """The view that a rescue created; operators get it as JSON with the wire keys.
 
     Attributes:
         epoch: The view's epoch.
-        version: The version that is committed with it, as `r7`.
-        primary: Host of its primary.
-        backup: Host of its backup, if there is one.
-        voters: Hosts of its voters.
+        version: The version committed with the view, such as `r7`.
+        primary: Host of the view's primary.
+        backup: Host of the view's backup, if there is one.
+        voters: Hosts of the view's voters.
     """
 
     epoch: int
@@ -145,12 +145,12 @@
 
 
 class RescueResponse(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """One of the three: how the store stands, what was founded, or why nothing is.
+    """Exactly one of a state report, a created view, or the reasons of a refusal.
 
     Attributes:
-        case: How the store stands, to a request without a token.
-        result: The view that was founded.
-        refusals: Why nothing is founded.
+        case: State of the store, in response to a request without a token.
+        result: The view that was created.
+        refusals: Reasons why no view was created.
     """
 
     case: RescueCaseReport | None = None
--- a/loomstand/rpc/messages/rows.py
+++ b/loomstand/rpc/messages/rows.py
@@ -1,4 +1,4 @@
-"""Values that stand in several messages and are lists on the wire, each with its fields in order.
+"""Values that several messages contain; on the wire each is a list of its fields in order.
 
 Fields that later releases append to a list are ignored; fields with a default may be absent.
 """
@@ -16,7 +16,7 @@
     """A member of the replicated store.
 
     Attributes:
-        member_id: Drawn when the member's disk was empty, so it names that very disk.
+        member_id: Random id, chosen while the member's disk was empty, so it identifies the disk.
         host: IP address of the member's store.
         port: TCP port of the member's store.
     """
@@ -27,16 +27,16 @@
 
 
 class ViewRow(Row, frozen=True, array_like=True):
-    """A view of the store: who is primary and backup, and whose votes decide on the next view.
+    """A view of the store: its primary, its backup, and the voters that decide on the next view.
 
     Attributes:
         epoch: The view's number; views are totally ordered by it.
         primary: The member that serves.
-        backup: The member that acknowledges each write beside the primary, if there is one.
+        backup: The member that acknowledges each write in addition to the primary, if there is one.
         voters: The members that elect the next primary.
         former_voters: The voters before a membership change that isn't known to be complete.
-        rescue_epoch: The epoch at which operators last re-founded the store, 0 if never. It is
-            absent on the wire where it is 0, as earlier releases read five elements.
+        rescue_epoch: The epoch at which operators last re-created the store, 0 if never. A 0 is
+            omitted on the wire, as earlier releases expect five elements.
     """
 
     epoch: int
@@ -48,11 +48,11 @@
 
 
 class ChangeHistoryRow(Row, frozen=True, array_like=True):
-    """Which configuration changes were acknowledged lately.
+    """The recently acknowledged configuration changes.
 
     Attributes:
         versions: Their version numbers, ascending.
-        digests: The digests of their contents, in the same order, joined; 8 bytes each.
+        digests: Concatenated digests of their contents in the same order, 8 bytes each.
     """
 
     versions: list[int]
@@ -60,12 +60,13 @@
 
 
 class CountingTermRow(Row, frozen=True, array_like=True):
-    """Who holds the counting lease, under which term.
+    """The holder of the counting lease and its term.
 
     Attributes:
         epoch: Epoch of the store's primary that granted the lease.
         number: Number of the holder under that primary.
-        holder: Host of the registry that holds it or may have it first; empty if any may ask.
+        holder: Host of the registry that holds the lease or has priority for the next one; empty if
+            any registry may request it.
     """
 
     epoch: int
@@ -74,17 +75,17 @@
 
 
 class InstanceRow(Row, frozen=True, array_like=True):
-    """A server as the registry knows it.
+    """A server, as known to a registry.
 
     Attributes:
         instance_id: Identifier that the server chose for itself.
-        address: `host:port` at which it takes requests.
-        service: Name of the service it belongs to.
-        zone: Name of its zone.
-        slots: Requests that it serves at once.
+        address: `host:port` at which the server accepts requests.
+        service: Name of the server's service.
+        zone: Name of the server's zone.
+        slots: Number of requests that the server handles concurrently.
         state: `ready`, `draining`, `silent` or `gone`.
         sequence: Number of its latest heartbeat; the row with the higher number is newer.
-        slow_start_ms: Milliseconds left of its slow start.
+        slow_start_ms: Remaining milliseconds of its slow start.
     """
 
     instance_id: str
@@ -98,13 +99,13 @@
 
 
 class CounterEndpointRow(Row, frozen=True, array_like=True):
-    """The registry that counts, and its term.
+    """The registry that holds the counting lease, and its term.
 
     Attributes:
         host: IP address of that registry.
         port: TCP port of that registry.
-        epoch: Epoch of the store's primary that granted the lease; -1 where no term is told.
-        number: Number of the holder under that primary; -1 where no term is told.
+        epoch: Epoch of the store's primary that granted the lease; -1 without a term.
+        number: Number of the holder under that primary; -1 without a term.
     """
 
     host: str
--- a/loomstand/rpc/messages/session_messages.py
+++ b/loomstand/rpc/messages/session_messages.py
@@ -1,8 +1,8 @@
 """Messages of a limiter's session with a registry.
 
-A limiter asks each registry again and again with the revisions that it knows, and hears what is
-newer: servers, the state of the system, tenants near their limit, and that there is a newer
-configuration, which it fetches by a call of its own.
+A limiter polls each registry with the revisions that it knows, and receives what is newer: servers,
+the system state, tenants near their limit, and the version of a newer configuration, which it
+fetches by a separate call.
 """
 
 from __future__ import annotations
@@ -16,19 +16,20 @@
 
 
 class SessionRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
-    """Opens a session, or asks for what is newer than what the limiter knows.
+    """Opens a session, or asks for all that is newer than the limiter's state.
 
-    `limiter_name` and `shared_clock` open a session, `session_id` goes on with one.
+    A request with `limiter_name` and `shared_clock` opens a session; one with `session_id`
+    continues a session.
 
     Attributes:
-        known_instances: Revision of the registry's table of servers.
-        known_system_state_revision: Revision of the system state that the limiter knows.
-        known_configuration: Version of the configuration held, 0 if there is none.
+        known_instances: Revision of the registry's table of servers known to the limiter.
+        known_system_state_revision: Revision of the system state known to the limiter.
+        known_configuration: Version of the limiter's configuration, 0 if it has none.
         session_id: Number of the session, 0 to open one.
         limiter_name: Name of the limiter's node.
-        shared_clock: The shared clock as the limiter knows it, in ticks of 0.1 ms; None if it
-            doesn't, absent in a session that is open.
-        known_buckets: Revision of the registry's quota buckets.
+        shared_clock: The limiter's reading of the shared clock in ticks of 0.1 ms; None if it has
+            none; absent when a session continues.
+        known_buckets: Revision of the registry's quota buckets known to the limiter.
     """
 
     operation: ClassVar[str] = "ask"
@@ -44,12 +45,12 @@
 
 
 class LimiterSetRow(Row, frozen=True, array_like=True):
-    """The limiters as a registry knows them.
+    """The limiters, as known to a registry.
 
     Attributes:
-        rank: The receiver's place in the order of names.
-        total: How many there are, silent ones included.
-        silent: How many of them are silent.
+        rank: The receiver's position in the order of the limiters' names.
+        total: Number of limiters, silent ones included.
+        silent: Number of silent limiters.
     """
 
     rank: int
@@ -61,9 +62,9 @@
     """A tenant near its limit.
 
     Attributes:
-        counter_name: Name of the counter of the running interval.
-        total: Its sum over all limiters.
-        is_closed: 1 if nothing may be admitted before it is told, else 0.
+        counter_name: Name of the counter of the current interval.
+        total: The counter's sum over all limiters.
+        is_closed: 1 if limiters must report each request before they admit it, else 0.
     """
 
     counter_name: int
@@ -72,26 +73,27 @@
 
 
 class SessionResponse(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """What is newer than what the limiter knows; all that isn't is absent.
+    """All that is newer than the limiter's state; fields without news are absent.
 
     `system_state_revision`, `limiters`, `counter`, `core_hosts`, `is_current` and `shared_clock`
     are present or absent together, and so are `instances_revision` and `instances`, and
     `buckets_revision` and `tenant_totals`.
 
     Attributes:
-        session_id: Number of the session, if one was opened.
+        session_id: Number of the session, if the request opened one.
         instances_revision: Revision of the registry's table of servers.
         instances: The servers that changed; all of them if a session was opened.
         system_state_revision: Revision of the system state.
-        limiters: The limiters as the registry knows them.
-        counter: The registry that counts; None if it isn't known.
+        limiters: The limiters, as known to the registry.
+        counter: The registry that holds the counting lease; None if it isn't known.
         core_hosts: IP addresses of the core machines.
         is_current: Whether the configuration that the registry holds is known to be the newest.
-        shared_clock: The shared clock in ticks of 0.1 ms; None if the registry doesn't know it.
+        shared_clock: The shared clock in ticks of 0.1 ms; None if the registry doesn't have it.
         buckets_revision: Revision of the registry's quota buckets.
         tenant_totals: The tenants near their limit.
-        configuration_version: Version of the registry's configuration, if it is newer.
-        requests_configuration: Whether the limiter should offer its configuration, which is newer.
+        configuration_version: Version of the registry's configuration, if newer than the limiter's.
+        requests_configuration: Whether the limiter should offer its configuration, because it is
+            newer than the registry's.
     """
 
     session_id: int | None = msgspec.field(name="s", default=None)
@@ -115,7 +117,7 @@
     """A limiter fetches the configuration.
 
     Attributes:
-        accepts_compressed: Whether the answer may be compressed; absent from earlier releases.
+        accepts_compressed: Whether the response may be compressed; earlier releases don't send it.
     """
 
     operation: ClassVar[str] = "fetch"
@@ -126,7 +128,7 @@
     """The registry's configuration; one of `data` and `compressed_data` is present.
 
     Attributes:
-        version: Its version, 0 if there is none.
+        version: The configuration's version, 0 if there is none.
         data: The configuration.
         compressed_data: The configuration, compressed by zlib.
     """
@@ -141,7 +143,8 @@
 
     Attributes:
         limiter_name: Name of the limiter's node.
-        is_forwarded: Whether another registry forwards it, so that it isn't forwarded again.
+        is_forwarded: Whether another registry forwarded the request; then the receiver doesn't
+            forward it again.
     """
 
     operation: ClassVar[str] = "bye"
