--- a/loomstand/config/configuration/__init__.py
+++ b/loomstand/config/configuration/__init__.py
@@ -1,10 +1,10 @@
 """The configuration that operators send: routes, services, tenants and limits (PROTOCOL.md).
 
-It is parsed and checked before anything is written or put in force, and refused as one: what comes
-out is a whole Configuration or a ConfigurationError, whatever the bytes.
+It is parsed and validated before anything is stored or applied, and accepted or refused as a whole:
+for any input bytes the result is a complete Configuration or a ConfigurationError.
 
-`model` has the checked configuration, `json_object` typed access to JSON, `resources` the parsing
-of each kind of resource, `checks` what has to hold among them, `reader` the way from the bytes.
+`model` has the validated configuration, `json_object` typed access to JSON, `resources` the parsers
+of each kind of resource, `checks` the constraints between resources, `reader` the entry point.
 """
 
 from loomstand.config.configuration.errors import ConfigurationError
--- a/loomstand/config/configuration/checks.py
+++ b/loomstand/config/configuration/checks.py
@@ -1,7 +1,7 @@
-"""What has to hold among the resources of one configuration. Pure.
+"""Checks the constraints between the resources of one configuration. Pure.
 
-Names are unique in a kind, a host and path prefix has one route, an API key has one tenant, limits
-stand once, and every service that a route names is there.
+Names are unique within a kind, a host and path prefix belongs to one route, an API key to one
+tenant, limits occur at most once, and every service that a route names exists.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 class ResourceCollector:
-    """Collects the resources of a configuration in their order, and checks each against the others.
+    """Collects the resources of a configuration in order, and checks each against the earlier ones.
 
     Attributes:
         routes: The routes so far.
         services: The services so far, by name.
         tenants: The tenants so far.
-        limits: The limits, once they came.
+        limits: The limits; None until they are added.
     """
 
     def __init__(self) -> None:
@@ -32,15 +32,15 @@
         self.tenants: list[Tenant] = []
         self.limits: ClientLimits | None = None
         self._positions: dict[tuple[str, str], int] = {}  # by kind and name
-        self._service_names: list[str] = []  # of each route, beside its split
+        self._service_names: list[str] = []  # of each route, also one with a traffic split
         self._route_names: dict[tuple[str, str], str] = {}  # by host and path prefix
         self._key_owners: dict[str, str] = {}  # a tenant's name by API key
 
     def add(self, position: int, resource: ParsedResource) -> None:
-        """Takes the resource that stands at a position of the list.
+        """Adds the resource at a position of the list.
 
         Raises:
-            ConfigurationError: It contradicts one that came before.
+            ConfigurationError: The resource conflicts with an earlier one.
         """
         value = resource.value
         if isinstance(value, ClientLimits):
@@ -62,13 +62,13 @@
             self._add_tenant(value)
 
     def check_services(self) -> None:
-        """Checks that every service that a route names is there, once all resources came.
+        """Checks that every service that a route names exists, after all resources were added.
 
         Raises:
-            ConfigurationError: A service isn't there.
+            ConfigurationError: A service doesn't exist.
         """
         for route, service_name in zip(self.routes, self._service_names, strict=True):
-            # also the one beside a split, though the split goes before it
+            # also checked if the route has a traffic split, which takes precedence over it
             if service_name and service_name not in self.services:
                 raise self._unknown_service(route, "service_name", service_name)
             for number, service in enumerate(route.traffic_split):
--- a/loomstand/config/configuration/errors.py
+++ b/loomstand/config/configuration/errors.py
@@ -1,4 +1,4 @@
-"""The error of the operators' configuration."""
+"""The error for the operators' configuration."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class ConfigurationError(ConfigError):
-    """A configuration that is refused.
+    """An invalid configuration.
 
-    The message is one line that says where and what, as the operator's answer carries it. No API
-    key stands in it.
+    The message is one line with the location and the problem; it is part of the response to the
+    operator. It never contains an API key.
     """
--- a/loomstand/config/configuration/json_object.py
+++ b/loomstand/config/configuration/json_object.py
@@ -1,7 +1,7 @@
-"""Typed access to JSON: every value is checked as it is read, and an error names its place. Pure.
+"""Typed access to JSON: every value is checked when it is read; errors name its location. Pure.
 
-Fields that nobody asks for are ignored. One that is absent or null has its default; without a
-default it is required.
+Unknown fields are ignored. A field that is absent or null gets its default; a field without a
+default is required.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from loomstand.config.units import UnitError, parse_seconds, quote_value
 
 MAX_NUMBER = 2.0**63
-"""No figure of a configuration comes near it, and sums of such figures stay finite."""
+"""Far above any number in real configurations; sums of numbers up to it stay finite."""
 
-# What would end a line of a header or of a log, or can't be written as UTF-8.
+# Characters that would end a header line or log line, or can't be encoded in UTF-8.
 _UNSAFE_CHARACTERS = re.compile("[\x00-\x1f\x7f-\x9f\u2028\u2029\ud800-\udfff]")
 
 
 def load_json(raw: bytes) -> object:
-    """Decodes JSON strictly: a key stands once in an object, and numbers are finite.
+    """Decodes JSON strictly: keys are unique within an object, and numbers are finite.
 
     Raises:
-        ConfigurationError: The bytes aren't UTF-8 or no such JSON.
+        ConfigurationError: The bytes aren't UTF-8 or aren't strict JSON.
     """
     try:
         return json.loads(
@@ -32,7 +32,7 @@
             object_pairs_hook=_object_of_unique_keys,
             parse_constant=_refuse_constant,
         )
-    except ConfigurationError:  # is a ValueError, as those below
+    except ConfigurationError:  # a subclass of ValueError, which is caught below
         raise
     except UnicodeDecodeError as error:
         raise ConfigurationError(f"not UTF-8 at byte {error.start}") from None
@@ -58,11 +58,11 @@
 
 
 class JsonObject:
-    """A JSON object and its place for errors.
+    """A JSON object and its location for errors.
 
     Args:
-        values: What has to be an object.
-        location: The resource it belongs to, with `: ` at the end; empty for the document.
+        values: A decoded JSON value; anything but an object is an error.
+        location: The resource that contains the object, followed by `: `; empty for the document.
         path: The keys from the resource to the object; empty for the resource itself.
     """
 
@@ -77,11 +77,11 @@
         self.path = f"{path}." if path else ""
 
     def error(self, key: str, problem: str) -> ConfigurationError:
-        """Makes the error for a field."""
+        """Returns the error for a field."""
         return ConfigurationError(f"{self.location}{self.path}{key}: {problem}")
 
     def get(self, key: str, default: object = None) -> object:
-        """Returns a value that isn't checked yet; without a default it is required."""
+        """Returns an unchecked value; it is required if there is no default."""
         value = self._values.get(key)
         if value is not None:
             return value
@@ -90,11 +90,11 @@
         return default
 
     def get_text(self, key: str, default: str | None = None) -> str:
-        """Returns a text that may stand in a header or a log."""
+        """Returns a text that is safe in headers and logs."""
         return self.check_text(key, self.get(key, default))
 
     def check_text(self, key: str, value: object) -> str:
-        """Returns a value that is a text and may stand in a header or a log."""
+        """Checks that a value is a text that is safe in headers and logs, and returns it."""
         if not isinstance(value, str):
             raise self.error(key, "not a text")
         if _UNSAFE_CHARACTERS.search(value):
@@ -102,7 +102,7 @@
         return value
 
     def get_name(self, key: str) -> str:
-        """Returns a text that isn't blank; it is required."""
+        """Returns a required text that isn't blank."""
         value = self.get_text(key)
         if not value.strip():
             raise self.error(key, "empty")
@@ -118,14 +118,14 @@
         return float(value)
 
     def get_whole_number(self, key: str, default: int | None = None) -> int:
-        """Returns a whole number from 0 to MAX_NUMBER; `2.0` is one."""
+        """Returns a whole number from 0 to MAX_NUMBER; `2.0` is accepted."""
         value = self.get_number(key, default)
         if not value.is_integer():
             raise self.error(key, "not a whole number")
         return int(value)
 
     def get_seconds(self, key: str, default: float | None = None) -> float:
-        """Returns a span such as `1500ms` or `2.5s`, in seconds."""
+        """Returns a duration such as `1500ms` or `2.5s`, in seconds."""
         if default is not None and self._values.get(key) is None:
             return default
         text = self.get_text(key)
@@ -135,14 +135,14 @@
             raise self.error(key, str(error)) from None
 
     def get_flag(self, key: str, *, default: bool) -> bool:
-        """Returns true or false."""
+        """Returns a boolean."""
         value = self.get(key, default)
         if not isinstance(value, bool):
             raise self.error(key, "neither true nor false")
         return value
 
     def get_list(self, key: str, default: tuple[()] | None = None) -> list[object]:
-        """Returns a list whose items aren't checked yet."""
+        """Returns a list with unchecked items."""
         value = self.get(key, default)
         if not isinstance(value, list | tuple):
             raise self.error(key, "not a list")
--- a/loomstand/config/configuration/model.py
+++ b/loomstand/config/configuration/model.py
@@ -1,4 +1,4 @@
-"""The checked configuration, immutable. Spans are in seconds. Pure."""
+"""The validated, immutable configuration. Durations are in seconds. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class WeightedService(NamedTuple):
-    """A service in a route's split, with its weight of 0 or more."""
+    """A service in a route's traffic split, with its weight of 0 or more."""
 
     name: str
     weight: float
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Where requests of a host under a path prefix go.
+    """The destination of requests for a host and path prefix.
 
     Attributes:
         name: The resource's name, unique among routes.
-        host: The host of the requests, in small letters.
-        path_prefix: Begins and ends with a slash; unique for a host.
-        idempotent: Whether a request may run more than once.
-        timeout_seconds: How long a request may be held: over 0, at most ten minutes.
-        target_latency_seconds: The latency target; the time-out where the route names none.
-        priority: 0 is the highest.
-        traffic_split: The services with their weights, which aren't all 0.
-        max_attempts: Servers that a request may be offered to, 1 or more.
+        host: The host of the requests, in lower case.
+        path_prefix: The path prefix, which begins and ends with a slash; unique for a host.
+        idempotent: Whether a request may be executed more than once.
+        timeout_seconds: Timeout of a request: above 0 and at most 600 s.
+        target_latency_seconds: Latency target; the timeout if the route has none.
+        priority: Priority of the requests; 0 is the highest.
+        traffic_split: The services with their weights, not all of which are 0.
+        max_attempts: Maximum number of servers that a request is sent to, 1 or more.
         public: Whether requests need no API key.
     """
 
@@ -45,12 +45,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """How to reach the servers of a service.
+    """A service, which consists of equivalent servers.
 
     Attributes:
         name: The resource's name, unique among services.
-        health_check_path: The path of a health check.
-        connection_limit: Connections that a server takes from all callers together.
+        health_check_path: Path for health checks.
+        connection_limit: Maximum number of connections of a server, over all callers.
     """
 
     name: str
@@ -64,10 +64,10 @@
 
     Attributes:
         name: The resource's name, unique among tenants.
-        api_keys: No other tenant has one of them. Left out of the repr, as logs must not have keys.
-        priority: 0 is the highest.
-        rate_per_second: Requests a second; 0 is unlimited.
-        burst_size: Requests beyond the rate.
+        api_keys: API keys, unique to the tenant; not part of the repr, as logs must not have keys.
+        priority: Priority of the tenant's requests; 0 is the highest.
+        rate_per_second: Allowed requests per second; 0 is unlimited.
+        burst_size: Number of requests allowed beyond the rate.
     """
 
     name: str
@@ -79,13 +79,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientLimits:
-    """What a client may send, and how long it may take. Defaults: the example in PROTOCOL.md.
+    """Size limits and timeouts for clients. Defaults are those of the example in PROTOCOL.md.
 
     Attributes:
-        max_header_bytes: Bytes of a request's head.
-        max_body_bytes: Bytes of a request's body.
-        header_timeout_seconds: Until a request's head has to be there.
-        idle_timeout_seconds: How long a connection may be idle.
+        max_header_bytes: Maximum size of a request's head in bytes.
+        max_body_bytes: Maximum size of a request's body in bytes.
+        header_timeout_seconds: Time within which a request's head must be complete.
+        idle_timeout_seconds: Time after which an idle connection is closed.
     """
 
     max_header_bytes: int = 16384
@@ -99,12 +99,13 @@
     """A complete configuration.
 
     Attributes:
-        version: Its number; the highest prevails.
-        routes: In the order in which they stand.
-        services: By name.
-        tenants: In their order; None where there are none: then no request needs a key.
-        limits: What clients may send.
-        raw: The bytes that it was parsed from, keys included.
+        version: The version number; the highest takes precedence.
+        routes: The routes in the order of the document.
+        services: The services by name.
+        tenants: The tenants in the order of the document; None if there are none, and then no
+            request needs an API key.
+        limits: Size limits and timeouts for clients.
+        raw: The bytes that the configuration was parsed from, API keys included.
     """
 
     version: int
--- a/loomstand/config/configuration/reader.py
+++ b/loomstand/config/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Reads configurations from their bytes, each by what changed since the one before. Pure."""
+"""Parses configurations from bytes, reusing unchanged resources of the previous one. Pure."""
 
 from __future__ import annotations
 
@@ -12,17 +12,16 @@
 from loomstand.config.configuration.resources import ParsedResource, parse_resource
 from loomstand.config.units import UnitError, parse_version
 
-# Tells 1, 1.0 and true apart, which are equal. Format 2 writes values alone: later ones refer to
-# objects that stand twice, so that equal resources could differ in their bytes.
+# Marshal distinguishes 1, 1.0 and true, which compare equal. Format 2 writes only values: later
+# formats write references to repeated objects, so the bytes of equal resources could differ.
 _MARSHAL_FORMAT: Final = 2
 
 
 class ConfigurationReader:
-    """Reads one configuration after another.
+    """Parses successive configurations.
 
-    Of thousands of routes a change alters few: a resource that stood in the last configuration, to
-    the byte of its values, isn't parsed again. A resource of a kind that isn't known is kept as
-    None.
+    A change usually alters few of thousands of routes, so a resource that is identical to one in
+    the previous configuration isn't parsed again. A resource of an unknown kind is cached as None.
     """
 
     __slots__ = ("_previous",)
@@ -31,10 +30,10 @@
         self._previous: dict[bytes, ParsedResource | None] = {}
 
     def parse(self, raw: bytes) -> Configuration:
-        """Parses and checks a configuration as an operator sends it.
+        """Parses and validates a configuration as an operator sends it.
 
         Raises:
-            ConfigurationError: It is invalid; the one parsed before stays the last.
+            ConfigurationError: The configuration is invalid; the cache of the previous one is kept.
         """
         document = JsonObject(load_json(raw), "", "")
         version = _parse_version(document)
@@ -58,9 +57,9 @@
     def _parse_resource(
         self, position: int, item: object, parsed: dict[bytes, ParsedResource | None]
     ) -> ParsedResource | None:
-        """Returns the resource as it was known or parses it, and notes it in `parsed`."""
+        """Returns the cached resource or parses it, and adds it to `parsed`."""
         try:
-            # whatever JSON can say can be marshalled
+            # all JSON values can be marshalled
             fingerprint = marshal.dumps(item, _MARSHAL_FORMAT)  # type: ignore[arg-type]
         except ValueError:  # nested too deep
             return parse_resource(position, item)
@@ -73,10 +72,10 @@
 
 
 def parse_configuration(raw: bytes) -> Configuration:
-    """Parses and checks a configuration by itself.
+    """Parses and validates a single configuration.
 
     Raises:
-        ConfigurationError: It is invalid.
+        ConfigurationError: The configuration is invalid.
     """
     return ConfigurationReader().parse(raw)
 
--- a/loomstand/config/configuration/resources.py
+++ b/loomstand/config/configuration/resources.py
@@ -1,7 +1,7 @@
-"""Parses one resource of a configuration by itself: a route, service, tenant or limits. Pure.
+"""Parses a single resource of a configuration: a route, service, tenant or limits. Pure.
 
-PROTOCOL.md, "The operator", says which fields there are. Kinds of resource that aren't known are
-skipped, as a configuration may gain some.
+PROTOCOL.md, "The operator", defines the fields. Unknown kinds of resources are skipped, as later
+configurations may have some.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from loomstand.config.units import quote_value
 
 MAX_TIMEOUT_SECONDS = 600.0
-"""Ten minutes, by PROTOCOL.md: a route that waits longer is invalid."""
+"""Ten minutes: by PROTOCOL.md a route with a longer timeout is invalid."""
 
 DEFAULT_CONNECTION_LIMIT = 100
-"""Of a service that names none: a little under the least seen in a site, 110."""
+"""For a service without a limit; a little below 110, the lowest limit found in a deployment."""
 
 MAX_NAME_CHARACTERS = 60
-"""Characters of a resource's name that an error repeats."""
+"""Maximum number of characters of a resource's name in an error message."""
 
 _IDEMPOTENT = "idempotent"
 _NON_IDEMPOTENT = "non_idempotent"
@@ -33,13 +33,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ParsedResource:
-    """A resource by itself: nothing in it depends on other resources or on its position.
+    """A parsed resource; it depends neither on other resources nor on its position.
 
     Attributes:
-        kind: Its `resource_kind`.
-        name: Its name; empty for limits, which have none.
-        value: What it says.
-        service_name: The `service_name` of a route, if it has one, also beside a split.
+        kind: The `resource_kind`.
+        name: The resource's name; empty for limits, which have none.
+        value: The parsed resource.
+        service_name: The `service_name` of a route, also of one with a traffic split; empty if
+            there is none.
     """
 
     kind: str
@@ -49,18 +50,18 @@
 
 
 def resource_location(position: int, kind: str, name: str) -> str:
-    """Formats the place of a resource for an error, as in `resources[3] route r-a: `."""
+    """Formats the location of a resource for an error, such as `resources[3] route r-a: `."""
     return f"resources[{position}] {kind.removesuffix('s')} {name[:MAX_NAME_CHARACTERS]}: "
 
 
 def parse_resource(position: int, resource: object) -> ParsedResource | None:
-    """Parses the resource that stands at a position of the list.
+    """Parses the resource at a position of the list.
 
     Returns:
-        The resource, or None where its kind isn't known.
+        The resource, or None if its kind is unknown.
 
     Raises:
-        ConfigurationError: A field of it is missing or invalid.
+        ConfigurationError: A field of the resource is missing or invalid.
     """
     entry = JsonObject(resource, f"resources[{position}]: ", "")
     kind = entry.get_text("resource_kind")
@@ -83,7 +84,7 @@
 
 
 def _parse_route(name: str, specification: JsonObject) -> Route:
-    # Only ASCII has small letters in a Host header.
+    # Host headers are lower-cased as bytes, which affects ASCII letters only.
     host = specification.get_name("host").encode().lower().decode()
     path_prefix = _parse_path_prefix(specification)
     idempotent = _parse_route_kind(specification)
@@ -114,7 +115,7 @@
 
 
 def _parse_route_kind(specification: JsonObject) -> bool:
-    """Returns whether requests of the route may run more than once."""
+    """Returns whether requests of the route may be executed more than once."""
     kind = specification.get_text("route_kind")
     if kind not in (_IDEMPOTENT, _NON_IDEMPOTENT):
         problem = f"{quote_value(kind)} is neither {_IDEMPOTENT} nor {_NON_IDEMPOTENT}"
@@ -126,14 +127,14 @@
     timeout_seconds = specification.get_seconds("timeout")
     if timeout_seconds > MAX_TIMEOUT_SECONDS:
         raise specification.error("timeout", "over ten minutes")
-    # No request could be served in it, and the operators' days send it as an invalid one.
+    # No request can be served within 0 s; operators' test schedules send it as an invalid value.
     if timeout_seconds <= 0:
         raise specification.error("timeout", "0")
     return timeout_seconds
 
 
 def _parse_traffic_split(specification: JsonObject) -> tuple[WeightedService, ...]:
-    """Parses the services of a route; `traffic_split` goes before `service_name`."""
+    """Parses the services of a route; `traffic_split` takes precedence over `service_name`."""
     entries = specification.get_list("traffic_split", ())
     single = specification.get_text("service_name", "")
     if not entries:
--- a/loomstand/config/limiter/__init__.py
+++ b/loomstand/config/limiter/__init__.py
@@ -1,8 +1,8 @@
-"""The configuration of the limiter that runs by itself, without registry and store.
+"""The configuration of the stand-alone limiter, which runs without registry and store.
 
-`loader` reads it from the environment and a JSON file, `wire_settings` has the operators' settings
-of its decisions, `backends` the servers that discovery lists, `engine_settings` the translation for
-the decision engine.
+`loader` reads it from the environment and a JSON file, `wire_settings` defines the operators'
+settings for admission decisions, `backends` the servers that discovery lists, `engine_settings`
+converts the settings for the decision engine.
 """
 
 from loomstand.config.limiter.addresses import parse_host_port
--- a/loomstand/config/limiter/addresses.py
+++ b/loomstand/config/limiter/addresses.py
@@ -1,6 +1,7 @@
 """Addresses in the limiter's own configuration: HOST:PORT, IPv4 or IPv6. Pure.
 
-The programs' settings take IPv4 alone and refuse other spellings (`units.parse_address`).
+The settings files of the other programs accept strictly formatted IPv4 only
+(`units.parse_address`).
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 
 def parse_host_port(text: str, key: str) -> Address:
-    """Parses HOST:PORT with a numeric host, an IPv6 one in brackets or without.
+    """Parses HOST:PORT with a numeric host; the brackets of an IPv6 address are optional.
 
     Args:
         text: The address.
-        key: The key that has it, for the error.
+        key: The key of the address, for the error.
 
     Raises:
-        LimiterConfigError: It is no such address.
+        LimiterConfigError: The text isn't such an address.
     """
     host, _, port = text.rpartition(":")
     try:
@@ -32,7 +33,7 @@
         raise _not_an_address(text, key)
     try:
         number = int(port)
-    except ValueError:  # more digits than int() takes
+    except ValueError:  # more digits than int() accepts
         raise _not_an_address(text, key) from None
     if not 0 < number <= _MAX_PORT:
         raise _not_an_address(text, key)
--- a/loomstand/config/limiter/backends.py
+++ b/loomstand/config/limiter/backends.py
@@ -1,4 +1,4 @@
-"""Servers as discovery, the limiter's file and peers list them. Pure."""
+"""Servers as listed by discovery, the limiter's file and peers. Pure."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
         "started_at_ms": "up_since_ms",
     },
 ):
-    """A server as discovery lists it.
+    """A server as listed by discovery.
 
     Attributes:
-        id: Its identity.
+        id: Identifier of the server.
         address: HOST:PORT, with a numeric host.
-        phase: Whether it takes requests, is draining or is gone.
-        zone: Its zone.
-        kind: Its kind.
-        pod: The cell within which servers drop repeats.
-        capacity_hint: Its capacity beside that of other servers.
-        started_at_ms: When it started; 0 where that isn't known.
+        phase: `active` if the server accepts requests, `leaving` while it drains, `left` after.
+        zone: Zone of the server.
+        kind: Kind of the server.
+        pod: The cell within which servers discard repeated requests.
+        capacity_hint: Capacity relative to other servers.
+        started_at_ms: Start time in milliseconds; 0 if it isn't known.
     """
 
     id: str
@@ -51,8 +51,8 @@
     """A list of servers.
 
     Attributes:
-        revision: The list's revision; it grows.
-        complete: Whether servers that aren't in it are gone; else it has changes only.
+        revision: The list's revision, which increases.
+        complete: Whether servers that aren't listed have left; otherwise the list has only changes.
         backends: The servers.
     """
 
--- a/loomstand/config/limiter/engine_settings.py
+++ b/loomstand/config/limiter/engine_settings.py
@@ -1,6 +1,6 @@
-"""Translates the operators' settings into those of the decision engine. Pure.
+"""Converts the operators' settings to those of the decision engine. Pure.
 
-This is the one place that does: for the JSON file, the bench's wire and the emulator.
+This is the only conversion: the JSON file, the bench's wire protocol and the emulator use it.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 
 
 def engine_settings(settings: WireSettings, zone_index: int) -> EngineSettings:
-    """Translates the operators' settings.
+    """Converts the operators' settings.
 
     Args:
-        settings: The settings, checked.
+        settings: The validated settings.
         zone_index: The index of the limiter's own zone.
     """
     allowed = settings.allowed_actions
--- a/loomstand/config/limiter/errors.py
+++ b/loomstand/config/limiter/errors.py
@@ -1,4 +1,4 @@
-"""The error of the limiter's own configuration."""
+"""The error for the limiter's own configuration."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class LimiterConfigError(ConfigError):
-    """A configuration that can't be used; the message names the key."""
+    """An unreadable or invalid configuration; the message names the key."""
--- a/loomstand/config/limiter/loader.py
+++ b/loomstand/config/limiter/loader.py
@@ -1,6 +1,6 @@
-"""Loads and checks the limiter's own configuration: environment, JSON file and zone plan.
+"""Loads and validates the limiter's own configuration: environment, JSON file and zone plan.
 
-Touches the disk. Keys of the file are those of `LimiterFile`; an error names the key.
+Reads files. Keys of the JSON file are those of `LimiterFile`; an error names the key.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from loomstand.failover.zone_plan import SitePlan
 
 CONFIG_VARIABLE = "PROXY_CONFIG"
-"""The variable of the environment that names the file."""
+"""The environment variable with the path of the file."""
 
 _HEXADECIMAL = 16
 
 
 class ResourceLimits(WireStruct):
-    """What the process may use.
+    """Resource limits of the process.
 
     Attributes:
-        cores: Processor cores.
-        memory_mb: Megabytes of memory.
-        sockets: Sockets open at once.
+        cores: Number of processor cores.
+        memory_mb: Memory in megabytes.
+        sockets: Maximum number of open sockets.
     """
 
     cores: Annotated[float, Meta(gt=0)] = 1.0
@@ -44,16 +44,16 @@
     """The JSON file.
 
     Attributes:
-        settings: The settings of the decisions.
-        name: The limiter's name in logs; by default its index makes one.
-        listen: HOST:PORT for clients.
+        settings: The settings for admission decisions.
+        name: The limiter's name in logs; the default is `limiter-` with the limiter's index.
+        listen: HOST:PORT at which the limiter listens for clients.
         discovery: HOST:PORT of discovery.
-        counter: HOST:PORT of the counter, needed where the settings have one.
-        seed: The seed of its random draws, in hexadecimal digits.
-        limits: What the process may use.
+        counter: HOST:PORT of the counter, required if the settings have a counter.
+        seed: Seed of the random number generator, in hexadecimal digits.
+        limits: Resource limits of the process.
         known: The servers known before discovery answers.
-        plan: The path of a zone plan, if there is one.
-        peer: HOST:PORT where this limiter listens to the others named by `peers`.
+        plan: Path of a zone plan, if there is one.
+        peer: HOST:PORT at which this limiter listens for the limiters in `peers`.
         peers: HOST:PORT of other limiters.
     """
 
@@ -71,19 +71,19 @@
 
 
 class LimiterConfig(msgspec.Struct, frozen=True):
-    """The checked configuration of a limiter, from the environment and the file.
+    """The validated configuration of a limiter, from the environment and the file.
 
     Attributes:
-        name: Its name in logs.
-        listen_address: Where it listens to clients.
-        discovery_address: Where discovery is.
-        counter_address: Where the counter is, if there is one.
-        random_seed: The seed of its random draws.
-        limits: What the process may use.
+        name: The limiter's name in logs.
+        listen_address: Address at which it listens for clients.
+        discovery_address: Address of discovery.
+        counter_address: Address of the counter, if there is one.
+        random_seed: Seed of the random number generator.
+        limits: Resource limits of the process.
         initial_backends: The servers known before discovery answers.
-        settings: The settings of its decisions.
-        zone_plan: What to do when a zone is lost, if there is a plan.
-        peer_address: HOST:PORT where it listens to other limiters; empty without them.
+        settings: The settings for admission decisions.
+        zone_plan: The plan for the loss of a zone, if there is one.
+        peer_address: HOST:PORT at which it listens for other limiters; empty without peers.
         peer_addresses: HOST:PORT of other limiters.
     """
 
@@ -106,19 +106,19 @@
     """Loads the configuration from the environment and the file.
 
     Args:
-        environment: The variables, which go before the file's keys.
-        path: The file, if not the one that `PROXY_CONFIG` names.
-        reloading: Whether a running program reads again: then the file's addresses go first, as a
-            running program's environment can't follow what moved.
+        environment: The environment variables, which take precedence over the file's keys.
+        path: Path of the file; None for the path in `PROXY_CONFIG`.
+        reloading: Whether a running program reloads its configuration: then the file's addresses
+            take precedence, as the environment of a running program can't be updated.
 
     Raises:
-        LimiterConfigError: The file can't be read, or a key can't be used.
+        LimiterConfigError: The file can't be read, or a key is invalid.
     """
     path = path or environment.get(CONFIG_VARIABLE)
     if not path:
         raise LimiterConfigError(f"key '{CONFIG_VARIABLE}': not set, and no file was named")
     try:
-        # not pathlib, which would change how errors of the system repeat the path
+        # not pathlib, which would change the path in the operating system's errors
         with open(path, "rb") as file:  # noqa: PTH123
             raw = file.read()
     except OSError as error:
@@ -132,7 +132,7 @@
     """Parses the file's bytes; see `load_limiter_config`.
 
     Raises:
-        LimiterConfigError: A key can't be used.
+        LimiterConfigError: A key is invalid.
     """
     file = _decode_file(raw)
     settings = file.settings
@@ -196,7 +196,7 @@
 def _resolve_address(
     environment: Mapping[str, str], variable: str, text: str, key: str, *, file_first: bool
 ) -> Address:
-    """Returns the address that a variable or a key of the file gives; an empty one gives none."""
+    """Returns the address from a variable or a key of the file; an empty variable is ignored."""
     from_environment = environment.get(variable)
     if from_environment and not (file_first and text):
         return parse_host_port(from_environment, variable)
@@ -204,7 +204,7 @@
 
 
 def _load_zone_plan(path: str, settings: WireSettings) -> SitePlan:
-    """Loads a zone plan, which may name the frontends and plans of these settings."""
+    """Loads a zone plan, which may refer to the frontends and quota plans of these settings."""
     frontends = [frontend.name for frontend in settings.frontends]
     plans = [plan.name for plan in settings.plans]
     try:
--- a/loomstand/config/limiter/wire_settings.py
+++ b/loomstand/config/limiter/wire_settings.py
@@ -1,7 +1,7 @@
-"""The settings of a limiter in the operators' words, as structs with names of the field. Pure.
+"""The operators' settings of a limiter as structs. Pure.
 
-The keys on the wire and in the file are the operators' own; `rename` maps each to the name that is
-used here. Spans are in milliseconds and end in `_ms`.
+The keys on the wire and in the file are defined by the operators; `rename` maps each to the field
+name used in the code. Durations are in milliseconds and their names end in `_ms`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class WireStruct(msgspec.Struct, kw_only=True):
-    """A piece of the settings; keys are the operators' wire's own. Unknown keys are ignored."""
+    """A part of the settings, with the operators' wire keys. Unknown keys are ignored."""
 
 
 class FrontendSettings(
@@ -33,16 +33,16 @@
     """A class of requests, a `grade` on the wire.
 
     Attributes:
-        name: Its name, as requests carry it.
-        effect: Whether a request may run again: `pure` always, `token` where servers drop repeats,
-            `side_effect` never.
-        latency_target_ms: Within which an answer has its full value.
-        client_timeout_ms: How long clients wait.
-        value: Of an answer within the latency target.
-        deduplication_scope: Which servers drop repeats of a `token` request.
-        deduplication_window_ms: For how long they do.
-        late_value: Of an answer after the latency target.
-        streams: Whether answers are streams.
+        name: Name of the class, sent in requests.
+        effect: Whether a request may be executed again: `pure` always, `token` if servers discard
+            repeats, `side_effect` never.
+        latency_target_ms: Time within which a response has its full value.
+        client_timeout_ms: Time that clients wait for a response.
+        value: Value of a response within the latency target.
+        deduplication_scope: The servers that discard repeats of a `token` request.
+        deduplication_window_ms: Time for which they discard repeats.
+        late_value: Value of a response after the latency target.
+        streams: Whether responses are streams.
     """
 
     name: str
@@ -70,16 +70,16 @@
     """The quota of each tenant on a plan, over all limiters.
 
     Attributes:
-        name: Its name, as requests carry it.
-        rate_per_second: Units a second; 0 for no quota.
-        burst_size: Units that may come at once.
-        max_concurrent: Requests in flight; 0 for no limit.
-        value_factor: Factor on the value of the plan's requests.
+        name: Name of the plan, sent in requests.
+        rate_per_second: Quota in units per second; 0 for no quota.
+        burst_size: Largest burst in units.
+        max_concurrent: Maximum number of requests in flight; 0 for no limit.
+        value_factor: Factor for the value of the plan's requests.
         excess_value: Value of a request beyond the quota.
         excess_cost: Cost of a request beyond the quota.
-        ceiling_rate: Hard limit in units a second; 0 for none.
-        ceiling_depth: Units that may come at once under the hard limit.
-        ceiling_slack: Units by which the hard limit may be passed.
+        ceiling_rate: Hard limit in units per second; 0 for none.
+        ceiling_depth: Largest burst in units under the hard limit.
+        ceiling_slack: Units by which the hard limit may be exceeded.
     """
 
     name: str
@@ -106,17 +106,17 @@
         "connect_timeout_ms": "connect_timeout",
     },
 ):
-    """What a limiter may do with a request, and how long it waits on a connection.
+    """The actions that a limiter may take for a request, and its connection timeouts.
 
     Attributes:
-        max_attempts: Attempts at servers for a request.
+        max_attempts: Maximum number of attempts per request.
         may_cancel: Whether attempts may be cancelled.
         may_probe: Whether servers may be sent health checks.
-        may_hedge: Whether a second attempt may go out beside the first.
-        may_send_retry_after: Whether a rejection says when to come again.
+        may_hedge: Whether a second attempt may be sent while the first is in flight.
+        may_send_retry_after: Whether a rejection may contain a time to retry after.
         max_retry_after_ms: The longest such time.
-        idle_timeout_ms: After which an idle connection to a server is closed.
-        connect_timeout_ms: Within which a connection has to come up.
+        idle_timeout_ms: Time after which an idle connection to a server is closed.
+        connect_timeout_ms: Time within which a connection must be established.
     """
 
     max_attempts: int = 1
@@ -140,10 +140,10 @@
     """The counter that limiters share, `specifics` on the wire.
 
     Attributes:
-        has_counter: Whether there is one.
-        call_timeout_ms: Of a call to it.
-        metering_interval_ms: At which servers state what tenants used; 0 for never.
-        max_units_per_request: Units of quota that a request may ask for.
+        has_counter: Whether there is a counter.
+        call_timeout_ms: Timeout of a call to the counter.
+        metering_interval_ms: Interval at which servers report the usage of tenants; 0 for never.
+        max_units_per_request: Maximum units of quota that a request may ask for.
     """
 
     has_counter: bool = False
@@ -166,12 +166,12 @@
     """The operators' rules for answers and for servers in slow start or draining.
 
     Attributes:
-        answer_slack_ms: How late after a deadline an answer may be.
-        warm_up_ms: How long a server is in slow start.
-        initial_capacity_share: Share of its capacity that it has at its start.
-        drain_grace_ms: How long a draining server takes requests.
+        answer_slack_ms: Time by which a response may exceed its deadline.
+        warm_up_ms: Duration of a server's slow start.
+        initial_capacity_share: Share of its capacity that a server has at the start.
+        drain_grace_ms: Time for which a draining server accepts requests.
         overload_multiple: Multiple of its capacity at which a server in slow start fails.
-        overload_window_ms: How long it bears that.
+        overload_window_ms: Time for which a server withstands that load.
     """
 
     answer_slack_ms: Milliseconds = 0.0
@@ -194,17 +194,17 @@
         "counter": "specifics",
     },
 ):
-    """The settings of one limiter, as the bench's first message and the JSON file bring them.
+    """The settings of one limiter, from the bench's first message or the JSON file.
 
     Attributes:
-        limiter_count: How many limiters there are.
-        limiter_index: This limiter's number among them, from 0.
-        zone: This limiter's zone.
+        limiter_count: Number of limiters.
+        limiter_index: Index of this limiter, from 0.
+        zone: Zone of this limiter.
         frontends: The classes of requests, at least one.
         plans: The quota plans.
         zones: All zones.
         server_kinds: The kinds of servers.
-        allowed_actions: What the limiter may do with a request.
+        allowed_actions: The actions that the limiter may take for a request.
         counter: The counter that limiters share.
         rules: The operators' rules.
     """
--- a/loomstand/config/settings/__init__.py
+++ b/loomstand/config/settings/__init__.py
@@ -1,7 +1,7 @@
 """The settings file of a process (DEPLOY.md, "What a process is told").
 
-The variable `LOOMSTAND_CONFIG` names it. `model` has the checked settings, `fields` the lines of a
-file, `parser` makes the one of the other.
+The environment variable `LOOMSTAND_CONFIG` has its path. `fields` reads the lines of the file,
+`parser` converts them to the validated settings in `model`.
 """
 
 from loomstand.config.settings.errors import SettingsError
--- a/loomstand/config/settings/errors.py
+++ b/loomstand/config/settings/errors.py
@@ -1,4 +1,4 @@
-"""The error of the settings file."""
+"""The error for settings files."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SettingsError(ConfigError):
-    """Settings that can't be used.
+    """An unreadable settings file or invalid settings.
 
-    The message is one line that begins with the key, as in `network.seed_nodes: missing`.
+    The message is one line that begins with the key, such as `network.seed_nodes: missing`.
     """
--- a/loomstand/config/settings/fields.py
+++ b/loomstand/config/settings/fields.py
@@ -1,4 +1,4 @@
-"""The fields of a settings file by their keys, each parsed as its reader asks. Pure."""
+"""The fields of a settings file by key, each parsed by the caller's parser. Pure."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 class SettingsFields:
     """The lines `a.b=value` of a settings file.
 
-    Blank lines and those that begin with `#` are skipped; fields that nobody asks for are ignored,
-    as the file may gain some.
+    Blank lines and lines that begin with `#` are skipped. Unknown fields are ignored, as later
+    releases may add some to the file.
     """
 
     def __init__(self, text: str) -> None:
@@ -44,27 +44,27 @@
             self._values[key] = value
 
     def require(self, key: str, parse: Callable[[str], ValueT]) -> ValueT:
-        """Returns the value of a field that has to be there.
+        """Returns the value of a required field.
 
         Raises:
-            SettingsError: It is missing, given twice, or `parse` refuses it.
+            SettingsError: The field is missing, given twice, or rejected by `parse`.
         """
         if key not in self._values:
             raise SettingsError(f"{key}: missing")
         return self._parse(key, parse)
 
     def get(self, key: str, parse: Callable[[str], ValueT], default: DefaultT) -> ValueT | DefaultT:
-        """Returns the value of a field, or the default where it isn't there.
+        """Returns the value of a field, or the default if the field is missing.
 
         Raises:
-            SettingsError: It is given twice, or `parse` refuses it.
+            SettingsError: The field is given twice, or rejected by `parse`.
         """
         if key not in self._values:
             return default
         return self._parse(key, parse)
 
     def get_by_name(self, prefix: str) -> dict[str, str]:
-        """Returns the fields of a table whose keys are names, by those names.
+        """Returns the fields of a table whose keys are arbitrary names, by name.
 
         Raises:
             SettingsError: A field is empty or given twice.
@@ -73,13 +73,13 @@
         return {key.removeprefix(prefix): self._parse(key, parse_non_empty) for key in keys}
 
     def get_table(self, prefix: str, table: type[TableT]) -> TableT:
-        """Returns a table of figures, each with the default of its field in the dataclass.
+        """Returns a table as a dataclass, with the defaults of its fields for missing values.
 
-        A figure's key is the name of its field, without `_seconds` where it is a span; how it is
-        parsed goes by the type of the default.
+        A value's key is the name of the dataclass field, without `_seconds` for durations; the type
+        of the default selects the parser.
 
         Raises:
-            SettingsError: A field is given twice, or isn't what its type asks for.
+            SettingsError: A field is given twice, or its value has the wrong type.
         """
         values: dict[str, object] = {}
         for field in fields(table):
@@ -97,7 +97,7 @@
 
 
 def _parse_lines(text: str) -> Iterator[tuple[str, str]]:
-    """Yields the key and the value of each line that has some."""
+    """Yields the key and the value of each line that isn't blank or a comment."""
     for number, line in enumerate(text.split("\n"), 1):
         content = line.strip()
         if not content or content.startswith("#"):
@@ -112,8 +112,8 @@
 
 
 def _parser_of(name: str, default: object) -> Callable[[str], bool | int | float]:
-    """Returns how a figure with this default is written."""
-    if isinstance(default, bool):  # before int, whose subclass it is
+    """Returns the parser for a field with this name and default."""
+    if isinstance(default, bool):  # before int, as bool is a subclass of int
         return parse_flag
     if isinstance(default, int):
         return parse_whole_number
--- a/loomstand/config/settings/model.py
+++ b/loomstand/config/settings/model.py
@@ -1,7 +1,7 @@
-"""The checked settings of a process, immutable.
+"""The validated, immutable settings of a process. Pure.
 
-Spans are in seconds and end in `_seconds`. Defaults are the values of the example in DEPLOY.md,
-"What a process is told"; a field without one has to be in the file. Pure.
+Durations are in seconds and their names end in `_seconds`. Defaults are the values of the example
+in DEPLOY.md, "What a process is told"; a field without a default is required in the file.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class PortRange(NamedTuple):
-    """Ports that every machine keeps free for the system's own calls, both ends included."""
+    """Ports reserved on every machine for the system's internal calls; both are inclusive."""
 
     first: int
     last: int
@@ -22,15 +22,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessLimits:
-    """What the process may use (`self.limits`).
+    """Resource limits of the process (`self.limits`).
 
     Attributes:
-        cpu_share: Share of a core.
-        cpu_cores: How many times as fast as the reference core that core is.
-        memory_mb: Megabytes of memory.
-        file_descriptors: Open descriptors.
-        link_mbps: Megabits a second on the machine's link.
-        disk_mb: Megabytes of disk; 0 where there is none.
+        cpu_share: Share of one core.
+        cpu_cores: Speed of that core as a multiple of the reference core's speed.
+        memory_mb: Memory in megabytes.
+        file_descriptors: Number of open file descriptors.
+        link_mbps: Bandwidth of the machine's link in megabits per second.
+        disk_mb: Disk space in megabytes; 0 if there is no disk.
     """
 
     cpu_share: float = 0.86
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListenAddresses:
-    """Where calls from outside are taken (`network.listen_addresses`), as far as the role does."""
+    """Addresses for external calls (`network.listen_addresses`); None if the role has none."""
 
     frontend: Address | None = None
     readiness: Address | None = None
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ToleratedLosses:
-    """What may be lost at once with all rules kept (`rule_terms.tolerated_losses`)."""
+    """Simultaneous losses under which all rules hold (`rule_terms.tolerated_losses`)."""
 
     machines: int = 1
     zones: int = 0
@@ -61,29 +61,33 @@
 
 @dataclass(slots=True, frozen=True)
 class RuleBounds:
-    """The figures of the rules in RULES.md (`rule_terms.bounds`).
+    """The bounds of the rules in RULES.md (`rule_terms.bounds`).
 
     Attributes:
-        seed_lag_seconds: How old the operator's list of `control_plane` addresses may be.
-        address_reuse_seconds: After a server's end, another may get its address (PROTOCOL.md).
-        contact_seconds: How long a machine has to be without trouble to be in touch.
-        acknowledge_seconds: Within which a valid order has to be acknowledged.
-        catch_up_seconds: How long a machine that is back still counts as lost.
-        drain_seconds: After the acknowledgement of a drain no request may reach that server.
-        grace_period_seconds: From SIGTERM to SIGKILL.
-        loss_slack_seconds: After its last byte a request counts as taken.
-        configuration_apply_seconds: Within which an acknowledged version has to be in force.
-        rollback_slack_seconds: After which an older version may not be applied any more.
-        stretch_limit_seconds: By which an unsettled core stretches the bound of configuration.
-        revocation_global: In the file; no rule of RULES.md uses it, nor do the programs.
-        revocation_seconds: Likewise.
-        retry_budget_ratio: Retries allowed for each request, by service.
-        budget_window_seconds: The window in which retries are counted.
-        budget_slack: Retries allowed beyond the ratio, in a window.
-        quota_window_seconds: The window in which a tenant's requests are counted.
+        seed_lag_seconds: Maximum age of the operator's list of `control_plane` addresses.
+        address_reuse_seconds: Time after a server's end from which another server may get its
+            address (PROTOCOL.md).
+        contact_seconds: Time without faults after which a machine counts as reachable.
+        acknowledge_seconds: Time within which a valid change must be acknowledged.
+        catch_up_seconds: Time for which a machine still counts as lost after its return.
+        drain_seconds: Time after the acknowledgement of a drain from which no request may reach the
+            drained server.
+        grace_period_seconds: Time from SIGTERM to SIGKILL.
+        loss_slack_seconds: Time after its last byte from which a request counts as accepted.
+        configuration_apply_seconds: Time within which an acknowledged version must be in force.
+        rollback_slack_seconds: Time after which an older version must not be applied any more.
+        stretch_limit_seconds: Maximum extension of `configuration_apply_seconds` while faults
+            affect the core.
+        revocation_global: Accepted in the file, but unused by RULES.md and by the programs.
+        revocation_seconds: Accepted in the file, but unused by RULES.md and by the programs.
+        retry_budget_ratio: Allowed retries per request, for each service.
+        budget_window_seconds: Length of the window in which retries are counted.
+        budget_slack: Retries allowed in a window in addition to the ratio.
+        quota_window_seconds: Length of the window in which a tenant's requests are counted.
         quota_overshoot: Share by which a tenant may exceed its quota.
-        quota_slack: Requests allowed beyond that, in a window.
-        recovery_seconds: After machines return, within which requests have to be served again.
+        quota_slack: Requests allowed in a window in addition to the overshoot.
+        recovery_seconds: Time after the return of machines within which requests must be served
+            again.
     """
 
     seed_lag_seconds: float = 3.0
@@ -113,26 +117,26 @@
     """The settings of one process.
 
     Attributes:
-        node_name: The machine's name, in logs.
+        node_name: The machine's name, used in logs.
         role: The role's name in the deploy file.
         machine_class: The class of the machine in the deploy file.
-        serves: What the role serves outside: `frontend`, `control_plane`; empty for a role that
-            only takes the system's own calls.
-        ip_address: The machine's IPv4 number.
+        serves: Services that the role offers externally: `frontend`, `control_plane`; empty for a
+            role that only serves internal calls.
+        ip_address: The machine's IPv4 address.
         zone: The machine's zone.
         region: The machine's region.
-        loss_counted: Whether the machine's loss counts among the tolerated ones.
+        loss_counted: Whether a loss of the machine counts against `tolerated_losses`.
         first_start: Whether the whole system starts for the first time, with empty disks.
-        data_directory: Where the store keeps its data; empty where there is no disk.
-        limits: What the process may use.
-        listen_addresses: Where calls from outside are taken.
-        internal_ports: Ports for the system's own calls.
+        data_directory: Directory of the store's data; empty if there is no disk.
+        limits: Resource limits of the process.
+        listen_addresses: Addresses for external calls.
+        internal_ports: Ports for the system's internal calls.
         seed_nodes: The `control_plane` addresses of up to three machines; they may be down.
         zones: The region of each zone.
         heartbeat_seconds: The time between two heartbeats of a server.
-        contracts: The parts of the rules that are in force.
-        tolerated_losses: What may be lost at once with all rules kept.
-        bounds: The figures of the rules.
+        contracts: Names of the parts of the rules that are in force.
+        tolerated_losses: Simultaneous losses under which all rules hold.
+        bounds: The bounds of the rules.
     """
 
     node_name: str
@@ -156,9 +160,9 @@
     bounds: RuleBounds
 
     def registry_address(self, ip: str) -> Address:
-        """Returns where the registry of the machine with this IP number takes internal calls."""
+        """Returns the address for internal calls of the registry at this IP address."""
         return ip, self.internal_ports.first
 
     def store_address(self, ip: str) -> Address:
-        """Returns where the store of the machine with this IP number takes internal calls."""
+        """Returns the address for internal calls of the store at this IP address."""
         return ip, self.internal_ports.first + 1
--- a/loomstand/config/settings/parser.py
+++ b/loomstand/config/settings/parser.py
@@ -1,7 +1,7 @@
-"""Reads and checks the settings file.
+"""Reads and validates the settings file.
 
-A program reads the file at its start, at SIGHUP and when the file changes, and keeps the settings
-that it has where the new ones can't be used (`rpc/start.py`). `read_settings` touches the disk.
+A program reads the file at its start, at SIGHUP and when the file changes, and keeps its current
+settings if the new ones are invalid (`rpc/start.py`). `read_settings` reads from disk.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 )
 
 DEFAULT_HEARTBEAT_SECONDS = 1.5
-"""Between two heartbeats of a server: the value of the example in DEPLOY.md."""
+"""Time between two heartbeats of a server, as in the example in DEPLOY.md."""
 
 _LISTEN_PREFIX = "network.listen_addresses."
-# The addresses that a role must have for what it serves outside.
+# The addresses that a role must have for each service that it offers externally.
 _ADDRESSES_BY_SERVICE = {
     "frontend": ("frontend", "readiness"),
     "control_plane": ("control_plane",),
@@ -47,10 +47,10 @@
     """Reads the settings in the file at `path`.
 
     Raises:
-        SettingsError: The file can't be read, or its settings can't be used.
+        SettingsError: The file can't be read, or its settings are invalid.
     """
     try:
-        # not pathlib, which would change how the error repeats the path
+        # not pathlib, which would change the path in the error message
         with open(path, encoding="utf-8") as file:  # noqa: PTH123
             text = file.read()
     except (OSError, UnicodeDecodeError) as error:
@@ -62,7 +62,7 @@
     """Parses the text of a settings file.
 
     Raises:
-        SettingsError: A field is missing, given twice or not as its key requires.
+        SettingsError: A field is missing, given twice or invalid.
     """
     fields = SettingsFields(text)
     serves = fields.get("self.serves", parse_list, ())
@@ -93,7 +93,7 @@
 
 
 def _parse_listen_addresses(fields: SettingsFields, serves: tuple[str, ...]) -> ListenAddresses:
-    """Parses the addresses; each of what the role serves has to be there."""
+    """Parses the addresses; those of the services that the role offers are required."""
     addresses = {
         name: fields.get(_LISTEN_PREFIX + name, parse_address, None)
         for name in ("frontend", "readiness", "control_plane")
@@ -108,7 +108,7 @@
 
 
 def _parse_port_range(text: str) -> PortRange:
-    """Parses `7340,7355`: at least two ports, the registry's and the store's."""
+    """Parses a range such as `7340,7355`: at least two ports, for the registry and the store."""
     ports = parse_list(text)
     if len(ports) != _PORTS_IN_RANGE:
         raise UnitError(f"{quote_value(text)} is not a first and a last port")
@@ -120,5 +120,5 @@
 
 
 def _parse_addresses(text: str) -> tuple[Address, ...]:
-    """Parses a list of addresses that isn't empty."""
+    """Parses a non-empty list of addresses."""
     return tuple(parse_address(item) for item in parse_list(parse_non_empty(text)))
--- a/loomstand/config/toml_tables.py
+++ b/loomstand/config/toml_tables.py
@@ -64,9 +64,7 @@
     try:
         return msgspec.convert(table, type=kind)
     except msgspec.ValidationError as error:
-        if isinstance(
-            error.__cause__, TableError
-        ):  # raised by a struct's own check, includes the key
+        if isinstance(error.__cause__, TableError):  # from a struct's own check, names the key
             raise TableError(str(error.__cause__)) from None
         key, problem = locate_error(error)
         raise TableError(f"key '{key or '(top)'}': {problem}") from None
