--- a/tests/config/test_configuration.py
+++ b/tests/config/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: parsed and checked, or refused with its place."""
+"""The operators' configuration: parsed and validated, or refused with the location of the error."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from loomstand.config.routes import RouteTable
 
 STEADY = settings(derandomize=True, deadline=None, database=None)
-ROUTE = "resources[0] route r-a: specification."
-OTHER = "resources[1] route r-b: specification."
-TENANT = "resources[5] tenant sese880: specification."
+ROUTE_LOCATION = "resources[0] route r-a: specification."
+OTHER_ROUTE_LOCATION = "resources[1] route r-b: specification."
+TENANT_LOCATION = "resources[5] tenant sese880: specification."
 
 
-def refusal_of(raw: bytes) -> str:
-    """The message of the error that refuses these bytes."""
+def error_message(raw: bytes) -> str:
+    """Returns the error message for these bytes; fails if they are accepted."""
     with pytest.raises(ConfigurationError) as raised:
         parse_configuration(raw)
     return str(raised.value)
 
 
-def test_the_example_configuration():
+def test_example_configuration():
     configuration = parse_configuration(CONFIG)
     assert (
         configuration.version == 7
@@ -55,8 +55,8 @@
     )
 
 
-def test_what_must_not_be_refused():
-    valid = [
+def test_valid_variants_are_accepted():
+    valid_documents = [
         changed_configuration("resources", 5, gone=True),
         changed_configuration("resources", 5, "specification", to={}),
         changed_configuration("resources", 5, "specification", "api_keys", to=["a", "a"]),
@@ -68,12 +68,12 @@
         changed_configuration("more", to=[1e9]),
         b'{"version":"r0","resources":[]}',
     ]
-    for raw in valid:
+    for raw in valid_documents:
         configuration = parse_configuration(raw)
         assert (configuration.tenants is None) == (b"tenants" not in raw)
 
 
-RAW_REFUSALS = [
+DOCUMENT_ERRORS = [  # the document, and the start of the message
     (CONFIG[:-1], "JSON: Expecting ',' delimiter"),
     (b"\xff" + CONFIG, "not UTF-8 at byte 0"),
     (b"[]", "JSON: not an object"),
@@ -83,8 +83,8 @@
         "JSON: a number of too many digits",
     ),
     (CONFIG.replace(b"63.5", b"NaN"), "JSON: NaN is not a number"),
-    (CONFIG.replace(b"63.5", b"1e999"), TENANT + "rate_per_s: too large a number"),
-    (CONFIG.replace(b"63.5", b"9" * 400), TENANT + "rate_per_s: too large a number"),
+    (CONFIG.replace(b"63.5", b"1e999"), TENANT_LOCATION + "rate_per_s: too large a number"),
+    (CONFIG.replace(b"63.5", b"9" * 400), TENANT_LOCATION + "rate_per_s: too large a number"),
     (CONFIG.replace(b'"priority":1', b'"rate_per_s":1'), "JSON: key 'rate_per_s' given twice"),
     (changed_configuration("version", gone=True), "version: missing"),
     (changed_configuration("resources", gone=True), "resources: missing"),
@@ -94,10 +94,10 @@
     ),
     (
         changed_configuration(*FIRST_ROUTE, "traffic_split", gone=True),
-        ROUTE + "service_name: missing, and there is no traffic_split",
+        ROUTE_LOCATION + "service_name: missing, and there is no traffic_split",
     ),
 ]
-REFUSALS = [  # where in `resources`, what stands there instead, and the message
+RESOURCE_ERRORS = [  # path within `resources`, the value put there, and the message
     ((3,), 1, "resources[3]: not an object"),
     ((3, "metadata"), None, "resources[3]: metadata: missing"),
     ((3, "metadata", "name"), " ", "resources[3] service: metadata.name: empty"),
@@ -116,9 +116,13 @@
         "r-a",
         "resources[1] route r-a: metadata.name: given at resources[0] too",
     ),
-    ((5, "specification", "api_keys"), [7], TENANT + "api_keys[0]: not a text"),
-    ((5, "specification", "burst_size"), -1, TENANT + "burst_size: negative"),
-    ((1, "specification", "service_name"), "gone", OTHER + "service_name: unknown service 'gone'"),
+    ((5, "specification", "api_keys"), [7], TENANT_LOCATION + "api_keys[0]: not a text"),
+    ((5, "specification", "burst_size"), -1, TENANT_LOCATION + "burst_size: negative"),
+    (
+        (1, "specification", "service_name"),
+        "gone",
+        OTHER_ROUTE_LOCATION + "service_name: unknown service 'gone'",
+    ),
     ((0, "specification"), None, "resources[0]: specification: missing"),
     ((8,), DOCUMENT["resources"][6], "resources[8] limits: given twice"),
     (
@@ -132,7 +136,7 @@
         "resources[8] tenant t2: specification.api_keys[0]: tenant sese880 has this key too",
     ),
 ]
-ROUTE_REFUSALS = [  # a field of the first route, its value, and the message after the place
+ROUTE_ERRORS = [  # path of a field in the first route, its value, and the end of the message
     (("service_name",), "gone", "unknown service 'gone'"),
     (("traffic_split", 1, "service_name"), "gone", "unknown service 'gone'"),
     (("traffic_split",), [{"service_name": "huvo11a", "weight": 0}], "the weights add up to 0"),
@@ -152,24 +156,24 @@
 ]
 
 
-def test_a_refusal_says_where_and_what():
-    for raw, message in RAW_REFUSALS:
-        assert refusal_of(raw).startswith(message)
+def test_error_names_location_and_problem():
+    for raw, message in DOCUMENT_ERRORS:
+        assert error_message(raw).startswith(message)
     for version, message in [(7, "not a text"), ("7", "'7' is not a version such as r12")]:
-        assert refusal_of(changed_configuration("version", to=version)) == f"version: {message}"
-    for where, value, message in REFUSALS:
-        assert refusal_of(changed_configuration("resources", *where, to=value)) == message
-    for where, value, message in ROUTE_REFUSALS:
+        assert error_message(changed_configuration("version", to=version)) == f"version: {message}"
+    for where, value, message in RESOURCE_ERRORS:
+        assert error_message(changed_configuration("resources", *where, to=value)) == message
+    for where, value, message in ROUTE_ERRORS:
         field = "".join(f"[{key}]" if isinstance(key, int) else f".{key}" for key in where)
         assert (
-            refusal_of(changed_configuration(*FIRST_ROUTE, *where, to=value))
-            == f"{ROUTE.removesuffix('.')}{field}: {message}"
+            error_message(changed_configuration(*FIRST_ROUTE, *where, to=value))
+            == f"{ROUTE_LOCATION.removesuffix('.')}{field}: {message}"
         )
 
 
 def test_every_truncation_is_refused():
     for end in range(len(CONFIG)):
-        refusal_of(CONFIG[:end])
+        error_message(CONFIG[:end])
 
 
 VALUES = st.recursive(
@@ -187,7 +191,7 @@
 
 
 def paths_of_values(at, path=()):
-    """The path of every value in a JSON document."""
+    """Yields the path of every value in a JSON document."""
     for key, value in (
         at.items() if isinstance(at, dict) else enumerate(at) if isinstance(at, list) else ()
     ):
@@ -198,8 +202,8 @@
 def parsed_or_refused(raw: bytes) -> None:
     try:
         RouteTable.from_configuration(parse_configuration(raw))
-    except ConfigurationError as wrong:
-        assert len(str(wrong).encode()) < 400 and len(str(wrong).splitlines()) == 1
+    except ConfigurationError as error:
+        assert len(str(error).encode()) < 400 and len(str(error).splitlines()) == 1
 
 
 @settings(STEADY, max_examples=300)
--- a/tests/config/test_routes.py
+++ b/tests/config/test_routes.py
@@ -15,7 +15,7 @@
 
 
 def table_of(prefixes: list[str]) -> RouteTable:
-    """A table with a route of `a.example` for each prefix, and no tenants."""
+    """Returns a table with a route for `a.example` and each prefix, and without tenants."""
     route = {"host": "a.example", "route_kind": "idempotent", "timeout": "1s", "service_name": "s"}
     resources = [
         {
@@ -42,7 +42,7 @@
     assert (found.path_prefix if found else None) == max(fitting, key=len, default=None)
 
 
-def test_a_table_finds_hosts_keys_and_services():
+def test_table_finds_routes_tenants_and_services():
     table = RouteTable.from_configuration(parse_configuration(CONFIG))
     first, second = table.configuration.routes
     assert table.find_route(b"JEPU9.example:8782", b"/lepu270/2f") is first and table.version == 7
@@ -63,8 +63,8 @@
     assert table.allowed_services[("jepu9.example", "/lepu270/")] == {"huvo11a", "kafi81c"}
     picks = [table.choose_service(first, n / 1000) for n in range(1000)]
     assert picks.count("huvo11a") == 900 and table.choose_service(first, 1 - 2**-53) == "kafi81c"
-    weightless = RouteTable.from_configuration(
+    reweighted = RouteTable.from_configuration(
         parse_configuration(changed_configuration(*FIRST_ROUTE, "traffic_split", 0, "weight", to=0))
     )
-    assert weightless.choose_service(weightless.configuration.routes[0], 0.0) == "kafi81c"
-    assert weightless.allowed_services[("jepu9.example", "/lepu270/")] == {"kafi81c"}
+    assert reweighted.choose_service(reweighted.configuration.routes[0], 0.0) == "kafi81c"
+    assert reweighted.allowed_services[("jepu9.example", "/lepu270/")] == {"kafi81c"}
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -10,7 +10,7 @@
 from loomstand.config.settings import SettingsError, parse_settings, read_settings
 
 
-def test_the_example_settings():
+def test_example_settings():
     settings = parse_settings(FILE + "\nself.shoe_size=44\n# a note\nself.limits.disk_mb.more=x\n")
     assert (settings.role, settings.serves, settings.loss_counted) == (
         "my-core",
@@ -58,7 +58,7 @@
         settings.zone = "lac"
 
 
-OPTIONAL = (
+OPTIONAL_KEY_PREFIXES = (
     "self.serves",
     "self.data",
     "self.limits",
@@ -69,34 +69,34 @@
 
 
 @pytest.mark.parametrize("line", FILE.split("\n")[1:-1])
-def test_each_setting_names_itself(line):
+def test_error_begins_with_the_key_of_its_setting(line):
     key = line.partition("=")[0]
-    if not key.startswith(OPTIONAL):
+    if not key.startswith(OPTIONAL_KEY_PREFIXES):
         with pytest.raises(SettingsError, match=f"^{key}: missing"):
             parse_settings(FILE.replace(line + "\n", ""))
     elif "serves" not in key:
         parse_settings(FILE.replace(line + "\n", ""))
     if not key.endswith(("data_directory", "discovery_source")):
-        wrong = (
+        invalid = (
             ""
             if key.endswith(("name", "role", "class", "zone", "region")) or "zones" in key
             else "1,,x"
         )
         with pytest.raises(SettingsError, match=f"^{key}: [^\n]+$"):
-            parse_settings(FILE.replace(line, f"{key}={wrong}"))
+            parse_settings(FILE.replace(line, f"{key}={invalid}"))
         with pytest.raises(SettingsError, match=f"^{key}: given twice$"):
             parse_settings(FILE + line)
 
 
-def test_settings_that_cannot_be():
-    wrong = [
+def test_invalid_settings_are_refused():
+    invalid_settings = [
         ("network.internal_ports", "7340,7340", "'7340,7340' leaves fewer than two ports"),
         ("network.seed_nodes", "", "empty"),
         ("self.loss_counted", "yes", "'yes' is neither true nor false"),
         ("self.limits.memory_mb", "2.5", "'2.5' is not a whole number"),
         ("rule_terms.bounds.budget_slack", "nan", "'nan' is not a number of 0 or more"),
     ]
-    for key, value, message in wrong:
+    for key, value, message in invalid_settings:
         rest = "\n".join(line for line in FILE.split("\n") if not line.startswith(key))
         with pytest.raises(SettingsError) as raised:
             parse_settings(f"{rest}\n{key}={value}")
@@ -127,14 +127,14 @@
         ("rule_terms.bounds.", "bounds"),
     ],
 )
-def test_each_figure_of_a_table_is_read_by_its_own_key(prefix, attribute):
-    plain = "\n".join(line for line in FILE.split("\n") if not line.startswith(prefix))
-    default = getattr(parse_settings(plain), attribute)
+def test_each_field_of_a_table_is_read_from_its_own_key(prefix, attribute):
+    without_table = "\n".join(line for line in FILE.split("\n") if not line.startswith(prefix))
+    default = getattr(parse_settings(without_table), attribute)
     assert default == type(default)()
     for field in fields(default):
         key = prefix + field.name.removesuffix("_seconds")
-        written, value = ("true", True) if field.default is False else ("7", 7)
+        text, value = ("true", True) if field.default is False else ("7", 7)
         if field.name.endswith("_seconds"):
-            written = "7s"
-        changed = getattr(parse_settings(f"{plain}\n{key}={written}"), attribute)
+            text = "7s"
+        changed = getattr(parse_settings(f"{without_table}\n{key}={text}"), attribute)
         assert changed == replace(default, **{field.name: value})
--- a/tests/config/test_units.py
+++ b/tests/config/test_units.py
@@ -1,4 +1,4 @@
-"""Written forms of times, versions and addresses."""
+"""Text formats of times, versions and addresses."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from loomstand.config import units
 
 
-def test_units_both_ways():
+def test_parsing_and_formatting():
     assert (
         units.parse_seconds("1500ms") == 1.5
         and units.parse_seconds("2.5s") == 2.5
@@ -18,8 +18,8 @@
     assert units.format_address(("10.1.0.3", 8783)) == "10.1.0.3:8783"
 
 
-def test_units_name_what_is_wrong():
-    wrong = {
+def test_errors_quote_the_value_and_name_the_problem():
+    invalid_texts = {
         units.parse_seconds: [
             "",
             "5",
@@ -54,7 +54,7 @@
             "::1:80",
         ],
     }
-    for reader, texts in wrong.items():
+    for parse, texts in invalid_texts.items():
         for text in texts:
             with pytest.raises(units.UnitError, match=r"^'.{0,59}('|\.\.\.) is (not|too) "):
-                reader(text)
+                parse(text)
--- a/tests/configuration_samples.py
+++ b/tests/configuration_samples.py
@@ -1,11 +1,11 @@
-"""A settings file and a configuration, as tests of several packages use them."""
+"""A settings file and a configuration, used by tests of several packages."""
 
 from __future__ import annotations
 
 import json
 from copy import deepcopy
 
-# Both examples are those that the bench prints for a site, names included.
+# Both examples are output of the bench for one site, with its generated names.
 FILE = """
 self.node_name=core-charguia-1
 self.role=my-core
@@ -62,7 +62,7 @@
 
 
 def changed_configuration(*where, to=None, gone=False) -> bytes:
-    """The example with one value put in, or taken out."""
+    """Returns the example configuration with one value replaced, or removed if `gone`."""
     document = deepcopy(DOCUMENT)
     parent = document
     for key in where[:-1]:
--- a/tests/rpc/test_client.py
+++ b/tests/rpc/test_client.py
@@ -1,4 +1,4 @@
-"""Calls with typed messages, over a network that answers as told."""
+"""Calls with typed messages over a stub network."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 REQUEST = IncrementRequest(counter_name=7, step=1.0, retention_seconds=4.0)
 
 
-class AnsweringNetwork:
-    """Gives one result to every call, and keeps the calls."""
+class StubNetwork:
+    """Returns the same result for every call, and records the calls."""
 
     def __init__(self, result):
         self.result, self.calls = result, []
@@ -27,22 +27,22 @@
         return self.result
 
 
-def called(result):
-    network = AnsweringNetwork(result)
+def call_with_result(result):
+    network = StubNetwork(result)
     return network, asyncio.run(call(network, ADDRESS, REQUEST, IncrementResponse, 0.5))
 
 
-def test_a_request_goes_by_its_operation_and_keys_and_its_answer_is_typed():
-    network, result = called(Ok({"total": 3.0, "counts": 9}))
+def test_request_is_sent_with_operation_and_wire_keys_and_response_is_typed():
+    network, result = call_with_result(Ok({"total": 3.0, "counts": 9}))
     assert network.calls == [(ADDRESS, "count", {"name": 7, "step": 1.0, "keep": 4.0}, 0.5)]
     assert result.ok == IncrementResponse(total=3.0, counting_term=9)
 
 
 @pytest.mark.parametrize("failure", CallFailure)
-def test_a_failure_is_given_as_it_is(failure):
-    assert called(Error(failure))[1].error is failure
+def test_failure_is_returned_unchanged(failure):
+    assert call_with_result(Error(failure))[1].error is failure
 
 
-def test_an_answer_of_another_form_is_an_error():
+def test_invalid_response_raises_message_error():
     with pytest.raises(MessageError, match=r"^KeyError: 'total'$"):
-        called(Ok({"counts": 9}))
+        call_with_result(Ok({"counts": 9}))
--- a/tests/rpc/test_messages.py
+++ b/tests/rpc/test_messages.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange decodes into its message class and encodes to the same bytes."""
+"""Every recorded exchange decodes to its message class and encodes to the same bytes."""
 
 from __future__ import annotations
 
@@ -70,9 +70,9 @@
     "store wait": (configuration_messages.WaitRequest, configuration_messages.WaitResponse),
 }
 UNKNOWN_CALL = "unheard-of"
-# Requests that the golden runs make themselves, with the keys in another order than the programs or
-# with 0.0 for 0. Their values are compared.
-HAND_MADE = {
+# Requests that the golden runs build themselves, with keys in a different order than the programs
+# use or with 0.0 for 0. Their decoded values are compared instead of their bytes.
+HANDWRITTEN_REQUESTS = {
     "stores: store promise",
     "older: store promise",
     "older: registry ask",
@@ -80,20 +80,20 @@
 }
 
 
-def recorded() -> list[Any]:
-    return list(_recorded())
+def recorded_exchanges() -> list[Any]:
+    return list(_recorded_exchanges())
 
 
-def _recorded() -> Iterator[Any]:
+def _recorded_exchanges() -> Iterator[Any]:
     for name in FILES:
         exchanges = json.loads((GOLDEN / f"{name}.json").read_text())["exchanges"]
-        for call, kept in exchanges.items():
-            for shape, exchange in kept.items():
+        for call, exchange_by_shape in exchanges.items():
+            for shape, exchange in exchange_by_shape.items():
                 if not call.endswith(UNKNOWN_CALL):
                     yield pytest.param(call, exchange, id=f"{name}: {call} {shape}")
 
 
-def unpacked(frame: str) -> list[Any]:
+def decode_frame(frame: str) -> list[Any]:
     (decoded,) = FrameDecoder().feed(bytes.fromhex(frame))
     return decoded.to_item()
 
@@ -102,63 +102,63 @@
     return "back" in request
 
 
-def again(message_type: type[Message], body: dict[str, Any]) -> dict[str, Any]:
+def reencode(message_type: type[Message], body: dict[str, Any]) -> dict[str, Any]:
     return message_type.from_wire(body).to_wire()
 
 
-def plain(body: Any) -> Any:
-    """With lists for tuples, as both are one on the wire."""
+def with_lists(body: Any) -> Any:
+    """Replaces tuples by lists, as both have the same wire format."""
     if isinstance(body, dict):
-        return {key: plain(value) for key, value in body.items()}
-    return [plain(value) for value in body] if isinstance(body, list | tuple) else body
+        return {key: with_lists(value) for key, value in body.items()}
+    return [with_lists(value) for value in body] if isinstance(body, list | tuple) else body
 
 
-def test_every_recorded_call_has_its_messages():
-    calls = {param.values[0] for param in recorded()}
+def test_every_recorded_call_has_message_classes():
+    calls = {param.values[0] for param in recorded_exchanges()}
     assert calls == set(MESSAGES)
     for call, (request_type, _) in MESSAGES.items():
         assert request_type.operation == call.split()[1]
 
 
-@pytest.mark.parametrize(("call", "exchange"), recorded())
-def test_a_recorded_request_is_written_as_it_was_read(call, exchange, request):
+@pytest.mark.parametrize(("call", "exchange"), recorded_exchanges())
+def test_recorded_request_is_reencoded_to_the_same_bytes(call, exchange, request):
     request_type, _ = MESSAGES[call]
-    number, operation, body = unpacked(exchange["request"])
+    number, operation, body = decode_frame(exchange["request"])
     assert operation == request_type.operation
     try:
         message = request_type.from_wire(body)
     except MessageError as error:
-        _, is_answered, answer = unpacked(exchange["answer"])
-        # what a call without its keys was refused with
-        assert (is_answered, answer) == (False, {"why": f"{operation}: {error}"})
+        _, is_ok, answer = decode_frame(exchange["answer"])
+        # the recorded reason for refusing a call with missing keys
+        assert (is_ok, answer) == (False, {"why": f"{operation}: {error}"})
         return
-    if any(request.node.callspec.id.startswith(made) for made in HAND_MADE):
-        assert plain(message.to_wire()) == plain(body)
+    if any(request.node.callspec.id.startswith(prefix) for prefix in HANDWRITTEN_REQUESTS):
+        assert with_lists(message.to_wire()) == with_lists(body)
         return
     assert encode_item([number, operation, message.to_wire()]).hex() == exchange["request"]
 
 
-@pytest.mark.parametrize(("call", "exchange"), recorded())
-def test_a_recorded_answer_is_written_as_it_was_read(call, exchange):
-    number, is_answered, body = unpacked(exchange["answer"])
-    if not is_answered:
+@pytest.mark.parametrize(("call", "exchange"), recorded_exchanges())
+def test_recorded_response_is_reencoded_to_the_same_bytes(call, exchange):
+    number, is_ok, body = decode_frame(exchange["answer"])
+    if not is_ok:
         return
     _, response_type = MESSAGES[call]
-    if call == "store duty" and is_release(unpacked(exchange["request"])[2]):
+    if call == "store duty" and is_release(decode_frame(exchange["request"])[2]):
         response_type = Acknowledgement
-    assert encode_item([number, True, again(response_type, body)]).hex() == exchange["answer"]
+    assert encode_item([number, True, reencode(response_type, body)]).hex() == exchange["answer"]
 
 
 TYPES = list(dict.fromkeys(kind for pair in MESSAGES.values() for kind in pair))
 
 
 @pytest.mark.parametrize("message_type", TYPES)
-def test_keys_of_later_releases_are_ignored(message_type):
-    for param in recorded():
+def test_unknown_keys_are_ignored(message_type):
+    for param in recorded_exchanges():
         call, exchange = param.values
         for frame, known_type in zip(("request", "answer"), MESSAGES[call], strict=True):
-            _, what, body = unpacked(exchange[frame])
-            if known_type is not message_type or what is False or not body:
+            _, kind, body = decode_frame(exchange[frame])
+            if known_type is not message_type or kind is False or not body:
                 continue
             try:
                 expected = message_type.from_wire(body)
@@ -167,14 +167,14 @@
             assert message_type.from_wire(body | {"later": [1, {}]}) == expected
 
 
-def test_a_missing_key_is_named_as_before():
+def test_missing_key_has_the_error_text_of_earlier_releases():
     with pytest.raises(MessageError, match=r"^KeyError: 'h'$"):
         session_messages.SessionRequest.from_wire({})
     with pytest.raises(MessageError, match=r"^KeyError: 'step'$"):
         quota_messages.IncrementRequest.from_wire({"name": 1, "keep": 4.0})
 
 
-def test_a_value_of_another_type_is_refused():
+def test_value_of_wrong_type_is_refused():
     with pytest.raises(MessageError, match=r"^ValueError: Expected `int`, got `str`"):
         quota_messages.IncrementRequest.from_wire({"name": "x", "step": 1.0, "keep": 4.0})
 
@@ -186,7 +186,7 @@
     assert message == expected
 
 
-def test_a_view_tells_its_rescue_only_if_there_was_one():
+def test_view_has_rescue_epoch_on_the_wire_only_after_a_rescue():
     member = MemberRow("00000000000000aa", "10.1.0.1", 7341)
     for rescue_epoch, length in ((0, 5), (1_000_017, 6)):
         view = ViewRow(1_000_018, member, None, [member], [], rescue_epoch)
@@ -198,13 +198,13 @@
     assert nothing.to_wire() == {"view": None}
 
 
-def test_a_counter_of_an_earlier_release_has_no_term():
+def test_counter_endpoint_of_an_earlier_release_has_no_term():
     body = {"counter": ["10.1.0.1", 7340]}
     response = session_messages.SessionResponse.from_wire(body)
     assert response.counter == CounterEndpointRow("10.1.0.1", 7340, -1, -1)
 
 
-def test_absent_and_none_are_told_apart():
+def test_absent_and_none_are_distinct():
     opening = session_messages.SessionRequest(
         known_instances=0,
         known_system_state_revision=-1,
@@ -226,7 +226,7 @@
     assert request.to_wire()["data"] is data
 
 
-def test_the_messages_with_bytes_are_known_as_such():
+def test_message_classes_with_bytes_are_detected():
     with_bytes = {kind for kind in TYPES if _carries_bytes(kind)}
     assert with_bytes == {
         configuration_messages.OfferRequest,
--- a/tests/rpc/test_rpc.py
+++ b/tests/rpc/test_rpc.py
@@ -1,6 +1,4 @@
-"""Calls between the system's processes on simulated streams: answers, and the proofs of
-failures.
-"""
+"""Calls between programs on simulated streams: their answers, and what their failures prove."""
 
 from __future__ import annotations
 
@@ -26,40 +24,40 @@
         pair = await Pair(plays).open()
         await work(pair)
         pair.sky.mend()
-        await asyncio.sleep(8.0)  # what is late comes now
+        await asyncio.sleep(8.0)  # late answers arrive within this time
         pair.check()
 
     play(run)
 
 
-async def every_way(pair: Pair) -> None:
+async def faulty_answers_at_each_byte(pair: Pair) -> None:
     n = 0
     for how in WAYS:
         for at in range(len(encode_item([1, True, {"n": 1000}]))):
             n += 1
-            await pair.call(n + 20_000)  # the connection's first
+            await pair.call(n + 20_000)  # the first call of the connection
             pair.called.plays = [(how, at)]
             got, other = await asyncio.gather(pair.call(n, 0.01), pair.call(n + 5000, 0.012))
             if how in ("", "pause", "foreign", "twice", "late twice"):
                 assert got.is_ok() and other.is_ok(), (how, at)
 
 
-def test_answers_cut_spoilt_doubled_and_foreign_at_each_byte_are_the_own_or_none():
-    paired(every_way)
+def test_truncated_corrupt_duplicate_and_foreign_answers_give_the_right_answer_or_none():
+    paired(faulty_answers_at_each_byte)
 
 
-def test_a_spoilt_call_is_not_run_as_another():
+def test_corrupt_call_is_not_executed():
     async def work(pair: Pair) -> None:
         await pair.call(0)
-        line = pair.caller.connections[THERE]
+        connection = pair.caller.connections[THERE]
         for at in range(len(encode_item([9, "do", {"n": 9, "for": 0.0, "fill": b""}]))):
             raw = bytearray(encode_item([90 + at, "do", {"n": 90 + at, "for": 0.0, "fill": b""}]))
             raw[at] ^= 1 << (at % 8)
             await pair.call(1000 + at)
-            line = pair.caller.connections[THERE]
-            line.transport.write(bytes(raw))
+            connection = pair.caller.connections[THERE]
+            connection.transport.write(bytes(raw))
             await asyncio.sleep(0.05)
-            line.close()
+            connection.close()
             await asyncio.sleep(0.05)
         assert all(n == 0 or n >= 1000 for n in pair.ran)
         assert pair.called.frame_errors > 20
@@ -68,37 +66,37 @@
 
 
 async def late_answers(pair: Pair) -> None:
-    """Answers that come after their call's time, and those of a connection that was given up."""
+    """Answers that arrive after their call's timeout, also on a connection that was replaced."""
     for n in range(0, 60, 2):
         await pair.call(n, 0.09 + 0.001 * n, 0.1)
         await pair.call(n + 1, 0.05 if n % 3 else 0.2, 0.1)
 
 
-def test_a_late_answer_is_nobodys():
+def test_late_answer_is_ignored():
     paired(late_answers)
 
 
-async def behind_a_cut(pair: Pair) -> None:
+async def calls_during_partition(pair: Pair) -> None:
     for n in range(40):
         await pair.call(5000 + n)
-        held = pair.loop.call_later(0.0005 * n, pair.sky.cut, HERE, THERE[0])
+        partition_timer = pair.loop.call_later(0.0005 * n, pair.sky.cut, HERE, THERE[0])
         await asyncio.gather(*(pair.call(20 * n + k, 0.0, 0.2, 5000 * k) for k in range(4)))
-        for k in range(4, 12):  # two silences in a row, and the connection is given up
+        for k in range(4, 12):  # after two consecutive timeouts the connection is replaced
             await pair.call(20 * n + k, 0.0, 0.2)
-        held.cancel()
+        partition_timer.cancel()
         await asyncio.sleep(0.6)
-        healed = pair.loop.time()
+        healed_at = pair.loop.time()
         pair.sky.mend()
         await asyncio.sleep(5.0)
-        late = [k for k in range(20 * n, 20 * n + 12) if pair.ran_at.get(k, 0.0) > healed]
-        assert not late, f"ran after they were given up: {late}"
+        late = [k for k in range(20 * n, 20 * n + 12) if pair.ran_at.get(k, 0.0) > healed_at]
+        assert not late, f"executed after their timeout: {late}"
 
 
-def test_calls_that_were_given_up_behind_a_cut_do_not_run_when_it_heals():
-    paired(behind_a_cut)
+def test_calls_timed_out_during_a_partition_are_not_executed_when_it_heals():
+    paired(calls_during_partition)
 
 
-def test_one_that_thaws_runs_a_call_late_and_once_and_its_answer_is_nobodys():
+def test_resumed_process_executes_a_late_call_once_and_its_answer_is_ignored():
     async def work(pair: Pair) -> None:
         await pair.call(0)
         pair.life.frozen = True
@@ -111,7 +109,7 @@
     paired(work)
 
 
-async def called_off(pair: Pair) -> None:
+async def cancelled_calls(pair: Pair) -> None:
     task = pair.loop.create_task(pair.call(1, 1.0, 2.0))
     await asyncio.sleep(0.1)
     task.cancel()
@@ -124,26 +122,28 @@
     assert (await pair.caller.call(THERE, "refuse", {}, 0.2)).error is CallFailure.REFUSED
 
 
-def test_a_caller_that_is_called_off_ends_and_does_not_take_it_for_a_silence():
-    paired(called_off)
+def test_cancelled_caller_ends_and_the_call_does_not_count_as_unanswered():
+    paired(cancelled_calls)
 
 
-def test_on_real_sockets_a_given_up_connection_is_reset():
+def test_replaced_connection_is_reset_on_real_sockets():
     async def run() -> None:
-        loop, net = asyncio.get_running_loop(), tcp_network.TcpNetwork()
-        with socket.create_server(("127.0.0.1", 0)) as listening:
-            listening.setblocking(False)
-            address = listening.getsockname()
+        loop, network = asyncio.get_running_loop(), tcp_network.TcpNetwork()
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            listener.setblocking(False)
+            address = listener.getsockname()
             for _ in range(tcp_network.MAX_UNANSWERED_CALLS):
-                assert (await net.call(address, "do", {}, 0.02)).error is CallFailure.MAY_HAVE_RUN
-            there, _ = await loop.sock_accept(listening)
-            with there:
-                there.setblocking(False)
-                # not an end, behind which all would be served
+                assert (
+                    await network.call(address, "do", {}, 0.02)
+                ).error is CallFailure.MAY_HAVE_RUN
+            accepted, _ = await loop.sock_accept(listener)
+            with accepted:
+                accepted.setblocking(False)
+                # not an orderly close, after which the server would still execute queued calls
                 with pytest.raises(ConnectionResetError):
-                    while await loop.sock_recv(there, 1 << 16):
+                    while await loop.sock_recv(accepted, 1 << 16):
                         pass
-        assert not net.connections
+        assert not network.connections
 
     asyncio.run(run())
 
@@ -203,35 +203,47 @@
     paired(work, list(plays))
 
 
-# --- each defence taken out is noticed
+# --- removing a defence makes its test fail
 
 
-def by_position(connection: ClientConnection, data: bytes) -> None:
-    """The next answer is the oldest call's."""
+def match_answers_by_order(connection: ClientConnection, data: bytes) -> None:
+    """Passes the next answer to the oldest call."""
     for frame in connection.decoder.feed(data):
-        number, what, body = frame.to_item()
+        number, is_ok, body = frame.to_item()
         if connection.pending_calls:
             oldest = connection.pending_calls.pop(next(iter(connection.pending_calls)))
-            tcp_connection.resolve(oldest, AnswerFrame(number, what is True, body))
+            tcp_connection.resolve(oldest, AnswerFrame(number, is_ok is True, body))
 
 
-async def swallowed(net: Any, *said: Any, call: Any = tcp_network.TcpNetwork.call) -> Any:
+async def suppress_cancellation(
+    network: Any, *arguments: Any, call: Any = tcp_network.TcpNetwork.call
+) -> Any:
     try:
-        return await call(net, *said)
+        return await call(network, *arguments)
     except asyncio.CancelledError:
         return tcp_network.Error(CallFailure.MAY_HAVE_RUN)
 
 
 MUTANTS: dict[str, tuple[Any, str, Any, Any]] = {
-    "match by position": (ClientConnection, "data_received", by_position, late_answers),
-    "frames without their sum": (frames, "crc32", lambda raw: 0, every_way),
+    "match by position": (
+        ClientConnection,
+        "data_received",
+        match_answers_by_order,
+        late_answers,
+    ),
+    "frames without checksum": (frames, "crc32", lambda raw: 0, faulty_answers_at_each_byte),
     "close without a reset": (
         tcp_connection,
         "reset_on_close",
         lambda transport: None,
-        behind_a_cut,
+        calls_during_partition,
+    ),
+    "cancellation counted as unanswered": (
+        tcp_network.TcpNetwork,
+        "call",
+        suppress_cancellation,
+        cancelled_calls,
     ),
-    "a cancelling is a silence": (tcp_network.TcpNetwork, "call", swallowed, called_off),
 }
 
 
--- a/tests/rpc/test_start.py
+++ b/tests/rpc/test_start.py
@@ -1,4 +1,4 @@
-"""The watch on the settings file: when it has a program reload."""
+"""Reloads of the settings file, and signals at the end of a program."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from loomstand.rpc import start
 
 
-class Reloaded:
-    """Keeps what it is told."""
+class RecordingProgram:
+    """Records the settings that it is given."""
 
     def __init__(self):
         self.settings = []
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def file(tmp_path, monkeypatch):
-    """A file whose text is its settings; "bad" can't be used."""
+    """A settings file whose settings are its text; the text "bad" is invalid."""
 
     def read(path):
         text = Path(path).read_text()
@@ -40,13 +40,13 @@
     return path
 
 
-def written(path, text, at):
+def write_file(path, text, modified_ns):
     path.write_text(text)
-    os.utime(path, ns=(at, at))
+    os.utime(path, ns=(modified_ns, modified_ns))
 
 
-async def watched(path, steps, stamp=None):
-    program = Reloaded()
+async def reloaded_settings(path, steps, stamp=None):
+    program = RecordingProgram()
     watcher = start.SettingsWatcher(str(path), program, stamp or start.FileStamp.of(path))
     watcher.start()
     for step in steps:
@@ -55,36 +55,36 @@
     return program.settings
 
 
-def test_a_changed_file_is_reloaded_once(file):
-    steps = [lambda watcher: None, lambda watcher: written(file, "two", 10**18)]
-    assert asyncio.run(watched(file, steps)) == ["two"]
+def test_changed_file_is_reloaded_once(file):
+    steps = [lambda watcher: None, lambda watcher: write_file(file, "two", 10**18)]
+    assert asyncio.run(reloaded_settings(file, steps)) == ["two"]
 
 
-def test_a_file_that_changed_while_the_program_started_is_reloaded(file):
+def test_file_changed_during_startup_is_reloaded(file):
     stamp = start.FileStamp.of(file)
-    written(file, "two", 10**18)
-    assert asyncio.run(watched(file, [lambda watcher: None], stamp)) == ["two"]
+    write_file(file, "two", 10**18)
+    assert asyncio.run(reloaded_settings(file, [lambda watcher: None], stamp)) == ["two"]
 
 
-def test_a_signal_reloads_a_file_that_has_not_changed(file):
-    assert asyncio.run(watched(file, [lambda watcher: watcher.reload()])) == ["one"]
+def test_signal_reloads_an_unchanged_file(file):
+    assert asyncio.run(reloaded_settings(file, [lambda watcher: watcher.reload()])) == ["one"]
 
 
-def test_settings_that_cannot_be_used_leave_those_held_and_the_next_are_taken(file):
+def test_invalid_settings_are_skipped_and_the_next_valid_ones_are_applied(file):
     steps = [
-        lambda watcher: written(file, "bad", 10**18),
-        lambda watcher: written(file, "three", 2 * 10**18),
+        lambda watcher: write_file(file, "bad", 10**18),
+        lambda watcher: write_file(file, "three", 2 * 10**18),
     ]
-    assert asyncio.run(watched(file, steps)) == ["three"]
+    assert asyncio.run(reloaded_settings(file, steps)) == ["three"]
 
 
-def test_a_file_that_is_gone_is_waited_for(file):
-    steps = [lambda watcher: file.unlink(), lambda watcher: written(file, "four", 10**18)]
-    assert asyncio.run(watched(file, steps)) == ["four"]
+def test_file_is_reloaded_after_it_was_deleted_and_recreated(file):
+    steps = [lambda watcher: file.unlink(), lambda watcher: write_file(file, "four", 10**18)]
+    assert asyncio.run(reloaded_settings(file, steps)) == ["four"]
 
 
-def test_a_signal_after_the_end_of_its_work_changes_nothing_of_how_a_program_ends():
-    """The soak test sent a second SIGTERM as a proxy's event loop had ended: exit status -15."""
+def test_signals_during_shutdown_do_not_change_the_exit_status():
+    """A second SIGTERM after a proxy's event loop had ended gave exit status -15, not 0."""
     numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     before = {number: signal.getsignal(number) for number in numbers}
 
