--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -5,13 +5,15 @@
 from dataclasses import FrozenInstanceError, fields, replace
 
 import pytest
-from configuration_samples import FILE
+from configuration_samples import SETTINGS_TEXT
 
 from loomstand.config.settings import SettingsError, parse_settings, read_settings
 
 
 def test_example_settings():
-    settings = parse_settings(FILE + "\nself.shoe_size=44\n# a note\nself.limits.disk_mb.more=x\n")
+    settings = parse_settings(
+        SETTINGS_TEXT + "\nself.shoe_size=44\n# a note\nself.limits.disk_mb.more=x\n"
+    )
     assert (settings.role, settings.serves, settings.loss_counted) == (
         "my-core",
         ("control_plane",),
@@ -53,7 +55,7 @@
         settings.registry_address("10.2.0.25") == ("10.2.0.25", 7340)
         and settings.store_address("10.2.0.25")[1] == 7341
     )
-    assert settings == parse_settings(FILE.replace("\n", "\r\n"))
+    assert settings == parse_settings(SETTINGS_TEXT.replace("\n", "\r\n"))
     with pytest.raises(FrozenInstanceError):
         settings.zone = "lac"
 
@@ -68,14 +70,14 @@
 )
 
 
-@pytest.mark.parametrize("line", FILE.split("\n")[1:-1])
+@pytest.mark.parametrize("line", SETTINGS_TEXT.split("\n")[1:-1])
 def test_error_begins_with_the_key_of_its_setting(line):
     key = line.partition("=")[0]
     if not key.startswith(OPTIONAL_KEY_PREFIXES):
         with pytest.raises(SettingsError, match=f"^{key}: missing"):
-            parse_settings(FILE.replace(line + "\n", ""))
+            parse_settings(SETTINGS_TEXT.replace(line + "\n", ""))
     elif "serves" not in key:
-        parse_settings(FILE.replace(line + "\n", ""))
+        parse_settings(SETTINGS_TEXT.replace(line + "\n", ""))
     if not key.endswith(("data_directory", "discovery_source")):
         invalid = (
             ""
@@ -83,9 +85,9 @@
             else "1,,x"
         )
         with pytest.raises(SettingsError, match=f"^{key}: [^\n]+$"):
-            parse_settings(FILE.replace(line, f"{key}={invalid}"))
+            parse_settings(SETTINGS_TEXT.replace(line, f"{key}={invalid}"))
         with pytest.raises(SettingsError, match=f"^{key}: given twice$"):
-            parse_settings(FILE + line)
+            parse_settings(SETTINGS_TEXT + line)
 
 
 def test_invalid_settings_are_refused():
@@ -97,14 +99,14 @@
         ("rule_terms.bounds.budget_slack", "nan", "'nan' is not a number of 0 or more"),
     ]
     for key, value, message in invalid_settings:
-        rest = "\n".join(line for line in FILE.split("\n") if not line.startswith(key))
+        rest = "\n".join(line for line in SETTINGS_TEXT.split("\n") if not line.startswith(key))
         with pytest.raises(SettingsError) as raised:
             parse_settings(f"{rest}\n{key}={value}")
         assert str(raised.value) == f"{key}: {message}"
     with pytest.raises(
         SettingsError, match=r"^network\.listen_addresses\.frontend: missing, and self\.serves"
     ):
-        parse_settings(FILE.replace("=control_plane", "=frontend"))
+        parse_settings(SETTINGS_TEXT.replace("=control_plane", "=frontend"))
     with pytest.raises(
         SettingsError, match=r"^line 2: 'rule_terms\.bo' is not of the form a\.b=value"
     ):
@@ -115,8 +117,8 @@
     path = tmp_path / "settings.conf"
     with pytest.raises(SettingsError, match="can't be read"):
         read_settings(str(path))
-    path.write_text(FILE)
-    assert read_settings(str(path)) == parse_settings(FILE)
+    path.write_text(SETTINGS_TEXT)
+    assert read_settings(str(path)) == parse_settings(SETTINGS_TEXT)
 
 
 @pytest.mark.parametrize(
@@ -128,7 +130,9 @@
     ],
 )
 def test_each_field_of_a_table_is_read_from_its_own_key(prefix, attribute):
-    without_table = "\n".join(line for line in FILE.split("\n") if not line.startswith(prefix))
+    without_table = "\n".join(
+        line for line in SETTINGS_TEXT.split("\n") if not line.startswith(prefix)
+    )
     default = getattr(parse_settings(without_table), attribute)
     assert default == type(default)()
     for field in fields(default):
--- a/tests/configuration_samples.py
+++ b/tests/configuration_samples.py
@@ -6,7 +6,7 @@
 from copy import deepcopy
 
 # Both examples are output of the bench for one site, with its generated names.
-FILE = """
+SETTINGS_TEXT = """
 self.node_name=core-charguia-1
 self.role=my-core
 self.machine_class=core
--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 import pytest
-from configuration_samples import CONFIG, FILE
+from configuration_samples import CONFIG, SETTINGS_TEXT
 from msgspec import to_builtins
 from standin import StandIn
 
@@ -66,11 +66,11 @@
 
 
 def test_settings_are_told_or_the_bad_key_is_named(put, capsys):
-    assert main(["settings", "check", put("good", FILE.encode())]) == 0
+    assert main(["settings", "check", put("good", SETTINGS_TEXT.encode())]) == 0
     assert "registry 10.1.0.33:7340, store 10.1.0.33:7341" in capsys.readouterr().out
-    assert main(["settings", "check", put("good", FILE.encode()), "--json"]) == 0
+    assert main(["settings", "check", put("good", SETTINGS_TEXT.encode()), "--json"]) == 0
     assert json.loads(capsys.readouterr().out)["bounds"]["budget_slack"] == 62
-    path = put("bad", FILE.replace("7340,7355", "7340").encode())
+    path = put("bad", SETTINGS_TEXT.replace("7340,7355", "7340").encode())
     assert main(["settings", "check", path]) == 2
     assert capsys.readouterr().err.startswith(f"loomstand.ctl: {path}: network.internal_ports: ")
     for bad in (
