--- a/loomstand/limiter/__init__.py
+++ b/loomstand/limiter/__init__.py
@@ -1,4 +1,4 @@
-"""The real limiter: clients, servers, counter and discovery on sockets, joined to the Brain."""
+"""The stand-alone limiter: HTTP, counter and discovery connections around the decision engine."""
 
 from loomstand.limiter.limiter import Limiter
 
--- a/loomstand/limiter/abandoned_requests.py
+++ b/loomstand/limiter/abandoned_requests.py
@@ -1,7 +1,7 @@
-"""Counts requests whose clients disconnected before they had their answer. Pure.
+"""Counts requests whose clients disconnected before they received a response. No I/O.
 
-What of them the servers were spared, and what they finished for nobody, is told apart, so that an
-operator sees in the log whether departures are noticed and whether they reach the servers.
+Cancelled attempts are counted apart from attempts that a server finished without a recipient. The
+log thus shows whether disconnections are detected and whether the cancellation reaches the servers.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
     """Counts since the last report.
 
     Attributes:
-        requests: Requests whose client disconnected before the answer.
-        attempts: Their attempts that were in flight at that moment.
-        cancelled: Attempts of such requests that ended by being cancelled.
-        finished: Attempts of such requests that ended in any other way.
+        requests: Requests whose client disconnected before the response.
+        attempts: Attempts of these requests in flight at the disconnection.
+        cancelled: Attempts of these requests that ended by cancellation.
+        finished: Attempts of these requests that ended in any other way.
     """
 
     requests: int = 0
@@ -31,14 +31,14 @@
         self.attempts += attempts_in_flight
 
     def attempt_ended(self, was_cancelled: bool) -> None:
-        """Counts the end of an attempt of such a request."""
+        """Counts the end of an attempt whose request was abandoned."""
         if was_cancelled:
             self.cancelled += 1
         else:
             self.finished += 1
 
     def take_report(self) -> str | None:
-        """Returns the counts as a log line and resets them; None if there is nothing to tell."""
+        """Returns the counts as a log line and resets them; None if all are 0."""
         if self == AbandonedRequests():
             return None
         line = (
--- a/loomstand/limiter/buffers.py
+++ b/loomstand/limiter/buffers.py
@@ -1,28 +1,30 @@
-"""A ring buffer of bytes that grows within a common allowance."""
+"""Byte ring buffers that grow within a shared memory budget."""
 
 from __future__ import annotations
 
-FIRST = 2048  # holds a req's head, or an answer to one, without growing
+FIRST = 2048  # bytes; fits a typical request head or small response without growing
 
 
 class Room:
-    """The memory that all rings and held bodies of a limiter may take together."""
+    """Memory budget in bytes, shared by all ring buffers and request bodies of a limiter."""
 
     def __init__(self, total: int) -> None:
         self.left = total
 
     def take(self, size: int) -> bool:
+        """Reserves `size` bytes; returns False, with no effect, if fewer are available."""
         if size > self.left:
             return False
         self.left -= size
         return True
 
     def give(self, size: int) -> None:
+        """Returns `size` reserved bytes to the budget."""
         self.left += size
 
 
 class Ring:
-    """Bytes in order; `most` bounds its size."""
+    """FIFO ring buffer of bytes that grows up to `most` bytes, within the memory budget."""
 
     __slots__ = ("buf", "head", "most", "room", "size", "used")
 
@@ -35,7 +37,7 @@
         return self.used
 
     def grow(self, want: int) -> bool:
-        """Room for `want` bytes in all, if the bound and the allowance permit."""
+        """Grows the buffer to hold `want` bytes in total; returns False if a limit prevents it."""
         if want <= self.size:
             return True
         size = min(self.most, max(FIRST, 1 << (want - 1).bit_length()))
@@ -48,8 +50,9 @@
         return True
 
     def space(self) -> memoryview:
-        """The next free stretch to write into; empty when full. `wrote` says how much of it was
-        used.
+        """Returns the next contiguous free range; empty if the buffer is full and can't grow.
+
+        The caller writes into it and reports the number of bytes with `wrote`.
         """
         if self.used == self.size and not self.grow(self.size + 1):
             return memoryview(b"")
@@ -59,10 +62,11 @@
         return memoryview(self.buf)[tail:]
 
     def wrote(self, n: int) -> None:
+        """Appends the first `n` bytes of the range that `space` returned."""
         self.used += n
 
     def put(self, data: bytes) -> bool:
-        """Appends all of `data`, or nothing."""
+        """Appends all of `data`; returns False, with nothing appended, if it doesn't fit."""
         n = len(data)
         if not self.grow(self.used + n):
             return False
@@ -75,7 +79,7 @@
         return True
 
     def peek(self, n: int = -1) -> bytes:
-        """A copy of the first `n` bytes (all, if fewer or -1)."""
+        """Returns a copy of the first `n` bytes, or of all if there are fewer or `n` is -1."""
         n = self.used if n < 0 else min(n, self.used)
         end = self.head + n
         if end <= self.size:
@@ -83,6 +87,7 @@
         return bytes(self.buf[self.head :] + self.buf[: end - self.size])
 
     def skip(self, n: int) -> None:
+        """Removes the first `n` bytes; an empty buffer that has grown releases its memory."""
         self.used -= n
         if self.used:
             self.head = (self.head + n) % self.size
@@ -92,7 +97,8 @@
             self.head = 0
 
     def take(self, n: int) -> bytes:
-        # as usual: a whole message
+        """Removes and returns the first `n` bytes, or all if there are fewer."""
+        # Fast path for the usual case: one whole message in a contiguous range.
         if n == self.used <= self.size - self.head and self.size <= FIRST:
             data = bytes(self.buf[self.head : self.head + n])
             self.head = self.used = 0
@@ -102,7 +108,7 @@
         return data
 
     def find(self, what: bytes, start: int = 0) -> int:
-        """Where `what` begins at or after `start`, from the first byte; -1 if it isn't there."""
+        """Returns the offset of the first `what` from offset `start` on; -1 if there is none."""
         if self.head + self.used > self.size:
             data = self.peek()
             self.buf[: len(data)] = data
@@ -111,6 +117,6 @@
         return at - self.head if at >= 0 else -1
 
     def close(self) -> None:
-        """Gives its memory back; the ring is empty then."""
+        """Discards the content and returns the memory to the budget."""
         self.room.give(self.size)
         self.buf, self.size, self.head, self.used = bytearray(), 0, 0, 0
--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -1,4 +1,4 @@
-"""Clients: the listener, their connections, and the check of what they send."""
+"""Client side: the HTTP listener, its connections, and the handling of received requests."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from loomstand.limiter.event_loop import Listens, Wire
 from loomstand.limiter.protocols import Asked, Asker, Takes
 
-STAYS = 2.0  # LATER: a connection with no open request may be closed after 2 s
+STAYS = 2.0  # idle time-out: the protocol allows closing idle connections after 2 s
 
 
 class Client:
-    """A client's connection: one request at a time."""
+    """A client's HTTP connection; processes one request at a time."""
 
     __slots__ = (
         "begun_at",
@@ -39,7 +39,7 @@
         )
         self.request: Asked | None = None
         self.made_at = self.read_at = self.busy_at = listener.limiter.turns.since
-        self.begun_at: float | None = None  # when the message that is coming in began
+        self.begun_at: float | None = None  # start of the message being received; None if idle
         self.made, self.surplus = 0, False
 
     def opened(self) -> None:
@@ -50,16 +50,16 @@
         self.read_at = self.listener.limiter.turns.came(self.made, self.made_at)
         if self.begun_at is None:
             self.begun_at, machine, listener = self.read_at, self.machine, self.listener
-            # of now, not of its opening
+            # The limits in force now; they may have changed since the connection was opened.
             machine.most, machine.most_head = listener.max_body_bytes, listener.max_header_bytes
             self.wire.inbound.most = listener.max_body_bytes + listener.max_header_bytes
         if self.request is None:
             self.take()
         elif self.wire.inbound.used >= self.wire.inbound.most:
-            self.wire.hold()  # a client that sends ahead waits for its answer
+            self.wire.hold()  # backpressure for pipelined requests
 
     def take(self) -> None:
-        """Hands on the requests that are whole, one after the other."""
+        """Parses and handles buffered requests until one is pending or more bytes are needed."""
         wire, machine = self.wire, self.machine
         while (
             wire.inbound.used
@@ -76,6 +76,7 @@
             self.handle()
 
     def handle(self) -> None:
+        """Handles one complete request: own paths here, all others in the limiter."""
         limiter, machine = self.listener.limiter, self.machine
         if self.listener.own_paths and machine.target.startswith(b"/-/"):
             status = 404
@@ -89,11 +90,11 @@
         try:
             limiter.request_received(self, machine, self.read_at)
         except http_parser.Malformed as why:
-            # the message was whole: the connection can go on
+            # the message was complete, so its end is known and the connection stays usable
             self.answer(why.status, f"{why}\n".encode())
 
     def answer(self, status: int, body: bytes = b"", extra: str = "", close: bool = False) -> None:
-        """Writes one whole answer, and makes ready for the next request."""
+        """Writes a complete response and resets the parser for the next request."""
         close = close or self.machine.close or self.listener.stopping
         self.request = self.begun_at = None
         self.busy_at = self.listener.limiter.loop.time()
@@ -105,12 +106,12 @@
             self.wire.finish()
 
     def next(self) -> None:
-        """Takes up what came while a request was being answered."""
+        """Resumes reading and handles requests received during the previous one."""
         self.wire.resume()
         self.take()
 
     def expel(self) -> None:
-        """Ends what is stuck: with a 408, where that can still be said."""
+        """Closes a stalled connection, with a 408 response if one can still be sent."""
         if self.wire.lingering or not self.wire.written:
             self.wire.stop(Ending.STALLED)
         else:
@@ -121,45 +122,47 @@
 
     @property
     def began(self) -> float:
-        """Since when it is in the state it is in, between requests or within one."""
+        """Loop time of the start of the current message, or of the current idle period."""
         return self.busy_at if self.begun_at is None else self.begun_at
 
     @property
     def idle(self) -> bool:
+        """Whether no request is being received, processed or answered."""
         wire = self.wire
         between = self.request is None and not wire.inbound.used and not self.machine.begun
         return between and wire.written and not wire.lingering
 
     @property
     def heading(self) -> bool:
-        """Whether a head is coming in."""
+        """Whether the header of a request is being received."""
         return self.begun_at is not None and self.request is None and not self.machine.begun
 
     @property
     def stuck(self) -> bool:
-        """Whether it is within a message, has an answer that it doesn't take, or lingers."""
+        """Whether it is mid-message, has an unread response, or waits for the client to close."""
         return self.request is None and not self.idle
 
     @property
     def free(self) -> bool:
-        """Whether it can be closed: idle, and nothing waits to be read."""
+        """Whether it can be closed: idle, with no unread bytes in the socket."""
         return self.idle and not self.wire.unread
 
 
 class ClientListener:
-    """Listens for clients and bounds their connections."""
+    """Accepts client connections and enforces limits on their number, size and time."""
 
-    bind = staticmethod(event_loop.listen)  # or another way, as `driver.Streams` has it
+    bind = staticmethod(event_loop.listen)  # replaceable, see `event_loop.Streams`
 
     def __init__(self, limiter: Takes, at_once: int, sockets: int) -> None:
         self.limiter, self.at_once, self.sockets = limiter, at_once, sockets
-        # PROTOCOL: for requests clients hold a third of the descriptors at most, which those that
-        # ask once and stay would use up; half of it is left to usual ones
+        # Protocol: clients hold at most a third of the descriptors for requests. Clients that send
+        # one request and keep the connection open would use all of it, so half of that third is
+        # reserved for active clients.
         self.most_held = sockets // 6
         self.idle_timeout_seconds, self.own_paths = STAYS, True
         self.max_body_bytes, self.max_header_bytes = http_parser.MOST_BODY, http_parser.MOST_HEAD
         self.header_timeout_seconds = (
-            inf  # seconds that the head of a message may take, if fewer than the patience
+            inf  # limit for receiving a request header; the sweep's limit applies if shorter
         )
         self.clients: dict[Client, None] = {}
         self.server: Listens | None = None
@@ -178,24 +181,23 @@
             if len(self.clients) > self.most_held:
                 self.close_idle(client)
         elif not self.limiter.make_room(client):
-            # it is turned away once its request is read: an answer ahead of it could not be told
-            # from a lost one
+            # Rejected with 503 after its request is read: the client could not distinguish an
+            # earlier response from a lost one.
             client.surplus = True
             self.limiter.endings["client surplus"] += 1
             if short > self.at_once:
                 client.wire.stop(Ending.NO_ROOM)
 
     def answered(self, client: Client) -> None:
-        """Keeps them in the order of their last answer: who asks once and stays comes to the
-        listener.
+        """Moves a connection to the end of `clients`, which is in order of the last response.
+
+        Connections that sent one request and stay open therefore come first.
         """
         if self.clients.pop(client, self) is None:
             self.clients[client] = None
 
     def close_idle(self, spared: Asker | None = None) -> bool:
-        """Closes the connection that has been idle longest, if there is one on which nothing has
-        come.
-        """
+        """Closes the longest-idle connection without unread bytes; returns whether one existed."""
         for client in self.clients:
             if client is not spared and client.free:
                 client.wire.stop(Ending.IDLE)
@@ -203,8 +205,9 @@
         return False
 
     def close_silent(self, spared: Asker | None, within: float) -> bool:
-        """Closes the oldest connection that has never sent anything, if there is one older than
-        that.
+        """Closes the oldest connection without any request that is older than `within` seconds.
+
+        Returns whether there was one.
         """
         since = self.limiter.loop.time() - within
         for client in self.clients:
@@ -216,15 +219,16 @@
         return False
 
     def close_stuck(self, within: float) -> bool:
-        """Closes the connection that has been within a message, or lingers, longest, and longer
-        than that.
+        """Closes the connection that has been stuck longest, if for more than `within` seconds.
+
+        Returns whether there was one.
         """
         since = self.limiter.loop.time() - within
         stuck = [c for c in self.clients if c.began < since and c.stuck]
         if stuck:
             client = min(stuck, key=lambda c: c.began)
             client.expel()
-            client.wire.stop(Ending.STALLED)  # its place is needed now
+            client.wire.stop(Ending.STALLED)  # its socket is needed immediately, so don't linger
         return bool(stuck)
 
     def gone(self, client: Client) -> None:
@@ -234,8 +238,12 @@
             self.limiter.client_disconnected(request)
 
     def sweep(self, patience: float) -> None:
-        """Ends connections that stopped within a message, don't take their answer, linger, or stay
-        idle: some clients ask once, or nothing, and keep their connection for good.
+        """Closes connections that are stalled, linger, or have been idle for too long.
+
+        Some clients send one request or none and never close their connection.
+
+        Args:
+            patience: Seconds a client may take to send a message or to read a response.
         """
         now = self.limiter.loop.time()
         for client in list(self.clients):
@@ -247,12 +255,13 @@
                 client.expel()
 
     def stop(self) -> None:
-        """No connection stays open between requests; new ones are still taken."""
+        """Closes idle connections, and others after their response; new ones are still accepted."""
         self.stopping = True
         for client in list(self.clients):
             if client.free:
                 client.wire.stop(Ending.STOPPING)
 
     def close(self) -> None:
+        """Stops accepting connections."""
         if self.server is not None:
             self.server.close()
--- a/loomstand/limiter/counter.py
+++ b/loomstand/limiter/counter.py
@@ -1,4 +1,4 @@
-"""The counter: calls written one behind another on one connection, each with its own time-out."""
+"""Client of the counter service: calls pipelined on one connection, each with its time-out."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Call:
-    """A call whose answer is owed; `told` once the module has its outcome."""
+    """A pending counter call; `told` is True once its outcome has been reported."""
 
     __slots__ = ("at", "name", "told", "written")
 
@@ -27,7 +27,7 @@
 
 
 class Line:
-    """A connection to the counter, and the calls on it in their order."""
+    """A connection to the counter and its pending calls in the order in which they were sent."""
 
     __slots__ = ("calls", "heard_at", "keeper", "machine", "up", "wire")
 
@@ -48,7 +48,7 @@
         try:
             while self.wire.ending is None and self.machine.step(self.wire.inbound):
                 if not self.calls:
-                    raise http_parser.Malformed(502, "an answer to no call")
+                    raise http_parser.Malformed(502, "a response without a call")
                 status, body, close = self.machine.status, self.machine.body, self.machine.close
                 self.machine.reset()
                 fit = self.keeper.answered(self.calls.popleft(), status, body)
@@ -65,22 +65,23 @@
 
 
 class Counter:
-    """Makes calls and tells the module their outcomes."""
+    """Sends increments to the counter and reports their outcomes to the limiter."""
 
     def __init__(
         self, limiter: Counts, address: tuple[str, int], timeout: float, connect_timeout: float
     ) -> None:
         self.limiter, self.address = limiter, address
         self.timeout, self.connect_timeout = timeout, connect_timeout
-        # with a silent connection; doubled each time in a row, up to four times what a connect may
-        # take
+        # Seconds without a response after which a connection is replaced; doubled at each
+        # consecutive replacement, up to four times the connect time-out.
         self.patience = timeout
         self.line: Line | None = None
-        self.queue: deque[tuple[Call, bytes]] = deque()  # calls for a connection that is coming up
-        self.open: deque[Call] = deque()  # all calls without an outcome, the oldest first
+        self.queue: deque[tuple[Call, bytes]] = deque()  # calls not sent yet
+        self.open: deque[Call] = deque()  # calls without a reported outcome, oldest first
         self.timer = None
 
     def call(self, act: IncrementCounter) -> None:
+        """Queues an increment and sends it as soon as a connection is open."""
         loop = self.limiter.loop
         keep = max(1, min(60_000, -(-act.time_to_live // 10)))
         raw = (
@@ -102,9 +103,7 @@
         connect(self.limiter.loop, self.line.wire, self.address, self.connect_timeout)
 
     def move(self, address: tuple[str, int]) -> None:
-        """The counter listens elsewhere from now on; what the old one was sent is still waited
-        for.
-        """
+        """Switches to another address; calls sent to the old one keep their time-out."""
         old, self.line, self.address = self.line, None, address
         self.patience = self.timeout
         if old is not None and old.calls:
@@ -115,6 +114,7 @@
             self.dial()
 
     def flush(self) -> None:
+        """Sends queued calls while the socket accepts them."""
         line = self.line
         if line is None or not line.up:
             return
@@ -123,7 +123,7 @@
             if call.told:
                 self.queue.popleft()
                 continue
-            # what the system has not taken yet waits here, where it can still be withdrawn
+            # Calls that the socket's send buffer can't take stay queued, where they can be dropped.
             if not line.wire.written or not line.wire.send(raw):
                 return
             self.queue.popleft()
@@ -133,8 +133,9 @@
             line.calls.append(call)
 
     def arm(self) -> None:
-        """One timer, for the oldest call; none where no call is open, as each turn of the loop
-        costs.
+        """Sets the single timer for the oldest call; none if no call is open.
+
+        A timer without a call would cost an iteration of the event loop.
         """
         if self.timer is not None:
             self.timer.cancel()
@@ -143,7 +144,7 @@
             self.timer = self.limiter.loop.call_at(self.open[0].at + self.timeout, self.late)
 
     def late(self) -> None:
-        """Gives up the calls that have waited long enough."""
+        """Reports calls that have timed out, and replaces a connection without responses."""
         now = self.limiter.loop.time()
         while self.open and now - self.open[0].at >= self.timeout - 1e-4:
             self.tell(self.open[0], call_outcome(Ending.EXPIRED, self.open[0].written))
@@ -154,16 +155,14 @@
             and line.calls
             and now - line.heard_at > self.patience - 1e-3
         ):
-            # nothing comes any more, or an answer never ends: a new connection shows whether the
-            # machine is there, and a machine that only stands still would hold the old ones too
+            # No responses, or one that never completes. A new connection shows whether the machine
+            # is reachable; if the machine has only stalled, its old connections stall as well.
             self.patience = min(2 * self.patience, 4 * self.connect_timeout)
             line.wire.stop(Ending.STALLED)
         self.arm()
 
     def answered(self, call: Call, status: int, body: bytes) -> bool:
-        """Whether this is an answer that the counter gives: after any other its connection is of no
-        use.
-        """
+        """Reports a call's response; returns False if it is invalid and the connection unusable."""
         outcome, total = called(status), 0.0
         if outcome is Outcome.SUCCEEDED:
             if TOTAL(body) and isfinite(float(body)):
@@ -175,18 +174,22 @@
         return outcome is not Outcome.NO_RESPONSE
 
     def tell(self, call: Call, outcome: Outcome, total: float = 0.0) -> None:
+        """Reports the outcome of a call to the limiter."""
         call.told = True
         if self.open and self.open[0].told:
             while self.open and self.open[0].told:
                 self.open.popleft()
             self.arm()
-        took = int((self.limiter.loop.time() - call.at) * 10_000) + 1  # never too small
+        took = (
+            int((self.limiter.loop.time() - call.at) * 10_000) + 1
+        )  # ticks of 0.1 ms; never understates the duration
         self.limiter.counter_replied(call.name, outcome, total, took)
 
     def lost(self, line: Line, why: Ending) -> None:
+        """Reports the calls of an ended connection, and queued ones if it was the current one."""
         left, line.calls = line.calls, deque()
         waiting: deque[tuple[Call, bytes]] = deque()
-        if line is self.line:  # else they wait for another line
+        if line is self.line:  # otherwise queued calls wait for the current connection
             self.line, waiting, self.queue = None, self.queue, waiting
         for call in [*left, *(call for call, _ in waiting)]:
             if not call.told:
--- a/loomstand/limiter/discovery.py
+++ b/loomstand/limiter/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: a watch on the list of servers, resumed where it broke."""
+"""Client of the discovery service: a streaming watch on the list of servers, resumable."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 from loomstand.limiter.event_loop import Wire, connect
 from loomstand.limiter.protocols import Told
 
-BEAT = 2.0  # PROTOCOL: an empty line comes every 2 s while nothing changes
-SILENT = 2.5 * BEAT  # two beats missed; under the 6 s after which a change counts as told
-MOST_LINE = 1 << 20  # of a whole list, some thousands of servers
-AGAIN = (0.1, 2.0)  # the mean wait before a new watch, doubled from the first to the second
+BEAT = 2.0  # s; protocol: an empty line is sent every 2 s while nothing changes
+SILENT = 2.5 * BEAT  # s, two missed heartbeats; under the 6 s after which a change counts as known
+MOST_LINE = 1 << 20  # bytes; a full list of some thousands of servers
+AGAIN = (0.1, 2.0)  # s, mean reconnect delay: initial and maximum; doubled in between
 decode = msgspec.json.Decoder(BackendList).decode
 
 
 class WatchReceiver(http_parser.ResponseReceiver):
-    """An answer without an end, whose body is taken out line by line."""
+    """Parser of an endless response whose body is consumed line by line."""
 
     __slots__ = ()
 
     def lines(self) -> list[bytes]:
+        """Removes and returns the complete lines received so far."""
         if not isinstance(self.body, bytearray):
             return []
         *whole, rest = self.body.split(b"\n")
@@ -34,7 +35,7 @@
 
 
 class Watch:
-    """Keeps one watch open, and hands every list and change to the limiter."""
+    """Keeps one watch open and passes every list and change to the limiter."""
 
     def __init__(
         self,
@@ -49,12 +50,12 @@
         self.wire: Wire | None = None
         self.machine = WatchReceiver(MOST_LINE)
         self.heard_at, self.wait, self.stopped = 0.0, AGAIN[0], False
-        self.timer: asyncio.TimerHandle | None = None  # for the next start
+        self.timer: asyncio.TimerHandle | None = None  # for the next connection attempt
         self.chance = Random(seed).random
         self.held = False
 
     def hold(self, on: bool) -> None:
-        """Begins the watch, or lets it go, where others of the fleet tell what it would."""
+        """Starts or stops the watch; peers relay the lists while it is stopped."""
         if on and not self.held:
             self.held, self.wait = True, AGAIN[0]
             self.start()
@@ -67,6 +68,7 @@
                 self.wire.drop(Ending.FINISHED)
 
     def start(self) -> None:
+        """Opens the connection; the watch continues after the last known revision."""
         self.held = True
         if not self.stopped:
             self.timer = None
@@ -107,12 +109,12 @@
     def ended(self, why: Ending) -> None:
         self.limiter.endings[f"discovery {why.name.lower()}"] += 1
         if not self.stopped:
-            # by chance, so that limiters which were turned away together don't come again together
+            # Random jitter, so that limiters disconnected together don't reconnect together.
             self.timer = self.limiter.loop.call_later(self.wait * (0.5 + self.chance()), self.start)
             self.wait = min(AGAIN[1], self.wait * 2)
 
     def move(self, where: tuple[str, int]) -> None:
-        """Discovery speaks elsewhere from now on."""
+        """Switches to another address of the discovery service."""
         if self.timer is not None:
             self.timer.cancel()
         if self.wire is not None:
@@ -122,6 +124,7 @@
             self.start()
 
     def sweep(self) -> None:
+        """Closes the connection if heartbeats are overdue; it is reopened after a delay."""
         if (
             self.wire is not None
             and self.wire.ending is None
--- a/loomstand/limiter/endings.py
+++ b/loomstand/limiter/endings.py
@@ -1,6 +1,4 @@
-"""Every way in which a connection, or what was sent on it, can end; and what that means to the
-module.
-"""
+"""Reasons for which a connection ends, and the outcomes that the decision engine gets for them."""
 
 from __future__ import annotations
 
@@ -10,20 +8,20 @@
 
 
 class Ending(Enum):
-    """Why a connection ended, or why none came up."""
-
-    REFUSED = auto()  # nobody listens there, or no way there
-    SILENT_CONNECT = auto()  # it did not come up in time
-    NO_ROOM = auto()  # out of descriptors or memory, here
-    CLOSED = auto()  # the peer ended its sending
-    RESET = auto()  # the connection broke
-    MALFORMED = auto()  # the peer sent what is no message
-    OVERSIZED = auto()  # the peer sent more than is allowed
-    STALLED = auto()  # the peer stopped within a message, or took none
-    EXPIRED = auto()  # this side has waited long enough
-    CALLED_OFF = auto()  # this side was told to stop waiting
-    IDLE = auto()  # closed by this side between messages
-    FINISHED = auto()  # closed by this side after the last message, as agreed
+    """Why a connection ended or could not be established."""
+
+    REFUSED = auto()  # connection refused, or no route
+    SILENT_CONNECT = auto()  # connect timed out
+    NO_ROOM = auto()  # out of local descriptors or memory
+    CLOSED = auto()  # the peer closed its sending side
+    RESET = auto()  # the connection was lost
+    MALFORMED = auto()  # the peer sent an invalid message
+    OVERSIZED = auto()  # the peer exceeded a size limit
+    STALLED = auto()  # the peer stopped sending or reading mid-message
+    EXPIRED = auto()  # time-out on this side
+    CALLED_OFF = auto()  # cancelled on this side
+    IDLE = auto()  # closed by this side while idle
+    FINISHED = auto()  # closed by this side after the last message, by protocol
     STOPPING = auto()  # this limiter is shutting down
 
 
@@ -33,30 +31,39 @@
 
 
 def outcome(ending: Ending, written: bool) -> Outcome:
-    """What the end of its connection means to a dispatch; `written` if its last byte had been
-    written.
+    """Returns the outcome of an attempt whose connection ended.
+
+    Args:
+        ending: Why the connection ended.
+        written: Whether the last byte of the request had been written.
     """
     if not written:
-        # the server begins a req when its last byte has come: this one never ran
+        # A server starts a request once its last byte has arrived, so this one did not run.
         return Outcome.NOT_SENT if ending in KEPT_HERE else Outcome.CONNECT_FAILED
     return NOT_OUR_WAIT.get(ending, Outcome.CONNECTION_LOST)
 
 
 def call_outcome(ending: Ending, written: bool) -> Outcome:
-    """The same for a call to the counter: one that was written may have been added."""
+    """Returns the outcome of a counter call; the counter may have applied it if `written`."""
     return Outcome.NO_RESPONSE if written else Outcome.CONNECT_FAILED
 
 
 def answered(status: int, not_started: bool) -> Outcome:
-    """What a server's whole answer means to a dispatch."""
+    """Returns the outcome of an attempt with a complete response.
+
+    Args:
+        status: HTTP status.
+        not_started: Whether the response says that the request was not started.
+    """
     if status == 200:
         return Outcome.SUCCEEDED
     return Outcome.REJECTED if status in (503, 504) and not_started else Outcome.SERVER_ERROR
 
 
 def called(status: int) -> Outcome:
-    """What the counter's whole answer means to a call: some say that nothing was added, others
-    nothing.
+    """Returns the outcome of a counter call with a complete response of this HTTP status.
+
+    400, 404 and 503 prove that nothing was added; other errors leave it open.
     """
     if status == 200:
         return Outcome.SUCCEEDED
--- a/loomstand/limiter/event_loop.py
+++ b/loomstand/limiter/event_loop.py
@@ -1,6 +1,4 @@
-"""The thin driver under every connection: reads into one ring, writes from another, and says how it
-ended.
-"""
+"""Connections on asyncio: reading and writing through ring buffers, connecting and listening."""
 
 from __future__ import annotations
 
@@ -18,20 +16,25 @@
 from loomstand.limiter.buffers import Ring, Room
 from loomstand.limiter.endings import Ending
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a time-out of 0 s
 NO_ROOM = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 
 
 class Turns(selectors.DefaultSelector):
-    """The loop's selector, which also keeps what bounds the time at which the bytes now read had
-    come.
+    """Selector of the event loop that bounds the arrival time of the bytes being read.
+
+    Attributes:
+        since: Earliest time at which bytes read in this iteration can have arrived.
+        back: When `select` last returned.
+        count: Number of iterations.
+        longest: Longest recent iteration or late wake-up in seconds; halved each second.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.since = self.back = time.monotonic()
         self.count = 0
-        self.longest = 0.0  # the longest turn or oversleeping lately, halved each second
+        self.longest = 0.0
 
     def select(self, timeout: float | None = None) -> list:
         went = time.monotonic()
@@ -40,23 +43,26 @@
         lasted = went - self.back
         overslept = 0.0 if timeout is None else now - went - max(0.0, timeout)
         self.longest = max(lasted, overslept, self.longest * 0.5 ** (now - self.back))
-        # where the wait was a real one nothing was there when it began
+        # A wait longer than the iteration before it means that nothing was readable at its start.
         self.since = now if now - went > lasted else self.back
         self.back = now
         self.count += 1
         return ready
 
     def came(self, made: int, made_at: float) -> float:
-        """The earliest at which bytes now read can have come, on a connection made in turn `made`:
-        what is there when it is first looked at can have come with it.
+        """Returns the earliest time at which bytes being read can have arrived.
+
+        Bytes present when a connection is first polled can have arrived along with it.
+
+        Args:
+            made: The iteration in which the connection was set up.
+            made_at: The time of its set-up.
         """
         return made_at if self.count <= made + 1 else self.since
 
 
 class Untimed:
-    """In its place on a loop of somebody else's: bytes are taken to have come when they are
-    read.
-    """
+    """Substitute for `Turns` on other event loops: bytes count as arriving when they are read."""
 
     count, longest = 0, 0.0
 
@@ -69,8 +75,9 @@
 
 
 class Wire(asyncio.BufferedProtocol):
-    """One connection. Its user gives `received` and `ended`, which is called once; neither after
-    `drop`.
+    """One buffered connection.
+
+    Calls `opened`, `received` and, once, `ended` of its user; none of them after `drop`.
     """
 
     __slots__ = (
@@ -90,7 +97,7 @@
         self.inbound, self.outbound = Ring(room, most), Ring(room, most_out or most)
         self.transport: asyncio.Transport | None = None
         self.ending: Ending | None = None
-        self.off: Callable[[], None] | None = None  # calls off a connect on its way
+        self.off: Callable[[], None] | None = None  # cancels a pending connect
         self.paused = self.lingering = False
         self.reading = True
 
@@ -122,7 +129,7 @@
         self.stop(Ending.RESET)
         self.inbound.close()
         self.outbound.close()
-        # it refers back: what is closed goes at once, not when the collector comes
+        # Breaks the reference cycle, so that memory is freed without the garbage collector.
         self.user = None
 
     def pause_writing(self) -> None:
@@ -133,12 +140,12 @@
         self.flush()
 
     def send(self, data: bytes) -> bool:
-        """Queues all of `data`, or nothing where there is no room."""
+        """Writes or queues all of `data`; returns False, with nothing queued, if it doesn't fit."""
         if self.ending is not None:
             return False
         if self.paused or self.outbound.used:
             return self.outbound.put(data)
-        self.transport.write(data)  # what the system does not take at once pauses the writing
+        self.transport.write(data)  # pauses writing if the socket doesn't take it all
         return True
 
     def flush(self) -> None:
@@ -149,13 +156,13 @@
 
     @property
     def written(self) -> bool:
-        """Whether the system has taken the last byte."""
+        """Whether the last byte has been passed to the kernel."""
         return not self.paused and not self.outbound.used
 
     @property
     def unread(self) -> bool:
-        """Whether bytes, or an end, wait in the system."""
-        # there is no socket beneath it
+        """Whether the kernel holds unread bytes or an end of stream."""
+        # A simulated transport without a socket answers this itself.
         if (asked := self.transport.get_extra_info("unread")) is not None:
             return asked()
         poll = select.poll()
@@ -163,13 +170,13 @@
         return bool(poll.poll(0))
 
     def stop(self, why: Ending) -> None:
-        """Ends the connection at once."""
+        """Aborts the connection and notifies its user."""
         if self.ending is None:
             self.drop(why)
             self.user.ended(why)
 
     def drop(self, why: Ending) -> None:
-        """The same, at its user's wish: the user is not told."""
+        """Aborts the connection without notifying its user."""
         if self.ending is None:
             self.ending = why
             if self.transport is not None:
@@ -178,14 +185,15 @@
                 self.off()
 
     def sever(self) -> None:
-        """Makes the coming end a reset: what the system still holds of the sending is thrown away,
-        so that it isn't delivered seconds later, where a cut heals.
+        """Makes the next close a reset, which discards unsent bytes in the kernel.
+
+        Otherwise they could be delivered seconds later, when a network partition heals.
         """
         if self.transport is not None:
             reset_on_close(self.transport)
 
     def finish(self) -> None:
-        """Ends the sending after what is queued, and passes over what still comes."""
+        """Closes the sending side after the queued bytes and discards what is still received."""
         if self.ending is None and not self.lingering:
             self.lingering = True
             self.inbound.close()
@@ -199,7 +207,7 @@
             self.stop(Ending.RESET)
 
     def hold(self) -> None:
-        """Reads no further until `resume`."""
+        """Pauses reading until `resume`."""
         if self.ending is None and self.reading:
             self.reading = False
             self.transport.pause_reading()
@@ -211,10 +219,8 @@
 
 
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
-    """Has the system forget what it holds to send when the transport closes, and reset the
-    connection.
-    """
-    # there is no socket beneath it
+    """Makes closing the transport discard unsent bytes and reset the connection (SO_LINGER 0)."""
+    # A simulated transport without a socket does this itself.
     if (asked := transport.get_extra_info("reset_on_close")) is not None:
         asked()
     elif (sock := transport.get_extra_info("socket")) is not None:
@@ -230,12 +236,12 @@
 
 
 class Streams(Protocol):
-    """How connections come to be, where a program isn't to use real sockets."""
+    """Substitute for `connect` and `listen` where no real sockets are to be used."""
 
     def connect(
         self, loop: asyncio.AbstractEventLoop, wire: Wire, address: Address, within: float
     ) -> None:
-        """As `connect` below."""
+        """See `connect` below."""
         ...
 
     async def listen(
@@ -246,12 +252,12 @@
         at_once: int,
         most: int,
     ) -> Listens:
-        """As `listen` below."""
+        """See `listen` below."""
         ...
 
 
 class Listens(Protocol):
-    """What listens: an `asyncio.Server`, say."""
+    """A listening endpoint, such as an `asyncio.Server`."""
 
     def close(self) -> None: ...
 
@@ -267,38 +273,39 @@
 
     Args:
         loop: The running event loop.
-        make: Makes the protocol of a connection.
-        address: Where to listen.
-        at_once: How many connections are accepted in one turn of the loop.
-        most: How many the system may hold that aren't accepted yet.
+        make: Creates the protocol object of a connection.
+        address: Host and port to listen on.
+        at_once: Maximum number of connections accepted per event loop iteration.
+        most: Kernel backlog of connections that are not accepted yet.
 
     Raises:
-        OSError: The address can't be listened at.
+        OSError: The address can't be bound.
     """
     sock = socket.create_server(address, family=family(address))
-    # that is what a turn takes in
+    # asyncio uses the backlog as the number of connections to accept per iteration.
     server = await loop.create_server(make, sock=sock, backlog=at_once)
     sock.listen(most)
     return SocketListener(loop, sock, server)
 
 
 class SocketListener:
-    """A listening socket whose close loses no connection that is accepted already."""
+    """A listening socket that completes connections accepted just before its close."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, sock: socket.socket, server: asyncio.Server
     ) -> None:
-        """`server` accepts what comes to `sock`."""
+        """`server` accepts the connections of `sock`."""
         self._loop = loop
         self._sock = sock
         self._server = server
         self._is_closed = False
 
     def close(self) -> None:
-        """Accepts no more connections; those that were accepted in this turn still come up.
+        """Stops accepting; connections accepted in this event loop iteration are still set up.
 
-        asyncio sets a connection up in the turn after it was accepted, and drops it without closing
-        it if its server is closed by then. So the accepting ends now, and the server a turn later.
+        asyncio sets up a connection in the iteration after its accept, and drops it without closing
+        it if the server is closed by then. So accepting stops now, and the server is closed one
+        iteration later.
         """
         if self._is_closed:
             return
@@ -310,8 +317,9 @@
 def connect(
     loop: asyncio.AbstractEventLoop, wire: Wire, address: tuple[str, int], within: float
 ) -> None:
-    """Opens a connection for `wire`, whose user gets `opened`, or `ended` if it does not come up
-    within that many seconds.
+    """Opens a connection for `wire`.
+
+    Its user gets `opened`, or `ended` if the connect fails or takes more than `within` seconds.
     """
 
     async def run() -> None:
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -1,7 +1,7 @@
-"""What every limiter on sockets does, whatever its clients speak.
+"""Common base of the limiters on sockets, independent of their client protocol.
 
-Requests become events of the decision engine, its actions become attempts and answers. Owns the
-requests in flight; sockets are used by the listener and the pool alone.
+Turns requests into events of the decision engine, and its actions into attempts and responses. Owns
+the requests in flight; only the listener and the pool use sockets.
 """
 
 from __future__ import annotations
@@ -45,33 +45,33 @@
 
 SWEEP_INTERVAL_SECONDS = 1.0
 SWEEPS_PER_CONNECTIONS_LINE = 10
-ACCEPT_TURNS = 5  # of the event loop, in which a connection that was accepted surely comes up
-EMPTY_POLL_SECONDS = 0.02  # between looks whether all is answered, at the end
-CLOCK_NANOSECONDS = 100_000  # of a tick of the common clock
+ACCEPT_TURNS = 5  # event loop iterations within which an accepted connection is set up
+EMPTY_POLL_SECONDS = 0.02  # between checks for pending responses during shutdown
+CLOCK_NANOSECONDS = 100_000  # per tick of the shared clock
 
 
 class GatewayCore(Generic[RequestT]):
-    """The listener, the pool and the decision engine of one limiter, and the requests between them.
+    """The listener, connection pool, decision engine and pending requests of one limiter.
 
-    A subclass sets `listener`, `pool` and `engine`, and says how answers look.
+    A subclass sets `listener`, `pool`, `engine` and `patience`, and formats the responses.
 
     Attributes:
-        listener: The clients' connections.
-        pool: The servers' connections.
-        engine: Decides.
-        patience: Seconds for a message that is slow to come in, or an answer that isn't taken.
+        listener: Accepts and holds the client connections.
+        pool: Connections to servers.
+        engine: Decides on admission, routing and retries.
+        patience: Seconds a client may take to send a message or to read a response.
         log: Writes a log line.
         loop: The event loop.
-        turns: Bounds when the bytes that are read now had come.
-        room: Memory for buffers and bodies.
-        most_answer: Bytes of the longest answer of a server.
-        spare: Sockets for clients that are being taken in; as many are for those turned away.
-        sockets: All others.
-        requests: By number, the requests that are owed an answer or have attempts in flight.
-        is_ready: Whether it serves.
-        endings: How connections to others ended since the last log line about them.
-        abandoned: Requests whose clients have left.
-        stopped: Set when all is answered after `stop`.
+        turns: Bounds the arrival time of the bytes being read.
+        room: Memory budget for buffers and bodies.
+        most_answer: Maximum size of a server's response in bytes.
+        spare: Sockets reserved for new clients; as many are reserved for rejected ones.
+        sockets: Sockets for all other connections.
+        requests: By id, the requests without a response or with attempts in flight.
+        is_ready: Whether the readiness check succeeds.
+        endings: Count of connection endings by kind since they were last logged.
+        abandoned: Counts of requests whose clients disconnected.
+        stopped: Set after `stop` when all responses are written.
     """
 
     listener: ClientListener
@@ -82,22 +82,22 @@
     def __init__(
         self, log: Callable[[str], None], turns: Turns | None, memory_mb: int, sockets: int
     ) -> None:
-        """Makes it on the running event loop.
+        """Creates it on the running event loop.
 
         Args:
             log: Writes a log line.
-            turns: The event loop's selector, if it notes when bytes arrive.
-            memory_mb: What buffers and bodies may take half of.
-            sockets: How many connections there may be.
+            turns: The event loop's selector, if it bounds arrival times; None on other loops.
+            memory_mb: Memory limit of the process in MiB; buffers and bodies get half of it.
+            sockets: Maximum number of connections.
         """
         self.log = log
         self.loop = asyncio.get_running_loop()
         self.turns = turns or Untimed()
-        # one clock at all limiters, that never goes back here
+        # Offset that makes `now` comparable between limiters; its clock never goes backwards.
         self.epoch = time.time_ns() - time.monotonic_ns()
-        # Half of the memory for buffers, the rest for program and module. A tenth of the sockets
-        # for clients that are being taken in, as many for those that are turned away. An answer may
-        # be as long as a 64th of that, as answers come that are longer than a body should be.
+        # Half of the memory is for buffers, the rest for code and engine state. A response may take
+        # a 64th of the buffers, as servers send responses above the body limit of the protocol. A
+        # tenth of the sockets is for clients being accepted, and as many for those being rejected.
         self.room = Room(int(memory_mb * (1 << 20) / 2))
         self.most_answer = max(http_parser.MOST_BODY, self.room.left // 64)
         self.spare = sockets // 10
@@ -120,21 +120,21 @@
         }
 
     def now(self) -> int:
-        """Returns the common clock's reading, in ticks of a tenth of a millisecond."""
+        """Returns the time of the shared clock in ticks of 0.1 ms."""
         return (time.monotonic_ns() + self.epoch) // CLOCK_NANOSECONDS
 
-    # what differs between limiters
+    # hooks for subclasses
 
     def linger_seconds(self) -> float:
         """Returns for how many seconds new connections are still accepted after `stop`."""
         raise NotImplementedError
 
     def reject_request(self, action: Reject) -> None:
-        """Answers a request that the engine rejected."""
+        """Responds to a request that the engine rejected."""
         raise NotImplementedError
 
     def abort(self, action: Abort) -> None:
-        """Answers a request that failed."""
+        """Responds to a request that failed."""
         raise NotImplementedError
 
     def increment_counter(self, action: IncrementCounter) -> None:
@@ -142,21 +142,21 @@
         raise NotImplementedError
 
     def on_sweep(self) -> None:
-        """Does what else is due once a second; nothing here."""
+        """Runs further periodic work, once a second; does nothing by default."""
 
     def left(self) -> None:
-        """Ends what else is to end when the last request has; nothing here."""
+        """Stops other components after the last request; does nothing by default."""
 
-    # life
+    # lifecycle
 
     def on_loop_exception(
         self, loop: asyncio.AbstractEventLoop, context: dict[str, object]
     ) -> None:
-        """Logs what went wrong in a turn of the event loop; the limiter goes on."""
+        """Logs an unhandled exception of the event loop; the limiter continues."""
         self.log(f"{context.get('message')}: {context.get('exception')!r}")
 
     def sweep(self) -> None:
-        """Closes what has stood too long, and logs; once a second until the end."""
+        """Closes timed-out connections and writes periodic log lines; runs once a second."""
         self.listener.sweep(self.patience)
         self.pool.sweep()
         self.on_sweep()
@@ -178,16 +178,20 @@
         self.endings.clear()
 
     def spare_sockets(self) -> int:
-        """Returns how many more connections may be open; below 0 where there are too many."""
+        """Returns how many more connections may be opened; negative if there are too many."""
         return self.sockets - len(self.listener.clients) - len(self.pool.connections)
 
     def make_room(self, spared: Asker | None = None) -> bool:
-        """Closes the connection that is needed least; returns whether there was one.
+        """Closes the least useful connection; returns whether there was one.
 
-        That of a client that has sent nothing so far, else an idle one, to a server rather than of
-        a client, which may be about to use it, else of a client that is stuck within a message.
+        In this order: a client connection without any request, an idle connection to a server, an
+        idle client connection (its client may be about to use it), a client connection that is
+        stuck mid-message.
+
+        Args:
+            spared: A client connection that stays open.
         """
-        # by then a usual client has sent something
+        # Active clients have sent bytes within a connect time-out.
         listener, within = self.listener, self.pool.connect_timeout
         idle = (
             listener.close_silent(spared, within)
@@ -199,7 +203,8 @@
     def stop(self) -> None:
         """Begins a graceful shutdown.
 
-        It serves on, closes what is idle, and ends when nothing is left and nothing more can come.
+        Requests are still served; idle connections are closed. `stopped` is set when no request is
+        pending and no more can arrive.
         """
         if self.listener.stopping:
             return
@@ -209,20 +214,20 @@
         self.loop.call_later(self.linger_seconds(), self.leave)
 
     def leave(self) -> None:
-        """Accepts no more connections, and ends when all clients have their answers."""
+        """Stops accepting connections, and finishes when all responses are written."""
         self.listener.close()
         self.listener.stop()
         self._empty_after(ACCEPT_TURNS)
 
     def _empty_after(self, turns: int) -> None:
-        """Calls `empty` so many turns of the event loop later."""
+        """Calls `empty` after `turns` iterations of the event loop."""
         if turns:
             self.loop.call_soon(self._empty_after, turns - 1)
         else:
             self.empty()
 
     def empty(self) -> None:
-        """Ends, if all clients have their answers; else looks again."""
+        """Sets `stopped` if all responses are written; otherwise checks again later."""
         self.listener.stop()
         if not all(c.wire.lingering and c.wire.written for c in self.listener.clients):
             self.loop.call_later(EMPTY_POLL_SECONDS, self.empty)
@@ -231,19 +236,19 @@
         self.log("stopped")
         self.stopped.set()
 
-    # from clients
+    # clients
 
     def track_request(self, request: RequestT, client: Asker, timeout: int, at: float) -> None:
-        """Takes a request on: from here on it is owed an answer.
+        """Registers a request, which gets exactly one response unless its client disconnects.
 
         Args:
             request: The request.
-            client: Who is owed the answer.
-            timeout: Ticks after its sending at which it is given up.
+            client: The connection that gets the response.
+            timeout: Ticks after its sending at which it expires.
             at: When it arrived, by the event loop's clock.
         """
-        # the wait counts from the sending; this limiter's own late turns must not make the answer
-        # late
+        # The time-out counts from the sending, so delays of this event loop reduce the deadline
+        # rather than make the response late.
         lost = self.loop.time() - at + min(self.turns.longest, timeout / TICKS_PER_SECOND / 2)
         request.deadline = self.now() + timeout - int(max(0.0, lost) * TICKS_PER_SECOND) - 1
         self.last += 1
@@ -251,7 +256,7 @@
         self.requests[request.id] = request
 
     def client_disconnected(self, request: RequestT) -> None:
-        """A client closed its connection before the answer: nobody is owed one any more."""
+        """Abandons a request whose client disconnected before the response."""
         request.client = None
         in_flight = sum(attempt is not None for attempt in request.attempts)
         request.is_abandoned = True
@@ -259,10 +264,10 @@
         self.handle_event(ClientDisconnected(request.id))
         self.forget_request(request)
 
-    # from servers
+    # servers
 
     def finish_attempt(self, attempt: Attempt[RequestT]) -> RequestT:
-        """Takes an attempt that has ended out of its request, which is returned."""
+        """Removes an ended attempt from its request and returns the request."""
         if attempt.timer is not None:
             attempt.timer.cancel()
         attempt.connection = None
@@ -272,7 +277,7 @@
     def report_attempt(
         self, attempt: Attempt[RequestT], outcome: Outcome, metered: int = 0
     ) -> None:
-        """Tells the engine how an attempt ended, once the client has its answer if this was one."""
+        """Reports an attempt's outcome to the engine, after any response to the client."""
         request = attempt.request
         took = max(0, self.now() - attempt.sent_at)
         final = request.client is None
@@ -288,16 +293,16 @@
     def attempt_ended(
         self, attempt: Attempt[RequestT], outcome: Outcome, metered: int = 0, body: bytes = b""
     ) -> None:
-        """Answers the request if a server did, and reports the attempt."""
+        """Passes on a successful response, if any, and reports the attempt."""
         raise NotImplementedError
 
-    # the decision engine
+    # decision engine
 
     def handle_event(self, event: Event) -> None:
-        """Hands an event to the engine, and carries out its actions."""
+        """Passes an event to the engine and executes the resulting actions."""
         try:
             actions = self.engine.handle(self.now(), event)
-        except Exception as error:  # the limiter goes on: only what the event was about is lost
+        except Exception as error:  # contained: only the request of this event fails
             self.log(
                 f"the module failed on {type(event).__name__}: {type(error).__name__}: {error}"
             )
@@ -309,11 +314,11 @@
     def new_attempt(
         self, request: RequestT, endpoint_id: int, expires_at: int
     ) -> Attempt[RequestT]:
-        """Returns the next attempt of a request; times are ticks."""
+        """Creates the next attempt of a request; `expires_at` is in ticks."""
         return Attempt(request, len(request.attempts), endpoint_id, self.now(), expires_at)
 
     def send_attempt(self, action: SendAttempt) -> None:
-        """Sends an attempt, or reports that it can't be sent."""
+        """Sends an attempt, or reports it as not sent."""
         request, now = self.requests.get(action.request_id), self.now()
         if request is None:
             return
@@ -333,11 +338,11 @@
         self.pool.send(attempt)
 
     def attempt_limit(self, request: RequestT) -> int:
-        """Returns how many attempts a request may have."""
+        """Returns the maximum number of attempts of a request."""
         raise NotImplementedError
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
-        """Ends an attempt that is in flight."""
+        """Cancels an attempt that is in flight."""
         request = self.requests.get(action.request_id)
         if (
             request is not None
@@ -347,14 +352,14 @@
             self.pool.give_up(request.attempts[action.attempt], Ending.CALLED_OFF)
 
     def answer(self, request: RequestT, status: int, body: bytes = b"", extra: str = "") -> None:
-        """Writes a request's one answer; `extra` holds whole field lines."""
+        """Writes the response to a request; `extra` holds complete header lines."""
         client, request.client = request.client, None
         client.answer(status, body, extra)
         if client.wire.inbound.used:
             self.loop.call_soon(client.next)
 
     def forget_request(self, request: RequestT) -> None:
-        """Forgets a request that has its answer and no attempt in flight."""
+        """Removes a request that has its response and no attempt in flight."""
         if (
             request.client is None
             and not any(request.attempts)
@@ -363,16 +368,16 @@
             self.room.give(len(request.body))
 
     def set_timer(self, action: SetTimer) -> None:
-        """Has the engine hear of a moment."""
+        """Schedules a timer event of the engine."""
         seconds = action.delay / TICKS_PER_SECOND
         self.loop.call_later(seconds, self.handle_event, TimerFired(action.tag))
 
     def counter_replied(self, name: int, outcome: Outcome, total: float, took: int) -> None:
-        """A call to the counter has ended, after `took` ticks."""
+        """Passes the outcome of a counter call to the engine; it took `took` ticks."""
         self.handle_event(CounterReplied(name, outcome, total, took))
 
     def check_health(self, action: CheckHealth) -> None:
-        """Reports that no health check was made: the protocols name no path for one."""
+        """Reports a health check as not sent; the protocol defines no path for one."""
         self.loop.call_soon(
             self.handle_event, HealthCheckFinished(action.endpoint_id, Outcome.NOT_SENT, 0)
         )
--- a/loomstand/limiter/http_parser.py
+++ b/loomstand/limiter/http_parser.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 state machines: they are fed from a ring and know no socket."""
+"""Incremental HTTP/1.1 parsers that read from a ring buffer. No I/O."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 from loomstand.limiter.buffers import Ring
 
-MOST_BODY = 64 * 1024  # PROTOCOL: a body holds 64 KiB at most
-MOST_HEAD = 8 * 1024
-MOST_LINE = 256  # of a chunk's size
+MOST_BODY = 64 * 1024  # bytes; protocol: a body holds at most 64 KiB
+MOST_HEAD = 8 * 1024  # bytes of start line and header fields
+MOST_LINE = 256  # bytes; a chunk size or trailer line
 MOST_RING = MOST_BODY + MOST_HEAD
 REQUEST_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) (/[!-~]*) HTTP/1\.([01])").fullmatch
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: [^\r\n]*)?").fullmatch
@@ -35,12 +35,12 @@
 
 
 def number(raw: bytes) -> bool:
-    """Whether this is a whole number of a length that can be trusted."""
+    """Whether this is a decimal integer of at most 9 digits."""
     return raw.isdigit() and len(raw) < 10
 
 
 class Malformed(Exception):
-    """Bytes that are no message of ours; `status` suits an answer."""
+    """Invalid HTTP message; `status` is the HTTP status for a response to it."""
 
     def __init__(self, status: int, what: str) -> None:
         super().__init__(what)
@@ -48,13 +48,13 @@
 
 
 def read_head(raw: bytes) -> tuple[bytes, dict[bytes, bytes]]:
-    """The start line and the fields of a head, names in small letters."""
+    """Parses a message head; returns its start line and its fields with lower-case names."""
     lines, start = raw.count(b"\r\n"), raw.find(b"\r\n")
     pairs = FIELD(raw, start + 2)
     if len(pairs) != lines - 1 or raw.count(b"\n") != lines or raw.count(b"\r") != lines:
         raise Malformed(400, "bad field line")
     fields = {name.lower(): value.rstrip(b" \t") for name, value in pairs}
-    if len(fields) != len(pairs):  # some came more than once
+    if len(fields) != len(pairs):  # repeated fields: join their values
         lists: dict[bytes, list[bytes]] = {}
         for name, value in pairs:
             lists.setdefault(name.lower(), []).append(value.rstrip(b" \t"))
@@ -68,9 +68,10 @@
 
 
 class Receiver:
-    """Takes one message after another from a ring. `step` goes as far as the bytes do. Its state is
-    a plain function: a bound one would refer back, and what is closed would wait for the
-    collector.
+    """Parser of consecutive messages from a ring buffer.
+
+    `state` is a plain function, as a bound method would form a reference cycle and delay the
+    release of closed connections until garbage collection.
     """
 
     __slots__ = ("body", "close", "fields", "left", "most", "most_head", "searched", "state")
@@ -81,31 +82,32 @@
         self.reset()
 
     def reset(self) -> None:
-        """Ready for the next message."""
+        """Prepares for the next message."""
         self.state, self.searched = Receiver.head, 0
         self.fields: dict[bytes, bytes] = {}
         self.body, self.left, self.close = b"", 0, False
 
     @property
     def begun(self) -> bool:
-        """Whether the head of a message has come."""
+        """Whether the head of the current message has been parsed."""
         return self.state != Receiver.head
 
     def step(self, ring: Ring) -> bool:
-        """Whether a message is whole."""
+        """Parses the available bytes; returns whether a message is complete."""
         while self.state is not None and self.state(self, ring):
             pass
         return self.state is None
 
     def start_line(self, line: bytes) -> None:
+        """Parses the first line of a message."""
         raise NotImplementedError
 
     def bodiless(self) -> bool:
-        """Whether this message never has a body."""
+        """Whether this message can't have a body."""
         return False
 
     def unframed(self) -> None:
-        """No length was given."""
+        """Handles a message that states no body length: it has no body."""
         self.state = None
 
     def head(self, ring: Ring) -> bool:
@@ -116,7 +118,7 @@
             self.searched = max(0, ring.used - 3)
             return False
         raw, self.searched = ring.take(end + 4)[: end + 2], 0
-        if raw.startswith(b"\r\n"):  # an empty line ahead of a message is allowed
+        if raw.startswith(b"\r\n"):  # empty lines before a message are allowed
             raw = raw.lstrip(b"\r\n")
             if not raw:
                 return True
@@ -126,7 +128,7 @@
         return self.state is not None
 
     def frame(self) -> None:
-        """How the body is framed."""
+        """Determines the framing of the body and whether the connection closes afterwards."""
         fields = self.fields
         if b"connection" in fields:
             says = [part.strip() for part in fields[b"connection"].lower().split(b",")]
@@ -152,7 +154,7 @@
 
     def counted(self, ring: Ring) -> bool:
         if ring.used < self.left:
-            # at once, not by doubling; where there is no room the driver will say so
+            # Grows once rather than by doubling. A failure shows when the connection reads on.
             ring.grow(self.left)
             return False
         self.body, self.state = ring.take(self.left), None
@@ -201,6 +203,7 @@
         return bool(line)
 
     def line(self, ring: Ring) -> bytes | None:
+        """Removes and returns the next line without its end; None if it is incomplete."""
         end = ring.find(b"\r\n")
         if end < 0 and ring.used > MOST_LINE:
             raise Malformed(400, "line too long")
@@ -208,7 +211,7 @@
 
 
 class RequestReceiver(Receiver):
-    """The server's side of a connection."""
+    """Parser of requests."""
 
     __slots__ = ("method", "target")
 
@@ -220,16 +223,16 @@
             )
             raise Malformed(505 if old else 400, "bad request line")
         self.method, self.target, minor = said.groups()
-        if self.method in (b"HEAD", b"CONNECT", b"TRACE"):  # their answers are framed otherwise
+        if self.method in (b"HEAD", b"CONNECT", b"TRACE"):  # their responses are framed differently
             raise Malformed(501, "method not taken")
         self.close = minor == b"0"
 
 
 class ResponseReceiver(Receiver):
-    """The client's side of a connection."""
+    """Parser of responses."""
 
     __slots__ = ("status",)
-    # answers have few different heads, and 2 MiB hold these
+    # Few distinct response heads occur; 256 cached ones take 2 MiB at most.
     read = staticmethod(lru_cache(256)(read_head))
 
     def start_line(self, line: bytes) -> None:
@@ -243,16 +246,16 @@
 
     def frame(self) -> None:
         super().frame()
-        if self.status < 200:  # an interim answer: the real one follows
+        if self.status < 200:  # interim response; the final one follows
             self.state = Receiver.head
 
     def unframed(self) -> None:
-        # It would end with the connection: a cut one could not be told from a whole one.
-        raise Malformed(502, "an answer without a length")
+        # Its end would be that of the connection, so a truncated body would seem complete.
+        raise Malformed(502, "response without a length")
 
 
 def answer(status: int, body: bytes = b"", extra: str = "", close: bool = False) -> bytes:
-    """An answer to a client; `extra` holds whole field lines."""
+    """Formats a response; `extra` holds complete header lines."""
     end = "Connection: close\r\n\r\n" if close else "\r\n"
     first = f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\n"
     head = f"{first}Content-Length: {len(body)}\r\n{extra}{end}"
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -1,4 +1,4 @@
-"""One limiter on sockets: turns what comes into notes, and the module's actions into bytes."""
+"""The stand-alone limiter: combines clients, servers, counter, discovery and peers."""
 
 from __future__ import annotations
 
@@ -27,14 +27,12 @@
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
 }
-LINGER = 0.7  # PROTOCOL: a request that comes later than this after SIGTERM may find nobody
-FIXED_SOCKETS = (
-    16  # standard streams, the loop's own, the listener, the counter's, discovery's, and some files
-)
+LINGER = 0.7  # s; protocol: requests sent later than this after SIGTERM may be refused
+FIXED_SOCKETS = 16  # standard streams, event loop, listener, counter, discovery and some open files
 
 
 class Limiter(GatewayCore[AccountRequest]):
-    """Everything of one limiter. `run` serves until it is told to stop."""
+    """A stand-alone limiter process. `run` serves until `stop` has completed."""
 
     def __init__(self, config: LimiterConfig, turns: Turns | None = None) -> None:
         conf, limits = config.settings, config.limits
@@ -46,7 +44,7 @@
             NameIndex(),
         )
         self.settings = engine_settings(conf, self.halls.index_of(conf.zone))
-        # this process has run at least as long as it has worked: so long it surely passed nothing
+        # The process started at least its CPU time ago and has admitted nothing since.
         started = self.now() - int(time.process_time() * 10_000)
         names = ([f.name for f in conf.frontends], [p.name for p in conf.plans], conf.zones)
         self.guide = None
@@ -80,7 +78,7 @@
         )
         self.peers = None
         if config.peer_addresses:
-            # only where there are any: a start counts its CPU
+            # Imported only if needed, to save CPU time at the start.
             from loomstand.membership.driver import Peers
 
             own, fleet, known = (
@@ -100,9 +98,14 @@
             )
         self.patience = max(f.client_timeout_ms for f in conf.frontends) / 1000
 
-    # life
+    # lifecycle
 
     async def run(self) -> None:
+        """Serves requests until a graceful shutdown has completed.
+
+        Raises:
+            OSError: The listen address can't be bound.
+        """
         if self.config.initial_backends.backends:
             self.listed(self.config.initial_backends)
         self.loop.set_exception_handler(self.on_loop_exception)
@@ -125,7 +128,11 @@
         self.watch.sweep()
 
     def reload(self, config: LimiterConfig) -> None:
-        """Goes on under another configuration: addresses move, and nothing taken is lost."""
+        """Applies a new configuration without losing pending work.
+
+        The addresses of discovery and counter change at once, as does a zone plan if one is in use;
+        everything else changes at the next start.
+        """
         old, self.config = self.config, config
         if config.discovery_address != old.discovery_address:
             self.watch.move(config.discovery_address)
@@ -155,19 +162,21 @@
         if self.peers is not None:
             self.peers.stop()
 
-    # from discovery, and from peers
+    # discovery and peers
 
     def told(self, list_: BackendList) -> None:
-        """Discovery itself spoke."""
+        """Handles a list or change from discovery itself, and shares it with the peers."""
         if self.peers is not None:
             self.peers.from_discovery(list_)
         self.listed(list_)
 
     def beat(self) -> None:
+        """Notes a heartbeat of discovery: the known list is current."""
         if self.peers is not None:
             self.peers.beat()
 
     def listed(self, list_: BackendList) -> None:
+        """Applies a list or change of servers from discovery or a peer."""
         if list_.complete:
             named = {m.id for m in list_.backends}
             for name, endpoint_id in list(self.servers.indices.items()):
@@ -198,12 +207,16 @@
         self.handle_event(EndpointsUpdated(tuple(entries), list_.complete))
         self.is_ready = not self.listener.stopping
 
-    # from clients
+    # clients
 
     def request_received(
         self, client: Client, machine: http_parser.RequestReceiver, at: float
     ) -> None:
-        """A request has come: if nothing is wrong with it, it is owed one answer from here on."""
+        """Validates a received request and passes it to the decision engine.
+
+        Raises:
+            Malformed: The request is invalid.
+        """
         request = AccountRequest(machine, self.names)
         if not self.room.take(len(request.body)):
             client.answer(503)
@@ -220,7 +233,7 @@
             RequestArrived(request.id, request.frontend, *who, request.deadline, *turn)
         )
 
-    # from servers
+    # servers
 
     def attempt_ended(
         self,
@@ -234,7 +247,7 @@
             self.answer(request, 200, body)
         self.report_attempt(attempt, outcome, metered)
 
-    # the module
+    # decision engine
 
     def reject_request(self, act: Reject) -> None:
         request = self.requests.get(act.request_id)
--- a/loomstand/limiter/log.py
+++ b/loomstand/limiter/log.py
@@ -1,4 +1,4 @@
-"""Log lines for the operators, by plain print to standard error, rate-limited."""
+"""Rate-limited log lines for operators on standard error."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import time
 from contextlib import suppress
 
-BURST = 50  # lines at once
-PER_S = 10  # and a second from then on
+BURST = 50  # lines
+PER_S = 10  # lines per second after a burst
 
 
 class Log:
-    """Passes so many lines, and counts those that it keeps back."""
+    """Token bucket for log lines; counts the lines that it suppresses."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -26,5 +26,5 @@
         self.left -= 1
         more = f" ({self.kept} lines kept back)" if self.kept else ""
         self.kept = 0
-        with suppress(OSError, ValueError):  # nobody listens any more: serving goes on
+        with suppress(OSError, ValueError):  # standard error is closed: continue to serve
             print(f"{self.name}: {text}{more}", file=sys.stderr, flush=True)
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -1,5 +1,6 @@
-"""What the parts of a limiter may ask of it: narrow types, so that no part knows the whole and none
-is known by it. A further part (a link to peers, say) stands beside them with a role of its own.
+"""Interfaces between a limiter and its components, each as narrow as its component needs.
+
+Components depend on these instead of on the limiter class or on each other.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class Clock(Protocol):
-    """What bounds the time at which bytes came; `driver.Turns`."""
+    """Bounds the arrival time of received bytes; see `event_loop.Turns`."""
 
     @property
     def since(self) -> float: ...
@@ -29,9 +30,7 @@
 
 
 class Host(Protocol):
-    """What every part needs: the loop, room for buffers, and a place to count how connections
-    end.
-    """
+    """What every component needs: event loop, memory budget and counts of connection endings."""
 
     loop: asyncio.AbstractEventLoop
     room: Room
@@ -39,7 +38,7 @@
 
 
 class Told(Host, Protocol):
-    """The watch on the list."""
+    """What the discovery watch needs of the limiter."""
 
     def log(self, text: str) -> None: ...
 
@@ -49,13 +48,13 @@
 
 
 class Counts(Host, Protocol):
-    """The counter's calls."""
+    """What the counter client needs of the limiter."""
 
     def counter_replied(self, name: int, outcome: Outcome, total: float, took: int) -> None: ...
 
 
 class Bounded(Host, Protocol):
-    """Parts that hold many connections."""
+    """What components with many connections need of the limiter."""
 
     most_answer: int
 
@@ -65,7 +64,7 @@
 
 
 class Sends(Bounded, Protocol[AttemptT_contra]):
-    """Connections to servers."""
+    """What the connection pool to servers needs of the limiter."""
 
     def now(self) -> int: ...
 
@@ -75,7 +74,7 @@
 
 
 class Takes(Bounded, Protocol):
-    """Connections of clients."""
+    """What the client listener needs of the limiter."""
 
     is_ready: bool
 
@@ -86,12 +85,12 @@
         self, client: Asker, machine: http_parser.RequestReceiver, at: float
     ) -> None: ...
 
-    # of the limiter's own class of requests, as `request_received` has set it at the client
+    # The request class of the limiter, as set on the client by `request_received`.
     def client_disconnected(self, request: Any) -> None: ...  # noqa: ANN401
 
 
 class Asker(Protocol):
-    """A client's connection, as a request and the limiter see it."""
+    """A client connection, as seen by a request and the limiter."""
 
     request: Asked | None
 
@@ -103,13 +102,13 @@
 
 
 class Asked(Protocol):
-    """A request, as a client's connection sees it."""
+    """A request, as seen by its client connection."""
 
     client: Asker | None
 
 
 class Carrier(Protocol):
-    """A connection to a server, as an attempt sees it."""
+    """A connection to a server, as seen by an attempt."""
 
     attempt: Any
     wire: Any  # the connection's `event_loop.Wire`
--- a/loomstand/limiter/request.py
+++ b/loomstand/limiter/request.py
@@ -1,4 +1,4 @@
-"""A request: what a client sent, checked, and what goes on to a server."""
+"""Client requests: validation, and the bytes that are forwarded to a server."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 ACCOUNT = re.compile(rb"[?&]account=([0-9a-fA-F]{16})(?:&|$)").search
 DECIMAL = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?").fullmatch
-# fields of one connection, or that are written anew
+# Hop-by-hop fields, and fields that are regenerated when a request is forwarded.
 HOP_FIELDS = {
     b"connection",
     b"keep-alive",
@@ -31,18 +31,18 @@
 
 
 class Names:
-    """The settings' names as they stand in a request."""
+    """Resolves names and terms of a request against the settings."""
 
     def __init__(self, frontends: list[str], plans: list[str], told: EngineSettings) -> None:
         self.frontends = {name.encode(): n for n, name in enumerate(frontends)}
         self.plans = {name.encode(): n for n, name in enumerate(plans)}
         self.told = told
-        # few lines of X-Call-Terms differ; some customers come again soon, others are not kept for
-        # long
+        # Bounded caches: few distinct X-Call-Terms values occur, and many customers send several
+        # requests within a short time.
         self.terms, self.customer = lru_cache(1 << 8)(self.terms), lru_cache(1 << 10)(self.customer)
 
     def terms(self, raw: bytes) -> tuple[float, int, int]:
-        """Units, the size of the customer's set, and the limiter at which it begins."""
+        """Parses X-Call-Terms: units, size of the customer's limiter set, index of its first."""
         pairs = dict(part.strip().partition(b"=")[::2] for part in raw.split(b","))
         units = pairs.get(b"units", b"1")
         spread, first = pairs.get(b"spread", b"0"), pairs.get(b"first", b"0")
@@ -55,7 +55,7 @@
         return float(units), int(spread), int(first)
 
     def customer(self, account: bytes) -> tuple[int, int]:
-        """The customer's number, and the digest that is the same at every limiter."""
+        """Returns the customer's number, and a digest of it that is the same at every limiter."""
         return int(account, 16), stable_digest(account.decode().lower())
 
 
@@ -63,7 +63,7 @@
 
 
 class Request:
-    """A message that is owed its answer, or whose dispatches are still out."""
+    """A request that awaits its response or has attempts in flight."""
 
     __slots__ = (
         "attempts",
@@ -89,9 +89,7 @@
         self.is_abandoned = False  # whether its client disconnected before the answer
 
     def onward(self, left_out: Container[bytes]) -> bytes:
-        """The head for a server, without its last line; `left_out` names the fields that don't go
-        on.
-        """
+        """Returns the forwarded head without its final empty line; omits the fields `left_out`."""
         if not self.head:
             lines = [
                 b"%b: %b\r\n" % pair for pair in self.fields.items() if pair[0] not in left_out
@@ -102,17 +100,21 @@
         return self.head
 
     def raw(self, wait: int) -> bytes:
-        """The bytes for a server; `wait` is how long its answer is waited for, in ms."""
+        """Returns the bytes for a server; `wait` is the response time-out in ms."""
         raise NotImplementedError
 
 
 class AccountRequest(Request):
-    """A request of an account, with a plan and a frontend."""
+    """A request of the account protocol, which names an account, a plan and a frontend."""
 
     __slots__ = ("customer", "first", "frontend", "plan", "retry", "set_size", "timeout", "units")
 
     def __init__(self, machine: RequestReceiver, names: Names) -> None:
-        """What is missing or odd is a 400, an unknown frontend a 404."""
+        """Validates the request.
+
+        Raises:
+            Malformed: With status 404 for an unknown frontend, 400 for all other faults.
+        """
         super().__init__(machine)
         fields, target = machine.fields, machine.target
         wait, account = fields.get(b"request-timeout-ms", b""), ACCOUNT(target)
@@ -135,7 +137,7 @@
 
 
 class Attempt(Generic[RequestT]):
-    """A dispatch on its way."""
+    """One sending of a request to a server."""
 
     __slots__ = ("connection", "endpoint_id", "expires_at", "number", "request", "sent_at", "timer")
 
@@ -153,5 +155,5 @@
         self.timer: TimerHandle | None = None
 
     def raw(self, wait: int) -> bytes:
-        """The bytes for its server; `wait` is how long the answer is waited for, in ms."""
+        """Returns the bytes for the server; `wait` is the response time-out in ms."""
         return self.request.raw(wait)
--- a/loomstand/limiter/upstream.py
+++ b/loomstand/limiter/upstream.py
@@ -1,4 +1,4 @@
-"""Servers: their connections, kept for the next attempt, and what comes back on them."""
+"""Server side: pooled HTTP connections to servers and the handling of their responses."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from loomstand.limiter.protocols import Sends
 from loomstand.limiter.request import Attempt, RequestT
 
-TOO_LONG_STATUSES = (413, 431)  # by which the parser says that a body or a head is too long
+TOO_LONG_STATUSES = (413, 431)  # of `Malformed`, for a body or head above its size limit
 
 
 class ServerConnection(Generic[RequestT]):
-    """A connection to a server: one attempt at a time.
+    """A connection to a server; carries one attempt at a time.
 
     Attributes:
-        pool: Where it belongs.
-        endpoint_id: The server.
-        sent: Whether the attempt's bytes were handed to the system.
-        machine: Parses what comes.
-        wire: The socket.
-        attempt: The attempt in flight, if there is one.
-        idle_at: When it was last used, by the event loop's clock; 0 before that.
-        idle_timeout_seconds: For how long the server keeps it, by what that states.
+        pool: The pool that owns the connection.
+        endpoint_id: Index of the server.
+        sent: Whether the attempt's bytes were written or queued for writing.
+        machine: Parses the responses.
+        wire: The buffered connection.
+        attempt: The attempt in flight, if any.
+        idle_at: Loop time of its last use; 0 if unused.
+        idle_timeout_seconds: Idle time-out that the server announced.
     """
 
     __slots__ = (
@@ -42,7 +42,7 @@
     )
 
     def __init__(self, pool: ConnectionPool[RequestT], endpoint_id: int) -> None:
-        """Makes a connection that isn't open yet."""
+        """Creates an unconnected connection."""
         self.pool = pool
         self.endpoint_id = endpoint_id
         self.sent = False
@@ -53,14 +53,14 @@
         self.idle_timeout_seconds = inf
 
     def opened(self) -> None:
-        """Sends the request, if its client still waits for the answer."""
+        """Sends the request, unless its client has disconnected."""
         if self.attempt is not None and self.attempt.request.is_abandoned:
             self.wire.stop(Ending.CALLED_OFF)
             return
         self.write()
 
     def write(self) -> None:
-        """Sends the attempt's request, with the time that is left."""
+        """Sends the attempt's request with its remaining time."""
         limiter, attempt = self.pool.limiter, self.attempt
         left_ms = max(1, (attempt.expires_at - limiter.now()) // TICKS_PER_MILLISECOND)
         self.sent = self.wire.send(attempt.raw(left_ms))
@@ -68,9 +68,9 @@
             limiter.loop.call_soon(self.wire.stop, Ending.NO_ROOM)
 
     def received(self) -> None:
-        """Takes bytes that came."""
+        """Parses received bytes."""
         attempt, machine = self.attempt, self.machine
-        if attempt is None:  # bytes that nobody asked for
+        if attempt is None:  # bytes without a request
             self.wire.stop(Ending.MALFORMED)
             return
         try:
@@ -83,7 +83,7 @@
         self.response_received()
 
     def response_received(self) -> None:
-        """Reports the attempt: a whole answer has come."""
+        """Reports the attempt after a complete response."""
         attempt, machine = self.attempt, self.machine
         status, fields, body, close = machine.status, machine.fields, machine.body, machine.close
         self.finish_response(close)
@@ -94,17 +94,17 @@
         )
 
     def finish_response(self, close: bool) -> None:
-        """Keeps the connection for the next attempt, or closes it: this one has its answer."""
+        """Ends the attempt, and keeps the connection for the next one or closes it."""
         self.attempt = None
         self.machine.reset()
-        # nothing may follow an early answer
+        # Surplus bytes, or a response before the whole request was sent: don't reuse.
         if close or self.wire.inbound.used or not self.wire.written:
             self.pool.close(self, Ending.FINISHED)
         else:
             self.pool.release(self)
 
     def ended(self, ending: Ending) -> None:
-        """Reports the attempt in flight: the connection is over."""
+        """Reports the attempt in flight when the connection has ended."""
         limiter = self.pool.limiter
         limiter.endings[f"server {ending.name.lower()}"] += 1
         self.pool.forget(self)
@@ -114,18 +114,19 @@
 
 
 class ConnectionPool(Generic[RequestT]):
-    """Connections to all servers.
+    """Pool of connections to all servers.
 
     Attributes:
-        connection_type: Class of its connections.
+        connection_type: Class of the connections.
         connect: Opens a connection; see `event_loop.connect`.
-        limiter: Hears how attempts end.
-        connect_timeout: Seconds within which a connection has to come up.
-        max_idle_seconds: For how long a connection is used again, whatever its server states.
-        addresses: Where servers listen, by index.
-        idle: Connections without an attempt by server, as another may come to its address; the one
-            that was used last stands last.
-        connections: All connections.
+        limiter: Receives the outcomes of attempts.
+        connect_timeout: Connect time-out in seconds.
+        max_idle_seconds: Idle time after which a connection isn't reused, whatever the server
+            announced.
+        addresses: Host and port by server index.
+        idle: Connections without an attempt, in order of last use. By server index rather than
+            address, as another server may take over an address.
+        connections: All connections, open or connecting.
     """
 
     connection_type: type[ServerConnection[Any]] = ServerConnection
@@ -134,25 +135,25 @@
     def __init__(
         self, limiter: Sends[Attempt[RequestT]], connect_timeout: float, idle_close: float
     ) -> None:
-        """Makes an empty pool.
+        """Creates an empty pool.
 
         Args:
-            limiter: Hears how attempts end.
-            connect_timeout: Seconds within which a connection has to come up.
+            limiter: Receives the outcomes of attempts.
+            connect_timeout: Connect time-out in seconds.
             idle_close: Seconds after which servers may close an idle connection.
         """
         self.limiter = limiter
         self.connect_timeout = connect_timeout
-        # A connection is not used again so near its idle close that a request could cross it; a
-        # server that can't be reached within the time for a connect is taken for gone, so no
-        # request travels longer.
+        # A connection isn't reused shortly before the server's idle close, as a request could cross
+        # the close on the network. The connect time-out bounds how long a request travels: a server
+        # that can't be reached within it counts as unavailable.
         self.max_idle_seconds = max(0.0, idle_close - connect_timeout)
         self.addresses: dict[int, tuple[str, int]] = {}
         self.idle: dict[int, list[ServerConnection[RequestT]]] = {}
         self.connections: dict[ServerConnection[RequestT], None] = {}
 
     def set_address(self, endpoint_id: int, address: tuple[str, int] | None) -> None:
-        """Takes over where a server listens; None when it is gone."""
+        """Sets or (None) removes a server's address; closes idle connections to the old one."""
         old = self.addresses.get(endpoint_id)
         if address is None:
             self.addresses.pop(endpoint_id, None)
@@ -163,7 +164,7 @@
                 self.close(connection, Ending.IDLE)
 
     def send(self, attempt: Attempt[RequestT]) -> None:
-        """Sends an attempt on the idle connection that was used last, or on a new one."""
+        """Sends an attempt on the most recently used idle connection, or on a new one."""
         address = self.addresses.get(attempt.endpoint_id)
         if address is None:
             self.limiter.loop.call_soon(self.limiter.attempt_ended, attempt, Outcome.NOT_SENT)
@@ -191,13 +192,13 @@
         self.connect(self.limiter.loop, connection.wire, address, self.connect_timeout)
 
     def assign(self, connection: ServerConnection[RequestT], attempt: Attempt[RequestT]) -> None:
-        """Gives a connection its attempt."""
+        """Assigns an attempt to a connection."""
         connection.attempt = attempt
         connection.sent = False
         attempt.connection = connection
 
     def close_idle(self) -> bool:
-        """Closes the connection that has been idle longest; returns whether there was one."""
+        """Closes the longest-idle connection; returns whether there was one."""
         oldest = min(
             (connections[0] for connections in self.idle.values() if connections),
             key=lambda connection: connection.idle_at,
@@ -208,10 +209,11 @@
         return oldest is not None
 
     def give_up(self, attempt: Attempt[RequestT], ending: Ending) -> None:
-        """Stops waiting for an attempt, and closes its connection.
+        """Ends an attempt and closes its connection.
 
-        Where it expired, those on which nothing came since it was sent are closed, too: the machine
-        may be gone, which a new connect proves, while what is written to an old one may have run.
+        If the attempt expired, the server's connections that have been idle since it was sent are
+        closed as well. The machine may be down: a failed connect proves that a request did not run,
+        whereas a request written to an old connection may have run.
         """
         connection, limiter = attempt.connection, self.limiter
         if connection is None or connection.attempt is not attempt:
@@ -225,20 +227,20 @@
         connection.wire.stop(ending)
 
     def release(self, connection: ServerConnection[RequestT]) -> None:
-        """Keeps a connection whose attempt has its answer for the next one."""
-        if connection.endpoint_id not in self.addresses:  # gone meanwhile
+        """Keeps a connection for the next attempt, after a complete response."""
+        if connection.endpoint_id not in self.addresses:  # server removed during the attempt
             self.close(connection, Ending.IDLE)
             return
         connection.idle_at = self.limiter.loop.time()
         self.idle.setdefault(connection.endpoint_id, []).append(connection)
 
     def close(self, connection: ServerConnection[RequestT], ending: Ending) -> None:
-        """Closes a connection without an attempt; nothing is reported."""
+        """Closes a connection without an attempt; reports nothing."""
         connection.wire.drop(ending)
         self.forget(connection)
 
     def forget(self, connection: ServerConnection[RequestT]) -> None:
-        """Takes a connection that is over out of the pool."""
+        """Removes an ended connection from the pool."""
         self.connections.pop(connection, None)
         idle = self.idle.get(connection.endpoint_id)
         if idle and connection in idle:
@@ -247,7 +249,7 @@
             self.idle.pop(connection.endpoint_id, None)
 
     def sweep(self) -> None:
-        """Closes what has been idle too long to be used again."""
+        """Closes connections that have been idle too long for reuse."""
         now = self.limiter.loop.time()
         for connections in list(self.idle.values()):
             for connection in [
