--- a/tests/limiter/test_departure_counts.py
+++ b/tests/limiter/test_departure_counts.py
@@ -1,4 +1,4 @@
-"""The counts of requests whose clients disconnected."""
+"""Counts of abandoned requests and their attempts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     assert AbandonedRequests().take_report() is None
 
 
-def test_departures_and_the_ends_of_their_attempts_are_told_apart_once():
+def test_disconnections_and_attempt_ends_are_counted_separately_and_reported_once():
     counts = AbandonedRequests()
     counts.client_disconnected(attempts_in_flight=1)
     counts.client_disconnected(attempts_in_flight=1)
@@ -21,7 +21,7 @@
     assert counts.take_report() is None
 
 
-def test_attempts_that_end_later_are_reported_by_themselves():
+def test_attempts_that_end_after_a_report_are_in_the_next_one():
     counts = AbandonedRequests()
     counts.client_disconnected(attempts_in_flight=1)
     counts.take_report()
--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -1,6 +1,4 @@
-"""The limiter on sockets, among stand-ins on loopback: one test for each place where sockets
-bite.
-"""
+"""The stand-alone limiter on loopback sockets, with stand-ins for the services around it."""
 
 from __future__ import annotations
 
@@ -46,7 +44,7 @@
 
 
 def sockets(test):
-    """Runs an async test under a bound of its own."""
+    """Runs an async test with a time-out of 15 s, on an event loop with `Turns`."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
@@ -65,7 +63,7 @@
 
 
 def outcomes(site):
-    """The outcomes of dispatches as they come to be known."""
+    """Returns a list that collects the outcomes of attempts as they are reported."""
     seen, note = [], site.limiter.handle_event
 
     def spy(said):
@@ -78,7 +76,7 @@
 
 
 @sockets
-async def test_a_req_passes_unchanged_and_its_connections_are_kept():
+async def test_a_request_is_forwarded_unchanged_and_connections_are_reused():
     body = bytes(range(256)) * 100
     async with Site(lambda n, head, got: said(200, got)) as site, Caller(site.port) as caller:
         assert (await caller.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200
@@ -96,7 +94,7 @@
 
 
 @sockets
-async def test_an_answer_as_long_as_the_memory_allows_is_passed_whole_and_a_longer_one_is_not():
+async def test_a_response_of_the_maximum_size_is_forwarded_and_a_longer_one_is_not():
     sizes = [300_000, 300_000, (96 << 20) // 64, (96 << 20) // 64 + 1, 3_000_000_000]
 
     def play(n, head, body):
@@ -107,11 +105,11 @@
         got = [await caller.ask(request("book", f"r{n}")) for n in range(5)]
         assert [g[0] for g in got] == [200, 200, 200, 502, 502]
         assert [len(g[2]) for g in got] == [*sizes[:3], 0, 0] and site.servers[0].connections == 2
-        assert site.limiter.room.left >= (96 << 20) - 4 * FIRST  # and no ring stays large
+        assert site.limiter.room.left >= (96 << 20) - 4 * FIRST  # and no ring buffer stays large
 
 
 @sockets
-async def test_a_limiter_that_knows_no_server_is_not_ready():
+async def test_a_limiter_without_servers_is_not_ready():
     async with Site() as site, Caller(site.port) as caller:
         site.limiter.is_ready = False
         assert (await caller.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 503
@@ -119,7 +117,7 @@
 
 
 @sockets
-async def test_turned_away_and_refused_are_proven_so_even_non_replayable_goes_elsewhere():
+async def test_rejected_and_refused_attempts_did_not_run_so_non_replayable_requests_are_retried():
     turned = functools.partial(said, 503, b"", b"Not-Started: 1\r\n")
     async with (
         Site(lambda n, head, body: turned(), passes, passes) as site,
@@ -140,7 +138,7 @@
     ],
 )
 @sockets
-async def test_a_cut_answer_may_have_run_and_is_never_passed_as_whole(cut):
+async def test_a_request_with_a_truncated_response_may_have_run_and_gets_a_502(cut):
     async def play(n, head, body):
         for writer in list(site.servers[0].open):
             writer.write(cut)
@@ -153,7 +151,7 @@
 
 
 @sockets
-async def test_a_server_that_says_nothing_is_given_up_in_time_by_closing():
+async def test_a_connection_to_a_silent_server_is_closed_at_the_request_time_out():
     async with Site(silent) as site, Caller(site.port) as caller:
         began = time.monotonic()
         assert (await caller.ask(request("book", timeout=300)))[0] == 502
@@ -162,7 +160,7 @@
 
 
 @sockets
-async def test_a_connect_that_never_comes_up_is_no_connection():
+async def test_a_connect_that_times_out_ends_as_silent_connect():
     loop, ended = asyncio.get_running_loop(), []
 
     class User:
@@ -170,7 +168,7 @@
             ended.append(why)
 
     async with Site(passes) as site:
-        # a listener whose line is full answers no further connect
+        # A listener with a full backlog doesn't answer further connects.
         full = await asyncio.start_server(
             lambda r, w: None, HOST, 0, backlog=1, start_serving=False
         )
@@ -186,7 +184,7 @@
 
 
 @sockets
-async def test_no_connection_is_used_again_near_its_idle_close():
+async def test_no_connection_is_reused_near_its_idle_close():
     async with Site(passes) as site, Caller(site.port) as caller:
         await caller.ask(request(id_="a"))
         site.limiter.pool.max_idle_seconds = 0.05
@@ -196,7 +194,7 @@
 
 
 @sockets
-async def test_a_new_server_at_an_old_address_gets_connections_of_its_own():
+async def test_a_new_server_at_a_known_address_gets_new_connections():
     async with Site(passes) as site, Caller(site.port) as caller:
         await until(lambda: site.discovery.open)
         await caller.ask(request())
@@ -205,7 +203,7 @@
         await until(lambda: len(site.limiter.pool.addresses) == 2)
         assert (await caller.ask(request(id_="r2")))[0] == 200 and site.servers[0].connections == 2
         site.tell(revision=6, complete=False, members=[old | {"phase": "left"}])
-        # nothing is kept of the other
+        # Nothing is kept for the removed server.
         await until(lambda: list(site.limiter.servers.indices) == ["s9"])
         assert list(site.limiter.pool.connections) == [
             v for vs in site.limiter.pool.idle.values() for v in vs
@@ -214,14 +212,14 @@
 
 
 @sockets
-async def test_no_connection_is_used_again_on_which_something_waits():
+async def test_no_connection_with_unread_bytes_is_reused():
     async with Site(passes) as site, Caller(site.port) as caller:
         await caller.ask(request(id_="a"))
         pool = site.limiter.pool
         send = pool.send
 
         def late(flight):
-            # a second copy comes, and nobody has read it yet
+            # An unrequested response arrives and is still unread.
             for writer in list(site.servers[0].open)[:1]:
                 writer.write(said(200, b"another's"))
             time.sleep(0.01)
@@ -233,7 +231,7 @@
 
 
 @sockets
-async def test_after_silence_what_was_idle_all_the_while_is_not_used_again():
+async def test_connections_idle_throughout_an_expired_attempt_are_not_reused():
     play = lambda n, head, body: asyncio.sleep(0.1 if n < 2 else 3, said(200))  # noqa: E731
     async with Site(play) as site, Caller(site.port) as one, Caller(site.port) as two:
         await asyncio.gather(one.ask(request(id_="r1")), two.ask(request(id_="r2")))
@@ -243,7 +241,7 @@
 
 
 @sockets
-async def test_out_of_sockets_is_an_outcome_not_held_against_the_server():
+async def test_lack_of_sockets_is_reported_as_not_sent():
     async with Site(silent) as site, Caller(site.port) as one, Caller(site.port) as two:
         seen = outcomes(site)
         site.limiter.sockets = 3  # two clients and one server
@@ -255,7 +253,7 @@
 
 
 @sockets
-async def test_a_descriptor_that_cannot_be_had_ends_as_no_room():
+async def test_lack_of_descriptors_is_reported_as_not_sent():
     def none(*args):
         raise OSError(24, "too many open files")
 
@@ -287,7 +285,7 @@
     ],
 )
 @sockets
-async def test_bad_input_gets_a_4xx_and_leaves_nothing_behind(raw, status, closes):
+async def test_invalid_input_gets_a_4xx_and_frees_its_memory(raw, status, closes):
     async with Site(passes) as site, Caller(site.port) as caller:
         assert (await caller.ask(raw))[0] == status
         if closes:
@@ -300,7 +298,7 @@
 
 
 @sockets
-async def test_a_client_that_goes_is_a_vanished_and_gets_nothing():
+async def test_a_request_whose_client_disconnects_is_abandoned():
     async with Site(lambda n, head, body: asyncio.sleep(0.1, said(200))) as site:
         async with Caller(site.port) as caller:
             caller.writer.write(request())
@@ -310,11 +308,11 @@
         await until(lambda: not site.limiter.requests)
         assert (
             len(site.limiter.pool.connections) == 1
-        )  # the answer came, and its connection is kept
+        )  # the response arrived, so its connection is kept
 
 
 @sockets
-async def test_reqs_sent_ahead_are_answered_in_turn():
+async def test_pipelined_requests_are_answered_in_order():
     play = lambda n, head, body: asyncio.sleep(0.02, said(200, b"%d" % n))  # noqa: E731
     async with Site(play) as site, Caller(site.port) as caller:
         caller.writer.write(b"".join(request(id_=f"r{n}") for n in range(4)))
@@ -322,18 +320,18 @@
 
 
 @sockets
-async def test_a_late_turn_counts_against_the_wait():
+async def test_a_blocked_event_loop_shortens_the_remaining_time():
     async with Site(silent) as site, Caller(site.port) as caller:
         caller.writer.write(request("book", timeout=400))
-        await asyncio.sleep(0)  # the bytes are sent in this turn
+        await asyncio.sleep(0)  # the bytes are sent in this iteration
         sent = time.monotonic()
-        time.sleep(0.2)  # and this limiter is late
+        time.sleep(0.2)  # blocks the event loop
         assert (await caller.answer())[0] in (429, 502)
         assert time.monotonic() - sent < 0.55
 
 
 @sockets
-async def test_a_connection_that_waits_before_its_first_req_loses_no_time():
+async def test_idle_time_before_the_first_request_does_not_shorten_its_time_out():
     async with (
         Site(lambda n, head, body: asyncio.sleep(0.1, said(200))) as site,
         Caller(site.port) as caller,
@@ -343,17 +341,17 @@
 
 
 @sockets
-async def test_what_came_with_a_connection_counts_from_then():
+async def test_a_request_sent_with_the_connect_is_timed_from_the_connect():
     async with Site(silent) as site, Caller(site.port) as caller:
         caller.writer.write(request("book", timeout=400))
-        time.sleep(0.2)  # before the limiter has looked at the connection
+        time.sleep(0.2)  # before the limiter polls the connection
         began = time.monotonic()
         assert (await caller.answer())[0] in (429, 502)
         assert time.monotonic() - began < 0.35
 
 
 @sockets
-async def test_a_server_that_answers_before_the_req_is_whole_is_heard():
+async def test_a_response_before_the_end_of_the_request_is_used():
     async def early(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(said(503, b"", b"Not-Started: 1\r\nConnection: close\r\n"))
@@ -371,7 +369,7 @@
 
 
 @sockets
-async def test_clients_beyond_the_bound_make_room_or_are_turned_away():
+async def test_excess_clients_replace_idle_ones_or_are_rejected():
     async with Site(silent) as site:
         site.limiter.sockets = 2
         async with Caller(site.port) as idle, Caller(site.port) as busy, Caller(site.port) as third:
@@ -384,7 +382,7 @@
 
 
 @sockets
-async def test_what_is_closed_goes_at_once_without_the_collector():
+async def test_closed_connections_are_freed_without_the_garbage_collector():
     async with Site(lambda n, head, body: None if n % 2 else said(200)) as site:
         gc.collect()
         gc.disable()
@@ -406,7 +404,7 @@
 
 
 @sockets
-async def test_clients_that_say_nothing_or_half_a_req_make_room_for_usual_ones():
+async def test_silent_and_stalled_clients_are_closed_in_favour_of_active_ones():
     def callers():
         return Caller(site.port)
 
@@ -414,8 +412,8 @@
         await caller.ask(request())
         half.writer.write(request()[:40])
         await until(lambda: [c.idle for c in site.limiter.listener.clients].count(False) == 1)
-        await asyncio.sleep(0.3)  # longer than a connect may take
-        site.limiter.sockets = 4  # as many as there are: three of clients, one to a server
+        await asyncio.sleep(0.3)  # longer than the connect time-out
+        site.limiter.sockets = 4  # all in use: three clients and one server
         async with Caller(site.port) as first:
             assert (await first.ask(request(id_="r1")))[0] == 200
             assert await mute.closed() and site.servers[0].connections == 1
@@ -427,14 +425,14 @@
 
 
 @sockets
-async def test_who_asks_once_and_stays_goes_before_usual_clients_run_out():
+async def test_clients_that_stay_after_one_request_are_closed_before_active_ones():
     async with Site(passes) as site, Caller(site.port) as usual:
         site.limiter.listener.most_held = 4
         stay = [Caller(site.port) for _ in range(8)]
         for n, caller in enumerate(stay):
             await caller.__aenter__()
             assert (await caller.ask(request(id_=f"s{n}")))[0] == 200
-            assert (await usual.ask(request(id_=f"u{n}")))[0] == 200  # its place is the last
+            assert (await usual.ask(request(id_=f"u{n}")))[0] == 200  # now last
             assert len(site.limiter.listener.clients) <= 4
         assert await stay[0].closed()
         for caller in stay:
@@ -442,17 +440,17 @@
 
 
 @sockets
-async def test_no_connection_is_closed_under_a_req_that_waits_to_be_read():
+async def test_no_connection_with_an_unread_request_is_closed():
     async with Site(passes) as site, Caller(site.port) as caller:
         await until(lambda: site.limiter.listener.clients)
-        caller.writer.write(request())  # it is in the system now, and nothing has read it
+        caller.writer.write(request())  # in the kernel, still unread
         assert not site.limiter.listener.close_idle()
         site.limiter.listener.stop()
         assert (await caller.answer())[0] == 200
 
 
 @sockets
-async def test_a_client_that_stops_within_a_req_is_not_kept():
+async def test_a_client_that_stalls_within_a_request_is_closed():
     async with Site(passes) as site, Caller(site.port) as caller:
         caller.writer.write(request()[:40])
         await until(lambda: any(not c.idle for c in site.limiter.listener.clients))
@@ -462,7 +460,7 @@
 
 
 @sockets
-async def test_neither_dripping_nor_lingering_keeps_a_connection():
+async def test_clients_that_send_slowly_or_linger_are_closed():
     async with Site(passes) as site, Caller(site.port) as drips, Caller(site.port) as lingers:
         assert (await lingers.ask(b"nonsense\r\n\r\n"))[0] == 400
         for byte in request()[:6]:
@@ -470,13 +468,13 @@
             await asyncio.sleep(0.02)
         front = site.limiter.listener
         assert len(front.clients) == 2
-        front.sweep(0.08)  # the last byte is younger, the first is not
+        front.sweep(0.08)  # only the first byte is older than 0.08 s
         assert (await drips.answer())[0] == 408
         await until(lambda: front.sweep(0.08) or not front.clients)
 
 
 @sockets
-async def test_on_a_loop_of_somebody_elses_each_req_has_its_own_time():
+async def test_without_arrival_times_each_request_has_its_full_time_out():
     play = lambda n, head, body: asyncio.sleep(0.05, said(200))  # noqa: E731
     async with Site(play, turns=Untimed()) as site, Caller(site.port) as caller:
         for n in range(3):
@@ -485,7 +483,7 @@
 
 
 @sockets
-async def test_calls_are_pipelined_answered_in_order_and_late_ones_not_taken_for_others():
+async def test_counter_calls_are_pipelined_and_late_responses_are_not_misassigned():
     async def play(n, head, body):
         await asyncio.sleep(0.25 if n == 0 else 0)
         return said(503) if n == 2 else said(200, b"%d" % (100 + n))
@@ -497,7 +495,7 @@
         for n in range(3):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
         await until(lambda: len(got) == 3)
-        assert [g[1] for g in got] == [Outcome.NO_RESPONSE] * 3  # the first held up the others
+        assert [g[1] for g in got] == [Outcome.NO_RESPONSE] * 3  # the first delays the others
         await asyncio.sleep(0.25)
         site.limiter.counter.call(IncrementCounter(7, 2.5, 10_000))
         await until(lambda: len(got) == 4)
@@ -509,7 +507,7 @@
     "spoilt", [said(200, b"none"), said(200, b"1e999"), said(500), said(200, b"3") + b"noise"]
 )
 @sockets
-async def test_a_counter_that_answers_spoilt_may_have_added_and_its_connection_is_done_with(spoilt):
+async def test_after_an_invalid_counter_response_the_connection_is_replaced(spoilt):
     async with Site(counter=lambda n, head, body: said(200, b"4") if n else spoilt) as site:
         got = []
         site.limiter.counter_replied = lambda *said: got.append(said[1:3])
@@ -521,7 +519,7 @@
 
 
 @sockets
-async def test_a_call_after_an_answer_that_never_ends_goes_over_another_connection():
+async def test_a_call_after_an_incomplete_counter_response_uses_another_connection():
     endless = b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n1"
     async with Site(counter=lambda n, head, body: said(200, b"4") if n else endless) as site:
         got = []
@@ -533,7 +531,7 @@
 
 
 @sockets
-async def test_a_counter_that_breaks_may_have_added_and_one_that_refuses_has_not():
+async def test_a_lost_counter_connection_is_no_response_and_a_refused_one_a_failed_connect():
     async with Site(counter=lambda n, head, body: None) as site:
         got = []
         site.limiter.counter_replied = lambda *said: got.append(said[1])
@@ -559,7 +557,7 @@
 
 
 @sockets
-async def test_read_again_discovery_and_counter_move_and_nothing_taken_is_lost():
+async def test_a_reload_moves_discovery_and_counter_without_losing_work():
     counter = lambda n, head, body: asyncio.sleep(0.05, said(200, b"7"))  # noqa: E731
     slow = lambda n, head, body: asyncio.sleep(0.2, said(200))  # noqa: E731
     async with Site(slow, counter=counter) as site, Caller(site.port) as caller:
@@ -574,10 +572,10 @@
             "discovery_address": (HOST, await agent.start()),
             "counter_address": (HOST, await keeper.start()),
         }
-        for _ in range(2):  # the second time nothing moves
+        for _ in range(2):  # the second reload changes nothing
             limiter.reload(msgspec.structs.replace(limiter.config, **places))
         assert limiter.counter.line is None or not limiter.counter.line.up
-        # and the old line's answer comes while it goes up
+        # The old connection's response arrives while the new one connects.
         limiter.counter.call(IncrementCounter(2, 1.0, 10_000))
         await until(lambda: len(got) >= 2 and agent.heads and not site.discovery.open)
         await until(lambda: not site.counter.open)
@@ -590,11 +588,11 @@
 
 
 @sockets
-async def test_calls_that_wait_for_a_line_go_to_the_counters_new_place():
+async def test_queued_counter_calls_go_to_the_new_address():
     async with Site() as site:
         got = []
         site.limiter.counter_replied = lambda *said: got.append(said[1])
-        site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))  # its connection is not up yet
+        site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))  # still connecting
         other = Peer(site.counter.play)
         site.limiter.counter.move((HOST, await other.start()))
         await until(lambda: got)
@@ -603,7 +601,7 @@
 
 
 @sockets
-async def test_the_watch_is_resumed_where_it_broke_and_replaced_when_silent():
+async def test_the_watch_resumes_at_its_revision_and_is_replaced_when_silent():
     async with Site(passes, passes) as site:
         limiter, discovery = site.limiter, site.discovery
         await until(lambda: discovery.open)
@@ -624,7 +622,7 @@
 
 
 @sockets
-async def test_a_watch_that_says_nonsense_is_begun_anew():
+async def test_a_watch_with_invalid_data_is_reopened():
     async with Site(passes) as site, Caller(site.port) as caller:
         await until(lambda: site.discovery.open)
         for writer in site.discovery.open:
@@ -634,7 +632,7 @@
 
 
 @sockets
-async def test_told_to_stop_it_serves_on_and_ends_when_empty(monkeypatch):
+async def test_a_stopping_limiter_serves_until_no_request_is_pending(monkeypatch):
     monkeypatch.setattr("loomstand.limiter.limiter.LINGER", 0.2)
     slow = lambda n, head, body: asyncio.sleep(0.4, said(200))  # noqa: E731
     async with Site(slow) as site, Caller(site.port) as busy, Caller(site.port) as idle:
@@ -642,7 +640,7 @@
         await until(lambda: site.servers[0].heads)
         site.limiter.stop()
         assert await idle.closed()
-        async with Caller(site.port) as late:  # new connections still come for a while
+        async with Caller(site.port) as late:  # new connections are accepted for `LINGER`
             status, head, _ = await late.ask(request(id_="r2"))
             assert status == 200 and b"connection: close" in head.lower()
         status, head, _ = await busy.answer()
@@ -654,9 +652,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @sockets
-async def test_any_mix_of_faults_leaves_one_answer_a_req_and_no_effect_twice(seed):
+async def test_mixed_faults_leave_one_response_per_request_and_no_effect_twice(seed):
     chance = random.Random(seed)
-    ran: dict[str, int] = {}  # deliveries that are not proven to have run nothing
+    ran: dict[str, int] = {}  # deliveries that may have run
     turned = said(503, b"", b"Not-Started: 1\r\n")
 
     async def play(n, head, body):
@@ -700,7 +698,7 @@
 
 
 @sockets
-async def test_a_failure_of_the_module_costs_one_req_only():
+async def test_an_engine_failure_affects_one_request_only():
     async with Site(passes) as site, Caller(site.port) as caller:
         handle = site.limiter.engine.handle
         site.limiter.engine.handle = lambda now, note: 1 / 0
@@ -709,7 +707,7 @@
         assert (await caller.ask(request()))[0] == 200
 
 
-def test_the_program_serves_reads_again_at_sighup_and_ends_at_sigterm(tmp_path):
+def test_the_program_reloads_at_sighup_and_stops_at_sigterm(tmp_path):
     file = tmp_path / "limiter.json"
     ports = {"listen": free_port(), "discovery": free_port(), "counter": free_port()}
     good = json.dumps(config_file(ports, [member("s0", free_port())]))
@@ -732,7 +730,7 @@
                 serve.send_signal(signal.SIGHUP)
                 assert says in (line := serve.stderr.readline())
                 file.write_text(good)
-            assert str(other) in line  # the file's word, not the environment's
+            assert str(other) in line  # from the file, not from the environment
             serve.terminate()
             assert sock.recv(100) == b""
         assert serve.wait(10) == 0
@@ -743,9 +741,9 @@
     assert bad.returncode == 1 and "settings.balancers" in bad.stderr
 
 
-def test_limiters_that_discovery_turned_away_together_ask_again_apart_and_ever_less_often():
-    """Found on the fleet days: 28 limiters started in one second were turned away, and came again
-    in step.
+def test_reconnects_to_discovery_are_jittered_and_back_off():
+    """Guards against synchronized reconnects: 28 limiters that started within one second and were
+    rejected by discovery reconnected at the same times.
     """
     waits: dict[int, list[float]] = {}
     for seed in (1, 2):
--- a/tests/limiter/test_listener_close.py
+++ b/tests/limiter/test_listener_close.py
@@ -1,12 +1,10 @@
-"""A listener that closes in the turn in which a client connects, on real sockets.
-
-The failure: a soak run sent a request to a proxy 2.5 s after its SIGTERM, as its listener closed.
-The client had neither an answer nor the end of its connection for 1.8 s, until the process ended.
-The order of events: in one turn of the event loop the connection is accepted, and the listener
-closed; in the next turn asyncio sets the connection up, and finds that its server is closed. The
-cause: it gives the connection up there without closing it. The evidence: seed 12 of the soak test;
-the request was sent in the hundredth of a second of the close, wasn't sent on to a server, and its
-connection was reset as the process ended.
+"""A listener that closes in the event loop iteration in which a client connects; real sockets.
+
+Guards against a connection that is accepted but neither answered nor closed. If the listener closes
+in the iteration of the accept, asyncio finds the server closed in the next iteration, when it sets
+the connection up, and drops the connection without closing it. Seen in the soak test, seed 12: a
+request sent 2.5 s after the SIGTERM of a proxy, within 10 ms of the listener's close, was not
+forwarded and had no response for 1.8 s, until the process ended and its connection was reset.
 """
 
 from __future__ import annotations
@@ -23,7 +21,7 @@
 
 
 class Answering(asyncio.Protocol):
-    """Answers whatever comes."""
+    """Answers any received bytes."""
 
     def connection_made(self, transport):
         self.transport = transport
@@ -38,7 +36,7 @@
 
 
 def ask(address: tuple[str, int]) -> socket.socket:
-    """A client that has sent its request, though nobody has accepted it yet."""
+    """Returns a client socket with its request sent, possibly before it is accepted."""
     client = socket.create_connection(address)
     client.settimeout(ANSWER_SECONDS)
     client.sendall(b"request")
@@ -46,7 +44,7 @@
 
 
 def said_to(client: socket.socket) -> str:
-    """What a client gets within a second."""
+    """Returns what a client receives within `ANSWER_SECONDS`: text or how the wait ended."""
     try:
         return client.recv(100).decode() or "closed"
     except ConnectionResetError:
@@ -62,7 +60,7 @@
         address = (HOST, free_port())
         listener = await event_loop.listen(loop, Answering, address, 10, 10)
         waiting = [ask(address) for _ in range(clients)]
-        loop.call_at(loop.time(), listener.close)  # timers follow what is read in their turn
+        loop.call_at(loop.time(), listener.close)  # timers run after the accepts of an iteration
         return [await asyncio.to_thread(said_to, client) for client in waiting]
 
     assert asyncio.run(run()) == ["answer"] * clients
--- a/tests/limiter/test_parsers.py
+++ b/tests/limiter/test_parsers.py
@@ -1,4 +1,4 @@
-"""Rings, messages, endings and configuration, as far as they need no socket."""
+"""Ring buffers, HTTP parsers, outcomes of endings, and configuration. No sockets."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.binary(max_size=3000)), max_size=40))
-def test_a_ring_keeps_bytes_in_order_and_its_allowance(steps):
+def test_a_ring_keeps_bytes_in_order_and_within_its_budget(steps):
     room = Room(3 * FIRST)
     ring, model = Ring(room, 2 * FIRST), b""
     for fill, data in steps:
@@ -53,7 +53,7 @@
 
 
 def fed(machine, pieces):
-    """Feeds a machine piece by piece; the messages that came whole, as (start, fields, body)."""
+    """Feeds a parser; returns complete messages as (start, fields, body, close)."""
     ring, got = Ring(Room(1 << 20), MOST_RING), []
     for piece in pieces:
         while piece:
@@ -76,7 +76,7 @@
 
 @st.composite
 def messages(draw):
-    """Some messages one behind another, and what they should be read as."""
+    """Draws consecutive messages in pieces, and their expected fields and bodies."""
     raw, want = b"", []
     for body in draw(st.lists(st.binary(max_size=200), min_size=1, max_size=4)):
         value = draw(st.text("abcXYZ019 ;=", max_size=20)).strip().encode()
@@ -103,13 +103,13 @@
 
 
 @given(messages())
-def test_requests_read_the_same_however_they_are_split(case):
+def test_requests_parse_the_same_however_they_are_split(case):
     pieces, want = case
     assert [(fields, body) for _, fields, body, _ in fed(RequestReceiver(), pieces)] == want
 
 
 @given(messages())
-def test_answers_read_the_same_however_they_are_split(case):
+def test_responses_parse_the_same_however_they_are_split(case):
     pieces, want = case
     raw = b"".join(pieces).replace(
         b"POST /a?b=c HTTP/1.1", b"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK"
@@ -121,7 +121,7 @@
 
 
 @given(messages(), st.data())
-def test_a_cut_message_is_never_whole(case, data):
+def test_a_truncated_message_is_never_complete(case, data):
     pieces, want = case
     raw = b"".join(pieces)
     cut = raw[: data.draw(st.integers(0, len(raw) - 1))]
@@ -129,7 +129,7 @@
 
 
 @given(st.binary(max_size=400), st.data())
-def test_noise_is_refused_or_waited_on_but_nothing_else(noise, data):
+def test_noise_is_rejected_or_incomplete(noise, data):
     raw = b"GET /a HTTP/1.1\r\nHost: b\r\n\r\n"
     at = data.draw(st.integers(0, len(raw)))
     for machine in (RequestReceiver(), ResponseReceiver()):
@@ -173,7 +173,7 @@
     assert why.value.status == status
 
 
-def test_fields_that_come_again_are_joined_and_equal_lengths_are_one():
+def test_repeated_fields_are_joined_and_equal_lengths_merged():
     raw = HEAD + b"A: 1\r\nContent-Length: 2\r\na: 2\r\nContent-Length: 2\r\n\r\nok"
     for machine in (RequestReceiver(), ResponseReceiver()):
         said = (
@@ -186,23 +186,23 @@
         ] * 2
 
 
-def test_an_answer_without_a_length_is_not_taken_for_whole():
+def test_a_response_without_a_length_is_rejected():
     with pytest.raises(Malformed):
         fed(ResponseReceiver(), [b"HTTP/1.1 200 OK\r\n\r\nsome"])
 
 
 @pytest.mark.parametrize("ending", list(Ending))
-def test_only_what_was_not_written_is_proven_not_run(ending):
+def test_only_an_unwritten_request_is_proven_not_run(ending):
     proven = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.REJECTED}
     assert outcome(ending, False) in proven and outcome(ending, True) not in proven
-    # trouble of our own is not held against a server
+    # A local failure doesn't count against the server.
     assert (outcome(ending, False) is Outcome.NOT_SENT) == (ending in KEPT_HERE)
-    # a call that was written may have been added, however it ended
+    # The counter may have applied any call that was written.
     assert call_outcome(ending, True) is Outcome.NO_RESPONSE
     assert call_outcome(ending, False) is Outcome.CONNECT_FAILED
 
 
-def test_only_a_marked_503_or_504_was_turned_away():
+def test_only_a_503_or_504_with_not_started_is_rejected():
     assert answered(503, True) is answered(504, True) is Outcome.REJECTED
     assert answered(200, True) is Outcome.SUCCEEDED
     assert {answered(s, n) for s, n in ((503, False), (500, True), (404, False))} == {
@@ -231,13 +231,13 @@
         (lambda f: f["known"]["members"][0].update(phase="gone"), "known.members[0].phase"),
     ],
 )
-def test_a_fault_in_the_configuration_is_named(change, key):
+def test_a_configuration_error_names_its_key(change, key):
     with pytest.raises(LimiterConfigError, match="key") as why:
         config(change)
     assert f"key '{key}'" in str(why.value)
 
 
-def test_the_environment_wins_and_the_settings_are_translated_once():
+def test_the_environment_overrides_the_file_and_settings_are_converted():
     raw = json.dumps(config_file(PORTS, [])).encode()
     read = parse_limiter_config(raw, {"PROXY_NAME": "n7", "PROXY_LISTEN": "127.0.0.2:80"})
     assert (read.name, read.listen_address, read.discovery_address) == (
