--- a/loomstand/limiter/buffers.py
+++ b/loomstand/limiter/buffers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-FIRST = 2048  # bytes; fits a typical request head or small response without growing
+INITIAL_RING_BYTES = 2048  # fits a typical request head or small response without growing
 
 
 class Room:
@@ -36,12 +36,12 @@
     def __len__(self) -> int:
         return self.used
 
-    def grow(self, want: int) -> bool:
-        """Grows the buffer to hold `want` bytes in total; returns False if a limit prevents it."""
-        if want <= self.size:
+    def grow(self, needed: int) -> bool:
+        """Grows the buffer to hold `needed` bytes in total; returns False if a limit forbids it."""
+        if needed <= self.size:
             return True
-        size = min(self.most, max(FIRST, 1 << (want - 1).bit_length()))
-        if size < want or not self.room.take(size - self.size):
+        size = min(self.most, max(INITIAL_RING_BYTES, 1 << (needed - 1).bit_length()))
+        if size < needed or not self.room.take(size - self.size):
             return False
         data = self.peek()
         self.buf = bytearray(size)
@@ -91,7 +91,7 @@
         self.used -= n
         if self.used:
             self.head = (self.head + n) % self.size
-        elif self.size > FIRST:
+        elif self.size > INITIAL_RING_BYTES:
             self.close()
         else:
             self.head = 0
@@ -99,7 +99,7 @@
     def take(self, n: int) -> bytes:
         """Removes and returns the first `n` bytes, or all if there are fewer."""
         # Fast path for the usual case: one whole message in a contiguous range.
-        if n == self.used <= self.size - self.head and self.size <= FIRST:
+        if n == self.used <= self.size - self.head and self.size <= INITIAL_RING_BYTES:
             data = bytes(self.buf[self.head : self.head + n])
             self.head = self.used = 0
             return data
--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -7,9 +7,9 @@
 from loomstand.limiter import event_loop, http_parser
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Listens, Wire
-from loomstand.limiter.protocols import Asked, Asker, Takes
+from loomstand.limiter.protocols import Asker, ListenerOwner, TrackedRequest
 
-STAYS = 2.0  # idle time-out: the protocol allows closing idle connections after 2 s
+IDLE_TIMEOUT_SECONDS = 2.0  # the protocol allows closing idle connections after 2 s
 
 
 class Client:
@@ -17,12 +17,12 @@
 
     __slots__ = (
         "begun_at",
-        "busy_at",
+        "last_active_at",
         "listener",
         "machine",
-        "made",
-        "made_at",
-        "read_at",
+        "opened_at",
+        "opened_iteration",
+        "received_at",
         "request",
         "surplus",
         "wire",
@@ -35,30 +35,33 @@
         )
         most = listener.max_body_bytes + listener.max_header_bytes
         self.wire = Wire(
-            self, listener.limiter.room, most, listener.limiter.most_answer + http_parser.MOST_HEAD
+            self,
+            listener.limiter.room,
+            most,
+            listener.limiter.most_answer + http_parser.MAX_HEAD_BYTES,
         )
-        self.request: Asked | None = None
-        self.made_at = self.read_at = self.busy_at = listener.limiter.turns.since
+        self.request: TrackedRequest | None = None
+        self.opened_at = self.received_at = self.last_active_at = listener.limiter.turns.since
         self.begun_at: float | None = None  # start of the message being received; None if idle
-        self.made, self.surplus = 0, False
+        self.opened_iteration, self.surplus = 0, False
 
     def opened(self) -> None:
-        self.made = self.listener.limiter.turns.count
+        self.opened_iteration = self.listener.limiter.turns.count
         self.listener.let_in(self)
 
     def received(self) -> None:
-        self.read_at = self.listener.limiter.turns.came(self.made, self.made_at)
+        self.received_at = self.listener.limiter.turns.came(self.opened_iteration, self.opened_at)
         if self.begun_at is None:
-            self.begun_at, machine, listener = self.read_at, self.machine, self.listener
+            self.begun_at, machine, listener = self.received_at, self.machine, self.listener
             # The limits in force now; they may have changed since the connection was opened.
             machine.most, machine.most_head = listener.max_body_bytes, listener.max_header_bytes
             self.wire.inbound.most = listener.max_body_bytes + listener.max_header_bytes
         if self.request is None:
-            self.take()
+            self.handle_buffered()
         elif self.wire.inbound.used >= self.wire.inbound.most:
-            self.wire.hold()  # backpressure for pipelined requests
+            self.wire.pause_reading()  # backpressure for pipelined requests
 
-    def take(self) -> None:
+    def handle_buffered(self) -> None:
         """Parses and handles buffered requests until one is pending or more bytes are needed."""
         wire, machine = self.wire, self.machine
         while (
@@ -70,8 +73,8 @@
             try:
                 if not machine.step(wire.inbound):
                     return
-            except http_parser.Malformed as why:
-                self.answer(why.status, f"{why}\n".encode(), close=True)
+            except http_parser.Malformed as error:
+                self.answer(error.status, f"{error}\n".encode(), close=True)
                 return
             self.handle()
 
@@ -88,42 +91,42 @@
             self.answer(503, close=True)
             return
         try:
-            limiter.request_received(self, machine, self.read_at)
-        except http_parser.Malformed as why:
+            limiter.request_received(self, machine, self.received_at)
+        except http_parser.Malformed as error:
             # the message was complete, so its end is known and the connection stays usable
-            self.answer(why.status, f"{why}\n".encode())
+            self.answer(error.status, f"{error}\n".encode())
 
     def answer(self, status: int, body: bytes = b"", extra: str = "", close: bool = False) -> None:
         """Writes a complete response and resets the parser for the next request."""
         close = close or self.machine.close or self.listener.stopping
         self.request = self.begun_at = None
-        self.busy_at = self.listener.limiter.loop.time()
+        self.last_active_at = self.listener.limiter.loop.time()
         self.listener.answered(self)
         self.machine.reset()
-        if not self.wire.send(http_parser.answer(status, body, extra, close)):
+        if not self.wire.send(http_parser.format_response(status, body, extra, close)):
             self.wire.stop(Ending.NO_ROOM)
         elif close:
             self.wire.finish()
 
     def next(self) -> None:
         """Resumes reading and handles requests received during the previous one."""
-        self.wire.resume()
-        self.take()
+        self.wire.resume_reading()
+        self.handle_buffered()
 
-    def expel(self) -> None:
+    def close_stalled(self) -> None:
         """Closes a stalled connection, with a 408 response if one can still be sent."""
         if self.wire.lingering or not self.wire.written:
             self.wire.stop(Ending.STALLED)
         else:
             self.answer(408, close=True)
 
-    def ended(self, why: Ending) -> None:
+    def ended(self, ending: Ending) -> None:
         self.listener.gone(self)
 
     @property
-    def began(self) -> float:
+    def state_since(self) -> float:
         """Loop time of the start of the current message, or of the current idle period."""
-        return self.busy_at if self.begun_at is None else self.begun_at
+        return self.last_active_at if self.begun_at is None else self.begun_at
 
     @property
     def idle(self) -> bool:
@@ -133,12 +136,12 @@
         return between and wire.written and not wire.lingering
 
     @property
-    def heading(self) -> bool:
+    def is_receiving_head(self) -> bool:
         """Whether the header of a request is being received."""
         return self.begun_at is not None and self.request is None and not self.machine.begun
 
     @property
-    def stuck(self) -> bool:
+    def is_stalled(self) -> bool:
         """Whether it is mid-message, has an unread response, or waits for the client to close."""
         return self.request is None and not self.idle
 
@@ -153,14 +156,21 @@
 
     bind = staticmethod(event_loop.listen)  # replaceable, see `event_loop.Streams`
 
-    def __init__(self, limiter: Takes, at_once: int, sockets: int) -> None:
-        self.limiter, self.at_once, self.sockets = limiter, at_once, sockets
+    def __init__(self, limiter: ListenerOwner, accepts_per_iteration: int, sockets: int) -> None:
+        self.limiter, self.accepts_per_iteration, self.sockets = (
+            limiter,
+            accepts_per_iteration,
+            sockets,
+        )
         # Protocol: clients hold at most a third of the descriptors for requests. Clients that send
         # one request and keep the connection open would use all of it, so half of that third is
         # reserved for active clients.
         self.most_held = sockets // 6
-        self.idle_timeout_seconds, self.own_paths = STAYS, True
-        self.max_body_bytes, self.max_header_bytes = http_parser.MOST_BODY, http_parser.MOST_HEAD
+        self.idle_timeout_seconds, self.own_paths = IDLE_TIMEOUT_SECONDS, True
+        self.max_body_bytes, self.max_header_bytes = (
+            http_parser.MAX_BODY_BYTES,
+            http_parser.MAX_HEAD_BYTES,
+        )
         self.header_timeout_seconds = (
             inf  # limit for receiving a request header; the sweep's limit applies if shorter
         )
@@ -171,13 +181,13 @@
     async def listen(self, address: tuple[str, int]) -> None:
         loop = self.limiter.loop
         self.server = await self.bind(
-            loop, lambda: Client(self).wire, address, self.at_once, self.sockets
+            loop, lambda: Client(self).wire, address, self.accepts_per_iteration, self.sockets
         )
 
     def let_in(self, client: Client) -> None:
         self.clients[client] = None
-        short = -self.limiter.spare_sockets()
-        if short <= 0:
+        shortage = -self.limiter.spare_sockets()
+        if shortage <= 0:
             if len(self.clients) > self.most_held:
                 self.close_idle(client)
         elif not self.limiter.make_room(client):
@@ -185,7 +195,7 @@
             # earlier response from a lost one.
             client.surplus = True
             self.limiter.endings["client surplus"] += 1
-            if short > self.at_once:
+            if shortage > self.accepts_per_iteration:
                 client.wire.stop(Ending.NO_ROOM)
 
     def answered(self, client: Client) -> None:
@@ -211,9 +221,9 @@
         """
         since = self.limiter.loop.time() - within
         for client in self.clients:
-            if client.busy_at > since:
+            if client.last_active_at > since:
                 break
-            if client.busy_at == client.made_at and client is not spared and client.free:
+            if client.last_active_at == client.opened_at and client is not spared and client.free:
                 client.wire.stop(Ending.STALLED)
                 return True
         return False
@@ -224,12 +234,12 @@
         Returns whether there was one.
         """
         since = self.limiter.loop.time() - within
-        stuck = [c for c in self.clients if c.began < since and c.stuck]
-        if stuck:
-            client = min(stuck, key=lambda c: c.began)
-            client.expel()
+        stalled = [c for c in self.clients if c.state_since < since and c.is_stalled]
+        if stalled:
+            client = min(stalled, key=lambda c: c.state_since)
+            client.close_stalled()
             client.wire.stop(Ending.STALLED)  # its socket is needed immediately, so don't linger
-        return bool(stuck)
+        return bool(stalled)
 
     def gone(self, client: Client) -> None:
         self.clients.pop(client, None)
@@ -247,12 +257,14 @@
         """
         now = self.limiter.loop.time()
         for client in list(self.clients):
-            if now - client.busy_at > self.idle_timeout_seconds and client.free:
+            if now - client.last_active_at > self.idle_timeout_seconds and client.free:
                 client.wire.stop(Ending.IDLE)
                 continue
-            within = min(self.header_timeout_seconds, patience) if client.heading else patience
-            if now - client.began > within and client.stuck:
-                client.expel()
+            within = (
+                min(self.header_timeout_seconds, patience) if client.is_receiving_head else patience
+            )
+            if now - client.state_since > within and client.is_stalled:
+                client.close_stalled()
 
     def stop(self) -> None:
         """Closes idle connections, and others after their response; new ones are still accepted."""
--- a/loomstand/limiter/discovery.py
+++ b/loomstand/limiter/discovery.py
@@ -11,13 +11,14 @@
 from loomstand.limiter import http_parser
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Wire, connect
-from loomstand.limiter.protocols import Told
+from loomstand.limiter.protocols import WatchOwner
 
-BEAT = 2.0  # s; protocol: an empty line is sent every 2 s while nothing changes
-SILENT = 2.5 * BEAT  # s, two missed heartbeats; under the 6 s after which a change counts as known
-MOST_LINE = 1 << 20  # bytes; a full list of some thousands of servers
-AGAIN = (0.1, 2.0)  # s, mean reconnect delay: initial and maximum; doubled in between
-decode = msgspec.json.Decoder(BackendList).decode
+HEARTBEAT_SECONDS = 2.0  # protocol: an empty line is sent every 2 s while nothing changes
+# Two missed heartbeats, and less than the 6 s after which a change counts as known.
+SILENCE_TIMEOUT_SECONDS = 2.5 * HEARTBEAT_SECONDS
+MAX_LINE_BYTES = 1 << 20  # a full list of some thousands of servers
+RETRY_DELAY_SECONDS = (0.1, 2.0)  # mean, initial and maximum; doubled at each failure
+decode_list = msgspec.json.Decoder(BackendList).decode
 
 
 class WatchReceiver(http_parser.ResponseReceiver):
@@ -39,25 +40,25 @@
 
     def __init__(
         self,
-        limiter: Told,
-        where: tuple[str, int],
+        limiter: WatchOwner,
+        address: tuple[str, int],
         revision: int,
         connect_timeout: float,
         seed: int,
     ) -> None:
-        self.limiter, self.where, self.revision = limiter, where, revision
+        self.limiter, self.address, self.revision = limiter, address, revision
         self.connect_timeout = connect_timeout
         self.wire: Wire | None = None
-        self.machine = WatchReceiver(MOST_LINE)
-        self.heard_at, self.wait, self.stopped = 0.0, AGAIN[0], False
+        self.machine = WatchReceiver(MAX_LINE_BYTES)
+        self.last_received_at, self.retry_delay, self.stopped = 0.0, RETRY_DELAY_SECONDS[0], False
         self.timer: asyncio.TimerHandle | None = None  # for the next connection attempt
-        self.chance = Random(seed).random
+        self.jitter = Random(seed).random
         self.held = False
 
     def hold(self, on: bool) -> None:
         """Starts or stops the watch; peers relay the lists while it is stopped."""
         if on and not self.held:
-            self.held, self.wait = True, AGAIN[0]
+            self.held, self.retry_delay = True, RETRY_DELAY_SECONDS[0]
             self.start()
         elif not on and self.held:
             self.held = False
@@ -72,54 +73,56 @@
         self.held = True
         if not self.stopped:
             self.timer = None
-            self.machine = WatchReceiver(MOST_LINE)
-            self.wire = Wire(self, self.limiter.room, http_parser.MOST_RING)
-            self.heard_at = self.limiter.loop.time()
-            connect(self.limiter.loop, self.wire, self.where, self.connect_timeout)
+            self.machine = WatchReceiver(MAX_LINE_BYTES)
+            self.wire = Wire(self, self.limiter.room, http_parser.MAX_MESSAGE_BYTES)
+            self.last_received_at = self.limiter.loop.time()
+            connect(self.limiter.loop, self.wire, self.address, self.connect_timeout)
 
     def opened(self) -> None:
-        self.heard_at = self.limiter.loop.time()
+        self.last_received_at = self.limiter.loop.time()
         self.wire.send(
             b"GET /api/targets?stream=1&index=%d HTTP/1.1\r\nHost: discovery\r\n\r\n"
             % self.revision
         )
 
     def received(self) -> None:
-        self.heard_at = self.limiter.loop.time()
+        self.last_received_at = self.limiter.loop.time()
         try:
-            over = self.machine.step(self.wire.inbound)
+            is_complete = self.machine.step(self.wire.inbound)
             if self.machine.begun and self.machine.status != 200:
                 raise http_parser.Malformed(502, f"status {self.machine.status}")
             for line in self.machine.lines():
                 if line.strip():
-                    self.told(decode(line))
-                    self.wait = AGAIN[0]
+                    self.list_received(decode_list(line))
+                    self.retry_delay = RETRY_DELAY_SECONDS[0]
                 else:
-                    self.limiter.beat()
-            if over:
+                    self.limiter.heartbeat_received()
+            if is_complete:
                 self.wire.stop(Ending.CLOSED)
-        except (http_parser.Malformed, msgspec.DecodeError) as why:
-            self.limiter.log(f"discovery: {why}")
+        except (http_parser.Malformed, msgspec.DecodeError) as error:
+            self.limiter.log(f"discovery: {error}")
             self.wire.stop(Ending.MALFORMED)
 
-    def told(self, list_: BackendList) -> None:
-        self.limiter.told(list_)
+    def list_received(self, list_: BackendList) -> None:
+        self.limiter.list_received(list_)
         self.revision = list_.revision
 
-    def ended(self, why: Ending) -> None:
-        self.limiter.endings[f"discovery {why.name.lower()}"] += 1
+    def ended(self, ending: Ending) -> None:
+        self.limiter.endings[f"discovery {ending.name.lower()}"] += 1
         if not self.stopped:
             # Random jitter, so that limiters disconnected together don't reconnect together.
-            self.timer = self.limiter.loop.call_later(self.wait * (0.5 + self.chance()), self.start)
-            self.wait = min(AGAIN[1], self.wait * 2)
+            self.timer = self.limiter.loop.call_later(
+                self.retry_delay * (0.5 + self.jitter()), self.start
+            )
+            self.retry_delay = min(RETRY_DELAY_SECONDS[1], self.retry_delay * 2)
 
-    def move(self, where: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Switches to another address of the discovery service."""
         if self.timer is not None:
             self.timer.cancel()
         if self.wire is not None:
             self.wire.drop(Ending.FINISHED)
-        self.where, self.wait = where, AGAIN[0]
+        self.address, self.retry_delay = address, RETRY_DELAY_SECONDS[0]
         if self.held:
             self.start()
 
@@ -128,7 +131,7 @@
         if (
             self.wire is not None
             and self.wire.ending is None
-            and self.limiter.loop.time() - self.heard_at > SILENT
+            and self.limiter.loop.time() - self.last_received_at > SILENCE_TIMEOUT_SECONDS
         ):
             self.wire.stop(Ending.STALLED)
 
--- a/loomstand/limiter/endings.py
+++ b/loomstand/limiter/endings.py
@@ -25,9 +25,9 @@
     STOPPING = auto()  # this limiter is shutting down
 
 
-NEVER_UP = {Ending.REFUSED, Ending.SILENT_CONNECT}
-KEPT_HERE = {Ending.NO_ROOM, Ending.STOPPING, Ending.CALLED_OFF}
-NOT_OUR_WAIT = {Ending.EXPIRED: Outcome.NO_RESPONSE, Ending.CALLED_OFF: Outcome.CANCELLED}
+CONNECT_FAILURES = {Ending.REFUSED, Ending.SILENT_CONNECT}
+LOCAL_FAILURES = {Ending.NO_ROOM, Ending.STOPPING, Ending.CALLED_OFF}
+LOCAL_ENDING_OUTCOMES = {Ending.EXPIRED: Outcome.NO_RESPONSE, Ending.CALLED_OFF: Outcome.CANCELLED}
 
 
 def outcome(ending: Ending, written: bool) -> Outcome:
@@ -39,16 +39,16 @@
     """
     if not written:
         # A server starts a request once its last byte has arrived, so this one did not run.
-        return Outcome.NOT_SENT if ending in KEPT_HERE else Outcome.CONNECT_FAILED
-    return NOT_OUR_WAIT.get(ending, Outcome.CONNECTION_LOST)
+        return Outcome.NOT_SENT if ending in LOCAL_FAILURES else Outcome.CONNECT_FAILED
+    return LOCAL_ENDING_OUTCOMES.get(ending, Outcome.CONNECTION_LOST)
 
 
-def call_outcome(ending: Ending, written: bool) -> Outcome:
+def counter_call_outcome(ending: Ending, written: bool) -> Outcome:
     """Returns the outcome of a counter call; the counter may have applied it if `written`."""
     return Outcome.NO_RESPONSE if written else Outcome.CONNECT_FAILED
 
 
-def answered(status: int, not_started: bool) -> Outcome:
+def response_outcome(status: int, not_started: bool) -> Outcome:
     """Returns the outcome of an attempt with a complete response.
 
     Args:
@@ -60,7 +60,7 @@
     return Outcome.REJECTED if status in (503, 504) and not_started else Outcome.SERVER_ERROR
 
 
-def called(status: int) -> Outcome:
+def counter_response_outcome(status: int) -> Outcome:
     """Returns the outcome of a counter call with a complete response of this HTTP status.
 
     400, 404 and 503 prove that nothing was added; other errors leave it open.
--- a/loomstand/limiter/event_loop.py
+++ b/loomstand/limiter/event_loop.py
@@ -17,7 +17,7 @@
 from loomstand.limiter.endings import Ending
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a time-out of 0 s
-NO_ROOM = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
+RESOURCE_ERRNOS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 
 
 class Turns(selectors.DefaultSelector):
@@ -25,40 +25,42 @@
 
     Attributes:
         since: Earliest time at which bytes read in this iteration can have arrived.
-        back: When `select` last returned.
+        woke_at: When `select` last returned.
         count: Number of iterations.
         longest: Longest recent iteration or late wake-up in seconds; halved each second.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.since = self.back = time.monotonic()
+        self.since = self.woke_at = time.monotonic()
         self.count = 0
         self.longest = 0.0
 
     def select(self, timeout: float | None = None) -> list:
-        went = time.monotonic()
+        select_started_at = time.monotonic()
         ready = super().select(timeout)
         now = time.monotonic()
-        lasted = went - self.back
-        overslept = 0.0 if timeout is None else now - went - max(0.0, timeout)
-        self.longest = max(lasted, overslept, self.longest * 0.5 ** (now - self.back))
+        iteration_seconds = select_started_at - self.woke_at
+        wake_delay = 0.0 if timeout is None else now - select_started_at - max(0.0, timeout)
+        self.longest = max(
+            iteration_seconds, wake_delay, self.longest * 0.5 ** (now - self.woke_at)
+        )
         # A wait longer than the iteration before it means that nothing was readable at its start.
-        self.since = now if now - went > lasted else self.back
-        self.back = now
+        self.since = now if now - select_started_at > iteration_seconds else self.woke_at
+        self.woke_at = now
         self.count += 1
         return ready
 
-    def came(self, made: int, made_at: float) -> float:
+    def came(self, opened_iteration: int, opened_at: float) -> float:
         """Returns the earliest time at which bytes being read can have arrived.
 
         Bytes present when a connection is first polled can have arrived along with it.
 
         Args:
-            made: The iteration in which the connection was set up.
-            made_at: The time of its set-up.
+            opened_iteration: The iteration in which the connection was set up.
+            opened_at: The time of its set-up.
         """
-        return made_at if self.count <= made + 1 else self.since
+        return opened_at if self.count <= opened_iteration + 1 else self.since
 
 
 class Untimed:
@@ -70,7 +72,7 @@
     def since(self) -> float:
         return time.monotonic()
 
-    def came(self, made: int, made_at: float) -> float:
+    def came(self, opened_iteration: int, opened_at: float) -> float:
         return self.since
 
 
@@ -86,19 +88,22 @@
         "lingering",
         "off",
         "outbound",
-        "paused",
         "reading",
         "transport",
         "user",
+        "write_paused",
     )
 
-    def __init__(self, user: object, room: Room, most: int, most_out: int = 0) -> None:
+    def __init__(self, user: object, room: Room, max_inbound: int, max_outbound: int = 0) -> None:
         self.user = user
-        self.inbound, self.outbound = Ring(room, most), Ring(room, most_out or most)
+        self.inbound, self.outbound = (
+            Ring(room, max_inbound),
+            Ring(room, max_outbound or max_inbound),
+        )
         self.transport: asyncio.Transport | None = None
         self.ending: Ending | None = None
         self.off: Callable[[], None] | None = None  # cancels a pending connect
-        self.paused = self.lingering = False
+        self.write_paused = self.lingering = False
         self.reading = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -125,7 +130,7 @@
         self.stop(Ending.FINISHED if self.lingering else Ending.CLOSED)
         return False
 
-    def connection_lost(self, why: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         self.stop(Ending.RESET)
         self.inbound.close()
         self.outbound.close()
@@ -133,52 +138,52 @@
         self.user = None
 
     def pause_writing(self) -> None:
-        self.paused = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.paused = False
+        self.write_paused = False
         self.flush()
 
     def send(self, data: bytes) -> bool:
         """Writes or queues all of `data`; returns False, with nothing queued, if it doesn't fit."""
         if self.ending is not None:
             return False
-        if self.paused or self.outbound.used:
+        if self.write_paused or self.outbound.used:
             return self.outbound.put(data)
         self.transport.write(data)  # pauses writing if the socket doesn't take it all
         return True
 
     def flush(self) -> None:
-        while self.outbound.used and not self.paused and self.ending is None:
+        while self.outbound.used and not self.write_paused and self.ending is None:
             self.transport.write(self.outbound.take(self.outbound.used))
         if self.lingering and self.written and self.ending is None:
-            self.shut()
+            self.send_eof()
 
     @property
     def written(self) -> bool:
         """Whether the last byte has been passed to the kernel."""
-        return not self.paused and not self.outbound.used
+        return not self.write_paused and not self.outbound.used
 
     @property
     def unread(self) -> bool:
         """Whether the kernel holds unread bytes or an end of stream."""
         # A simulated transport without a socket answers this itself.
-        if (asked := self.transport.get_extra_info("unread")) is not None:
-            return asked()
+        if (query := self.transport.get_extra_info("unread")) is not None:
+            return query()
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
-    def stop(self, why: Ending) -> None:
+    def stop(self, ending: Ending) -> None:
         """Aborts the connection and notifies its user."""
         if self.ending is None:
-            self.drop(why)
-            self.user.ended(why)
+            self.drop(ending)
+            self.user.ended(ending)
 
-    def drop(self, why: Ending) -> None:
+    def drop(self, ending: Ending) -> None:
         """Aborts the connection without notifying its user."""
         if self.ending is None:
-            self.ending = why
+            self.ending = ending
             if self.transport is not None:
                 self.transport.abort()
             elif self.off is not None:
@@ -198,21 +203,21 @@
             self.lingering = True
             self.inbound.close()
             if self.written:
-                self.shut()
+                self.send_eof()
 
-    def shut(self) -> None:
+    def send_eof(self) -> None:
         try:
             self.transport.write_eof()
         except OSError:
             self.stop(Ending.RESET)
 
-    def hold(self) -> None:
-        """Pauses reading until `resume`."""
+    def pause_reading(self) -> None:
+        """Pauses reading until `resume_reading`."""
         if self.ending is None and self.reading:
             self.reading = False
             self.transport.pause_reading()
 
-    def resume(self) -> None:
+    def resume_reading(self) -> None:
         if self.ending is None and not self.reading:
             self.reading = True
             self.transport.resume_reading()
@@ -221,8 +226,8 @@
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
     """Makes closing the transport discard unsent bytes and reset the connection (SO_LINGER 0)."""
     # A simulated transport without a socket does this itself.
-    if (asked := transport.get_extra_info("reset_on_close")) is not None:
-        asked()
+    if (query := transport.get_extra_info("reset_on_close")) is not None:
+        query()
     elif (sock := transport.get_extra_info("socket")) is not None:
         with suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -247,10 +252,10 @@
     async def listen(
         self,
         loop: asyncio.AbstractEventLoop,
-        make: Callable[[], Wire],
+        protocol_factory: Callable[[], Wire],
         address: Address,
-        at_once: int,
-        most: int,
+        accepts_per_iteration: int,
+        backlog: int,
     ) -> Listens:
         """See `listen` below."""
         ...
@@ -264,27 +269,27 @@
 
 async def listen(
     loop: asyncio.AbstractEventLoop,
-    make: Callable[[], Wire],
+    protocol_factory: Callable[[], Wire],
     address: Address,
-    at_once: int,
-    most: int,
+    accepts_per_iteration: int,
+    backlog: int,
 ) -> Listens:
     """Listens for connections.
 
     Args:
         loop: The running event loop.
-        make: Creates the protocol object of a connection.
+        protocol_factory: Creates the protocol object of a connection.
         address: Host and port to listen on.
-        at_once: Maximum number of connections accepted per event loop iteration.
-        most: Kernel backlog of connections that are not accepted yet.
+        accepts_per_iteration: Maximum number of connections accepted per event loop iteration.
+        backlog: Kernel backlog of connections that are not accepted yet.
 
     Raises:
         OSError: The address can't be bound.
     """
     sock = socket.create_server(address, family=family(address))
     # asyncio uses the backlog as the number of connections to accept per iteration.
-    server = await loop.create_server(make, sock=sock, backlog=at_once)
-    sock.listen(most)
+    server = await loop.create_server(protocol_factory, sock=sock, backlog=accepts_per_iteration)
+    sock.listen(backlog)
     return SocketListener(loop, sock, server)
 
 
@@ -328,24 +333,24 @@
             sock = socket.socket(family(address), socket.SOCK_STREAM)
             sock.setblocking(False)
             await loop.sock_connect(sock, address)
-            made, sock = sock, None
-            await loop.create_connection(lambda: wire, sock=made)
-        except OSError as why:
-            wire.stop(Ending.NO_ROOM if why.errno in NO_ROOM else Ending.REFUSED)
+            connected, sock = sock, None
+            await loop.create_connection(lambda: wire, sock=connected)
+        except OSError as error:
+            wire.stop(Ending.NO_ROOM if error.errno in RESOURCE_ERRNOS else Ending.REFUSED)
         finally:
             timer.cancel()
             if sock is not None:
                 sock.close()
 
-    def late() -> None:
+    def on_timeout() -> None:
         if wire.transport is None:
             wire.stop(Ending.SILENT_CONNECT)
 
     task = loop.create_task(run())
-    timer = loop.call_later(within, late)
+    timer = loop.call_later(within, on_timeout)
 
-    def off() -> None:
+    def cancel() -> None:
         timer.cancel()
         task.cancel()
 
-    wire.off = off
+    wire.off = cancel
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -45,9 +45,9 @@
 
 SWEEP_INTERVAL_SECONDS = 1.0
 SWEEPS_PER_CONNECTIONS_LINE = 10
-ACCEPT_TURNS = 5  # event loop iterations within which an accepted connection is set up
-EMPTY_POLL_SECONDS = 0.02  # between checks for pending responses during shutdown
-CLOCK_NANOSECONDS = 100_000  # per tick of the shared clock
+ACCEPT_ITERATIONS = 5  # event loop iterations within which an accepted connection is set up
+FINISH_POLL_SECONDS = 0.02  # between checks for pending responses during shutdown
+TICK_NANOSECONDS = 100_000  # per tick of the shared clock
 
 
 class GatewayCore(Generic[RequestT]):
@@ -94,16 +94,16 @@
         self.loop = asyncio.get_running_loop()
         self.turns = turns or Untimed()
         # Offset that makes `now` comparable between limiters; its clock never goes backwards.
-        self.epoch = time.time_ns() - time.monotonic_ns()
+        self.clock_offset = time.time_ns() - time.monotonic_ns()
         # Half of the memory is for buffers, the rest for code and engine state. A response may take
         # a 64th of the buffers, as servers send responses above the body limit of the protocol. A
         # tenth of the sockets is for clients being accepted, and as many for those being rejected.
         self.room = Room(int(memory_mb * (1 << 20) / 2))
-        self.most_answer = max(http_parser.MOST_BODY, self.room.left // 64)
+        self.most_answer = max(http_parser.MAX_BODY_BYTES, self.room.left // 64)
         self.spare = sockets // 10
         self.sockets = sockets - 2 * self.spare
         self.requests: dict[int, RequestT] = {}
-        self.last, self.is_ready = 0, False
+        self.last_request_id, self.is_ready = 0, False
         self.endings: Tally[str] = Tally()
         self.abandoned = AbandonedRequests()
         self.sweep_count = 0
@@ -121,7 +121,7 @@
 
     def now(self) -> int:
         """Returns the time of the shared clock in ticks of 0.1 ms."""
-        return (time.monotonic_ns() + self.epoch) // CLOCK_NANOSECONDS
+        return (time.monotonic_ns() + self.clock_offset) // TICK_NANOSECONDS
 
     # hooks for subclasses
 
@@ -144,7 +144,7 @@
     def on_sweep(self) -> None:
         """Runs further periodic work, once a second; does nothing by default."""
 
-    def left(self) -> None:
+    def on_stopped(self) -> None:
         """Stops other components after the last request; does nothing by default."""
 
     # lifecycle
@@ -211,48 +211,52 @@
         self.log("told to stop")
         self.is_ready = False
         self.listener.stop()
-        self.loop.call_later(self.linger_seconds(), self.leave)
+        self.loop.call_later(self.linger_seconds(), self.stop_accepting)
 
-    def leave(self) -> None:
+    def stop_accepting(self) -> None:
         """Stops accepting connections, and finishes when all responses are written."""
         self.listener.close()
         self.listener.stop()
-        self._empty_after(ACCEPT_TURNS)
+        self._finish_after(ACCEPT_ITERATIONS)
 
-    def _empty_after(self, turns: int) -> None:
-        """Calls `empty` after `turns` iterations of the event loop."""
-        if turns:
-            self.loop.call_soon(self._empty_after, turns - 1)
+    def _finish_after(self, iterations: int) -> None:
+        """Calls `finish` after `iterations` iterations of the event loop."""
+        if iterations:
+            self.loop.call_soon(self._finish_after, iterations - 1)
         else:
-            self.empty()
+            self.finish()
 
-    def empty(self) -> None:
+    def finish(self) -> None:
         """Sets `stopped` if all responses are written; otherwise checks again later."""
         self.listener.stop()
         if not all(c.wire.lingering and c.wire.written for c in self.listener.clients):
-            self.loop.call_later(EMPTY_POLL_SECONDS, self.empty)
+            self.loop.call_later(FINISH_POLL_SECONDS, self.finish)
             return
-        self.left()
+        self.on_stopped()
         self.log("stopped")
         self.stopped.set()
 
     # clients
 
-    def track_request(self, request: RequestT, client: Asker, timeout: int, at: float) -> None:
+    def track_request(
+        self, request: RequestT, client: Asker, timeout: int, arrived_at: float
+    ) -> None:
         """Registers a request, which gets exactly one response unless its client disconnects.
 
         Args:
             request: The request.
             client: The connection that gets the response.
             timeout: Ticks after its sending at which it expires.
-            at: When it arrived, by the event loop's clock.
+            arrived_at: When it arrived, by the event loop's clock.
         """
         # The time-out counts from the sending, so delays of this event loop reduce the deadline
         # rather than make the response late.
-        lost = self.loop.time() - at + min(self.turns.longest, timeout / TICKS_PER_SECOND / 2)
-        request.deadline = self.now() + timeout - int(max(0.0, lost) * TICKS_PER_SECOND) - 1
-        self.last += 1
-        request.id, request.client, client.request = self.last, client, request
+        elapsed = (
+            self.loop.time() - arrived_at + min(self.turns.longest, timeout / TICKS_PER_SECOND / 2)
+        )
+        request.deadline = self.now() + timeout - int(max(0.0, elapsed) * TICKS_PER_SECOND) - 1
+        self.last_request_id += 1
+        request.id, request.client, client.request = self.last_request_id, client, request
         self.requests[request.id] = request
 
     def client_disconnected(self, request: RequestT) -> None:
@@ -372,9 +376,9 @@
         seconds = action.delay / TICKS_PER_SECOND
         self.loop.call_later(seconds, self.handle_event, TimerFired(action.tag))
 
-    def counter_replied(self, name: int, outcome: Outcome, total: float, took: int) -> None:
-        """Passes the outcome of a counter call to the engine; it took `took` ticks."""
-        self.handle_event(CounterReplied(name, outcome, total, took))
+    def counter_replied(self, name: int, outcome: Outcome, total: float, elapsed: int) -> None:
+        """Passes the outcome of a counter call to the engine; it took `elapsed` ticks."""
+        self.handle_event(CounterReplied(name, outcome, total, elapsed))
 
     def check_health(self, action: CheckHealth) -> None:
         """Reports a health check as not sent; the protocol defines no path for one."""
--- a/loomstand/limiter/http_parser.py
+++ b/loomstand/limiter/http_parser.py
@@ -7,10 +7,10 @@
 
 from loomstand.limiter.buffers import Ring
 
-MOST_BODY = 64 * 1024  # bytes; protocol: a body holds at most 64 KiB
-MOST_HEAD = 8 * 1024  # bytes of start line and header fields
-MOST_LINE = 256  # bytes; a chunk size or trailer line
-MOST_RING = MOST_BODY + MOST_HEAD
+MAX_BODY_BYTES = 64 * 1024  # protocol: a body holds at most 64 KiB
+MAX_HEAD_BYTES = 8 * 1024  # start line and header fields
+MAX_LINE_BYTES = 256  # a chunk size or trailer line
+MAX_MESSAGE_BYTES = MAX_BODY_BYTES + MAX_HEAD_BYTES
 REQUEST_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) (/[!-~]*) HTTP/1\.([01])").fullmatch
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: [^\r\n]*)?").fullmatch
 FIELD = re.compile(rb"(?m)^([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([^\r\n\0]*)\r\n").findall
@@ -74,18 +74,27 @@
     release of closed connections until garbage collection.
     """
 
-    __slots__ = ("body", "close", "fields", "left", "most", "most_head", "searched", "state")
+    __slots__ = (
+        "body",
+        "close",
+        "fields",
+        "most",
+        "most_head",
+        "remaining",
+        "search_from",
+        "state",
+    )
     read = staticmethod(read_head)
 
-    def __init__(self, most: int = MOST_BODY, most_head: int = MOST_HEAD) -> None:
+    def __init__(self, most: int = MAX_BODY_BYTES, most_head: int = MAX_HEAD_BYTES) -> None:
         self.most, self.most_head = most, most_head
         self.reset()
 
     def reset(self) -> None:
         """Prepares for the next message."""
-        self.state, self.searched = Receiver.head, 0
+        self.state, self.search_from = Receiver.head, 0
         self.fields: dict[bytes, bytes] = {}
-        self.body, self.left, self.close = b"", 0, False
+        self.body, self.remaining, self.close = b"", 0, False
 
     @property
     def begun(self) -> bool:
@@ -102,39 +111,39 @@
         """Parses the first line of a message."""
         raise NotImplementedError
 
-    def bodiless(self) -> bool:
+    def never_has_body(self) -> bool:
         """Whether this message can't have a body."""
         return False
 
-    def unframed(self) -> None:
+    def length_missing(self) -> None:
         """Handles a message that states no body length: it has no body."""
         self.state = None
 
     def head(self, ring: Ring) -> bool:
-        end = ring.find(b"\r\n\r\n", self.searched)
+        end = ring.find(b"\r\n\r\n", self.search_from)
         if end < 0 or end > self.most_head:
             if ring.used > self.most_head:
                 raise Malformed(431, "head too long")
-            self.searched = max(0, ring.used - 3)
+            self.search_from = max(0, ring.used - 3)
             return False
-        raw, self.searched = ring.take(end + 4)[: end + 2], 0
+        raw, self.search_from = ring.take(end + 4)[: end + 2], 0
         if raw.startswith(b"\r\n"):  # empty lines before a message are allowed
             raw = raw.lstrip(b"\r\n")
             if not raw:
                 return True
         line, self.fields = self.read(raw)
         self.start_line(line)
-        self.frame()
+        self.read_framing()
         return self.state is not None
 
-    def frame(self) -> None:
+    def read_framing(self) -> None:
         """Determines the framing of the body and whether the connection closes afterwards."""
         fields = self.fields
         if b"connection" in fields:
-            says = [part.strip() for part in fields[b"connection"].lower().split(b",")]
-            self.close = b"close" in says or (self.close and b"keep-alive" not in says)
+            tokens = [part.strip() for part in fields[b"connection"].lower().split(b",")]
+            self.close = b"close" in tokens or (self.close and b"keep-alive" not in tokens)
         coding, length = fields.get(b"transfer-encoding"), fields.get(b"content-length")
-        if self.bodiless():
+        if self.never_has_body():
             self.state = None
         elif coding is not None:
             if length is not None:
@@ -145,45 +154,45 @@
         elif length is not None:
             if not number(length):
                 raise Malformed(400, "bad length")
-            self.left = int(length)
-            if self.left > self.most:
+            self.remaining = int(length)
+            if self.remaining > self.most:
                 raise Malformed(413, "body too long")
-            self.state = Receiver.counted if self.left else None
+            self.state = Receiver.sized_body if self.remaining else None
         else:
-            self.unframed()
+            self.length_missing()
 
-    def counted(self, ring: Ring) -> bool:
-        if ring.used < self.left:
+    def sized_body(self, ring: Ring) -> bool:
+        if ring.used < self.remaining:
             # Grows once rather than by doubling. A failure shows when the connection reads on.
-            ring.grow(self.left)
+            ring.grow(self.remaining)
             return False
-        self.body, self.state = ring.take(self.left), None
+        self.body, self.state = ring.take(self.remaining), None
         return False
 
     def chunk_size(self, ring: Ring) -> bool:
-        line = self.line(ring)
+        line = self.take_line(ring)
         if line is None:
             return False
         size = CHUNK(line)
         if not size:
             raise Malformed(400, "bad chunk size")
-        self.left = int(size[1], 16)
-        if len(self.body) + self.left > self.most:
+        self.remaining = int(size[1], 16)
+        if len(self.body) + self.remaining > self.most:
             raise Malformed(413, "body too long")
-        self.state = Receiver.chunk if self.left else Receiver.trailer
+        self.state = Receiver.chunk if self.remaining else Receiver.trailer
         return True
 
     def chunk(self, ring: Ring) -> bool:
-        piece = ring.take(self.left)
+        piece = ring.take(self.remaining)
         self.body += piece
-        self.left -= len(piece)
-        if self.left:
+        self.remaining -= len(piece)
+        if self.remaining:
             return False
         self.state = Receiver.chunk_end
         return True
 
     def chunk_end(self, ring: Ring) -> bool:
-        line = self.line(ring)
+        line = self.take_line(ring)
         if line is None:
             return False
         if line:
@@ -192,20 +201,20 @@
         return True
 
     def trailer(self, ring: Ring) -> bool:
-        line = self.line(ring)
+        line = self.take_line(ring)
         if line is None:
             return False
-        self.left += len(line)
-        if self.left > self.most_head:
+        self.remaining += len(line)
+        if self.remaining > self.most_head:
             raise Malformed(431, "trailer too long")
         if not line:
             self.body, self.state = bytes(self.body), None
         return bool(line)
 
-    def line(self, ring: Ring) -> bytes | None:
+    def take_line(self, ring: Ring) -> bytes | None:
         """Removes and returns the next line without its end; None if it is incomplete."""
         end = ring.find(b"\r\n")
-        if end < 0 and ring.used > MOST_LINE:
+        if end < 0 and ring.used > MAX_LINE_BYTES:
             raise Malformed(400, "line too long")
         return None if end < 0 else ring.take(end + 2)[:end]
 
@@ -216,13 +225,13 @@
     __slots__ = ("method", "target")
 
     def start_line(self, line: bytes) -> None:
-        said = REQUEST_LINE(line)
-        if not said:
+        match = REQUEST_LINE(line)
+        if not match:
             old = line.startswith(b"HTTP/", line.rfind(b" ") + 1) and not line.endswith(
                 (b"HTTP/1.0", b"HTTP/1.1")
             )
             raise Malformed(505 if old else 400, "bad request line")
-        self.method, self.target, minor = said.groups()
+        self.method, self.target, minor = match.groups()
         if self.method in (b"HEAD", b"CONNECT", b"TRACE"):  # their responses are framed differently
             raise Malformed(501, "method not taken")
         self.close = minor == b"0"
@@ -236,25 +245,25 @@
     read = staticmethod(lru_cache(256)(read_head))
 
     def start_line(self, line: bytes) -> None:
-        said = STATUS_LINE(line)
-        if not said:
+        match = STATUS_LINE(line)
+        if not match:
             raise Malformed(502, "bad status line")
-        self.status, self.close = int(said[2]), said[1] == b"0"
+        self.status, self.close = int(match[2]), match[1] == b"0"
 
-    def bodiless(self) -> bool:
+    def never_has_body(self) -> bool:
         return self.status < 200 or self.status in (204, 304)
 
-    def frame(self) -> None:
-        super().frame()
+    def read_framing(self) -> None:
+        super().read_framing()
         if self.status < 200:  # interim response; the final one follows
             self.state = Receiver.head
 
-    def unframed(self) -> None:
+    def length_missing(self) -> None:
         # Its end would be that of the connection, so a truncated body would seem complete.
         raise Malformed(502, "response without a length")
 
 
-def answer(status: int, body: bytes = b"", extra: str = "", close: bool = False) -> bytes:
+def format_response(status: int, body: bytes = b"", extra: str = "", close: bool = False) -> bytes:
     """Formats a response; `extra` holds complete header lines."""
     end = "Connection: close\r\n\r\n" if close else "\r\n"
     first = f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\n"
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -14,12 +14,12 @@
 from loomstand.config.limiter import BackendList, LimiterConfig, engine_settings, parse_host_port
 from loomstand.limiter import http_parser
 from loomstand.limiter.client_connection import Client, ClientListener
-from loomstand.limiter.counter import Counter
+from loomstand.limiter.counter import CounterClient
 from loomstand.limiter.discovery import Watch
 from loomstand.limiter.event_loop import Turns
 from loomstand.limiter.gateway_core import GatewayCore
 from loomstand.limiter.log import Log
-from loomstand.limiter.request import AccountRequest, Attempt, Names
+from loomstand.limiter.request import AccountRequest, Attempt, NameLookup
 from loomstand.limiter.upstream import ConnectionPool
 
 PHASES = {
@@ -27,7 +27,7 @@
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
 }
-LINGER = 0.7  # s; protocol: requests sent later than this after SIGTERM may be refused
+LINGER_SECONDS = 0.7  # protocol: requests sent later than this after SIGTERM may be refused
 FIXED_SOCKETS = 16  # standard streams, event loop, listener, counter, discovery and some open files
 
 
@@ -35,45 +35,52 @@
     """A stand-alone limiter process. `run` serves until `stop` has completed."""
 
     def __init__(self, config: LimiterConfig, turns: Turns | None = None) -> None:
-        conf, limits = config.settings, config.limits
+        settings, limits = config.settings, config.limits
         self.config = config
         super().__init__(Log(config.name), turns, limits.memory_mb, limits.sockets - FIXED_SOCKETS)
-        self.halls, self.kinds, self.servers = (
-            NameIndex(conf.zones),
-            NameIndex(conf.server_kinds),
+        self.zones, self.kinds, self.servers = (
+            NameIndex(settings.zones),
+            NameIndex(settings.server_kinds),
             NameIndex(),
         )
-        self.settings = engine_settings(conf, self.halls.index_of(conf.zone))
+        self.settings = engine_settings(settings, self.zones.index_of(settings.zone))
         # The process started at least its CPU time ago and has admitted nothing since.
         started = self.now() - int(time.process_time() * 10_000)
-        names = ([f.name for f in conf.frontends], [p.name for p in conf.plans], conf.zones)
+        names = (
+            [f.name for f in settings.frontends],
+            [p.name for p in settings.plans],
+            settings.zones,
+        )
         self.guide = None
         if config.zone_plan:
             from loomstand.failover.engine_view import Guide
 
             self.guide = Guide(config.zone_plan, self.settings, names, started)
         self.engine = DecisionEngine(self.settings, config.random_seed, started, self.guide)
-        self.names = Names(
-            [f.name for f in conf.frontends], [p.name for p in conf.plans], self.settings
+        self.names = NameLookup(
+            [f.name for f in settings.frontends], [p.name for p in settings.plans], self.settings
         )
-        within, idle = (
-            conf.allowed_actions.connect_timeout_ms / 1000,
-            conf.allowed_actions.idle_timeout_ms / 1000,
+        connect_timeout, idle_timeout = (
+            settings.allowed_actions.connect_timeout_ms / 1000,
+            settings.allowed_actions.idle_timeout_ms / 1000,
         )
         self.listener, self.pool = (
             ClientListener(self, self.spare, limits.sockets),
-            ConnectionPool(self, within, idle),
+            ConnectionPool(self, connect_timeout, idle_timeout),
         )
-        self.counter: Counter | None = None
-        if config.counter_address and conf.counter.has_counter:
-            self.counter = Counter(
-                self, config.counter_address, conf.counter.call_timeout_ms / 1000, within
+        self.counter: CounterClient | None = None
+        if config.counter_address and settings.counter.has_counter:
+            self.counter = CounterClient(
+                self,
+                config.counter_address,
+                settings.counter.call_timeout_ms / 1000,
+                connect_timeout,
             )
         self.watch = Watch(
             self,
             config.discovery_address,
             config.initial_backends.revision,
-            within,
+            connect_timeout,
             config.random_seed,
         )
         self.peers = None
@@ -96,7 +103,7 @@
                 known,
                 config.random_seed,
             )
-        self.patience = max(f.client_timeout_ms for f in conf.frontends) / 1000
+        self.patience = max(f.client_timeout_ms for f in settings.frontends) / 1000
 
     # lifecycle
 
@@ -119,7 +126,7 @@
         await self.stopped.wait()
 
     def linger_seconds(self) -> float:
-        return LINGER
+        return LINGER_SECONDS
 
     def attempt_limit(self, request: AccountRequest) -> int:
         return self.settings.attempt_limit
@@ -135,42 +142,42 @@
         """
         old, self.config = self.config, config
         if config.discovery_address != old.discovery_address:
-            self.watch.move(config.discovery_address)
+            self.watch.set_address(config.discovery_address)
         if (
             self.counter
             and config.counter_address
             and config.counter_address != old.counter_address
         ):
-            self.counter.move(config.counter_address)
+            self.counter.set_address(config.counter_address)
         fixed = ["name", "listen_address", "limits", "settings"]
         if self.guide and config.zone_plan:
             self.guide.take(config.zone_plan)
         else:
             fixed.append("zone_plan")
-        kept = [f for f in fixed if getattr(config, f) != getattr(old, f)]
-        rest = f"; {', '.join(kept)}: only at the next start" if kept else ""
+        deferred = [f for f in fixed if getattr(config, f) != getattr(old, f)]
+        suffix = f"; {', '.join(deferred)}: only at the next start" if deferred else ""
         where = f"discovery at {config.discovery_address}, counter at {config.counter_address}"
-        self.log(f"read its configuration again: {where}{rest}")
+        self.log(f"read its configuration again: {where}{suffix}")
 
     def stop(self) -> None:
         if not self.listener.stopping and self.peers is not None:
             self.peers.leave()
         super().stop()
 
-    def left(self) -> None:
+    def on_stopped(self) -> None:
         self.watch.stop()
         if self.peers is not None:
             self.peers.stop()
 
     # discovery and peers
 
-    def told(self, list_: BackendList) -> None:
+    def list_received(self, list_: BackendList) -> None:
         """Handles a list or change from discovery itself, and shares it with the peers."""
         if self.peers is not None:
             self.peers.from_discovery(list_)
         self.listed(list_)
 
-    def beat(self) -> None:
+    def heartbeat_received(self) -> None:
         """Notes a heartbeat of discovery: the known list is current."""
         if self.peers is not None:
             self.peers.beat()
@@ -190,12 +197,12 @@
                 endpoint_id,
                 None if phase is EndpointState.GONE else parse_host_port(m.address, "host_port"),
             )
-            hall, kind = self.halls.index_of(m.zone), self.kinds.index_of(m.kind)
+            zone, kind = self.zones.index_of(m.zone), self.kinds.index_of(m.kind)
             entries.append(
                 Endpoint(
                     endpoint_id,
                     phase,
-                    hall,
+                    zone,
                     kind,
                     m.pod,
                     m.capacity_hint,
@@ -210,7 +217,7 @@
     # clients
 
     def request_received(
-        self, client: Client, machine: http_parser.RequestReceiver, at: float
+        self, client: Client, machine: http_parser.RequestReceiver, arrived_at: float
     ) -> None:
         """Validates a received request and passes it to the decision engine.
 
@@ -224,13 +231,13 @@
         timeout = min(
             10 * request.timeout, self.settings.frontends[request.frontend].client_timeout
         )
-        self.track_request(request, client, timeout, at)
-        who, turn = (
+        self.track_request(request, client, timeout, arrived_at)
+        customer, call_terms = (
             (request.plan, *request.customer),
             (request.units, request.set_size, request.retry, request.first),
         )
         self.handle_event(
-            RequestArrived(request.id, request.frontend, *who, request.deadline, *turn)
+            RequestArrived(request.id, request.frontend, *customer, request.deadline, *call_terms)
         )
 
     # servers
@@ -249,26 +256,28 @@
 
     # decision engine
 
-    def reject_request(self, act: Reject) -> None:
-        request = self.requests.get(act.request_id)
+    def reject_request(self, action: Reject) -> None:
+        request = self.requests.get(action.request_id)
         if request is not None and request.client is not None:
             self.answer(
                 request,
                 429,
-                extra=f"Retry-After: {act.retry_after / 10_000:.3f}\r\n" if act.retry_after else "",
+                extra=f"Retry-After: {action.retry_after / 10_000:.3f}\r\n"
+                if action.retry_after
+                else "",
             )
             self.forget_request(request)
 
-    def abort(self, act: Abort) -> None:
-        request = self.requests.get(act.request_id)
+    def abort(self, action: Abort) -> None:
+        request = self.requests.get(action.request_id)
         if request is not None and request.client is not None:
             self.answer(request, 502)
             self.forget_request(request)
 
-    def increment_counter(self, act: IncrementCounter) -> None:
+    def increment_counter(self, action: IncrementCounter) -> None:
         if self.counter is None:
             self.loop.call_soon(
-                self.counter_replied, act.counter_name, Outcome.CONNECT_FAILED, 0.0, 0
+                self.counter_replied, action.counter_name, Outcome.CONNECT_FAILED, 0.0, 0
             )
         else:
-            self.counter.call(act)
+            self.counter.call(action)
--- a/loomstand/limiter/log.py
+++ b/loomstand/limiter/log.py
@@ -6,8 +6,8 @@
 import time
 from contextlib import suppress
 
-BURST = 50  # lines
-PER_S = 10  # lines per second after a burst
+BURST_LINES = 50
+LINES_PER_SECOND = 10  # after a burst
 
 
 class Log:
@@ -15,16 +15,19 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.left, self.at, self.kept = float(BURST), time.monotonic(), 0
+        self.tokens, self.refilled_at, self.suppressed = float(BURST_LINES), time.monotonic(), 0
 
     def __call__(self, text: str) -> None:
         now = time.monotonic()
-        self.left, self.at = min(BURST, self.left + PER_S * (now - self.at)), now
-        if self.left < 1:
-            self.kept += 1
+        self.tokens, self.refilled_at = (
+            min(BURST_LINES, self.tokens + LINES_PER_SECOND * (now - self.refilled_at)),
+            now,
+        )
+        if self.tokens < 1:
+            self.suppressed += 1
             return
-        self.left -= 1
-        more = f" ({self.kept} lines kept back)" if self.kept else ""
-        self.kept = 0
+        self.tokens -= 1
+        suffix = f" ({self.suppressed} lines kept back)" if self.suppressed else ""
+        self.suppressed = 0
         with suppress(OSError, ValueError):  # standard error is closed: continue to serve
-            print(f"{self.name}: {text}{more}", file=sys.stderr, flush=True)
+            print(f"{self.name}: {text}{suffix}", file=sys.stderr, flush=True)
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -17,7 +17,7 @@
 AttemptT_contra = TypeVar("AttemptT_contra", contravariant=True)
 
 
-class Clock(Protocol):
+class ArrivalClock(Protocol):
     """Bounds the arrival time of received bytes; see `event_loop.Turns`."""
 
     @property
@@ -26,10 +26,10 @@
     @property
     def count(self) -> int: ...
 
-    def came(self, made: int, made_at: float) -> float: ...
+    def came(self, opened_iteration: int, opened_at: float) -> float: ...
 
 
-class Host(Protocol):
+class Owner(Protocol):
     """What every component needs: event loop, memory budget and counts of connection endings."""
 
     loop: asyncio.AbstractEventLoop
@@ -37,23 +37,23 @@
     endings: Tally[str]
 
 
-class Told(Host, Protocol):
+class WatchOwner(Owner, Protocol):
     """What the discovery watch needs of the limiter."""
 
     def log(self, text: str) -> None: ...
 
-    def told(self, list_: BackendList) -> None: ...
+    def list_received(self, list_: BackendList) -> None: ...
 
-    def beat(self) -> None: ...
+    def heartbeat_received(self) -> None: ...
 
 
-class Counts(Host, Protocol):
+class CounterOwner(Owner, Protocol):
     """What the counter client needs of the limiter."""
 
-    def counter_replied(self, name: int, outcome: Outcome, total: float, took: int) -> None: ...
+    def counter_replied(self, name: int, outcome: Outcome, total: float, elapsed: int) -> None: ...
 
 
-class Bounded(Host, Protocol):
+class ConnectionOwner(Owner, Protocol):
     """What components with many connections need of the limiter."""
 
     most_answer: int
@@ -63,7 +63,7 @@
     def make_room(self, spared: Asker | None = None) -> bool: ...
 
 
-class Sends(Bounded, Protocol[AttemptT_contra]):
+class Sends(ConnectionOwner, Protocol[AttemptT_contra]):
     """What the connection pool to servers needs of the limiter."""
 
     def now(self) -> int: ...
@@ -73,13 +73,13 @@
     ) -> None: ...
 
 
-class Takes(Bounded, Protocol):
+class ListenerOwner(ConnectionOwner, Protocol):
     """What the client listener needs of the limiter."""
 
     is_ready: bool
 
     @property
-    def turns(self) -> Clock: ...
+    def turns(self) -> ArrivalClock: ...
 
     def request_received(
         self, client: Asker, machine: http_parser.RequestReceiver, at: float
@@ -92,7 +92,7 @@
 class Asker(Protocol):
     """A client connection, as seen by a request and the limiter."""
 
-    request: Asked | None
+    request: TrackedRequest | None
 
     def answer(
         self, status: int, body: bytes = b"", extra: str = "", close: bool = False
@@ -101,13 +101,13 @@
     def next(self) -> None: ...
 
 
-class Asked(Protocol):
+class TrackedRequest(Protocol):
     """A request, as seen by its client connection."""
 
     client: Asker | None
 
 
-class Carrier(Protocol):
+class AttemptConnection(Protocol):
     """A connection to a server, as seen by an attempt."""
 
     attempt: Any
--- a/loomstand/limiter/request.py
+++ b/loomstand/limiter/request.py
@@ -11,7 +11,7 @@
 from loomstand.admission.identifiers import stable_digest
 from loomstand.admission.settings import EngineSettings
 from loomstand.limiter.http_parser import Malformed, RequestReceiver, number
-from loomstand.limiter.protocols import Asker, Carrier
+from loomstand.limiter.protocols import Asker, AttemptConnection
 
 ACCOUNT = re.compile(rb"[?&]account=([0-9a-fA-F]{16})(?:&|$)").search
 DECIMAL = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?").fullmatch
@@ -30,13 +30,13 @@
 OWN_FIELDS = HOP_FIELDS | {b"request-timeout-ms"}
 
 
-class Names:
+class NameLookup:
     """Resolves names and terms of a request against the settings."""
 
-    def __init__(self, frontends: list[str], plans: list[str], told: EngineSettings) -> None:
+    def __init__(self, frontends: list[str], plans: list[str], settings: EngineSettings) -> None:
         self.frontends = {name.encode(): n for n, name in enumerate(frontends)}
         self.plans = {name.encode(): n for n, name in enumerate(plans)}
-        self.told = told
+        self.settings = settings
         # Bounded caches: few distinct X-Call-Terms values occur, and many customers send several
         # requests within a short time.
         self.terms, self.customer = lru_cache(1 << 8)(self.terms), lru_cache(1 << 10)(self.customer)
@@ -48,9 +48,9 @@
         spread, first = pairs.get(b"spread", b"0"), pairs.get(b"first", b"0")
         if not DECIMAL(units) or not number(spread) or not number(first):
             raise Malformed(400, "bad X-Call-Terms")
-        if not 0 < float(units) <= self.told.max_request_units:
+        if not 0 < float(units) <= self.settings.max_request_units:
             raise Malformed(400, "X-Call-Terms: units out of the settings' range")
-        if int(spread) > self.told.limiter_count or int(first) >= self.told.limiter_count:
+        if int(spread) > self.settings.limiter_count or int(first) >= self.settings.limiter_count:
             raise Malformed(400, "X-Call-Terms: a set out of range")
         return float(units), int(spread), int(first)
 
@@ -88,19 +88,17 @@
         self.attempts: list[Attempt[Any] | None] = []
         self.is_abandoned = False  # whether its client disconnected before the answer
 
-    def onward(self, left_out: Container[bytes]) -> bytes:
-        """Returns the forwarded head without its final empty line; omits the fields `left_out`."""
+    def onward(self, omitted: Container[bytes]) -> bytes:
+        """Returns the forwarded head without its final empty line; omits the fields `omitted`."""
         if not self.head:
-            lines = [
-                b"%b: %b\r\n" % pair for pair in self.fields.items() if pair[0] not in left_out
-            ]
+            lines = [b"%b: %b\r\n" % pair for pair in self.fields.items() if pair[0] not in omitted]
             if self.body or self.line[0] != b"GET":
                 lines.append(b"content-length: %d\r\n" % len(self.body))
             self.head = b"%b %b HTTP/1.1\r\n%b" % (*self.line, b"".join(lines))
         return self.head
 
-    def raw(self, wait: int) -> bytes:
-        """Returns the bytes for a server; `wait` is the response time-out in ms."""
+    def raw(self, timeout_ms: int) -> bytes:
+        """Returns the bytes for a server; `timeout_ms` is the response time-out in ms."""
         raise NotImplementedError
 
 
@@ -109,7 +107,7 @@
 
     __slots__ = ("customer", "first", "frontend", "plan", "retry", "set_size", "timeout", "units")
 
-    def __init__(self, machine: RequestReceiver, names: Names) -> None:
+    def __init__(self, machine: RequestReceiver, names: NameLookup) -> None:
         """Validates the request.
 
         Raises:
@@ -117,8 +115,8 @@
         """
         super().__init__(machine)
         fields, target = machine.fields, machine.target
-        wait, account = fields.get(b"request-timeout-ms", b""), ACCOUNT(target)
-        if not fields.get(b"request-id") or not number(wait) or not account:
+        timeout_ms, account = fields.get(b"request-timeout-ms", b""), ACCOUNT(target)
+        if not fields.get(b"request-id") or not number(timeout_ms) or not account:
             raise Malformed(400, "a req needs Request-Id, Request-Timeout-Ms and an account")
         name = fields.get(b"request-class") or target[1:].partition(b"?")[0].partition(b"/")[0]
         self.frontend = names.frontends.get(name, -1)
@@ -130,10 +128,14 @@
             raise Malformed(400, "no such plan")
         self.units, self.set_size, self.first = names.terms(fields.get(b"x-call-terms", b""))
         self.customer = names.customer(account[1])
-        self.timeout, self.retry = int(wait), fields.get(b"client-retry") == b"1"
+        self.timeout, self.retry = int(timeout_ms), fields.get(b"client-retry") == b"1"
 
-    def raw(self, wait: int) -> bytes:
-        return b"%brequest-timeout-ms: %d\r\n\r\n%b" % (self.onward(OWN_FIELDS), wait, self.body)
+    def raw(self, timeout_ms: int) -> bytes:
+        return b"%brequest-timeout-ms: %d\r\n\r\n%b" % (
+            self.onward(OWN_FIELDS),
+            timeout_ms,
+            self.body,
+        )
 
 
 class Attempt(Generic[RequestT]):
@@ -151,9 +153,9 @@
             sent_at,
             expires_at,
         )
-        self.connection: Carrier | None = None
+        self.connection: AttemptConnection | None = None
         self.timer: TimerHandle | None = None
 
-    def raw(self, wait: int) -> bytes:
-        """Returns the bytes for the server; `wait` is the response time-out in ms."""
-        return self.request.raw(wait)
+    def raw(self, timeout_ms: int) -> bytes:
+        """Returns the bytes for the server; `timeout_ms` is the response time-out in ms."""
+        return self.request.raw(timeout_ms)
--- a/loomstand/limiter/upstream.py
+++ b/loomstand/limiter/upstream.py
@@ -8,7 +8,7 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.ticks import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 from loomstand.limiter import event_loop, http_parser
-from loomstand.limiter.endings import Ending, answered, outcome
+from loomstand.limiter.endings import Ending, outcome, response_outcome
 from loomstand.limiter.event_loop import Wire
 from loomstand.limiter.protocols import Sends
 from loomstand.limiter.request import Attempt, RequestT
@@ -47,7 +47,9 @@
         self.endpoint_id = endpoint_id
         self.sent = False
         self.machine = http_parser.ResponseReceiver(pool.limiter.most_answer)
-        self.wire = Wire(self, pool.limiter.room, pool.limiter.most_answer + http_parser.MOST_HEAD)
+        self.wire = Wire(
+            self, pool.limiter.room, pool.limiter.most_answer + http_parser.MAX_HEAD_BYTES
+        )
         self.attempt: Attempt[RequestT] | None = None
         self.idle_at = 0.0
         self.idle_timeout_seconds = inf
@@ -90,7 +92,7 @@
         used = fields.get(b"x-ratelimit-used", b"")
         metered = int(used) + 1 if http_parser.number(used) else 0
         self.pool.limiter.attempt_ended(
-            attempt, answered(status, fields.get(b"not-started") == b"1"), metered, body
+            attempt, response_outcome(status, fields.get(b"not-started") == b"1"), metered, body
         )
 
     def finish_response(self, close: bool) -> None:
--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -36,7 +36,7 @@
 
 from loomstand.admission.actions import IncrementCounter
 from loomstand.admission.outcome import Outcome
-from loomstand.limiter.buffers import FIRST, Ring
+from loomstand.limiter.buffers import INITIAL_RING_BYTES, Ring
 from loomstand.limiter.discovery import Watch
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Turns, Untimed, Wire, connect
@@ -105,7 +105,9 @@
         got = [await caller.ask(request("book", f"r{n}")) for n in range(5)]
         assert [g[0] for g in got] == [200, 200, 200, 502, 502]
         assert [len(g[2]) for g in got] == [*sizes[:3], 0, 0] and site.servers[0].connections == 2
-        assert site.limiter.room.left >= (96 << 20) - 4 * FIRST  # and no ring buffer stays large
+        assert (
+            site.limiter.room.left >= (96 << 20) - 4 * INITIAL_RING_BYTES
+        )  # and no ring buffer stays large
 
 
 @sockets
@@ -292,7 +294,7 @@
             assert await caller.closed()
             caller.writer.close()
             await until(lambda: not site.limiter.listener.clients)
-            assert site.limiter.room.left >= (96 << 20) - FIRST  # discovery's ring
+            assert site.limiter.room.left >= (96 << 20) - INITIAL_RING_BYTES  # discovery's ring
         else:
             assert (await caller.ask(request()))[0] == 200
 
@@ -490,7 +492,7 @@
 
     async with Site(counter=play) as site:
         got = []
-        site.limiter.counter.patience = 1.0
+        site.limiter.counter.silence_timeout = 1.0
         site.limiter.counter_replied = lambda *said: got.append(said[:3])
         for n in range(3):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
@@ -549,7 +551,7 @@
     async with Site(counter=silent) as site:
         counter, got = site.limiter.counter, []
         site.limiter.counter_replied = lambda *said: got.append(said[1])
-        counter.timeout, counter.patience = 0.01, 0.02
+        counter.timeout, counter.silence_timeout = 0.01, 0.02
         for n in range(30):
             counter.call(IncrementCounter(n, 1.0, 10_000))
             await asyncio.sleep(0.02)
@@ -562,7 +564,7 @@
     slow = lambda n, head, body: asyncio.sleep(0.2, said(200))  # noqa: E731
     async with Site(slow, counter=counter) as site, Caller(site.port) as caller:
         limiter, got = site.limiter, []
-        await until(lambda: site.discovery.open and limiter.counter.line is None)
+        await until(lambda: site.discovery.open and limiter.counter.connection is None)
         limiter.counter_replied = lambda *said: got.append(said[:3])
         caller.writer.write(request())
         limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
@@ -574,7 +576,7 @@
         }
         for _ in range(2):  # the second reload changes nothing
             limiter.reload(msgspec.structs.replace(limiter.config, **places))
-        assert limiter.counter.line is None or not limiter.counter.line.up
+        assert limiter.counter.connection is None or not limiter.counter.connection.is_open
         # The old connection's response arrives while the new one connects.
         limiter.counter.call(IncrementCounter(2, 1.0, 10_000))
         await until(lambda: len(got) >= 2 and agent.heads and not site.discovery.open)
@@ -594,7 +596,7 @@
         site.limiter.counter_replied = lambda *said: got.append(said[1])
         site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))  # still connecting
         other = Peer(site.counter.play)
-        site.limiter.counter.move((HOST, await other.start()))
+        site.limiter.counter.set_address((HOST, await other.start()))
         await until(lambda: got)
         assert got == [Outcome.SUCCEEDED] and len(other.heads) == 1 and not site.counter.heads
         other.stop()
@@ -611,7 +613,7 @@
         discovery.cut()
         await until(lambda: len(discovery.heads) == 2)
         assert b"index=6 " in discovery.heads[1]
-        limiter.watch.heard_at -= 60
+        limiter.watch.last_received_at -= 60
         limiter.watch.sweep()
         await until(lambda: len(discovery.heads) == 3)
         await until(lambda: discovery.open)
@@ -633,14 +635,14 @@
 
 @sockets
 async def test_a_stopping_limiter_serves_until_no_request_is_pending(monkeypatch):
-    monkeypatch.setattr("loomstand.limiter.limiter.LINGER", 0.2)
+    monkeypatch.setattr("loomstand.limiter.limiter.LINGER_SECONDS", 0.2)
     slow = lambda n, head, body: asyncio.sleep(0.4, said(200))  # noqa: E731
     async with Site(slow) as site, Caller(site.port) as busy, Caller(site.port) as idle:
         busy.writer.write(request())
         await until(lambda: site.servers[0].heads)
         site.limiter.stop()
         assert await idle.closed()
-        async with Caller(site.port) as late:  # new connections are accepted for `LINGER`
+        async with Caller(site.port) as late:  # new connections are accepted for `LINGER_SECONDS`
             status, head, _ = await late.ask(request(id_="r2"))
             assert status == 200 and b"connection: close" in head.lower()
         status, head, _ = await busy.answer()
--- a/tests/limiter/test_parsers.py
+++ b/tests/limiter/test_parsers.py
@@ -13,12 +13,18 @@
 from loomstand.admission.settings import Effect
 from loomstand.config.limiter import LimiterConfigError, parse_limiter_config
 from loomstand.config.limiter import engine_settings as translated
-from loomstand.limiter.buffers import FIRST, Ring, Room
-from loomstand.limiter.endings import KEPT_HERE, Ending, answered, call_outcome, outcome
+from loomstand.limiter.buffers import INITIAL_RING_BYTES, Ring, Room
+from loomstand.limiter.endings import (
+    LOCAL_FAILURES,
+    Ending,
+    counter_call_outcome,
+    outcome,
+    response_outcome,
+)
 from loomstand.limiter.http_parser import (
-    MOST_BODY,
-    MOST_HEAD,
-    MOST_RING,
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_MESSAGE_BYTES,
     Malformed,
     RequestReceiver,
     ResponseReceiver,
@@ -31,8 +37,8 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.binary(max_size=3000)), max_size=40))
 def test_a_ring_keeps_bytes_in_order_and_within_its_budget(steps):
-    room = Room(3 * FIRST)
-    ring, model = Ring(room, 2 * FIRST), b""
+    room = Room(3 * INITIAL_RING_BYTES)
+    ring, model = Ring(room, 2 * INITIAL_RING_BYTES), b""
     for fill, data in steps:
         if fill:
             space = ring.space()
@@ -45,16 +51,18 @@
         else:
             assert ring.take(len(data)) == model[: len(data)]
             model = model[len(data) :]
-        assert ring.peek() == model and len(ring) == len(model) <= ring.size <= 2 * FIRST
-        assert room.left == 3 * FIRST - ring.size
+        assert (
+            ring.peek() == model and len(ring) == len(model) <= ring.size <= 2 * INITIAL_RING_BYTES
+        )
+        assert room.left == 3 * INITIAL_RING_BYTES - ring.size
         assert ring.find(b"\0\0") == model.find(b"\0\0")
     ring.close()
-    assert room.left == 3 * FIRST
+    assert room.left == 3 * INITIAL_RING_BYTES
 
 
 def fed(machine, pieces):
     """Feeds a parser; returns complete messages as (start, fields, body, close)."""
-    ring, got = Ring(Room(1 << 20), MOST_RING), []
+    ring, got = Ring(Room(1 << 20), MAX_MESSAGE_BYTES), []
     for piece in pieces:
         while piece:
             space = ring.space()
@@ -161,10 +169,10 @@
         (HEAD + b"Transfer-Encoding: gzip\r\n\r\n", 501),
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n", 400),
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", 400),
-        (HEAD + b"Content-Length: %d\r\n\r\n" % (MOST_BODY + 1), 413),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % (MOST_BODY + 1), 413),
-        (HEAD + b"a: %b\r\n\r\n" % (b"x" * MOST_HEAD), 431),
-        (b"x" * (MOST_HEAD + 1), 431),
+        (HEAD + b"Content-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), 413),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % (MAX_BODY_BYTES + 1), 413),
+        (HEAD + b"a: %b\r\n\r\n" % (b"x" * MAX_HEAD_BYTES), 431),
+        (b"x" * (MAX_HEAD_BYTES + 1), 431),
     ],
 )
 def test_bad_requests_get_their_status(raw, status):
@@ -196,16 +204,16 @@
     proven = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.REJECTED}
     assert outcome(ending, False) in proven and outcome(ending, True) not in proven
     # A local failure doesn't count against the server.
-    assert (outcome(ending, False) is Outcome.NOT_SENT) == (ending in KEPT_HERE)
+    assert (outcome(ending, False) is Outcome.NOT_SENT) == (ending in LOCAL_FAILURES)
     # The counter may have applied any call that was written.
-    assert call_outcome(ending, True) is Outcome.NO_RESPONSE
-    assert call_outcome(ending, False) is Outcome.CONNECT_FAILED
+    assert counter_call_outcome(ending, True) is Outcome.NO_RESPONSE
+    assert counter_call_outcome(ending, False) is Outcome.CONNECT_FAILED
 
 
 def test_only_a_503_or_504_with_not_started_is_rejected():
-    assert answered(503, True) is answered(504, True) is Outcome.REJECTED
-    assert answered(200, True) is Outcome.SUCCEEDED
-    assert {answered(s, n) for s, n in ((503, False), (500, True), (404, False))} == {
+    assert response_outcome(503, True) is response_outcome(504, True) is Outcome.REJECTED
+    assert response_outcome(200, True) is Outcome.SUCCEEDED
+    assert {response_outcome(s, n) for s, n in ((503, False), (500, True), (404, False))} == {
         Outcome.SERVER_ERROR
     }
 
