--- a/loomstand/limiter/buffers.py
+++ b/loomstand/limiter/buffers.py
@@ -5,33 +5,33 @@
 INITIAL_RING_BYTES = 2048  # fits a typical request head or small response without growing
 
 
-class Room:
+class MemoryBudget:
     """Memory budget in bytes, shared by all ring buffers and request bodies of a limiter."""
 
     def __init__(self, total: int) -> None:
-        self.left = total
+        self.available = total
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Reserves `size` bytes; returns False, with no effect, if fewer are available."""
-        if size > self.left:
+        if size > self.available:
             return False
-        self.left -= size
+        self.available -= size
         return True
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Returns `size` reserved bytes to the budget."""
-        self.left += size
+        self.available += size
 
 
 class Ring:
     """FIFO ring buffer of bytes that grows up to `most` bytes, within the memory budget."""
 
-    __slots__ = ("buf", "head", "most", "room", "size", "used")
+    __slots__ = ("buf", "head", "memory_budget", "most", "size", "used")
 
-    def __init__(self, room: Room, most: int) -> None:
+    def __init__(self, memory_budget: MemoryBudget, most: int) -> None:
         self.buf, self.size = bytearray(), 0
         self.head = self.used = 0
-        self.room, self.most = room, most
+        self.memory_budget, self.most = memory_budget, most
 
     def __len__(self) -> int:
         return self.used
@@ -41,7 +41,7 @@
         if needed <= self.size:
             return True
         size = min(self.most, max(INITIAL_RING_BYTES, 1 << (needed - 1).bit_length()))
-        if size < needed or not self.room.take(size - self.size):
+        if size < needed or not self.memory_budget.reserve(size - self.size):
             return False
         data = self.peek()
         self.buf = bytearray(size)
@@ -118,5 +118,5 @@
 
     def close(self) -> None:
         """Discards the content and returns the memory to the budget."""
-        self.room.give(self.size)
+        self.memory_budget.release(self.size)
         self.buf, self.size, self.head, self.used = bytearray(), 0, 0, 0
--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -36,7 +36,7 @@
         most = listener.max_body_bytes + listener.max_header_bytes
         self.wire = Wire(
             self,
-            listener.limiter.room,
+            listener.limiter.memory_budget,
             most,
             listener.limiter.most_answer + http_parser.MAX_HEAD_BYTES,
         )
--- a/loomstand/limiter/counter.py
+++ b/loomstand/limiter/counter.py
@@ -34,7 +34,7 @@
     def __init__(self, counter: CounterClient) -> None:
         self.client, self.is_open = counter, False
         self.machine = http_parser.ResponseReceiver()
-        self.wire = Wire(self, counter.limiter.room, http_parser.MAX_MESSAGE_BYTES)
+        self.wire = Wire(self, counter.limiter.memory_budget, http_parser.MAX_MESSAGE_BYTES)
         self.calls: deque[Call] = deque()
         self.last_received_at = counter.limiter.loop.time()
 
--- a/loomstand/limiter/discovery.py
+++ b/loomstand/limiter/discovery.py
@@ -74,7 +74,7 @@
         if not self.stopped:
             self.timer = None
             self.machine = WatchReceiver(MAX_LINE_BYTES)
-            self.wire = Wire(self, self.limiter.room, http_parser.MAX_MESSAGE_BYTES)
+            self.wire = Wire(self, self.limiter.memory_budget, http_parser.MAX_MESSAGE_BYTES)
             self.last_received_at = self.limiter.loop.time()
             connect(self.limiter.loop, self.wire, self.address, self.connect_timeout)
 
--- a/loomstand/limiter/event_loop.py
+++ b/loomstand/limiter/event_loop.py
@@ -13,7 +13,7 @@
 from contextlib import suppress
 from typing import Protocol
 
-from loomstand.limiter.buffers import Ring, Room
+from loomstand.limiter.buffers import MemoryBudget, Ring
 from loomstand.limiter.endings import Ending
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a time-out of 0 s
@@ -94,11 +94,13 @@
         "write_paused",
     )
 
-    def __init__(self, user: object, room: Room, max_inbound: int, max_outbound: int = 0) -> None:
+    def __init__(
+        self, user: object, memory_budget: MemoryBudget, max_inbound: int, max_outbound: int = 0
+    ) -> None:
         self.user = user
         self.inbound, self.outbound = (
-            Ring(room, max_inbound),
-            Ring(room, max_outbound or max_inbound),
+            Ring(memory_budget, max_inbound),
+            Ring(memory_budget, max_outbound or max_inbound),
         )
         self.transport: asyncio.Transport | None = None
         self.ending: Ending | None = None
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -35,7 +35,7 @@
 from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.limiter import http_parser
 from loomstand.limiter.abandoned_requests import AbandonedRequests
-from loomstand.limiter.buffers import Room
+from loomstand.limiter.buffers import MemoryBudget
 from loomstand.limiter.client_connection import ClientListener
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Turns, Untimed
@@ -63,7 +63,7 @@
         log: Writes a log line.
         loop: The event loop.
         turns: Bounds the arrival time of the bytes being read.
-        room: Memory budget for buffers and bodies.
+        memory_budget: Memory budget for buffers and bodies.
         most_answer: Maximum size of a server's response in bytes.
         spare: Sockets reserved for new clients; as many are reserved for rejected ones.
         sockets: Sockets for all other connections.
@@ -98,8 +98,8 @@
         # Half of the memory is for buffers, the rest for code and engine state. A response may take
         # a 64th of the buffers, as servers send responses above the body limit of the protocol. A
         # tenth of the sockets is for clients being accepted, and as many for those being rejected.
-        self.room = Room(int(memory_mb * (1 << 20) / 2))
-        self.most_answer = max(http_parser.MAX_BODY_BYTES, self.room.left // 64)
+        self.memory_budget = MemoryBudget(int(memory_mb * (1 << 20) / 2))
+        self.most_answer = max(http_parser.MAX_BODY_BYTES, self.memory_budget.available // 64)
         self.spare = sockets // 10
         self.sockets = sockets - 2 * self.spare
         self.requests: dict[int, RequestT] = {}
@@ -369,7 +369,7 @@
             and not any(request.attempts)
             and self.requests.pop(request.id, None)
         ):
-            self.room.give(len(request.body))
+            self.memory_budget.release(len(request.body))
 
     def set_timer(self, action: SetTimer) -> None:
         """Schedules a timer event of the engine."""
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -225,7 +225,7 @@
             Malformed: The request is invalid.
         """
         request = AccountRequest(machine, self.names)
-        if not self.room.take(len(request.body)):
+        if not self.memory_budget.reserve(len(request.body)):
             client.answer(503)
             return
         timeout = min(
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -12,7 +12,7 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.config.limiter import BackendList
 from loomstand.limiter import http_parser
-from loomstand.limiter.buffers import Room
+from loomstand.limiter.buffers import MemoryBudget
 
 AttemptT_contra = TypeVar("AttemptT_contra", contravariant=True)
 
@@ -33,7 +33,7 @@
     """What every component needs: event loop, memory budget and counts of connection endings."""
 
     loop: asyncio.AbstractEventLoop
-    room: Room
+    memory_budget: MemoryBudget
     endings: Tally[str]
 
 
--- a/loomstand/limiter/upstream.py
+++ b/loomstand/limiter/upstream.py
@@ -48,7 +48,7 @@
         self.sent = False
         self.machine = http_parser.ResponseReceiver(pool.limiter.most_answer)
         self.wire = Wire(
-            self, pool.limiter.room, pool.limiter.most_answer + http_parser.MAX_HEAD_BYTES
+            self, pool.limiter.memory_budget, pool.limiter.most_answer + http_parser.MAX_HEAD_BYTES
         )
         self.attempt: Attempt[RequestT] | None = None
         self.idle_at = 0.0
--- a/loomstand/proxy/admission_adapter.py
+++ b/loomstand/proxy/admission_adapter.py
@@ -173,7 +173,7 @@
         if not has_credit:
             self._handle_missing_credit(request, digest, arrived_at, has_waited, now)
             return
-        if not self.room.take(len(request.body)):
+        if not self.memory_budget.reserve(len(request.body)):
             self._answer_retry(request, UNAVAILABLE, f"{MEMORY_RETRY_SECONDS}")
             return
         request.service = self._choose_service(table, request)
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -61,7 +61,9 @@
             streams: Makes connections where these are not by real sockets.
         """
         super().__init__(settings, rng, turns, streams)
-        self.client_limits = ClientLimitUpdates(self.listener, self.loop, self.room.left)
+        self.client_limits = ClientLimitUpdates(
+            self.listener, self.loop, self.memory_budget.available
+        )
         self.sessions = Sessions(settings, network, self.loop.time, rng, self)
         self.readiness = ReadinessEndpoint(lambda: self.is_ready, turns, streams)
         self.shared_clock = SharedClock()
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -13,7 +13,7 @@
 from absl import logging
 
 from loomstand.limiter import http_parser
-from loomstand.limiter.buffers import Room
+from loomstand.limiter.buffers import MemoryBudget
 from loomstand.limiter.client_connection import Client, ClientListener
 from loomstand.limiter.event_loop import Streams, Turns, Untimed
 from loomstand.limiter.protocols import Asker
@@ -67,7 +67,7 @@
         self.handler = handler
         self.loop = asyncio.get_running_loop()
         self.turns: Any = turns or Untimed()
-        self.room = Room(memory_bytes)
+        self.memory_budget = MemoryBudget(memory_bytes)
         self.endings = Counter[str]()
         self.most_answer = max_body_bytes
         self.is_ready = True
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -15,7 +15,7 @@
 
 from loomstand.admission.outcome import Outcome
 from loomstand.limiter import http_parser
-from loomstand.limiter.buffers import Ring, Room
+from loomstand.limiter.buffers import MemoryBudget, Ring
 from loomstand.limiter.endings import Ending
 from loomstand.proxy.request import ProxyAttempt, ProxyRequest
 from loomstand.proxy.upstream import UpstreamPool
@@ -97,7 +97,11 @@
         self.sky = SimNetwork(Random(1))
         self.cables = Cables(self.sky, Random(2))
         self.loop = asyncio.get_running_loop()
-        self.room, self.endings, self.most_answer = Room(1 << 22), Tally[str](), 1 << 16
+        self.memory_budget, self.endings, self.most_answer = (
+            MemoryBudget(1 << 22),
+            Tally[str](),
+            1 << 16,
+        )
         self.life, self.mine = Life(), Life()
         self.plays: list[list[Any]] = []
         self.early = False
@@ -142,7 +146,7 @@
             self.bodies[id_] = attempt.request.server_response
 
     def request(self, id_: str, body: bytes = b"", idempotent: bool = False) -> ProxyRequest:
-        machine, ring = http_parser.RequestReceiver(1 << 20), Ring(self.room, 1 << 21)
+        machine, ring = http_parser.RequestReceiver(1 << 20), Ring(self.memory_budget, 1 << 21)
         head = f"POST /x HTTP/1.1\r\nHost: h\r\nLoomstand-Request-Id: {id_}\r\n"
         head += f"Content-Length: {len(body)}\r\n"
         ring.put(head.encode() + b"\r\n" + body)
--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -90,7 +90,7 @@
         )
         wait = next(int(f.split()[1]) for f in fields if f.startswith(b"request-timeout-ms"))
         assert 900 < wait <= 1000
-        assert not site.limiter.requests and site.limiter.room.left > 90 << 20
+        assert not site.limiter.requests and site.limiter.memory_budget.available > 90 << 20
 
 
 @sockets
@@ -106,7 +106,7 @@
         assert [g[0] for g in got] == [200, 200, 200, 502, 502]
         assert [len(g[2]) for g in got] == [*sizes[:3], 0, 0] and site.servers[0].connections == 2
         assert (
-            site.limiter.room.left >= (96 << 20) - 4 * INITIAL_RING_BYTES
+            site.limiter.memory_budget.available >= (96 << 20) - 4 * INITIAL_RING_BYTES
         )  # and no ring buffer stays large
 
 
@@ -177,7 +177,7 @@
         port = full.sockets[0].getsockname()[1]
         full.sockets[0]._sock.listen(0)
         hold = [await asyncio.open_connection(HOST, port)]
-        wire = Wire(User(), site.limiter.room, 1 << 16)
+        wire = Wire(User(), site.limiter.memory_budget, 1 << 16)
         connect(loop, wire, (HOST, port), 0.1)
         await until(lambda: ended)
         assert ended == [Ending.SILENT_CONNECT]
@@ -294,7 +294,9 @@
             assert await caller.closed()
             caller.writer.close()
             await until(lambda: not site.limiter.listener.clients)
-            assert site.limiter.room.left >= (96 << 20) - INITIAL_RING_BYTES  # discovery's ring
+            assert (
+                site.limiter.memory_budget.available >= (96 << 20) - INITIAL_RING_BYTES
+            )  # discovery's ring
         else:
             assert (await caller.ask(request()))[0] == 200
 
--- a/tests/limiter/test_parsers.py
+++ b/tests/limiter/test_parsers.py
@@ -13,7 +13,7 @@
 from loomstand.admission.settings import Effect
 from loomstand.config.limiter import LimiterConfigError, parse_limiter_config
 from loomstand.config.limiter import engine_settings as translated
-from loomstand.limiter.buffers import INITIAL_RING_BYTES, Ring, Room
+from loomstand.limiter.buffers import INITIAL_RING_BYTES, MemoryBudget, Ring
 from loomstand.limiter.endings import (
     LOCAL_FAILURES,
     Ending,
@@ -37,8 +37,8 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.binary(max_size=3000)), max_size=40))
 def test_a_ring_keeps_bytes_in_order_and_within_its_budget(steps):
-    room = Room(3 * INITIAL_RING_BYTES)
-    ring, model = Ring(room, 2 * INITIAL_RING_BYTES), b""
+    memory_budget = MemoryBudget(3 * INITIAL_RING_BYTES)
+    ring, model = Ring(memory_budget, 2 * INITIAL_RING_BYTES), b""
     for fill, data in steps:
         if fill:
             space = ring.space()
@@ -54,15 +54,15 @@
         assert (
             ring.peek() == model and len(ring) == len(model) <= ring.size <= 2 * INITIAL_RING_BYTES
         )
-        assert room.left == 3 * INITIAL_RING_BYTES - ring.size
+        assert memory_budget.available == 3 * INITIAL_RING_BYTES - ring.size
         assert ring.find(b"\0\0") == model.find(b"\0\0")
     ring.close()
-    assert room.left == 3 * INITIAL_RING_BYTES
+    assert memory_budget.available == 3 * INITIAL_RING_BYTES
 
 
 def fed(machine, pieces):
     """Feeds a parser; returns complete messages as (start, fields, body, close)."""
-    ring, got = Ring(Room(1 << 20), MAX_MESSAGE_BYTES), []
+    ring, got = Ring(MemoryBudget(1 << 20), MAX_MESSAGE_BYTES), []
     for piece in pieces:
         while piece:
             space = ring.space()
