--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -38,10 +38,10 @@
 @file_option
 def serve(path: str | None) -> None:
     """Run one limiter until SIGTERM; SIGHUP makes it read its configuration again."""
-    from loomstand.limiter.event_loop import Turns
+    from loomstand.limiter.event_loop import ArrivalClockSelector
     from loomstand.limiter.limiter import Limiter
 
-    config, turns = configured(path), Turns()
+    config, arrival_clock = configured(path), ArrivalClockSelector()
 
     def again(limiter: Limiter) -> None:
         try:
@@ -50,13 +50,13 @@
             limiter.log(f"the configuration can't be used, the one held stands: {why}")
 
     async def run() -> None:
-        limiter = Limiter(config, turns)
+        limiter = Limiter(config, arrival_clock)
         for sig in (signal.SIGTERM, signal.SIGINT):
             limiter.loop.add_signal_handler(sig, limiter.stop)
         limiter.loop.add_signal_handler(signal.SIGHUP, again, limiter)
         await limiter.run()
 
-    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(turns)) as runner:
+    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(arrival_clock)) as runner:
         try:
             runner.run(run())
         except OSError as why:
--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -41,16 +41,20 @@
             listener.limiter.most_answer + http_parser.MAX_HEAD_BYTES,
         )
         self.request: TrackedRequest | None = None
-        self.opened_at = self.received_at = self.last_active_at = listener.limiter.turns.since
+        self.opened_at = self.received_at = self.last_active_at = (
+            listener.limiter.arrival_clock.earliest_arrival
+        )
         self.begun_at: float | None = None  # start of the message being received; None if idle
         self.opened_iteration, self.surplus = 0, False
 
     def opened(self) -> None:
-        self.opened_iteration = self.listener.limiter.turns.count
+        self.opened_iteration = self.listener.limiter.arrival_clock.count
         self.listener.let_in(self)
 
     def received(self) -> None:
-        self.received_at = self.listener.limiter.turns.came(self.opened_iteration, self.opened_at)
+        self.received_at = self.listener.limiter.arrival_clock.arrival_time(
+            self.opened_iteration, self.opened_at
+        )
         if self.begun_at is None:
             self.begun_at, machine, listener = self.received_at, self.machine, self.listener
             # The limits in force now; they may have changed since the connection was opened.
--- a/loomstand/limiter/event_loop.py
+++ b/loomstand/limiter/event_loop.py
@@ -20,21 +20,21 @@
 RESOURCE_ERRNOS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 
 
-class Turns(selectors.DefaultSelector):
+class ArrivalClockSelector(selectors.DefaultSelector):
     """Selector of the event loop that bounds the arrival time of the bytes being read.
 
     Attributes:
-        since: Earliest time at which bytes read in this iteration can have arrived.
+        earliest_arrival: Earliest time at which bytes read in this iteration can have arrived.
         woke_at: When `select` last returned.
         count: Number of iterations.
-        longest: Longest recent iteration or late wake-up in seconds; halved each second.
+        longest_iteration: Longest recent iteration or late wake-up in seconds; halved each second.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.since = self.woke_at = time.monotonic()
+        self.earliest_arrival = self.woke_at = time.monotonic()
         self.count = 0
-        self.longest = 0.0
+        self.longest_iteration = 0.0
 
     def select(self, timeout: float | None = None) -> list:
         select_started_at = time.monotonic()
@@ -42,16 +42,16 @@
         now = time.monotonic()
         iteration_seconds = select_started_at - self.woke_at
         wake_delay = 0.0 if timeout is None else now - select_started_at - max(0.0, timeout)
-        self.longest = max(
-            iteration_seconds, wake_delay, self.longest * 0.5 ** (now - self.woke_at)
+        self.longest_iteration = max(
+            iteration_seconds, wake_delay, self.longest_iteration * 0.5 ** (now - self.woke_at)
         )
         # A wait longer than the iteration before it means that nothing was readable at its start.
-        self.since = now if now - select_started_at > iteration_seconds else self.woke_at
+        self.earliest_arrival = now if now - select_started_at > iteration_seconds else self.woke_at
         self.woke_at = now
         self.count += 1
         return ready
 
-    def came(self, opened_iteration: int, opened_at: float) -> float:
+    def arrival_time(self, opened_iteration: int, opened_at: float) -> float:
         """Returns the earliest time at which bytes being read can have arrived.
 
         Bytes present when a connection is first polled can have arrived along with it.
@@ -60,20 +60,20 @@
             opened_iteration: The iteration in which the connection was set up.
             opened_at: The time of its set-up.
         """
-        return opened_at if self.count <= opened_iteration + 1 else self.since
+        return opened_at if self.count <= opened_iteration + 1 else self.earliest_arrival
 
 
-class Untimed:
-    """Substitute for `Turns` on other event loops: bytes count as arriving when they are read."""
+class ReadTimeClock:
+    """Arrival clock for other event loops: bytes count as arriving when they are read."""
 
-    count, longest = 0, 0.0
+    count, longest_iteration = 0, 0.0
 
     @property
-    def since(self) -> float:
+    def earliest_arrival(self) -> float:
         return time.monotonic()
 
-    def came(self, opened_iteration: int, opened_at: float) -> float:
-        return self.since
+    def arrival_time(self, opened_iteration: int, opened_at: float) -> float:
+        return self.earliest_arrival
 
 
 class Wire(asyncio.BufferedProtocol):
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -38,7 +38,7 @@
 from loomstand.limiter.buffers import MemoryBudget
 from loomstand.limiter.client_connection import ClientListener
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.event_loop import Turns, Untimed
+from loomstand.limiter.event_loop import ArrivalClockSelector, ReadTimeClock
 from loomstand.limiter.protocols import Asker
 from loomstand.limiter.request import Attempt, RequestT
 from loomstand.limiter.upstream import ConnectionPool
@@ -62,7 +62,7 @@
         patience: Seconds a client may take to send a message or to read a response.
         log: Writes a log line.
         loop: The event loop.
-        turns: Bounds the arrival time of the bytes being read.
+        arrival_clock: Bounds the arrival time of the bytes being read.
         memory_budget: Memory budget for buffers and bodies.
         most_answer: Maximum size of a server's response in bytes.
         spare: Sockets reserved for new clients; as many are reserved for rejected ones.
@@ -80,19 +80,23 @@
     patience: float
 
     def __init__(
-        self, log: Callable[[str], None], turns: Turns | None, memory_mb: int, sockets: int
+        self,
+        log: Callable[[str], None],
+        arrival_clock: ArrivalClockSelector | None,
+        memory_mb: int,
+        sockets: int,
     ) -> None:
         """Creates it on the running event loop.
 
         Args:
             log: Writes a log line.
-            turns: The event loop's selector, if it bounds arrival times; None on other loops.
+            arrival_clock: Selector of the event loop; None on loops with another selector.
             memory_mb: Memory limit of the process in MiB; buffers and bodies get half of it.
             sockets: Maximum number of connections.
         """
         self.log = log
         self.loop = asyncio.get_running_loop()
-        self.turns = turns or Untimed()
+        self.arrival_clock = arrival_clock or ReadTimeClock()
         # Offset that makes `now` comparable between limiters; its clock never goes backwards.
         self.clock_offset = time.time_ns() - time.monotonic_ns()
         # Half of the memory is for buffers, the rest for code and engine state. A response may take
@@ -173,7 +177,7 @@
         endings = ", ".join(f"{name} {count}" for name, count in sorted(self.endings.items()))
         clients, servers = len(self.listener.clients), len(self.pool.connections)
         open_now = f"{clients} from clients, {servers} to servers"
-        work = f"{time.process_time():.2f} s of CPU, {self.turns.count} turns"
+        work = f"{time.process_time():.2f} s of CPU, {self.arrival_clock.count} turns"
         self.log(f"connections: {open_now}; ended: {endings or 'none'}; {work} since the start")
         self.endings.clear()
 
@@ -252,7 +256,9 @@
         # The time-out counts from the sending, so delays of this event loop reduce the deadline
         # rather than make the response late.
         elapsed = (
-            self.loop.time() - arrived_at + min(self.turns.longest, timeout / TICKS_PER_SECOND / 2)
+            self.loop.time()
+            - arrived_at
+            + min(self.arrival_clock.longest_iteration, timeout / TICKS_PER_SECOND / 2)
         )
         request.deadline = self.now() + timeout - int(max(0.0, elapsed) * TICKS_PER_SECOND) - 1
         self.last_request_id += 1
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -16,7 +16,7 @@
 from loomstand.limiter.client_connection import Client, ClientListener
 from loomstand.limiter.counter import CounterClient
 from loomstand.limiter.discovery import Watch
-from loomstand.limiter.event_loop import Turns
+from loomstand.limiter.event_loop import ArrivalClockSelector
 from loomstand.limiter.gateway_core import GatewayCore
 from loomstand.limiter.log import Log
 from loomstand.limiter.request import AccountRequest, Attempt, NameLookup
@@ -34,10 +34,14 @@
 class Limiter(GatewayCore[AccountRequest]):
     """A stand-alone limiter process. `run` serves until `stop` has completed."""
 
-    def __init__(self, config: LimiterConfig, turns: Turns | None = None) -> None:
+    def __init__(
+        self, config: LimiterConfig, arrival_clock: ArrivalClockSelector | None = None
+    ) -> None:
         settings, limits = config.settings, config.limits
         self.config = config
-        super().__init__(Log(config.name), turns, limits.memory_mb, limits.sockets - FIXED_SOCKETS)
+        super().__init__(
+            Log(config.name), arrival_clock, limits.memory_mb, limits.sockets - FIXED_SOCKETS
+        )
         self.zones, self.kinds, self.servers = (
             NameIndex(settings.zones),
             NameIndex(settings.server_kinds),
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -18,15 +18,15 @@
 
 
 class ArrivalClock(Protocol):
-    """Bounds the arrival time of received bytes; see `event_loop.Turns`."""
+    """Bounds the arrival time of received bytes; see `event_loop.ArrivalClockSelector`."""
 
     @property
-    def since(self) -> float: ...
+    def earliest_arrival(self) -> float: ...
 
     @property
     def count(self) -> int: ...
 
-    def came(self, opened_iteration: int, opened_at: float) -> float: ...
+    def arrival_time(self, opened_iteration: int, opened_at: float) -> float: ...
 
 
 class Owner(Protocol):
@@ -79,7 +79,7 @@
     is_ready: bool
 
     @property
-    def turns(self) -> ArrivalClock: ...
+    def arrival_clock(self) -> ArrivalClock: ...
 
     def request_received(
         self, client: Asker, machine: http_parser.RequestReceiver, at: float
--- a/loomstand/proxy/admission_adapter.py
+++ b/loomstand/proxy/admission_adapter.py
@@ -26,7 +26,7 @@
 from loomstand.config.routes import RouteTable
 from loomstand.config.settings import Settings
 from loomstand.limiter.client_connection import ClientListener
-from loomstand.limiter.event_loop import Streams, Turns
+from loomstand.limiter.event_loop import ArrivalClockSelector, Streams
 from loomstand.limiter.gateway_core import GatewayCore
 from loomstand.limiter.http_parser import RequestReceiver
 from loomstand.limiter.protocols import Asker
@@ -99,12 +99,16 @@
     counter_client: CounterClient
 
     def __init__(
-        self, settings: Settings, rng: Random, turns: Turns | None, streams: Streams | None
+        self,
+        settings: Settings,
+        rng: Random,
+        arrival_clock: ArrivalClockSelector | None,
+        streams: Streams | None,
     ) -> None:
         """See `Proxy`."""
         limits = settings.limits
         sockets = limits.file_descriptors - FIXED_SOCKETS
-        super().__init__(_log, turns, limits.memory_mb // 2, sockets)
+        super().__init__(_log, arrival_clock, limits.memory_mb // 2, sockets)
         self.settings = settings
         self.rng = rng
         self.listener = ClientListener(self, self.spare, limits.file_descriptors)
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -15,7 +15,7 @@
 from loomstand.admission.events import EndpointsUpdated, SettingsChanged, TenantTotalUpdated
 from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.config.settings import Settings
-from loomstand.limiter.event_loop import Streams, Turns
+from loomstand.limiter.event_loop import ArrivalClockSelector, Streams
 from loomstand.proxy.admission_adapter import AdmissionAdapter
 from loomstand.proxy.client_limits import ClientLimitUpdates
 from loomstand.proxy.counter_client import CounterClient
@@ -48,7 +48,7 @@
         settings: Settings,
         network: Network,
         rng: Random,
-        turns: Turns | None = None,
+        arrival_clock: ArrivalClockSelector | None = None,
         streams: Streams | None = None,
     ) -> None:
         """Makes a proxy that doesn't serve yet.
@@ -57,15 +57,15 @@
             settings: The settings file's settings.
             network: Carries calls to registries.
             rng: Draws what is drawn.
-            turns: The event loop's selector, if it notes when bytes arrive.
+            arrival_clock: The event loop's selector, if it notes when bytes arrive.
             streams: Makes connections where these are not by real sockets.
         """
-        super().__init__(settings, rng, turns, streams)
+        super().__init__(settings, rng, arrival_clock, streams)
         self.client_limits = ClientLimitUpdates(
             self.listener, self.loop, self.memory_budget.available
         )
         self.sessions = Sessions(settings, network, self.loop.time, rng, self)
-        self.readiness = ReadinessEndpoint(lambda: self.is_ready, turns, streams)
+        self.readiness = ReadinessEndpoint(lambda: self.is_ready, arrival_clock, streams)
         self.shared_clock = SharedClock()
         self.counter_client = CounterClient(
             self.sessions, self.loop, self.now, self.counter_replied
--- a/loomstand/proxy/readiness.py
+++ b/loomstand/proxy/readiness.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from loomstand.limiter.event_loop import Streams, Turns
+from loomstand.limiter.event_loop import ArrivalClockSelector, Streams
 from loomstand.rpc.network import Address
 from loomstand.rpc.operator_http import OperatorHttpServer
 
@@ -21,12 +21,15 @@
     """Serves `/api/readiness`: 200 if ready, else 503."""
 
     def __init__(
-        self, is_ready: Callable[[], bool], turns: Turns | None, streams: Streams | None
+        self,
+        is_ready: Callable[[], bool],
+        arrival_clock: ArrivalClockSelector | None,
+        streams: Streams | None,
     ) -> None:
         """See `Proxy`; `is_ready` is asked at each call."""
         self._is_ready = is_ready
         self._server = OperatorHttpServer(
-            self._answer, turns, BUFFER_BYTES, MAX_CONNECTIONS, MAX_BODY_BYTES, streams
+            self._answer, arrival_clock, BUFFER_BYTES, MAX_CONNECTIONS, MAX_BODY_BYTES, streams
         )
 
     async def listen(self, address: Address) -> None:
--- a/loomstand/registry/__main__.py
+++ b/loomstand/registry/__main__.py
@@ -4,15 +4,15 @@
 
 # isort: split
 from loomstand.config.settings import Settings
-from loomstand.limiter.event_loop import Turns
+from loomstand.limiter.event_loop import ArrivalClockSelector
 from loomstand.registry.process import RegistryService
 from loomstand.rpc.start import run_program
 from loomstand.rpc.tcp_network import TcpNetwork
 
 
-async def make_registry(settings: Settings, turns: Turns) -> RegistryService:
+async def make_registry(settings: Settings, arrival_clock: ArrivalClockSelector) -> RegistryService:
     """Makes the registry on real sockets."""
-    return RegistryService(settings, TcpNetwork(), turns)
+    return RegistryService(settings, TcpNetwork(), arrival_clock)
 
 
 run_program(make_registry)
--- a/loomstand/registry/process.py
+++ b/loomstand/registry/process.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from loomstand.config.settings import Settings
-from loomstand.limiter.event_loop import Streams, Turns
+from loomstand.limiter.event_loop import ArrivalClockSelector, Streams
 from loomstand.registry.program import Registry
 from loomstand.rpc.network import Network
 from loomstand.rpc.operator_http import OperatorHttpServer
@@ -29,7 +29,7 @@
         self,
         settings: Settings,
         network: Network,
-        turns: Turns | None,
+        arrival_clock: ArrivalClockSelector | None,
         *,
         clock: Callable[[], float] | None = None,
         wall_seconds: float | None = None,
@@ -40,7 +40,7 @@
         Args:
             settings: The machine's settings.
             network: Carries the calls between the programs.
-            turns: The event loop's selector, which stamps arrivals; None without one.
+            arrival_clock: The event loop's selector, which stamps arrivals; None without one.
             clock: A steady clock, in seconds; None for the event loop's.
             wall_seconds: The time of day at the start; None to read it.
             streams: Where calls don't come by real sockets.
@@ -49,7 +49,7 @@
         super().__init__(settings, network, loop_clock, wall_seconds)
         self.http_server = OperatorHttpServer(
             self.handle_http,
-            turns,
+            arrival_clock,
             settings.limits.memory_mb * BUFFER_BYTES_PER_MB,
             settings.limits.file_descriptors - RESERVED_FILE_DESCRIPTORS,
             MAX_BODY_BYTES,
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -15,7 +15,7 @@
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import MemoryBudget
 from loomstand.limiter.client_connection import Client, ClientListener
-from loomstand.limiter.event_loop import Streams, Turns, Untimed
+from loomstand.limiter.event_loop import ArrivalClockSelector, ReadTimeClock, Streams
 from loomstand.limiter.protocols import Asker
 from loomstand.rpc.network import Address
 
@@ -48,7 +48,7 @@
     def __init__(  # noqa: PLR0913, PLR0917  # the programs that own it size it
         self,
         handler: HttpHandler,
-        turns: Turns | None,
+        arrival_clock: ArrivalClockSelector | None,
         memory_bytes: int,
         max_sockets: int,
         max_body_bytes: int,
@@ -58,7 +58,7 @@
 
         Args:
             handler: Serves the calls.
-            turns: The event loop's selector; None on a loop of somebody else's.
+            arrival_clock: The event loop's selector; None on a loop of somebody else's.
             memory_bytes: For all buffers together.
             max_sockets: Connections at once.
             max_body_bytes: Of one call, and of one answer.
@@ -66,7 +66,7 @@
         """
         self.handler = handler
         self.loop = asyncio.get_running_loop()
-        self.turns: Any = turns or Untimed()
+        self.arrival_clock: Any = arrival_clock or ReadTimeClock()
         self.memory_budget = MemoryBudget(memory_bytes)
         self.endings = Counter[str]()
         self.most_answer = max_body_bytes
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -17,7 +17,7 @@
 from absl import logging
 
 from loomstand.config.settings import Settings, SettingsError, read_settings
-from loomstand.limiter.event_loop import Turns
+from loomstand.limiter.event_loop import ArrivalClockSelector
 
 SETTINGS_VARIABLE = "LOOMSTAND_CONFIG"
 SETTINGS_POLL_SECONDS = 1.0  # between looks at the file, which may change without a signal
@@ -39,7 +39,7 @@
         ...
 
 
-ProgramFactory = Callable[[Settings, Turns], Awaitable[Program]]
+ProgramFactory = Callable[[Settings, ArrivalClockSelector], Awaitable[Program]]
 """Makes the program from its settings and the event loop's selector."""
 
 
@@ -76,19 +76,23 @@
         sys.exit(f"{path}: {error}")
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
-    turns = Turns()
-    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(turns)) as runner:
+    arrival_clock = ArrivalClockSelector()
+    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(arrival_clock)) as runner:
         try:
-            runner.run(_serve(path, stamp, settings, turns, make))
+            runner.run(_serve(path, stamp, settings, arrival_clock, make))
         except OSError as error:
             sys.exit(f"{settings.node_name}: {error}")
 
 
 async def _serve(
-    path: str, stamp: FileStamp | None, settings: Settings, turns: Turns, make: ProgramFactory
+    path: str,
+    stamp: FileStamp | None,
+    settings: Settings,
+    arrival_clock: ArrivalClockSelector,
+    make: ProgramFactory,
 ) -> None:
     loop = asyncio.get_running_loop()
-    program = await make(settings, turns)
+    program = await make(settings, arrival_clock)
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, program.stop)
     watcher = SettingsWatcher(path, program, stamp)
--- a/loomstand/store/__main__.py
+++ b/loomstand/store/__main__.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from loomstand.config.settings import Settings
-from loomstand.limiter.event_loop import Turns
+from loomstand.limiter.event_loop import ArrivalClockSelector
 from loomstand.rpc.start import run_program
 from loomstand.rpc.tcp_network import TcpNetwork
 from loomstand.store.disk import LmdbDisk
@@ -54,7 +54,7 @@
     )
 
 
-async def make_process(settings: Settings, _turns: Turns) -> StoreProcess:
+async def make_process(settings: Settings, _arrival_clock: ArrivalClockSelector) -> StoreProcess:
     """The process; without a disk it ends at once."""
     if not settings.data_directory:
         sys.exit("self.data_directory: missing; the store needs a disk")
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -54,17 +54,17 @@
 class Virtual:
     """In the place of the selector's readings: bytes have come when they are read."""
 
-    count, longest = 0, 0.0
+    count, longest_iteration = 0, 0.0
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
 
     @property
-    def since(self) -> float:
+    def earliest_arrival(self) -> float:
         return self.loop.time()
 
-    def came(self, made: int, made_at: float) -> float:
-        return self.since
+    def arrival_time(self, opened_iteration: int, opened_at: float) -> float:
+        return self.earliest_arrival
 
 
 class SimProxy(Proxy):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -430,10 +430,10 @@
         self,
         *servers: Callable,
         counter: Callable | None = None,
-        turns: object = None,
+        arrival_clock: object = None,
         **changes: object,
     ):
-        self.turns = turns
+        self.arrival_clock = arrival_clock
         self.servers = [Peer(play) for play in servers]
         self.counter = Peer(counter or (lambda n, head, body: said(200, b"1")))
         self.discovery = Peer(lambda n, head, body: WATCHING)
@@ -444,8 +444,13 @@
         ports["discovery"] = await self.discovery.start()
         self.members = [member(f"s{n}", await peer.start()) for n, peer in enumerate(self.servers)]
         raw = json.dumps(config_file(ports, self.members, **self.changes)).encode()
-        turns = self.turns or asyncio.get_running_loop()._selector  # the tests put a Turns there
-        self.limiter, self.port = Limiter(parse_limiter_config(raw, {}), turns), ports["listen"]
+        arrival_clock = (
+            self.arrival_clock or asyncio.get_running_loop()._selector
+        )  # an ArrivalClockSelector in these tests
+        self.limiter, self.port = (
+            Limiter(parse_limiter_config(raw, {}), arrival_clock),
+            ports["listen"],
+        )
         self.task = asyncio.create_task(self.limiter.run())
         while not self.limiter.listener.server:
             assert not self.task.done(), self.task.exception()
--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -39,16 +39,18 @@
 from loomstand.limiter.buffers import INITIAL_RING_BYTES, Ring
 from loomstand.limiter.discovery import Watch
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.event_loop import Turns, Untimed, Wire, connect
+from loomstand.limiter.event_loop import ArrivalClockSelector, ReadTimeClock, Wire, connect
 from loomstand.limiter.http_parser import Receiver
 
 
 def sockets(test):
-    """Runs an async test with a time-out of 15 s, on an event loop with `Turns`."""
+    """Runs an async test with a time-out of 15 s, on an event loop with `ArrivalClockSelector`."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
-        with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(Turns())) as runner:
+        with asyncio.Runner(
+            loop_factory=lambda: asyncio.SelectorEventLoop(ArrivalClockSelector())
+        ) as runner:
             runner.run(asyncio.wait_for(test(*args, **kwargs), 15))
 
     return run
@@ -480,7 +482,7 @@
 @sockets
 async def test_without_arrival_times_each_request_has_its_full_time_out():
     play = lambda n, head, body: asyncio.sleep(0.05, said(200))  # noqa: E731
-    async with Site(play, turns=Untimed()) as site, Caller(site.port) as caller:
+    async with Site(play, arrival_clock=ReadTimeClock()) as site, Caller(site.port) as caller:
         for n in range(3):
             assert (await caller.ask(request(id_=f"r{n}", timeout=250)))[0] == 200
             await asyncio.sleep(0.15)
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -117,7 +117,7 @@
         machine, wire = self.machine, self.wire
         before = machine.most, machine.most_head, wire.inbound.most
         if self.begun_at is None:
-            self.begun_at = self.listener.limiter.turns.since
+            self.begun_at = self.listener.limiter.arrival_clock.earliest_arrival
         usual(self)
         machine.most, machine.most_head, wire.inbound.most = before
 
