--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -12,19 +12,19 @@
 IDLE_TIMEOUT_SECONDS = 2.0  # the protocol allows closing idle connections after 2 s
 
 
-class Client:
+class ClientConnection:
     """A client's HTTP connection; processes one request at a time."""
 
     __slots__ = (
-        "begun_at",
+        "is_surplus",
         "last_active_at",
         "listener",
         "machine",
+        "message_started_at",
         "opened_at",
         "opened_iteration",
         "received_at",
         "request",
-        "surplus",
         "wire",
     )
 
@@ -44,19 +44,24 @@
         self.opened_at = self.received_at = self.last_active_at = (
             listener.limiter.arrival_clock.earliest_arrival
         )
-        self.begun_at: float | None = None  # start of the message being received; None if idle
-        self.opened_iteration, self.surplus = 0, False
+        # Start of the message being received; None if idle.
+        self.message_started_at: float | None = None
+        self.opened_iteration, self.is_surplus = 0, False
 
     def opened(self) -> None:
         self.opened_iteration = self.listener.limiter.arrival_clock.count
-        self.listener.let_in(self)
+        self.listener.add(self)
 
     def received(self) -> None:
         self.received_at = self.listener.limiter.arrival_clock.arrival_time(
             self.opened_iteration, self.opened_at
         )
-        if self.begun_at is None:
-            self.begun_at, machine, listener = self.received_at, self.machine, self.listener
+        if self.message_started_at is None:
+            self.message_started_at, machine, listener = (
+                self.received_at,
+                self.machine,
+                self.listener,
+            )
             # The limits in force now; they may have changed since the connection was opened.
             machine.most, machine.most_head = listener.max_body_bytes, listener.max_header_bytes
             self.wire.inbound.most = listener.max_body_bytes + listener.max_header_bytes
@@ -91,7 +96,7 @@
                 status = 200 if limiter.is_ready else 503
             self.answer(status)
             return
-        if self.surplus:
+        if self.is_surplus:
             self.answer(503, close=True)
             return
         try:
@@ -103,7 +108,7 @@
     def answer(self, status: int, body: bytes = b"", extra: str = "", close: bool = False) -> None:
         """Writes a complete response and resets the parser for the next request."""
         close = close or self.machine.close or self.listener.stopping
-        self.request = self.begun_at = None
+        self.request = self.message_started_at = None
         self.last_active_at = self.listener.limiter.loop.time()
         self.listener.answered(self)
         self.machine.reset()
@@ -125,12 +130,12 @@
             self.answer(408, close=True)
 
     def ended(self, ending: Ending) -> None:
-        self.listener.gone(self)
+        self.listener.remove(self)
 
     @property
     def state_since(self) -> float:
         """Loop time of the start of the current message, or of the current idle period."""
-        return self.last_active_at if self.begun_at is None else self.begun_at
+        return self.last_active_at if self.message_started_at is None else self.message_started_at
 
     @property
     def idle(self) -> bool:
@@ -142,7 +147,9 @@
     @property
     def is_receiving_head(self) -> bool:
         """Whether the header of a request is being received."""
-        return self.begun_at is not None and self.request is None and not self.machine.begun
+        return (
+            self.message_started_at is not None and self.request is None and not self.machine.begun
+        )
 
     @property
     def is_stalled(self) -> bool:
@@ -150,7 +157,7 @@
         return self.request is None and not self.idle
 
     @property
-    def free(self) -> bool:
+    def is_closable(self) -> bool:
         """Whether it can be closed: idle, with no unread bytes in the socket."""
         return self.idle and not self.wire.unread
 
@@ -178,17 +185,21 @@
         self.header_timeout_seconds = (
             inf  # limit for receiving a request header; the sweep's limit applies if shorter
         )
-        self.clients: dict[Client, None] = {}
+        self.clients: dict[ClientConnection, None] = {}
         self.server: Listens | None = None
         self.stopping = False
 
     async def listen(self, address: tuple[str, int]) -> None:
         loop = self.limiter.loop
         self.server = await self.bind(
-            loop, lambda: Client(self).wire, address, self.accepts_per_iteration, self.sockets
+            loop,
+            lambda: ClientConnection(self).wire,
+            address,
+            self.accepts_per_iteration,
+            self.sockets,
         )
 
-    def let_in(self, client: Client) -> None:
+    def add(self, client: ClientConnection) -> None:
         self.clients[client] = None
         shortage = -self.limiter.spare_sockets()
         if shortage <= 0:
@@ -197,12 +208,12 @@
         elif not self.limiter.make_room(client):
             # Rejected with 503 after its request is read: the client could not distinguish an
             # earlier response from a lost one.
-            client.surplus = True
+            client.is_surplus = True
             self.limiter.endings["client surplus"] += 1
             if shortage > self.accepts_per_iteration:
                 client.wire.stop(Ending.NO_ROOM)
 
-    def answered(self, client: Client) -> None:
+    def answered(self, client: ClientConnection) -> None:
         """Moves a connection to the end of `clients`, which is in order of the last response.
 
         Connections that sent one request and stay open therefore come first.
@@ -213,7 +224,7 @@
     def close_idle(self, spared: Asker | None = None) -> bool:
         """Closes the longest-idle connection without unread bytes; returns whether one existed."""
         for client in self.clients:
-            if client is not spared and client.free:
+            if client is not spared and client.is_closable:
                 client.wire.stop(Ending.IDLE)
                 return True
         return False
@@ -227,7 +238,11 @@
         for client in self.clients:
             if client.last_active_at > since:
                 break
-            if client.last_active_at == client.opened_at and client is not spared and client.free:
+            if (
+                client.last_active_at == client.opened_at
+                and client is not spared
+                and client.is_closable
+            ):
                 client.wire.stop(Ending.STALLED)
                 return True
         return False
@@ -245,7 +260,7 @@
             client.wire.stop(Ending.STALLED)  # its socket is needed immediately, so don't linger
         return bool(stalled)
 
-    def gone(self, client: Client) -> None:
+    def remove(self, client: ClientConnection) -> None:
         self.clients.pop(client, None)
         if client.request is not None:
             request, client.request = client.request, None
@@ -261,7 +276,7 @@
         """
         now = self.limiter.loop.time()
         for client in list(self.clients):
-            if now - client.last_active_at > self.idle_timeout_seconds and client.free:
+            if now - client.last_active_at > self.idle_timeout_seconds and client.is_closable:
                 client.wire.stop(Ending.IDLE)
                 continue
             within = (
@@ -274,7 +289,7 @@
         """Closes idle connections, and others after their response; new ones are still accepted."""
         self.stopping = True
         for client in list(self.clients):
-            if client.free:
+            if client.is_closable:
                 client.wire.stop(Ending.STOPPING)
 
     def close(self) -> None:
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -13,7 +13,7 @@
 from loomstand.admission.ticks import ticks_rounded_up
 from loomstand.config.limiter import BackendList, LimiterConfig, engine_settings, parse_host_port
 from loomstand.limiter import http_parser
-from loomstand.limiter.client_connection import Client, ClientListener
+from loomstand.limiter.client_connection import ClientConnection, ClientListener
 from loomstand.limiter.counter import CounterClient
 from loomstand.limiter.discovery import Watch
 from loomstand.limiter.event_loop import ArrivalClockSelector
@@ -221,7 +221,7 @@
     # clients
 
     def request_received(
-        self, client: Client, machine: http_parser.RequestReceiver, arrived_at: float
+        self, client: ClientConnection, machine: http_parser.RequestReceiver, arrived_at: float
     ) -> None:
         """Validates a received request and passes it to the decision engine.
 
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -14,7 +14,7 @@
 
 from loomstand.limiter import http_parser
 from loomstand.limiter.buffers import MemoryBudget
-from loomstand.limiter.client_connection import Client, ClientListener
+from loomstand.limiter.client_connection import ClientConnection, ClientListener
 from loomstand.limiter.event_loop import ArrivalClockSelector, ReadTimeClock, Streams
 from loomstand.limiter.protocols import Asker
 from loomstand.rpc.network import Address
@@ -117,7 +117,7 @@
         )
 
     def request_received(
-        self, client: Client, machine: http_parser.RequestReceiver, at: float
+        self, client: ClientConnection, machine: http_parser.RequestReceiver, at: float
     ) -> None:
         """Begins to serve the call that came on a connection.
 
@@ -176,6 +176,6 @@
 
     __slots__ = ("client",)
 
-    def __init__(self, client: Client | None) -> None:
+    def __init__(self, client: ClientConnection | None) -> None:
         """Begins unanswered."""
         self.client = client
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from loomstand.limiter.client_connection import Client
+from loomstand.limiter.client_connection import ClientConnection
 from loomstand.proxy.client_limits import ClientLimitUpdates
 from loomstand.testing.simulation.cluster import FRONT, Cluster
 from loomstand.testing.simulation.http_log import Broken, Talk
@@ -111,17 +111,17 @@
 
 def test_it_is_caught_where_a_connection_keeps_the_limits_of_its_opening(cluster, monkeypatch):
     """The mutation: what a connection may send is what was in force as it came."""
-    usual = Client.received
+    usual = ClientConnection.received
 
     def received(self):
         machine, wire = self.machine, self.wire
         before = machine.most, machine.most_head, wire.inbound.most
-        if self.begun_at is None:
-            self.begun_at = self.listener.limiter.arrival_clock.earliest_arrival
+        if self.message_started_at is None:
+            self.message_started_at = self.listener.limiter.arrival_clock.earliest_arrival
         usual(self)
         machine.most, machine.most_head, wire.inbound.most = before
 
-    monkeypatch.setattr(Client, "received", received)
+    monkeypatch.setattr(ClientConnection, "received", received)
     assert asked(cluster) == (200, False)
     change(cluster, max_header_bytes=8192, max_body_bytes=65536)
     assert asked(cluster, body=40_000, path="x" * 5000)[0] == 431
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -15,7 +15,7 @@
 from loomstand.admission.actions import Reject, SendAttempt
 from loomstand.admission.outcome import Outcome
 from loomstand.limiter import upstream as servers
-from loomstand.limiter.client_connection import Client as FrontClient
+from loomstand.limiter.client_connection import ClientConnection
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Wire
 from loomstand.limiter.upstream import ServerConnection
@@ -416,7 +416,7 @@
 # --- each defence taken out is noticed
 
 
-def taken_at_once(client: Any, handle: Any = FrontClient.handle) -> None:
+def taken_at_once(client: Any, handle: Any = ClientConnection.handle) -> None:
     handle(client)
     client.request = None
 
@@ -510,7 +510,7 @@
         lambda: staged(thaws_late),
     ),
     "the next request is taken up while one is out": (
-        FrontClient,
+        ClientConnection,
         "handle",
         taken_at_once,
         lambda: odd(not_waiting),
--- a/tests/system/test_scale_run.py
+++ b/tests/system/test_scale_run.py
@@ -184,7 +184,7 @@
     """
 
     class Caller:
-        free, surplus, stopped = True, False, False
+        is_closable, is_surplus, stopped = True, False, False
 
         def __init__(self) -> None:
             self.wire = self
@@ -196,7 +196,7 @@
         outside = OperatorHttpServer(lambda *_: None, None, 1 << 20, 600, 4096)
         callers = [Caller() for _ in range(many)]
         for caller in callers:
-            outside.listener.let_in(caller)
+            outside.listener.add(caller)
         return [n for n, caller in enumerate(callers) if caller.stopped]
 
     assert asyncio.run(held(300)) == [] and asyncio.run(held(301)) == [0]
