--- a/loomstand/limiter/buffers.py
+++ b/loomstand/limiter/buffers.py
@@ -24,14 +24,14 @@
 
 
 class Ring:
-    """FIFO ring buffer of bytes that grows up to `most` bytes, within the memory budget."""
+    """FIFO ring buffer of bytes that grows up to `max_size` bytes, within the memory budget."""
 
-    __slots__ = ("buf", "head", "memory_budget", "most", "size", "used")
+    __slots__ = ("buf", "head", "max_size", "memory_budget", "size", "used")
 
-    def __init__(self, memory_budget: MemoryBudget, most: int) -> None:
+    def __init__(self, memory_budget: MemoryBudget, max_size: int) -> None:
         self.buf, self.size = bytearray(), 0
         self.head = self.used = 0
-        self.memory_budget, self.most = memory_budget, most
+        self.memory_budget, self.max_size = memory_budget, max_size
 
     def __len__(self) -> int:
         return self.used
@@ -40,7 +40,7 @@
         """Grows the buffer to hold `needed` bytes in total; returns False if a limit forbids it."""
         if needed <= self.size:
             return True
-        size = min(self.most, max(INITIAL_RING_BYTES, 1 << (needed - 1).bit_length()))
+        size = min(self.max_size, max(INITIAL_RING_BYTES, 1 << (needed - 1).bit_length()))
         if size < needed or not self.memory_budget.reserve(size - self.size):
             return False
         data = self.peek()
--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -7,7 +7,7 @@
 from loomstand.limiter import event_loop, http_parser
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Listens, Wire
-from loomstand.limiter.protocols import Asker, ListenerOwner, TrackedRequest
+from loomstand.limiter.protocols import ClientHandle, ListenerOwner, TrackedRequest
 
 IDLE_TIMEOUT_SECONDS = 2.0  # the protocol allows closing idle connections after 2 s
 
@@ -19,26 +19,26 @@
         "is_surplus",
         "last_active_at",
         "listener",
-        "machine",
         "message_started_at",
         "opened_at",
         "opened_iteration",
+        "parser",
         "received_at",
         "request",
         "wire",
     )
 
     def __init__(self, listener: ClientListener) -> None:
-        self.listener, self.machine = (
+        self.listener, self.parser = (
             listener,
             http_parser.RequestReceiver(listener.max_body_bytes, listener.max_header_bytes),
         )
-        most = listener.max_body_bytes + listener.max_header_bytes
+        max_size = listener.max_body_bytes + listener.max_header_bytes
         self.wire = Wire(
             self,
             listener.limiter.memory_budget,
-            most,
-            listener.limiter.most_answer + http_parser.MAX_HEAD_BYTES,
+            max_size,
+            listener.limiter.max_response_bytes + http_parser.MAX_HEAD_BYTES,
         )
         self.request: TrackedRequest | None = None
         self.opened_at = self.received_at = self.last_active_at = (
@@ -57,22 +57,25 @@
             self.opened_iteration, self.opened_at
         )
         if self.message_started_at is None:
-            self.message_started_at, machine, listener = (
+            self.message_started_at, parser, listener = (
                 self.received_at,
-                self.machine,
+                self.parser,
                 self.listener,
             )
             # The limits in force now; they may have changed since the connection was opened.
-            machine.most, machine.most_head = listener.max_body_bytes, listener.max_header_bytes
-            self.wire.inbound.most = listener.max_body_bytes + listener.max_header_bytes
+            parser.max_body_bytes, parser.max_head_bytes = (
+                listener.max_body_bytes,
+                listener.max_header_bytes,
+            )
+            self.wire.inbound.max_size = listener.max_body_bytes + listener.max_header_bytes
         if self.request is None:
             self.handle_buffered()
-        elif self.wire.inbound.used >= self.wire.inbound.most:
+        elif self.wire.inbound.used >= self.wire.inbound.max_size:
             self.wire.pause_reading()  # backpressure for pipelined requests
 
     def handle_buffered(self) -> None:
         """Parses and handles buffered requests until one is pending or more bytes are needed."""
-        wire, machine = self.wire, self.machine
+        wire, parser = self.wire, self.parser
         while (
             wire.inbound.used
             and self.request is None
@@ -80,7 +83,7 @@
             and not wire.lingering
         ):
             try:
-                if not machine.step(wire.inbound):
+                if not parser.step(wire.inbound):
                     return
             except http_parser.Malformed as error:
                 self.answer(error.status, f"{error}\n".encode(), close=True)
@@ -89,10 +92,10 @@
 
     def handle(self) -> None:
         """Handles one complete request: own paths here, all others in the limiter."""
-        limiter, machine = self.listener.limiter, self.machine
-        if self.listener.own_paths and machine.target.startswith(b"/-/"):
+        limiter, parser = self.listener.limiter, self.parser
+        if self.listener.own_paths and parser.target.startswith(b"/-/"):
             status = 404
-            if machine.target == b"/-/ready" and machine.method == b"GET":
+            if parser.target == b"/-/ready" and parser.method == b"GET":
                 status = 200 if limiter.is_ready else 503
             self.answer(status)
             return
@@ -100,18 +103,18 @@
             self.answer(503, close=True)
             return
         try:
-            limiter.request_received(self, machine, self.received_at)
+            limiter.request_received(self, parser, self.received_at)
         except http_parser.Malformed as error:
             # the message was complete, so its end is known and the connection stays usable
             self.answer(error.status, f"{error}\n".encode())
 
     def answer(self, status: int, body: bytes = b"", extra: str = "", close: bool = False) -> None:
         """Writes a complete response and resets the parser for the next request."""
-        close = close or self.machine.close or self.listener.stopping
+        close = close or self.parser.close or self.listener.stopping
         self.request = self.message_started_at = None
         self.last_active_at = self.listener.limiter.loop.time()
         self.listener.answered(self)
-        self.machine.reset()
+        self.parser.reset()
         if not self.wire.send(http_parser.format_response(status, body, extra, close)):
             self.wire.stop(Ending.NO_ROOM)
         elif close:
@@ -141,14 +144,14 @@
     def idle(self) -> bool:
         """Whether no request is being received, processed or answered."""
         wire = self.wire
-        between = self.request is None and not wire.inbound.used and not self.machine.begun
+        between = self.request is None and not wire.inbound.used and not self.parser.begun
         return between and wire.written and not wire.lingering
 
     @property
     def is_receiving_head(self) -> bool:
         """Whether the header of a request is being received."""
         return (
-            self.message_started_at is not None and self.request is None and not self.machine.begun
+            self.message_started_at is not None and self.request is None and not self.parser.begun
         )
 
     @property
@@ -176,7 +179,7 @@
         # Protocol: clients hold at most a third of the descriptors for requests. Clients that send
         # one request and keep the connection open would use all of it, so half of that third is
         # reserved for active clients.
-        self.most_held = sockets // 6
+        self.keep_alive_limit = sockets // 6
         self.idle_timeout_seconds, self.own_paths = IDLE_TIMEOUT_SECONDS, True
         self.max_body_bytes, self.max_header_bytes = (
             http_parser.MAX_BODY_BYTES,
@@ -203,9 +206,9 @@
         self.clients[client] = None
         shortage = -self.limiter.spare_sockets()
         if shortage <= 0:
-            if len(self.clients) > self.most_held:
+            if len(self.clients) > self.keep_alive_limit:
                 self.close_idle(client)
-        elif not self.limiter.make_room(client):
+        elif not self.limiter.free_socket(client):
             # Rejected with 503 after its request is read: the client could not distinguish an
             # earlier response from a lost one.
             client.is_surplus = True
@@ -221,7 +224,7 @@
         if self.clients.pop(client, self) is None:
             self.clients[client] = None
 
-    def close_idle(self, spared: Asker | None = None) -> bool:
+    def close_idle(self, spared: ClientHandle | None = None) -> bool:
         """Closes the longest-idle connection without unread bytes; returns whether one existed."""
         for client in self.clients:
             if client is not spared and client.is_closable:
@@ -229,7 +232,7 @@
                 return True
         return False
 
-    def close_silent(self, spared: Asker | None, within: float) -> bool:
+    def close_silent(self, spared: ClientHandle | None, within: float) -> bool:
         """Closes the oldest connection without any request that is older than `within` seconds.
 
         Returns whether there was one.
@@ -266,13 +269,13 @@
             request, client.request = client.request, None
             self.limiter.client_disconnected(request)
 
-    def sweep(self, patience: float) -> None:
+    def sweep(self, message_timeout_seconds: float) -> None:
         """Closes connections that are stalled, linger, or have been idle for too long.
 
         Some clients send one request or none and never close their connection.
 
         Args:
-            patience: Seconds a client may take to send a message or to read a response.
+            message_timeout_seconds: Limit for a client to send a message or to read a response.
         """
         now = self.limiter.loop.time()
         for client in list(self.clients):
@@ -280,7 +283,9 @@
                 client.wire.stop(Ending.IDLE)
                 continue
             within = (
-                min(self.header_timeout_seconds, patience) if client.is_receiving_head else patience
+                min(self.header_timeout_seconds, message_timeout_seconds)
+                if client.is_receiving_head
+                else message_timeout_seconds
             )
             if now - client.state_since > within and client.is_stalled:
                 client.close_stalled()
--- a/loomstand/limiter/counter.py
+++ b/loomstand/limiter/counter.py
@@ -29,11 +29,11 @@
 class CounterConnection:
     """A connection to the counter and its pending calls in the order in which they were sent."""
 
-    __slots__ = ("calls", "client", "is_open", "last_received_at", "machine", "wire")
+    __slots__ = ("calls", "client", "is_open", "last_received_at", "parser", "wire")
 
     def __init__(self, counter: CounterClient) -> None:
         self.client, self.is_open = counter, False
-        self.machine = http_parser.ResponseReceiver()
+        self.parser = http_parser.ResponseReceiver()
         self.wire = Wire(self, counter.limiter.memory_budget, http_parser.MAX_MESSAGE_BYTES)
         self.calls: deque[Call] = deque()
         self.last_received_at = counter.limiter.loop.time()
@@ -46,11 +46,11 @@
         self.last_received_at = self.client.limiter.loop.time()
         self.client.silence_timeout = self.client.timeout
         try:
-            while self.wire.ending is None and self.machine.step(self.wire.inbound):
+            while self.wire.ending is None and self.parser.step(self.wire.inbound):
                 if not self.calls:
                     raise http_parser.Malformed(502, "a response without a call")
-                status, body, close = self.machine.status, self.machine.body, self.machine.close
-                self.machine.reset()
+                status, body, close = self.parser.status, self.parser.body, self.parser.close
+                self.parser.reset()
                 is_valid = self.client.response_received(self.calls.popleft(), status, body)
                 if close or not is_valid or (self.wire.inbound.used and not self.calls):
                     self.wire.stop(Ending.FINISHED if close else Ending.MALFORMED)
--- a/loomstand/limiter/discovery.py
+++ b/loomstand/limiter/discovery.py
@@ -49,19 +49,19 @@
         self.limiter, self.address, self.revision = limiter, address, revision
         self.connect_timeout = connect_timeout
         self.wire: Wire | None = None
-        self.machine = WatchReceiver(MAX_LINE_BYTES)
+        self.parser = WatchReceiver(MAX_LINE_BYTES)
         self.last_received_at, self.retry_delay, self.stopped = 0.0, RETRY_DELAY_SECONDS[0], False
         self.timer: asyncio.TimerHandle | None = None  # for the next connection attempt
         self.jitter = Random(seed).random
-        self.held = False
+        self.is_active = False
 
-    def hold(self, on: bool) -> None:
+    def set_active(self, on: bool) -> None:
         """Starts or stops the watch; peers relay the lists while it is stopped."""
-        if on and not self.held:
-            self.held, self.retry_delay = True, RETRY_DELAY_SECONDS[0]
+        if on and not self.is_active:
+            self.is_active, self.retry_delay = True, RETRY_DELAY_SECONDS[0]
             self.start()
-        elif not on and self.held:
-            self.held = False
+        elif not on and self.is_active:
+            self.is_active = False
             if self.timer is not None:
                 self.timer.cancel()
                 self.timer = None
@@ -70,10 +70,10 @@
 
     def start(self) -> None:
         """Opens the connection; the watch continues after the last known revision."""
-        self.held = True
+        self.is_active = True
         if not self.stopped:
             self.timer = None
-            self.machine = WatchReceiver(MAX_LINE_BYTES)
+            self.parser = WatchReceiver(MAX_LINE_BYTES)
             self.wire = Wire(self, self.limiter.memory_budget, http_parser.MAX_MESSAGE_BYTES)
             self.last_received_at = self.limiter.loop.time()
             connect(self.limiter.loop, self.wire, self.address, self.connect_timeout)
@@ -88,10 +88,10 @@
     def received(self) -> None:
         self.last_received_at = self.limiter.loop.time()
         try:
-            is_complete = self.machine.step(self.wire.inbound)
-            if self.machine.begun and self.machine.status != 200:
-                raise http_parser.Malformed(502, f"status {self.machine.status}")
-            for line in self.machine.lines():
+            is_complete = self.parser.step(self.wire.inbound)
+            if self.parser.begun and self.parser.status != 200:
+                raise http_parser.Malformed(502, f"status {self.parser.status}")
+            for line in self.parser.lines():
                 if line.strip():
                     self.list_received(decode_list(line))
                     self.retry_delay = RETRY_DELAY_SECONDS[0]
@@ -123,7 +123,7 @@
         if self.wire is not None:
             self.wire.drop(Ending.FINISHED)
         self.address, self.retry_delay = address, RETRY_DELAY_SECONDS[0]
-        if self.held:
+        if self.is_active:
             self.start()
 
     def sweep(self) -> None:
--- a/loomstand/limiter/endings.py
+++ b/loomstand/limiter/endings.py
@@ -30,7 +30,7 @@
 LOCAL_ENDING_OUTCOMES = {Ending.EXPIRED: Outcome.NO_RESPONSE, Ending.CALLED_OFF: Outcome.CANCELLED}
 
 
-def outcome(ending: Ending, written: bool) -> Outcome:
+def attempt_outcome(ending: Ending, written: bool) -> Outcome:
     """Returns the outcome of an attempt whose connection ended.
 
     Args:
--- a/loomstand/limiter/event_loop.py
+++ b/loomstand/limiter/event_loop.py
@@ -83,10 +83,10 @@
     """
 
     __slots__ = (
+        "cancel_connect",
         "ending",
         "inbound",
         "lingering",
-        "off",
         "outbound",
         "reading",
         "transport",
@@ -104,7 +104,7 @@
         )
         self.transport: asyncio.Transport | None = None
         self.ending: Ending | None = None
-        self.off: Callable[[], None] | None = None  # cancels a pending connect
+        self.cancel_connect: Callable[[], None] | None = None  # cancels a pending connect
         self.write_paused = self.lingering = False
         self.reading = True
 
@@ -120,7 +120,9 @@
         space = self.inbound.space()
         if space:
             return space
-        self.stop(Ending.OVERSIZED if self.inbound.size >= self.inbound.most else Ending.NO_ROOM)
+        self.stop(
+            Ending.OVERSIZED if self.inbound.size >= self.inbound.max_size else Ending.NO_ROOM
+        )
         return memoryview(bytearray(1))
 
     def buffer_updated(self, nbytes: int) -> None:
@@ -188,10 +190,10 @@
             self.ending = ending
             if self.transport is not None:
                 self.transport.abort()
-            elif self.off is not None:
-                self.off()
+            elif self.cancel_connect is not None:
+                self.cancel_connect()
 
-    def sever(self) -> None:
+    def discard_unsent(self) -> None:
         """Makes the next close a reset, which discards unsent bytes in the kernel.
 
         Otherwise they could be delivered seconds later, when a network partition heals.
@@ -355,4 +357,4 @@
         timer.cancel()
         task.cancel()
 
-    wire.off = cancel
+    wire.cancel_connect = cancel
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -39,7 +39,7 @@
 from loomstand.limiter.client_connection import ClientListener
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import ArrivalClockSelector, ReadTimeClock
-from loomstand.limiter.protocols import Asker
+from loomstand.limiter.protocols import ClientHandle
 from loomstand.limiter.request import Attempt, RequestT
 from loomstand.limiter.upstream import ConnectionPool
 
@@ -53,19 +53,20 @@
 class GatewayCore(Generic[RequestT]):
     """The listener, connection pool, decision engine and pending requests of one limiter.
 
-    A subclass sets `listener`, `pool`, `engine` and `patience`, and formats the responses.
+    A subclass sets `listener`, `pool`, `engine` and `message_timeout_seconds`, and formats the
+    responses.
 
     Attributes:
         listener: Accepts and holds the client connections.
         pool: Connections to servers.
         engine: Decides on admission, routing and retries.
-        patience: Seconds a client may take to send a message or to read a response.
+        message_timeout_seconds: Limit for a client to send a message or to read a response.
         log: Writes a log line.
         loop: The event loop.
         arrival_clock: Bounds the arrival time of the bytes being read.
         memory_budget: Memory budget for buffers and bodies.
-        most_answer: Maximum size of a server's response in bytes.
-        spare: Sockets reserved for new clients; as many are reserved for rejected ones.
+        max_response_bytes: Maximum size of a server's response in bytes.
+        reserved_sockets: Sockets reserved for new clients; as many are reserved for rejected ones.
         sockets: Sockets for all other connections.
         requests: By id, the requests without a response or with attempts in flight.
         is_ready: Whether the readiness check succeeds.
@@ -77,7 +78,7 @@
     listener: ClientListener
     pool: ConnectionPool[RequestT]
     engine: DecisionEngine
-    patience: float
+    message_timeout_seconds: float
 
     def __init__(
         self,
@@ -103,9 +104,11 @@
         # a 64th of the buffers, as servers send responses above the body limit of the protocol. A
         # tenth of the sockets is for clients being accepted, and as many for those being rejected.
         self.memory_budget = MemoryBudget(int(memory_mb * (1 << 20) / 2))
-        self.most_answer = max(http_parser.MAX_BODY_BYTES, self.memory_budget.available // 64)
-        self.spare = sockets // 10
-        self.sockets = sockets - 2 * self.spare
+        self.max_response_bytes = max(
+            http_parser.MAX_BODY_BYTES, self.memory_budget.available // 64
+        )
+        self.reserved_sockets = sockets // 10
+        self.sockets = sockets - 2 * self.reserved_sockets
         self.requests: dict[int, RequestT] = {}
         self.last_request_id, self.is_ready = 0, False
         self.endings: Tally[str] = Tally()
@@ -161,7 +164,7 @@
 
     def sweep(self) -> None:
         """Closes timed-out connections and writes periodic log lines; runs once a second."""
-        self.listener.sweep(self.patience)
+        self.listener.sweep(self.message_timeout_seconds)
         self.pool.sweep()
         self.on_sweep()
         abandoned = self.abandoned.take_report()
@@ -185,7 +188,7 @@
         """Returns how many more connections may be opened; negative if there are too many."""
         return self.sockets - len(self.listener.clients) - len(self.pool.connections)
 
-    def make_room(self, spared: Asker | None = None) -> bool:
+    def free_socket(self, spared: ClientHandle | None = None) -> bool:
         """Closes the least useful connection; returns whether there was one.
 
         In this order: a client connection without any request, an idle connection to a server, an
@@ -243,7 +246,7 @@
     # clients
 
     def track_request(
-        self, request: RequestT, client: Asker, timeout: int, arrived_at: float
+        self, request: RequestT, client: ClientHandle, timeout: int, arrived_at: float
     ) -> None:
         """Registers a request, which gets exactly one response unless its client disconnects.
 
--- a/loomstand/limiter/http_parser.py
+++ b/loomstand/limiter/http_parser.py
@@ -34,7 +34,7 @@
 }
 
 
-def number(raw: bytes) -> bool:
+def is_decimal(raw: bytes) -> bool:
     """Whether this is a decimal integer of at most 9 digits."""
     return raw.isdigit() and len(raw) < 10
 
@@ -78,16 +78,18 @@
         "body",
         "close",
         "fields",
-        "most",
-        "most_head",
+        "max_body_bytes",
+        "max_head_bytes",
         "remaining",
         "search_from",
         "state",
     )
     read = staticmethod(read_head)
 
-    def __init__(self, most: int = MAX_BODY_BYTES, most_head: int = MAX_HEAD_BYTES) -> None:
-        self.most, self.most_head = most, most_head
+    def __init__(
+        self, max_body_bytes: int = MAX_BODY_BYTES, max_head_bytes: int = MAX_HEAD_BYTES
+    ) -> None:
+        self.max_body_bytes, self.max_head_bytes = max_body_bytes, max_head_bytes
         self.reset()
 
     def reset(self) -> None:
@@ -121,8 +123,8 @@
 
     def head(self, ring: Ring) -> bool:
         end = ring.find(b"\r\n\r\n", self.search_from)
-        if end < 0 or end > self.most_head:
-            if ring.used > self.most_head:
+        if end < 0 or end > self.max_head_bytes:
+            if ring.used > self.max_head_bytes:
                 raise Malformed(431, "head too long")
             self.search_from = max(0, ring.used - 3)
             return False
@@ -152,10 +154,10 @@
                 raise Malformed(501, "unknown coding")
             self.body, self.state = bytearray(), Receiver.chunk_size
         elif length is not None:
-            if not number(length):
+            if not is_decimal(length):
                 raise Malformed(400, "bad length")
             self.remaining = int(length)
-            if self.remaining > self.most:
+            if self.remaining > self.max_body_bytes:
                 raise Malformed(413, "body too long")
             self.state = Receiver.sized_body if self.remaining else None
         else:
@@ -177,7 +179,7 @@
         if not size:
             raise Malformed(400, "bad chunk size")
         self.remaining = int(size[1], 16)
-        if len(self.body) + self.remaining > self.most:
+        if len(self.body) + self.remaining > self.max_body_bytes:
             raise Malformed(413, "body too long")
         self.state = Receiver.chunk if self.remaining else Receiver.trailer
         return True
@@ -205,7 +207,7 @@
         if line is None:
             return False
         self.remaining += len(line)
-        if self.remaining > self.most_head:
+        if self.remaining > self.max_head_bytes:
             raise Malformed(431, "trailer too long")
         if not line:
             self.body, self.state = bytes(self.body), None
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -69,7 +69,7 @@
             settings.allowed_actions.idle_timeout_ms / 1000,
         )
         self.listener, self.pool = (
-            ClientListener(self, self.spare, limits.sockets),
+            ClientListener(self, self.reserved_sockets, limits.sockets),
             ConnectionPool(self, connect_timeout, idle_timeout),
         )
         self.counter: CounterClient | None = None
@@ -107,7 +107,7 @@
                 known,
                 config.random_seed,
             )
-        self.patience = max(f.client_timeout_ms for f in settings.frontends) / 1000
+        self.message_timeout_seconds = max(f.client_timeout_ms for f in settings.frontends) / 1000
 
     # lifecycle
 
@@ -118,7 +118,7 @@
             OSError: The listen address can't be bound.
         """
         if self.config.initial_backends.backends:
-            self.listed(self.config.initial_backends)
+            self.update_servers(self.config.initial_backends)
         self.loop.set_exception_handler(self.on_loop_exception)
         if self.peers is not None:
             await self.peers.listen()
@@ -179,14 +179,14 @@
         """Handles a list or change from discovery itself, and shares it with the peers."""
         if self.peers is not None:
             self.peers.from_discovery(list_)
-        self.listed(list_)
+        self.update_servers(list_)
 
     def heartbeat_received(self) -> None:
         """Notes a heartbeat of discovery: the known list is current."""
         if self.peers is not None:
             self.peers.beat()
 
-    def listed(self, list_: BackendList) -> None:
+    def update_servers(self, list_: BackendList) -> None:
         """Applies a list or change of servers from discovery or a peer."""
         if list_.complete:
             named = {m.id for m in list_.backends}
@@ -221,14 +221,14 @@
     # clients
 
     def request_received(
-        self, client: ClientConnection, machine: http_parser.RequestReceiver, arrived_at: float
+        self, client: ClientConnection, parser: http_parser.RequestReceiver, arrived_at: float
     ) -> None:
         """Validates a received request and passes it to the decision engine.
 
         Raises:
             Malformed: The request is invalid.
         """
-        request = AccountRequest(machine, self.names)
+        request = AccountRequest(parser, self.names)
         if not self.memory_budget.reserve(len(request.body)):
             client.answer(503)
             return
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -56,14 +56,14 @@
 class ConnectionOwner(Owner, Protocol):
     """What components with many connections need of the limiter."""
 
-    most_answer: int
+    max_response_bytes: int
 
     def spare_sockets(self) -> int: ...
 
-    def make_room(self, spared: Asker | None = None) -> bool: ...
+    def free_socket(self, spared: ClientHandle | None = None) -> bool: ...
 
 
-class Sends(ConnectionOwner, Protocol[AttemptT_contra]):
+class PoolOwner(ConnectionOwner, Protocol[AttemptT_contra]):
     """What the connection pool to servers needs of the limiter."""
 
     def now(self) -> int: ...
@@ -82,14 +82,14 @@
     def arrival_clock(self) -> ArrivalClock: ...
 
     def request_received(
-        self, client: Asker, machine: http_parser.RequestReceiver, at: float
+        self, client: ClientHandle, parser: http_parser.RequestReceiver, at: float
     ) -> None: ...
 
     # The request class of the limiter, as set on the client by `request_received`.
     def client_disconnected(self, request: Any) -> None: ...  # noqa: ANN401
 
 
-class Asker(Protocol):
+class ClientHandle(Protocol):
     """A client connection, as seen by a request and the limiter."""
 
     request: TrackedRequest | None
@@ -104,7 +104,7 @@
 class TrackedRequest(Protocol):
     """A request, as seen by its client connection."""
 
-    client: Asker | None
+    client: ClientHandle | None
 
 
 class AttemptConnection(Protocol):
--- a/loomstand/limiter/request.py
+++ b/loomstand/limiter/request.py
@@ -10,8 +10,8 @@
 
 from loomstand.admission.identifiers import stable_digest
 from loomstand.admission.settings import EngineSettings
-from loomstand.limiter.http_parser import Malformed, RequestReceiver, number
-from loomstand.limiter.protocols import Asker, AttemptConnection
+from loomstand.limiter.http_parser import Malformed, RequestReceiver, is_decimal
+from loomstand.limiter.protocols import AttemptConnection, ClientHandle
 
 ACCOUNT = re.compile(rb"[?&]account=([0-9a-fA-F]{16})(?:&|$)").search
 DECIMAL = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?").fullmatch
@@ -46,7 +46,7 @@
         pairs = dict(part.strip().partition(b"=")[::2] for part in raw.split(b","))
         units = pairs.get(b"units", b"1")
         spread, first = pairs.get(b"spread", b"0"), pairs.get(b"first", b"0")
-        if not DECIMAL(units) or not number(spread) or not number(first):
+        if not DECIMAL(units) or not is_decimal(spread) or not is_decimal(first):
             raise Malformed(400, "bad X-Call-Terms")
         if not 0 < float(units) <= self.settings.max_request_units:
             raise Malformed(400, "X-Call-Terms: units out of the settings' range")
@@ -74,27 +74,27 @@
         "head",
         "id",
         "is_abandoned",
-        "line",
+        "start_line",
     )
 
-    def __init__(self, machine: RequestReceiver) -> None:
-        self.fields: dict[bytes, bytes] = machine.fields
-        self.body: bytes = machine.body
-        self.line: tuple[bytes, bytes] = (machine.method, machine.target)
+    def __init__(self, parser: RequestReceiver) -> None:
+        self.fields: dict[bytes, bytes] = parser.fields
+        self.body: bytes = parser.body
+        self.start_line: tuple[bytes, bytes] = (parser.method, parser.target)
         self.head = b""
         self.id: int = 0
         self.deadline: int = 0
-        self.client: Asker | None = None
+        self.client: ClientHandle | None = None
         self.attempts: list[Attempt[Any] | None] = []
         self.is_abandoned = False  # whether its client disconnected before the answer
 
-    def onward(self, omitted: Container[bytes]) -> bytes:
+    def forwarded_head(self, omitted: Container[bytes]) -> bytes:
         """Returns the forwarded head without its final empty line; omits the fields `omitted`."""
         if not self.head:
             lines = [b"%b: %b\r\n" % pair for pair in self.fields.items() if pair[0] not in omitted]
-            if self.body or self.line[0] != b"GET":
+            if self.body or self.start_line[0] != b"GET":
                 lines.append(b"content-length: %d\r\n" % len(self.body))
-            self.head = b"%b %b HTTP/1.1\r\n%b" % (*self.line, b"".join(lines))
+            self.head = b"%b %b HTTP/1.1\r\n%b" % (*self.start_line, b"".join(lines))
         return self.head
 
     def raw(self, timeout_ms: int) -> bytes:
@@ -107,16 +107,16 @@
 
     __slots__ = ("customer", "first", "frontend", "plan", "retry", "set_size", "timeout", "units")
 
-    def __init__(self, machine: RequestReceiver, names: NameLookup) -> None:
+    def __init__(self, parser: RequestReceiver, names: NameLookup) -> None:
         """Validates the request.
 
         Raises:
             Malformed: With status 404 for an unknown frontend, 400 for all other faults.
         """
-        super().__init__(machine)
-        fields, target = machine.fields, machine.target
+        super().__init__(parser)
+        fields, target = parser.fields, parser.target
         timeout_ms, account = fields.get(b"request-timeout-ms", b""), ACCOUNT(target)
-        if not fields.get(b"request-id") or not number(timeout_ms) or not account:
+        if not fields.get(b"request-id") or not is_decimal(timeout_ms) or not account:
             raise Malformed(400, "a req needs Request-Id, Request-Timeout-Ms and an account")
         name = fields.get(b"request-class") or target[1:].partition(b"?")[0].partition(b"/")[0]
         self.frontend = names.frontends.get(name, -1)
@@ -132,7 +132,7 @@
 
     def raw(self, timeout_ms: int) -> bytes:
         return b"%brequest-timeout-ms: %d\r\n\r\n%b" % (
-            self.onward(OWN_FIELDS),
+            self.forwarded_head(OWN_FIELDS),
             timeout_ms,
             self.body,
         )
--- a/loomstand/limiter/upstream.py
+++ b/loomstand/limiter/upstream.py
@@ -8,9 +8,9 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.ticks import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 from loomstand.limiter import event_loop, http_parser
-from loomstand.limiter.endings import Ending, outcome, response_outcome
+from loomstand.limiter.endings import Ending, attempt_outcome, response_outcome
 from loomstand.limiter.event_loop import Wire
-from loomstand.limiter.protocols import Sends
+from loomstand.limiter.protocols import PoolOwner
 from loomstand.limiter.request import Attempt, RequestT
 
 TOO_LONG_STATUSES = (413, 431)  # of `Malformed`, for a body or head above its size limit
@@ -23,7 +23,7 @@
         pool: The pool that owns the connection.
         endpoint_id: Index of the server.
         sent: Whether the attempt's bytes were written or queued for writing.
-        machine: Parses the responses.
+        parser: Parses the responses.
         wire: The buffered connection.
         attempt: The attempt in flight, if any.
         idle_at: Loop time of its last use; 0 if unused.
@@ -35,7 +35,7 @@
         "endpoint_id",
         "idle_at",
         "idle_timeout_seconds",
-        "machine",
+        "parser",
         "pool",
         "sent",
         "wire",
@@ -46,9 +46,11 @@
         self.pool = pool
         self.endpoint_id = endpoint_id
         self.sent = False
-        self.machine = http_parser.ResponseReceiver(pool.limiter.most_answer)
+        self.parser = http_parser.ResponseReceiver(pool.limiter.max_response_bytes)
         self.wire = Wire(
-            self, pool.limiter.memory_budget, pool.limiter.most_answer + http_parser.MAX_HEAD_BYTES
+            self,
+            pool.limiter.memory_budget,
+            pool.limiter.max_response_bytes + http_parser.MAX_HEAD_BYTES,
         )
         self.attempt: Attempt[RequestT] | None = None
         self.idle_at = 0.0
@@ -71,12 +73,12 @@
 
     def received(self) -> None:
         """Parses received bytes."""
-        attempt, machine = self.attempt, self.machine
+        attempt, parser = self.attempt, self.parser
         if attempt is None:  # bytes without a request
             self.wire.stop(Ending.MALFORMED)
             return
         try:
-            if not machine.step(self.wire.inbound):
+            if not parser.step(self.wire.inbound):
                 return
         except http_parser.Malformed as error:
             is_too_long = error.status in TOO_LONG_STATUSES
@@ -86,11 +88,11 @@
 
     def response_received(self) -> None:
         """Reports the attempt after a complete response."""
-        attempt, machine = self.attempt, self.machine
-        status, fields, body, close = machine.status, machine.fields, machine.body, machine.close
+        attempt, parser = self.attempt, self.parser
+        status, fields, body, close = parser.status, parser.fields, parser.body, parser.close
         self.finish_response(close)
         used = fields.get(b"x-ratelimit-used", b"")
-        metered = int(used) + 1 if http_parser.number(used) else 0
+        metered = int(used) + 1 if http_parser.is_decimal(used) else 0
         self.pool.limiter.attempt_ended(
             attempt, response_outcome(status, fields.get(b"not-started") == b"1"), metered, body
         )
@@ -98,7 +100,7 @@
     def finish_response(self, close: bool) -> None:
         """Ends the attempt, and keeps the connection for the next one or closes it."""
         self.attempt = None
-        self.machine.reset()
+        self.parser.reset()
         # Surplus bytes, or a response before the whole request was sent: don't reuse.
         if close or self.wire.inbound.used or not self.wire.written:
             self.pool.close(self, Ending.FINISHED)
@@ -112,7 +114,7 @@
         self.pool.forget(self)
         if self.attempt is not None:
             attempt, self.attempt = self.attempt, None
-            limiter.attempt_ended(attempt, outcome(ending, self.sent and self.wire.written))
+            limiter.attempt_ended(attempt, attempt_outcome(ending, self.sent and self.wire.written))
 
 
 class ConnectionPool(Generic[RequestT]):
@@ -135,7 +137,7 @@
     connect = staticmethod(event_loop.connect)
 
     def __init__(
-        self, limiter: Sends[Attempt[RequestT]], connect_timeout: float, idle_close: float
+        self, limiter: PoolOwner[Attempt[RequestT]], connect_timeout: float, idle_close: float
     ) -> None:
         """Creates an empty pool.
 
@@ -183,9 +185,9 @@
                 connection.write()
                 return
             self.close(connection, Ending.IDLE)
-        if self.limiter.spare_sockets() <= 0 and not self.limiter.make_room():
+        if self.limiter.spare_sockets() <= 0 and not self.limiter.free_socket():
             self.limiter.loop.call_soon(
-                self.limiter.attempt_ended, attempt, outcome(Ending.NO_ROOM, False)
+                self.limiter.attempt_ended, attempt, attempt_outcome(Ending.NO_ROOM, False)
             )
             return
         connection = self.connection_type(self, attempt.endpoint_id)
--- a/loomstand/membership/driver.py
+++ b/loomstand/membership/driver.py
@@ -27,7 +27,7 @@
 
     def log(self, text: str) -> None: ...
 
-    def listed(self, list_: BackendList) -> None: ...
+    def update_servers(self, list_: BackendList) -> None: ...
 
 
 class Watching(Protocol):
@@ -35,7 +35,7 @@
 
     revision: int
 
-    def hold(self, on: bool) -> None: ...
+    def set_active(self, on: bool) -> None: ...
 
 
 class Peers(asyncio.DatagramProtocol):
@@ -86,7 +86,7 @@
             some = here or self.members.given
             for whom in self.members.rng.sample(some, min(2, len(some))):
                 self.members.send(whom, Want(*self.members.head()))
-        self.watch.hold(self.lists.watching(now, self.members.alive()))
+        self.watch.set_active(self.lists.watching(now, self.members.alive()))
         self.ticks += 1
         if self.ticks % 200 == 0 and self.counts:
             said = ", ".join(f"{k} {n}" for k, n in sorted(self.counts.items()))
@@ -148,7 +148,7 @@
         """A list or change from a peer counts as told; what is new is passed on."""
         self.watch.revision = max(self.watch.revision, told.revision)
         self.counts["lists from peers"] += 1
-        self.limiter.listed(told)
+        self.limiter.update_servers(told)
         if not part.whole:
             self.pass_on(part)
 
--- a/loomstand/proxy/admission_adapter.py
+++ b/loomstand/proxy/admission_adapter.py
@@ -29,7 +29,7 @@
 from loomstand.limiter.event_loop import ArrivalClockSelector, Streams
 from loomstand.limiter.gateway_core import GatewayCore
 from loomstand.limiter.http_parser import RequestReceiver
-from loomstand.limiter.protocols import Asker
+from loomstand.limiter.protocols import ClientHandle
 from loomstand.limiter.request import Attempt
 from loomstand.proxy.configuration_updates import ConfigurationUpdates
 from loomstand.proxy.counter_client import CounterClient
@@ -111,13 +111,13 @@
         super().__init__(_log, arrival_clock, limits.memory_mb // 2, sockets)
         self.settings = settings
         self.rng = rng
-        self.listener = ClientListener(self, self.spare, limits.file_descriptors)
+        self.listener = ClientListener(self, self.reserved_sockets, limits.file_descriptors)
         self.listener.own_paths = False
         self.pool = UpstreamPool(self, CONNECT_TIMEOUT_SECONDS, MAX_IDLE_SECONDS)
         if streams is not None:
             self.listener.bind = streams.listen
             self.pool.connect = streams.connect
-        self.patience = STALL_TIMEOUT_SECONDS
+        self.message_timeout_seconds = STALL_TIMEOUT_SECONDS
         self.limiters = LimiterSetRow(rank=0, total=1, silent=0)
         self.policy = PolicyCompiler(settings.bounds, list(settings.zones), settings.zone)
         self.endpoints = EndpointUpdates(self.policy, self.pool)
@@ -137,18 +137,18 @@
 
     # events: requests of clients
 
-    def request_received(self, client: Asker, machine: RequestReceiver, at: float) -> None:
+    def request_received(self, client: ClientHandle, parser: RequestReceiver, at: float) -> None:
         """Admits a request that arrived, or lets it wait for the end of the start.
 
         Args:
             client: The client's connection; from here on it is owed one answer.
-            machine: The parser that holds the message.
+            parser: The parser that holds the message.
             at: When it arrived, by the event loop's clock.
 
         Raises:
             Malformed: The request isn't proper.
         """
-        request = ProxyRequest(machine)
+        request = ProxyRequest(parser)
         request.client = client
         client.request = request
         if self.startup.are_met(request):
--- a/loomstand/proxy/request.py
+++ b/loomstand/proxy/request.py
@@ -6,7 +6,7 @@
 
 from loomstand.admission.ticks import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 from loomstand.config.configuration import Route, Tenant
-from loomstand.limiter.http_parser import Malformed, RequestReceiver, number
+from loomstand.limiter.http_parser import Malformed, RequestReceiver, is_decimal
 from loomstand.limiter.request import HOP_FIELDS, Attempt, Request
 
 REQUEST_ID_FIELD = b"loomstand-request-id"
@@ -81,7 +81,7 @@
         if not self.request_id:
             raise Malformed(400, "a request needs Loomstand-Request-Id")
         remaining = fields.get(DEADLINE_FIELD, b"")
-        if remaining and not number(remaining):
+        if remaining and not is_decimal(remaining):
             raise Malformed(400, "Loomstand-Deadline-Remaining is whole milliseconds")
         self.deadline_remaining_ms = int(remaining) if remaining else None
         scheme, _, key = fields.get(b"authorization", b"").partition(b" ")
@@ -105,7 +105,7 @@
     @property
     def path(self) -> bytes:
         """The path of its target, without the query."""
-        return self.line[1].partition(b"?")[0]
+        return self.start_line[1].partition(b"?")[0]
 
     def timeout_ticks(self) -> int:
         """Returns how long it may take, by its route and by what the client says."""
@@ -125,7 +125,7 @@
         tenant_header = b""
         if self.tenant is not None:
             tenant_header = b"loomstand-tenant-name: %b\r\n" % self.tenant.name.encode()
-        head = self.onward(self.excluded_fields)
+        head = self.forwarded_head(self.excluded_fields)
         deadline_header = b"loomstand-deadline-remaining: %d\r\n" % timeout_ms
         return b"%b%b%bloomstand-expected-instance: %b\r\n\r\n%b" % (
             head,
--- a/loomstand/proxy/upstream.py
+++ b/loomstand/proxy/upstream.py
@@ -13,7 +13,7 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.protocols import Sends
+from loomstand.limiter.protocols import PoolOwner
 from loomstand.limiter.request import HOP_FIELDS, Attempt
 from loomstand.limiter.upstream import ConnectionPool, ServerConnection
 from loomstand.proxy.request import (
@@ -38,7 +38,7 @@
 MAX_SURPLUS_RESPONSES = 8
 
 
-class AttemptListener(Sends[Attempt[ProxyRequest]], Protocol):
+class AttemptListener(PoolOwner[Attempt[ProxyRequest]], Protocol):
     """What connections to servers need of the proxy."""
 
     def endpoint_misdirected(self, attempt: Attempt[ProxyRequest]) -> None:
@@ -76,7 +76,7 @@
         attempt = self.attempt
         if attempt is None:
             return
-        parser = self.machine
+        parser = self.parser
         status, fields, body, must_close = parser.status, parser.fields, parser.body, parser.close
         response_id = fields.get(REQUEST_ID_FIELD)
         request = attempt.request
@@ -111,7 +111,7 @@
     def _skip_surplus(self) -> None:
         """Skips a response to an earlier request: the right one follows."""
         self.surplus += 1
-        self.machine.reset()
+        self.parser.reset()
         if self.wire.inbound.used:
             self.received()
 
@@ -197,7 +197,7 @@
         """
         connection = attempt.connection
         if connection is not None and connection.attempt is attempt:
-            connection.wire.sever()
+            connection.wire.discard_unsent()
         super().give_up(attempt, ending)
 
     def discard_stale(self, connection: UpstreamConnection, attempt: Attempt[ProxyRequest]) -> None:
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -16,7 +16,7 @@
 from loomstand.limiter.buffers import MemoryBudget
 from loomstand.limiter.client_connection import ClientConnection, ClientListener
 from loomstand.limiter.event_loop import ArrivalClockSelector, ReadTimeClock, Streams
-from loomstand.limiter.protocols import Asker
+from loomstand.limiter.protocols import ClientHandle
 from loomstand.rpc.network import Address
 
 # Share of the sockets that callers may keep open between calls; the others are for new calls and,
@@ -69,7 +69,7 @@
         self.arrival_clock: Any = arrival_clock or ReadTimeClock()
         self.memory_budget = MemoryBudget(memory_bytes)
         self.endings = Counter[str]()
-        self.most_answer = max_body_bytes
+        self.max_response_bytes = max_body_bytes
         self.is_ready = True
         self.sockets = max_sockets
         self.tasks: set[asyncio.Task[None]] = set()
@@ -85,7 +85,7 @@
         )
         if streams is not None:
             listener.bind = streams.listen
-        listener.most_held = int(max_sockets * KEEP_ALIVE_SHARE)
+        listener.keep_alive_limit = int(max_sockets * KEEP_ALIVE_SHARE)
         listener.idle_timeout_seconds = IDLE_TIMEOUT_SECONDS
         listener.max_body_bytes = max_body_bytes
         listener.own_paths = False
@@ -110,20 +110,20 @@
         """Returns how many connections more there may be; below 0 where there are too many."""
         return self.sockets - len(self.listener.clients)
 
-    def make_room(self, spared: Asker | None = None) -> bool:
+    def free_socket(self, spared: ClientHandle | None = None) -> bool:
         """Closes a connection that nobody needs, other than `spared`; whether there was one."""
         return self.listener.close_silent(spared, SILENT_SECONDS) or self.listener.close_idle(
             spared
         )
 
     def request_received(
-        self, client: ClientConnection, machine: http_parser.RequestReceiver, at: float
+        self, client: ClientConnection, parser: http_parser.RequestReceiver, at: float
     ) -> None:
         """Begins to serve the call that came on a connection.
 
         Args:
             client: The connection.
-            machine: Holds the call.
+            parser: Holds the call.
             at: When it came, by the event loop's clock; nothing depends on it here.
         """
         del at
@@ -131,7 +131,7 @@
         holder: Any = client
         holder.request = pending
         task = self.loop.create_task(
-            self.serve(pending, machine.method, machine.target, bytes(machine.body))
+            self.serve(pending, parser.method, parser.target, bytes(parser.body))
         )
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/loomstand/testing/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -448,7 +448,7 @@
             end.way.clear()
             end.settle()
 
-        wire.off = off
+        wire.cancel_connect = off
 
     async def open(self, make: Callable[[], Any], address: Address, within: float) -> Any:
         """A connection's protocol once it stands. Raises ConnectionRefusedError or TimeoutError."""
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -97,7 +97,7 @@
         self.sky = SimNetwork(Random(1))
         self.cables = Cables(self.sky, Random(2))
         self.loop = asyncio.get_running_loop()
-        self.memory_budget, self.endings, self.most_answer = (
+        self.memory_budget, self.endings, self.max_response_bytes = (
             MemoryBudget(1 << 22),
             Tally[str](),
             1 << 16,
@@ -129,7 +129,7 @@
     def spare_sockets(self) -> int:
         return 9
 
-    def make_room(self, spared: Any = None) -> bool:
+    def free_socket(self, spared: Any = None) -> bool:
         return False
 
     def endpoint_misdirected(self, attempt: Any) -> None:
@@ -146,12 +146,12 @@
             self.bodies[id_] = attempt.request.server_response
 
     def request(self, id_: str, body: bytes = b"", idempotent: bool = False) -> ProxyRequest:
-        machine, ring = http_parser.RequestReceiver(1 << 20), Ring(self.memory_budget, 1 << 21)
+        parser, ring = http_parser.RequestReceiver(1 << 20), Ring(self.memory_budget, 1 << 21)
         head = f"POST /x HTTP/1.1\r\nHost: h\r\nLoomstand-Request-Id: {id_}\r\n"
         head += f"Content-Length: {len(body)}\r\n"
         ring.put(head.encode() + b"\r\n" + body)
-        assert machine.step(ring)
-        request = ProxyRequest(machine)
+        assert parser.step(ring)
+        request = ProxyRequest(parser)
         request.route, request.service = SimpleNamespace(idempotent=idempotent), "s"
         return request
 
--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -433,7 +433,7 @@
 @sockets
 async def test_clients_that_stay_after_one_request_are_closed_before_active_ones():
     async with Site(passes) as site, Caller(site.port) as usual:
-        site.limiter.listener.most_held = 4
+        site.limiter.listener.keep_alive_limit = 4
         stay = [Caller(site.port) for _ in range(8)]
         for n, caller in enumerate(stay):
             await caller.__aenter__()
--- a/tests/limiter/test_parsers.py
+++ b/tests/limiter/test_parsers.py
@@ -17,8 +17,8 @@
 from loomstand.limiter.endings import (
     LOCAL_FAILURES,
     Ending,
+    attempt_outcome,
     counter_call_outcome,
-    outcome,
     response_outcome,
 )
 from loomstand.limiter.http_parser import (
@@ -60,7 +60,7 @@
     assert memory_budget.available == 3 * INITIAL_RING_BYTES
 
 
-def fed(machine, pieces):
+def fed(parser, pieces):
     """Feeds a parser; returns complete messages as (start, fields, body, close)."""
     ring, got = Ring(MemoryBudget(1 << 20), MAX_MESSAGE_BYTES), []
     for piece in pieces:
@@ -69,10 +69,10 @@
             n = min(len(space), len(piece))
             space[:n], piece = piece[:n], piece[n:]
             ring.wrote(n)
-            while machine.step(ring):
-                start = machine.status if isinstance(machine, ResponseReceiver) else machine.target
-                got.append((start, dict(machine.fields), bytes(machine.body), machine.close))
-                machine.reset()
+            while parser.step(ring):
+                start = parser.status if isinstance(parser, ResponseReceiver) else parser.target
+                got.append((start, dict(parser.fields), bytes(parser.body), parser.close))
+                parser.reset()
     return got
 
 
@@ -140,9 +140,9 @@
 def test_noise_is_rejected_or_incomplete(noise, data):
     raw = b"GET /a HTTP/1.1\r\nHost: b\r\n\r\n"
     at = data.draw(st.integers(0, len(raw)))
-    for machine in (RequestReceiver(), ResponseReceiver()):
+    for parser in (RequestReceiver(), ResponseReceiver()):
         try:
-            fed(machine, [raw[:at] + noise + raw[at:]])
+            fed(parser, [raw[:at] + noise + raw[at:]])
         except Malformed as why:
             assert 400 <= why.status < 600
 
@@ -183,13 +183,13 @@
 
 def test_repeated_fields_are_joined_and_equal_lengths_merged():
     raw = HEAD + b"A: 1\r\nContent-Length: 2\r\na: 2\r\nContent-Length: 2\r\n\r\nok"
-    for machine in (RequestReceiver(), ResponseReceiver()):
+    for parser in (RequestReceiver(), ResponseReceiver()):
         said = (
             raw.replace(HEAD, b"HTTP/1.1 200 OK\r\n")
-            if isinstance(machine, ResponseReceiver)
+            if isinstance(parser, ResponseReceiver)
             else raw
         )
-        assert [m[1:3] for m in fed(machine, [said, said])] == [
+        assert [m[1:3] for m in fed(parser, [said, said])] == [
             ({b"a": b"1, 2", b"content-length": b"2"}, b"ok")
         ] * 2
 
@@ -202,9 +202,9 @@
 @pytest.mark.parametrize("ending", list(Ending))
 def test_only_an_unwritten_request_is_proven_not_run(ending):
     proven = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.REJECTED}
-    assert outcome(ending, False) in proven and outcome(ending, True) not in proven
+    assert attempt_outcome(ending, False) in proven and attempt_outcome(ending, True) not in proven
     # A local failure doesn't count against the server.
-    assert (outcome(ending, False) is Outcome.NOT_SENT) == (ending in LOCAL_FAILURES)
+    assert (attempt_outcome(ending, False) is Outcome.NOT_SENT) == (ending in LOCAL_FAILURES)
     # The counter may have applied any call that was written.
     assert counter_call_outcome(ending, True) is Outcome.NO_RESPONSE
     assert counter_call_outcome(ending, False) is Outcome.CONNECT_FAILED
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -344,7 +344,7 @@
         self.peers.connection_made(self)
         loop.call_later(rng.random() * 0.05, self.peers.tick)
 
-    def hold(self, on: bool) -> None:
+    def set_active(self, on: bool) -> None:
         if on and not self.watching:
             self.calls += 1
             self.loop.call_later(0.02, self.answered)
@@ -353,10 +353,10 @@
     def answered(self) -> None:
         if self.up and not self.cut and self.watching:
             told = listed(1, *(f"s{n}" for n in range(100)))  # three datagrams
-            self.listed(told)
+            self.update_servers(told)
             self.peers.from_discovery(told)
 
-    def listed(self, told: BackendList) -> None:
+    def update_servers(self, told: BackendList) -> None:
         self.held = self.loop.now if self.held is None else self.held
 
     def is_closing(self) -> bool:
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -114,12 +114,12 @@
     usual = ClientConnection.received
 
     def received(self):
-        machine, wire = self.machine, self.wire
-        before = machine.most, machine.most_head, wire.inbound.most
+        parser, wire = self.parser, self.wire
+        before = parser.max_body_bytes, parser.max_head_bytes, wire.inbound.max_size
         if self.message_started_at is None:
             self.message_started_at = self.listener.limiter.arrival_clock.earliest_arrival
         usual(self)
-        machine.most, machine.most_head, wire.inbound.most = before
+        parser.max_body_bytes, parser.max_head_bytes, wire.inbound.max_size = before
 
     monkeypatch.setattr(ClientConnection, "received", received)
     assert asked(cluster) == (200, False)
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -422,7 +422,7 @@
 
 
 def by_position(connection: Any, took: Any = UpstreamConnection.response_received) -> None:
-    connection.machine.fields = connection.machine.fields | {
+    connection.parser.fields = connection.parser.fields | {
         b"loomstand-request-id": connection.attempt.request.request_id
     }
     took(connection)
@@ -431,7 +431,7 @@
 def without_id_by_position(
     connection: Any, took: Any = UpstreamConnection.response_received
 ) -> None:
-    took(connection) if b"loomstand-request-id" in connection.machine.fields else by_position(
+    took(connection) if b"loomstand-request-id" in connection.parser.fields else by_position(
         connection, took
     )
 
@@ -448,7 +448,7 @@
 
 def kept_early(connection: Any, close: bool) -> None:
     connection.attempt = None
-    connection.machine.reset()
+    connection.parser.reset()
     connection.pool.release(connection)
 
 
@@ -483,7 +483,12 @@
         used_after_a_silence,
         lambda: staged(a_silence),
     ),
-    "close without a reset": (Wire, "sever", lambda wire: None, lambda: staged(behind_a_cut)),
+    "close without a reset": (
+        Wire,
+        "discard_unsent",
+        lambda wire: None,
+        lambda: staged(behind_a_cut),
+    ),
     "second sending on the same connection": (
         UpstreamPool,
         "send",
@@ -502,7 +507,7 @@
         kept_early,
         lambda: staged(answered_early(503)),
     ),
-    "a reset is a proof": (servers, "outcome", reset_proves, every_byte),
+    "a reset is a proof": (servers, "attempt_outcome", reset_proves, every_byte),
     "sent past its deadline": (
         UpstreamConnection,
         "opened",
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -910,7 +910,7 @@
         ready = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
         await one("not ready", ready)
         await one("no servers", helpers.request())
-        limiter.listed(limiter.config.initial_backends)
+        limiter.update_servers(limiter.config.initial_backends)
         await one("ready", ready)
         await one("ready by POST", ready.replace(b"GET", b"POST"))
         await one("an own path that isn't", ready.replace(b"ready", b"other"))
