--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -6,7 +6,7 @@
 
 from loomstand.limiter import event_loop, http_parser
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.event_loop import Listens, Wire
+from loomstand.limiter.event_loop import ListeningEndpoint, SocketChannel
 from loomstand.limiter.protocols import ClientHandle, ListenerOwner, TrackedRequest
 
 IDLE_TIMEOUT_SECONDS = 2.0  # the protocol allows closing idle connections after 2 s
@@ -16,6 +16,7 @@
     """A client's HTTP connection; processes one request at a time."""
 
     __slots__ = (
+        "channel",
         "is_surplus",
         "last_active_at",
         "listener",
@@ -25,7 +26,6 @@
         "parser",
         "received_at",
         "request",
-        "wire",
     )
 
     def __init__(self, listener: ClientListener) -> None:
@@ -34,7 +34,7 @@
             http_parser.RequestReceiver(listener.max_body_bytes, listener.max_header_bytes),
         )
         max_size = listener.max_body_bytes + listener.max_header_bytes
-        self.wire = Wire(
+        self.channel = SocketChannel(
             self,
             listener.limiter.memory_budget,
             max_size,
@@ -67,23 +67,23 @@
                 listener.max_body_bytes,
                 listener.max_header_bytes,
             )
-            self.wire.inbound.max_size = listener.max_body_bytes + listener.max_header_bytes
+            self.channel.inbound.max_size = listener.max_body_bytes + listener.max_header_bytes
         if self.request is None:
             self.handle_buffered()
-        elif self.wire.inbound.used >= self.wire.inbound.max_size:
-            self.wire.pause_reading()  # backpressure for pipelined requests
+        elif self.channel.inbound.used >= self.channel.inbound.max_size:
+            self.channel.pause_reading()  # backpressure for pipelined requests
 
     def handle_buffered(self) -> None:
         """Parses and handles buffered requests until one is pending or more bytes are needed."""
-        wire, parser = self.wire, self.parser
+        channel, parser = self.channel, self.parser
         while (
-            wire.inbound.used
+            channel.inbound.used
             and self.request is None
-            and wire.ending is None
-            and not wire.lingering
+            and channel.ending is None
+            and not channel.lingering
         ):
             try:
-                if not parser.step(wire.inbound):
+                if not parser.step(channel.inbound):
                     return
             except http_parser.Malformed as error:
                 self.answer(error.status, f"{error}\n".encode(), close=True)
@@ -115,20 +115,20 @@
         self.last_active_at = self.listener.limiter.loop.time()
         self.listener.answered(self)
         self.parser.reset()
-        if not self.wire.send(http_parser.format_response(status, body, extra, close)):
-            self.wire.stop(Ending.NO_ROOM)
+        if not self.channel.send(http_parser.format_response(status, body, extra, close)):
+            self.channel.stop(Ending.NO_ROOM)
         elif close:
-            self.wire.finish()
+            self.channel.finish()
 
     def next(self) -> None:
         """Resumes reading and handles requests received during the previous one."""
-        self.wire.resume_reading()
+        self.channel.resume_reading()
         self.handle_buffered()
 
     def close_stalled(self) -> None:
         """Closes a stalled connection, with a 408 response if one can still be sent."""
-        if self.wire.lingering or not self.wire.written:
-            self.wire.stop(Ending.STALLED)
+        if self.channel.lingering or not self.channel.written:
+            self.channel.stop(Ending.STALLED)
         else:
             self.answer(408, close=True)
 
@@ -143,9 +143,9 @@
     @property
     def idle(self) -> bool:
         """Whether no request is being received, processed or answered."""
-        wire = self.wire
-        between = self.request is None and not wire.inbound.used and not self.parser.begun
-        return between and wire.written and not wire.lingering
+        channel = self.channel
+        between = self.request is None and not channel.inbound.used and not self.parser.begun
+        return between and channel.written and not channel.lingering
 
     @property
     def is_receiving_head(self) -> bool:
@@ -162,7 +162,7 @@
     @property
     def is_closable(self) -> bool:
         """Whether it can be closed: idle, with no unread bytes in the socket."""
-        return self.idle and not self.wire.unread
+        return self.idle and not self.channel.unread
 
 
 class ClientListener:
@@ -189,14 +189,14 @@
             inf  # limit for receiving a request header; the sweep's limit applies if shorter
         )
         self.clients: dict[ClientConnection, None] = {}
-        self.server: Listens | None = None
+        self.server: ListeningEndpoint | None = None
         self.stopping = False
 
     async def listen(self, address: tuple[str, int]) -> None:
         loop = self.limiter.loop
         self.server = await self.bind(
             loop,
-            lambda: ClientConnection(self).wire,
+            lambda: ClientConnection(self).channel,
             address,
             self.accepts_per_iteration,
             self.sockets,
@@ -214,7 +214,7 @@
             client.is_surplus = True
             self.limiter.endings["client surplus"] += 1
             if shortage > self.accepts_per_iteration:
-                client.wire.stop(Ending.NO_ROOM)
+                client.channel.stop(Ending.NO_ROOM)
 
     def answered(self, client: ClientConnection) -> None:
         """Moves a connection to the end of `clients`, which is in order of the last response.
@@ -228,7 +228,7 @@
         """Closes the longest-idle connection without unread bytes; returns whether one existed."""
         for client in self.clients:
             if client is not spared and client.is_closable:
-                client.wire.stop(Ending.IDLE)
+                client.channel.stop(Ending.IDLE)
                 return True
         return False
 
@@ -246,7 +246,7 @@
                 and client is not spared
                 and client.is_closable
             ):
-                client.wire.stop(Ending.STALLED)
+                client.channel.stop(Ending.STALLED)
                 return True
         return False
 
@@ -260,7 +260,7 @@
         if stalled:
             client = min(stalled, key=lambda c: c.state_since)
             client.close_stalled()
-            client.wire.stop(Ending.STALLED)  # its socket is needed immediately, so don't linger
+            client.channel.stop(Ending.STALLED)  # its socket is needed immediately, so don't linger
         return bool(stalled)
 
     def remove(self, client: ClientConnection) -> None:
@@ -280,7 +280,7 @@
         now = self.limiter.loop.time()
         for client in list(self.clients):
             if now - client.last_active_at > self.idle_timeout_seconds and client.is_closable:
-                client.wire.stop(Ending.IDLE)
+                client.channel.stop(Ending.IDLE)
                 continue
             within = (
                 min(self.header_timeout_seconds, message_timeout_seconds)
@@ -295,7 +295,7 @@
         self.stopping = True
         for client in list(self.clients):
             if client.is_closable:
-                client.wire.stop(Ending.STOPPING)
+                client.channel.stop(Ending.STOPPING)
 
     def close(self) -> None:
         """Stops accepting connections."""
--- a/loomstand/limiter/counter.py
+++ b/loomstand/limiter/counter.py
@@ -10,7 +10,7 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.limiter import http_parser
 from loomstand.limiter.endings import Ending, counter_call_outcome, counter_response_outcome
-from loomstand.limiter.event_loop import Wire, connect
+from loomstand.limiter.event_loop import SocketChannel, connect
 from loomstand.limiter.protocols import CounterOwner
 
 TOTAL = re.compile(rb"\s*-?[0-9]+(?:\.[0-9]*)?(?:[eE][-+]?[0-9]{1,3})?\s*").fullmatch
@@ -29,12 +29,14 @@
 class CounterConnection:
     """A connection to the counter and its pending calls in the order in which they were sent."""
 
-    __slots__ = ("calls", "client", "is_open", "last_received_at", "parser", "wire")
+    __slots__ = ("calls", "channel", "client", "is_open", "last_received_at", "parser")
 
     def __init__(self, counter: CounterClient) -> None:
         self.client, self.is_open = counter, False
         self.parser = http_parser.ResponseReceiver()
-        self.wire = Wire(self, counter.limiter.memory_budget, http_parser.MAX_MESSAGE_BYTES)
+        self.channel = SocketChannel(
+            self, counter.limiter.memory_budget, http_parser.MAX_MESSAGE_BYTES
+        )
         self.calls: deque[Call] = deque()
         self.last_received_at = counter.limiter.loop.time()
 
@@ -46,18 +48,18 @@
         self.last_received_at = self.client.limiter.loop.time()
         self.client.silence_timeout = self.client.timeout
         try:
-            while self.wire.ending is None and self.parser.step(self.wire.inbound):
+            while self.channel.ending is None and self.parser.step(self.channel.inbound):
                 if not self.calls:
                     raise http_parser.Malformed(502, "a response without a call")
                 status, body, close = self.parser.status, self.parser.body, self.parser.close
                 self.parser.reset()
                 is_valid = self.client.response_received(self.calls.popleft(), status, body)
-                if close or not is_valid or (self.wire.inbound.used and not self.calls):
-                    self.wire.stop(Ending.FINISHED if close else Ending.MALFORMED)
+                if close or not is_valid or (self.channel.inbound.used and not self.calls):
+                    self.channel.stop(Ending.FINISHED if close else Ending.MALFORMED)
             if self.client.queue:
                 self.client.flush()
         except http_parser.Malformed:
-            self.wire.stop(Ending.MALFORMED)
+            self.channel.stop(Ending.MALFORMED)
 
     def ended(self, ending: Ending) -> None:
         self.client.limiter.endings[f"counter {ending.name.lower()}"] += 1
@@ -104,16 +106,16 @@
 
     def open_connection(self) -> None:
         self.connection = CounterConnection(self)
-        connect(self.limiter.loop, self.connection.wire, self.address, self.connect_timeout)
+        connect(self.limiter.loop, self.connection.channel, self.address, self.connect_timeout)
 
     def set_address(self, address: tuple[str, int]) -> None:
         """Switches to another address; calls sent to the old one keep their time-out."""
         old, self.connection, self.address = self.connection, None, address
         self.silence_timeout = self.timeout
         if old is not None and old.calls:
-            self.limiter.loop.call_later(self.timeout, old.wire.stop, Ending.FINISHED)
+            self.limiter.loop.call_later(self.timeout, old.channel.stop, Ending.FINISHED)
         elif old is not None:
-            old.wire.stop(Ending.FINISHED)
+            old.channel.stop(Ending.FINISHED)
         if self.queue:
             self.open_connection()
 
@@ -122,13 +124,13 @@
         connection = self.connection
         if connection is None or not connection.is_open:
             return
-        while self.queue and connection is self.connection and connection.wire.ending is None:
+        while self.queue and connection is self.connection and connection.channel.ending is None:
             call, raw = self.queue[0]
             if call.is_reported:
                 self.queue.popleft()
                 continue
             # Calls that the socket's send buffer can't take stay queued, where they can be dropped.
-            if not connection.wire.written or not connection.wire.send(raw):
+            if not connection.channel.written or not connection.channel.send(raw):
                 return
             self.queue.popleft()
             if not connection.calls:
@@ -166,7 +168,7 @@
             # No responses, or one that never completes. A new connection shows whether the machine
             # is reachable; if the machine has only stalled, its old connections stall as well.
             self.silence_timeout = min(2 * self.silence_timeout, 4 * self.connect_timeout)
-            connection.wire.stop(Ending.STALLED)
+            connection.channel.stop(Ending.STALLED)
         self.restart_timer()
 
     def response_received(self, call: Call, status: int, body: bytes) -> bool:
--- a/loomstand/limiter/discovery.py
+++ b/loomstand/limiter/discovery.py
@@ -10,7 +10,7 @@
 from loomstand.config.limiter import BackendList
 from loomstand.limiter import http_parser
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.event_loop import Wire, connect
+from loomstand.limiter.event_loop import SocketChannel, connect
 from loomstand.limiter.protocols import WatchOwner
 
 HEARTBEAT_SECONDS = 2.0  # protocol: an empty line is sent every 2 s while nothing changes
@@ -48,7 +48,7 @@
     ) -> None:
         self.limiter, self.address, self.revision = limiter, address, revision
         self.connect_timeout = connect_timeout
-        self.wire: Wire | None = None
+        self.channel: SocketChannel | None = None
         self.parser = WatchReceiver(MAX_LINE_BYTES)
         self.last_received_at, self.retry_delay, self.stopped = 0.0, RETRY_DELAY_SECONDS[0], False
         self.timer: asyncio.TimerHandle | None = None  # for the next connection attempt
@@ -65,8 +65,8 @@
             if self.timer is not None:
                 self.timer.cancel()
                 self.timer = None
-            if self.wire is not None:
-                self.wire.drop(Ending.FINISHED)
+            if self.channel is not None:
+                self.channel.drop(Ending.FINISHED)
 
     def start(self) -> None:
         """Opens the connection; the watch continues after the last known revision."""
@@ -74,13 +74,15 @@
         if not self.stopped:
             self.timer = None
             self.parser = WatchReceiver(MAX_LINE_BYTES)
-            self.wire = Wire(self, self.limiter.memory_budget, http_parser.MAX_MESSAGE_BYTES)
+            self.channel = SocketChannel(
+                self, self.limiter.memory_budget, http_parser.MAX_MESSAGE_BYTES
+            )
             self.last_received_at = self.limiter.loop.time()
-            connect(self.limiter.loop, self.wire, self.address, self.connect_timeout)
+            connect(self.limiter.loop, self.channel, self.address, self.connect_timeout)
 
     def opened(self) -> None:
         self.last_received_at = self.limiter.loop.time()
-        self.wire.send(
+        self.channel.send(
             b"GET /api/targets?stream=1&index=%d HTTP/1.1\r\nHost: discovery\r\n\r\n"
             % self.revision
         )
@@ -88,7 +90,7 @@
     def received(self) -> None:
         self.last_received_at = self.limiter.loop.time()
         try:
-            is_complete = self.parser.step(self.wire.inbound)
+            is_complete = self.parser.step(self.channel.inbound)
             if self.parser.begun and self.parser.status != 200:
                 raise http_parser.Malformed(502, f"status {self.parser.status}")
             for line in self.parser.lines():
@@ -98,10 +100,10 @@
                 else:
                     self.limiter.heartbeat_received()
             if is_complete:
-                self.wire.stop(Ending.CLOSED)
+                self.channel.stop(Ending.CLOSED)
         except (http_parser.Malformed, msgspec.DecodeError) as error:
             self.limiter.log(f"discovery: {error}")
-            self.wire.stop(Ending.MALFORMED)
+            self.channel.stop(Ending.MALFORMED)
 
     def list_received(self, list_: BackendList) -> None:
         self.limiter.list_received(list_)
@@ -120,8 +122,8 @@
         """Switches to another address of the discovery service."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.wire is not None:
-            self.wire.drop(Ending.FINISHED)
+        if self.channel is not None:
+            self.channel.drop(Ending.FINISHED)
         self.address, self.retry_delay = address, RETRY_DELAY_SECONDS[0]
         if self.is_active:
             self.start()
@@ -129,13 +131,13 @@
     def sweep(self) -> None:
         """Closes the connection if heartbeats are overdue; it is reopened after a delay."""
         if (
-            self.wire is not None
-            and self.wire.ending is None
+            self.channel is not None
+            and self.channel.ending is None
             and self.limiter.loop.time() - self.last_received_at > SILENCE_TIMEOUT_SECONDS
         ):
-            self.wire.stop(Ending.STALLED)
+            self.channel.stop(Ending.STALLED)
 
     def stop(self) -> None:
         self.stopped = True
-        if self.wire is not None:
-            self.wire.drop(Ending.STOPPING)
+        if self.channel is not None:
+            self.channel.drop(Ending.STOPPING)
--- a/loomstand/limiter/event_loop.py
+++ b/loomstand/limiter/event_loop.py
@@ -76,7 +76,7 @@
         return self.earliest_arrival
 
 
-class Wire(asyncio.BufferedProtocol):
+class SocketChannel(asyncio.BufferedProtocol):
     """One buffered connection.
 
     Calls `opened`, `received` and, once, `ended` of its user; none of them after `drop`.
@@ -248,7 +248,11 @@
     """Substitute for `connect` and `listen` where no real sockets are to be used."""
 
     def connect(
-        self, loop: asyncio.AbstractEventLoop, wire: Wire, address: Address, within: float
+        self,
+        loop: asyncio.AbstractEventLoop,
+        channel: SocketChannel,
+        address: Address,
+        within: float,
     ) -> None:
         """See `connect` below."""
         ...
@@ -256,16 +260,16 @@
     async def listen(
         self,
         loop: asyncio.AbstractEventLoop,
-        protocol_factory: Callable[[], Wire],
+        protocol_factory: Callable[[], SocketChannel],
         address: Address,
         accepts_per_iteration: int,
         backlog: int,
-    ) -> Listens:
+    ) -> ListeningEndpoint:
         """See `listen` below."""
         ...
 
 
-class Listens(Protocol):
+class ListeningEndpoint(Protocol):
     """A listening endpoint, such as an `asyncio.Server`."""
 
     def close(self) -> None: ...
@@ -273,11 +277,11 @@
 
 async def listen(
     loop: asyncio.AbstractEventLoop,
-    protocol_factory: Callable[[], Wire],
+    protocol_factory: Callable[[], SocketChannel],
     address: Address,
     accepts_per_iteration: int,
     backlog: int,
-) -> Listens:
+) -> ListeningEndpoint:
     """Listens for connections.
 
     Args:
@@ -324,9 +328,9 @@
 
 
 def connect(
-    loop: asyncio.AbstractEventLoop, wire: Wire, address: tuple[str, int], within: float
+    loop: asyncio.AbstractEventLoop, channel: SocketChannel, address: tuple[str, int], within: float
 ) -> None:
-    """Opens a connection for `wire`.
+    """Opens a connection for `channel`.
 
     Its user gets `opened`, or `ended` if the connect fails or takes more than `within` seconds.
     """
@@ -338,17 +342,17 @@
             sock.setblocking(False)
             await loop.sock_connect(sock, address)
             connected, sock = sock, None
-            await loop.create_connection(lambda: wire, sock=connected)
+            await loop.create_connection(lambda: channel, sock=connected)
         except OSError as error:
-            wire.stop(Ending.NO_ROOM if error.errno in RESOURCE_ERRNOS else Ending.REFUSED)
+            channel.stop(Ending.NO_ROOM if error.errno in RESOURCE_ERRNOS else Ending.REFUSED)
         finally:
             timer.cancel()
             if sock is not None:
                 sock.close()
 
     def on_timeout() -> None:
-        if wire.transport is None:
-            wire.stop(Ending.SILENT_CONNECT)
+        if channel.transport is None:
+            channel.stop(Ending.SILENT_CONNECT)
 
     task = loop.create_task(run())
     timer = loop.call_later(within, on_timeout)
@@ -357,4 +361,4 @@
         timer.cancel()
         task.cancel()
 
-    wire.cancel_connect = cancel
+    channel.cancel_connect = cancel
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -236,7 +236,7 @@
     def finish(self) -> None:
         """Sets `stopped` if all responses are written; otherwise checks again later."""
         self.listener.stop()
-        if not all(c.wire.lingering and c.wire.written for c in self.listener.clients):
+        if not all(c.channel.lingering and c.channel.written for c in self.listener.clients):
             self.loop.call_later(FINISH_POLL_SECONDS, self.finish)
             return
         self.on_stopped()
@@ -368,7 +368,7 @@
         """Writes the response to a request; `extra` holds complete header lines."""
         client, request.client = request.client, None
         client.answer(status, body, extra)
-        if client.wire.inbound.used:
+        if client.channel.inbound.used:
             self.loop.call_soon(client.next)
 
     def forget_request(self, request: RequestT) -> None:
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -111,6 +111,6 @@
     """A connection to a server, as seen by an attempt."""
 
     attempt: Any
-    wire: Any  # the connection's `event_loop.Wire`
+    channel: Any  # the connection's `event_loop.SocketChannel`
 
     def write(self) -> None: ...
--- a/loomstand/limiter/upstream.py
+++ b/loomstand/limiter/upstream.py
@@ -9,7 +9,7 @@
 from loomstand.admission.ticks import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 from loomstand.limiter import event_loop, http_parser
 from loomstand.limiter.endings import Ending, attempt_outcome, response_outcome
-from loomstand.limiter.event_loop import Wire
+from loomstand.limiter.event_loop import SocketChannel
 from loomstand.limiter.protocols import PoolOwner
 from loomstand.limiter.request import Attempt, RequestT
 
@@ -24,7 +24,7 @@
         endpoint_id: Index of the server.
         sent: Whether the attempt's bytes were written or queued for writing.
         parser: Parses the responses.
-        wire: The buffered connection.
+        channel: The buffered connection.
         attempt: The attempt in flight, if any.
         idle_at: Loop time of its last use; 0 if unused.
         idle_timeout_seconds: Idle time-out that the server announced.
@@ -32,13 +32,13 @@
 
     __slots__ = (
         "attempt",
+        "channel",
         "endpoint_id",
         "idle_at",
         "idle_timeout_seconds",
         "parser",
         "pool",
         "sent",
-        "wire",
     )
 
     def __init__(self, pool: ConnectionPool[RequestT], endpoint_id: int) -> None:
@@ -47,7 +47,7 @@
         self.endpoint_id = endpoint_id
         self.sent = False
         self.parser = http_parser.ResponseReceiver(pool.limiter.max_response_bytes)
-        self.wire = Wire(
+        self.channel = SocketChannel(
             self,
             pool.limiter.memory_budget,
             pool.limiter.max_response_bytes + http_parser.MAX_HEAD_BYTES,
@@ -59,7 +59,7 @@
     def opened(self) -> None:
         """Sends the request, unless its client has disconnected."""
         if self.attempt is not None and self.attempt.request.is_abandoned:
-            self.wire.stop(Ending.CALLED_OFF)
+            self.channel.stop(Ending.CALLED_OFF)
             return
         self.write()
 
@@ -67,22 +67,22 @@
         """Sends the attempt's request with its remaining time."""
         limiter, attempt = self.pool.limiter, self.attempt
         left_ms = max(1, (attempt.expires_at - limiter.now()) // TICKS_PER_MILLISECOND)
-        self.sent = self.wire.send(attempt.raw(left_ms))
+        self.sent = self.channel.send(attempt.raw(left_ms))
         if not self.sent:
-            limiter.loop.call_soon(self.wire.stop, Ending.NO_ROOM)
+            limiter.loop.call_soon(self.channel.stop, Ending.NO_ROOM)
 
     def received(self) -> None:
         """Parses received bytes."""
         attempt, parser = self.attempt, self.parser
         if attempt is None:  # bytes without a request
-            self.wire.stop(Ending.MALFORMED)
+            self.channel.stop(Ending.MALFORMED)
             return
         try:
-            if not parser.step(self.wire.inbound):
+            if not parser.step(self.channel.inbound):
                 return
         except http_parser.Malformed as error:
             is_too_long = error.status in TOO_LONG_STATUSES
-            self.wire.stop(Ending.OVERSIZED if is_too_long else Ending.MALFORMED)
+            self.channel.stop(Ending.OVERSIZED if is_too_long else Ending.MALFORMED)
             return
         self.response_received()
 
@@ -102,7 +102,7 @@
         self.attempt = None
         self.parser.reset()
         # Surplus bytes, or a response before the whole request was sent: don't reuse.
-        if close or self.wire.inbound.used or not self.wire.written:
+        if close or self.channel.inbound.used or not self.channel.written:
             self.pool.close(self, Ending.FINISHED)
         else:
             self.pool.release(self)
@@ -114,7 +114,9 @@
         self.pool.forget(self)
         if self.attempt is not None:
             attempt, self.attempt = self.attempt, None
-            limiter.attempt_ended(attempt, attempt_outcome(ending, self.sent and self.wire.written))
+            limiter.attempt_ended(
+                attempt, attempt_outcome(ending, self.sent and self.channel.written)
+            )
 
 
 class ConnectionPool(Generic[RequestT]):
@@ -179,7 +181,7 @@
             if (
                 now - connection.idle_at
                 < min(self.max_idle_seconds, connection.idle_timeout_seconds)
-                and not connection.wire.unread
+                and not connection.channel.unread
             ):
                 self.assign(connection, attempt)
                 connection.write()
@@ -193,7 +195,7 @@
         connection = self.connection_type(self, attempt.endpoint_id)
         self.connections[connection] = None
         self.assign(connection, attempt)
-        self.connect(self.limiter.loop, connection.wire, address, self.connect_timeout)
+        self.connect(self.limiter.loop, connection.channel, address, self.connect_timeout)
 
     def assign(self, connection: ServerConnection[RequestT], attempt: Attempt[RequestT]) -> None:
         """Assigns an attempt to a connection."""
@@ -228,7 +230,7 @@
             idle = self.idle.get(attempt.endpoint_id, ())
             for other in [other for other in idle if other.idle_at < sent_at]:
                 self.close(other, Ending.IDLE)
-        connection.wire.stop(ending)
+        connection.channel.stop(ending)
 
     def release(self, connection: ServerConnection[RequestT]) -> None:
         """Keeps a connection for the next attempt, after a complete response."""
@@ -240,7 +242,7 @@
 
     def close(self, connection: ServerConnection[RequestT], ending: Ending) -> None:
         """Closes a connection without an attempt; reports nothing."""
-        connection.wire.drop(ending)
+        connection.channel.drop(ending)
         self.forget(connection)
 
     def forget(self, connection: ServerConnection[RequestT]) -> None:
--- a/loomstand/proxy/upstream.py
+++ b/loomstand/proxy/upstream.py
@@ -67,7 +67,7 @@
         """Sends the request, if anybody waits for it still."""
         if self.attempt is not None and self.attempt.expires_at <= self.pool.limiter.now():
             # this process stood still while it came up, and nothing was sent
-            self.wire.stop(Ending.EXPIRED)
+            self.channel.stop(Ending.EXPIRED)
             return
         super().opened()
 
@@ -87,7 +87,7 @@
         has_not_run = b"loomstand-not-executed" in fields or status == MISDIRECTED
         is_own = is_server_response(status, fields, has_not_run)
         if response_id != request.request_id or not is_own:
-            self.wire.stop(Ending.MALFORMED)  # the request may have run
+            self.channel.stop(Ending.MALFORMED)  # the request may have run
             return
         if (keep_alive := KEEP_ALIVE_TIMEOUT(fields.get(b"keep-alive", b""))) is not None:
             self.idle_timeout_seconds = max(0.0, int(keep_alive[1]) - IDLE_CLOSE_MARGIN_SECONDS)
@@ -112,7 +112,7 @@
         """Skips a response to an earlier request: the right one follows."""
         self.surplus += 1
         self.parser.reset()
-        if self.wire.inbound.used:
+        if self.channel.inbound.used:
             self.received()
 
 
@@ -197,7 +197,7 @@
         """
         connection = attempt.connection
         if connection is not None and connection.attempt is attempt:
-            connection.wire.discard_unsent()
+            connection.channel.discard_unsent()
         super().give_up(attempt, ending)
 
     def discard_stale(self, connection: UpstreamConnection, attempt: Attempt[ProxyRequest]) -> None:
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -154,7 +154,7 @@
         if client is None:
             return
         client.answer(status, answer, "Content-Type: application/json\r\n" if answer else "")
-        if client.wire.inbound.used:
+        if client.channel.inbound.used:
             self.loop.call_soon(client.next)
 
     def client_disconnected(self, pending: PendingCall) -> None:
--- a/loomstand/testing/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -1,5 +1,5 @@
 """Simulated TCP: byte streams under the sky, as transports for protocols of asyncio
-(`net.driver.Wire`).
+(`limiter.event_loop.SocketChannel`).
 
 A connection's two ends are its machines' kernels'; what their processes are told runs in their
 lives. Bytes come in order, whole, in pieces. What meets a cut is sent again, ever more rarely,
@@ -19,7 +19,7 @@
 from typing import Any
 
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.event_loop import Wire
+from loomstand.limiter.event_loop import SocketChannel
 from loomstand.rpc.errors import CallRefusedError
 from loomstand.testing.simulation.loop import Life
 from loomstand.testing.simulation.machine import Machine
@@ -408,7 +408,7 @@
 
 @dataclass(slots=True)
 class Streams:
-    """Connections of one life on one host: `net.driver.Streams`, and `open` for stand-ins."""
+    """Connections of one life on one host: `event_loop.Streams`, and `open` for stand-ins."""
 
     cables: Cables
     host: str
@@ -428,18 +428,18 @@
         end.put(Kind.OPEN, address)
         return end
 
-    def connect(self, loop: Any, wire: Wire, address: Address, within: float) -> None:
-        """As `net.driver.connect`."""
+    def connect(self, loop: Any, channel: SocketChannel, address: Address, within: float) -> None:
+        """As `limiter.event_loop.connect`."""
 
         def refused() -> None:
             timer.cancel()
-            wire.stop(Ending.REFUSED)
+            channel.stop(Ending.REFUSED)
 
         def late() -> None:
-            if wire.transport is None:
-                wire.stop(Ending.SILENT_CONNECT)
+            if channel.transport is None:
+                channel.stop(Ending.SILENT_CONNECT)
 
-        end = self.dial(wire, address, refused)
+        end = self.dial(channel, address, refused)
         timer = loop.call_later(within, late)
 
         def off() -> None:
@@ -448,7 +448,7 @@
             end.way.clear()
             end.settle()
 
-        wire.cancel_connect = off
+        channel.cancel_connect = off
 
     async def open(self, make: Callable[[], Any], address: Address, within: float) -> Any:
         """A connection's protocol once it stands. Raises ConnectionRefusedError or TimeoutError."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -461,7 +461,7 @@
         self.limiter.listener.close()
         self.limiter.watch.stop()
         for client in list(self.limiter.listener.clients):
-            client.wire.drop(Ending.STOPPING)
+            client.channel.drop(Ending.STOPPING)
         for peer in (*self.servers, self.counter, self.discovery):
             peer.stop()
         self.limiter.stopped.set()
--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -39,7 +39,7 @@
 from loomstand.limiter.buffers import INITIAL_RING_BYTES, Ring
 from loomstand.limiter.discovery import Watch
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.event_loop import ArrivalClockSelector, ReadTimeClock, Wire, connect
+from loomstand.limiter.event_loop import ArrivalClockSelector, ReadTimeClock, SocketChannel, connect
 from loomstand.limiter.http_parser import Receiver
 
 
@@ -179,8 +179,8 @@
         port = full.sockets[0].getsockname()[1]
         full.sockets[0]._sock.listen(0)
         hold = [await asyncio.open_connection(HOST, port)]
-        wire = Wire(User(), site.limiter.memory_budget, 1 << 16)
-        connect(loop, wire, (HOST, port), 0.1)
+        channel = SocketChannel(User(), site.limiter.memory_budget, 1 << 16)
+        connect(loop, channel, (HOST, port), 0.1)
         await until(lambda: ended)
         assert ended == [Ending.SILENT_CONNECT]
         hold[0][1].close()
@@ -394,7 +394,7 @@
         gc.disable()
 
         def held():
-            return sum(isinstance(o, Wire | Receiver | Ring) for o in gc.get_objects())
+            return sum(isinstance(o, SocketChannel | Receiver | Ring) for o in gc.get_objects())
 
         before = held()
         try:
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -114,12 +114,12 @@
     usual = ClientConnection.received
 
     def received(self):
-        parser, wire = self.parser, self.wire
-        before = parser.max_body_bytes, parser.max_head_bytes, wire.inbound.max_size
+        parser, channel = self.parser, self.channel
+        before = parser.max_body_bytes, parser.max_head_bytes, channel.inbound.max_size
         if self.message_started_at is None:
             self.message_started_at = self.listener.limiter.arrival_clock.earliest_arrival
         usual(self)
-        parser.max_body_bytes, parser.max_head_bytes, wire.inbound.max_size = before
+        parser.max_body_bytes, parser.max_head_bytes, channel.inbound.max_size = before
 
     monkeypatch.setattr(ClientConnection, "received", received)
     assert asked(cluster) == (200, False)
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -17,7 +17,7 @@
 from loomstand.limiter import upstream as servers
 from loomstand.limiter.client_connection import ClientConnection
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.event_loop import Wire
+from loomstand.limiter.event_loop import SocketChannel
 from loomstand.limiter.upstream import ServerConnection
 from loomstand.proxy import upstream
 from loomstand.proxy.program import Proxy
@@ -438,7 +438,7 @@
 
 def used_after_a_silence(pool: Any, attempt: Any, why: Ending) -> None:
     if attempt.connection is not None and attempt.connection.attempt is attempt:
-        attempt.connection.wire.stop(why)  # and the others stay
+        attempt.connection.channel.stop(why)  # and the others stay
 
 
 def same_connection(pool: Any, attempt: Any, send: Any = UpstreamPool.send) -> None:
@@ -484,9 +484,9 @@
         lambda: staged(a_silence),
     ),
     "close without a reset": (
-        Wire,
+        SocketChannel,
         "discard_unsent",
-        lambda wire: None,
+        lambda channel: None,
         lambda: staged(behind_a_cut),
     ),
     "second sending on the same connection": (
--- a/tests/system/test_scale_run.py
+++ b/tests/system/test_scale_run.py
@@ -187,7 +187,7 @@
         is_closable, is_surplus, stopped = True, False, False
 
         def __init__(self) -> None:
-            self.wire = self
+            self.channel = self
 
         def stop(self, why: Ending) -> None:
             self.stopped = True
