--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -43,7 +43,7 @@
 from loomstand.limiter.http_parser import Receiver
 
 
-def sockets(test):
+def socket_test(test):
     """Runs an async test with a time-out of 15 s, on an event loop with `ArrivalClockSelector`."""
 
     @functools.wraps(test)
@@ -66,18 +66,18 @@
 
 def outcomes(site):
     """Returns a list that collects the outcomes of attempts as they are reported."""
-    seen, note = [], site.limiter.handle_event
+    seen, handle_event = [], site.limiter.handle_event
 
-    def spy(said):
-        if hasattr(said, "attempt"):
-            seen.append(said.outcome)
-        note(said)
+    def spy(event):
+        if hasattr(event, "attempt"):
+            seen.append(event.outcome)
+        handle_event(event)
 
     site.limiter.handle_event = spy
     return seen
 
 
-@sockets
+@socket_test
 async def test_a_request_is_forwarded_unchanged_and_connections_are_reused():
     body = bytes(range(256)) * 100
     async with Site(lambda n, head, got: said(200, got)) as site, Caller(site.port) as caller:
@@ -95,7 +95,7 @@
         assert not site.limiter.requests and site.limiter.memory_budget.available > 90 << 20
 
 
-@sockets
+@socket_test
 async def test_a_response_of_the_maximum_size_is_forwarded_and_a_longer_one_is_not():
     sizes = [300_000, 300_000, (96 << 20) // 64, (96 << 20) // 64 + 1, 3_000_000_000]
 
@@ -112,7 +112,7 @@
         )  # and no ring buffer stays large
 
 
-@sockets
+@socket_test
 async def test_a_limiter_without_servers_is_not_ready():
     async with Site() as site, Caller(site.port) as caller:
         site.limiter.is_ready = False
@@ -120,7 +120,7 @@
         assert (await caller.ask(request()))[0] == 429
 
 
-@sockets
+@socket_test
 async def test_rejected_and_refused_attempts_did_not_run_so_non_replayable_requests_are_retried():
     turned = functools.partial(said, 503, b"", b"Not-Started: 1\r\n")
     async with (
@@ -141,7 +141,7 @@
         b"nonsense\r\n\r\n",
     ],
 )
-@sockets
+@socket_test
 async def test_a_request_with_a_truncated_response_may_have_run_and_gets_a_502(cut):
     async def play(n, head, body):
         for writer in list(site.servers[0].open):
@@ -154,7 +154,7 @@
         assert seen == [Outcome.CONNECTION_LOST] and len(site.servers[0].heads) == 1
 
 
-@sockets
+@socket_test
 async def test_a_connection_to_a_silent_server_is_closed_at_the_request_time_out():
     async with Site(silent) as site, Caller(site.port) as caller:
         began = time.monotonic()
@@ -163,13 +163,13 @@
         assert not site.limiter.pool.connections and not site.limiter.requests
 
 
-@sockets
+@socket_test
 async def test_a_connect_that_times_out_ends_as_silent_connect():
     loop, ended = asyncio.get_running_loop(), []
 
     class User:
-        def ended(self, why):
-            ended.append(why)
+        def ended(self, ending):
+            ended.append(ending)
 
     async with Site(passes) as site:
         # A listener with a full backlog doesn't answer further connects.
@@ -187,7 +187,7 @@
         full.close()
 
 
-@sockets
+@socket_test
 async def test_no_connection_is_reused_near_its_idle_close():
     async with Site(passes) as site, Caller(site.port) as caller:
         await caller.ask(request(id_="a"))
@@ -197,7 +197,7 @@
         assert site.servers[0].connections == 2
 
 
-@sockets
+@socket_test
 async def test_a_new_server_at_a_known_address_gets_new_connections():
     async with Site(passes) as site, Caller(site.port) as caller:
         await until(lambda: site.discovery.open)
@@ -215,26 +215,26 @@
         assert (await caller.ask(request(id_="r3")))[0] == 200 and site.servers[0].connections == 2
 
 
-@sockets
+@socket_test
 async def test_no_connection_with_unread_bytes_is_reused():
     async with Site(passes) as site, Caller(site.port) as caller:
         await caller.ask(request(id_="a"))
         pool = site.limiter.pool
         send = pool.send
 
-        def late(flight):
+        def late(attempt):
             # An unrequested response arrives and is still unread.
             for writer in list(site.servers[0].open)[:1]:
                 writer.write(said(200, b"another's"))
             time.sleep(0.01)
-            send(flight)
+            send(attempt)
 
         pool.send = late
         assert (await caller.ask(request(id_="b")))[::2] == (200, b"yes")
         assert site.servers[0].connections == 2
 
 
-@sockets
+@socket_test
 async def test_connections_idle_throughout_an_expired_attempt_are_not_reused():
     play = lambda n, head, body: asyncio.sleep(0.1 if n < 2 else 3, said(200))  # noqa: E731
     async with Site(play) as site, Caller(site.port) as one, Caller(site.port) as two:
@@ -244,7 +244,7 @@
         assert not site.limiter.pool.connections
 
 
-@sockets
+@socket_test
 async def test_lack_of_sockets_is_reported_as_not_sent():
     async with Site(silent) as site, Caller(site.port) as one, Caller(site.port) as two:
         seen = outcomes(site)
@@ -256,14 +256,14 @@
         await first
 
 
-@sockets
+@socket_test
 async def test_lack_of_descriptors_is_reported_as_not_sent():
-    def none(*args):
+    def out_of_descriptors(*args):
         raise OSError(24, "too many open files")
 
     async with Site(passes) as site, Caller(site.port) as caller:
         seen, real = outcomes(site), connect.__globals__["socket"].socket
-        connect.__globals__["socket"].socket = none
+        connect.__globals__["socket"].socket = out_of_descriptors
         try:
             assert (await caller.ask(request()))[0] == 429
         finally:
@@ -288,7 +288,7 @@
         (request().replace(b"account=0", b"account=x"), 400, False),
     ],
 )
-@sockets
+@socket_test
 async def test_invalid_input_gets_a_4xx_and_frees_its_memory(raw, status, closes):
     async with Site(passes) as site, Caller(site.port) as caller:
         assert (await caller.ask(raw))[0] == status
@@ -303,7 +303,7 @@
             assert (await caller.ask(request()))[0] == 200
 
 
-@sockets
+@socket_test
 async def test_a_request_whose_client_disconnects_is_abandoned():
     async with Site(lambda n, head, body: asyncio.sleep(0.1, said(200))) as site:
         async with Caller(site.port) as caller:
@@ -317,7 +317,7 @@
         )  # the response arrived, so its connection is kept
 
 
-@sockets
+@socket_test
 async def test_pipelined_requests_are_answered_in_order():
     play = lambda n, head, body: asyncio.sleep(0.02, said(200, b"%d" % n))  # noqa: E731
     async with Site(play) as site, Caller(site.port) as caller:
@@ -325,7 +325,7 @@
         assert [(await caller.answer())[2] for n in range(4)] == [b"0", b"1", b"2", b"3"]
 
 
-@sockets
+@socket_test
 async def test_a_blocked_event_loop_shortens_the_remaining_time():
     async with Site(silent) as site, Caller(site.port) as caller:
         caller.writer.write(request("book", timeout=400))
@@ -336,7 +336,7 @@
         assert time.monotonic() - sent < 0.55
 
 
-@sockets
+@socket_test
 async def test_idle_time_before_the_first_request_does_not_shorten_its_time_out():
     async with (
         Site(lambda n, head, body: asyncio.sleep(0.1, said(200))) as site,
@@ -346,7 +346,7 @@
         assert (await caller.ask(request(timeout=250)))[0] == 200
 
 
-@sockets
+@socket_test
 async def test_a_request_sent_with_the_connect_is_timed_from_the_connect():
     async with Site(silent) as site, Caller(site.port) as caller:
         caller.writer.write(request("book", timeout=400))
@@ -356,7 +356,7 @@
         assert time.monotonic() - began < 0.35
 
 
-@sockets
+@socket_test
 async def test_a_response_before_the_end_of_the_request_is_used():
     async def early(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
@@ -374,7 +374,7 @@
     server.close()
 
 
-@sockets
+@socket_test
 async def test_excess_clients_replace_idle_ones_or_are_rejected():
     async with Site(silent) as site:
         site.limiter.sockets = 2
@@ -387,16 +387,16 @@
             assert len(site.limiter.listener.clients) <= 3
 
 
-@sockets
+@socket_test
 async def test_closed_connections_are_freed_without_the_garbage_collector():
     async with Site(lambda n, head, body: None if n % 2 else said(200)) as site:
         gc.collect()
         gc.disable()
 
-        def held():
+        def live_objects():
             return sum(isinstance(o, SocketChannel | Receiver | Ring) for o in gc.get_objects())
 
-        before = held()
+        before = live_objects()
         try:
             for n in range(6):
                 async with Caller(site.port) as caller:
@@ -404,12 +404,12 @@
             await until(
                 lambda: not site.limiter.listener.clients and not site.limiter.pool.connections
             )
-            await until(lambda: held() == before)
+            await until(lambda: live_objects() == before)
         finally:
             gc.enable()
 
 
-@sockets
+@socket_test
 async def test_silent_and_stalled_clients_are_closed_in_favour_of_active_ones():
     def callers():
         return Caller(site.port)
@@ -430,7 +430,7 @@
                 assert (await half.answer())[0] == 408 and await half.closed()
 
 
-@sockets
+@socket_test
 async def test_clients_that_stay_after_one_request_are_closed_before_active_ones():
     async with Site(passes) as site, Caller(site.port) as usual:
         site.limiter.listener.keep_alive_limit = 4
@@ -445,7 +445,7 @@
             caller.writer.close()
 
 
-@sockets
+@socket_test
 async def test_no_connection_with_an_unread_request_is_closed():
     async with Site(passes) as site, Caller(site.port) as caller:
         await until(lambda: site.limiter.listener.clients)
@@ -455,7 +455,7 @@
         assert (await caller.answer())[0] == 200
 
 
-@sockets
+@socket_test
 async def test_a_client_that_stalls_within_a_request_is_closed():
     async with Site(passes) as site, Caller(site.port) as caller:
         caller.writer.write(request()[:40])
@@ -465,21 +465,21 @@
         assert await caller.closed()
 
 
-@sockets
+@socket_test
 async def test_clients_that_send_slowly_or_linger_are_closed():
     async with Site(passes) as site, Caller(site.port) as drips, Caller(site.port) as lingers:
         assert (await lingers.ask(b"nonsense\r\n\r\n"))[0] == 400
         for byte in request()[:6]:
             drips.writer.write(bytes([byte]))
             await asyncio.sleep(0.02)
-        front = site.limiter.listener
-        assert len(front.clients) == 2
-        front.sweep(0.08)  # only the first byte is older than 0.08 s
+        listener = site.limiter.listener
+        assert len(listener.clients) == 2
+        listener.sweep(0.08)  # only the first byte is older than 0.08 s
         assert (await drips.answer())[0] == 408
-        await until(lambda: front.sweep(0.08) or not front.clients)
+        await until(lambda: listener.sweep(0.08) or not listener.clients)
 
 
-@sockets
+@socket_test
 async def test_without_arrival_times_each_request_has_its_full_time_out():
     play = lambda n, head, body: asyncio.sleep(0.05, said(200))  # noqa: E731
     async with Site(play, arrival_clock=ReadTimeClock()) as site, Caller(site.port) as caller:
@@ -488,7 +488,7 @@
             await asyncio.sleep(0.15)
 
 
-@sockets
+@socket_test
 async def test_counter_calls_are_pipelined_and_late_responses_are_not_misassigned():
     async def play(n, head, body):
         await asyncio.sleep(0.25 if n == 0 else 0)
@@ -497,7 +497,7 @@
     async with Site(counter=play) as site:
         got = []
         site.limiter.counter.silence_timeout = 1.0
-        site.limiter.counter_replied = lambda *said: got.append(said[:3])
+        site.limiter.counter_replied = lambda *call: got.append(call[:3])
         for n in range(3):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
         await until(lambda: len(got) == 3)
@@ -510,37 +510,37 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt", [said(200, b"none"), said(200, b"1e999"), said(500), said(200, b"3") + b"noise"]
+    "invalid", [said(200, b"none"), said(200, b"1e999"), said(500), said(200, b"3") + b"noise"]
 )
-@sockets
-async def test_after_an_invalid_counter_response_the_connection_is_replaced(spoilt):
-    async with Site(counter=lambda n, head, body: said(200, b"4") if n else spoilt) as site:
+@socket_test
+async def test_after_an_invalid_counter_response_the_connection_is_replaced(invalid):
+    async with Site(counter=lambda n, head, body: said(200, b"4") if n else invalid) as site:
         got = []
-        site.limiter.counter_replied = lambda *said: got.append(said[1:3])
+        site.limiter.counter_replied = lambda *call: got.append(call[1:3])
         for n in range(2):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
             await until(lambda: len(got) == n + 1)  # noqa: B023
-        first = (Outcome.SUCCEEDED, 3.0) if b"noise" in spoilt else (Outcome.NO_RESPONSE, 0.0)
+        first = (Outcome.SUCCEEDED, 3.0) if b"noise" in invalid else (Outcome.NO_RESPONSE, 0.0)
         assert got == [first, (Outcome.SUCCEEDED, 4.0)] and site.counter.connections == 2
 
 
-@sockets
+@socket_test
 async def test_a_call_after_an_incomplete_counter_response_uses_another_connection():
     endless = b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n1"
     async with Site(counter=lambda n, head, body: said(200, b"4") if n else endless) as site:
         got = []
-        site.limiter.counter_replied = lambda *said: got.append(said[1:3])
+        site.limiter.counter_replied = lambda *call: got.append(call[1:3])
         for n in range(2):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
             await until(lambda: len(got) == n + 1)  # noqa: B023
         assert got == [(Outcome.NO_RESPONSE, 0.0), (Outcome.SUCCEEDED, 4.0)]
 
 
-@sockets
+@socket_test
 async def test_a_lost_counter_connection_is_no_response_and_a_refused_one_a_failed_connect():
     async with Site(counter=lambda n, head, body: None) as site:
         got = []
-        site.limiter.counter_replied = lambda *said: got.append(said[1])
+        site.limiter.counter_replied = lambda *call: got.append(call[1])
         site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: got)
         site.counter.stop()
@@ -550,11 +550,11 @@
         assert got == [Outcome.NO_RESPONSE, Outcome.CONNECT_FAILED]
 
 
-@sockets
+@socket_test
 async def test_a_silent_counter_gets_few_connections():
     async with Site(counter=silent) as site:
         counter, got = site.limiter.counter, []
-        site.limiter.counter_replied = lambda *said: got.append(said[1])
+        site.limiter.counter_replied = lambda *call: got.append(call[1])
         counter.timeout, counter.silence_timeout = 0.01, 0.02
         for n in range(30):
             counter.call(IncrementCounter(n, 1.0, 10_000))
@@ -562,42 +562,42 @@
         assert set(got) == {Outcome.NO_RESPONSE} and 2 <= site.counter.connections <= 6
 
 
-@sockets
+@socket_test
 async def test_a_reload_moves_discovery_and_counter_without_losing_work():
     counter = lambda n, head, body: asyncio.sleep(0.05, said(200, b"7"))  # noqa: E731
     slow = lambda n, head, body: asyncio.sleep(0.2, said(200))  # noqa: E731
     async with Site(slow, counter=counter) as site, Caller(site.port) as caller:
         limiter, got = site.limiter, []
         await until(lambda: site.discovery.open and limiter.counter.connection is None)
-        limiter.counter_replied = lambda *said: got.append(said[:3])
+        limiter.counter_replied = lambda *call: got.append(call[:3])
         caller.writer.write(request())
         limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: site.counter.heads)
-        agent, keeper = Peer(lambda n, head, body: WATCHING), Peer(counter)
-        places = {
-            "discovery_address": (HOST, await agent.start()),
-            "counter_address": (HOST, await keeper.start()),
+        new_discovery, new_counter = Peer(lambda n, head, body: WATCHING), Peer(counter)
+        addresses = {
+            "discovery_address": (HOST, await new_discovery.start()),
+            "counter_address": (HOST, await new_counter.start()),
         }
         for _ in range(2):  # the second reload changes nothing
-            limiter.reload(msgspec.structs.replace(limiter.config, **places))
+            limiter.reload(msgspec.structs.replace(limiter.config, **addresses))
         assert limiter.counter.connection is None or not limiter.counter.connection.is_open
         # The old connection's response arrives while the new one connects.
         limiter.counter.call(IncrementCounter(2, 1.0, 10_000))
-        await until(lambda: len(got) >= 2 and agent.heads and not site.discovery.open)
+        await until(lambda: len(got) >= 2 and new_discovery.heads and not site.discovery.open)
         await until(lambda: not site.counter.open)
         assert sorted(got) == [(1, Outcome.SUCCEEDED, 7.0), (2, Outcome.SUCCEEDED, 7.0)]
-        assert (len(site.counter.heads), len(keeper.heads)) == (1, 1)
+        assert (len(site.counter.heads), len(new_counter.heads)) == (1, 1)
         assert (await caller.answer())[0] == 200
-        assert len(agent.heads) == 1 and b"index=4 " in agent.heads[0]
-        agent.stop()
-        keeper.stop()
+        assert len(new_discovery.heads) == 1 and b"index=4 " in new_discovery.heads[0]
+        new_discovery.stop()
+        new_counter.stop()
 
 
-@sockets
+@socket_test
 async def test_queued_counter_calls_go_to_the_new_address():
     async with Site() as site:
         got = []
-        site.limiter.counter_replied = lambda *said: got.append(said[1])
+        site.limiter.counter_replied = lambda *call: got.append(call[1])
         site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))  # still connecting
         other = Peer(site.counter.play)
         site.limiter.counter.set_address((HOST, await other.start()))
@@ -606,7 +606,7 @@
         other.stop()
 
 
-@sockets
+@socket_test
 async def test_the_watch_resumes_at_its_revision_and_is_replaced_when_silent():
     async with Site(passes, passes) as site:
         limiter, discovery = site.limiter, site.discovery
@@ -627,7 +627,7 @@
         )
 
 
-@sockets
+@socket_test
 async def test_a_watch_with_invalid_data_is_reopened():
     async with Site(passes) as site, Caller(site.port) as caller:
         await until(lambda: site.discovery.open)
@@ -637,7 +637,7 @@
         assert (await caller.ask(request()))[0] == 200
 
 
-@sockets
+@socket_test
 async def test_a_stopping_limiter_serves_until_no_request_is_pending(monkeypatch):
     monkeypatch.setattr("loomstand.limiter.limiter.LINGER_SECONDS", 0.2)
     slow = lambda n, head, body: asyncio.sleep(0.4, said(200))  # noqa: E731
@@ -657,15 +657,15 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@sockets
+@socket_test
 async def test_mixed_faults_leave_one_response_per_request_and_no_effect_twice(seed):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     ran: dict[str, int] = {}  # deliveries that may have run
     turned = said(503, b"", b"Not-Started: 1\r\n")
 
     async def play(n, head, body):
         kind, name = (
-            chance.choice("pppptcesh"),
+            rng.choice("pppptcesh"),
             re.search(rb"request-id: (\w+)", head.lower())[1].decode(),
         )
         if kind == "t":
@@ -680,13 +680,13 @@
         }.get(kind, said(200, name.encode()))
 
     async def count(n, head, body):
-        await asyncio.sleep(chance.choice([0, 0, 0, 0.15]))
-        return chance.choice([said(200, b"1"), said(200, b"2.5"), said(503), None])
+        await asyncio.sleep(rng.choice([0, 0, 0, 0.15]))
+        return rng.choice([said(200, b"1"), said(200, b"2.5"), said(503), None])
 
     async def client(site, n):
         async with Caller(site.port) as caller:
             for k in range(8):
-                front, name = chance.choice(["look", "book"]), f"r{n}x{k}"
+                front, name = rng.choice(["look", "book"]), f"r{n}x{k}"
                 began = time.monotonic()
                 status, _, body = await caller.ask(
                     request(front, name, timeout=300, body=b"b" * 100)
@@ -703,11 +703,11 @@
         assert len(site.limiter.pool.connections) == sum(map(len, site.limiter.pool.idle.values()))
 
 
-@sockets
+@socket_test
 async def test_an_engine_failure_affects_one_request_only():
     async with Site(passes) as site, Caller(site.port) as caller:
         handle = site.limiter.engine.handle
-        site.limiter.engine.handle = lambda now, note: 1 / 0
+        site.limiter.engine.handle = lambda now, event: 1 / 0
         assert (await caller.ask(request()))[0] == 502
         site.limiter.engine.handle = handle
         assert (await caller.ask(request()))[0] == 200
@@ -753,8 +753,8 @@
     """
     waits: dict[int, list[float]] = {}
     for seed in (1, 2):
-        told = waits.setdefault(seed, [])
-        loop = SimpleNamespace(call_later=lambda wait, _, told=told: told.append(wait))
+        delays = waits.setdefault(seed, [])
+        loop = SimpleNamespace(call_later=lambda wait, _, delays=delays: delays.append(wait))
         limiter = SimpleNamespace(config=SimpleNamespace(seed=seed), loop=loop, endings=Counter())
         watch = Watch(limiter, (HOST, 1), 0, 0.25, seed)
         for _ in range(8):
--- a/tests/limiter/test_listener_close.py
+++ b/tests/limiter/test_listener_close.py
@@ -20,7 +20,7 @@
 ANSWER_SECONDS = 1.0
 
 
-class Answering(asyncio.Protocol):
+class AnswerProtocol(asyncio.Protocol):
     """Answers any received bytes."""
 
     def connection_made(self, transport):
@@ -31,11 +31,11 @@
 
 
 def free_port() -> int:
-    with socket.create_server((HOST, 0)) as taken:
-        return taken.getsockname()[1]
+    with socket.create_server((HOST, 0)) as probe:
+        return probe.getsockname()[1]
 
 
-def ask(address: tuple[str, int]) -> socket.socket:
+def connect_and_send(address: tuple[str, int]) -> socket.socket:
     """Returns a client socket with its request sent, possibly before it is accepted."""
     client = socket.create_connection(address)
     client.settimeout(ANSWER_SECONDS)
@@ -43,7 +43,7 @@
     return client
 
 
-def said_to(client: socket.socket) -> str:
+def receive(client: socket.socket) -> str:
     """Returns what a client receives within `ANSWER_SECONDS`: text or how the wait ended."""
     try:
         return client.recv(100).decode() or "closed"
@@ -58,10 +58,10 @@
     async def run() -> list[str]:
         loop = asyncio.get_running_loop()
         address = (HOST, free_port())
-        listener = await event_loop.listen(loop, Answering, address, 10, 10)
-        waiting = [ask(address) for _ in range(clients)]
+        listener = await event_loop.listen(loop, AnswerProtocol, address, 10, 10)
+        waiting = [connect_and_send(address) for _ in range(clients)]
         loop.call_at(loop.time(), listener.close)  # timers run after the accepts of an iteration
-        return [await asyncio.to_thread(said_to, client) for client in waiting]
+        return [await asyncio.to_thread(receive, client) for client in waiting]
 
     assert asyncio.run(run()) == ["answer"] * clients
 
@@ -70,10 +70,10 @@
     async def run() -> None:
         loop = asyncio.get_running_loop()
         address = (HOST, free_port())
-        listener = await event_loop.listen(loop, Answering, address, 10, 10)
+        listener = await event_loop.listen(loop, AnswerProtocol, address, 10, 10)
         listener.close()
         await asyncio.sleep(0.01)
         with pytest.raises(ConnectionRefusedError):
-            ask(address)
+            connect_and_send(address)
 
     asyncio.run(run())
--- a/tests/limiter/test_parsers.py
+++ b/tests/limiter/test_parsers.py
@@ -12,7 +12,7 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.settings import Effect
 from loomstand.config.limiter import LimiterConfigError, parse_limiter_config
-from loomstand.config.limiter import engine_settings as translated
+from loomstand.config.limiter import engine_settings as convert_settings
 from loomstand.limiter.buffers import INITIAL_RING_BYTES, MemoryBudget, Ring
 from loomstand.limiter.endings import (
     LOCAL_FAILURES,
@@ -60,7 +60,7 @@
     assert memory_budget.available == 3 * INITIAL_RING_BYTES
 
 
-def fed(parser, pieces):
+def parse_pieces(parser, pieces):
     """Feeds a parser; returns complete messages as (start, fields, body, close)."""
     ring, got = Ring(MemoryBudget(1 << 20), MAX_MESSAGE_BYTES), []
     for piece in pieces:
@@ -85,7 +85,7 @@
 @st.composite
 def messages(draw):
     """Draws consecutive messages in pieces, and their expected fields and bodies."""
-    raw, want = b"", []
+    raw, expected = b"", []
     for body in draw(st.lists(st.binary(max_size=200), min_size=1, max_size=4)):
         value = draw(st.text("abcXYZ019 ;=", max_size=20)).strip().encode()
         fields = {b"x-one": value}
@@ -106,34 +106,39 @@
         else:
             fields[b"content-length"] = b"%d" % len(body)
             raw += line + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
-        want.append((fields, body))
-    return draw(split(raw)), want
+        expected.append((fields, body))
+    return draw(split(raw)), expected
 
 
 @given(messages())
 def test_requests_parse_the_same_however_they_are_split(case):
-    pieces, want = case
-    assert [(fields, body) for _, fields, body, _ in fed(RequestReceiver(), pieces)] == want
+    pieces, expected = case
+    assert [
+        (fields, body) for _, fields, body, _ in parse_pieces(RequestReceiver(), pieces)
+    ] == expected
 
 
 @given(messages())
 def test_responses_parse_the_same_however_they_are_split(case):
-    pieces, want = case
+    pieces, expected = case
     raw = b"".join(pieces).replace(
         b"POST /a?b=c HTTP/1.1", b"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK"
     )
-    assert [(fields, body) for _, fields, body, _ in fed(ResponseReceiver(), [raw])] == want
     assert [
-        (fields, body) for _, fields, body, _ in fed(ResponseReceiver(), [bytes([b]) for b in raw])
-    ] == want
+        (fields, body) for _, fields, body, _ in parse_pieces(ResponseReceiver(), [raw])
+    ] == expected
+    assert [
+        (fields, body)
+        for _, fields, body, _ in parse_pieces(ResponseReceiver(), [bytes([b]) for b in raw])
+    ] == expected
 
 
 @given(messages(), st.data())
 def test_a_truncated_message_is_never_complete(case, data):
-    pieces, want = case
+    pieces, expected = case
     raw = b"".join(pieces)
     cut = raw[: data.draw(st.integers(0, len(raw) - 1))]
-    assert len(fed(RequestReceiver(), [cut])) < len(want)
+    assert len(parse_pieces(RequestReceiver(), [cut])) < len(expected)
 
 
 @given(st.binary(max_size=400), st.data())
@@ -142,9 +147,9 @@
     at = data.draw(st.integers(0, len(raw)))
     for parser in (RequestReceiver(), ResponseReceiver()):
         try:
-            fed(parser, [raw[:at] + noise + raw[at:]])
-        except Malformed as why:
-            assert 400 <= why.status < 600
+            parse_pieces(parser, [raw[:at] + noise + raw[at:]])
+        except Malformed as error:
+            assert 400 <= error.status < 600
 
 
 HEAD = b"GET /a HTTP/1.1\r\n"
@@ -176,33 +181,35 @@
     ],
 )
 def test_bad_requests_get_their_status(raw, status):
-    with pytest.raises(Malformed) as why:
-        fed(RequestReceiver(), [raw])
-    assert why.value.status == status
+    with pytest.raises(Malformed) as error:
+        parse_pieces(RequestReceiver(), [raw])
+    assert error.value.status == status
 
 
 def test_repeated_fields_are_joined_and_equal_lengths_merged():
     raw = HEAD + b"A: 1\r\nContent-Length: 2\r\na: 2\r\nContent-Length: 2\r\n\r\nok"
     for parser in (RequestReceiver(), ResponseReceiver()):
-        said = (
+        message = (
             raw.replace(HEAD, b"HTTP/1.1 200 OK\r\n")
             if isinstance(parser, ResponseReceiver)
             else raw
         )
-        assert [m[1:3] for m in fed(parser, [said, said])] == [
+        assert [m[1:3] for m in parse_pieces(parser, [message, message])] == [
             ({b"a": b"1, 2", b"content-length": b"2"}, b"ok")
         ] * 2
 
 
 def test_a_response_without_a_length_is_rejected():
     with pytest.raises(Malformed):
-        fed(ResponseReceiver(), [b"HTTP/1.1 200 OK\r\n\r\nsome"])
+        parse_pieces(ResponseReceiver(), [b"HTTP/1.1 200 OK\r\n\r\nsome"])
 
 
 @pytest.mark.parametrize("ending", list(Ending))
 def test_only_an_unwritten_request_is_proven_not_run(ending):
-    proven = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.REJECTED}
-    assert attempt_outcome(ending, False) in proven and attempt_outcome(ending, True) not in proven
+    not_run = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.REJECTED}
+    assert (
+        attempt_outcome(ending, False) in not_run and attempt_outcome(ending, True) not in not_run
+    )
     # A local failure doesn't count against the server.
     assert (attempt_outcome(ending, False) is Outcome.NOT_SENT) == (ending in LOCAL_FAILURES)
     # The counter may have applied any call that was written.
@@ -240,9 +247,9 @@
     ],
 )
 def test_a_configuration_error_names_its_key(change, key):
-    with pytest.raises(LimiterConfigError, match="key") as why:
+    with pytest.raises(LimiterConfigError, match="key") as error:
         config(change)
-    assert f"key '{key}'" in str(why.value)
+    assert f"key '{key}'" in str(error.value)
 
 
 def test_the_environment_overrides_the_file_and_settings_are_converted():
@@ -253,9 +260,13 @@
         ("127.0.0.2", 80),
         (HOST, 8500),
     )
-    told = translated(read.settings, 0)
-    assert [f.effect for f in told.frontends] == [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT]
-    assert (told.counter_timeout, told.drain_grace_period, told.frontends[0].client_timeout) == (
+    converted = convert_settings(read.settings, 0)
+    assert [f.effect for f in converted.frontends] == [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT]
+    assert (
+        converted.counter_timeout,
+        converted.drain_grace_period,
+        converted.frontends[0].client_timeout,
+    ) == (
         1000,
         5000,
         15000,
