--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -189,28 +189,30 @@
     def update_servers(self, list_: BackendList) -> None:
         """Applies a list or change of servers from discovery or a peer."""
         if list_.complete:
-            named = {m.id for m in list_.backends}
+            named = {backend.id for backend in list_.backends}
             for name, endpoint_id in list(self.servers.indices.items()):
                 if name not in named:
                     self.pool.set_address(endpoint_id, None)
                     self.servers.forget(endpoint_id)
         entries = []
-        for m in list_.backends:
-            endpoint_id, phase = self.servers.index_of(m.id), PHASES[m.phase]
+        for backend in list_.backends:
+            endpoint_id, phase = self.servers.index_of(backend.id), PHASES[backend.phase]
             self.pool.set_address(
                 endpoint_id,
-                None if phase is EndpointState.GONE else parse_host_port(m.address, "host_port"),
+                None
+                if phase is EndpointState.GONE
+                else parse_host_port(backend.address, "host_port"),
             )
-            zone, kind = self.zones.index_of(m.zone), self.kinds.index_of(m.kind)
+            zone, kind = self.zones.index_of(backend.zone), self.kinds.index_of(backend.kind)
             entries.append(
                 Endpoint(
                     endpoint_id,
                     phase,
                     zone,
                     kind,
-                    m.pod,
-                    m.capacity_hint,
-                    ticks_rounded_up(m.started_at_ms),
+                    backend.pod,
+                    backend.capacity_hint,
+                    ticks_rounded_up(backend.started_at_ms),
                 )
             )
             if phase is EndpointState.GONE:
--- a/loomstand/limiter/request.py
+++ b/loomstand/limiter/request.py
@@ -86,7 +86,7 @@
         self.deadline: int = 0
         self.client: ClientHandle | None = None
         self.attempts: list[Attempt[Any] | None] = []
-        self.is_abandoned = False  # whether its client disconnected before the answer
+        self.is_abandoned = False  # whether its client disconnected before the response
 
     def forwarded_head(self, omitted: Container[bytes]) -> bytes:
         """Returns the forwarded head without its final empty line; omits the fields `omitted`."""
