--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -1,4 +1,4 @@
-"""Clients: the listener, their connections, and the check of what they send."""
+"""Client side: the HTTP listener, its connections, and the handling of received requests."""
 
 from __future__ import annotations
 
@@ -6,253 +6,298 @@
 
 from loomstand.limiter import event_loop, http_parser
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.event_loop import Listens, Wire
-from loomstand.limiter.protocols import Asked, Asker, Takes
+from loomstand.limiter.event_loop import ListeningEndpoint, SocketChannel
+from loomstand.limiter.protocols import ClientHandle, ListenerOwner, TrackedRequest
 
-STAYS = 2.0  # LATER: a connection with no open request may be closed after 2 s
+IDLE_TIMEOUT_SECONDS = 2.0  # the protocol allows closing idle connections after 2 s
 
 
-class Client:
-    """A client's connection: one request at a time."""
+class ClientConnection:
+    """A client's HTTP connection; processes one request at a time."""
 
     __slots__ = (
-        "begun_at",
-        "busy_at",
+        "channel",
+        "is_surplus",
+        "last_active_at",
         "listener",
-        "machine",
-        "made",
-        "made_at",
-        "read_at",
+        "message_started_at",
+        "opened_at",
+        "opened_iteration",
+        "parser",
+        "received_at",
         "request",
-        "surplus",
-        "wire",
     )
 
     def __init__(self, listener: ClientListener) -> None:
-        self.listener, self.machine = (
+        self.listener, self.parser = (
             listener,
             http_parser.RequestReceiver(listener.max_body_bytes, listener.max_header_bytes),
         )
-        most = listener.max_body_bytes + listener.max_header_bytes
-        self.wire = Wire(
-            self, listener.limiter.room, most, listener.limiter.most_answer + http_parser.MOST_HEAD
+        max_size = listener.max_body_bytes + listener.max_header_bytes
+        self.channel = SocketChannel(
+            self,
+            listener.limiter.memory_budget,
+            max_size,
+            listener.limiter.max_response_bytes + http_parser.MAX_HEAD_BYTES,
         )
-        self.request: Asked | None = None
-        self.made_at = self.read_at = self.busy_at = listener.limiter.turns.since
-        self.begun_at: float | None = None  # when the message that is coming in began
-        self.made, self.surplus = 0, False
+        self.request: TrackedRequest | None = None
+        self.opened_at = self.received_at = self.last_active_at = (
+            listener.limiter.arrival_clock.earliest_arrival
+        )
+        # Start of the message being received; None if idle.
+        self.message_started_at: float | None = None
+        self.opened_iteration, self.is_surplus = 0, False
 
     def opened(self) -> None:
-        self.made = self.listener.limiter.turns.count
-        self.listener.let_in(self)
+        self.opened_iteration = self.listener.limiter.arrival_clock.count
+        self.listener.add(self)
 
     def received(self) -> None:
-        self.read_at = self.listener.limiter.turns.came(self.made, self.made_at)
-        if self.begun_at is None:
-            self.begun_at, machine, listener = self.read_at, self.machine, self.listener
-            # of now, not of its opening
-            machine.most, machine.most_head = listener.max_body_bytes, listener.max_header_bytes
-            self.wire.inbound.most = listener.max_body_bytes + listener.max_header_bytes
+        self.received_at = self.listener.limiter.arrival_clock.arrival_time(
+            self.opened_iteration, self.opened_at
+        )
+        if self.message_started_at is None:
+            self.message_started_at, parser, listener = (
+                self.received_at,
+                self.parser,
+                self.listener,
+            )
+            # The limits in force now; they may have changed since the connection was opened.
+            parser.max_body_bytes, parser.max_head_bytes = (
+                listener.max_body_bytes,
+                listener.max_header_bytes,
+            )
+            self.channel.inbound.max_size = listener.max_body_bytes + listener.max_header_bytes
         if self.request is None:
-            self.take()
-        elif self.wire.inbound.used >= self.wire.inbound.most:
-            self.wire.hold()  # a client that sends ahead waits for its answer
+            self.handle_buffered()
+        elif self.channel.inbound.used >= self.channel.inbound.max_size:
+            self.channel.pause_reading()  # backpressure for pipelined requests
 
-    def take(self) -> None:
-        """Hands on the requests that are whole, one after the other."""
-        wire, machine = self.wire, self.machine
+    def handle_buffered(self) -> None:
+        """Parses and handles buffered requests until one is pending or more bytes are needed."""
+        channel, parser = self.channel, self.parser
         while (
-            wire.inbound.used
+            channel.inbound.used
             and self.request is None
-            and wire.ending is None
-            and not wire.lingering
+            and channel.ending is None
+            and not channel.lingering
         ):
             try:
-                if not machine.step(wire.inbound):
+                if not parser.step(channel.inbound):
                     return
-            except http_parser.Malformed as why:
-                self.answer(why.status, f"{why}\n".encode(), close=True)
+            except http_parser.Malformed as error:
+                self.answer(error.status, f"{error}\n".encode(), close=True)
                 return
             self.handle()
 
     def handle(self) -> None:
-        limiter, machine = self.listener.limiter, self.machine
-        if self.listener.own_paths and machine.target.startswith(b"/-/"):
+        """Handles one complete request: own paths here, all others in the limiter."""
+        limiter, parser = self.listener.limiter, self.parser
+        if self.listener.own_paths and parser.target.startswith(b"/-/"):
             status = 404
-            if machine.target == b"/-/ready" and machine.method == b"GET":
+            if parser.target == b"/-/ready" and parser.method == b"GET":
                 status = 200 if limiter.is_ready else 503
             self.answer(status)
             return
-        if self.surplus:
+        if self.is_surplus:
             self.answer(503, close=True)
             return
         try:
-            limiter.request_received(self, machine, self.read_at)
-        except http_parser.Malformed as why:
-            # the message was whole: the connection can go on
-            self.answer(why.status, f"{why}\n".encode())
+            limiter.request_received(self, parser, self.received_at)
+        except http_parser.Malformed as error:
+            # the message was complete, so its end is known and the connection stays usable
+            self.answer(error.status, f"{error}\n".encode())
 
     def answer(self, status: int, body: bytes = b"", extra: str = "", close: bool = False) -> None:
-        """Writes one whole answer, and makes ready for the next request."""
-        close = close or self.machine.close or self.listener.stopping
-        self.request = self.begun_at = None
-        self.busy_at = self.listener.limiter.loop.time()
+        """Writes a complete response and resets the parser for the next request."""
+        close = close or self.parser.close or self.listener.stopping
+        self.request = self.message_started_at = None
+        self.last_active_at = self.listener.limiter.loop.time()
         self.listener.answered(self)
-        self.machine.reset()
-        if not self.wire.send(http_parser.answer(status, body, extra, close)):
-            self.wire.stop(Ending.NO_ROOM)
+        self.parser.reset()
+        if not self.channel.send(http_parser.format_response(status, body, extra, close)):
+            self.channel.stop(Ending.NO_ROOM)
         elif close:
-            self.wire.finish()
+            self.channel.finish()
 
     def next(self) -> None:
-        """Takes up what came while a request was being answered."""
-        self.wire.resume()
-        self.take()
-
-    def expel(self) -> None:
-        """Ends what is stuck: with a 408, where that can still be said."""
-        if self.wire.lingering or not self.wire.written:
-            self.wire.stop(Ending.STALLED)
+        """Resumes reading and handles requests received during the previous one."""
+        self.channel.resume_reading()
+        self.handle_buffered()
+
+    def close_stalled(self) -> None:
+        """Closes a stalled connection, with a 408 response if one can still be sent."""
+        if self.channel.lingering or not self.channel.written:
+            self.channel.stop(Ending.STALLED)
         else:
             self.answer(408, close=True)
 
-    def ended(self, why: Ending) -> None:
-        self.listener.gone(self)
+    def ended(self, ending: Ending) -> None:
+        self.listener.remove(self)
 
     @property
-    def began(self) -> float:
-        """Since when it is in the state it is in, between requests or within one."""
-        return self.busy_at if self.begun_at is None else self.begun_at
+    def state_since(self) -> float:
+        """Loop time of the start of the current message, or of the current idle period."""
+        return self.last_active_at if self.message_started_at is None else self.message_started_at
 
     @property
     def idle(self) -> bool:
-        wire = self.wire
-        between = self.request is None and not wire.inbound.used and not self.machine.begun
-        return between and wire.written and not wire.lingering
+        """Whether no request is being received, processed or answered."""
+        channel = self.channel
+        between = self.request is None and not channel.inbound.used and not self.parser.begun
+        return between and channel.written and not channel.lingering
 
     @property
-    def heading(self) -> bool:
-        """Whether a head is coming in."""
-        return self.begun_at is not None and self.request is None and not self.machine.begun
+    def is_receiving_head(self) -> bool:
+        """Whether the header of a request is being received."""
+        return (
+            self.message_started_at is not None and self.request is None and not self.parser.begun
+        )
 
     @property
-    def stuck(self) -> bool:
-        """Whether it is within a message, has an answer that it doesn't take, or lingers."""
+    def is_stalled(self) -> bool:
+        """Whether it is mid-message, has an unread response, or waits for the client to close."""
         return self.request is None and not self.idle
 
     @property
-    def free(self) -> bool:
-        """Whether it can be closed: idle, and nothing waits to be read."""
-        return self.idle and not self.wire.unread
+    def is_closable(self) -> bool:
+        """Whether it can be closed: idle, with no unread bytes in the socket."""
+        return self.idle and not self.channel.unread
 
 
 class ClientListener:
-    """Listens for clients and bounds their connections."""
+    """Accepts client connections and enforces limits on their number, size and time."""
 
-    bind = staticmethod(event_loop.listen)  # or another way, as `driver.Streams` has it
+    bind = staticmethod(event_loop.listen)  # replaceable, see `event_loop.Streams`
 
-    def __init__(self, limiter: Takes, at_once: int, sockets: int) -> None:
-        self.limiter, self.at_once, self.sockets = limiter, at_once, sockets
-        # PROTOCOL: for requests clients hold a third of the descriptors at most, which those that
-        # ask once and stay would use up; half of it is left to usual ones
-        self.most_held = sockets // 6
-        self.idle_timeout_seconds, self.own_paths = STAYS, True
-        self.max_body_bytes, self.max_header_bytes = http_parser.MOST_BODY, http_parser.MOST_HEAD
+    def __init__(self, limiter: ListenerOwner, accepts_per_iteration: int, sockets: int) -> None:
+        self.limiter, self.accepts_per_iteration, self.sockets = (
+            limiter,
+            accepts_per_iteration,
+            sockets,
+        )
+        # Protocol: clients hold at most a third of the descriptors for requests. Clients that send
+        # one request and keep the connection open would use all of it, so half of that third is
+        # reserved for active clients.
+        self.keep_alive_limit = sockets // 6
+        self.idle_timeout_seconds, self.own_paths = IDLE_TIMEOUT_SECONDS, True
+        self.max_body_bytes, self.max_header_bytes = (
+            http_parser.MAX_BODY_BYTES,
+            http_parser.MAX_HEAD_BYTES,
+        )
         self.header_timeout_seconds = (
-            inf  # seconds that the head of a message may take, if fewer than the patience
+            inf  # limit for receiving a request header; the sweep's limit applies if shorter
         )
-        self.clients: dict[Client, None] = {}
-        self.server: Listens | None = None
+        self.clients: dict[ClientConnection, None] = {}
+        self.server: ListeningEndpoint | None = None
         self.stopping = False
 
     async def listen(self, address: tuple[str, int]) -> None:
         loop = self.limiter.loop
         self.server = await self.bind(
-            loop, lambda: Client(self).wire, address, self.at_once, self.sockets
+            loop,
+            lambda: ClientConnection(self).channel,
+            address,
+            self.accepts_per_iteration,
+            self.sockets,
         )
 
-    def let_in(self, client: Client) -> None:
+    def add(self, client: ClientConnection) -> None:
         self.clients[client] = None
-        short = -self.limiter.spare_sockets()
-        if short <= 0:
-            if len(self.clients) > self.most_held:
+        shortage = -self.limiter.spare_sockets()
+        if shortage <= 0:
+            if len(self.clients) > self.keep_alive_limit:
                 self.close_idle(client)
-        elif not self.limiter.make_room(client):
-            # it is turned away once its request is read: an answer ahead of it could not be told
-            # from a lost one
-            client.surplus = True
+        elif not self.limiter.free_socket(client):
+            # Rejected with 503 after its request is read: the client could not distinguish an
+            # earlier response from a lost one.
+            client.is_surplus = True
             self.limiter.endings["client surplus"] += 1
-            if short > self.at_once:
-                client.wire.stop(Ending.NO_ROOM)
+            if shortage > self.accepts_per_iteration:
+                client.channel.stop(Ending.NO_ROOM)
+
+    def answered(self, client: ClientConnection) -> None:
+        """Moves a connection to the end of `clients`, which is in order of the last response.
 
-    def answered(self, client: Client) -> None:
-        """Keeps them in the order of their last answer: who asks once and stays comes to the
-        listener.
+        Connections that sent one request and stay open therefore come first.
         """
         if self.clients.pop(client, self) is None:
             self.clients[client] = None
 
-    def close_idle(self, spared: Asker | None = None) -> bool:
-        """Closes the connection that has been idle longest, if there is one on which nothing has
-        come.
-        """
+    def close_idle(self, spared: ClientHandle | None = None) -> bool:
+        """Closes the longest-idle connection without unread bytes; returns whether one existed."""
         for client in self.clients:
-            if client is not spared and client.free:
-                client.wire.stop(Ending.IDLE)
+            if client is not spared and client.is_closable:
+                client.channel.stop(Ending.IDLE)
                 return True
         return False
 
-    def close_silent(self, spared: Asker | None, within: float) -> bool:
-        """Closes the oldest connection that has never sent anything, if there is one older than
-        that.
+    def close_silent(self, spared: ClientHandle | None, within: float) -> bool:
+        """Closes the oldest connection without any request that is older than `within` seconds.
+
+        Returns whether there was one.
         """
         since = self.limiter.loop.time() - within
         for client in self.clients:
-            if client.busy_at > since:
+            if client.last_active_at > since:
                 break
-            if client.busy_at == client.made_at and client is not spared and client.free:
-                client.wire.stop(Ending.STALLED)
+            if (
+                client.last_active_at == client.opened_at
+                and client is not spared
+                and client.is_closable
+            ):
+                client.channel.stop(Ending.STALLED)
                 return True
         return False
 
     def close_stuck(self, within: float) -> bool:
-        """Closes the connection that has been within a message, or lingers, longest, and longer
-        than that.
+        """Closes the connection that has been stuck longest, if for more than `within` seconds.
+
+        Returns whether there was one.
         """
         since = self.limiter.loop.time() - within
-        stuck = [c for c in self.clients if c.began < since and c.stuck]
-        if stuck:
-            client = min(stuck, key=lambda c: c.began)
-            client.expel()
-            client.wire.stop(Ending.STALLED)  # its place is needed now
-        return bool(stuck)
-
-    def gone(self, client: Client) -> None:
+        stalled = [c for c in self.clients if c.state_since < since and c.is_stalled]
+        if stalled:
+            client = min(stalled, key=lambda c: c.state_since)
+            client.close_stalled()
+            client.channel.stop(Ending.STALLED)  # its socket is needed immediately, so don't linger
+        return bool(stalled)
+
+    def remove(self, client: ClientConnection) -> None:
         self.clients.pop(client, None)
         if client.request is not None:
             request, client.request = client.request, None
             self.limiter.client_disconnected(request)
 
-    def sweep(self, patience: float) -> None:
-        """Ends connections that stopped within a message, don't take their answer, linger, or stay
-        idle: some clients ask once, or nothing, and keep their connection for good.
+    def sweep(self, message_timeout_seconds: float) -> None:
+        """Closes connections that are stalled, linger, or have been idle for too long.
+
+        Some clients send one request or none and never close their connection.
+
+        Args:
+            message_timeout_seconds: Limit for a client to send a message or to read a response.
         """
         now = self.limiter.loop.time()
         for client in list(self.clients):
-            if now - client.busy_at > self.idle_timeout_seconds and client.free:
-                client.wire.stop(Ending.IDLE)
+            if now - client.last_active_at > self.idle_timeout_seconds and client.is_closable:
+                client.channel.stop(Ending.IDLE)
                 continue
-            within = min(self.header_timeout_seconds, patience) if client.heading else patience
-            if now - client.began > within and client.stuck:
-                client.expel()
+            within = (
+                min(self.header_timeout_seconds, message_timeout_seconds)
+                if client.is_receiving_head
+                else message_timeout_seconds
+            )
+            if now - client.state_since > within and client.is_stalled:
+                client.close_stalled()
 
     def stop(self) -> None:
-        """No connection stays open between requests; new ones are still taken."""
+        """Closes idle connections, and others after their response; new ones are still accepted."""
         self.stopping = True
         for client in list(self.clients):
-            if client.free:
-                client.wire.stop(Ending.STOPPING)
+            if client.is_closable:
+                client.channel.stop(Ending.STOPPING)
 
     def close(self) -> None:
+        """Stops accepting connections."""
         if self.server is not None:
             self.server.close()
--- a/loomstand/limiter/discovery.py
+++ b/loomstand/limiter/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: a watch on the list of servers, resumed where it broke."""
+"""Client of the discovery service: a streaming watch on the list of servers, resumable."""
 
 from __future__ import annotations
 
@@ -10,22 +10,24 @@
 from loomstand.config.limiter import BackendList
 from loomstand.limiter import http_parser
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.event_loop import Wire, connect
-from loomstand.limiter.protocols import Told
+from loomstand.limiter.event_loop import SocketChannel, connect
+from loomstand.limiter.protocols import WatchOwner
 
-BEAT = 2.0  # PROTOCOL: an empty line comes every 2 s while nothing changes
-SILENT = 2.5 * BEAT  # two beats missed; under the 6 s after which a change counts as told
-MOST_LINE = 1 << 20  # of a whole list, some thousands of servers
-AGAIN = (0.1, 2.0)  # the mean wait before a new watch, doubled from the first to the second
-decode = msgspec.json.Decoder(BackendList).decode
+HEARTBEAT_SECONDS = 2.0  # protocol: an empty line is sent every 2 s while nothing changes
+# Two missed heartbeats, and less than the 6 s after which a change counts as known.
+SILENCE_TIMEOUT_SECONDS = 2.5 * HEARTBEAT_SECONDS
+MAX_LINE_BYTES = 1 << 20  # a full list of some thousands of servers
+RETRY_DELAY_SECONDS = (0.1, 2.0)  # mean, initial and maximum; doubled at each failure
+decode_list = msgspec.json.Decoder(BackendList).decode
 
 
 class WatchReceiver(http_parser.ResponseReceiver):
-    """An answer without an end, whose body is taken out line by line."""
+    """Parser of an endless response whose body is consumed line by line."""
 
     __slots__ = ()
 
     def lines(self) -> list[bytes]:
+        """Removes and returns the complete lines received so far."""
         if not isinstance(self.body, bytearray):
             return []
         *whole, rest = self.body.split(b"\n")
@@ -34,102 +36,108 @@
 
 
 class Watch:
-    """Keeps one watch open, and hands every list and change to the limiter."""
+    """Keeps one watch open and passes every list and change to the limiter."""
 
     def __init__(
         self,
-        limiter: Told,
-        where: tuple[str, int],
+        limiter: WatchOwner,
+        address: tuple[str, int],
         revision: int,
         connect_timeout: float,
         seed: int,
     ) -> None:
-        self.limiter, self.where, self.revision = limiter, where, revision
+        self.limiter, self.address, self.revision = limiter, address, revision
         self.connect_timeout = connect_timeout
-        self.wire: Wire | None = None
-        self.machine = WatchReceiver(MOST_LINE)
-        self.heard_at, self.wait, self.stopped = 0.0, AGAIN[0], False
-        self.timer: asyncio.TimerHandle | None = None  # for the next start
-        self.chance = Random(seed).random
-        self.held = False
-
-    def hold(self, on: bool) -> None:
-        """Begins the watch, or lets it go, where others of the fleet tell what it would."""
-        if on and not self.held:
-            self.held, self.wait = True, AGAIN[0]
+        self.channel: SocketChannel | None = None
+        self.parser = WatchReceiver(MAX_LINE_BYTES)
+        self.last_received_at, self.retry_delay, self.stopped = 0.0, RETRY_DELAY_SECONDS[0], False
+        self.timer: asyncio.TimerHandle | None = None  # for the next connection attempt
+        self.jitter = Random(seed).random
+        self.is_active = False
+
+    def set_active(self, on: bool) -> None:
+        """Starts or stops the watch; peers relay the lists while it is stopped."""
+        if on and not self.is_active:
+            self.is_active, self.retry_delay = True, RETRY_DELAY_SECONDS[0]
             self.start()
-        elif not on and self.held:
-            self.held = False
+        elif not on and self.is_active:
+            self.is_active = False
             if self.timer is not None:
                 self.timer.cancel()
                 self.timer = None
-            if self.wire is not None:
-                self.wire.drop(Ending.FINISHED)
+            if self.channel is not None:
+                self.channel.drop(Ending.FINISHED)
 
     def start(self) -> None:
-        self.held = True
+        """Opens the connection; the watch continues after the last known revision."""
+        self.is_active = True
         if not self.stopped:
             self.timer = None
-            self.machine = WatchReceiver(MOST_LINE)
-            self.wire = Wire(self, self.limiter.room, http_parser.MOST_RING)
-            self.heard_at = self.limiter.loop.time()
-            connect(self.limiter.loop, self.wire, self.where, self.connect_timeout)
+            self.parser = WatchReceiver(MAX_LINE_BYTES)
+            self.channel = SocketChannel(
+                self, self.limiter.memory_budget, http_parser.MAX_MESSAGE_BYTES
+            )
+            self.last_received_at = self.limiter.loop.time()
+            connect(self.limiter.loop, self.channel, self.address, self.connect_timeout)
 
     def opened(self) -> None:
-        self.heard_at = self.limiter.loop.time()
-        self.wire.send(
+        self.last_received_at = self.limiter.loop.time()
+        self.channel.send(
             b"GET /api/targets?stream=1&index=%d HTTP/1.1\r\nHost: discovery\r\n\r\n"
             % self.revision
         )
 
     def received(self) -> None:
-        self.heard_at = self.limiter.loop.time()
+        self.last_received_at = self.limiter.loop.time()
         try:
-            over = self.machine.step(self.wire.inbound)
-            if self.machine.begun and self.machine.status != 200:
-                raise http_parser.Malformed(502, f"status {self.machine.status}")
-            for line in self.machine.lines():
+            is_complete = self.parser.step(self.channel.inbound)
+            if self.parser.begun and self.parser.status != 200:
+                raise http_parser.Malformed(502, f"status {self.parser.status}")
+            for line in self.parser.lines():
                 if line.strip():
-                    self.told(decode(line))
-                    self.wait = AGAIN[0]
+                    self.list_received(decode_list(line))
+                    self.retry_delay = RETRY_DELAY_SECONDS[0]
                 else:
-                    self.limiter.beat()
-            if over:
-                self.wire.stop(Ending.CLOSED)
-        except (http_parser.Malformed, msgspec.DecodeError) as why:
-            self.limiter.log(f"discovery: {why}")
-            self.wire.stop(Ending.MALFORMED)
-
-    def told(self, list_: BackendList) -> None:
-        self.limiter.told(list_)
+                    self.limiter.heartbeat_received()
+            if is_complete:
+                self.channel.stop(Ending.CLOSED)
+        except (http_parser.Malformed, msgspec.DecodeError) as error:
+            self.limiter.log(f"discovery: {error}")
+            self.channel.stop(Ending.MALFORMED)
+
+    def list_received(self, list_: BackendList) -> None:
+        self.limiter.list_received(list_)
         self.revision = list_.revision
 
-    def ended(self, why: Ending) -> None:
-        self.limiter.endings[f"discovery {why.name.lower()}"] += 1
+    def ended(self, ending: Ending) -> None:
+        self.limiter.endings[f"discovery {ending.name.lower()}"] += 1
         if not self.stopped:
-            # by chance, so that limiters which were turned away together don't come again together
-            self.timer = self.limiter.loop.call_later(self.wait * (0.5 + self.chance()), self.start)
-            self.wait = min(AGAIN[1], self.wait * 2)
-
-    def move(self, where: tuple[str, int]) -> None:
-        """Discovery speaks elsewhere from now on."""
+            # Random jitter, so that limiters disconnected together don't reconnect together.
+            self.timer = self.limiter.loop.call_later(
+                self.retry_delay * (0.5 + self.jitter()), self.start
+            )
+            self.retry_delay = min(RETRY_DELAY_SECONDS[1], self.retry_delay * 2)
+
+    def set_address(self, address: tuple[str, int]) -> None:
+        """Switches to another address of the discovery service."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.wire is not None:
-            self.wire.drop(Ending.FINISHED)
-        self.where, self.wait = where, AGAIN[0]
-        if self.held:
+        if self.channel is not None:
+            self.channel.drop(Ending.FINISHED)
+        self.address, self.retry_delay = address, RETRY_DELAY_SECONDS[0]
+        if self.is_active:
             self.start()
 
     def sweep(self) -> None:
+        """Closes the connection if heartbeats are overdue; it is reopened after a delay."""
         if (
-            self.wire is not None
-            and self.wire.ending is None
-            and self.limiter.loop.time() - self.heard_at > SILENT
+            self.channel is not None
+            and self.channel.ending is None
+            and self.limiter.loop.time() - self.last_received_at > SILENCE_TIMEOUT_SECONDS
         ):
-            self.wire.stop(Ending.STALLED)
+            self.channel.stop(Ending.STALLED)
 
     def stop(self) -> None:
         self.stopped = True
-        if self.wire is not None:
-            self.wire.drop(Ending.STOPPING)
+        if self.channel is not None:
+            self.channel.drop(Ending.STOPPING)
--- a/loomstand/limiter/log.py
+++ b/loomstand/limiter/log.py
@@ -1,4 +1,4 @@
-"""Log lines for the operators, by plain print to standard error, rate-limited."""
+"""Rate-limited log lines for operators on standard error."""
 
 from __future__ import annotations
 
@@ -6,25 +6,28 @@
 import time
 from contextlib import suppress
 
-BURST = 50  # lines at once
-PER_S = 10  # and a second from then on
+BURST_LINES = 50
+LINES_PER_SECOND = 10  # after a burst
 
 
 class Log:
-    """Passes so many lines, and counts those that it keeps back."""
+    """Token bucket for log lines; counts the lines that it suppresses."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.left, self.at, self.kept = float(BURST), time.monotonic(), 0
+        self.tokens, self.refilled_at, self.suppressed = float(BURST_LINES), time.monotonic(), 0
 
     def __call__(self, text: str) -> None:
         now = time.monotonic()
-        self.left, self.at = min(BURST, self.left + PER_S * (now - self.at)), now
-        if self.left < 1:
-            self.kept += 1
+        self.tokens, self.refilled_at = (
+            min(BURST_LINES, self.tokens + LINES_PER_SECOND * (now - self.refilled_at)),
+            now,
+        )
+        if self.tokens < 1:
+            self.suppressed += 1
             return
-        self.left -= 1
-        more = f" ({self.kept} lines kept back)" if self.kept else ""
-        self.kept = 0
-        with suppress(OSError, ValueError):  # nobody listens any more: serving goes on
-            print(f"{self.name}: {text}{more}", file=sys.stderr, flush=True)
+        self.tokens -= 1
+        suffix = f" ({self.suppressed} lines kept back)" if self.suppressed else ""
+        self.suppressed = 0
+        with suppress(OSError, ValueError):  # standard error is closed: continue to serve
+            print(f"{self.name}: {text}{suffix}", file=sys.stderr, flush=True)
--- a/loomstand/limiter/request.py
+++ b/loomstand/limiter/request.py
@@ -1,4 +1,4 @@
-"""A request: what a client sent, checked, and what goes on to a server."""
+"""Client requests: validation, and the bytes that are forwarded to a server."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from loomstand.admission.identifiers import stable_digest
 from loomstand.admission.settings import EngineSettings
-from loomstand.limiter.http_parser import Malformed, RequestReceiver, number
-from loomstand.limiter.protocols import Asker, Carrier
+from loomstand.limiter.http_parser import Malformed, RequestReceiver, is_decimal
+from loomstand.limiter.protocols import AttemptConnection, ClientHandle
 
 ACCOUNT = re.compile(rb"[?&]account=([0-9a-fA-F]{16})(?:&|$)").search
 DECIMAL = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?").fullmatch
-# fields of one connection, or that are written anew
+# Hop-by-hop fields, and fields that are regenerated when a request is forwarded.
 HOP_FIELDS = {
     b"connection",
     b"keep-alive",
@@ -30,32 +30,32 @@
 OWN_FIELDS = HOP_FIELDS | {b"request-timeout-ms"}
 
 
-class Names:
-    """The settings' names as they stand in a request."""
+class NameLookup:
+    """Resolves names and terms of a request against the settings."""
 
-    def __init__(self, frontends: list[str], plans: list[str], told: EngineSettings) -> None:
+    def __init__(self, frontends: list[str], plans: list[str], settings: EngineSettings) -> None:
         self.frontends = {name.encode(): n for n, name in enumerate(frontends)}
         self.plans = {name.encode(): n for n, name in enumerate(plans)}
-        self.told = told
-        # few lines of X-Call-Terms differ; some customers come again soon, others are not kept for
-        # long
+        self.settings = settings
+        # Bounded caches: few distinct X-Call-Terms values occur, and many customers send several
+        # requests within a short time.
         self.terms, self.customer = lru_cache(1 << 8)(self.terms), lru_cache(1 << 10)(self.customer)
 
     def terms(self, raw: bytes) -> tuple[float, int, int]:
-        """Units, the size of the customer's set, and the limiter at which it begins."""
+        """Parses X-Call-Terms: units, size of the customer's limiter set, index of its first."""
         pairs = dict(part.strip().partition(b"=")[::2] for part in raw.split(b","))
         units = pairs.get(b"units", b"1")
         spread, first = pairs.get(b"spread", b"0"), pairs.get(b"first", b"0")
-        if not DECIMAL(units) or not number(spread) or not number(first):
+        if not DECIMAL(units) or not is_decimal(spread) or not is_decimal(first):
             raise Malformed(400, "bad X-Call-Terms")
-        if not 0 < float(units) <= self.told.max_request_units:
+        if not 0 < float(units) <= self.settings.max_request_units:
             raise Malformed(400, "X-Call-Terms: units out of the settings' range")
-        if int(spread) > self.told.limiter_count or int(first) >= self.told.limiter_count:
+        if int(spread) > self.settings.limiter_count or int(first) >= self.settings.limiter_count:
             raise Malformed(400, "X-Call-Terms: a set out of range")
         return float(units), int(spread), int(first)
 
     def customer(self, account: bytes) -> tuple[int, int]:
-        """The customer's number, and the digest that is the same at every limiter."""
+        """Returns the customer's number, and a digest of it that is the same at every limiter."""
         return int(account, 16), stable_digest(account.decode().lower())
 
 
@@ -63,7 +63,7 @@
 
 
 class Request:
-    """A message that is owed its answer, or whose dispatches are still out."""
+    """A request that awaits its response or has attempts in flight."""
 
     __slots__ = (
         "attempts",
@@ -74,49 +74,49 @@
         "head",
         "id",
         "is_abandoned",
-        "line",
+        "start_line",
     )
 
-    def __init__(self, machine: RequestReceiver) -> None:
-        self.fields: dict[bytes, bytes] = machine.fields
-        self.body: bytes = machine.body
-        self.line: tuple[bytes, bytes] = (machine.method, machine.target)
+    def __init__(self, parser: RequestReceiver) -> None:
+        self.fields: dict[bytes, bytes] = parser.fields
+        self.body: bytes = parser.body
+        self.start_line: tuple[bytes, bytes] = (parser.method, parser.target)
         self.head = b""
         self.id: int = 0
         self.deadline: int = 0
-        self.client: Asker | None = None
+        self.client: ClientHandle | None = None
         self.attempts: list[Attempt[Any] | None] = []
-        self.is_abandoned = False  # whether its client disconnected before the answer
+        self.is_abandoned = False  # whether its client disconnected before the response
 
-    def onward(self, left_out: Container[bytes]) -> bytes:
-        """The head for a server, without its last line; `left_out` names the fields that don't go
-        on.
-        """
+    def forwarded_head(self, omitted: Container[bytes]) -> bytes:
+        """Returns the forwarded head without its final empty line; omits the fields `omitted`."""
         if not self.head:
-            lines = [
-                b"%b: %b\r\n" % pair for pair in self.fields.items() if pair[0] not in left_out
-            ]
-            if self.body or self.line[0] != b"GET":
+            lines = [b"%b: %b\r\n" % pair for pair in self.fields.items() if pair[0] not in omitted]
+            if self.body or self.start_line[0] != b"GET":
                 lines.append(b"content-length: %d\r\n" % len(self.body))
-            self.head = b"%b %b HTTP/1.1\r\n%b" % (*self.line, b"".join(lines))
+            self.head = b"%b %b HTTP/1.1\r\n%b" % (*self.start_line, b"".join(lines))
         return self.head
 
-    def raw(self, wait: int) -> bytes:
-        """The bytes for a server; `wait` is how long its answer is waited for, in ms."""
+    def raw(self, timeout_ms: int) -> bytes:
+        """Returns the bytes for a server; `timeout_ms` is the response time-out in ms."""
         raise NotImplementedError
 
 
 class AccountRequest(Request):
-    """A request of an account, with a plan and a frontend."""
+    """A request of the account protocol, which names an account, a plan and a frontend."""
 
     __slots__ = ("customer", "first", "frontend", "plan", "retry", "set_size", "timeout", "units")
 
-    def __init__(self, machine: RequestReceiver, names: Names) -> None:
-        """What is missing or odd is a 400, an unknown frontend a 404."""
-        super().__init__(machine)
-        fields, target = machine.fields, machine.target
-        wait, account = fields.get(b"request-timeout-ms", b""), ACCOUNT(target)
-        if not fields.get(b"request-id") or not number(wait) or not account:
+    def __init__(self, parser: RequestReceiver, names: NameLookup) -> None:
+        """Validates the request.
+
+        Raises:
+            Malformed: With status 404 for an unknown frontend, 400 for all other faults.
+        """
+        super().__init__(parser)
+        fields, target = parser.fields, parser.target
+        timeout_ms, account = fields.get(b"request-timeout-ms", b""), ACCOUNT(target)
+        if not fields.get(b"request-id") or not is_decimal(timeout_ms) or not account:
             raise Malformed(400, "a req needs Request-Id, Request-Timeout-Ms and an account")
         name = fields.get(b"request-class") or target[1:].partition(b"?")[0].partition(b"/")[0]
         self.frontend = names.frontends.get(name, -1)
@@ -128,14 +128,18 @@
             raise Malformed(400, "no such plan")
         self.units, self.set_size, self.first = names.terms(fields.get(b"x-call-terms", b""))
         self.customer = names.customer(account[1])
-        self.timeout, self.retry = int(wait), fields.get(b"client-retry") == b"1"
+        self.timeout, self.retry = int(timeout_ms), fields.get(b"client-retry") == b"1"
 
-    def raw(self, wait: int) -> bytes:
-        return b"%brequest-timeout-ms: %d\r\n\r\n%b" % (self.onward(OWN_FIELDS), wait, self.body)
+    def raw(self, timeout_ms: int) -> bytes:
+        return b"%brequest-timeout-ms: %d\r\n\r\n%b" % (
+            self.forwarded_head(OWN_FIELDS),
+            timeout_ms,
+            self.body,
+        )
 
 
 class Attempt(Generic[RequestT]):
-    """A dispatch on its way."""
+    """One sending of a request to a server."""
 
     __slots__ = ("connection", "endpoint_id", "expires_at", "number", "request", "sent_at", "timer")
 
@@ -149,9 +153,9 @@
             sent_at,
             expires_at,
         )
-        self.connection: Carrier | None = None
+        self.connection: AttemptConnection | None = None
         self.timer: TimerHandle | None = None
 
-    def raw(self, wait: int) -> bytes:
-        """The bytes for its server; `wait` is how long the answer is waited for, in ms."""
-        return self.request.raw(wait)
+    def raw(self, timeout_ms: int) -> bytes:
+        """Returns the bytes for the server; `timeout_ms` is the response time-out in ms."""
+        return self.request.raw(timeout_ms)
--- a/loomstand/proxy/admission_adapter.py
+++ b/loomstand/proxy/admission_adapter.py
@@ -26,10 +26,10 @@
 from loomstand.config.routes import RouteTable
 from loomstand.config.settings import Settings
 from loomstand.limiter.client_connection import ClientListener
-from loomstand.limiter.event_loop import Streams, Turns
+from loomstand.limiter.event_loop import ArrivalClockSelector, Streams
 from loomstand.limiter.gateway_core import GatewayCore
 from loomstand.limiter.http_parser import RequestReceiver
-from loomstand.limiter.protocols import Asker
+from loomstand.limiter.protocols import ClientHandle
 from loomstand.limiter.request import Attempt
 from loomstand.proxy.configuration_updates import ConfigurationUpdates
 from loomstand.proxy.counter_client import CounterClient
@@ -104,21 +104,25 @@
     counter_client: CounterClient
 
     def __init__(
-        self, settings: Settings, rng: Random, turns: Turns | None, streams: Streams | None
+        self,
+        settings: Settings,
+        rng: Random,
+        arrival_clock: ArrivalClockSelector | None,
+        streams: Streams | None,
     ) -> None:
         """See `Proxy`."""
         limits = settings.limits
         sockets = limits.file_descriptors - RESERVED_FILE_DESCRIPTORS
-        super().__init__(_log, turns, limits.memory_mb // 2, sockets)
+        super().__init__(_log, arrival_clock, limits.memory_mb // 2, sockets)
         self.settings = settings
         self.rng = rng
-        self.listener = ClientListener(self, self.spare, limits.file_descriptors)
+        self.listener = ClientListener(self, self.reserved_sockets, limits.file_descriptors)
         self.listener.own_paths = False
         self.pool = UpstreamPool(self, CONNECT_TIMEOUT_SECONDS, MAX_IDLE_SECONDS)
         if streams is not None:
             self.listener.bind = streams.listen
             self.pool.connect = streams.connect
-        self.patience = STALL_TIMEOUT_SECONDS
+        self.message_timeout_seconds = STALL_TIMEOUT_SECONDS
         self.limiters = LimiterSetRow(rank=0, total=1, silent=0)
         self.policy = PolicyCompiler(settings.bounds, list(settings.zones), settings.zone)
         self.endpoints = EndpointUpdates(self.policy, self.pool)
@@ -138,18 +142,18 @@
 
     # events: client requests
 
-    def request_received(self, client: Asker, machine: RequestReceiver, at: float) -> None:
+    def request_received(self, client: ClientHandle, parser: RequestReceiver, at: float) -> None:
         """Admits a request, or queues it until startup has finished.
 
         Args:
             client: The client's connection, which must be sent exactly one response.
-            machine: The parser that holds the message.
+            parser: The parser that holds the message.
             at: Time of arrival in seconds by the event loop's clock.
 
         Raises:
             Malformed: The request is invalid.
         """
-        request = ProxyRequest(machine)
+        request = ProxyRequest(parser)
         request.client = client
         client.request = request
         if self.startup.are_met(request):
@@ -178,7 +182,7 @@
         if not has_credit:
             self._handle_missing_credit(request, digest, arrived_at, has_waited, now)
             return
-        if not self.room.take(len(request.body)):
+        if not self.memory_budget.reserve(len(request.body)):
             self._answer_retry(request, UNAVAILABLE, f"{MEMORY_RETRY_SECONDS}")
             return
         request.service = self._choose_service(table, request)
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -13,10 +13,10 @@
 from absl import logging
 
 from loomstand.limiter import http_parser
-from loomstand.limiter.buffers import Room
-from loomstand.limiter.client_connection import Client, ClientListener
-from loomstand.limiter.event_loop import Streams, Turns, Untimed
-from loomstand.limiter.protocols import Asker
+from loomstand.limiter.buffers import MemoryBudget
+from loomstand.limiter.client_connection import ClientConnection, ClientListener
+from loomstand.limiter.event_loop import ArrivalClockSelector, ReadTimeClock, Streams
+from loomstand.limiter.protocols import ClientHandle
 from loomstand.rpc.network import Address
 
 # Share of the sockets that callers may keep open between calls; the rest is for new calls and, in a
@@ -49,7 +49,7 @@
     def __init__(  # noqa: PLR0913, PLR0917  # the owning programs set its limits
         self,
         handler: HttpHandler,
-        turns: Turns | None,
+        arrival_clock: ArrivalClockSelector | None,
         memory_bytes: int,
         max_sockets: int,
         max_body_bytes: int,
@@ -59,7 +59,7 @@
 
         Args:
             handler: Serves the calls.
-            turns: The event loop's selector; None on an event loop with another selector.
+            arrival_clock: The event loop's selector; None on an event loop with another selector.
             memory_bytes: Memory in bytes for all buffers together.
             max_sockets: Maximum number of concurrent connections.
             max_body_bytes: Maximum size in bytes of a request body or response body.
@@ -67,10 +67,10 @@
         """
         self.handler = handler
         self.loop = asyncio.get_running_loop()
-        self.turns: Any = turns or Untimed()
-        self.room = Room(memory_bytes)
+        self.arrival_clock: Any = arrival_clock or ReadTimeClock()
+        self.memory_budget = MemoryBudget(memory_bytes)
         self.endings = Counter[str]()
-        self.most_answer = max_body_bytes
+        self.max_response_bytes = max_body_bytes
         self.is_ready = True
         self.sockets = max_sockets
         self.tasks: set[asyncio.Task[None]] = set()
@@ -86,7 +86,7 @@
         )
         if streams is not None:
             listener.bind = streams.listen
-        listener.most_held = int(max_sockets * KEEP_ALIVE_SHARE)
+        listener.keep_alive_limit = int(max_sockets * KEEP_ALIVE_SHARE)
         listener.idle_timeout_seconds = IDLE_TIMEOUT_SECONDS
         listener.max_body_bytes = max_body_bytes
         listener.own_paths = False
@@ -111,20 +111,20 @@
         """Returns how many more connections are allowed; negative if there are too many."""
         return self.sockets - len(self.listener.clients)
 
-    def make_room(self, spared: Asker | None = None) -> bool:
+    def free_socket(self, spared: ClientHandle | None = None) -> bool:
         """Closes an unused connection other than `spared`; returns whether there was one."""
         return self.listener.close_silent(spared, SILENT_SECONDS) or self.listener.close_idle(
             spared
         )
 
     def request_received(
-        self, client: Client, machine: http_parser.RequestReceiver, at: float
+        self, client: ClientConnection, parser: http_parser.RequestReceiver, at: float
     ) -> None:
         """Starts serving a call that was received on a connection.
 
         Args:
             client: The connection.
-            machine: The parser that holds the call.
+            parser: The parser that holds the call.
             at: Time of receipt in seconds of the event loop's clock; not used here.
         """
         del at
@@ -132,7 +132,7 @@
         holder: Any = client
         holder.request = pending
         task = self.loop.create_task(
-            self.serve(pending, machine.method, machine.target, bytes(machine.body))
+            self.serve(pending, parser.method, parser.target, bytes(parser.body))
         )
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -155,7 +155,7 @@
         if client is None:
             return
         client.answer(status, answer, "Content-Type: application/json\r\n" if answer else "")
-        if client.wire.inbound.used:
+        if client.channel.inbound.used:
             self.loop.call_soon(client.next)
 
     def client_disconnected(self, pending: PendingCall) -> None:
@@ -177,6 +177,6 @@
 
     __slots__ = ("client",)
 
-    def __init__(self, client: Client | None) -> None:
+    def __init__(self, client: ClientConnection | None) -> None:
         """Creates a call that hasn't been answered."""
         self.client = client
--- a/tests/limiter/test_parsers.py
+++ b/tests/limiter/test_parsers.py
@@ -1,4 +1,4 @@
-"""Rings, messages, endings and configuration, as far as they need no socket."""
+"""Ring buffers, HTTP parsers, outcomes of endings, and configuration. No sockets."""
 
 from __future__ import annotations
 
@@ -12,13 +12,19 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.settings import Effect
 from loomstand.config.limiter import LimiterConfigError, parse_limiter_config
-from loomstand.config.limiter import engine_settings as translated
-from loomstand.limiter.buffers import FIRST, Ring, Room
-from loomstand.limiter.endings import KEPT_HERE, Ending, answered, call_outcome, outcome
+from loomstand.config.limiter import engine_settings as convert_settings
+from loomstand.limiter.buffers import INITIAL_RING_BYTES, MemoryBudget, Ring
+from loomstand.limiter.endings import (
+    LOCAL_FAILURES,
+    Ending,
+    attempt_outcome,
+    counter_call_outcome,
+    response_outcome,
+)
 from loomstand.limiter.http_parser import (
-    MOST_BODY,
-    MOST_HEAD,
-    MOST_RING,
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_MESSAGE_BYTES,
     Malformed,
     RequestReceiver,
     ResponseReceiver,
@@ -30,9 +36,9 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.binary(max_size=3000)), max_size=40))
-def test_a_ring_keeps_bytes_in_order_and_its_allowance(steps):
-    room = Room(3 * FIRST)
-    ring, model = Ring(room, 2 * FIRST), b""
+def test_a_ring_keeps_bytes_in_order_and_within_its_budget(steps):
+    memory_budget = MemoryBudget(3 * INITIAL_RING_BYTES)
+    ring, model = Ring(memory_budget, 2 * INITIAL_RING_BYTES), b""
     for fill, data in steps:
         if fill:
             space = ring.space()
@@ -45,26 +51,28 @@
         else:
             assert ring.take(len(data)) == model[: len(data)]
             model = model[len(data) :]
-        assert ring.peek() == model and len(ring) == len(model) <= ring.size <= 2 * FIRST
-        assert room.left == 3 * FIRST - ring.size
+        assert (
+            ring.peek() == model and len(ring) == len(model) <= ring.size <= 2 * INITIAL_RING_BYTES
+        )
+        assert memory_budget.available == 3 * INITIAL_RING_BYTES - ring.size
         assert ring.find(b"\0\0") == model.find(b"\0\0")
     ring.close()
-    assert room.left == 3 * FIRST
+    assert memory_budget.available == 3 * INITIAL_RING_BYTES
 
 
-def fed(machine, pieces):
-    """Feeds a machine piece by piece; the messages that came whole, as (start, fields, body)."""
-    ring, got = Ring(Room(1 << 20), MOST_RING), []
+def parse_pieces(parser, pieces):
+    """Feeds a parser; returns complete messages as (start, fields, body, close)."""
+    ring, got = Ring(MemoryBudget(1 << 20), MAX_MESSAGE_BYTES), []
     for piece in pieces:
         while piece:
             space = ring.space()
             n = min(len(space), len(piece))
             space[:n], piece = piece[:n], piece[n:]
             ring.wrote(n)
-            while machine.step(ring):
-                start = machine.status if isinstance(machine, ResponseReceiver) else machine.target
-                got.append((start, dict(machine.fields), bytes(machine.body), machine.close))
-                machine.reset()
+            while parser.step(ring):
+                start = parser.status if isinstance(parser, ResponseReceiver) else parser.target
+                got.append((start, dict(parser.fields), bytes(parser.body), parser.close))
+                parser.reset()
     return got
 
 
@@ -76,8 +84,8 @@
 
 @st.composite
 def messages(draw):
-    """Some messages one behind another, and what they should be read as."""
-    raw, want = b"", []
+    """Draws consecutive messages in pieces, and their expected fields and bodies."""
+    raw, expected = b"", []
     for body in draw(st.lists(st.binary(max_size=200), min_size=1, max_size=4)):
         value = draw(st.text("abcXYZ019 ;=", max_size=20)).strip().encode()
         fields = {b"x-one": value}
@@ -98,45 +106,50 @@
         else:
             fields[b"content-length"] = b"%d" % len(body)
             raw += line + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
-        want.append((fields, body))
-    return draw(split(raw)), want
+        expected.append((fields, body))
+    return draw(split(raw)), expected
 
 
 @given(messages())
-def test_requests_read_the_same_however_they_are_split(case):
-    pieces, want = case
-    assert [(fields, body) for _, fields, body, _ in fed(RequestReceiver(), pieces)] == want
+def test_requests_parse_the_same_however_they_are_split(case):
+    pieces, expected = case
+    assert [
+        (fields, body) for _, fields, body, _ in parse_pieces(RequestReceiver(), pieces)
+    ] == expected
 
 
 @given(messages())
-def test_answers_read_the_same_however_they_are_split(case):
-    pieces, want = case
+def test_responses_parse_the_same_however_they_are_split(case):
+    pieces, expected = case
     raw = b"".join(pieces).replace(
         b"POST /a?b=c HTTP/1.1", b"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK"
     )
-    assert [(fields, body) for _, fields, body, _ in fed(ResponseReceiver(), [raw])] == want
     assert [
-        (fields, body) for _, fields, body, _ in fed(ResponseReceiver(), [bytes([b]) for b in raw])
-    ] == want
+        (fields, body) for _, fields, body, _ in parse_pieces(ResponseReceiver(), [raw])
+    ] == expected
+    assert [
+        (fields, body)
+        for _, fields, body, _ in parse_pieces(ResponseReceiver(), [bytes([b]) for b in raw])
+    ] == expected
 
 
 @given(messages(), st.data())
-def test_a_cut_message_is_never_whole(case, data):
-    pieces, want = case
+def test_a_truncated_message_is_never_complete(case, data):
+    pieces, expected = case
     raw = b"".join(pieces)
     cut = raw[: data.draw(st.integers(0, len(raw) - 1))]
-    assert len(fed(RequestReceiver(), [cut])) < len(want)
+    assert len(parse_pieces(RequestReceiver(), [cut])) < len(expected)
 
 
 @given(st.binary(max_size=400), st.data())
-def test_noise_is_refused_or_waited_on_but_nothing_else(noise, data):
+def test_noise_is_rejected_or_incomplete(noise, data):
     raw = b"GET /a HTTP/1.1\r\nHost: b\r\n\r\n"
     at = data.draw(st.integers(0, len(raw)))
-    for machine in (RequestReceiver(), ResponseReceiver()):
+    for parser in (RequestReceiver(), ResponseReceiver()):
         try:
-            fed(machine, [raw[:at] + noise + raw[at:]])
-        except Malformed as why:
-            assert 400 <= why.status < 600
+            parse_pieces(parser, [raw[:at] + noise + raw[at:]])
+        except Malformed as error:
+            assert 400 <= error.status < 600
 
 
 HEAD = b"GET /a HTTP/1.1\r\n"
@@ -161,51 +174,53 @@
         (HEAD + b"Transfer-Encoding: gzip\r\n\r\n", 501),
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n", 400),
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", 400),
-        (HEAD + b"Content-Length: %d\r\n\r\n" % (MOST_BODY + 1), 413),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % (MOST_BODY + 1), 413),
-        (HEAD + b"a: %b\r\n\r\n" % (b"x" * MOST_HEAD), 431),
-        (b"x" * (MOST_HEAD + 1), 431),
+        (HEAD + b"Content-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), 413),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % (MAX_BODY_BYTES + 1), 413),
+        (HEAD + b"a: %b\r\n\r\n" % (b"x" * MAX_HEAD_BYTES), 431),
+        (b"x" * (MAX_HEAD_BYTES + 1), 431),
     ],
 )
 def test_bad_requests_get_their_status(raw, status):
-    with pytest.raises(Malformed) as why:
-        fed(RequestReceiver(), [raw])
-    assert why.value.status == status
+    with pytest.raises(Malformed) as error:
+        parse_pieces(RequestReceiver(), [raw])
+    assert error.value.status == status
 
 
-def test_fields_that_come_again_are_joined_and_equal_lengths_are_one():
+def test_repeated_fields_are_joined_and_equal_lengths_merged():
     raw = HEAD + b"A: 1\r\nContent-Length: 2\r\na: 2\r\nContent-Length: 2\r\n\r\nok"
-    for machine in (RequestReceiver(), ResponseReceiver()):
-        said = (
+    for parser in (RequestReceiver(), ResponseReceiver()):
+        message = (
             raw.replace(HEAD, b"HTTP/1.1 200 OK\r\n")
-            if isinstance(machine, ResponseReceiver)
+            if isinstance(parser, ResponseReceiver)
             else raw
         )
-        assert [m[1:3] for m in fed(machine, [said, said])] == [
+        assert [m[1:3] for m in parse_pieces(parser, [message, message])] == [
             ({b"a": b"1, 2", b"content-length": b"2"}, b"ok")
         ] * 2
 
 
-def test_an_answer_without_a_length_is_not_taken_for_whole():
+def test_a_response_without_a_length_is_rejected():
     with pytest.raises(Malformed):
-        fed(ResponseReceiver(), [b"HTTP/1.1 200 OK\r\n\r\nsome"])
+        parse_pieces(ResponseReceiver(), [b"HTTP/1.1 200 OK\r\n\r\nsome"])
 
 
 @pytest.mark.parametrize("ending", list(Ending))
-def test_only_what_was_not_written_is_proven_not_run(ending):
-    proven = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.REJECTED}
-    assert outcome(ending, False) in proven and outcome(ending, True) not in proven
-    # trouble of our own is not held against a server
-    assert (outcome(ending, False) is Outcome.NOT_SENT) == (ending in KEPT_HERE)
-    # a call that was written may have been added, however it ended
-    assert call_outcome(ending, True) is Outcome.NO_RESPONSE
-    assert call_outcome(ending, False) is Outcome.CONNECT_FAILED
-
-
-def test_only_a_marked_503_or_504_was_turned_away():
-    assert answered(503, True) is answered(504, True) is Outcome.REJECTED
-    assert answered(200, True) is Outcome.SUCCEEDED
-    assert {answered(s, n) for s, n in ((503, False), (500, True), (404, False))} == {
+def test_only_an_unwritten_request_is_proven_not_run(ending):
+    not_run = {Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.REJECTED}
+    assert (
+        attempt_outcome(ending, False) in not_run and attempt_outcome(ending, True) not in not_run
+    )
+    # A local failure doesn't count against the server.
+    assert (attempt_outcome(ending, False) is Outcome.NOT_SENT) == (ending in LOCAL_FAILURES)
+    # The counter may have applied any call that was written.
+    assert counter_call_outcome(ending, True) is Outcome.NO_RESPONSE
+    assert counter_call_outcome(ending, False) is Outcome.CONNECT_FAILED
+
+
+def test_only_a_503_or_504_with_not_started_is_rejected():
+    assert response_outcome(503, True) is response_outcome(504, True) is Outcome.REJECTED
+    assert response_outcome(200, True) is Outcome.SUCCEEDED
+    assert {response_outcome(s, n) for s, n in ((503, False), (500, True), (404, False))} == {
         Outcome.SERVER_ERROR
     }
 
@@ -231,13 +246,13 @@
         (lambda f: f["known"]["members"][0].update(phase="gone"), "known.members[0].phase"),
     ],
 )
-def test_a_fault_in_the_configuration_is_named(change, key):
-    with pytest.raises(LimiterConfigError, match="key") as why:
+def test_a_configuration_error_names_its_key(change, key):
+    with pytest.raises(LimiterConfigError, match="key") as error:
         config(change)
-    assert f"key '{key}'" in str(why.value)
+    assert f"key '{key}'" in str(error.value)
 
 
-def test_the_environment_wins_and_the_settings_are_translated_once():
+def test_the_environment_overrides_the_file_and_settings_are_converted():
     raw = json.dumps(config_file(PORTS, [])).encode()
     read = parse_limiter_config(raw, {"PROXY_NAME": "n7", "PROXY_LISTEN": "127.0.0.2:80"})
     assert (read.name, read.listen_address, read.discovery_address) == (
@@ -245,9 +260,13 @@
         ("127.0.0.2", 80),
         (HOST, 8500),
     )
-    told = translated(read.settings, 0)
-    assert [f.effect for f in told.frontends] == [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT]
-    assert (told.counter_timeout, told.drain_grace_period, told.frontends[0].client_timeout) == (
+    converted = convert_settings(read.settings, 0)
+    assert [f.effect for f in converted.frontends] == [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT]
+    assert (
+        converted.counter_timeout,
+        converted.drain_grace_period,
+        converted.frontends[0].client_timeout,
+    ) == (
         1000,
         5000,
         15000,
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -15,9 +15,9 @@
 from loomstand.admission.actions import Reject, SendAttempt
 from loomstand.admission.outcome import Outcome
 from loomstand.limiter import upstream as limiter_upstream
-from loomstand.limiter.client_connection import Client as FrontClient
+from loomstand.limiter.client_connection import ClientConnection
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.event_loop import Wire
+from loomstand.limiter.event_loop import SocketChannel
 from loomstand.limiter.upstream import ServerConnection
 from loomstand.proxy import upstream
 from loomstand.proxy.program import Proxy
@@ -427,7 +427,7 @@
 # --- mutants without one of the safeguards
 
 
-def handle_without_waiting(client: Any, handle: Any = FrontClient.handle) -> None:
+def handle_without_waiting(client: Any, handle: Any = ClientConnection.handle) -> None:
     handle(client)
     client.request = None
 
@@ -435,7 +435,7 @@
 def match_by_position(
     connection: Any, original: Any = UpstreamConnection.response_received
 ) -> None:
-    connection.machine.fields = connection.machine.fields | {
+    connection.parser.fields = connection.parser.fields | {
         b"loomstand-request-id": connection.attempt.request.request_id
     }
     original(connection)
@@ -446,14 +446,14 @@
 ) -> None:
     original(
         connection
-    ) if b"loomstand-request-id" in connection.machine.fields else match_by_position(
+    ) if b"loomstand-request-id" in connection.parser.fields else match_by_position(
         connection, original
     )
 
 
 def keep_idle_connections(pool: Any, attempt: Any, ending: Ending) -> None:
     if attempt.connection is not None and attempt.connection.attempt is attempt:
-        attempt.connection.wire.stop(ending)  # keeps the idle connections
+        attempt.connection.channel.stop(ending)  # keeps the idle connections
 
 
 def reuse_connection(pool: Any, attempt: Any, send: Any = UpstreamPool.send) -> None:
@@ -463,7 +463,7 @@
 
 def release_without_closing(connection: Any, close: bool) -> None:
     connection.attempt = None
-    connection.machine.reset()
+    connection.parser.reset()
     connection.pool.release(connection)
 
 
@@ -499,9 +499,9 @@
         lambda: run_stage(unresponsive_server),
     ),
     "close without a reset": (
-        Wire,
-        "sever",
-        lambda wire: None,
+        SocketChannel,
+        "discard_unsent",
+        lambda channel: None,
         lambda: run_stage(expire_during_partition),
     ),
     "second attempt on the same connection": (
@@ -524,7 +524,7 @@
     ),
     "a reset proves non-execution": (
         limiter_upstream,
-        "outcome",
+        "attempt_outcome",
         reset_proves_non_execution,
         interrupt_at_every_byte,
     ),
@@ -535,7 +535,7 @@
         lambda: run_stage(resume_after_deadline),
     ),
     "handling of the next request while one is pending": (
-        FrontClient,
+        ClientConnection,
         "handle",
         handle_without_waiting,
         lambda: run_odd_cluster(pipelined_requests),
