--- a/loomstand/store/__init__.py
+++ b/loomstand/store/__init__.py
@@ -1,6 +1,6 @@
 """The replicated configuration store.
 
-It keeps the configuration on disk at a primary and a backup, elects its primary, and grants the
-lease under which a registry counts. `program` joins the parts; docs/ARCHITECTURE.md has the
-protocol, and docs/design.md what was weighed for it.
+It keeps the configuration on the disks of a primary and a backup, elects the primary by its
+voters, and grants the lease under which one registry counts quota use. `program` assembles the
+components; docs/ARCHITECTURE.md describes the protocol, docs/design.md the alternatives considered.
 """
--- a/loomstand/store/__main__.py
+++ b/loomstand/store/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m loomstand.store`: the store on its machine."""
+"""`python -m loomstand.store`: runs the store of one core machine."""
 
-import loomstand.rpc.early_signals  # noqa: F401 - first, as it has to come before the long imports
+import loomstand.rpc.early_signals  # noqa: F401 - must run before the slow imports
 
 # isort: split
 import asyncio
@@ -15,36 +15,36 @@
 from loomstand.store.disk import LmdbDisk
 from loomstand.store.program import Store, StoreSettings
 
-# The folder's name on disks in service.
+# Name of the database folder; existing installations use it.
 DISK_FOLDER = "granary"
 
 
 class StoreProcess:
-    """The store with its settings."""
+    """The process that runs a store by its settings."""
 
     def __init__(self, settings: Settings) -> None:
-        """Sets the store up, with a real disk and real sockets."""
+        """Creates the store with a real disk and real sockets."""
         disk = LmdbDisk(Path(settings.data_directory) / DISK_FOLDER)
         clock = asyncio.get_running_loop().time
         self._store = Store(store_settings(settings), TcpNetwork(), disk, clock, Random())
         self._stopping: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Serves until `stop` is done."""
+        """Serves until a shutdown started by `stop` has finished."""
         await self._store.run()
 
     def stop(self) -> None:
-        """Ends it gracefully: what it holds goes to another first."""
+        """Starts a graceful shutdown, which hands over this store's roles first."""
         if self._stopping is None:
             self._stopping = asyncio.get_running_loop().create_task(self._store.stop())
 
     def reload(self, settings: Settings) -> None:
-        """The seeds may be others now."""
+        """Applies new settings; the seed addresses may have changed."""
         self._store.settings = store_settings(settings)
 
 
 def store_settings(settings: Settings) -> StoreSettings:
-    """What of the settings the store needs."""
+    """Returns the part of the settings that the store uses."""
     seeds = tuple(settings.store_address(ip) for ip, _ in settings.seed_nodes)
     return StoreSettings(
         settings.store_address(settings.ip_address),
@@ -55,7 +55,7 @@
 
 
 async def make_process(settings: Settings, _turns: Turns) -> StoreProcess:
-    """The process; without a disk it ends at once."""
+    """Creates the process; exits if no data directory is configured."""
     if not settings.data_directory:
         sys.exit("self.data_directory: missing; the store needs a disk")
     return StoreProcess(settings)
--- a/loomstand/store/configuration_service.py
+++ b/loomstand/store/configuration_service.py
@@ -1,4 +1,4 @@
-"""The configuration for registries: changes and reads, at the primary or forwarded to it."""
+"""Configuration changes and reads of registries, served as primary or forwarded to it."""
 
 from __future__ import annotations
 
@@ -29,23 +29,23 @@
 from loomstand.store.status_board import StatusBoard
 from loomstand.store.views import View
 
-# A change is acknowledged or refused in so long: registries wait a tenth longer.
+# Limit for acknowledging or refusing a change; the registry's own timeout is 0.1 s longer.
 CHANGE_SECONDS = 0.85
 
-# The primary to which a change is forwarded has so much less.
-FORWARDING_SECONDS = 0.05
+# A primary gets this much less time for a forwarded change, to leave time for its response.
+FORWARDING_MARGIN_SECONDS = 0.05
 
-# So often a request is forwarded: views that are out of date must not send it round and round.
+# Limit for forwarding one request: stores with outdated views could otherwise forward in a cycle.
 MAX_HOPS = 2
 
-# Versions of refused changes that aren't logged again, the highest.
+# Number of refused versions, highest first, that are remembered so that each is logged once.
 MAX_LOGGED_CONFLICTS = 100
 
 Response = TypeVar("Response", PutResponse, ReadResponse)
 
 
 class ConfigurationService:
-    """Changes and reads of the configuration at one store."""
+    """Handles changes and reads of the configuration at one store."""
 
     def __init__(
         self,
@@ -54,7 +54,14 @@
         status: StatusBoard,
         on_offer: Callable[[VersionedData], None],
     ) -> None:
-        """Sets the service up; `on_offer` gets what registries and limiters give back."""
+        """Creates the service.
+
+        Args:
+            io: The store's replica.
+            leadership: Elections and replication of this store.
+            status: Status of this store.
+            on_offer: Receives each configuration that a registry or limiter gives back.
+        """
         self._io = io
         self._leadership = leadership
         self._status = status
@@ -64,7 +71,7 @@
     # --- changes
 
     async def handle_offer(self, request: OfferRequest) -> PutResponse:
-        """A registry or limiter gives back what this store may have lost."""
+        """Takes back a configuration that this store may have lost, from a registry or limiter."""
         self._on_offer(VersionedData(request.version, request.data))
         return await self.handle_put(request)
 
@@ -72,14 +79,14 @@
         """Replaces the configuration.
 
         Raises:
-            CallRefusedError: Nothing was acknowledged, the change may be written all the same.
+            CallRefusedError: The change isn't acknowledged, but may still become committed.
         """
         timeout_seconds = CHANGE_SECONDS + transfer_seconds(len(request.data))
         try:
             async with asyncio.timeout(timeout_seconds):
                 if not self._io.replica.is_leader(self._io.clock()):
                     return await self._forward(
-                        request, PutResponse, timeout_seconds - FORWARDING_SECONDS
+                        request, PutResponse, timeout_seconds - FORWARDING_MARGIN_SECONDS
                     )
                 async with self._leadership.lock:
                     is_accepted = await self._change(request)
@@ -90,10 +97,10 @@
             raise CallRefusedError("not in time") from None
 
     async def _change(self, request: PutRequest) -> bool:
-        """Commits a change if its version is higher, as the primary with the lock held.
+        """Commits a change if its version is higher; the caller is primary and holds the lock.
 
         Returns:
-            False if an operator's version stands for another content (`Verdict.CONFLICT`).
+            False if the version already has other content (`Verdict.CONFLICT`).
         """
         replica = self._io.replica
         if replica.is_leader(self._io.clock()) and (
@@ -113,11 +120,14 @@
             self._on_conflict(version)
             return False
         if verdict is Verdict.SUPERSEDED:
-            await self._remember(replica.history.with_superseded(version, digest(data)))
+            await self._write_history(replica.history.with_superseded(version, digest(data)))
         return True
 
-    async def _remember(self, history: ChangeHistory) -> None:
-        """Has on both disks that a lower version was acknowledged, unless it is too low."""
+    async def _write_history(self, history: ChangeHistory) -> None:
+        """Writes the history, which lists acknowledged lower versions, to both disks.
+
+        An unchanged history isn't written: the version was too low to be listed.
+        """
         replica = self._io.replica
         if history == replica.history:
             return
@@ -127,14 +137,14 @@
         await self._write(VersionedData(replica.version, replica.data))
 
     async def _write(self, configuration: VersionedData) -> None:
-        """Has a configuration on this disk and the backup's, and commits it."""
+        """Writes a configuration to this disk and the backup's, and commits it."""
         replica = self._io.replica
         view = replica.record.view
-        assert view is not None  # it can write
-        # where the backup didn't, what it wrote may be committed all the same: another backup may
-        # write it while the asker still waits
+        assert view is not None  # implied by can_write
+        # a failed backup isn't final: a newly elected backup may write the record before the
+        # requester's timeout
         if not await self._write_both(view, configuration) and not await self._leadership.elect(
-            change_view("its backup doesn't write", view)
+            change_view("the backup failed to write", view)
         ):
             replica.back_off(self._io.clock())
             raise CallRefusedError("no backup")
@@ -144,10 +154,13 @@
         self._leadership.commit_record()
 
     async def _write_both(self, view: View, configuration: VersionedData) -> bool:
-        """Writes to both disks at once; whether the backup did.
+        """Writes to this disk and the backup's in parallel.
+
+        Returns:
+            Whether the backup wrote, True if the view has no backup.
 
         Raises:
-            CallRefusedError: This disk didn't.
+            CallRefusedError: This store's own write failed.
         """
         version, data = configuration
         backup_writes = []
@@ -176,7 +189,7 @@
         """Reads the committed configuration.
 
         Raises:
-            CallRefusedError: No primary was found.
+            CallRefusedError: No serving primary was reached.
         """
         replica = self._io.replica
         lease_seconds = replica.lease_left(self._io.clock())
@@ -193,7 +206,7 @@
         response_type: type[Response],
         timeout_seconds: float,
     ) -> Response:
-        """Asks the primary in this store's place."""
+        """Forwards a request to the primary and returns its response."""
         primary = self._status.known_primary().address
         if (
             request.hops >= MAX_HOPS
@@ -209,17 +222,17 @@
         match result:
             case Result(tag="ok", ok=response):
                 now = self._io.clock()
-                return _as_passed_on(response, asked_at, now, timeout_seconds)
+                return _forwarded_response(response, asked_at, now, timeout_seconds)
         raise CallRefusedError("the primary didn't answer")
 
 
-def _as_passed_on(
+def _forwarded_response(
     response: Response, asked_at: float, now: float, timeout_seconds: float
 ) -> Response:
-    """The primary's answer, with the time for which it stays true.
+    """Returns the primary's response with its lease reduced to the time that remains.
 
     Raises:
-        CallRefusedError: It is too late for it (`freshness`).
+        CallRefusedError: The response is too old to be returned (`freshness`).
     """
     lease_seconds = response.lease_seconds if isinstance(response, ReadResponse) else None
     remaining = remaining_seconds(lease_seconds, asked_at, now, timeout_seconds)
--- a/loomstand/store/counting_lease.py
+++ b/loomstand/store/counting_lease.py
@@ -1,15 +1,17 @@
-"""Who counts for the quotas: the lease that the serving primary grants to one registry at a time.
-
-A state machine without clock, disk or network; every store has one, as any may come to serve. `now`
-is always a steady clock's seconds. What holds it together:
-
-- The lease is granted for a span that ends within the primary's own lease. The registry counts the
-  span from when it sent its request, the primary from when it answers, and longer by what clocks
-  may differ. So whoever serves next, after that lease, needs to know of no registry of before.
-- Where a primary goes on before its lease is over, it knows who holds the counting lease. One that
-  restarts has the holder on its disk, written before the registry got the lease, and grants nobody
-  else one for a lease's length. One that takes over by a transfer hears it from the one before.
-- At an address there is one registry: the next incarnation of the holder has the lease at once.
+"""The counting lease, which the serving primary grants to one registry at a time.
+
+Its holder is the only registry that counts quota use. The lease is a state machine without clock,
+disk or network; every store has one, as any may become primary. `now` is in seconds of a monotonic
+clock. At most one registry holds the lease, for these reasons:
+
+- The granted span ends within the primary's own lease. The registry measures it from sending its
+  request; the primary measures it from its response, lengthened by the tolerated clock drift. So a
+  primary that serves only after the previous lease has expired needn't know of earlier grants.
+- A primary that serves before the previous lease has expired knows the holder. After a restart it
+  reads the holder from its disk, where it was written before the grant, and grants the lease to no
+  other registry for one lease period. After a leadership transfer its predecessor has reported the
+  holder.
+- One address has one registry: a new incarnation of the holder gets the lease at once.
 """
 
 from __future__ import annotations
@@ -21,29 +23,29 @@
 from loomstand.rpc.messages.rows import CountingTermRow
 from loomstand.store.timing import GRANT_SECONDS, LEASE_SECONDS, LONG_AGO
 
-# The longest span: three requests, so that two may be lost.
+# Longest granted span; the holder sends three requests within it, so two may be lost.
 MAX_SPAN_SECONDS = LEASE_SECONDS
 
-# The primary waits longer by this factor, as clocks' rates may differ by 4 %.
+# The primary measures a granted span longer by this factor: clock rates may differ by 4 %.
 CLOCK_RATE_MARGIN = GRANT_SECONDS / LEASE_SECONDS
 
-# From when a primary begins to serve the holder of before comes first, as it has the counts, if it
-# lately asked: its next request is under way or comes within 0.2 s.
+# A new primary reserves the lease for the previous holder, which has the counts, if that recently
+# requested it: its next request is in progress or follows within 0.2 s.
 PREFER_LAST_HOLDER_SECONDS = 0.5
 
-# The registry beside the primary comes before others, as its requests cost no bytes between zones:
-# where both start together, it looks for its store every 0.1 s.
+# The registry on the primary's machine is preferred, as its requests cause no traffic between
+# zones. When both start together, it looks for its store every 0.1 s.
 PREFER_LOCAL_SECONDS = 0.15
 
-# What counts as lately: one that asks in vain asks twice in that time.
+# Age limit of a recent request; a registry without the lease requests it twice in that time.
 RECENT_REQUEST_SECONDS = 1.0
 
 
 class HolderPage(NamedTuple):
-    """What is on disk of the counting lease.
+    """The part of the counting lease that is stored on disk.
 
     Attributes:
-        number: Number of the holder under this primary.
+        number: Number of the term under this primary; each change of the holder raises it by one.
         holder: Host of the registry that holds the lease.
     """
 
@@ -53,19 +55,21 @@
 
 @dataclass(slots=True)
 class CountingLease:
-    """The counting lease as one store knows it.
+    """State of the counting lease at one store.
 
     Attributes:
         local_host: The host of this store.
-        number: Number of the holder under the primary of `epoch`.
-        holder: The host that has the lease or may have it first; empty where anybody may.
-        incarnation: Number of that registry's start, as it told.
-        granted_until: Nobody but the holder gets the lease before.
-        prefer_holder_until: Nor before that, for the counts' sake.
-        prefer_local_until: Until when the registry beside comes first where anybody may.
-        persisted_page: What is on disk for sure, see `page`.
-        asked_at: When a registry last asked here in vain, by its host.
-        epoch: Epoch of the primary that last told who holds it.
+        number: Number of the term under the primary of `epoch`, see `HolderPage`.
+        holder: Host that holds the lease or is preferred for it; empty if any registry may get it.
+        incarnation: Start number of the holder, from its request.
+        granted_until: Time until which no registry but the holder gets the lease.
+        prefer_holder_until: Time until which the lease is reserved for the holder, which has the
+            counts.
+        prefer_local_until: Time until which the registry on this machine is preferred, if there is
+            no holder.
+        persisted_page: The page known to be on disk, None if that is uncertain; see `page`.
+        asked_at: Time of the last request while this store didn't serve, by the registry's host.
+        epoch: Epoch of the primary that last reported the holder.
     """
 
     local_host: str
@@ -79,29 +83,32 @@
     asked_at: dict[str, float] = field(default_factory=dict)
     epoch: int = 0
 
-    # --- what outlives a primary
+    # --- state that outlives a primary
 
     def page(self, host: str) -> HolderPage:
-        """What has to be on disk before the lease is granted to `host`, or prolonged."""
+        """Returns the page to have on disk before the lease is granted to `host` or renewed."""
         return HolderPage(self.number + (host != self.holder), host)
 
     def restore(self, started_at: float, epoch: int, page: HolderPage) -> None:
-        """After a restart of the primary of `epoch`: the holder on its disk may still count."""
-        # numbers told go up to one above the page's: that somebody's span was over isn't written
+        """Restores the lease after a restart of the primary of `epoch`.
+
+        The holder on its disk may still be counting.
+        """
+        # the number reported before may be one above the page's, as an expiry isn't written to disk
         self.epoch = epoch
         self.number = page.number + 2
         self.holder = page.holder
         self.granted_until = started_at + GRANT_SECONDS
 
     def to_handover(self, now: float) -> LeaseHandoverRow:
-        """For the next primary, where this one transfers leadership."""
+        """Returns the state for the next primary when this one transfers leadership."""
         remaining_seconds = max(0.0, self.granted_until - now) if self.holder else 0.0
         return LeaseHandoverRow(
             self.epoch, self.number, self.holder, self.incarnation, remaining_seconds
         )
 
     def take_handover(self, now: float, handover: LeaseHandoverRow) -> None:
-        """The primary before told what it knows."""
+        """Takes over the state reported by the previous primary."""
         self.epoch = handover.epoch
         self.number = handover.number
         self.holder = handover.holder
@@ -111,10 +118,10 @@
         self.granted_until = max(self.granted_until, now + remaining_seconds)
 
     def observe(self, epoch: int, number: int, holder: str) -> None:
-        """The serving primary of `epoch` tells who holds the lease; older words change nothing."""
+        """Records the holder reported by the serving primary of `epoch`; ignores older reports."""
         if (epoch, number) <= (self.epoch, self.number):
             return
-        if epoch > self.epoch:  # that one serves, so it knows who may have it, or that nobody can
+        if epoch > self.epoch:  # a new primary serves only if it knows of all unexpired grants
             self.persisted_page = None
             self.granted_until = LONG_AGO
         self.epoch = epoch
@@ -123,15 +130,15 @@
         self.incarnation = 0
 
     def term(self) -> CountingTermRow | None:
-        """Who holds the lease under which term, as it is known; None if it isn't."""
+        """Returns the last known term and holder of the lease, None if there is none."""
         if not self.epoch:
             return None
         return CountingTermRow(self.epoch, self.number, self.holder)
 
-    # --- as the primary that serves
+    # --- as the serving primary
 
     def begin(self, now: float) -> None:
-        """This member begins to serve."""
+        """Prepares the lease as this member begins to serve."""
         asked_lately = now - self.asked_at.get(self.holder, LONG_AGO) < RECENT_REQUEST_SECONDS
         is_preferred = self.holder and asked_lately
         self.prefer_holder_until = now + PREFER_LAST_HOLDER_SECONDS if is_preferred else now
@@ -139,21 +146,25 @@
         self.asked_at.clear()
 
     def is_granted(self, now: float) -> bool:
-        """Whether somebody may have the lease by this member's word or knowledge."""
+        """Whether a registry may hold the lease by a grant of which this member knows."""
         return now < self.granted_until
 
     def expire(self, now: float) -> bool:
-        """Forgets the holder whose lease is over; whether there was one."""
+        """Clears the holder once its lease has expired.
+
+        Returns:
+            Whether a holder was cleared.
+        """
         if not self.holder or now < max(self.granted_until, self.prefer_holder_until):
             return False
-        # it has just failed to ask
+        # the local registry gets no preference if it has just failed to renew
         delay = PREFER_LOCAL_SECONDS if self.holder != self.local_host else 0.0
         self.prefer_local_until = now + delay
         self._set_holder("", 0)
         return True
 
     def request_delay(self, now: float, host: str) -> float:
-        """Seconds for which a request waits, so that the registry beside comes first."""
+        """Returns the seconds by which a request is delayed in favour of the local registry."""
         if self.holder or host == self.local_host:
             return 0.0
         return self.prefer_local_until - now
@@ -164,20 +175,20 @@
         self.incarnation = incarnation
 
     def may_grant(self, now: float, host: str) -> bool:
-        """Whether `host` gets the lease if it asks."""
+        """Whether a request of `host` for the lease would be granted."""
         return host == self.holder or now >= max(self.granted_until, self.prefer_holder_until)
 
     def grant(self, now: float, host: str, incarnation: int, primary_lease_seconds: float) -> float:
-        """Grants the lease to a registry; `page` is on disk where another had it.
+        """Grants the lease to a registry; the caller has written `page` to disk.
 
         Args:
-            now: The present.
+            now: Monotonic time in seconds.
             host: The registry's host.
-            incarnation: Number of its start.
-            primary_lease_seconds: For how long this member still serves.
+            incarnation: Start number of the registry.
+            primary_lease_seconds: Remaining lease of this member as primary.
 
         Returns:
-            The seconds for which it has the lease from the sending of its request, 0 if it hasn't.
+            Length of the lease in seconds, from the sending of the request; 0 if it isn't granted.
         """
         if primary_lease_seconds <= 0.0 or not self.may_grant(now, host):
             return 0.0
@@ -189,7 +200,11 @@
         return span_seconds
 
     def release(self, host: str, incarnation: int) -> bool:
-        """That start of the registry gives the lease back; whether it had it."""
+        """Releases the lease held by this incarnation of a registry.
+
+        Returns:
+            Whether it held the lease.
+        """
         if not self.holder or (host, incarnation) != (self.holder, self.incarnation):
             return False
         self._set_holder("", 0)
--- a/loomstand/store/counting_lease_service.py
+++ b/loomstand/store/counting_lease_service.py
@@ -1,4 +1,4 @@
-"""The counting lease at a store: what it tells and hears of it, and its answers to registries."""
+"""The counting lease at a store: state exchanged by heartbeats, and requests of registries."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     UNREACHABLE_AFTER_SECONDS,
 )
 
-# A request waits so long until this store serves: the registry waits 0.4 s.
+# Limit for holding a request until this store serves; the registry's timeout is 0.4 s.
 REQUEST_WAIT_SECONDS = 0.35
 
 
 class CountingLeaseService:
-    """Grants the counting lease while its store serves, and follows the primary's word else."""
+    """Grants the counting lease while its store serves, otherwise follows the primary's reports."""
 
     def __init__(
         self,
@@ -44,20 +44,20 @@
         on_holder_change: Callable[[], None],
         pages: Pages,
     ) -> None:
-        """Sets the service up.
+        """Creates the service.
 
         Args:
             io: The store's replica.
-            wait_for_change: Waits until something has changed at the store.
-            on_holder_change: Has others hear who holds the lease.
-            pages: What is on the disk at the start.
+            wait_for_change: Waits until the store's status changes.
+            on_holder_change: Announces the holder to other stores and to the local registry.
+            pages: Pages on the disk at the start.
         """
         self._io = io
         self._wait_for_change = wait_for_change
         self._on_holder_change = on_holder_change
         self.lease = CountingLease(io.replica.member.address[0])
         self._grant_lock = asyncio.Lock()
-        # when the newest primary known last told that it serves, and until when nobody else does
+        # last contact with the newest known primary while it served, and end of its lease
         self._primary_contact_at = LONG_AGO
         self._primary_serves_until = LONG_AGO
         self._restore(pages)
@@ -71,46 +71,49 @@
         self.lease.restore(replica.started_at, view.epoch, HolderPage(int(number), str(holder)))
 
     def _lease_left(self) -> float:
-        """Seconds for which this store serves."""
+        """Returns the seconds for which this store will still serve."""
         return self._io.replica.lease_left(self._io.clock())
 
-    # --- what its store does
+    # --- events of the store
 
     def begin(self) -> None:
-        """The store begins to serve."""
+        """Prepares the lease as the store begins to serve."""
         self.lease.begin(self._io.clock())
         self.lease.expire(self._io.clock())
-        self._on_holder_change()  # so that those who may count ask at once
+        self._on_holder_change()  # so that registries request the lease at once
 
     def tick(self) -> None:
-        """Frees the lease once its holder lost it."""
+        """Clears the holder of an expired lease and announces that."""
         if self._lease_left() > 0.0 and self.lease.expire(self._io.clock()):
             self._announce()
 
     def bars_promise(self, released_epoch: int) -> bool:
-        """Whether nothing may be promised to a candidate.
+        """Whether a promise must be refused to a candidate.
 
-        That is where this member granted the counting lease and handed over its leadership, and the
-        candidate doesn't know of the grant.
+        This applies if this member granted the counting lease and then transferred its leadership,
+        and the candidate doesn't know of the grant.
+
+        Args:
+            released_epoch: Epoch of the view whose primary reported its release to the candidate.
         """
         return self.lease.is_granted(self._io.clock()) and released_epoch < self.lease.epoch
 
-    # --- what is told and heard of it
+    # --- state exchanged with other stores
 
     def term(self) -> CountingTermRow | None:
-        """Who holds the lease, as it is known here."""
+        """Returns the term and holder of the lease as known here, None if unknown."""
         if self._lease_left() > 0.0:
             self._adopt_own_epoch()
         return self.lease.term()
 
     def _adopt_own_epoch(self) -> None:
-        """While this store serves, what it tells is under its own epoch."""
+        """Sets the lease's epoch to that of this store's own view while it serves."""
         view = self._io.replica.record.view
         if view is not None:
             self.lease.epoch = max(self.lease.epoch, view.epoch)
 
     def serving(self) -> ServingRow | None:
-        """What the heartbeats of the serving primary tell besides, None of any other store."""
+        """Returns the row for heartbeats of the serving primary, None while not serving."""
         lease_seconds = self._lease_left()
         if lease_seconds <= 0.0:
             return None
@@ -118,7 +121,7 @@
         return ServingRow(self.lease.number, self.lease.holder, int(1000 * lease_seconds))
 
     def is_outdated(self, reported: ServingRow | None) -> bool:
-        """Whether others need to hear more than was told."""
+        """Whether the holder differs from the one that was reported to other stores."""
         current = self.serving()
         if current is None:
             return False
@@ -128,9 +131,11 @@
         )
 
     def on_status(self, status: HeartbeatRequest | HeartbeatResponse, sent_at: float) -> None:
-        """A heartbeat came, or the answer to one that was sent at `sent_at`.
+        """Records from a heartbeat whether the newest primary serves and which registry counts.
 
-        It tells whether the newest primary serves, and who counts.
+        Args:
+            status: A heartbeat or the response to one.
+            sent_at: When the heartbeat was sent, in seconds of this store's clock.
         """
         view = self._io.replica.newest_known_view()
         serving = status.serving
@@ -144,11 +149,12 @@
         self.lease.observe(view.epoch, serving.number, serving.holder)
 
     def is_fresh(self) -> bool:
-        """Whether nothing newer can be committed that isn't known here, for where it is cut off.
+        """Whether no newer version can have been committed without this store knowing of it.
 
-        Either the primary has told that it serves for so long; or it is gone, but not for long, and
-        so many electors are in reach that nobody can have taken over unheard: nobody waits for a
-        takeover then.
+        That holds while the primary's last reported lease lasts. It also holds for a short time
+        after contact with the primary is lost if this store reaches a quorum of electors, as no
+        other primary can have been elected without one of them; reads then needn't wait for a
+        takeover.
         """
         replica = self._io.replica
         now = self._io.clock()
@@ -166,15 +172,15 @@
             and view.has_quorum({replica.member.id, *reachable_ids})
         )
 
-    # --- what registries ask
+    # --- requests of registries
 
     async def handle(
         self, request: CountingLeaseRequest
     ) -> CountingLeaseResponse | Acknowledgement:
-        """A registry asks for the lease, or gives it back.
+        """Grants the lease to a registry, or releases it.
 
         Raises:
-            CallRefusedError: This store doesn't serve, or another registry has the lease.
+            CallRefusedError: This store doesn't serve, or another registry holds the lease.
         """
         await self._wait_until_serving(request)
         if request.is_release:
@@ -197,7 +203,7 @@
         return CountingLeaseResponse(lease_seconds=span_seconds, counting_term=self.term())
 
     async def _persist_holder(self, host: str) -> None:
-        """Has on disk that `host` holds the lease, if it may."""
+        """Writes to disk that `host` holds the lease, if it may be granted."""
         if not self.lease.may_grant(self._io.clock(), host):
             raise CallRefusedError("another has it")
         page = self.lease.page(host)
--- a/loomstand/store/graceful_shutdown.py
+++ b/loomstand/store/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""When a store that was told to stop may end: not before what only it holds stands elsewhere.
+"""When a stopping store may exit: not before data that only it holds is replicated elsewhere.
 
 Pure decisions on a `Replica`, without clock, disk or network.
 """
@@ -7,22 +7,22 @@
 
 from loomstand.store.replica import Replica
 
-# It ends so long before SIGKILL, whatever is missing: the last looks, a write under way, the
-# interpreter.
+# The store exits this long before SIGKILL in any case, to leave time for the last checks, a write
+# in progress, and the exit of the interpreter.
 SAFETY_MARGIN_SECONDS = 1.0
 
-# After this part of the grace period it no longer waits to hand on what others have too: a restart
-# is short.
+# Share of the grace period during which the store waits to hand over roles whose data other
+# members also hold; after that a restart is the shorter interruption.
 HANDOVER_SHARE = 0.5
 
 
 def may_shut_down(replica: Replica, now: float, since: float, grace_period_seconds: float) -> bool:
-    """Whether a member that was told to stop at `since` may end.
+    """Whether a member that was told to stop at `since` may exit.
 
-    At once where no view names it. For half of the grace period it waits until others took its
-    places. One that may hold the only copy, or without whose vote the others could decide nothing,
-    waits on for a takeover, which begins 1.25 s after the primary's loss, or until who was lost is
-    replaced.
+    It may exit at once if no view names it. For half of the grace period it waits until other
+    members have taken over its roles. A member that may hold the only copy, or whose vote the
+    others need for a quorum, waits longer: for a takeover, which begins 1.25 s after the primary's
+    loss, or for the replacement of lost members.
     """
     waited_seconds = now - since
     if replica.is_dispensable(now):
@@ -35,7 +35,7 @@
 
 
 def holds_only_copy(replica: Replica, now: float) -> bool:
-    """Whether, as far as is known, no other disk that stays has what is, or may be, committed."""
+    """Whether this member has the data and no other usable member is known to have it."""
     view = replica.newest_known_view()
     if view is None or not view.has_data(replica.member.id):
         return False
@@ -48,7 +48,7 @@
 
 
 def is_vote_needed(replica: Replica, now: float) -> bool:
-    """Whether those who stay can't decide without it, though they could with it."""
+    """Whether the remaining members reach a quorum only with this member's vote."""
     view = replica.newest_known_view()
     if view is None:
         return False
--- a/loomstand/store/member_report.py
+++ b/loomstand/store/member_report.py
@@ -1,4 +1,4 @@
-"""What one member holds, as it tells where the store may be lost. Values only."""
+"""Report of the versions that one member holds, collected for a rescue; only values."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberReport:
-    """What a member holds. Versions are 0 where it holds none.
+    """State and versions of one member. A version is 0 if the member holds none.
 
     Attributes:
-        member: The member.
-        state: Its state.
+        member: Id and address of the member.
+        state: Health of the member.
         is_founder: Whether its disk was empty at the first start of the whole system.
-        uptime_seconds: Since its start.
-        lease_seconds: For how long its lease as primary lasts, 0 if it has none.
-        highest_epoch: The highest epoch that it promised or knows of.
-        view: The newest view that it knows.
-        committed_version: The version that it knows to have been committed.
-        offered_version: The highest that registries or limiters gave back since its start.
-        disk_version: The version on its disk, committed or not.
+        uptime_seconds: Time since its start.
+        lease_seconds: Remaining lease as primary, 0 if it has none.
+        highest_epoch: Highest epoch that it promised or observed.
+        view: Newest view known to the member.
+        committed_version: Highest version known to the member as committed.
+        offered_version: Highest version that registries or limiters gave back since its start.
+        disk_version: Version on its disk, committed or not.
     """
 
     member: Member
@@ -46,17 +46,17 @@
 
     @property
     def best_version(self) -> int:
-        """The newest version that it holds, committed or not."""
+        """Highest version that the member holds, committed or not."""
         return max(self.committed_version, self.offered_version, self.disk_version)
 
     @property
     def is_best_committed(self) -> bool:
-        """Whether that version was committed, as far as the member knows."""
+        """Whether the highest version is known to the member as committed."""
         return self.best_version in (self.committed_version, self.offered_version)
 
     @staticmethod
     def of(replica: Replica, now: float, offered: VersionedData) -> MemberReport:
-        """The report of this member; `offered` was given back to it."""
+        """Creates the report of this member; `offered` is the configuration given back to it."""
         view = replica.newest_known_view()
         return MemberReport(
             replica.member,
@@ -72,7 +72,7 @@
         )
 
     def to_message(self) -> MemberReportResponse:
-        """The report as an answer to another store."""
+        """Converts the report to a response for another store."""
         return MemberReportResponse(
             member=self.member.to_row(),
             state=self.state.value,
@@ -88,7 +88,7 @@
 
     @staticmethod
     def from_message(message: MemberReportResponse) -> MemberReport:
-        """The report that another store answered."""
+        """Creates a report from the response of another store."""
         return MemberReport(
             Member.from_row(message.member),
             MemberState(message.state),
@@ -104,7 +104,7 @@
 
 
 def best_configuration(replica: Replica, offered: VersionedData) -> VersionedData:
-    """The newest that a member holds; of one version what was committed goes first."""
+    """Returns a member's newest configuration; a committed one has priority at equal versions."""
     committed = VersionedData(replica.version, replica.data)
     candidates = (committed, offered, replica.record.configuration)
     return max(candidates, key=lambda configuration: configuration.version)
--- a/loomstand/store/peers.py
+++ b/loomstand/store/peers.py
@@ -1,6 +1,6 @@
-"""The other members as their heartbeats and answers show them: the failure detector.
+"""The failure detector: state of the other members by their heartbeats and responses.
 
-A state machine without clock, disk or network; `now` is a steady clock's seconds.
+A state machine without clock, disk or network; `now` is in seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -23,26 +23,26 @@
 
 
 class MemberState(Enum):
-    """How a member is, as it tells of itself; the numbers are on the wire."""
+    """Health of a member, as reported by itself; the values are on the wire."""
 
     HEALTHY = 0
-    UNHEALTHY = 1  # its disk hangs or refuses
-    LEAVING = 2  # it was told to stop
+    UNHEALTHY = 1  # its disk hangs or fails writes
+    LEAVING = 2  # it is shutting down
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another store, as its heartbeats and answers tell.
+    """State of another store, from its heartbeats and responses.
 
     Attributes:
-        id: Its member id, empty until it was heard.
-        state: Its state.
-        answered_at: When it last answered a heartbeat of this member.
-        named_at: When somebody last named its address.
+        id: Its member id, empty before its first message.
+        state: Its health.
+        answered_at: When it last responded to a heartbeat of this member.
+        named_at: When its address was last found in the settings or in a member's message.
         view_epoch: Epoch of the view on its disk, 0 if there is none.
-        newest_view_epoch: Epoch of the newest view that it knows, 0 if it knows none.
-        promised_epoch: The highest epoch that it promised.
-        committed_version: The newest committed version that it knows, -1 if it knows none.
+        newest_view_epoch: Epoch of the newest view known to it, 0 if there is none.
+        promised_epoch: Highest epoch that it promised.
+        committed_version: Newest committed version known to it, -1 if there is none.
         is_founder: Whether its disk was empty at the first start of the whole system.
     """
 
@@ -59,14 +59,14 @@
 
 @dataclass(slots=True)
 class PeerTable:
-    """All other stores that are known.
+    """All other known stores.
 
     Attributes:
         own_member: This member, which is never in the table.
         started_at: When this member started.
-        by_address: The peers.
-        answered_at: When a disk last answered, by its member id.
-        avoided_until: Until when a member isn't chosen as backup, by its id.
+        by_address: The peers by address.
+        answered_at: When each disk last responded, by member id.
+        avoided_until: Time until which a member isn't preferred as backup, by member id.
     """
 
     own_member: Member
@@ -76,19 +76,19 @@
     avoided_until: dict[str, float] = field(default_factory=dict)
 
     def add(self, now: float, addresses: Iterable[Address]) -> None:
-        """Somebody named these addresses of stores."""
+        """Adds addresses of stores, or renews them."""
         for address in addresses:
             if address != self.own_member.address:
                 self.by_address.setdefault(address, Peer()).named_at = now
 
     def forget(self, now: float, retained: Collection[Address]) -> None:
-        """Drops the addresses that nobody named for long, except for those of `keep`."""
+        """Drops the addresses that haven't been listed recently, except for those in `retained`."""
         for address, peer in list(self.by_address.items()):
             if address not in retained and now - peer.named_at > FORGET_ADDRESS_AFTER_SECONDS:
                 del self.by_address[address]
 
     def update(self, now: float, status: MemberStatus) -> Peer:
-        """Takes in what a heartbeat, or the answer to one, tells of its sender."""
+        """Updates a peer from its heartbeat or its response to one."""
         member = Member.from_row(status.member)
         self.add(now, [member.address])
         peer = self.by_address.get(member.address) or Peer()
@@ -104,7 +104,10 @@
         return peer
 
     def seconds_since_contact(self, now: float, member: Member) -> float:
-        """Seconds since that very disk answered; forever if another disk answers in its place."""
+        """Returns the seconds since this member's disk responded.
+
+        The result is `FOREVER_SECONDS` if another disk responds at its address.
+        """
         if member.id == self.own_member.id:
             return 0.0
         peer = self.by_address.get(member.address)
@@ -113,7 +116,7 @@
         return now - max(self.answered_at.get(member.id, LONG_AGO), self.started_at)
 
     def is_usable(self, now: float, member: Member) -> bool:
-        """Whether that disk answers and is healthy."""
+        """Whether the member's disk responds and is healthy."""
         peer = self.by_address.get(member.address)
         return (
             member.id in self.answered_at
@@ -123,33 +126,36 @@
         )
 
     def is_unusable(self, now: float, member: Member) -> bool:
-        """Whether it is silent, leaves, or is unhealthy; not if it just wasn't heard yet."""
+        """Whether the member doesn't respond, is leaving or unhealthy.
+
+        A member that hasn't responded since this member's recent start isn't unusable yet.
+        """
         if self.seconds_since_contact(now, member) >= UNREACHABLE_AFTER_SECONDS:
             return True
         peer = self.by_address.get(member.address)
         return peer is not None and peer.id == member.id and peer.state is not MemberState.HEALTHY
 
     def is_leaving(self, member: Member) -> bool:
-        """Whether that disk's store was told to stop, as it tells."""
+        """Whether the member reports that it is shutting down."""
         peer = self.by_address.get(member.address)
         return peer is not None and peer.id == member.id and peer.state is MemberState.LEAVING
 
     def avoid(self, now: float, member: Member) -> None:
-        """That member has just failed to write."""
+        """Avoids a member as backup for a while, after it failed to write."""
         self.avoided_until[member.id] = now + AVOID_MEMBER_SECONDS
 
     def is_avoided(self, now: float, member: Member) -> bool:
-        """Whether it lately failed to write: others come first, but it is better than nobody."""
+        """Whether a member recently failed to write, so that it is chosen as backup only last."""
         return self.avoided_until.get(member.id, LONG_AGO) > now
 
     def live_members(self, now: float) -> list[Member]:
-        """All others that answer and are healthy, by address."""
+        """Returns the other members that respond and are healthy, by address."""
         members = [Member(peer.id, at) for at, peer in self.by_address.items() if peer.id]
         usable = [member for member in members if self.is_usable(now, member)]
         return sorted(usable, key=lambda member: member.address)
 
     def recent_addresses(self, now: float) -> list[Address]:
-        """The addresses of the stores that lately answered, and this one's, sorted."""
+        """Returns the sorted addresses of this store and of those that recently responded."""
         recent = [
             address
             for address, peer in self.by_address.items()
@@ -158,19 +164,20 @@
         return sorted([*recent, self.own_member.address])
 
     def reachable_addresses(self, now: float) -> list[Address]:
-        """The addresses of the peers that answer, in the order in which they became known."""
+        """Returns the addresses of the responding peers, in the order in which they were added."""
         return [address for address, peer in self.by_address.items() if is_reachable(peer, now)]
 
     def backup_candidates(self, now: float, base: View | None) -> list[Member]:
-        """The members that may be the backup, best first.
+        """Returns the members that may be the backup, best first.
 
-        That is the present one, then voters, then members of another network than this one's.
+        Members that recently failed to write come last. Otherwise the order is: members that have
+        the data by view `base`, voters, members of another network than this one's.
         """
         electors = base.electors() if base else {}
         own_network = self.own_member.address[0].rsplit(".", 2)[0]
 
         def order(member: Member) -> tuple[bool, bool, bool, bool, Address]:
-            """Sorts the best backup first."""
+            """Returns the sort key, lowest for the best backup."""
             has_data = base is not None and base.has_data(member.id)
             is_near = member.address[0].startswith(own_network)
             is_avoided = self.is_avoided(now, member)
@@ -179,10 +186,10 @@
         return sorted(self.live_members(now), key=order)
 
     def highest_promised_epoch(self) -> int:
-        """The highest epoch that any of them promised, as they told; 0 if there is nobody."""
+        """Returns the highest epoch that a peer reported as promised, 0 without peers."""
         return max((peer.promised_epoch for peer in self.by_address.values()), default=0)
 
 
 def is_reachable(peer: Peer, now: float) -> bool:
-    """Whether it has just answered a heartbeat."""
+    """Whether the peer recently responded to a heartbeat."""
     return now - peer.answered_at < UNREACHABLE_AFTER_SECONDS
--- a/loomstand/store/program.py
+++ b/loomstand/store/program.py
@@ -1,6 +1,6 @@
-"""A store: recovers its disk, joins the parts of a replica, and drives them by calls and a clock.
+"""A store: recovers its disk, assembles its components, and drives them by calls and a timer.
 
-`RequestRouter` shows what it serves; each operation's messages are in `loomstand.rpc.messages`.
+`Parts._make_router` lists the operations; their messages are in `loomstand.rpc.messages`.
 """
 
 from __future__ import annotations
@@ -60,19 +60,19 @@
 from loomstand.store.timing import HEARTBEAT_INTERVAL_SECONDS, LONG_AGO
 from loomstand.store.views import Member
 
-# Between two looks at what is due.
+# Interval between two checks for due work.
 TICK_SECONDS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """Where a store stands.
+    """Settings of a store.
 
     Attributes:
-        address: Where it listens.
-        seeds: The stores' addresses at the seeds.
+        address: Address on which it listens.
+        seeds: Store addresses of the seed machines.
         is_first_start: Whether the whole system starts for the first time.
-        grace_period_seconds: From SIGTERM to SIGKILL.
+        grace_period_seconds: Time from SIGTERM to SIGKILL.
     """
 
     address: Address
@@ -82,7 +82,7 @@
 
 
 class Parts:
-    """What a store consists of once its disk was read; this class only joins."""
+    """The components of a store whose disk was read; this class only connects them."""
 
     def __init__(
         self,
@@ -92,14 +92,14 @@
         tick: Callable[[], None],
         become_serving: Callable[[], None],
     ) -> None:
-        """Joins the parts.
+        """Creates and connects the components.
 
         Args:
             io: The store's replica.
-            pages: What is on the disk at the start.
-            first_revision: Of the status.
-            tick: Does what is due.
-            become_serving: Has the store serve if it can.
+            pages: Pages on the disk at the start.
+            first_revision: First revision of the status.
+            tick: Does the due work.
+            become_serving: Makes the store serve if it can.
         """
         self.io = io
         self.counting_leases = CountingLeaseService(
@@ -125,14 +125,14 @@
         await self.status.wait_for_change()
 
     def _announce_holder(self) -> None:
-        """Who counts has changed: others hear it by heartbeats, the registry beside at once."""
+        """Announces a new holder of the counting lease to other stores and the local registry."""
         self.heartbeats.send_all()
         self.status.refresh()
 
     def _make_router(self) -> RequestRouter:
         acceptor = Acceptor(self.io, self.counting_leases)
         router = RequestRouter(self.io.replica.check_recipient)
-        # of other stores
+        # requests of other stores
         router.add(HeartbeatRequest, self.heartbeats.handle)
         router.add(PrepareRequest, acceptor.handle_prepare)
         router.add(WriteRequest, acceptor.handle_write)
@@ -142,7 +142,7 @@
         router.add(CommitRequest, self.dissemination.handle_commit)
         router.add(CommittedRequest, self.dissemination.handle_committed)
         router.add(MemberReportRequest, self._report)
-        # of registries
+        # requests of registries
         router.add(PutRequest, self.configuration.handle_put)
         router.add(OfferRequest, self.configuration.handle_offer)
         router.add(ReadRequest, self.configuration.handle_read)
@@ -163,8 +163,8 @@
     """Serves other stores and registries by `network.listen` at its address.
 
     Attributes:
-        settings: Where it stands; may be exchanged while it runs.
-        clock: Steady, in seconds.
+        settings: Current settings; may be replaced while the store runs.
+        clock: Monotonic clock, in seconds.
     """
 
     def __init__(
@@ -175,13 +175,13 @@
         clock: Callable[[], float],
         rng: Random,
     ) -> None:
-        """Sets the store up; nothing is done before `run`."""
+        """Creates the store; `run` starts it."""
         self.settings = settings
         self.clock = clock
         self._network = network
         self._disk = disk
         self._rng = rng
-        # of its status: another one after each start
+        # random, so that registries don't mistake a restarted store's status for a known one
         self._first_revision = rng.getrandbits(24)
         self._stopped = asyncio.Event()
         self._parts: Parts | None = None
@@ -193,10 +193,10 @@
 
     @property
     def parts(self) -> Parts:
-        """What it consists of.
+        """The store's components.
 
         Raises:
-            CallRefusedError: Its disk wasn't read yet.
+            CallRefusedError: Its disk hasn't been read yet.
         """
         if self._parts is None:
             raise CallRefusedError("not begun")
@@ -204,17 +204,17 @@
 
     @property
     def replica(self) -> Replica:
-        """Its replica, see `parts`."""
+        """The store's replica, see `parts`."""
         return self.parts.io.replica
 
     async def serve(self, operation: str, body: Body) -> Body:
-        """Answers a call, see `RequestRouter.serve`."""
+        """Handles a call, see `RequestRouter.serve`."""
         return await self.parts.router.serve(operation, body)
 
-    # --- from start to end
+    # --- start and shutdown
 
     async def run(self) -> None:
-        """Serves until `stop` is done."""
+        """Recovers the disk and serves until `stop` has finished."""
         started_at = self.clock()
         recovered = await recover(self._disk, self._new_record, self._stopped)
         if recovered is None:
@@ -239,8 +239,8 @@
         sent_at = LONG_AGO
         while not self._stopped.is_set():
             now = self.clock()
-            # after a start of all, whoever is primary by its disk asks for the lease as others come
-            # up
+            # after a restart of all members, the primary recorded on disk requests its lease at
+            # short intervals while the others come up
             asks_often = replica.is_primary() and not replica.is_leader(now)
             interval_seconds = TICK_SECONDS if asks_often else HEARTBEAT_INTERVAL_SECONDS
             if now - sent_at >= interval_seconds - TICK_SECONDS / 2:
@@ -250,17 +250,17 @@
             await asyncio.sleep(TICK_SECONDS)
 
     def _new_record(self) -> Record:
-        """The record of an empty disk."""
+        """Creates the record for an empty disk."""
         return Record(f"{self._rng.getrandbits(64):016x}", self.settings.is_first_start)
 
     async def stop(self) -> None:
-        """Ends it gracefully: others take its places first, see `graceful_shutdown`."""
+        """Stops the store once other members took over its roles, see `graceful_shutdown`."""
         if self._parts is not None:
             logging.info("store: leaving")
             self.replica.state = MemberState.LEAVING
             self._parts.heartbeats.send_all()
             since = self.clock()
-            while not self._may_shut_down(since):  # noqa: ASYNC110 -- time decides, too
+            while not self._may_shut_down(since):  # noqa: ASYNC110 -- also depends on time
                 await asyncio.sleep(TICK_SECONDS)
         self._stopped.set()
 
@@ -268,7 +268,7 @@
         grace_period_seconds = self.settings.grace_period_seconds
         return may_shut_down(self.replica, self.clock(), since, grace_period_seconds)
 
-    # --- what is due
+    # --- due work
 
     def _tick(self) -> None:
         self._tick_at(self.clock())
@@ -286,13 +286,13 @@
         parts.status.refresh()
 
     def _fence_if_due(self) -> None:
-        """Has on disk that a rescue gave its view up."""
+        """Writes to disk that a rescue has fenced this member's view."""
         io = self.parts.io
         if self.replica.fencing_record() and not io.write_lock.locked():
             io.spawn(io.persist(lambda _now: self.replica.fencing_record() or self.replica.record))
 
     def _become_serving(self) -> None:
-        """Begins to serve, if it can and doesn't yet."""
+        """Starts serving if the replica can and doesn't yet."""
         if self.replica.become_established(self.clock()):
             logging.info(
                 "store: serving version=r%d %s", self.replica.version, self.replica.record.view
--- a/loomstand/store/replica_io.py
+++ b/loomstand/store/replica_io.py
@@ -1,4 +1,4 @@
-"""A replica's disk and its calls to peers: a change is on disk before anybody hears of it."""
+"""A replica's disk and its calls to peers: changes are persisted before they are sent."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 from loomstand.store.timing import LONG_AGO
 from loomstand.store.views import Member, View
 
-# For a call between stores: a round trip between regions and a slow write.
+# Timeout of a call between stores: a round trip between regions and a slow write.
 CALL_SECONDS = 0.5
 
-# For the backup's write of a change, so that another backup may still be found in time.
+# Timeout of the backup's write; leaves time to elect another backup before a change times out.
 REPLICATE_SECONDS = 0.4
 
-# A write that hasn't come back after so long marks the disk as unhealthy: a hundred usual ones.
+# A write that takes longer marks the disk as unhealthy; 100 times the usual duration.
 DISK_HANGS_AFTER_SECONDS = 0.4
 
-# For so long a disk that refused a write counts as unhealthy.
+# Time for which a disk counts as unhealthy after a failed write.
 DISK_FAILURE_SECONDS = 2.0
 
 ResponseT = TypeVar("ResponseT", bound=Message)
 
-# The requests that are meant for one member's disk.
+# Requests that are addressed to one member's disk.
 MemberRequest = (
     PrepareRequest
     | WriteRequest
@@ -61,13 +61,13 @@
 
     Attributes:
         replica: The state machine.
-        network: Calls other stores.
-        disk: Where the record is.
-        clock: Steady, in seconds.
-        write_lock: Held over every change of the record until it is on disk.
-        write_began_at: Since when a write is under way, None if there is none.
-        write_failed_at: When a write was last refused.
-        tasks: All work that goes on by itself.
+        network: Network for calls to other stores.
+        disk: Disk that stores the record.
+        clock: Monotonic clock, in seconds.
+        write_lock: Held during each change of the record until it is on disk.
+        write_began_at: When the write in progress began, None if there is none.
+        write_failed_at: When a write last failed.
+        tasks: All background tasks.
     """
 
     replica: Replica
@@ -80,7 +80,7 @@
     tasks: set[asyncio.Task[Any]] = field(default_factory=set)
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Has `work` go on by itself, until it ends or the store does."""
+        """Runs `work` as a background task, until it ends or the store stops."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -95,24 +95,24 @@
             logging.error("store: task failed error=%r", error)
 
     def cancel_tasks(self) -> None:
-        """Ends all work that goes on."""
+        """Cancels all background tasks."""
         for task in list(self.tasks):
             task.cancel()
 
     # --- the disk
 
     async def persist(self, change: Callable[[float], Record]) -> Record:
-        """Makes a change of the record and has it on disk; a cancelled caller doesn't stop it.
+        """Changes the record and writes it to disk; cancelling the caller doesn't stop the write.
 
         Args:
-            change: Gets the time at which it is made, returns the record to write.
+            change: Gets the time of the change, returns the record to write.
 
         Returns:
             The record that is on disk now.
 
         Raises:
-            CallRefusedError: The change was refused, or the disk failed; then it may be there all
-                the same.
+            CallRefusedError: The change was refused, or the disk failed; in the latter case the
+                record may be on disk nevertheless.
         """
         return await asyncio.shield(self.spawn(self._persist(change)))
 
@@ -129,7 +129,7 @@
         """Writes pages beside the record.
 
         Raises:
-            CallRefusedError: The disk failed; the pages may be there all the same.
+            CallRefusedError: The disk failed; the pages may be on disk nevertheless.
         """
         await asyncio.shield(self.spawn(self._persist_pages(pages)))
 
@@ -148,7 +148,7 @@
             self.write_began_at = None
 
     def check_disk(self, now: float) -> None:
-        """Marks the member as unhealthy while its disk hangs or has just refused."""
+        """Marks the member as unhealthy while its disk hangs or after a failed write."""
         if self.replica.state is MemberState.LEAVING:
             return
         began_at = self.write_began_at
@@ -159,7 +159,7 @@
             logging.info("store: disk state=%s", state.name.lower())
             self.replica.state = state
 
-    # --- calls to other members, each meant for one disk
+    # --- calls to other members, each addressed to one disk
 
     async def call(
         self,
@@ -168,7 +168,11 @@
         response_type: type[ResponseT],
         timeout_seconds: float = CALL_SECONDS,
     ) -> ResponseT | CallFailure:
-        """Calls a member; its answer, or what the failure proves."""
+        """Calls a member.
+
+        Returns:
+            The response, or the failure, which says whether the call may have run.
+        """
         addressed = msgspec.structs.replace(request, recipient=member.id)
         result = await client.call(
             self.network, member.address, addressed, response_type, timeout_seconds
@@ -182,9 +186,12 @@
     async def replicate(
         self, member: Member, epoch: int, configuration: VersionedData
     ) -> CallFailure | None:
-        """Has a member write the configuration; None once it has.
+        """Replicates the configuration to a member's disk.
+
+        A member that doesn't respond is avoided as backup for a while.
 
-        One that doesn't answer is avoided as backup for a while.
+        Returns:
+            None if the member wrote it, otherwise the kind of failure.
         """
         version, data = configuration
         request = WriteRequest(
@@ -203,7 +210,7 @@
         return answer
 
     async def install_view(self, member: Member, view: View) -> None:
-        """Has a member write the view, which is its lease grant as well."""
+        """Installs the view at a member; a success counts as the member's lease grant."""
         sent_at = self.clock()
         request = InstallViewRequest(view=view.to_row())
         answer = await self.call(member, request, Acknowledgement)
@@ -213,7 +220,7 @@
     async def run_until(
         self, work: Iterable[Coroutine[Any, Any, Any]], is_enough: Callable[[], bool]
     ) -> None:
-        """Runs all of `work` until it is enough or done; the rest goes on by itself."""
+        """Runs `work` until `is_enough` or all is done; the rest continues in the background."""
         waiting = {self.spawn(coroutine) for coroutine in work}
         while waiting and not is_enough():
             _, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
@@ -224,11 +231,15 @@
         request: PrepareRequest,
         is_enough: Callable[[dict[str, PrepareResponse]], bool],
     ) -> dict[str, PrepareResponse]:
-        """Asks members for a promise; the answers by member id, as soon as they are enough."""
+        """Requests promises from members.
+
+        Returns:
+            Responses by member id, as soon as `is_enough` holds or all calls have ended.
+        """
         responses: dict[str, PrepareResponse] = {}
 
         async def ask(member: Member) -> None:
-            """Notes the member's response, if it gives one."""
+            """Records the member's response, if there is one."""
             response = await self.call(member, request, PrepareResponse)
             if not isinstance(response, CallFailure):
                 responses[member.id] = response
--- a/loomstand/store/request_router.py
+++ b/loomstand/store/request_router.py
@@ -1,4 +1,4 @@
-"""The calls of registries and other stores: which of them are meant for this disk."""
+"""Routing of calls from registries and other stores, with a check of the addressed disk."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class RequestRouter(request_router.RequestRouter):
-    """A table from operations to handlers."""
+    """Maps operations to handlers."""
 
     def __init__(self, check_recipient: Callable[[str], None]) -> None:
-        """`check_recipient` refuses requests that are meant for another disk."""
+        """Creates the router; `check_recipient` refuses requests addressed to another disk."""
         super().__init__()
         self._check_recipient = check_recipient
 
     def check(self, request: Request) -> None:
-        """See the base class; only requests that are meant for one disk have the field."""
+        """Checks the recipient of a request; only requests addressed to one disk have the field."""
         recipient = getattr(request, "recipient", None)
         if recipient is not None:
             self._check_recipient(recipient)
--- a/loomstand/store/rescue.py
+++ b/loomstand/store/rescue.py
@@ -1,8 +1,8 @@
-"""Whether operators may have a lost store founded anew: what is found, and what is in the way.
+"""Whether operators may re-found a lost store: the members found, and the obstacles.
 
-A rescue is for where more was lost than the store bears (docs/rescue.md). Decisions only, without
-disk, network or clock; `rescue_service` makes the calls, `rescue_election_rules` decides the
-election.
+A rescue restores a store that lost more members than it tolerates (docs/rescue.md). Decisions only,
+without disk, network or clock; `rescue_service` makes the calls, `rescue_election_rules` has the
+rules of the election.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 from loomstand.store.peers import MemberState
 from loomstand.store.views import EPOCH_RANGE, Member, View, newest
 
-# A member must have run for so long: limiters and registries give back what they hold within two
-# seconds.
+# Minimum uptime of members before a rescue: limiters and registries give back the versions that
+# they hold within 2 s.
 MIN_UPTIME_SECONDS = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class RescueCase:
-    """What all members in reach report together.
+    """The combined reports of all reachable members.
 
     Attributes:
-        reports: Their reports, each member once.
-        view: The newest view known.
-        gone_hosts: The hosts that operators vouch never come back.
-        is_single_core: Whether the core has one machine by its seeds.
+        reports: One report of each member.
+        view: The newest known view.
+        gone_hosts: Hosts that operators confirm as lost for good.
+        is_single_core: Whether the core has only one machine, by its seeds.
     """
 
     reports: tuple[MemberReport, ...]
@@ -43,10 +43,10 @@
     gone_hosts: frozenset[str]
     is_single_core: bool
 
-    # --- what was found
+    # --- findings
 
     def reachable(self) -> list[MemberReport]:
-        """All whose disks are healthy, by address; they make up the store after a rescue."""
+        """Returns the members with healthy disks, by address; a rescue forms the store of them."""
         healthy = [
             report
             for report in self.reports
@@ -55,9 +55,10 @@
         return sorted(healthy, key=lambda report: report.member.address)
 
     def chosen(self) -> MemberReport | None:
-        """Who is to found the view: the newest version, then the address.
+        """Returns the member that founds the new view, None if there is none.
 
-        Of one version, what was committed goes before what may only have been written.
+        It is the member with the newest version. Among equal versions a committed one has priority
+        over one that may only have been written, then the lowest address.
         """
         return max(
             self.reachable(),
@@ -66,15 +67,15 @@
         )
 
     def newest_version(self) -> int:
-        """The newest version that any of them holds."""
+        """Returns the newest version that any member holds."""
         return max((report.best_version for report in self.reports), default=0)
 
     def highest_epoch(self) -> int:
-        """The highest epoch that any of them promised or knows of."""
+        """Returns the highest epoch that any member promised or observed."""
         return max((report.highest_epoch for report in self.reports), default=0)
 
     def lost_members(self) -> list[Member]:
-        """The newest view's members whose disks aren't in reach, by address."""
+        """Returns the newest view's members whose disks are unreachable or fail, by address."""
         reachable_ids = {report.member.id for report in self.reachable()}
         lost = [member for member in self._view_members() if member.id not in reachable_ids]
         return sorted(lost, key=lambda member: member.address)
@@ -82,10 +83,10 @@
     def _view_members(self) -> list[Member]:
         return list(self.view.members().values()) if self.view else []
 
-    # --- what is in the way
+    # --- obstacles
 
     def obstacles(self) -> list[str]:
-        """Why nothing may be done; empty if a rescue is due and its losses are vouched for."""
+        """Returns the reasons against a rescue; empty if it is due and all losses are confirmed."""
         serving = [
             f"{report.host} serves: nothing is lost"
             for report in self.reports
@@ -93,12 +94,12 @@
         ]
         if serving:
             return serving
-        recovers = self._recovery_without_rescue()
-        if recovers:
-            return recovers
+        recovery = self._recovery_without_rescue()
+        if recovery:
+            return recovery
         return [
-            *self._first_start(),
-            *self._unvouched_members(),
+            *self._pending_first_start(),
+            *self._unconfirmed_losses(),
             *self._wrongly_named_hosts(),
             *self._recent_members(),
             *self._too_few_disks(),
@@ -106,29 +107,29 @@
         ]
 
     def _recovery_without_rescue(self) -> list[str]:
-        """Whether the newest view can go on by itself."""
+        """Returns a reason if the newest view can recover without a rescue."""
         view = self.view
         if view is None:
             return []
         ids = {r.member.id for r in self.reports if r.state is MemberState.HEALTHY}
         sources = [m for m in self._view_members() if view.has_data(m.id) and m.id in ids]
-        # a rescue broke off: the view can't go on
-        is_given_up = self.highest_epoch() // EPOCH_RANGE > view.rescue_epoch // EPOCH_RANGE
-        if not view.has_quorum(ids) or not sources or is_given_up:
+        # an interrupted rescue has fenced the view
+        is_fenced = self.highest_epoch() // EPOCH_RANGE > view.rescue_epoch // EPOCH_RANGE
+        if not view.has_quorum(ids) or not sources or is_fenced:
             return []
         reason = f"a majority of the voters of epoch {view.epoch} answers"
         outlook = "the store recovers by itself, within seconds"
         return [f"{reason}, and {sources[0].address[0]} has the data: {outlook}"]
 
-    def _first_start(self) -> list[str]:
+    def _pending_first_start(self) -> list[str]:
         if self.view is not None or not any(report.is_founder for report in self.reports):
             return []
         return [
             "this is the first start: the store founds itself once a majority of the seeds is there"
         ]
 
-    def _unvouched_members(self) -> list[str]:
-        """Members of the newest view that still count, though they aren't in reach."""
+    def _unconfirmed_losses(self) -> list[str]:
+        """Returns a reason for each lost member of the newest view that isn't confirmed as gone."""
         reasons = [self._missing_reason(member) for member in self.lost_members()]
         return [reason for reason in reasons if reason]
 
@@ -136,7 +137,7 @@
         host = member.address[0]
         report = next((r for r in self.reports if r.member.address == member.address), None)
         if host in self.gone_hosts or (report is not None and report.member.id != member.id):
-            return ""  # vouched for, or seen: another disk is in its place
+            return ""  # confirmed as gone, or replaced by another disk at its address
         reason = " doesn't answer"
         if report is not None:
             is_unhealthy = report.state is MemberState.UNHEALTHY
@@ -144,7 +145,7 @@
         return f"{host}{reason}: bring it back, or name it if it is gone for good (--gone {host})"
 
     def _wrongly_named_hosts(self) -> list[str]:
-        """Hosts that were named as gone, and aren't."""
+        """Returns a reason for each host that was wrongly named as gone."""
         reasons = [(host, self._not_gone_reason(host)) for host in sorted(self.gone_hosts)]
         return [f"{host}: {reason}" for host, reason in reasons if reason]
 
@@ -172,7 +173,7 @@
         ]
 
     def _newest_version_out_of_reach(self) -> list[str]:
-        """Only a member whose disk fails, and that wasn't given up, holds the newest version."""
+        """Returns a reason if only a failing disk, not named as gone, has the newest version."""
         chosen = self.chosen()
         version = self.newest_version()
         if chosen is None or chosen.best_version >= version:
@@ -182,10 +183,10 @@
             return []
         return [f"only {host} holds r{version}, and its disk is in trouble: mend that first"]
 
-    # --- what operators get
+    # --- report to operators
 
     def token(self) -> str:
-        """Names this very state: operators send it back to agree to what they looked at."""
+        """Returns a digest of the state; operators send it back to confirm what they reviewed."""
         chosen = self.chosen()
         epoch = self.view.epoch if self.view else 0
         state = [
@@ -200,7 +201,7 @@
         return f"{epoch}-{sha256(json.dumps(state).encode()).hexdigest()[:12]}"
 
     def to_message(self) -> RescueCaseReport:
-        """The case for operators; no configuration is in it."""
+        """Converts the case to a report for operators; it contains no configuration."""
         chosen = self.chosen()
         reports = sorted(self.reports, key=lambda report: report.member.address)
         return RescueCaseReport(
@@ -247,7 +248,7 @@
 def make_case(
     reports: Iterable[MemberReport], gone_hosts: Iterable[str], seeds: Collection[Address]
 ) -> RescueCase:
-    """The case of these reports; of two by one member the later counts."""
+    """Creates the case from reports; the last report of each member counts."""
     by_member = {report.member.id: report for report in reports}
     view = newest(*(report.view for report in by_member.values()))
     return RescueCase(tuple(by_member.values()), view, frozenset(gone_hosts), len(seeds) == 1)
--- a/loomstand/store/rescue_service.py
+++ b/loomstand/store/rescue_service.py
@@ -1,6 +1,6 @@
-"""The calls of a rescue: all members are asked what they hold, the one chosen founds the view.
+"""The calls of a rescue: collects the reports of all members and founds a new view.
 
-What decides is in `rescue` and `rescue_election_rules`.
+`rescue` and `rescue_election_rules` make the decisions.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 from loomstand.store.rescue_election_rules import make_rescue_rules
 from loomstand.store.views import View
 
-# For a whole rescue at the member chosen: two looks, promises, a backup's write or two, and the
-# view's.
+# Timeout of a rescue at the chosen member: collecting reports twice, promises, one or two backup
+# writes, and the installation of the view.
 RESCUE_SECONDS = 4.0
 
 
 class RescueService:
-    """The rescue at one store; it keeps what registries and limiters gave back."""
+    """Handles rescues at one store and keeps the newest configuration given back to it."""
 
     def __init__(
         self,
@@ -41,32 +41,32 @@
         leadership_lock: asyncio.Lock,
         become_serving: Callable[[], None],
     ) -> None:
-        """Sets the service up.
+        """Creates the service.
 
         Args:
             io: The store's replica.
-            leadership_lock: Held by whatever a primary or candidate does.
-            become_serving: Has the store serve if it can.
+            leadership_lock: Lock that serializes the actions of a primary or candidate.
+            become_serving: Makes the store serve if it can.
         """
         self._io = io
         self._leadership_lock = leadership_lock
         self._become_serving = become_serving
-        # the highest that was given back and isn't known to be committed
+        # newest configuration that was given back and isn't known to be committed
         self._offered = NO_CONFIGURATION
 
     def offer(self, configuration: VersionedData) -> None:
-        """A registry or limiter holds this; without a primary it is kept, a rescue may need it."""
+        """Keeps a configuration given back by a registry or limiter; a rescue may need it."""
         if configuration.version > max(self._offered.version, self._io.replica.version):
             self._offered = configuration
 
     def report(self) -> MemberReport:
-        """What this member holds."""
+        """Returns the report of this member."""
         if self._offered.version <= self._io.replica.version:
             self._offered = NO_CONFIGURATION
         return MemberReport.of(self._io.replica, self._io.clock(), self._offered)
 
-    async def _find_case(self, gone_hosts: list[str]) -> RescueCase:
-        """Asks all members that it knows of, and those that the views found name besides."""
+    async def _collect_case(self, gone_hosts: list[str]) -> RescueCase:
+        """Collects reports of all known members, and of those named in the reported views."""
         reports = [self.report()]
         asked = {self._io.replica.member.address}
         while True:
@@ -74,7 +74,9 @@
             if not unasked:
                 return make_case(reports, gone_hosts, self._io.replica.seeds)
             asked |= unasked
-            answers = await asyncio.gather(*(self._ask(address) for address in sorted(unasked)))
+            answers = await asyncio.gather(
+                *(self._request_report(address) for address in sorted(unasked))
+            )
             reports += [report for report in answers if report is not None]
 
     def _known_addresses(self, reports: list[MemberReport]) -> set[Address]:
@@ -86,7 +88,7 @@
         }
         return named | {*self._io.replica.peers.by_address}
 
-    async def _ask(self, address: Address) -> MemberReport | None:
+    async def _request_report(self, address: Address) -> MemberReport | None:
         result = await client.call(
             self._io.network, address, MemberReportRequest(), MemberReportResponse, CALL_SECONDS
         )
@@ -96,31 +98,31 @@
         return None
 
     async def handle(self, request: RescueRequest) -> RescueResponse:
-        """Tells how the store stands or, with the token of that, founds its view."""
-        case = await self._find_case(request.gone_hosts)
+        """Returns the rescue case, or founds a view if the request has the case's token."""
+        case = await self._collect_case(request.gone_hosts)
         if not request.token:
             return RescueResponse(case=case.to_message())
         refusals = _refusals(case, request.token)
         if refusals:
             return RescueResponse(refusals=refusals)
         chosen = case.chosen()
-        assert chosen is not None  # else there would be too few disks
+        assert chosen is not None  # otherwise there is an obstacle: too few disks
         if chosen.member == self._io.replica.member:
             async with self._leadership_lock:
-                return await self._found(request.gone_hosts, request.token)
+                return await self._found_view(request.gone_hosts, request.token)
         if request.is_handed_on:
             return RescueResponse(refusals=["the core machines don't see the same"])
         return await self._forward(request, chosen)
 
     async def _forward(self, request: RescueRequest, chosen: MemberReport) -> RescueResponse:
-        handed_on = RescueRequest(
+        forwarded = RescueRequest(
             gone_hosts=request.gone_hosts,
             token=request.token,
             is_handed_on=True,
             recipient=chosen.member.id,
         )
         result = await client.call(
-            self._io.network, chosen.member.address, handed_on, RescueResponse, RESCUE_SECONDS
+            self._io.network, chosen.member.address, forwarded, RescueResponse, RESCUE_SECONDS
         )
         match result:
             case Result(tag="ok", ok=response):
@@ -129,10 +131,10 @@
             refusals=[f"{chosen.host}, which was to found the view, gave no answer: look again"]
         )
 
-    async def _found(self, gone_hosts: list[str], token: str) -> RescueResponse:
+    async def _found_view(self, gone_hosts: list[str], token: str) -> RescueResponse:
         replica = self._io.replica
-        # another rescue may have ended while this one waited
-        case = await self._find_case(gone_hosts)
+        # another rescue may have finished while this one waited for the lock
+        case = await self._collect_case(gone_hosts)
         refusals = _refusals(case, token)
         if refusals:
             return RescueResponse(refusals=refusals)
--- a/loomstand/store/status_board.py
+++ b/loomstand/store/status_board.py
@@ -1,4 +1,4 @@
-"""How this store sees the store as a whole, and the registries that wait for a change of that."""
+"""Status of the store as known to this member, and the registries that wait for a change."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from loomstand.store.replica_io import ReplicaIO
 from loomstand.store.timing import REPLACE_VOTER_AFTER_SECONDS
 
-# The serving primary holds an answer to `wait` back for no longer: a third of the lease.
+# Limit for holding back a response to `wait` as serving primary: a third of the lease.
 MAX_WAIT_AS_PRIMARY_SECONDS = 0.4
 
 
 class KnownPrimary(NamedTuple):
-    """The primary of the newest view known.
+    """The primary of the newest known view.
 
     Attributes:
         epoch: The view's epoch, 0 if none is known.
-        address: The primary's address, None if it isn't in reach.
+        address: The primary's address, None if it is unreachable.
     """
 
     epoch: int
@@ -37,15 +37,15 @@
     """The status of one store.
 
     Attributes:
-        changed: Set at the next change of the status, and exchanged then.
-        conflict_count: Changes refused since its start, as their version stands for another
-            content.
+        changed: Event that is set at the next change of the status, and then replaced.
+        conflict_count: Number of changes refused since the start because their version already
+            has other content.
     """
 
     def __init__(
         self, io: ReplicaIO, counting_leases: CountingLeaseService, first_revision: int
     ) -> None:
-        """Sets the board up; `first_revision` is drawn, as another start must not go on with it."""
+        """Creates the board; `first_revision` is random, so that a restart repeats no revision."""
         self._io = io
         self._counting_leases = counting_leases
         self._revision = first_revision
@@ -58,7 +58,7 @@
         await self.changed.wait()
 
     def known_primary(self) -> KnownPrimary:
-        """The newest epoch known, and its primary if that is in reach."""
+        """Returns the newest known epoch, and its primary if that is reachable."""
         replica = self._io.replica
         now = self._io.clock()
         view = replica.newest_known_view()
@@ -75,7 +75,7 @@
         return self._io.replica.knows_committed and self._counting_leases.is_fresh()
 
     def status(self) -> StatusResponse:
-        """The status for registries."""
+        """Returns the status for registries."""
         return StatusResponse(**self._status_fields())
 
     def _status_fields(self) -> dict[str, Any]:
@@ -95,7 +95,7 @@
         }
 
     def refresh(self) -> None:
-        """Wakes those who wait, if what they would be told has changed."""
+        """Wakes waiting registries if the status has changed."""
         replica = self._io.replica
         now = self._io.clock()
         shown = (
@@ -113,7 +113,7 @@
             self.changed = asyncio.Event()
 
     async def wait(self, request: WaitRequest) -> WaitResponse:
-        """Answers once the status or the configuration is another one than the registry's."""
+        """Responds once status or configuration differ from the registry's, or on timeout."""
         replica = self._io.replica
         known_revision = request.known_revision
         is_current = known_revision is None or known_revision == self._revision
@@ -125,6 +125,6 @@
                 async with asyncio.timeout(timeout_seconds):
                     await self.changed.wait()
             except TimeoutError:
-                pass  # it answers without a change
+                pass  # responds with the unchanged status
         data = replica.data if replica.version > request.known_version else msgspec.UNSET
         return WaitResponse(**self._status_fields(), data=data)
