--- a/loomstand/store/counting_lease.py
+++ b/loomstand/store/counting_lease.py
@@ -139,8 +139,8 @@
 
     def begin(self, now: float) -> None:
         """Prepares the lease as this member begins to serve."""
-        asked_lately = now - self.asked_at.get(self.holder, LONG_AGO) < RECENT_REQUEST_SECONDS
-        is_preferred = self.holder and asked_lately
+        asked_recently = now - self.asked_at.get(self.holder, LONG_AGO) < RECENT_REQUEST_SECONDS
+        is_preferred = self.holder and asked_recently
         self.prefer_holder_until = now + PREFER_LAST_HOLDER_SECONDS if is_preferred else now
         self.prefer_local_until = now + PREFER_LOCAL_SECONDS
         self.asked_at.clear()
--- a/loomstand/store/replica_io.py
+++ b/loomstand/store/replica_io.py
@@ -126,7 +126,7 @@
             return record
 
     async def persist_pages(self, pages: Pages) -> None:
-        """Writes pages beside the record.
+        """Writes pages other than those of the record.
 
         Raises:
             CallRefusedError: The disk failed; the pages may be on disk nevertheless.
--- a/tests/features/store.feature
+++ b/tests/features/store.feature
@@ -1,7 +1,7 @@
-Feature: The store of configuration
+Feature: The configuration store
   Four core machines; three of them are the seeds. A change is acknowledged once two disks have it.
 
-  Scenario: A calm start
+  Scenario: A start of all machines
     Given a core that has just started
     When 2 s pass
     Then a change is acknowledged within 0.1 s
@@ -12,13 +12,13 @@
     When 6 s pass
     Then a change is acknowledged within 0.1 s
 
-  Scenario: The primary dies
+  Scenario: The primary is killed
     Given a core at work
     When the primary is killed
     Then a change is acknowledged within 3 s
     And nothing acknowledged is lost
 
-  Scenario Outline: The primary dies while it takes a change
+  Scenario Outline: The primary is killed during a change
     Given a core at work
     When the primary is killed <instant> ms into a change
     Then a change is acknowledged within 3 s
@@ -47,46 +47,46 @@
     Then a change is acknowledged within 3 s
     And nothing acknowledged is lost
 
-  Scenario Outline: One disk is lost as all others lose power
+  Scenario Outline: One disk is lost when all machines lose power
     Given a core at work
-    When a change is acknowledged, all machines lose power for 1 s and the disk of <whom> is empty
+    When a change is acknowledged, all machines lose power for 1 s and the disk of <member> is empty
     Then a change is acknowledged within 3 s
     And nothing acknowledged is lost
 
     Examples:
-      | whom        |
+      | member      |
       | the primary |
       | the backup  |
       | a voter     |
       | a stand-by  |
 
-  Scenario: The primary alone behind a cut
+  Scenario: The primary is partitioned from all others
     Given a core at work
     When the primary is cut off from all others
     And 1.3 s pass
     Then the old primary acknowledges nothing
     And a change is acknowledged within 1.7 s by the others
-    When the cut is mended
+    When the partition ends
     And 1 s pass
     Then nothing acknowledged is lost
 
-  Scenario: Two against two
+  Scenario: A partition into two pairs
     Given a core at work
     When the primary and the stand-by are cut off from the others
     And 1.3 s pass
     Then the old primary acknowledges nothing
     And a change is acknowledged within 1.7 s by the others
-    When the cut is mended
+    When the partition ends
     And 1 s pass
     Then nothing acknowledged is lost
 
-  Scenario: The primary hears nobody, though it is heard
+  Scenario: The primary can send but not receive
     Given a core at work
-    When nothing comes through to the primary
+    When no message reaches the primary
     And 1.3 s pass
     Then the old primary acknowledges nothing
     And a change is acknowledged within 1.7 s by the others
-    When the cut is mended
+    When the partition ends
     And 1 s pass
     Then nothing acknowledged is lost
 
@@ -96,36 +96,36 @@
     Then a change is acknowledged within 1.5 s
     And nothing acknowledged is lost
 
-  Scenario: The backup can't be written to
+  Scenario: The backup is unreachable for the primary
     Given a core at work
-    When the backup hears nothing from the primary, whose disk is lost after an acknowledgement with all power
+    When the backup is cut off from the primary, whose disk is lost with all power after an acknowledgement
     Then a change is acknowledged within 3 s
     And nothing acknowledged is lost
 
-  Scenario: Only a voter without data is left, until the backup is back
+  Scenario: Only a voter without data runs until the backup restarts
     Given a core at work
-    When all are killed, and the primary stays away, the backup for 2.2 s
+    When all are killed, and the primary stays down, the backup for 2.2 s
     Then a change is acknowledged within 3 s
     And nothing acknowledged is lost
 
-  Scenario: A frozen primary wakes up after its time
+  Scenario: A frozen primary thaws after its lease has expired
     Given a core at work
     When the primary is frozen 6 ms into a change
     And 4 s pass
     Then a change is acknowledged within 0.1 s by the others
     When the primary thaws
-    Then the change that froze with it was not acknowledged
-    And the old primary acknowledges nothing for its own part
+    Then the change in progress was not acknowledged
+    And the old primary can't write
     And nothing acknowledged is lost
 
-  Scenario Outline: A disk in trouble
+  Scenario Outline: A faulty disk
     Given a core at work
-    When the disk of <whom> <trouble>
+    When the disk of <member> <fault>
     Then a change is acknowledged within 3.5 s
     And nothing acknowledged is lost
 
     Examples:
-      | whom        | trouble |
+      | member      | fault   |
       | the primary | hangs   |
       | the backup  | hangs   |
       | the primary | refuses |
@@ -133,23 +133,23 @@
       | the primary | is slow |
       | the backup  | is slow |
 
-  Scenario: The primary leaves
+  Scenario: The primary shuts down gracefully
     Given a core at work
     When the primary is told to stop
     Then a change is acknowledged within 0.5 s
     And nothing acknowledged is lost
 
-  Scenario: All machines are exchanged, and the old ones come back
+  Scenario: All machines are replaced, and the old ones return
     Given a core at work
-    When the machines are exchanged one after the other for new ones
+    When the machines are replaced one after the other by new ones
     Then a change is acknowledged within 0.1 s
-    When the old machines come back
+    When the old machines return
     And 3 s pass
     Then only new machines vote
     And a change is acknowledged within 0.1 s
     And nothing acknowledged is lost
 
-  Scenario: A torn database is another member
+  Scenario: A store with a damaged database starts as a new member
     Given a store on a real disk with one record
     When its database is overwritten
     Then it loads as an empty disk and can be written again
--- a/tests/store/test_counting_lease.py
+++ b/tests/store/test_counting_lease.py
@@ -1,6 +1,4 @@
-"""The duty to count, in simulated simulation: one registry has it at a time, whatever befalls the
-core.
-"""
+"""The counting lease in simulation: under any faults of the core, at most one registry holds it."""
 
 from __future__ import annotations
 
@@ -19,13 +17,11 @@
 
 
 class Core(Cluster):
-    """Core machines alone, whose clocks run at rates that differ by 4 %, in simulation of all
-    kinds.
-    """
+    """Core machines without proxies, whose clock rates differ by up to 4 %, under random faults."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed, proxies=0, servers=0)
-        self.moves, self.before = 0, ""
+        self.holder_changes, self.last_holder = 0, ""
         for host in (*self.registries.values(), *self.stores.values()):
             host.rate = self.rng.choice((1.0, 1.02, 1.04))
 
@@ -33,11 +29,11 @@
         while True:
             counting = self.counters()
             assert len(counting) <= 1, f"{counting} count at {self.loop.time():.2f}"
-            if counting and counting[0] != self.before:
-                self.moves, self.before = self.moves + 1, counting[0]
+            if counting and counting[0] != self.last_holder:
+                self.holder_changes, self.last_holder = self.holder_changes + 1, counting[0]
             await asyncio.sleep(0.004)
 
-    async def simulation(self, steps: int) -> None:
+    async def inject_faults(self, steps: int) -> None:
         rng = Random(self.rng.getrandbits(64))
         for host in (*self.stores.values(), *self.registries.values()):
             host.start()
@@ -61,11 +57,11 @@
                     store.kill()
             elif what == "leave" and host.runs:
                 await asyncio.wait([asyncio.ensure_future(host.leave())], timeout=4.0)
-            elif what in ("cut", "half"):  # of a machine from all or some, or in one direction
+            elif what in ("cut", "half"):  # cuts to one or two machines, both ways or one way
                 for other in rng.sample([i for i in self.core_ips if i != ip], rng.choice((1, 2))):
                     self.sky.cut(ip, other, what == "cut")
             elif what == "slow":
-                # both ways, and twice within a machine
+                # delays packets in both directions, also within the machine
                 self.sky.slow[ip] = rng.choice((0.02, 0.05, 0.09))
             elif host.up:
                 (host.freeze if what == "freeze" else host.kill)()
@@ -78,50 +74,50 @@
             await asyncio.sleep(rng.choice((0.02, 0.3, 1.5, 3.0)))
 
 
-def played(seed: int, steps: int = 25) -> Core:
+def run_with_faults(seed: int, steps: int = 25) -> Core:
     core = Core(seed)
     watch = core.behind(core.watch())
     try:
         core.do(
             asyncio.wait(
-                [core.behind(core.simulation(steps)), watch], return_when="FIRST_COMPLETED"
+                [core.behind(core.inject_faults(steps)), watch], return_when="FIRST_COMPLETED"
             )
         )
         if watch.done():
             watch.result()
         core.sky.slow.clear()
         core.wait(4.0)
-        assert core.counters(), "nobody counts in calm simulation"
+        assert core.counters(), "no registry counts after all faults have ended"
     finally:
         core.close()
     return core
 
 
-def test_no_two_count_whoever_is_lost_late_or_frozen():
-    assert sum(played(seed).moves for seed in range(12)) > 60
+def test_at_most_one_registry_counts_under_random_faults():
+    assert sum(run_with_faults(seed).holder_changes for seed in range(12)) > 60
 
 
 @pytest.mark.parametrize(
     ("what", "instead"),
     [
-        ("restore", lambda self, *page: None),  # one that starts again by its disk knows of nobody
-        ("take_handover", lambda self, *will: None),  # nor does one that is handed the reign
+        ("restore", lambda self, *page: None),  # a restarted primary doesn't know the holder
+        ("take_handover", lambda self, *handover: None),  # nor does a new primary after a transfer
         (
             "expire",
             lambda self, now: bool(self.holder) and self.release(self.holder, self.incarnation),
-        ),  # it isn't waited for
+        ),  # the lease is freed before it expires
     ],
 )
-def test_a_step_left_out_lets_two_count(monkeypatch, what, instead):
+def test_without_one_step_of_the_protocol_two_registries_count(monkeypatch, what, instead):
     monkeypatch.setattr(CountingLease, what, instead)
     with pytest.raises(AssertionError, match="count at"):
         for seed in range(40):
-            played(seed)
+            run_with_faults(seed)
 
 
-def test_the_span_counts_from_the_sending():
+def test_the_lease_is_measured_from_the_sending_of_the_request():
     core = Core(1)
-    core.do(core.simulation(0))
+    core.do(core.inject_faults(0))
     (ip,) = core.counters()
     registry, store = core.registry(ip), next(s for s in core.stores.values() if serves(s))
     core.sky.slow[ip] = 0.09
@@ -138,16 +134,16 @@
     core.close()
 
 
-def test_after_a_handover_promises_nothing_to_those_that_do_not_know_who_holds_the_lease():
+def test_after_a_transfer_refuses_promises_to_candidates_that_do_not_know_the_holder():
     core = Core(1)
     core.behind(core.watch())
-    core.do(core.simulation(0))
+    core.do(core.inject_faults(0))
     a = next(ip for ip, s in core.stores.items() if serves(s))
     store, view = core.stores[a].programs[0], core.stores[a].programs[0].replica.record.view
     core.sky.cut(a, next(m.address[0] for m in view.voters if not view.has_data(m.id)))
-    core.wait(3.0)  # the lease stands by the backup alone; the third one's grant is long over
+    core.wait(3.0)  # only the backup still grants the lease; the third voter's grant has expired
 
-    async def part() -> None:
+    async def transfer() -> None:
         leaving = asyncio.ensure_future(store.stop())
         while store.replica.promised_epoch == view.epoch:
             await asyncio.sleep(0.001)
@@ -160,34 +156,34 @@
         assert (await store.serve("promise", ask | {"released": view.epoch}))["ok"]
         await leaving
 
-    core.do(part())
+    core.do(transfer())
     core.close()
 
 
-# --- the duty and the store come apart
+# --- counting lease and primary on different machines
 
 
 def is_current(system: Cluster, ip: str) -> bool:
-    """Whether a registry knows that the configuration it holds is the newest."""
+    """Whether a registry knows that its configuration is the newest one."""
     registry = system.registry(ip)
     return registry.state.configuration.is_current(registry.context.clock())
 
 
-async def kept(system: Cluster, step: float = 0.0) -> float:
-    """Adds to a sum at the registry that counts; the total."""
+async def increment(system: Cluster, step: float = 0.0) -> float:
+    """Increments a counter at the counting registry and returns its total."""
     request = IncrementRequest(counter_name=7, step=step, retention_seconds=60.0)
-    said = await system.registry(system.counting()).counting.handle_increment(request)
-    return said.total
+    response = await system.registry(system.counting()).counting.handle_increment(request)
+    return response.total
 
 
 @pytest.mark.parametrize(("down", "takes"), [(0.2, 1.0), (6.0, 3.0)], ids=["restart", "takeover"])
-def test_counts_outlive_the_primary_store(down, takes):
+def test_counts_survive_the_loss_of_the_primary_store(down, takes):
     system = Cluster(3, proxies=1)
     system.do(system.begin())
     counting, store = system.counting(), next(s for s in system.stores.values() if serves(s))
-    assert system.do(kept(system, 5.0)) == 5.0
+    assert system.do(increment(system, 5.0)) == 5.0
 
-    async def day() -> None:
+    async def scenario() -> None:
         store.kill()
         await asyncio.sleep(down)
         if down < takes:
@@ -198,14 +194,14 @@
         await asyncio.sleep(3.0)
         if not store.up:
             store.start()
-        assert system.counting() == counting and await kept(system) == 5.0
+        assert system.counting() == counting and await increment(system) == 5.0
         (host,) = [s for s in system.stores.values() if serves(s)]
         assert (host is store) == (down < takes)
-        # to another, with its word
+        # a graceful shutdown transfers the leadership and the counting lease's state
         await asyncio.wait([asyncio.ensure_future(host.leave())], timeout=4.0)
-        assert system.counting() == counting and await kept(system) == 5.0
+        assert system.counting() == counting and await increment(system) == 5.0
 
-    system.do(day())
+    system.do(scenario())
     system.close()
 
 
@@ -214,7 +210,7 @@
     return any(g.is_running and g.replica.lease_left(g.clock()) > 0.0 for g in programs)
 
 
-def test_a_registry_that_leaves_gives_the_duty_back_at_once_and_limiters_hear_it():
+def test_a_leaving_registry_releases_the_lease_at_once_and_limiters_learn_the_new_holder():
     system = Cluster(4, proxies=2)
     system.do(system.begin())
     counting = system.counting()
@@ -225,16 +221,16 @@
 
     system.do(leaves())
     system.wait(0.1)
-    said = [s.sessions.counting_registry().host for s in system.all_proxies()]
-    assert said == [system.counting()] * 2
+    hosts = [s.sessions.counting_registry().host for s in system.all_proxies()]
+    assert hosts == [system.counting()] * 2
     system.close()
 
 
-def test_all_that_start_anew_count_as_soon_as_one_serves():
+def test_after_a_restart_of_all_a_registry_counts_as_soon_as_a_store_serves():
     system = Cluster(5, proxies=1)
     system.do(system.begin())
 
-    async def day() -> float:
+    async def scenario() -> float:
         for host in (*system.stores.values(), *system.registries.values()):
             host.kill()
         await asyncio.sleep(1.0)
@@ -243,46 +239,48 @@
         await system.until(lambda: any(map(serves, system.stores.values())), 3.0)
         return await system.until(lambda: bool(system.counters()), 0.2)
 
-    system.do(day())
+    system.do(scenario())
     system.close()
 
 
-# --- who knows the newest configuration for sure
+# --- which registries know that their configuration is the newest
 
 
-def test_one_that_is_cut_off_is_sure_for_a_lease_and_nobody_waits_for_a_takeover():
+def test_isolated_registries_are_current_for_one_lease_and_others_during_a_takeover():
     system = Cluster(6, cores=5, proxies=1)
     system.do(system.begin())
     system.wait(3.0)
     (first,) = [ip for ip, s in system.stores.items() if serves(s)]
-    votes = [m.address[0] for m in system.stores[first].programs[0].replica.record.view.voters]
-    # which go on hearing each other
-    few = [first, next(ip for ip in system.core_ips if ip not in votes)]
-    rest = [ip for ip in system.core_ips if ip not in few]
-    system.sky.apart(few, rest)
-
-    async def day() -> None:
-        begun = system.loop.time()
-        while system.loop.time() < begun + 6.0:
-            assert all(is_current(system, ip) for ip in rest)
-            assert system.loop.time() < begun + 1.6 or not any(is_current(system, ip) for ip in few)
+    voters = [m.address[0] for m in system.stores[first].programs[0].replica.record.view.voters]
+    # these two stay connected to each other
+    minority = [first, next(ip for ip in system.core_ips if ip not in voters)]
+    majority = [ip for ip in system.core_ips if ip not in minority]
+    system.sky.apart(minority, majority)
+
+    async def scenario() -> None:
+        started_at = system.loop.time()
+        while system.loop.time() < started_at + 6.0:
+            assert all(is_current(system, ip) for ip in majority)
+            assert system.loop.time() < started_at + 1.6 or not any(
+                is_current(system, ip) for ip in minority
+            )
             await asyncio.sleep(0.05)
 
-    system.do(day())
-    assert sum(serves(system.stores[ip]) for ip in rest) == 1
+    system.do(scenario())
+    assert sum(serves(system.stores[ip]) for ip in majority) == 1
     system.close()
 
 
-# --- what limiters tell the next one
+# --- replay of increments by limiters at a new counting registry
 
 
-def test_limiters_tell_one_that_comes_to_count_what_they_added_and_hear_no_total_before():
+def test_limiters_replay_their_increments_to_a_new_counting_registry_before_they_get_a_total():
     system = Cluster(8, proxies=2)
     system.do(system.begin())
-    system.wait(3.0)  # nobody has just started
-    heard: list[tuple[Outcome, float]] = []
+    system.wait(3.0)  # no machine has started recently
+    replies: list[tuple[Outcome, float]] = []
     for proxy in system.all_proxies():
-        proxy.counter_client.on_reply = lambda name, outcome, total, took: heard.append(
+        proxy.counter_client.on_reply = lambda name, outcome, total, took: replies.append(
             (outcome, total)
         )
 
@@ -290,7 +288,7 @@
         for proxy, step in zip(system.all_proxies(), steps, strict=False):
             await proxy.counter_client.run_increment(IncrementCounter(7 << 15, step, 600_000))
 
-    async def day() -> None:
+    async def scenario() -> None:
         system.registries[system.counting()].kill()
         await system.until(lambda: bool(system.counters()), 2.0)
         await asyncio.sleep(3.0)
@@ -298,17 +296,17 @@
         await asyncio.sleep(1.0)
         await add(0.0)
         system.registries[system.counting()].freeze()
-        await add(5.0)  # no answer: it may have come, or not
+        await add(5.0)  # no response: the increment may have been applied or not
         await asyncio.sleep(2.0)
         await add(0.0, 1.0)
         await asyncio.sleep(1.0)
         await add(0.0, 0.0)
 
     system.do(add(10.0, 20.0))
-    system.do(day())
-    late, whole = (
+    system.do(scenario())
+    lost, totals = (
         (Outcome.NO_RESPONSE, 0.0),
         [(Outcome.SUCCEEDED, t) for t in (10.0, 30.0, 32.0, 38.0, 38.0)],
     )
-    assert heard == [*whole[:2], late, late, whole[2], late, late, late, *whole[3:]]
+    assert replies == [*totals[:2], lost, lost, totals[2], lost, lost, lost, *totals[3:]]
     system.close()
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -1,6 +1,4 @@
-"""Hundreds of changes with members away for most of them, and configurations of thousands of
-routes.
-"""
+"""Hundreds of changes while a member is unavailable, and configurations of thousands of routes."""
 
 from __future__ import annotations
 
@@ -44,7 +42,7 @@
 
 
 def resources(routes: int) -> list[dict[str, Any]]:
-    """So many routes of two services."""
+    """Returns two services, a tenant, and the given number of routes."""
     spec = {
         "host": "town.example",
         "route_kind": "idempotent",
@@ -69,7 +67,7 @@
 
 
 @pytest.mark.parametrize("timeout", ["0ms", "0s", "0.0s"])
-def test_a_route_without_time_is_refused(timeout):
+def test_a_route_with_a_timeout_of_zero_is_refused(timeout):
     found = resources(2)
     assert parse_configuration(body(found)).routes[0].timeout_seconds == 5.0
     found[3]["specification"]["timeout"] = timeout
@@ -79,7 +77,7 @@
         parse_configuration(body(found))
 
 
-# --- read again by what changed
+# --- incremental parsing
 
 FIELDS = {
     "priority": (1, 1.0, True, "1", None, 3),
@@ -109,7 +107,10 @@
 
 
 def compare(steps, kept: bool) -> None:
-    """Changes one after another, each on top of the one before, or of the last that was valid."""
+    """Compares incremental with full parsing over successive changes.
+
+    Each change is based on the previous one if `kept`, otherwise on the last valid one.
+    """
     reader, found = ConfigurationReader(), resources(4)
     for n, (at, name, value) in enumerate(steps):
         changed = json.loads(json.dumps(found))
@@ -118,7 +119,7 @@
             changed.append(changed.pop(at))
         raw = body(changed, n)
         mine, plain = outcome(reader.parse, raw), outcome(parse_configuration, raw)
-        assert repr(mine) == repr(plain)  # 1 and 1.0 are equal
+        assert repr(mine) == repr(plain)  # repr tells 1 from 1.0, which are equal
         if kept or not isinstance(plain, str):
             found = changed
 
@@ -129,7 +130,7 @@
     compare(steps, kept)
 
 
-def test_values_that_are_equal_and_not_the_same_are_told_apart(monkeypatch):
+def test_equal_values_of_different_types_are_distinguished(monkeypatch):
     steps = [(3, "public", False), (3, "public", 0)]
     compare(steps, False)
     monkeypatch.setattr(
@@ -139,7 +140,7 @@
         compare(steps, False)
 
 
-def test_a_change_of_few_routes_reads_few(monkeypatch):
+def test_a_change_of_one_route_parses_only_that_route(monkeypatch):
     reads, found, before = [], resources(3000), reader_module.parse_resource
     monkeypatch.setattr(
         reader_module, "parse_resource", lambda at, r: reads.append(at) or before(at, r)
@@ -151,17 +152,17 @@
     assert reader.parse(body(found, 2)).routes[67].timeout_seconds == 4.0 and reads[3003:] == [70]
 
 
-# --- hundreds of changes
+# --- catch-up after hundreds of changes
 
 
-async def changes(cluster: StoreCluster, many: int, away: str) -> None:
-    """Each acknowledged before the next, eight a second at most; `away` takes no part."""
-    for _ in range(many):
+async def put_changes(cluster: StoreCluster, count: int, away: str) -> None:
+    """Sends changes one by one, at most eight per second, to any machine but `away`."""
+    for _ in range(count):
         assert await cluster.put_within(6.0, (away,))
         await asyncio.sleep(0.1)
 
 
-async def a_long_day(cluster: StoreCluster, rng: Random) -> None:
+async def outages_during_changes(cluster: StoreCluster, rng: Random) -> None:
     hosts = [*cluster.machines]
     for machine in cluster.machines.values():
         machine.start()
@@ -169,55 +170,55 @@
     cluster.first = False
     for kind in ("power", "cut", "wipe", "freeze", "all"):
         first = cluster.find_primary() if rng.random() < 0.6 else None
-        struck = first or cluster.machines[rng.choice(hosts)]
+        failed = first or cluster.machines[rng.choice(hosts)]
         if kind in ("power", "wipe", "all"):
-            struck.power_off(wipe=kind == "wipe")
+            failed.power_off(wipe=kind == "wipe")
         elif kind == "cut":
-            cluster.network.apart([struck.host], [h for h in hosts if h != struck.host])
+            cluster.network.apart([failed.host], [h for h in hosts if h != failed.host])
         else:
-            struck.freeze()
-        await changes(cluster, 105, struck.host)
-        if kind == "all":  # the one that missed a hundred is the first that is back
+            failed.freeze()
+        await put_changes(cluster, 105, failed.host)
+        if kind == "all":  # the machine that missed about a hundred changes restarts first
             for machine in cluster.machines.values():
                 machine.power_off()
-            struck.start()
+            failed.start()
             await asyncio.sleep(1.0)
             assert cluster.find_primary() is None
             for machine in cluster.machines.values():
-                if machine is not struck:
+                if machine is not failed:
                     machine.start()
         elif kind in ("power", "wipe"):
-            struck.start()
+            failed.start()
         elif kind == "cut":
             cluster.network.mend()
         else:
-            struck.thaw()
-        await changes(cluster, 5, "")
+            failed.thaw()
+        await put_changes(cluster, 5, "")
     await asyncio.sleep(1.0)
     assert cluster.sent >= 550
     for machine, store in cluster.stores():
         assert store.replica.version == cluster.acknowledged_version, (
-            f"{machine.host} never caught up"
+            f"{machine.host} didn't catch up"
         )
         assert sum(map(len, machine.platter.pages.values())) < 1000 + 16 * MAX_ENTRIES
         assert len(store.parts.io.tasks) < 20 and len(store.replica.history.entries) <= MAX_ENTRIES
 
 
-def long_day(seed: int) -> None:
+def run_outages(seed: int) -> None:
     cluster = StoreCluster(seed)
     try:
-        cluster.do(a_long_day(cluster, Random(seed)))
+        cluster.do(outages_during_changes(cluster, Random(seed)))
         cluster.close()
     finally:
         cluster.loop.close()
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_members_that_missed_a_hundred_changes_catch_up_and_none_leads_with_less(seed):
-    long_day(seed)
+def test_members_that_missed_a_hundred_changes_catch_up_before_they_can_lead(seed):
+    run_outages(seed)
 
 
-def test_without_what_it_is_told_a_member_never_catches_up(monkeypatch):
+def test_without_commits_from_others_a_member_never_catches_up(monkeypatch):
     commit = Replica.commit
 
     def behind(self, v, d):
@@ -225,32 +226,33 @@
 
     monkeypatch.setattr(Replica, "commit", behind)
     with pytest.raises(AssertionError):
-        long_day(0)
+        run_outages(0)
 
 
-def away_for(versions: int) -> float:
-    """Seconds after a cut of so many versions until a limiter has the newest, while changes go
-    on.
+def catch_up_seconds(versions: int) -> float:
+    """Returns the seconds until a limiter that missed so many versions has the newest one.
+
+    They are measured from the end of its partition; changes continue meanwhile.
     """
     system = Cluster(5, proxies=2)
     system.do(system.begin())
     ip = next(iter(system.proxies))
     system.sky.apart([ip], system.core_ips)
 
-    async def many(number: int) -> None:
+    async def change_routes(number: int) -> None:
         for n in range(number):
             system.route(f"n{n % 7}", ("alpha", "beta")[n % 2], timeout=f"{1000 + n}ms")
             assert await system.replace()
             await asyncio.sleep(0.02)
 
-    system.do(many(versions))
+    system.do(change_routes(versions))
     assert system.proxy(ip).configuration.table.version < system.version - versions
     system.sky.mend()
-    newest, going = system.version, system.behind(many(60))
-    took = system.do(
+    newest, changing = system.version, system.behind(change_routes(60))
+    duration = system.do(
         system.until(lambda: system.proxy(ip).configuration.table.version >= newest, 4.0)
     )
-    system.do(asyncio.wait_for(going, 60.0))
+    system.do(asyncio.wait_for(changing, 60.0))
     system.do(
         system.until(
             lambda: is_in_force_everywhere(system),
@@ -258,15 +260,15 @@
         )
     )
     system.close()
-    return took
+    return duration
 
 
-def test_a_limiter_that_missed_three_hundred_versions_has_the_newest_within_its_bound():
-    assert away_for(300) < 2.5
+def test_a_limiter_that_missed_three_hundred_versions_catches_up_within_its_bound():
+    assert catch_up_seconds(300) < 2.5
 
 
-class Slow:
-    """A registry that has a newer configuration each 0.3 s and takes 2 s to hand one out."""
+class SlowRegistry:
+    """A registry with a new configuration every 0.3 s, which takes 2 s to send one."""
 
     async def call(self, address, op, said, within):
         loop = asyncio.get_running_loop()
@@ -281,7 +283,7 @@
         return Ok({"version": int(loop.time() / 0.3), "data": b"whole"})
 
 
-def fetched() -> list[int]:
+def fetched_versions() -> list[int]:
     async def work() -> list[int]:
         got: list[int] = []
         user = SimpleNamespace(
@@ -293,7 +295,9 @@
         conf = SimpleNamespace(
             seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
         )
-        made = sessions.Sessions(conf, Slow(), asyncio.get_running_loop().time, Random(1), user)
+        made = sessions.Sessions(
+            conf, SlowRegistry(), asyncio.get_running_loop().time, Random(1), user
+        )
         made.start()
         await asyncio.sleep(20.0)
         return got
@@ -301,21 +305,21 @@
     return play(work)
 
 
-def test_a_configuration_that_takes_longer_than_the_changes_apart_comes_all_the_same(monkeypatch):
-    got = fetched()
+def test_a_transfer_longer_than_the_interval_between_changes_still_completes(monkeypatch):
+    got = fetched_versions()
     assert len(got) >= 5 and got == sorted(got)
     monkeypatch.setattr(
         configuration_fetcher,
         "MAX_FETCH_TIMEOUT_SECONDS",
         configuration_fetcher.FETCH_TIMEOUT_SECONDS,
     )
-    assert not fetched()
+    assert not fetched_versions()
 
 
 # --- thousands of routes
 
 
-def test_thousands_of_routes_are_acknowledged_packed_and_in_force(monkeypatch):
+def test_thousands_of_routes_are_acknowledged_compressed_and_in_force(monkeypatch):
     sent, answered = [], StoreClient.handle_configuration
 
     async def fetch(self, said):
@@ -345,7 +349,7 @@
     system.close()
 
 
-def test_large_orders_at_once_wait_their_turn(monkeypatch):
+def test_large_changes_at_once_are_limited_by_their_size(monkeypatch):
     system = Cluster(4, proxies=1)
     system.do(system.begin())
     number, registry = system.version, system.registry(system.core_ips[0])
@@ -364,7 +368,7 @@
     )
     monkeypatch.setattr(
         operator_api, "MAX_PENDING_BYTES", 10
-    )  # one that is larger by itself is taken, too
+    )  # a single change above the limit is accepted, too
     assert (
         system.do(registry.handle_http(b"POST", b"/api/rpc?call=configuration.replace", orders[7]))[
             0
@@ -374,7 +378,7 @@
     system.close()
 
 
-def test_what_cannot_be_unpacked_is_nothing():
+def test_data_that_cannot_be_decompressed_gives_an_empty_configuration():
     assert (
         configuration_fetcher.unpack(ConfigurationResponse(version=7, compressed_data=b"torn"))
         == b""
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -1,6 +1,7 @@
-"""A control machine that is cut off, frozen or empty hands out nothing old, refuses no order,
-confirms none that is lost: whole control planes on the simulated network, asked by operators who
-wait long.
+"""Partitions, freezes and disk losses of core machines, in simulated control planes.
+
+Operators with long timeouts must not read outdated versions, get changes refused for other content,
+or lose acknowledged changes.
 """
 
 from __future__ import annotations
@@ -29,13 +30,18 @@
     made.close()
 
 
-# --- frozen in mid-answer
+# --- frozen while responding
+
+
+def reads_during_freeze(plane: ControlPlane, who: str, asked: str) -> list[int]:
+    """Returns versions read by operators while the primary's machine freezes during the request.
 
+    The freezes begin 2 ms apart; while frozen, the other machines acknowledge another change.
 
-def thawed_reads(plane: ControlPlane, who: str, asked: str) -> list[int]:
-    """What is read by operators whose answers froze with a machine, at moments 0.5 ms apart;
-    meanwhile others acknowledge more. `who`: the hosts of the primary's machine that freeze;
-    `asked`: through which one.
+    Args:
+        plane: The simulated control plane.
+        who: The processes that freeze on the primary's machine.
+        asked: Whether the primary's machine or another one gets the request.
     """
 
     async def one(ms: float) -> int:
@@ -63,11 +69,11 @@
     "who, asked",
     [("registry", "itself"), ("store", "itself"), ("both", "itself"), ("both", "another")],
 )
-def test_what_froze_with_a_machine_is_not_handed_out_as_it_thaws(plane, who, asked):
-    assert any(thawed_reads(plane, who, asked))  # else nothing was in time to be read
+def test_a_response_frozen_with_its_machine_is_not_sent_after_the_thaw(plane, who, asked):
+    assert any(reads_during_freeze(plane, who, asked))  # at least one read succeeded
 
 
-def test_a_lease_that_is_looked_at_only_as_the_store_answers_is_not_enough(monkeypatch):
+def test_checking_the_lease_only_when_the_store_responds_is_not_enough(monkeypatch):
     monkeypatch.setattr(
         freshness,
         "remaining_seconds",
@@ -76,20 +82,20 @@
     plane = ControlPlane(3)
     plane.do(plane.begin())
     with pytest.raises(AssertionError, match="handed out"):
-        thawed_reads(plane, "registry", "itself")
-    with contextlib.suppress(AssertionError):  # the same one, of a task that the cluster watched
+        reads_during_freeze(plane, "registry", "itself")
+    with contextlib.suppress(AssertionError):  # the same error from a background task
         plane.close()
 
 
-def test_an_answer_may_be_passed_on_while_nobody_else_can_serve_counted_from_the_asking():
-    said = {"version": 7, "left": 0.9}
-    assert freshness.remaining_seconds(said["left"], 10.0, 10.2, 5.0) == pytest.approx(0.7)
+def test_a_response_may_be_forwarded_until_the_lease_ends_measured_from_the_request():
+    response = {"version": 7, "left": 0.9}
+    assert freshness.remaining_seconds(response["left"], 10.0, 10.2, 5.0) == pytest.approx(0.7)
     assert (
-        freshness.remaining_seconds(said["left"], 10.0, 10.9, 5.0)
+        freshness.remaining_seconds(response["left"], 10.0, 10.9, 5.0)
         == 0.0
-        == freshness.remaining_seconds(said["left"], 10.0, 10.4, 0.4)
+        == freshness.remaining_seconds(response["left"], 10.0, 10.4, 0.4)
     )
-    # of a store before the rule
+    # older stores send no lease
     assert freshness.remaining_seconds(None, 10.0, 10.3, 0.8) == pytest.approx(0.5)
 
 
@@ -97,7 +103,7 @@
     host.thaw()
 
 
-def test_a_registry_that_froze_is_sure_of_nothing_that_it_heard_before(plane):
+def test_a_thawed_registry_does_not_trust_reports_from_before_the_freeze(plane):
     ip = plane.core_ips[0]
     registry = plane.registry(ip)
     clock, configuration = registry.context.clock, registry.state.configuration
@@ -110,7 +116,7 @@
     assert configuration.is_current(clock())
 
 
-# --- cuts
+# --- partitions
 
 
 def cuts(plane: ControlPlane, how: str) -> set[tuple[str, str]]:
@@ -127,43 +133,47 @@
 
 
 @pytest.mark.parametrize("how", ["off", "deaf", "dumb", "each of two sees a third"])
-def test_a_cut_of_twenty_seconds_hands_out_nothing_old_and_refuses_nothing(plane, how):
-    async def twenty() -> None:
+def test_a_partition_of_twenty_seconds_serves_no_outdated_version_and_refuses_no_change(plane, how):
+    async def scenario() -> None:
         first = plane.primary()
         rest = [ip for ip in plane.core_ips if ip != first]
         plane.sky.cuts |= cuts(plane, how)
-        until, taken = plane.loop.time() + 20.0, 0
+        until, acknowledged = plane.loop.time() + 20.0, 0
         late = []
         while plane.loop.time() < until:
             late += [plane.behind(plane.order(first)), plane.behind(plane.read(first))]
-            # sent again, to the machine that is cut off
+            # a repeated request to the partitioned machine
             if plane.sent and plane.rng.random() < 0.5:
                 late.append(
                     plane.behind(plane.order(first, version=plane.rng.choice([*plane.sent])))
                 )
-            taken += await plane.order(rest[-1], 1.0) == 200
+            acknowledged += await plane.order(rest[-1], 1.0) == 200
             await plane.read(rest[-1], 1.0)
             await asyncio.sleep(0.25)
-        assert taken > 40  # of about 75
+        assert acknowledged > 40  # of about 75 changes
         plane.sky.mend()
         await asyncio.gather(*late)
         await asyncio.sleep(1.5)
         await plane.calm()
 
-    plane.do(twenty())
+    plane.do(scenario())
 
 
-def started_behind_a_cut() -> tuple[float, int, int, float]:
-    """A proxy starts where it reaches one registry alone, which is cut off, as others acknowledge a
-    change: s until it is ready, its version then, the newest by then, and s after the cut until it
-    has that.
+def start_in_minority_partition() -> tuple[float, int, int, float]:
+    """Starts a proxy that reaches only one registry, which is partitioned from the other two.
+
+    The other two have acknowledged a change before.
+
+    Returns:
+        Seconds until the proxy is ready, its version then, the newest version, and the seconds from
+        the end of the partition until the proxy has that version.
     """
     system = Cluster(5, proxies=2, servers=2)
     system.do(system.begin())
     ip = next(iter(system.proxies))
     alone = next(c for c in system.core_ips if not system.serves(c))
 
-    async def story() -> tuple[float, int, int, float]:
+    async def scenario() -> tuple[float, int, int, float]:
         rest = [c for c in system.core_ips if c != alone]
         system.sky.apart([alone], rest)
         system.sky.apart([ip], rest)
@@ -178,33 +188,31 @@
         )
         held = system.proxy(ip).configuration.table.version
         system.sky.mend()
-        back = await system.until(
+        recovery = await system.until(
             lambda: system.proxy(ip).configuration.table.version == system.version, 3.0
         )
-        return ready, held, system.version, back
+        return ready, held, system.version, recovery
 
-    found = system.do(story())
+    result = system.do(scenario())
     system.close()
-    return found
+    return result
 
 
-def test_a_proxy_that_starts_on_the_cut_off_side_is_in_no_haste_to_serve_what_it_got_there(
+def test_a_proxy_started_in_the_minority_partition_delays_readiness_with_an_old_version(
     monkeypatch,
 ):
-    ready, held, newest, back = started_behind_a_cut()
-    assert 3.0 <= ready <= 4.1 and held < newest and back < 2.0
+    ready, held, newest, recovery = start_in_minority_partition()
+    assert 3.0 <= ready <= 4.1 and held < newest and recovery < 2.0
     monkeypatch.setattr(ConfigurationCache, "is_current", lambda self, now: True)
-    ready, held, newest, _ = started_behind_a_cut()
+    ready, held, newest, _ = start_in_minority_partition()
     assert ready < 1.0 and held < newest
 
 
-# --- at every step of an order
+# --- faults at every step of a change
 
 
-async def struck(plane: ControlPlane, how: str, ms: float) -> None:
-    """An order, a question and another operator's order, the primary struck in the midst; then sent
-    again.
-    """
+async def fault_during_change(plane: ControlPlane, how: str, ms: float) -> None:
+    """Sends two changes and a read, fails the primary `ms` later, and repeats the change."""
     first = plane.primary()
     others = [ip for ip in plane.core_ips if ip != first]
     late = [
@@ -221,7 +229,7 @@
             host.power_off(wipe=True)
     until = plane.loop.time() + 5.0
     while await plane.order(others[-1], 1.0, version) != 200:
-        assert plane.loop.time() < until, "not acknowledged by those that are left"
+        assert plane.loop.time() < until, "not acknowledged by the remaining machines"
         await asyncio.sleep(0.1)
     await plane.order(others[0], 1.0)
     await asyncio.sleep(PASSED + 0.3)
@@ -237,20 +245,20 @@
 
 
 @pytest.mark.parametrize("how", ["off", "deaf", "dumb", "frozen", "wiped"])
-def test_a_primary_struck_at_any_step_of_an_order(plane, how):
+def test_a_fault_of_the_primary_at_any_step_of_a_change(plane, how):
     for ms in range(0, 26, 3):
-        plane.do(struck(plane, how, ms + 0.5))
+        plane.do(fault_during_change(plane, how, ms + 0.5))
 
 
-# --- at random
+# --- random faults
 
 
-def test_drawn_troubles_lose_nothing_refuse_nothing_and_hand_out_nothing_old():
+def test_random_faults_lose_no_change_refuse_none_and_serve_no_outdated_version():
     planes = [drawn(seed) for seed in range(4)]
     assert sum(p.reads for p in planes) > 300 and sum(len(p.acked) for p in planes) > 300
 
 
-def test_drawn_troubles_find_a_store_that_reads_without_a_lease(monkeypatch):
+def test_random_faults_detect_a_store_that_reads_without_a_lease(monkeypatch):
     async def read(self: ConfigurationService, request):
         replica = self._io.replica
         return ReadResponse(version=replica.version, data=replica.data)
--- a/tests/store/test_replica_copies.py
+++ b/tests/store/test_replica_copies.py
@@ -1,6 +1,4 @@
-"""How many synced copies of what was acknowledged exist, through repairs, handing over and
-leaving.
-"""
+"""Number of synced copies of acknowledged versions during repairs, transfers and shutdowns."""
 
 from __future__ import annotations
 
@@ -21,15 +19,18 @@
 from loomstand.testing.simulation.machine import Machine, machines
 
 
-class Copies(StoreCluster):
-    """A core whose disks are looked at every 2 ms. `few`: seconds for which fewer than that many
-    disks had the newest acknowledged version, by any of their pages ("synced"), and as the newest
-    view's primary or backup alone ("elected").
+class CopyCountingCluster(StoreCluster):
+    """A core whose disks are checked every 2 ms for the newest acknowledged version.
+
+    Attributes:
+        low_copy_seconds: Seconds with fewer than the given number of copies, by kind and number.
+            "synced" counts a copy on any page of a disk, "elected" only the records of the newest
+            view's primary and backup.
     """
 
     def __init__(self, seed: int = 1, hosts: int = 4) -> None:
         super().__init__(seed, (*HOSTS[:hosts],))
-        self.few: dict[tuple[str, int], float] = {}
+        self.low_copy_seconds: dict[tuple[str, int], float] = {}
         self.counting = False
 
     def machine_in_role(self, words: str) -> Machine:
@@ -58,37 +59,39 @@
             if self.counting:
                 for kind, n in zip(("synced", "elected"), self.copies(), strict=True):
                     for below in range(n + 1, 4):
-                        self.few[kind, below] = self.few.get((kind, below), 0.0) + 0.002
+                        self.low_copy_seconds[kind, below] = (
+                            self.low_copy_seconds.get((kind, below), 0.0) + 0.002
+                        )
 
-    async def work(self) -> None:
-        """From a start to a core at work, with changes going on; counts from here on."""
+    async def start_counting(self) -> None:
+        """Starts the core, then sends changes and counts the copies in background tasks."""
         for machine in self.machines.values():
             machine.start()
         await asyncio.sleep(2.0)
         self.first = False
         assert await self.put_within(0.5)
         await asyncio.sleep(0.3)
-        self.tasks = [self.loop.create_task(w) for w in (self.count(), self.change())]
+        self.tasks = [self.loop.create_task(w) for w in (self.count(), self.send_changes())]
         self.counting = True
 
-    async def change(self) -> None:
+    async def send_changes(self) -> None:
         while True:
             await asyncio.sleep(0.1)
             await self.put_within(0.5)
 
-    def end(self) -> dict[tuple[str, int], float]:
+    def finish(self) -> dict[tuple[str, int], float]:
         for task in self.tasks:
             task.cancel()
         self.wait(4.0)
         assert self.do(self.read_newest()) >= self.acknowledged_version
         self.close()
-        return {k: round(v, 3) for k, v in self.few.items()}
+        return {k: round(v, 3) for k, v in self.low_copy_seconds.items()}
 
 
-# --- one step at a time
+# --- single faults and operations
 
 
-async def wiped(cluster: StoreCluster, whom: str) -> None:
+async def wipe(cluster: StoreCluster, whom: str) -> None:
     machine = cluster.machine_in_role(whom)
     machine.power_off(wipe=True)
     await asyncio.sleep(1.0)
@@ -96,7 +99,7 @@
     await asyncio.sleep(4.0)
 
 
-async def killed(cluster: StoreCluster, whom: str) -> None:
+async def kill(cluster: StoreCluster, whom: str) -> None:
     machine = cluster.machine_in_role(whom)
     machine.kill()
     await asyncio.sleep(1.0)
@@ -104,8 +107,8 @@
     await asyncio.sleep(3.0)
 
 
-async def rolled(cluster: StoreCluster) -> None:
-    """SIGTERM to one after the other, each back after a second."""
+async def rolling_restart(cluster: StoreCluster) -> None:
+    """Sends SIGTERM to one machine after the other; each restarts after 1 s."""
     for machine in [*cluster.machines.values()]:
         await machine.leave()
         await asyncio.sleep(1.0)
@@ -113,8 +116,8 @@
         await asyncio.sleep(1.5)
 
 
-async def removed(cluster: StoreCluster) -> None:
-    """SIGTERM to the backup, which takes its disk with it, and then to the primary."""
+async def remove_backup_and_primary(cluster: StoreCluster) -> None:
+    """Shuts down the backup and loses its disk, then does the same to the primary."""
     for whom in ("the backup", "the primary"):
         machine = cluster.machine_in_role(whom)
         await machine.leave()
@@ -122,8 +125,8 @@
         await asyncio.sleep(2.0)
 
 
-async def two_leave(cluster: StoreCluster) -> None:
-    """SIGTERM to the primary and the backup at one moment; their disks go with them."""
+async def remove_both_at_once(cluster: StoreCluster) -> None:
+    """Shuts down the primary and the backup at the same time and loses both disks."""
     both = [cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")]
     await asyncio.gather(*(m.leave() for m in both))
     for machine in both:
@@ -131,82 +134,85 @@
     await asyncio.sleep(3.0)
 
 
-async def exchanged(cluster: Copies) -> None:
-    """A new machine comes for each old one, which then leaves and takes its disk with it."""
+async def replace_all(cluster: CopyCountingCluster) -> None:
+    """Replaces each machine: starts a new one, shuts down the old one and loses its disk."""
     old = [*cluster.machines]
     new = [f"10.{host.split('.')[1]}.0.2" for host in old]
     fresh = machines(cluster.network, cluster.rng, new, lambda h: [cluster.maker(h)])
-    for gone, come in zip(old, new, strict=True):
-        cluster.seeds = [come, *[h for h in old if cluster.machines[h].up][:2]]
-        cluster.machines[come] = fresh[come]
-        fresh[come].start()
+    for old_host, new_host in zip(old, new, strict=True):
+        cluster.seeds = [new_host, *[h for h in old if cluster.machines[h].up][:2]]
+        cluster.machines[new_host] = fresh[new_host]
+        fresh[new_host].start()
         await asyncio.sleep(1.0)
-        await cluster.machines[gone].leave()
-        cluster.machines[gone].platter.wipe()
+        await cluster.machines[old_host].leave()
+        cluster.machines[old_host].platter.wipe()
         await asyncio.sleep(3.0)
 
 
-# s at the most with fewer than three and two synced copies, and with fewer than two that elections
-# go by
+# The operation, and the maximum seconds with fewer than three synced copies, with fewer than two
+# synced copies, and with fewer than two copies on the view's primary and backup.
 STEPS = {
-    "the backup is wiped": (lambda w: wiped(w, "the backup"), 0.1, 0.0, 1.3),
-    "the primary is wiped": (lambda w: wiped(w, "the primary"), 0.1, 0.0, 2.2),
-    "the backup is killed": (lambda w: killed(w, "the backup"), 0.1, 0.0, 0.1),
-    "the primary is killed": (lambda w: killed(w, "the primary"), 0.1, 0.0, 0.1),
-    "a roll": (rolled, 0.1, 0.0, 0.1),
-    "an exchange of all": (exchanged, 0.5, 0.0, 0.1),
-    "backup and primary are removed": (removed, 6.0, 0.0, 0.1),
-    "primary and backup leave at once": (two_leave, 6.0, 0.0, 0.1),
+    "the backup is wiped": (lambda w: wipe(w, "the backup"), 0.1, 0.0, 1.3),
+    "the primary is wiped": (lambda w: wipe(w, "the primary"), 0.1, 0.0, 2.2),
+    "the backup is killed": (lambda w: kill(w, "the backup"), 0.1, 0.0, 0.1),
+    "the primary is killed": (lambda w: kill(w, "the primary"), 0.1, 0.0, 0.1),
+    "a rolling restart": (rolling_restart, 0.1, 0.0, 0.1),
+    "a replacement of all": (replace_all, 0.5, 0.0, 0.1),
+    "backup and primary are removed": (remove_backup_and_primary, 6.0, 0.0, 0.1),
+    "primary and backup leave at once": (remove_both_at_once, 6.0, 0.0, 0.1),
 }
 
 
 @pytest.mark.parametrize("name", STEPS)
 def test_how_long_fewer_copies_exist(name):
     step, three, two, elected = STEPS[name]
-    cluster = Copies()
-    cluster.do(cluster.work())
+    cluster = CopyCountingCluster()
+    cluster.do(cluster.start_counting())
     cluster.do(step(cluster))
-    few = cluster.end()
-    print(name, few)
-    assert few.get(("synced", 3), 0.0) <= three
-    assert few.get(("synced", 2), 0.0) <= two
-    assert few.get(("elected", 2), 0.0) <= elected
-    assert few.get(("elected", 1), 0.0) <= 0.02
+    low = cluster.finish()
+    print(name, low)
+    assert low.get(("synced", 3), 0.0) <= three
+    assert low.get(("synced", 2), 0.0) <= two
+    assert low.get(("elected", 2), 0.0) <= elected
+    assert low.get(("elected", 1), 0.0) <= 0.02
+
 
+# --- shutdown of a member with the only copy
 
-# --- a member that leaves holds the only copy
 
+async def last_copy_leaves(cluster: CopyCountingCluster, after: float, away: float) -> None:
+    """Shuts down the backup and loses the primary's disk at about the same time.
 
-async def last_copy_leaves(cluster: Copies, after: float, away: float) -> None:
-    """The primary's disk is lost `after` s after the backup was told to stop, right after an
-    acknowledgement; the backup takes its disk with it. The other machine is back with an empty one
-    after `away` s.
+    The primary's disk is lost `after` seconds after the backup's SIGTERM, right after an
+    acknowledgement. The backup's disk is lost when it exits. The primary's machine restarts with an
+    empty disk `away` seconds later.
     """
     first, backup = cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")
-    leaving_ = cluster.loop.create_task(backup.leave()) if after >= 0.0 else None
+    leaving = cluster.loop.create_task(backup.leave()) if after >= 0.0 else None
     await asyncio.sleep(max(0.0, after))
     assert after > 0.0 or await cluster.put_within(0.5)
     first.power_off(wipe=True)
-    if leaving_ is None:
+    if leaving is None:
         await asyncio.sleep(-after)
-        leaving_ = cluster.loop.create_task(backup.leave())
-    back = cluster.loop.create_task(returns(first, away))
-    begun = cluster.loop.time()
-    await leaving_
-    assert cluster.loop.time() - begun <= 6.0 - graceful_shutdown.SAFETY_MARGIN_SECONDS + 0.3, (
-        "a process is held past its grace period"
-    )
+        leaving = cluster.loop.create_task(backup.leave())
+    back = cluster.loop.create_task(restart_later(first, away))
+    started_at = cluster.loop.time()
+    await leaving
+    assert (
+        cluster.loop.time() - started_at <= 6.0 - graceful_shutdown.SAFETY_MARGIN_SECONDS + 0.3
+    ), "a process runs longer than its grace period"
     backup.platter.wipe()
     await back
     await asyncio.sleep(2.0)
 
 
-async def returns(machine: Machine, away: float) -> None:
+async def restart_later(machine: Machine, away: float) -> None:
     await asyncio.sleep(away)
     machine.start()
 
 
-# s from the leaving to the loss, and until the machine is back, by seed
+# Seconds from the backup's SIGTERM to the loss of the primary's disk, and until the primary's
+# machine restarts, by seed.
 LEAVES = {
     0: (0.0, 1.0),
     1: (0.002, 1.0),
@@ -215,35 +221,36 @@
     4: (-0.02, 1.0),
     5: (-0.5, 2.0),
 }
-# where a fourth machine takes its place any moment will do: here as the voters' change is under way
+# With a fourth machine, which takes over the roles: the loss comes during the change of voters.
 CHANGING = {50: (0.3041224113866523, 0.3), 69: (0.22451409671783917, 0.8)}
 
 
-def leaves_last(hosts: int) -> int | None:
-    """The first of the stories that loses an acknowledged version, or comes to a stop."""
+def first_failing_seed(hosts: int) -> int | None:
+    """Returns the first seed that loses an acknowledged version or stops serving, else None."""
     for seed, (after, away) in (LEAVES | (CHANGING if hosts > 3 else {})).items():
-        cluster = Copies(seed, hosts)
-        cluster.do(cluster.work())
+        cluster = CopyCountingCluster(seed, hosts)
+        cluster.do(cluster.start_counting())
         cluster.do(last_copy_leaves(cluster, after, away))
         try:
-            cluster.end()
+            cluster.finish()
         except AssertionError:
             return seed
     return None
 
 
 @pytest.mark.parametrize("hosts", [3, 4])
-def test_a_leaving_member_stays_until_its_only_copy_stands_elsewhere(hosts):
-    assert leaves_last(hosts) is None
+def test_a_leaving_member_stays_until_its_only_copy_is_replicated(hosts):
+    assert first_failing_seed(hosts) is None
 
 
-def no(replica: Replica, now: float) -> bool:
+def always_false(replica: Replica, now: float) -> bool:
     return False
 
 
-def free_without_a_vote(self: Replica, now: float) -> bool:
-    """Whoever is named, the backup without a vote too, takes nobody's place, and no vote is
-    needed.
+def is_dispensable_regardless_of_votes(self: Replica, now: float) -> bool:
+    """Mutant of `is_dispensable` that ignores votes.
+
+    A named member is dispensable if no stand-by is live and it doesn't have the data.
     """
     if self.newest_view is None or self.member.id not in self.newest_view.members():
         return True
@@ -256,39 +263,43 @@
 
 
 @pytest.mark.parametrize(
-    "hosts, out",
+    "hosts, mutants",
     [
         (
             3,
-            {(graceful_shutdown, "holds_only_copy"): no, (graceful_shutdown, "is_vote_needed"): no},
+            {
+                (graceful_shutdown, "holds_only_copy"): always_false,
+                (graceful_shutdown, "is_vote_needed"): always_false,
+            },
         ),
-        (3, {(Replica, "is_dispensable"): free_without_a_vote}),
+        (3, {(Replica, "is_dispensable"): is_dispensable_regardless_of_votes}),
         (
             4,
             {
                 (planning, "_first_candidates"): only_the_backup,
-                (graceful_shutdown, "is_vote_needed"): no,
+                (graceful_shutdown, "is_vote_needed"): always_false,
             },
         ),
     ],
     ids=[
-        "half of the grace period",
-        "free without a vote",
-        "the leaving backup alone stands first",
+        "exits after half of the grace period",
+        "ignores votes",
+        "only the leaving backup is a first candidate",
     ],
 )
-def test_a_copy_is_lost_where_a_leaving_member(hosts, out, monkeypatch):
-    for (where, name), mutant in out.items():
+def test_without_a_shutdown_rule_the_only_copy_is_lost(hosts, mutants, monkeypatch):
+    for (where, name), mutant in mutants.items():
         monkeypatch.setattr(where, name, mutant)
-    assert leaves_last(hosts) is not None
+    assert first_failing_seed(hosts) is not None
 
 
-# --- the third copy
+# --- the learner's copy
 
 
 async def lose_two_disks_with_all_power(cluster: StoreCluster) -> None:
-    """Right after an acknowledgement the others wrote, the disks of primary and backup go, and all
-    power.
+    """Loses the disks of primary and backup and all power, right after an acknowledgement.
+
+    The other members have written the acknowledged version by then.
     """
     assert await cluster.put_within(0.5)
     await asyncio.sleep(0.05)
@@ -301,30 +312,30 @@
     await asyncio.sleep(5.0)
 
 
-def rescued() -> tuple[int, int]:
-    """What operators' rescue finds after that, and what was acknowledged."""
-    cluster = Copies()
-    cluster.do(cluster.work())
+def rescue_after_loss() -> tuple[int, int]:
+    """Returns the version that a rescue restores after this loss, and the acknowledged one."""
+    cluster = CopyCountingCluster()
+    cluster.do(cluster.start_counting())
     for task in cluster.tasks:
         task.cancel()
     cluster.do(lose_two_disks_with_all_power(cluster))
     acked, cluster.acknowledged_version = cluster.acknowledged_version, 0
-    done = cluster.do(rescue(cluster))
+    result = cluster.do(rescue(cluster))
     cluster.close()
-    return int(done["version"][1:]), acked
+    return int(result["version"][1:]), acked
 
 
-def test_a_rescue_finds_the_third_copy_though_both_disks_and_all_power_were_lost(monkeypatch):
-    found, acked = rescued()
+def test_a_rescue_restores_the_third_copy_after_the_loss_of_both_disks_and_all_power(monkeypatch):
+    found, acked = rescue_after_loss()
     assert found == acked > 0
     monkeypatch.setattr(Learner, "next_copy", lambda self, replica: None)
-    found, acked = rescued()
+    found, acked = rescue_after_loss()
     assert found < acked
 
 
-def test_a_learner_writes_what_was_in_force_and_nothing_that_its_disk_has_or_waits_for():
+def test_a_learner_copies_only_committed_versions_that_its_disk_does_not_have():
     replica, learner = member(C), Learner()
-    assert learner.next_copy(replica) is None  # nothing known to be in force
+    assert learner.next_copy(replica) is None  # no committed version known
     replica.commit(8, b"eight")
     assert learner.next_copy(replica) == (8, b"eight")
     again = Learner.from_pages(learner.pages(VersionedData(8, b"eight")))
@@ -332,7 +343,7 @@
     replica.commit(9, bytes(MAX_COPY_BYTES + 1))
     assert learner.next_copy(replica) is None
     started = member(C)
-    started.commit(6, b"six")  # others may tell of older ones first
+    started.commit(6, b"six")  # an older version may be reported first
     assert again.next_copy(started) is None
     for broken in (
         {},
@@ -347,7 +358,7 @@
         assert Learner().next_copy(replica) is None
 
 
-def test_a_member_that_was_told_to_stop_is_never_held_past_its_grace_period():
+def test_a_leaving_member_exits_before_the_end_of_its_grace_period():
     replica = member(B)
     replica.state = MemberState.LEAVING
     assert VIEW.has_data("b") and graceful_shutdown.holds_only_copy(replica, 10.0)
@@ -355,7 +366,7 @@
         replica, 14.9, 10.0, 6.0
     ) and graceful_shutdown.may_shut_down(replica, 15.0, 10.0, 6.0)
     record = Record("d", False)
-    # no view names it
+    # it isn't in any known view
     assert graceful_shutdown.may_shut_down(
         Replica(replica.member, (), record, 0.0, Random(1)), 0.0, 0.0, 6.0
     )
--- a/tests/store/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -1,6 +1,4 @@
-"""More lost than the store bears: operators' rescue in simulated weather, and how old members are
-fenced.
-"""
+"""Rescues by operators after losses that the store doesn't tolerate, and fencing of old members."""
 
 from __future__ import annotations
 
@@ -24,7 +22,7 @@
 from loomstand.testing.simulation.http_log import exchange, post
 from loomstand.testing.simulation.machine import Machine
 
-# the steps that both features have
+# step functions that both features use
 globals().update(
     {k: v for k, v in vars(test_store).items() if k.startswith(StepNamePrefix.step_def.value)}
 )
@@ -33,26 +31,27 @@
 
 
 async def ask(cluster: StoreCluster, gone=(), token=None, at: str = "") -> dict:
-    """A look at the rescue, or the word for it, at a member that runs."""
+    """Requests the rescue case, or with its token the rescue, at a running member."""
     host = at or next(h for h, m in cluster.machines.items() if m.runs and h not in gone)
     got = await cluster.client.call((host, PORT), "rescue", {"gone": [*gone], "token": token}, 5.0)
     return got.ok
 
 
 async def rescue(cluster: StoreCluster, gone=()) -> dict:
-    """Looks and gives the word till it's done, as grants may still stand."""
+    """Requests a rescue until it succeeds, as lease grants may not have expired yet."""
     for _ in range(20):
-        found = (await ask(cluster, gone))["case"]
-        if not found["waits"] and "done" in (said := await ask(cluster, gone, found["token"])):
-            return said["done"]
+        case = (await ask(cluster, gone))["case"]
+        if not case["waits"] and "done" in (reply := await ask(cluster, gone, case["token"])):
+            return reply["done"]
         await asyncio.sleep(0.3)
-    raise AssertionError(found)
+    raise AssertionError(case)
 
 
-def waits(cluster: StoreCluster, gone=()) -> list[str]:
-    found = cluster.do(ask(cluster, gone))["case"]
-    assert "no" in cluster.do(ask(cluster, gone, found["token"]))
-    return found["waits"]
+def obstacles(cluster: StoreCluster, gone=()) -> list[str]:
+    """Returns the obstacles to a rescue, and checks that it is refused."""
+    case = cluster.do(ask(cluster, gone))["case"]
+    assert "no" in cluster.do(ask(cluster, gone, case["token"]))
+    return case["waits"]
 
 
 @given("a core that lost the disks of the primary and the backup")
@@ -81,17 +80,17 @@
 
 @then("a rescue is due")
 def _(cluster):
-    found = cluster.do(ask(cluster))["case"]
-    assert found["waits"] == [] and found["version"] == f"r{cluster.acknowledged_version}"
-    assert sum(m["lost"] for m in found["members"]) == 2 and len(found["reach"]) == 4
+    case = cluster.do(ask(cluster))["case"]
+    assert case["waits"] == [] and case["version"] == f"r{cluster.acknowledged_version}"
+    assert sum(m["lost"] for m in case["members"]) == 2 and len(case["reach"]) == 4
 
 
-@when("operators rescue it")
+@when("operators rescue the store")
 def _(cluster):
     cluster.done = cluster.do(rescue(cluster))
 
 
-@then("the newest acknowledged version is in force, under an epoch of the next million")
+@then("the newest acknowledged version is in force, under an epoch of the next epoch range")
 def _(cluster):
     view = cluster.primary().programs[0].replica.record.view
     assert (
@@ -113,16 +112,20 @@
         machine.power_off()
 
 
-@then("a rescue waits for each that is not named, and for one that is named and answers")
+@then(
+    "a rescue is refused for each member that is not named, and for one that is named and answers"
+)
 def _(cluster):
     first, voter = (m.host for m in cluster.away)
-    for gone, waited in (([], [first, voter]), ([first], [voter]), ([first, voter], [])):
-        said = waits(cluster, gone) if waited else cluster.do(ask(cluster, gone))["case"]["waits"]
-        assert sorted(w.split()[0] for w in said) == sorted(waited)
-        assert all("doesn't answer" in w for w in said)
+    for gone, missing in (([], [first, voter]), ([first], [voter]), ([first, voter], [])):
+        reasons = (
+            obstacles(cluster, gone) if missing else cluster.do(ask(cluster, gone))["case"]["waits"]
+        )
+        assert sorted(w.split()[0] for w in reasons) == sorted(missing)
+        assert all("doesn't answer" in w for w in reasons)
     there = next(h for h, m in cluster.machines.items() if m.runs)
-    said = cluster.do(ask(cluster, [first, voter, there], at=there))["case"]["waits"]
-    assert f"{there}: named as gone, and answers" in said
+    reasons = cluster.do(ask(cluster, [first, voter, there], at=there))["case"]["waits"]
+    assert f"{there}: named as gone, and answers" in reasons
 
 
 @when("the voter starts again")
@@ -130,9 +133,9 @@
     _all_do(cluster, cluster.away[1:], Machine.start)
 
 
-@then(parsers.parse('a rescue waits, as "{words}"'))
+@then(parsers.parse('a rescue is refused with "{words}"'))
 def _(cluster, words):
-    assert len(said := waits(cluster)) == 1 and words in said[0]
+    assert len(reasons := obstacles(cluster)) == 1 and words in reasons[0]
 
 
 @when("the primary loses power")
@@ -140,33 +143,33 @@
     old.power_off()
 
 
-@when("operators look, and then a stand-by is killed")
+@when("operators request a token, and then a stand-by is killed")
 def _(cluster):
-    cluster.said = cluster.do(ask(cluster))["case"]
-    assert cluster.said["waits"] == []
-    next(m for m in cluster.machines.values() if m.host != cluster.said["chosen"]).kill()
+    cluster.case = cluster.do(ask(cluster))["case"]
+    assert cluster.case["waits"] == []
+    next(m for m in cluster.machines.values() if m.host != cluster.case["chosen"]).kill()
 
 
-@then("their token is refused, and one that was made up")
+@then("their token and an invalid one are refused")
 def _(cluster):
-    for token in (cluster.said["token"], "3-0123456789ab"):
+    for token in (cluster.case["token"], "3-0123456789ab"):
         assert "another one than that of this token" in cluster.do(ask(cluster, (), token))["no"][0]
     assert cluster.find_primary() is None
 
 
-@when("two operators rescue it at one moment, by different machines")
+@when("two operators rescue the store at the same time through different machines")
 def _(cluster):
     async def both() -> list[dict]:
         token = (await ask(cluster))["case"]["token"]
         return await asyncio.gather(*(ask(cluster, (), token, at) for at in HOSTS[1:3]))
 
-    cluster.said = cluster.do(both())
+    cluster.replies = cluster.do(both())
 
 
-@then("one of them founded a view that all members follow")
+@then("one of them founds a view that all members follow")
 def _(cluster):
-    done = [said["done"] for said in cluster.said if "done" in said]
-    assert len(done) == 1 and any("no" in said for said in cluster.said)
+    done = [reply["done"] for reply in cluster.replies if "done" in reply]
+    assert len(done) == 1 and any("no" in reply for reply in cluster.replies)
     _one_view(cluster, done[0]["epoch"])
 
 
@@ -176,7 +179,7 @@
     view = cluster.primary().programs[0].replica.record.view
     assert (
         len(view.voters) == 3 and view.epoch > view.rescue_epoch == cluster.done["epoch"]
-    )  # one of them votes again
+    )  # a returned member votes again, so the view changed after the rescue
 
 
 def _one_view(cluster, epoch):
@@ -192,7 +195,7 @@
         machine.freeze()
 
 
-@when("operators rescue it, naming both")
+@when("operators rescue the store, naming both as gone")
 def _(cluster):
     cluster.done = cluster.do(rescue(cluster, [m.host for m in cluster.away]))
     assert cluster.do(cluster.put_within(0.3, tuple(m.host for m in cluster.away)))
@@ -209,7 +212,7 @@
 
 
 def _all_do(cluster, machines, what):
-    """At one moment."""
+    """Applies `what` to all machines at the same time."""
 
     async def all_() -> None:
         for machine in machines:
@@ -218,7 +221,7 @@
     cluster.do(all_())
 
 
-@then("the old primary serves nothing of its old view")
+@then("the old primary doesn't serve under its old view")
 def _(cluster):
     for _ in range(600):
         cluster.wait(0.005)
@@ -230,11 +233,11 @@
             )
 
 
-def test_a_majority_that_was_given_up_and_goes_on_behind_a_cut_stands_down_once_it_is_mended():
+def test_an_isolated_majority_named_as_gone_stops_serving_when_the_partition_ends():
     class Cut(StoreCluster):
         def check(self) -> None:
-            """Two serve, as the operators' word was wrong: nothing can bar that before the cut is
-            mended.
+            """Skips the check: two stores serve until the partition ends, as the hosts named as
+            gone still run.
             """
 
     cluster = Cut()
@@ -245,11 +248,11 @@
     cluster.wait(2.0)
     gone = [m.host for m in away]
 
-    async def wrong() -> None:
-        found = (await ask(cluster, gone, at=left[0]))["case"]
-        assert "done" in await ask(cluster, gone, found["token"], left[0])
+    async def rescue_wrongly() -> None:
+        case = (await ask(cluster, gone, at=left[0]))["case"]
+        assert "done" in await ask(cluster, gone, case["token"], left[0])
 
-    cluster.do(wrong())
+    cluster.do(rescue_wrongly())
     old = away[0].programs[0]
     assert old.replica.lease_left(old.clock()) > 0.0
     cluster.network.mend()
@@ -261,7 +264,7 @@
     cluster.close()
 
 
-def test_a_member_that_was_fenced_remembers_it_after_a_restart():
+def test_a_fenced_member_stays_fenced_after_a_restart():
     new = View(EPOCH_RANGE, MEMBERS[1], MEMBERS[3], (MEMBERS[1], MEMBERS[3]), (), EPOCH_RANGE)
     replica = member(MEMBERS[0])
     replica.on_grant("c", 3, 5.0)
@@ -280,11 +283,11 @@
     later = View(EPOCH_RANGE + 7, MEMBERS[3], None, new.voters, (), EPOCH_RANGE)
     replica = member(MEMBERS[1])
     replica.on_persisted(replica.install(new))
-    replica.observe_view(later)  # of the same rescue: nobody is fenced by an ordinary change
+    replica.observe_view(later)  # same rescue: an ordinary view change fences no member
     assert replica.promised_epoch == EPOCH_RANGE
 
 
-def said(n: int, **more) -> MemberReport:
+def report(n: int, **more) -> MemberReport:
     usual = {
         "state": MemberState.HEALTHY,
         "is_founder": False,
@@ -297,50 +300,52 @@
     return MemberReport(MEMBERS[n], **usual | versions | more)
 
 
-def test_what_a_rescue_waits_for_and_whom_it_chooses():
+def test_obstacles_to_a_rescue_and_the_choice_of_the_founding_member():
     seeds = [m.address for m in MEMBERS[:3]]
     gone = {HOSTS[0], HOSTS[1]}
-    found = make_case([said(2), said(3, offered_version=6)], gone, seeds)
+    found = make_case([report(2), report(3, offered_version=6)], gone, seeds)
     assert found.obstacles() == [] and found.chosen().member == MEMBERS[3]
     assert (
-        make_case([said(2, disk_version=6), said(3, offered_version=6)], gone, seeds)
+        make_case([report(2, disk_version=6), report(3, offered_version=6)], gone, seeds)
         .chosen()
         .member
         == MEMBERS[3]
     )
-    assert make_case([said(2), said(3)], gone, seeds).chosen().member == MEMBERS[2]
-    assert make_case([said(2), said(3)], gone, seeds).token() != found.token()
-    # the majority is there, but both who had the data are lost: nobody could ever be elected
+    assert make_case([report(2), report(3)], gone, seeds).chosen().member == MEMBERS[2]
+    assert make_case([report(2), report(3)], gone, seeds).token() != found.token()
+    # a majority answers, but both members with the data are lost: no election can succeed
     apart = View(3, MEMBERS[0], MEMBERS[3], MEMBERS[:3])
-    there = [said(1, view=apart), said(2, view=apart)]
+    there = [report(1, view=apart), report(2, view=apart)]
     assert make_case(there, {HOSTS[0], HOSTS[3]}, seeds).obstacles() == []
     assert (
         "the store recovers"
-        in make_case([*there, said(3, view=apart)], {HOSTS[0]}, seeds).obstacles()[0]
+        in make_case([*there, report(3, view=apart)], {HOSTS[0]}, seeds).obstacles()[0]
     )
-    # a rescue that broke off: those who promised it have given up their view, majority or not
-    broken = [said(1, highest_epoch=EPOCH_RANGE + 4), said(2), said(3)]
+    # an interrupted rescue: its promises have fenced the view, even with a majority
+    broken = [report(1, highest_epoch=EPOCH_RANGE + 4), report(2), report(3)]
     assert make_case(broken, {HOSTS[0]}, seeds).obstacles() == []
-    for told, words in (
-        ([said(2)], "two machines"),
-        ([said(2), said(3, uptime_seconds=1.0)], "has run for less"),
-        ([said(2), said(3, view=None, is_founder=True, highest_epoch=0)], ""),
-        ([said(2, view=None, is_founder=True), said(3, view=None)], "first start"),
-        # named, so given up with what it has
-        ([said(2), said(3), said(1, state=MemberState.UNHEALTHY, offered_version=9)], ""),
+    for reports, words in (
+        ([report(2)], "two machines"),
+        ([report(2), report(3, uptime_seconds=1.0)], "has run for less"),
+        ([report(2), report(3, view=None, is_founder=True, highest_epoch=0)], ""),
+        ([report(2, view=None, is_founder=True), report(3, view=None)], "first start"),
+        # named as gone, so its data is given up, too
+        ([report(2), report(3), report(1, state=MemberState.UNHEALTHY, offered_version=9)], ""),
     ):
-        waits = make_case(told, gone, seeds).obstacles()
-        assert words in waits[0] if words else waits == [], waits
-    sick = [said(0, state=MemberState.UNHEALTHY), said(2), said(3)]
+        reasons = make_case(reports, gone, seeds).obstacles()
+        assert words in reasons[0] if words else reasons == [], reasons
+    sick = [report(0, state=MemberState.UNHEALTHY), report(2), report(3)]
     assert "disk is in trouble" in make_case(sick, {HOSTS[1]}, seeds).obstacles()[0]
 
 
-# --- at random
+# --- random faults
+
 
+async def _rescue_with_faults(cluster: StoreCluster, rng: Random) -> None:
+    """Loses two voters during changes, rescues the store, and returns the old disks.
 
-async def _lost_and_found(cluster: StoreCluster, rng: Random) -> None:
-    """Two voters are lost amid changes, one perhaps with a new disk in its place; a rescue; the old
-    disks come back at moments of their own, while links are slow and changes go on.
+    One voter may be replaced by a new disk at once. The old disks return at random times, while
+    links are slow and changes continue.
     """
     for machine in cluster.machines.values():
         machine.start()
@@ -351,7 +356,7 @@
     lost = rng.sample(
         [m.address[0] for m in cluster.primary().programs[0].replica.record.view.voters], 2
     )
-    # not both: the old disk's return in its place is one more loss
+    # not both: the return of an old disk loses the new one in its place
     renewed = rng.choice([*lost, ""])
     old, named = {}, []
     for machine in (cluster.machines[host] for host in lost):
@@ -363,22 +368,22 @@
         else:
             named.append(machine.host)
     await asyncio.sleep(rng.uniform(4.5, 6.0))
-    found = (await ask(cluster, named))["case"]
-    # what nobody in reach holds can't be known
-    cluster.acknowledged_version = min(cluster.acknowledged_version, int(found["version"][1:]))
+    case = (await ask(cluster, named))["case"]
+    # versions that no reachable member holds can't be restored
+    cluster.acknowledged_version = min(cluster.acknowledged_version, int(case["version"][1:]))
     cluster.sent += 100
-    if rng.random() < 0.5:  # a first one breaks off
-        first = cluster.machines[found["chosen"]]
-        word = asyncio.create_task(ask(cluster, named, found["token"], first.host))
+    if rng.random() < 0.5:  # interrupts a first rescue
+        first = cluster.machines[case["chosen"]]
+        first_rescue = asyncio.create_task(ask(cluster, named, case["token"], first.host))
         while all(g.replica.promised_epoch < EPOCH_RANGE for _, g in cluster.stores()):
             await asyncio.sleep(0.002)
         await asyncio.sleep(rng.uniform(0.0, 0.04))
         first.kill()
-        word.cancel()
+        first_rescue.cancel()
         await asyncio.sleep(0.1)
         first.start()
         await asyncio.sleep(4.5)
-    if cluster.find_primary() is None:  # else all had the view already
+    if cluster.find_primary() is None:  # otherwise all members already had the new view
         assert int((await rescue(cluster, named))["version"][1:]) >= cluster.acknowledged_version
     cluster.network.slow = {h: rng.choice((0.0, 0.05)) for h in cluster.machines}
 
@@ -399,16 +404,16 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_rescue_amid_changes_loses_nothing_that_was_in_reach(seed):
+def test_a_rescue_during_changes_loses_no_reachable_version(seed):
     cluster = StoreCluster(seed, (*HOSTS, "10.5.0.1")[: 4 + seed % 2])
-    cluster.do(_lost_and_found(cluster, Random(seed + 1000)))
+    cluster.do(_rescue_with_faults(cluster, Random(seed + 1000)))
     cluster.close()
 
 
 # --- with registries and limiters
 
 
-def test_registries_give_their_stores_back_what_those_lost():
+def test_registries_give_back_the_configuration_to_stores_that_lost_it():
     system = Cluster(3, proxies=1)
     system.do(system.begin())
     system.wait(1.0)
@@ -422,7 +427,7 @@
 
     system.do(again())
     system.wait(2.0)
-    _, answer = _word(system, {})
+    _, answer = _call_rescue(system, {})
     assert [r["given_back"] for r in answer["case"]["reach"]] == [f"r{system.version}"] * 3
     system.close()
 
@@ -435,7 +440,7 @@
     made.close()
 
 
-def _word(system, body: dict, core: int = 0):
+def _call_rescue(system, body: dict, core: int = 0):
     call = post("system.rescue", json.dumps(body).encode())
     got = system.do(exchange(system.streams("10.8.0.1"), system.controls[core], call, 5.0))
     return got.status, json.loads(got.body)
@@ -457,7 +462,7 @@
     system.do(again())
 
 
-@then("requests are served all the while and changes are not")
+@then("requests are served throughout, and changes are refused")
 def _(system):
     for _ in range(25):
         for ip in system.proxies:
@@ -469,21 +474,21 @@
     assert {s.configuration.table.version for s in system.all_proxies()} == {held}
 
 
-@when("its operators look at the rescue and give their word")
+@when("operators review the rescue case and confirm it")
 def _(system):
-    looks = [_word(system, {}, n) for n in range(3)]
-    assert {status for status, _ in looks} == {200} and len(
-        {s["case"]["token"] for _, s in looks}
+    replies = [_call_rescue(system, {}, n) for n in range(3)]
+    assert {status for status, _ in replies} == {200} and len(
+        {s["case"]["token"] for _, s in replies}
     ) == 1
-    found = looks[0][1]["case"]
-    assert found["waits"] == [] and found["epoch"] == 0 and not found["members"]
-    assert system.held.decode().startswith(f'{{"version": "{found["version"]}"')
-    system.token = found["token"]
-    status, answer = _word(system, {"token": system.token}, 1)
-    assert status == 200 and answer["done"]["version"] == found["version"], answer
+    case = replies[0][1]["case"]
+    assert case["waits"] == [] and case["epoch"] == 0 and not case["members"]
+    assert system.held.decode().startswith(f'{{"version": "{case["version"]}"')
+    system.token = case["token"]
+    status, answer = _call_rescue(system, {"token": system.token}, 1)
+    assert status == 200 and answer["done"]["version"] == case["version"], answer
 
 
-@then("the configuration that the limiters held is in force, and changes are")
+@then("the limiters' configuration is in force, and changes are acknowledged")
 def _(system):
     assert system.do(system.operator.read(3.0)) == system.held
     system.route("later", "beta")
@@ -491,9 +496,9 @@
     assert not system.back.done()
 
 
-@then("the same word is refused now")
+@then("a repeated confirmation is refused")
 def _(system):
-    status, answer = _word(system, {"token": system.token})
+    status, answer = _call_rescue(system, {"token": system.token})
     assert status == 409 and "nothing is lost" in answer["error"]
     for bad in ({"gone": "10.1.0.1"}, {"token": 7}, []):
-        assert _word(system, bad)[0] == 400
+        assert _call_rescue(system, bad)[0] == 400
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -248,12 +248,12 @@
     cluster.check()
 
 
-@then("the change that froze with it was not acknowledged")
+@then("the change in progress was not acknowledged")
 def _(cluster, change):
     assert cluster.do(change) is False
 
 
-@then("the old primary acknowledges nothing for its own part")
+@then("the old primary can't write")
 def _(cluster, old):
     assert not old.programs[0].replica.can_write(old.programs[0].clock())
     cluster.wait(0.5)
@@ -272,12 +272,12 @@
 
 @when(
     parsers.parse(
-        "a change is acknowledged, all machines lose power for {s:g} s and the disk of {whom} is "
+        "a change is acknowledged, all machines lose power for {s:g} s and the disk of {role} is "
         "empty"
     )
 )
-def _(cluster, s, whom):
-    _all_down(cluster, s, cluster.machine_in_role(whom))
+def _(cluster, s, role):
+    _all_down(cluster, s, cluster.machine_in_role(role))
 
 
 def _all_down(cluster, seconds, wiped):
@@ -302,13 +302,13 @@
     cluster.network.apart(side, [h for h in HOSTS if h not in side])
 
 
-@when("nothing comes through to the primary")
+@when("no message reaches the primary")
 def _(cluster, old):
     for host in HOSTS:
         cluster.network.cut(host, old.host, both=False)
 
 
-@when("the cut is mended")
+@when("the partition ends")
 def _(cluster):
     cluster.network.mend()
 
@@ -344,11 +344,11 @@
     cluster.machine_in_role("the backup").power_off()
 
 
-@when(parsers.re("the disk of (?P<whom>.*) (?P<trouble>hangs|refuses|is slow)"))
-def _(cluster, whom, trouble):
-    platter = cluster.machine_in_role(whom).platter
-    platter.hangs, platter.refuses = trouble == "hangs", trouble == "refuses"
-    platter.slower = 60.0 if trouble == "is slow" else 1.0
+@when(parsers.re("the disk of (?P<role>.*) (?P<fault>hangs|refuses|is slow)"))
+def _(cluster, role, fault):
+    platter = cluster.machine_in_role(role).platter
+    platter.hangs, platter.refuses = fault == "hangs", fault == "refuses"
+    platter.slower = 60.0 if fault == "is slow" else 1.0
 
 
 @when("the primary is told to stop")
@@ -356,7 +356,7 @@
     cluster.loop.create_task(old.leave())
 
 
-@when("the machines are exchanged one after the other for new ones")
+@when("the machines are replaced one after the other by new ones")
 def _(cluster):
     new = [f"10.{zone}.0.2" for zone in range(1, 5)]
     cluster.old_hosts, cluster.seeds = [*HOSTS], new[:3]
@@ -372,7 +372,7 @@
         assert cluster.do(cluster.put_within(0.5))
 
 
-@when("the old machines come back")
+@when("the old machines return")
 def _(cluster):
     cluster.start()
 
@@ -414,8 +414,8 @@
 
 
 @when(
-    "the backup hears nothing from the primary, whose disk is lost after an acknowledgement with "
-    "all power"
+    "the backup is cut off from the primary, whose disk is lost with all power after an "
+    "acknowledgement"
 )
 def _(cluster, old):
     cluster.network.cut(old.host, cluster.machine_in_role("the backup").host)
@@ -430,7 +430,7 @@
     cluster.start()
 
 
-@when(parsers.parse("all are killed, and the primary stays away, the backup for {s:g} s"))
+@when(parsers.parse("all are killed, and the primary stays down, the backup for {s:g} s"))
 def _(cluster, old, s):
     backup = cluster.machine_in_role("the backup")
     for machine in cluster.machines.values():
