--- a/loomstand/store/acceptor.py
+++ b/loomstand/store/acceptor.py
@@ -30,7 +30,7 @@
     async def handle_prepare(self, request: PrepareRequest) -> PrepareResponse:
         """A candidate asks for a promise, or whether there would be one."""
         is_promised = False
-        if not self._counting_leases.bars_promise(request.released_epoch):
+        if not self._counting_leases.blocks_promise(request.released_epoch):
             if request.epoch == 0:
                 is_promised = self._would_promise(request)
             else:
--- a/loomstand/store/counting_lease.py
+++ b/loomstand/store/counting_lease.py
@@ -107,7 +107,7 @@
             self.epoch, self.number, self.holder, self.incarnation, remaining_seconds
         )
 
-    def take_handover(self, now: float, handover: LeaseHandoverRow) -> None:
+    def apply_handover(self, now: float, handover: LeaseHandoverRow) -> None:
         """Takes over the state reported by the previous primary."""
         self.epoch = handover.epoch
         self.number = handover.number
--- a/loomstand/store/counting_lease_service.py
+++ b/loomstand/store/counting_lease_service.py
@@ -87,7 +87,7 @@
         if self._lease_left() > 0.0 and self.lease.expire(self._io.clock()):
             self._announce()
 
-    def bars_promise(self, released_epoch: int) -> bool:
+    def blocks_promise(self, released_epoch: int) -> bool:
         """Whether a promise must be refused to a candidate.
 
         This applies if this member granted the counting lease and then transferred its leadership,
--- a/loomstand/store/leadership.py
+++ b/loomstand/store/leadership.py
@@ -165,5 +165,5 @@
             if (base.epoch, base.primary.id) != (transfer.released_epoch, transfer.primary_id):
                 return
             if handover is not None:
-                self._counting_leases.lease.take_handover(self._io.clock(), handover)
+                self._counting_leases.lease.apply_handover(self._io.clock(), handover)
             await self.elect(take_over("its primary leaves", base), transfer)
--- a/tests/store/test_counting_lease.py
+++ b/tests/store/test_counting_lease.py
@@ -101,7 +101,7 @@
     ("what", "instead"),
     [
         ("restore", lambda self, *page: None),  # a restarted primary doesn't know the holder
-        ("take_handover", lambda self, *handover: None),  # nor does a new primary after a transfer
+        ("apply_handover", lambda self, *handover: None),  # nor does a new primary after a transfer
         (
             "expire",
             lambda self, now: bool(self.holder) and self.release(self.holder, self.incarnation),
