--- a/loomstand/store/counting_lease_service.py
+++ b/loomstand/store/counting_lease_service.py
@@ -94,7 +94,8 @@
         and the candidate doesn't know of the grant.
 
         Args:
-            released_epoch: Epoch of the view whose primary reported its release to the candidate.
+            released_epoch: Epoch of the view whose primary reported to the candidate that it no
+                longer serves.
         """
         return self.lease.is_granted(self._io.clock()) and released_epoch < self.lease.epoch
 
@@ -152,9 +153,8 @@
         """Whether no newer version can have been committed without this store knowing of it.
 
         That holds while the primary's last reported lease lasts. It also holds for a short time
-        after contact with the primary is lost if this store reaches a quorum of electors, as no
-        other primary can have been elected without one of them; reads then needn't wait for a
-        takeover.
+        after contact with the primary is lost if this store reaches a quorum of electors, as any
+        new primary needs the vote of one of them; reads then needn't wait for a takeover.
         """
         replica = self._io.replica
         now = self._io.clock()
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -1,7 +1,7 @@
 """Partitions, freezes and disk losses of core machines, in simulated control planes.
 
-Operators with long timeouts must not read outdated versions, get changes refused for other content,
-or lose acknowledged changes.
+Operators with long timeouts must not read outdated versions, get valid changes refused, or lose
+acknowledged changes.
 """
 
 from __future__ import annotations
@@ -120,19 +120,20 @@
 
 
 def cuts(plane: ControlPlane, how: str) -> set[tuple[str, str]]:
+    """Returns the cut links, as source and destination; directions are those of the primary."""
     first = plane.primary()
     rest = [ip for ip in plane.core_ips if ip != first]
     return {
-        "off": {
+        "isolated": {
             (a, b) for a in plane.core_ips for b in plane.core_ips if (a == first) != (b == first)
         },
-        "deaf": {(ip, first) for ip in rest},
-        "dumb": {(first, ip) for ip in rest},
-        "each of two sees a third": {(first, rest[0]), (rest[0], first)},
+        "inbound": {(ip, first) for ip in rest},
+        "outbound": {(first, ip) for ip in rest},
+        "one link": {(first, rest[0]), (rest[0], first)},
     }[how]
 
 
-@pytest.mark.parametrize("how", ["off", "deaf", "dumb", "each of two sees a third"])
+@pytest.mark.parametrize("how", ["isolated", "inbound", "outbound", "one link"])
 def test_a_partition_of_twenty_seconds_serves_no_outdated_version_and_refuses_no_change(plane, how):
     async def scenario() -> None:
         first = plane.primary()
@@ -220,7 +221,7 @@
     ]
     version = plane.version
     await asyncio.sleep(ms / 1000)
-    if how in ("off", "deaf", "dumb"):
+    if how in ("isolated", "inbound", "outbound"):
         plane.sky.cuts |= cuts(plane, how) if plane.primary() else set()
     for host in plane.hosts(first):
         if how == "frozen":
@@ -244,7 +245,7 @@
     await plane.calm()
 
 
-@pytest.mark.parametrize("how", ["off", "deaf", "dumb", "frozen", "wiped"])
+@pytest.mark.parametrize("how", ["isolated", "inbound", "outbound", "frozen", "wiped"])
 def test_a_fault_of_the_primary_at_any_step_of_a_change(plane, how):
     for ms in range(0, 26, 3):
         plane.do(fault_during_change(plane, how, ms + 0.5))
--- a/tests/store/test_replica_copies.py
+++ b/tests/store/test_replica_copies.py
@@ -91,16 +91,16 @@
 # --- single faults and operations
 
 
-async def wipe(cluster: StoreCluster, whom: str) -> None:
-    machine = cluster.machine_in_role(whom)
+async def wipe(cluster: StoreCluster, role: str) -> None:
+    machine = cluster.machine_in_role(role)
     machine.power_off(wipe=True)
     await asyncio.sleep(1.0)
     machine.start()
     await asyncio.sleep(4.0)
 
 
-async def kill(cluster: StoreCluster, whom: str) -> None:
-    machine = cluster.machine_in_role(whom)
+async def kill(cluster: StoreCluster, role: str) -> None:
+    machine = cluster.machine_in_role(role)
     machine.kill()
     await asyncio.sleep(1.0)
     machine.start()
@@ -118,8 +118,8 @@
 
 async def remove_backup_and_primary(cluster: StoreCluster) -> None:
     """Shuts down the backup and loses its disk, then does the same to the primary."""
-    for whom in ("the backup", "the primary"):
-        machine = cluster.machine_in_role(whom)
+    for role in ("the backup", "the primary"):
+        machine = cluster.machine_in_role(role)
         await machine.leave()
         machine.platter.wipe()
         await asyncio.sleep(2.0)
--- a/tests/store/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -334,8 +334,8 @@
     ):
         reasons = make_case(reports, gone, seeds).obstacles()
         assert words in reasons[0] if words else reasons == [], reasons
-    sick = [report(0, state=MemberState.UNHEALTHY), report(2), report(3)]
-    assert "disk is in trouble" in make_case(sick, {HOSTS[1]}, seeds).obstacles()[0]
+    unhealthy = [report(0, state=MemberState.UNHEALTHY), report(2), report(3)]
+    assert "disk is in trouble" in make_case(unhealthy, {HOSTS[1]}, seeds).obstacles()[0]
 
 
 # --- random faults
