--- a/loomstand/store/acceptor.py
+++ b/loomstand/store/acceptor.py
@@ -30,7 +30,7 @@
     async def handle_prepare(self, request: PrepareRequest) -> PrepareResponse:
         """Promises an epoch to a candidate; epoch 0 only asks whether it would, without a write."""
         is_promised = False
-        if not self._counting_leases.bars_promise(request.released_epoch):
+        if not self._counting_leases.blocks_promise(request.released_epoch):
             if request.epoch == 0:
                 is_promised = self._would_promise(request)
             else:
