--- a/loomstand/__main__.py
+++ b/loomstand/__main__.py
@@ -1,4 +1,4 @@
-"""python -m loomstand"""
+"""`python -m loomstand`: the stand-alone limiter and its tools."""
 
 from loomstand.cli.main import main
 
--- a/loomstand/cli/__init__.py
+++ b/loomstand/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of the stand-alone limiter and of the tools (`python -m loomstand`)."""
+"""Command line of the stand-alone limiter and its tools (`python -m loomstand`)."""
--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The commands of `python -m loomstand`."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @click.group()
 def main() -> None:
-    """Loomstand holds customers to their quotas before a shared back end."""
+    """Loomstand limits customers to their request quotas in front of shared servers."""
 
 
-def configured(path: str | None) -> LimiterConfig:
+def load_config(path: str | None) -> LimiterConfig:
     try:
         return load_limiter_config(os.environ, path)
-    except LimiterConfigError as why:
-        raise click.ClickException(str(why)) from None
+    except LimiterConfigError as error:
+        raise click.ClickException(str(error)) from None
 
 
 file_option = click.option(
@@ -37,48 +37,48 @@
 @main.command()
 @file_option
 def serve(path: str | None) -> None:
-    """Run one limiter until SIGTERM; SIGHUP makes it read its configuration again."""
+    """Run one limiter until SIGTERM or SIGINT; SIGHUP reloads its configuration."""
     from loomstand.limiter.event_loop import Turns
     from loomstand.limiter.limiter import Limiter
 
-    config, turns = configured(path), Turns()
+    config, turns = load_config(path), Turns()
 
-    def again(limiter: Limiter) -> None:
+    def reload(limiter: Limiter) -> None:
         try:
             limiter.reload(load_limiter_config(os.environ, path, reloading=True))
-        except LimiterConfigError as why:
-            limiter.log(f"the configuration can't be used, the one held stands: {why}")
+        except LimiterConfigError as error:
+            limiter.log(f"the configuration can't be used, the one held stands: {error}")
 
     async def run() -> None:
         limiter = Limiter(config, turns)
         for sig in (signal.SIGTERM, signal.SIGINT):
             limiter.loop.add_signal_handler(sig, limiter.stop)
-        limiter.loop.add_signal_handler(signal.SIGHUP, again, limiter)
+        limiter.loop.add_signal_handler(signal.SIGHUP, reload, limiter)
         await limiter.run()
 
     with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(turns)) as runner:
         try:
             runner.run(run())
-        except OSError as why:
+        except OSError as error:
             raise click.ClickException(
-                f"cannot listen at {config.listen_address[0]}:{config.listen_address[1]}: {why}"
+                f"cannot listen at {config.listen_address[0]}:{config.listen_address[1]}: {error}"
             ) from None
 
 
 @main.command()
 @file_option
 def check(path: str | None) -> None:
-    """Read the configuration and say what it holds, without serving."""
-    config = configured(path)
-    told, (host, port) = engine_settings(config.settings, 0), config.listen_address
+    """Read the configuration and print a summary, without serving."""
+    config = load_config(path)
+    settings, (host, port) = engine_settings(config.settings, 0), config.listen_address
     click.echo(
-        f"{config.name}: limiter {told.limiter_index} of {told.limiter_count}, "
+        f"{config.name}: limiter {settings.limiter_index} of {settings.limiter_count}, "
         f"listens at {host}:{port}"
     )
-    click.echo(f"frontends: {', '.join(f.name for f in config.settings.frontends)}")
-    click.echo(f"plans: {', '.join(p.name for p in config.settings.plans) or 'none'}")
-    known = config.initial_backends
-    click.echo(f"servers known: {len(known.backends)}, as of revision {known.revision}")
+    click.echo(f"frontends: {', '.join(frontend.name for frontend in config.settings.frontends)}")
+    click.echo(f"plans: {', '.join(plan.name for plan in config.settings.plans) or 'none'}")
+    initial = config.initial_backends
+    click.echo(f"servers known: {len(initial.backends)}, as of revision {initial.revision}")
 
 
 @main.command()
@@ -89,43 +89,44 @@
 
 @main.group()
 def lab() -> None:
-    """Play the fleet in simulated time: the real module at sizes sockets don't reach
-    (docs/lab.md).
+    """Emulate a fleet in simulated time: the real decision module in fleets larger than processes
+    and sockets allow (docs/lab.md).
     """
 
 
-def scenario_table(path: str) -> dict:
+def read_scenario_table(path: str) -> dict:
+    """Returns the scenario file's TOML table."""
     from loomstand.testing.emulator import scenario as sc
 
     try:
         return sc.read(path)
-    except sc.ScenarioError as why:
-        raise click.ClickException(str(why)) from None
+    except sc.ScenarioError as error:
+        raise click.ClickException(str(error)) from None
 
 
 @lab.command("run")
 @click.argument("scenario_file", metavar="SCENARIO", type=click.Path(dir_okay=False))
 @click.option("--seed", type=int, default=None, help="default: the scenario's")
 @click.option(
-    "--out", type=click.Path(file_okay=False), default=None, help="where report.json goes"
+    "--out", type=click.Path(file_okay=False), default=None, help="directory for report.json"
 )
-@click.option("--plot/--no-plot", default=False, help="draw the PNGs into --out as well")
+@click.option("--plot/--no-plot", default=False, help="also draw the PNGs into --out")
 def lab_run(scenario_file: str, seed: int | None, out: str | None, plot: bool) -> None:
-    """Play SCENARIO with the module and its baselines; exit 1 if the module broke a rule."""
+    """Emulate SCENARIO with the module and its baselines; exit 1 if the module broke a rule."""
     from rich.console import Console
     from rich.progress import Progress
 
     from loomstand.testing.emulator import report, runner
     from loomstand.testing.emulator import scenario as sc
 
-    scenario = sc.from_table(scenario_table(scenario_file))
+    scenario = sc.from_table(read_scenario_table(scenario_file))
     policies = runner.policies(scenario)
     with Progress(console=Console(stderr=True), transient=True) as bar:
         task = bar.add_task("simulated seconds", total=scenario.seconds * len(policies))
 
         def progress(policy: str, second: float) -> None:
-            done = policies.index(policy) * scenario.seconds + second
-            bar.update(task, completed=done, description=f"playing {policy}")
+            completed = policies.index(policy) * scenario.seconds + second
+            bar.update(task, completed=completed, description=f"emulating {policy}")
 
         result = runner.run(scenario, seed, progress=progress)
     report.table(result, Console())
@@ -148,8 +149,8 @@
     "--workers", type=click.IntRange(1, 64), default=os.cpu_count() or 1, show_default=True
 )
 def lab_sweep(scenario_file: str, setting: str, seed: int | None, out: str, workers: int) -> None:
-    """Play SCENARIO once a value of KEY, in parallel; a report a point in OUT/point-N, plots at the
-    end.
+    """Emulate SCENARIO once for each value of KEY, in parallel. Each run's report goes to
+    OUT/point-N, and plots are drawn at the end.
     """
     import json
     from pathlib import Path
@@ -159,14 +160,14 @@
     from loomstand.testing.emulator import report, runner
     from loomstand.testing.emulator import scenario as sc
 
-    table = scenario_table(scenario_file)
+    table = read_scenario_table(scenario_file)
     try:
         key, vals = runner.values(setting)
         with Progress(transient=True) as bar:
             bar.add_task(f"sweep of {key}", total=None)
             results = runner.sweep(table, key, vals, seed, workers)
-    except sc.ScenarioError as why:
-        raise click.ClickException(str(why)) from None
+    except sc.ScenarioError as error:
+        raise click.ClickException(str(error)) from None
     points = []
     for n, (value, result) in enumerate(zip(vals, results, strict=True)):
         result["swept"] = value
@@ -191,14 +192,17 @@
 
 @main.command()
 @click.argument("scenario_file", metavar="SCENARIO", type=click.Path(dir_okay=False))
-@click.option("--quick", is_flag=True, help="the scenario's short form")
+@click.option("--quick", is_flag=True, help="run the scenario's short form")
 @click.option("--seed", type=int, default=None, help="default: the scenario's")
 @click.option("--set", "sets", multiple=True, help="KEY=VALUE, e.g. fleet.limiters=6")
 @click.option("--no-plan", is_flag=True, help="without the scenario's site plan")
 @click.option(
-    "--out", type=click.Path(file_okay=False), default=None, help="where trails, logs and report go"
+    "--out",
+    type=click.Path(file_okay=False),
+    default=None,
+    help="directory for event trails, logs and the report",
 )
-@click.option("--plot/--no-plot", default=False, help="draw the PNGs into --out as well")
+@click.option("--plot/--no-plot", default=False, help="also draw the PNGs into --out")
 def rehearse(
     scenario_file: str,
     quick: bool,
@@ -208,8 +212,8 @@
     out: str | None,
     plot: bool,
 ) -> None:
-    """Play SCENARIO on limiter processes among stand-ins (docs/rehearse.md); exit 0 only if all
-    holds.
+    """Run SCENARIO on real limiter processes with stand-ins for the rest of the system
+    (docs/rehearse.md); exit 0 only if all checks pass.
     """
     import tempfile
     from pathlib import Path
@@ -223,101 +227,113 @@
     from loomstand.testing.rehearsal.stage import StageError, stage
 
     try:
-        given = {key: vals[0] for key, vals in map(values, sets)}
-        told = scenario.load(scenario_file, quick, given)
-        plan = b"" if no_plan else scenario.plan_of(told, scenario_file)
-    except ScenarioError as why:
-        raise click.ClickException(str(why)) from None
-    seed = told.seed if seed is None else seed
+        overrides = {key: vals[0] for key, vals in map(values, sets)}
+        rehearsal = scenario.load(scenario_file, quick, overrides)
+        plan = b"" if no_plan else scenario.plan_of(rehearsal, scenario_file)
+    except ScenarioError as error:
+        raise click.ClickException(str(error)) from None
+    seed = rehearsal.seed if seed is None else seed
     with tempfile.TemporaryDirectory(prefix="rehearsal-") as scratch:
-        place = Path(out or scratch)
-        if (place / "trail").exists():
-            raise click.ClickException(f"{place} holds another rehearsal already")
+        directory = Path(out or scratch)
+        if (directory / "trail").exists():
+            raise click.ClickException(f"{directory} already contains another rehearsal")
         with Progress(console=Console(stderr=True), transient=True) as bar:
-            task = bar.add_task(f"rehearsing {told.name}", total=told.seconds)
+            task = bar.add_task(f"rehearsing {rehearsal.name}", total=rehearsal.seconds)
 
-            async def play() -> None:
+            async def run() -> None:
                 asyncio.get_running_loop().add_signal_handler(
                     signal.SIGTERM, asyncio.current_task().cancel
                 )
-                await stage(told, seed, place, plan, lambda s: bar.update(task, completed=s))
+                await stage(
+                    rehearsal, seed, directory, plan, lambda s: bar.update(task, completed=s)
+                )
 
             try:
-                asyncio.run(play())
-            except StageError as why:
-                raise click.ClickException(str(why)) from None
+                asyncio.run(run())
+            except StageError as error:
+                raise click.ClickException(str(error)) from None
             except (KeyboardInterrupt, asyncio.CancelledError):
                 raise click.ClickException(
-                    "ended before its time; all processes are ended"
+                    "interrupted; all processes of the rehearsal have ended"
                 ) from None
-        result = report.make(told, seed, place)
+        result = report.make(rehearsal, seed, directory)
         report.table(result, Console())
         if out and plot:
-            report.plot(result, place)
+            report.plot(result, directory)
     if not report.passed(result):
         raise SystemExit(1)
 
 
 @main.group()
 def plan() -> None:
-    """The site plan: what the loss of a zone means, asked beforehand (docs/sites.md)."""
+    """Check a site plan and forecast the effects of the loss of a zone (docs/sites.md)."""
 
 
-def site_plan(path: str):
+def load_site_plan(path: str):
     from loomstand.failover import zone_plan as plans
 
     try:
         return plans.load(path)
-    except plans.PlanError as why:
-        raise click.ClickException(str(why)) from None
+    except plans.PlanError as error:
+        raise click.ClickException(str(error)) from None
 
 
 @plan.command("check")
 @click.argument("path", metavar="FILE", type=click.Path(dir_okay=False))
 def plan_check(path: str) -> None:
-    """Read the plan in FILE and name the faulty key if there is one."""
-    told = site_plan(path)
-    order = [r.name for r in told.refuse] + ["the rest"] + ([told.keep.name] if told.keep else [])
+    """Read the plan in FILE and name the invalid key if there is one."""
+    zone_plan = load_site_plan(path)
+    order = (
+        [rule.name for rule in zone_plan.refuse]
+        + ["the rest"]
+        + ([zone_plan.keep.name] if zone_plan.keep else [])
+    )
     click.echo(f"refused in this order: {', '.join(order)}")
-    click.echo(f"zones: {', '.join(z.name for z in told.zones) or 'none'}")
+    click.echo(f"zones: {', '.join(zone.name for zone in zone_plan.zones) or 'none'}")
 
 
 @plan.command("show")
 @click.argument("path", metavar="FILE", type=click.Path(dir_okay=False))
 def plan_show(path: str) -> None:
-    """Tell for the loss of each zone of the plan in FILE where its load goes and what is refused;
-    exit 1 if the fleet does not bear one.
+    """Show for the loss of each zone of the plan in FILE where its load goes and what is refused;
+    exit 1 if the fleet is too small to bear one of the losses.
     """
     from loomstand.failover.zone_plan import forecast
 
-    told, borne = site_plan(path), True
-    if not told.zones or not told.demand:
+    zone_plan, sufficient = load_site_plan(path), True
+    if not zone_plan.zones or not zone_plan.demand:
         raise click.ClickException(
-            f"{path}: key 'zones' and key 'demand' are needed to tell anything"
+            f"{path}: key 'zones' and key 'demand' are needed for a forecast"
         )
-    for lost in ["", *(z.name for z in told.zones)]:
-        f = forecast(told, lost)
-        click.echo(f"zone {lost} lost:" if lost else "no zone lost:")
+    for lost_zone in ["", *(zone.name for zone in zone_plan.zones)]:
+        result = forecast(zone_plan, lost_zone)
+        click.echo(f"zone {lost_zone} lost:" if lost_zone else "no zone lost:")
         click.echo(
-            f"  asked {f.demand_slots:.1f} slots, room for {f.usable_slots:.1f}; "
-            f"use {f.utilization:.2f}; worth {f.admitted_value_share:.3f}"
+            f"  asked {result.demand_slots:.1f} slots, room for {result.usable_slots:.1f}; "
+            f"use {result.utilization:.2f}; worth {result.admitted_value_share:.3f}"
         )
-        if lost:
+        if lost_zone:
             click.echo(
                 "  its load goes to "
-                + ", ".join(f"{z} {n:.1f} slots" for z, n in f.moved_slots.items())
+                + ", ".join(
+                    f"{zone} {slots:.1f} slots" for zone, slots in result.moved_slots.items()
+                )
             )
-        for r in f.ranks:
-            if r.refused_share > 0:
+        for rank in result.ranks:
+            if rank.refused_share > 0:
                 click.echo(
-                    f"  refused: {r.refused_share:.0%} of {r.name} "
-                    f"({r.demand_slots - r.admitted_slots:.1f} slots)"
+                    f"  refused: {rank.refused_share:.0%} of {rank.name} "
+                    f"({rank.demand_slots - rank.admitted_slots:.1f} slots)"
                 )
-        if f.missing_servers_for_all:
-            click.echo(f"  {f.missing_servers_for_all} more servers would bear all that is asked")
-        if f.missing_servers:
-            borne = False
-            s = "" if f.missing_servers == 1 else "s"
-            click.echo(f"  the fleet does not bear this: {f.missing_servers} more server{s} needed")
-    if not borne:
+        if result.missing_servers_for_all:
+            click.echo(
+                f"  {result.missing_servers_for_all} more servers would bear all that is asked"
+            )
+        if result.missing_servers:
+            sufficient = False
+            s = "" if result.missing_servers == 1 else "s"
+            click.echo(
+                f"  the fleet does not bear this: {result.missing_servers} more server{s} needed"
+            )
+    if not sufficient:
         raise SystemExit(1)
--- a/loomstand/ctl/__init__.py
+++ b/loomstand/ctl/__init__.py
@@ -1,3 +1,4 @@
-"""The operators' command line of the gateway. No daemon imports it: its packages aren't on their
-machines.
+"""Command line for operators of the gateway (`python -m loomstand.ctl`).
+
+No daemon imports it, because the packages it depends on aren't installed on the daemons' machines.
 """
--- a/loomstand/ctl/advice.py
+++ b/loomstand/ctl/advice.py
@@ -1,4 +1,7 @@
-"""What is valid in a configuration but unwise. Pure."""
+"""Warnings on what is valid in a configuration but unwise.
+
+Pure functions without input or output.
+"""
 
 from __future__ import annotations
 
@@ -8,130 +11,151 @@
 from typing import Any
 
 from loomstand.config.configuration import Configuration, Route, Service, Tenant
-from loomstand.ctl.plain import time
+from loomstand.ctl.common import format_seconds
 
-_SHOWN = 60  # characters of a name; as in the messages of what is invalid
+_MAX_NAME_CHARS = 60  # of a resource's name; as in the errors of an invalid configuration
 
 
 @dataclass(slots=True, frozen=True)
-class Warning:
-    """Where, what and what to do about it, a line each; no key stands in it."""
+class ConfigurationWarning:
+    """One line each for the place, the problem and the remedy; none contains an API key.
+
+    The field names are printed as JSON keys.
+    """
 
     place: str
     what: str
     mend: str
 
 
-class _Places:
-    """The words for each resource's place, as the errors of the check have them."""
+class _ResourcePlaces:
+    """Formats a resource's place as the errors of an invalid configuration do.
+
+    Attributes:
+        specifications: By kind and name of a resource, its specification.
+        positions: By kind and name of a resource, its index in the list.
+    """
 
     def __init__(self, raw: bytes) -> None:
-        self.specs: dict[tuple[str, str], dict[str, Any]] = {}
-        self.at: dict[tuple[str, str], int] = {}
+        self.specifications: dict[tuple[str, str], dict[str, Any]] = {}
+        self.positions: dict[tuple[str, str], int] = {}
         for n, resource in enumerate(json.loads(raw)["resources"]):
             key = (resource["resource_kind"], (resource.get("metadata") or {}).get("name") or "")
-            self.specs[key], self.at[key] = resource.get("specification") or {}, n
+            self.specifications[key], self.positions[key] = resource.get("specification") or {}, n
 
-    def of(self, kind: str, name: str, where: str = "") -> str:
-        place = f"resources[{self.at[kind, name]}] {kind.removesuffix('s')} {name[:_SHOWN]}"
-        return f"{place}: specification.{where}" if where else place
+    def place(self, kind: str, name: str, field: str = "") -> str:
+        position = self.positions[kind, name]
+        place = f"resources[{position}] {kind.removesuffix('s')} {name[:_MAX_NAME_CHARS]}"
+        return f"{place}: specification.{field}" if field else place
 
 
-def advice(config: Configuration) -> list[Warning]:
-    """All warnings on a checked configuration, by kind and in its order."""
-    places = _Places(config.raw)
-    out: list[Warning] = []
+def find_warnings(config: Configuration) -> list[ConfigurationWarning]:
+    """Returns all warnings on a valid configuration, by kind of resource and in its order."""
+    places = _ResourcePlaces(config.raw)
+    out: list[ConfigurationWarning] = []
     for route in config.routes:
-        out += _route(route, places)
+        out += _check_route(route, places)
         if route.public and config.tenants is not None:
             out.append(
-                Warning(
-                    places.of("routes", route.name, "public"),
+                ConfigurationWarning(
+                    places.place("routes", route.name, "public"),
                     "served without a key and outside all quotas, though there are tenants",
-                    "set it to false, unless anybody may ask",
+                    "set it to false, unless anybody may send requests",
                 )
             )
-    out += _nested(config.routes, places)
+    out += _check_nested_routes(config.routes, places)
     used = {service for route in config.routes for service, _ in route.traffic_split}
     for service in config.services.values():
-        out += _service(service, service.name in used, places)
+        out += _check_service(service, service.name in used, places)
     for tenant in config.tenants or ():
-        out += _tenant(tenant, places)
+        out += _check_tenant(tenant, places)
     if config.tenants and sum(tenant.rate_per_second for tenant in config.tenants) == 0:
         out.append(
-            Warning("tenants", "their quotas add up to 0: nobody is held to any", "set rate_per_s")
+            ConfigurationWarning(
+                "tenants", "their quotas add up to 0: no tenant is limited", "set rate_per_s"
+            )
         )
     return out
 
 
-def _route(route: Route, places: _Places) -> Iterator[Warning]:
-    def at(where: str) -> str:
-        return places.of("routes", route.name, where)
+def _check_route(route: Route, places: _ResourcePlaces) -> Iterator[ConfigurationWarning]:
+    def place(field: str) -> str:
+        return places.place("routes", route.name, field)
 
     if route.target_latency_seconds == 0:
-        yield Warning(
-            at("target_latency"), "0: no answer can come within it", "set what clients expect"
+        yield ConfigurationWarning(
+            place("target_latency"),
+            "0: no response can come within it",
+            "set the latency that clients expect",
         )
     if route.timeout_seconds == 0:
-        yield Warning(
-            at("timeout"), "0: no request can be answered", "set how long one may be held"
+        yield ConfigurationWarning(
+            place("timeout"),
+            "0: no request can be answered",
+            "set how long a request may take",
         )
     elif route.timeout_seconds < route.target_latency_seconds:
-        yield Warning(
-            at("timeout"),
-            f"{time(route.timeout_seconds)} is shorter than the target latency, "
-            f"{time(route.target_latency_seconds)}: "
-            "requests are given up that would still earn their full worth",
-            "raise it, to some times the target, or lower the target",
+        yield ConfigurationWarning(
+            place("timeout"),
+            f"{format_seconds(route.timeout_seconds)} is shorter than the target latency, "
+            f"{format_seconds(route.target_latency_seconds)}: "
+            "requests are abandoned that could still be answered within the target",
+            "raise it to several times the target, or lower the target",
         )
     if route.max_attempts > 1 and not route.idempotent:
-        yield Warning(
-            at("maximum_attempts"),
-            f"{route.max_attempts} on a non-idempotent route means servers asked, not runs: "
-            "another is asked only where the one before surely didn't run the request",
-            "keep it if that is meant, else set 1; it doesn't repeat what may have run",
+        yield ConfigurationWarning(
+            place("maximum_attempts"),
+            f"{route.max_attempts} on a non-idempotent route limits the servers tried, not the "
+            "executions: another server is tried only if the previous one certainly didn't run "
+            "the request",
+            "keep it if that is intended, else set 1; what may have run is never repeated",
         )
     if any(c in route.path_prefix for c in "?# "):
-        yield Warning(
-            at("path_prefix"),
-            "has a character that no path has: it is never reached",
-            "take it out",
+        yield ConfigurationWarning(
+            place("path_prefix"),
+            "contains a character that no path has: no request matches it",
+            "remove the character",
         )
-    yield from _split(route, places)
-
-
-def _split(route: Route, places: _Places) -> Iterator[Warning]:
-    spec, seen = places.specs["routes", route.name], set[str]()
-    single = spec.get("service_name") or ""
-    if spec.get("traffic_split") and single:
-        unnamed = "" if single in dict(route.traffic_split) else ", which has no part in it"
-        yield Warning(
-            places.of("routes", route.name, "service_name"),
-            f"passed over, as traffic_split prevails{unnamed}",
-            "take out the one that isn't meant",
+    yield from _check_split(route, places)
+
+
+def _check_split(route: Route, places: _ResourcePlaces) -> Iterator[ConfigurationWarning]:
+    specification, seen = places.specifications["routes", route.name], set[str]()
+    single = specification.get("service_name") or ""
+    if specification.get("traffic_split") and single:
+        unnamed = "" if single in dict(route.traffic_split) else ", which doesn't contain it"
+        yield ConfigurationWarning(
+            places.place("routes", route.name, "service_name"),
+            f"ignored, as traffic_split takes precedence{unnamed}",
+            "remove the one that isn't meant",
         )
     for n, (service, weight) in enumerate(route.traffic_split):
-        place = places.of("routes", route.name, f"traffic_split[{n}]")
+        place = places.place("routes", route.name, f"traffic_split[{n}]")
         if weight == 0:
-            what = f"weight 0: {service[:_SHOWN]} gets nothing"
-            yield Warning(place, what, "give it a weight, or take it out")
+            problem = f"weight 0: {service[:_MAX_NAME_CHARS]} gets no requests"
+            yield ConfigurationWarning(place, problem, "set a weight, or remove the entry")
         if service in seen:
-            yield Warning(
-                place, f"{service[:_SHOWN]} once more: its weights add up", "make it one entry"
+            yield ConfigurationWarning(
+                place,
+                f"{service[:_MAX_NAME_CHARS]} is listed again: its weights add up",
+                "merge its entries into one",
             )
         seen.add(service)
 
 
-def _nested(routes: tuple[Route, ...], places: _Places) -> Iterator[Warning]:
-    """Routes of a host and kind inside each other; one of another kind is how kinds are told
-    apart.
+def _check_nested_routes(
+    routes: tuple[Route, ...], places: _ResourcePlaces
+) -> Iterator[ConfigurationWarning]:
+    """Warns of a route whose prefix lies within that of another of the same host and kind.
+
+    Nested routes of different kinds are usual: they tell idempotent paths from the others.
     """
-    found = {(route.host, route.path_prefix): route for route in routes}
+    by_prefix = {(route.host, route.path_prefix): route for route in routes}
     for route in routes:
         end = route.path_prefix.rfind("/", 0, len(route.path_prefix) - 1) + 1
         outer = None
         while end > 0 and outer is None:
-            outer = found.get((route.host, route.path_prefix[:end]))
+            outer = by_prefix.get((route.host, route.path_prefix[:end]))
             end = route.path_prefix.rfind("/", 0, end - 1) + 1
         if outer is None or outer.idempotent != route.idempotent:
             continue
@@ -140,40 +164,44 @@
             for f in Route.__slots__
             if f not in ("name", "path_prefix")
         )
-        yield Warning(
-            places.of("routes", route.name, "path_prefix"),
-            f"hides a part of route {outer.name[:_SHOWN]}, of the same host and kind"
-            + (", and says the same" if same else ""),
-            "take out this one: the other serves its paths too"
+        yield ConfigurationWarning(
+            places.place("routes", route.name, "path_prefix"),
+            f"overrides a part of route {outer.name[:_MAX_NAME_CHARS]}, of the same host and kind"
+            + (", with the same settings" if same else ""),
+            "remove this route: the other serves its paths too"
             if same
-            else "keep it if that part is meant",
+            else "keep it if that is intended",
         )
 
 
-def _service(service: Service, used: bool, places: _Places) -> Iterator[Warning]:
+def _check_service(
+    service: Service, used: bool, places: _ResourcePlaces
+) -> Iterator[ConfigurationWarning]:
     if not used:
-        yield Warning(
-            places.of("services", service.name), "no route names it", "add a route, or take it out"
+        yield ConfigurationWarning(
+            places.place("services", service.name),
+            "no route uses it",
+            "add a route, or remove the service",
         )
     if service.connection_limit == 0:
-        yield Warning(
-            places.of("services", service.name, "connection_limit"),
+        yield ConfigurationWarning(
+            places.place("services", service.name, "connection_limit"),
             "0: no connection may be made to its servers",
-            "set what a server accepts from all callers together",
+            "set how many connections a server accepts from all callers together",
         )
 
 
-def _tenant(tenant: Tenant, places: _Places) -> Iterator[Warning]:
-    if not any(tenant.api_keys):  # an empty key is never one that a request shows
-        yield Warning(
-            places.of("tenants", tenant.name, "api_keys"),
-            "none: it can't ask",
-            "add a key, or take it out",
+def _check_tenant(tenant: Tenant, places: _ResourcePlaces) -> Iterator[ConfigurationWarning]:
+    if not any(tenant.api_keys):  # an empty key never matches a request
+        yield ConfigurationWarning(
+            places.place("tenants", tenant.name, "api_keys"),
+            "no key: the tenant can't send requests",
+            "add a key, or remove the tenant",
         )
     if tenant.rate_per_second == 0:
-        burst = ", and its burst_size says nothing" if tenant.burst_size else ""
-        yield Warning(
-            places.of("tenants", tenant.name, "rate_per_s"),
-            f"no quota: it is unlimited{burst}",
+        burst = ", and its burst_size has no effect" if tenant.burst_size else ""
+        yield ConfigurationWarning(
+            places.place("tenants", tenant.name, "rate_per_s"),
+            f"no quota: the tenant is unlimited{burst}",
             "set one",
         )
--- a/loomstand/ctl/calls.py
+++ b/loomstand/ctl/calls.py
@@ -1,4 +1,6 @@
-"""The operator's own calls, over HTTP, as the protocol wants callers to behave."""
+"""HTTP calls to registries, with the retries that the protocol asks of callers, and the commands
+`config push` and `config read`.
+"""
 
 from __future__ import annotations
 
@@ -12,186 +14,248 @@
 from loomstand.config.configuration import Configuration, ConfigurationError, parse_configuration
 from loomstand.config.units import UnitError, format_version, parse_port, parse_version
 from loomstand.ctl.commands import ConfigPush, ConfigRead
-from loomstand.ctl.masks import mask, masked
-from loomstand.ctl.plain import Wrong, configuration, held, said
-from loomstand.ctl.plain import time as lasting
+from loomstand.ctl.common import (
+    CommandError,
+    check_configuration,
+    format_seconds,
+    read_input,
+    single_line,
+)
+from loomstand.ctl.masks import is_masked, mask_keys
 
 Address = tuple[str, int]
 
-SILENCE = 1.0  # seconds without a byte, by the protocol
-PER_MEBIBYTE = 1.0  # seconds more for a body of that size: "longer for large bodies"
-FOLLOWED = 2  # 307s of one call, by the protocol
-FINAL = (400, 409, 412, 413, 422)  # these end a call at once, by the protocol
-ELSEWHERE = (408, 429)  # of 4xx: the next address, by the protocol
-OTHERS = 3  # other 4xx end a call at this try, by the protocol
-# Between two tries: short at first, as most failures are one registry's; then long enough that
-# operators who all wait for a start are no load.
-FIRST_PAUSE, GROWS, MOST_PAUSE = 0.1, 1.6, 2.0
-MOST_BODY = 64 << 20  # bytes of an answer; a registry takes configurations of 8 MiB
-CHUNK = 1 << 16
+# The protocol sets these values, up to MAX_OTHER_CLIENT_ERRORS.
+READ_TIMEOUT_SECONDS = 1.0  # without a byte from the registry
+EXTRA_TIMEOUT_SECONDS_PER_MIB = 1.0  # of the request's body: "longer for large bodies"
+MAX_REDIRECTS = 2  # 307 responses that one attempt follows
+FINAL_STATUSES = (400, 409, 412, 413, 422)  # end a call at once
+NEXT_ADDRESS_STATUSES = (408, 429)  # the only 4xx that never end a call
+MAX_OTHER_CLIENT_ERRORS = 3  # any other 4xx ends a call at the third
+# Delay between attempts: short at first, as most failures concern a single registry; longer later,
+# so that many operators who wait for a start-up cause no load.
+INITIAL_RETRY_DELAY_SECONDS = 0.1
+RETRY_DELAY_FACTOR = 1.6
+MAX_RETRY_DELAY_SECONDS = 2.0
+MAX_RESPONSE_BYTES = 64 << 20  # a registry accepts configurations of up to 8 MiB
+# A response that trickles in is abandoned after this many read timeouts.
+MAX_RESPONSE_READ_TIMEOUTS = 10
+CHUNK_BYTES = 1 << 16
 
 
-class Failure(Exception):
-    """One try came to nothing; what was sent may have run all the same."""
+class CallError(Exception):
+    """An attempt got no usable response; the registry may have executed the call all the same."""
 
 
-class Refused(Wrong):
-    """A registry did nothing with the call, and none would."""
+class CallRefusedError(CommandError):
+    """A registry refused the call without executing it, and every other one would refuse it too."""
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
-    """What one address said, and which."""
+class Response:
+    """A registry's response.
+
+    Attributes:
+        status: The HTTP status.
+        body: The whole body.
+        address: HOST:PORT of the registry that responded, after redirects.
+    """
 
     status: int
     body: bytes
-    at: str
+    address: str
 
-    def reason(self) -> str:
-        """Its words for what is wrong, if it has any, as one line."""
+    def error_text(self) -> str:
+        """Returns one line with the address, the status and the body's error text, if any."""
         try:
-            words = json.loads(self.body)["error"]
+            error = json.loads(self.body)["error"]
         except (ValueError, KeyError, TypeError, RecursionError):
-            words = ""
-        return f"{self.at} says {self.status}" + (f": {said(str(words))[:300]}" if words else "")
+            error = ""
+        return f"{self.address} says {self.status}" + (
+            f": {single_line(str(error))[:300]}" if error else ""
+        )
 
 
-def once(address: Address, call: str, body: bytes = b"", silence: float | None = None) -> Answer:
-    """One try at one address, with its redirections. Raises Failure."""
-    where, path = address, f"/api/rpc?call={call}"
-    silence = SILENCE if silence is None else silence
-    for _ in range(FOLLOWED + 1):
-        status, location, got = _exchange(
-            where, path, body, silence + PER_MEBIBYTE * len(body) / (1 << 20)
+def call_once(
+    address: Address, call: str, body: bytes = b"", timeout_seconds: float | None = None
+) -> Response:
+    """Makes one attempt at one address and follows its redirects.
+
+    Args:
+        address: The registry's address.
+        call: The name of the call.
+        body: The request's body.
+        timeout_seconds: Time without a byte from the registry, READ_TIMEOUT_SECONDS if None;
+            extended for large bodies.
+
+    Raises:
+        CallError: There was no complete response in time, or too many or invalid redirects.
+    """
+    target, path = address, f"/api/rpc?call={call}"
+    timeout_seconds = READ_TIMEOUT_SECONDS if timeout_seconds is None else timeout_seconds
+    for _ in range(MAX_REDIRECTS + 1):
+        status, location, response_body = _exchange(
+            target,
+            path,
+            body,
+            timeout_seconds + EXTRA_TIMEOUT_SECONDS_PER_MIB * len(body) / (1 << 20),
         )
-        at = f"{where[0]}:{where[1]}"
+        at = f"{target[0]}:{target[1]}"
         if status != 307:
-            return Answer(status, got, at)
+            return Response(status, response_body, at)
         try:
             parts = urlsplit(location)
             if parts.scheme != "http" or not parts.hostname:
                 raise ValueError
-            where = parts.hostname, parse_port(str(parts.port or 80))
+            target = parts.hostname, parse_port(str(parts.port or 80))
         except (ValueError, UnitError):
-            raise Failure(f"{at} sends on to {said(location)[:100] or 'nowhere'}") from None
+            raise CallError(
+                f"{at} redirects to {single_line(location)[:100] or 'nowhere'}"
+            ) from None
         path = (parts.path or "/") + (f"?{parts.query}" if parts.query else "")
-    raise Failure(f"{at} sends on for the third time")
+    raise CallError(f"{at} redirects for the third time")
 
 
-def _exchange(where: Address, path: str, body: bytes, silence: float) -> tuple[int, str, bytes]:
-    line, at = http.client.HTTPConnection(*where, timeout=silence), f"{where[0]}:{where[1]}"
+def _exchange(
+    address: Address, path: str, body: bytes, timeout_seconds: float
+) -> tuple[int, str, bytes]:
+    """Sends one HTTP request; returns the status, the Location header and the body."""
+    connection, at = (
+        http.client.HTTPConnection(*address, timeout=timeout_seconds),
+        f"{address[0]}:{address[1]}",
+    )
     try:
-        line.request(
+        connection.request(
             "POST", path, body, {"Content-Type": "application/json", "Connection": "close"}
         )
-        answer = line.getresponse()
-        # one that trickles is as good as silent
-        got, until = bytearray(), time.monotonic() + 10 * silence
-        while piece := answer.read1(CHUNK):
-            got += piece
-            if len(got) > MOST_BODY or time.monotonic() > until:
-                raise Failure(f"{at}: its answer doesn't end")
-        if answer.length:
-            raise Failure(f"{at}: its answer is cut short")
-        return answer.status, answer.getheader("Location", ""), bytes(got)
+        response = connection.getresponse()
+        received, deadline = (
+            bytearray(),
+            time.monotonic() + MAX_RESPONSE_READ_TIMEOUTS * timeout_seconds,
+        )
+        while chunk := response.read1(CHUNK_BYTES):
+            received += chunk
+            if len(received) > MAX_RESPONSE_BYTES or time.monotonic() > deadline:
+                raise CallError(f"{at}: its answer is too long or too slow")
+        if response.length:
+            raise CallError(f"{at}: its answer is cut short")
+        return response.status, response.getheader("Location", ""), bytes(received)
     except TimeoutError:
-        raise Failure(f"{at} is silent") from None
-    except (OSError, http.client.HTTPException, ValueError) as why:
-        raise Failure(f"{at}: {said(str(why)) or type(why).__name__}") from None
+        raise CallError(f"{at} doesn't answer in time") from None
+    except (OSError, http.client.HTTPException, ValueError) as error:
+        raise CallError(f"{at}: {single_line(str(error)) or type(error).__name__}") from None
     finally:
-        line.close()
+        connection.close()
+
 
+def call_any(addresses: list[Address], call: str, body: bytes, within_seconds: float) -> Response:
+    """Repeats a call unchanged, each attempt at the next address, until one returns status 200.
 
-def asked(addresses: list[Address], call: str, body: bytes, within: float) -> Answer:
-    """The 200 that a call came to; it is repeated unchanged, from address to address, until then.
-    Raises Wrong, code 1, when it is refused or the time is over.
+    Raises:
+        CallRefusedError: A registry refused the call.
+        CommandError: There was no clear answer in time.
     """
-    until, pause, others, at = time.monotonic() + within, FIRST_PAUSE, 0, 0
+    deadline, delay = time.monotonic() + within_seconds, INITIAL_RETRY_DELAY_SECONDS
+    other_client_errors, attempt = 0, 0
     while True:
         try:
-            got = once(addresses[at % len(addresses)], call, body)
-        except Failure as why:
-            last = str(why)
+            response = call_once(addresses[attempt % len(addresses)], call, body)
+        except CallError as error:
+            last = str(error)
         else:
-            if got.status == 200:
-                return got
-            last = got.reason()
-            if 400 <= got.status < 500 and got.status not in ELSEWHERE:
-                others += 1
-                if got.status in FINAL or others >= OTHERS:
-                    raise Refused(f"refused: {last}", 1)
-        if time.monotonic() + pause > until:
-            raise Wrong(f"no clear answer within {lasting(within)}; the last: {last}", 1)
-        time.sleep(pause)
-        pause, at = min(MOST_PAUSE, GROWS * pause), at + 1
-
-
-def _read(addresses: list[Address], within: float) -> tuple[Configuration, str]:
-    """The newest configuration and who gave it. Raises Wrong."""
-    got = asked(addresses, "configuration.read", b"", within)
+            if response.status == 200:
+                return response
+            last = response.error_text()
+            if 400 <= response.status < 500 and response.status not in NEXT_ADDRESS_STATUSES:
+                other_client_errors += 1
+                if (
+                    response.status in FINAL_STATUSES
+                    or other_client_errors >= MAX_OTHER_CLIENT_ERRORS
+                ):
+                    raise CallRefusedError(f"refused: {last}", 1)
+        if time.monotonic() + delay > deadline:
+            raise CommandError(
+                f"no clear answer within {format_seconds(within_seconds)}; the last: {last}", 1
+            )
+        time.sleep(delay)
+        delay, attempt = min(MAX_RETRY_DELAY_SECONDS, RETRY_DELAY_FACTOR * delay), attempt + 1
+
+
+def _read_configuration(
+    addresses: list[Address], within_seconds: float
+) -> tuple[Configuration, str]:
+    """Returns the newest configuration and the address of the registry that returned it."""
+    response = call_any(addresses, "configuration.read", b"", within_seconds)
     try:
-        return parse_configuration(got.body), got.at
-    except ConfigurationError as why:
-        raise Wrong(f"{got.at} gave no configuration: {why}", 1) from None
+        return parse_configuration(response.body), response.address
+    except ConfigurationError as error:
+        raise CommandError(
+            f"{response.address} returned an invalid configuration: {error}", 1
+        ) from None
 
 
-def _in_force(got: Answer) -> int | None:
-    """The version that an acknowledgement names; not every gateway names one."""
+def _acknowledged_version(response: Response) -> int | None:
+    """Returns the version in an acknowledgement, or None: not every gateway names one."""
     try:
-        return parse_version(str(json.loads(got.body)["version"]))
+        return parse_version(str(json.loads(response.body)["version"]))
     except (ValueError, KeyError, TypeError, RecursionError):
         return None
 
 
-def config_push(asks: ConfigPush) -> int:
-    raw = held(asks.file)
-    mine = configuration(asks.file, raw)
-    if any(masked(key) for tenant in mine.tenants or () for key in tenant.api_keys):
-        raise Wrong(
-            f"{asks.file}: its keys are masked, and would lock tenants out; read it with --keys"
+def config_push(command: ConfigPush) -> int:
+    raw = read_input(command.file)
+    pushed = check_configuration(command.file, raw)
+    if any(is_masked(key) for tenant in pushed.tenants or () for key in tenant.api_keys):
+        raise CommandError(
+            f"{command.file}: its keys are masked, and would lock tenants out; read it with --keys"
         )
     try:
-        got = asked(asks.at, "configuration.replace", raw, asks.within)
-    except Wrong as why:
+        response = call_any(command.at, "configuration.replace", raw, command.within)
+    except CommandError as error:
         unclear = (
-            "" if isinstance(why, Refused) else "; it may be in force all the same: push it again"
+            ""
+            if isinstance(error, CallRefusedError)
+            else "; it may be in force all the same: push it again"
         )
-        raise Wrong(
-            f"{format_version(mine.version)} is not acknowledged: {why}{unclear}", 1
+        raise CommandError(
+            f"{format_version(pushed.version)} is not acknowledged: {error}{unclear}", 1
         ) from None
-    number, wrong = _in_force(got), ""
-    # A version that another operator has taken is acknowledged like our own: only reading tells
-    # them apart.
+    in_force, problem = _acknowledged_version(response), ""
+    # A registry acknowledges a push also if another operator has used the same version for other
+    # contents. Only reading the configuration back shows the difference.
     try:
-        read, _ = _read(asks.at, asks.within)
-        if read.version == mine.version and read.raw != raw:
-            wrong = "with other contents, and yours are not; push them under a higher version"
-        number = max(number or 0, read.version)
-    except Wrong as why:
-        print(f"acknowledged by {got.at}, but not read back: {why}", file=sys.stderr)
-    if number is not None and number != mine.version:
-        wrong = f"and {format_version(mine.version)} is not, as it isn't higher"
-    text = format_version(mine.version if number is None else number)
-    if asks.json:
-        told = {
-            "pushed": format_version(mine.version),
+        read_back, _ = _read_configuration(command.at, command.within)
+        if read_back.version == pushed.version and read_back.raw != raw:
+            problem = "with other contents, and yours are not; push them under a higher version"
+        in_force = max(in_force or 0, read_back.version)
+    except CommandError as error:
+        print(f"acknowledged by {response.address}, but not read back: {error}", file=sys.stderr)
+    if in_force is not None and in_force != pushed.version:
+        problem = f"and {format_version(pushed.version)} is not, as it isn't higher"
+    text = format_version(pushed.version if in_force is None else in_force)
+    if command.json:
+        report = {
+            "pushed": format_version(pushed.version),
             "in_force": text,
-            "by": got.at,
-            "wrong": wrong,
+            "by": response.address,
+            "wrong": problem,
         }
-        print(json.dumps(told, indent=2))
+        print(json.dumps(report, indent=2))
     else:
-        print(f"{text} is in force" + (f" {wrong}" if wrong else f", acknowledged by {got.at}"))
-    return 1 if wrong else 0
+        print(
+            f"{text} is in force"
+            + (f" {problem}" if problem else f", acknowledged by {response.address}")
+        )
+    return 1 if problem else 0
 
 
-def config_read(asks: ConfigRead) -> int:
-    found, at = _read(asks.at, asks.within)
-    if asks.keys:  # as it is held, to the byte
+def config_read(command: ConfigRead) -> int:
+    config, address = _read_configuration(command.at, command.within)
+    if command.keys:  # byte for byte as the registry holds it
         sys.stdout.flush()
-        sys.stdout.buffer.write(found.raw)
+        sys.stdout.buffer.write(config.raw)
         sys.stdout.buffer.flush()
     else:
-        print(json.dumps(mask(json.loads(found.raw)), indent=2, ensure_ascii=False))
-    print(f"{format_version(found.version)}, from {at}", file=sys.stderr)
+        print(json.dumps(mask_keys(json.loads(config.raw)), indent=2, ensure_ascii=False))
+    print(f"{format_version(config.version)}, from {address}", file=sys.stderr)
     return 0
--- a/loomstand/ctl/commands.py
+++ b/loomstand/ctl/commands.py
@@ -1,4 +1,7 @@
-"""What can be typed. What a command does is imported only when it is called."""
+"""The commands with their arguments, options and help texts.
+
+A command's implementation is imported only when it is invoked.
+"""
 
 from __future__ import annotations
 
@@ -11,70 +14,75 @@
 from rich.console import Console
 
 from loomstand.config.units import UnitError, parse_port, parse_seconds, quote_value
-from loomstand.ctl.plain import Wrong, said
-
-PROG = "loomstand.ctl"
-WIDTH = 80
-# An error stays one line however narrow the terminal is; whoever reads it in a log wants it whole.
-UNBROKEN = 100_000
-# Longer than any single loss in the system lasts: a takeover of the store takes 3 s, a start of all
-# some 10.
-WITHIN = 20.0
-MOST_DAYS = 10_000  # far more than can be played
-MOST_LOAD = 100  # times a standing day's requests, or a part of them; far beyond what was played
-
-
-def _place(text: str) -> tuple[str, int]:
-    """HOST:PORT, where the host may be a name."""
+from loomstand.ctl.common import CommandError, single_line
+
+PROGRAM = "loomstand.ctl"
+OUTPUT_WIDTH = 80  # columns
+# An error stays on one line, so that a log has it whole, however narrow the terminal is.
+ERROR_WIDTH = 100_000  # columns
+# Longer than a failure in the system lasts: a takeover of the store takes 3 s, a start of all
+# processes about 10 s.
+DEFAULT_WITHIN_SECONDS = 20.0
+MAX_DAYS = 10_000
+# Of a standing day's requests; the least load factor is 1 / MAX_LOAD_FACTOR.
+MAX_LOAD_FACTOR = 100
+
+
+def _parse_host_port(text: str) -> tuple[str, int]:
+    """Parses HOST:PORT, where the host may be a name."""
     host, colon, number = text.rpartition(":")
     if not colon or not host or any(c in "/@[]" or c <= " " for c in host):
         raise ValueError(f"{quote_value(text)} is not HOST:PORT such as 10.1.0.3:8783")
     try:
         return host, parse_port(number)
-    except UnitError as why:
-        raise ValueError(str(why)) from None
+    except UnitError as error:
+        raise ValueError(str(error)) from None
 
 
-def _host(text: str) -> str:
+def _parse_host(text: str) -> str:
     if not text or any(c in ":/@[]" or c <= " " for c in text):
         raise ValueError(f"{quote_value(text)} is not HOST such as 10.1.0.3")
     return text
 
 
-def _time(text: str) -> float:
+def _parse_duration(text: str) -> float:
+    """Parses a time with its unit; returns seconds."""
     try:
         return parse_seconds(text)
-    except UnitError as why:
-        raise ValueError(str(why)) from None
+    except UnitError as error:
+        raise ValueError(str(error)) from None
 
 
-def _days(text: str) -> int:
-    """A number of days to draw; none is no days."""
-    if not text.isascii() or not text.isdigit() or not 0 < int(text[:9]) <= MOST_DAYS:
-        raise ValueError(f"{quote_value(text)} is not a number from 1 to {MOST_DAYS}")
+def _parse_day_count(text: str) -> int:
+    if not text.isascii() or not text.isdigit() or not 0 < int(text[:9]) <= MAX_DAYS:
+        raise ValueError(f"{quote_value(text)} is not a number from 1 to {MAX_DAYS}")
     return int(text)
 
 
-def _load(text: str) -> float:
+def _parse_load_factor(text: str) -> float:
     try:
         value = float(text)
     except ValueError:
         value = 0.0
-    if not 1 / MOST_LOAD <= value <= MOST_LOAD:
-        raise ValueError(f"{quote_value(text)} is not a figure from {1 / MOST_LOAD} to {MOST_LOAD}")
+    if not 1 / MAX_LOAD_FACTOR <= value <= MAX_LOAD_FACTOR:
+        raise ValueError(
+            f"{quote_value(text)} is not a number from {1 / MAX_LOAD_FACTOR} to {MAX_LOAD_FACTOR}"
+        )
     return value
 
 
-def _ends(*lines: str, codes: str = "0 fine, 1 found something wrong, 2 bad usage or input") -> str:
-    """The end of a command's help: an example or more, and the exit codes."""
-    examples = "\n".join(f"    python -m {PROG} {line}" for line in lines)
-    return f"Example:\n\n{examples}\n\nExit codes: {codes}."
+def _epilog(
+    *examples: str, codes: str = "0 fine, 1 found something wrong, 2 bad usage or input"
+) -> str:
+    """Returns the end of a command's help: the examples and the exit codes."""
+    lines = "\n".join(f"    python -m {PROGRAM} {example}" for example in examples)
+    return f"Example:\n\n{lines}\n\nExit codes: {codes}."
 
 
-# First in the usage, as `--at` takes all words that follow it.
-FIRST = cappa.Group(-1, "Arguments")
+# Listed first in the usage: `--at` takes all arguments that follow it.
+ARGUMENTS = cappa.Group(-1, "Arguments")
 File = Annotated[
-    str, cappa.Arg(value_name="FILE", group=FIRST, help="a file, or `-` for standard input")
+    str, cappa.Arg(value_name="FILE", group=ARGUMENTS, help="a file, or `-` for standard input")
 ]
 At = Annotated[
     list[tuple[str, int]],
@@ -82,9 +90,9 @@
         long="--at",
         value_name="HOST:PORT",
         num_args=-1,
-        parse=lambda texts: [_place(t) for t in texts],
+        parse=lambda texts: [_parse_host_port(t) for t in texts],
         required=True,
-        help="registries (`control_plane`), one or more, asked in this order",
+        help="addresses of one or more registries (`control_plane`), tried in this order",
     ),
 ]
 Gone = Annotated[
@@ -93,24 +101,24 @@
         long="--gone",
         value_name="HOST",
         num_args=-1,
-        parse=lambda texts: [_host(t) for t in texts],
+        parse=lambda texts: [_parse_host(t) for t in texts],
         show_default=False,
-        help="core machines whose disks are gone for good, by the address shown",
+        help="addresses, as shown, of core machines whose disks are lost permanently",
     ),
 ]
 Json = Annotated[bool, cappa.Arg(long="--json", show_default=False, help="print JSON")]
 Keys = Annotated[
     bool,
-    cappa.Arg(long="--keys", show_default=False, help="the bytes as they are held, keys included"),
+    cappa.Arg(long="--keys", show_default=False, help="print the stored bytes, API keys included"),
 ]
 Within = Annotated[
     float,
     cappa.Arg(
         long="--within",
         value_name="TIME",
-        parse=_time,
+        parse=_parse_duration,
         show_default=False,
-        help="go on trying for so long, as in `5s` or `900ms` (default 20s)",
+        help="how long to retry, such as `5s` or `900ms` (default 20s)",
     ),
 ]
 
@@ -118,8 +126,8 @@
 @cappa.command(
     name="check",
     invoke="loomstand.ctl.files.settings_check",
-    help="Read a settings file as the daemons do, and say what it holds.",
-    epilog=_ends(
+    help="Read a settings file as the daemons do, and print its contents.",
+    epilog=_epilog(
         "settings check /etc/loomstand/core-1.properties", codes="0 fine, 2 can't be used"
     ),
 )
@@ -138,8 +146,8 @@
 @cappa.command(
     name="check",
     invoke="loomstand.ctl.files.config_check",
-    help="Say whether a configuration is valid, and warn of what is valid but unwise.",
-    epilog=_ends(
+    help="Check whether a configuration is valid, and warn of what is valid but unwise.",
+    epilog=_epilog(
         "config check r12.json",
         codes="0 valid, with warnings or without, 1 invalid, 2 bad usage or no such file",
     ),
@@ -153,29 +161,30 @@
 @cappa.command(
     name="diff",
     invoke="loomstand.ctl.files.config_diff",
-    help="Say what NEW adds, takes away and changes. Keys are counted and never printed.",
-    epilog=_ends(
+    help="Print what NEW adds, removes and changes. API keys are counted and never printed.",
+    epilog=_epilog(
         "config diff r12.json r13.json",
-        codes="0 fine, 1 they differ but NEW's version isn't higher, so that it would change "
-        "nothing, "
+        codes="0 fine, 1 they differ but NEW's version isn't higher, so that pushing it would "
+        "change nothing, "
         "2 bad usage or an invalid file",
     ),
 )
 @dataclass
 class ConfigDiff:
-    old: Annotated[str, cappa.Arg(value_name="OLD", group=FIRST, help="the file before, or `-`")]
-    new: Annotated[str, cappa.Arg(value_name="NEW", group=FIRST, help="the file after, or `-`")]
+    old: Annotated[str, cappa.Arg(value_name="OLD", group=ARGUMENTS, help="the old file, or `-`")]
+    new: Annotated[str, cappa.Arg(value_name="NEW", group=ARGUMENTS, help="the new file, or `-`")]
     json: Json = False
 
 
 @cappa.command(
     name="push",
     invoke="loomstand.ctl.calls.config_push",
-    help="Send a configuration, and print the version in force. An invalid one is not sent.",
+    help="Send a configuration, and print the version in force. An invalid file is not sent.",
     description="A call without a clear answer is sent again, unchanged, to the next registry.",
-    epilog=_ends(
+    epilog=_epilog(
         "config push r13.json --at 10.1.0.33:8783",
-        codes="0 it is in force, 1 refused, not acknowledged in time, or another is in force, "
+        codes="0 the file is in force, 1 refused, not acknowledged in time, or another "
+        "configuration is in force, "
         "2 bad usage or an invalid file",
     ),
 )
@@ -183,7 +192,7 @@
 class ConfigPush:
     file: File
     at: At
-    within: Within = WITHIN
+    within: Within = DEFAULT_WITHIN_SECONDS
     json: Json = False
 
 
@@ -191,8 +200,8 @@
     name="read",
     invoke="loomstand.ctl.calls.config_read",
     help="Print the newest configuration, as JSON.",
-    description="Keys are masked: push refuses what was read without `--keys`.",
-    epilog=_ends(
+    description="API keys are masked: push refuses what was read without `--keys`.",
+    epilog=_epilog(
         "config read --at 10.1.0.33:8783 > r12.json",
         codes="0 fine, 1 refused or not answered in time, 2 bad usage",
     ),
@@ -200,7 +209,7 @@
 @dataclass
 class ConfigRead:
     at: At
-    within: Within = WITHIN
+    within: Within = DEFAULT_WITHIN_SECONDS
     keys: Keys = False
 
 
@@ -213,8 +222,8 @@
 @cappa.command(
     name="status",
     invoke="loomstand.ctl.status.status",
-    help="Ask every registry given, and those of the core machines that they name, how it stands.",
-    epilog=_ends(
+    help="Print the status of the registries given, and of the core machines that they name.",
+    epilog=_epilog(
         "status --at 10.1.0.33:8783",
         codes="0 fine, 1 no primary, or registries hold different versions, 2 bad usage",
     ),
@@ -228,12 +237,12 @@
 @cappa.command(
     name="rescue",
     invoke="loomstand.ctl.rescue.rescue",
-    help="Say what is left of the store where more was lost than it bears, and found it anew with "
-    "`--yes`.",
-    description="Read docs/rescue.md first. Who is named by `--gone` must never come back: "
-    "operators vouch "
-    "for it, and the programs can't know. Without `--yes` nothing is changed.",
-    epilog=_ends(
+    help="Show what is left of the store after it lost more than it tolerates, and found it anew "
+    "with `--yes`.",
+    description="Read docs/rescue.md first. A machine named by `--gone` must never come back. "
+    "Operators "
+    "have to ensure this, as the programs can't check it. Without `--yes` nothing is changed.",
+    epilog=_epilog(
         "core rescue --at 10.1.0.33:8783",
         "core rescue --at 10.1.0.33:8783 --gone 10.2.0.25 10.3.0.14 --yes",
         codes="0 founded anew, or without `--yes` a primary serves; 1 a rescue is due, waits or "
@@ -261,23 +270,27 @@
 @cappa.command(
     name="draw",
     invoke="loomstand.ctl.days.days_draw",
-    help="Draw days of our own for the bench's `run SITE FILE`, which mix the troubles that SITE "
-    "lists.",
-    description="Until every two kinds have met, unless `--days` says otherwise. The same words "
-    "give the "
-    "same files.",
-    epilog=_ends(
+    help="Draw days for the bench's `run SITE FILE`, which combine the troubles that SITE lists.",
+    description="Without `--days`, as many as it takes for every two kinds of trouble to meet. "
+    "The same "
+    "arguments give the same files.",
+    epilog=_epilog(
         "days draw nakhla-loom.toml --severity harsh --seed 7 --out /tmp/days",
-        codes="0 fine, 2 bad usage or input, or other files stand in the way",
+        codes="0 fine, 2 bad usage or input, or a file exists with other contents",
     ),
 )
 @dataclass
 class DaysDraw:
-    site: Annotated[str, cappa.Arg(value_name="SITE", group=FIRST, help="a site file of the bench")]
+    site: Annotated[
+        str, cappa.Arg(value_name="SITE", group=ARGUMENTS, help="a site file of the bench")
+    ]
     out: Annotated[
         str,
         cappa.Arg(
-            long="--out", value_name="DIR", required=True, help="where to; made if it isn't there"
+            long="--out",
+            value_name="DIR",
+            required=True,
+            help="output directory; made if it doesn't exist",
         ),
     ]
     days: Annotated[
@@ -285,31 +298,33 @@
         cappa.Arg(
             long="--days",
             value_name="N",
-            parse=_days,
+            parse=_parse_day_count,
             show_default=False,
-            help="so many; after all pairs have met, by lot",
+            help="number of days; drawn at random once all pairs of kinds have met",
         ),
     ] = None
     seed: Annotated[
-        int, cappa.Arg(long="--seed", value_name="S", help="other days for another number")
+        int, cappa.Arg(long="--seed", value_name="S", help="random seed; another gives other days")
     ] = 0
     severity: Annotated[
         Literal["mild", "usual", "harsh"],
         cappa.Arg(
-            long="--severity", help="how strong the troubles are, and how many a day: 4, 6 or 8"
+            long="--severity", help="strength of the troubles, and their number a day: 4, 6 or 8"
         ),
     ] = "usual"
     kinds: Annotated[
         str,
-        cappa.Arg(long="--kinds", value_name="A,B", show_default=False, help="only these kinds"),
+        cappa.Arg(
+            long="--kinds", value_name="A,B", show_default=False, help="only these kinds of trouble"
+        ),
     ] = ""
     load: Annotated[
         float,
         cappa.Arg(
             long="--load",
             value_name="X",
-            parse=_load,
-            help="times the requests of the standing days",
+            parse=_parse_load_factor,
+            help="load relative to the requests of the standing days",
         ),
     ] = 1.0
     dense: Annotated[
@@ -317,13 +332,13 @@
         cappa.Arg(
             long="--dense",
             show_default=False,
-            help="many troubles of every kind at once, most of them of this aim",
+            help="many troubles of every kind at once, most of them from this group",
         ),
     ] = ""
     json: Json = False
 
 
-@cappa.command(name="days", help="Days of our own for the bench (docs/almanac.md).")
+@cappa.command(name="days", help="Generated days for the bench (docs/almanac.md).")
 @dataclass
 class Days:
     command: cappa.Subcommands[DaysDraw]
@@ -331,15 +346,15 @@
 
 Journal = Annotated[
     str,
-    cappa.Arg(long="--journal", value_name="DIR", help="where entries are looked up by their ids"),
+    cappa.Arg(long="--journal", value_name="DIR", help="directory in which ids are looked up"),
 ]
 
 
 @cappa.command(
     name="show",
     invoke="loomstand.ctl.journal.journal_show",
-    help="Say what was lost where in an entry of the bench's journal.",
-    epilog=_ends(
+    help="Show what an entry of the bench's journal lost, by cause.",
+    epilog=_epilog(
         "journal show 4a9d421e",
         codes="0 fine, 1 a rule is broken or the gate failed, 2 bad usage, or not an entry of "
         "this bench",
@@ -350,7 +365,7 @@
     entry: Annotated[
         str,
         cappa.Arg(
-            value_name="ENTRY", group=FIRST, help="a file, or an id as at the end of its name"
+            value_name="ENTRY", group=ARGUMENTS, help="a file, or the id at the end of its name"
         ),
     ]
     journal: Journal = "journal"
@@ -360,14 +375,17 @@
             long="--site",
             value_name="SITE",
             show_default=False,
-            help="the site file that names kinds of request and zones; else the one that the "
-            "bench was given",
+            help="the site file that names classes of requests and zones; by default the one that "
+            "the bench was given",
         ),
     ] = None
     plot: Annotated[
         str | None,
         cappa.Arg(
-            long="--plot", value_name="OUT.png", show_default=False, help="draw it too (matplotlib)"
+            long="--plot",
+            value_name="OUT.png",
+            show_default=False,
+            help="also draw a plot (needs matplotlib)",
         ),
     ] = None
     json: Json = False
@@ -376,8 +394,8 @@
 @cappa.command(
     name="compare",
     invoke="loomstand.ctl.journal.journal_compare",
-    help="Set the days of two entries side by side, and say which causes took more or less.",
-    epilog=_ends(
+    help="Show the days of two entries side by side, and which causes cost more or less.",
+    epilog=_epilog(
         "journal compare dcd8f963 4dc70f73",
         codes="0 fine, 1 NEW is worse by more than noise or breaks a rule that OLD kept, "
         "2 bad usage, or not entries of this bench and one site",
@@ -386,10 +404,10 @@
 @dataclass
 class JournalCompare:
     old: Annotated[
-        str, cappa.Arg(value_name="OLD", group=FIRST, help="the entry before: a file or an id")
+        str, cappa.Arg(value_name="OLD", group=ARGUMENTS, help="the old entry: a file or an id")
     ]
     new: Annotated[
-        str, cappa.Arg(value_name="NEW", group=FIRST, help="the entry after: a file or an id")
+        str, cappa.Arg(value_name="NEW", group=ARGUMENTS, help="the new entry: a file or an id")
     ]
     journal: Journal = "journal"
     json: Json = False
@@ -399,7 +417,7 @@
     name="list",
     invoke="loomstand.ctl.journal.journal_list",
     help="List this bench's entries, the newest last.",
-    epilog=_ends(
+    epilog=_epilog(
         "journal list --verb score --site nakhla-loom",
         codes="0 fine, 2 bad usage or no such directory",
     ),
@@ -418,38 +436,38 @@
     json: Json = False
 
 
-@cappa.command(name="journal", help="What the bench left in `journal/` (docs/almanac.md).")
+@cappa.command(name="journal", help="The bench's results in `journal/` (docs/almanac.md).")
 @dataclass
 class Journals:
     command: cappa.Subcommands[JournalShow | JournalCompare | JournalList]
 
 
-@cappa.command(name=PROG, help="The operators' command line of the gateway (docs/ctl.md).")
+@cappa.command(name=PROGRAM, help="The gateway's command line for operators (docs/ctl.md).")
 @dataclass
 class Ctl:
     command: cappa.Subcommands[Settings | Config | Status | Core | Days | Journals]
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs a command; its exit code."""
-    plain = os.environ.get("NO_COLOR") is not None
+    """Runs a command and returns its exit code."""
+    no_color = os.environ.get("NO_COLOR") is not None
     output = cappa.Output(
         output_console=Console(
-            file=sys.stdout, width=WIDTH, theme=cappa.output.theme, no_color=plain
+            file=sys.stdout, width=OUTPUT_WIDTH, theme=cappa.output.theme, no_color=no_color
         ),
         error_console=Console(
-            file=sys.stderr, width=UNBROKEN, theme=cappa.output.theme, highlight=False
+            file=sys.stderr, width=ERROR_WIDTH, theme=cappa.output.theme, highlight=False
         ),
         error_format="{prog}: {message}",
     )
     try:
         return int(cappa.invoke(Ctl, argv=argv, output=output, completion=False))
-    except Wrong as why:
-        print(f"{PROG}: {said(str(why))}", file=sys.stderr)
-        return why.code
-    except cappa.Exit as why:
-        return int(why.code or 0)
-    except BrokenPipeError:  # as in `... | head`: nobody reads on
+    except CommandError as error:
+        print(f"{PROGRAM}: {single_line(str(error))}", file=sys.stderr)
+        return error.exit_code
+    except cappa.Exit as request:
+        return int(request.code or 0)
+    except BrokenPipeError:  # the reader closed the pipe, as in `... | head`
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
     except KeyboardInterrupt:
--- a/loomstand/ctl/compare.py
+++ b/loomstand/ctl/compare.py
@@ -1,4 +1,7 @@
-"""What differs between two configurations, with keys counted and never shown. Pure."""
+"""Differences between two configurations. API keys are counted and never shown.
+
+Pure functions without input or output.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +10,12 @@
 
 from loomstand.config.configuration import ClientLimits, Configuration, Route, Service, Tenant
 from loomstand.config.units import format_version
-from loomstand.ctl.masks import masked
-from loomstand.ctl.plain import short, time
+from loomstand.ctl.common import format_number, format_seconds
+from loomstand.ctl.masks import is_masked
 
 Item = Route | Service | Tenant | ClientLimits
-# What the configuration itself calls a field.
-_NAMES = {
+# Names of fields in the configuration file where they differ from those in the code.
+_FILE_NAMES = {
     "idempotent": "route_kind",
     "max_attempts": "maximum_attempts",
     "rate_per_second": "rate_per_s",
@@ -24,8 +27,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Part:
-    """Names of one kind of resource; `changed` has what each field was and is, in words."""
+class ResourceChanges:
+    """Changes to the resources of one kind. The field names are printed as JSON keys.
+
+    Attributes:
+        added: Names that only the new configuration has.
+        removed: Names that only the old configuration has.
+        changed: By name and by field, the old and the new value as text.
+        same: How many resources are equal.
+    """
 
     added: list[str]
     removed: list[str]
@@ -35,22 +45,34 @@
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """`prevails`: the new one's version is the higher. `keys` says if requests begin or cease to
-    need one.
+    """Differences of a new configuration from an old one. The field names are printed as JSON keys.
+
+    Attributes:
+        old: The old version.
+        new: The new version.
+        prevails: Whether the new version is the higher one.
+        keys: A sentence if requests begin or cease to need an API key, else empty.
+        routes: Changes to routes.
+        services: Changes to services.
+        tenants: Changes to tenants.
+        limits: By field, the old and the new value of the limits as text.
     """
 
     old: str
     new: str
     prevails: bool
     keys: str
-    routes: Part
-    services: Part
-    tenants: Part
+    routes: ResourceChanges
+    services: ResourceChanges
+    tenants: ResourceChanges
     limits: dict[str, list[Any]]
 
-    def any(self) -> bool:
-        parts = (self.routes, self.services, self.tenants)
-        return bool(self.limits) or any(p.added or p.removed or p.changed for p in parts)
+    def has_changes(self) -> bool:
+        """Whether any resource or limit differs."""
+        kinds = (self.routes, self.services, self.tenants)
+        return bool(self.limits) or any(
+            kind.added or kind.removed or kind.changed for kind in kinds
+        )
 
 
 def difference(old: Configuration, new: Configuration) -> Difference:
@@ -66,85 +88,104 @@
         format_version(new.version),
         new.version > old.version,
         keys,
-        _part({r.name: r for r in old.routes}, {r.name: r for r in new.routes}),
-        _part(dict(old.services), dict(new.services)),
-        _part({t.name: t for t in old.tenants or ()}, {t.name: t for t in new.tenants or ()}),
-        _changes(old.limits, new.limits),
+        _resource_changes({r.name: r for r in old.routes}, {r.name: r for r in new.routes}),
+        _resource_changes(dict(old.services), dict(new.services)),
+        _resource_changes(
+            {t.name: t for t in old.tenants or ()}, {t.name: t for t in new.tenants or ()}
+        ),
+        _field_changes(old.limits, new.limits),
     )
 
 
-def _part(old: dict[str, Any], new: dict[str, Any]) -> Part:
-    changed = {n: found for n in new if n in old and (found := _changes(old[n], new[n]))}
-    added, removed = [n for n in new if n not in old], [n for n in old if n not in new]
-    return Part(added, removed, changed, len(new) - len(added) - len(changed))
+def _resource_changes(old: dict[str, Any], new: dict[str, Any]) -> ResourceChanges:
+    changed = {
+        name: changes
+        for name in new
+        if name in old and (changes := _field_changes(old[name], new[name]))
+    }
+    added, removed = (
+        [name for name in new if name not in old],
+        [name for name in old if name not in new],
+    )
+    return ResourceChanges(added, removed, changed, len(new) - len(added) - len(changed))
 
 
-def _changes(old: Item, new: Item) -> dict[str, list[Any]]:
+def _field_changes(old: Item, new: Item) -> dict[str, list[Any]]:
     out: dict[str, list[Any]] = {}
     for field in fields(old):
-        was, now = getattr(old, field.name), getattr(new, field.name)
+        before, after = getattr(old, field.name), getattr(new, field.name)
         if field.name == "api_keys":
-            told = _keys(set(was), set(now))
+            texts = _key_changes(set(before), set(after))
         else:
-            told = [_words(field.name, was), _words(field.name, now)]
-        if told and told[0] != told[1]:
-            out[_NAMES.get(field.name, field.name)] = told
+            texts = [_format_value(field.name, before), _format_value(field.name, after)]
+        if texts and texts[0] != texts[1]:
+            out[_FILE_NAMES.get(field.name, field.name)] = texts
     return out
 
 
-def _keys(was: set[str], now: set[str]) -> list[Any]:
-    """What came and went. Masked keys can't be told apart: of them only the number says
-    something.
+def _key_changes(before: set[str], after: set[str]) -> list[Any]:
+    """Returns how many keys there were and are, or nothing if they are the same.
+
+    Masks of different keys can be equal, so masked keys are compared by their number alone.
     """
-    if any(map(masked, was | now)):
-        return [f"{len(was)}", f"{len(now)}"] if len(was) != len(now) else []
+    if any(map(is_masked, before | after)):
+        return [f"{len(before)}", f"{len(after)}"] if len(before) != len(after) else []
     return (
-        [f"{len(was)}", f"{len(now)}: {len(now - was)} new, {len(was - now)} gone"]
-        if was != now
+        [
+            f"{len(before)}",
+            f"{len(after)}: {len(after - before)} new, {len(before - after)} gone",
+        ]
+        if before != after
         else []
     )
 
 
-def _split(split: tuple[tuple[str, float], ...]) -> str:
-    """Services with their weights, the same for whatever order they stand in."""
+def _format_split(split: tuple[tuple[str, float], ...]) -> str:
+    """Formats the services with their weights, independent of the order of the entries."""
     if len(split) == 1:
         return split[0][0]
-    sums: dict[str, float] = {}
+    weights: dict[str, float] = {}
     for service, weight in split:
-        sums[service] = sums.get(service, 0) + weight
-    return ", ".join(f"{service} {short(weight)}" for service, weight in sorted(sums.items()))
+        weights[service] = weights.get(service, 0) + weight
+    return ", ".join(
+        f"{service} {format_number(weight)}" for service, weight in sorted(weights.items())
+    )
 
 
-def _words(name: str, value: Any) -> str:
-    if name == "traffic_split":
-        return _split(value)
-    if name == "idempotent":
+def _format_value(field_name: str, value: Any) -> str:
+    if field_name == "traffic_split":
+        return _format_split(value)
+    if field_name == "idempotent":
         return "idempotent" if value else "non_idempotent"
-    if name.endswith("_seconds"):
-        return time(value)
+    if field_name.endswith("_seconds"):
+        return format_seconds(value)
     if isinstance(value, bool):
         return str(value).lower()
-    return short(value) if isinstance(value, float) else str(value)
+    return format_number(value) if isinstance(value, float) else str(value)
 
 
-def lines(found: Difference) -> list[str]:
-    """The difference as text."""
+def format_difference(found: Difference) -> list[str]:
+    """Returns the difference as lines of text."""
     out = [f"{found.old} -> {found.new}"]
     for kind in ("routes", "services", "tenants"):
-        part: Part = getattr(found, kind)
+        resources: ResourceChanges = getattr(found, kind)
         counts = [
-            (len(part.added), "added"),
-            (len(part.removed), "removed"),
-            (len(part.changed), "changed"),
+            (len(resources.added), "added"),
+            (len(resources.removed), "removed"),
+            (len(resources.changed), "changed"),
         ]
         out.append(
             f"{kind}: "
-            + ", ".join(f"{n} {what}" for n, what in [*counts, (part.same, "as before")])
+            + ", ".join(f"{n} {label}" for n, label in [*counts, (resources.same, "as before")])
         )
-        out += [f"  + {name}" for name in part.added]
-        out += [f"  - {name}" for name in part.removed]
-        for name, changes in part.changed.items():
+        out += [f"  + {name}" for name in resources.added]
+        out += [f"  - {name}" for name in resources.removed]
+        for name, changes in resources.changed.items():
             out.append(f"  ~ {name}")
-            out += [f"      {field}: {was} -> {now}" for field, (was, now) in changes.items()]
-    out += [f"limits: {field}: {was} -> {now}" for field, (was, now) in found.limits.items()]
+            out += [
+                f"      {field}: {before} -> {after}" for field, (before, after) in changes.items()
+            ]
+    out += [
+        f"limits: {field}: {before} -> {after}" for field, (before, after) in found.limits.items()
+    ]
     return [*out, *([found.keys] if found.keys else [])]
--- a/loomstand/ctl/days.py
+++ b/loomstand/ctl/days.py
@@ -1,4 +1,6 @@
-"""Days of our own, drawn by the almanac and written to a directory."""
+"""`days draw`: fault schedules for the bench, generated from a site file and written to a directory
+(docs/almanac.md).
+"""
 
 from __future__ import annotations
 
@@ -6,58 +8,67 @@
 import os
 from collections import Counter
 
-from loomstand.ctl import show
+from loomstand.ctl import tables
 from loomstand.ctl.commands import DaysDraw
-from loomstand.ctl.plain import Wrong, held, many, said
+from loomstand.ctl.common import CommandError, pluralize, read_input, single_line
 from loomstand.testing.fault_schedules import draw, site, write
 
-INDEX = "index.json"
+INDEX_FILE = "index.json"
 
 
-def days_draw(asked: DaysDraw) -> int:
+def days_draw(command: DaysDraw) -> int:
     try:
-        at = site.read(held(asked.site))
-        kinds = tuple(kind for kind in asked.kinds.split(",") if kind)
-        wish = draw.Wish(asked.seed, asked.severity, asked.days, kinds, asked.load, asked.dense)
+        at = site.read(read_input(command.site))
+        kinds = tuple(kind for kind in command.kinds.split(",") if kind)
+        wish = draw.Wish(
+            command.seed, command.severity, command.days, kinds, command.load, command.dense
+        )
         drawn = draw.draw(at, wish)
         files = {write.file_name(day): write.day_text(day.fields) for day in drawn}
-    except ValueError as why:
-        raise Wrong(f"{asked.site}: {why}") from None
-    told = write.index(at, wish, drawn)
-    _keep(asked.out, files | {INDEX: json.dumps(told, indent=1) + "\n"})
-    if asked.json:
-        print(json.dumps(told, indent=2))
+    except ValueError as error:
+        raise CommandError(f"{command.site}: {error}") from None
+    index = write.index(at, wish, drawn)
+    _write_files(command.out, files | {INDEX_FILE: json.dumps(index, indent=1) + "\n"})
+    if command.json:
+        print(json.dumps(index, indent=2))
         return 0
-    table = show.table(
-        "day", "like", "closing", "meet at", "troubles", whole=("closing", "meet at")
+    table = tables.make_table(
+        "day", "like", "closing", "meet at", "troubles", no_wrap=("closing", "meet at")
     )
-    for n, day in enumerate(told["days"], 1):
+    for n, day in enumerate(index["days"], 1):
         meeting = "" if day["meeting_s"] is None else f"{day['meeting_s']:g} s"
-        counts = Counter(one["kind"] for one in day["troubles"])
-        troubles = ", ".join(kind if n == 1 else f"{kind} x {n}" for kind, n in counts.items())
-        table.add_row(str(n), day["base"], day["closing"] or "none", meeting, said(troubles))
-    show.console().print(table)
-    pairs = told["pairs"]
-    by = f", all by day {pairs['all_met_by_day']}" if pairs["all_met_by_day"] else ""
-    print(f"{many(len(drawn), 'day')} and {INDEX} in {said(asked.out)}")
-    print(f"{pairs['met']} of {pairs['possible']} pairs of kinds meet{by}")
+        counts = Counter(trouble["kind"] for trouble in day["troubles"])
+        troubles = ", ".join(
+            kind if count == 1 else f"{kind} x {count}" for kind, count in counts.items()
+        )
+        table.add_row(str(n), day["base"], day["closing"] or "none", meeting, single_line(troubles))
+    tables.make_console().print(table)
+    pairs = index["pairs"]
+    by_day = f", all by day {pairs['all_met_by_day']}" if pairs["all_met_by_day"] else ""
+    print(f"{pluralize(len(drawn), 'day')} and {INDEX_FILE} in {single_line(command.out)}")
+    print(f"{pairs['met']} of {pairs['possible']} pairs of kinds meet{by_day}")
     return 0
 
 
-def _keep(out: str, files: dict[str, str]) -> None:
-    """Writes what isn't there yet. Raises Wrong, with nothing written, where a file
-    holds something else, as one of another draw.
+def _write_files(directory: str, files: dict[str, str]) -> None:
+    """Writes the files into a directory, which is made if it doesn't exist.
+
+    Raises:
+        CommandError: A file exists with other contents, such as those of another draw, and nothing
+            was written; or the directory or a file can't be written.
     """
     try:
-        os.makedirs(out, exist_ok=True)
+        os.makedirs(directory, exist_ok=True)
         for name, text in files.items():
-            path = os.path.join(out, name)
-            if os.path.exists(path) and held(path) != text.encode():
-                raise Wrong(
-                    f"{path}: holds something else; take it away, or name another directory"
+            path = os.path.join(directory, name)
+            if os.path.exists(path) and read_input(path) != text.encode():
+                raise CommandError(
+                    f"{path}: exists with other contents; remove it or choose another directory"
                 )
         for name, text in files.items():
-            with open(os.path.join(out, name), "wb") as file:
+            with open(os.path.join(directory, name), "wb") as file:
                 file.write(text.encode())
-    except OSError as why:
-        raise Wrong(f"{why.filename or out}: can't be written ({why.strerror or why})") from None
+    except OSError as error:
+        raise CommandError(
+            f"{error.filename or directory}: can't be written ({error.strerror or error})"
+        ) from None
--- a/loomstand/ctl/files.py
+++ b/loomstand/ctl/files.py
@@ -1,4 +1,4 @@
-"""The commands that only read files."""
+"""The commands that only read files: `settings check`, `config check` and `config diff`."""
 
 from __future__ import annotations
 
@@ -9,125 +9,150 @@
 from loomstand.config.settings import Settings, SettingsError, parse_settings
 from loomstand.config.units import format_address, format_version
 from loomstand.ctl.commands import ConfigCheck, ConfigDiff, SettingsCheck
-from loomstand.ctl.plain import Wrong, configuration, data, held, many, said, short, time
-
-# What `--json` calls a field of the settings; docs/ctl.md promises these names.
+from loomstand.ctl.common import (
+    CommandError,
+    check_configuration,
+    format_number,
+    format_seconds,
+    pluralize,
+    read_input,
+    single_line,
+    to_json_data,
+)
+
+# Keys of the settings in `--json` where they differ from the names in the code (docs/ctl.md).
 _JSON_NAMES = {
     "listen_addresses": "listen",
     "seed_nodes": "seeds",
     "heartbeat_seconds": "heartbeat",
     "tolerated_losses": "losses",
 }
+_BOUNDS_PER_LINE = 3
 
 
-def settings_check(asked: SettingsCheck) -> int:
+def settings_check(command: SettingsCheck) -> int:
     try:
-        settings = parse_settings(held(asked.file).decode("utf-8"))
-    except UnicodeDecodeError as why:
-        raise Wrong(f"{asked.file}: not UTF-8 at byte {why.start}") from None
-    except SettingsError as why:
-        raise Wrong(f"{asked.file}: {why}") from None
-    if asked.json:
-        print(json.dumps(_settings_data(settings), indent=2))
+        settings = parse_settings(read_input(command.file).decode("utf-8"))
+    except UnicodeDecodeError as error:
+        raise CommandError(f"{command.file}: not UTF-8 at byte {error.start}") from None
+    except SettingsError as error:
+        raise CommandError(f"{command.file}: {error}") from None
+    if command.json:
+        print(json.dumps(_settings_json(settings), indent=2))
     else:
-        for line in _settings(settings):
-            print(said(line))
+        for line in _format_settings(settings):
+            print(single_line(line))
     return 0
 
 
-def _settings_data(settings: Settings) -> dict[str, Any]:
-    """The settings as JSON has them: times in seconds, bounds by their keys in the file."""
-    out = {_JSON_NAMES.get(name, name): value for name, value in data(settings).items()}
+def _settings_json(settings: Settings) -> dict[str, Any]:
+    """Returns the settings for JSON: times in seconds, bounds by their keys in the file."""
+    out = {_JSON_NAMES.get(name, name): value for name, value in to_json_data(settings).items()}
     out["bounds"] = {n.removesuffix("_seconds"): value for n, value in out["bounds"].items()}
     return out
 
 
-def _settings(told: Settings) -> list[str]:
-    limits, listen, bounds = told.limits, told.listen_addresses, told.bounds
-    listens = [(n, a) for n in type(listen).__slots__ if (a := getattr(listen, n)) is not None]
-    figures = ((n, getattr(bounds, n)) for n in type(bounds).__slots__)
-    words = [f"{n.removesuffix('_seconds')} {_figure(n, v)}" for n, v in figures]
+def _format_settings(settings: Settings) -> list[str]:
+    limits, listen, bounds = settings.limits, settings.listen_addresses, settings.bounds
+    listeners = [(n, a) for n in type(listen).__slots__ if (a := getattr(listen, n)) is not None]
+    bound_values = ((n, getattr(bounds, n)) for n in type(bounds).__slots__)
+    bound_texts = [f"{n.removesuffix('_seconds')} {_format_bound(n, v)}" for n, v in bound_values]
     lines = [
-        f"{told.node_name}: role {told.role}, on a machine of class {told.machine_class}",
-        f"at {told.ip_address} in zone {told.zone}, region {told.region}; "
-        + ("its loss counts" if told.loss_counted else "its loss does not count"),
-        f"serves {', '.join(told.serves) or 'nothing outside'}",
-        *(f"listens at {format_address(a)} for {n}" for n, a in listens),
-        f"system's own calls: registry {format_address(told.registry_address(told.ip_address))}, "
-        f"store {format_address(told.store_address(told.ip_address))}",
-        f"seeds: {', '.join(map(format_address, told.seed_nodes))}",
+        f"{settings.node_name}: role {settings.role}, "
+        f"on a machine of class {settings.machine_class}",
+        f"at {settings.ip_address} in zone {settings.zone}, region {settings.region}; "
+        + ("its loss counts" if settings.loss_counted else "its loss does not count"),
+        f"serves {', '.join(settings.serves) or 'nothing outside'}",
+        *(f"listens at {format_address(a)} for {n}" for n, a in listeners),
+        "system's own calls: "
+        f"registry {format_address(settings.registry_address(settings.ip_address))}, "
+        f"store {format_address(settings.store_address(settings.ip_address))}",
+        f"seeds: {', '.join(map(format_address, settings.seed_nodes))}",
         "zones: "
-        f"{', '.join(f'{zone} ({region})' for zone, region in told.zones.items()) or 'none named'}",
-        f"first start: {'yes' if told.first_start else 'no'}; data in "
-        f"{told.data_directory or 'memory only'}",
-        f"may use {short(limits.cpu_share)} of a core of {short(limits.cpu_cores)}, "
+        + (
+            ", ".join(f"{zone} ({region})" for zone, region in settings.zones.items())
+            or "none named"
+        ),
+        f"first start: {'yes' if settings.first_start else 'no'}; data in "
+        f"{settings.data_directory or 'memory only'}",
+        f"may use {format_number(limits.cpu_share)} of a core of "
+        f"{format_number(limits.cpu_cores)}, "
         f"{limits.memory_mb} MB, {limits.file_descriptors} descriptors, "
-        f"{short(limits.link_mbps)} Mbit/s, {limits.disk_mb} MB of disk",
-        f"heartbeats every {time(told.heartbeat_seconds)}; contracts: "
-        f"{', '.join(told.contracts) or 'none'}",
-        f"bears the loss of {many(told.tolerated_losses.machines, 'machine')}, "
-        f"{many(told.tolerated_losses.zones, 'zone')}, "
-        f"{many(told.tolerated_losses.regions, 'region')}",
+        f"{format_number(limits.link_mbps)} Mbit/s, {limits.disk_mb} MB of disk",
+        f"heartbeats every {format_seconds(settings.heartbeat_seconds)}; contracts: "
+        f"{', '.join(settings.contracts) or 'none'}",
+        f"bears the loss of {pluralize(settings.tolerated_losses.machines, 'machine')}, "
+        f"{pluralize(settings.tolerated_losses.zones, 'zone')}, "
+        f"{pluralize(settings.tolerated_losses.regions, 'region')}",
         "bounds:",
     ]
-    return lines + ["  " + ", ".join(words[n : n + 3]) for n in range(0, len(words), 3)]
+    return lines + [
+        "  " + ", ".join(bound_texts[n : n + _BOUNDS_PER_LINE])
+        for n in range(0, len(bound_texts), _BOUNDS_PER_LINE)
+    ]
 
 
-def _figure(name: str, value: Any) -> str:
+def _format_bound(name: str, value: Any) -> str:
     if isinstance(value, bool):
         return str(value).lower()
-    return time(value) if name.endswith("_seconds") else short(value)
+    return format_seconds(value) if name.endswith("_seconds") else format_number(value)
 
 
-def _counts(found: Configuration) -> dict[str, Any]:
-    tenants = len(found.tenants or ())
+def _summary(config: Configuration) -> dict[str, Any]:
+    """Returns the version and how many resources of each kind there are."""
+    tenants = len(config.tenants or ())
     return {
-        "version": format_version(found.version),
-        "routes": len(found.routes),
-        "services": len(found.services),
+        "version": format_version(config.version),
+        "routes": len(config.routes),
+        "services": len(config.services),
         "tenants": tenants,
     }
 
 
-def config_check(asked: ConfigCheck) -> int:
-    from loomstand.ctl.advice import advice
+def config_check(command: ConfigCheck) -> int:
+    from loomstand.ctl.advice import find_warnings
 
-    raw = held(asked.file)
+    raw = read_input(command.file)
     try:
-        found = configuration(asked.file, raw, 1)
-    except Wrong as why:
-        if not asked.json:
+        config = check_configuration(command.file, raw, 1)
+    except CommandError as error:
+        if not command.json:
             raise
-        error = str(why).removeprefix(f"{asked.file}: invalid: ")
-        print(json.dumps({"valid": False, "error": error}, indent=2))
+        reason = str(error).removeprefix(f"{command.file}: invalid: ")
+        print(json.dumps({"valid": False, "error": reason}, indent=2))
         return 1
-    warnings = advice(found)
-    if asked.json:
-        print(json.dumps({"valid": True, **_counts(found), "warnings": data(warnings)}, indent=2))
+    warnings = find_warnings(config)
+    if command.json:
+        print(
+            json.dumps(
+                {"valid": True, **_summary(config), "warnings": to_json_data(warnings)}, indent=2
+            )
+        )
         return 0
-    told = _counts(found)
-    parts = ", ".join(
-        many(told[kind], kind.removesuffix("s")) for kind in ("routes", "services", "tenants")
+    summary = _summary(config)
+    counts = ", ".join(
+        pluralize(summary[kind], kind.removesuffix("s"))
+        for kind in ("routes", "services", "tenants")
     )
-    print(f"valid: {told['version']}, {parts}; {many(len(warnings), 'warning')}")
+    print(f"valid: {summary['version']}, {counts}; {pluralize(len(warnings), 'warning')}")
     for warning in warnings:
         print(f"{warning.place}: {warning.what}\n    mend: {warning.mend}")
     return 0
 
 
-def config_diff(asked: ConfigDiff) -> int:
-    from loomstand.ctl.compare import difference, lines
+def config_diff(command: ConfigDiff) -> int:
+    from loomstand.ctl.compare import difference, format_difference
 
-    if asked.old == asked.new == "-":
-        raise Wrong("standard input can't be both files")
-    old, new = (configuration(path, held(path)) for path in (asked.old, asked.new))
+    if command.old == command.new == "-":
+        raise CommandError("standard input can't be both files")
+    old, new = (check_configuration(path, read_input(path)) for path in (command.old, command.new))
     found = difference(old, new)
-    vain = found.any() and not found.prevails
-    if asked.json:
-        print(json.dumps({**data(found), "differ": found.any()}, indent=2))
+    ineffective = found.has_changes() and not found.prevails
+    if command.json:
+        print(json.dumps({**to_json_data(found), "differ": found.has_changes()}, indent=2))
     else:
-        for line in lines(found):
+        for line in format_difference(found):
             print(line)
-        if vain:
-            print(f"{found.new} is not higher than {found.old}: pushed, it would change nothing")
-    return 1 if vain else 0
+        if ineffective:
+            print(f"{found.new} is not higher than {found.old}: pushing it would change nothing")
+    return 1 if ineffective else 0
--- a/loomstand/ctl/rescue.py
+++ b/loomstand/ctl/rescue.py
@@ -1,4 +1,4 @@
-"""The rescue of the store, by operators' word (docs/rescue.md)."""
+"""`core rescue`: re-founds a lost store at the operators' confirmation (docs/rescue.md)."""
 
 from __future__ import annotations
 
@@ -7,151 +7,167 @@
 
 from loomstand.config.units import parse_address
 from loomstand.ctl import calls
-from loomstand.ctl.calls import Address, Answer, Failure
+from loomstand.ctl.calls import Address, CallError, Response
 from loomstand.ctl.commands import CoreRescue
-from loomstand.ctl.plain import Wrong, said
-from loomstand.ctl.status import look
+from loomstand.ctl.common import CommandError, single_line
+from loomstand.ctl.status import query_registries
 
-# Seconds without an answer: the registry gives its store five for all of a rescue.
-SILENCE = 6.0
+# Without an answer. The registry gives its store 5 s for a whole rescue.
+RESCUE_TIMEOUT_SECONDS = 6.0
 
-Case = dict[str, Any]
+Case = dict[str, Any]  # the JSON of a `system.rescue` report or of its result
 
 
-def _ask(where: Address, body: dict[str, Any]) -> Answer:
-    return calls.once(where, "system.rescue", json.dumps(body).encode(), SILENCE)
+def _call_rescue(address: Address, body: dict[str, Any]) -> Response:
+    return calls.call_once(
+        address, "system.rescue", json.dumps(body).encode(), RESCUE_TIMEOUT_SECONDS
+    )
 
 
-def _cases(asked: CoreRescue) -> tuple[dict[str, Case], dict[str, str]]:
-    """What each registry in reach finds, by address, and why others find nothing."""
+def _inspect(command: CoreRescue) -> tuple[dict[str, Case], dict[str, str]]:
+    """Returns, by address, the reports of the registries in reach and why the others failed."""
     cases: dict[str, Case] = {}
     failed: dict[str, str] = {}
-    for at, told in look(asked.at).items():
-        if "failed" in told:
-            failed[at] = told["failed"]
+    for at, report in query_registries(command.at).items():
+        if "failed" in report:
+            failed[at] = report["failed"]
             continue
         try:
-            got = _ask(parse_address(at), {"gone": asked.gone})
-            if got.status == 200:
-                cases[at] = json.loads(got.body)["case"]
-                _lines(cases[at])  # it has all that is used
+            response = _call_rescue(parse_address(at), {"gone": command.gone})
+            if response.status == 200:
+                cases[at] = json.loads(response.body)["case"]
+                _format_case(cases[at])  # only to check that all fields that are used exist
             else:
-                failed[at] = got.reason()
-        except Failure as why:
-            failed[at] = str(why)
+                failed[at] = response.error_text()
+        except CallError as error:
+            failed[at] = str(error)
         except (ValueError, KeyError, TypeError, RecursionError):
             cases.pop(at, None)
             failed[at] = "its answer isn't understood"
     return cases, failed
 
 
-def rescue(asked: CoreRescue) -> int:
-    cases, failed = _cases(asked)
+def rescue(command: CoreRescue) -> int:
+    cases, failed = _inspect(command)
     if not cases:
-        raise Wrong(
-            "no registry answers: " + "; ".join(f"{at}: {why}" for at, why in failed.items()), 1
+        raise CommandError(
+            "no registry answers: " + "; ".join(f"{at}: {reason}" for at, reason in failed.items()),
+            1,
         )
     at, case = next(iter(cases.items()))
-    wrong = [str(why) for why in case["waits"]]
-    apart = len({one["token"] for one in cases.values()}) > 1
-    if apart:  # a cut between them looks like a loss
-        wrong = ["the core machines don't see the same: mend the links between them, or look again"]
-    done = _found(asked, at, case) if asked.yes and not wrong else None
-    serves = any(_serves(one) for one in cases.values())
-    if asked.json:
+    obstacles = [str(reason) for reason in case["waits"]]
+    differ = len({other["token"] for other in cases.values()}) > 1
+    if differ:  # a network partition between core machines looks like the loss of some
+        obstacles = [
+            "the core machines don't see the same: mend the links between them, or look again"
+        ]
+    done = _execute(command, at, case) if command.yes and not obstacles else None
+    serving = any(_is_serving(other) for other in cases.values())
+    if command.json:
         print(
-            json.dumps({"cases": cases, "failed": failed, "waits": wrong, "done": done}, indent=2)
+            json.dumps(
+                {"cases": cases, "failed": failed, "waits": obstacles, "done": done}, indent=2
+            )
         )
     else:
-        _show(cases if apart else {"": case}, failed, wrong, done)
-    return 0 if done is not None or (serves and not asked.yes) else 1
+        _print_rescue(cases if differ else {"": case}, failed, obstacles, done)
+    return 0 if done is not None or (serving and not command.yes) else 1
 
 
-def _serves(case: Case) -> bool:
-    return any("serves" in str(why) for why in case["waits"])
+def _is_serving(case: Case) -> bool:
+    return any("serves" in str(reason) for reason in case["waits"])
 
 
-def _show(
-    cases: dict[str, Case], failed: dict[str, str], wrong: list[str], done: Case | None
+def _print_rescue(
+    cases: dict[str, Case], failed: dict[str, str], obstacles: list[str], done: Case | None
 ) -> None:
     for at, case in cases.items():
         if at:
             print(f"as {at} sees it:")
-        for line in _lines(case):
-            print(said(line))
-    for at, why in failed.items():
-        print(f"{at} tells nothing: {said(why)}")
-    for why in wrong:
-        print(f"waits: {said(why)}")
+        for line in _format_case(case):
+            print(single_line(line))
+    for at, reason in failed.items():
+        print(f"{at} reports nothing: {single_line(reason)}")
+    for obstacle in obstacles:
+        print(f"waits: {single_line(obstacle)}")
     if done is not None:
         print(
-            f"founded: epoch {done['epoch']}, {said(str(done['version']))} in force, "
-            f"{said(_places(done))}"
+            f"founded: epoch {done['epoch']}, {single_line(str(done['version']))} in force, "
+            f"{single_line(_format_members(done))}"
         )
         print("push the next configuration under a version well above any that was ever sent")
-    elif not wrong:
+    elif not obstacles:
         print(
-            f"`--yes` founds the store anew at {said(str(case['chosen']))}, with "
-            f"{said(str(case['version']))}"
+            f"`--yes` founds the store anew at {single_line(str(case['chosen']))}, with "
+            f"{single_line(str(case['version']))}"
         )
 
 
-def _places(done: Case) -> str:
+def _format_members(done: Case) -> str:
     voters = " ".join(map(str, done["voters"]))
     return f"primary {done['primary']}, backup {done['backup'] or 'none'}, voters {voters}"
 
 
-def _found(asked: CoreRescue, at: str, case: Case) -> Case:
-    """Gives the word, once: the token is worth nothing after it. Raises Wrong."""
+def _execute(command: CoreRescue, at: str, case: Case) -> Case:
+    """Requests the rescue, once: its token can't be used again.
+
+    Raises:
+        CommandError: The rescue was refused, or its outcome is unknown.
+    """
     try:
-        got = _ask(parse_address(at), {"gone": asked.gone, "token": case["token"]})
-        if got.status != 200:
-            raise Wrong(f"nothing was founded: {got.reason()}", 1)
-        done: Case = json.loads(got.body)["done"]
-        int(done["epoch"]), done["version"], _places(done)
+        response = _call_rescue(parse_address(at), {"gone": command.gone, "token": case["token"]})
+        if response.status != 200:
+            raise CommandError(f"nothing was founded: {response.error_text()}", 1)
+        done: Case = json.loads(response.body)["done"]
+        int(done["epoch"]), done["version"], _format_members(done)
         return done
-    except Failure as why:
-        raise Wrong(
-            f"no clear answer, it may be founded all the same: look at `status`: {why}", 1
+    except CallError as error:
+        raise CommandError(
+            f"no clear answer, it may be founded all the same: look at `status`: {error}", 1
         ) from None
     except (ValueError, KeyError, TypeError, RecursionError):
-        raise Wrong(f"{at} gives an answer that isn't understood; look at `status`", 1) from None
+        raise CommandError(
+            f"{at} gives an answer that isn't understood; look at `status`", 1
+        ) from None
 
 
-def _lines(case: Case) -> list[str]:
-    """What is known of the newest view, who holds what, and what can't be known."""
+def _format_case(case: Case) -> list[str]:
+    """Returns lines on the newest view, on what each member in reach holds and on possible loss."""
     epoch, gone = int(case["epoch"]), [str(host) for host in case["gone"]]
     lines = [
         f"the newest view known: epoch {epoch}"
         if epoch
         else "no view is known: all who ever voted must be gone"
     ]
-    for m in case["members"]:
-        parts = ["votes"] * bool(m["votes"]) + ["had the data"] * bool(m["data"])
-        there = (
+    for member in case["members"]:
+        roles = ["votes"] * bool(member["votes"]) + ["had the data"] * bool(member["data"])
+        state = (
             "in reach"
-            if not m["lost"]
-            else "gone by your word"
-            if m["host"] in gone
+            if not member["lost"]
+            else "named by `--gone`"
+            if member["host"] in gone
             else "lost or out of reach"
         )
-        lines.append(f"  {m['host']} ({m['id']}): {', '.join(parts)}; {there}")
+        lines.append(f"  {member['host']} ({member['id']}): {', '.join(roles)}; {state}")
     lines.append("in reach:")
-    for t in case["reach"]:
-        held = f"in force {t['in_force']}, given back {t['given_back']}, on disk {t['on_disk']}"
+    for member in case["reach"]:
+        versions = (
+            f"in force {member['in_force']}, given back {member['given_back']}, "
+            f"on disk {member['on_disk']}"
+        )
         lines.append(
-            f"  {t['host']} ({t['id']}): {held}"
-            + "; its disk is in trouble" * bool(t["disk_in_trouble"])
+            f"  {member['host']} ({member['id']}): {versions}"
+            + "; its disk is in trouble" * bool(member["disk_in_trouble"])
         )
     newest = str(case["version"])
-    if _serves(case):
+    if _is_serving(case):
         return lines
     if newest == "r0":
-        lines.append("nobody in reach holds a configuration: the store would begin empty")
+        lines.append("no member in reach holds a configuration: the store would begin empty")
     else:
         lines.append(f"the newest found: {newest}, to be put in force by {case['chosen']}")
     lines.append(
-        "a later one that was acknowledged and that nobody in reach holds can't be known, and is "
-        "lost"
+        "a later version that was acknowledged, but that no member in reach holds, can't be "
+        "detected and is lost"
     )
     return lines
--- a/loomstand/ctl/status.py
+++ b/loomstand/ctl/status.py
@@ -1,4 +1,4 @@
-"""How the gateway stands, by what its registries say."""
+"""`status`: the gateway's state as its registries report it."""
 
 from __future__ import annotations
 
@@ -10,95 +10,108 @@
 
 from loomstand.config.units import UnitError, format_address, parse_address
 from loomstand.ctl import calls
-from loomstand.ctl.calls import Address, Failure
+from loomstand.ctl.calls import Address, CallError
 from loomstand.ctl.commands import Status
-from loomstand.ctl.plain import said
+from loomstand.ctl.common import single_line
 
-# seconds until a second look where versions differ: news takes up to 0.3 s to all registries
-AGAIN = 0.5
-MOST = 64  # registries asked; a core has a handful
+# Before a second query if versions differ: a change takes up to 0.3 s to reach all registries.
+RECHECK_DELAY_SECONDS = 0.5
+MAX_REGISTRIES = 64  # that one command queries; a core has a handful
 
-Found = dict[str, dict[str, Any]]  # by address: what a registry said, or {"failed": why}
+# By address: a registry's status, or {"failed": reason}.
+Reports = dict[str, dict[str, Any]]
 
 
-def _ask(where: Address) -> dict[str, Any]:
+def _query(address: Address) -> dict[str, Any]:
     try:
-        got = calls.once(where, "system.status")
-        if got.status != 200:
-            return {"failed": got.reason()}
-        told = json.loads(got.body)
-        str(told["life"]), _row(told), _lines(told)  # it has all that is used
-        return told | {"cores": [str(core) for core in told["cores"]]}
-    except Failure as why:
-        return {"failed": str(why)}
+        response = calls.call_once(address, "system.status")
+        if response.status != 200:
+            return {"failed": response.error_text()}
+        report = json.loads(response.body)
+        # Formatted here only to check that all fields that are used exist.
+        str(report["life"]), _table_row(report), _detail_lines(report)
+        return report | {"cores": [str(core) for core in report["cores"]]}
+    except CallError as error:
+        return {"failed": str(error)}
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError):
         return {"failed": "its answer isn't understood"}
 
 
-def look(addresses: Iterable[Address]) -> Found:
-    """Asks all at once, then whoever they name besides, until nobody new is named."""
-    found: Found = {}
+def query_registries(addresses: Iterable[Address]) -> Reports:
+    """Queries the registries at the addresses in parallel, then those that they name in `cores`.
+
+    Ends when no report names a further registry, or at MAX_REGISTRIES.
+    """
+    reports: Reports = {}
     new = dict.fromkeys(addresses)
-    while new and len(found) < MOST:
+    while new and len(reports) < MAX_REGISTRIES:
         with ThreadPoolExecutor(len(new)) as pool:
-            answers = dict(zip(map(format_address, new), pool.map(_ask, new), strict=True))
-        found |= answers
-        named = [core for told in answers.values() for core in told.get("cores", ())]
+            answers = dict(zip(map(format_address, new), pool.map(_query, new), strict=True))
+        reports |= answers
+        named = [core for report in answers.values() for core in report.get("cores", ())]
         new = {}
         for core in named:
             try:
-                where = parse_address(core)
+                address = parse_address(core)
             except UnitError:
                 continue
-            if format_address(where) not in found and len(found) + len(new) < MOST:
-                new[where] = None
-    return _once_each(found)
-
-
-def _once_each(found: Found) -> Found:
-    """A registry that was asked by two addresses, as by a name and a number, counts once."""
-    lives: dict[str, str] = {}
-    return {a: s for a, s in found.items() if "failed" in s or lives.setdefault(s["life"], a) == a}
-
-
-def problems(found: Found) -> list[str]:
-    """What makes the exit code 1."""
-    told = {a: s for a, s in found.items() if "failed" not in s}
-    if not told:
+            if format_address(address) not in reports and len(reports) + len(new) < MAX_REGISTRIES:
+                new[address] = None
+    return _deduplicate(reports)
+
+
+def _deduplicate(reports: Reports) -> Reports:
+    """Keeps one report of a registry that was queried at two addresses, such as a host name and an
+    IP address. `life` identifies a registry's process.
+    """
+    address_by_life: dict[str, str] = {}
+    return {
+        address: report
+        for address, report in reports.items()
+        if "failed" in report or address_by_life.setdefault(report["life"], address) == address
+    }
+
+
+def find_problems(reports: Reports) -> list[str]:
+    """Returns what makes the exit code 1."""
+    answered = {address: report for address, report in reports.items() if "failed" not in report}
+    if not answered:
         return ["no registry answers"]
-    out = []
-    views = [s["store"] for s in told.values() if s["store"]]
+    problems = []
+    views = [report["store"] for report in answered.values() if report["store"]]
     newest = max(views, key=lambda view: view["epoch"], default=None)
     if newest is None or not newest["primary"]:
-        out.append("no primary: changes are not taken" + ("" if views else "; no store answers"))
-    versions = sorted({s["configuration"]["version"] for s in told.values()})
+        problems.append(
+            "no primary: changes are not accepted" + ("" if views else "; no store answers")
+        )
+    versions = sorted({report["configuration"]["version"] for report in answered.values()})
     if len(versions) > 1:
-        out.append(f"registries hold different versions: {', '.join(versions)}")
-    return out
-
-
-def status(asked: Status) -> int:
-    found = look(asked.at)
-    wrong = problems(found)
-    if any("versions" in what for what in wrong):
-        time.sleep(AGAIN)
-        found = look(asked.at)
-        wrong = problems(found)
-    if asked.json:
-        print(json.dumps({"registries": found, "problems": wrong}, indent=2))
+        problems.append(f"registries hold different versions: {', '.join(versions)}")
+    return problems
+
+
+def status(command: Status) -> int:
+    reports = query_registries(command.at)
+    problems = find_problems(reports)
+    if any("versions" in problem for problem in problems):
+        time.sleep(RECHECK_DELAY_SECONDS)
+        reports = query_registries(command.at)
+        problems = find_problems(reports)
+    if command.json:
+        print(json.dumps({"registries": reports, "problems": problems}, indent=2))
     else:
-        _show(found, wrong)
-    return 1 if wrong else 0
+        _print_status(reports, problems)
+    return 1 if problems else 0
 
 
-def _row(told: dict[str, Any]) -> list[str]:
-    """A registry's line in the table; `?` is a version that may not be the newest."""
-    config, counting, limiters = told["configuration"], told["counting"], told["limiters"]
-    states = [(state, int(n)) for by in told["servers"].values() for state, n in by.items()]
+def _table_row(report: dict[str, Any]) -> list[str]:
+    """Returns a registry's row in the table; `?` marks a version that may not be the newest."""
+    config, counting, limiters = report["configuration"], report["counting"], report["limiters"]
+    states = [(state, int(n)) for by in report["servers"].values() for state, n in by.items()]
     ready, servers = sum(n for state, n in states if state == "ready"), sum(n for _, n in states)
     present, missing = len(limiters["present"]), len(limiters["missing"])
     return [
-        said(str(told["name"])),
+        single_line(str(report["name"])),
         str(config["version"]) + ("" if config["sure"] else "?"),
         f"here, {counting['left']}" if counting["here"] else str(counting["by"] or "unknown"),
         f"{present}" + (f" of {present + missing}" if missing else ""),
@@ -106,43 +119,47 @@
     ]
 
 
-def _lines(told: dict[str, Any]) -> list[str]:
-    """What a registry says of the store, the limiters missing and each service."""
-    store, missing = told["store"], told["limiters"]["missing"]
+def _detail_lines(report: dict[str, Any]) -> list[str]:
+    """Returns what a registry reports on the store, missing limiters and the servers of each
+    service.
+    """
+    store, missing = report["store"], report["limiters"]["missing"]
     line = "store: no answer"
     if store:
         line = f"store: epoch {int(store['epoch'])}, primary {store['primary'] or 'none'}"
         line += f", backup {store['backup']}" if store["backup"] else ""
         line += "" if store["ready"] else ", not ready"
     lines = [line, *([f"limiters missing: {', '.join(map(str, missing))}"] if missing else [])]
-    services = sorted(told["servers"].items())
+    services = sorted(report["servers"].items())
     lines += [
-        f"{service}: " + ", ".join(f"{n} {s}" for s, n in by.items()) for service, by in services
+        f"{service}: " + ", ".join(f"{n} {state}" for state, n in by.items())
+        for service, by in services
     ]
-    return [said(line) for line in lines]
-
-
-def _show(found: Found, wrong: list[str]) -> None:
-    """A table, what the registries say besides, and what is wrong, within 80 columns."""
-    from loomstand.ctl import show
-
-    console = show.console()
-    heads = ("address", "name", "version", "counts", "limiters", "servers")
-    table = show.table(*heads, whole=("address", "counts"))
-    good = {a: s for a, s in found.items() if "failed" not in s}
-    seen: dict[str, list[str]] = {}
-    for at, told in good.items():
-        table.add_row(at, *_row(told))
-        for line in _lines(told):
-            seen.setdefault(line, []).append(at)
-    if good:
+    return [single_line(line) for line in lines]
+
+
+def _print_status(reports: Reports, problems: list[str]) -> None:
+    """Prints a table, the details and the problems, within 80 columns."""
+    from loomstand.ctl import tables
+
+    console = tables.make_console()
+    headers = ("address", "name", "version", "counts", "limiters", "servers")
+    table = tables.make_table(*headers, no_wrap=("address", "counts"))
+    answered = {address: report for address, report in reports.items() if "failed" not in report}
+    reporters: dict[str, list[str]] = {}
+    for address, report in answered.items():
+        table.add_row(address, *_table_row(report))
+        for line in _detail_lines(report):
+            reporters.setdefault(line, []).append(address)
+    if answered:
         console.print(table)
-    for line, who in seen.items():  # once where all say the same
-        console.print(line + ("" if len(who) == len(good) else f" (says {', '.join(who)})"))
-    for at, told in found.items():
-        if "failed" in told:
-            console.print(f"{at} gives no status: {told['failed']}")
-    for what in wrong:
-        console.print(f"WRONG: {what}")
-    if not wrong:
-        console.print("one version at all that answered, and a primary serves")
+    # A line that all registries report is printed without their addresses.
+    for line, who in reporters.items():
+        console.print(line + ("" if len(who) == len(answered) else f" (says {', '.join(who)})"))
+    for address, report in reports.items():
+        if "failed" in report:
+            console.print(f"{address} gives no status: {report['failed']}")
+    for problem in problems:
+        console.print(f"WRONG: {problem}")
+    if not problems:
+        console.print("all registries that answered hold one version, and a primary serves")
--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -53,7 +53,7 @@
 def stand(monkeypatch):
     pauses, made = [], []
     monkeypatch.setattr(calls.time, "sleep", pauses.append)
-    monkeypatch.setattr(calls, "SILENCE", 10.0)  # however busy the machine is
+    monkeypatch.setattr(calls, "READ_TIMEOUT_SECONDS", 10.0)  # however busy the machine is
 
     def start(*what):
         made.append(StandIn(*what))
@@ -143,7 +143,7 @@
 def test_a_push_goes_on_until_a_clear_answer_and_sends_the_same_each_time(
     put, stand, capsys, monkeypatch
 ):
-    monkeypatch.setattr(calls, "SILENCE", 0.7)
+    monkeypatch.setattr(calls, "READ_TIMEOUT_SECONDS", 0.7)
     one, two = stand(body("r1"), (503, b""), (0, b""), (429, b"")), stand(body("r1"))
     one.plan.append((307, b"", {"Location": f"http://{two.at}/api/rpc?call=configuration.replace"}))
     path = put("new", body("r2"))
@@ -225,7 +225,7 @@
     stands[1].status["configuration"]["version"] = "r0"
     assert main(["status", "--at", stands[0].at, "--json"]) == 1
     assert "different versions" in json.loads(capsys.readouterr().out)["problems"][0]
-    assert status.AGAIN in stand.pauses  # it looked twice
+    assert status.RECHECK_DELAY_SECONDS in stand.pauses  # it looked twice
     stands[1].status = told[0]
     for one in stands:
         one.status["store"] = None
