--- a/loomstand/ctl/calls.py
+++ b/loomstand/ctl/calls.py
@@ -203,6 +203,7 @@
 
 
 def config_push(command: ConfigPush) -> int:
+    """Runs `config push`; returns the exit code."""
     raw = read_input(command.file)
     pushed = check_configuration(command.file, raw)
     if any(is_masked(key) for tenant in pushed.tenants or () for key in tenant.api_keys):
@@ -250,6 +251,7 @@
 
 
 def config_read(command: ConfigRead) -> int:
+    """Runs `config read`; returns the exit code."""
     config, address = _read_configuration(command.at, command.within)
     if command.keys:  # byte for byte as the registry holds it
         sys.stdout.flush()
--- a/loomstand/ctl/commands.py
+++ b/loomstand/ctl/commands.py
@@ -23,8 +23,8 @@
 # Longer than a failure in the system lasts: a takeover of the store takes 3 s, a start of all
 # processes about 10 s.
 DEFAULT_WITHIN_SECONDS = 20.0
-MAX_DAYS = 10_000
-# Of a standing day's requests; the least load factor is 1 / MAX_LOAD_FACTOR.
+MAX_DAYS = 10_000  # far more than the bench can run
+# Relative to a standing day's requests, far above the loads in use; the inverse is the minimum.
 MAX_LOAD_FACTOR = 100
 
 
--- a/loomstand/ctl/compare.py
+++ b/loomstand/ctl/compare.py
@@ -76,6 +76,7 @@
 
 
 def difference(old: Configuration, new: Configuration) -> Difference:
+    """Compares two valid configurations."""
     keys = ""
     if (old.tenants is None) != (new.tenants is None):
         keys = (
@@ -126,7 +127,7 @@
 def _key_changes(before: set[str], after: set[str]) -> list[Any]:
     """Returns how many keys there were and are, or nothing if they are the same.
 
-    Masks of different keys can be equal, so masked keys are compared by their number alone.
+    A mask doesn't identify its key, so masked keys are compared by their number alone.
     """
     if any(map(is_masked, before | after)):
         return [f"{len(before)}", f"{len(after)}"] if len(before) != len(after) else []
--- a/loomstand/ctl/days.py
+++ b/loomstand/ctl/days.py
@@ -17,6 +17,7 @@
 
 
 def days_draw(command: DaysDraw) -> int:
+    """Runs `days draw`; returns the exit code."""
     try:
         at = site.read(read_input(command.site))
         kinds = tuple(kind for kind in command.kinds.split(",") if kind)
--- a/loomstand/ctl/files.py
+++ b/loomstand/ctl/files.py
@@ -31,6 +31,7 @@
 
 
 def settings_check(command: SettingsCheck) -> int:
+    """Runs `settings check`; returns the exit code."""
     try:
         settings = parse_settings(read_input(command.file).decode("utf-8"))
     except UnicodeDecodeError as error:
@@ -110,6 +111,7 @@
 
 
 def config_check(command: ConfigCheck) -> int:
+    """Runs `config check`; returns the exit code."""
     from loomstand.ctl.advice import find_warnings
 
     raw = read_input(command.file)
@@ -141,6 +143,7 @@
 
 
 def config_diff(command: ConfigDiff) -> int:
+    """Runs `config diff`; returns the exit code."""
     from loomstand.ctl.compare import difference, format_difference
 
     if command.old == command.new == "-":
--- a/loomstand/ctl/journal.py
+++ b/loomstand/ctl/journal.py
@@ -17,7 +17,7 @@
 from loomstand.testing.fault_schedules.entry import Day, Entry
 from loomstand.testing.fault_schedules.losses import Change, Loss
 
-MAX_DETAILED_DAYS = 8  # an entry with more days is printed as a table without details
+MAX_DETAILED_DAYS = 8  # a longer entry, such as that of a hunt, is printed without details
 MIN_SHOWN_LOSS = 0.0005  # smaller losses are left out: three digits would show them as 0
 MAX_SHOWN_CAUSES = 3  # of each day in `compare`
 
@@ -51,7 +51,7 @@
 
     They come from the site file given, or else from the bench's arguments; empty without one.
     """
-    bench_files = [word for word in record.argv if word.endswith(".toml") and os.path.isfile(word)]
+    bench_files = [arg for arg in record.argv if arg.endswith(".toml") and os.path.isfile(arg)]
     paths = [command.site] if command.site else bench_files
     for path in paths:
         try:
@@ -71,6 +71,7 @@
 
 
 def journal_show(command: JournalShow) -> int:
+    """Runs `journal show`; returns the exit code."""
     record = _load_entry(command.entry, command.journal)
     labels = _class_and_zone_names(command, record)
     if command.plot:
@@ -178,6 +179,7 @@
 
 
 def _verdicts(day: Day) -> list[str]:
+    """Returns the broken rules, the fault and a failed gate, as texts."""
     broken = [f"{rule} broken" for rule in sorted(day.rules)]
     return (
         broken
@@ -216,6 +218,7 @@
 
 
 def journal_compare(command: JournalCompare) -> int:
+    """Runs `journal compare`; returns the exit code."""
     old, new = (_load_entry(text, command.journal) for text in (command.old, command.new))
     if old.site != new.site:
         raise CommandError(
@@ -299,6 +302,7 @@
 
 
 def journal_list(command: JournalList) -> int:
+    """Runs `journal list`; returns the exit code."""
     try:
         names = sorted(name for name in os.listdir(command.journal) if name.endswith(".json"))
     except OSError as error:
--- a/loomstand/ctl/rescue.py
+++ b/loomstand/ctl/rescue.py
@@ -48,6 +48,7 @@
 
 
 def rescue(command: CoreRescue) -> int:
+    """Runs `core rescue`; returns the exit code."""
     cases, failed = _inspect(command)
     if not cases:
         raise CommandError(
@@ -75,6 +76,7 @@
 
 
 def _is_serving(case: Case) -> bool:
+    """Whether a case reports that a primary serves, so that no rescue is needed."""
     return any("serves" in str(reason) for reason in case["waits"])
 
 
@@ -119,6 +121,7 @@
         if response.status != 200:
             raise CommandError(f"nothing was founded: {response.error_text()}", 1)
         done: Case = json.loads(response.body)["done"]
+        # Only to check that all fields that are used exist.
         int(done["epoch"]), done["version"], _format_members(done)
         return done
     except CallError as error:
--- a/loomstand/ctl/status.py
+++ b/loomstand/ctl/status.py
@@ -91,6 +91,7 @@
 
 
 def status(command: Status) -> int:
+    """Runs `status`; returns the exit code."""
     reports = query_registries(command.at)
     problems = find_problems(reports)
     if any("versions" in problem for problem in problems):
@@ -153,9 +154,11 @@
             reporters.setdefault(line, []).append(address)
     if answered:
         console.print(table)
-    # A line that all registries report is printed without their addresses.
-    for line, who in reporters.items():
-        console.print(line + ("" if len(who) == len(answered) else f" (says {', '.join(who)})"))
+    # A line that all registries report is printed once, without their addresses.
+    for line, addresses in reporters.items():
+        console.print(
+            line + ("" if len(addresses) == len(answered) else f" (says {', '.join(addresses)})")
+        )
     for address, report in reports.items():
         if "failed" in report:
             console.print(f"{address} gives no status: {report['failed']}")
