--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -49,12 +49,12 @@
         # this process has run at least as long as it has worked: so long it surely passed nothing
         started = self.now() - int(time.process_time() * 10_000)
         names = ([f.name for f in conf.frontends], [p.name for p in conf.plans], conf.zones)
-        self.guide = None
+        self.failover = None
         if config.zone_plan:
-            from loomstand.failover.engine_view import Guide
+            from loomstand.failover.engine_view import FailoverPolicy
 
-            self.guide = Guide(config.zone_plan, self.settings, names, started)
-        self.engine = DecisionEngine(self.settings, config.random_seed, started, self.guide)
+            self.failover = FailoverPolicy(config.zone_plan, self.settings, names, started)
+        self.engine = DecisionEngine(self.settings, config.random_seed, started, self.failover)
         self.names = Names(
             [f.name for f in conf.frontends], [p.name for p in conf.plans], self.settings
         )
@@ -81,14 +81,14 @@
         self.peers = None
         if config.peer_addresses:
             # only where there are any: a start counts its CPU
-            from loomstand.membership.driver import Peers
+            from loomstand.membership.driver import PeerProtocol
 
             own, fleet, known = (
                 self.settings.limiter_index,
                 self.settings.limiter_count,
                 config.initial_backends,
             )
-            self.peers = Peers(
+            self.peers = PeerProtocol(
                 self,
                 self.watch,
                 own,
@@ -136,8 +136,8 @@
         ):
             self.counter.move(config.counter_address)
         fixed = ["name", "listen_address", "limits", "settings"]
-        if self.guide and config.zone_plan:
-            self.guide.take(config.zone_plan)
+        if self.failover and config.zone_plan:
+            self.failover.replace_plan(config.zone_plan)
         else:
             fixed.append("zone_plan")
         kept = [f for f in fixed if getattr(config, f) != getattr(old, f)]
@@ -160,12 +160,12 @@
     def told(self, list_: BackendList) -> None:
         """Discovery itself spoke."""
         if self.peers is not None:
-            self.peers.from_discovery(list_)
+            self.peers.discovery_listed(list_)
         self.listed(list_)
 
     def beat(self) -> None:
         if self.peers is not None:
-            self.peers.beat()
+            self.peers.discovery_confirmed()
 
     def listed(self, list_: BackendList) -> None:
         if list_.complete:
