--- a/benchmarks/lab_calibrate.py
+++ b/benchmarks/lab_calibrate.py
@@ -24,7 +24,7 @@
 
 from loomstand.testing.emulator import runner
 from loomstand.testing.emulator import scenario as sc
-from loomstand.testing.rehearsal.wire import free_port, read_message, said
+from loomstand.testing.rehearsal.wire import free_port, http_response, read_message
 
 HOST = "127.0.0.1"
 SCENARIO = {
@@ -53,7 +53,7 @@
             while True:
                 await read_message(reader)
                 if self.working + self.waiting >= self.capacity + self.queue:
-                    writer.write(said(503, extra=b"Not-Started: 1\r\n"))
+                    writer.write(http_response(503, extra=b"Not-Started: 1\r\n"))
                     await writer.drain()
                     continue
                 self.waiting += 1
@@ -62,7 +62,7 @@
                     self.working += 1
                     await asyncio.sleep(self.rng.expovariate(1 / self.work_s))
                     self.working -= 1
-                writer.write(said(200, b"ok"))
+                writer.write(http_response(200, b"ok"))
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError):
             pass
@@ -81,13 +81,13 @@
                 head, _ = await read_message(reader)
                 m = re.match(rb"POST /counters/(\d+)\?by=([0-9.e+-]+)&expire_ms=(\d+)", head)
                 if not m:
-                    writer.write(said(404))
+                    writer.write(http_response(404))
                     continue
                 now = time.monotonic()
                 total, until = self.totals.get(m[1], (0.0, 0.0))
                 total = (total if until > now else 0.0) + float(m[2])
                 self.totals[m[1]] = (total, now + int(m[3]) / 1000)
-                writer.write(said(200, b"%.9g" % total))
+                writer.write(http_response(200, b"%.9g" % total))
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError):
             pass
--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -220,7 +220,7 @@
     from loomstand.testing.emulator.runner import values
     from loomstand.testing.emulator.scenario import ScenarioError
     from loomstand.testing.rehearsal import report, scenario
-    from loomstand.testing.rehearsal.stage import StageError, stage
+    from loomstand.testing.rehearsal.runner import RehearsalError, run_rehearsal
 
     try:
         given = {key: vals[0] for key, vals in map(values, sets)}
@@ -240,11 +240,13 @@
                 asyncio.get_running_loop().add_signal_handler(
                     signal.SIGTERM, asyncio.current_task().cancel
                 )
-                await stage(told, seed, place, plan, lambda s: bar.update(task, completed=s))
+                await run_rehearsal(
+                    told, seed, place, plan, lambda s: bar.update(task, completed=s)
+                )
 
             try:
                 asyncio.run(play())
-            except StageError as why:
+            except RehearsalError as why:
                 raise click.ClickException(str(why)) from None
             except (KeyboardInterrupt, asyncio.CancelledError):
                 raise click.ClickException(
--- a/loomstand/testing/rehearsal/__init__.py
+++ b/loomstand/testing/rehearsal/__init__.py
@@ -1,3 +1,3 @@
-"""The rehearsal kit: limiter processes among stand-ins, faults between them, a checker
-(docs/rehearse.md).
+"""Rehearsals: limiter processes and stand-ins on loopback, injected faults and a checker of the
+recorded events (docs/rehearse.md).
 """
--- a/loomstand/testing/rehearsal/checker.py
+++ b/loomstand/testing/rehearsal/checker.py
@@ -1,10 +1,10 @@
-"""What the driver and the stand-ins saw, put on one clock; the five rules over it, the bounds, the
-report.
+"""Checks the events recorded by drivers and stand-ins against the five rules and the bounds.
 
-The rules are the lab's (`lab/checker.py`) over the same History, built here from trails. What only
-sockets show is added: an answer that no server made, a req lost by a limiter that lived, a denial
-of a non-replayable that ran. Where a fault held bytes back, the time at which they could pass
-counts: a path that was cut tells neither the limiter nor us anything in the meantime.
+The rules are those of `loomstand/testing/emulator/checker.py` over the same History, which is built
+here from the event logs. Checks that only sockets allow are added: an answer that no server
+produced, a request lost by a limiter that kept running, a denial of a non-replayable request that
+ran. Where a fault delayed data, the time at which the data could pass counts: during a cut neither
+the limiter nor the checker learns anything over that path.
 """
 
 from __future__ import annotations
@@ -21,127 +21,141 @@
 from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, Req
 from loomstand.testing.rehearsal.scenario import SHARED, Bound, Rehearsal, zone_of
 
-T = 10_000
-MS = T // 1000
-EXTRA_MS = 50  # PROTOCOL adds this to time limits on sockets
-MOVE = re.compile(r": (\d+\.\d+): zone (\S+): (\w+) to (\w+)").findall  # failover logs it
-SETTLE = 0.25  # s: on a machine of many processes, between an order and what it does
+TICKS_PER_SECOND = 10_000
+TICKS_PER_MS = TICKS_PER_SECOND // 1000
+SOCKET_SLACK_MS = 50  # PROTOCOL adds this to time limits on sockets
+CEILING_SLACK_SECONDS = 0.15  # PROTOCOL, see `SocketLimits`
+# a log line of the zone failover
+ZONE_MOVES = re.compile(r": (\d+\.\d+): zone (\S+): (\w+) to (\w+)").findall
+SETTLE_SECONDS = 0.25  # from a command to its effect when many processes share the machine
 
 
 @dataclass(slots=True)
-class Seen:
-    """Every trail of a rehearsal, by what was seen, each row [Unix s, ...]; and what is made of
-    it.
+class RehearsalEvents:
+    """All event logs of a rehearsal, and the spans and History derived from them.
+
+    Attributes:
+        rehearsal: The scenario.
+        rows: Events by name in order of time, each [Unix s, ...].
+        began: Time of the first traffic, Unix s.
+        cuts: Spans (Unix s) in which a path (from, to) was cut in a direction, `forth` or `back`.
+        running: Spans (Unix s) in which a process existed; under "stopped NAME" those in which it
+            was stopped by SIGSTOP.
+        history: The events as the rules read them; times in ticks since the first traffic.
+        delayed: Dispatches that a cut may have delayed, by request and dispatch number, with the
+            start of the cut in ticks, which is the earliest possible time of sending.
     """
 
-    told: Rehearsal
+    rehearsal: Rehearsal
     rows: dict[str, list[list]] = field(default_factory=dict)
     began: float = 0.0
     cuts: dict[tuple[str, str, str], list[tuple[float, float]]] = field(default_factory=dict)
-    lives: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
+    running: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
     history: History = field(default_factory=History)
-    # dispatches that a cut may have held back: when it began, the earliest at which they can have
-    # been sent
-    held: dict[tuple[int, int], int] = field(default_factory=dict)
+    delayed: dict[tuple[int, int], int] = field(default_factory=dict)
 
-    def at(self, unix: float) -> int:
-        """A time in tenths of a millisecond since the first traffic."""
-        return round((unix - self.began) * T)
+    def to_ticks(self, unix: float) -> int:
+        """Converts a Unix time to tenths of a millisecond since the first traffic."""
+        return round((unix - self.began) * TICKS_PER_SECOND)
 
-    def all(self, what: str) -> list[list]:
-        return self.rows.get(what, [])
+    def all(self, name: str) -> list[list]:
+        return self.rows.get(name, [])
 
     def path(self, limiter: int, server: int) -> tuple[str, str]:
-        return (SHARED if self.told.fleet.shared else f"l{limiter}", f"s{server}")
+        return (SHARED if self.rehearsal.fleet.shared else f"l{limiter}", f"s{server}")
 
-    def passes(self, path: tuple[str, str], way: str, unix: float) -> float:
-        """When what was sent on a path at a time could pass: at once, or when its cut healed."""
+    def delivery_time(self, path: tuple[str, str], way: str, unix: float) -> float:
+        """The time at which data sent on a path could pass: at once, or at the end of a cut."""
         for since, until in self.cuts.get((*path, way), ()):
             if since <= unix < until:
                 return until
         return unix
 
     def disturbed(self, path: tuple[str, str], since: float, until: float) -> bool:
-        """Whether a fault held or broke this path within a span, either way."""
+        """Whether a fault cut or reset this path within a span, in either direction."""
         spans = self.cuts.get((*path, "forth"), []) + self.cuts.get((*path, "back"), [])
-        return any(a < until and since < b + SETTLE for a, b in spans) or any(
-            since - SETTLE < t < until for t in self.resets
+        return any(a < until and since < b + SETTLE_SECONDS for a, b in spans) or any(
+            since - SETTLE_SECONDS < t < until for t in self.resets
         )
 
     @property
     def resets(self) -> list[float]:
         return [row[0] for row in self.all("fault") if row[2] in ("reset", "vanish")]
 
-    def lived(self, name: str, since: float, until: float) -> bool:
-        """Whether one life of a process covers a span, and nothing stopped it meanwhile."""
-        return any(a <= since and until <= b for a, b in self.lives.get(name, ())) and not any(
-            a < until and since < b for a, b in self.lives.get(f"stopped {name}", ())
+    def ran_throughout(self, name: str, since: float, until: float) -> bool:
+        """Whether a process ran for a whole span, without a restart or SIGSTOP."""
+        return any(a <= since and until <= b for a, b in self.running.get(name, ())) and not any(
+            a < until and since < b for a, b in self.running.get(f"stopped {name}", ())
         )
 
 
-def read(told: Rehearsal, out: Path) -> Seen:
-    """The trails in a rehearsal's folder. A row that a SIGKILL tore off is passed over."""
-    seen = Seen(told)
+def read(rehearsal: Rehearsal, out: Path) -> RehearsalEvents:
+    """Reads the event logs in a rehearsal's folder. Skips a row that SIGKILL cut short."""
+    events = RehearsalEvents(rehearsal)
     for path in sorted((out / "trail").glob("*.jsonl")):
         for line in path.read_bytes().splitlines():
             try:
-                what, *row = msgspec.json.decode(line)
+                name, *row = msgspec.json.decode(line)
             except msgspec.DecodeError:
                 continue
-            seen.rows.setdefault(what, []).append(row)
+            events.rows.setdefault(name, []).append(row)
     for path in sorted((out / "log").glob("l[0-9]*")):
-        for at, zone, old, new in MOVE(path.read_text(errors="replace")):
-            seen.rows.setdefault("move", []).append([float(at), path.name, zone, old, new])
-    for rows in seen.rows.values():
+        for at, zone, old, new in ZONE_MOVES(path.read_text(errors="replace")):
+            events.rows.setdefault("move", []).append([float(at), path.name, zone, old, new])
+    for rows in events.rows.values():
         rows.sort(key=lambda row: row[0])
-    seen.began = seen.all("began")[0][0] if seen.all("began") else 0.0
-    spans(seen)
-    build(seen)
-    return seen
+    events.began = events.all("began")[0][0] if events.all("began") else 0.0
+    derive_spans(events)
+    build_history(events)
+    return events
 
 
-def spans(seen: Seen) -> None:
-    """From when to when paths were cut, and processes lived and stood still."""
+def derive_spans(events: RehearsalEvents) -> None:
+    """Derives the spans in which paths were cut, processes ran and processes were stopped."""
     end = 1e18
-    held: dict[tuple[str, str, str], float] = {}
-    for at, paths in seen.all("cut"):
+    open_cuts: dict[tuple[str, str, str], float] = {}
+    for at, paths in events.all("cut"):
         for a, b, directions in paths:
             for way in ("forth", "back"):
                 key = (a, b, way)
                 if way in directions:
-                    held.setdefault(key, at)
-                elif key in held:
-                    seen.cuts.setdefault(key, []).append((held.pop(key), at + SETTLE))
-    for key, since in held.items():
-        seen.cuts.setdefault(key, []).append((since, end))
+                    open_cuts.setdefault(key, at)
+                elif key in open_cuts:
+                    events.cuts.setdefault(key, []).append(
+                        (open_cuts.pop(key), at + SETTLE_SECONDS)
+                    )
+    for key, since in open_cuts.items():
+        events.cuts.setdefault(key, []).append((since, end))
     up: dict[str, float] = {}
-    for at, what, name in sorted(
-        [(r[0], "up", r[1]) for r in seen.all("up")]
-        + [(r[0], "down", r[1]) for r in seen.all("down")]
+    for at, event, name in sorted(
+        [(r[0], "up", r[1]) for r in events.all("up")]
+        + [(r[0], "down", r[1]) for r in events.all("down")]
     ):
-        if what == "up":
+        if event == "up":
             up[name] = at
         elif name in up:
-            seen.lives.setdefault(name, []).append((up.pop(name), at))
+            events.running.setdefault(name, []).append((up.pop(name), at))
     for name, since in up.items():
-        seen.lives.setdefault(name, []).append((since, end))
+        events.running.setdefault(name, []).append((since, end))
     stopped: dict[str, float] = {}
-    for at, name, on in seen.all("stopped"):
+    for at, name, on in events.all("stopped"):
         if on:
             stopped[name] = at
         elif name in stopped:
-            seen.lives.setdefault(f"stopped {name}", []).append((stopped.pop(name), at + SETTLE))
+            events.running.setdefault(f"stopped {name}", []).append(
+                (stopped.pop(name), at + SETTLE_SECONDS)
+            )
     for name, since in stopped.items():
-        seen.lives.setdefault(f"stopped {name}", []).append((since, end))
+        events.running.setdefault(f"stopped {name}", []).append((since, end))
 
 
-def build(seen: Seen) -> None:
-    """The lab's History of what was seen."""
-    told, history = seen.told, seen.history
-    zones = told.fleet.zones
+def build_history(events: RehearsalEvents) -> None:
+    """Builds the History that the rules of the emulator read."""
+    rehearsal, history = events.rehearsal, events.history
+    zones = rehearsal.fleet.zones
     reqs: dict[int, Req] = {}
-    for at, req, limiter, customer, plan, front, timeout, inside, retry, zone in seen.all("sent"):
-        value, sent = told.frontends[front].value, seen.at(at)
+    for at, req, limiter, customer, plan, front, timeout, inside, retry, zone in events.all("sent"):
+        value, sent = rehearsal.frontends[front].value, events.to_ticks(at)
         row = Req(
             req,
             limiter,
@@ -149,7 +163,7 @@
             plan,
             front,
             sent,
-            sent + round(timeout * T),
+            sent + round(timeout * TICKS_PER_SECOND),
             1.0,
             value,
             inside,
@@ -158,141 +172,152 @@
         reqs[req] = row
         history.reqs.append(row)
         path, until = (f"clients:{zones[zone]}", f"l{limiter}"), at + timeout + 0.5
-        # owed nothing by a limiter that was not there, stood still, or could not be reached
-        row.orphaned = not seen.lived(f"l{limiter}", at, until) or seen.disturbed(path, at, until)
-    for at, req, status, own in seen.all("got"):
+        # no answer is required of a limiter that did not run throughout or was unreachable
+        row.orphaned = not events.ran_throughout(f"l{limiter}", at, until) or events.disturbed(
+            path, at, until
+        )
+    for at, req, status, own in events.all("got"):
         row = reqs[req]
         final = {200: PASSED, 429: DENIED, 503: DENIED, 0: "broken", -1: ""}.get(status, ABORTED)
-        row.final, row.final_at = final, seen.at(at)
+        row.final, row.final_at = final, events.to_ticks(at)
         row.finals = 0 if final in ("", "broken") else 1
         if final == PASSED:
             row.took = row.final_at - row.arrived
             if not own:
                 history.broken.append(
-                    (row.limiter, f"req {req} was served what no server made for it")
+                    (row.limiter, f"the answer to req {req} was not produced by a server for it")
                 )
-    # what servers ran
-    first: set[int] = set()
-    out: dict[tuple[int, int], int] = {}
-    windows = [round(f.repeat_window_ms * MS) for f in told.frontends]
-    for at, req, server, front, since in seen.all("run"):
-        g, now = told.frontends[front], seen.at(at)
-        group = zone_of(told.fleet, f"s{server}") if g.group == "zone" else 0
-        history.runs.append((req, server, now, g.effect, group, windows[front]))
+    # requests that servers ran
+    counted: set[int] = set()
+    dispatch_counts: dict[tuple[int, int], int] = {}
+    windows = [round(f.repeat_window_ms * TICKS_PER_MS) for f in rehearsal.frontends]
+    for at, req, server, front, since in events.all("run"):
+        frontend, now = rehearsal.frontends[front], events.to_ticks(at)
+        group = zone_of(rehearsal.fleet, f"s{server}") if frontend.group == "zone" else 0
+        history.runs.append((req, server, now, frontend.effect, group, windows[front]))
         limiter = reqs[req].limiter if req in reqs else -1
-        number = out.get((req, -1), 0)
-        out[req, -1] = number + 1
-        if (held := held_since(seen, seen.path(limiter, server), since)) is not None:
-            seen.held[req, number] = seen.at(held)
-        history.dispatches.append([req, number, limiter, server, seen.at(since), now])
-        if req in reqs and req not in first:
-            first.add(req)
+        number = dispatch_counts.get((req, -1), 0)
+        dispatch_counts[req, -1] = number + 1
+        if (cut_began := cut_start(events, events.path(limiter, server), since)) is not None:
+            events.delayed[req, number] = events.to_ticks(cut_began)
+        history.dispatches.append([req, number, limiter, server, events.to_ticks(since), now])
+        if req in reqs and req not in counted:
+            counted.add(req)
             history.used.append((reqs[req].customer, reqs[req].plan, now, 1.0))
     history.falls += [
-        (s, seen.at(at), float(sent), bears) for at, s, sent, bears in seen.all("fall")
+        (s, events.to_ticks(at), float(sent), bears) for at, s, sent, bears in events.all("fall")
     ]
-    told_rows(seen)
+    build_leaving_rows(events)
 
 
-def held_since(seen: Seen, path: tuple[str, str], came: float) -> float | None:
-    """When the cut began that may have held back what came to a server at a time; None where none
-    did. Right after a cut has healed what comes may be new as well, so both times count.
+def cut_start(events: RehearsalEvents, path: tuple[str, str], arrived: float) -> float | None:
+    """The start of the cut that may have delayed a request which arrived at a server at a given
+    time, or None. A request that arrives right after a cut may also be new, so the caller considers
+    both times.
     """
-    for since, until in seen.cuts.get((*path, "forth"), ()):
-        if since <= came < until + SETTLE:
+    for since, until in events.cuts.get((*path, "forth"), ()):
+        if since <= arrived < until + SETTLE_SECONDS:
             return since
     return None
 
 
-def told_rows(seen: Seen) -> None:
-    """When each limiter was told that a server drains or is gone, until it was told that it is
-    live.
+def build_leaving_rows(events: RehearsalEvents) -> None:
+    """Derives the spans in which a limiter knew that a server is leaving or has left: from the list
+    that says so to the list that says that it is active.
     """
-    history, open_ = seen.history, {}
-    for at, limiter, whole, rows in seen.all("told"):
+    history, open_rows = events.history, {}
+    for at, limiter, whole, rows in events.all("told"):
         path = (f"l{limiter}", "discovery")
-        when = seen.at(seen.passes(path, "back", at))
+        when = events.to_ticks(events.delivery_time(path, "back", at))
         named = {server: phase for server, phase, _ in rows}
-        for server in range(seen.told.fleet.servers):
+        for server in range(events.rehearsal.fleet.servers):
             phase = named.get(server, "left" if whole else "")
             key = (limiter, server)
-            if phase in ("leaving", "left") and key not in open_:
-                open_[key] = len(history.told_leaving)
+            if phase in ("leaving", "left") and key not in open_rows:
+                open_rows[key] = len(history.told_leaving)
                 history.told_leaving.append([limiter, server, when, 1 << 62])
-            elif phase == "active" and key in open_:
-                # the row's own time: a limiter that was told earlier than we know must not look
-                # late
-                history.told_leaving[open_.pop(key)][3] = seen.at(at)
-    # a limiter that started again knows only what it was told since; its configuration may be older
+            elif phase == "active" and key in open_rows:
+                # the time of sending, not of delivery: a limiter that received the list earlier
+                # than derived here must not appear late
+                history.told_leaving[open_rows.pop(key)][3] = events.to_ticks(at)
+    # a restarted limiter has only the lists since its start; its configuration may be older
     for row in history.told_leaving:
-        for since, until in seen.lives.get(f"l{row[0]}", ()):
-            if seen.at(since) <= row[2] and until < 1e17:
-                row[3] = min(row[3], seen.at(until)) if seen.at(until) > row[2] else row[3]
+        for since, until in events.running.get(f"l{row[0]}", ()):
+            if events.to_ticks(since) <= row[2] and until < 1e17:
+                row[3] = (
+                    min(row[3], events.to_ticks(until))
+                    if events.to_ticks(until) > row[2]
+                    else row[3]
+                )
 
 
-class Terms:
-    """What the lab's checker reads of a scenario, with what sockets add to time limits."""
+class SocketLimits:
+    """The parts of a scenario that the rules read, with the time limits widened for sockets."""
 
-    def __init__(self, told: Rehearsal) -> None:
+    def __init__(self, rehearsal: Rehearsal) -> None:
         self.fleet = msgspec.structs.replace(
-            told.fleet, answer_slack_ms=told.fleet.answer_slack_ms + EXTRA_MS
+            rehearsal.fleet, answer_slack_ms=rehearsal.fleet.answer_slack_ms + SOCKET_SLACK_MS
         )
-        # PROTOCOL: on sockets the slack of a ceiling is wider by what its rate gives in 150 ms
+        # PROTOCOL: on sockets the slack of a ceiling is wider by the units of its rate in this time
         self.plans = [
-            msgspec.structs.replace(p, ceiling_slack=p.ceiling_slack + 0.15 * p.ceiling_rate)
-            for p in told.plans
+            msgspec.structs.replace(
+                p, ceiling_slack=p.ceiling_slack + CEILING_SLACK_SECONDS * p.ceiling_rate
+            )
+            for p in rehearsal.plans
         ]
 
 
-def check(seen: Seen) -> Verdict:
-    """Every break of the five rules, the lab's and what only sockets show."""
-    terms = Terms(seen.told)
-    verdict = rules.check(seen.history, terms)
-    # what a cut may have held back is a break of rule 3 only if it is one whenever it was sent
+def check(events: RehearsalEvents) -> Verdict:
+    """Returns all violations of the five rules, including those that only sockets show."""
+    limits = SocketLimits(events.rehearsal)
+    verdict = rules.check(events.history, limits)
+    # a dispatch that a cut may have delayed breaks rule 3 only if it does so at every possible
+    # time of sending
     rows = [
-        [r, n, lim, srv, seen.held[r, n], at]
-        for r, n, lim, srv, _, at in seen.history.dispatches
-        if (r, n) in seen.held
+        [r, n, lim, srv, events.delayed[r, n], at]
+        for r, n, lim, srv, _, at in events.history.dispatches
+        if (r, n) in events.delayed
     ]
-    early = History(dispatches=rows, told_leaving=seen.history.told_leaving)
-    surely = {b.req for b in rules.leaving(early, terms)}
-    doubtful = {r for r, _ in seen.held} - surely
+    early = History(dispatches=rows, told_leaving=events.history.told_leaving)
+    certain = {b.req for b in rules.leaving(early, limits)}
+    doubtful = {r for r, _ in events.delayed} - certain
     verdict.breaks = [b for b in verdict.breaks if b.rule != 3 or b.req not in doubtful]
-    # the lab's rule 1 reads "no final answer"; a broken connection to a limiter that lived is one
-    # too
+    # rule 1 of the emulator covers requests without a final answer, so also a broken connection to
+    # a limiter that kept running
     ran: dict[int, list[int]] = {}
-    for req, server, *_ in seen.history.runs:
+    for req, server, *_ in events.history.runs:
         ran.setdefault(req, []).append(server)
-    for r in seen.history.reqs:
-        effect = seen.told.frontends[r.frontend].effect
+    for r in events.history.reqs:
+        effect = events.rehearsal.frontends[r.frontend].effect
         if r.final == DENIED and effect == "side_effect" and r.req in ran:
-            what = f"denied, but ran at server {ran[r.req][0]}"
-            verdict.breaks.append(Break(2, r.req, r.limiter, r.final_at, what))
+            text = f"denied, but ran at server {ran[r.req][0]}"
+            verdict.breaks.append(Break(2, r.req, r.limiter, r.final_at, text))
         if r.final == PASSED and r.req not in ran:
             verdict.breaks.append(
                 Break(1, r.req, r.limiter, r.final_at, "passed, but no server ran it")
             )
-    for limiter, what in seen.history.broken:
-        verdict.breaks.append(Break(1, -1, limiter, -1, what))
+    for limiter, text in events.history.broken:
+        verdict.breaks.append(Break(1, -1, limiter, -1, text))
     return verdict
 
 
-def crashes(seen: Seen) -> list[str]:
-    """Limiters that ended though nobody asked for it."""
+def crashes(events: RehearsalEvents) -> list[str]:
+    """Limiters that exited although the rehearsal did not stop them."""
     return [
-        f"{name} ended with exit code {code} at {at - seen.began:.2f} s"
-        for at, name, code, planned in seen.all("down")
+        f"{name} ended with exit code {code} at {at - events.began:.2f} s"
+        for at, name, code, planned in events.all("down")
         if not planned and name[0] == "l" and name[1:].isdigit()
     ]
 
 
-# what came of it
-# ---------------------------------------------------------------------------------------
+# Figures for the bounds and the report
 
 
 @dataclass(slots=True)
-class Second:
-    """What was offered in a second and what came of it, by frontend; worth counts inside quotas."""
+class SecondTotals:
+    """Requests that arrived in one second and their results. `offered` and `served` are the worth
+    within quotas by frontend; the others count requests.
+    """
 
     offered: list[float]
     served: list[float]
@@ -301,20 +326,23 @@
     denied: int = 0
     aborted: int = 0
     lost: int = 0
-    best: float = 0.0  # the most worth that the servers there could have served
+    best: float = 0.0  # the most worth that the running servers could have served
 
 
-def seconds(seen: Seen) -> list[Second]:
-    """By second of arrival."""
-    told, n = seen.told, len(seen.told.frontends)
-    out = [Second([0.0] * n, [0.0] * n) for _ in range(int(told.seconds) + 1)]
-    for r in seen.history.reqs:
-        row = out[min(len(out) - 1, max(0, r.arrived // T))]
+def totals_by_second(events: RehearsalEvents) -> list[SecondTotals]:
+    """Totals by second of arrival since the first traffic."""
+    rehearsal, n = events.rehearsal, len(events.rehearsal.frontends)
+    out = [SecondTotals([0.0] * n, [0.0] * n) for _ in range(int(rehearsal.seconds) + 1)]
+    for r in events.history.reqs:
+        row = out[min(len(out) - 1, max(0, r.arrived // TICKS_PER_SECOND))]
         row.taken += 1
         row.offered[r.frontend] += r.worth if r.inside else 0.0
         if r.final == PASSED:
             row.passed += 1
-            if r.took <= told.frontends[r.frontend].response_target_ms * MS and r.inside:
+            if (
+                r.took <= rehearsal.frontends[r.frontend].response_target_ms * TICKS_PER_MS
+                and r.inside
+            ):
                 row.served[r.frontend] += r.worth
         elif r.final == DENIED:
             row.denied += 1
@@ -322,99 +350,102 @@
             row.aborted += 1
         else:
             row.lost += 1
-    capacity = room_by_second(seen, len(out))
+    capacity = capacity_by_second(events, len(out))
     for k, row in enumerate(out):
-        row.best = best(told, row.offered, capacity[k])
+        row.best = best_worth(rehearsal, row.offered, capacity[k])
     return out
 
 
-def room_by_second(seen: Seen, many: int) -> list[float]:
-    """Slot-seconds that the servers had in each second, by their own samples (two a second)."""
-    slots: list[dict[int, list[int]]] = [{} for _ in range(many)]
-    for at, server, _, _, room in seen.all("load"):
-        k = int(at - seen.began)
-        if at - seen.began >= 0 and k < many:
+def capacity_by_second(events: RehearsalEvents, count: int) -> list[float]:
+    """Slot-seconds of all servers in each second, from their samples (two a second)."""
+    slots: list[dict[int, list[int]]] = [{} for _ in range(count)]
+    for at, server, _, _, room in events.all("load"):
+        k = int(at - events.began)
+        if at - events.began >= 0 and k < count:
             slots[k].setdefault(server, []).append(room)
-    # a server that was there for half of a second had half of its room
-    return [sum(sum(rooms) / max(2, len(rooms)) for rooms in by.values()) for by in slots]
+    # a server with one sample ran for half of the second
+    return [
+        sum(sum(rooms) / max(2, len(rooms)) for rooms in by_server.values()) for by_server in slots
+    ]
 
 
-def best(told: Rehearsal, offered: list[float], slots: float) -> float:
-    """The worth that so many slots can serve of what is offered, the dearest for its work first."""
+def best_worth(rehearsal: Rehearsal, offered: list[float], slots: float) -> float:
+    """The worth that the slots can serve of the offered worth, in order of worth per work."""
     total = 0.0
     for n in sorted(
-        range(len(offered)), key=lambda n: -told.frontends[n].value / told.frontends[n].work_ms
+        range(len(offered)),
+        key=lambda n: -rehearsal.frontends[n].value / rehearsal.frontends[n].work_ms,
     ):
-        g = told.frontends[n]
-        need = offered[n] / g.value * g.work_ms / 1000
+        frontend = rehearsal.frontends[n]
+        need = offered[n] / frontend.value * frontend.work_ms / 1000
         share = min(1.0, slots / need) if need else 0.0
         total += offered[n] * share
         slots -= need * share
     return total
 
 
-def load_by_zone(seen: Seen) -> dict[str, list[tuple[float, float, float]]]:
-    """For each zone by second: reqs in hand and room over its servers, means of the samples."""
-    told, many = seen.told, int(seen.told.seconds) + 1
+def load_by_zone(events: RehearsalEvents) -> dict[str, list[tuple[float, float, float]]]:
+    """For each zone (second, requests running or queued, slots), means over the samples."""
+    rehearsal, count = events.rehearsal, int(events.rehearsal.seconds) + 1
     sums: dict[str, list[list[float]]] = {
-        z: [[0.0, 0.0] for _ in range(many)] for z in told.fleet.zones
+        z: [[0.0, 0.0] for _ in range(count)] for z in rehearsal.fleet.zones
     }
-    for at, server, working, waiting, room in seen.all("load"):
-        k = int(at - seen.began)
-        if at >= seen.began and k < many:
-            row = sums[told.fleet.zones[zone_of(told.fleet, f"s{server}")]][k]
+    for at, server, working, waiting, room in events.all("load"):
+        k = int(at - events.began)
+        if at >= events.began and k < count:
+            row = sums[rehearsal.fleet.zones[zone_of(rehearsal.fleet, f"s{server}")]][k]
             row[0] += (working + waiting) / 2
             row[1] += room / 2
     return {z: [(float(k), a, b) for k, (a, b) in enumerate(rows)] for z, rows in sums.items()}
 
 
-def measure(seen: Seen, bound: Bound, by: list[Second]) -> float:
-    """The figure that a bound is about."""
-    told = seen.told
-    since, until = bound.since, bound.until or told.seconds
-    rows = by[int(since) : max(int(since) + 1, int(until))]
-    front = [f.name for f in told.frontends].index(bound.frontend) if bound.frontend else -1
+def measure_bound(events: RehearsalEvents, bound: Bound, totals: list[SecondTotals]) -> float:
+    """The figure that a bound limits."""
+    rehearsal = events.rehearsal
+    since, until = bound.since, bound.until or rehearsal.seconds
+    rows = totals[int(since) : max(int(since) + 1, int(until))]
+    front = [f.name for f in rehearsal.frontends].index(bound.frontend) if bound.frontend else -1
     pick = (lambda xs: xs[front]) if front >= 0 else sum
     if bound.what == "worth":
         return sum(pick(r.served) for r in rows) / max(1e-9, sum(pick(r.offered) for r in rows))
     if bound.what == "of_best":
         return sum(sum(r.served) for r in rows) / max(1e-9, sum(r.best for r in rows))
     if bound.what == "ran":
-        zone = told.fleet.zones.index(bound.zone) if bound.zone else -1
+        zone = rehearsal.fleet.zones.index(bound.zone) if bound.zone else -1
         times = [
             at
-            for at, _, server, _, _ in seen.all("run")
-            if zone < 0 or zone_of(told.fleet, f"s{server}") == zone
+            for at, _, server, _, _ in events.all("run")
+            if zone < 0 or zone_of(rehearsal.fleet, f"s{server}") == zone
         ]
-        lo, hi = (bisect_right(times, seen.began + t) for t in (since, until))
+        lo, hi = (bisect_right(times, events.began + t) for t in (since, until))
         return float(hi - lo)
     if bound.what == "moves":
-        return float(sum(since <= at - seen.began < until for at, *_ in seen.all("move")))
+        return float(sum(since <= at - events.began < until for at, *_ in events.all("move")))
     if bound.what == "list_calls":
         first = since or -60.0  # limiters may start a little before the traffic
-        return float(sum(first <= at - seen.began < until for at, *_ in seen.all("call")))
+        return float(sum(first <= at - events.began < until for at, *_ in events.all("call")))
     if bound.what == "ready_s":
-        waits = ready_after(seen)
+        waits = ready_after(events)
         return max(waits, default=0.0)
     return float(sum(getattr(r, bound.what) for r in rows))
 
 
-def ready_after(seen: Seen) -> list[float]:
+def ready_after(events: RehearsalEvents) -> list[float]:
     """Seconds from each start of a limiter until it was ready."""
-    ups = [(at, name) for at, name, _ in seen.all("up")]
+    ups = [(at, name) for at, name, _ in events.all("up")]
     out = []
-    for at, name in seen.all("ready"):
-        starts = [t for t, who in ups if who == name and t <= at]
+    for at, name in events.all("ready"):
+        starts = [t for t, started in ups if started == name and t <= at]
         if starts:
             out.append(at - starts[-1])
     return out
 
 
-def bounds(seen: Seen, by: list[Second]) -> list[dict]:
-    """Each bound with its figure, and whether it is kept."""
+def check_bounds(events: RehearsalEvents, totals: list[SecondTotals]) -> list[dict]:
+    """Returns each bound with its figure and whether it is kept."""
     out = []
-    for bound in seen.told.bounds:
-        value = measure(seen, bound, by)
+    for bound in events.rehearsal.bounds:
+        value = measure_bound(events, bound, totals)
         kept = (bound.at_least is None or value >= bound.at_least) and (
             bound.at_most is None or value <= bound.at_most
         )
--- a/loomstand/testing/rehearsal/child.py
+++ b/loomstand/testing/rehearsal/child.py
@@ -1,8 +1,9 @@
-"""What all processes of a rehearsal but the limiters share: orders on their input, and a trail.
+"""Common code of all processes of a rehearsal except the limiters: commands and the event log.
 
 `python -m loomstand.testing.rehearsal.child ROLE` reads its configuration from the first line of
-its input, writes one line when it is ready (servers say in it since when each listens), and takes
-an order a line. The end of its input ends it: none outlives the rehearsal, whichever way that ends.
+its standard input and prints one line when it is ready, which holds the time at which each server
+began to listen. Each further input line is a command. The process exits at the end of its input, so
+it does not outlive the rehearsal however that ends. All messages are JSON objects, one a line.
 """
 
 from __future__ import annotations
@@ -25,48 +26,50 @@
 }
 
 
-class Trail:
-    """Rows written as they happen, a JSON array a line, [what, Unix time in s, ...]: a SIGKILL
-    loses none.
+class EventLog:
+    """Appends events to a file, one JSON array a line: [name, Unix time in s, ...].
+
+    Each event is written by one system call without a buffer, so SIGKILL loses no earlier event.
     """
 
     def __init__(self, path: str) -> None:
         self.file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
 
-    def __call__(self, what: str, *more: object, at: float | None = None) -> None:
+    def __call__(self, name: str, *values: object, at: float | None = None) -> None:
         os.write(
-            self.file, msgspec.json.encode([what, time.time() if at is None else at, *more]) + b"\n"
+            self.file,
+            msgspec.json.encode([name, time.time() if at is None else at, *values]) + b"\n",
         )
 
 
-Order = Callable[[dict], None]
+CommandHandler = Callable[[dict], None]
 
 
-async def obey(order: Order) -> None:
-    """Hands on the orders that come, until the input ends."""
+async def handle_commands(handle: CommandHandler) -> None:
+    """Passes each command to the handler until the standard input ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 24)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        order(msgspec.json.decode(line))
+        handle(msgspec.json.decode(line))
 
 
-def say(**told: object) -> None:
-    """A line to the stage."""
-    print(msgspec.json.encode(told).decode(), flush=True)
+def send_message(**message: object) -> None:
+    """Prints a message for the process that runs the rehearsal."""
+    print(msgspec.json.encode(message).decode(), flush=True)
 
 
 def main() -> None:
     role = importlib.import_module(ROLES[sys.argv[1]])
-    line = sys.stdin.buffer.raw.readline()  # unbuffered: what follows is for `obey`
+    line = sys.stdin.buffer.raw.readline()  # unbuffered: `handle_commands` reads the rest
     if not line:
         return
 
     async def run() -> None:
         config = msgspec.json.decode(line)
-        order = await role.start(config)
-        say(ready=True, booted=config.get("booted", {}))
-        await obey(order)
+        handle = await role.start(config)
+        send_message(ready=True, booted=config.get("booted", {}))
+        await handle_commands(handle)
 
     asyncio.run(run())
 
--- a/loomstand/testing/rehearsal/discovery.py
+++ b/loomstand/testing/rehearsal/discovery.py
@@ -1,9 +1,9 @@
-"""The stand-in discovery: whole lists and watches, each limiter with its own addresses, as PROTOCOL
-has it.
+"""Stand-in for discovery: whole lists and watches as in PROTOCOL, with addresses for each limiter.
 
-It can be late, silent, overbooked, and hold only half of the list.
-Says to the stage whom it has told a list, the first time each.
-Trail rows: `call` (limiter, status), `told` (limiter, whole, [[server, phase, booted ms], ...]).
+It can be late or silent, reject calls above a rate, and return only a share of the list. It sends a
+message on standard output when a limiter has been sent its first list on a watch. Events: `call`
+(limiter, status), `told` (limiter, whether a whole list was sent, [[server, phase, start in Unix
+ms], ...]).
 """
 
 from __future__ import annotations
@@ -13,127 +13,152 @@
 import re
 from math import ceil
 
-from loomstand.testing.rehearsal.child import Trail, say
-from loomstand.testing.rehearsal.wire import BEAT, WATCHING, chunk, read_message, said
+from loomstand.testing.rehearsal.child import EventLog, send_message
+from loomstand.testing.rehearsal.wire import (
+    HEARTBEAT,
+    WATCH_RESPONSE_HEAD,
+    http_response,
+    read_message,
+    watch_chunk,
+)
 
-BEAT_S = 2.0  # PROTOCOL: an empty line comes every 2 s while nothing changes
-INDEX = re.compile(rb"GET /api/targets\?stream=1&index=(\d+) ").match
-GONE = "left"
+HEARTBEAT_SECONDS = 2.0  # PROTOCOL: an empty line every 2 s while nothing changes
+WATCH_CALL = re.compile(rb"GET /api/targets\?stream=1&index=(\d+) ").match
+LEFT = "left"
 
 
 class Discovery:
+    """The member list, its revisions and the simulated faults of discovery."""
+
     def __init__(self, config: dict) -> None:
-        self.trail, self.late = Trail(config["trail"]), config["late_s"]
-        self.bears, self.left, self.at = config["bears"], config["bears"], 0.0
+        self.record, self.delay_seconds = EventLog(config["trail"]), config["late_s"]
+        self.call_rate, self.tokens, self.refilled_at = config["bears"], config["bears"], 0.0
         self.addresses: list[list[str]] = config["addresses"]  # by limiter and server
         self.members = {n: dict(m) for n, m in enumerate(config["members"])}
         self.changed = dict.fromkeys(self.members, 1)  # the revision of each member's last change
         self.revision, self.silent, self.share = 1, False, 1.0
-        self.news = asyncio.Event()
-        self.knowing: set[int] = set()  # limiters that were told
+        self.update = asyncio.Event()
+        self.informed: set[int] = set()  # limiters that were sent a list on a watch
 
-    def bear(self) -> bool:
-        """Whether it has room for one more call: as many at once as a second's."""
+    def take_token(self) -> bool:
+        """Takes a token for a call. The bucket holds the tokens of one second."""
         now = asyncio.get_running_loop().time()
-        self.left, self.at = min(self.bears, self.left + self.bears * (now - self.at)), now
-        if not self.bears:
+        self.tokens, self.refilled_at = (
+            min(self.call_rate, self.tokens + self.call_rate * (now - self.refilled_at)),
+            now,
+        )
+        if not self.call_rate:
             return True
-        self.left -= (room := self.left >= 1)
-        return room
+        self.tokens -= (accepted := self.tokens >= 1)
+        return accepted
 
     def list_for(self, limiter: int, since: int, whole: bool) -> dict:
-        """What changed after a revision, or all that is there."""
-        here = range(ceil(len(self.members) * self.share)) if whole else self.members
-        named = [
+        """A list: the members that changed after a revision, or all members that have not left."""
+        candidates = range(ceil(len(self.members) * self.share)) if whole else self.members
+        selected = [
             n
-            for n in here
-            if (self.members[n]["phase"] != GONE if whole else self.changed[n] > since)
+            for n in candidates
+            if (self.members[n]["phase"] != LEFT if whole else self.changed[n] > since)
         ]
-        rows = [(n, self.members[n]) for n in named]
-        self.trail("told", limiter, whole, [[n, m["phase"], m["up_since_ms"]] for n, m in rows])
+        rows = [(n, self.members[n]) for n in selected]
+        self.record("told", limiter, whole, [[n, m["phase"], m["up_since_ms"]] for n, m in rows])
         members = [{**m, "host_port": self.addresses[limiter][n]} for n, m in rows]
         return {"revision": self.revision, "complete": whole, "members": members}
 
-    async def talk(
+    async def serve(
         self, limiter: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
+        """Answers the calls of one connection."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
                 head, _ = await read_message(reader)
                 if self.silent:
                     await reader.read()
                     break
-                watch, room = INDEX(head), self.bear()
-                self.trail("call", limiter, 200 if room else 503)
-                if not room:
-                    writer.write(said(503))
+                watch, accepted = WATCH_CALL(head), self.take_token()
+                self.record("call", limiter, 200 if accepted else 503)
+                if not accepted:
+                    writer.write(http_response(503))
                 elif watch is None:
-                    raw = chunk(self.list_for(limiter, 0, True)).split(b"\r\n")[1]
-                    writer.write(said(200, raw))
+                    body = watch_chunk(self.list_for(limiter, 0, True)).split(b"\r\n")[1]
+                    writer.write(http_response(200, body))
                 else:
-                    writer.write(WATCHING)
+                    writer.write(WATCH_RESPONSE_HEAD)
                     await self.stream(limiter, int(watch[1]), reader, writer)
                     break
         writer.close()
 
     async def stream(
-        self, limiter: int, held: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self,
+        limiter: int,
+        revision: int,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
     ) -> None:
-        """A watch, until its reader is gone."""
-        whole = not 0 < held <= self.revision
-        ended = asyncio.create_task(reader.read())
+        """Sends changes after a revision, and heartbeats, until the client closes the watch."""
+        whole = not 0 < revision <= self.revision
+        closed = asyncio.create_task(reader.read())
         try:
-            while not ended.done():
-                news = self.news
+            while not closed.done():
+                update = self.update
                 if self.silent:
                     pass
-                elif whole or held < self.revision:
-                    writer.write(chunk(self.list_for(limiter, held, whole)))
-                    held, whole = self.revision, False
-                    if limiter not in self.knowing:
-                        self.knowing.add(limiter)
-                        say(told=limiter)
+                elif whole or revision < self.revision:
+                    writer.write(watch_chunk(self.list_for(limiter, revision, whole)))
+                    revision, whole = self.revision, False
+                    if limiter not in self.informed:
+                        self.informed.add(limiter)
+                        send_message(told=limiter)
                 else:
-                    writer.write(BEAT)
+                    writer.write(HEARTBEAT)
                 await writer.drain()
-                waits = [asyncio.create_task(news.wait()), ended]
-                await asyncio.wait(waits, timeout=BEAT_S, return_when=asyncio.FIRST_COMPLETED)
+                waits = [asyncio.create_task(update.wait()), closed]
+                await asyncio.wait(
+                    waits, timeout=HEARTBEAT_SECONDS, return_when=asyncio.FIRST_COMPLETED
+                )
                 waits[0].cancel()
         finally:
-            ended.cancel()
+            closed.cancel()
 
     def publish(self, rows: list[dict]) -> None:
+        """Applies changes of members as one new revision."""
         self.revision += 1
         for row in rows:
             n = row["server"]
             self.members[n].update({k: v for k, v in row.items() if k != "server"})
             self.changed[n] = self.revision
-        self.wake()
+        self.wake_watches()
 
-    def wake(self) -> None:
-        self.news.set()
-        self.news = asyncio.Event()
+    def wake_watches(self) -> None:
+        self.update.set()
+        self.update = asyncio.Event()
 
-    def order(self, told: dict) -> None:
-        match told["do"]:
+    def handle_command(self, command: dict) -> None:
+        match command["do"]:
             case "list":
-                asyncio.get_running_loop().call_later(self.late, self.publish, told["rows"])
+                asyncio.get_running_loop().call_later(
+                    self.delay_seconds, self.publish, command["rows"]
+                )
             case "discovery_silent":
-                self.silent = told["on"]
-                self.wake()
+                self.silent = command["on"]
+                self.wake_watches()
             case "discovery_late":
-                self.late = told["s"]
+                self.delay_seconds = command["s"]
             case "discovery_half":
-                self.share = told["share"]
+                self.share = command["share"]
             case "discovery_bears":
-                self.bears = told["bears"]
+                self.call_rate = command["bears"]
 
 
 async def start(config: dict):
-    """`host`, `ports` (by limiter), `addresses`, `members`, `late_s`, `bears`, `trail`."""
+    """Listens on the ports and returns the command handler.
+
+    Keys of `config`: `host`, `ports` (by limiter), `addresses` (by limiter and server), `members`,
+    `late_s`, `bears` (accepted calls a second, 0 for no limit), `trail` (path of the event log).
+    """
     discovery = Discovery(config)
     for limiter, port in enumerate(config["ports"]):
         await asyncio.start_server(
-            lambda r, w, n=limiter: discovery.talk(n, r, w), config["host"], port, limit=1 << 20
+            lambda r, w, n=limiter: discovery.serve(n, r, w), config["host"], port, limit=1 << 20
         )
-    return discovery.order
+    return discovery.handle_command
--- a/loomstand/testing/rehearsal/links.py
+++ b/loomstand/testing/rehearsal/links.py
@@ -1,10 +1,10 @@
-"""The paths between processes, as links that can be cut silently, reset, delayed or made one-way.
+"""Links between processes that can be cut silently in one or both directions, reset or delayed.
 
-A link listens on loopback and carries each connection to one place. Cut both ways it behaves as a
-machine that is gone: open connections stay open and silent, and new ones never come up. No
-privileges are needed for the latter: the listener's queue is made as short as it goes and filled by
-ourselves, and the kernel drops what else wants to connect. What was sent into a cut comes through
-when it heals, as TCP would send it again.
+A link listens on loopback and forwards each connection to one target. When it is cut in both
+directions it behaves like an unreachable machine: open connections stay open and silent, and new
+ones are never established. The latter needs no privileges: the link shortens its listen backlog to
+the minimum and fills it with its own connections, so the kernel drops further connection attempts.
+Data sent during a cut is delivered when the cut ends, as TCP would retransmit it.
 """
 
 from __future__ import annotations
@@ -15,78 +15,85 @@
 from collections import deque
 
 BACKLOG = 256
-FILL = 3  # connections that fill a queue of length 0, which holds one; the rest make sure
+BACKLOG_FILLERS = 3  # connections: a backlog of 0 holds one; the others are a margin
 
 
-class Side(asyncio.Protocol):
-    """One end of a carried connection. `held` while nothing that it reads may pass on."""
+class LinkEnd(asyncio.Protocol):
+    """One of the two sockets of a forwarded connection; `forth` for the one facing the client."""
 
     def __init__(self, link: Link, forth: bool) -> None:
         self.link, self.forth = link, forth
         self.transport: asyncio.Transport | None = None
-        self.peer: Side | None = None
-        self.waiting: deque[bytes | None] = deque()  # read before the peer is there, or while held
-        self.ended = False  # whether the end of what it sends has passed on
+        self.peer: LinkEnd | None = None
+        # read before the peer was connected or during a cut; None for the end of input
+        self.waiting: deque[bytes | None] = deque()
+        self.eof_sent = False  # whether its end of input has been forwarded
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.link.sides.add(self)
+        self.link.ends.add(self)
         if self.forth:
-            self.link.carry(self)
+            self.link.connect_target(self)
 
     def data_received(self, data: bytes) -> None:
-        self.push(data)
+        self.forward(data)
 
     def eof_received(self) -> bool:
-        self.push(None)
+        self.forward(None)
         return True
 
-    def push(self, item: bytes | None) -> None:
+    def forward(self, item: bytes | None) -> None:
         if self.link.delay:
-            asyncio.get_running_loop().call_later(self.link.delay, self.hand, item)
+            asyncio.get_running_loop().call_later(self.link.delay, self.enqueue, item)
         else:
-            self.hand(item)
+            self.enqueue(item)
 
-    def hand(self, item: bytes | None) -> None:
+    def enqueue(self, item: bytes | None) -> None:
         self.waiting.append(item)
-        self.pump()
+        self.flush()
 
-    def pump(self) -> None:
-        if self.link.held(self.forth) or self.peer is None or self.peer.transport is None:
+    def flush(self) -> None:
+        """Writes the waiting items to the peer unless the direction is cut."""
+        if self.link.is_cut(self.forth) or self.peer is None or self.peer.transport is None:
             return
         while self.waiting:
             item = self.waiting.popleft()
-            out = self.peer.transport
-            if out.is_closing():
+            target = self.peer.transport
+            if target.is_closing():
                 continue
             if item is not None:
-                out.write(item)
-            elif out.can_write_eof():
-                with contextlib.suppress(OSError):  # broken already, which nobody has heard of yet
-                    out.write_eof()
-                self.ended = True
-                if self.peer.ended:  # both ways are done with: nothing else would close them
-                    out.close()
+                target.write(item)
+            elif target.can_write_eof():
+                with contextlib.suppress(
+                    OSError
+                ):  # already reset, not yet reported by the event loop
+                    target.write_eof()
+                self.eof_sent = True
+                if self.peer.eof_sent:  # both directions have ended; asyncio would not close them
+                    target.close()
                     self.transport.close()
 
-    def connection_lost(self, why: Exception | None) -> None:
-        self.link.sides.discard(self)
+    def connection_lost(self, error: Exception | None) -> None:
+        self.link.ends.discard(self)
         if self.peer is not None and self.peer.transport is not None:
-            asyncio.get_running_loop().call_later(self.link.delay, self.link.ended, self.peer, why)
+            asyncio.get_running_loop().call_later(
+                self.link.delay, self.link.peer_closed, self.peer, error
+            )
 
 
 class Link:
-    """One path: its listener, its connections, and what of it passes."""
+    """One path: its listener, its connections and its faults."""
 
     def __init__(self, spec: dict, host: str) -> None:
         self.name, self.host, self.port, self.to = spec["name"], host, spec["port"], spec["to"]
-        self.sides: set[Side] = set()
-        self.cut: set[bool] = set()  # directions that do not pass
+        self.ends: set[LinkEnd] = set()
+        self.cut: set[bool] = set()  # directions that are cut; True for forth
         self.delay = 0.0
-        self.fill: list[socket.socket] = []
+        self.fillers: list[socket.socket] = []
         self.sock: socket.socket | None = None
-        self.dead: list[tuple[Side, bool]] = []  # closed by the far end while cut
+        # connections to close when the cut ends, and whether by a reset
+        self.pending_closes: list[tuple[LinkEnd, bool]] = []
 
     async def listen(self) -> None:
         self.sock = socket.socket()
@@ -94,9 +101,9 @@
         self.sock.setblocking(False)
         self.sock.bind((self.host, self.port))
         self.sock.listen(BACKLOG)
-        self.watch()
+        self.accept_connections()
 
-    def watch(self) -> None:
+    def accept_connections(self) -> None:
         asyncio.get_running_loop().add_reader(self.sock, self.accept)
 
     def accept(self) -> None:
@@ -107,80 +114,82 @@
             except OSError:
                 return
             conn.setblocking(False)
-            spawn(loop.connect_accepted_socket(lambda: Side(self, True), conn))
+            spawn(loop.connect_accepted_socket(lambda: LinkEnd(self, True), conn))
 
-    def carry(self, side: Side) -> None:
-        spawn(self.reach(side))
+    def connect_target(self, link_end: LinkEnd) -> None:
+        spawn(self._connect_target(link_end))
 
-    async def reach(self, side: Side) -> None:
-        far = Side(self, False)
+    async def _connect_target(self, link_end: LinkEnd) -> None:
+        far = LinkEnd(self, False)
         try:
             await asyncio.get_running_loop().create_connection(lambda: far, *self.to)
         except OSError:
             if not self.cut:
-                abort(side)
+                abort(link_end)
             return
-        far.peer, side.peer = side, far
-        if side.transport.is_closing():
+        far.peer, link_end.peer = link_end, far
+        if link_end.transport.is_closing():
             far.transport.abort()
-        side.pump()
+        link_end.flush()
 
-    def held(self, forth: bool) -> bool:
+    def is_cut(self, forth: bool) -> bool:
         return forth in self.cut
 
-    def ended(self, far: Side, why: Exception | None) -> None:
-        """One end is gone; the other hears of it unless that way is cut."""
-        if self.held(not far.forth):
-            self.dead.append((far, why is not None))
+    def peer_closed(self, far: LinkEnd, error: Exception | None) -> None:
+        """Closes the other end of a closed connection, after the cut if that direction is cut."""
+        if self.is_cut(not far.forth):
+            self.pending_closes.append((far, error is not None))
         else:
-            end(far, why is not None)
+            close(far, error is not None)
 
-    def break_(self, forth: bool, back: bool) -> None:
+    def block(self, forth: bool, back: bool) -> None:
+        """Cuts the given directions; new connections wait until `heal`."""
         self.cut = {way for way, on in ((True, forth), (False, back)) if on}
-        if self.cut and not self.fill:
+        if self.cut and not self.fillers:
             asyncio.get_running_loop().remove_reader(self.sock)
             self.sock.listen(0)
-            for _ in range(FILL):
+            for _ in range(BACKLOG_FILLERS):
                 sock = socket.socket()
                 sock.setblocking(False)
                 sock.connect_ex((self.host, self.port))
-                self.fill.append(sock)
+                self.fillers.append(sock)
 
     def heal(self) -> None:
         self.cut = set()
-        if self.fill:
-            for sock in self.fill:
+        if self.fillers:
+            for sock in self.fillers:
                 sock.close()
-            self.fill = []
+            self.fillers = []
             self.sock.listen(BACKLOG)
-            self.watch()
-        for side in list(self.sides):
-            side.pump()
-        gone, self.dead = self.dead, []
-        for far, hard in gone:
+            self.accept_connections()
+        for link_end in list(self.ends):
+            link_end.flush()
+        closes, self.pending_closes = self.pending_closes, []
+        for far, reset in closes:
             if far.peer is not None:
-                far.peer.pump()
-            end(far, hard)
+                far.peer.flush()
+            close(far, reset)
 
     def reset(self) -> None:
-        for side in list(self.sides):
-            abort(side)
-        self.dead = []
+        for link_end in list(self.ends):
+            abort(link_end)
+        self.pending_closes = []
 
 
 class Relay(asyncio.DatagramProtocol):
-    """The datagrams of one limiter to another: they leave from the relay of the way back, so that
-    the receiver knows the sender by the address that it has for it.
+    """Forwards the datagrams of one limiter to another. It sends them from the socket of the relay
+    for the opposite direction, so that they come from the address that the receiver has for the
+    sender.
     """
 
-    def __init__(self, spec: dict, host: str, all_: dict[str, Relay]) -> None:
+    def __init__(self, spec: dict, host: str, relays: dict[str, Relay]) -> None:
         self.name, self.host, self.port, self.to = (
             spec["name"],
             host,
             spec["port"],
             tuple(spec["to"]),
         )
-        self.back, self.all = spec["back"], all_
+        self.opposite, self.relays = spec["back"], relays
         self.cut, self.delay = False, 0.0
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -192,50 +201,52 @@
 
     def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
         if not self.cut:
-            asyncio.get_running_loop().call_later(self.delay, self.hand, data)
+            asyncio.get_running_loop().call_later(self.delay, self.forward, data)
 
-    def hand(self, data: bytes) -> None:
-        self.all[self.back].transport.sendto(data, self.to)
+    def forward(self, data: bytes) -> None:
+        self.relays[self.opposite].transport.sendto(data, self.to)
 
-    def break_(self, forth: bool, back: bool) -> None:
-        self.cut = forth  # what is lost is lost: the way back is a path of its own
+    def block(self, forth: bool, back: bool) -> None:
+        self.cut = forth  # datagrams are dropped; `back` is the other relay
 
     def heal(self) -> None:
         self.cut = False
 
     def reset(self) -> None:
-        """Datagrams know no connection."""
+        """Does nothing: datagrams have no connections."""
 
 
-def end(side: Side, hard: bool) -> None:
-    if hard:
-        abort(side)
-    elif side.transport is not None and not side.transport.is_closing():
-        side.transport.close()
+def close(link_end: LinkEnd, reset: bool) -> None:
+    if reset:
+        abort(link_end)
+    elif link_end.transport is not None and not link_end.transport.is_closing():
+        link_end.transport.close()
 
 
-def abort(side: Side) -> None:
-    """Ends a connection by a reset."""
-    if side.transport is not None:
-        sock = side.transport.get_extra_info("socket")
+def abort(connection: LinkEnd) -> None:
+    """Closes a connection with a reset."""
+    if connection.transport is not None:
+        sock = connection.transport.get_extra_info("socket")
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-        side.transport.abort()
+        connection.transport.abort()
 
 
 tasks: set[asyncio.Task] = set()
 
 
 def spawn(work) -> None:
-    """A task that is held until it is done."""
+    """Starts a task and keeps a reference to it until it is done."""
     task = asyncio.get_running_loop().create_task(work)
     tasks.add(task)
     task.add_done_callback(tasks.discard)
 
 
 async def start(config: dict):
-    """`links`: each with `name`, `port` and `to` [host, port]; `relays`, with the name of the one
-    `back` as well; `host` to listen on.
+    """Starts the links and relays and returns the command handler.
+
+    Keys of `config`: `host` to listen on; `links`, each with `name`, `port` and `to` (host, port);
+    `relays`, each with the name of the opposite relay in `back` as well.
     """
     relays: dict[str, Relay] = {}
     relays |= {spec["name"]: Relay(spec, config["host"], relays) for spec in config["relays"]}
@@ -243,17 +254,17 @@
     for link in links.values():
         await link.listen()
 
-    def order(told: dict) -> None:
-        for name in told["links"]:
+    def handle_command(command: dict) -> None:
+        for name in command["links"]:
             link = links[name]
-            match told["do"]:
+            match command["do"]:
                 case "cut":
-                    link.break_(told["forth"], told["back"])
+                    link.block(command["forth"], command["back"])
                 case "heal":
                     link.heal()
                 case "reset":
                     link.reset()
                 case "delay":
-                    link.delay = told["s"]
+                    link.delay = command["s"]
 
-    return order
+    return handle_command
--- a/loomstand/testing/rehearsal/report.py
+++ b/loomstand/testing/rehearsal/report.py
@@ -1,6 +1,4 @@
-"""One rehearsal from its scenario to its verdict: report.json, the table on the terminal, the
-plots.
-"""
+"""The report on a rehearsal: report.json, the table on the terminal and the plots."""
 
 from __future__ import annotations
 
@@ -12,67 +10,67 @@
 from loomstand.testing.rehearsal import checker
 from loomstand.testing.rehearsal.scenario import Rehearsal
 
-# s: an arrival so late means that the machine was too busy for the run to tell anything
-LATE_DRIVER = 0.25
+# with a larger delay of an arrival the machine was too busy for a meaningful result
+MAX_DRIVER_LAG_SECONDS = 0.25
 
 
-def make(told: Rehearsal, seed: int, out: Path) -> dict:
-    """The report on the rehearsal whose trails are in `out`; written to report.json there."""
-    seen = checker.read(told, out)
-    verdict = checker.check(seen)
-    by = checker.seconds(seen)
-    bounds = checker.bounds(seen, by)
-    crashed = checker.crashes(seen)
-    lag = max((row[1] for row in seen.all("lag")), default=0.0)
+def make(rehearsal: Rehearsal, seed: int, out: Path) -> dict:
+    """Returns the report on the rehearsal recorded in `out` and writes report.json there."""
+    events = checker.read(rehearsal, out)
+    verdict = checker.check(events)
+    totals = checker.totals_by_second(events)
+    bounds = checker.check_bounds(events, totals)
+    crashed = checker.crashes(events)
+    lag = max((row[1] for row in events.all("lag")), default=0.0)
     runs: dict[int, int] = {}
-    for req, *_ in seen.history.runs:
+    for req, *_ in events.history.runs:
         runs[req] = runs.get(req, 0) + 1
-    zones = checker.load_by_zone(seen)
+    zones = checker.load_by_zone(events)
     report = {
-        "scenario": told.name,
+        "scenario": rehearsal.name,
         "seed": seed,
-        "seconds": told.seconds,
-        "limiters": told.fleet.limiters,
-        "servers": told.fleet.servers,
+        "seconds": rehearsal.seconds,
+        "limiters": rehearsal.fleet.limiters,
+        "servers": rehearsal.fleet.servers,
         "held": verdict.held and not crashed,
         "kept": all(b["kept"] for b in bounds),
-        "reqs": len(seen.history.reqs),
-        "ran": len(seen.history.runs),
+        "reqs": len(events.history.reqs),
+        "ran": len(events.history.runs),
         "ran_again": sum(n > 1 for n in runs.values()),
         "rules": {str(rule): n for rule, n in verdict.by_rule().items()},
         "breaks": [msgspec.to_builtins(b) for b in verdict.first()],
         "crashes": crashed,
         "bounds": bounds,
         "driver_lag_s": round(lag, 3),
-        "ready_s": [round(t, 3) for t in sorted(checker.ready_after(seen))],
+        "ready_s": [round(t, 3) for t in sorted(checker.ready_after(events))],
         "calls_for_lists": [
-            [round(at - seen.began, 3), status] for at, _, status in seen.all("call")
+            [round(at - events.began, 3), status] for at, _, status in events.all("call")
         ],
-        "opened": opened(seen),
-        "moves": [[round(at - seen.began, 2), *more] for at, *more in seen.all("move")],
-        "series": [msgspec.to_builtins(row) for row in by],
+        "opened": opened(events),
+        "moves": [[round(at - events.began, 2), *more] for at, *more in events.all("move")],
+        "series": [msgspec.to_builtins(row) for row in totals],
         "zones": zones,
     }
     (out / "report.json").write_text(json.dumps(report, indent=1))
     return report
 
 
-def opened(seen: checker.Seen) -> dict[str, list[int]]:
-    """Connections to servers by second: over all, and at the server that had most in it."""
-    many = int(seen.told.seconds) + 1
-    by: list[dict[int, int]] = [{} for _ in range(many)]
-    for at, server, count in seen.all("opened"):
-        if 0 <= at - seen.began < many:
-            row = by[int(at - seen.began)]
-            row[server] = row.get(server, 0) + count
+def opened(events: checker.RehearsalEvents) -> dict[str, list[int]]:
+    """New connections by second: to all servers together, and to the server with the most."""
+    count = int(events.rehearsal.seconds) + 1
+    by_second: list[dict[int, int]] = [{} for _ in range(count)]
+    for at, server, opened_ in events.all("opened"):
+        if 0 <= at - events.began < count:
+            row = by_second[int(at - events.began)]
+            row[server] = row.get(server, 0) + opened_
     return {
-        "all": [sum(row.values()) for row in by],
-        "most": [max(row.values(), default=0) for row in by],
+        "all": [sum(row.values()) for row in by_second],
+        "most": [max(row.values(), default=0) for row in by_second],
     }
 
 
 def worth(report: dict, since: float, until: float, front: int = -1) -> float:
-    """The share of the worth offered in a span of arrivals that was served in time."""
+    """The share of the worth of requests that arrived in a span which was served in time."""
     rows = report["series"][int(since) : max(int(since) + 1, int(until))]
     offered = sum(sum(r["offered"]) if front < 0 else r["offered"][front] for r in rows)
     served = sum(sum(r["served"]) if front < 0 else r["served"][front] for r in rows)
@@ -80,11 +78,12 @@
 
 
 def passed(report: dict) -> bool:
+    """Whether no rule was broken, no limiter crashed and all bounds are kept."""
     return report["held"] and report["kept"]
 
 
 def table(report: dict, console) -> None:
-    """The verdict on the terminal: rules, bounds, and the culprits by name."""
+    """Prints the results for rules and bounds, the violations and the crashes."""
     from rich.table import Table
 
     from loomstand.testing.emulator.checker import NAMES
@@ -116,7 +115,7 @@
         )
     for line in report["crashes"]:
         console.print(f"crash: {line}")
-    if report["driver_lag_s"] > LATE_DRIVER:
+    if report["driver_lag_s"] > MAX_DRIVER_LAG_SECONDS:
         console.print(
             f"the driver ran up to {report['driver_lag_s']} s late: the machine was too busy"
         )
@@ -124,7 +123,7 @@
 
 
 def plot(report: dict, out: Path) -> list[str]:
-    """worth.png and zones.png beside the report; returns their paths."""
+    """Draws worth.png and zones.png into the folder `out` and returns their paths."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/loomstand/testing/rehearsal/scenario.py
+++ b/loomstand/testing/rehearsal/scenario.py
@@ -1,10 +1,9 @@
-"""A rehearsal's scenario: the fleet, its traffic, a timeline of faults and the bounds, from TOML,
-checked.
+"""The scenario of a rehearsal: fleet, traffic, a timeline of faults and bounds, read from TOML.
 
-The tables for fleet, frontends, plans and counter are the lab's (`lab/scenario.py`), so that one
-description can be played in simulated time and on processes. A fault names its key:
-`ScenarioError("key 'faults[2].who': ...")`. Times are seconds from the first traffic, or
-milliseconds where the key ends in `_ms`.
+The tables for fleet, frontends, plans and counter extend those of the emulator
+(`loomstand/testing/emulator/scenario.py`), so that one description can be run in simulated time and
+on processes. An error names the key: `ScenarioError("key 'faults[2].who': ...")`. Times are seconds
+from the first traffic, or milliseconds where the key ends in `_ms`.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from loomstand.testing.emulator import scenario as lab
+from loomstand.testing.emulator import scenario as emulator_scenario
 from loomstand.testing.emulator.scenario import (
     Count,
     Positive,
@@ -25,72 +24,75 @@
     StrictStruct,
 )
 
-SHARED = "any"  # the near end of a path that all limiters share
+SHARED = "any"  # in place of the limiter on a path that all limiters share
 
 
-class Frontend(lab.Frontend):
-    """The lab's, with work drawn evenly between (1 - spread) and (1 + spread) times `work_ms`."""
+class Frontend(emulator_scenario.Frontend):
+    """A frontend whose work is uniform between (1 - spread) and (1 + spread) times `work_ms`."""
 
     work_spread: Share = 0.2
 
 
-class Plan(lab.Plan):
-    """The lab's, with the set of each of its customers."""
+class Plan(emulator_scenario.Plan):
+    """A plan with the size of the limiter set of each customer."""
 
     spread: Count = 0  # limiters in a customer's set; 0 for all of them
 
 
-class Fleet(lab.Fleet):
-    """The lab's, with what only sockets have. Zones hold limiters and servers of neighbouring
-    numbers.
+class Fleet(emulator_scenario.Fleet):
+    """A fleet with the properties that only sockets have. The limiters and servers of a zone have
+    consecutive numbers.
     """
 
-    connections: Count = 0  # that a server holds at most; 0 for no limit
-    peers: bool = False  # limiters know of each other (docs/peers.md)
-    # one path to each server for all limiters, and so one address; peers need it
+    connections: Count = 0  # limit of a server; 0 for none
+    peers: bool = False  # whether limiters exchange lists (docs/peers.md)
+    # whether all limiters use one path and so one address to each server; required by peers
     shared: bool = False
-    cold: bool = False  # servers have just started as the rehearsal begins, else long ago
-    apart: bool = False  # each server a process of its own, else one process a zone
-    sockets: Annotated[int, Meta(ge=48)] = 512  # what a limiter may hold
+    cold: bool = False  # whether servers have just started when the rehearsal begins
+    apart: bool = False  # whether each server has its own process; otherwise one for each zone
+    sockets: Annotated[int, Meta(ge=48)] = 512  # limit of a limiter
     connect_timeout_ms: Positive = 250.0
 
 
 class Discovery(StrictStruct):
-    late_s: Seconds = 0.1  # how long after a change it is told
-    bears: Seconds = 0.0  # calls a second; further ones get 503; 0 for any number
+    """How the stand-in for discovery behaves without faults."""
+
+    late_s: Seconds = 0.1  # from a change to its publication
+    bears: Seconds = 0.0  # accepted calls a second; others get 503; 0 for no limit
 
 
 class Load(StrictStruct):
-    """How clients and the front in front of the limiters behave."""
+    """How the clients and the load balancer in front of the limiters behave."""
 
-    notice_s: Positive = 1.0  # a limiter that answers no health call for so long gets no more reqs
-    retry: Share = 0.0  # share of denied reqs that come again, marked
+    # a limiter that has answered no health check for this time gets no more requests
+    notice_s: Positive = 1.0
+    retry: Share = 0.0  # share of denied requests that are sent again, marked as retries
     retry_after_ms: Seconds = 200.0
-    drivers: Annotated[int, Meta(ge=1, le=8)] = 1  # processes
+    drivers: Annotated[int, Meta(ge=1, le=8)] = 1  # number of driver processes
 
 
-Do = Literal[
-    # `who` falls silent, then dies; back cold after `for_s`; the list says so after `told_s`
+FaultKind = Literal[
+    # cuts `who` off, then SIGKILL; restarted cold after `for_s`; listed as left after `told_s`
     "vanish",
     "kill",  # SIGKILL; started again after `for_s`
     "stop",  # SIGSTOP; SIGCONT after `for_s`
     "term",  # SIGTERM; started again after `for_s`
-    "hup",  # SIGHUP to limiters; with `text` their plan file holds that first
-    "cut",  # paths between `who` and `other` fall silent for `for_s`, both ways, or one (`way`)
-    "reset",  # connections on these paths break
-    "delay",  # these paths take `factor` milliseconds more, one way, for `for_s`
-    "list",  # discovery says `phase` of the servers in `who`; `active` again after `for_s`
-    "slow",  # servers work `factor` times as long for `for_s`
-    "fail",  # servers answer 500 to `share` of what they ran, for `for_s`
+    "hup",  # SIGHUP to limiters, after `text`, if set, has been written to their plan file
+    "cut",  # no data between `who` and `other` for `for_s`, in both directions or one (`way`)
+    "reset",  # resets the connections on these paths
+    "delay",  # adds `factor` ms to these paths in each direction for `for_s`
+    "list",  # discovery publishes `phase` for the servers in `who`; `active` after `for_s`
+    "slow",  # the work of servers takes `factor` times as long for `for_s`
+    "fail",  # servers answer 500 to `share` of the requests they ran, for `for_s`
     "counter_slow",  # `factor` times its latency for `for_s`
     "counter_silent",
     "counter_wipe",
-    "counter_split",  # into two parts that don't see each other's adds
+    "counter_split",  # into two parts with separate totals
     "discovery_silent",
     "discovery_late",  # `factor` seconds
     "discovery_half",  # whole lists hold only `share` of the servers
     "discovery_bears",  # `factor` calls a second
-    "flood",  # the customers of `plan` ask `factor` times as much for `for_s`
+    "flood",  # the customers of `plan` send `factor` times the requests for `for_s`
 ]
 NEEDS_WHO = {
     "vanish",
@@ -108,22 +110,22 @@
 
 
 class Fault(StrictStruct):
-    """One step of the timeline. `who` and `other` hold names: `limiters`, `servers`, `clients`,
-    `zone` (both of the first two), each with `:ZONE` or for all; `l0`, `s3`, `counter`,
-    `discovery`.
+    """One fault of the timeline. `who` and `other` hold names: `limiters`, `servers`, `clients`,
+    `zone` (limiters and servers), each for all zones or with `:ZONE` for one; `l0`, `s3`,
+    `counter`, `discovery`.
     """
 
     at: Seconds
-    do: Do
-    # `told`: and not before discovery has told each limiter of `who` a list
+    do: FaultKind
+    # `told`: not before discovery has sent a list to each limiter of `who`
     once: Literal["", "told"] = ""
     who: list[str] = msgspec.field(default_factory=list)
     other: list[str] = msgspec.field(
         default_factory=list
-    )  # the far ends of the paths; empty for all but `who` itself
-    way: Literal["both", "to", "from"] = "both"  # what does not pass: to `who`, or from it
+    )  # the other ends of the paths; empty for all nodes except `who`
+    way: Literal["both", "to", "from"] = "both"  # the direction that is cut: to `who` or from it
     for_s: Seconds = 0.0
-    told_s: float = -1.0  # for `vanish`: seconds until the list says it; below 0 for never
+    told_s: float = -1.0  # for `vanish`: seconds until discovery publishes it; negative for never
     factor: Positive = 2.0
     share: Share = 0.5
     phase: Literal["active", "leaving", "left"] = "leaving"
@@ -132,7 +134,7 @@
 
 
 class Bound(StrictStruct):
-    """Something that a span of the run must show."""
+    """Limits on a figure of the rehearsal, measured over a span."""
 
     what: Literal[
         "worth",
@@ -149,23 +151,23 @@
     since: Seconds = 0.0
     until: Seconds = 0.0  # 0 for the end
     frontend: str = ""
-    zone: str = ""  # for `ran`: reqs that servers of this zone began
+    zone: str = ""  # for `ran`: requests started by servers of this zone
     at_least: float | None = None
     at_most: float | None = None
 
 
 class Rehearsal(StrictStruct):
-    """A whole rehearsal."""
+    """A scenario of a rehearsal."""
 
     name: str
     seconds: Positive = 30.0
     seed: int = 0
     fleet: Fleet = msgspec.field(default_factory=Fleet)
-    counter: lab.Counter = msgspec.field(default_factory=lab.Counter)
+    counter: emulator_scenario.Counter = msgspec.field(default_factory=emulator_scenario.Counter)
     discovery: Discovery = msgspec.field(default_factory=Discovery)
     load: Load = msgspec.field(default_factory=Load)
-    known: bool = True  # whether limiters start with the list
-    plan: str = ""  # a site plan's file, beside the scenario; empty for none
+    known: bool = True  # whether limiters start with a list of the servers
+    plan: str = ""  # path of a site plan relative to the scenario file; empty for none
     frontends: Annotated[list[Frontend], Meta(min_length=1)] = msgspec.field(
         default_factory=lambda: [Frontend(name="look")]
     )
@@ -176,7 +178,7 @@
     bounds: list[Bound] = msgspec.field(default_factory=list)
     quick: dict[str, object] = msgspec.field(
         default_factory=dict
-    )  # keys set instead by --quick, dotted where they are within a table
+    )  # values that --quick sets, with dotted keys for values in tables
 
     def __post_init__(self) -> None:
         fleet = self.fleet
@@ -186,7 +188,7 @@
                 raise ScenarioError(f"key '{kind}': two have the same name")
         if fleet.peers and not fleet.shared:
             raise ScenarioError(
-                "key 'fleet.shared': peers hand on lists, whose addresses must hold for all"
+                "key 'fleet.shared': peers exchange lists, whose addresses must hold for all"
             )
         for n, plan in enumerate(self.plans):
             if plan.spread > fleet.limiters:
@@ -196,10 +198,10 @@
         for n, fault in enumerate(self.faults):
             where = f"key 'faults[{n}]"
             if fault.do in NEEDS_WHO and not fault.who:
-                raise ScenarioError(f"{where}.who': {fault.do} needs somebody")
-            whom = {x for name in fault.who for x in nodes(fleet, name)}
-            if fault.once and not (whom and whom <= set(nodes(fleet, "limiters"))):
-                raise ScenarioError(f"{where}.once': discovery tells limiters alone")
+                raise ScenarioError(f"{where}.who': {fault.do} needs at least one node")
+            targets = {x for name in fault.who for x in nodes(fleet, name)}
+            if fault.once and not (targets and targets <= set(nodes(fleet, "limiters"))):
+                raise ScenarioError(f"{where}.once': discovery sends lists only to limiters")
             if fault.do == "flood" and fault.plan not in [p.name for p in self.plans]:
                 raise ScenarioError(f"{where}.plan': '{fault.plan}' is not a plan of this scenario")
             for key in ("who", "other"):
@@ -207,11 +209,11 @@
                     if not nodes(fleet, name):
                         raise ScenarioError(f"{where}.{key}': there is no '{name}'")
             if fault.do in ("vanish", "kill", "stop", "term"):
-                part = {self.process(x) for name in fault.who for x in nodes(fleet, name)}
-                whole = {x for name in fault.who for x in nodes(fleet, name)}
+                processes = {self.process(x) for name in fault.who for x in nodes(fleet, name)}
+                chosen = {x for name in fault.who for x in nodes(fleet, name)}
                 for other in ("servers", "limiters"):
                     for x in nodes(fleet, other):
-                        if self.process(x) in part and x not in whole:
+                        if self.process(x) in processes and x not in chosen:
                             raise ScenarioError(
                                 f"{where}.who': {x} shares a process with it; set fleet.apart = "
                                 "true"
@@ -223,20 +225,20 @@
                 raise ScenarioError(f"key 'bounds[{n}]': needs at_least or at_most")
 
     def process(self, node: str) -> str:
-        """The process that a node lives in."""
+        """The name of the process that runs a node."""
         if node[0] == "s" and not self.fleet.apart:
             return f"servers:{self.fleet.zones[zone_of(self.fleet, node)]}"
         return "drivers" if node.startswith("clients") else node
 
 
-def zone_of(fleet: lab.Fleet, node: str) -> int:
-    """The number of the zone in which a limiter or server (`l3`, `s7`) stands."""
-    many = fleet.limiters if node[0] == "l" else fleet.servers
-    return int(node[1:]) * len(fleet.zones) // many
+def zone_of(fleet: emulator_scenario.Fleet, node: str) -> int:
+    """The index of the zone of a limiter or server (`l3`, `s7`)."""
+    count = fleet.limiters if node[0] == "l" else fleet.servers
+    return int(node[1:]) * len(fleet.zones) // count
 
 
-def nodes(fleet: lab.Fleet, name: str) -> list[str]:
-    """The nodes that a name in `who` means; none where there is no such."""
+def nodes(fleet: emulator_scenario.Fleet, name: str) -> list[str]:
+    """The nodes that a name in `who` or `other` selects; empty for an unknown name."""
     kind, _, zone = name.partition(":")
     if zone and zone not in fleet.zones:
         return []
@@ -257,28 +259,31 @@
 
 
 def load(path: str, quick: bool = False, sets: dict[str, object] | None = None) -> Rehearsal:
-    """The rehearsal in a file, with `quick` in its short form, and with dotted keys set. Raises
-    ScenarioError naming the file and the key.
+    """Reads a scenario file. `quick` applies its table of that name, `sets` further dotted keys.
+
+    Raises:
+        ScenarioError: The scenario is invalid; names the file and the key.
     """
-    table = lab.table_of(path)
-    short = table.get("quick", {})
+    table = emulator_scenario.table_of(path)
+    quick_values = table.get("quick", {})
     try:
-        if quick and not isinstance(short, dict):
+        if quick and not isinstance(quick_values, dict):
             raise ScenarioError("key 'quick': Expected a table")
-        return lab.from_table(
-            lab.with_values(table, {**(short if quick else {}), **(sets or {})}), Rehearsal
+        return emulator_scenario.from_table(
+            emulator_scenario.with_values(
+                table, {**(quick_values if quick else {}), **(sets or {})}
+            ),
+            Rehearsal,
         )
-    except ScenarioError as why:
-        raise ScenarioError(f"{path}: {why}") from None
+    except ScenarioError as error:
+        raise ScenarioError(f"{path}: {error}") from None
 
 
-def plan_of(told: Rehearsal, path: str) -> bytes:
-    """The text of the site plan that a rehearsal names, beside its own file; empty where it names
-    none.
-    """
-    if not told.plan:
+def plan_of(rehearsal: Rehearsal, path: str) -> bytes:
+    """Reads the site plan of the scenario at `path`; empty if it has none. Raises ScenarioError."""
+    if not rehearsal.plan:
         return b""
     try:
-        return (Path(path).parent / told.plan).read_bytes()
-    except OSError as why:
-        raise ScenarioError(f"{path}: key 'plan': {told.plan}: {why.strerror}") from None
+        return (Path(path).parent / rehearsal.plan).read_bytes()
+    except OSError as error:
+        raise ScenarioError(f"{path}: key 'plan': {rehearsal.plan}: {error.strerror}") from None
--- a/loomstand/testing/rehearsal/servers.py
+++ b/loomstand/testing/rehearsal/servers.py
@@ -1,10 +1,10 @@
-"""Stand-in servers, one process for a zone or for each: slots, a queue, cold starts, slowness,
-errors, a connection limit; as PROTOCOL has them.
+"""Stand-in servers as in PROTOCOL, one process for each server or for all servers of a zone.
 
-Trail rows: `run` (req, server, effect's frontend, first byte's time), `end` (req, server, how,
-whether the caller was still there), `gone` (req, server: its caller's connection ended while the
-req was in hand), `fall` (server, sent, bears); twice a second `load` (server, at work, waiting,
-room) and `opened` (server, connections since).
+A server has slots, a queue, a cold start and a connection limit, and can be slow or answer errors.
+Events: `run` (request, server, frontend, time of the first byte), `end` (request, server, `ran` or
+`failed`, whether the connection was still open), `gone` (request, server: the connection was closed
+while the request ran), `fall` (server, requests received, requests it can take); twice a second
+`load` (server, running, waiting, slots) and `opened` (server, new connections).
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 import msgspec
 
 from loomstand.testing.emulator.scenario import mean_work
-from loomstand.testing.rehearsal.child import Trail
+from loomstand.testing.rehearsal.child import EventLog
 from loomstand.testing.rehearsal.links import abort
 from loomstand.testing.rehearsal.scenario import Rehearsal
-from loomstand.testing.rehearsal.wire import length_of, said
+from loomstand.testing.rehearsal.wire import content_length, http_response
 
-ID = re.compile(rb"(?i)\r\nrequest-id: *([^\r\n]*)").search
-CLASS = re.compile(rb"(?i)\r\nrequest-class: *([^\r\n]*)").search
-TURNED = said(503, extra=b"Not-Started: 1\r\n")
-TIP = 1.0  # seconds: the rule's time for what a cold server was sent
+REQUEST_ID = re.compile(rb"(?i)\r\nrequest-id: *([^\r\n]*)").search
+REQUEST_CLASS = re.compile(rb"(?i)\r\nrequest-class: *([^\r\n]*)").search
+NOT_STARTED = http_response(503, extra=b"Not-Started: 1\r\n")
+COLD_WINDOW_SECONDS = 1.0  # in which the requests sent to a cold server are counted
 
 
 class Attempt:
-    """A req in a server's hands."""
+    """A request that a server runs or has queued."""
 
-    __slots__ = ("caller", "front", "id", "since")
+    __slots__ = ("connection", "frontend", "id", "since")
 
-    def __init__(self, id_: int, front: int, since: float, caller: Caller) -> None:
-        self.id, self.front, self.since = id_, front, since
-        self.caller: Caller | None = caller
+    def __init__(self, id_: int, frontend: int, since: float, connection: ServerConnection) -> None:
+        self.id, self.frontend, self.since = id_, frontend, since
+        self.connection: ServerConnection | None = connection
 
 
-class Caller(asyncio.Protocol):
-    """A connection: one req at a time."""
+class ServerConnection(asyncio.Protocol):
+    """A connection to a server: one request at a time."""
 
     def __init__(self, server: Server) -> None:
         self.server, self.raw, self.since = server, b"", 0.0
@@ -50,25 +50,27 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport, server = transport, self.server
         server.opened += 1
-        if server.fallen or (server.most and len(server.callers) >= server.most):
-            abort(self)  # a machine out of connections
+        if server.crashed or (
+            server.max_connections and len(server.connections) >= server.max_connections
+        ):
+            abort(self)  # the connection limit is reached
             return
-        server.callers.add(self)
+        server.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
         if not self.raw:
             self.since = time.time()
         self.raw += data
         head, found, body = self.raw.partition(b"\r\n\r\n")
-        if not found or len(body) < (length := length_of(head)):
+        if not found or len(body) < (length := content_length(head)):
             return
         self.raw = body[length:]
-        self.server.arrive(self, head, self.since)
+        self.server.handle_request(self, head, self.since)
 
-    def connection_lost(self, why: Exception | None) -> None:
-        self.server.callers.discard(self)
+    def connection_lost(self, error: Exception | None) -> None:
+        self.server.connections.discard(self)
         if self.attempt is not None:
-            self.server.left(self.attempt)
+            self.server.connection_closed(self.attempt)
             self.attempt = None
 
     def answer(self, raw: bytes) -> None:
@@ -78,130 +80,144 @@
 
 
 class Server:
-    def __init__(self, index: int, port: int, play: Play) -> None:
-        self.index, self.port, self.booted, self.play = index, port, 0.0, play
-        self.most, self.opened = play.told.fleet.connections, 0
-        self.callers: set[Caller] = set()
+    """One stand-in server."""
+
+    def __init__(self, index: int, port: int, group: ServerGroup) -> None:
+        self.index, self.port, self.booted, self.group = index, port, 0.0, group
+        self.max_connections, self.opened = group.rehearsal.fleet.connections, 0
+        self.connections: set[ServerConnection] = set()
         self.working: set[Attempt] = set()
         self.queue: deque[Attempt] = deque()
         self.recent: deque[float] = deque()
-        self.slow, self.failing, self.fallen = 1.0, 0.0, False
+        self.slowdown, self.failed_share, self.crashed = 1.0, 0.0, False
         self.listener: asyncio.AbstractServer | None = None
 
     async def listen(self, cold: bool) -> float:
-        """When it started (Unix s; 0 for long ago). A cold one is as old as its listening: counted
-        from before its process, a busy machine's start of Python would warm it unseen.
+        """Listens and returns the start time (Unix s; 0 for long ago).
+
+        The start time of a cold server is the moment it listens, not that of its process: on a
+        loaded machine Python may start so slowly that the server would be warm by its first
+        request.
         """
         loop = asyncio.get_running_loop()
         self.booted = time.time() if cold else 0.0
-        self.listener = await loop.create_server(lambda: Caller(self), self.play.host, self.port)
+        self.listener = await loop.create_server(
+            lambda: ServerConnection(self), self.group.host, self.port
+        )
         return self.booted
 
     def warmth(self) -> float:
-        return self.play.told.fleet.warmth(time.time() - self.booted) if self.booted else 1.0
+        return self.group.rehearsal.fleet.warmth(time.time() - self.booted) if self.booted else 1.0
 
-    def room(self) -> int:
-        return self.play.told.fleet.room(self.warmth())
+    def slots(self) -> int:
+        return self.group.rehearsal.fleet.room(self.warmth())
 
-    def arrive(self, caller: Caller, head: bytes, since: float) -> None:
-        play, now, warmth = self.play, time.time(), self.warmth()
-        id_, front = ID(head), CLASS(head)
-        if id_ is None or front is None or front[1] not in play.fronts:
-            caller.answer(said(404))
+    def handle_request(self, connection: ServerConnection, head: bytes, since: float) -> None:
+        group, now, warmth = self.group, time.time(), self.warmth()
+        id_, frontend = REQUEST_ID(head), REQUEST_CLASS(head)
+        if id_ is None or frontend is None or frontend[1] not in group.frontends:
+            connection.answer(http_response(404))
             return
-        attempt = Attempt(int(id_[1]), play.fronts[front[1]], since, caller)
+        attempt = Attempt(int(id_[1]), group.frontends[frontend[1]], since, connection)
         if warmth < 1.0:
             self.recent.append(now)
-            while self.recent[0] <= now - TIP:
+            while self.recent[0] <= now - COLD_WINDOW_SECONDS:
                 self.recent.popleft()
-            bears = play.told.fleet.bears(warmth, play.mean_work) * TIP
-            if len(self.recent) > max(2.0, bears):
-                play.trail("fall", self.index, len(self.recent), bears)
-                self.fall()
+            limit = group.rehearsal.fleet.bears(warmth, group.mean_work) * COLD_WINDOW_SECONDS
+            if len(self.recent) > max(2.0, limit):
+                group.record("fall", self.index, len(self.recent), limit)
+                self.crash()
                 return
-        if len(self.working) + len(self.queue) >= self.room() + play.told.fleet.queue:
-            caller.answer(TURNED)
+        if len(self.working) + len(self.queue) >= self.slots() + group.rehearsal.fleet.queue:
+            connection.answer(NOT_STARTED)
             return
-        caller.attempt = attempt
-        if len(self.working) < self.room():
-            self.begin(attempt)
+        connection.attempt = attempt
+        if len(self.working) < self.slots():
+            self.start_work(attempt)
         else:
             self.queue.append(attempt)
 
-    def begin(self, attempt: Attempt) -> None:
-        play, front = self.play, self.play.told.frontends[attempt.front]
-        play.trail("run", attempt.id, self.index, attempt.front, attempt.since)
+    def start_work(self, attempt: Attempt) -> None:
+        group, frontend = self.group, self.group.rehearsal.frontends[attempt.frontend]
+        group.record("run", attempt.id, self.index, attempt.frontend, attempt.since)
         self.working.add(attempt)
-        spread = front.work_spread
-        work = front.work_ms / 1000 * self.slow * play.rng.uniform(1 - spread, 1 + spread)
-        asyncio.get_running_loop().call_later(work, self.done, attempt)
+        spread = frontend.work_spread
+        work = frontend.work_ms / 1000 * self.slowdown * group.rng.uniform(1 - spread, 1 + spread)
+        asyncio.get_running_loop().call_later(work, self.finish_work, attempt)
 
-    def done(self, attempt: Attempt) -> None:
-        if self.fallen:
+    def finish_work(self, attempt: Attempt) -> None:
+        if self.crashed:
             return
         self.working.discard(attempt)
-        failed = self.failing > 0 and self.play.rng.random() < self.failing
-        self.play.trail(
-            "end", attempt.id, self.index, "failed" if failed else "ran", attempt.caller is not None
+        failed = self.failed_share > 0 and self.group.rng.random() < self.failed_share
+        self.group.record(
+            "end",
+            attempt.id,
+            self.index,
+            "failed" if failed else "ran",
+            attempt.connection is not None,
         )
-        if attempt.caller is not None:
+        if attempt.connection is not None:
             body = b"%d ran at %d" % (attempt.id, self.index)
-            attempt.caller.answer(said(500) if failed else said(200, body))
-        while self.queue and len(self.working) < self.room():
-            self.begin(self.queue.popleft())
+            attempt.connection.answer(http_response(500) if failed else http_response(200, body))
+        while self.queue and len(self.working) < self.slots():
+            self.start_work(self.queue.popleft())
 
-    def left(self, attempt: Attempt) -> None:
-        """Its caller went away: what waits is dropped unrun, what runs runs on."""
-        attempt.caller = None
+    def connection_closed(self, attempt: Attempt) -> None:
+        """Drops an attempt of a closed connection from the queue; a running one continues."""
+        attempt.connection = None
         if attempt in self.working:
-            self.play.trail("gone", attempt.id, self.index)
+            self.group.record("gone", attempt.id, self.index)
         elif attempt in self.queue:
             self.queue.remove(attempt)
 
-    def fall(self) -> None:
-        """Pushed over: it breaks everything off and stays down."""
-        self.fallen = True
+    def crash(self) -> None:
+        """Resets all connections and stops listening for good; caused by overload while cold."""
+        self.crashed = True
         self.listener.close()
-        for caller in list(self.callers):
-            abort(caller)
+        for connection in list(self.connections):
+            abort(connection)
 
 
-class Play:
+class ServerGroup:
     """All servers of this process."""
 
     def __init__(self, config: dict) -> None:
-        self.told = msgspec.convert(config["rehearsal"], type=Rehearsal)
+        self.rehearsal = msgspec.convert(config["rehearsal"], type=Rehearsal)
         self.host, self.rng = config["host"], Random(config["seed"])
-        self.trail = Trail(config["trail"])
-        self.fronts = {f.name.encode(): n for n, f in enumerate(self.told.frontends)}
-        self.mean_work = mean_work(self.told)
+        self.record = EventLog(config["trail"])
+        self.frontends = {f.name.encode(): n for n, f in enumerate(self.rehearsal.frontends)}
+        self.mean_work = mean_work(self.rehearsal)
         self.servers = {s["index"]: Server(s["index"], s["port"], self) for s in config["servers"]}
 
     def sample(self) -> None:
         asyncio.get_running_loop().call_later(0.5, self.sample)
         for s in self.servers.values():
-            if not s.fallen:
-                self.trail("load", s.index, len(s.working), len(s.queue), s.room())
-                self.trail("opened", s.index, s.opened)
+            if not s.crashed:
+                self.record("load", s.index, len(s.working), len(s.queue), s.slots())
+                self.record("opened", s.index, s.opened)
                 s.opened = 0
 
-    def order(self, told: dict) -> None:
-        for index in told["servers"]:
-            match told["do"]:
+    def handle_command(self, command: dict) -> None:
+        for index in command["servers"]:
+            match command["do"]:
                 case "slow":
-                    self.servers[index].slow = told["factor"]
+                    self.servers[index].slowdown = command["factor"]
                 case "fail":
-                    self.servers[index].failing = told["share"]
+                    self.servers[index].failed_share = command["share"]
 
 
 async def start(config: dict):
-    """`rehearsal`, `host`, `seed`, `trail`, and `servers`: each with `index`, `port`, `cold`
-    (whether it starts now, else long ago). Puts into `booted` when each started (Unix s, or 0), by
-    index.
+    """Starts the servers and returns the command handler.
+
+    Keys of `config`: `rehearsal`, `host`, `seed`, `trail` (path of the event log) and `servers`,
+    each with `index`, `port`, `cold` (whether it has just started). Sets the key `booted` to the
+    start times by index (Unix s, 0 for long ago).
     """
-    play = Play(config)
+    group = ServerGroup(config)
     config["booted"] = {
-        str(s["index"]): await play.servers[s["index"]].listen(s["cold"]) for s in config["servers"]
+        str(s["index"]): await group.servers[s["index"]].listen(s["cold"])
+        for s in config["servers"]
     }
-    play.sample()
-    return play.order
+    group.sample()
+    return group.handle_command
--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from rehearsals import EXAMPLES, gone, played
+from rehearsals import EXAMPLES, all_exited, run_and_report
 
 from loomstand.testing.emulator.scenario import from_table
 from loomstand.testing.rehearsal import checker, scenario
@@ -64,9 +64,9 @@
     """Return the report and the recorded events, after checking the rules and that all processes
     have ended.
     """
-    report = played(rehearsal, out, plan, seed=seed)
+    report = run_and_report(rehearsal, out, plan, seed=seed)
     assert report["held"], (report["breaks"], report["crashes"])
-    assert gone(out)
+    assert all_exited(out)
     return report, checker.read(rehearsal, out)
 
 
@@ -78,7 +78,7 @@
     return sum(
         since <= at - events.began < until
         for at, _, server, *_ in events.all("run")
-        if scenario.zone_of(events.told.fleet, f"s{server}") == zone
+        if scenario.zone_of(events.rehearsal.fleet, f"s{server}") == zone
     )
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -43,7 +43,13 @@
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.limiter import Limiter
 from loomstand.testing.rehearsal import wire
-from loomstand.testing.rehearsal.wire import WATCHING, chunk, own_host, read_message, said
+from loomstand.testing.rehearsal.wire import (
+    WATCH_RESPONSE_HEAD,
+    http_response,
+    own_host,
+    read_message,
+    watch_chunk,
+)
 
 S = TICKS_PER_SECOND
 ActionKind = TypeVar("ActionKind")
@@ -435,8 +441,8 @@
     ):
         self.arrival_clock = arrival_clock
         self.servers = [Peer(play) for play in servers]
-        self.counter = Peer(counter or (lambda n, head, body: said(200, b"1")))
-        self.discovery = Peer(lambda n, head, body: WATCHING)
+        self.counter = Peer(counter or (lambda n, head, body: http_response(200, b"1")))
+        self.discovery = Peer(lambda n, head, body: WATCH_RESPONSE_HEAD)
         self.changes = changes
 
     async def __aenter__(self) -> Site:
@@ -470,7 +476,7 @@
     def tell(self, **list_: object) -> None:
         """A line of the watch."""
         for writer in self.discovery.open:
-            writer.write(chunk(list_))
+            writer.write(watch_chunk(list_))
 
 
 async def until(true: Callable[[], object]) -> None:
--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -21,17 +21,17 @@
 import pytest
 from helpers import (
     HOST,
-    WATCHING,
+    WATCH_RESPONSE_HEAD,
     Caller,
     Peer,
     Site,
-    chunk,
     config_file,
     free_port,
+    http_response,
     member,
     request,
-    said,
     until,
+    watch_chunk,
 )
 
 from loomstand.admission.actions import IncrementCounter
@@ -57,7 +57,7 @@
 
 
 def passes(n, head, body):
-    return said(200, b"yes")
+    return http_response(200, b"yes")
 
 
 def silent(n, head, body):
@@ -80,7 +80,10 @@
 @socket_test
 async def test_a_request_is_forwarded_unchanged_and_connections_are_reused():
     body = bytes(range(256)) * 100
-    async with Site(lambda n, head, got: said(200, got)) as site, Caller(site.port) as caller:
+    async with (
+        Site(lambda n, head, got: http_response(200, got)) as site,
+        Caller(site.port) as caller,
+    ):
         assert (await caller.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200
         for n in range(3):
             assert (await caller.ask(request("book", f"r{n}", body=body)))[::2] == (200, body)
@@ -101,7 +104,7 @@
 
     def play(n, head, body):
         claims = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\nlong" % sizes[n]
-        return said(200, b"a" * sizes[n]) if n < 4 else claims
+        return http_response(200, b"a" * sizes[n]) if n < 4 else claims
 
     async with Site(play) as site, Caller(site.port) as caller:
         got = [await caller.ask(request("book", f"r{n}")) for n in range(5)]
@@ -122,7 +125,7 @@
 
 @socket_test
 async def test_rejected_and_refused_attempts_did_not_run_so_non_replayable_requests_are_retried():
-    turned = functools.partial(said, 503, b"", b"Not-Started: 1\r\n")
+    turned = functools.partial(http_response, 503, b"", b"Not-Started: 1\r\n")
     async with (
         Site(lambda n, head, body: turned(), passes, passes) as site,
         Caller(site.port) as caller,
@@ -225,7 +228,7 @@
         def late(attempt):
             # An unrequested response arrives and is still unread.
             for writer in list(site.servers[0].open)[:1]:
-                writer.write(said(200, b"another's"))
+                writer.write(http_response(200, b"another's"))
             time.sleep(0.01)
             send(attempt)
 
@@ -236,7 +239,7 @@
 
 @socket_test
 async def test_connections_idle_throughout_an_expired_attempt_are_not_reused():
-    play = lambda n, head, body: asyncio.sleep(0.1 if n < 2 else 3, said(200))  # noqa: E731
+    play = lambda n, head, body: asyncio.sleep(0.1 if n < 2 else 3, http_response(200))  # noqa: E731
     async with Site(play) as site, Caller(site.port) as one, Caller(site.port) as two:
         await asyncio.gather(one.ask(request(id_="r1")), two.ask(request(id_="r2")))
         assert len(site.limiter.pool.connections) == 2
@@ -305,7 +308,7 @@
 
 @socket_test
 async def test_a_request_whose_client_disconnects_is_abandoned():
-    async with Site(lambda n, head, body: asyncio.sleep(0.1, said(200))) as site:
+    async with Site(lambda n, head, body: asyncio.sleep(0.1, http_response(200))) as site:
         async with Caller(site.port) as caller:
             caller.writer.write(request())
             await until(lambda: site.servers[0].heads)
@@ -319,7 +322,7 @@
 
 @socket_test
 async def test_pipelined_requests_are_answered_in_order():
-    play = lambda n, head, body: asyncio.sleep(0.02, said(200, b"%d" % n))  # noqa: E731
+    play = lambda n, head, body: asyncio.sleep(0.02, http_response(200, b"%d" % n))  # noqa: E731
     async with Site(play) as site, Caller(site.port) as caller:
         caller.writer.write(b"".join(request(id_=f"r{n}") for n in range(4)))
         assert [(await caller.answer())[2] for n in range(4)] == [b"0", b"1", b"2", b"3"]
@@ -339,7 +342,7 @@
 @socket_test
 async def test_idle_time_before_the_first_request_does_not_shorten_its_time_out():
     async with (
-        Site(lambda n, head, body: asyncio.sleep(0.1, said(200))) as site,
+        Site(lambda n, head, body: asyncio.sleep(0.1, http_response(200))) as site,
         Caller(site.port) as caller,
     ):
         await asyncio.sleep(0.3)
@@ -360,7 +363,7 @@
 async def test_a_response_before_the_end_of_the_request_is_used():
     async def early(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(said(503, b"", b"Not-Started: 1\r\nConnection: close\r\n"))
+        writer.write(http_response(503, b"", b"Not-Started: 1\r\nConnection: close\r\n"))
         await asyncio.sleep(0.2)
         writer.close()
 
@@ -389,7 +392,7 @@
 
 @socket_test
 async def test_closed_connections_are_freed_without_the_garbage_collector():
-    async with Site(lambda n, head, body: None if n % 2 else said(200)) as site:
+    async with Site(lambda n, head, body: None if n % 2 else http_response(200)) as site:
         gc.collect()
         gc.disable()
 
@@ -481,7 +484,7 @@
 
 @socket_test
 async def test_without_arrival_times_each_request_has_its_full_time_out():
-    play = lambda n, head, body: asyncio.sleep(0.05, said(200))  # noqa: E731
+    play = lambda n, head, body: asyncio.sleep(0.05, http_response(200))  # noqa: E731
     async with Site(play, arrival_clock=ReadTimeClock()) as site, Caller(site.port) as caller:
         for n in range(3):
             assert (await caller.ask(request(id_=f"r{n}", timeout=250)))[0] == 200
@@ -492,7 +495,7 @@
 async def test_counter_calls_are_pipelined_and_late_responses_are_not_misassigned():
     async def play(n, head, body):
         await asyncio.sleep(0.25 if n == 0 else 0)
-        return said(503) if n == 2 else said(200, b"%d" % (100 + n))
+        return http_response(503) if n == 2 else http_response(200, b"%d" % (100 + n))
 
     async with Site(counter=play) as site:
         got = []
@@ -510,11 +513,19 @@
 
 
 @pytest.mark.parametrize(
-    "invalid", [said(200, b"none"), said(200, b"1e999"), said(500), said(200, b"3") + b"noise"]
+    "invalid",
+    [
+        http_response(200, b"none"),
+        http_response(200, b"1e999"),
+        http_response(500),
+        http_response(200, b"3") + b"noise",
+    ],
 )
 @socket_test
 async def test_after_an_invalid_counter_response_the_connection_is_replaced(invalid):
-    async with Site(counter=lambda n, head, body: said(200, b"4") if n else invalid) as site:
+    async with Site(
+        counter=lambda n, head, body: http_response(200, b"4") if n else invalid
+    ) as site:
         got = []
         site.limiter.counter_replied = lambda *call: got.append(call[1:3])
         for n in range(2):
@@ -527,7 +538,9 @@
 @socket_test
 async def test_a_call_after_an_incomplete_counter_response_uses_another_connection():
     endless = b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n1"
-    async with Site(counter=lambda n, head, body: said(200, b"4") if n else endless) as site:
+    async with Site(
+        counter=lambda n, head, body: http_response(200, b"4") if n else endless
+    ) as site:
         got = []
         site.limiter.counter_replied = lambda *call: got.append(call[1:3])
         for n in range(2):
@@ -564,8 +577,8 @@
 
 @socket_test
 async def test_a_reload_moves_discovery_and_counter_without_losing_work():
-    counter = lambda n, head, body: asyncio.sleep(0.05, said(200, b"7"))  # noqa: E731
-    slow = lambda n, head, body: asyncio.sleep(0.2, said(200))  # noqa: E731
+    counter = lambda n, head, body: asyncio.sleep(0.05, http_response(200, b"7"))  # noqa: E731
+    slow = lambda n, head, body: asyncio.sleep(0.2, http_response(200))  # noqa: E731
     async with Site(slow, counter=counter) as site, Caller(site.port) as caller:
         limiter, got = site.limiter, []
         await until(lambda: site.discovery.open and limiter.counter.connection is None)
@@ -573,7 +586,7 @@
         caller.writer.write(request())
         limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: site.counter.heads)
-        new_discovery, new_counter = Peer(lambda n, head, body: WATCHING), Peer(counter)
+        new_discovery, new_counter = Peer(lambda n, head, body: WATCH_RESPONSE_HEAD), Peer(counter)
         addresses = {
             "discovery_address": (HOST, await new_discovery.start()),
             "counter_address": (HOST, await new_counter.start()),
@@ -632,7 +645,7 @@
     async with Site(passes) as site, Caller(site.port) as caller:
         await until(lambda: site.discovery.open)
         for writer in site.discovery.open:
-            writer.write(chunk(["no", "list"]))
+            writer.write(watch_chunk(["no", "list"]))
         await until(lambda: len(site.discovery.heads) == 2)
         assert (await caller.ask(request()))[0] == 200
 
@@ -640,7 +653,7 @@
 @socket_test
 async def test_a_stopping_limiter_serves_until_no_request_is_pending(monkeypatch):
     monkeypatch.setattr("loomstand.limiter.limiter.LINGER_SECONDS", 0.2)
-    slow = lambda n, head, body: asyncio.sleep(0.4, said(200))  # noqa: E731
+    slow = lambda n, head, body: asyncio.sleep(0.4, http_response(200))  # noqa: E731
     async with Site(slow) as site, Caller(site.port) as busy, Caller(site.port) as idle:
         busy.writer.write(request())
         await until(lambda: site.servers[0].heads)
@@ -661,7 +674,7 @@
 async def test_mixed_faults_leave_one_response_per_request_and_no_effect_twice(seed):
     rng = random.Random(seed)
     ran: dict[str, int] = {}  # deliveries that may have run
-    turned = said(503, b"", b"Not-Started: 1\r\n")
+    turned = http_response(503, b"", b"Not-Started: 1\r\n")
 
     async def play(n, head, body):
         kind, name = (
@@ -675,13 +688,15 @@
             await asyncio.sleep(0.6 if kind == "s" else 0.02)
         return {
             "c": None,
-            "e": said(500),
+            "e": http_response(500),
             "h": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
-        }.get(kind, said(200, name.encode()))
+        }.get(kind, http_response(200, name.encode()))
 
     async def count(n, head, body):
         await asyncio.sleep(rng.choice([0, 0, 0, 0.15]))
-        return rng.choice([said(200, b"1"), said(200, b"2.5"), said(503), None])
+        return rng.choice(
+            [http_response(200, b"1"), http_response(200, b"2.5"), http_response(503), None]
+        )
 
     async def client(site, n):
         async with Caller(site.port) as caller:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import settings as bounds
 from hypothesis import strategies as st
-from rehearsals import EXAMPLES, gone, played
+from rehearsals import EXAMPLES, all_exited, run_and_report
 
 from loomstand.config.limiter import (
     BackendList,
@@ -285,13 +285,13 @@
     return from_table(table, Rehearsal)
 
 
-def run_rehearsal(rehearsal: Rehearsal, out) -> tuple[dict, checker.Seen]:
+def run_rehearsal(rehearsal: Rehearsal, out) -> tuple[dict, checker.RehearsalEvents]:
     """Return the report and the recorded events, after checking the rules and that all processes
     have ended.
     """
-    report = played(rehearsal, out)
+    report = run_and_report(rehearsal, out)
     assert report["held"], (report["breaks"], report["crashes"])
-    assert gone(out)
+    assert all_exited(out)
     return report, checker.read(rehearsal, out)
 
 
--- a/tests/rehearsals.py
+++ b/tests/rehearsals.py
@@ -1,4 +1,4 @@
-"""Plays rehearsals for tests: limiter processes among stand-ins, and whether all of them ended."""
+"""Runs rehearsals for tests and checks that all of their processes have exited."""
 
 from __future__ import annotations
 
@@ -7,22 +7,25 @@
 from pathlib import Path
 
 from loomstand.testing.rehearsal import report
+from loomstand.testing.rehearsal.runner import LIMITER, is_running, run_rehearsal, started_pids
 from loomstand.testing.rehearsal.scenario import Rehearsal
-from loomstand.testing.rehearsal.stage import LIMITER, alive, pids, stage
 
 TESTS = Path(__file__).parent
 EXAMPLES = TESTS.parent / "examples" / "rehearse"
 
 
-def played(told: Rehearsal, out: Path, plan: bytes = b"", program=LIMITER, seed: int = 1) -> dict:
-    asyncio.run(stage(told, seed, out, plan, program=program))
-    return report.make(told, seed, out)
+def run_and_report(
+    rehearsal: Rehearsal, out: Path, plan: bytes = b"", program=LIMITER, seed: int = 1
+) -> dict:
+    """Runs a rehearsal and returns its report."""
+    asyncio.run(run_rehearsal(rehearsal, seed, out, plan, program=program))
+    return report.make(rehearsal, seed, out)
 
 
-def gone(out: Path) -> bool:
-    """Whether all processes of a rehearsal are gone, at once or within two seconds."""
+def all_exited(out: Path) -> bool:
+    """Whether all processes of a rehearsal have exited, now or within two seconds."""
     for _ in range(100):
-        if not any(alive(pid) for pid in pids(out)):
+        if not any(is_running(pid) for pid in started_pids(out)):
             return True
         time.sleep(0.02)
     return False
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -850,25 +850,25 @@
     def data_received(self, data: bytes) -> None:
         self.buf += data
         head, end, body = self.buf.partition(b"\r\n\r\n")
-        if not end or len(body) < helpers.wire.length_of(head):
+        if not end or len(body) < helpers.wire.content_length(head):
             return
         self.buf = b""
         match SimulatedServer.how:
             case "ok":
                 self.transport.write(
-                    helpers.said(200, b"hello", b"Metered-Units: 1\r\nX-More: 1\r\n")
+                    helpers.http_response(200, b"hello", b"Metered-Units: 1\r\nX-More: 1\r\n")
                 )
             case "chunks":
                 head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 self.transport.write(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
             case "full":
-                self.transport.write(helpers.said(503, b"", b"Not-Started: 1\r\n"))
+                self.transport.write(helpers.http_response(503, b"", b"Not-Started: 1\r\n"))
             case "busy":
-                self.transport.write(helpers.said(503, b"busy"))
+                self.transport.write(helpers.http_response(503, b"busy"))
             case "error":
-                self.transport.write(helpers.said(500, b"oh"))
+                self.transport.write(helpers.http_response(500, b"oh"))
             case "missing":
-                self.transport.write(helpers.said(404, b"none"))
+                self.transport.write(helpers.http_response(404, b"none"))
             case "lost":
                 self.transport.abort()
             case "spoilt":
--- a/tests/testing/rehearsal/test_rehearsal.py
+++ b/tests/testing/rehearsal/test_rehearsal.py
@@ -1,6 +1,4 @@
-"""Rehearsals on processes: what a checker must find is found, and no process outlives its
-rehearsal.
-"""
+"""Rehearsals: the checker finds injected faults, and no process outlives its rehearsal."""
 
 from __future__ import annotations
 
@@ -16,21 +14,27 @@
 import faulty
 import pytest
 from msgspec import to_builtins
-from rehearsals import EXAMPLES, TESTS, gone, played
+from rehearsals import EXAMPLES, TESTS, all_exited, run_and_report
 
 from loomstand.testing.emulator import runner
-from loomstand.testing.emulator import scenario as lab
+from loomstand.testing.emulator import scenario as emulator_scenario
 from loomstand.testing.emulator.scenario import ScenarioError, from_table
 from loomstand.testing.rehearsal import report, scenario, servers
+from loomstand.testing.rehearsal.runner import (
+    ManagedProcess,
+    RehearsalError,
+    RehearsalRunner,
+    run_rehearsal,
+    started_pids,
+)
 from loomstand.testing.rehearsal.scenario import Rehearsal
-from loomstand.testing.rehearsal.stage import Proc, Stage, StageError, pids, stage
 from loomstand.testing.rehearsal.wire import free_port, own_host
 
 BOOK = {"name": "book", "effect": "side_effect", "work_ms": 60, "client_timeout_ms": 600}
 
 
 def small(**over) -> Rehearsal:
-    """Some seconds on two limiters and three servers."""
+    """A scenario of a few seconds with two limiters and three servers."""
     table = {
         "name": "small",
         "seconds": 3,
@@ -54,8 +58,8 @@
     "cold": (
         4,
         {
-            # down for longer than limiters use whom they found dead, then cold for longer than the
-            # run
+            # down for longer than limiters keep using a server found dead, then cold beyond the
+            # end of the run
             "seconds": 5,
             "fleet": {
                 "apart": True,
@@ -89,57 +93,62 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_fault_put_in_on_purpose_is_named(fault, tmp_path):
+def test_an_injected_fault_is_reported_as_a_break_of_its_rule(fault, tmp_path):
     rule, over = FAULTS[fault]
     program = (sys.executable, str(TESTS / "faulty.py"), fault)
-    good = played(small(**over), tmp_path / "good")
-    bad = played(small(**over), tmp_path / "bad", program=program)
+    good = run_and_report(small(**over), tmp_path / "good")
+    bad = run_and_report(small(**over), tmp_path / "bad", program=program)
     named = [b for b in bad["breaks"] if b["rule"] == rule]
     assert good["held"], good["breaks"]
     assert named and not report.passed(bad)
-    # a server's, a customer's
+    # rules 4 and 5 concern a server or a customer, not a request
     assert all((b["limiter"] >= 0 and b["req"] > 0) or rule > 3 for b in named)
 
 
-def test_the_fault_of_cold_servers_is_named_on_a_clock_of_its_own_at_every_seed(monkeypatch):
-    """The same fleet in simulated time, where no machine's speed counts; one of the three servers
-    is lost.
+def test_the_fault_of_cold_servers_is_reported_in_simulated_time_for_every_seed(monkeypatch):
+    """The same fleet in simulated time, where the speed of the machine does not matter; one of the
+    three servers crashes.
     """
     usual = to_builtins(small(**FAULTS["cold"][1]))
-    lab_fleet = {key: usual["fleet"][key] for key in lab.Fleet.__struct_fields__}
-    fronts = [{key: f[key] for key in lab.Frontend.__struct_fields__} for f in usual["frontends"]]
-    plans = [{key: p[key] for key in lab.Plan.__struct_fields__} for p in usual["plans"]]
+    emulator_fleet = {key: usual["fleet"][key] for key in emulator_scenario.Fleet.__struct_fields__}
+    fronts = [
+        {key: f[key] for key in emulator_scenario.Frontend.__struct_fields__}
+        for f in usual["frontends"]
+    ]
+    plans = [
+        {key: p[key] for key in emulator_scenario.Plan.__struct_fields__} for p in usual["plans"]
+    ]
     crash = {"at": 0.5, "kind": "crash_servers", "share": 0.34, "for_s": 2.5}
     table = {
         "name": "cold",
         "seconds": usual["seconds"],
-        "fleet": lab_fleet,
+        "fleet": emulator_fleet,
         "frontends": fronts,
         "plans": plans,
         "faults": [crash],
     }
-    told = from_table(table, lab.Scenario)
+    simulated = from_table(table, emulator_scenario.Scenario)
 
-    def broken() -> list[set[int]]:
+    def broken_rules() -> list[set[int]]:
         return [
-            {b.rule for b in runner.play(told, "brain", seed).verdict.breaks}
+            {b.rule for b in runner.play(simulated, "brain", seed).verdict.breaks}
             for seed in range(1, 16)
         ]
 
-    assert broken() == [set()] * 15
+    assert broken_rules() == [set()] * 15
     faulty.put_in("cold", monkeypatch.setattr)
-    assert broken() == [{4}] * 15
+    assert broken_rules() == [{4}] * 15
 
 
-def test_a_cold_server_is_as_old_as_its_listening(monkeypatch, tmp_path):
-    """Counted from before its process, a slow start of Python warmed it before the first req could
-    come.
+def test_a_cold_server_starts_to_warm_up_when_it_listens(monkeypatch, tmp_path):
+    """When its age was counted from before the start of its process, a slow start of Python made it
+    warm before the first request could arrive.
     """
     now = [100.0]
     monkeypatch.setattr(servers.time, "time", lambda: now[0])
-    host, told = own_host(7), small(fleet={"cold_from": 0.25})
+    host, rehearsal = own_host(7), small(fleet={"cold_from": 0.25})
     config = {
-        "rehearsal": to_builtins(told),
+        "rehearsal": to_builtins(rehearsal),
         "host": host,
         "seed": 1,
         "trail": str(tmp_path / "x"),
@@ -147,37 +156,37 @@
     }
 
     async def run():
-        play = servers.Play(config)
-        now[0] = 103.0  # between its making and its listening
-        assert await play.servers[1].listen(cold=True) == 103.0
-        assert play.servers[1].warmth() == 0.25
-        play.servers[1].listener.close()
+        group = servers.ServerGroup(config)
+        now[0] = 103.0  # after its creation, before it listens
+        assert await group.servers[1].listen(cold=True) == 103.0
+        assert group.servers[1].warmth() == 0.25
+        group.servers[1].listener.close()
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("planned", [True, False])
-def test_a_limiter_that_ends_before_it_is_ready_is_a_fault_only_where_nobody_asked_for_it(
+def test_a_limiter_that_exits_before_it_is_ready_is_a_fault_only_if_its_exit_was_not_planned(
     planned, tmp_path
 ):
-    """On a busy machine the timeline's kill came before the limiter was ready, and ended the
-    rehearsal.
+    """On a loaded machine the kill of the timeline came before the limiter was ready, which ended
+    the rehearsal with an error.
     """
-    held = Stage(small(), 1, tmp_path)
-    life = SimpleNamespace(returncode=-signal.SIGKILL)
-    held.procs["l0"] = Proc("l0", ["l0"], lambda: None, life, planned)
+    rehearsal = RehearsalRunner(small(), 1, tmp_path)
+    process = SimpleNamespace(returncode=-signal.SIGKILL)
+    rehearsal.processes["l0"] = ManagedProcess("l0", ["l0"], lambda: None, process, planned)
     with (
         nullcontext()
         if planned
-        else pytest.raises(StageError, match="l0 ended before it was ready")
+        else pytest.raises(RehearsalError, match="l0 ended before it was ready")
     ):
-        asyncio.run(held.ready(0, 5.0))
+        asyncio.run(rehearsal.wait_ready(0, 5.0))
 
 
 @pytest.mark.parametrize("child", ["counter", "links"])
-def test_the_death_of_a_child_ends_all(child, tmp_path):
+def test_the_unexpected_exit_of_a_child_stops_all_processes(child, tmp_path):
     async def run():
-        going = asyncio.create_task(stage(small(seconds=20), 1, tmp_path))
+        rehearsal = asyncio.create_task(run_rehearsal(small(seconds=20), 1, tmp_path))
         while (
             not (tmp_path / "trail" / "driver0.jsonl").exists()
             or "began" not in (tmp_path / "trail" / "stage.jsonl").read_text()
@@ -189,11 +198,11 @@
             if f'"{child}"' in line
         )
         os.kill(pid, signal.SIGKILL)
-        await going
+        await rehearsal
 
-    with pytest.raises(StageError, match=f"{child} died unplanned"):
+    with pytest.raises(RehearsalError, match=f"{child} died unplanned"):
         asyncio.run(run())
-    assert gone(tmp_path)
+    assert all_exited(tmp_path)
 
 
 @pytest.mark.parametrize("sig", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
@@ -210,18 +219,18 @@
         [*command, "--out", str(tmp_path)],
         cwd=TESTS.parent,
         stderr=subprocess.DEVNULL,
-        # a background job ignores it
+        # a background job inherits SIGINT as ignored
         preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
     )
     rows = tmp_path / "trail" / "stage.jsonl"
     while not rows.exists() or "began" not in rows.read_text():
         assert run.poll() is None
         time.sleep(0.05)
-    if sig == signal.SIGTERM:  # a stopped limiter is ended as well
-        os.kill(pids(tmp_path)[-1], signal.SIGSTOP)
+    if sig == signal.SIGTERM:  # a limiter that SIGSTOP has stopped is ended as well
+        os.kill(started_pids(tmp_path)[-1], signal.SIGSTOP)
     run.send_signal(sig)
     assert run.wait(10) != 0
-    assert gone(tmp_path)
+    assert all_exited(tmp_path)
 
 
 @pytest.mark.parametrize(
@@ -243,9 +252,9 @@
         small(**over)
 
 
-def test_a_link_holds_no_connection_that_both_ends_have_closed(tmp_path):
-    """Found by 200 limiters: two descriptors a closed connection, and after 34 s nothing passed any
-    more.
+def test_a_link_releases_a_connection_that_both_ends_have_closed(tmp_path):
+    """With 200 limiters, each closed connection leaked two descriptors; after 34 s the links
+    forwarded nothing any more.
     """
     from loomstand.testing.rehearsal.links import Link
 
@@ -266,15 +275,15 @@
             assert await reader.read() == b"x"
             writer.close()
         for _ in range(100):
-            if not link.sides:
+            if not link.ends:
                 return
             await asyncio.sleep(0.02)
-        raise AssertionError(len(link.sides))
+        raise AssertionError(len(link.ends))
 
     asyncio.run(run())
 
 
-def test_the_examples_are_sound_in_both_forms():
+def test_the_examples_are_valid_with_and_without_quick():
     for path in EXAMPLES.glob("*.toml"):
         for quick in (False, True):
             scenario.load(str(path), quick)
