--- a/loomstand/testing/soak/__init__.py
+++ b/loomstand/testing/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak test: real processes on loopback under overlapping signals, restarts and changes."""
+"""The soak test: gateway processes on loopback under overlapping signals, restarts and changes."""
--- a/loomstand/testing/soak/__main__.py
+++ b/loomstand/testing/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m loomstand.testing.soak --seeds 1-50`: plays seeds and says what broke in which."""
+"""`python -m loomstand.testing.soak --seeds 1-50`: runs seeds of the soak test, prints faults."""
 
 from __future__ import annotations
 
@@ -8,19 +8,21 @@
 import time
 from pathlib import Path
 
-from loomstand.testing.soak.run import SoakOptions, play
+from loomstand.testing.soak.run import SoakOptions, run_seed
 
-LOOPBACK_NETWORKS = 200  # second numbers of addresses, so that runs beside each other differ
+LOOPBACK_NETWORKS = (
+    200  # values of the second octet, so that concurrent runs use different addresses
+)
 
 
 def seeds(text: str) -> range:
-    """Reads `1-50` or `7`."""
+    """Parses `1-50` or `7`."""
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
 
 
 def main() -> None:
-    """Plays the seeds one after the other; ends with 1 if anything broke."""
+    """Runs the seeds one after the other; exits with 1 if there were faults."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=seeds, default=range(1, 2), metavar="FIRST-LAST")
     parser.add_argument("--seconds", type=float, default=12.0, help="of disturbances, a seed")
@@ -35,8 +37,8 @@
         network = 20 + (os.getpid() + seed) % LOOPBACK_NETWORKS
         folder = arguments.keep / str(seed) if arguments.keep else None
         options = SoakOptions(seed, arguments.seconds, arguments.proxies, network, folder)
-        report = play(options)
-        print(f"{report.line()}; {time.monotonic() - began:.0f} s", flush=True)
+        report = run_seed(options)
+        print(f"{report.summary()}; {time.monotonic() - began:.0f} s", flush=True)
         for fault in report.faults:
             print(f"  {fault}", flush=True)
         if report.faults:
--- a/loomstand/testing/soak/checks.py
+++ b/loomstand/testing/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold of a soak run, by what its clients, servers and operator saw. Pure."""
+"""Checks of a soak run over the log of its clients and servers. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -8,25 +8,29 @@
 from loomstand.testing.simulation.http_log import Ask, Book, Reply, Run
 from loomstand.testing.soak.timing import GRACE_SECONDS
 
-# RULES.md has bounds for machines that aren't loaded; all processes of a run share this one.
+# The limits of RULES.md are for machines without load; all processes of a run share one machine.
 LOAD_SLACK_SECONDS = 1.0
-DEPARTURE_SECONDS = 0.5  # GONE
-LOSS_SLACK_SECONDS = 0.2  # LOST
-DRAIN_SECONDS = 2.5  # DRAIN
-CONTACT_SECONDS = 3.0
+DEPARTURE_SECONDS = 0.5  # limit of GONE
+LOSS_SLACK_SECONDS = 0.2  # limit of LOST
+DRAIN_SECONDS = 2.5  # limit of DRAIN
+CONTACT_SECONDS = 3.0  # before an arrival: disturbances of the proxy in this time excuse it
 NO_ANSWER = {"closed", "reset"}
 
 WasDisturbed = Callable[[str, float, float, bool], bool]
-"""By address of a proxy, a span, and whether planned disturbances count too."""
+"""Whether the proxy at an address was disturbed in a span.
+
+The arguments are the address, the start and end of the span in seconds by the event loop's clock,
+and whether planned disturbances count too.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A server that said it leaves.
+    """A server that announced its draining.
 
     Attributes:
         server: Its identifier.
-        acknowledged_at: When that was acknowledged.
+        acknowledged_at: Time of the acknowledgement, in seconds by the event loop's clock.
     """
 
     server: str
@@ -34,10 +38,11 @@
 
 
 def lost_requests(book: Book, was_disturbed: WasDisturbed) -> list[str]:
-    """LOST: a proxy that was only asked to stop closed a connection in place of an answer.
+    """LOST: a proxy that was running or stopping in order closed a connection without an answer.
 
-    Either once the request had been sent on, or later than a moment after its last byte. A proxy
-    that was killed or frozen meanwhile, and a client that left, are passed over.
+    A close counts if the request had been forwarded, or if it came more than `LOSS_SLACK_SECONDS`
+    (plus the slack for load) after the request was sent. Requests are skipped if the proxy was
+    killed or frozen in that time or the client left.
     """
     runs = runs_by_request(book)
     lost = []
@@ -54,7 +59,7 @@
 
 
 def abandoned_runs(book: Book, was_disturbed: WasDisturbed) -> list[str]:
-    """GONE: a server was still at work for a client that had left, on what may be repeated."""
+    """GONE: a server still worked on an idempotent request long after its client had left."""
     late = book.runs_after_departure(DEPARTURE_SECONDS + LOAD_SLACK_SECONDS)
     return [
         f"GONE: {run.id} went on for {run.ended - book.asks[run.id].left_at:.2f} s"
@@ -65,7 +70,7 @@
 
 
 def late_arrivals(book: Book, drains: list[Drain], was_disturbed: WasDisturbed) -> list[str]:
-    """DRAIN: a request reached a server long after it had said that it leaves."""
+    """DRAIN: a request reached a server long after its draining was acknowledged."""
     acknowledged_at = {drain.server: drain.acknowledged_at for drain in drains}
     late = []
     for run in book.arrivals:
@@ -81,24 +86,24 @@
 
 
 def needless_overdue(book: Book, front: str, overdue_at: list[float]) -> list[str]:
-    """A proxy was there beyond its grace period though no server was at work for it at the end.
+    """A proxy exceeded its grace period although no server was working for it at the end.
 
-    Where one is, in the last sixth of the period, the proxy is right to wait for it.
+    A proxy may wait for a server that works for it in the last sixth of the period.
     """
     needless = []
     for moment in overdue_at:
-        at_work = any(
+        server_works = any(
             run.at < moment and (not run.ended or run.ended > moment - GRACE_SECONDS / 6)
             for run in book.runs()
             if book.asks[run.id].front[0] == front
         )
-        if not at_work:
+        if not server_works:
             needless.append(f"{front}: still there {GRACE_SECONDS:g} s after SIGTERM")
     return needless
 
 
 def runs_by_request(book: Book) -> dict[str, Run]:
-    """Returns the first run of each request that was begun at a server."""
+    """Returns the first run of each request that a server started."""
     runs: dict[str, Run] = {}
     for run in book.runs():
         runs.setdefault(run.id, run)
@@ -106,7 +111,7 @@
 
 
 def describe(ask: Ask, reply: Reply) -> str:
-    """Returns a request and what came of it in a line."""
+    """Returns a request and its result as one line."""
     seconds = reply.at - ask.sent
     where = f"{ask.id} {ask.method} at {ask.front[0]}, sent at {ask.sent:.3f}"
     return f"{where}, {reply.end} after {seconds:.3f} s"
--- a/loomstand/testing/soak/cluster.py
+++ b/loomstand/testing/soak/cluster.py
@@ -1,6 +1,6 @@
-"""A cluster of real processes on loopback, and who uses it. Owns all processes of a run.
+"""A cluster of gateway processes on loopback with its servers, clients and operator.
 
-Every machine has an address of its own in 127.0.0.0/8, on the same ports, as in service.
+Each machine has its own address in 127.0.0.0/8; all use the same ports, as in production.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from loomstand.testing.simulation.workload import Client, Operator
 from loomstand.testing.soak.loopback import LoopbackServer, LoopbackStreams
 from loomstand.testing.soak.processes import ProgramProcess
-from loomstand.testing.soak.schedule import Shape
+from loomstand.testing.soak.schedule import ClusterShape
 
 CONTROL_PORT, FRONT_PORT, READINESS_PORT, SERVER_PORT = 8783, 8782, 8789, 8080
 INTERNAL_PORTS = "7340,7355"
@@ -24,12 +24,12 @@
 SERVICES = ("alpha", "beta")
 SERVERS_PER_SERVICE = 4
 ZONES = ("east", "west")
-# A slow server's runs outlast a client that leaves by more than what is let pass for the load, and
-# no attempt is given up by itself as early as that.
+# The runs of a slow server outlast a client that disconnects by more than `LOAD_SLACK_SECONDS` of
+# the checks, and the target latency is long enough that no attempt times out before.
 SLOW_SECONDS = 2.5
 PATIENT_TARGET = "4000ms"
 READINESS_PERIOD_SECONDS = 1.0
-MISSES_UNTIL_OUT = 2  # unanswered readiness checks until a proxy gets no new connections
+MAX_READINESS_MISSES = 2  # failed readiness checks until a proxy gets no new connections
 SETTINGS = """self.node_name={name}
 self.role=r
 self.machine_class=m
@@ -50,25 +50,25 @@
 
 
 class SoakCluster(ConfigurationDraft):
-    """Core machines with a registry and a store each, proxies, servers, clients, an operator.
+    """Core machines with a registry and a store each, proxies, servers, clients and an operator.
 
     Attributes:
-        book: What clients and servers saw.
+        book: Log of the requests, from clients and servers.
         processes: The programs by name.
         servers: The servers by name.
-        operator: Who sends configurations.
-        inside: Addresses of the proxies that get new connections.
-        acknowledged_version: The newest version that was acknowledged.
+        operator: Sends configurations.
+        active_fronts: Addresses of the proxies that get new connections.
+        acknowledged_version: The newest configuration version that was acknowledged.
     """
 
     def __init__(self, seed: int, proxies: int, network: int, folder: Path) -> None:
-        """Makes a cluster that doesn't run yet.
+        """Creates a cluster without starting it.
 
         Args:
-            seed: Of all that is drawn.
-            proxies: How many proxies.
-            network: Second number of its addresses, 1 to 254.
-            folder: For settings, logs and the stores' disks; exists and is empty.
+            seed: Seed of all random choices.
+            proxies: Number of proxies.
+            network: Second octet of its addresses, 1 to 254.
+            folder: For settings, logs and the disks of the stores; must exist and be empty.
         """
         self.rng = Random(seed)
         self.book = Book()
@@ -91,33 +91,33 @@
             for number in range(SERVERS_PER_SERVICE)
         }
         self.operator = Operator(self._streams(), self.rng, self.controls)  # type: ignore[arg-type]
-        self.inside: list[Address] = []
+        self.active_fronts: list[Address] = []
         self.sent_version = self.acknowledged_version = 0
         self.begin_draft([*SERVICES])
         self.route("a", "alpha", target_latency=PATIENT_TARGET)
 
-    def shape(self, seconds: float) -> Shape:
-        """Returns the names that a schedule is drawn over."""
+    def shape(self, seconds: float) -> ClusterShape:
+        """Returns the targets that a schedule is drawn for."""
         machines = tuple((f"store-{ip}", f"registry-{ip}") for ip in self.core_ips)
         proxies = tuple(f"proxy-{ip}" for ip in self.proxy_ips)
-        return Shape(proxies, machines, tuple(self.servers), seconds)
+        return ClusterShape(proxies, machines, tuple(self.servers), seconds)
 
     def client(self) -> Client:
-        """Returns a client of its own."""
+        """Returns a new client."""
         rng = Random(self.rng.getrandbits(64))
-        return Client(self._streams(), self.book, rng, lambda: self.inside)  # type: ignore[arg-type]
+        return Client(self._streams(), self.book, rng, lambda: self.active_fronts)  # type: ignore[arg-type]
 
     async def start(self) -> None:
-        """Starts all, sends the first configuration and waits until every proxy is ready.
+        """Starts all processes, sends the first configuration and waits until proxies are ready.
 
         Raises:
-            RuntimeError: It didn't come up.
+            RuntimeError: The configuration was not acknowledged or a proxy did not become ready.
         """
         for server in self.servers.values():
             server.start()
         for process in self.processes.values():
             await process.start(is_first=True)
-        if not await self.change(within_seconds=60.0):
+        if not await self.change(timeout_seconds=60.0):
             raise RuntimeError("the first configuration was not acknowledged")
         loop = asyncio.get_running_loop()
         deadline = loop.time() + 60.0
@@ -127,39 +127,39 @@
             await asyncio.sleep(0.2)
 
     async def watch_readiness(self) -> None:
-        """Keeps `inside` as the platform does, until it is cancelled."""
+        """Updates `active_fronts` by readiness checks like the platform, until it is cancelled."""
         misses = dict.fromkeys(self.proxy_ips, 0)
         while True:
             answers = await asyncio.gather(*(self.is_ready(ip) for ip in self.proxy_ips))
             for ip, is_ready in zip(self.proxy_ips, answers, strict=True):
                 misses[ip] = 0 if is_ready else misses[ip] + 1
-            ready = [ip for ip in self.proxy_ips if misses[ip] < MISSES_UNTIL_OUT]
-            self.inside = [(ip, FRONT_PORT) for ip in ready or self.proxy_ips]
+            ready = [ip for ip in self.proxy_ips if misses[ip] < MAX_READINESS_MISSES]
+            self.active_fronts = [(ip, FRONT_PORT) for ip in ready or self.proxy_ips]
             await asyncio.sleep(READINESS_PERIOD_SECONDS)
 
     async def is_ready(self, ip: str) -> bool:
-        """Returns whether a proxy says that it is ready."""
+        """Returns whether a proxy reports that it is ready."""
         request = b"GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
         address = (ip, READINESS_PORT)
         answer = await exchange(self._streams(), address, request, 0.9)  # type: ignore[arg-type]
         return answer is not None and answer.status == HTTPStatus.OK
 
-    async def change(self, within_seconds: float) -> bool:
-        """Sends what is in the draft as the next version; whether it was acknowledged."""
+    async def change(self, timeout_seconds: float) -> bool:
+        """Sends the draft as the next version and returns whether it was acknowledged."""
         self.sent_version += self.rng.choice((1, 1, 3))
         version = self.sent_version
-        if not await self.operator.replace(self.body(version), within_seconds):
+        if not await self.operator.replace(self.body(version), timeout_seconds):
             return False
         self.acknowledged_version = max(version, self.acknowledged_version)
         return True
 
     async def stop(self) -> None:
-        """Ends every process and waits for it."""
+        """Stops every process and waits for it."""
         for server in self.servers.values():
             server.kill()
         await asyncio.gather(*(p.kill(restart=False) for p in self.processes.values()))
-        for process in self.processes.values():  # those whose restart was under way
-            while process.runs:
+        for process in self.processes.values():  # those that were being restarted
+            while process.is_running:
                 await process.kill(restart=False)
                 await asyncio.sleep(0.05)
 
@@ -189,7 +189,7 @@
         self.processes[name] = ProgramProcess(name, module, ip, write_settings, path, log_path)
 
     def _settings(self, role: str, ip: str, is_first: bool) -> str:
-        """Returns a settings file's text; the order of the seeds is another each time."""
+        """Returns the text of a settings file, with the seed nodes in random order."""
         seeds = self.rng.sample(self.controls, len(self.controls))
         served = {"proxy": "frontend", "registry": "control_plane", "store": ""}[role]
         listens = {
--- a/loomstand/testing/soak/loopback.py
+++ b/loomstand/testing/soak/loopback.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the simulation on real sockets: servers, and connections of clients."""
+"""Servers and client connections of the simulation on real sockets."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 @dataclass(slots=True)
 class LoopbackStreams:
-    """In place of the simulation's `Streams`: connections from one address on loopback."""
+    """Replaces the `Streams` of the simulation by TCP connections from one loopback address."""
 
     host: str
 
     async def open(self, make: Callable[[], Talk], address: Address, within: float) -> Talk:
-        """Returns a connection's protocol once it stands.
+        """Opens a connection and returns its protocol.
 
         Raises:
-            ConnectionRefusedError: Nobody listens there, or not any more.
-            TimeoutError: It didn't come up within so many seconds.
+            ConnectionRefusedError: No process listens at the address.
+            TimeoutError: The connection was not established within `within` seconds.
         """
         loop = asyncio.get_running_loop()
         try:
@@ -43,18 +43,18 @@
     async def listen(
         self, loop: asyncio.AbstractEventLoop, make: Callable[[], Talk], address: Address
     ) -> asyncio.Server:
-        """Listens at an address that may have been in use until just now."""
+        """Listens at an address that another listener may have released just before."""
         listener = socket.create_server(address, family=socket.AF_INET, reuse_port=False)
         return await loop.create_server(make, sock=listener, backlog=BACKLOG)
 
 
 class LoopbackServer(Server):
-    """A server of a service, on a real socket."""
+    """A server of a service that listens on a real socket."""
 
     def __init__(self, book: Book, rng: Random, address: Address, service: str, zone: str) -> None:
-        """Makes a server that doesn't listen yet; `cores` are set before it starts."""
-        no_cables: Any = None
-        super().__init__(no_cables, book, rng, address, service, zone, [])
+        """Creates a server that does not listen yet; set `cores` before `start`."""
+        no_network: Any = None
+        super().__init__(no_network, book, rng, address, service, zone, [])
 
     def make_streams(self, life: Life) -> Any:  # noqa: ANN401 - the base's type has more in it
         """See the base class."""
@@ -62,7 +62,7 @@
         return LoopbackStreams(self.address[0])
 
     def kill(self) -> None:
-        """Ends it at once, with all of its connections."""
+        """Stops the server at once and aborts all of its connections."""
         if self.life is not None:
             self.life.alive = False
         if self.port is not None:
@@ -73,10 +73,10 @@
             talk.transport.abort()
 
     async def drain_and_return(self, drain_seconds: float) -> tuple[str, float]:
-        """Leaves as a server does before a planned end, and comes back as another.
+        """Drains and leaves like a server before a planned stop, then starts as a new instance.
 
         Returns:
-            The identifier that left, and when its draining was acknowledged.
+            The identifier of the old instance and the time of the acknowledgement of its draining.
         """
         former = self.id
         acknowledged_at, _ = await self.drain()
--- a/loomstand/testing/soak/processes.py
+++ b/loomstand/testing/soak/processes.py
@@ -1,6 +1,6 @@
-"""The programs of a soak run as processes: how they start, what they are told, how they end.
+"""The processes of a soak run: starts, signals, and checks of exit status and log.
 
-Each process belongs to the run: the kernel ends it with the run's own process, whatever ends that.
+The kernel kills each process when the process of the run dies, whatever ends it.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from loomstand.rpc.start import SETTINGS_VARIABLE
 
 PR_SET_PDEATHSIG = 1
-TAKEN_SIGNALS = ("SigIgn:", "SigCgt:")  # masks in a process's status
+SIGNAL_MASKS = ("SigIgn:", "SigCgt:")  # of ignored and of caught signals in /proc/PID/status
 SIGNAL_POLL_SECONDS = 0.01
-# Words of log lines that tell a fault of the programs themselves (docs/on-call.md).
+# Parts of log lines that indicate a fault of the programs themselves (docs/on-call.md).
 FAULT_WORDS = (
     "Traceback",
     "failed on",
@@ -34,18 +34,18 @@
 
 
 def end_with_parent() -> None:
-    """In a child, before its program: the kernel ends it when the run ends."""
+    """Makes the kernel send SIGKILL when the parent dies; runs in the child before exec."""
     ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 @dataclass(frozen=True, slots=True)
 class Disturbance:
-    """A time in which a process could not do its work, by what was done to it.
+    """A span in which the run stopped or froze a process.
 
     Attributes:
-        began: By the event loop's clock, in seconds.
-        ended: Likewise; the moment of the restart, or of the end of a freeze.
-        is_planned: Whether it was told beforehand, by SIGTERM.
+        began: In seconds by the event loop's clock.
+        ended: Likewise; the time of the restart or of the end of a freeze.
+        is_planned: Whether the process was stopped by SIGTERM.
     """
 
     began: float
@@ -55,19 +55,21 @@
 
 @dataclass(slots=True)
 class ProgramProcess:
-    """One program on one machine, over all of its lives.
+    """One program on one machine, across its restarts.
 
     Attributes:
         name: Its name in schedules and reports.
-        module: The Python module that is run.
-        ip: Its machine's address.
-        write_settings: Writes its settings file; told whether it is the whole system's first start.
-        settings_path: That file.
-        log_path: Where its lives write their output.
-        process: The current life, or the last one.
-        disturbances: What was done to it, in order.
-        faults: What it did that it must not.
-        overdue_at: When it got SIGKILL, as it was still there when its grace period ended.
+        module: The Python module that it runs.
+        ip: The address of its machine.
+        write_settings: Writes the settings file; its argument is whether the whole system starts
+            for the first time.
+        settings_path: The settings file.
+        log_path: The file for the output of all its processes.
+        process: The current process, or the last one.
+        disturbances: What the run did to it, in order.
+        faults: Its faults, such as a wrong exit status.
+        overdue_at: Times of SIGKILL after it had exceeded its grace period, in seconds by the event
+            loop's clock.
     """
 
     name: str
@@ -80,14 +82,14 @@
     disturbances: list[Disturbance] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
     overdue_at: list[float] = field(default_factory=list)
-    is_busy: bool = False  # a disturbance that ends with a restart is under way
+    is_busy: bool = False  # a stop with a restart, or a freeze, is in progress
 
     @staticmethod
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
     async def start(self, is_first: bool = False) -> None:
-        """Starts a life."""
+        """Writes the settings and starts a process."""
         self.write_settings(is_first)
         with self.log_path.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -102,52 +104,53 @@
             )
 
     @property
-    def runs(self) -> bool:
-        """Whether its process is there."""
+    def is_running(self) -> bool:
+        """Whether its process is running."""
         return self.process is not None and self.process.returncode is None
 
-    def takes(self, number: signal.Signals) -> bool:
-        """Returns whether a signal of that number wouldn't just end the process.
+    def handles(self, number: signal.Signals) -> bool:
+        """Returns whether the process catches or ignores a signal, also if it has exited.
 
-        Before the interpreter has run a program's first lines no program can prevent that.
+        Until the interpreter has run the first lines of the program, the default action of the
+        signal ends the process.
         """
         assert self.process is not None
         try:
             status = Path(f"/proc/{self.process.pid}/status").read_text()
-        except OSError:  # it has ended
+        except OSError:  # it has exited
             return True
-        masks = [line.split()[1] for line in status.splitlines() if line.startswith(TAKEN_SIGNALS)]
+        masks = [line.split()[1] for line in status.splitlines() if line.startswith(SIGNAL_MASKS)]
         return any(int(mask, 16) >> (number - 1) & 1 for mask in masks)
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal, if there is a process to get it."""
+        """Sends a signal if the process is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
     async def hang_up(self) -> None:
-        """Changes its settings file, and says so by SIGHUP."""
-        if self.runs:
+        """Rewrites the settings file and sends SIGHUP."""
+        if self.is_running:
             self.write_settings(False)
-            while self.runs and not self.takes(signal.SIGHUP):  # noqa: ASYNC110 - nothing tells
+            while self.is_running and not self.handles(signal.SIGHUP):  # noqa: ASYNC110 - no event to wait for
                 await asyncio.sleep(SIGNAL_POLL_SECONDS)
             self.send(signal.SIGHUP)
 
     async def terminate(self, grace_seconds: float, restart: bool = True) -> None:
-        """SIGTERM; it has to end by itself in time, and is started again."""
-        await self._end(signal.SIGTERM, grace_seconds, restart)
+        """Sends SIGTERM, and SIGKILL after the grace period; then starts the process again."""
+        await self._stop(signal.SIGTERM, grace_seconds, restart)
 
     async def terminate_again(self) -> None:
-        """One more SIGTERM to a process that is told to stop already; else nothing."""
+        """Sends another SIGTERM to a process that is already stopping; otherwise does nothing."""
         if self.is_busy and self.disturbances and self.disturbances[-1].is_planned:
             self.send(signal.SIGTERM)
 
     async def kill(self, restart: bool = True) -> None:
-        """SIGKILL; it is started again."""
-        await self._end(signal.SIGKILL, inf, restart)
+        """Sends SIGKILL and starts the process again."""
+        await self._stop(signal.SIGKILL, inf, restart)
 
     async def freeze(self, seconds: float) -> None:
-        """SIGSTOP for so long."""
-        if self.is_busy or not self.runs:
+        """Sends SIGSTOP, and SIGCONT after the given time."""
+        if self.is_busy or not self.is_running:
             return
         began = self._now()
         self.is_busy = True
@@ -157,15 +160,15 @@
         self.is_busy = False
         self._record(began, is_planned=False)
 
-    async def _end(self, number: signal.Signals, grace_seconds: float, restart: bool) -> None:
-        if self.is_busy or not self.runs:
-            return  # a life ends once
+    async def _stop(self, number: signal.Signals, grace_seconds: float, restart: bool) -> None:
+        if self.is_busy or not self.is_running:
+            return  # already stopping or exited
         assert self.process is not None
         self.is_busy = True
         began = asyncio.get_running_loop().time()
         is_planned = number is signal.SIGTERM
-        is_starting = not self.takes(number)  # it has accepted nothing yet
-        # noted at once, as requests are judged by it before it is over
+        is_starting = not self.handles(number)  # it has accepted no requests yet
+        # recorded at once: requests are checked against it before the restart is complete
         self.disturbances.append(Disturbance(began, inf, is_planned))
         self.send(number)
         is_overdue = False
@@ -193,20 +196,20 @@
         self.disturbances.append(Disturbance(began, now, is_planned))
 
     def check_running(self) -> None:
-        """Notes a fault if it has ended by itself."""
-        if not self.is_busy and not self.runs:
+        """Records a fault if the process has exited unexpectedly."""
+        if not self.is_busy and not self.is_running:
             status = self.process.returncode if self.process is not None else "never started"
             self.faults.append(f"{self.name}: ended by itself, exit status {status}")
 
     def check_log(self) -> list[str]:
-        """Returns what went wrong in all of its lives."""
+        """Returns the faults of all its processes, with the log lines that indicate faults."""
         faults = list(self.faults)
         lines = self.log_path.read_text(errors="replace").splitlines()
-        told = [line for line in lines if any(word in line for word in FAULT_WORDS)]
-        return faults + [f"{self.name}: {line}" for line in told]
+        fault_lines = [line for line in lines if any(word in line for word in FAULT_WORDS)]
+        return faults + [f"{self.name}: {line}" for line in fault_lines]
 
     def was_disturbed(self, since: float, until: float, planned_too: bool) -> bool:
-        """Returns whether anything befell it in a span, by the event loop's clock."""
+        """Returns whether it was disturbed in a span, in seconds by the event loop's clock."""
         return any(
             disturbance.began <= until
             and disturbance.ended >= since
--- a/loomstand/testing/soak/run.py
+++ b/loomstand/testing/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one seed of the soak test and says what broke. See `docs/soak.md`."""
+"""Runs one seed of the soak test and reports its faults. See `docs/soak.md`."""
 
 from __future__ import annotations
 
@@ -28,34 +28,34 @@
 from loomstand.testing.soak.timing import GRACE_SECONDS
 
 IDEMPOTENT_SHARE = 0.6  # of the requests
-KEPT_ROUTES = 2  # of those that are added; of more the oldest goes in this share of the changes
-REMOVED_ROUTE_SHARE = 0.5
-DRAIN_SLACK_SECONDS = 0.3  # a server serves on for a little longer than it has to
-CLIENTS = 24  # at once, each with connections of its own
+KEPT_ROUTES = 2  # added routes; beyond that a change may remove the oldest
+REMOVED_ROUTE_SHARE = 0.5  # of the changes that may remove a route
+DRAIN_SLACK_SECONDS = 0.3  # a server serves slightly longer than required
+CLIENTS = 24  # concurrent, each with its own connections
 THINK_SECONDS = (0.0, 0.15)  # a client's pause between two requests
-KEPT_SHARE = 0.7  # of the requests that go by an open connection, where there is one
-TIMEOUT_SECONDS = 5.0  # that clients state
-PATIENCE_SECONDS = (0.01, 0.3)  # after which a client in a hurry leaves
-HURRY_SHARE = 0.5  # of the requests, while clients are in a hurry
-CHANGE_WITHIN_SECONDS = 20.0  # an operator's tries of one change
-# After the last disturbance: the core has caught up, changes are in force.
+REUSED_CONNECTION_SHARE = 0.7  # of the requests, if there is an open connection
+TIMEOUT_SECONDS = 5.0  # timeout that clients send with a request
+PATIENCE_SECONDS = (0.01, 0.3)  # after which an impatient client disconnects
+IMPATIENT_SHARE = 0.5  # of the requests, during the action HURRY
+CHANGE_TIMEOUT_SECONDS = 20.0  # for all attempts of the operator to send one change
+# After the last disturbance, for the core to catch up and for changes to come into force.
 CALM_SECONDS = 8.0
 FINAL_REQUESTS = 100
 MIN_SERVED_SHARE = 0.99  # of the final requests
-MAX_IDLE_DESCRIPTORS = 150  # of a proxy without clients
-MEMORY_SHARE = 0.5  # of the machine's memory, that all processes together may take
+MAX_IDLE_DESCRIPTORS = 150  # file descriptors of a proxy without clients
+MEMORY_SHARE = 0.5  # of the machine's memory, for all processes together
 
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """What a run is like.
+    """Options of a run.
 
     Attributes:
-        seed: Draws the schedule and all else.
-        seconds: How long disturbances go on.
-        proxies: How many proxies.
-        network: Second number of its loopback addresses.
-        keep_folder: Where settings, logs and disks are left; None to throw them away.
+        seed: Seed of the schedule and all other random choices.
+        seconds: Duration of the disturbances.
+        proxies: Number of proxies.
+        network: Second octet of its loopback addresses.
+        keep_folder: Folder to keep settings, logs and disks in; None to delete them.
     """
 
     seed: int
@@ -67,15 +67,15 @@
 
 @dataclass(slots=True)
 class SoakReport:
-    """What came of a run.
+    """Results of a run.
 
     Attributes:
         seed: Its seed.
-        faults: What broke; empty if nothing did.
-        steps: How many disturbances there were, by action.
-        endings: How many requests ended in each way, by status, or by how the connection ended.
-        processes: How many processes ran at once.
-        memory_mb: What they took together.
+        faults: Descriptions of the faults; empty if there were none.
+        steps: Number of disturbances by action.
+        endings: Number of requests by status, or by how the connection ended without one.
+        processes: Number of concurrent processes.
+        memory_mb: Their resident memory together.
     """
 
     seed: int
@@ -85,8 +85,8 @@
     processes: int = 0
     memory_mb: float = 0.0
 
-    def line(self) -> str:
-        """Returns it in a line."""
+    def summary(self) -> str:
+        """Returns the report as one line."""
         steps = ", ".join(f"{name.lower()} {count}" for name, count in sorted(self.steps.items()))
         ends = ", ".join(f"{name} {count}" for name, count in sorted(self.endings.items()))
         verdict = "ok" if not self.faults else f"{len(self.faults)} FAULTS"
@@ -97,27 +97,27 @@
 
 
 class SoakRun:
-    """One run: the cluster, its clients, and the schedule that is carried out."""
+    """One run: the cluster, its clients and the execution of the schedule."""
 
     def __init__(self, options: SoakOptions, folder: Path) -> None:
-        """`folder` takes settings, logs and disks."""
+        """Creates a run whose settings, logs and disks go to `folder`."""
         self.options = options
         self.cluster = SoakCluster(options.seed, options.proxies, options.network, folder)
         self.report = SoakReport(options.seed)
         self.rng = Random(options.seed ^ 0x5EED)
         self.drains: list[Drain] = []
-        self.hurried_until = -inf
+        self.impatient_until = -inf
         self.is_over = False
         self.tasks: list[asyncio.Task[None]] = []
 
-    async def play(self) -> SoakReport:
-        """Starts all, lets the schedule pass, and checks what was seen."""
+    async def run(self) -> SoakReport:
+        """Starts the cluster, executes the schedule and checks the results."""
         cluster = self.cluster
         try:
             await cluster.start()
             readiness = asyncio.create_task(cluster.watch_readiness())
             await asyncio.sleep(0.5)
-            clients = [asyncio.create_task(self.use()) for _ in range(CLIENTS)]
+            clients = [asyncio.create_task(self.run_client()) for _ in range(CLIENTS)]
             self.measure()
             await self.disturb(
                 draw_schedule(self.options.seed, cluster.shape(self.options.seconds))
@@ -134,10 +134,10 @@
         self.check_all()
         return self.report
 
-    # what is done
+    # disturbances
 
     async def disturb(self, steps: list[Step]) -> None:
-        """Carries the steps out, each at its time, and waits for their ends."""
+        """Starts each step at its time and waits for all of them to end."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         for step in steps:
@@ -147,10 +147,10 @@
         await asyncio.gather(*self.tasks)
 
     def carry_out(self, step: Step) -> Coroutine[None, None, None]:
-        """Returns what a step does."""
+        """Returns the coroutine that carries out a step."""
         process = self.cluster.processes.get(step.target)
         if process is None:
-            return self.act_outside(step)
+            return self.carry_out_on_cluster(step)
         match step.action:
             case Action.TERMINATE:
                 return process.terminate(GRACE_SECONDS)
@@ -163,8 +163,8 @@
             case _:
                 return process.terminate_again()
 
-    async def act_outside(self, step: Step) -> None:
-        """Does what concerns no process: the operator, the servers, the clients."""
+    async def carry_out_on_cluster(self, step: Step) -> None:
+        """Carries out a step that concerns the operator, a server or the clients."""
         match step.action:
             case Action.CHANGE:
                 await self.change()
@@ -177,20 +177,22 @@
                 server.trouble = ""
             case _:
                 until = asyncio.get_running_loop().time() + step.seconds
-                self.hurried_until = max(self.hurried_until, until)
+                self.impatient_until = max(self.impatient_until, until)
 
     async def change(self) -> None:
-        """The operator adds a route, and takes one away now and then."""
+        """Sends a configuration with an added route, and sometimes without the oldest added one."""
         cluster = self.cluster
         added = sorted(name for kind, name in cluster.resources if name.startswith("added-"))
         if len(added) > KEPT_ROUTES and self.rng.random() < REMOVED_ROUTE_SHARE:
             del cluster.resources["routes", added[0]]
         cluster.route(f"added-{cluster.sent_version:04d}", self.rng.choice(("alpha", "beta")))
-        if not await cluster.change(CHANGE_WITHIN_SECONDS):
-            self.report.faults.append(f"a change was not acknowledged in {CHANGE_WITHIN_SECONDS} s")
+        if not await cluster.change(CHANGE_TIMEOUT_SECONDS):
+            self.report.faults.append(
+                f"a change was not acknowledged in {CHANGE_TIMEOUT_SECONDS} s"
+            )
 
     async def drain(self, name: str) -> None:
-        """A server leaves in order, and another takes its place."""
+        """Drains a server, which then returns as a new instance."""
         server = self.cluster.servers[name]
         if server.state == "draining":
             return
@@ -199,25 +201,26 @@
 
     # clients
 
-    async def use(self) -> None:
-        """A client: one request after the other, mostly on connections that it has open.
+    async def run_client(self) -> None:
+        """Runs a client: one request after the other, mostly on open connections.
 
-        It goes on with an open connection until that ends, whatever the platform says of the proxy.
+        A client uses an open connection until it ends, even if the platform no longer sends new
+        connections to that proxy.
         """
         client = self.cluster.client()
         rng = client.rng
         while not self.is_over:
-            kept = [front for front, talk in client.idle.items() if not talk.over]
-            if kept and rng.random() < KEPT_SHARE:
-                front = rng.choice(kept)
+            open_fronts = [front for front, talk in client.idle.items() if not talk.over]
+            if open_fronts and rng.random() < REUSED_CONNECTION_SHARE:
+                front = rng.choice(open_fronts)
             else:
-                front = rng.choice(self.cluster.inside)
+                front = rng.choice(self.cluster.active_fronts)
             is_idempotent = rng.random() < IDEMPOTENT_SHARE
             method, path = ("GET", "/a/x") if is_idempotent else ("POST", "/once/x")
             body = b"" if is_idempotent else b"body " * 20
             ask = client.ask(method, "town.example", path, "key-of-ann", body, is_idempotent)
-            in_hurry = asyncio.get_running_loop().time() < self.hurried_until
-            is_impatient = in_hurry and rng.random() < HURRY_SHARE
+            may_be_impatient = asyncio.get_running_loop().time() < self.impatient_until
+            is_impatient = may_be_impatient and rng.random() < IMPATIENT_SHARE
             patience = rng.uniform(*PATIENCE_SECONDS) if is_impatient else inf
             reply = await client.once(ask, front, TIMEOUT_SECONDS, patience)
             self.report.endings[ending(reply)] += 1
@@ -225,13 +228,13 @@
         for talk in client.idle.values():
             talk.transport.close()
 
-    # what must hold
+    # checks
 
     def measure(self) -> None:
-        """Notes how many processes there are and what they take.
+        """Records the number of processes and their memory.
 
         Raises:
-            RuntimeError: More than this machine is to give.
+            RuntimeError: They use more than `MEMORY_SHARE` of the machine's memory.
         """
         running = [p.process.pid for p in self.cluster.processes.values() if p.process is not None]
         resident = sum(psutil.Process(pid).memory_info().rss for pid in running)
@@ -241,7 +244,7 @@
         self.report.memory_mb = resident / 1e6
 
     async def check_end(self) -> None:
-        """After the calm: the newest configuration is in force everywhere, and all is served."""
+        """Checks at the end that the newest configuration is in force and requests are served."""
         cluster = self.cluster
         faults = self.report.faults
         read = await cluster.operator.read()
@@ -270,15 +273,15 @@
         self.check_descriptors()
 
     def check_descriptors(self) -> None:
-        """No proxy holds many descriptors once its clients have gone."""
+        """Checks that no proxy keeps many descriptors open after its clients have disconnected."""
         for name, process in self.cluster.processes.items():
-            if name.startswith("proxy-") and process.runs and process.process is not None:
+            if name.startswith("proxy-") and process.is_running and process.process is not None:
                 count = psutil.Process(process.process.pid).num_fds()
                 if count > MAX_IDLE_DESCRIPTORS:
                     self.report.faults.append(f"{name}: {count} descriptors at rest")
 
     def check_all(self) -> None:
-        """What the book and the processes tell once all have ended."""
+        """Runs the checks over the request log and the processes after all have exited."""
         book = self.cluster.book
         faults = self.report.faults
         try:
@@ -302,15 +305,15 @@
 
 
 def ending(reply: Reply) -> str:
-    """Returns how a request ended, in a word."""
+    """Returns the status of a request, or how its connection ended without one."""
     return str(reply.status) if reply.status else reply.end
 
 
-def play(options: SoakOptions) -> SoakReport:
-    """Plays one seed in a folder of its own."""
+def run_seed(options: SoakOptions) -> SoakReport:
+    """Runs one seed in its own folder."""
 
     async def run(folder: Path) -> SoakReport:
-        return await SoakRun(options, folder).play()
+        return await SoakRun(options, folder).run()
 
     if options.keep_folder is not None:
         options.keep_folder.mkdir(parents=True)
--- a/loomstand/testing/soak/schedule.py
+++ b/loomstand/testing/soak/schedule.py
@@ -1,7 +1,8 @@
-"""What befalls a cluster in a soak run, drawn from a seed. Pure.
+"""The schedule of disturbances of a soak run, drawn from a seed. Performs no I/O.
 
-Disturbances come in series, and series overlap. Those of core machines never do: the loss of one at
-a time has to be borne, so each is drawn after the one before it is over and caught up with.
+Disturbances come in series that overlap. Those of core machines do not overlap, because the cluster
+tolerates the loss of only one at a time: each begins after the machine lost before has returned and
+caught up.
 """
 
 from __future__ import annotations
@@ -13,26 +14,26 @@
 
 from loomstand.testing.soak.timing import CATCH_UP_SECONDS, GRACE_SECONDS, START_SECONDS
 
-# Series of disturbances at once: they overlap, and the cluster still serves.
+# Number of concurrent series of disturbances, under which the cluster still serves.
 MIN_SERIES, MAX_SERIES = 4, 8
 MAX_GAP_SECONDS = 1.5  # between the steps of a series
 MAX_FREEZE_SECONDS = 1.5
-HANGUP_FIRST_SHARE = 0.3  # of the terminations that come just after a SIGHUP
+HANGUP_FIRST_SHARE = 0.3  # of the terminations that follow a SIGHUP within 0.2 s
 TERMINATED_TWICE_SHARE = 0.2
 
 
 class Action(Enum):
-    """What is done to a target."""
+    """Kind of a disturbance."""
 
-    TERMINATE = auto()  # SIGTERM, then a restart
-    KILL = auto()  # SIGKILL, then a restart
-    HANG_UP = auto()  # its settings file changes, and SIGHUP
-    SIGNAL_TERMINATE = auto()  # one more SIGTERM to a process that may be stopping
+    TERMINATE = auto()  # SIGTERM, then restart
+    KILL = auto()  # SIGKILL, then restart
+    HANG_UP = auto()  # changes the settings file and sends SIGHUP
+    SIGNAL_TERMINATE = auto()  # another SIGTERM to a process that may be stopping
     FREEZE = auto()  # SIGSTOP, SIGCONT after `seconds`
     CHANGE = auto()  # the operator sends a configuration
-    DRAIN = auto()  # a server drains, leaves and comes back
+    DRAIN = auto()  # a server drains, leaves and returns
     SLOW = auto()  # a server is slow for `seconds`
-    HURRY = auto()  # clients leave early for `seconds`
+    HURRY = auto()  # clients disconnect early for `seconds`
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -42,8 +43,8 @@
     Attributes:
         at: Seconds from the start of traffic.
         target: Name of a process or server; empty for the operator and the clients.
-        action: What is done.
-        seconds: How long it lasts, where that is drawn.
+        action: The kind of disturbance.
+        seconds: Its duration; 0 for actions without one.
     """
 
     at: float
@@ -53,14 +54,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """The size of a run.
+class ClusterShape:
+    """The targets and the duration of a run.
 
     Attributes:
         proxies: Names of the proxies.
-        core_machines: Names of the core machines' processes, a tuple a machine.
+        core_machines: Names of the processes on core machines, one tuple for each machine.
         servers: Names of the servers.
-        seconds: How long disturbances go on.
+        seconds: Duration of the disturbances.
     """
 
     proxies: tuple[str, ...]
@@ -69,8 +70,8 @@
     seconds: float
 
 
-def draw_schedule(seed: int, shape: Shape) -> list[Step]:
-    """Returns the steps of a run in their order; the same for the same seed and shape."""
+def draw_schedule(seed: int, shape: ClusterShape) -> list[Step]:
+    """Returns the steps of a run in order of time; the same for the same seed and shape."""
     rng = Random(seed)
     series = [
         _restarts,
@@ -80,7 +81,7 @@
         _changes,
         _drains,
         _slow_servers,
-        _hurries,
+        _impatient_clients,
         _freezes,
     ]
     steps = list(_core(rng, shape))
@@ -92,8 +93,8 @@
     )
 
 
-def _moments(rng: Random, shape: Shape, count: int) -> Iterator[float]:
-    """The moments of a series, each a gap after the one before."""
+def _moments(rng: Random, shape: ClusterShape, count: int) -> Iterator[float]:
+    """Draws the times of a series with about equal gaps."""
     gap = rng.uniform(0.0, MAX_GAP_SECONDS)
     at = rng.uniform(0.0, 0.6 * shape.seconds)
     for _ in range(count):
@@ -101,13 +102,13 @@
         at += gap * rng.uniform(0.5, 1.5)
 
 
-def _some(rng: Random, names: tuple[str, ...]) -> list[str]:
-    """A part of the names in any order, one at least."""
+def _sample_names(rng: Random, names: tuple[str, ...]) -> list[str]:
+    """Draws at least one of the names, in random order."""
     return rng.sample(names, rng.randint(1, len(names)))
 
 
-def _restarts(rng: Random, shape: Shape) -> Iterator[Step]:
-    targets = _some(rng, shape.proxies)
+def _restarts(rng: Random, shape: ClusterShape) -> Iterator[Step]:
+    targets = _sample_names(rng, shape.proxies)
     for at, name in zip(_moments(rng, shape, len(targets)), targets, strict=True):
         if rng.random() < HANGUP_FIRST_SHARE:
             yield Step(max(0.0, at - rng.uniform(0.0, 0.2)), name, Action.HANG_UP)
@@ -116,62 +117,65 @@
             yield Step(at + rng.uniform(0.01, 1.0), name, Action.SIGNAL_TERMINATE)
 
 
-def _kills(rng: Random, shape: Shape) -> Iterator[Step]:
-    targets = _some(rng, shape.proxies)
+def _kills(rng: Random, shape: ClusterShape) -> Iterator[Step]:
+    targets = _sample_names(rng, shape.proxies)
     for at, name in zip(_moments(rng, shape, len(targets)), targets, strict=True):
         yield Step(at, name, Action.KILL)
 
 
-def _freezes(rng: Random, shape: Shape) -> Iterator[Step]:
-    targets = _some(rng, shape.proxies)
+def _freezes(rng: Random, shape: ClusterShape) -> Iterator[Step]:
+    targets = _sample_names(rng, shape.proxies)
     for at, name in zip(_moments(rng, shape, len(targets)), targets, strict=True):
         yield Step(at, name, Action.FREEZE, rng.uniform(0.1, MAX_FREEZE_SECONDS))
 
 
-def _hang_ups(rng: Random, shape: Shape) -> Iterator[Step]:
+def _hang_ups(rng: Random, shape: ClusterShape) -> Iterator[Step]:
     names = (*shape.proxies, *(name for machine in shape.core_machines for name in machine))
-    targets = _some(rng, names)
+    targets = _sample_names(rng, names)
     at = rng.uniform(0.0, 0.8 * shape.seconds)
     for name in targets:
         yield Step(at, name, Action.HANG_UP)
         at += rng.uniform(0.0, 0.2)
 
 
-def _changes(rng: Random, shape: Shape) -> Iterator[Step]:
+def _changes(rng: Random, shape: ClusterShape) -> Iterator[Step]:
     for at in _moments(rng, shape, rng.randint(3, 8)):
         yield Step(at, "", Action.CHANGE)
 
 
-def _drains(rng: Random, shape: Shape) -> Iterator[Step]:
+def _drains(rng: Random, shape: ClusterShape) -> Iterator[Step]:
     targets = rng.sample(shape.servers, max(1, len(shape.servers) // 4))
     for at, name in zip(_moments(rng, shape, len(targets)), targets, strict=True):
         yield Step(at, name, Action.DRAIN)
 
 
-def _slow_servers(rng: Random, shape: Shape) -> Iterator[Step]:
+def _slow_servers(rng: Random, shape: ClusterShape) -> Iterator[Step]:
     at = rng.uniform(0.0, 0.6 * shape.seconds)
     seconds = rng.uniform(1.0, 3.0)
-    for name in _some(rng, shape.servers):
+    for name in _sample_names(rng, shape.servers):
         yield Step(at, name, Action.SLOW, seconds)
 
 
-def _hurries(rng: Random, shape: Shape) -> Iterator[Step]:
-    """Clients in a hurry, while some servers are slow: their runs outlast the clients."""
+def _impatient_clients(rng: Random, shape: ClusterShape) -> Iterator[Step]:
+    """Impatient clients and slow servers at once, so that runs outlast their clients."""
     at = rng.uniform(0.0, 0.6 * shape.seconds)
     seconds = rng.uniform(1.0, 4.0)
     yield Step(at, "", Action.HURRY, seconds)
-    for name in _some(rng, shape.servers):
+    for name in _sample_names(rng, shape.servers):
         yield Step(at, name, Action.SLOW, seconds)
 
 
-def _core(rng: Random, shape: Shape) -> Iterator[Step]:
-    """Core machines one after the other: a signal to one of its processes, or to both at once."""
+def _core(rng: Random, shape: ClusterShape) -> Iterator[Step]:
+    """Disturbs core machines one after the other: one of its processes, or both at once."""
     at = rng.uniform(0.0, 3.0)
     while at < shape.seconds:
         machine = rng.choice(shape.core_machines)
         action = rng.choice((Action.TERMINATE, Action.KILL, Action.FREEZE))
         seconds = rng.uniform(0.1, MAX_FREEZE_SECONDS) if action is Action.FREEZE else 0.0
-        for name in _some(rng, machine):
+        for name in _sample_names(rng, machine):
             yield Step(at, name, action, seconds)
-        lost = {Action.TERMINATE: GRACE_SECONDS + START_SECONDS, Action.KILL: START_SECONDS}
-        at += lost.get(action, seconds) + CATCH_UP_SECONDS + rng.uniform(0.0, 2.0)
+        outage_seconds = {
+            Action.TERMINATE: GRACE_SECONDS + START_SECONDS,
+            Action.KILL: START_SECONDS,
+        }
+        at += outage_seconds.get(action, seconds) + CATCH_UP_SECONDS + rng.uniform(0.0, 2.0)
--- a/tests/testing/soak/test_checks.py
+++ b/tests/testing/soak/test_checks.py
@@ -1,4 +1,4 @@
-"""What the soak test judges: each check finds what it is for, and passes over what it must."""
+"""Checks of the soak test: each finds its faults and skips what is allowed."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 def book(reply: Reply, *, ran: bool, ended: float = 0.0, left_at: float = 1e9) -> Book:
-    """One request sent at 10 s, that was begun at a server at 10.1 s or didn't arrive there."""
-    made = Book()
+    """Log with one request, sent at 10 s, that a server started at 10.1 s if `ran` is set."""
+    log = Book()
     ask = Ask("r1", "GET", "town.example", "/a/x", "", b"", True, 10.0, ("10.2.0.1", 80), left_at)
-    made.asks[ask.id] = ask
-    made.replies[ask.id] = reply
+    log.asks[ask.id] = ask
+    log.replies[ask.id] = reply
     if ran:
-        made.arrivals.append(Run(10.1, "alpha", "i-1", ask.id, "", True, ended))
-    return made
+        log.arrivals.append(Run(10.1, "alpha", "i-1", ask.id, "", True, ended))
+    return log
 
 
 @pytest.mark.parametrize(
@@ -42,7 +42,11 @@
     [
         (Reply(0, "closed", at=10.2), True, 1),
         (Reply(0, "reset", at=10.2), True, 1),
-        (Reply(0, "closed", at=10.2), False, 0),  # it crossed the close of the connection
+        (
+            Reply(0, "closed", at=10.2),
+            False,
+            0,
+        ),  # the request was sent while the connection was being closed
         (Reply(0, "closed", at=13.0), False, 1),
         (Reply(0, "refused", at=10.0), False, 0),
         (Reply(0, "silent", at=10.2), True, 0),  # the client left
@@ -50,31 +54,31 @@
     ],
 )
 def test_a_connection_closed_in_place_of_an_answer_is_a_loss(reply, ran, lost):
-    seen = book(reply, ran=ran)
-    assert len(lost_requests(seen, undisturbed)) == lost
-    assert len(lost_requests(seen, restarted)) == lost
-    assert lost_requests(seen, killed) == []
+    log = book(reply, ran=ran)
+    assert len(lost_requests(log, undisturbed)) == lost
+    assert len(lost_requests(log, restarted)) == lost
+    assert lost_requests(log, killed) == []
 
 
 @pytest.mark.parametrize(("ended", "late"), [(10.3, 0), (11.4, 0), (12.0, 1)])
 def test_a_run_long_after_its_client_left_is_found(ended, late):
-    seen = book(Reply(0, "silent", at=10.2), ran=True, ended=ended, left_at=10.2)
-    assert len(abandoned_runs(seen, undisturbed)) == late
-    assert abandoned_runs(seen, killed) == []
+    log = book(Reply(0, "silent", at=10.2), ran=True, ended=ended, left_at=10.2)
+    assert len(abandoned_runs(log, undisturbed)) == late
+    assert abandoned_runs(log, killed) == []
 
 
 @pytest.mark.parametrize(("acknowledged_at", "late"), [(9.0, 0), (6.0, 1)])
 def test_an_arrival_long_after_a_drain_is_found(acknowledged_at, late):
-    seen = book(Reply(200, at=10.2), ran=True)
+    log = book(Reply(200, at=10.2), ran=True)
     drains = [Drain("i-1", acknowledged_at)]
-    assert len(late_arrivals(seen, drains, undisturbed)) == late
-    assert late_arrivals(seen, drains, restarted) == []
-    assert late_arrivals(seen, [Drain("i-2", 0.0)], undisturbed) == []
+    assert len(late_arrivals(log, drains, undisturbed)) == late
+    assert late_arrivals(log, drains, restarted) == []
+    assert late_arrivals(log, [Drain("i-2", 0.0)], undisturbed) == []
 
 
 @pytest.mark.parametrize(("ended", "needless"), [(0.0, 0), (15.5, 0), (12.0, 1)])
 def test_a_proxy_waits_beyond_its_grace_period_only_for_a_server_at_work(ended, needless):
-    seen = book(Reply(0, "closed", at=16.0), ran=True, ended=ended)
-    assert len(needless_overdue(seen, "10.2.0.1", [16.0])) == needless
-    assert len(needless_overdue(seen, "10.2.0.2", [16.0])) == 1
-    assert needless_overdue(seen, "10.2.0.1", []) == []
+    log = book(Reply(0, "closed", at=16.0), ran=True, ended=ended)
+    assert len(needless_overdue(log, "10.2.0.1", [16.0])) == needless
+    assert len(needless_overdue(log, "10.2.0.2", [16.0])) == 1
+    assert needless_overdue(log, "10.2.0.1", []) == []
--- a/tests/testing/soak/test_schedule.py
+++ b/tests/testing/soak/test_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of the soak test."""
+"""Properties of the schedules of the soak test."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from loomstand.testing.soak.schedule import (
     Action,
-    Shape,
+    ClusterShape,
     Step,
     draw_schedule,
 )
 from loomstand.testing.soak.timing import CATCH_UP_SECONDS
 
 MACHINES = (("store-1", "registry-1"), ("store-2", "registry-2"), ("store-3", "registry-3"))
-SHAPE = Shape(("proxy-1", "proxy-2", "proxy-3"), MACHINES, ("alpha-1", "alpha-2"), 12.0)
+SHAPE = ClusterShape(("proxy-1", "proxy-2", "proxy-3"), MACHINES, ("alpha-1", "alpha-2"), 12.0)
 ENDS = {Action.TERMINATE, Action.KILL, Action.FREEZE}
 
 
 def core_steps(steps: list[Step]) -> list[tuple[float, tuple[str, ...], float]]:
-    """When a core machine is disturbed, which one, and for how long at the least."""
+    """Disturbances of core machines: start, machine and shortest duration in seconds."""
     return [
         (step.at, machine, step.seconds)
         for step in steps
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 31))
-def test_steps_come_in_order_within_the_time_and_name_what_there_is(seed):
+def test_steps_are_ordered_lie_within_the_run_and_name_existing_targets(seed):
     steps = draw_schedule(seed, SHAPE)
     assert steps
     assert [step.at for step in steps] == sorted(step.at for step in steps)
