--- a/tests/standin.py
+++ b/tests/standin.py
@@ -1,4 +1,4 @@
-"""A registry of a few lines on loopback, that fails as it is told to."""
+"""A minimal registry on loopback with scripted failures."""
 
 from __future__ import annotations
 
@@ -8,28 +8,34 @@
 
 
 class StandIn:
-    """A registry that answers calls by `plan`, a status, body and header each, then as one that
-    holds.
+    """A registry that gives the scripted answers first, then stores and returns a configuration.
+
+    Attributes:
+        held: The stored configuration as JSON.
+        plan: Scripted answers: status, body and optionally headers; status 0 for no answer.
+        calls: Path and body of each call.
+        status: The answer to status calls, or None.
+        at: Its address, HOST:PORT.
     """
 
     def __init__(self, held=b"", *plan):
-        self.held, self.plan, self.calls, self.over = held, list(plan), [], threading.Event()
+        self.held, self.plan, self.calls, self.closed = held, list(plan), [], threading.Event()
         self.status = None
         outer = self
 
         class Handler(BaseHTTPRequestHandler):
             def do_POST(self):
-                sent = self.rfile.read(int(self.headers["Content-Length"] or 0))
-                code, said, more = outer.answer(self.path, sent)
+                body = self.rfile.read(int(self.headers["Content-Length"] or 0))
+                code, answer, headers = outer.answer(self.path, body)
                 if code == 0:
-                    outer.over.wait(5)  # silence, until the test is done
+                    outer.closed.wait(5)  # no answer until the test ends
                     return
                 self.send_response(code)
-                self.send_header("Content-Length", str(len(said)))
-                for name, value in more.items():
+                self.send_header("Content-Length", str(len(answer)))
+                for name, value in headers.items():
                     self.send_header(name, value)
                 self.end_headers()
-                self.wfile.write(said)
+                self.wfile.write(answer)
 
             def log_message(self, *_):
                 pass
@@ -39,18 +45,19 @@
         self.at = f"127.0.0.1:{self.server.server_port}"
         threading.Thread(target=self.server.serve_forever, args=(0.01,), daemon=True).start()
 
-    def answer(self, path, sent):
-        self.calls.append((path, sent))
+    def answer(self, path, body):
+        """Records a call and returns status, body and headers of its answer."""
+        self.calls.append((path, body))
         if self.plan:
-            code, said, *more = self.plan.pop(0)
-            return code, said, more[0] if more else {}
+            code, answer, *headers = self.plan.pop(0)
+            return code, answer, headers[0] if headers else {}
         if path.endswith("replace"):
-            if int(json.loads(sent)["version"][1:]) > int(json.loads(self.held)["version"][1:]):
-                self.held = sent
+            if int(json.loads(body)["version"][1:]) > int(json.loads(self.held)["version"][1:]):
+                self.held = body
             return 200, json.dumps({"version": json.loads(self.held)["version"]}).encode(), {}
         return 200, json.dumps(self.status).encode() if path.endswith("status") else self.held, {}
 
     def close(self):
-        self.over.set()
+        self.closed.set()
         self.server.shutdown()
         self.server.server_close()
