--- a/loomstand/testing/rehearsal/discovery.py
+++ b/loomstand/testing/rehearsal/discovery.py
@@ -53,7 +53,10 @@
         return accepted
 
     def list_for(self, limiter: int, since: int, whole: bool) -> dict:
-        """A list: the members that changed after a revision, or all members that have not left."""
+        """A list of the members that changed after a revision, or a whole list.
+
+        A whole list has the members that have not left, among the published share of all members.
+        """
         candidates = range(ceil(len(self.members) * self.share)) if whole else self.members
         selected = [
             n
--- a/loomstand/testing/rehearsal/links.py
+++ b/loomstand/testing/rehearsal/links.py
@@ -65,9 +65,8 @@
             if item is not None:
                 target.write(item)
             elif target.can_write_eof():
-                with contextlib.suppress(
-                    OSError
-                ):  # already reset, not yet reported by the event loop
+                # the socket may be reset already without a report by the event loop yet
+                with contextlib.suppress(OSError):
                     target.write_eof()
                 self.eof_sent = True
                 if self.peer.eof_sent:  # both directions have ended; asyncio would not close them
--- a/loomstand/testing/rehearsal/runner.py
+++ b/loomstand/testing/rehearsal/runner.py
@@ -114,9 +114,8 @@
         self.processes: dict[str, ManagedProcess] = {}
         self.paths: dict[tuple[str, str], str] = {}  # (from, to) -> name of the link
         self.starts: dict[str, int] = {}
-        self.booted = [
-            0.0
-        ] * fleet.servers  # Unix s when each server began to listen; 0 for long ago
+        # Unix s when each server began to listen; 0 for long ago
+        self.booted = [0.0] * fleet.servers
         self.cold = [fleet.cold] * fleet.servers
         self.began = 0.0
         self.failed: asyncio.Future[None] | None = None
@@ -419,7 +418,7 @@
             driver.send_command(do="begin", at=self.began)
         if not rehearsal.known:  # all limiters start with the traffic and without a list
             for n in range(rehearsal.fleet.limiters):
-                self.spawn(self.guarded(self.start_limiter_until_ready(n)))
+                self.spawn(self.guarded(self.start_limiter_and_wait(n)))
         for n, fault in enumerate(rehearsal.faults):
             self.spawn(self.guarded(self.run_fault(n, fault)))
         drivers_done = asyncio.gather(*(d.done.wait() for d in drivers))
@@ -443,7 +442,7 @@
                 f"faults[{n}] was not applied: discovery did not send a list to all of {names}"
             )
 
-    async def start_limiter_until_ready(self, n: int) -> None:
+    async def start_limiter_and_wait(self, n: int) -> None:
         await self.start_limiter(n)
         await self.wait_ready(n, START_TIMEOUT_SECONDS + self.rehearsal.seconds)
 
@@ -540,24 +539,24 @@
 
     # links
 
-    def paths_between(self, some: set[str], others: set[str]) -> list[tuple[str, str]]:
+    def paths_between(self, selected: set[str], others: set[str]) -> list[tuple[str, str]]:
         """The paths with one end in each of two sets of nodes."""
         return [
             p
             for p in self.paths
-            if (p[0] in some and p[1] in others) or (p[1] in some and p[0] in others)
+            if (p[0] in selected and p[1] in others) or (p[1] in selected and p[0] in others)
         ]
 
     def paths_of(self, fault: Fault) -> list[tuple[str, str]]:
         """The paths that a fault on links affects. Clients of a zone are on its side of a cut."""
-        some = set(self.nodes_of(fault))
+        selected = set(self.nodes_of(fault))
         f = self.rehearsal.fleet
         if fault.do == "cut" and not fault.other:
             for z in f.zones:
-                if set(nodes(f, f"limiters:{z}")) <= some and nodes(f, f"limiters:{z}"):
-                    some.add(f"clients:{z}")
+                if set(nodes(f, f"limiters:{z}")) <= selected and nodes(f, f"limiters:{z}"):
+                    selected.add(f"clients:{z}")
         ends = {x for p in self.paths for x in p}
-        return self.paths_between(some, set(self.nodes_of(fault, "other")) or ends - some)
+        return self.paths_between(selected, set(self.nodes_of(fault, "other")) or ends - selected)
 
     def command_links(self, do: str, paths: list[tuple[str, str]], **arguments: object) -> None:
         self.processes["links"].send_command(
@@ -568,23 +567,23 @@
         """Sends the links the directions that all cuts in force block together."""
         blocked: dict[tuple[str, str], set[str]] = {p: set() for p in paths}
         for fault in self.cuts:
-            some = set(self.nodes_of(fault))
+            selected = set(self.nodes_of(fault))
             for pair in self.paths_of(fault):
                 if pair in blocked:
-                    to_some = pair[1] in some
+                    to_selected = pair[1] in selected
                     blocked[pair] |= {
                         "both": {"forth", "back"},
-                        "to": {"forth" if to_some else "back"},
-                        "from": {"back" if to_some else "forth"},
+                        "to": {"forth" if to_selected else "back"},
+                        "from": {"back" if to_selected else "forth"},
                     }[fault.way]
         ways: dict[tuple[bool, bool], list[tuple[str, str]]] = {}
         for pair, directions in blocked.items():
             ways.setdefault(("forth" in directions, "back" in directions), []).append(pair)
-        for (forth, back), some_paths in ways.items():
+        for (forth, back), group in ways.items():
             if forth or back:
-                self.command_links("cut", some_paths, forth=forth, back=back)
+                self.command_links("cut", group, forth=forth, back=back)
             else:
-                self.command_links("heal", some_paths)
+                self.command_links("heal", group)
         self.record("cut", [[*p, sorted(d)] for p, d in blocked.items()])
 
     async def do_cut(self, fault: Fault) -> None:
