--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -224,7 +224,7 @@
     from loomstand.testing.emulator.runner import values
     from loomstand.testing.emulator.scenario import ScenarioError
     from loomstand.testing.rehearsal import report, scenario
-    from loomstand.testing.rehearsal.stage import StageError, stage
+    from loomstand.testing.rehearsal.runner import RehearsalError, run_rehearsal
 
     try:
         overrides = {key: vals[0] for key, vals in map(values, sets)}
@@ -244,13 +244,13 @@
                 asyncio.get_running_loop().add_signal_handler(
                     signal.SIGTERM, asyncio.current_task().cancel
                 )
-                await stage(
-                    rehearsal, seed, directory, plan, lambda s: bar.update(task, completed=s)
+                await run_rehearsal(
+                    told, seed, directory, plan, lambda s: bar.update(task, completed=s)
                 )
 
             try:
                 asyncio.run(run())
-            except StageError as error:
+            except RehearsalError as error:
                 raise click.ClickException(str(error)) from None
             except (KeyboardInterrupt, asyncio.CancelledError):
                 raise click.ClickException(
