--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -245,7 +245,7 @@
                     signal.SIGTERM, asyncio.current_task().cancel
                 )
                 await run_rehearsal(
-                    told, seed, directory, plan, lambda s: bar.update(task, completed=s)
+                    rehearsal, seed, directory, plan, lambda s: bar.update(task, completed=s)
                 )
 
             try:
