--- a/loomstand/adapter/__init__.py
+++ b/loomstand/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Entry point of the bench's adapter; the code is in `loomstand.testing.bench_adapter`."""
+"""Entry point of the bench adapter; the code is in `loomstand.testing.bench_adapter`."""
--- a/loomstand/adapter/__main__.py
+++ b/loomstand/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m loomstand.adapter`, as `deploy/balancer.toml` starts it."""
+"""Runs the bench adapter: `python -m loomstand.adapter`, as `deploy/balancer.toml` starts it."""
 
 import sys
 
--- a/loomstand/simulation/__init__.py
+++ b/loomstand/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Entry points of the simulation; the code is in `loomstand.testing.simulation`."""
+"""Entry points of the control plane simulation; the code is in `loomstand.testing.simulation`."""
--- a/loomstand/simulation/hunt.py
+++ b/loomstand/simulation/hunt.py
@@ -1,4 +1,4 @@
-"""`python -m loomstand.simulation.hunt`."""
+"""Simulates many random days of a cluster: `python -m loomstand.simulation.hunt`."""
 
 import sys
 
--- a/loomstand/testing/bench_adapter/__init__.py
+++ b/loomstand/testing/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: JSON lines in, JSON lines out."""
+"""The bench's protocol: JSON lines on standard input and output."""
--- a/loomstand/testing/bench_adapter/__main__.py
+++ b/loomstand/testing/bench_adapter/__main__.py
@@ -1,4 +1,7 @@
-"""Plays limiters over the bench's wire: one Brain an instance, nothing shared between them."""
+"""Runs limiter instances over the bench's JSON lines protocol on standard input and output.
+
+Each instance has its own decision engine; instances share no state.
+"""
 
 from __future__ import annotations
 
@@ -47,204 +50,227 @@
     "called_off": Outcome.CANCELLED,
     "not_sent": Outcome.NOT_SENT,
 }
-PHASES = {
+ENDPOINT_STATES = {
     "live": EndpointState.LIVE,
     "quiescing": EndpointState.DRAINING,
     "dead": EndpointState.GONE,
 }
 
 
-class BadLine(Exception):
-    """A line that can't be obeyed."""
+class InvalidLineError(Exception):
+    """A well-formed line that is not valid in the current state."""
 
 
 class Instance:
-    """One limiter: its Brain and the doors that name things for it."""
+    """One limiter: its decision engine and the indices of the names in its messages."""
 
     def __init__(self, start: w.Start, now: int) -> None:
-        conf = start.conf
-        self.frontends = NameIndex([g.name for g in conf.frontends])
-        self.plans = NameIndex([p.name for p in conf.plans])
-        self.halls = NameIndex(conf.zones)
-        self.kinds = NameIndex(conf.server_kinds)
+        settings = start.settings
+        self.frontends = NameIndex([f.name for f in settings.frontends])
+        self.plans = NameIndex([p.name for p in settings.plans])
+        self.zones = NameIndex(settings.zones)
+        self.kinds = NameIndex(settings.server_kinds)
         self.servers = NameIndex()
-        self.customers: dict[str, tuple[int, int]] = {}
-        self.brain = DecisionEngine(
-            engine_settings(conf, self.halls.index_of(conf.zone)), start.entropy, now
+        self.tenants: dict[str, tuple[int, int]] = {}
+        self.engine = DecisionEngine(
+            engine_settings(settings, self.zones.index_of(settings.zone)), start.seed, now
         )
 
-    def note(self, ev: w.Event, pools: dict[int, list[w.Item]]) -> Event | None:
-        """The event as a note of the interface; None where it holds nothing for the module."""
-        match ev:
-            case w.Inbound():
-                customer = self.customers.get(ev.user_key)
-                if customer is None:
-                    customer = self.customers[ev.user_key] = (
-                        len(self.customers),
-                        stable_digest(ev.user_key),
+    def to_event(self, message: w.Event, sheets: dict[int, list[w.EndpointItem]]) -> Event | None:
+        """Returns the message as an event of the decision engine; None if it has none."""
+        match message:
+            case w.InboundRequest():
+                tenant = self.tenants.get(message.tenant)
+                if tenant is None:
+                    tenant = self.tenants[message.tenant] = (
+                        len(self.tenants),
+                        stable_digest(message.tenant),
                     )
-                plan = self.plans.indices.get(ev.terms, -1)
+                plan = self.plans.indices.get(message.plan, -1)
                 return RequestArrived(
-                    ev.txn,
-                    self.frontends.require(ev.priority, "priority"),
+                    message.request_id,
+                    self.frontends.require(message.frontend, "priority"),
                     plan,
-                    *customer,
-                    ticks_rounded_down(ev.give_up_at),
-                    ev.cost_units,
-                    ev.n_entries,
-                    ev.is_retry,
-                    ev.first,
+                    *tenant,
+                    ticks_rounded_down(message.deadline),
+                    message.units,
+                    message.limiter_set_size,
+                    message.is_retry,
+                    message.limiter_set_start,
                 )
-            case w.Returned():
+            case w.AttemptReturned():
                 return AttemptEnded(
-                    ev.txn,
-                    ev.send_no,
-                    self.servers.index_of(ev.server),
-                    OUTCOMES[ev.state_code],
-                    ticks_rounded_up(ev.took),
-                    ev.final,
-                    ev.fleet_use,
-                    ev.cost,
+                    message.request_id,
+                    message.attempt,
+                    self.servers.index_of(message.server),
+                    OUTCOMES[message.outcome],
+                    ticks_rounded_up(message.duration),
+                    message.is_final,
+                    message.metered_use,
+                    message.cost,
                 )
-            case w.TallyBack():
+            case w.CounterReply():
                 return CounterReplied(
-                    ev.cname, OUTCOMES[ev.state_code], ev.now_at, ticks_rounded_up(ev.took)
+                    message.counter_name,
+                    OUTCOMES[message.outcome],
+                    message.total,
+                    ticks_rounded_up(message.duration),
                 )
-            case w.Elapsed():
-                return TimerFired(ev.tag)
-            case w.VanishedEvent():
-                return ClientDisconnected(ev.txn)
-            case w.StartedEvent():
-                return ResponseStarted(ev.txn, ev.send_no)
-            case w.ProbeDone():
+            case w.TimerElapsed():
+                return TimerFired(message.timer_tag)
+            case w.ClientVanished():
+                return ClientDisconnected(message.request_id)
+            case w.ResponseHeadReceived():
+                return ResponseStarted(message.request_id, message.attempt)
+            case w.HealthCheckDone():
                 return HealthCheckFinished(
-                    self.servers.index_of(ev.server),
-                    OUTCOMES[ev.state_code],
-                    ticks_rounded_up(ev.took),
+                    self.servers.index_of(message.server),
+                    OUTCOMES[message.outcome],
+                    ticks_rounded_up(message.duration),
                 )
-            case w.Registry(scope="refused"):
+            case w.EndpointListUpdate(scope="refused"):
                 return None
-            case w.Registry():
-                if ev.sheet not in pools:
-                    raise BadLine(f"field 'sheet': no pool {ev.sheet}")
-                entries = tuple(self.entry(item) for item in pools[ev.sheet])
-                return EndpointsUpdated(entries, ev.scope != "changes")
+            case w.EndpointListUpdate():
+                if message.sheet not in sheets:
+                    raise InvalidLineError(f"field 'sheet': no pool {message.sheet}")
+                endpoints = tuple(self.endpoint(item) for item in sheets[message.sheet])
+                return EndpointsUpdated(endpoints, message.scope != "changes")
         return None
 
-    def entry(self, item: w.Item) -> Endpoint:
+    def endpoint(self, item: w.EndpointItem) -> Endpoint:
         return Endpoint(
             self.servers.index_of(item.server),
-            PHASES[item.phase],
-            self.halls.index_of(item.hall),
-            self.kinds.index_of(item.flavor),
-            item.pod,
+            ENDPOINT_STATES[item.phase],
+            self.zones.index_of(item.zone),
+            self.kinds.index_of(item.kind),
+            item.cell,
             item.capacity_hint,
-            ticks_rounded_up(item.boot_time),
+            ticks_rounded_up(item.started_at),
         )
 
-    def line(self, inst: int, act: Action) -> dict[str, object]:
-        """The action in the wire's words."""
-        match act:
+    def to_message(self, limiter_id: int, action: Action) -> dict[str, object]:
+        """Returns the action as a message of the protocol, with times in milliseconds."""
+        match action:
             case SendAttempt():
-                server = self.servers.names[act.endpoint_id]
-                said = {
+                server = self.servers.names[action.endpoint_id]
+                message = {
                     "op": "attempt",
-                    "txn": act.request_id,
+                    "txn": action.request_id,
                     "server": server,
-                    "expire_at": act.expires_at / 10,
+                    "expire_at": action.expires_at / 10,
                 }
             case Reject():
-                said = {"op": "overload_reply", "txn": act.request_id, "wait": act.retry_after / 10}
+                message = {
+                    "op": "overload_reply",
+                    "txn": action.request_id,
+                    "wait": action.retry_after / 10,
+                }
             case Abort():
-                said = {"op": "error", "txn": act.request_id}
+                message = {"op": "error", "txn": action.request_id}
             case CancelAttempt():
-                said = {"op": "call_off", "txn": act.request_id, "send_no": act.attempt}
+                message = {"op": "call_off", "txn": action.request_id, "send_no": action.attempt}
             case SetTimer():
-                said = {"op": "wake_me", "after": act.delay / 10, "tag": act.tag}
+                message = {"op": "wake_me", "after": action.delay / 10, "tag": action.tag}
             case IncrementCounter():
-                said = {
+                message = {
                     "op": "bump",
-                    "step": act.amount,
-                    "cname": act.counter_name,
-                    "keep_for": act.time_to_live / 10,
+                    "step": action.amount,
+                    "cname": action.counter_name,
+                    "keep_for": action.time_to_live / 10,
                 }
             case CheckHealth():
-                said = {"op": "poll", "server": self.servers.names[act.endpoint_id]}
+                message = {"op": "poll", "server": self.servers.names[action.endpoint_id]}
             case LogMessage():
-                said = {"op": "journal_line", "what": act.text}
-        said["limiter_id"] = inst
-        return said
+                message = {"op": "journal_line", "what": action.text}
+        message["limiter_id"] = limiter_id
+        return message
 
 
 class Host:
-    """Reads batches, feeds each instance its own notes and writes one reply a batch."""
+    """Reads batches, passes each event to its instance and writes one reply per batch."""
 
     def __init__(self, out: BinaryIO) -> None:
         self.out = out
         self.instances: dict[int, Instance] = {}
-        self.pools: dict[int, list[w.Item]] = {}
+        self.sheets: dict[int, list[w.EndpointItem]] = {}
         self.now: int | None = None
         self.batch = 0
         self.reply: list[bytes] = []
 
-    def take(self, raw: bytes) -> None:
-        """One line of input."""
-        msg = w.line_decoder.decode(raw)
-        match msg:
+    def handle_line(self, raw: bytes) -> None:
+        """Handles one line of input.
+
+        Raises:
+            InvalidLineError: The line is not valid in the current state.
+            UnknownNameError: The line names an unknown request class.
+            msgspec.DecodeError: The line is not a valid message.
+        """
+        message = w.line_decoder.decode(raw)
+        match message:
             case w.BeginBatch():
                 if self.now is not None:
-                    raise BadLine("a batch is still open")
-                self.now, self.batch = ticks_rounded_up(msg.wall), msg.batch
+                    raise InvalidLineError("a batch is still open")
+                self.now, self.batch = ticks_rounded_up(message.wall), message.batch
                 return
             case _ if self.now is None:
-                raise BadLine("no batch is open")
+                raise InvalidLineError("no batch is open")
             case w.Flush():
                 self.reply.append(msgspec.json.encode({"op": "ok", "batch": self.batch}))
                 self.out.write(b"\n".join(self.reply) + b"\n")
                 self.out.flush()
                 self.reply.clear()
                 self.now = None
-            case w.Pool():
-                self.pools[msg.sheet] = msg.items
-            case w.Start():
-                self.instances[msg.limiter_id] = Instance(msg, self.now)
-            case w.Down():
-                self.instances.pop(msg.limiter_id, None)
+            case w.EndpointSheet():
+                self.sheets[message.sheet] = message.items
+            case w.StartInstance():
+                self.instances[message.limiter_id] = Instance(message, self.now)
+            case w.StopInstance():
+                self.instances.pop(message.limiter_id, None)
             case w.Event():
-                self.play(msg)
-
-    def play(self, ev: w.Event) -> None:
-        """An event of one instance."""
-        inst = self.instances.get(ev.limiter_id)
-        if inst is None:
-            raise BadLine(f"field 'limiter_id': instance {ev.limiter_id} has not started")
-        note = inst.note(ev, self.pools)
-        if note is None:
+                self.handle_event(message)
+
+    def handle_event(self, message: w.Event) -> None:
+        """Passes an event to its instance and appends the resulting actions to the reply."""
+        instance = self.instances.get(message.limiter_id)
+        if instance is None:
+            raise InvalidLineError(
+                f"field 'limiter_id': instance {message.limiter_id} has not started"
+            )
+        event = instance.to_event(message, self.sheets)
+        if event is None:
             return
         try:
-            lines = [inst.line(ev.limiter_id, act) for act in inst.brain.handle(self.now, note)]
-        except Exception as why:
-            text = f"{type(why).__name__}: {why}"
-            lines = [{"op": "broken", "limiter_id": ev.limiter_id, "what": text}]
+            lines = [
+                instance.to_message(message.limiter_id, action)
+                for action in instance.engine.handle(self.now, event)
+            ]
+        except Exception as error:
+            text = f"{type(error).__name__}: {error}"
+            lines = [{"op": "broken", "limiter_id": message.limiter_id, "what": text}]
         self.reply += map(msgspec.json.encode, lines)
 
 
 def main() -> int:
-    """0 at the end of input, 1 after a bad line."""
+    """Handles standard input; returns 0 at its end, 1 after an invalid line."""
     host = Host(sys.stdout.buffer)
     for raw in sys.stdin.buffer:
         if not raw.strip():
             continue
         try:
-            host.take(raw)
-        except (BadLine, UnknownNameError, msgspec.DecodeError, UnicodeDecodeError) as why:
-            print(f"loomstand: {message_name(raw)}: {why}", file=sys.stderr)
+            host.handle_line(raw)
+        except (
+            InvalidLineError,
+            UnknownNameError,
+            msgspec.DecodeError,
+            UnicodeDecodeError,
+        ) as error:
+            print(f"loomstand: {message_name(raw)}: {error}", file=sys.stderr)
             return 1
     return 0
 
 
 def message_name(raw: bytes) -> str:
-    """The op of a bad line, as far as it can be read."""
+    """Returns how an error message names a line: by its op, if that can be read."""
     try:
         return f"message '{msgspec.json.decode(raw)['op']}'"
     except Exception:
--- a/loomstand/testing/bench_adapter/wire.py
+++ b/loomstand/testing/bench_adapter/wire.py
@@ -1,4 +1,8 @@
-"""The messages of the bench's wire, in the wire's words. Unknown keys are ignored."""
+"""The messages of the bench's JSON lines protocol. Unknown keys are ignored.
+
+Times and durations are in milliseconds, and may have a fraction. Where a Python name differs from
+the key of the protocol, `msgspec.field` gives the key.
+"""
 
 from __future__ import annotations
 
@@ -20,123 +24,149 @@
 ]
 
 
-class Item(WireStruct):
+class EndpointItem(WireStruct):
+    """One server in an endpoint sheet."""
+
     server: str
     phase: Literal["live", "quiescing", "dead"]
-    hall: str = ""
-    flavor: str = ""
-    pod: int = 0
+    zone: str = msgspec.field(name="hall", default="")
+    kind: str = msgspec.field(name="flavor", default="")
+    cell: int = msgspec.field(name="pod", default=0)
     capacity_hint: float = 1.0
-    boot_time: float = 0.0
+    started_at: float = msgspec.field(name="boot_time", default=0.0)
 
 
 class Message(msgspec.Struct, kw_only=True, tag_field="op"):
-    """A line that is not for one instance."""
+    """A line that is not addressed to one instance."""
 
 
 class BeginBatch(Message, tag="begin_batch"):
+    """Opens a batch at the time `wall`, which applies to all its lines."""
+
     wall: float
     batch: int
 
 
 class Flush(Message, tag="flush"):
-    pass
+    """Closes the batch and requests its reply."""
+
 
+class EndpointSheet(Message, tag="pool"):
+    """A numbered list of servers, to which `EndpointListUpdate` messages refer."""
 
-class Pool(Message, tag="pool"):
     sheet: int
-    items: list[Item]
+    items: list[EndpointItem]
 
 
 class Event(Message):
-    """A line for one instance."""
+    """A line addressed to one instance."""
 
     limiter_id: int
 
 
-class Start(Event, tag="start"):
-    entropy: int
-    conf: WireSettings
+class StartInstance(Event, tag="start"):
+    """Starts an instance with these settings and this seed for its random numbers."""
 
+    seed: int = msgspec.field(name="entropy")
+    settings: WireSettings = msgspec.field(name="conf")
 
-class Down(Event, tag="down"):
-    pass
 
+class StopInstance(Event, tag="down"):
+    """Discards an instance with its state."""
+
+
+class EndpointListUpdate(Event, tag="registry"):
+    """A reply of discovery: a change of the list, the whole list, or a refusal."""
 
-class Registry(Event, tag="registry"):
     scope: Literal["changes", "all", "remembered", "refused"]
     sheet: int = -1
-    gen: int = 0
-
-
-class Inbound(Event, tag="inbound"):
-    txn: int
-    priority: str
-    give_up_at: float
-    terms: str = ""
-    user_key: str = ""
-    cost_units: float = 1.0
-    n_entries: int = 0
-    first: int = 0
+    generation: int = msgspec.field(name="gen", default=0)
+
+
+class InboundRequest(Event, tag="inbound"):
+    """A request that arrived from a client."""
+
+    request_id: int = msgspec.field(name="txn")
+    frontend: str = msgspec.field(name="priority")
+    deadline: float = msgspec.field(name="give_up_at")
+    plan: str = msgspec.field(name="terms", default="")
+    tenant: str = msgspec.field(name="user_key", default="")
+    units: float = msgspec.field(name="cost_units", default=1.0)
+    limiter_set_size: int = msgspec.field(name="n_entries", default=0)
+    limiter_set_start: int = msgspec.field(name="first", default=0)
     is_retry: bool = False
 
 
-class StartedEvent(Event, tag="started"):
-    txn: int
-    send_no: int = 0
+class ResponseHeadReceived(Event, tag="started"):
+    """The server began to respond to an attempt."""
+
+    request_id: int = msgspec.field(name="txn")
+    attempt: int = msgspec.field(name="send_no", default=0)
 
 
-class Returned(Event, tag="returned"):
-    txn: int
+class AttemptReturned(Event, tag="returned"):
+    """An attempt ended."""
+
+    request_id: int = msgspec.field(name="txn")
     server: str
-    state_code: Outcomes
-    send_no: int = 0
-    took: float = 0.0
-    final: bool = False
-    fleet_use: int = 0
+    outcome: Outcomes = msgspec.field(name="state_code")
+    attempt: int = msgspec.field(name="send_no", default=0)
+    duration: float = msgspec.field(name="took", default=0.0)
+    is_final: bool = msgspec.field(name="final", default=False)
+    metered_use: int = msgspec.field(name="fleet_use", default=0)
     cost: float = 0.0
 
 
-class VanishedEvent(Event, tag="vanished"):
-    txn: int
+class ClientVanished(Event, tag="vanished"):
+    """The client of a request disconnected."""
+
+    request_id: int = msgspec.field(name="txn")
 
 
-class Elapsed(Event, tag="elapsed"):
-    tag: int = 0
+class TimerElapsed(Event, tag="elapsed"):
+    """A timer that the instance set has fired."""
 
+    timer_tag: int = msgspec.field(name="tag", default=0)
+
+
+class HealthCheckDone(Event, tag="probe_done"):
+    """A health check ended."""
 
-class ProbeDone(Event, tag="probe_done"):
     server: str
-    state_code: Outcomes
-    took: float = 0.0
+    outcome: Outcomes = msgspec.field(name="state_code")
+    duration: float = msgspec.field(name="took", default=0.0)
 
 
 class PeerMessage(Event, tag="message"):
-    src: int = 0
+    """A message from another limiter; the adapter ignores it."""
+
+    source: int = msgspec.field(name="src", default=0)
+
 
+class CounterReply(Event, tag="tally_back"):
+    """The counter's reply to an increment, or its timeout."""
 
-class TallyBack(Event, tag="tally_back"):
-    cname: int
-    state_code: Outcomes
-    now_at: float = 0.0
-    took: float = 0.0
+    counter_name: int = msgspec.field(name="cname")
+    outcome: Outcomes = msgspec.field(name="state_code")
+    total: float = msgspec.field(name="now_at", default=0.0)
+    duration: float = msgspec.field(name="took", default=0.0)
 
 
 Line = (
     BeginBatch
     | Flush
-    | Pool
-    | Start
-    | Down
-    | Registry
-    | Inbound
-    | StartedEvent
-    | Returned
-    | VanishedEvent
-    | Elapsed
-    | ProbeDone
+    | EndpointSheet
+    | StartInstance
+    | StopInstance
+    | EndpointListUpdate
+    | InboundRequest
+    | ResponseHeadReceived
+    | AttemptReturned
+    | ClientVanished
+    | TimerElapsed
+    | HealthCheckDone
     | PeerMessage
-    | TallyBack
+    | CounterReply
 )
 
 line_decoder = msgspec.json.Decoder(Line)
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -171,7 +171,7 @@
     def put(self, op: str, **fields: Any) -> None:
         line = json.dumps({"op": op} | fields)
         self.lines.append(line)
-        self.host.take(line.encode())
+        self.host.handle_line(line.encode())
 
     def play(self, *events: tuple[str, dict[str, Any]]) -> None:
         """One batch, and what comes of it."""
@@ -361,7 +361,7 @@
     out = io.BytesIO()
     host = adapter.Host(out)
     for line in lines:
-        host.take(line.encode())
+        host.handle_line(line.encode())
     return [text(raw) for raw in out.getvalue().splitlines()]
 
 
@@ -456,7 +456,7 @@
         CheckHealth(0),
         LogMessage("a line"),
     ]
-    lines = {ACTIONS[type(act)]: text(msgspec.json.encode(inst.line(3, act))) for act in acts}
+    lines = {ACTIONS[type(act)]: text(msgspec.json.encode(inst.to_message(3, act))) for act in acts}
 
     class Fails:
         def handle(self, now: int, note: Any) -> None:
@@ -464,11 +464,11 @@
 
     out = io.BytesIO()
     host = adapter.Host(out)
-    inst.brain = Fails()
+    inst.engine = Fails()
     host.instances[3] = inst
     for line in (b'{"op":"begin_batch","wall":1,"batch":1}', b'{"op":"elapsed","limiter_id":3}'):
-        host.take(line)
-    host.take(b'{"op":"flush"}')
+        host.handle_line(line)
+    host.handle_line(b'{"op":"flush"}')
     return lines | {"broken": text(out.getvalue())}
 
 
