--- a/loomstand/simulation/control_plane.py
+++ b/loomstand/simulation/control_plane.py
@@ -1,4 +1,4 @@
-"""Simulates the control plane under random faults: `python -m loomstand.simulation.control_plane`."""
+"""Simulates the control plane: `python -m loomstand.simulation.control_plane`."""
 
 import sys
 
