--- a/loomstand/testing/emulator/baselines.py
+++ b/loomstand/testing/emulator/baselines.py
@@ -36,14 +36,15 @@
 if TYPE_CHECKING:
     from loomstand.testing.emulator.fleet import Fleet
 
-OC = Outcome
-NOT_RUN = (OC.REJECTED, OC.CONNECT_FAILED, OC.NOT_SENT, OC.CANCELLED)
+NOT_RUN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.CANCELLED)
 
 
 class Naive:
     """quota/N at each limiter; one dispatch to a live server chosen by chance."""
 
-    def __init__(self, fleet: Fleet, me: int, settings: EngineSettings, seed: int) -> None:
+    def __init__(
+        self, fleet: Fleet, limiter_index: int, settings: EngineSettings, seed: int
+    ) -> None:
         self.s, self.rng = settings, Random(seed)
         self.share = 1 / max(1, settings.limiter_count)
         self.buckets: dict[int, list[float]] = {}
@@ -51,113 +52,115 @@
         self.known: dict[int, EndpointState] = {}
         self.fronts: dict[int, int] = {}  # req to frontend, while a dispatch is out
 
-    def handle(self, now: int, note: Event) -> list[Action]:
-        match note:
+    def handle(self, now: int, event: Event) -> list[Action]:
+        match event:
             case EndpointsUpdated():
-                if note.complete:
+                if event.complete:
                     self.known = {}
-                for e in note.endpoints:
+                for e in event.endpoints:
                     self.known[e.endpoint_id] = e.state
                 self.live = sorted(
-                    srv for srv, phase in self.known.items() if phase is EndpointState.LIVE
+                    srv for srv, state in self.known.items() if state is EndpointState.LIVE
                 )
             case RequestArrived():
-                if not 0 <= note.plan < len(self.s.plans) or not self.live:
-                    return [Reject(note.request_id)]
-                plan = self.s.plans[note.plan]
+                if not 0 <= event.plan < len(self.s.plans) or not self.live:
+                    return [Reject(event.request_id)]
+                plan = self.s.plans[event.plan]
                 depth = max(1.0, plan.burst * self.share)
-                held = self.buckets.setdefault(note.tenant, [depth, now])
-                if refill(held, plan.rate * self.share, depth, now, TICKS_PER_SECOND) < note.units:
-                    return [Reject(note.request_id)]
-                held[0] -= note.units
+                held = self.buckets.setdefault(event.tenant, [depth, now])
+                if refill(held, plan.rate * self.share, depth, now, TICKS_PER_SECOND) < event.units:
+                    return [Reject(event.request_id)]
+                held[0] -= event.units
                 srv = self.live[self.rng.randrange(len(self.live))]
-                self.fronts[note.request_id] = note.frontend
-                return [SendAttempt(note.request_id, srv, note.deadline)]
+                self.fronts[event.request_id] = event.frontend
+                return [SendAttempt(event.request_id, srv, event.deadline)]
             case ClientDisconnected():
-                self.fronts.pop(note.request_id, None)
-            case AttemptEnded() if note.request_id in self.fronts:
-                front = self.s.frontends[self.fronts.pop(note.request_id)]
-                if note.is_final:
+                self.fronts.pop(event.request_id, None)
+            case AttemptEnded() if event.request_id in self.fronts:
+                front = self.s.frontends[self.fronts.pop(event.request_id)]
+                if event.is_final:
                     return []
-                if note.outcome in NOT_RUN or front.effect is Effect.IDEMPOTENT:
-                    return [Reject(note.request_id)]
-                return [Abort(note.request_id)]
+                if event.outcome in NOT_RUN or front.effect is Effect.IDEMPOTENT:
+                    return [Reject(event.request_id)]
+                return [Abort(event.request_id)]
         return []
 
 
 class Oracle:
     """The true state at once; see the module's docstring."""
 
-    def __init__(self, fleet: Fleet, me: int, settings: EngineSettings, seed: int) -> None:
-        self.fleet, self.s, self.me = fleet, settings, me
+    def __init__(
+        self, fleet: Fleet, limiter_index: int, settings: EngineSettings, seed: int
+    ) -> None:
+        self.fleet, self.s, self.limiter_index = fleet, settings, limiter_index
         # note, servers tried, may have run
         self.jobs: dict[int, tuple[RequestArrived, list[int], bool]] = {}
 
-    def handle(self, now: int, note: Event) -> list[Action]:
-        match note:
+    def handle(self, now: int, event: Event) -> list[Action]:
+        match event:
             case RequestArrived():
-                if not 0 <= note.plan < len(self.s.plans):
-                    return [Reject(note.request_id)]
-                plan = self.s.plans[note.plan]
-                held = self.fleet.oracle_buckets.setdefault(note.tenant, [plan.burst, now])
+                if not 0 <= event.plan < len(self.s.plans):
+                    return [Reject(event.request_id)]
+                plan = self.s.plans[event.plan]
+                held = self.fleet.oracle_buckets.setdefault(event.tenant, [plan.burst, now])
                 refill(held, plan.rate, plan.burst, now, TICKS_PER_SECOND)
                 cap = None
                 # the ceiling's one bucket over all limiters, without its slack
                 if plan.rate_limit:
                     depth = plan.rate_limit_burst or plan.rate_limit
-                    cap = self.fleet.oracle_ceilings.setdefault(note.tenant, [depth, now])
+                    cap = self.fleet.oracle_ceilings.setdefault(event.tenant, [depth, now])
                     refill(cap, plan.rate_limit, depth, now, TICKS_PER_SECOND)
-                if held[0] < note.units or (cap is not None and cap[0] < note.units):
-                    return [Reject(note.request_id)]
-                srv = self.pick(note, ())
+                if held[0] < event.units or (cap is not None and cap[0] < event.units):
+                    return [Reject(event.request_id)]
+                srv = self.pick(event, ())
                 if srv is None:
-                    return [Reject(note.request_id)]
-                held[0] -= note.units
+                    return [Reject(event.request_id)]
+                held[0] -= event.units
                 if cap is not None:
-                    cap[0] -= note.units
-                self.jobs[note.request_id] = (note, [srv], False)
-                return [SendAttempt(note.request_id, srv, note.deadline)]
+                    cap[0] -= event.units
+                self.jobs[event.request_id] = (event, [srv], False)
+                return [SendAttempt(event.request_id, srv, event.deadline)]
             case AttemptEnded():
-                job = self.jobs.pop(note.request_id, None)
-                if job is None or note.is_final:
+                job = self.jobs.pop(event.request_id, None)
+                if job is None or event.is_final:
                     return []
                 arrived, tried, ran = job
-                ran = ran or note.outcome not in NOT_RUN
+                ran = ran or event.outcome not in NOT_RUN
                 effect = self.s.frontends[arrived.frontend].effect
                 again = effect is Effect.IDEMPOTENT or not ran
                 if again and len(tried) < self.s.attempt_limit and now < arrived.deadline:
                     srv = self.pick(arrived, tried)
                     if srv is not None:
-                        self.jobs[note.request_id] = (arrived, [*tried, srv], ran)
-                        return [SendAttempt(note.request_id, srv, arrived.deadline)]
+                        self.jobs[event.request_id] = (arrived, [*tried, srv], ran)
+                        return [SendAttempt(event.request_id, srv, arrived.deadline)]
                 return [
-                    Abort(note.request_id)
+                    Abort(event.request_id)
                     if ran and effect is not Effect.IDEMPOTENT
-                    else Reject(note.request_id)
+                    else Reject(event.request_id)
                 ]
             case ClientDisconnected():
-                self.jobs.pop(note.request_id, None)
+                self.jobs.pop(event.request_id, None)
         return []
 
-    def pick(self, note: RequestArrived, tried: tuple[int, ...] | list[int]) -> int | None:
-        fleet, zone = self.fleet, self.fleet.limiters[self.me].zone
+    def pick(self, event: RequestArrived, tried: tuple[int, ...] | list[int]) -> int | None:
+        fleet, zone = self.fleet, self.fleet.limiters[self.limiter_index].zone
         best, least = None, 0.0
         for srv in fleet.servers:
-            if not srv.up or srv.phase is not EndpointState.LIVE or srv.srv in tried:
+            if not srv.up or srv.state is not EndpointState.LIVE or srv.index in tried:
                 continue
-            if srv.zone != zone and (srv.zone in fleet.cut or zone in fleet.cut):
+            if srv.zone != zone and (srv.zone in fleet.cut_zones or zone in fleet.cut_zones):
                 continue
             if fleet.engine.now < srv.failing_until:
                 continue
             room = srv.room()
-            if srv.hand() >= room + fleet.scenario.fleet.queue // 2:
+            if srv.requests_held() >= room + fleet.scenario.fleet.queue // 2:
                 continue
             warmth = srv.warmth()
-            if warmth < 1.0 and len(srv.recent) + 1 > 0.8 * srv.bears(warmth):
+            if warmth < 1.0 and len(srv.recent_arrivals) + 1 > 0.8 * srv.bears(warmth):
                 continue
-            load = (srv.hand() + 1) / room * srv.slow
+            load = (srv.requests_held() + 1) / room * srv.slowdown
             if best is None or load < least:
-                best, least = srv.srv, load
+                best, least = srv.index, load
         return best
 
 
--- a/loomstand/testing/emulator/checker.py
+++ b/loomstand/testing/emulator/checker.py
@@ -22,8 +22,8 @@
 from loomstand.testing.emulator import scenario as sc
 from loomstand.testing.emulator.history import History
 
-T = 10_000
-MS = T // 1000
+TICKS_PER_SECOND = 10_000
+TICKS_PER_MS = TICKS_PER_SECOND // 1000
 NAMES = {
     1: "one final answer in time",
     2: "no effect twice",
@@ -89,7 +89,7 @@
 
 
 def answers(history: History, scenario: sc.Scenario) -> list[Break]:
-    slack = round(scenario.fleet.answer_slack_ms * MS)
+    slack = round(scenario.fleet.answer_slack_ms * TICKS_PER_MS)
     out = []
     for r in history.reqs:
         if r.finals > 1:
@@ -99,7 +99,7 @@
         if r.finals == 0:
             out.append(Break(1, r.req, r.limiter, r.give_up, "no final answer"))
         elif r.final_at > r.give_up + slack:
-            late = (r.final_at - r.give_up) / MS
+            late = (r.final_at - r.give_up) / TICKS_PER_MS
             out.append(
                 Break(
                     1,
@@ -142,7 +142,7 @@
 
 def leaving(history: History, scenario: sc.Scenario) -> list[Break]:
     # the protocol adds 50 ms to time limits
-    grace = round(scenario.fleet.drain_grace_ms * MS) + 50 * MS
+    grace = round(scenario.fleet.drain_grace_ms * TICKS_PER_MS) + 50 * TICKS_PER_MS
     told: dict[tuple[int, int], list[tuple[int, int]]] = {}
     for limiter, srv, at, until in history.told_leaving:
         told.setdefault((limiter, srv), []).append((at, until))
@@ -150,7 +150,7 @@
     for req, n, limiter, srv, sent, _ in history.dispatches:
         for at, until in told.get((limiter, srv), ()):
             if at + grace < sent < until:
-                late = (sent - at) / MS
+                late = (sent - at) / TICKS_PER_MS
                 out.append(
                     Break(
                         3,
@@ -173,7 +173,10 @@
             continue
         depth = p.ceiling_depth or p.ceiling_rate
         held = level.get(customer, depth)
-        held = min(depth, held + p.ceiling_rate * (at - last.get(customer, at)) / T) - units
+        held = (
+            min(depth, held + p.ceiling_rate * (at - last.get(customer, at)) / TICKS_PER_SECOND)
+            - units
+        )
         level[customer], last[customer] = held, at
         if held < -p.ceiling_slack - 1e-9:
             broken.add(customer)
--- a/loomstand/testing/emulator/engine.py
+++ b/loomstand/testing/emulator/engine.py
@@ -17,7 +17,7 @@
 
 
 class Actor(Protocol):
-    def take(self, note: object) -> None: ...
+    def receive(self, message: object) -> None: ...
 
 
 class Engine:
@@ -33,20 +33,20 @@
         self.seq = 0
         self.events = 0
 
-    def post(self, after: int, actor: Actor, note: object) -> None:
+    def schedule(self, after: int, actor: Actor, message: object) -> None:
         self.seq += 1
-        heappush(self.heap, (self.now + max(0, after), self.seq, actor, note))
+        heappush(self.heap, (self.now + max(0, after), self.seq, actor, message))
 
-    def at(self, when: int, actor: Actor, note: object) -> None:
+    def schedule_at(self, when: int, actor: Actor, message: object) -> None:
         self.seq += 1
-        heappush(self.heap, (max(self.now, when), self.seq, actor, note))
+        heappush(self.heap, (max(self.now, when), self.seq, actor, message))
 
     def run(self, until: int) -> None:
         """Hands over every note due up to `until`, in time order, then sets the clock there."""
         heap = self.heap
         while heap and heap[0][0] <= until:
-            when, _, actor, note = heappop(heap)
+            when, _, actor, message = heappop(heap)
             self.now = when
             self.events += 1
-            actor.take(note)
+            actor.receive(message)
         self.now = max(self.now, until)
--- a/loomstand/testing/emulator/runner.py
+++ b/loomstand/testing/emulator/runner.py
@@ -26,10 +26,10 @@
 from loomstand.testing.emulator.fleet import Fleet, Policy, PolicyMaker
 from loomstand.testing.emulator.history import DENIED, PASSED, History
 
-MS = TICKS_PER_SECOND // 1000
+TICKS_PER_MS = TICKS_PER_SECOND // 1000
 
 
-def brain(fleet: Fleet, me: int, settings: EngineSettings, seed: int) -> Policy:
+def brain(fleet: Fleet, limiter_index: int, settings: EngineSettings, seed: int) -> Policy:
     """The module itself, made as the adapter makes it; under the scenario's site plan, if it is to
     be.
     """
@@ -99,7 +99,7 @@
             counts[r.final] += 1
         if r.final == PASSED:
             latency.record_value(max(1, r.took))
-            if r.inside and r.took <= s.frontends[r.frontend].response_target_ms * MS:
+            if r.inside and r.took <= s.frontends[r.frontend].response_target_ms * TICKS_PER_MS:
                 worth += r.worth
             elif not r.inside:  # served beyond its quota: priced, in time or not
                 beyond += r.worth * s.plans[r.plan].excess_cost
@@ -124,10 +124,11 @@
         "denied_share": round(counts["denied"] / max(1, counts["taken"]), 6),
         "beyond_quota_worth": round(beyond / offered if offered else 0.0, 6),
         "latency_ms": {
-            f"p{q}": latency.get_value_at_percentile(q) / MS for q in (50, 90, 99, 99.9)
+            f"p{q}": latency.get_value_at_percentile(q) / TICKS_PER_MS for q in (50, 90, 99, 99.9)
         },
         "queue_found": {
-            f"p{q}": fleet.queued.get_value_at_percentile(q) - 1 for q in (50, 90, 99, 99.9)
+            f"p{q}": fleet.queue_positions.get_value_at_percentile(q) - 1
+            for q in (50, 90, 99, 99.9)
         },
         "plans": plans,
         "rules": {str(rule): n for rule, n in verdict.by_rule().items()},
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -206,12 +206,12 @@
     return sum(f.work_ms * f.share for f in fronts) / sum(f.share for f in fronts)
 
 
-def conf(scenario: Scenario, me: int, zone: int) -> WireSettings:
+def conf(scenario: Scenario, limiter_index: int, zone: int) -> WireSettings:
     """The settings that a limiter of this scenario is told, in the words of the operators' wire."""
     s, f = scenario, scenario.fleet
     return WireSettings(
         limiter_count=f.limiters,
-        limiter_index=me,
+        limiter_index=limiter_index,
         zone=f.zones[zone],
         zones=list(f.zones),
         frontends=[
--- a/tests/testing/emulator/test_emulator.py
+++ b/tests/testing/emulator/test_emulator.py
@@ -42,26 +42,26 @@
 class Silent(Naive):
     """Rule 1: every third req is never answered, every fifth answered twice."""
 
-    def handle(self, now, note):
-        if isinstance(note, RequestArrived):
-            if note.request_id % 3 == 0:
+    def handle(self, now, event):
+        if isinstance(event, RequestArrived):
+            if event.request_id % 3 == 0:
                 return []
-            if note.request_id % 5 == 0:
-                return [Reject(note.request_id), Reject(note.request_id)]
-        return super().handle(now, note)
+            if event.request_id % 5 == 0:
+                return [Reject(event.request_id), Reject(event.request_id)]
+        return super().handle(now, event)
 
 
 class Twice(Naive):
     """Rule 2: a non-replayable req is sent again after its first dispatch ran."""
 
-    def handle(self, now, note):
-        if isinstance(note, RequestArrived):
-            return [SendAttempt(note.request_id, self.live[0], note.deadline)]
-        if isinstance(note, AttemptEnded) and note.attempt == 0:
-            return [SendAttempt(note.request_id, self.live[1], now + 10_000)]
-        if isinstance(note, AttemptEnded):
-            return [] if note.is_final else [Abort(note.request_id)]
-        return super().handle(now, note)
+    def handle(self, now, event):
+        if isinstance(event, RequestArrived):
+            return [SendAttempt(event.request_id, self.live[0], event.deadline)]
+        if isinstance(event, AttemptEnded) and event.attempt == 0:
+            return [SendAttempt(event.request_id, self.live[1], now + 10_000)]
+        if isinstance(event, AttemptEnded):
+            return [] if event.is_final else [Abort(event.request_id)]
+        return super().handle(now, event)
 
 
 class Deaf(Naive):
@@ -69,32 +69,32 @@
     draining.
     """
 
-    def handle(self, now, note):
-        if isinstance(note, EndpointsUpdated) and self.live:
+    def handle(self, now, event):
+        if isinstance(event, EndpointsUpdated) and self.live:
             return []
-        return super().handle(now, note)
+        return super().handle(now, event)
 
 
 class One(Naive):
     """Rule 4: everything to server 0, however cold."""
 
-    def handle(self, now, note):
-        if isinstance(note, RequestArrived):
-            return [SendAttempt(note.request_id, 0, note.deadline)]
-        return super().handle(now, note)
+    def handle(self, now, event):
+        if isinstance(event, RequestArrived):
+            return [SendAttempt(event.request_id, 0, event.deadline)]
+        return super().handle(now, event)
 
 
 class Open(Naive):
     """Rule 5: no quota at all."""
 
-    def handle(self, now, note):
-        if isinstance(note, RequestArrived):
+    def handle(self, now, event):
+        if isinstance(event, RequestArrived):
             return [
                 SendAttempt(
-                    note.request_id, self.live[note.request_id % len(self.live)], note.deadline
+                    event.request_id, self.live[event.request_id % len(self.live)], event.deadline
                 )
             ]
-        return super().handle(now, note)
+        return super().handle(now, event)
 
 
 def test_rule_1_unanswered_and_twice_answered_are_named():
@@ -106,10 +106,10 @@
 
 
 class Raising(Naive):
-    def handle(self, now, note):
-        if isinstance(note, RequestArrived) and note.request_id == 4:
+    def handle(self, now, event):
+        if isinstance(event, RequestArrived) and event.request_id == 4:
             raise KeyError("made to fail")
-        return super().handle(now, note)
+        return super().handle(now, event)
 
 
 def test_a_policy_that_raises_is_a_crash_and_fails_the_run():
