--- a/loomstand/testing/emulator/__init__.py
+++ b/loomstand/testing/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: the fleet in simulated time, with the real module at every limiter (`docs/lab.md`)."""
+"""Emulator of a fleet in simulated time, with the real decision engine (`docs/lab.md`)."""
--- a/loomstand/testing/emulator/baselines.py
+++ b/loomstand/testing/emulator/baselines.py
@@ -1,17 +1,16 @@
-"""Policies to hold the module against, with the module's call `handle(now, note) -> actions`.
+"""Baseline policies for comparison with the decision engine, with its interface `handle`.
 
-`naive`: each limiter keeps every customer to quota/N with a bucket of its own (burst/N, at least
-one unit), sends to a listed live server by chance, never tries again, and asks nobody. It is what a
-limiter does that knows only how many limiters there are.
+`naive`: each limiter limits every customer to quota/N with its own bucket (burst/N, at least one
+unit) and sends each request once, to a random server listed as live. It uses no information about
+the fleet but the number N of limiters.
 
-`oracle`: sees the true global state at once: each customer's one bucket over all limiters, and
-every server's load, warmth and health as the model holds them. It sends to the least loaded server
-that can take the req now, keeps cold servers under what they bear, and tries again where the req
-may run again. An upper mark, not a policy that could be deployed: G/oracle is the module's figure
-in a lab report.
+`oracle`: uses the true global state without delay: one bucket per customer over all limiters, and
+the load, slow start and health of every server. It sends to the least loaded server with capacity
+for the request, keeps cold servers below their overload threshold and retries requests that may run
+again. It is an upper bound that can't be deployed; G/oracle in a report is relative to it.
 
-Both keep the rules by construction except where their blindness breaks them (naive and cold
-servers), which the checker then names.
+Both keep the rules by design, except that naive ignores slow start and may overload cold servers;
+the checker reports this.
 """
 
 from __future__ import annotations
@@ -40,7 +39,7 @@
 
 
 class Naive:
-    """quota/N at each limiter; one dispatch to a live server chosen by chance."""
+    """Static quota/N per limiter and one attempt at a random live server."""
 
     def __init__(
         self, fleet: Fleet, limiter_index: int, settings: EngineSettings, seed: int
@@ -50,7 +49,7 @@
         self.buckets: dict[int, list[float]] = {}
         self.live: list[int] = []
         self.known: dict[int, EndpointState] = {}
-        self.fronts: dict[int, int] = {}  # req to frontend, while a dispatch is out
+        self.fronts: dict[int, int] = {}  # frontend by request, while its attempt is in flight
 
     def handle(self, now: int, event: Event) -> list[Action]:
         match event:
@@ -87,13 +86,13 @@
 
 
 class Oracle:
-    """The true state at once; see the module's docstring."""
+    """Decides with the true global state, without delay (see the module docstring)."""
 
     def __init__(
         self, fleet: Fleet, limiter_index: int, settings: EngineSettings, seed: int
     ) -> None:
         self.fleet, self.s, self.limiter_index = fleet, settings, limiter_index
-        # note, servers tried, may have run
+        # (arrival, servers tried, whether it may have run) by request
         self.jobs: dict[int, tuple[RequestArrived, list[int], bool]] = {}
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -105,7 +104,7 @@
                 held = self.fleet.oracle_buckets.setdefault(event.tenant, [plan.burst, now])
                 refill(held, plan.rate, plan.burst, now, TICKS_PER_SECOND)
                 cap = None
-                # the ceiling's one bucket over all limiters, without its slack
+                # the global bucket of the ceiling, without its slack
                 if plan.rate_limit:
                     depth = plan.rate_limit_burst or plan.rate_limit
                     cap = self.fleet.oracle_ceilings.setdefault(event.tenant, [depth, now])
@@ -143,6 +142,7 @@
         return []
 
     def pick(self, event: RequestArrived, tried: tuple[int, ...] | list[int]) -> int | None:
+        """Returns the least loaded server that can accept the request; None if there is none."""
         fleet, zone = self.fleet, self.fleet.limiters[self.limiter_index].zone
         best, least = None, 0.0
         for srv in fleet.servers:
--- a/loomstand/testing/emulator/checker.py
+++ b/loomstand/testing/emulator/checker.py
@@ -1,29 +1,27 @@
-"""The five rules, checked over a whole lab history; each break is named by rule, req id and
-limiter.
-
-1. Every req taken gets exactly one final answer before its client timeout (plus the answer slack).
-A req
-   whose limiter was killed under it, or whose client left first, is owed nothing.
-2. No effect twice: a non-replayable req runs at most once; a uniqued one at most once outside its
-group and
-   repeat window; and a req has at most one dispatch out at any moment.
-3. Nothing new to a server past the drain grace after its limiter was told that it drains or is
-gone.
-4. No cold server falls over under what all limiters together send it.
-5. No customer's use passes its plan's hard ceiling (a bucket of `ceiling_rate` and `ceiling_depth`)
-by more
-   than the slack.
+"""Checks the history of a run against the five rules and reports each violation.
+
+1. Every accepted request gets exactly one final answer before its client timeout plus the answer
+   slack, unless its limiter was stopped or its client disconnected first.
+2. No effect is applied twice: a non-idempotent request is executed at most once; a deduplicated one
+   at most once outside its deduplication group and window; and a request has at most one attempt in
+   flight at any time.
+3. A server gets no new attempt later than the drain grace after its limiter was notified that it is
+   draining or gone.
+4. No cold server crashes by the load that all limiters together send.
+5. No customer's use exceeds the hard ceiling of its plan (a bucket of `ceiling_rate` and
+   `ceiling_depth`) by more than the slack.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.testing.emulator import scenario as sc
 from loomstand.testing.emulator.history import History
 
-TICKS_PER_SECOND = 10_000
 TICKS_PER_MS = TICKS_PER_SECOND // 1000
+TIME_LIMIT_MARGIN_TICKS = 50 * TICKS_PER_MS  # the protocol adds 50 ms to time limits
 NAMES = {
     1: "one final answer in time",
     2: "no effect twice",
@@ -35,9 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Break:
-    """One broken rule: which, for which req (or server or customer), at which limiter, and what was
-    seen.
-    """
+    """One violation of a rule: its request and limiter (-1 if not applicable), time and details."""
 
     rule: int
     req: int
@@ -48,20 +44,24 @@
 
 @dataclass(slots=True)
 class Verdict:
+    """All violations of a run."""
+
     breaks: list[Break] = field(default_factory=list)
 
     @property
     def held(self) -> bool:
+        """Whether no rule was violated."""
         return not self.breaks
 
     def by_rule(self) -> dict[int, int]:
+        """Returns the number of violations of each rule."""
         counts = dict.fromkeys(NAMES, 0)
         for b in self.breaks:
             counts[b.rule] += 1
         return counts
 
     def first(self, most: int = 5) -> list[Break]:
-        """The first few breaks of each rule."""
+        """Returns the first violations of each rule, at most `most`."""
         out: list[Break] = []
         for rule in NAMES:
             out += [b for b in self.breaks if b.rule == rule][:most]
@@ -69,7 +69,7 @@
 
 
 def check(history: History, scenario: sc.Scenario) -> Verdict:
-    """Every break of the five rules in the history."""
+    """Returns all violations of the five rules in the history."""
     verdict = Verdict()
     verdict.breaks += answers(history, scenario)
     verdict.breaks += effects(history, scenario)
@@ -89,6 +89,7 @@
 
 
 def answers(history: History, scenario: sc.Scenario) -> list[Break]:
+    """Returns the violations of rule 1."""
     slack = round(scenario.fleet.answer_slack_ms * TICKS_PER_MS)
     out = []
     for r in history.reqs:
@@ -113,6 +114,7 @@
 
 
 def effects(history: History, scenario: sc.Scenario) -> list[Break]:
+    """Returns the violations of rule 2."""
     out = []
     limiter_of = {r.req: r.limiter for r in history.reqs}
     seen: dict[int, list[tuple[int, int, str, int]]] = {}
@@ -133,16 +135,15 @@
                 )
                 break
         before.append((srv, at, effect, group))
-    # at most one dispatch out at once: each dispatch is open from its send to its end at the
-    # limiter
+    # an attempt is in flight from its sending until its limiter has its outcome
     for req, limiter, at in history.overlaps:
         out.append(Break(2, req, limiter, at, "a second dispatch while one was out"))
     return out
 
 
 def leaving(history: History, scenario: sc.Scenario) -> list[Break]:
-    # the protocol adds 50 ms to time limits
-    grace = round(scenario.fleet.drain_grace_ms * TICKS_PER_MS) + 50 * TICKS_PER_MS
+    """Returns the violations of rule 3."""
+    grace = round(scenario.fleet.drain_grace_ms * TICKS_PER_MS) + TIME_LIMIT_MARGIN_TICKS
     told: dict[tuple[int, int], list[tuple[int, int]]] = {}
     for limiter, srv, at, until in history.told_leaving:
         told.setdefault((limiter, srv), []).append((at, until))
@@ -165,6 +166,7 @@
 
 
 def ceilings(history: History, scenario: sc.Scenario) -> list[Break]:
+    """Returns the violations of rule 5, at most one per customer."""
     out, level, last, broken = [], {}, {}, set()
     plans = scenario.plans
     for customer, plan, at, units in history.used:
--- a/loomstand/testing/emulator/counts.py
+++ b/loomstand/testing/emulator/counts.py
@@ -1,6 +1,4 @@
-"""The counter's totals as the lab and the rehearsal's stand-in keep them: by name, each with a
-life.
-"""
+"""Counter totals with a time to live, for the emulator and the rehearsal's stand-in counter."""
 
 from __future__ import annotations
 
@@ -8,38 +6,37 @@
 
 
 class Totals:
-    """Totals by name in one part, or in several that do not see each other's adds. Times are the
-    caller's.
+    """Totals by name, in one partition or in several that don't replicate to each other.
+
+    Times are in the unit of the caller's clock.
     """
 
     def __init__(self) -> None:
         self.parts: list[dict[Hashable, list[float]]] = [{}]
 
     def add(self, caller: int, name: Hashable, step: float, now: float, keep: float) -> float:
-        """Adds to a name that lives for `keep` from now, in the part that this caller reaches; its
-        total.
-        """
+        """Adds to a total in the caller's partition and returns it; it expires `keep` from now."""
         part = self.parts[caller % len(self.parts)]
-        held = part.get(name)
-        if held is None or held[1] < now:
-            held = part[name] = [0.0, 0]
-        held[0] += step
-        held[1] = now + keep
-        return held[0]
+        entry = part.get(name)
+        if entry is None or entry[1] < now:
+            entry = part[name] = [0.0, 0]
+        entry[0] += step
+        entry[1] = now + keep
+        return entry[0]
 
     def wipe(self) -> None:
+        """Deletes all totals."""
         self.parts = [{} for _ in self.parts]
 
     def split(self, parts: int) -> None:
+        """Splits the counter into partitions, each with a copy of the totals."""
         self.parts = [{k: list(v) for k, v in self.parts[0].items()} for _ in range(parts)]
 
     def join(self) -> None:
-        """Parts that see each other again keep the larger total of each name: none is counted
-        twice.
-        """
+        """Merges the partitions; the larger total of each name is kept, so none counts twice."""
         whole: dict[Hashable, list[float]] = {}
         for part in self.parts:
-            for name, held in part.items():
-                if name not in whole or held[0] > whole[name][0]:
-                    whole[name] = list(held)
+            for name, entry in part.items():
+                if name not in whole or entry[0] > whole[name][0]:
+                    whole[name] = list(entry)
         self.parts = [whole]
--- a/loomstand/testing/emulator/engine.py
+++ b/loomstand/testing/emulator/engine.py
@@ -1,13 +1,12 @@
-"""The lab's event loop: one heap of notes in simulated time, emptied in order.
+"""Discrete-event loop of the emulator: one heap of messages, ordered by simulated time.
 
-Every part of the model is an actor with one method, `take(note)`; parts talk only by notes that the
-loop hands over at their time. Times are whole tenths of a millisecond, as in
-`loomstand.admission.events`. Ties are broken by the order of posting, so that the same scenario
-and seed give the same history.
+Every part of the model is an actor with the method `receive(message)`; parts communicate only by
+messages, which the loop delivers at their time. Times are in ticks (0.1 ms), as in
+`loomstand.admission.events`. Messages of the same time are delivered in the order in which they
+were scheduled, so that the same scenario and seed give the same history.
 
-Weighed against simpy in `docs/lab.md` (the probe's figures are there): the model needs no process
-that waits on several things, and a heap of plain tuples costs less per event than a generator
-process.
+`docs/lab.md` has the comparison with simpy, with figures: the model needs no process that waits for
+several things, and a heap of tuples costs less per event than a generator process.
 """
 
 from __future__ import annotations
@@ -17,13 +16,13 @@
 
 
 class Actor(Protocol):
+    """A part of the model, which receives messages."""
+
     def receive(self, message: object) -> None: ...
 
 
 class Engine:
-    """The clock and the heap. `post(after, actor, note)` hands `note` to `actor` `after` tenths
-    from now.
-    """
+    """The simulated clock and the heap of scheduled messages."""
 
     __slots__ = ("events", "heap", "now", "seq")
 
@@ -34,15 +33,17 @@
         self.events = 0
 
     def schedule(self, after: int, actor: Actor, message: object) -> None:
+        """Delivers a message to an actor `after` ticks from now."""
         self.seq += 1
         heappush(self.heap, (self.now + max(0, after), self.seq, actor, message))
 
     def schedule_at(self, when: int, actor: Actor, message: object) -> None:
+        """Delivers a message to an actor at the time `when`, or now if that is past."""
         self.seq += 1
         heappush(self.heap, (max(self.now, when), self.seq, actor, message))
 
     def run(self, until: int) -> None:
-        """Hands over every note due up to `until`, in time order, then sets the clock there."""
+        """Delivers all messages due up to `until` in order, then sets the clock to `until`."""
         heap = self.heap
         while heap and heap[0][0] <= until:
             when, _, actor, message = heappop(heap)
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -1,13 +1,12 @@
-"""The fleet that a lab run plays: clients, limiters, servers, the counter, discovery and the
-network.
+"""Model of the emulated fleet: clients, limiters, servers, the counter, discovery and the network.
 
-Each part is an actor of `engine.Engine`; a limiter holds a policy with the module's one call,
-`handle(now, note) -> actions`, fed the notes of `loomstand.admission.events` exactly as the
-adapter feeds them, so that the real `Brain` decides and nothing of its decisions is copied here.
-What the model decides itself (which servers a fault hits, when a client comes again) draws on one
-seeded `random.Random`.
+Each part is an actor of `engine.Engine`. A limiter runs a policy with the interface of the decision
+engine, `handle(now, event) -> actions`, and passes it the events of `loomstand.admission.events` as
+the bench adapter does. The model thus runs the real `DecisionEngine` and copies none of its
+decisions. The random choices of the model (which servers a fault affects, when a client retries)
+use one seeded `random.Random`.
 
-Times are tenths of a millisecond (`T`); rates are per second.
+Times are in ticks (0.1 ms); rates are per second.
 """
 
 from __future__ import annotations
@@ -54,32 +53,33 @@
 from loomstand.testing.emulator.traffic import Traffic, refill
 
 TICKS_PER_MS = TICKS_PER_SECOND // 1000
-LIST_DELAY_TICKS = (
-    50 * TICKS_PER_MS
-)  # discovery's usual lag behind a change: a watch answered within a few RTTs
-FULL_LIST_INTERVAL_TICKS = (
-    10 * TICKS_PER_SECOND
-)  # a whole list to every limiter, as a poll of discovery would bring it
-# what a connect to a cut-off peer takes to fail; the settings' default connect timeout
+# minimum delay of discovery behind a change: a watch is answered within a few round trips
+LIST_DELAY_TICKS = 50 * TICKS_PER_MS
+# every limiter receives the full list at this interval, as by polling discovery
+FULL_LIST_INTERVAL_TICKS = 10 * TICKS_PER_SECOND
+# time until a connection attempt into a partitioned zone fails: the default connect timeout
 CONNECT_TIMEOUT_TICKS = 250 * TICKS_PER_MS
 
 
 class Policy:
-    """What a limiter runs: the module, or a baseline with the same call."""
+    """Decides for one limiter: the decision engine, or a baseline with the same interface."""
 
-    def handle(self, now: int, message: Event) -> list[Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
+        """Returns the actions that the event causes at `now`, in ticks."""
         raise NotImplementedError
 
 
 PolicyMaker = Callable[["Fleet", int, EngineSettings, int], Policy]
 
 
-# notes between the parts
+# messages between the parts; `lgen` is the generation of the limiter process that they are for
 # ------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class Work:
+    """An attempt, sent to a server."""
+
     req: int
     dispatch: int
     limiter: int
@@ -89,6 +89,8 @@
 
 @dataclass(slots=True)
 class WorkFinished:
+    """The end of an attempt's service time, which a server schedules for itself."""
+
     work: Work
     generation: int
     failed: bool
@@ -96,6 +98,8 @@
 
 @dataclass(slots=True)
 class AttemptReply:
+    """The outcome of an attempt, sent to its limiter."""
+
     req: int
     dispatch: int
     lgen: int
@@ -105,6 +109,8 @@
 
 @dataclass(slots=True)
 class AttemptExpiry:
+    """The time limit of an attempt."""
+
     req: int
     dispatch: int
     lgen: int
@@ -112,12 +118,16 @@
 
 @dataclass(slots=True)
 class TimerExpiry:
+    """A timer that a limiter's policy set."""
+
     tag: int
     lgen: int
 
 
 @dataclass(slots=True)
 class CounterCall:
+    """An increment, sent to the counter; `keep` is its time to live in ticks."""
+
     limiter: int
     lgen: int
     call: int
@@ -128,6 +138,8 @@
 
 @dataclass(slots=True)
 class CounterReply:
+    """The counter's reply to an increment, or its timeout."""
+
     call: int
     lgen: int
     outcome: Outcome
@@ -136,29 +148,33 @@
 
 @dataclass(slots=True)
 class EndpointListMessage:
+    """An endpoint list, sent by discovery to a limiter."""
+
     lgen: int
     listed: EndpointsUpdated
 
 
 @dataclass(slots=True)
 class ClientRequest:
+    """A request, sent by a client to a limiter."""
+
     req: Req
 
 
 @dataclass(slots=True)
 class ClientDeparture:
+    """The disconnection of a request's client."""
+
     req: int
     lgen: int
 
 
 @dataclass(slots=True)
 class DeferredEvent:
-    """A note that a limiter posts to itself, so that no answer is fed back inside a call of its
-    policy.
-    """
+    """An event that a limiter schedules for itself, to avoid a recursive call of its policy."""
 
     lgen: int
-    message: Event
+    event: Event
 
 
 # the parts
@@ -166,7 +182,7 @@
 
 
 class Server:
-    """A server: `capacity` reqs at work at once, a queue behind them, cold after each start."""
+    """A server with limited concurrency, a bounded queue and slow start after each start."""
 
     def __init__(self, fleet: Fleet, index: int, zone: int, started_at: int) -> None:
         self.fleet, self.index, self.zone = fleet, index, zone
@@ -179,23 +195,24 @@
         self.working: list[Work] = []
         self.queue: deque[Work] = deque()
         self.slowdown, self.failing_until, self.collapsed = 1.0, -1, False
-        self.recent_arrivals: deque[int] = (
-            deque()
-        )  # arrival times within the last tip window, while cold
+        # arrival times within the last overload window, while the server is cold
+        self.recent_arrivals: deque[int] = deque()
 
     def warmth(self) -> float:
+        """Returns the share of its capacity that it has now, by its slow start."""
         age = (self.fleet.engine.now - self.started_at) / TICKS_PER_SECOND
         return self.fleet.scenario.fleet.warmth(age) if self.started_at > 0 else 1.0
 
     def room(self) -> int:
-        """Reqs it works on at once now."""
+        """Returns how many requests it can process concurrently now."""
         return self.fleet.scenario.fleet.room(self.warmth())
 
     def requests_held(self) -> int:
+        """Returns the number of requests in process or queued."""
         return len(self.working) + len(self.queue)
 
     def bears(self, warmth: float) -> float:
-        """Dispatches within the rule's tip window past which this server, at `warmth`, falls."""
+        """Returns the attempts per overload window above which a server at `warmth` crashes."""
         return (
             self.fleet.scenario.fleet.bears(warmth, self.fleet.mean_work)
             * self.fleet.overload_window
@@ -221,7 +238,7 @@
         if not self.up or self.state is EndpointState.GONE:
             return self.answer(work, Outcome.CONNECT_FAILED)
         warmth = self.warmth()
-        # the rule's cold server: more than fall_multiple times what it can do, for tip_after
+        # rule 4: a cold server crashes at more than `fall_multiple` times its capacity per window
         if warmth < 1.0:
             self.recent_arrivals.append(now)
             while self.recent_arrivals and self.recent_arrivals[0] <= now - fleet.overload_window:
@@ -234,7 +251,7 @@
                 self.collapsed = True
                 fleet.crash(self, back_after=-1)
                 return self.answer(work, Outcome.CONNECTION_LOST)
-        # what a dispatch finds waiting before it, plus one
+        # queue length in front of the attempt, plus one: the histogram starts at 1
         fleet.queue_positions.record_value(len(self.queue) + 1)
         if self.requests_held() >= self.room() + fleet.scenario.fleet.queue:
             return self.answer(work, Outcome.REJECTED)
@@ -261,13 +278,13 @@
         limiter = fleet.limiters[work.limiter]
         delay = fleet.delay(self.zone, limiter.zone)
         if delay is None:
-            return  # lost: the limiter's expiry answers it
+            return  # lost by the network: the attempt ends by its time limit
         fleet.engine.schedule(
             delay, limiter, AttemptReply(work.req, work.dispatch, work.lgen, self.index, outcome)
         )
 
     def crash(self) -> None:
-        """Everything in hand is cut off; the limiters hear of it as connections lost."""
+        """Stops the server; its requests end as CONNECTION_LOST at their limiters."""
         self.up, self.generation = False, self.generation + 1
         for work in [*self.working, *self.queue]:
             self.answer(work, Outcome.CONNECTION_LOST)
@@ -279,9 +296,7 @@
 
 
 class Counter:
-    """The shared counter: totals by name that last `keep`; latency, silence, loss of all, split in
-    parts.
-    """
+    """The shared counter, with its faults: latency, outage, data loss and partition."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -311,9 +326,7 @@
 
 
 class Discovery:
-    """Tells every limiter of each change in the list, late by a little, and the whole list now and
-    then.
-    """
+    """Service discovery: sends each change, and at intervals the full list, to all limiters."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -338,22 +351,24 @@
                     EndpointListMessage(limiter.generation, EndpointsUpdated(entries, whole)),
                 )
 
-    def receive(self, message: object) -> None:  # the periodic whole list
+    def receive(self, message: object) -> None:
+        """Sends the periodic full list."""
         self.publish(self.entries(), True)
         self.fleet.engine.schedule(FULL_LIST_INTERVAL_TICKS, self, message)
 
 
 class Limiter:
-    """One limiter: its policy, what it has sent and what it owes."""
+    """One limiter: its policy, its attempts in flight and its requests without an answer."""
 
     def __init__(self, fleet: Fleet, index: int, zone: int) -> None:
         self.fleet, self.index, self.zone = fleet, index, zone
         self.alive, self.generation = False, 0
         self.policy: Policy | None = None
-        self.in_flight: dict[tuple[int, int], int] = {}  # (req, dispatch) to server
-        self.counter_calls: dict[int, tuple[int, float, int]] = {}  # call to name, step, sent at
+        self.in_flight: dict[tuple[int, int], int] = {}  # server by (request, attempt)
+        # (name, amount, time sent) by call
+        self.counter_calls: dict[int, tuple[int, float, int]] = {}
         self.pending: dict[int, Req] = {}
-        self.attempt_counts: dict[int, int] = {}  # dispatches a req has had
+        self.attempt_counts: dict[int, int] = {}  # attempts sent, by request
 
     def start(self) -> None:
         fleet = self.fleet
@@ -377,8 +392,8 @@
         lgen = getattr(message, "lgen", self.generation)
         if not self.alive or lgen != self.generation:
             if isinstance(message, ClientRequest):
-                message.req.orphaned = True  # its limiter died before it was taken
-            return  # for a process that is no more
+                message.req.orphaned = True  # the limiter stopped before the request arrived
+            return  # addressed to a process that has stopped
         fleet = self.fleet
         match message:
             case ClientRequest(req=req):
@@ -459,14 +474,15 @@
                     req.vanished = True
                     self.feed(ClientDisconnected(message.req))
             case DeferredEvent():
-                self.feed(message.message)
+                self.feed(message.event)
 
-    def feed(self, message: Event) -> None:
+    def feed(self, event: Event) -> None:
+        """Passes an event to the policy and performs the resulting actions."""
         fleet = self.fleet
         try:
-            actions = self.policy.handle(fleet.engine.now, message)
-        except Exception as why:  # a policy that raises is a crash of its limiter, as on the bench
-            fleet.history.broken.append((self.index, f"{type(why).__name__}: {why}"))
+            actions = self.policy.handle(fleet.engine.now, event)
+        except Exception as error:  # an error of the policy stops its limiter, as on the bench
+            fleet.history.broken.append((self.index, f"{type(error).__name__}: {error}"))
             self.kill()
             return
         for action in actions:
@@ -520,6 +536,7 @@
                 fleet.log_lines += 1
 
     def record_answer(self, req_id: int, what: str) -> None:
+        """Records a final answer; the history counts further answers as violations of rule 1."""
         req = self.fleet.req_rows.get(req_id)
         if req is None:
             return
@@ -533,18 +550,16 @@
 
 
 class Clients:
-    """Open-loop arrivals by plan, hot callers, bursts and floods; clients that come again or leave
-    early.
-    """
+    """Open-loop arrivals by plan, with bursts, retries and clients that disconnect early."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         s = fleet.scenario
         self.traffic = Traffic(s.plans, s.frontends, fleet.rng)
-        self.next_arrivals = [0.0] * len(s.plans)  # the next arrival of each plan, in tenths
+        self.next_arrivals = [0.0] * len(s.plans)  # by plan, in ticks
 
     def rate(self, plan: int) -> float:
-        """Reqs a second that a plan's customers ask now."""
+        """Returns the current arrival rate of a plan, in requests per second."""
         s, now = self.fleet.scenario, self.fleet.engine.now
         c = s.clients
         burst = (
@@ -557,7 +572,7 @@
 
     def receive(self, message: object) -> None:
         if self.fleet.engine.now >= self.fleet.scenario.seconds * TICKS_PER_SECOND:
-            return None  # the day's traffic is over; what was taken is still answered
+            return None  # no new requests after the end; those accepted are still answered
         if isinstance(message, ClientRetry):
             return self.fleet.submit_request(
                 message.plan, message.customer, self.traffic.front(), True
@@ -565,8 +580,7 @@
         plan = message
         assert isinstance(plan, int)
         rng, now = self.fleet.rng, self.fleet.engine.now
-        # arrival times are kept in fractions of a tenth: above 10,000 a second several fall in one
-        # tenth
+        # arrival times keep fractions of a tick: above 10,000 per second, one tick has several
         while self.next_arrivals[plan] <= now:
             rate = self.rate(plan)
             if rate > 0:
@@ -579,6 +593,7 @@
         self.fleet.submit_request(plan, customer, self.traffic.front(), False)
 
     def denied(self, req: Req) -> None:
+        """Schedules a retry of a rejected request for the configured share of clients."""
         c = self.fleet.scenario.clients
         if c.retry and self.fleet.rng.random() < c.retry:
             wait = round(self.fleet.rng.expovariate(1 / max(1.0, c.retry_after_ms)) * TICKS_PER_MS)
@@ -587,12 +602,14 @@
 
 @dataclass(slots=True)
 class ClientRetry:
+    """A retry of a rejected request."""
+
     plan: int
     customer: int
 
 
 class Sampler:
-    """Once a second: load against capacity over the servers that are up."""
+    """Records the load and the capacity of the running servers once per second."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -607,7 +624,7 @@
 
 
 class Fleet:
-    """One run: builds the parts from a scenario, plays it and keeps its history."""
+    """One run: builds the parts from a scenario, simulates it and records its history."""
 
     def __init__(self, scenario: sc.Scenario, make_policy: PolicyMaker, seed: int) -> None:
         self.scenario, self.make_policy = scenario, make_policy
@@ -618,9 +635,8 @@
         f = scenario.fleet
         self.zones = {z: n for n, z in enumerate(f.zones)}
         self.cut_zones: set[int] = set()
-        self.overload_window = max(
-            1, round(1.0 * TICKS_PER_SECOND)
-        )  # the rule's time: sent too much for a second
+        # a cold server crashes if it is overloaded for 1 s
+        self.overload_window = max(1, round(1.0 * TICKS_PER_SECOND))
         self.mean_work = sc.mean_work(scenario)
         self.servers = [Server(self, n, n % len(f.zones), 0) for n in range(f.servers)]
         self.counter = Counter(self)
@@ -633,18 +649,20 @@
         self.listed_live: dict[int, set[int]] = {}
         self.leaving_rows: dict[tuple[int, int], int] = {}
         self.next_req = self.next_call = 0
+        # [level, time] of each customer's bucket over all limiters
         self.quota_buckets: list[list[float]] = [
             [0.0, 0.0] for _ in range(self.clients.traffic.total)
-        ]  # true level, when
+        ]
         self.plan_of = [n for n, p in enumerate(scenario.plans) for _ in range(p.customers)]
         for customer, plan in enumerate(self.plan_of):
             self.quota_buckets[customer][0] = scenario.plans[plan].burst
         self.shift: tuple[int, float] | None = None
-        self.oracle_buckets: dict[int, list[float]] = {}  # the oracle's one bucket a customer
-        self.oracle_ceilings: dict[int, list[float]] = {}  # and its ceiling's
+        self.oracle_buckets: dict[int, list[float]] = {}  # global buckets by customer
+        self.oracle_ceilings: dict[int, list[float]] = {}  # global ceiling buckets by customer
         self.queue_positions = HdrHistogram(1, 1 << 20, 2)
         self.fault_timeline = FaultTimeline(self)
-        self.live_limiters: tuple[list[Limiter], list[list[Limiter]]] | None = None  # by zone
+        # all live limiters, and those of each zone; None until computed
+        self.live_limiters: tuple[list[Limiter], list[list[Limiter]]] | None = None
 
     def settings_for(self, limiter_index: int, zone: int) -> EngineSettings:
         return engine_settings(sc.conf(self.scenario, limiter_index, zone), zone)
@@ -653,7 +671,7 @@
     # -----------------------------------------------------------------------------------------
 
     def delay(self, a: int, b: int) -> int | None:
-        """One way from zone a to zone b, or None where the note is lost."""
+        """Returns the one-way delay from zone a to zone b in ticks; None if the message is lost."""
         n = self.scenario.net
         if a != b and (a in self.cut_zones or b in self.cut_zones):
             return None
@@ -662,10 +680,11 @@
         base = n.delay_ms + (n.zone_delay_ms if a != b else 0.0) + self.rng.random() * n.jitter_ms
         return max(1, round(base * TICKS_PER_MS))
 
-    # what limiters do
+    # actions of limiters
     # ------------------------------------------------------------------------------------
 
     def send(self, limiter: Limiter, action: SendAttempt, n: int) -> None:
+        """Sends attempt `n` of a request to its server over the network."""
         srv = (
             self.servers[action.endpoint_id]
             if 0 <= action.endpoint_id < len(self.servers)
@@ -718,6 +737,7 @@
         self.engine.schedule(there, srv, work)
 
     def count(self, limiter: Limiter, action: IncrementCounter) -> None:
+        """Sends an increment to the counter and schedules its timeout."""
         self.next_call += 1
         call = self.next_call
         limiter.counter_calls[call] = (action.counter_name, action.amount, self.engine.now)
@@ -739,19 +759,19 @@
             )
 
     def receive(self, message: object) -> None:
-        """A count call's time is up: no answer."""
+        """Ends an increment that has reached its timeout as NO_RESPONSE."""
         limiter, call, lgen = message
         if limiter.generation == lgen and call in limiter.counter_calls:
             self.engine.schedule(0, limiter, CounterReply(call, lgen, Outcome.NO_RESPONSE, 0.0))
 
     def since_sent(self, req: int, dispatch: int) -> int:
-        """Tenths since the limiter sent this dispatch."""
+        """Returns the ticks since the limiter sent this attempt."""
         return self.engine.now - self.history.dispatches[self.dispatch_rows[req, dispatch]][4]
 
     def record_execution(self, work: Work, srv: Server) -> None:
         req = self.req_rows.get(work.req)
         front = self.scenario.frontends[work.frontend]
-        group = srv.zone if front.group == "zone" else 0  # the lab's servers are all of cell 0
+        group = srv.zone if front.group == "zone" else 0  # all servers are of cell 0
         window = round(front.repeat_window_ms * TICKS_PER_MS)
         self.history.runs.append(
             (work.req, srv.index, self.engine.now, front.effect, group, window)
@@ -760,21 +780,23 @@
             self.history.used.append((req.customer, req.plan, self.engine.now, req.units))
 
     def record_leaving(self, limiter: int, srv: int) -> None:
+        """Records that a limiter was notified that a server is draining or gone."""
         if (limiter, srv) not in self.leaving_rows:
             self.leaving_rows[limiter, srv] = len(self.history.told_leaving)
             self.history.told_leaving.append([limiter, srv, self.engine.now, 1 << 62])
 
     def record_live(self, limiter: int, srv: int) -> None:
-        """Told that a server is live again: the rule's grace no longer runs for it."""
+        """Records that a limiter was notified that a server is live again, which ends its grace."""
         if (row := self.leaving_rows.pop((limiter, srv), None)) is not None:
             self.history.told_leaving[row][3] = self.engine.now
 
-    # what clients do
+    # requests of clients
     # -------------------------------------------------------------------------------------
 
     def submit_request(self, plan: int, customer: int, front: int, retry: bool) -> None:
+        """Sends a client's request to a random live limiter of the customer's zone."""
         s, now = self.scenario, self.engine.now
-        # made again only when a limiter starts or stops: a req must not cost N
+        # cached until a limiter starts or stops: a request must not cost O(limiters)
         if self.live_limiters is None:
             every = [lim for lim in self.limiters if lim.alive]
             self.live_limiters = (
@@ -836,7 +858,7 @@
         else:
             row[2] += 1
 
-    # servers' lives
+    # starts and stops of servers
     # --------------------------------------------------------------------------------------
 
     def crash(self, srv: Server, back_after: int) -> None:
@@ -846,12 +868,12 @@
 
     def restart(self, srv: Server) -> None:
         if srv.collapsed:
-            return  # it stays down
+            return  # a server that crashed by overload is not restarted
         srv.up, srv.started_at, srv.state = True, max(1, self.engine.now), EndpointState.LIVE
         self.discovery.publish((srv.endpoint(),), False)
 
     def replace(self, srv: Server) -> None:
-        """A drained server leaves; a new one, cold, takes its place under a new name."""
+        """Removes a drained server and starts a cold one in its place, under a new name."""
         srv.state = EndpointState.GONE
         srv.crash()
         new = Server(self, len(self.servers), srv.zone, max(1, self.engine.now))
@@ -859,8 +881,9 @@
         self.discovery.publish((srv.endpoint(), new.endpoint()), False)
 
     def play(self, tick: Callable[[float], None] | None = None) -> History:
-        """Plays the whole scenario; the history is the run's result. `tick(seconds)` after each
-        simulated second, for a progress bar.
+        """Simulates the whole scenario and returns its history.
+
+        Calls `tick(seconds)` after each simulated second, for a progress bar.
         """
         s = self.scenario
         for limiter in self.limiters:
@@ -878,7 +901,7 @@
             self.engine.run(round(min(second, s.seconds) * TICKS_PER_SECOND))
             if tick:
                 tick(min(second, s.seconds))
-        # the clients that are still waiting: their limiter has this long to answer
+        # time for the answers to the last requests: the longest client timeout plus 1 s
         self.engine.run(
             round(s.seconds * TICKS_PER_SECOND)
             + max(round(f.client_timeout_ms * TICKS_PER_MS) for f in s.frontends)
@@ -888,12 +911,13 @@
 
 
 class FaultTimeline:
-    """The timeline's faults, and servers coming back."""
+    """Starts and ends the faults of the scenario, and restarts or replaces servers."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
 
     def pick(self, among: list, share: float) -> list:
+        """Returns a random sample of that share of `among`, at least one if the share is not 0."""
         k = min(len(among), max(1, round(len(among) * share))) if share > 0 else 0
         return self.fleet.rng.sample(among, k)
 
@@ -969,6 +993,7 @@
                 fleet.shift = (fleet.zones[fault.zone], fault.share)
 
     def end(self, fault: sc.Fault) -> None:
+        """Ends a fault that lasts for `for_s` seconds."""
         fleet = self.fleet
         match fault.kind:
             case "kill_limiters":
--- a/loomstand/testing/emulator/history.py
+++ b/loomstand/testing/emulator/history.py
@@ -1,20 +1,21 @@
-"""What happened in a lab run, as the checker and the report read it: plain rows, appended in time
-order.
+"""History of an emulator run, the input of the checker and the report: rows in the order of time.
 
-Ids are the model's small indices: a req is numbered at its arrival over the whole fleet, a limiter
-and a server by their place in the scenario. Times are tenths of a millisecond.
+Requests are numbered by arrival over the whole fleet; limiters and servers by their position in the
+scenario. Times are in ticks (0.1 ms).
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
+from loomstand.admission.ticks import TICKS_PER_SECOND
+
 PASSED, DENIED, ABORTED = "passed", "denied", "aborted"
 
 
 @dataclass(slots=True)
 class Req:
-    """One req as its client saw it."""
+    """One request, as seen by its client."""
 
     req: int
     limiter: int
@@ -22,55 +23,57 @@
     plan: int
     frontend: int
     arrived: int
-    give_up: int  # the client timeout, as a clock reading
+    give_up: int  # time at which the client times out
     units: float
     worth: float
-    inside: bool  # within its customer's true quota at arrival, over all limiters
+    inside: bool  # within the customer's global quota at arrival
     retry: bool
-    final: str = ""  # passed, denied or aborted; "" while none
+    final: str = ""  # passed, denied or aborted; "" without a final answer
     final_at: int = -1
-    finals: int = 0  # how many final answers it got: exactly one is owed
-    vanished: bool = False  # the client left before any answer; nothing is owed any more
-    orphaned: bool = False  # its limiter was killed under it
-    took: int = -1  # from arrival to a passed answer
+    finals: int = 0  # number of final answers; rule 1 requires exactly one
+    vanished: bool = False  # the client disconnected first, so no answer is required
+    orphaned: bool = False  # its limiter stopped, so no answer is required
+    took: int = -1  # time from arrival to a passed answer
 
 
 @dataclass(slots=True)
 class History:
-    """Every row of one run."""
+    """All rows of one run."""
 
     reqs: list[Req] = field(default_factory=list)
-    # (req, dispatch number, limiter, server, sent at, arrived at the server or -1)
+    # [request, attempt, limiter, server, time sent, time of arrival at the server or -1]
     dispatches: list[list[int]] = field(default_factory=list)
-    # (req, server, at, effect, group key, repeat window) for each dispatch that a server began to
-    # work on
+    # (request, server, time, effect, deduplication group, deduplication window) of each attempt
+    # that a server began to execute
     runs: list[tuple[int, int, int, str, int, int]] = field(default_factory=list)
-    # (req, limiter, at) where a req got a dispatch while another of its was out
+    # (request, limiter, time) of each attempt sent while another of its request was in flight
     overlaps: list[tuple[int, int, int]] = field(default_factory=list)
-    # [limiter, server, at, until]: a limiter was told that a server drains or is gone, until told
-    # it is live
+    # [limiter, server, time, end]: from the notification of a limiter that a server is draining or
+    # gone to the one that it is live
     told_leaving: list[list[int]] = field(default_factory=list)
-    # (server, at, sent in the window, what it could bear) where a cold server fell
+    # (server, time, attempts in the overload window, threshold) of each crash of a cold server
     falls: list[tuple[int, int, float, float]] = field(default_factory=list)
-    # (customer, plan, at, units) for each dispatch that ran, for ceilings
+    # (customer, plan, time, units) of each executed attempt, for the ceilings
     used: list[tuple[int, int, int, float]] = field(default_factory=list)
-    # per second: [served in time, denied, aborted, lost, worth served, worth offered]
+    # per second: [served in time, denied, aborted, lost, value served, value offered]
     seconds: list[list[float]] = field(default_factory=list)
-    # per second and plan: units admitted (dispatched) and quota units
+    # per second: units of the attempts sent, by plan
     admitted: list[list[float]] = field(default_factory=list)
-    # per second: in hand over all servers, capacity of live servers
+    # per second: (requests in process or queued, capacity) of the running servers
     load: list[tuple[float, float]] = field(default_factory=list)
-    # (limiter, what) where a policy raised
+    # (limiter, error) of each error that a policy raised
     broken: list[tuple[int, str]] = field(default_factory=list)
 
     def second(self, at: int) -> list[float]:
-        n = at // 10_000
+        """Returns the row of `seconds` for a time, and adds missing rows."""
+        n = at // TICKS_PER_SECOND
         while len(self.seconds) <= n:
             self.seconds.append([0.0] * 6)
         return self.seconds[n]
 
     def plan_second(self, at: int, plans: int) -> list[float]:
-        n = at // 10_000
+        """Returns the row of `admitted` for a time, and adds missing rows."""
+        n = at // TICKS_PER_SECOND
         while len(self.admitted) <= n:
             self.admitted.append([0.0] * plans)
         return self.admitted[n]
--- a/loomstand/testing/emulator/report.py
+++ b/loomstand/testing/emulator/report.py
@@ -1,13 +1,12 @@
-"""A lab run's report: JSON on disk, a table on the terminal (rich) and PNG plots (matplotlib, no
-screen).
+"""Report of an emulator run: a JSON file, a table for the terminal and PNG plots.
 
-`write(report, out)` leaves `report.json` in `out`; `plot(out)` reads every `report.json` below
+`write(report, out)` writes `report.json` into `out`; `plot(out)` reads every `report.json` below
 `out` (one run, or the points of a sweep with `sweep.json`) and draws:
 
-- `goodput.png`: reqs served in time and denied, per second, for each policy;
-- `plans.png`: units admitted a second against the quota, per plan, for the module;
-- `load.png`: what the servers hold against what they can do, per second;
-- `sweep.png` (sweeps): G/oracle and each policy's G against the swept value.
+- `goodput.png`: requests served in time and requests denied per second, by policy;
+- `plans.png`: units admitted per second and the quota, by plan, for the scenario's policy;
+- `load.png`: requests at the servers and the servers' capacity, per second;
+- `sweep.png` (sweeps): G/oracle and each policy's G by the swept value.
 """
 
 from __future__ import annotations
@@ -20,20 +19,21 @@
 from rich.console import Console
 from rich.table import Table
 
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.testing.emulator.checker import NAMES
 
 
 def write(report: dict, out: str | os.PathLike) -> Path:
-    """Writes `report.json` into `out` (made if missing); returns its path."""
-    where = Path(out)
-    where.mkdir(parents=True, exist_ok=True)
-    path = where / "report.json"
+    """Writes `report.json` into `out`, which is created if missing; returns its path."""
+    folder = Path(out)
+    folder.mkdir(parents=True, exist_ok=True)
+    path = folder / "report.json"
     path.write_bytes(msgspec.json.format(msgspec.json.encode(report)))
     return path
 
 
 def table(report: dict, console: Console | None = None) -> None:
-    """The run's figures and the rules' verdict, one row a policy."""
+    """Prints the figures and the rule violations of a run, one row per policy."""
     console = console or Console()
     t = Table(
         title=f"{report['scenario']}: {report['limiters']} limiters, {report['servers']} servers, "
@@ -73,11 +73,12 @@
     for b in main["breaks"]:
         console.print(
             f"[red]rule {b['rule']} ({NAMES[b['rule']]})[/red]: req {b['req']} at limiter "
-            f"{b['limiter']}, {b['at'] / 10_000:.3f} s: {b['what']}"
+            f"{b['limiter']}, {b['at'] / TICKS_PER_SECOND:.3f} s: {b['what']}"
         )
 
 
 def sweep_table(key: str, reports: list[dict], console: Console | None = None) -> None:
+    """Prints the figures of a sweep, one row per value."""
     console = console or Console()
     t = Table(title=f"sweep of {key}")
     policies = list(reports[0]["runs"])
@@ -95,17 +96,17 @@
 
 
 def plot(out: str | os.PathLike) -> list[Path]:
-    """Draws the PNGs for the run or sweep in `out`; returns their paths."""
+    """Draws the plots of the run or sweep in `out`; returns their paths."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot as plt
 
-    where, made = Path(out), []
-    sweep_file = where / "sweep.json"
+    folder, paths = Path(out), []
+    sweep_file = folder / "sweep.json"
     if sweep_file.exists():
         data = json.loads(sweep_file.read_text())
-        reports = [json.loads((where / d / "report.json").read_text()) for d in data["points"]]
+        reports = [json.loads((folder / d / "report.json").read_text()) for d in data["points"]]
         xs = [r["swept"] for r in reports]
         fig, ax = plt.subplots(figsize=(7, 4))
         ax.plot(xs, [r["G_over_oracle"] or 0 for r in reports], "o-", label="G/oracle")
@@ -118,24 +119,24 @@
         ax.set_title(f"{reports[0]['scenario']}: sweep of {data['key']}")
         ax.legend()
         ax.grid(alpha=0.3)
-        made.append(save(fig, where / "sweep.png", plt))
+        paths.append(save(fig, folder / "sweep.png", plt))
         for d in data["points"]:
-            made += plot(where / d)
-        return made
-    report = json.loads((where / "report.json").read_text())
+            paths += plot(folder / d)
+        return paths
+    report = json.loads((folder / "report.json").read_text())
     series = report["series"]
     fig, ax = plt.subplots(figsize=(8, 4))
     for name, s in series.items():
         secs = list(range(len(s["seconds"])))
         ax.plot(secs, [row[0] for row in s["seconds"]], label=f"{name} served in time")
         ax.plot(secs, [row[1] for row in s["seconds"]], "--", label=f"{name} denied")
-    made.append(
+    paths.append(
         finish(
             fig,
             ax,
             "reqs a second",
             f"{report['scenario']}: goodput and denials",
-            where / "goodput.png",
+            folder / "goodput.png",
         )
     )
 
@@ -153,26 +154,26 @@
             label=f"{p['plan']} quota",
         )
     title = f"{report['scenario']}: admitted against quota ({report['policy']})"
-    made.append(finish(fig, ax, "units a second", title, where / "plans.png"))
+    paths.append(finish(fig, ax, "units a second", title, folder / "plans.png"))
 
     fig, ax = plt.subplots(figsize=(8, 4))
     for name, s in series.items():
         ax.plot([h for h, _ in s["load"]], label=f"{name} in hand")
     ax.plot([c for _, c in main["load"]], "k:", label="capacity of servers up")
-    made.append(
+    paths.append(
         finish(
             fig,
             ax,
             "reqs",
             f"{report['scenario']}: server load against capacity",
-            where / "load.png",
+            folder / "load.png",
         )
     )
-    return made
+    return paths
 
 
 def finish(fig, ax, ylabel: str, title: str, path: Path) -> Path:
-    """Labels a plot over seconds, gives it a legend and a grid, and saves it."""
+    """Adds labels, a legend and a grid to a plot over time, and saves it."""
     from matplotlib import pyplot as plt
 
     ax.set_xlabel("s")
@@ -184,6 +185,7 @@
 
 
 def save(fig, path: Path, plt) -> Path:
+    """Saves a figure as PNG, closes it and returns its path."""
     fig.tight_layout()
     fig.savefig(path, dpi=100)
     plt.close(fig)
--- a/loomstand/testing/emulator/runner.py
+++ b/loomstand/testing/emulator/runner.py
@@ -1,8 +1,8 @@
-"""Plays a scenario with the module and its baselines, checks the rules and sums up; sweeps over
-values.
+"""Runs a scenario with the decision engine and the baselines, and sweeps over values of a key.
 
-A summary is a plain JSON-able dict; its `digest` is the SHA-256 of its canonical JSON without wall
-times, so the same scenario and seed give the same digest on any machine with the same versions.
+The report of a run is a dict that can be encoded as JSON. Its `digest` is the SHA-256 of its
+canonical JSON without wall times, so the same scenario and seed give the same digest on any machine
+with the same versions.
 """
 
 from __future__ import annotations
@@ -30,9 +30,7 @@
 
 
 def brain(fleet: Fleet, limiter_index: int, settings: EngineSettings, seed: int) -> Policy:
-    """The module itself, made as the adapter makes it; under the scenario's site plan, if it is to
-    be.
-    """
+    """Creates the decision engine as the bench adapter does, with any site plan."""
     s, now = fleet.scenario, fleet.engine.now
     failover = None
     if s.site is not None and s.sited:
@@ -46,7 +44,7 @@
 
 @dataclass(slots=True)
 class Played:
-    """One policy's run of a scenario."""
+    """The result of one run of a scenario with one policy."""
 
     policy: str
     history: History
@@ -63,8 +61,14 @@
     maker: PolicyMaker | None = None,
     tick: Callable[[float], None] | None = None,
 ) -> Played:
-    """One run. `maker` stands in for the named policy (tests give faulty ones); `tick(s)` each
-    second.
+    """Runs a scenario with one policy.
+
+    Args:
+        scenario: The scenario.
+        policy: Name of the policy.
+        seed: Seed of the random numbers.
+        maker: Creates the policy instead of the named one; tests pass faulty policies.
+        tick: Called after each simulated second, with the simulated time in seconds.
     """
     fleet = Fleet(scenario, maker or MAKERS[policy], seed)
     began = time.perf_counter()
@@ -77,6 +81,7 @@
 
 
 def summarise(fleet: Fleet, history: History, verdict: Verdict) -> dict:
+    """Returns the figures of a run as they stand in the report."""
     s = fleet.scenario
     taken = [r for r in history.reqs if not r.orphaned]
     counts = {
@@ -87,7 +92,7 @@
         "unanswered": 0,
         "vanished": 0,
     }
-    latency = HdrHistogram(1, 60_000, 3)  # 0.1 ms to 6 s, three digits
+    latency = HdrHistogram(1, 60_000, 3)  # 0.1 ms to 6 s, three significant digits
     worth = offered = beyond = 0.0
     for r in taken:
         offered += r.worth if r.inside else 0.0
@@ -101,7 +106,7 @@
             latency.record_value(max(1, r.took))
             if r.inside and r.took <= s.frontends[r.frontend].response_target_ms * TICKS_PER_MS:
                 worth += r.worth
-            elif not r.inside:  # served beyond its quota: priced, in time or not
+            elif not r.inside:  # served beyond the quota: a cost, in time or not
                 beyond += r.worth * s.plans[r.plan].excess_cost
     plans = []
     for n, p in enumerate(s.plans):
@@ -146,7 +151,7 @@
     seed: int | None = None,
     progress: Callable[[str, float], None] | None = None,
 ) -> dict:
-    """The module (or the scenario's policy) and each baseline on the same scenario and seed."""
+    """Runs the scenario's policy and each baseline with the same seed, and returns the report."""
     seed = scenario.seed if seed is None else seed
     runs: dict[str, Played] = {}
     for policy in policies(scenario):
@@ -184,18 +189,22 @@
 
 
 def policies(scenario: sc.Scenario) -> list[str]:
-    """The policies a run plays, in order: the scenario's own, then its baselines, each once."""
+    """Returns the policies of a run in order: the scenario's own, then its baselines, each once."""
     return list(dict.fromkeys([scenario.policy, *scenario.baselines]))
 
 
 def digest(report: dict) -> str:
-    """SHA-256 of the canonical JSON of what the run found, wall times left out."""
+    """Returns the SHA-256 of the report's canonical JSON without wall times."""
     kept = {k: v for k, v in report.items() if k not in ("digest", "wall_s", "events_per_s")}
     return hashlib.sha256(msgspec.json.encode(kept, order="sorted")).hexdigest()
 
 
 def values(text: str) -> tuple[str, list[object]]:
-    """`key=v1,v2,...` as the key and its values, numbers where they read as numbers."""
+    """Parses `key=v1,v2,...` into the key and its values: int, float or str.
+
+    Raises:
+        ScenarioError: The text has no key or no value.
+    """
     key, sep, rest = text.partition("=")
     if not sep or not key or not rest:
         raise sc.ScenarioError(f"--set '{text}': wanted KEY=V1,V2,...")
@@ -217,12 +226,14 @@
 
 
 def sweep(table: dict, key: str, vals: list[object], seed: int | None, workers: int) -> list[dict]:
-    """One run a value of `key`, in parallel processes; each point checked as its own scenario
-    first.
+    """Runs the scenario once per value of `key`, in parallel processes.
+
+    Raises:
+        ScenarioError: A value is not valid for the key; checked before the first run.
     """
     points = [(table, {key: v}, seed) for v in vals]
     for _, sets, _ in points:
-        sc.from_table(sc.with_values(table, sets))  # a bad value is named before anything runs
+        sc.from_table(sc.with_values(table, sets))  # rejects an invalid value before the first run
     if workers <= 1 or len(points) == 1:
         return [_point(p) for p in points]
     with ProcessPoolExecutor(max_workers=min(workers, len(points))) as pool:
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -1,8 +1,8 @@
-"""A lab scenario: the fleet, its traffic and a timeline of faults, read from TOML and checked.
+"""Emulator scenarios: the fleet, its traffic and a timeline of faults, read from TOML.
 
-Times in a scenario file are seconds (floats) or milliseconds where the key ends in `_ms`; the model
-works in the interface's tenths of a millisecond. Every key is checked by msgspec; a fault names the
-key at fault, with its path, as `ScenarioError("key 'faults[2].share': ...")`.
+Times in a scenario file are in seconds, or in milliseconds where the key ends in `_ms`; the model
+uses ticks (0.1 ms). msgspec checks every key; an error names the key with its path, as in
+`ScenarioError("key 'faults[2].share': ...")`.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from loomstand.failover.zone_plan import ZonePlan
 
 T = TypeVar("T")
-ScenarioError = TableError  # a scenario that can't be played; the message names the key
+ScenarioError = TableError  # an invalid scenario; the message names the key
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, Meta(gt=0.0)]
 Seconds = Annotated[float, Meta(ge=0.0)]
@@ -33,7 +33,7 @@
 
 
 class Frontend(StrictStruct):
-    """A class of reqs, as the bench's settings call a grade."""
+    """A class of requests (a grade in the bench's settings)."""
 
     name: str
     effect: Literal["pure", "token", "side_effect"] = "pure"
@@ -42,26 +42,24 @@
     value: Positive = 1.0
     group: Literal["all", "zone", "cell"] = "all"
     repeat_window_ms: Seconds = 0.0
-    share: Positive = 1.0  # of the traffic, against the other frontends' shares
-    work_ms: Positive = 20.0  # mean service time at a warm server with nothing else to do
+    share: Positive = 1.0  # weight of its traffic, relative to the other frontends
+    work_ms: Positive = 20.0  # mean service time at a warm server
 
 
 class Plan(StrictStruct):
-    """A plan: the quota of each of its customers over all limiters, and how many customers use
-    it.
-    """
+    """A quota plan: the quota of each of its customers over all limiters, and their number."""
 
     name: str
-    rate: Positive  # units a second, per customer
+    rate: Positive  # units per second and customer
     burst: Positive  # units
     customers: Annotated[int, Meta(ge=1)] = 10
-    demand: Positive = 1.0  # what a customer asks, as a multiple of its rate
-    ceiling_rate: Seconds = 0.0  # a hard ceiling, units a second; 0 for none
+    demand: Positive = 1.0  # a customer's arrival rate, as a multiple of `rate`
+    ceiling_rate: Seconds = 0.0  # hard ceiling, in units per second; 0 for none
     ceiling_depth: Seconds = 0.0
     ceiling_slack: Seconds = 0.0
-    # what a req passed beyond its customer's quota costs, times its worth
+    # cost of a request served beyond its customer's quota, as a multiple of its value
     excess_cost: Seconds = 1.0
-    hot: Share = 0.0  # share of its customers that ask at `hot_demand` instead
+    hot: Share = 0.0  # share of its customers with `hot_demand` instead of `demand`
     hot_demand: Positive = 5.0
 
 
@@ -71,37 +69,37 @@
     limiters: Annotated[int, Meta(ge=1)] = 10
     servers: Annotated[int, Meta(ge=1)] = 10
     zones: list[str] = msgspec.field(default_factory=lambda: ["a"])
-    capacity: Annotated[int, Meta(ge=1)] = 8  # reqs a server works on at once
-    queue: Count = 16  # reqs it holds beyond those before it turns new ones away
-    cold_s: Seconds = 10.0  # how long a new server is cold
-    cold_from: Share = 0.3  # the share of its capacity it has when it starts
-    # a cold server falls with more than this times its cold capacity in hand
+    capacity: Annotated[int, Meta(ge=1)] = 8  # requests that a server processes concurrently
+    queue: Count = 16  # further requests that it queues; it rejects those beyond
+    cold_s: Seconds = 10.0  # duration of a new server's slow start
+    cold_from: Share = 0.3  # share of its capacity at its start
+    # a cold server crashes when it receives more than this multiple of its current capacity
     fall_multiple: Positive = 2.0
     drain_grace_ms: Seconds = 500.0
     try_limit: Annotated[int, Meta(ge=1)] = 2
     answer_slack_ms: Seconds = 50.0
 
     def warmth(self, age_s: float) -> float:
-        """The share of its work that a server can do so long after its start."""
+        """Returns the share of its capacity that a server has at an age in seconds (slow start)."""
         if age_s >= self.cold_s:
             return 1.0
         return self.cold_from + (1 - self.cold_from) * max(0.0, age_s) / self.cold_s
 
     def room(self, warmth: float) -> int:
-        """Reqs that a server works on at once."""
+        """Returns the number of requests that a server processes concurrently."""
         return max(1, round(self.capacity * warmth))
 
     def bears(self, warmth: float, mean_work_ms: float) -> float:
-        """Dispatches within a second past which a cold server falls."""
+        """Returns the attempts per second above which a cold server crashes."""
         return self.fall_multiple * warmth * self.capacity / (mean_work_ms / 1000)
 
 
 class Net(StrictStruct):
-    """The network between the parts: one-way delay and loss."""
+    """The network: one-way delay and loss of messages."""
 
     delay_ms: Seconds = 0.5
     jitter_ms: Seconds = 0.2
-    zone_delay_ms: Seconds = 2.0  # added between zones
+    zone_delay_ms: Seconds = 2.0  # added between different zones
     loss: Share = 0.0
 
 
@@ -111,45 +109,46 @@
     present: bool = True
     latency_ms: Seconds = 2.0
     timeout_ms: Positive = 100.0
-    refresh_s: Positive = 1.0  # the metering period the limiters are told
+    refresh_s: Positive = 1.0  # metering interval in the limiters' settings
 
 
 class Clients(StrictStruct):
-    """How clients behave beyond their arrival rate."""
+    """Behaviour of clients: retries, early disconnects and a burst."""
 
-    retry: Share = 0.0  # share of denied reqs whose client comes again
+    retry: Share = 0.0  # share of rejected requests that the client retries
     retry_after_ms: Seconds = 200.0
-    give_up: Share = 0.0  # share of reqs whose client leaves before its timeout
-    burst_at: Seconds = 0.0  # when a burst of `burst_factor` times the demand begins; 0 for none
-    burst_for: Seconds = 0.0
+    give_up: Share = 0.0  # share of requests whose client disconnects before its timeout
+    burst_at: Seconds = 0.0  # start of a burst with `burst_factor` times the demand
+    burst_for: Seconds = 0.0  # its duration; 0 for no burst
     burst_factor: Positive = 1.5
 
 
 Kind = Literal[
-    # share of limiters, or all of `zone`, stop; back after `for_s` if it is above 0, empty
+    # `share` of limiters, or all of `zone`, stop; they restart without state after
+    # `for_s` if above 0
     "kill_limiters",
-    "crash_servers",  # share of servers crash; back cold after `for_s` if it is above 0
-    # share of servers are told to drain, then leave after the grace, replaced cold
+    "crash_servers",  # `share` of servers crash; they restart cold after `for_s` if above 0
+    # `share` of servers drain; a cold server replaces each after twice the drain grace
     "drain_servers",
-    "slow_servers",  # share of servers work `factor` times slower for `for_s`
-    "fail_servers",  # share of servers answer with an error for `for_s`
-    "bad_release",  # share of servers restart cold and then fail for `for_s`
-    "lose_zone",  # all servers of `zone` crash; back cold after `for_s`
-    "cut_zone",  # the network to and from `zone` is cut for `for_s`
-    "counter_down",  # the counter answers nothing for `for_s`
+    "slow_servers",  # `share` of servers are `factor` times slower for `for_s`
+    "fail_servers",  # `share` of servers respond with errors for `for_s`
+    "bad_release",  # `share` of servers restart cold and respond with errors for `for_s`
+    "lose_zone",  # all servers of `zone` crash; they restart cold after `for_s` if above 0
+    "cut_zone",  # the network between `zone` and other zones is down for `for_s`
+    "counter_down",  # the counter doesn't respond for `for_s`
     "counter_slow",  # the counter takes `factor` times its latency for `for_s`
-    "counter_wipe",  # the counter forgets every total
-    # the counter splits into `parts` that don't see each other's adds, for `for_s`
+    "counter_wipe",  # the counter loses all totals
+    # the counter splits into `parts` partitions without replication for `for_s`
     "counter_split",
-    "late_lists",  # discovery's lists come `factor` seconds late for `for_s`
+    "late_lists",  # discovery's lists are delayed by `factor` seconds for `for_s`
     "partial_lists",  # discovery lists only `share` of the servers for `for_s`
-    "flood_plan",  # one plan's customers ask `factor` times their demand for `for_s`
-    "shift_zone",  # `share` of the traffic moves to limiters of `zone` for `for_s`
+    "flood_plan",  # the customers of `plan` send `factor` times their demand for `for_s`
+    "shift_zone",  # `share` of the traffic goes to limiters of `zone` for `for_s`
 ]
 
 
 class Fault(StrictStruct):
-    """One step of the timeline."""
+    """One fault of the timeline."""
 
     at: Seconds
     kind: Kind
@@ -162,7 +161,7 @@
 
 
 class Scenario(StrictStruct):
-    """A whole scenario."""
+    """A scenario: the root table of its file."""
 
     name: str
     seconds: Positive = 30.0
@@ -182,8 +181,8 @@
         default_factory=lambda: [Plan(name="basic", rate=10.0, burst=20.0)]
     )
     faults: list[Fault] = msgspec.field(default_factory=list)
-    site: ZonePlan | None = None  # a site plan for the module (docs/sites.md)
-    sited: bool = True  # whether the module has it
+    site: ZonePlan | None = None  # the site plan (docs/sites.md)
+    sited: bool = True  # whether the decision engine uses the site plan
 
     def __post_init__(self) -> None:
         names = [p.name for p in self.plans]
@@ -201,13 +200,13 @@
 
 
 def mean_work(scenario: Scenario) -> float:
-    """Mean work of a req over all frontends, in milliseconds."""
+    """Returns the mean service time of a request over all frontends, in milliseconds."""
     fronts = scenario.frontends
     return sum(f.work_ms * f.share for f in fronts) / sum(f.share for f in fronts)
 
 
 def conf(scenario: Scenario, limiter_index: int, zone: int) -> WireSettings:
-    """The settings that a limiter of this scenario is told, in the words of the operators' wire."""
+    """Returns the settings of a limiter, as the bench and the settings file have them."""
     s, f = scenario, scenario.fleet
     return WireSettings(
         limiter_count=f.limiters,
@@ -255,25 +254,37 @@
 
 
 def parse(raw: str | bytes, source: str = "scenario") -> Scenario:
-    """The scenario in a TOML text. Raises ScenarioError naming the key."""
+    """Returns the scenario in a TOML text.
+
+    Raises:
+        ScenarioError: The text is not a valid scenario; the message names the key.
+    """
     return from_table(parse_toml(raw, source))
 
 
 def from_table(table: dict, kind: type[T] = Scenario) -> T:
-    """The scenario in a table as TOML reads it. Raises ScenarioError naming the key."""
+    """Returns the scenario in a decoded TOML table.
+
+    Raises:
+        ScenarioError: The table is not a valid scenario; the message names the key.
+    """
     return convert_table(table, kind)
 
 
 def load(path: str) -> Scenario:
-    """The scenario in a file. Raises ScenarioError naming the file, and the key where one is at
-    fault.
+    """Returns the scenario in a file.
+
+    Raises:
+        ScenarioError: The file is not a valid scenario; the message names the file and the key.
     """
     return from_table(read(path))
 
 
 def read(path: str) -> dict:
-    """The table of a scenario file, checked (for sweeps, which set keys in it). Raises as
-    `load`.
+    """Returns the checked table of a scenario file, for sweeps, which set keys in it.
+
+    Raises:
+        ScenarioError: The file is not a valid scenario; the message names the file and the key.
     """
     table = table_of(path)
     try:
@@ -284,7 +295,11 @@
 
 
 def with_values(table: dict, sets: dict[str, object]) -> dict:
-    """A copy of a scenario table with dotted keys set, for sweeps: {'fleet.limiters': 100}."""
+    """Returns a copy of a scenario table with dotted keys set, e.g. {'fleet.limiters': 100}.
+
+    Raises:
+        ScenarioError: A part of a key before its last is not a table.
+    """
     out = msgspec.json.decode(msgspec.json.encode(table))
     for key, value in sets.items():
         place, *path = key.split(".")
--- a/loomstand/testing/emulator/traffic.py
+++ b/loomstand/testing/emulator/traffic.py
@@ -1,7 +1,7 @@
-"""Who asks what: open-loop arrivals by plan, hot customers, frontends by their shares, true quotas.
+"""Traffic model: arrival rates by plan, hot customers, frontends by their shares, quota buckets.
 
-Shared by the lab's clients and the rehearsal's driver; it knows no clock and draws on its caller's
-chance.
+Shared by the emulator's clients and the rehearsal's driver. It has no clock, and uses its caller's
+random number generator.
 """
 
 from __future__ import annotations
@@ -14,14 +14,17 @@
 
 
 class Traffic:
-    """Draws customers and frontends. Customers are numbered over all plans, in the plans' order."""
+    """Draws random customers and frontends.
+
+    Customers are numbered over all plans, in the order of the plans.
+    """
 
     def __init__(self, plans: list[Plan], frontends: list[Frontend], rng: Random) -> None:
         self.plans, self.rng = plans, rng
-        self.factor = [1.0] * len(plans)  # of each plan's demand, for floods
-        whole = sum(f.share for f in frontends)
-        self.fronts = list(accumulate(f.share / whole for f in frontends))
-        self.first: list[int] = []  # each plan's first customer
+        self.factor = [1.0] * len(plans)  # of each plan's demand, for the fault flood_plan
+        total_share = sum(f.share for f in frontends)
+        self.fronts = list(accumulate(f.share / total_share for f in frontends))
+        self.first: list[int] = []  # number of each plan's first customer
         self.weights: list[list[float]] = []
         self.total = 0
         for plan in plans:
@@ -32,20 +35,30 @@
             self.total += plan.customers
 
     def rate(self, plan: int) -> float:
-        """Reqs a second that a plan's customers ask now."""
+        """Returns the arrival rate of a plan, in requests per second."""
         return self.weights[plan][-1] * self.plans[plan].rate * self.factor[plan]
 
     def customer(self, plan: int) -> int:
+        """Draws a customer of the plan, weighted by demand."""
         w = self.weights[plan]
         return self.first[plan] + bisect(w, self.rng.random() * w[-1])
 
     def front(self) -> int:
+        """Draws a frontend, weighted by share."""
         return bisect(self.fronts, self.rng.random() * self.fronts[-1] * 0.999999)
 
 
-def refill(held: list[float], rate: float, depth: float, now: float, second: float = 1.0) -> float:
-    """A bucket `[level, when]` filled at `rate` a second up to `depth` until `now`, where a second
-    is `second` of the clock's units; returns the level.
+def refill(
+    bucket: list[float], rate: float, depth: float, now: float, second: float = 1.0
+) -> float:
+    """Refills a bucket `[level, time]` up to `now` and returns its level.
+
+    Args:
+        bucket: The bucket; changed in place.
+        rate: Units per second.
+        depth: Maximum level, in units.
+        now: Time, in the unit of the caller's clock.
+        second: Length of a second in that unit.
     """
-    held[0], held[1] = min(depth, held[0] + rate * (now - held[1]) / second), now
-    return held[0]
+    bucket[0], bucket[1] = min(depth, bucket[0] + rate * (now - bucket[1]) / second), now
+    return bucket[0]
