--- a/tests/testing/emulator/test_emulator.py
+++ b/tests/testing/emulator/test_emulator.py
@@ -1,6 +1,4 @@
-"""The lab: its checker names each rule broken on purpose, runs are deterministic, scenarios name
-bad keys.
-"""
+"""Emulator: violations of each rule are reported, runs are deterministic, errors name the key."""
 
 from __future__ import annotations
 
@@ -19,7 +17,7 @@
 EXAMPLES = Path(__file__).parents[3] / "examples" / "lab"
 
 
-def small(**over) -> sc.Scenario:
+def small_scenario(**over) -> sc.Scenario:
     table = {
         "name": "t",
         "seconds": 3,
@@ -32,15 +30,18 @@
     return sc.from_table(table)
 
 
-def broken(scenario: sc.Scenario, policy) -> set[int]:
+def violated_rules(scenario: sc.Scenario, policy) -> set[int]:
     played = runner.play(
-        scenario, "faulty", 1, lambda fleet, me, told, seed: policy(fleet, me, told, seed)
+        scenario,
+        "faulty",
+        1,
+        lambda fleet, index, settings, seed: policy(fleet, index, settings, seed),
     )
     return {b.rule for b in played.verdict.breaks}
 
 
-class Silent(Naive):
-    """Rule 1: every third req is never answered, every fifth answered twice."""
+class FaultyAnswers(Naive):
+    """Violates rule 1: each third request gets no answer, each fifth gets two."""
 
     def handle(self, now, event):
         if isinstance(event, RequestArrived):
@@ -51,8 +52,8 @@
         return super().handle(now, event)
 
 
-class Twice(Naive):
-    """Rule 2: a non-replayable req is sent again after its first dispatch ran."""
+class RepeatedExecution(Naive):
+    """Violates rule 2: sends a non-idempotent request again after its execution."""
 
     def handle(self, now, event):
         if isinstance(event, RequestArrived):
@@ -64,10 +65,8 @@
         return super().handle(now, event)
 
 
-class Deaf(Naive):
-    """Rule 3: keeps the first list it was given and sends on to servers it was told are
-    draining.
-    """
+class IgnoredUpdates(Naive):
+    """Violates rule 3: ignores all endpoint lists after the first, also for draining servers."""
 
     def handle(self, now, event):
         if isinstance(event, EndpointsUpdated) and self.live:
@@ -75,8 +74,8 @@
         return super().handle(now, event)
 
 
-class One(Naive):
-    """Rule 4: everything to server 0, however cold."""
+class SingleServer(Naive):
+    """Violates rule 4: sends all requests to server 0, also while it is cold."""
 
     def handle(self, now, event):
         if isinstance(event, RequestArrived):
@@ -84,8 +83,8 @@
         return super().handle(now, event)
 
 
-class Open(Naive):
-    """Rule 5: no quota at all."""
+class NoQuota(Naive):
+    """Violates rule 5: admits all requests."""
 
     def handle(self, now, event):
         if isinstance(event, RequestArrived):
@@ -97,53 +96,55 @@
         return super().handle(now, event)
 
 
-def test_rule_1_unanswered_and_twice_answered_are_named():
-    scenario = small()
-    played = runner.play(scenario, "faulty", 1, Silent)
-    whats = {b.what for b in played.verdict.breaks if b.rule == 1}
-    assert {"no final answer", "2 final answers"} <= whats
+def test_rule_1_reports_requests_with_no_answer_or_two():
+    scenario = small_scenario()
+    played = runner.play(scenario, "faulty", 1, FaultyAnswers)
+    details = {b.what for b in played.verdict.breaks if b.rule == 1}
+    assert {"no final answer", "2 final answers"} <= details
     assert all(b.req > 0 and b.limiter >= 0 for b in played.verdict.breaks)
 
 
 class Raising(Naive):
+    """Raises an error at request 4."""
+
     def handle(self, now, event):
         if isinstance(event, RequestArrived) and event.request_id == 4:
             raise KeyError("made to fail")
         return super().handle(now, event)
 
 
-def test_a_policy_that_raises_is_a_crash_and_fails_the_run():
-    played = runner.play(small(), "faulty", 1, Raising)
+def test_an_error_of_a_policy_is_recorded_and_fails_the_run():
+    played = runner.play(small_scenario(), "faulty", 1, Raising)
     assert played.history.broken and "made to fail" in played.history.broken[0][1]
     assert not played.summary["held"]
 
 
-def test_rule_2_a_non_replayable_sent_again_after_it_ran():
-    scenario = small(frontends=[{"name": "book", "effect": "side_effect"}])
-    assert 2 in broken(scenario, Twice)
+def test_rule_2_reports_a_repeated_non_idempotent_request():
+    scenario = small_scenario(frontends=[{"name": "book", "effect": "side_effect"}])
+    assert 2 in violated_rules(scenario, RepeatedExecution)
 
 
-def test_rule_3_dispatches_to_a_draining_server_past_the_grace():
-    scenario = small(
+def test_rule_3_reports_attempts_at_a_draining_server_after_the_grace():
+    scenario = small_scenario(
         seconds=4,
         faults=[{"at": 1, "kind": "drain_servers", "share": 0.5}],
         fleet={"limiters": 3, "servers": 4, "drain_grace_ms": 200},
     )
-    assert 3 in broken(scenario, Deaf)
+    assert 3 in violated_rules(scenario, IgnoredUpdates)
 
 
-def test_rule_4_a_cold_server_pushed_over():
-    scenario = small(
+def test_rule_4_reports_the_overload_of_a_cold_server():
+    scenario = small_scenario(
         seconds=4,
         fleet={"limiters": 3, "servers": 2, "queue": 400},
         plans=[{"name": "basic", "rate": 10, "burst": 20, "customers": 60}],
         faults=[{"at": 1, "kind": "crash_servers", "share": 1.0, "for_s": 0.5}],
     )
-    assert 4 in broken(scenario, One)
+    assert 4 in violated_rules(scenario, SingleServer)
 
 
-def test_rule_5_a_ceiling_passed():
-    scenario = small(
+def test_rule_5_reports_an_exceeded_ceiling():
+    scenario = small_scenario(
         plans=[
             {
                 "name": "atelier",
@@ -157,18 +158,18 @@
             }
         ]
     )
-    assert 5 in broken(scenario, Open)
+    assert 5 in violated_rules(scenario, NoQuota)
 
 
-def test_the_module_keeps_every_rule_through_faults():
+def test_the_decision_engine_keeps_every_rule():
     report = runner.run(sc.load(str(EXAMPLES / "small.toml")))
     assert report["held"], report["runs"]["brain"]["breaks"]
     assert 0.0 < report["G_over_oracle"] <= 1.05
     assert report["runs"]["brain"]["counts"]["unanswered"] == 0
 
 
-def test_same_scenario_and_seed_same_digest():
-    scenario = small(faults=[{"at": 1, "kind": "kill_limiters", "share": 0.5, "for_s": 1}])
+def test_the_same_scenario_and_seed_give_the_same_digest():
+    scenario = small_scenario(faults=[{"at": 1, "kind": "kill_limiters", "share": 0.5, "for_s": 1}])
     a, b, c = runner.run(scenario, 7), runner.run(scenario, 7), runner.run(scenario, 8)
     assert a["digest"] == b["digest"] != c["digest"]
 
@@ -182,9 +183,9 @@
         ({"faults": [{"at": 1, "kind": "flood_plan", "plan": "gold"}]}, "faults[0].plan"),
     ],
 )
-def test_a_bad_key_names_itself(change, key):
+def test_the_error_names_the_invalid_key(change, key):
     with pytest.raises(sc.ScenarioError, match=rf"key '{key.replace('[', '.').replace(']', '.')}'"):
-        small(**change)
+        small_scenario(**change)
 
 
 def test_the_command_line_runs_and_plots(tmp_path):
@@ -205,7 +206,7 @@
     assert result.exit_code == 1 and "key 'second'" in result.output
 
 
-def test_a_sweep_writes_a_point_a_value(tmp_path):
+def test_a_sweep_writes_one_report_per_value(tmp_path):
     scenario = tmp_path / "s.toml"
     scenario.write_text('name = "s"\nseconds = 2\nbaselines = ["oracle"]\n')
     result = CliRunner().invoke(
@@ -229,17 +230,17 @@
 
 
 @pytest.mark.parametrize("kind", sc.Kind.__args__)
-def test_the_module_keeps_the_rules_through_each_fault(kind):
+def test_the_decision_engine_keeps_the_rules_under_each_fault(kind):
     fault = {"at": 1, "kind": kind, "share": 0.5, "for_s": 1, "zone": "b", "plan": "basic"}
-    scenario = small(
+    scenario = small_scenario(
         seconds=3, fleet={"limiters": 3, "servers": 6, "zones": ["a", "b"]}, faults=[fault]
     )
     played = runner.play(scenario, "brain", 3)
     assert played.summary["held"], (played.summary["breaks"], played.summary["crashes"])
 
 
-def test_the_oracle_keeps_a_ceiling_below_the_quota():
-    scenario = small(
+def test_the_oracle_enforces_a_ceiling_below_the_quota():
+    scenario = small_scenario(
         baselines=["oracle"],
         plans=[
             {
@@ -258,7 +259,7 @@
     assert played.summary["held"] and played.summary["plans"][0]["passed_per_s"] <= 3 * 4 * 1.5
 
 
-def test_what_limiters_logged_is_added_up_over_the_fleet(tmp_path: Path):
+def test_fleet_count_sums_the_counters_in_the_limiters_logs(tmp_path: Path):
     from benchmarks.fleet_count import main as count
 
     first = "1.5 n0: ceiling 2, old total 3, sent 4, window 9.9\n2.0 n0: discovery: status 503\n"
@@ -267,8 +268,8 @@
         "6.0 n1: ceiling 1, window 2.0\n7.0 n1: connections: 1 from clients, 2 to servers; "
         "ended: server refused 5; 0.3 s of CPU, 9 turns since the start\nspoilt line\n"
     )
-    said = CliRunner().invoke(count, [str(tmp_path)]).output
-    rows = {line[:28].strip(): line[28:].split() for line in said.splitlines()[1:]}
+    output = CliRunner().invoke(count, [str(tmp_path)]).output
+    rows = {line[:28].strip(): line[28:].split() for line in output.splitlines()[1:]}
     assert rows["ceiling"] == ["3", "|", "2", "1"] and rows["server refused"] == [
         "5",
         "|",
