--- a/loomstand/testing/emulator/baselines.py
+++ b/loomstand/testing/emulator/baselines.py
@@ -49,7 +49,7 @@
         self.buckets: dict[int, list[float]] = {}
         self.live: list[int] = []
         self.known: dict[int, EndpointState] = {}
-        self.fronts: dict[int, int] = {}  # frontend by request, while its attempt is in flight
+        self.frontends: dict[int, int] = {}  # frontend by request, while its attempt is in flight
 
     def handle(self, now: int, event: Event) -> list[Action]:
         match event:
@@ -71,12 +71,12 @@
                     return [Reject(event.request_id)]
                 held[0] -= event.units
                 srv = self.live[self.rng.randrange(len(self.live))]
-                self.fronts[event.request_id] = event.frontend
+                self.frontends[event.request_id] = event.frontend
                 return [SendAttempt(event.request_id, srv, event.deadline)]
             case ClientDisconnected():
-                self.fronts.pop(event.request_id, None)
-            case AttemptEnded() if event.request_id in self.fronts:
-                front = self.s.frontends[self.fronts.pop(event.request_id)]
+                self.frontends.pop(event.request_id, None)
+            case AttemptEnded() if event.request_id in self.frontends:
+                front = self.s.frontends[self.frontends.pop(event.request_id)]
                 if event.is_final:
                     return []
                 if event.outcome in NOT_RUN or front.effect is Effect.IDEMPOTENT:
@@ -164,4 +164,4 @@
         return best
 
 
-POLICIES = {"naive": Naive, "oracle": Oracle}
+BASELINES = {"naive": Naive, "oracle": Oracle}
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -880,7 +880,7 @@
         self.servers.append(new)
         self.discovery.publish((srv.endpoint(), new.endpoint()), False)
 
-    def play(self, tick: Callable[[float], None] | None = None) -> History:
+    def run(self, tick: Callable[[float], None] | None = None) -> History:
         """Simulates the whole scenario and returns its history.
 
         Calls `tick(seconds)` after each simulated second, for a progress bar.
--- a/loomstand/testing/emulator/runner.py
+++ b/loomstand/testing/emulator/runner.py
@@ -21,7 +21,7 @@
 from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.failover.engine_view import FailoverPolicy
 from loomstand.testing.emulator import scenario as sc
-from loomstand.testing.emulator.baselines import POLICIES
+from loomstand.testing.emulator.baselines import BASELINES
 from loomstand.testing.emulator.checker import Verdict, check
 from loomstand.testing.emulator.fleet import Fleet, Policy, PolicyMaker
 from loomstand.testing.emulator.history import DENIED, PASSED, History
@@ -29,7 +29,9 @@
 TICKS_PER_MS = TICKS_PER_SECOND // 1000
 
 
-def brain(fleet: Fleet, limiter_index: int, settings: EngineSettings, seed: int) -> Policy:
+def make_decision_engine(
+    fleet: Fleet, limiter_index: int, settings: EngineSettings, seed: int
+) -> Policy:
     """Creates the decision engine as the bench adapter does, with any site plan."""
     s, now = fleet.scenario, fleet.engine.now
     failover = None
@@ -39,11 +41,11 @@
     return DecisionEngine(settings, seed, now, failover)
 
 
-MAKERS: dict[str, PolicyMaker] = {"brain": brain, **POLICIES}
+POLICY_MAKERS: dict[str, PolicyMaker] = {"brain": make_decision_engine, **BASELINES}
 
 
 @dataclass(slots=True)
-class Played:
+class PolicyRun:
     """The result of one run of a scenario with one policy."""
 
     policy: str
@@ -51,7 +53,7 @@
     verdict: Verdict
     summary: dict
     events: int
-    wall: float
+    wall_s: float
 
 
 def play(
@@ -60,7 +62,7 @@
     seed: int,
     maker: PolicyMaker | None = None,
     tick: Callable[[float], None] | None = None,
-) -> Played:
+) -> PolicyRun:
     """Runs a scenario with one policy.
 
     Args:
@@ -70,13 +72,13 @@
         maker: Creates the policy instead of the named one; tests pass faulty policies.
         tick: Called after each simulated second, with the simulated time in seconds.
     """
-    fleet = Fleet(scenario, maker or MAKERS[policy], seed)
+    fleet = Fleet(scenario, maker or POLICY_MAKERS[policy], seed)
     began = time.perf_counter()
-    history = fleet.play(tick)
-    wall = time.perf_counter() - began
+    history = fleet.run(tick)
+    wall_s = time.perf_counter() - began
     verdict = check(history, scenario)
-    return Played(
-        policy, history, verdict, summarise(fleet, history, verdict), fleet.engine.events, wall
+    return PolicyRun(
+        policy, history, verdict, summarise(fleet, history, verdict), fleet.engine.events, wall_s
     )
 
 
@@ -153,7 +155,7 @@
 ) -> dict:
     """Runs the scenario's policy and each baseline with the same seed, and returns the report."""
     seed = scenario.seed if seed is None else seed
-    runs: dict[str, Played] = {}
+    runs: dict[str, PolicyRun] = {}
     for policy in policies(scenario):
         tick = (lambda s, p=policy: progress(p, s)) if progress else None
         runs[policy] = play(scenario, policy, seed, tick=tick)
@@ -182,9 +184,11 @@
             "load": played.history.load,
         }
     report["digest"] = digest(report)
-    report["wall_s"] = {name: round(p.wall, 3) for name, p in runs.items()}
+    report["wall_s"] = {name: round(p.wall_s, 3) for name, p in runs.items()}
     report["events"] = {name: p.events for name, p in runs.items()}
-    report["events_per_s"] = {name: round(p.events / max(p.wall, 1e-9)) for name, p in runs.items()}
+    report["events_per_s"] = {
+        name: round(p.events / max(p.wall_s, 1e-9)) for name, p in runs.items()
+    }
     return report
 
 
@@ -220,21 +224,23 @@
     return key, out
 
 
-def _point(args: tuple[dict, dict, int | None]) -> dict:
+def _run_point(args: tuple[dict, dict, int | None]) -> dict:
     table, sets, seed = args
     return run(sc.from_table(sc.with_values(table, sets)), seed)
 
 
-def sweep(table: dict, key: str, vals: list[object], seed: int | None, workers: int) -> list[dict]:
+def sweep(
+    table: dict, key: str, swept_values: list[object], seed: int | None, workers: int
+) -> list[dict]:
     """Runs the scenario once per value of `key`, in parallel processes.
 
     Raises:
         ScenarioError: A value is not valid for the key; checked before the first run.
     """
-    points = [(table, {key: v}, seed) for v in vals]
+    points = [(table, {key: v}, seed) for v in swept_values]
     for _, sets, _ in points:
         sc.from_table(sc.with_values(table, sets))  # rejects an invalid value before the first run
     if workers <= 1 or len(points) == 1:
-        return [_point(p) for p in points]
+        return [_run_point(p) for p in points]
     with ProcessPoolExecutor(max_workers=min(workers, len(points))) as pool:
-        return list(pool.map(_point, points))
+        return list(pool.map(_run_point, points))
