--- a/benchmarks/lab_scale.py
+++ b/benchmarks/lab_scale.py
@@ -46,7 +46,7 @@
         }
     )
     began = time.perf_counter()
-    played = runner.play(scenario, "brain", 1)
+    played = runner.run_policy(scenario, "brain", 1)
     wall = time.perf_counter() - began
     reqs = played.summary["counts"]["taken"]
     return {
--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -161,7 +161,7 @@
 
     table = scenario_table(scenario_file)
     try:
-        key, vals = runner.values(setting)
+        key, vals = runner.parse_sweep(setting)
         with Progress(transient=True) as bar:
             bar.add_task(f"sweep of {key}", total=None)
             results = runner.sweep(table, key, vals, seed, workers)
@@ -217,13 +217,13 @@
     from rich.console import Console
     from rich.progress import Progress
 
-    from loomstand.testing.emulator.runner import values
+    from loomstand.testing.emulator.runner import parse_sweep
     from loomstand.testing.emulator.scenario import ScenarioError
     from loomstand.testing.rehearsal import report, scenario
     from loomstand.testing.rehearsal.stage import StageError, stage
 
     try:
-        given = {key: vals[0] for key, vals in map(values, sets)}
+        given = {key: vals[0] for key, vals in map(parse_sweep, sets)}
         told = scenario.load(scenario_file, quick, given)
         plan = b"" if no_plan else scenario.plan_of(told, scenario_file)
     except ScenarioError as why:
--- a/loomstand/testing/emulator/baselines.py
+++ b/loomstand/testing/emulator/baselines.py
@@ -152,11 +152,11 @@
                 continue
             if fleet.engine.now < srv.failing_until:
                 continue
-            room = srv.room()
+            room = srv.concurrency()
             if srv.requests_held() >= room + fleet.scenario.fleet.queue // 2:
                 continue
             warmth = srv.warmth()
-            if warmth < 1.0 and len(srv.recent_arrivals) + 1 > 0.8 * srv.bears(warmth):
+            if warmth < 1.0 and len(srv.recent_arrivals) + 1 > 0.8 * srv.overload_threshold(warmth):
                 continue
             load = (srv.requests_held() + 1) / room * srv.slowdown
             if best is None or load < least:
--- a/loomstand/testing/emulator/checker.py
+++ b/loomstand/testing/emulator/checker.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Break:
+class Violation:
     """One violation of a rule: its request and limiter (-1 if not applicable), time and details."""
 
     rule: int
@@ -46,86 +46,88 @@
 class Verdict:
     """All violations of a run."""
 
-    breaks: list[Break] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
 
     @property
     def held(self) -> bool:
         """Whether no rule was violated."""
-        return not self.breaks
+        return not self.violations
 
     def by_rule(self) -> dict[int, int]:
         """Returns the number of violations of each rule."""
         counts = dict.fromkeys(NAMES, 0)
-        for b in self.breaks:
+        for b in self.violations:
             counts[b.rule] += 1
         return counts
 
-    def first(self, most: int = 5) -> list[Break]:
+    def first(self, most: int = 5) -> list[Violation]:
         """Returns the first violations of each rule, at most `most`."""
-        out: list[Break] = []
+        out: list[Violation] = []
         for rule in NAMES:
-            out += [b for b in self.breaks if b.rule == rule][:most]
+            out += [b for b in self.violations if b.rule == rule][:most]
         return out
 
 
 def check(history: History, scenario: sc.Scenario) -> Verdict:
     """Returns all violations of the five rules in the history."""
     verdict = Verdict()
-    verdict.breaks += answers(history, scenario)
-    verdict.breaks += effects(history, scenario)
-    verdict.breaks += leaving(history, scenario)
-    verdict.breaks += [
-        Break(
+    verdict.violations += check_answers(history, scenario)
+    verdict.violations += check_effects(history, scenario)
+    verdict.violations += check_leaving(history, scenario)
+    verdict.violations += [
+        Violation(
             4,
             -1,
             -1,
             at,
             f"server {srv} fell: {sent:.0f} sent in the tip window, it bears {bears:.1f}",
         )
-        for srv, at, sent, bears in history.falls
+        for srv, at, sent, bears in history.overload_crashes
     ]
-    verdict.breaks += ceilings(history, scenario)
+    verdict.violations += check_ceilings(history, scenario)
     return verdict
 
 
-def answers(history: History, scenario: sc.Scenario) -> list[Break]:
+def check_answers(history: History, scenario: sc.Scenario) -> list[Violation]:
     """Returns the violations of rule 1."""
     slack = round(scenario.fleet.answer_slack_ms * TICKS_PER_MS)
     out = []
     for r in history.reqs:
-        if r.finals > 1:
-            out.append(Break(1, r.req, r.limiter, r.final_at, f"{r.finals} final answers"))
-        if r.orphaned or r.vanished:
+        if r.answer_count > 1:
+            out.append(
+                Violation(1, r.req, r.limiter, r.answered_at, f"{r.answer_count} final answers")
+            )
+        if r.orphaned or r.client_left:
             continue
-        if r.finals == 0:
-            out.append(Break(1, r.req, r.limiter, r.give_up, "no final answer"))
-        elif r.final_at > r.give_up + slack:
-            late = (r.final_at - r.give_up) / TICKS_PER_MS
+        if r.answer_count == 0:
+            out.append(Violation(1, r.req, r.limiter, r.deadline, "no final answer"))
+        elif r.answered_at > r.deadline + slack:
+            late = (r.answered_at - r.deadline) / TICKS_PER_MS
             out.append(
-                Break(
+                Violation(
                     1,
                     r.req,
                     r.limiter,
-                    r.final_at,
-                    f"{r.final} {late:.1f} ms after the client timeout",
+                    r.answered_at,
+                    f"{r.answer} {late:.1f} ms after the client timeout",
                 )
             )
     return out
 
 
-def effects(history: History, scenario: sc.Scenario) -> list[Break]:
+def check_effects(history: History, scenario: sc.Scenario) -> list[Violation]:
     """Returns the violations of rule 2."""
     out = []
     limiter_of = {r.req: r.limiter for r in history.reqs}
     seen: dict[int, list[tuple[int, int, str, int]]] = {}
-    for req, srv, at, effect, group, window in history.runs:
+    for req, srv, at, effect, group, window in history.executions:
         if effect == "pure":
             continue
         before = seen.setdefault(req, [])
         for srv0, at0, _, group0 in before:
             if effect == "side_effect" or group0 != group or at - at0 > window:
                 out.append(
-                    Break(
+                    Violation(
                         2,
                         req,
                         limiter_of.get(req, -1),
@@ -137,15 +139,15 @@
         before.append((srv, at, effect, group))
     # an attempt is in flight from its sending until its limiter has its outcome
     for req, limiter, at in history.overlaps:
-        out.append(Break(2, req, limiter, at, "a second dispatch while one was out"))
+        out.append(Violation(2, req, limiter, at, "a second dispatch while one was out"))
     return out
 
 
-def leaving(history: History, scenario: sc.Scenario) -> list[Break]:
+def check_leaving(history: History, scenario: sc.Scenario) -> list[Violation]:
     """Returns the violations of rule 3."""
     grace = round(scenario.fleet.drain_grace_ms * TICKS_PER_MS) + TIME_LIMIT_MARGIN_TICKS
     told: dict[tuple[int, int], list[tuple[int, int]]] = {}
-    for limiter, srv, at, until in history.told_leaving:
+    for limiter, srv, at, until in history.leaving_notices:
         told.setdefault((limiter, srv), []).append((at, until))
     out = []
     for req, n, limiter, srv, sent, _ in history.dispatches:
@@ -153,7 +155,7 @@
             if at + grace < sent < until:
                 late = (sent - at) / TICKS_PER_MS
                 out.append(
-                    Break(
+                    Violation(
                         3,
                         req,
                         limiter,
@@ -165,11 +167,11 @@
     return out
 
 
-def ceilings(history: History, scenario: sc.Scenario) -> list[Break]:
+def check_ceilings(history: History, scenario: sc.Scenario) -> list[Violation]:
     """Returns the violations of rule 5, at most one per customer."""
     out, level, last, broken = [], {}, {}, set()
     plans = scenario.plans
-    for customer, plan, at, units in history.used:
+    for customer, plan, at, units in history.usage:
         p = plans[plan]
         if p.ceiling_rate <= 0 or customer in broken:
             continue
@@ -183,7 +185,7 @@
         if held < -p.ceiling_slack - 1e-9:
             broken.add(customer)
             out.append(
-                Break(
+                Violation(
                     5,
                     -1,
                     -1,
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -49,7 +49,7 @@
 from loomstand.testing.emulator import scenario as sc
 from loomstand.testing.emulator.counts import Totals
 from loomstand.testing.emulator.engine import Engine
-from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, Req
+from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, RequestRecord
 from loomstand.testing.emulator.traffic import Traffic, refill
 
 TICKS_PER_MS = TICKS_PER_SECOND // 1000
@@ -158,7 +158,7 @@
 class ClientRequest:
     """A request, sent by a client to a limiter."""
 
-    req: Req
+    req: RequestRecord
 
 
 @dataclass(slots=True)
@@ -203,18 +203,18 @@
         age = (self.fleet.engine.now - self.started_at) / TICKS_PER_SECOND
         return self.fleet.scenario.fleet.warmth(age) if self.started_at > 0 else 1.0
 
-    def room(self) -> int:
+    def concurrency(self) -> int:
         """Returns how many requests it can process concurrently now."""
-        return self.fleet.scenario.fleet.room(self.warmth())
+        return self.fleet.scenario.fleet.concurrency(self.warmth())
 
     def requests_held(self) -> int:
         """Returns the number of requests in process or queued."""
         return len(self.working) + len(self.queue)
 
-    def bears(self, warmth: float) -> float:
+    def overload_threshold(self, warmth: float) -> float:
         """Returns the attempts per overload window above which a server at `warmth` crashes."""
         return (
-            self.fleet.scenario.fleet.bears(warmth, self.fleet.mean_work)
+            self.fleet.scenario.fleet.overload_rate(warmth, self.fleet.mean_work_ms)
             * self.fleet.overload_window
             / TICKS_PER_SECOND
         )
@@ -243,19 +243,19 @@
             self.recent_arrivals.append(now)
             while self.recent_arrivals and self.recent_arrivals[0] <= now - fleet.overload_window:
                 self.recent_arrivals.popleft()
-            bears = self.bears(warmth)
-            if len(self.recent_arrivals) > max(2.0, bears):
-                fleet.history.falls.append(
-                    (self.index, now, float(len(self.recent_arrivals)), bears)
+            threshold = self.overload_threshold(warmth)
+            if len(self.recent_arrivals) > max(2.0, threshold):
+                fleet.history.overload_crashes.append(
+                    (self.index, now, float(len(self.recent_arrivals)), threshold)
                 )
                 self.collapsed = True
                 fleet.crash(self, back_after=-1)
                 return self.answer(work, Outcome.CONNECTION_LOST)
         # queue length in front of the attempt, plus one: the histogram starts at 1
         fleet.queue_positions.record_value(len(self.queue) + 1)
-        if self.requests_held() >= self.room() + fleet.scenario.fleet.queue:
+        if self.requests_held() >= self.concurrency() + fleet.scenario.fleet.queue:
             return self.answer(work, Outcome.REJECTED)
-        if len(self.working) < self.room():
+        if len(self.working) < self.concurrency():
             self.start(work)
         else:
             self.queue.append(work)
@@ -367,7 +367,7 @@
         self.in_flight: dict[tuple[int, int], int] = {}  # server by (request, attempt)
         # (name, amount, time sent) by call
         self.counter_calls: dict[int, tuple[int, float, int]] = {}
-        self.pending: dict[int, Req] = {}
+        self.pending: dict[int, RequestRecord] = {}
         self.attempt_counts: dict[int, int] = {}  # attempts sent, by request
 
     def start(self) -> None:
@@ -405,7 +405,7 @@
                         req.plan,
                         req.customer,
                         fleet.digests[req.customer],
-                        req.give_up,
+                        req.deadline,
                         req.units,
                         0,
                         req.retry,
@@ -471,7 +471,7 @@
                 self.feed(message.listed)
             case ClientDeparture():
                 if (req := self.pending.pop(message.req, None)) is not None:
-                    req.vanished = True
+                    req.client_left = True
                     self.feed(ClientDisconnected(message.req))
             case DeferredEvent():
                 self.feed(message.event)
@@ -482,7 +482,7 @@
         try:
             actions = self.policy.handle(fleet.engine.now, event)
         except Exception as error:  # an error of the policy stops its limiter, as on the bench
-            fleet.history.broken.append((self.index, f"{type(error).__name__}: {error}"))
+            fleet.history.errors.append((self.index, f"{type(error).__name__}: {error}"))
             self.kill()
             return
         for action in actions:
@@ -540,12 +540,12 @@
         req = self.fleet.req_rows.get(req_id)
         if req is None:
             return
-        if req.vanished:
+        if req.client_left:
             return
         self.pending.pop(req_id, None)
-        req.finals += 1
-        if req.finals == 1:
-            req.final, req.final_at = what, self.fleet.engine.now
+        req.answer_count += 1
+        if req.answer_count == 1:
+            req.answer, req.answered_at = what, self.fleet.engine.now
             self.fleet.record_outcome(req)
 
 
@@ -575,7 +575,7 @@
             return None  # no new requests after the end; those accepted are still answered
         if isinstance(message, ClientRetry):
             return self.fleet.submit_request(
-                message.plan, message.customer, self.traffic.front(), True
+                message.plan, message.customer, self.traffic.draw_frontend(), True
             )
         plan = message
         assert isinstance(plan, int)
@@ -589,10 +589,10 @@
         self.fleet.engine.schedule_at(ceil(self.next_arrivals[plan]), self, plan)
 
     def arrive(self, plan: int) -> None:
-        customer = self.traffic.customer(plan)
-        self.fleet.submit_request(plan, customer, self.traffic.front(), False)
+        customer = self.traffic.draw_customer(plan)
+        self.fleet.submit_request(plan, customer, self.traffic.draw_frontend(), False)
 
-    def denied(self, req: Req) -> None:
+    def denied(self, req: RequestRecord) -> None:
         """Schedules a retry of a rejected request for the configured share of clients."""
         c = self.fleet.scenario.clients
         if c.retry and self.fleet.rng.random() < c.retry:
@@ -618,7 +618,7 @@
         fleet = self.fleet
         up = [s for s in fleet.servers if s.up]
         fleet.history.load.append(
-            (float(sum(s.requests_held() for s in up)), float(sum(s.room() for s in up)))
+            (float(sum(s.requests_held() for s in up)), float(sum(s.concurrency() for s in up)))
         )
         fleet.engine.schedule(TICKS_PER_SECOND, self, message)
 
@@ -637,21 +637,23 @@
         self.cut_zones: set[int] = set()
         # a cold server crashes if it is overloaded for 1 s
         self.overload_window = max(1, round(1.0 * TICKS_PER_SECOND))
-        self.mean_work = sc.mean_work(scenario)
+        self.mean_work_ms = sc.mean_work_ms(scenario)
         self.servers = [Server(self, n, n % len(f.zones), 0) for n in range(f.servers)]
         self.counter = Counter(self)
         self.discovery = Discovery(self)
         self.limiters = [Limiter(self, n, n % len(f.zones)) for n in range(f.limiters)]
         self.clients = Clients(self)
-        self.digests = [stable_digest(f"customer-{c}") for c in range(self.clients.traffic.total)]
-        self.req_rows: dict[int, Req] = {}
+        self.digests = [
+            stable_digest(f"customer-{c}") for c in range(self.clients.traffic.customer_count)
+        ]
+        self.req_rows: dict[int, RequestRecord] = {}
         self.dispatch_rows: dict[tuple[int, int], int] = {}
         self.listed_live: dict[int, set[int]] = {}
         self.leaving_rows: dict[tuple[int, int], int] = {}
         self.next_req = self.next_call = 0
         # [level, time] of each customer's bucket over all limiters
         self.quota_buckets: list[list[float]] = [
-            [0.0, 0.0] for _ in range(self.clients.traffic.total)
+            [0.0, 0.0] for _ in range(self.clients.traffic.customer_count)
         ]
         self.plan_of = [n for n, p in enumerate(scenario.plans) for _ in range(p.customers)]
         for customer, plan in enumerate(self.plan_of):
@@ -665,7 +667,7 @@
         self.live_limiters: tuple[list[Limiter], list[list[Limiter]]] | None = None
 
     def settings_for(self, limiter_index: int, zone: int) -> EngineSettings:
-        return engine_settings(sc.conf(self.scenario, limiter_index, zone), zone)
+        return engine_settings(sc.limiter_settings(self.scenario, limiter_index, zone), zone)
 
     # the network
     # -----------------------------------------------------------------------------------------
@@ -696,9 +698,7 @@
         )
         req = self.req_rows.get(action.request_id)
         if req is not None:
-            self.history.plan_second(self.engine.now, len(self.scenario.plans))[req.plan] += (
-                req.units
-            )
+            self.history.plan_row(self.engine.now, len(self.scenario.plans))[req.plan] += req.units
         limiter.in_flight[action.request_id, n] = action.endpoint_id
         self.engine.schedule_at(
             action.expires_at, limiter, AttemptExpiry(action.request_id, n, limiter.generation)
@@ -773,22 +773,22 @@
         front = self.scenario.frontends[work.frontend]
         group = srv.zone if front.group == "zone" else 0  # all servers are of cell 0
         window = round(front.repeat_window_ms * TICKS_PER_MS)
-        self.history.runs.append(
+        self.history.executions.append(
             (work.req, srv.index, self.engine.now, front.effect, group, window)
         )
         if req is not None:
-            self.history.used.append((req.customer, req.plan, self.engine.now, req.units))
+            self.history.usage.append((req.customer, req.plan, self.engine.now, req.units))
 
     def record_leaving(self, limiter: int, srv: int) -> None:
         """Records that a limiter was notified that a server is draining or gone."""
         if (limiter, srv) not in self.leaving_rows:
-            self.leaving_rows[limiter, srv] = len(self.history.told_leaving)
-            self.history.told_leaving.append([limiter, srv, self.engine.now, 1 << 62])
+            self.leaving_rows[limiter, srv] = len(self.history.leaving_notices)
+            self.history.leaving_notices.append([limiter, srv, self.engine.now, 1 << 62])
 
     def record_live(self, limiter: int, srv: int) -> None:
         """Records that a limiter was notified that a server is live again, which ends its grace."""
         if (row := self.leaving_rows.pop((limiter, srv), None)) is not None:
-            self.history.told_leaving[row][3] = self.engine.now
+            self.history.leaving_notices[row][3] = self.engine.now
 
     # requests of clients
     # -------------------------------------------------------------------------------------
@@ -817,7 +817,7 @@
         held[0] -= 1.0 if inside else 0.0
         self.next_req += 1
         timeout = round(g.client_timeout_ms * TICKS_PER_MS)
-        req = Req(
+        req = RequestRecord(
             self.next_req,
             limiter.index,
             customer,
@@ -832,8 +832,8 @@
         )
         self.history.reqs.append(req)
         self.req_rows[req.req] = req
-        row = self.history.second(now)
-        row[5] += req.worth if inside else 0.0
+        row = self.history.second_row(now)
+        row[5] += req.value if inside else 0.0
         self.engine.schedule(
             self.delay(limiter.zone, limiter.zone) or 1, limiter, ClientRequest(req)
         )
@@ -845,15 +845,15 @@
                 ClientDeparture(req.req, limiter.generation),
             )
 
-    def record_outcome(self, req: Req) -> None:
+    def record_outcome(self, req: RequestRecord) -> None:
         g = self.scenario.frontends[req.frontend]
-        row = self.history.second(self.engine.now)
-        if req.final == PASSED:
-            req.took = self.engine.now - req.arrived
-            if req.took <= g.response_target_ms * TICKS_PER_MS:
+        row = self.history.second_row(self.engine.now)
+        if req.answer == PASSED:
+            req.latency = self.engine.now - req.arrived
+            if req.latency <= g.response_target_ms * TICKS_PER_MS:
                 row[0] += 1
-                row[4] += req.worth if req.inside else 0.0
-        elif req.final == DENIED:
+                row[4] += req.value if req.within_quota else 0.0
+        elif req.answer == DENIED:
             row[1] += 1
         else:
             row[2] += 1
@@ -986,7 +986,7 @@
             case "partial_lists":
                 fleet.discovery.listed_share = fault.share
             case "flood_plan":
-                fleet.clients.traffic.factor[
+                fleet.clients.traffic.demand_factors[
                     [p.name for p in fleet.scenario.plans].index(fault.plan)
                 ] = fault.factor
             case "shift_zone":
@@ -1014,7 +1014,7 @@
             case "partial_lists":
                 fleet.discovery.listed_share = 1.0
             case "flood_plan":
-                fleet.clients.traffic.factor[
+                fleet.clients.traffic.demand_factors[
                     [p.name for p in fleet.scenario.plans].index(fault.plan)
                 ] = 1.0
             case "shift_zone":
--- a/loomstand/testing/emulator/history.py
+++ b/loomstand/testing/emulator/history.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Req:
+class RequestRecord:
     """One request, as seen by its client."""
 
     req: int
@@ -23,38 +23,38 @@
     plan: int
     frontend: int
     arrived: int
-    give_up: int  # time at which the client times out
+    deadline: int  # time at which the client times out
     units: float
-    worth: float
-    inside: bool  # within the customer's global quota at arrival
+    value: float
+    within_quota: bool  # within the customer's global quota at arrival
     retry: bool
-    final: str = ""  # passed, denied or aborted; "" without a final answer
-    final_at: int = -1
-    finals: int = 0  # number of final answers; rule 1 requires exactly one
-    vanished: bool = False  # the client disconnected first, so no answer is required
+    answer: str = ""  # passed, denied or aborted; "" without a final answer
+    answered_at: int = -1
+    answer_count: int = 0  # number of final answers; rule 1 requires exactly one
+    client_left: bool = False  # the client disconnected first, so no answer is required
     orphaned: bool = False  # its limiter stopped, so no answer is required
-    took: int = -1  # time from arrival to a passed answer
+    latency: int = -1  # time from arrival to a passed answer
 
 
 @dataclass(slots=True)
 class History:
     """All rows of one run."""
 
-    reqs: list[Req] = field(default_factory=list)
+    reqs: list[RequestRecord] = field(default_factory=list)
     # [request, attempt, limiter, server, time sent, time of arrival at the server or -1]
     dispatches: list[list[int]] = field(default_factory=list)
     # (request, server, time, effect, deduplication group, deduplication window) of each attempt
     # that a server began to execute
-    runs: list[tuple[int, int, int, str, int, int]] = field(default_factory=list)
+    executions: list[tuple[int, int, int, str, int, int]] = field(default_factory=list)
     # (request, limiter, time) of each attempt sent while another of its request was in flight
     overlaps: list[tuple[int, int, int]] = field(default_factory=list)
     # [limiter, server, time, end]: from the notification of a limiter that a server is draining or
     # gone to the one that it is live
-    told_leaving: list[list[int]] = field(default_factory=list)
+    leaving_notices: list[list[int]] = field(default_factory=list)
     # (server, time, attempts in the overload window, threshold) of each crash of a cold server
-    falls: list[tuple[int, int, float, float]] = field(default_factory=list)
+    overload_crashes: list[tuple[int, int, float, float]] = field(default_factory=list)
     # (customer, plan, time, units) of each executed attempt, for the ceilings
-    used: list[tuple[int, int, int, float]] = field(default_factory=list)
+    usage: list[tuple[int, int, int, float]] = field(default_factory=list)
     # per second: [served in time, denied, aborted, lost, value served, value offered]
     seconds: list[list[float]] = field(default_factory=list)
     # per second: units of the attempts sent, by plan
@@ -62,16 +62,16 @@
     # per second: (requests in process or queued, capacity) of the running servers
     load: list[tuple[float, float]] = field(default_factory=list)
     # (limiter, error) of each error that a policy raised
-    broken: list[tuple[int, str]] = field(default_factory=list)
+    errors: list[tuple[int, str]] = field(default_factory=list)
 
-    def second(self, at: int) -> list[float]:
+    def second_row(self, at: int) -> list[float]:
         """Returns the row of `seconds` for a time, and adds missing rows."""
         n = at // TICKS_PER_SECOND
         while len(self.seconds) <= n:
             self.seconds.append([0.0] * 6)
         return self.seconds[n]
 
-    def plan_second(self, at: int, plans: int) -> list[float]:
+    def plan_row(self, at: int, plans: int) -> list[float]:
         """Returns the row of `admitted` for a time, and adds missing rows."""
         n = at // TICKS_PER_SECOND
         while len(self.admitted) <= n:
--- a/loomstand/testing/emulator/runner.py
+++ b/loomstand/testing/emulator/runner.py
@@ -56,7 +56,7 @@
     wall_s: float
 
 
-def play(
+def run_policy(
     scenario: sc.Scenario,
     policy: str,
     seed: int,
@@ -97,19 +97,22 @@
     latency = HdrHistogram(1, 60_000, 3)  # 0.1 ms to 6 s, three significant digits
     worth = offered = beyond = 0.0
     for r in taken:
-        offered += r.worth if r.inside else 0.0
-        if r.vanished:
+        offered += r.value if r.within_quota else 0.0
+        if r.client_left:
             counts["vanished"] += 1
-        elif not r.final:
+        elif not r.answer:
             counts["unanswered"] += 1
         else:
-            counts[r.final] += 1
-        if r.final == PASSED:
-            latency.record_value(max(1, r.took))
-            if r.inside and r.took <= s.frontends[r.frontend].response_target_ms * TICKS_PER_MS:
-                worth += r.worth
-            elif not r.inside:  # served beyond the quota: a cost, in time or not
-                beyond += r.worth * s.plans[r.plan].excess_cost
+            counts[r.answer] += 1
+        if r.answer == PASSED:
+            latency.record_value(max(1, r.latency))
+            if (
+                r.within_quota
+                and r.latency <= s.frontends[r.frontend].response_target_ms * TICKS_PER_MS
+            ):
+                worth += r.value
+            elif not r.within_quota:  # served beyond the quota: a cost, in time or not
+                beyond += r.value * s.plans[r.plan].excess_cost
     plans = []
     for n, p in enumerate(s.plans):
         mine = [r for r in taken if r.plan == n]
@@ -118,9 +121,9 @@
                 "plan": p.name,
                 "quota_per_s": p.rate * p.customers,
                 "asked_per_s": len(mine) / s.seconds,
-                "passed_per_s": sum(r.final == PASSED for r in mine) / s.seconds,
-                "denied_inside": sum(r.final == DENIED and r.inside for r in mine),
-                "passed_beyond": sum(r.final == PASSED and not r.inside for r in mine),
+                "passed_per_s": sum(r.answer == PASSED for r in mine) / s.seconds,
+                "denied_inside": sum(r.answer == DENIED and r.within_quota for r in mine),
+                "passed_beyond": sum(r.answer == PASSED and not r.within_quota for r in mine),
             }
         )
     g = (worth - beyond) / offered if offered else 0.0
@@ -140,10 +143,10 @@
         "plans": plans,
         "rules": {str(rule): n for rule, n in verdict.by_rule().items()},
         "breaks": [msgspec.to_builtins(b) for b in verdict.first()],
-        "policy_crashes": len(history.broken),
-        "crashes": [f"limiter {lim}: {what}" for lim, what in history.broken[:5]],
-        "held": verdict.held and not history.broken,
-        "falls": len(history.falls),
+        "policy_crashes": len(history.errors),
+        "crashes": [f"limiter {lim}: {what}" for lim, what in history.errors[:5]],
+        "held": verdict.held and not history.errors,
+        "falls": len(history.overload_crashes),
         "log_lines": fleet.log_lines,
     }
 
@@ -158,7 +161,7 @@
     runs: dict[str, PolicyRun] = {}
     for policy in policies(scenario):
         tick = (lambda s, p=policy: progress(p, s)) if progress else None
-        runs[policy] = play(scenario, policy, seed, tick=tick)
+        runs[policy] = run_policy(scenario, policy, seed, tick=tick)
     main = runs[scenario.policy]
     oracle = runs.get("oracle")
     report = {
@@ -203,7 +206,7 @@
     return hashlib.sha256(msgspec.json.encode(kept, order="sorted")).hexdigest()
 
 
-def values(text: str) -> tuple[str, list[object]]:
+def parse_sweep(text: str) -> tuple[str, list[object]]:
     """Parses `key=v1,v2,...` into the key and its values: int, float or str.
 
     Raises:
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -85,11 +85,11 @@
             return 1.0
         return self.cold_from + (1 - self.cold_from) * max(0.0, age_s) / self.cold_s
 
-    def room(self, warmth: float) -> int:
+    def concurrency(self, warmth: float) -> int:
         """Returns the number of requests that a server processes concurrently."""
         return max(1, round(self.capacity * warmth))
 
-    def bears(self, warmth: float, mean_work_ms: float) -> float:
+    def overload_rate(self, warmth: float, mean_work_ms: float) -> float:
         """Returns the attempts per second above which a cold server crashes."""
         return self.fall_multiple * warmth * self.capacity / (mean_work_ms / 1000)
 
@@ -199,13 +199,13 @@
             raise ScenarioError("key 'plans': two plans have the same name")
 
 
-def mean_work(scenario: Scenario) -> float:
+def mean_work_ms(scenario: Scenario) -> float:
     """Returns the mean service time of a request over all frontends, in milliseconds."""
     fronts = scenario.frontends
     return sum(f.work_ms * f.share for f in fronts) / sum(f.share for f in fronts)
 
 
-def conf(scenario: Scenario, limiter_index: int, zone: int) -> WireSettings:
+def limiter_settings(scenario: Scenario, limiter_index: int, zone: int) -> WireSettings:
     """Returns the settings of a limiter, as the bench and the settings file have them."""
     s, f = scenario, scenario.fleet
     return WireSettings(
--- a/loomstand/testing/emulator/traffic.py
+++ b/loomstand/testing/emulator/traffic.py
@@ -21,31 +21,33 @@
 
     def __init__(self, plans: list[Plan], frontends: list[Frontend], rng: Random) -> None:
         self.plans, self.rng = plans, rng
-        self.factor = [1.0] * len(plans)  # of each plan's demand, for the fault flood_plan
+        self.demand_factors = [1.0] * len(plans)  # of each plan's demand, for the fault flood_plan
         total_share = sum(f.share for f in frontends)
-        self.fronts = list(accumulate(f.share / total_share for f in frontends))
-        self.first: list[int] = []  # number of each plan's first customer
-        self.weights: list[list[float]] = []
-        self.total = 0
+        self.cumulative_shares = list(accumulate(f.share / total_share for f in frontends))
+        self.first_customers: list[int] = []  # number of each plan's first customer
+        self.cumulative_weights: list[list[float]] = []
+        self.customer_count = 0
         for plan in plans:
             hot = round(plan.customers * plan.hot)
             w = [plan.hot_demand if c < hot else plan.demand for c in range(plan.customers)]
-            self.weights.append(list(accumulate(w)))
-            self.first.append(self.total)
-            self.total += plan.customers
+            self.cumulative_weights.append(list(accumulate(w)))
+            self.first_customers.append(self.customer_count)
+            self.customer_count += plan.customers
 
     def rate(self, plan: int) -> float:
         """Returns the arrival rate of a plan, in requests per second."""
-        return self.weights[plan][-1] * self.plans[plan].rate * self.factor[plan]
+        return self.cumulative_weights[plan][-1] * self.plans[plan].rate * self.demand_factors[plan]
 
-    def customer(self, plan: int) -> int:
+    def draw_customer(self, plan: int) -> int:
         """Draws a customer of the plan, weighted by demand."""
-        w = self.weights[plan]
-        return self.first[plan] + bisect(w, self.rng.random() * w[-1])
+        w = self.cumulative_weights[plan]
+        return self.first_customers[plan] + bisect(w, self.rng.random() * w[-1])
 
-    def front(self) -> int:
+    def draw_frontend(self) -> int:
         """Draws a frontend, weighted by share."""
-        return bisect(self.fronts, self.rng.random() * self.fronts[-1] * 0.999999)
+        return bisect(
+            self.cumulative_shares, self.rng.random() * self.cumulative_shares[-1] * 0.999999
+        )
 
 
 def refill(
--- a/loomstand/testing/rehearsal/checker.py
+++ b/loomstand/testing/rehearsal/checker.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from loomstand.testing.emulator import checker as rules
-from loomstand.testing.emulator.checker import Break, Verdict
-from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, Req
+from loomstand.testing.emulator.checker import Verdict, Violation
+from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, RequestRecord
 from loomstand.testing.rehearsal.scenario import SHARED, Bound, Rehearsal, zone_of
 
 T = 10_000
@@ -139,10 +139,10 @@
     """The lab's History of what was seen."""
     told, history = seen.told, seen.history
     zones = told.fleet.zones
-    reqs: dict[int, Req] = {}
+    reqs: dict[int, RequestRecord] = {}
     for at, req, limiter, customer, plan, front, timeout, inside, retry, zone in seen.all("sent"):
         value, sent = told.frontends[front].value, seen.at(at)
-        row = Req(
+        row = RequestRecord(
             req,
             limiter,
             customer,
@@ -163,12 +163,12 @@
     for at, req, status, own in seen.all("got"):
         row = reqs[req]
         final = {200: PASSED, 429: DENIED, 503: DENIED, 0: "broken", -1: ""}.get(status, ABORTED)
-        row.final, row.final_at = final, seen.at(at)
-        row.finals = 0 if final in ("", "broken") else 1
+        row.answer, row.answered_at = final, seen.at(at)
+        row.answer_count = 0 if final in ("", "broken") else 1
         if final == PASSED:
-            row.took = row.final_at - row.arrived
+            row.latency = row.answered_at - row.arrived
             if not own:
-                history.broken.append(
+                history.errors.append(
                     (row.limiter, f"req {req} was served what no server made for it")
                 )
     # what servers ran
@@ -178,7 +178,7 @@
     for at, req, server, front, since in seen.all("run"):
         g, now = told.frontends[front], seen.at(at)
         group = zone_of(told.fleet, f"s{server}") if g.group == "zone" else 0
-        history.runs.append((req, server, now, g.effect, group, windows[front]))
+        history.executions.append((req, server, now, g.effect, group, windows[front]))
         limiter = reqs[req].limiter if req in reqs else -1
         number = out.get((req, -1), 0)
         out[req, -1] = number + 1
@@ -187,8 +187,8 @@
         history.dispatches.append([req, number, limiter, server, seen.at(since), now])
         if req in reqs and req not in first:
             first.add(req)
-            history.used.append((reqs[req].customer, reqs[req].plan, now, 1.0))
-    history.falls += [
+            history.usage.append((reqs[req].customer, reqs[req].plan, now, 1.0))
+    history.overload_crashes += [
         (s, seen.at(at), float(sent), bears) for at, s, sent, bears in seen.all("fall")
     ]
     told_rows(seen)
@@ -217,14 +217,14 @@
             phase = named.get(server, "left" if whole else "")
             key = (limiter, server)
             if phase in ("leaving", "left") and key not in open_:
-                open_[key] = len(history.told_leaving)
-                history.told_leaving.append([limiter, server, when, 1 << 62])
+                open_[key] = len(history.leaving_notices)
+                history.leaving_notices.append([limiter, server, when, 1 << 62])
             elif phase == "active" and key in open_:
                 # the row's own time: a limiter that was told earlier than we know must not look
                 # late
-                history.told_leaving[open_.pop(key)][3] = seen.at(at)
+                history.leaving_notices[open_.pop(key)][3] = seen.at(at)
     # a limiter that started again knows only what it was told since; its configuration may be older
-    for row in history.told_leaving:
+    for row in history.leaving_notices:
         for since, until in seen.lives.get(f"l{row[0]}", ()):
             if seen.at(since) <= row[2] and until < 1e17:
                 row[3] = min(row[3], seen.at(until)) if seen.at(until) > row[2] else row[3]
@@ -254,26 +254,26 @@
         for r, n, lim, srv, _, at in seen.history.dispatches
         if (r, n) in seen.held
     ]
-    early = History(dispatches=rows, told_leaving=seen.history.told_leaving)
-    surely = {b.req for b in rules.leaving(early, terms)}
+    early = History(dispatches=rows, leaving_notices=seen.history.leaving_notices)
+    surely = {b.req for b in rules.check_leaving(early, terms)}
     doubtful = {r for r, _ in seen.held} - surely
-    verdict.breaks = [b for b in verdict.breaks if b.rule != 3 or b.req not in doubtful]
+    verdict.violations = [b for b in verdict.violations if b.rule != 3 or b.req not in doubtful]
     # the lab's rule 1 reads "no final answer"; a broken connection to a limiter that lived is one
     # too
     ran: dict[int, list[int]] = {}
-    for req, server, *_ in seen.history.runs:
+    for req, server, *_ in seen.history.executions:
         ran.setdefault(req, []).append(server)
     for r in seen.history.reqs:
         effect = seen.told.frontends[r.frontend].effect
-        if r.final == DENIED and effect == "side_effect" and r.req in ran:
+        if r.answer == DENIED and effect == "side_effect" and r.req in ran:
             what = f"denied, but ran at server {ran[r.req][0]}"
-            verdict.breaks.append(Break(2, r.req, r.limiter, r.final_at, what))
-        if r.final == PASSED and r.req not in ran:
-            verdict.breaks.append(
-                Break(1, r.req, r.limiter, r.final_at, "passed, but no server ran it")
+            verdict.violations.append(Violation(2, r.req, r.limiter, r.answered_at, what))
+        if r.answer == PASSED and r.req not in ran:
+            verdict.violations.append(
+                Violation(1, r.req, r.limiter, r.answered_at, "passed, but no server ran it")
             )
-    for limiter, what in seen.history.broken:
-        verdict.breaks.append(Break(1, -1, limiter, -1, what))
+    for limiter, what in seen.history.errors:
+        verdict.violations.append(Violation(1, -1, limiter, -1, what))
     return verdict
 
 
@@ -311,14 +311,14 @@
     for r in seen.history.reqs:
         row = out[min(len(out) - 1, max(0, r.arrived // T))]
         row.taken += 1
-        row.offered[r.frontend] += r.worth if r.inside else 0.0
-        if r.final == PASSED:
+        row.offered[r.frontend] += r.value if r.within_quota else 0.0
+        if r.answer == PASSED:
             row.passed += 1
-            if r.took <= told.frontends[r.frontend].response_target_ms * MS and r.inside:
-                row.served[r.frontend] += r.worth
-        elif r.final == DENIED:
+            if r.latency <= told.frontends[r.frontend].response_target_ms * MS and r.within_quota:
+                row.served[r.frontend] += r.value
+        elif r.answer == DENIED:
             row.denied += 1
-        elif r.final == ABORTED:
+        elif r.answer == ABORTED:
             row.aborted += 1
         else:
             row.lost += 1
--- a/loomstand/testing/rehearsal/driver.py
+++ b/loomstand/testing/rehearsal/driver.py
@@ -217,10 +217,10 @@
                 await asyncio.sleep(wait)
             self.lag = max(self.lag, time.time() - due)
             if rate > 0:
-                customer = self.traffic.customer(plan)
+                customer = self.traffic.draw_customer(plan)
                 customer -= customer % self.parts - self.part  # of this driver's customers
-                if customer < self.traffic.first[plan] + told.plans[plan].customers:
-                    spawn(self.one(plan, customer, self.traffic.front(), False))
+                if customer < self.traffic.first_customers[plan] + told.plans[plan].customers:
+                    spawn(self.one(plan, customer, self.traffic.draw_frontend(), False))
 
     async def run(self, began: float) -> None:
         told = self.told
@@ -252,7 +252,7 @@
             spawn(self.run(told["at"]))
         elif told["do"] == "flood":
             names = [p.name for p in self.told.plans]
-            self.traffic.factor[names.index(told["plan"])] = told["factor"]
+            self.traffic.demand_factors[names.index(told["plan"])] = told["factor"]
 
 
 async def start(config: dict):
--- a/loomstand/testing/rehearsal/report.py
+++ b/loomstand/testing/rehearsal/report.py
@@ -25,7 +25,7 @@
     crashed = checker.crashes(seen)
     lag = max((row[1] for row in seen.all("lag")), default=0.0)
     runs: dict[int, int] = {}
-    for req, *_ in seen.history.runs:
+    for req, *_ in seen.history.executions:
         runs[req] = runs.get(req, 0) + 1
     zones = checker.load_by_zone(seen)
     report = {
@@ -37,7 +37,7 @@
         "held": verdict.held and not crashed,
         "kept": all(b["kept"] for b in bounds),
         "reqs": len(seen.history.reqs),
-        "ran": len(seen.history.runs),
+        "ran": len(seen.history.executions),
         "ran_again": sum(n > 1 for n in runs.values()),
         "rules": {str(rule): n for rule, n in verdict.by_rule().items()},
         "breaks": [msgspec.to_builtins(b) for b in verdict.first()],
--- a/loomstand/testing/rehearsal/servers.py
+++ b/loomstand/testing/rehearsal/servers.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from loomstand.testing.emulator.scenario import mean_work
+from loomstand.testing.emulator.scenario import mean_work_ms
 from loomstand.testing.rehearsal.child import Trail
 from loomstand.testing.rehearsal.links import abort
 from loomstand.testing.rehearsal.scenario import Rehearsal
@@ -101,7 +101,7 @@
         return self.play.told.fleet.warmth(time.time() - self.booted) if self.booted else 1.0
 
     def room(self) -> int:
-        return self.play.told.fleet.room(self.warmth())
+        return self.play.told.fleet.concurrency(self.warmth())
 
     def arrive(self, caller: Caller, head: bytes, since: float) -> None:
         play, now, warmth = self.play, time.time(), self.warmth()
@@ -114,7 +114,7 @@
             self.recent.append(now)
             while self.recent[0] <= now - TIP:
                 self.recent.popleft()
-            bears = play.told.fleet.bears(warmth, play.mean_work) * TIP
+            bears = play.told.fleet.overload_rate(warmth, play.mean_work_ms) * TIP
             if len(self.recent) > max(2.0, bears):
                 play.trail("fall", self.index, len(self.recent), bears)
                 self.fall()
@@ -174,7 +174,7 @@
         self.host, self.rng = config["host"], Random(config["seed"])
         self.trail = Trail(config["trail"])
         self.fronts = {f.name.encode(): n for n, f in enumerate(self.told.frontends)}
-        self.mean_work = mean_work(self.told)
+        self.mean_work_ms = mean_work_ms(self.told)
         self.servers = {s["index"]: Server(s["index"], s["port"], self) for s in config["servers"]}
 
     def sample(self) -> None:
--- a/loomstand/testing/rehearsal/stage.py
+++ b/loomstand/testing/rehearsal/stage.py
@@ -207,7 +207,7 @@
     def configure(self, n: int) -> Path:
         """Writes a limiter's configuration, as it would be told at a start now."""
         told, f, name = self.told, self.told.fleet, f"l{n}"
-        conf = msgspec.to_builtins(lab.conf(told, n, zone_of(f, name)))
+        conf = msgspec.to_builtins(lab.limiter_settings(told, n, zone_of(f, name)))
         conf["allowed"]["connect_timeout"] = f.connect_timeout_ms
         known = [
             {**self.member(m), "host_port": self.address(name, f"s{m}")} for m in range(f.servers)
--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -148,16 +148,16 @@
     vanish = {"at": 2, "do": "vanish", "who": ["zone:a"], "for_s": 3, "told_s": 1}
     over = {"plans": [full], "frontends": [to_table(three_zones(1))["frontends"][0], book]}
     _, events = run_rehearsal(three_zones(6, vanish, **over), tmp_path)
-    aborted = [r for r in events.history.reqs if r.final == "aborted"]
+    aborted = [r for r in events.history.reqs if r.answer == "aborted"]
     assert aborted and all(r.frontend == 1 for r in aborted)
     servers_by_request = {}
-    for request, server, *_ in events.history.runs:
+    for request, server, *_ in events.history.executions:
         servers_by_request.setdefault(request, []).append(server)
     books = {r.req for r in events.history.reqs if r.frontend == 1}
     assert all(
         len(servers) == 1 for request, servers in servers_by_request.items() if request in books
     )
-    denied = [r for r in events.history.reqs if r.final == "denied" and r.arrived > 30_000]
+    denied = [r for r in events.history.reqs if r.answer == "denied" and r.arrived > 30_000]
     assert (
         sum(r.frontend == 0 for r in denied) / max(1, len(denied)) > 0.2
     )  # a quarter of the requests are looks
--- a/tests/testing/rehearsal/test_rehearsal.py
+++ b/tests/testing/rehearsal/test_rehearsal.py
@@ -122,7 +122,7 @@
 
     def broken() -> list[set[int]]:
         return [
-            {b.rule for b in runner.play(told, "brain", seed).verdict.breaks}
+            {b.rule for b in runner.run_policy(told, "brain", seed).verdict.violations}
             for seed in range(1, 16)
         ]
 
