--- a/loomstand/testing/bench_adapter/__main__.py
+++ b/loomstand/testing/bench_adapter/__main__.py
@@ -64,7 +64,7 @@
 class Instance:
     """One limiter: its decision engine and the indices of the names in its messages."""
 
-    def __init__(self, start: w.Start, now: int) -> None:
+    def __init__(self, start: w.StartInstance, now: int) -> None:
         settings = start.settings
         self.frontends = NameIndex([f.name for f in settings.frontends])
         self.plans = NameIndex([p.name for p in settings.plans])
