--- a/loomstand/testing/emulator/baselines.py
+++ b/loomstand/testing/emulator/baselines.py
@@ -36,6 +36,8 @@
     from loomstand.testing.emulator.fleet import Fleet
 
 NOT_RUN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.CANCELLED)
+# the oracle loads a cold server up to this share of its overload threshold
+SLOW_START_LIMIT = 0.8
 
 
 class Naive:
@@ -66,20 +68,23 @@
                     return [Reject(event.request_id)]
                 plan = self.s.plans[event.plan]
                 depth = max(1.0, plan.burst * self.share)
-                held = self.buckets.setdefault(event.tenant, [depth, now])
-                if refill(held, plan.rate * self.share, depth, now, TICKS_PER_SECOND) < event.units:
+                bucket = self.buckets.setdefault(event.tenant, [depth, now])
+                if (
+                    refill(bucket, plan.rate * self.share, depth, now, TICKS_PER_SECOND)
+                    < event.units
+                ):
                     return [Reject(event.request_id)]
-                held[0] -= event.units
+                bucket[0] -= event.units
                 srv = self.live[self.rng.randrange(len(self.live))]
                 self.frontends[event.request_id] = event.frontend
                 return [SendAttempt(event.request_id, srv, event.deadline)]
             case ClientDisconnected():
                 self.frontends.pop(event.request_id, None)
             case AttemptEnded() if event.request_id in self.frontends:
-                front = self.s.frontends[self.frontends.pop(event.request_id)]
+                frontend = self.s.frontends[self.frontends.pop(event.request_id)]
                 if event.is_final:
                     return []
-                if event.outcome in NOT_RUN or front.effect is Effect.IDEMPOTENT:
+                if event.outcome in NOT_RUN or frontend.effect is Effect.IDEMPOTENT:
                     return [Reject(event.request_id)]
                 return [Abort(event.request_id)]
         return []
@@ -101,40 +106,44 @@
                 if not 0 <= event.plan < len(self.s.plans):
                     return [Reject(event.request_id)]
                 plan = self.s.plans[event.plan]
-                held = self.fleet.oracle_buckets.setdefault(event.tenant, [plan.burst, now])
-                refill(held, plan.rate, plan.burst, now, TICKS_PER_SECOND)
-                cap = None
+                bucket = self.fleet.oracle_buckets.setdefault(event.tenant, [plan.burst, now])
+                refill(bucket, plan.rate, plan.burst, now, TICKS_PER_SECOND)
+                ceiling_bucket = None
                 # the global bucket of the ceiling, without its slack
                 if plan.rate_limit:
                     depth = plan.rate_limit_burst or plan.rate_limit
-                    cap = self.fleet.oracle_ceilings.setdefault(event.tenant, [depth, now])
-                    refill(cap, plan.rate_limit, depth, now, TICKS_PER_SECOND)
-                if held[0] < event.units or (cap is not None and cap[0] < event.units):
+                    ceiling_bucket = self.fleet.oracle_ceilings.setdefault(
+                        event.tenant, [depth, now]
+                    )
+                    refill(ceiling_bucket, plan.rate_limit, depth, now, TICKS_PER_SECOND)
+                if bucket[0] < event.units or (
+                    ceiling_bucket is not None and ceiling_bucket[0] < event.units
+                ):
                     return [Reject(event.request_id)]
                 srv = self.pick(event, ())
                 if srv is None:
                     return [Reject(event.request_id)]
-                held[0] -= event.units
-                if cap is not None:
-                    cap[0] -= event.units
+                bucket[0] -= event.units
+                if ceiling_bucket is not None:
+                    ceiling_bucket[0] -= event.units
                 self.jobs[event.request_id] = (event, [srv], False)
                 return [SendAttempt(event.request_id, srv, event.deadline)]
             case AttemptEnded():
                 job = self.jobs.pop(event.request_id, None)
                 if job is None or event.is_final:
                     return []
-                arrived, tried, ran = job
-                ran = ran or event.outcome not in NOT_RUN
+                arrived, tried, may_have_run = job
+                may_have_run = may_have_run or event.outcome not in NOT_RUN
                 effect = self.s.frontends[arrived.frontend].effect
-                again = effect is Effect.IDEMPOTENT or not ran
-                if again and len(tried) < self.s.attempt_limit and now < arrived.deadline:
+                may_retry = effect is Effect.IDEMPOTENT or not may_have_run
+                if may_retry and len(tried) < self.s.attempt_limit and now < arrived.deadline:
                     srv = self.pick(arrived, tried)
                     if srv is not None:
-                        self.jobs[event.request_id] = (arrived, [*tried, srv], ran)
+                        self.jobs[event.request_id] = (arrived, [*tried, srv], may_have_run)
                         return [SendAttempt(event.request_id, srv, arrived.deadline)]
                 return [
                     Abort(event.request_id)
-                    if ran and effect is not Effect.IDEMPOTENT
+                    if may_have_run and effect is not Effect.IDEMPOTENT
                     else Reject(event.request_id)
                 ]
             case ClientDisconnected():
@@ -152,13 +161,15 @@
                 continue
             if fleet.engine.now < srv.failing_until:
                 continue
-            room = srv.concurrency()
-            if srv.requests_held() >= room + fleet.scenario.fleet.queue // 2:
+            concurrency = srv.concurrency()
+            if srv.requests_held() >= concurrency + fleet.scenario.fleet.queue // 2:
                 continue
             warmth = srv.warmth()
-            if warmth < 1.0 and len(srv.recent_arrivals) + 1 > 0.8 * srv.overload_threshold(warmth):
+            if warmth < 1.0 and len(
+                srv.recent_arrivals
+            ) + 1 > SLOW_START_LIMIT * srv.overload_threshold(warmth):
                 continue
-            load = (srv.requests_held() + 1) / room * srv.slowdown
+            load = (srv.requests_held() + 1) / concurrency * srv.slowdown
             if best is None or load < least:
                 best, least = srv.index, load
         return best
--- a/loomstand/testing/emulator/checker.py
+++ b/loomstand/testing/emulator/checker.py
@@ -123,8 +123,8 @@
     for req, srv, at, effect, group, window in history.executions:
         if effect == "pure":
             continue
-        before = seen.setdefault(req, [])
-        for srv0, at0, _, group0 in before:
+        earlier = seen.setdefault(req, [])
+        for srv0, at0, _, group0 in earlier:
             if effect == "side_effect" or group0 != group or at - at0 > window:
                 out.append(
                     Violation(
@@ -136,7 +136,7 @@
                     )
                 )
                 break
-        before.append((srv, at, effect, group))
+        earlier.append((srv, at, effect, group))
     # an attempt is in flight from its sending until its limiter has its outcome
     for req, limiter, at in history.overlaps:
         out.append(Violation(2, req, limiter, at, "a second dispatch while one was out"))
@@ -146,12 +146,12 @@
 def check_leaving(history: History, scenario: sc.Scenario) -> list[Violation]:
     """Returns the violations of rule 3."""
     grace = round(scenario.fleet.drain_grace_ms * TICKS_PER_MS) + TIME_LIMIT_MARGIN_TICKS
-    told: dict[tuple[int, int], list[tuple[int, int]]] = {}
+    notices: dict[tuple[int, int], list[tuple[int, int]]] = {}
     for limiter, srv, at, until in history.leaving_notices:
-        told.setdefault((limiter, srv), []).append((at, until))
+        notices.setdefault((limiter, srv), []).append((at, until))
     out = []
     for req, n, limiter, srv, sent, _ in history.dispatches:
-        for at, until in told.get((limiter, srv), ()):
+        for at, until in notices.get((limiter, srv), ()):
             if at + grace < sent < until:
                 late = (sent - at) / TICKS_PER_MS
                 out.append(
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -59,6 +59,9 @@
 FULL_LIST_INTERVAL_TICKS = 10 * TICKS_PER_SECOND
 # time until a connection attempt into a partitioned zone fails: the default connect timeout
 CONNECT_TIMEOUT_TICKS = 250 * TICKS_PER_MS
+HEALTH_CHECK_TICKS = 2 * TICKS_PER_MS
+FAILING_WORK_SHARE = 0.1  # service time of a failing server's error response, relative to normal
+NO_END = 1 << 62  # end of a leaving notice while the server has not become live again
 
 
 class Policy:
@@ -81,7 +84,7 @@
     """An attempt, sent to a server."""
 
     req: int
-    dispatch: int
+    attempt: int
     limiter: int
     lgen: int
     frontend: int
@@ -101,7 +104,7 @@
     """The outcome of an attempt, sent to its limiter."""
 
     req: int
-    dispatch: int
+    attempt: int
     lgen: int
     srv: int
     outcome: Outcome
@@ -112,7 +115,7 @@
     """The time limit of an attempt."""
 
     req: int
-    dispatch: int
+    attempt: int
     lgen: int
 
 
@@ -221,22 +224,23 @@
 
     def receive(self, message: object) -> None:
         if isinstance(message, Work):
-            self.arrive(message)
+            self.accept(message)
         elif (
             isinstance(message, WorkFinished)
             and message.generation == self.generation
             and message.work in self.working
         ):
             self.working.remove(message.work)
-            self.answer(message.work, Outcome.SERVER_ERROR if message.failed else Outcome.SUCCEEDED)
+            self.reply(message.work, Outcome.SERVER_ERROR if message.failed else Outcome.SUCCEEDED)
             if self.queue:
                 self.start(self.queue.popleft())
 
-    def arrive(self, work: Work) -> None:
+    def accept(self, work: Work) -> None:
+        """Starts, queues or rejects an attempt; overload crashes a cold server."""
         fleet, now = self.fleet, self.fleet.engine.now
-        fleet.history.dispatches[fleet.dispatch_rows[work.req, work.dispatch]][5] = now
+        fleet.history.dispatches[fleet.attempt_rows[work.req, work.attempt]][5] = now
         if not self.up or self.state is EndpointState.GONE:
-            return self.answer(work, Outcome.CONNECT_FAILED)
+            return self.reply(work, Outcome.CONNECT_FAILED)
         warmth = self.warmth()
         # rule 4: a cold server crashes at more than `fall_multiple` times its capacity per window
         if warmth < 1.0:
@@ -250,11 +254,11 @@
                 )
                 self.collapsed = True
                 fleet.crash(self, back_after=-1)
-                return self.answer(work, Outcome.CONNECTION_LOST)
+                return self.reply(work, Outcome.CONNECTION_LOST)
         # queue length in front of the attempt, plus one: the histogram starts at 1
         fleet.queue_positions.record_value(len(self.queue) + 1)
         if self.requests_held() >= self.concurrency() + fleet.scenario.fleet.queue:
-            return self.answer(work, Outcome.REJECTED)
+            return self.reply(work, Outcome.REJECTED)
         if len(self.working) < self.concurrency():
             self.start(work)
         else:
@@ -262,36 +266,43 @@
 
     def start(self, work: Work) -> None:
         fleet = self.fleet
-        front = fleet.scenario.frontends[work.frontend]
+        frontend = fleet.scenario.frontends[work.frontend]
         fleet.record_execution(work, self)
         self.working.append(work)
         failing = fleet.engine.now < self.failing_until
-        mean = front.work_ms * TICKS_PER_MS * self.slowdown * (0.1 if failing else 1.0)
+        mean = (
+            frontend.work_ms
+            * TICKS_PER_MS
+            * self.slowdown
+            * (FAILING_WORK_SHARE if failing else 1.0)
+        )
         fleet.engine.schedule(
             max(1, round(fleet.rng.expovariate(1 / mean))),
             self,
             WorkFinished(work, self.generation, failing),
         )
 
-    def answer(self, work: Work, outcome: Outcome) -> None:
+    def reply(self, work: Work, outcome: Outcome) -> None:
+        """Sends the outcome of an attempt to its limiter."""
         fleet = self.fleet
         limiter = fleet.limiters[work.limiter]
         delay = fleet.delay(self.zone, limiter.zone)
         if delay is None:
             return  # lost by the network: the attempt ends by its time limit
         fleet.engine.schedule(
-            delay, limiter, AttemptReply(work.req, work.dispatch, work.lgen, self.index, outcome)
+            delay, limiter, AttemptReply(work.req, work.attempt, work.lgen, self.index, outcome)
         )
 
     def crash(self) -> None:
         """Stops the server; its requests end as CONNECTION_LOST at their limiters."""
         self.up, self.generation = False, self.generation + 1
         for work in [*self.working, *self.queue]:
-            self.answer(work, Outcome.CONNECTION_LOST)
+            self.reply(work, Outcome.CONNECTION_LOST)
         self.working, self.queue = [], deque()
         self.recent_arrivals.clear()
 
     def endpoint(self) -> Endpoint:
+        """Returns the server's entry in an endpoint list."""
         return Endpoint(self.index, self.state, self.zone, 0, 0, 1.0, self.started_at)
 
 
@@ -311,8 +322,8 @@
             return
         total = self.totals.add(message.limiter, message.name, message.step, now, message.keep)
         limiter = fleet.limiters[message.limiter]
-        back = fleet.delay(0, limiter.zone)
-        if back is None:
+        reply_delay = fleet.delay(0, limiter.zone)
+        if reply_delay is None:
             return
         took = round(
             fleet.scenario.counter.latency_ms
@@ -321,7 +332,9 @@
             * (0.5 + fleet.rng.random())
         )
         fleet.engine.schedule(
-            back + took, limiter, CounterReply(message.call, message.lgen, Outcome.SUCCEEDED, total)
+            reply_delay + took,
+            limiter,
+            CounterReply(message.call, message.lgen, Outcome.SUCCEEDED, total),
         )
 
 
@@ -333,6 +346,7 @@
         self.extra_delay, self.listed_share = 0, 1.0
 
     def entries(self) -> tuple[Endpoint, ...]:
+        """Returns the full list, or its first part under the fault partial_lists."""
         known = [
             s.endpoint() for s in self.fleet.servers if s.state is not EndpointState.GONE or s.up
         ]
@@ -341,6 +355,7 @@
         return tuple(known)
 
     def publish(self, entries: tuple[Endpoint, ...], whole: bool) -> None:
+        """Sends a change or the whole list to all live limiters, each with its own delay."""
         fleet = self.fleet
         for limiter in fleet.limiters:
             if limiter.alive:
@@ -382,6 +397,7 @@
         )
 
     def kill(self) -> None:
+        """Stops the limiter; its pending requests get no answer."""
         self.alive, self.generation, self.policy = False, self.generation + 1, None
         self.fleet.live_limiters = None
         for req in self.pending.values():
@@ -398,7 +414,7 @@
         match message:
             case ClientRequest(req=req):
                 self.pending[req.req] = req
-                self.feed(
+                self.handle_event(
                     RequestArrived(
                         req.req,
                         req.frontend,
@@ -412,16 +428,16 @@
                     )
                 )
             case AttemptReply():
-                if self.in_flight.pop((message.req, message.dispatch), None) is None:
+                if self.in_flight.pop((message.req, message.attempt), None) is None:
                     return
                 passed = message.outcome is Outcome.SUCCEEDED
-                took = fleet.since_sent(message.req, message.dispatch)
+                took = fleet.since_sent(message.req, message.attempt)
                 if passed:
                     self.record_answer(message.req, PASSED)
-                self.feed(
+                self.handle_event(
                     AttemptEnded(
                         message.req,
-                        message.dispatch,
+                        message.attempt,
                         message.srv,
                         message.outcome,
                         took,
@@ -431,12 +447,12 @@
                     )
                 )
             case AttemptExpiry():
-                if (srv := self.in_flight.pop((message.req, message.dispatch), None)) is not None:
-                    took = fleet.since_sent(message.req, message.dispatch)
-                    self.feed(
+                if (srv := self.in_flight.pop((message.req, message.attempt), None)) is not None:
+                    took = fleet.since_sent(message.req, message.attempt)
+                    self.handle_event(
                         AttemptEnded(
                             message.req,
-                            message.dispatch,
+                            message.attempt,
                             srv,
                             Outcome.NO_RESPONSE,
                             took,
@@ -447,13 +463,13 @@
                     )
             case CounterReply():
                 if (call := self.counter_calls.pop(message.call, None)) is not None:
-                    self.feed(
+                    self.handle_event(
                         CounterReplied(
                             call[0], message.outcome, message.total, fleet.engine.now - call[2]
                         )
                     )
             case TimerExpiry():
-                self.feed(TimerFired(message.tag))
+                self.handle_event(TimerFired(message.tag))
             case EndpointListMessage():
                 live = fleet.listed_live.setdefault(self.index, set())
                 if message.listed.complete:
@@ -468,15 +484,15 @@
                     else:
                         live.discard(entry.endpoint_id)
                         fleet.record_leaving(self.index, entry.endpoint_id)
-                self.feed(message.listed)
+                self.handle_event(message.listed)
             case ClientDeparture():
                 if (req := self.pending.pop(message.req, None)) is not None:
                     req.client_left = True
-                    self.feed(ClientDisconnected(message.req))
+                    self.handle_event(ClientDisconnected(message.req))
             case DeferredEvent():
-                self.feed(message.event)
+                self.handle_event(message.event)
 
-    def feed(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Passes an event to the policy and performs the resulting actions."""
         fleet = self.fleet
         try:
@@ -489,6 +505,7 @@
             self.perform(action)
 
     def perform(self, action: Action) -> None:
+        """Performs one action of the policy."""
         fleet, now = self.fleet, self.fleet.engine.now
         match action:
             case SendAttempt():
@@ -525,11 +542,11 @@
                     Outcome.SUCCEEDED if srv is not None and srv.up else Outcome.CONNECT_FAILED
                 )
                 fleet.engine.schedule(
-                    2 * TICKS_PER_MS,
+                    HEALTH_CHECK_TICKS,
                     self,
                     DeferredEvent(
                         self.generation,
-                        HealthCheckFinished(action.endpoint_id, outcome, 2 * TICKS_PER_MS),
+                        HealthCheckFinished(action.endpoint_id, outcome, HEALTH_CHECK_TICKS),
                     ),
                 )
             case LogMessage():
@@ -647,7 +664,7 @@
             stable_digest(f"customer-{c}") for c in range(self.clients.traffic.customer_count)
         ]
         self.req_rows: dict[int, RequestRecord] = {}
-        self.dispatch_rows: dict[tuple[int, int], int] = {}
+        self.attempt_rows: dict[tuple[int, int], int] = {}
         self.listed_live: dict[int, set[int]] = {}
         self.leaving_rows: dict[tuple[int, int], int] = {}
         self.next_req = self.next_call = 0
@@ -692,7 +709,7 @@
             if 0 <= action.endpoint_id < len(self.servers)
             else None
         )
-        self.dispatch_rows[action.request_id, n] = len(self.history.dispatches)
+        self.attempt_rows[action.request_id, n] = len(self.history.dispatches)
         self.history.dispatches.append(
             [action.request_id, n, limiter.index, action.endpoint_id, self.engine.now, -1]
         )
@@ -719,8 +736,8 @@
         work = Work(
             action.request_id, n, limiter.index, limiter.generation, req.frontend if req else 0
         )
-        there = self.delay(limiter.zone, srv.zone)
-        if there is None:
+        delay = self.delay(limiter.zone, srv.zone)
+        if delay is None:
             if srv.zone in self.cut_zones or limiter.zone in self.cut_zones:
                 self.engine.schedule(
                     CONNECT_TIMEOUT_TICKS,
@@ -734,7 +751,7 @@
                     ),
                 )
             return
-        self.engine.schedule(there, srv, work)
+        self.engine.schedule(delay, srv, work)
 
     def count(self, limiter: Limiter, action: IncrementCounter) -> None:
         """Sends an increment to the counter and schedules its timeout."""
@@ -743,10 +760,10 @@
         limiter.counter_calls[call] = (action.counter_name, action.amount, self.engine.now)
         timeout = round(self.scenario.counter.timeout_ms * TICKS_PER_MS)
         self.engine.schedule(timeout, self, (limiter, call, limiter.generation))
-        there = self.delay(limiter.zone, 0)
-        if there is not None and self.scenario.counter.present:
+        delay = self.delay(limiter.zone, 0)
+        if delay is not None and self.scenario.counter.present:
             self.engine.schedule(
-                there,
+                delay,
                 self.counter,
                 CounterCall(
                     limiter.index,
@@ -764,17 +781,18 @@
         if limiter.generation == lgen and call in limiter.counter_calls:
             self.engine.schedule(0, limiter, CounterReply(call, lgen, Outcome.NO_RESPONSE, 0.0))
 
-    def since_sent(self, req: int, dispatch: int) -> int:
+    def since_sent(self, req: int, attempt: int) -> int:
         """Returns the ticks since the limiter sent this attempt."""
-        return self.engine.now - self.history.dispatches[self.dispatch_rows[req, dispatch]][4]
+        return self.engine.now - self.history.dispatches[self.attempt_rows[req, attempt]][4]
 
     def record_execution(self, work: Work, srv: Server) -> None:
+        """Records that a server began to execute an attempt."""
         req = self.req_rows.get(work.req)
-        front = self.scenario.frontends[work.frontend]
-        group = srv.zone if front.group == "zone" else 0  # all servers are of cell 0
-        window = round(front.repeat_window_ms * TICKS_PER_MS)
+        frontend = self.scenario.frontends[work.frontend]
+        group = srv.zone if frontend.group == "zone" else 0  # all servers are of cell 0
+        window = round(frontend.repeat_window_ms * TICKS_PER_MS)
         self.history.executions.append(
-            (work.req, srv.index, self.engine.now, front.effect, group, window)
+            (work.req, srv.index, self.engine.now, frontend.effect, group, window)
         )
         if req is not None:
             self.history.usage.append((req.customer, req.plan, self.engine.now, req.units))
@@ -783,7 +801,7 @@
         """Records that a limiter was notified that a server is draining or gone."""
         if (limiter, srv) not in self.leaving_rows:
             self.leaving_rows[limiter, srv] = len(self.history.leaving_notices)
-            self.history.leaving_notices.append([limiter, srv, self.engine.now, 1 << 62])
+            self.history.leaving_notices.append([limiter, srv, self.engine.now, NO_END])
 
     def record_live(self, limiter: int, srv: int) -> None:
         """Records that a limiter was notified that a server is live again, which ends its grace."""
@@ -793,40 +811,40 @@
     # requests of clients
     # -------------------------------------------------------------------------------------
 
-    def submit_request(self, plan: int, customer: int, front: int, retry: bool) -> None:
+    def submit_request(self, plan: int, customer: int, frontend: int, retry: bool) -> None:
         """Sends a client's request to a random live limiter of the customer's zone."""
         s, now = self.scenario, self.engine.now
         # cached until a limiter starts or stops: a request must not cost O(limiters)
         if self.live_limiters is None:
-            every = [lim for lim in self.limiters if lim.alive]
+            all_limiters = [lim for lim in self.limiters if lim.alive]
             self.live_limiters = (
-                every,
-                [[lim for lim in every if lim.zone == z] for z in range(len(s.fleet.zones))],
+                all_limiters,
+                [[lim for lim in all_limiters if lim.zone == z] for z in range(len(s.fleet.zones))],
             )
-        every, zoned = self.live_limiters
-        if not every:
+        all_limiters, by_zone = self.live_limiters
+        if not all_limiters:
             return
         zone = customer % len(s.fleet.zones)
         if self.shift is not None and self.rng.random() < self.shift[1]:
             zone = self.shift[0]
-        here = zoned[zone] or every
-        limiter = here[self.rng.randrange(len(here))]
-        p, g = s.plans[plan], s.frontends[front]
+        candidates = by_zone[zone] or all_limiters
+        limiter = candidates[self.rng.randrange(len(candidates))]
+        p, frontend_settings = s.plans[plan], s.frontends[frontend]
         held = self.quota_buckets[customer]
         inside = refill(held, p.rate, p.burst, now, TICKS_PER_SECOND) >= 1.0
         held[0] -= 1.0 if inside else 0.0
         self.next_req += 1
-        timeout = round(g.client_timeout_ms * TICKS_PER_MS)
+        timeout = round(frontend_settings.client_timeout_ms * TICKS_PER_MS)
         req = RequestRecord(
             self.next_req,
             limiter.index,
             customer,
             plan,
-            front,
+            frontend,
             now,
             now + timeout,
             1.0,
-            g.value,
+            frontend_settings.value,
             inside,
             retry,
         )
@@ -846,11 +864,12 @@
             )
 
     def record_outcome(self, req: RequestRecord) -> None:
-        g = self.scenario.frontends[req.frontend]
+        """Adds a request's final answer to the figures of the current second."""
+        frontend_settings = self.scenario.frontends[req.frontend]
         row = self.history.second_row(self.engine.now)
         if req.answer == PASSED:
             req.latency = self.engine.now - req.arrived
-            if req.latency <= g.response_target_ms * TICKS_PER_MS:
+            if req.latency <= frontend_settings.response_target_ms * TICKS_PER_MS:
                 row[0] += 1
                 row[4] += req.value if req.within_quota else 0.0
         elif req.answer == DENIED:
@@ -862,11 +881,13 @@
     # --------------------------------------------------------------------------------------
 
     def crash(self, srv: Server, back_after: int) -> None:
+        """Crashes a server and restarts it after `back_after` ticks, unless that is negative."""
         srv.crash()
         if back_after >= 0:
             self.engine.schedule(back_after, self.fault_timeline, ("back", srv.index))
 
     def restart(self, srv: Server) -> None:
+        """Starts a stopped server, cold."""
         if srv.collapsed:
             return  # a server that crashed by overload is not restarted
         srv.up, srv.started_at, srv.state = True, max(1, self.engine.now), EndpointState.LIVE
@@ -940,8 +961,8 @@
         match fault.kind:
             case "kill_limiters":
                 live = [x for x in fleet.limiters if x.alive]
-                here = [x for x in live if fault.zone and x.zone == fleet.zones[fault.zone]]
-                for lim in here or self.pick(live, fault.share):
+                candidates = [x for x in live if fault.zone and x.zone == fleet.zones[fault.zone]]
+                for lim in candidates or self.pick(live, fault.share):
                     lim.kill()
             case "crash_servers":
                 for srv in self.pick(up, fault.share):
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -215,15 +215,15 @@
         zones=list(f.zones),
         frontends=[
             FrontendSettings(
-                name=g.name,
-                effect=g.effect,
-                latency_target_ms=g.response_target_ms,
-                client_timeout_ms=g.client_timeout_ms,
-                value=g.value,
-                deduplication_scope=g.group,
-                deduplication_window_ms=g.repeat_window_ms,
+                name=frontend.name,
+                effect=frontend.effect,
+                latency_target_ms=frontend.response_target_ms,
+                client_timeout_ms=frontend.client_timeout_ms,
+                value=frontend.value,
+                deduplication_scope=frontend.group,
+                deduplication_window_ms=frontend.repeat_window_ms,
             )
-            for g in s.frontends
+            for frontend in s.frontends
         ],
         plans=[
             QuotaPlanSettings(
