--- a/loomstand/testing/emulator/checker.py
+++ b/loomstand/testing/emulator/checker.py
@@ -22,7 +22,7 @@
 
 TICKS_PER_MS = TICKS_PER_SECOND // 1000
 TIME_LIMIT_MARGIN_TICKS = 50 * TICKS_PER_MS  # the protocol adds 50 ms to time limits
-NAMES = {
+RULE_NAMES = {
     1: "one final answer in time",
     2: "no effect twice",
     3: "nothing new to a leaving server",
@@ -55,7 +55,7 @@
 
     def by_rule(self) -> dict[int, int]:
         """Returns the number of violations of each rule."""
-        counts = dict.fromkeys(NAMES, 0)
+        counts = dict.fromkeys(RULE_NAMES, 0)
         for b in self.violations:
             counts[b.rule] += 1
         return counts
@@ -63,7 +63,7 @@
     def first(self, most: int = 5) -> list[Violation]:
         """Returns the first violations of each rule, at most `most`."""
         out: list[Violation] = []
-        for rule in NAMES:
+        for rule in RULE_NAMES:
             out += [b for b in self.violations if b.rule == rule][:most]
         return out
 
@@ -150,7 +150,7 @@
     for limiter, srv, at, until in history.leaving_notices:
         notices.setdefault((limiter, srv), []).append((at, until))
     out = []
-    for req, n, limiter, srv, sent, _ in history.dispatches:
+    for req, n, limiter, srv, sent, _ in history.attempts:
         for at, until in notices.get((limiter, srv), ()):
             if at + grace < sent < until:
                 late = (sent - at) / TICKS_PER_MS
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -238,7 +238,7 @@
     def accept(self, work: Work) -> None:
         """Starts, queues or rejects an attempt; overload crashes a cold server."""
         fleet, now = self.fleet, self.fleet.engine.now
-        fleet.history.dispatches[fleet.attempt_rows[work.req, work.attempt]][5] = now
+        fleet.history.attempts[fleet.attempt_rows[work.req, work.attempt]][5] = now
         if not self.up or self.state is EndpointState.GONE:
             return self.reply(work, Outcome.CONNECT_FAILED)
         warmth = self.warmth()
@@ -709,8 +709,8 @@
             if 0 <= action.endpoint_id < len(self.servers)
             else None
         )
-        self.attempt_rows[action.request_id, n] = len(self.history.dispatches)
-        self.history.dispatches.append(
+        self.attempt_rows[action.request_id, n] = len(self.history.attempts)
+        self.history.attempts.append(
             [action.request_id, n, limiter.index, action.endpoint_id, self.engine.now, -1]
         )
         req = self.req_rows.get(action.request_id)
@@ -783,7 +783,7 @@
 
     def since_sent(self, req: int, attempt: int) -> int:
         """Returns the ticks since the limiter sent this attempt."""
-        return self.engine.now - self.history.dispatches[self.attempt_rows[req, attempt]][4]
+        return self.engine.now - self.history.attempts[self.attempt_rows[req, attempt]][4]
 
     def record_execution(self, work: Work, srv: Server) -> None:
         """Records that a server began to execute an attempt."""
--- a/loomstand/testing/emulator/history.py
+++ b/loomstand/testing/emulator/history.py
@@ -42,7 +42,7 @@
 
     reqs: list[RequestRecord] = field(default_factory=list)
     # [request, attempt, limiter, server, time sent, time of arrival at the server or -1]
-    dispatches: list[list[int]] = field(default_factory=list)
+    attempts: list[list[int]] = field(default_factory=list)
     # (request, server, time, effect, deduplication group, deduplication window) of each attempt
     # that a server began to execute
     executions: list[tuple[int, int, int, str, int, int]] = field(default_factory=list)
--- a/loomstand/testing/emulator/report.py
+++ b/loomstand/testing/emulator/report.py
@@ -20,7 +20,7 @@
 from rich.table import Table
 
 from loomstand.admission.ticks import TICKS_PER_SECOND
-from loomstand.testing.emulator.checker import NAMES
+from loomstand.testing.emulator.checker import RULE_NAMES
 
 
 def write(report: dict, out: str | os.PathLike) -> Path:
@@ -72,7 +72,7 @@
     main = report["runs"][report["policy"]]
     for b in main["breaks"]:
         console.print(
-            f"[red]rule {b['rule']} ({NAMES[b['rule']]})[/red]: req {b['req']} at limiter "
+            f"[red]rule {b['rule']} ({RULE_NAMES[b['rule']]})[/red]: req {b['req']} at limiter "
             f"{b['limiter']}, {b['at'] / TICKS_PER_SECOND:.3f} s: {b['what']}"
         )
 
--- a/loomstand/testing/rehearsal/checker.py
+++ b/loomstand/testing/rehearsal/checker.py
@@ -184,7 +184,7 @@
         out[req, -1] = number + 1
         if (held := held_since(seen, seen.path(limiter, server), since)) is not None:
             seen.held[req, number] = seen.at(held)
-        history.dispatches.append([req, number, limiter, server, seen.at(since), now])
+        history.attempts.append([req, number, limiter, server, seen.at(since), now])
         if req in reqs and req not in first:
             first.add(req)
             history.usage.append((reqs[req].customer, reqs[req].plan, now, 1.0))
@@ -251,10 +251,10 @@
     # what a cut may have held back is a break of rule 3 only if it is one whenever it was sent
     rows = [
         [r, n, lim, srv, seen.held[r, n], at]
-        for r, n, lim, srv, _, at in seen.history.dispatches
+        for r, n, lim, srv, _, at in seen.history.attempts
         if (r, n) in seen.held
     ]
-    early = History(dispatches=rows, leaving_notices=seen.history.leaving_notices)
+    early = History(attempts=rows, leaving_notices=seen.history.leaving_notices)
     surely = {b.req for b in rules.check_leaving(early, terms)}
     doubtful = {r for r, _ in seen.held} - surely
     verdict.violations = [b for b in verdict.violations if b.rule != 3 or b.req not in doubtful]
--- a/loomstand/testing/rehearsal/report.py
+++ b/loomstand/testing/rehearsal/report.py
@@ -87,7 +87,7 @@
     """The verdict on the terminal: rules, bounds, and the culprits by name."""
     from rich.table import Table
 
-    from loomstand.testing.emulator.checker import NAMES
+    from loomstand.testing.emulator.checker import RULE_NAMES
 
     t = Table(
         title=f"{report['scenario']}, seed {report['seed']}: {report['reqs']} reqs, "
@@ -97,7 +97,10 @@
         t.add_column(column)
     for rule, broken in report["rules"].items():
         t.add_row(
-            f"rule {rule}: {NAMES[int(rule)]}", str(broken), "0", "held" if not broken else "BROKEN"
+            f"rule {rule}: {RULE_NAMES[int(rule)]}",
+            str(broken),
+            "0",
+            "held" if not broken else "BROKEN",
         )
     for b in report["bounds"]:
         span = f" {b['since']:g} to {b['until'] or report['seconds']:g} s"
