--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -253,7 +253,7 @@
                     (self.index, now, float(len(self.recent_arrivals)), threshold)
                 )
                 self.collapsed = True
-                fleet.crash(self, back_after=-1)
+                fleet.crash(self, restart_after=-1)
                 return self.reply(work, Outcome.CONNECTION_LOST)
         # queue length in front of the attempt, plus one: the histogram starts at 1
         fleet.queue_positions.record_value(len(self.queue) + 1)
@@ -601,11 +601,11 @@
         while self.next_arrivals[plan] <= now:
             rate = self.rate(plan)
             if rate > 0:
-                self.arrive(plan)
+                self.send_new_request(plan)
             self.next_arrivals[plan] += rng.expovariate(max(rate, 0.1)) * TICKS_PER_SECOND
         self.fleet.engine.schedule_at(ceil(self.next_arrivals[plan]), self, plan)
 
-    def arrive(self, plan: int) -> None:
+    def send_new_request(self, plan: int) -> None:
         customer = self.traffic.draw_customer(plan)
         self.fleet.submit_request(plan, customer, self.traffic.draw_frontend(), False)
 
@@ -830,9 +830,9 @@
         candidates = by_zone[zone] or all_limiters
         limiter = candidates[self.rng.randrange(len(candidates))]
         p, frontend_settings = s.plans[plan], s.frontends[frontend]
-        held = self.quota_buckets[customer]
-        inside = refill(held, p.rate, p.burst, now, TICKS_PER_SECOND) >= 1.0
-        held[0] -= 1.0 if inside else 0.0
+        bucket = self.quota_buckets[customer]
+        within_quota = refill(bucket, p.rate, p.burst, now, TICKS_PER_SECOND) >= 1.0
+        bucket[0] -= 1.0 if within_quota else 0.0
         self.next_req += 1
         timeout = round(frontend_settings.client_timeout_ms * TICKS_PER_MS)
         req = RequestRecord(
@@ -845,13 +845,13 @@
             now + timeout,
             1.0,
             frontend_settings.value,
-            inside,
+            within_quota,
             retry,
         )
         self.history.reqs.append(req)
         self.req_rows[req.req] = req
         row = self.history.second_row(now)
-        row[5] += req.value if inside else 0.0
+        row[5] += req.value if within_quota else 0.0
         self.engine.schedule(
             self.delay(limiter.zone, limiter.zone) or 1, limiter, ClientRequest(req)
         )
@@ -880,11 +880,11 @@
     # starts and stops of servers
     # --------------------------------------------------------------------------------------
 
-    def crash(self, srv: Server, back_after: int) -> None:
-        """Crashes a server and restarts it after `back_after` ticks, unless that is negative."""
+    def crash(self, srv: Server, restart_after: int) -> None:
+        """Crashes a server and restarts it after `restart_after` ticks, unless that is negative."""
         srv.crash()
-        if back_after >= 0:
-            self.engine.schedule(back_after, self.fault_timeline, ("back", srv.index))
+        if restart_after >= 0:
+            self.engine.schedule(restart_after, self.fault_timeline, ("back", srv.index))
 
     def restart(self, srv: Server) -> None:
         """Starts a stopped server, cold."""
--- a/loomstand/testing/emulator/history.py
+++ b/loomstand/testing/emulator/history.py
@@ -55,7 +55,8 @@
     overload_crashes: list[tuple[int, int, float, float]] = field(default_factory=list)
     # (customer, plan, time, units) of each executed attempt, for the ceilings
     usage: list[tuple[int, int, int, float]] = field(default_factory=list)
-    # per second: [served in time, denied, aborted, lost, value served, value offered]
+    # per second: [served in time, denied, aborted, lost, value served, value offered]; values count
+    # only requests within the quota
     seconds: list[list[float]] = field(default_factory=list)
     # per second: units of the attempts sent, by plan
     admitted: list[list[float]] = field(default_factory=list)
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -201,8 +201,8 @@
 
 def mean_work_ms(scenario: Scenario) -> float:
     """Returns the mean service time of a request over all frontends, in milliseconds."""
-    fronts = scenario.frontends
-    return sum(f.work_ms * f.share for f in fronts) / sum(f.share for f in fronts)
+    frontends = scenario.frontends
+    return sum(f.work_ms * f.share for f in frontends) / sum(f.share for f in frontends)
 
 
 def limiter_settings(scenario: Scenario, limiter_index: int, zone: int) -> WireSettings:
@@ -289,8 +289,8 @@
     table = table_of(path)
     try:
         from_table(table)
-    except ScenarioError as why:
-        raise ScenarioError(f"{path}: {why}") from None
+    except ScenarioError as error:
+        raise ScenarioError(f"{path}: {error}") from None
     return table
 
 
