--- a/loomstand/testing/emulator/report.py
+++ b/loomstand/testing/emulator/report.py
@@ -1,4 +1,4 @@
-"""Report of an emulator run: a JSON file, a table for the terminal and PNG plots (without a display).
+"""Report of an emulator run: a JSON file, a terminal table, PNG plots (drawn without a display).
 
 `write(report, out)` writes `report.json` into `out`; `plot(out)` reads every `report.json` below
 `out` (one run, or the points of a sweep with `sweep.json`) and draws:
