--- a/loomstand/testing/emulator/runner.py
+++ b/loomstand/testing/emulator/runner.py
@@ -1,8 +1,8 @@
-"""Plays a scenario with the module and its baselines, checks the rules and sums up; sweeps over
-values.
+"""Runs a scenario with the decision engine and the baselines, and sweeps over values of a key.
 
-A summary is a plain JSON-able dict; its `digest` is the SHA-256 of its canonical JSON without wall
-times, so the same scenario and seed give the same digest on any machine with the same versions.
+The report of a run is a dict that can be encoded as JSON. Its `digest` is the SHA-256 of its
+canonical JSON without wall times, so the same scenario and seed give the same digest on any machine
+with the same versions.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.failover.engine_view import FailoverPolicy
 from loomstand.testing.emulator import scenario as sc
-from loomstand.testing.emulator.baselines import POLICIES
+from loomstand.testing.emulator.baselines import BASELINES
 from loomstand.testing.emulator.checker import Verdict, check
 from loomstand.testing.emulator.fleet import Fleet, Policy, PolicyMaker
 from loomstand.testing.emulator.history import DENIED, PASSED, History
 
-MS = TICKS_PER_SECOND // 1000
+TICKS_PER_MS = TICKS_PER_SECOND // 1000
 
 
-def brain(fleet: Fleet, me: int, settings: EngineSettings, seed: int) -> Policy:
-    """The module itself, made as the adapter makes it; under the scenario's site plan, if it is to
-    be.
-    """
+def make_decision_engine(
+    fleet: Fleet, limiter_index: int, settings: EngineSettings, seed: int
+) -> Policy:
+    """Creates the decision engine as the bench adapter does, with any site plan."""
     s, now = fleet.scenario, fleet.engine.now
     failover = None
     if s.site is not None and s.sited:
@@ -41,42 +41,49 @@
     return DecisionEngine(settings, seed, now, failover)
 
 
-MAKERS: dict[str, PolicyMaker] = {"brain": brain, **POLICIES}
+POLICY_MAKERS: dict[str, PolicyMaker] = {"brain": make_decision_engine, **BASELINES}
 
 
 @dataclass(slots=True)
-class Played:
-    """One policy's run of a scenario."""
+class PolicyRun:
+    """The result of one run of a scenario with one policy."""
 
     policy: str
     history: History
     verdict: Verdict
     summary: dict
     events: int
-    wall: float
+    wall_s: float
 
 
-def play(
+def run_policy(
     scenario: sc.Scenario,
     policy: str,
     seed: int,
     maker: PolicyMaker | None = None,
     tick: Callable[[float], None] | None = None,
-) -> Played:
-    """One run. `maker` stands in for the named policy (tests give faulty ones); `tick(s)` each
-    second.
+) -> PolicyRun:
+    """Runs a scenario with one policy.
+
+    Args:
+        scenario: The scenario.
+        policy: Name of the policy.
+        seed: Seed of the random numbers.
+        maker: Creates the policy instead of the named one; tests pass faulty policies.
+        tick: Called after each simulated second, with the simulated time in seconds.
     """
-    fleet = Fleet(scenario, maker or MAKERS[policy], seed)
+    fleet = Fleet(scenario, maker or POLICY_MAKERS[policy], seed)
     began = time.perf_counter()
-    history = fleet.play(tick)
-    wall = time.perf_counter() - began
+    history = fleet.run(tick)
+    wall_s = time.perf_counter() - began
     verdict = check(history, scenario)
-    return Played(
-        policy, history, verdict, summarise(fleet, history, verdict), fleet.engine.events, wall
+    return PolicyRun(
+        policy, history, verdict, summarise(fleet, history, verdict), fleet.engine.events, wall_s
     )
 
 
 def summarise(fleet: Fleet, history: History, verdict: Verdict) -> dict:
+    """Returns the figures of a run as they stand in the report."""
     s = fleet.scenario
     taken = [r for r in history.reqs if not r.orphaned]
     counts = {
@@ -87,22 +94,25 @@
         "unanswered": 0,
         "vanished": 0,
     }
-    latency = HdrHistogram(1, 60_000, 3)  # 0.1 ms to 6 s, three digits
+    latency = HdrHistogram(1, 60_000, 3)  # 0.1 ms to 6 s, three significant digits
     worth = offered = beyond = 0.0
     for r in taken:
-        offered += r.worth if r.inside else 0.0
-        if r.vanished:
+        offered += r.value if r.within_quota else 0.0
+        if r.client_left:
             counts["vanished"] += 1
-        elif not r.final:
+        elif not r.answer:
             counts["unanswered"] += 1
         else:
-            counts[r.final] += 1
-        if r.final == PASSED:
-            latency.record_value(max(1, r.took))
-            if r.inside and r.took <= s.frontends[r.frontend].response_target_ms * MS:
-                worth += r.worth
-            elif not r.inside:  # served beyond its quota: priced, in time or not
-                beyond += r.worth * s.plans[r.plan].excess_cost
+            counts[r.answer] += 1
+        if r.answer == PASSED:
+            latency.record_value(max(1, r.latency))
+            if (
+                r.within_quota
+                and r.latency <= s.frontends[r.frontend].response_target_ms * TICKS_PER_MS
+            ):
+                worth += r.value
+            elif not r.within_quota:  # served beyond the quota: a cost, in time or not
+                beyond += r.value * s.plans[r.plan].excess_cost
     plans = []
     for n, p in enumerate(s.plans):
         mine = [r for r in taken if r.plan == n]
@@ -111,9 +121,9 @@
                 "plan": p.name,
                 "quota_per_s": p.rate * p.customers,
                 "asked_per_s": len(mine) / s.seconds,
-                "passed_per_s": sum(r.final == PASSED for r in mine) / s.seconds,
-                "denied_inside": sum(r.final == DENIED and r.inside for r in mine),
-                "passed_beyond": sum(r.final == PASSED and not r.inside for r in mine),
+                "passed_per_s": sum(r.answer == PASSED for r in mine) / s.seconds,
+                "denied_inside": sum(r.answer == DENIED and r.within_quota for r in mine),
+                "passed_beyond": sum(r.answer == PASSED and not r.within_quota for r in mine),
             }
         )
     g = (worth - beyond) / offered if offered else 0.0
@@ -124,18 +134,19 @@
         "denied_share": round(counts["denied"] / max(1, counts["taken"]), 6),
         "beyond_quota_worth": round(beyond / offered if offered else 0.0, 6),
         "latency_ms": {
-            f"p{q}": latency.get_value_at_percentile(q) / MS for q in (50, 90, 99, 99.9)
+            f"p{q}": latency.get_value_at_percentile(q) / TICKS_PER_MS for q in (50, 90, 99, 99.9)
         },
         "queue_found": {
-            f"p{q}": fleet.queued.get_value_at_percentile(q) - 1 for q in (50, 90, 99, 99.9)
+            f"p{q}": fleet.queue_positions.get_value_at_percentile(q) - 1
+            for q in (50, 90, 99, 99.9)
         },
         "plans": plans,
         "rules": {str(rule): n for rule, n in verdict.by_rule().items()},
         "breaks": [msgspec.to_builtins(b) for b in verdict.first()],
-        "policy_crashes": len(history.broken),
-        "crashes": [f"limiter {lim}: {what}" for lim, what in history.broken[:5]],
-        "held": verdict.held and not history.broken,
-        "falls": len(history.falls),
+        "policy_crashes": len(history.errors),
+        "crashes": [f"limiter {lim}: {what}" for lim, what in history.errors[:5]],
+        "held": verdict.held and not history.errors,
+        "falls": len(history.overload_crashes),
         "log_lines": fleet.log_lines,
     }
 
@@ -145,12 +156,12 @@
     seed: int | None = None,
     progress: Callable[[str, float], None] | None = None,
 ) -> dict:
-    """The module (or the scenario's policy) and each baseline on the same scenario and seed."""
+    """Runs the scenario's policy and each baseline with the same seed, and returns the report."""
     seed = scenario.seed if seed is None else seed
-    runs: dict[str, Played] = {}
+    runs: dict[str, PolicyRun] = {}
     for policy in policies(scenario):
         tick = (lambda s, p=policy: progress(p, s)) if progress else None
-        runs[policy] = play(scenario, policy, seed, tick=tick)
+        runs[policy] = run_policy(scenario, policy, seed, tick=tick)
     main = runs[scenario.policy]
     oracle = runs.get("oracle")
     report = {
@@ -176,25 +187,31 @@
             "load": played.history.load,
         }
     report["digest"] = digest(report)
-    report["wall_s"] = {name: round(p.wall, 3) for name, p in runs.items()}
+    report["wall_s"] = {name: round(p.wall_s, 3) for name, p in runs.items()}
     report["events"] = {name: p.events for name, p in runs.items()}
-    report["events_per_s"] = {name: round(p.events / max(p.wall, 1e-9)) for name, p in runs.items()}
+    report["events_per_s"] = {
+        name: round(p.events / max(p.wall_s, 1e-9)) for name, p in runs.items()
+    }
     return report
 
 
 def policies(scenario: sc.Scenario) -> list[str]:
-    """The policies a run plays, in order: the scenario's own, then its baselines, each once."""
+    """Returns the policies of a run in order: the scenario's own, then its baselines, each once."""
     return list(dict.fromkeys([scenario.policy, *scenario.baselines]))
 
 
 def digest(report: dict) -> str:
-    """SHA-256 of the canonical JSON of what the run found, wall times left out."""
+    """Returns the SHA-256 of the report's canonical JSON without wall times."""
     kept = {k: v for k, v in report.items() if k not in ("digest", "wall_s", "events_per_s")}
     return hashlib.sha256(msgspec.json.encode(kept, order="sorted")).hexdigest()
 
 
-def values(text: str) -> tuple[str, list[object]]:
-    """`key=v1,v2,...` as the key and its values, numbers where they read as numbers."""
+def parse_sweep(text: str) -> tuple[str, list[object]]:
+    """Parses `key=v1,v2,...` into the key and its values: int, float or str.
+
+    Raises:
+        ScenarioError: The text has no key or no value.
+    """
     key, sep, rest = text.partition("=")
     if not sep or not key or not rest:
         raise sc.ScenarioError(f"--set '{text}': wanted KEY=V1,V2,...")
@@ -210,19 +227,23 @@
     return key, out
 
 
-def _point(args: tuple[dict, dict, int | None]) -> dict:
+def _run_point(args: tuple[dict, dict, int | None]) -> dict:
     table, sets, seed = args
     return run(sc.from_table(sc.with_values(table, sets)), seed)
 
 
-def sweep(table: dict, key: str, vals: list[object], seed: int | None, workers: int) -> list[dict]:
-    """One run a value of `key`, in parallel processes; each point checked as its own scenario
-    first.
+def sweep(
+    table: dict, key: str, swept_values: list[object], seed: int | None, workers: int
+) -> list[dict]:
+    """Runs the scenario once per value of `key`, in parallel processes.
+
+    Raises:
+        ScenarioError: A value is not valid for the key; checked before the first run.
     """
-    points = [(table, {key: v}, seed) for v in vals]
+    points = [(table, {key: v}, seed) for v in swept_values]
     for _, sets, _ in points:
-        sc.from_table(sc.with_values(table, sets))  # a bad value is named before anything runs
+        sc.from_table(sc.with_values(table, sets))  # rejects an invalid value before the first run
     if workers <= 1 or len(points) == 1:
-        return [_point(p) for p in points]
+        return [_run_point(p) for p in points]
     with ProcessPoolExecutor(max_workers=min(workers, len(points))) as pool:
-        return list(pool.map(_point, points))
+        return list(pool.map(_run_point, points))
--- a/loomstand/testing/rehearsal/checker.py
+++ b/loomstand/testing/rehearsal/checker.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from loomstand.testing.emulator import checker as rules
-from loomstand.testing.emulator.checker import Break, Verdict
-from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, Req
+from loomstand.testing.emulator.checker import Verdict, Violation
+from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, RequestRecord
 from loomstand.testing.rehearsal.scenario import SHARED, Bound, Rehearsal, zone_of
 
 TICKS_PER_SECOND = 10_000
@@ -153,10 +153,10 @@
     """Builds the History that the rules of the emulator read."""
     rehearsal, history = events.rehearsal, events.history
     zones = rehearsal.fleet.zones
-    reqs: dict[int, Req] = {}
+    reqs: dict[int, RequestRecord] = {}
     for at, req, limiter, customer, plan, front, timeout, inside, retry, zone in events.all("sent"):
         value, sent = rehearsal.frontends[front].value, events.to_ticks(at)
-        row = Req(
+        row = RequestRecord(
             req,
             limiter,
             customer,
@@ -179,12 +179,12 @@
     for at, req, status, own in events.all("got"):
         row = reqs[req]
         final = {200: PASSED, 429: DENIED, 503: DENIED, 0: "broken", -1: ""}.get(status, ABORTED)
-        row.final, row.final_at = final, events.to_ticks(at)
-        row.finals = 0 if final in ("", "broken") else 1
+        row.answer, row.answered_at = final, events.to_ticks(at)
+        row.answer_count = 0 if final in ("", "broken") else 1
         if final == PASSED:
-            row.took = row.final_at - row.arrived
+            row.latency = row.answered_at - row.arrived
             if not own:
-                history.broken.append(
+                history.errors.append(
                     (row.limiter, f"the answer to req {req} was not produced by a server for it")
                 )
     # requests that servers ran
@@ -194,17 +194,17 @@
     for at, req, server, front, since in events.all("run"):
         frontend, now = rehearsal.frontends[front], events.to_ticks(at)
         group = zone_of(rehearsal.fleet, f"s{server}") if frontend.group == "zone" else 0
-        history.runs.append((req, server, now, frontend.effect, group, windows[front]))
+        history.executions.append((req, server, now, frontend.effect, group, windows[front]))
         limiter = reqs[req].limiter if req in reqs else -1
         number = dispatch_counts.get((req, -1), 0)
         dispatch_counts[req, -1] = number + 1
         if (cut_began := cut_start(events, events.path(limiter, server), since)) is not None:
             events.delayed[req, number] = events.to_ticks(cut_began)
-        history.dispatches.append([req, number, limiter, server, events.to_ticks(since), now])
+        history.attempts.append([req, number, limiter, server, events.to_ticks(since), now])
         if req in reqs and req not in counted:
             counted.add(req)
-            history.used.append((reqs[req].customer, reqs[req].plan, now, 1.0))
-    history.falls += [
+            history.usage.append((reqs[req].customer, reqs[req].plan, now, 1.0))
+    history.overload_crashes += [
         (s, events.to_ticks(at), float(sent), bears) for at, s, sent, bears in events.all("fall")
     ]
     build_leaving_rows(events)
@@ -234,14 +234,14 @@
             phase = named.get(server, "left" if whole else "")
             key = (limiter, server)
             if phase in ("leaving", "left") and key not in open_rows:
-                open_rows[key] = len(history.told_leaving)
-                history.told_leaving.append([limiter, server, when, 1 << 62])
+                open_rows[key] = len(history.leaving_notices)
+                history.leaving_notices.append([limiter, server, when, 1 << 62])
             elif phase == "active" and key in open_rows:
                 # the time of sending, not of delivery: a limiter that received the list earlier
                 # than derived here must not appear late
-                history.told_leaving[open_rows.pop(key)][3] = events.to_ticks(at)
+                history.leaving_notices[open_rows.pop(key)][3] = events.to_ticks(at)
     # a restarted limiter has only the lists since its start; its configuration may be older
-    for row in history.told_leaving:
+    for row in history.leaving_notices:
         for since, until in events.running.get(f"l{row[0]}", ()):
             if events.to_ticks(since) <= row[2] and until < 1e17:
                 row[3] = (
@@ -275,29 +275,29 @@
     # time of sending
     rows = [
         [r, n, lim, srv, events.delayed[r, n], at]
-        for r, n, lim, srv, _, at in events.history.dispatches
+        for r, n, lim, srv, _, at in events.history.attempts
         if (r, n) in events.delayed
     ]
-    early = History(dispatches=rows, told_leaving=events.history.told_leaving)
-    certain = {b.req for b in rules.leaving(early, limits)}
+    early = History(attempts=rows, leaving_notices=events.history.leaving_notices)
+    certain = {b.req for b in rules.check_leaving(early, limits)}
     doubtful = {r for r, _ in events.delayed} - certain
-    verdict.breaks = [b for b in verdict.breaks if b.rule != 3 or b.req not in doubtful]
+    verdict.violations = [b for b in verdict.violations if b.rule != 3 or b.req not in doubtful]
     # rule 1 of the emulator covers requests without a final answer, so also a broken connection to
     # a limiter that kept running
     ran: dict[int, list[int]] = {}
-    for req, server, *_ in events.history.runs:
+    for req, server, *_ in events.history.executions:
         ran.setdefault(req, []).append(server)
     for r in events.history.reqs:
         effect = events.rehearsal.frontends[r.frontend].effect
-        if r.final == DENIED and effect == "side_effect" and r.req in ran:
+        if r.answer == DENIED and effect == "side_effect" and r.req in ran:
             text = f"denied, but ran at server {ran[r.req][0]}"
-            verdict.breaks.append(Break(2, r.req, r.limiter, r.final_at, text))
-        if r.final == PASSED and r.req not in ran:
-            verdict.breaks.append(
-                Break(1, r.req, r.limiter, r.final_at, "passed, but no server ran it")
+            verdict.violations.append(Violation(2, r.req, r.limiter, r.answered_at, text))
+        if r.answer == PASSED and r.req not in ran:
+            verdict.violations.append(
+                Violation(1, r.req, r.limiter, r.answered_at, "passed, but no server ran it")
             )
-    for limiter, text in events.history.broken:
-        verdict.breaks.append(Break(1, -1, limiter, -1, text))
+    for limiter, text in events.history.errors:
+        verdict.violations.append(Violation(1, -1, limiter, -1, text))
     return verdict
 
 
@@ -336,17 +336,17 @@
     for r in events.history.reqs:
         row = out[min(len(out) - 1, max(0, r.arrived // TICKS_PER_SECOND))]
         row.taken += 1
-        row.offered[r.frontend] += r.worth if r.inside else 0.0
-        if r.final == PASSED:
+        row.offered[r.frontend] += r.value if r.within_quota else 0.0
+        if r.answer == PASSED:
             row.passed += 1
             if (
-                r.took <= rehearsal.frontends[r.frontend].response_target_ms * TICKS_PER_MS
-                and r.inside
+                r.latency <= rehearsal.frontends[r.frontend].response_target_ms * TICKS_PER_MS
+                and r.within_quota
             ):
-                row.served[r.frontend] += r.worth
-        elif r.final == DENIED:
+                row.served[r.frontend] += r.value
+        elif r.answer == DENIED:
             row.denied += 1
-        elif r.final == ABORTED:
+        elif r.answer == ABORTED:
             row.aborted += 1
         else:
             row.lost += 1
--- a/loomstand/testing/rehearsal/driver.py
+++ b/loomstand/testing/rehearsal/driver.py
@@ -237,10 +237,10 @@
                 await asyncio.sleep(wait)
             self.lag = max(self.lag, time.time() - due)
             if rate > 0:
-                customer = self.traffic.customer(plan)
+                customer = self.traffic.draw_customer(plan)
                 customer -= customer % self.parts - self.part  # a customer of this driver
-                if customer < self.traffic.first[plan] + rehearsal.plans[plan].customers:
-                    spawn(self.send_request(plan, customer, self.traffic.front(), False))
+                if customer < self.traffic.first_customers[plan] + rehearsal.plans[plan].customers:
+                    spawn(self.send_request(plan, customer, self.traffic.draw_frontend(), False))
 
     async def run(self, began: float) -> None:
         rehearsal = self.rehearsal
@@ -279,7 +279,7 @@
             spawn(self.run(command["at"]))
         elif command["do"] == "flood":
             names = [p.name for p in self.rehearsal.plans]
-            self.traffic.factor[names.index(command["plan"])] = command["factor"]
+            self.traffic.demand_factors[names.index(command["plan"])] = command["factor"]
 
 
 async def start(config: dict):
--- a/loomstand/testing/rehearsal/report.py
+++ b/loomstand/testing/rehearsal/report.py
@@ -23,7 +23,7 @@
     crashed = checker.crashes(events)
     lag = max((row[1] for row in events.all("lag")), default=0.0)
     runs: dict[int, int] = {}
-    for req, *_ in events.history.runs:
+    for req, *_ in events.history.executions:
         runs[req] = runs.get(req, 0) + 1
     zones = checker.load_by_zone(events)
     report = {
@@ -35,7 +35,7 @@
         "held": verdict.held and not crashed,
         "kept": all(b["kept"] for b in bounds),
         "reqs": len(events.history.reqs),
-        "ran": len(events.history.runs),
+        "ran": len(events.history.executions),
         "ran_again": sum(n > 1 for n in runs.values()),
         "rules": {str(rule): n for rule, n in verdict.by_rule().items()},
         "breaks": [msgspec.to_builtins(b) for b in verdict.first()],
@@ -86,7 +86,7 @@
     """Prints the results for rules and bounds, the violations and the crashes."""
     from rich.table import Table
 
-    from loomstand.testing.emulator.checker import NAMES
+    from loomstand.testing.emulator.checker import RULE_NAMES
 
     t = Table(
         title=f"{report['scenario']}, seed {report['seed']}: {report['reqs']} reqs, "
@@ -96,7 +96,10 @@
         t.add_column(column)
     for rule, broken in report["rules"].items():
         t.add_row(
-            f"rule {rule}: {NAMES[int(rule)]}", str(broken), "0", "held" if not broken else "BROKEN"
+            f"rule {rule}: {RULE_NAMES[int(rule)]}",
+            str(broken),
+            "0",
+            "held" if not broken else "BROKEN",
         )
     for b in report["bounds"]:
         span = f" {b['since']:g} to {b['until'] or report['seconds']:g} s"
--- a/loomstand/testing/rehearsal/runner.py
+++ b/loomstand/testing/rehearsal/runner.py
@@ -224,7 +224,9 @@
     def write_limiter_config(self, n: int) -> Path:
         """Writes the configuration file for a start of a limiter and returns its path."""
         rehearsal, f, name = self.rehearsal, self.rehearsal.fleet, f"l{n}"
-        conf = msgspec.to_builtins(emulator_scenario.conf(rehearsal, n, zone_of(f, name)))
+        conf = msgspec.to_builtins(
+            emulator_scenario.limiter_settings(rehearsal, n, zone_of(f, name))
+        )
         conf["allowed"]["connect_timeout"] = f.connect_timeout_ms
         known = [
             {**self.member(m), "host_port": self.address(name, f"s{m}")} for m in range(f.servers)
--- a/loomstand/testing/rehearsal/servers.py
+++ b/loomstand/testing/rehearsal/servers.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from loomstand.testing.emulator.scenario import mean_work
+from loomstand.testing.emulator.scenario import mean_work_ms
 from loomstand.testing.rehearsal.child import EventLog
 from loomstand.testing.rehearsal.links import abort
 from loomstand.testing.rehearsal.scenario import Rehearsal
@@ -110,7 +110,7 @@
         return self.group.rehearsal.fleet.warmth(time.time() - self.booted) if self.booted else 1.0
 
     def slots(self) -> int:
-        return self.group.rehearsal.fleet.room(self.warmth())
+        return self.group.rehearsal.fleet.concurrency(self.warmth())
 
     def handle_request(self, connection: ServerConnection, head: bytes, since: float) -> None:
         group, now, warmth = self.group, time.time(), self.warmth()
@@ -123,7 +123,10 @@
             self.recent.append(now)
             while self.recent[0] <= now - COLD_WINDOW_SECONDS:
                 self.recent.popleft()
-            limit = group.rehearsal.fleet.bears(warmth, group.mean_work) * COLD_WINDOW_SECONDS
+            limit = (
+                group.rehearsal.fleet.overload_rate(warmth, group.mean_work_ms)
+                * COLD_WINDOW_SECONDS
+            )
             if len(self.recent) > max(2.0, limit):
                 group.record("fall", self.index, len(self.recent), limit)
                 self.crash()
@@ -187,7 +190,7 @@
         self.host, self.rng = config["host"], Random(config["seed"])
         self.record = EventLog(config["trail"])
         self.frontends = {f.name.encode(): n for n, f in enumerate(self.rehearsal.frontends)}
-        self.mean_work = mean_work(self.rehearsal)
+        self.mean_work_ms = mean_work_ms(self.rehearsal)
         self.servers = {s["index"]: Server(s["index"], s["port"], self) for s in config["servers"]}
 
     def sample(self) -> None:
--- a/tests/testing/rehearsal/test_rehearsal.py
+++ b/tests/testing/rehearsal/test_rehearsal.py
@@ -131,7 +131,7 @@
 
     def broken_rules() -> list[set[int]]:
         return [
-            {b.rule for b in runner.play(simulated, "brain", seed).verdict.breaks}
+            {b.rule for b in runner.run_policy(simulated, "brain", seed).verdict.violations}
             for seed in range(1, 16)
         ]
 
