--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -475,7 +475,7 @@
     lines: list[str] = []
     loop = SimpleNamespace(time=lambda: 5.0)
     limiter = SimpleNamespace(
-        loop=loop, log=lines.append, listed=lambda list_: lines.append("listed")
+        loop=loop, log=lines.append, update_servers=lambda list_: lines.append("listed")
     )
     peers = PeerProtocol(
         limiter, SimpleNamespace(revision=0), 0, 9, "127.0.0.1:1", ["127.0.0.1:2"], BackendList(), 1
