--- a/loomstand/limiter/event_loop.py
+++ b/loomstand/limiter/event_loop.py
@@ -1,6 +1,4 @@
-"""The thin driver under every connection: reads into one ring, writes from another, and says how it
-ended.
-"""
+"""Connections on asyncio: reading and writing through ring buffers, connecting and listening."""
 
 from __future__ import annotations
 
@@ -15,83 +13,99 @@
 from contextlib import suppress
 from typing import Protocol
 
-from loomstand.limiter.buffers import Ring, Room
+from loomstand.limiter.buffers import MemoryBudget, Ring
 from loomstand.limiter.endings import Ending
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
-NO_ROOM = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a time-out of 0 s
+RESOURCE_ERRNOS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 
 
-class Turns(selectors.DefaultSelector):
-    """The loop's selector, which also keeps what bounds the time at which the bytes now read had
-    come.
+class ArrivalClockSelector(selectors.DefaultSelector):
+    """Selector of the event loop that bounds the arrival time of the bytes being read.
+
+    Attributes:
+        earliest_arrival: Earliest time at which bytes read in this iteration can have arrived.
+        woke_at: When `select` last returned.
+        count: Number of iterations.
+        longest_iteration: Longest recent iteration or late wake-up in seconds; halved each second.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.since = self.back = time.monotonic()
+        self.earliest_arrival = self.woke_at = time.monotonic()
         self.count = 0
-        self.longest = 0.0  # the longest turn or oversleeping lately, halved each second
+        self.longest_iteration = 0.0
 
     def select(self, timeout: float | None = None) -> list:
-        went = time.monotonic()
+        select_started_at = time.monotonic()
         ready = super().select(timeout)
         now = time.monotonic()
-        lasted = went - self.back
-        overslept = 0.0 if timeout is None else now - went - max(0.0, timeout)
-        self.longest = max(lasted, overslept, self.longest * 0.5 ** (now - self.back))
-        # where the wait was a real one nothing was there when it began
-        self.since = now if now - went > lasted else self.back
-        self.back = now
+        iteration_seconds = select_started_at - self.woke_at
+        wake_delay = 0.0 if timeout is None else now - select_started_at - max(0.0, timeout)
+        self.longest_iteration = max(
+            iteration_seconds, wake_delay, self.longest_iteration * 0.5 ** (now - self.woke_at)
+        )
+        # A wait longer than the iteration before it means that nothing was readable at its start.
+        self.earliest_arrival = now if now - select_started_at > iteration_seconds else self.woke_at
+        self.woke_at = now
         self.count += 1
         return ready
 
-    def came(self, made: int, made_at: float) -> float:
-        """The earliest at which bytes now read can have come, on a connection made in turn `made`:
-        what is there when it is first looked at can have come with it.
+    def arrival_time(self, opened_iteration: int, opened_at: float) -> float:
+        """Returns the earliest time at which bytes being read can have arrived.
+
+        Bytes present when a connection is first polled can have arrived along with it.
+
+        Args:
+            opened_iteration: The iteration in which the connection was set up.
+            opened_at: The time of its set-up.
         """
-        return made_at if self.count <= made + 1 else self.since
+        return opened_at if self.count <= opened_iteration + 1 else self.earliest_arrival
 
 
-class Untimed:
-    """In its place on a loop of somebody else's: bytes are taken to have come when they are
-    read.
-    """
+class ReadTimeClock:
+    """Arrival clock for other event loops: bytes count as arriving when they are read."""
 
-    count, longest = 0, 0.0
+    count, longest_iteration = 0, 0.0
 
     @property
-    def since(self) -> float:
+    def earliest_arrival(self) -> float:
         return time.monotonic()
 
-    def came(self, made: int, made_at: float) -> float:
-        return self.since
+    def arrival_time(self, opened_iteration: int, opened_at: float) -> float:
+        return self.earliest_arrival
 
 
-class Wire(asyncio.BufferedProtocol):
-    """One connection. Its user gives `received` and `ended`, which is called once; neither after
-    `drop`.
+class SocketChannel(asyncio.BufferedProtocol):
+    """One buffered connection.
+
+    Calls `opened`, `received` and, once, `ended` of its user; none of them after `drop`.
     """
 
     __slots__ = (
+        "cancel_connect",
         "ending",
         "inbound",
         "lingering",
-        "off",
         "outbound",
-        "paused",
         "reading",
         "transport",
         "user",
+        "write_paused",
     )
 
-    def __init__(self, user: object, room: Room, most: int, most_out: int = 0) -> None:
+    def __init__(
+        self, user: object, memory_budget: MemoryBudget, max_inbound: int, max_outbound: int = 0
+    ) -> None:
         self.user = user
-        self.inbound, self.outbound = Ring(room, most), Ring(room, most_out or most)
+        self.inbound, self.outbound = (
+            Ring(memory_budget, max_inbound),
+            Ring(memory_budget, max_outbound or max_inbound),
+        )
         self.transport: asyncio.Transport | None = None
         self.ending: Ending | None = None
-        self.off: Callable[[], None] | None = None  # calls off a connect on its way
-        self.paused = self.lingering = False
+        self.cancel_connect: Callable[[], None] | None = None  # cancels a pending connect
+        self.write_paused = self.lingering = False
         self.reading = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -106,7 +120,9 @@
         space = self.inbound.space()
         if space:
             return space
-        self.stop(Ending.OVERSIZED if self.inbound.size >= self.inbound.most else Ending.NO_ROOM)
+        self.stop(
+            Ending.OVERSIZED if self.inbound.size >= self.inbound.max_size else Ending.NO_ROOM
+        )
         return memoryview(bytearray(1))
 
     def buffer_updated(self, nbytes: int) -> None:
@@ -118,105 +134,104 @@
         self.stop(Ending.FINISHED if self.lingering else Ending.CLOSED)
         return False
 
-    def connection_lost(self, why: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         self.stop(Ending.RESET)
         self.inbound.close()
         self.outbound.close()
-        # it refers back: what is closed goes at once, not when the collector comes
+        # Breaks the reference cycle, so that memory is freed without the garbage collector.
         self.user = None
 
     def pause_writing(self) -> None:
-        self.paused = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.paused = False
+        self.write_paused = False
         self.flush()
 
     def send(self, data: bytes) -> bool:
-        """Queues all of `data`, or nothing where there is no room."""
+        """Writes or queues all of `data`; returns False, with nothing queued, if it doesn't fit."""
         if self.ending is not None:
             return False
-        if self.paused or self.outbound.used:
+        if self.write_paused or self.outbound.used:
             return self.outbound.put(data)
-        self.transport.write(data)  # what the system does not take at once pauses the writing
+        self.transport.write(data)  # pauses writing if the socket doesn't take it all
         return True
 
     def flush(self) -> None:
-        while self.outbound.used and not self.paused and self.ending is None:
+        while self.outbound.used and not self.write_paused and self.ending is None:
             self.transport.write(self.outbound.take(self.outbound.used))
         if self.lingering and self.written and self.ending is None:
-            self.shut()
+            self.send_eof()
 
     @property
     def written(self) -> bool:
-        """Whether the system has taken the last byte."""
-        return not self.paused and not self.outbound.used
+        """Whether the last byte has been passed to the kernel."""
+        return not self.write_paused and not self.outbound.used
 
     @property
     def unread(self) -> bool:
-        """Whether bytes, or an end, wait in the system."""
-        # there is no socket beneath it
-        if (asked := self.transport.get_extra_info("unread")) is not None:
-            return asked()
+        """Whether the kernel holds unread bytes or an end of stream."""
+        # A simulated transport without a socket answers this itself.
+        if (query := self.transport.get_extra_info("unread")) is not None:
+            return query()
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
-    def stop(self, why: Ending) -> None:
-        """Ends the connection at once."""
+    def stop(self, ending: Ending) -> None:
+        """Aborts the connection and notifies its user."""
         if self.ending is None:
-            self.drop(why)
-            self.user.ended(why)
+            self.drop(ending)
+            self.user.ended(ending)
 
-    def drop(self, why: Ending) -> None:
-        """The same, at its user's wish: the user is not told."""
+    def drop(self, ending: Ending) -> None:
+        """Aborts the connection without notifying its user."""
         if self.ending is None:
-            self.ending = why
+            self.ending = ending
             if self.transport is not None:
                 self.transport.abort()
-            elif self.off is not None:
-                self.off()
+            elif self.cancel_connect is not None:
+                self.cancel_connect()
 
-    def sever(self) -> None:
-        """Makes the coming end a reset: what the system still holds of the sending is thrown away,
-        so that it isn't delivered seconds later, where a cut heals.
+    def discard_unsent(self) -> None:
+        """Makes the next close a reset, which discards unsent bytes in the kernel.
+
+        Otherwise they could be delivered seconds later, when a network partition heals.
         """
         if self.transport is not None:
             reset_on_close(self.transport)
 
     def finish(self) -> None:
-        """Ends the sending after what is queued, and passes over what still comes."""
+        """Closes the sending side after the queued bytes and discards what is still received."""
         if self.ending is None and not self.lingering:
             self.lingering = True
             self.inbound.close()
             if self.written:
-                self.shut()
+                self.send_eof()
 
-    def shut(self) -> None:
+    def send_eof(self) -> None:
         try:
             self.transport.write_eof()
         except OSError:
             self.stop(Ending.RESET)
 
-    def hold(self) -> None:
-        """Reads no further until `resume`."""
+    def pause_reading(self) -> None:
+        """Pauses reading until `resume_reading`."""
         if self.ending is None and self.reading:
             self.reading = False
             self.transport.pause_reading()
 
-    def resume(self) -> None:
+    def resume_reading(self) -> None:
         if self.ending is None and not self.reading:
             self.reading = True
             self.transport.resume_reading()
 
 
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
-    """Has the system forget what it holds to send when the transport closes, and reset the
-    connection.
-    """
-    # there is no socket beneath it
-    if (asked := transport.get_extra_info("reset_on_close")) is not None:
-        asked()
+    """Makes closing the transport discard unsent bytes and reset the connection (SO_LINGER 0)."""
+    # A simulated transport without a socket does this itself.
+    if (query := transport.get_extra_info("reset_on_close")) is not None:
+        query()
     elif (sock := transport.get_extra_info("socket")) is not None:
         with suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -230,75 +245,80 @@
 
 
 class Streams(Protocol):
-    """How connections come to be, where a program isn't to use real sockets."""
+    """Substitute for `connect` and `listen` where no real sockets are to be used."""
 
     def connect(
-        self, loop: asyncio.AbstractEventLoop, wire: Wire, address: Address, within: float
+        self,
+        loop: asyncio.AbstractEventLoop,
+        channel: SocketChannel,
+        address: Address,
+        within: float,
     ) -> None:
-        """As `connect` below."""
+        """See `connect` below."""
         ...
 
     async def listen(
         self,
         loop: asyncio.AbstractEventLoop,
-        make: Callable[[], Wire],
+        protocol_factory: Callable[[], SocketChannel],
         address: Address,
-        at_once: int,
-        most: int,
-    ) -> Listens:
-        """As `listen` below."""
+        accepts_per_iteration: int,
+        backlog: int,
+    ) -> ListeningEndpoint:
+        """See `listen` below."""
         ...
 
 
-class Listens(Protocol):
-    """What listens: an `asyncio.Server`, say."""
+class ListeningEndpoint(Protocol):
+    """A listening endpoint, such as an `asyncio.Server`."""
 
     def close(self) -> None: ...
 
 
 async def listen(
     loop: asyncio.AbstractEventLoop,
-    make: Callable[[], Wire],
+    protocol_factory: Callable[[], SocketChannel],
     address: Address,
-    at_once: int,
-    most: int,
-) -> Listens:
+    accepts_per_iteration: int,
+    backlog: int,
+) -> ListeningEndpoint:
     """Listens for connections.
 
     Args:
         loop: The running event loop.
-        make: Makes the protocol of a connection.
-        address: Where to listen.
-        at_once: How many connections are accepted in one turn of the loop.
-        most: How many the system may hold that aren't accepted yet.
+        protocol_factory: Creates the protocol object of a connection.
+        address: Host and port to listen on.
+        accepts_per_iteration: Maximum number of connections accepted per event loop iteration.
+        backlog: Kernel backlog of connections that are not accepted yet.
 
     Raises:
-        OSError: The address can't be listened at.
+        OSError: The address can't be bound.
     """
     sock = socket.create_server(address, family=family(address))
-    # that is what a turn takes in
-    server = await loop.create_server(make, sock=sock, backlog=at_once)
-    sock.listen(most)
+    # asyncio uses the backlog as the number of connections to accept per iteration.
+    server = await loop.create_server(protocol_factory, sock=sock, backlog=accepts_per_iteration)
+    sock.listen(backlog)
     return SocketListener(loop, sock, server)
 
 
 class SocketListener:
-    """A listening socket whose close loses no connection that is accepted already."""
+    """A listening socket that completes connections accepted just before its close."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, sock: socket.socket, server: asyncio.Server
     ) -> None:
-        """`server` accepts what comes to `sock`."""
+        """`server` accepts the connections of `sock`."""
         self._loop = loop
         self._sock = sock
         self._server = server
         self._is_closed = False
 
     def close(self) -> None:
-        """Accepts no more connections; those that were accepted in this turn still come up.
+        """Stops accepting; connections accepted in this event loop iteration are still set up.
 
-        asyncio sets a connection up in the turn after it was accepted, and drops it without closing
-        it if its server is closed by then. So the accepting ends now, and the server a turn later.
+        asyncio sets up a connection in the iteration after its accept, and drops it without closing
+        it if the server is closed by then. So accepting stops now, and the server is closed one
+        iteration later.
         """
         if self._is_closed:
             return
@@ -308,10 +328,11 @@
 
 
 def connect(
-    loop: asyncio.AbstractEventLoop, wire: Wire, address: tuple[str, int], within: float
+    loop: asyncio.AbstractEventLoop, channel: SocketChannel, address: tuple[str, int], within: float
 ) -> None:
-    """Opens a connection for `wire`, whose user gets `opened`, or `ended` if it does not come up
-    within that many seconds.
+    """Opens a connection for `channel`.
+
+    Its user gets `opened`, or `ended` if the connect fails or takes more than `within` seconds.
     """
 
     async def run() -> None:
@@ -320,24 +341,24 @@
             sock = socket.socket(family(address), socket.SOCK_STREAM)
             sock.setblocking(False)
             await loop.sock_connect(sock, address)
-            made, sock = sock, None
-            await loop.create_connection(lambda: wire, sock=made)
-        except OSError as why:
-            wire.stop(Ending.NO_ROOM if why.errno in NO_ROOM else Ending.REFUSED)
+            connected, sock = sock, None
+            await loop.create_connection(lambda: channel, sock=connected)
+        except OSError as error:
+            channel.stop(Ending.NO_ROOM if error.errno in RESOURCE_ERRNOS else Ending.REFUSED)
         finally:
             timer.cancel()
             if sock is not None:
                 sock.close()
 
-    def late() -> None:
-        if wire.transport is None:
-            wire.stop(Ending.SILENT_CONNECT)
+    def on_timeout() -> None:
+        if channel.transport is None:
+            channel.stop(Ending.SILENT_CONNECT)
 
     task = loop.create_task(run())
-    timer = loop.call_later(within, late)
+    timer = loop.call_later(within, on_timeout)
 
-    def off() -> None:
+    def cancel() -> None:
         timer.cancel()
         task.cancel()
 
-    wire.off = off
+    channel.cancel_connect = cancel
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -1,4 +1,4 @@
-"""One limiter on sockets: turns what comes into notes, and the module's actions into bytes."""
+"""The stand-alone limiter: combines clients, servers, counter, discovery and peers."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from loomstand.admission.ticks import ticks_rounded_up
 from loomstand.config.limiter import BackendList, LimiterConfig, engine_settings, parse_host_port
 from loomstand.limiter import http_parser
-from loomstand.limiter.client_connection import Client, ClientListener
-from loomstand.limiter.counter import Counter
+from loomstand.limiter.client_connection import ClientConnection, ClientListener
+from loomstand.limiter.counter import CounterClient
 from loomstand.limiter.discovery import Watch
-from loomstand.limiter.event_loop import Turns
+from loomstand.limiter.event_loop import ArrivalClockSelector
 from loomstand.limiter.gateway_core import GatewayCore
 from loomstand.limiter.log import Log
-from loomstand.limiter.request import AccountRequest, Attempt, Names
+from loomstand.limiter.request import AccountRequest, Attempt, NameLookup
 from loomstand.limiter.upstream import ConnectionPool
 
 PHASES = {
@@ -27,60 +27,69 @@
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
 }
-LINGER = 0.7  # PROTOCOL: a request that comes later than this after SIGTERM may find nobody
-FIXED_SOCKETS = (
-    16  # standard streams, the loop's own, the listener, the counter's, discovery's, and some files
-)
+LINGER_SECONDS = 0.7  # protocol: requests sent later than this after SIGTERM may be refused
+FIXED_SOCKETS = 16  # standard streams, event loop, listener, counter, discovery and some open files
 
 
 class Limiter(GatewayCore[AccountRequest]):
-    """Everything of one limiter. `run` serves until it is told to stop."""
+    """A stand-alone limiter process. `run` serves until `stop` has completed."""
 
-    def __init__(self, config: LimiterConfig, turns: Turns | None = None) -> None:
-        conf, limits = config.settings, config.limits
+    def __init__(
+        self, config: LimiterConfig, arrival_clock: ArrivalClockSelector | None = None
+    ) -> None:
+        settings, limits = config.settings, config.limits
         self.config = config
-        super().__init__(Log(config.name), turns, limits.memory_mb, limits.sockets - FIXED_SOCKETS)
-        self.halls, self.kinds, self.servers = (
-            NameIndex(conf.zones),
-            NameIndex(conf.server_kinds),
+        super().__init__(
+            Log(config.name), arrival_clock, limits.memory_mb, limits.sockets - FIXED_SOCKETS
+        )
+        self.zones, self.kinds, self.servers = (
+            NameIndex(settings.zones),
+            NameIndex(settings.server_kinds),
             NameIndex(),
         )
-        self.settings = engine_settings(conf, self.halls.index_of(conf.zone))
-        # this process has run at least as long as it has worked: so long it surely passed nothing
+        self.settings = engine_settings(settings, self.zones.index_of(settings.zone))
+        # The process started at least its CPU time ago and has admitted nothing since.
         started = self.now() - int(time.process_time() * 10_000)
-        names = ([f.name for f in conf.frontends], [p.name for p in conf.plans], conf.zones)
+        names = (
+            [f.name for f in settings.frontends],
+            [p.name for p in settings.plans],
+            settings.zones,
+        )
         self.failover = None
         if config.zone_plan:
             from loomstand.failover.engine_view import FailoverPolicy
 
             self.failover = FailoverPolicy(config.zone_plan, self.settings, names, started)
         self.engine = DecisionEngine(self.settings, config.random_seed, started, self.failover)
-        self.names = Names(
-            [f.name for f in conf.frontends], [p.name for p in conf.plans], self.settings
+        self.names = NameLookup(
+            [f.name for f in settings.frontends], [p.name for p in settings.plans], self.settings
         )
-        within, idle = (
-            conf.allowed_actions.connect_timeout_ms / 1000,
-            conf.allowed_actions.idle_timeout_ms / 1000,
+        connect_timeout, idle_timeout = (
+            settings.allowed_actions.connect_timeout_ms / 1000,
+            settings.allowed_actions.idle_timeout_ms / 1000,
         )
         self.listener, self.pool = (
-            ClientListener(self, self.spare, limits.sockets),
-            ConnectionPool(self, within, idle),
+            ClientListener(self, self.reserved_sockets, limits.sockets),
+            ConnectionPool(self, connect_timeout, idle_timeout),
         )
-        self.counter: Counter | None = None
-        if config.counter_address and conf.counter.has_counter:
-            self.counter = Counter(
-                self, config.counter_address, conf.counter.call_timeout_ms / 1000, within
+        self.counter: CounterClient | None = None
+        if config.counter_address and settings.counter.has_counter:
+            self.counter = CounterClient(
+                self,
+                config.counter_address,
+                settings.counter.call_timeout_ms / 1000,
+                connect_timeout,
             )
         self.watch = Watch(
             self,
             config.discovery_address,
             config.initial_backends.revision,
-            within,
+            connect_timeout,
             config.random_seed,
         )
         self.peers = None
         if config.peer_addresses:
-            # only where there are any: a start counts its CPU
+            # Imported only if needed, to save CPU time at the start.
             from loomstand.membership.driver import PeerProtocol
 
             own, fleet, known = (
@@ -98,13 +107,18 @@
                 known,
                 config.random_seed,
             )
-        self.patience = max(f.client_timeout_ms for f in conf.frontends) / 1000
+        self.message_timeout_seconds = max(f.client_timeout_ms for f in settings.frontends) / 1000
 
-    # life
+    # lifecycle
 
     async def run(self) -> None:
+        """Serves requests until a graceful shutdown has completed.
+
+        Raises:
+            OSError: The listen address can't be bound.
+        """
         if self.config.initial_backends.backends:
-            self.listed(self.config.initial_backends)
+            self.update_servers(self.config.initial_backends)
         self.loop.set_exception_handler(self.on_loop_exception)
         if self.peers is not None:
             await self.peers.listen()
@@ -116,7 +130,7 @@
         await self.stopped.wait()
 
     def linger_seconds(self) -> float:
-        return LINGER
+        return LINGER_SECONDS
 
     def attempt_limit(self, request: AccountRequest) -> int:
         return self.settings.attempt_limit
@@ -125,72 +139,80 @@
         self.watch.sweep()
 
     def reload(self, config: LimiterConfig) -> None:
-        """Goes on under another configuration: addresses move, and nothing taken is lost."""
+        """Applies a new configuration without losing pending work.
+
+        The addresses of discovery and counter change at once, as does a zone plan if one is in use;
+        everything else changes at the next start.
+        """
         old, self.config = self.config, config
         if config.discovery_address != old.discovery_address:
-            self.watch.move(config.discovery_address)
+            self.watch.set_address(config.discovery_address)
         if (
             self.counter
             and config.counter_address
             and config.counter_address != old.counter_address
         ):
-            self.counter.move(config.counter_address)
+            self.counter.set_address(config.counter_address)
         fixed = ["name", "listen_address", "limits", "settings"]
         if self.failover and config.zone_plan:
             self.failover.replace_plan(config.zone_plan)
         else:
             fixed.append("zone_plan")
-        kept = [f for f in fixed if getattr(config, f) != getattr(old, f)]
-        rest = f"; {', '.join(kept)}: only at the next start" if kept else ""
+        deferred = [f for f in fixed if getattr(config, f) != getattr(old, f)]
+        suffix = f"; {', '.join(deferred)}: only at the next start" if deferred else ""
         where = f"discovery at {config.discovery_address}, counter at {config.counter_address}"
-        self.log(f"read its configuration again: {where}{rest}")
+        self.log(f"read its configuration again: {where}{suffix}")
 
     def stop(self) -> None:
         if not self.listener.stopping and self.peers is not None:
             self.peers.leave()
         super().stop()
 
-    def left(self) -> None:
+    def on_stopped(self) -> None:
         self.watch.stop()
         if self.peers is not None:
             self.peers.stop()
 
-    # from discovery, and from peers
+    # discovery and peers
 
-    def told(self, list_: BackendList) -> None:
-        """Discovery itself spoke."""
+    def list_received(self, list_: BackendList) -> None:
+        """Handles a list or change from discovery itself, and shares it with the peers."""
         if self.peers is not None:
             self.peers.discovery_listed(list_)
-        self.listed(list_)
+        self.update_servers(list_)
 
-    def beat(self) -> None:
+    def heartbeat_received(self) -> None:
+        """Notes a heartbeat of discovery: the known list is current."""
         if self.peers is not None:
             self.peers.discovery_confirmed()
 
-    def listed(self, list_: BackendList) -> None:
+    def update_servers(self, list_: BackendList) -> None:
+        """Applies a list or change of servers from discovery or a peer."""
         if list_.complete:
-            named = {m.id for m in list_.backends}
+            named = {backend.id for backend in list_.backends}
             for name, endpoint_id in list(self.servers.indices.items()):
                 if name not in named:
                     self.pool.set_address(endpoint_id, None)
                     self.servers.forget(endpoint_id)
         entries = []
-        for m in list_.backends:
-            endpoint_id, phase = self.servers.index_of(m.id), PHASES[m.phase]
+        for backend in list_.backends:
+            endpoint_id, phase = self.servers.index_of(backend.id), PHASES[backend.phase]
             self.pool.set_address(
                 endpoint_id,
-                None if phase is EndpointState.GONE else parse_host_port(m.address, "host_port"),
+                None
+                if phase is EndpointState.GONE
+                else parse_host_port(backend.address, "host_port"),
             )
-            hall, kind = self.halls.index_of(m.zone), self.kinds.index_of(m.kind)
+            zone, kind = self.zones.index_of(backend.zone), self.kinds.index_of(backend.kind)
             entries.append(
                 Endpoint(
                     endpoint_id,
                     phase,
-                    hall,
+                    zone,
                     kind,
-                    m.pod,
-                    m.capacity_hint,
-                    ticks_rounded_up(m.started_at_ms),
+                    backend.pod,
+                    backend.capacity_hint,
+                    ticks_rounded_up(backend.started_at_ms),
                 )
             )
             if phase is EndpointState.GONE:
@@ -198,29 +220,33 @@
         self.handle_event(EndpointsUpdated(tuple(entries), list_.complete))
         self.is_ready = not self.listener.stopping
 
-    # from clients
+    # clients
 
     def request_received(
-        self, client: Client, machine: http_parser.RequestReceiver, at: float
+        self, client: ClientConnection, parser: http_parser.RequestReceiver, arrived_at: float
     ) -> None:
-        """A request has come: if nothing is wrong with it, it is owed one answer from here on."""
-        request = AccountRequest(machine, self.names)
-        if not self.room.take(len(request.body)):
+        """Validates a received request and passes it to the decision engine.
+
+        Raises:
+            Malformed: The request is invalid.
+        """
+        request = AccountRequest(parser, self.names)
+        if not self.memory_budget.reserve(len(request.body)):
             client.answer(503)
             return
         timeout = min(
             10 * request.timeout, self.settings.frontends[request.frontend].client_timeout
         )
-        self.track_request(request, client, timeout, at)
-        who, turn = (
+        self.track_request(request, client, timeout, arrived_at)
+        customer, call_terms = (
             (request.plan, *request.customer),
             (request.units, request.set_size, request.retry, request.first),
         )
         self.handle_event(
-            RequestArrived(request.id, request.frontend, *who, request.deadline, *turn)
+            RequestArrived(request.id, request.frontend, *customer, request.deadline, *call_terms)
         )
 
-    # from servers
+    # servers
 
     def attempt_ended(
         self,
@@ -234,28 +260,30 @@
             self.answer(request, 200, body)
         self.report_attempt(attempt, outcome, metered)
 
-    # the module
+    # decision engine
 
-    def reject_request(self, act: Reject) -> None:
-        request = self.requests.get(act.request_id)
+    def reject_request(self, action: Reject) -> None:
+        request = self.requests.get(action.request_id)
         if request is not None and request.client is not None:
             self.answer(
                 request,
                 429,
-                extra=f"Retry-After: {act.retry_after / 10_000:.3f}\r\n" if act.retry_after else "",
+                extra=f"Retry-After: {action.retry_after / 10_000:.3f}\r\n"
+                if action.retry_after
+                else "",
             )
             self.forget_request(request)
 
-    def abort(self, act: Abort) -> None:
-        request = self.requests.get(act.request_id)
+    def abort(self, action: Abort) -> None:
+        request = self.requests.get(action.request_id)
         if request is not None and request.client is not None:
             self.answer(request, 502)
             self.forget_request(request)
 
-    def increment_counter(self, act: IncrementCounter) -> None:
+    def increment_counter(self, action: IncrementCounter) -> None:
         if self.counter is None:
             self.loop.call_soon(
-                self.counter_replied, act.counter_name, Outcome.CONNECT_FAILED, 0.0, 0
+                self.counter_replied, action.counter_name, Outcome.CONNECT_FAILED, 0.0, 0
             )
         else:
-            self.counter.call(act)
+            self.counter.call(action)
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -1,5 +1,6 @@
-"""What the parts of a limiter may ask of it: narrow types, so that no part knows the whole and none
-is known by it. A further part (a link to peers, say) stands beside them with a role of its own.
+"""Interfaces between a limiter and its components, each as narrow as its component needs.
+
+Components depend on these instead of on the limiter class or on each other.
 """
 
 from __future__ import annotations
@@ -11,61 +12,59 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.config.limiter import BackendList
 from loomstand.limiter import http_parser
-from loomstand.limiter.buffers import Room
+from loomstand.limiter.buffers import MemoryBudget
 
 AttemptT_contra = TypeVar("AttemptT_contra", contravariant=True)
 
 
-class Clock(Protocol):
-    """What bounds the time at which bytes came; `driver.Turns`."""
+class ArrivalClock(Protocol):
+    """Bounds the arrival time of received bytes; see `event_loop.ArrivalClockSelector`."""
 
     @property
-    def since(self) -> float: ...
+    def earliest_arrival(self) -> float: ...
 
     @property
     def count(self) -> int: ...
 
-    def came(self, made: int, made_at: float) -> float: ...
+    def arrival_time(self, opened_iteration: int, opened_at: float) -> float: ...
 
 
-class Host(Protocol):
-    """What every part needs: the loop, room for buffers, and a place to count how connections
-    end.
-    """
+class Owner(Protocol):
+    """What every component needs: event loop, memory budget and counts of connection endings."""
 
     loop: asyncio.AbstractEventLoop
-    room: Room
+    memory_budget: MemoryBudget
     endings: Tally[str]
 
 
-class Told(Host, Protocol):
-    """The watch on the list."""
+class WatchOwner(Owner, Protocol):
+    """What the discovery watch needs of the limiter."""
 
     def log(self, text: str) -> None: ...
 
-    def told(self, list_: BackendList) -> None: ...
+    def list_received(self, list_: BackendList) -> None: ...
 
-    def beat(self) -> None: ...
+    def heartbeat_received(self) -> None: ...
 
 
-class Counts(Host, Protocol):
-    """The counter's calls."""
+class CounterOwner(Owner, Protocol):
+    """What the counter client needs of the limiter."""
 
-    def counter_replied(self, name: int, outcome: Outcome, total: float, took: int) -> None: ...
+    def counter_replied(self, name: int, outcome: Outcome, total: float, elapsed: int) -> None: ...
 
 
-class Bounded(Host, Protocol):
-    """Parts that hold many connections."""
+class ConnectionOwner(Owner, Protocol):
+    """What components with many connections need of the limiter."""
 
-    most_answer: int
+    max_response_bytes: int
 
     def spare_sockets(self) -> int: ...
 
-    def make_room(self, spared: Asker | None = None) -> bool: ...
+    def free_socket(self, spared: ClientHandle | None = None) -> bool: ...
 
 
-class Sends(Bounded, Protocol[AttemptT_contra]):
-    """Connections to servers."""
+class PoolOwner(ConnectionOwner, Protocol[AttemptT_contra]):
+    """What the connection pool to servers needs of the limiter."""
 
     def now(self) -> int: ...
 
@@ -74,26 +73,26 @@
     ) -> None: ...
 
 
-class Takes(Bounded, Protocol):
-    """Connections of clients."""
+class ListenerOwner(ConnectionOwner, Protocol):
+    """What the client listener needs of the limiter."""
 
     is_ready: bool
 
     @property
-    def turns(self) -> Clock: ...
+    def arrival_clock(self) -> ArrivalClock: ...
 
     def request_received(
-        self, client: Asker, machine: http_parser.RequestReceiver, at: float
+        self, client: ClientHandle, parser: http_parser.RequestReceiver, at: float
     ) -> None: ...
 
-    # of the limiter's own class of requests, as `request_received` has set it at the client
+    # The request class of the limiter, as set on the client by `request_received`.
     def client_disconnected(self, request: Any) -> None: ...  # noqa: ANN401
 
 
-class Asker(Protocol):
-    """A client's connection, as a request and the limiter see it."""
+class ClientHandle(Protocol):
+    """A client connection, as seen by a request and the limiter."""
 
-    request: Asked | None
+    request: TrackedRequest | None
 
     def answer(
         self, status: int, body: bytes = b"", extra: str = "", close: bool = False
@@ -102,16 +101,16 @@
     def next(self) -> None: ...
 
 
-class Asked(Protocol):
-    """A request, as a client's connection sees it."""
+class TrackedRequest(Protocol):
+    """A request, as seen by its client connection."""
 
-    client: Asker | None
+    client: ClientHandle | None
 
 
-class Carrier(Protocol):
-    """A connection to a server, as an attempt sees it."""
+class AttemptConnection(Protocol):
+    """A connection to a server, as seen by an attempt."""
 
     attempt: Any
-    wire: Any  # the connection's `event_loop.Wire`
+    channel: Any  # the connection's `event_loop.SocketChannel`
 
     def write(self) -> None: ...
--- a/loomstand/membership/driver.py
+++ b/loomstand/membership/driver.py
@@ -30,7 +30,7 @@
 
     def log(self, text: str) -> None: ...
 
-    def listed(self, list_: BackendList) -> None: ...
+    def update_servers(self, list_: BackendList) -> None: ...
 
 
 class DiscoveryWatch(Protocol):
@@ -38,7 +38,7 @@
 
     revision: int
 
-    def hold(self, on: bool) -> None: ...
+    def set_active(self, on: bool) -> None: ...
 
 
 class PeerProtocol(asyncio.DatagramProtocol):
@@ -110,7 +110,7 @@
             candidates = alive or self.members.configured_addresses
             for recipient in self.members.rng.sample(candidates, min(2, len(candidates))):
                 self.members.send(recipient, Want(*self.members.header()))
-        self.watch.hold(self.lists.should_watch(now, self.members.alive()))
+        self.watch.set_active(self.lists.should_watch(now, self.members.alive()))
         self.ticks += 1
         if self.ticks % 200 == 0 and self.counts:
             tally = ", ".join(f"{k} {n}" for k, n in sorted(self.counts.items()))
@@ -182,7 +182,7 @@
         """Pass a peer's list or change to the limiter, and forward a change."""
         self.watch.revision = max(self.watch.revision, changes.revision)
         self.counts["lists from peers"] += 1
-        self.limiter.listed(changes)
+        self.limiter.update_servers(changes)
         if not part.is_whole:
             self.forward(part)
 
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -15,7 +15,7 @@
 from loomstand.admission.events import EndpointsUpdated, SettingsChanged, TenantTotalUpdated
 from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.config.settings import Settings
-from loomstand.limiter.event_loop import Streams, Turns
+from loomstand.limiter.event_loop import ArrivalClockSelector, Streams
 from loomstand.proxy.admission_adapter import AdmissionAdapter
 from loomstand.proxy.client_limits import ClientLimitUpdates
 from loomstand.proxy.counter_client import CounterClient
@@ -48,7 +48,7 @@
         settings: Settings,
         network: Network,
         rng: Random,
-        turns: Turns | None = None,
+        arrival_clock: ArrivalClockSelector | None = None,
         streams: Streams | None = None,
     ) -> None:
         """Creates a proxy that doesn't serve yet.
@@ -57,13 +57,15 @@
             settings: Settings from the settings file.
             network: Network for calls to registries.
             rng: Random generator for all random choices.
-            turns: The event loop's selector, if it records when bytes arrive.
+            arrival_clock: The event loop's selector, if it records when bytes arrive.
             streams: Replacement for real sockets, as in simulations.
         """
-        super().__init__(settings, rng, turns, streams)
-        self.client_limits = ClientLimitUpdates(self.listener, self.loop, self.room.left)
+        super().__init__(settings, rng, arrival_clock, streams)
+        self.client_limits = ClientLimitUpdates(
+            self.listener, self.loop, self.memory_budget.available
+        )
         self.sessions = Sessions(settings, network, self.loop.time, rng, self)
-        self.readiness = ReadinessEndpoint(lambda: self.is_ready, turns, streams)
+        self.readiness = ReadinessEndpoint(lambda: self.is_ready, arrival_clock, streams)
         self.shared_clock = SharedClock()
         self.counter_client = CounterClient(
             self.sessions, self.loop, self.now, self.counter_replied
--- a/loomstand/proxy/upstream.py
+++ b/loomstand/proxy/upstream.py
@@ -13,7 +13,7 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.protocols import Sends
+from loomstand.limiter.protocols import PoolOwner
 from loomstand.limiter.request import HOP_FIELDS, Attempt
 from loomstand.limiter.upstream import ConnectionPool, ServerConnection
 from loomstand.proxy.request import (
@@ -38,7 +38,7 @@
 MAX_SURPLUS_RESPONSES = 8
 
 
-class AttemptListener(Sends[Attempt[ProxyRequest]], Protocol):
+class AttemptListener(PoolOwner[Attempt[ProxyRequest]], Protocol):
     """Interface of the proxy for connections to servers."""
 
     def endpoint_misdirected(self, attempt: Attempt[ProxyRequest]) -> None:
@@ -67,7 +67,7 @@
         """Sends the request, unless it has expired or its client has disconnected."""
         if self.attempt is not None and self.attempt.expires_at <= self.pool.limiter.now():
             # the process was suspended while connecting, and nothing was sent
-            self.wire.stop(Ending.EXPIRED)
+            self.channel.stop(Ending.EXPIRED)
             return
         super().opened()
 
@@ -76,7 +76,7 @@
         attempt = self.attempt
         if attempt is None:
             return
-        parser = self.machine
+        parser = self.parser
         status, fields, body, must_close = parser.status, parser.fields, parser.body, parser.close
         response_id = fields.get(REQUEST_ID_FIELD)
         request = attempt.request
@@ -87,7 +87,7 @@
         has_not_run = b"loomstand-not-executed" in fields or status == MISDIRECTED
         is_own = is_server_response(status, fields, has_not_run)
         if response_id != request.request_id or not is_own:
-            self.wire.stop(Ending.MALFORMED)  # the request may have been executed
+            self.channel.stop(Ending.MALFORMED)  # the request may have been executed
             return
         if (keep_alive := KEEP_ALIVE_TIMEOUT(fields.get(b"keep-alive", b""))) is not None:
             self.idle_timeout_seconds = max(0.0, int(keep_alive[1]) - IDLE_CLOSE_MARGIN_SECONDS)
@@ -111,8 +111,8 @@
     def _skip_surplus(self) -> None:
         """Skips a response to an earlier request, and parses the remaining input."""
         self.surplus += 1
-        self.machine.reset()
-        if self.wire.inbound.used:
+        self.parser.reset()
+        if self.channel.inbound.used:
             self.received()
 
 
@@ -198,7 +198,7 @@
         """
         connection = attempt.connection
         if connection is not None and connection.attempt is attempt:
-            connection.wire.sever()
+            connection.channel.discard_unsent()
         super().give_up(attempt, ending)
 
     def discard_stale(self, connection: UpstreamConnection, attempt: Attempt[ProxyRequest]) -> None:
--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -1,6 +1,4 @@
-"""The limiter on sockets, among stand-ins on loopback: one test for each place where sockets
-bite.
-"""
+"""The stand-alone limiter on loopback sockets, with stand-ins for the services around it."""
 
 from __future__ import annotations
 
@@ -38,19 +36,21 @@
 
 from loomstand.admission.actions import IncrementCounter
 from loomstand.admission.outcome import Outcome
-from loomstand.limiter.buffers import FIRST, Ring
+from loomstand.limiter.buffers import INITIAL_RING_BYTES, Ring
 from loomstand.limiter.discovery import Watch
 from loomstand.limiter.endings import Ending
-from loomstand.limiter.event_loop import Turns, Untimed, Wire, connect
+from loomstand.limiter.event_loop import ArrivalClockSelector, ReadTimeClock, SocketChannel, connect
 from loomstand.limiter.http_parser import Receiver
 
 
-def sockets(test):
-    """Runs an async test under a bound of its own."""
+def socket_test(test):
+    """Runs an async test with a time-out of 15 s, on an event loop with `ArrivalClockSelector`."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
-        with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(Turns())) as runner:
+        with asyncio.Runner(
+            loop_factory=lambda: asyncio.SelectorEventLoop(ArrivalClockSelector())
+        ) as runner:
             runner.run(asyncio.wait_for(test(*args, **kwargs), 15))
 
     return run
@@ -65,20 +65,20 @@
 
 
 def outcomes(site):
-    """The outcomes of dispatches as they come to be known."""
-    seen, note = [], site.limiter.handle_event
+    """Returns a list that collects the outcomes of attempts as they are reported."""
+    seen, handle_event = [], site.limiter.handle_event
 
-    def spy(said):
-        if hasattr(said, "attempt"):
-            seen.append(said.outcome)
-        note(said)
+    def spy(event):
+        if hasattr(event, "attempt"):
+            seen.append(event.outcome)
+        handle_event(event)
 
     site.limiter.handle_event = spy
     return seen
 
 
-@sockets
-async def test_a_req_passes_unchanged_and_its_connections_are_kept():
+@socket_test
+async def test_a_request_is_forwarded_unchanged_and_connections_are_reused():
     body = bytes(range(256)) * 100
     async with Site(lambda n, head, got: said(200, got)) as site, Caller(site.port) as caller:
         assert (await caller.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200
@@ -92,11 +92,11 @@
         )
         wait = next(int(f.split()[1]) for f in fields if f.startswith(b"request-timeout-ms"))
         assert 900 < wait <= 1000
-        assert not site.limiter.requests and site.limiter.room.left > 90 << 20
+        assert not site.limiter.requests and site.limiter.memory_budget.available > 90 << 20
 
 
-@sockets
-async def test_an_answer_as_long_as_the_memory_allows_is_passed_whole_and_a_longer_one_is_not():
+@socket_test
+async def test_a_response_of_the_maximum_size_is_forwarded_and_a_longer_one_is_not():
     sizes = [300_000, 300_000, (96 << 20) // 64, (96 << 20) // 64 + 1, 3_000_000_000]
 
     def play(n, head, body):
@@ -107,19 +107,21 @@
         got = [await caller.ask(request("book", f"r{n}")) for n in range(5)]
         assert [g[0] for g in got] == [200, 200, 200, 502, 502]
         assert [len(g[2]) for g in got] == [*sizes[:3], 0, 0] and site.servers[0].connections == 2
-        assert site.limiter.room.left >= (96 << 20) - 4 * FIRST  # and no ring stays large
+        assert (
+            site.limiter.memory_budget.available >= (96 << 20) - 4 * INITIAL_RING_BYTES
+        )  # and no ring buffer stays large
 
 
-@sockets
-async def test_a_limiter_that_knows_no_server_is_not_ready():
+@socket_test
+async def test_a_limiter_without_servers_is_not_ready():
     async with Site() as site, Caller(site.port) as caller:
         site.limiter.is_ready = False
         assert (await caller.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 503
         assert (await caller.ask(request()))[0] == 429
 
 
-@sockets
-async def test_turned_away_and_refused_are_proven_so_even_non_replayable_goes_elsewhere():
+@socket_test
+async def test_rejected_and_refused_attempts_did_not_run_so_non_replayable_requests_are_retried():
     turned = functools.partial(said, 503, b"", b"Not-Started: 1\r\n")
     async with (
         Site(lambda n, head, body: turned(), passes, passes) as site,
@@ -139,8 +141,8 @@
         b"nonsense\r\n\r\n",
     ],
 )
-@sockets
-async def test_a_cut_answer_may_have_run_and_is_never_passed_as_whole(cut):
+@socket_test
+async def test_a_request_with_a_truncated_response_may_have_run_and_gets_a_502(cut):
     async def play(n, head, body):
         for writer in list(site.servers[0].open):
             writer.write(cut)
@@ -152,8 +154,8 @@
         assert seen == [Outcome.CONNECTION_LOST] and len(site.servers[0].heads) == 1
 
 
-@sockets
-async def test_a_server_that_says_nothing_is_given_up_in_time_by_closing():
+@socket_test
+async def test_a_connection_to_a_silent_server_is_closed_at_the_request_time_out():
     async with Site(silent) as site, Caller(site.port) as caller:
         began = time.monotonic()
         assert (await caller.ask(request("book", timeout=300)))[0] == 502
@@ -161,32 +163,32 @@
         assert not site.limiter.pool.connections and not site.limiter.requests
 
 
-@sockets
-async def test_a_connect_that_never_comes_up_is_no_connection():
+@socket_test
+async def test_a_connect_that_times_out_ends_as_silent_connect():
     loop, ended = asyncio.get_running_loop(), []
 
     class User:
-        def ended(self, why):
-            ended.append(why)
+        def ended(self, ending):
+            ended.append(ending)
 
     async with Site(passes) as site:
-        # a listener whose line is full answers no further connect
+        # A listener with a full backlog doesn't answer further connects.
         full = await asyncio.start_server(
             lambda r, w: None, HOST, 0, backlog=1, start_serving=False
         )
         port = full.sockets[0].getsockname()[1]
         full.sockets[0]._sock.listen(0)
         hold = [await asyncio.open_connection(HOST, port)]
-        wire = Wire(User(), site.limiter.room, 1 << 16)
-        connect(loop, wire, (HOST, port), 0.1)
+        channel = SocketChannel(User(), site.limiter.memory_budget, 1 << 16)
+        connect(loop, channel, (HOST, port), 0.1)
         await until(lambda: ended)
         assert ended == [Ending.SILENT_CONNECT]
         hold[0][1].close()
         full.close()
 
 
-@sockets
-async def test_no_connection_is_used_again_near_its_idle_close():
+@socket_test
+async def test_no_connection_is_reused_near_its_idle_close():
     async with Site(passes) as site, Caller(site.port) as caller:
         await caller.ask(request(id_="a"))
         site.limiter.pool.max_idle_seconds = 0.05
@@ -195,8 +197,8 @@
         assert site.servers[0].connections == 2
 
 
-@sockets
-async def test_a_new_server_at_an_old_address_gets_connections_of_its_own():
+@socket_test
+async def test_a_new_server_at_a_known_address_gets_new_connections():
     async with Site(passes) as site, Caller(site.port) as caller:
         await until(lambda: site.discovery.open)
         await caller.ask(request())
@@ -205,7 +207,7 @@
         await until(lambda: len(site.limiter.pool.addresses) == 2)
         assert (await caller.ask(request(id_="r2")))[0] == 200 and site.servers[0].connections == 2
         site.tell(revision=6, complete=False, members=[old | {"phase": "left"}])
-        # nothing is kept of the other
+        # Nothing is kept for the removed server.
         await until(lambda: list(site.limiter.servers.indices) == ["s9"])
         assert list(site.limiter.pool.connections) == [
             v for vs in site.limiter.pool.idle.values() for v in vs
@@ -213,27 +215,27 @@
         assert (await caller.ask(request(id_="r3")))[0] == 200 and site.servers[0].connections == 2
 
 
-@sockets
-async def test_no_connection_is_used_again_on_which_something_waits():
+@socket_test
+async def test_no_connection_with_unread_bytes_is_reused():
     async with Site(passes) as site, Caller(site.port) as caller:
         await caller.ask(request(id_="a"))
         pool = site.limiter.pool
         send = pool.send
 
-        def late(flight):
-            # a second copy comes, and nobody has read it yet
+        def late(attempt):
+            # An unrequested response arrives and is still unread.
             for writer in list(site.servers[0].open)[:1]:
                 writer.write(said(200, b"another's"))
             time.sleep(0.01)
-            send(flight)
+            send(attempt)
 
         pool.send = late
         assert (await caller.ask(request(id_="b")))[::2] == (200, b"yes")
         assert site.servers[0].connections == 2
 
 
-@sockets
-async def test_after_silence_what_was_idle_all_the_while_is_not_used_again():
+@socket_test
+async def test_connections_idle_throughout_an_expired_attempt_are_not_reused():
     play = lambda n, head, body: asyncio.sleep(0.1 if n < 2 else 3, said(200))  # noqa: E731
     async with Site(play) as site, Caller(site.port) as one, Caller(site.port) as two:
         await asyncio.gather(one.ask(request(id_="r1")), two.ask(request(id_="r2")))
@@ -242,8 +244,8 @@
         assert not site.limiter.pool.connections
 
 
-@sockets
-async def test_out_of_sockets_is_an_outcome_not_held_against_the_server():
+@socket_test
+async def test_lack_of_sockets_is_reported_as_not_sent():
     async with Site(silent) as site, Caller(site.port) as one, Caller(site.port) as two:
         seen = outcomes(site)
         site.limiter.sockets = 3  # two clients and one server
@@ -254,14 +256,14 @@
         await first
 
 
-@sockets
-async def test_a_descriptor_that_cannot_be_had_ends_as_no_room():
-    def none(*args):
+@socket_test
+async def test_lack_of_descriptors_is_reported_as_not_sent():
+    def out_of_descriptors(*args):
         raise OSError(24, "too many open files")
 
     async with Site(passes) as site, Caller(site.port) as caller:
         seen, real = outcomes(site), connect.__globals__["socket"].socket
-        connect.__globals__["socket"].socket = none
+        connect.__globals__["socket"].socket = out_of_descriptors
         try:
             assert (await caller.ask(request()))[0] == 429
         finally:
@@ -286,21 +288,23 @@
         (request().replace(b"account=0", b"account=x"), 400, False),
     ],
 )
-@sockets
-async def test_bad_input_gets_a_4xx_and_leaves_nothing_behind(raw, status, closes):
+@socket_test
+async def test_invalid_input_gets_a_4xx_and_frees_its_memory(raw, status, closes):
     async with Site(passes) as site, Caller(site.port) as caller:
         assert (await caller.ask(raw))[0] == status
         if closes:
             assert await caller.closed()
             caller.writer.close()
             await until(lambda: not site.limiter.listener.clients)
-            assert site.limiter.room.left >= (96 << 20) - FIRST  # discovery's ring
+            assert (
+                site.limiter.memory_budget.available >= (96 << 20) - INITIAL_RING_BYTES
+            )  # discovery's ring
         else:
             assert (await caller.ask(request()))[0] == 200
 
 
-@sockets
-async def test_a_client_that_goes_is_a_vanished_and_gets_nothing():
+@socket_test
+async def test_a_request_whose_client_disconnects_is_abandoned():
     async with Site(lambda n, head, body: asyncio.sleep(0.1, said(200))) as site:
         async with Caller(site.port) as caller:
             caller.writer.write(request())
@@ -310,30 +314,30 @@
         await until(lambda: not site.limiter.requests)
         assert (
             len(site.limiter.pool.connections) == 1
-        )  # the answer came, and its connection is kept
+        )  # the response arrived, so its connection is kept
 
 
-@sockets
-async def test_reqs_sent_ahead_are_answered_in_turn():
+@socket_test
+async def test_pipelined_requests_are_answered_in_order():
     play = lambda n, head, body: asyncio.sleep(0.02, said(200, b"%d" % n))  # noqa: E731
     async with Site(play) as site, Caller(site.port) as caller:
         caller.writer.write(b"".join(request(id_=f"r{n}") for n in range(4)))
         assert [(await caller.answer())[2] for n in range(4)] == [b"0", b"1", b"2", b"3"]
 
 
-@sockets
-async def test_a_late_turn_counts_against_the_wait():
+@socket_test
+async def test_a_blocked_event_loop_shortens_the_remaining_time():
     async with Site(silent) as site, Caller(site.port) as caller:
         caller.writer.write(request("book", timeout=400))
-        await asyncio.sleep(0)  # the bytes are sent in this turn
+        await asyncio.sleep(0)  # the bytes are sent in this iteration
         sent = time.monotonic()
-        time.sleep(0.2)  # and this limiter is late
+        time.sleep(0.2)  # blocks the event loop
         assert (await caller.answer())[0] in (429, 502)
         assert time.monotonic() - sent < 0.55
 
 
-@sockets
-async def test_a_connection_that_waits_before_its_first_req_loses_no_time():
+@socket_test
+async def test_idle_time_before_the_first_request_does_not_shorten_its_time_out():
     async with (
         Site(lambda n, head, body: asyncio.sleep(0.1, said(200))) as site,
         Caller(site.port) as caller,
@@ -342,18 +346,18 @@
         assert (await caller.ask(request(timeout=250)))[0] == 200
 
 
-@sockets
-async def test_what_came_with_a_connection_counts_from_then():
+@socket_test
+async def test_a_request_sent_with_the_connect_is_timed_from_the_connect():
     async with Site(silent) as site, Caller(site.port) as caller:
         caller.writer.write(request("book", timeout=400))
-        time.sleep(0.2)  # before the limiter has looked at the connection
+        time.sleep(0.2)  # before the limiter polls the connection
         began = time.monotonic()
         assert (await caller.answer())[0] in (429, 502)
         assert time.monotonic() - began < 0.35
 
 
-@sockets
-async def test_a_server_that_answers_before_the_req_is_whole_is_heard():
+@socket_test
+async def test_a_response_before_the_end_of_the_request_is_used():
     async def early(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(said(503, b"", b"Not-Started: 1\r\nConnection: close\r\n"))
@@ -370,8 +374,8 @@
     server.close()
 
 
-@sockets
-async def test_clients_beyond_the_bound_make_room_or_are_turned_away():
+@socket_test
+async def test_excess_clients_replace_idle_ones_or_are_rejected():
     async with Site(silent) as site:
         site.limiter.sockets = 2
         async with Caller(site.port) as idle, Caller(site.port) as busy, Caller(site.port) as third:
@@ -383,16 +387,16 @@
             assert len(site.limiter.listener.clients) <= 3
 
 
-@sockets
-async def test_what_is_closed_goes_at_once_without_the_collector():
+@socket_test
+async def test_closed_connections_are_freed_without_the_garbage_collector():
     async with Site(lambda n, head, body: None if n % 2 else said(200)) as site:
         gc.collect()
         gc.disable()
 
-        def held():
-            return sum(isinstance(o, Wire | Receiver | Ring) for o in gc.get_objects())
+        def live_objects():
+            return sum(isinstance(o, SocketChannel | Receiver | Ring) for o in gc.get_objects())
 
-        before = held()
+        before = live_objects()
         try:
             for n in range(6):
                 async with Caller(site.port) as caller:
@@ -400,13 +404,13 @@
             await until(
                 lambda: not site.limiter.listener.clients and not site.limiter.pool.connections
             )
-            await until(lambda: held() == before)
+            await until(lambda: live_objects() == before)
         finally:
             gc.enable()
 
 
-@sockets
-async def test_clients_that_say_nothing_or_half_a_req_make_room_for_usual_ones():
+@socket_test
+async def test_silent_and_stalled_clients_are_closed_in_favour_of_active_ones():
     def callers():
         return Caller(site.port)
 
@@ -414,8 +418,8 @@
         await caller.ask(request())
         half.writer.write(request()[:40])
         await until(lambda: [c.idle for c in site.limiter.listener.clients].count(False) == 1)
-        await asyncio.sleep(0.3)  # longer than a connect may take
-        site.limiter.sockets = 4  # as many as there are: three of clients, one to a server
+        await asyncio.sleep(0.3)  # longer than the connect time-out
+        site.limiter.sockets = 4  # all in use: three clients and one server
         async with Caller(site.port) as first:
             assert (await first.ask(request(id_="r1")))[0] == 200
             assert await mute.closed() and site.servers[0].connections == 1
@@ -426,33 +430,33 @@
                 assert (await half.answer())[0] == 408 and await half.closed()
 
 
-@sockets
-async def test_who_asks_once_and_stays_goes_before_usual_clients_run_out():
+@socket_test
+async def test_clients_that_stay_after_one_request_are_closed_before_active_ones():
     async with Site(passes) as site, Caller(site.port) as usual:
-        site.limiter.listener.most_held = 4
+        site.limiter.listener.keep_alive_limit = 4
         stay = [Caller(site.port) for _ in range(8)]
         for n, caller in enumerate(stay):
             await caller.__aenter__()
             assert (await caller.ask(request(id_=f"s{n}")))[0] == 200
-            assert (await usual.ask(request(id_=f"u{n}")))[0] == 200  # its place is the last
+            assert (await usual.ask(request(id_=f"u{n}")))[0] == 200  # now last
             assert len(site.limiter.listener.clients) <= 4
         assert await stay[0].closed()
         for caller in stay:
             caller.writer.close()
 
 
-@sockets
-async def test_no_connection_is_closed_under_a_req_that_waits_to_be_read():
+@socket_test
+async def test_no_connection_with_an_unread_request_is_closed():
     async with Site(passes) as site, Caller(site.port) as caller:
         await until(lambda: site.limiter.listener.clients)
-        caller.writer.write(request())  # it is in the system now, and nothing has read it
+        caller.writer.write(request())  # in the kernel, still unread
         assert not site.limiter.listener.close_idle()
         site.limiter.listener.stop()
         assert (await caller.answer())[0] == 200
 
 
-@sockets
-async def test_a_client_that_stops_within_a_req_is_not_kept():
+@socket_test
+async def test_a_client_that_stalls_within_a_request_is_closed():
     async with Site(passes) as site, Caller(site.port) as caller:
         caller.writer.write(request()[:40])
         await until(lambda: any(not c.idle for c in site.limiter.listener.clients))
@@ -461,43 +465,43 @@
         assert await caller.closed()
 
 
-@sockets
-async def test_neither_dripping_nor_lingering_keeps_a_connection():
+@socket_test
+async def test_clients_that_send_slowly_or_linger_are_closed():
     async with Site(passes) as site, Caller(site.port) as drips, Caller(site.port) as lingers:
         assert (await lingers.ask(b"nonsense\r\n\r\n"))[0] == 400
         for byte in request()[:6]:
             drips.writer.write(bytes([byte]))
             await asyncio.sleep(0.02)
-        front = site.limiter.listener
-        assert len(front.clients) == 2
-        front.sweep(0.08)  # the last byte is younger, the first is not
+        listener = site.limiter.listener
+        assert len(listener.clients) == 2
+        listener.sweep(0.08)  # only the first byte is older than 0.08 s
         assert (await drips.answer())[0] == 408
-        await until(lambda: front.sweep(0.08) or not front.clients)
+        await until(lambda: listener.sweep(0.08) or not listener.clients)
 
 
-@sockets
-async def test_on_a_loop_of_somebody_elses_each_req_has_its_own_time():
+@socket_test
+async def test_without_arrival_times_each_request_has_its_full_time_out():
     play = lambda n, head, body: asyncio.sleep(0.05, said(200))  # noqa: E731
-    async with Site(play, turns=Untimed()) as site, Caller(site.port) as caller:
+    async with Site(play, arrival_clock=ReadTimeClock()) as site, Caller(site.port) as caller:
         for n in range(3):
             assert (await caller.ask(request(id_=f"r{n}", timeout=250)))[0] == 200
             await asyncio.sleep(0.15)
 
 
-@sockets
-async def test_calls_are_pipelined_answered_in_order_and_late_ones_not_taken_for_others():
+@socket_test
+async def test_counter_calls_are_pipelined_and_late_responses_are_not_misassigned():
     async def play(n, head, body):
         await asyncio.sleep(0.25 if n == 0 else 0)
         return said(503) if n == 2 else said(200, b"%d" % (100 + n))
 
     async with Site(counter=play) as site:
         got = []
-        site.limiter.counter.patience = 1.0
-        site.limiter.counter_replied = lambda *said: got.append(said[:3])
+        site.limiter.counter.silence_timeout = 1.0
+        site.limiter.counter_replied = lambda *call: got.append(call[:3])
         for n in range(3):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
         await until(lambda: len(got) == 3)
-        assert [g[1] for g in got] == [Outcome.NO_RESPONSE] * 3  # the first held up the others
+        assert [g[1] for g in got] == [Outcome.NO_RESPONSE] * 3  # the first delays the others
         await asyncio.sleep(0.25)
         site.limiter.counter.call(IncrementCounter(7, 2.5, 10_000))
         await until(lambda: len(got) == 4)
@@ -506,37 +510,37 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt", [said(200, b"none"), said(200, b"1e999"), said(500), said(200, b"3") + b"noise"]
+    "invalid", [said(200, b"none"), said(200, b"1e999"), said(500), said(200, b"3") + b"noise"]
 )
-@sockets
-async def test_a_counter_that_answers_spoilt_may_have_added_and_its_connection_is_done_with(spoilt):
-    async with Site(counter=lambda n, head, body: said(200, b"4") if n else spoilt) as site:
+@socket_test
+async def test_after_an_invalid_counter_response_the_connection_is_replaced(invalid):
+    async with Site(counter=lambda n, head, body: said(200, b"4") if n else invalid) as site:
         got = []
-        site.limiter.counter_replied = lambda *said: got.append(said[1:3])
+        site.limiter.counter_replied = lambda *call: got.append(call[1:3])
         for n in range(2):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
             await until(lambda: len(got) == n + 1)  # noqa: B023
-        first = (Outcome.SUCCEEDED, 3.0) if b"noise" in spoilt else (Outcome.NO_RESPONSE, 0.0)
+        first = (Outcome.SUCCEEDED, 3.0) if b"noise" in invalid else (Outcome.NO_RESPONSE, 0.0)
         assert got == [first, (Outcome.SUCCEEDED, 4.0)] and site.counter.connections == 2
 
 
-@sockets
-async def test_a_call_after_an_answer_that_never_ends_goes_over_another_connection():
+@socket_test
+async def test_a_call_after_an_incomplete_counter_response_uses_another_connection():
     endless = b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n1"
     async with Site(counter=lambda n, head, body: said(200, b"4") if n else endless) as site:
         got = []
-        site.limiter.counter_replied = lambda *said: got.append(said[1:3])
+        site.limiter.counter_replied = lambda *call: got.append(call[1:3])
         for n in range(2):
             site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
             await until(lambda: len(got) == n + 1)  # noqa: B023
         assert got == [(Outcome.NO_RESPONSE, 0.0), (Outcome.SUCCEEDED, 4.0)]
 
 
-@sockets
-async def test_a_counter_that_breaks_may_have_added_and_one_that_refuses_has_not():
+@socket_test
+async def test_a_lost_counter_connection_is_no_response_and_a_refused_one_a_failed_connect():
     async with Site(counter=lambda n, head, body: None) as site:
         got = []
-        site.limiter.counter_replied = lambda *said: got.append(said[1])
+        site.limiter.counter_replied = lambda *call: got.append(call[1])
         site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: got)
         site.counter.stop()
@@ -546,64 +550,64 @@
         assert got == [Outcome.NO_RESPONSE, Outcome.CONNECT_FAILED]
 
 
-@sockets
+@socket_test
 async def test_a_silent_counter_gets_few_connections():
     async with Site(counter=silent) as site:
         counter, got = site.limiter.counter, []
-        site.limiter.counter_replied = lambda *said: got.append(said[1])
-        counter.timeout, counter.patience = 0.01, 0.02
+        site.limiter.counter_replied = lambda *call: got.append(call[1])
+        counter.timeout, counter.silence_timeout = 0.01, 0.02
         for n in range(30):
             counter.call(IncrementCounter(n, 1.0, 10_000))
             await asyncio.sleep(0.02)
         assert set(got) == {Outcome.NO_RESPONSE} and 2 <= site.counter.connections <= 6
 
 
-@sockets
-async def test_read_again_discovery_and_counter_move_and_nothing_taken_is_lost():
+@socket_test
+async def test_a_reload_moves_discovery_and_counter_without_losing_work():
     counter = lambda n, head, body: asyncio.sleep(0.05, said(200, b"7"))  # noqa: E731
     slow = lambda n, head, body: asyncio.sleep(0.2, said(200))  # noqa: E731
     async with Site(slow, counter=counter) as site, Caller(site.port) as caller:
         limiter, got = site.limiter, []
-        await until(lambda: site.discovery.open and limiter.counter.line is None)
-        limiter.counter_replied = lambda *said: got.append(said[:3])
+        await until(lambda: site.discovery.open and limiter.counter.connection is None)
+        limiter.counter_replied = lambda *call: got.append(call[:3])
         caller.writer.write(request())
         limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
         await until(lambda: site.counter.heads)
-        agent, keeper = Peer(lambda n, head, body: WATCHING), Peer(counter)
-        places = {
-            "discovery_address": (HOST, await agent.start()),
-            "counter_address": (HOST, await keeper.start()),
+        new_discovery, new_counter = Peer(lambda n, head, body: WATCHING), Peer(counter)
+        addresses = {
+            "discovery_address": (HOST, await new_discovery.start()),
+            "counter_address": (HOST, await new_counter.start()),
         }
-        for _ in range(2):  # the second time nothing moves
-            limiter.reload(msgspec.structs.replace(limiter.config, **places))
-        assert limiter.counter.line is None or not limiter.counter.line.up
-        # and the old line's answer comes while it goes up
+        for _ in range(2):  # the second reload changes nothing
+            limiter.reload(msgspec.structs.replace(limiter.config, **addresses))
+        assert limiter.counter.connection is None or not limiter.counter.connection.is_open
+        # The old connection's response arrives while the new one connects.
         limiter.counter.call(IncrementCounter(2, 1.0, 10_000))
-        await until(lambda: len(got) >= 2 and agent.heads and not site.discovery.open)
+        await until(lambda: len(got) >= 2 and new_discovery.heads and not site.discovery.open)
         await until(lambda: not site.counter.open)
         assert sorted(got) == [(1, Outcome.SUCCEEDED, 7.0), (2, Outcome.SUCCEEDED, 7.0)]
-        assert (len(site.counter.heads), len(keeper.heads)) == (1, 1)
+        assert (len(site.counter.heads), len(new_counter.heads)) == (1, 1)
         assert (await caller.answer())[0] == 200
-        assert len(agent.heads) == 1 and b"index=4 " in agent.heads[0]
-        agent.stop()
-        keeper.stop()
+        assert len(new_discovery.heads) == 1 and b"index=4 " in new_discovery.heads[0]
+        new_discovery.stop()
+        new_counter.stop()
 
 
-@sockets
-async def test_calls_that_wait_for_a_line_go_to_the_counters_new_place():
+@socket_test
+async def test_queued_counter_calls_go_to_the_new_address():
     async with Site() as site:
         got = []
-        site.limiter.counter_replied = lambda *said: got.append(said[1])
-        site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))  # its connection is not up yet
+        site.limiter.counter_replied = lambda *call: got.append(call[1])
+        site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))  # still connecting
         other = Peer(site.counter.play)
-        site.limiter.counter.move((HOST, await other.start()))
+        site.limiter.counter.set_address((HOST, await other.start()))
         await until(lambda: got)
         assert got == [Outcome.SUCCEEDED] and len(other.heads) == 1 and not site.counter.heads
         other.stop()
 
 
-@sockets
-async def test_the_watch_is_resumed_where_it_broke_and_replaced_when_silent():
+@socket_test
+async def test_the_watch_resumes_at_its_revision_and_is_replaced_when_silent():
     async with Site(passes, passes) as site:
         limiter, discovery = site.limiter, site.discovery
         await until(lambda: discovery.open)
@@ -613,7 +617,7 @@
         discovery.cut()
         await until(lambda: len(discovery.heads) == 2)
         assert b"index=6 " in discovery.heads[1]
-        limiter.watch.heard_at -= 60
+        limiter.watch.last_received_at -= 60
         limiter.watch.sweep()
         await until(lambda: len(discovery.heads) == 3)
         await until(lambda: discovery.open)
@@ -623,8 +627,8 @@
         )
 
 
-@sockets
-async def test_a_watch_that_says_nonsense_is_begun_anew():
+@socket_test
+async def test_a_watch_with_invalid_data_is_reopened():
     async with Site(passes) as site, Caller(site.port) as caller:
         await until(lambda: site.discovery.open)
         for writer in site.discovery.open:
@@ -633,16 +637,16 @@
         assert (await caller.ask(request()))[0] == 200
 
 
-@sockets
-async def test_told_to_stop_it_serves_on_and_ends_when_empty(monkeypatch):
-    monkeypatch.setattr("loomstand.limiter.limiter.LINGER", 0.2)
+@socket_test
+async def test_a_stopping_limiter_serves_until_no_request_is_pending(monkeypatch):
+    monkeypatch.setattr("loomstand.limiter.limiter.LINGER_SECONDS", 0.2)
     slow = lambda n, head, body: asyncio.sleep(0.4, said(200))  # noqa: E731
     async with Site(slow) as site, Caller(site.port) as busy, Caller(site.port) as idle:
         busy.writer.write(request())
         await until(lambda: site.servers[0].heads)
         site.limiter.stop()
         assert await idle.closed()
-        async with Caller(site.port) as late:  # new connections still come for a while
+        async with Caller(site.port) as late:  # new connections are accepted for `LINGER_SECONDS`
             status, head, _ = await late.ask(request(id_="r2"))
             assert status == 200 and b"connection: close" in head.lower()
         status, head, _ = await busy.answer()
@@ -653,15 +657,15 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@sockets
-async def test_any_mix_of_faults_leaves_one_answer_a_req_and_no_effect_twice(seed):
-    chance = random.Random(seed)
-    ran: dict[str, int] = {}  # deliveries that are not proven to have run nothing
+@socket_test
+async def test_mixed_faults_leave_one_response_per_request_and_no_effect_twice(seed):
+    rng = random.Random(seed)
+    ran: dict[str, int] = {}  # deliveries that may have run
     turned = said(503, b"", b"Not-Started: 1\r\n")
 
     async def play(n, head, body):
         kind, name = (
-            chance.choice("pppptcesh"),
+            rng.choice("pppptcesh"),
             re.search(rb"request-id: (\w+)", head.lower())[1].decode(),
         )
         if kind == "t":
@@ -676,13 +680,13 @@
         }.get(kind, said(200, name.encode()))
 
     async def count(n, head, body):
-        await asyncio.sleep(chance.choice([0, 0, 0, 0.15]))
-        return chance.choice([said(200, b"1"), said(200, b"2.5"), said(503), None])
+        await asyncio.sleep(rng.choice([0, 0, 0, 0.15]))
+        return rng.choice([said(200, b"1"), said(200, b"2.5"), said(503), None])
 
     async def client(site, n):
         async with Caller(site.port) as caller:
             for k in range(8):
-                front, name = chance.choice(["look", "book"]), f"r{n}x{k}"
+                front, name = rng.choice(["look", "book"]), f"r{n}x{k}"
                 began = time.monotonic()
                 status, _, body = await caller.ask(
                     request(front, name, timeout=300, body=b"b" * 100)
@@ -699,17 +703,17 @@
         assert len(site.limiter.pool.connections) == sum(map(len, site.limiter.pool.idle.values()))
 
 
-@sockets
-async def test_a_failure_of_the_module_costs_one_req_only():
+@socket_test
+async def test_an_engine_failure_affects_one_request_only():
     async with Site(passes) as site, Caller(site.port) as caller:
         handle = site.limiter.engine.handle
-        site.limiter.engine.handle = lambda now, note: 1 / 0
+        site.limiter.engine.handle = lambda now, event: 1 / 0
         assert (await caller.ask(request()))[0] == 502
         site.limiter.engine.handle = handle
         assert (await caller.ask(request()))[0] == 200
 
 
-def test_the_program_serves_reads_again_at_sighup_and_ends_at_sigterm(tmp_path):
+def test_the_program_reloads_at_sighup_and_stops_at_sigterm(tmp_path):
     file = tmp_path / "limiter.json"
     ports = {"listen": free_port(), "discovery": free_port(), "counter": free_port()}
     good = json.dumps(config_file(ports, [member("s0", free_port())]))
@@ -732,7 +736,7 @@
                 serve.send_signal(signal.SIGHUP)
                 assert says in (line := serve.stderr.readline())
                 file.write_text(good)
-            assert str(other) in line  # the file's word, not the environment's
+            assert str(other) in line  # from the file, not from the environment
             serve.terminate()
             assert sock.recv(100) == b""
         assert serve.wait(10) == 0
@@ -743,14 +747,14 @@
     assert bad.returncode == 1 and "settings.balancers" in bad.stderr
 
 
-def test_limiters_that_discovery_turned_away_together_ask_again_apart_and_ever_less_often():
-    """Found on the fleet days: 28 limiters started in one second were turned away, and came again
-    in step.
+def test_reconnects_to_discovery_are_jittered_and_back_off():
+    """Guards against synchronized reconnects: 28 limiters that started within one second and were
+    rejected by discovery reconnected at the same times.
     """
     waits: dict[int, list[float]] = {}
     for seed in (1, 2):
-        told = waits.setdefault(seed, [])
-        loop = SimpleNamespace(call_later=lambda wait, _, told=told: told.append(wait))
+        delays = waits.setdefault(seed, [])
+        loop = SimpleNamespace(call_later=lambda wait, _, delays=delays: delays.append(wait))
         limiter = SimpleNamespace(config=SimpleNamespace(seed=seed), loop=loop, endings=Counter())
         watch = Watch(limiter, (HOST, 1), 0, 0.25, seed)
         for _ in range(8):
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -388,7 +388,7 @@
         self.peers.connection_made(self)
         loop.call_later(rng.random() * 0.05, self.peers.tick)
 
-    def hold(self, on: bool) -> None:
+    def set_active(self, on: bool) -> None:
         if on and not self.is_watching:
             self.discovery_calls += 1
             self.loop.call_later(0.02, self.discovery_answered)
@@ -397,10 +397,10 @@
     def discovery_answered(self) -> None:
         if self.is_up and not self.is_cut_off and self.is_watching:
             list_ = server_list(1, *(f"s{n}" for n in range(100)))  # three datagrams
-            self.listed(list_)
+            self.update_servers(list_)
             self.peers.discovery_listed(list_)
 
-    def listed(self, list_: BackendList) -> None:
+    def update_servers(self, list_: BackendList) -> None:
         self.listed_at = self.loop.now if self.listed_at is None else self.listed_at
 
     def is_closing(self) -> bool:
@@ -475,7 +475,7 @@
     lines: list[str] = []
     loop = SimpleNamespace(time=lambda: 5.0)
     limiter = SimpleNamespace(
-        loop=loop, log=lines.append, listed=lambda list_: lines.append("listed")
+        loop=loop, log=lines.append, update_servers=lambda list_: lines.append("listed")
     )
     peers = PeerProtocol(
         limiter, SimpleNamespace(revision=0), 0, 9, "127.0.0.1:1", ["127.0.0.1:2"], BackendList(), 1
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from loomstand.limiter.client_connection import Client
+from loomstand.limiter.client_connection import ClientConnection
 from loomstand.proxy.client_limits import ClientLimitUpdates
 from loomstand.testing.simulation.cluster import FRONT, Cluster
 from loomstand.testing.simulation.http_log import Broken, Talk
@@ -109,17 +109,17 @@
 
 def test_mutant_with_limits_fixed_on_connect_is_detected(cluster, monkeypatch):
     """Mutation: a connection keeps the limits in force when it was opened."""
-    original = Client.received
+    original = ClientConnection.received
 
     def received(self):
-        machine, wire = self.machine, self.wire
-        before = machine.most, machine.most_head, wire.inbound.most
-        if self.begun_at is None:
-            self.begun_at = self.listener.limiter.turns.since
+        parser, channel = self.parser, self.channel
+        before = parser.max_body_bytes, parser.max_head_bytes, channel.inbound.max_size
+        if self.message_started_at is None:
+            self.message_started_at = self.listener.limiter.arrival_clock.earliest_arrival
         original(self)
-        machine.most, machine.most_head, wire.inbound.most = before
+        parser.max_body_bytes, parser.max_head_bytes, channel.inbound.max_size = before
 
-    monkeypatch.setattr(Client, "received", received)
+    monkeypatch.setattr(ClientConnection, "received", received)
     assert send_request(cluster) == (200, False)
     change_limits(cluster, max_header_bytes=8192, max_body_bytes=65536)
     assert send_request(cluster, body=40_000, path="x" * 5000)[0] == 431
