--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -162,7 +162,7 @@
 
     table = read_scenario_table(scenario_file)
     try:
-        key, vals = runner.values(setting)
+        key, vals = runner.parse_sweep(setting)
         with Progress(transient=True) as bar:
             bar.add_task(f"sweep of {key}", total=None)
             results = runner.sweep(table, key, vals, seed, workers)
@@ -221,13 +221,13 @@
     from rich.console import Console
     from rich.progress import Progress
 
-    from loomstand.testing.emulator.runner import values
+    from loomstand.testing.emulator.runner import parse_sweep
     from loomstand.testing.emulator.scenario import ScenarioError
     from loomstand.testing.rehearsal import report, scenario
-    from loomstand.testing.rehearsal.stage import StageError, stage
+    from loomstand.testing.rehearsal.runner import RehearsalError, run_rehearsal
 
     try:
-        overrides = {key: vals[0] for key, vals in map(values, sets)}
+        overrides = {key: vals[0] for key, vals in map(parse_sweep, sets)}
         rehearsal = scenario.load(scenario_file, quick, overrides)
         plan = b"" if no_plan else scenario.plan_of(rehearsal, scenario_file)
     except ScenarioError as error:
@@ -244,13 +244,13 @@
                 asyncio.get_running_loop().add_signal_handler(
                     signal.SIGTERM, asyncio.current_task().cancel
                 )
-                await stage(
+                await run_rehearsal(
                     rehearsal, seed, directory, plan, lambda s: bar.update(task, completed=s)
                 )
 
             try:
                 asyncio.run(run())
-            except StageError as error:
+            except RehearsalError as error:
                 raise click.ClickException(str(error)) from None
             except (KeyboardInterrupt, asyncio.CancelledError):
                 raise click.ClickException(
--- a/loomstand/testing/emulator/checker.py
+++ b/loomstand/testing/emulator/checker.py
@@ -1,30 +1,28 @@
-"""The five rules, checked over a whole lab history; each break is named by rule, req id and
-limiter.
-
-1. Every req taken gets exactly one final answer before its client timeout (plus the answer slack).
-A req
-   whose limiter was killed under it, or whose client left first, is owed nothing.
-2. No effect twice: a non-replayable req runs at most once; a uniqued one at most once outside its
-group and
-   repeat window; and a req has at most one dispatch out at any moment.
-3. Nothing new to a server past the drain grace after its limiter was told that it drains or is
-gone.
-4. No cold server falls over under what all limiters together send it.
-5. No customer's use passes its plan's hard ceiling (a bucket of `ceiling_rate` and `ceiling_depth`)
-by more
-   than the slack.
+"""Checks the history of a run against the five rules and reports each violation.
+
+1. Every accepted request gets exactly one final answer before its client timeout plus the answer
+   slack, unless its limiter was stopped or its client disconnected first.
+2. No effect is applied twice: a non-idempotent request is executed at most once; a deduplicated one
+   at most once outside its deduplication group and window; and a request has at most one attempt in
+   flight at any time.
+3. A server gets no new attempt later than the drain grace after its limiter was notified that it is
+   draining or gone.
+4. No cold server crashes by the load that all limiters together send.
+5. No customer's use exceeds the hard ceiling of its plan (a bucket of `ceiling_rate` and
+   `ceiling_depth`) by more than the slack.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
+from loomstand.admission.ticks import TICKS_PER_SECOND
 from loomstand.testing.emulator import scenario as sc
 from loomstand.testing.emulator.history import History
 
-T = 10_000
-MS = T // 1000
-NAMES = {
+TICKS_PER_MS = TICKS_PER_SECOND // 1000
+TIME_LIMIT_MARGIN_TICKS = 50 * TICKS_PER_MS  # the protocol adds 50 ms to time limits
+RULE_NAMES = {
     1: "one final answer in time",
     2: "no effect twice",
     3: "nothing new to a leaving server",
@@ -34,10 +32,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Break:
-    """One broken rule: which, for which req (or server or customer), at which limiter, and what was
-    seen.
-    """
+class Violation:
+    """One violation of a rule: its request and limiter (-1 if not applicable), time and details."""
 
     rule: int
     req: int
@@ -48,82 +44,90 @@
 
 @dataclass(slots=True)
 class Verdict:
-    breaks: list[Break] = field(default_factory=list)
+    """All violations of a run."""
+
+    violations: list[Violation] = field(default_factory=list)
 
     @property
     def held(self) -> bool:
-        return not self.breaks
+        """Whether no rule was violated."""
+        return not self.violations
 
     def by_rule(self) -> dict[int, int]:
-        counts = dict.fromkeys(NAMES, 0)
-        for b in self.breaks:
+        """Returns the number of violations of each rule."""
+        counts = dict.fromkeys(RULE_NAMES, 0)
+        for b in self.violations:
             counts[b.rule] += 1
         return counts
 
-    def first(self, most: int = 5) -> list[Break]:
-        """The first few breaks of each rule."""
-        out: list[Break] = []
-        for rule in NAMES:
-            out += [b for b in self.breaks if b.rule == rule][:most]
+    def first(self, most: int = 5) -> list[Violation]:
+        """Returns the first violations of each rule, at most `most`."""
+        out: list[Violation] = []
+        for rule in RULE_NAMES:
+            out += [b for b in self.violations if b.rule == rule][:most]
         return out
 
 
 def check(history: History, scenario: sc.Scenario) -> Verdict:
-    """Every break of the five rules in the history."""
+    """Returns all violations of the five rules in the history."""
     verdict = Verdict()
-    verdict.breaks += answers(history, scenario)
-    verdict.breaks += effects(history, scenario)
-    verdict.breaks += leaving(history, scenario)
-    verdict.breaks += [
-        Break(
+    verdict.violations += check_answers(history, scenario)
+    verdict.violations += check_effects(history, scenario)
+    verdict.violations += check_leaving(history, scenario)
+    verdict.violations += [
+        Violation(
             4,
             -1,
             -1,
             at,
             f"server {srv} fell: {sent:.0f} sent in the tip window, it bears {bears:.1f}",
         )
-        for srv, at, sent, bears in history.falls
+        for srv, at, sent, bears in history.overload_crashes
     ]
-    verdict.breaks += ceilings(history, scenario)
+    verdict.violations += check_ceilings(history, scenario)
     return verdict
 
 
-def answers(history: History, scenario: sc.Scenario) -> list[Break]:
-    slack = round(scenario.fleet.answer_slack_ms * MS)
+def check_answers(history: History, scenario: sc.Scenario) -> list[Violation]:
+    """Returns the violations of rule 1."""
+    slack = round(scenario.fleet.answer_slack_ms * TICKS_PER_MS)
     out = []
     for r in history.reqs:
-        if r.finals > 1:
-            out.append(Break(1, r.req, r.limiter, r.final_at, f"{r.finals} final answers"))
-        if r.orphaned or r.vanished:
+        if r.answer_count > 1:
+            out.append(
+                Violation(1, r.req, r.limiter, r.answered_at, f"{r.answer_count} final answers")
+            )
+        if r.orphaned or r.client_left:
             continue
-        if r.finals == 0:
-            out.append(Break(1, r.req, r.limiter, r.give_up, "no final answer"))
-        elif r.final_at > r.give_up + slack:
-            late = (r.final_at - r.give_up) / MS
+        if r.answer_count == 0:
+            out.append(Violation(1, r.req, r.limiter, r.deadline, "no final answer"))
+        elif r.answered_at > r.deadline + slack:
+            late = (r.answered_at - r.deadline) / TICKS_PER_MS
             out.append(
-                Break(
+                Violation(
                     1,
                     r.req,
                     r.limiter,
-                    r.final_at,
-                    f"{r.final} {late:.1f} ms after the client timeout",
+                    r.answered_at,
+                    f"{r.answer} {late:.1f} ms after the client timeout",
                 )
             )
     return out
 
 
-def effects(history: History, scenario: sc.Scenario) -> list[Break]:
+def check_effects(history: History, scenario: sc.Scenario) -> list[Violation]:
+    """Returns the violations of rule 2."""
     out = []
     limiter_of = {r.req: r.limiter for r in history.reqs}
     seen: dict[int, list[tuple[int, int, str, int]]] = {}
-    for req, srv, at, effect, group, window in history.runs:
+    for req, srv, at, effect, group, window in history.executions:
         if effect == "pure":
             continue
-        before = seen.setdefault(req, [])
-        for srv0, at0, _, group0 in before:
+        earlier = seen.setdefault(req, [])
+        for srv0, at0, _, group0 in earlier:
             if effect == "side_effect" or group0 != group or at - at0 > window:
                 out.append(
-                    Break(
+                    Violation(
                         2,
                         req,
                         limiter_of.get(req, -1),
@@ -132,27 +136,26 @@
                     )
                 )
                 break
-        before.append((srv, at, effect, group))
-    # at most one dispatch out at once: each dispatch is open from its send to its end at the
-    # limiter
+        earlier.append((srv, at, effect, group))
+    # an attempt is in flight from its sending until its limiter has its outcome
     for req, limiter, at in history.overlaps:
-        out.append(Break(2, req, limiter, at, "a second dispatch while one was out"))
+        out.append(Violation(2, req, limiter, at, "a second dispatch while one was out"))
     return out
 
 
-def leaving(history: History, scenario: sc.Scenario) -> list[Break]:
-    # the protocol adds 50 ms to time limits
-    grace = round(scenario.fleet.drain_grace_ms * MS) + 50 * MS
-    told: dict[tuple[int, int], list[tuple[int, int]]] = {}
-    for limiter, srv, at, until in history.told_leaving:
-        told.setdefault((limiter, srv), []).append((at, until))
+def check_leaving(history: History, scenario: sc.Scenario) -> list[Violation]:
+    """Returns the violations of rule 3."""
+    grace = round(scenario.fleet.drain_grace_ms * TICKS_PER_MS) + TIME_LIMIT_MARGIN_TICKS
+    notices: dict[tuple[int, int], list[tuple[int, int]]] = {}
+    for limiter, srv, at, until in history.leaving_notices:
+        notices.setdefault((limiter, srv), []).append((at, until))
     out = []
-    for req, n, limiter, srv, sent, _ in history.dispatches:
-        for at, until in told.get((limiter, srv), ()):
+    for req, n, limiter, srv, sent, _ in history.attempts:
+        for at, until in notices.get((limiter, srv), ()):
             if at + grace < sent < until:
-                late = (sent - at) / MS
+                late = (sent - at) / TICKS_PER_MS
                 out.append(
-                    Break(
+                    Violation(
                         3,
                         req,
                         limiter,
@@ -164,21 +167,25 @@
     return out
 
 
-def ceilings(history: History, scenario: sc.Scenario) -> list[Break]:
+def check_ceilings(history: History, scenario: sc.Scenario) -> list[Violation]:
+    """Returns the violations of rule 5, at most one per customer."""
     out, level, last, broken = [], {}, {}, set()
     plans = scenario.plans
-    for customer, plan, at, units in history.used:
+    for customer, plan, at, units in history.usage:
         p = plans[plan]
         if p.ceiling_rate <= 0 or customer in broken:
             continue
         depth = p.ceiling_depth or p.ceiling_rate
         held = level.get(customer, depth)
-        held = min(depth, held + p.ceiling_rate * (at - last.get(customer, at)) / T) - units
+        held = (
+            min(depth, held + p.ceiling_rate * (at - last.get(customer, at)) / TICKS_PER_SECOND)
+            - units
+        )
         level[customer], last[customer] = held, at
         if held < -p.ceiling_slack - 1e-9:
             broken.add(customer)
             out.append(
-                Break(
+                Violation(
                     5,
                     -1,
                     -1,
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -1,13 +1,12 @@
-"""The fleet that a lab run plays: clients, limiters, servers, the counter, discovery and the
-network.
+"""Model of the emulated fleet: clients, limiters, servers, the counter, discovery and the network.
 
-Each part is an actor of `engine.Engine`; a limiter holds a policy with the module's one call,
-`handle(now, note) -> actions`, fed the notes of `loomstand.admission.events` exactly as the
-adapter feeds them, so that the real `Brain` decides and nothing of its decisions is copied here.
-What the model decides itself (which servers a fault hits, when a client comes again) draws on one
-seeded `random.Random`.
+Each part is an actor of `engine.Engine`. A limiter runs a policy with the interface of the decision
+engine, `handle(now, event) -> actions`, and passes it the events of `loomstand.admission.events` as
+the bench adapter does. The model thus runs the real `DecisionEngine` and copies none of its
+decisions. The random choices of the model (which servers a fault affects, when a client retries)
+use one seeded `random.Random`.
 
-Times are tenths of a millisecond (`T`); rates are per second.
+Times are in ticks (0.1 ms); rates are per second.
 """
 
 from __future__ import annotations
@@ -50,72 +49,88 @@
 from loomstand.testing.emulator import scenario as sc
 from loomstand.testing.emulator.counts import Totals
 from loomstand.testing.emulator.engine import Engine
-from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, Req
+from loomstand.testing.emulator.history import ABORTED, DENIED, PASSED, History, RequestRecord
 from loomstand.testing.emulator.traffic import Traffic, refill
 
-T = TICKS_PER_SECOND
-MS = T // 1000
-OC = Outcome
-LIST_DELAY = 50 * MS  # discovery's usual lag behind a change: a watch answered within a few RTTs
-WHOLE_EVERY = 10 * T  # a whole list to every limiter, as a poll of discovery would bring it
-# what a connect to a cut-off peer takes to fail; the settings' default connect timeout
-CONNECT = 250 * MS
+TICKS_PER_MS = TICKS_PER_SECOND // 1000
+# minimum delay of discovery behind a change: a watch is answered within a few round trips
+LIST_DELAY_TICKS = 50 * TICKS_PER_MS
+# every limiter receives the full list at this interval, as by polling discovery
+FULL_LIST_INTERVAL_TICKS = 10 * TICKS_PER_SECOND
+# time until a connection attempt into a partitioned zone fails: the default connect timeout
+CONNECT_TIMEOUT_TICKS = 250 * TICKS_PER_MS
+HEALTH_CHECK_TICKS = 2 * TICKS_PER_MS
+FAILING_WORK_SHARE = 0.1  # service time of a failing server's error response, relative to normal
+NO_END = 1 << 62  # end of a leaving notice while the server has not become live again
 
 
 class Policy:
-    """What a limiter runs: the module, or a baseline with the same call."""
+    """Decides for one limiter: the decision engine, or a baseline with the same interface."""
 
-    def handle(self, now: int, note: Event) -> list[Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
+        """Returns the actions that the event causes at `now`, in ticks."""
         raise NotImplementedError
 
 
 PolicyMaker = Callable[["Fleet", int, EngineSettings, int], Policy]
 
 
-# notes between the parts
+# messages between the parts; `lgen` is the generation of the limiter process that they are for
 # ------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class Work:
+    """An attempt, sent to a server."""
+
     req: int
-    dispatch: int
+    attempt: int
     limiter: int
     lgen: int
     frontend: int
 
 
 @dataclass(slots=True)
-class Finish:
+class WorkFinished:
+    """The end of an attempt's service time, which a server schedules for itself."""
+
     work: Work
-    gen: int
+    generation: int
     failed: bool
 
 
 @dataclass(slots=True)
-class Reply:
+class AttemptReply:
+    """The outcome of an attempt, sent to its limiter."""
+
     req: int
-    dispatch: int
+    attempt: int
     lgen: int
     srv: int
     outcome: Outcome
 
 
 @dataclass(slots=True)
-class Expire:
+class AttemptExpiry:
+    """The time limit of an attempt."""
+
     req: int
-    dispatch: int
+    attempt: int
     lgen: int
 
 
 @dataclass(slots=True)
-class Timer:
+class TimerExpiry:
+    """A timer that a limiter's policy set."""
+
     tag: int
     lgen: int
 
 
 @dataclass(slots=True)
-class CountCall:
+class CounterCall:
+    """An increment, sent to the counter; `keep` is its time to live in ticks."""
+
     limiter: int
     lgen: int
     call: int
@@ -125,7 +140,9 @@
 
 
 @dataclass(slots=True)
-class CountReply:
+class CounterReply:
+    """The counter's reply to an increment, or its timeout."""
+
     call: int
     lgen: int
     outcome: Outcome
@@ -133,30 +150,34 @@
 
 
 @dataclass(slots=True)
-class ListNote:
+class EndpointListMessage:
+    """An endpoint list, sent by discovery to a limiter."""
+
     lgen: int
     listed: EndpointsUpdated
 
 
 @dataclass(slots=True)
-class Come:
-    req: Req
+class ClientRequest:
+    """A request, sent by a client to a limiter."""
+
+    req: RequestRecord
 
 
 @dataclass(slots=True)
-class Leave:
+class ClientDeparture:
+    """The disconnection of a request's client."""
+
     req: int
     lgen: int
 
 
 @dataclass(slots=True)
-class Later:
-    """A note that a limiter posts to itself, so that no answer is fed back inside a call of its
-    policy.
-    """
+class DeferredEvent:
+    """An event that a limiter schedules for itself, to avoid a recursive call of its policy."""
 
     lgen: int
-    note: Event
+    event: Event
 
 
 # the parts
@@ -164,394 +185,463 @@
 
 
 class Server:
-    """A server: `capacity` reqs at work at once, a queue behind them, cold after each start."""
-
-    def __init__(self, fleet: Fleet, srv: int, zone: int, booted: int) -> None:
-        self.fleet, self.srv, self.zone = fleet, srv, zone
-        self.booted, self.up, self.phase, self.gen = booted, True, EndpointState.LIVE, 0
+    """A server with limited concurrency, a bounded queue and slow start after each start."""
+
+    def __init__(self, fleet: Fleet, index: int, zone: int, started_at: int) -> None:
+        self.fleet, self.index, self.zone = fleet, index, zone
+        self.started_at, self.up, self.state, self.generation = (
+            started_at,
+            True,
+            EndpointState.LIVE,
+            0,
+        )
         self.working: list[Work] = []
         self.queue: deque[Work] = deque()
-        self.slow, self.failing_until, self.fallen = 1.0, -1, False
-        self.recent: deque[int] = deque()  # arrival times within the last tip window, while cold
+        self.slowdown, self.failing_until, self.collapsed = 1.0, -1, False
+        # arrival times within the last overload window, while the server is cold
+        self.recent_arrivals: deque[int] = deque()
 
     def warmth(self) -> float:
-        age = (self.fleet.engine.now - self.booted) / T
-        return self.fleet.scenario.fleet.warmth(age) if self.booted > 0 else 1.0
+        """Returns the share of its capacity that it has now, by its slow start."""
+        age = (self.fleet.engine.now - self.started_at) / TICKS_PER_SECOND
+        return self.fleet.scenario.fleet.warmth(age) if self.started_at > 0 else 1.0
 
-    def room(self) -> int:
-        """Reqs it works on at once now."""
-        return self.fleet.scenario.fleet.room(self.warmth())
+    def concurrency(self) -> int:
+        """Returns how many requests it can process concurrently now."""
+        return self.fleet.scenario.fleet.concurrency(self.warmth())
 
-    def hand(self) -> int:
+    def requests_held(self) -> int:
+        """Returns the number of requests in process or queued."""
         return len(self.working) + len(self.queue)
 
-    def bears(self, warmth: float) -> float:
-        """Dispatches within the rule's tip window past which this server, at `warmth`, falls."""
-        return self.fleet.scenario.fleet.bears(warmth, self.fleet.mean_work) * self.fleet.tip / T
+    def overload_threshold(self, warmth: float) -> float:
+        """Returns the attempts per overload window above which a server at `warmth` crashes."""
+        return (
+            self.fleet.scenario.fleet.overload_rate(warmth, self.fleet.mean_work_ms)
+            * self.fleet.overload_window
+            / TICKS_PER_SECOND
+        )
 
-    def take(self, note: object) -> None:
-        if isinstance(note, Work):
-            self.arrive(note)
-        elif isinstance(note, Finish) and note.gen == self.gen and note.work in self.working:
-            self.working.remove(note.work)
-            self.answer(note.work, OC.SERVER_ERROR if note.failed else OC.SUCCEEDED)
+    def receive(self, message: object) -> None:
+        if isinstance(message, Work):
+            self.accept(message)
+        elif (
+            isinstance(message, WorkFinished)
+            and message.generation == self.generation
+            and message.work in self.working
+        ):
+            self.working.remove(message.work)
+            self.reply(message.work, Outcome.SERVER_ERROR if message.failed else Outcome.SUCCEEDED)
             if self.queue:
                 self.start(self.queue.popleft())
 
-    def arrive(self, work: Work) -> None:
+    def accept(self, work: Work) -> None:
+        """Starts, queues or rejects an attempt; overload crashes a cold server."""
         fleet, now = self.fleet, self.fleet.engine.now
-        fleet.history.dispatches[fleet.dispatch_rows[work.req, work.dispatch]][5] = now
-        if not self.up or self.phase is EndpointState.GONE:
-            return self.answer(work, OC.CONNECT_FAILED)
+        fleet.history.attempts[fleet.attempt_rows[work.req, work.attempt]][5] = now
+        if not self.up or self.state is EndpointState.GONE:
+            return self.reply(work, Outcome.CONNECT_FAILED)
         warmth = self.warmth()
-        # the rule's cold server: more than fall_multiple times what it can do, for tip_after
+        # rule 4: a cold server crashes at more than `fall_multiple` times its capacity per window
         if warmth < 1.0:
-            self.recent.append(now)
-            while self.recent and self.recent[0] <= now - fleet.tip:
-                self.recent.popleft()
-            bears = self.bears(warmth)
-            if len(self.recent) > max(2.0, bears):
-                fleet.history.falls.append((self.srv, now, float(len(self.recent)), bears))
-                self.fallen = True
-                fleet.crash(self, back_after=-1)
-                return self.answer(work, OC.CONNECTION_LOST)
-        # what a dispatch finds waiting before it, plus one
-        fleet.queued.record_value(len(self.queue) + 1)
-        if self.hand() >= self.room() + fleet.scenario.fleet.queue:
-            return self.answer(work, OC.REJECTED)
-        if len(self.working) < self.room():
+            self.recent_arrivals.append(now)
+            while self.recent_arrivals and self.recent_arrivals[0] <= now - fleet.overload_window:
+                self.recent_arrivals.popleft()
+            threshold = self.overload_threshold(warmth)
+            if len(self.recent_arrivals) > max(2.0, threshold):
+                fleet.history.overload_crashes.append(
+                    (self.index, now, float(len(self.recent_arrivals)), threshold)
+                )
+                self.collapsed = True
+                fleet.crash(self, restart_after=-1)
+                return self.reply(work, Outcome.CONNECTION_LOST)
+        # queue length in front of the attempt, plus one: the histogram starts at 1
+        fleet.queue_positions.record_value(len(self.queue) + 1)
+        if self.requests_held() >= self.concurrency() + fleet.scenario.fleet.queue:
+            return self.reply(work, Outcome.REJECTED)
+        if len(self.working) < self.concurrency():
             self.start(work)
         else:
             self.queue.append(work)
 
     def start(self, work: Work) -> None:
         fleet = self.fleet
-        front = fleet.scenario.frontends[work.frontend]
-        fleet.ran(work, self)
+        frontend = fleet.scenario.frontends[work.frontend]
+        fleet.record_execution(work, self)
         self.working.append(work)
         failing = fleet.engine.now < self.failing_until
-        mean = front.work_ms * MS * self.slow * (0.1 if failing else 1.0)
-        fleet.engine.post(
-            max(1, round(fleet.rng.expovariate(1 / mean))), self, Finish(work, self.gen, failing)
+        mean = (
+            frontend.work_ms
+            * TICKS_PER_MS
+            * self.slowdown
+            * (FAILING_WORK_SHARE if failing else 1.0)
+        )
+        fleet.engine.schedule(
+            max(1, round(fleet.rng.expovariate(1 / mean))),
+            self,
+            WorkFinished(work, self.generation, failing),
         )
 
-    def answer(self, work: Work, outcome: Outcome) -> None:
+    def reply(self, work: Work, outcome: Outcome) -> None:
+        """Sends the outcome of an attempt to its limiter."""
         fleet = self.fleet
         limiter = fleet.limiters[work.limiter]
         delay = fleet.delay(self.zone, limiter.zone)
         if delay is None:
-            return  # lost: the limiter's expiry answers it
-        fleet.engine.post(
-            delay, limiter, Reply(work.req, work.dispatch, work.lgen, self.srv, outcome)
+            return  # lost by the network: the attempt ends by its time limit
+        fleet.engine.schedule(
+            delay, limiter, AttemptReply(work.req, work.attempt, work.lgen, self.index, outcome)
         )
 
     def crash(self) -> None:
-        """Everything in hand is cut off; the limiters hear of it as connections lost."""
-        self.up, self.gen = False, self.gen + 1
+        """Stops the server; its requests end as CONNECTION_LOST at their limiters."""
+        self.up, self.generation = False, self.generation + 1
         for work in [*self.working, *self.queue]:
-            self.answer(work, OC.CONNECTION_LOST)
+            self.reply(work, Outcome.CONNECTION_LOST)
         self.working, self.queue = [], deque()
-        self.recent.clear()
+        self.recent_arrivals.clear()
 
-    def entry(self) -> Endpoint:
-        return Endpoint(self.srv, self.phase, self.zone, 0, 0, 1.0, self.booted)
+    def endpoint(self) -> Endpoint:
+        """Returns the server's entry in an endpoint list."""
+        return Endpoint(self.index, self.state, self.zone, 0, 0, 1.0, self.started_at)
 
 
 class Counter:
-    """The shared counter: totals by name that last `keep`; latency, silence, loss of all, split in
-    parts.
-    """
+    """The shared counter, with its faults: latency, outage, data loss and partition."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.totals = Totals()
-        self.down_until, self.slow = -1, 1.0
+        self.down_until, self.slowdown = -1, 1.0
 
-    def take(self, note: object) -> None:
-        if not isinstance(note, CountCall):
+    def receive(self, message: object) -> None:
+        if not isinstance(message, CounterCall):
             return
         fleet, now = self.fleet, self.fleet.engine.now
         if now < self.down_until:
             return
-        total = self.totals.add(note.limiter, note.name, note.step, now, note.keep)
-        limiter = fleet.limiters[note.limiter]
-        back = fleet.delay(0, limiter.zone)
-        if back is None:
+        total = self.totals.add(message.limiter, message.name, message.step, now, message.keep)
+        limiter = fleet.limiters[message.limiter]
+        reply_delay = fleet.delay(0, limiter.zone)
+        if reply_delay is None:
             return
         took = round(
-            fleet.scenario.counter.latency_ms * MS * self.slow * (0.5 + fleet.rng.random())
+            fleet.scenario.counter.latency_ms
+            * TICKS_PER_MS
+            * self.slowdown
+            * (0.5 + fleet.rng.random())
         )
-        fleet.engine.post(
-            back + took, limiter, CountReply(note.call, note.lgen, OC.SUCCEEDED, total)
+        fleet.engine.schedule(
+            reply_delay + took,
+            limiter,
+            CounterReply(message.call, message.lgen, Outcome.SUCCEEDED, total),
         )
 
 
 class Discovery:
-    """Tells every limiter of each change in the list, late by a little, and the whole list now and
-    then.
-    """
+    """Service discovery: sends each change, and at intervals the full list, to all limiters."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.extra, self.partial = 0, 1.0
+        self.extra_delay, self.listed_share = 0, 1.0
 
     def entries(self) -> tuple[Endpoint, ...]:
-        known = [s.entry() for s in self.fleet.servers if s.phase is not EndpointState.GONE or s.up]
-        if self.partial < 1.0:
-            known = known[: ceil(len(known) * self.partial)]
+        """Returns the full list, or its first part under the fault partial_lists."""
+        known = [
+            s.endpoint() for s in self.fleet.servers if s.state is not EndpointState.GONE or s.up
+        ]
+        if self.listed_share < 1.0:
+            known = known[: ceil(len(known) * self.listed_share)]
         return tuple(known)
 
-    def tell(self, entries: tuple[Endpoint, ...], whole: bool) -> None:
+    def publish(self, entries: tuple[Endpoint, ...], whole: bool) -> None:
+        """Sends a change or the whole list to all live limiters, each with its own delay."""
         fleet = self.fleet
         for limiter in fleet.limiters:
             if limiter.alive:
-                lag = LIST_DELAY + self.extra + fleet.rng.randrange(LIST_DELAY)
-                fleet.engine.post(
-                    lag, limiter, ListNote(limiter.gen, EndpointsUpdated(entries, whole))
+                lag = LIST_DELAY_TICKS + self.extra_delay + fleet.rng.randrange(LIST_DELAY_TICKS)
+                fleet.engine.schedule(
+                    lag,
+                    limiter,
+                    EndpointListMessage(limiter.generation, EndpointsUpdated(entries, whole)),
                 )
 
-    def take(self, note: object) -> None:  # the periodic whole list
-        self.tell(self.entries(), True)
-        self.fleet.engine.post(WHOLE_EVERY, self, note)
+    def receive(self, message: object) -> None:
+        """Sends the periodic full list."""
+        self.publish(self.entries(), True)
+        self.fleet.engine.schedule(FULL_LIST_INTERVAL_TICKS, self, message)
 
 
 class Limiter:
-    """One limiter: its policy, what it has sent and what it owes."""
+    """One limiter: its policy, its attempts in flight and its requests without an answer."""
 
-    def __init__(self, fleet: Fleet, idx: int, zone: int) -> None:
-        self.fleet, self.idx, self.zone = fleet, idx, zone
-        self.alive, self.gen = False, 0
+    def __init__(self, fleet: Fleet, index: int, zone: int) -> None:
+        self.fleet, self.index, self.zone = fleet, index, zone
+        self.alive, self.generation = False, 0
         self.policy: Policy | None = None
-        self.open: dict[tuple[int, int], int] = {}  # (req, dispatch) to server
-        self.calls: dict[int, tuple[int, float, int]] = {}  # call to name, step, sent at
-        self.owed: dict[int, Req] = {}
-        self.sent: dict[int, int] = {}  # dispatches a req has had
+        self.in_flight: dict[tuple[int, int], int] = {}  # server by (request, attempt)
+        # (name, amount, time sent) by call
+        self.counter_calls: dict[int, tuple[int, float, int]] = {}
+        self.pending: dict[int, RequestRecord] = {}
+        self.attempt_counts: dict[int, int] = {}  # attempts sent, by request
 
     def start(self) -> None:
         fleet = self.fleet
-        self.alive, self.gen = True, self.gen + 1
-        fleet.live = None
-        self.open, self.calls, self.owed, self.sent = {}, {}, {}, {}
-        told = fleet.settings_for(self.idx, self.zone)
-        self.policy = fleet.make_policy(fleet, self.idx, told, fleet.rng.getrandbits(64))
-        self.take(ListNote(self.gen, EndpointsUpdated(fleet.discovery.entries(), True)))
+        self.alive, self.generation = True, self.generation + 1
+        fleet.live_limiters = None
+        self.in_flight, self.counter_calls, self.pending, self.attempt_counts = {}, {}, {}, {}
+        settings = fleet.settings_for(self.index, self.zone)
+        self.policy = fleet.make_policy(fleet, self.index, settings, fleet.rng.getrandbits(64))
+        self.receive(
+            EndpointListMessage(self.generation, EndpointsUpdated(fleet.discovery.entries(), True))
+        )
 
     def kill(self) -> None:
-        self.alive, self.gen, self.policy = False, self.gen + 1, None
-        self.fleet.live = None
-        for req in self.owed.values():
+        """Stops the limiter; its pending requests get no answer."""
+        self.alive, self.generation, self.policy = False, self.generation + 1, None
+        self.fleet.live_limiters = None
+        for req in self.pending.values():
             req.orphaned = True
-        self.owed, self.open, self.calls = {}, {}, {}
-
-    def take(self, note: object) -> None:
-        lgen = getattr(note, "lgen", self.gen)
-        if not self.alive or lgen != self.gen:
-            if isinstance(note, Come):
-                note.req.orphaned = True  # its limiter died before it was taken
-            return  # for a process that is no more
+        self.pending, self.in_flight, self.counter_calls = {}, {}, {}
+
+    def receive(self, message: object) -> None:
+        lgen = getattr(message, "lgen", self.generation)
+        if not self.alive or lgen != self.generation:
+            if isinstance(message, ClientRequest):
+                message.req.orphaned = True  # the limiter stopped before the request arrived
+            return  # addressed to a process that has stopped
         fleet = self.fleet
-        match note:
-            case Come(req=req):
-                self.owed[req.req] = req
-                self.feed(
+        match message:
+            case ClientRequest(req=req):
+                self.pending[req.req] = req
+                self.handle_event(
                     RequestArrived(
                         req.req,
                         req.frontend,
                         req.plan,
                         req.customer,
                         fleet.digests[req.customer],
-                        req.give_up,
+                        req.deadline,
                         req.units,
                         0,
                         req.retry,
                     )
                 )
-            case Reply():
-                if self.open.pop((note.req, note.dispatch), None) is None:
+            case AttemptReply():
+                if self.in_flight.pop((message.req, message.attempt), None) is None:
                     return
-                passed = note.outcome is OC.SUCCEEDED
-                took = fleet.since_sent(note.req, note.dispatch)
+                passed = message.outcome is Outcome.SUCCEEDED
+                took = fleet.since_sent(message.req, message.attempt)
                 if passed:
-                    self.final(note.req, PASSED)
-                self.feed(
+                    self.record_answer(message.req, PASSED)
+                self.handle_event(
                     AttemptEnded(
-                        note.req, note.dispatch, note.srv, note.outcome, took, passed, 0, 0.0
+                        message.req,
+                        message.attempt,
+                        message.srv,
+                        message.outcome,
+                        took,
+                        passed,
+                        0,
+                        0.0,
                     )
                 )
-            case Expire():
-                if (srv := self.open.pop((note.req, note.dispatch), None)) is not None:
-                    took = fleet.since_sent(note.req, note.dispatch)
-                    self.feed(
+            case AttemptExpiry():
+                if (srv := self.in_flight.pop((message.req, message.attempt), None)) is not None:
+                    took = fleet.since_sent(message.req, message.attempt)
+                    self.handle_event(
                         AttemptEnded(
-                            note.req, note.dispatch, srv, OC.NO_RESPONSE, took, False, 0, 0.0
+                            message.req,
+                            message.attempt,
+                            srv,
+                            Outcome.NO_RESPONSE,
+                            took,
+                            False,
+                            0,
+                            0.0,
                         )
                     )
-            case CountReply():
-                if (call := self.calls.pop(note.call, None)) is not None:
-                    self.feed(
+            case CounterReply():
+                if (call := self.counter_calls.pop(message.call, None)) is not None:
+                    self.handle_event(
                         CounterReplied(
-                            call[0], note.outcome, note.total, fleet.engine.now - call[2]
+                            call[0], message.outcome, message.total, fleet.engine.now - call[2]
                         )
                     )
-            case Timer():
-                self.feed(TimerFired(note.tag))
-            case ListNote():
-                live = fleet.told_live.setdefault(self.idx, set())
-                if note.listed.complete:
-                    named = {e.endpoint_id for e in note.listed.endpoints}
+            case TimerExpiry():
+                self.handle_event(TimerFired(message.tag))
+            case EndpointListMessage():
+                live = fleet.listed_live.setdefault(self.index, set())
+                if message.listed.complete:
+                    named = {e.endpoint_id for e in message.listed.endpoints}
                     for srv in live - named:
-                        fleet.leaving(self.idx, srv)
+                        fleet.record_leaving(self.index, srv)
                     live &= named
-                for entry in note.listed.endpoints:
+                for entry in message.listed.endpoints:
                     if entry.state is EndpointState.LIVE:
                         live.add(entry.endpoint_id)
-                        fleet.back(self.idx, entry.endpoint_id)
+                        fleet.record_live(self.index, entry.endpoint_id)
                     else:
                         live.discard(entry.endpoint_id)
-                        fleet.leaving(self.idx, entry.endpoint_id)
-                self.feed(note.listed)
-            case Leave():
-                if (req := self.owed.pop(note.req, None)) is not None:
-                    req.vanished = True
-                    self.feed(ClientDisconnected(note.req))
-            case Later():
-                self.feed(note.note)
-
-    def feed(self, note: Event) -> None:
+                        fleet.record_leaving(self.index, entry.endpoint_id)
+                self.handle_event(message.listed)
+            case ClientDeparture():
+                if (req := self.pending.pop(message.req, None)) is not None:
+                    req.client_left = True
+                    self.handle_event(ClientDisconnected(message.req))
+            case DeferredEvent():
+                self.handle_event(message.event)
+
+    def handle_event(self, event: Event) -> None:
+        """Passes an event to the policy and performs the resulting actions."""
         fleet = self.fleet
         try:
-            actions = self.policy.handle(fleet.engine.now, note)
-        except Exception as why:  # a policy that raises is a crash of its limiter, as on the bench
-            fleet.history.broken.append((self.idx, f"{type(why).__name__}: {why}"))
+            actions = self.policy.handle(fleet.engine.now, event)
+        except Exception as error:  # an error of the policy stops its limiter, as on the bench
+            fleet.history.errors.append((self.index, f"{type(error).__name__}: {error}"))
             self.kill()
             return
-        for act in actions:
-            self.act(act)
+        for action in actions:
+            self.perform(action)
 
-    def act(self, act: Action) -> None:
+    def perform(self, action: Action) -> None:
+        """Performs one action of the policy."""
         fleet, now = self.fleet, self.fleet.engine.now
-        match act:
+        match action:
             case SendAttempt():
-                n = self.sent.get(act.request_id, 0)
-                self.sent[act.request_id] = n + 1
-                if any((act.request_id, k) in self.open for k in range(n)):
-                    fleet.history.overlaps.append((act.request_id, self.idx, now))
-                fleet.send(self, act, n)
+                n = self.attempt_counts.get(action.request_id, 0)
+                self.attempt_counts[action.request_id] = n + 1
+                if any((action.request_id, k) in self.in_flight for k in range(n)):
+                    fleet.history.overlaps.append((action.request_id, self.index, now))
+                fleet.send(self, action, n)
             case Reject():
-                self.final(act.request_id, DENIED)
-                if (req := fleet.req_rows.get(act.request_id)) is not None:
+                self.record_answer(action.request_id, DENIED)
+                if (req := fleet.req_rows.get(action.request_id)) is not None:
                     fleet.clients.denied(req)
             case Abort():
-                self.final(act.request_id, ABORTED)
+                self.record_answer(action.request_id, ABORTED)
             case CancelAttempt():
-                if (srv := self.open.pop((act.request_id, act.attempt), None)) is not None:
+                if (
+                    srv := self.in_flight.pop((action.request_id, action.attempt), None)
+                ) is not None:
                     ended = AttemptEnded(
-                        act.request_id, act.attempt, srv, OC.CANCELLED, 0, False, 0, 0.0
+                        action.request_id, action.attempt, srv, Outcome.CANCELLED, 0, False, 0, 0.0
                     )
-                    fleet.engine.post(0, self, Later(self.gen, ended))
+                    fleet.engine.schedule(0, self, DeferredEvent(self.generation, ended))
             case SetTimer():
-                fleet.engine.post(act.delay, self, Timer(act.tag, self.gen))
+                fleet.engine.schedule(action.delay, self, TimerExpiry(action.tag, self.generation))
             case IncrementCounter():
-                fleet.count(self, act)
+                fleet.count(self, action)
             case CheckHealth():
                 srv = (
-                    fleet.servers[act.endpoint_id] if act.endpoint_id < len(fleet.servers) else None
+                    fleet.servers[action.endpoint_id]
+                    if action.endpoint_id < len(fleet.servers)
+                    else None
                 )
-                outcome = OC.SUCCEEDED if srv is not None and srv.up else OC.CONNECT_FAILED
-                fleet.engine.post(
-                    2 * MS,
+                outcome = (
+                    Outcome.SUCCEEDED if srv is not None and srv.up else Outcome.CONNECT_FAILED
+                )
+                fleet.engine.schedule(
+                    HEALTH_CHECK_TICKS,
                     self,
-                    Later(self.gen, HealthCheckFinished(act.endpoint_id, outcome, 2 * MS)),
+                    DeferredEvent(
+                        self.generation,
+                        HealthCheckFinished(action.endpoint_id, outcome, HEALTH_CHECK_TICKS),
+                    ),
                 )
             case LogMessage():
                 fleet.log_lines += 1
 
-    def final(self, req_id: int, what: str) -> None:
+    def record_answer(self, req_id: int, what: str) -> None:
+        """Records a final answer; the history counts further answers as violations of rule 1."""
         req = self.fleet.req_rows.get(req_id)
         if req is None:
             return
-        if req.vanished:
+        if req.client_left:
             return
-        self.owed.pop(req_id, None)
-        req.finals += 1
-        if req.finals == 1:
-            req.final, req.final_at = what, self.fleet.engine.now
-            self.fleet.answered(req)
+        self.pending.pop(req_id, None)
+        req.answer_count += 1
+        if req.answer_count == 1:
+            req.answer, req.answered_at = what, self.fleet.engine.now
+            self.fleet.record_outcome(req)
 
 
 class Clients:
-    """Open-loop arrivals by plan, hot callers, bursts and floods; clients that come again or leave
-    early.
-    """
+    """Open-loop arrivals by plan, with bursts, retries and clients that disconnect early."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         s = fleet.scenario
         self.traffic = Traffic(s.plans, s.frontends, fleet.rng)
-        self.due = [0.0] * len(s.plans)  # the next arrival of each plan, in tenths
+        self.next_arrivals = [0.0] * len(s.plans)  # by plan, in ticks
 
     def rate(self, plan: int) -> float:
-        """Reqs a second that a plan's customers ask now."""
+        """Returns the current arrival rate of a plan, in requests per second."""
         s, now = self.fleet.scenario, self.fleet.engine.now
         c = s.clients
         burst = (
             c.burst_factor
-            if c.burst_for and c.burst_at * T <= now < (c.burst_at + c.burst_for) * T
+            if c.burst_for
+            and c.burst_at * TICKS_PER_SECOND <= now < (c.burst_at + c.burst_for) * TICKS_PER_SECOND
             else 1.0
         )
         return self.traffic.rate(plan) * burst
 
-    def take(self, note: object) -> None:
-        if self.fleet.engine.now >= self.fleet.scenario.seconds * T:
-            return None  # the day's traffic is over; what was taken is still answered
-        if isinstance(note, Again):
-            return self.fleet.arrive(note.plan, note.customer, self.traffic.front(), True)
-        plan = note
+    def receive(self, message: object) -> None:
+        if self.fleet.engine.now >= self.fleet.scenario.seconds * TICKS_PER_SECOND:
+            return None  # no new requests after the end; those accepted are still answered
+        if isinstance(message, ClientRetry):
+            return self.fleet.submit_request(
+                message.plan, message.customer, self.traffic.draw_frontend(), True
+            )
+        plan = message
         assert isinstance(plan, int)
         rng, now = self.fleet.rng, self.fleet.engine.now
-        # arrival times are kept in fractions of a tenth: above 10,000 a second several fall in one
-        # tenth
-        while self.due[plan] <= now:
+        # arrival times keep fractions of a tick: above 10,000 per second, one tick has several
+        while self.next_arrivals[plan] <= now:
             rate = self.rate(plan)
             if rate > 0:
-                self.arrive(plan)
-            self.due[plan] += rng.expovariate(max(rate, 0.1)) * T
-        self.fleet.engine.at(ceil(self.due[plan]), self, plan)
+                self.send_new_request(plan)
+            self.next_arrivals[plan] += rng.expovariate(max(rate, 0.1)) * TICKS_PER_SECOND
+        self.fleet.engine.schedule_at(ceil(self.next_arrivals[plan]), self, plan)
 
-    def arrive(self, plan: int) -> None:
-        customer = self.traffic.customer(plan)
-        self.fleet.arrive(plan, customer, self.traffic.front(), False)
+    def send_new_request(self, plan: int) -> None:
+        customer = self.traffic.draw_customer(plan)
+        self.fleet.submit_request(plan, customer, self.traffic.draw_frontend(), False)
 
-    def denied(self, req: Req) -> None:
+    def denied(self, req: RequestRecord) -> None:
+        """Schedules a retry of a rejected request for the configured share of clients."""
         c = self.fleet.scenario.clients
         if c.retry and self.fleet.rng.random() < c.retry:
-            wait = round(self.fleet.rng.expovariate(1 / max(1.0, c.retry_after_ms)) * MS)
-            self.fleet.engine.post(wait, self, Again(req.plan, req.customer))
+            wait = round(self.fleet.rng.expovariate(1 / max(1.0, c.retry_after_ms)) * TICKS_PER_MS)
+            self.fleet.engine.schedule(wait, self, ClientRetry(req.plan, req.customer))
 
 
 @dataclass(slots=True)
-class Again:
+class ClientRetry:
+    """A retry of a rejected request."""
+
     plan: int
     customer: int
 
 
 class Sampler:
-    """Once a second: load against capacity over the servers that are up."""
+    """Records the load and the capacity of the running servers once per second."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
 
-    def take(self, note: object) -> None:
+    def receive(self, message: object) -> None:
         fleet = self.fleet
         up = [s for s in fleet.servers if s.up]
         fleet.history.load.append(
-            (float(sum(s.hand() for s in up)), float(sum(s.room() for s in up)))
+            (float(sum(s.requests_held() for s in up)), float(sum(s.concurrency() for s in up)))
         )
-        fleet.engine.post(T, self, note)
+        fleet.engine.schedule(TICKS_PER_SECOND, self, message)
 
 
 class Fleet:
-    """One run: builds the parts from a scenario, plays it and keeps its history."""
+    """One run: builds the parts from a scenario, simulates it and records its history."""
 
     def __init__(self, scenario: sc.Scenario, make_policy: PolicyMaker, seed: int) -> None:
         self.scenario, self.make_policy = scenario, make_policy
@@ -561,252 +651,300 @@
         self.log_lines = 0
         f = scenario.fleet
         self.zones = {z: n for n, z in enumerate(f.zones)}
-        self.cut: set[int] = set()
-        self.tip = max(1, round(1.0 * T))  # the rule's time: sent too much for a second
-        self.mean_work = sc.mean_work(scenario)
+        self.cut_zones: set[int] = set()
+        # a cold server crashes if it is overloaded for 1 s
+        self.overload_window = max(1, round(1.0 * TICKS_PER_SECOND))
+        self.mean_work_ms = sc.mean_work_ms(scenario)
         self.servers = [Server(self, n, n % len(f.zones), 0) for n in range(f.servers)]
         self.counter = Counter(self)
         self.discovery = Discovery(self)
         self.limiters = [Limiter(self, n, n % len(f.zones)) for n in range(f.limiters)]
         self.clients = Clients(self)
-        self.digests = [stable_digest(f"customer-{c}") for c in range(self.clients.traffic.total)]
-        self.req_rows: dict[int, Req] = {}
-        self.dispatch_rows: dict[tuple[int, int], int] = {}
-        self.told_live: dict[int, set[int]] = {}
-        self.told_gone: dict[tuple[int, int], int] = {}
+        self.digests = [
+            stable_digest(f"customer-{c}") for c in range(self.clients.traffic.customer_count)
+        ]
+        self.req_rows: dict[int, RequestRecord] = {}
+        self.attempt_rows: dict[tuple[int, int], int] = {}
+        self.listed_live: dict[int, set[int]] = {}
+        self.leaving_rows: dict[tuple[int, int], int] = {}
         self.next_req = self.next_call = 0
-        self.quota: list[list[float]] = [
-            [0.0, 0.0] for _ in range(self.clients.traffic.total)
-        ]  # true level, when
+        # [level, time] of each customer's bucket over all limiters
+        self.quota_buckets: list[list[float]] = [
+            [0.0, 0.0] for _ in range(self.clients.traffic.customer_count)
+        ]
         self.plan_of = [n for n, p in enumerate(scenario.plans) for _ in range(p.customers)]
         for customer, plan in enumerate(self.plan_of):
-            self.quota[customer][0] = scenario.plans[plan].burst
+            self.quota_buckets[customer][0] = scenario.plans[plan].burst
         self.shift: tuple[int, float] | None = None
-        self.oracle_buckets: dict[int, list[float]] = {}  # the oracle's one bucket a customer
-        self.oracle_ceilings: dict[int, list[float]] = {}  # and its ceiling's
-        self.queued = HdrHistogram(1, 1 << 20, 2)
-        self.life = Life(self)
-        self.live: tuple[list[Limiter], list[list[Limiter]]] | None = None  # by zone
+        self.oracle_buckets: dict[int, list[float]] = {}  # global buckets by customer
+        self.oracle_ceilings: dict[int, list[float]] = {}  # global ceiling buckets by customer
+        self.queue_positions = HdrHistogram(1, 1 << 20, 2)
+        self.fault_timeline = FaultTimeline(self)
+        # all live limiters, and those of each zone; None until computed
+        self.live_limiters: tuple[list[Limiter], list[list[Limiter]]] | None = None
 
-    def settings_for(self, me: int, zone: int) -> EngineSettings:
-        return engine_settings(sc.conf(self.scenario, me, zone), zone)
+    def settings_for(self, limiter_index: int, zone: int) -> EngineSettings:
+        return engine_settings(sc.limiter_settings(self.scenario, limiter_index, zone), zone)
 
     # the network
     # -----------------------------------------------------------------------------------------
 
     def delay(self, a: int, b: int) -> int | None:
-        """One way from zone a to zone b, or None where the note is lost."""
+        """Returns the one-way delay from zone a to zone b in ticks; None if the message is lost."""
         n = self.scenario.net
-        if a != b and (a in self.cut or b in self.cut):
+        if a != b and (a in self.cut_zones or b in self.cut_zones):
             return None
         if n.loss and self.rng.random() < n.loss:
             return None
         base = n.delay_ms + (n.zone_delay_ms if a != b else 0.0) + self.rng.random() * n.jitter_ms
-        return max(1, round(base * MS))
+        return max(1, round(base * TICKS_PER_MS))
 
-    # what limiters do
+    # actions of limiters
     # ------------------------------------------------------------------------------------
 
-    def send(self, limiter: Limiter, act: SendAttempt, n: int) -> None:
-        srv = self.servers[act.endpoint_id] if 0 <= act.endpoint_id < len(self.servers) else None
-        self.dispatch_rows[act.request_id, n] = len(self.history.dispatches)
-        self.history.dispatches.append(
-            [act.request_id, n, limiter.idx, act.endpoint_id, self.engine.now, -1]
+    def send(self, limiter: Limiter, action: SendAttempt, n: int) -> None:
+        """Sends attempt `n` of a request to its server over the network."""
+        srv = (
+            self.servers[action.endpoint_id]
+            if 0 <= action.endpoint_id < len(self.servers)
+            else None
+        )
+        self.attempt_rows[action.request_id, n] = len(self.history.attempts)
+        self.history.attempts.append(
+            [action.request_id, n, limiter.index, action.endpoint_id, self.engine.now, -1]
         )
-        req = self.req_rows.get(act.request_id)
+        req = self.req_rows.get(action.request_id)
         if req is not None:
-            self.history.plan_second(self.engine.now, len(self.scenario.plans))[req.plan] += (
-                req.units
-            )
-        limiter.open[act.request_id, n] = act.endpoint_id
-        self.engine.at(act.expires_at, limiter, Expire(act.request_id, n, limiter.gen))
+            self.history.plan_row(self.engine.now, len(self.scenario.plans))[req.plan] += req.units
+        limiter.in_flight[action.request_id, n] = action.endpoint_id
+        self.engine.schedule_at(
+            action.expires_at, limiter, AttemptExpiry(action.request_id, n, limiter.generation)
+        )
         if srv is None:
-            self.engine.post(
+            self.engine.schedule(
                 0,
                 limiter,
-                Reply(act.request_id, n, limiter.gen, act.endpoint_id, OC.CONNECT_FAILED),
+                AttemptReply(
+                    action.request_id,
+                    n,
+                    limiter.generation,
+                    action.endpoint_id,
+                    Outcome.CONNECT_FAILED,
+                ),
             )
             return
-        work = Work(act.request_id, n, limiter.idx, limiter.gen, req.frontend if req else 0)
-        there = self.delay(limiter.zone, srv.zone)
-        if there is None:
-            if srv.zone in self.cut or limiter.zone in self.cut:
-                self.engine.post(
-                    CONNECT,
+        work = Work(
+            action.request_id, n, limiter.index, limiter.generation, req.frontend if req else 0
+        )
+        delay = self.delay(limiter.zone, srv.zone)
+        if delay is None:
+            if srv.zone in self.cut_zones or limiter.zone in self.cut_zones:
+                self.engine.schedule(
+                    CONNECT_TIMEOUT_TICKS,
                     limiter,
-                    Reply(act.request_id, n, limiter.gen, act.endpoint_id, OC.CONNECT_FAILED),
+                    AttemptReply(
+                        action.request_id,
+                        n,
+                        limiter.generation,
+                        action.endpoint_id,
+                        Outcome.CONNECT_FAILED,
+                    ),
                 )
             return
-        self.engine.post(there, srv, work)
+        self.engine.schedule(delay, srv, work)
 
-    def count(self, limiter: Limiter, act: IncrementCounter) -> None:
+    def count(self, limiter: Limiter, action: IncrementCounter) -> None:
+        """Sends an increment to the counter and schedules its timeout."""
         self.next_call += 1
         call = self.next_call
-        limiter.calls[call] = (act.counter_name, act.amount, self.engine.now)
-        timeout = round(self.scenario.counter.timeout_ms * MS)
-        self.engine.post(timeout, self, (limiter, call, limiter.gen))
-        there = self.delay(limiter.zone, 0)
-        if there is not None and self.scenario.counter.present:
-            self.engine.post(
-                there,
+        limiter.counter_calls[call] = (action.counter_name, action.amount, self.engine.now)
+        timeout = round(self.scenario.counter.timeout_ms * TICKS_PER_MS)
+        self.engine.schedule(timeout, self, (limiter, call, limiter.generation))
+        delay = self.delay(limiter.zone, 0)
+        if delay is not None and self.scenario.counter.present:
+            self.engine.schedule(
+                delay,
                 self.counter,
-                CountCall(
-                    limiter.idx, limiter.gen, call, act.counter_name, act.amount, act.time_to_live
+                CounterCall(
+                    limiter.index,
+                    limiter.generation,
+                    call,
+                    action.counter_name,
+                    action.amount,
+                    action.time_to_live,
                 ),
             )
 
-    def take(self, note: object) -> None:
-        """A count call's time is up: no answer."""
-        limiter, call, lgen = note
-        if limiter.gen == lgen and call in limiter.calls:
-            self.engine.post(0, limiter, CountReply(call, lgen, OC.NO_RESPONSE, 0.0))
+    def receive(self, message: object) -> None:
+        """Ends an increment that has reached its timeout as NO_RESPONSE."""
+        limiter, call, lgen = message
+        if limiter.generation == lgen and call in limiter.counter_calls:
+            self.engine.schedule(0, limiter, CounterReply(call, lgen, Outcome.NO_RESPONSE, 0.0))
 
-    def since_sent(self, req: int, dispatch: int) -> int:
-        """Tenths since the limiter sent this dispatch."""
-        return self.engine.now - self.history.dispatches[self.dispatch_rows[req, dispatch]][4]
+    def since_sent(self, req: int, attempt: int) -> int:
+        """Returns the ticks since the limiter sent this attempt."""
+        return self.engine.now - self.history.attempts[self.attempt_rows[req, attempt]][4]
 
-    def ran(self, work: Work, srv: Server) -> None:
+    def record_execution(self, work: Work, srv: Server) -> None:
+        """Records that a server began to execute an attempt."""
         req = self.req_rows.get(work.req)
-        front = self.scenario.frontends[work.frontend]
-        group = srv.zone if front.group == "zone" else 0  # the lab's servers are all of cell 0
-        window = round(front.repeat_window_ms * MS)
-        self.history.runs.append((work.req, srv.srv, self.engine.now, front.effect, group, window))
+        frontend = self.scenario.frontends[work.frontend]
+        group = srv.zone if frontend.group == "zone" else 0  # all servers are of cell 0
+        window = round(frontend.repeat_window_ms * TICKS_PER_MS)
+        self.history.executions.append(
+            (work.req, srv.index, self.engine.now, frontend.effect, group, window)
+        )
         if req is not None:
-            self.history.used.append((req.customer, req.plan, self.engine.now, req.units))
+            self.history.usage.append((req.customer, req.plan, self.engine.now, req.units))
 
-    def leaving(self, limiter: int, srv: int) -> None:
-        if (limiter, srv) not in self.told_gone:
-            self.told_gone[limiter, srv] = len(self.history.told_leaving)
-            self.history.told_leaving.append([limiter, srv, self.engine.now, 1 << 62])
+    def record_leaving(self, limiter: int, srv: int) -> None:
+        """Records that a limiter was notified that a server is draining or gone."""
+        if (limiter, srv) not in self.leaving_rows:
+            self.leaving_rows[limiter, srv] = len(self.history.leaving_notices)
+            self.history.leaving_notices.append([limiter, srv, self.engine.now, NO_END])
 
-    def back(self, limiter: int, srv: int) -> None:
-        """Told that a server is live again: the rule's grace no longer runs for it."""
-        if (row := self.told_gone.pop((limiter, srv), None)) is not None:
-            self.history.told_leaving[row][3] = self.engine.now
+    def record_live(self, limiter: int, srv: int) -> None:
+        """Records that a limiter was notified that a server is live again, which ends its grace."""
+        if (row := self.leaving_rows.pop((limiter, srv), None)) is not None:
+            self.history.leaving_notices[row][3] = self.engine.now
 
-    # what clients do
+    # requests of clients
     # -------------------------------------------------------------------------------------
 
-    def arrive(self, plan: int, customer: int, front: int, retry: bool) -> None:
+    def submit_request(self, plan: int, customer: int, frontend: int, retry: bool) -> None:
+        """Sends a client's request to a random live limiter of the customer's zone."""
         s, now = self.scenario, self.engine.now
-        # made again only when a limiter starts or stops: a req must not cost N
-        if self.live is None:
-            every = [lim for lim in self.limiters if lim.alive]
-            self.live = (
-                every,
-                [[lim for lim in every if lim.zone == z] for z in range(len(s.fleet.zones))],
+        # cached until a limiter starts or stops: a request must not cost O(limiters)
+        if self.live_limiters is None:
+            all_limiters = [lim for lim in self.limiters if lim.alive]
+            self.live_limiters = (
+                all_limiters,
+                [[lim for lim in all_limiters if lim.zone == z] for z in range(len(s.fleet.zones))],
             )
-        every, zoned = self.live
-        if not every:
+        all_limiters, by_zone = self.live_limiters
+        if not all_limiters:
             return
         zone = customer % len(s.fleet.zones)
         if self.shift is not None and self.rng.random() < self.shift[1]:
             zone = self.shift[0]
-        here = zoned[zone] or every
-        limiter = here[self.rng.randrange(len(here))]
-        p, g = s.plans[plan], s.frontends[front]
-        held = self.quota[customer]
-        inside = refill(held, p.rate, p.burst, now, T) >= 1.0
-        held[0] -= 1.0 if inside else 0.0
+        candidates = by_zone[zone] or all_limiters
+        limiter = candidates[self.rng.randrange(len(candidates))]
+        p, frontend_settings = s.plans[plan], s.frontends[frontend]
+        bucket = self.quota_buckets[customer]
+        within_quota = refill(bucket, p.rate, p.burst, now, TICKS_PER_SECOND) >= 1.0
+        bucket[0] -= 1.0 if within_quota else 0.0
         self.next_req += 1
-        timeout = round(g.client_timeout_ms * MS)
-        req = Req(
+        timeout = round(frontend_settings.client_timeout_ms * TICKS_PER_MS)
+        req = RequestRecord(
             self.next_req,
-            limiter.idx,
+            limiter.index,
             customer,
             plan,
-            front,
+            frontend,
             now,
             now + timeout,
             1.0,
-            g.value,
-            inside,
+            frontend_settings.value,
+            within_quota,
             retry,
         )
         self.history.reqs.append(req)
         self.req_rows[req.req] = req
-        row = self.history.second(now)
-        row[5] += req.worth if inside else 0.0
-        self.engine.post(self.delay(limiter.zone, limiter.zone) or 1, limiter, Come(req))
+        row = self.history.second_row(now)
+        row[5] += req.value if within_quota else 0.0
+        self.engine.schedule(
+            self.delay(limiter.zone, limiter.zone) or 1, limiter, ClientRequest(req)
+        )
         c = s.clients
         if c.give_up and self.rng.random() < c.give_up:
-            self.engine.post(
-                round(self.rng.random() * timeout), limiter, Leave(req.req, limiter.gen)
+            self.engine.schedule(
+                round(self.rng.random() * timeout),
+                limiter,
+                ClientDeparture(req.req, limiter.generation),
             )
 
-    def answered(self, req: Req) -> None:
-        g = self.scenario.frontends[req.frontend]
-        row = self.history.second(self.engine.now)
-        if req.final == PASSED:
-            req.took = self.engine.now - req.arrived
-            if req.took <= g.response_target_ms * MS:
+    def record_outcome(self, req: RequestRecord) -> None:
+        """Adds a request's final answer to the figures of the current second."""
+        frontend_settings = self.scenario.frontends[req.frontend]
+        row = self.history.second_row(self.engine.now)
+        if req.answer == PASSED:
+            req.latency = self.engine.now - req.arrived
+            if req.latency <= frontend_settings.response_target_ms * TICKS_PER_MS:
                 row[0] += 1
-                row[4] += req.worth if req.inside else 0.0
-        elif req.final == DENIED:
+                row[4] += req.value if req.within_quota else 0.0
+        elif req.answer == DENIED:
             row[1] += 1
         else:
             row[2] += 1
 
-    # servers' lives
+    # starts and stops of servers
     # --------------------------------------------------------------------------------------
 
-    def crash(self, srv: Server, back_after: int) -> None:
+    def crash(self, srv: Server, restart_after: int) -> None:
+        """Crashes a server and restarts it after `restart_after` ticks, unless that is negative."""
         srv.crash()
-        if back_after >= 0:
-            self.engine.post(back_after, self.life, ("back", srv.srv))
+        if restart_after >= 0:
+            self.engine.schedule(restart_after, self.fault_timeline, ("back", srv.index))
 
     def restart(self, srv: Server) -> None:
-        if srv.fallen:
-            return  # it stays down
-        srv.up, srv.booted, srv.phase = True, max(1, self.engine.now), EndpointState.LIVE
-        self.discovery.tell((srv.entry(),), False)
+        """Starts a stopped server, cold."""
+        if srv.collapsed:
+            return  # a server that crashed by overload is not restarted
+        srv.up, srv.started_at, srv.state = True, max(1, self.engine.now), EndpointState.LIVE
+        self.discovery.publish((srv.endpoint(),), False)
 
     def replace(self, srv: Server) -> None:
-        """A drained server leaves; a new one, cold, takes its place under a new name."""
-        srv.phase = EndpointState.GONE
+        """Removes a drained server and starts a cold one in its place, under a new name."""
+        srv.state = EndpointState.GONE
         srv.crash()
         new = Server(self, len(self.servers), srv.zone, max(1, self.engine.now))
         self.servers.append(new)
-        self.discovery.tell((srv.entry(), new.entry()), False)
+        self.discovery.publish((srv.endpoint(), new.endpoint()), False)
 
-    def play(self, tick: Callable[[float], None] | None = None) -> History:
-        """Plays the whole scenario; the history is the run's result. `tick(seconds)` after each
-        simulated second, for a progress bar.
+    def run(self, tick: Callable[[float], None] | None = None) -> History:
+        """Simulates the whole scenario and returns its history.
+
+        Calls `tick(seconds)` after each simulated second, for a progress bar.
         """
         s = self.scenario
         for limiter in self.limiters:
             limiter.start()
         for plan in range(len(s.plans)):
-            self.clients.due[plan] = float(self.rng.randrange(T // 10))
-            self.engine.at(round(self.clients.due[plan]), self.clients, plan)
-        self.engine.post(WHOLE_EVERY, self.discovery, "whole")
-        self.engine.post(T, Sampler(self), "sample")
+            self.clients.next_arrivals[plan] = float(self.rng.randrange(TICKS_PER_SECOND // 10))
+            self.engine.schedule_at(round(self.clients.next_arrivals[plan]), self.clients, plan)
+        self.engine.schedule(FULL_LIST_INTERVAL_TICKS, self.discovery, "whole")
+        self.engine.schedule(TICKS_PER_SECOND, Sampler(self), "sample")
         for n, fault in enumerate(s.faults):
-            self.engine.at(round(fault.at * T), self.life, ("fault", n))
+            self.engine.schedule_at(
+                round(fault.at * TICKS_PER_SECOND), self.fault_timeline, ("fault", n)
+            )
         for second in range(1, ceil(s.seconds) + 1):
-            self.engine.run(round(min(second, s.seconds) * T))
+            self.engine.run(round(min(second, s.seconds) * TICKS_PER_SECOND))
             if tick:
                 tick(min(second, s.seconds))
-        # the clients that are still waiting: their limiter has this long to answer
+        # time for the answers to the last requests: the longest client timeout plus 1 s
         self.engine.run(
-            round(s.seconds * T) + max(round(f.client_timeout_ms * MS) for f in s.frontends) + T
+            round(s.seconds * TICKS_PER_SECOND)
+            + max(round(f.client_timeout_ms * TICKS_PER_MS) for f in s.frontends)
+            + TICKS_PER_SECOND
         )
         return self.history
 
 
-class Life:
-    """The timeline's faults, and servers coming back."""
+class FaultTimeline:
+    """Starts and ends the faults of the scenario, and restarts or replaces servers."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
 
     def pick(self, among: list, share: float) -> list:
+        """Returns a random sample of that share of `among`, at least one if the share is not 0."""
         k = min(len(among), max(1, round(len(among) * share))) if share > 0 else 0
         return self.fleet.rng.sample(among, k)
 
-    def take(self, note: object) -> None:
+    def receive(self, message: object) -> None:
         fleet = self.fleet
-        what, n = note
+        what, n = message
         if what == "back":
             fleet.restart(fleet.servers[n])
             return None
@@ -816,32 +954,32 @@
         if what == "end":
             return self.end(fleet.scenario.faults[n])
         fault = fleet.scenario.faults[n]
-        span = round(fault.for_s * T)
+        span = round(fault.for_s * TICKS_PER_SECOND)
         if fault.for_s > 0:
-            fleet.engine.post(span, self, ("end", n))
-        up = [s for s in fleet.servers if s.up and s.phase is EndpointState.LIVE]
+            fleet.engine.schedule(span, self, ("end", n))
+        up = [s for s in fleet.servers if s.up and s.state is EndpointState.LIVE]
         match fault.kind:
             case "kill_limiters":
                 live = [x for x in fleet.limiters if x.alive]
-                here = [x for x in live if fault.zone and x.zone == fleet.zones[fault.zone]]
-                for lim in here or self.pick(live, fault.share):
+                candidates = [x for x in live if fault.zone and x.zone == fleet.zones[fault.zone]]
+                for lim in candidates or self.pick(live, fault.share):
                     lim.kill()
             case "crash_servers":
                 for srv in self.pick(up, fault.share):
                     fleet.crash(srv, span if fault.for_s > 0 else -1)
             case "drain_servers":
                 for srv in self.pick(up, fault.share):
-                    srv.phase = EndpointState.DRAINING
-                    fleet.discovery.tell((srv.entry(),), False)
-                    fleet.engine.post(
-                        2 * round(fleet.scenario.fleet.drain_grace_ms * MS),
+                    srv.state = EndpointState.DRAINING
+                    fleet.discovery.publish((srv.endpoint(),), False)
+                    fleet.engine.schedule(
+                        2 * round(fleet.scenario.fleet.drain_grace_ms * TICKS_PER_MS),
                         self,
-                        ("leave", srv.srv),
+                        ("leave", srv.index),
                     )
             case "slow_servers":
                 self.hit = self.pick(up, fault.share)
                 for srv in self.hit:
-                    srv.slow = fault.factor
+                    srv.slowdown = fault.factor
             case "fail_servers":
                 for srv in self.pick(up, fault.share):
                     srv.failing_until = fleet.engine.now + span
@@ -855,27 +993,28 @@
                 for srv in [s for s in up if s.zone == zone]:
                     fleet.crash(srv, span if fault.for_s > 0 else -1)
             case "cut_zone":
-                fleet.cut.add(fleet.zones[fault.zone])
+                fleet.cut_zones.add(fleet.zones[fault.zone])
             case "counter_down":
                 fleet.counter.down_until = fleet.engine.now + span
             case "counter_slow":
-                fleet.counter.slow = fault.factor
+                fleet.counter.slowdown = fault.factor
             case "counter_wipe":
                 fleet.counter.totals.wipe()
             case "counter_split":
                 fleet.counter.totals.split(fault.parts)
             case "late_lists":
-                fleet.discovery.extra = round(fault.factor * T)
+                fleet.discovery.extra_delay = round(fault.factor * TICKS_PER_SECOND)
             case "partial_lists":
-                fleet.discovery.partial = fault.share
+                fleet.discovery.listed_share = fault.share
             case "flood_plan":
-                fleet.clients.traffic.factor[
+                fleet.clients.traffic.demand_factors[
                     [p.name for p in fleet.scenario.plans].index(fault.plan)
                 ] = fault.factor
             case "shift_zone":
                 fleet.shift = (fleet.zones[fault.zone], fault.share)
 
     def end(self, fault: sc.Fault) -> None:
+        """Ends a fault that lasts for `for_s` seconds."""
         fleet = self.fleet
         match fault.kind:
             case "kill_limiters":
@@ -884,19 +1023,19 @@
                         lim.start()
             case "slow_servers":
                 for srv in getattr(self, "hit", []):
-                    srv.slow = 1.0
+                    srv.slowdown = 1.0
             case "cut_zone":
-                fleet.cut.discard(fleet.zones[fault.zone])
+                fleet.cut_zones.discard(fleet.zones[fault.zone])
             case "counter_slow":
-                fleet.counter.slow = 1.0
+                fleet.counter.slowdown = 1.0
             case "counter_split":
                 fleet.counter.totals.join()
             case "late_lists":
-                fleet.discovery.extra = 0
+                fleet.discovery.extra_delay = 0
             case "partial_lists":
-                fleet.discovery.partial = 1.0
+                fleet.discovery.listed_share = 1.0
             case "flood_plan":
-                fleet.clients.traffic.factor[
+                fleet.clients.traffic.demand_factors[
                     [p.name for p in fleet.scenario.plans].index(fault.plan)
                 ] = 1.0
             case "shift_zone":
--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from rehearsals import EXAMPLES, gone, played
+from rehearsals import EXAMPLES, all_exited, run_and_report
 
 from loomstand.testing.emulator.scenario import from_table
 from loomstand.testing.rehearsal import checker, scenario
@@ -64,9 +64,9 @@
     """Return the report and the recorded events, after checking the rules and that all processes
     have ended.
     """
-    report = played(rehearsal, out, plan, seed=seed)
+    report = run_and_report(rehearsal, out, plan, seed=seed)
     assert report["held"], (report["breaks"], report["crashes"])
-    assert gone(out)
+    assert all_exited(out)
     return report, checker.read(rehearsal, out)
 
 
@@ -78,7 +78,7 @@
     return sum(
         since <= at - events.began < until
         for at, _, server, *_ in events.all("run")
-        if scenario.zone_of(events.told.fleet, f"s{server}") == zone
+        if scenario.zone_of(events.rehearsal.fleet, f"s{server}") == zone
     )
 
 
@@ -148,16 +148,16 @@
     vanish = {"at": 2, "do": "vanish", "who": ["zone:a"], "for_s": 3, "told_s": 1}
     over = {"plans": [full], "frontends": [to_table(three_zones(1))["frontends"][0], book]}
     _, events = run_rehearsal(three_zones(6, vanish, **over), tmp_path)
-    aborted = [r for r in events.history.reqs if r.final == "aborted"]
+    aborted = [r for r in events.history.reqs if r.answer == "aborted"]
     assert aborted and all(r.frontend == 1 for r in aborted)
     servers_by_request = {}
-    for request, server, *_ in events.history.runs:
+    for request, server, *_ in events.history.executions:
         servers_by_request.setdefault(request, []).append(server)
     books = {r.req for r in events.history.reqs if r.frontend == 1}
     assert all(
         len(servers) == 1 for request, servers in servers_by_request.items() if request in books
     )
-    denied = [r for r in events.history.reqs if r.final == "denied" and r.arrived > 30_000]
+    denied = [r for r in events.history.reqs if r.answer == "denied" and r.arrived > 30_000]
     assert (
         sum(r.frontend == 0 for r in denied) / max(1, len(denied)) > 0.2
     )  # a quarter of the requests are looks
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -171,7 +171,7 @@
     def put(self, op: str, **fields: Any) -> None:
         line = json.dumps({"op": op} | fields)
         self.lines.append(line)
-        self.host.take(line.encode())
+        self.host.handle_line(line.encode())
 
     def play(self, *events: tuple[str, dict[str, Any]]) -> None:
         """One batch, and what comes of it."""
@@ -361,7 +361,7 @@
     out = io.BytesIO()
     host = adapter.Host(out)
     for line in lines:
-        host.take(line.encode())
+        host.handle_line(line.encode())
     return [text(raw) for raw in out.getvalue().splitlines()]
 
 
@@ -456,7 +456,7 @@
         CheckHealth(0),
         LogMessage("a line"),
     ]
-    lines = {ACTIONS[type(act)]: text(msgspec.json.encode(inst.line(3, act))) for act in acts}
+    lines = {ACTIONS[type(act)]: text(msgspec.json.encode(inst.to_message(3, act))) for act in acts}
 
     class Fails:
         def handle(self, now: int, note: Any) -> None:
@@ -464,11 +464,11 @@
 
     out = io.BytesIO()
     host = adapter.Host(out)
-    inst.brain = Fails()
+    inst.engine = Fails()
     host.instances[3] = inst
     for line in (b'{"op":"begin_batch","wall":1,"batch":1}', b'{"op":"elapsed","limiter_id":3}'):
-        host.take(line)
-    host.take(b'{"op":"flush"}')
+        host.handle_line(line)
+    host.handle_line(b'{"op":"flush"}')
     return lines | {"broken": text(out.getvalue())}
 
 
@@ -850,25 +850,25 @@
     def data_received(self, data: bytes) -> None:
         self.buf += data
         head, end, body = self.buf.partition(b"\r\n\r\n")
-        if not end or len(body) < helpers.wire.length_of(head):
+        if not end or len(body) < helpers.wire.content_length(head):
             return
         self.buf = b""
         match SimulatedServer.how:
             case "ok":
                 self.transport.write(
-                    helpers.said(200, b"hello", b"Metered-Units: 1\r\nX-More: 1\r\n")
+                    helpers.http_response(200, b"hello", b"Metered-Units: 1\r\nX-More: 1\r\n")
                 )
             case "chunks":
                 head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 self.transport.write(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
             case "full":
-                self.transport.write(helpers.said(503, b"", b"Not-Started: 1\r\n"))
+                self.transport.write(helpers.http_response(503, b"", b"Not-Started: 1\r\n"))
             case "busy":
-                self.transport.write(helpers.said(503, b"busy"))
+                self.transport.write(helpers.http_response(503, b"busy"))
             case "error":
-                self.transport.write(helpers.said(500, b"oh"))
+                self.transport.write(helpers.http_response(500, b"oh"))
             case "missing":
-                self.transport.write(helpers.said(404, b"none"))
+                self.transport.write(helpers.http_response(404, b"none"))
             case "lost":
                 self.transport.abort()
             case "spoilt":
