--- a/tests/admission/test_load_balancer.py
+++ b/tests/admission/test_load_balancer.py
@@ -6,7 +6,7 @@
 from random import Random
 
 import pytest
-from helpers import PLANS, S, alone, arrival, entry, pick, settings
+from helpers import PLANS, S, actions_of_type, arrival, endpoint, settings, single_engine
 
 from loomstand.admission.actions import SendAttempt
 from loomstand.admission.decision_engine import DecisionEngine
@@ -18,10 +18,10 @@
 
 def test_the_window_shrinks_before_answers_are_late() -> None:
     """A window reduced only near the latency target holds a queue as long as the target."""
-    engine = alone(servers=1)
+    engine = single_engine(servers=1)
     engine.admission.load_balancers[0].window.size, now, duration = 6.0, 0, int(0.9 * S)
     for request_id in range(40):
-        sent = pick(engine.handle(now, arrival(request_id, now)), SendAttempt)
+        sent = actions_of_type(engine.handle(now, arrival(request_id, now)), SendAttempt)
         now += duration
         for action in sent:
             engine.handle(
@@ -40,7 +40,7 @@
     half of the target and some take over 0.8 of it on idle servers. The window stayed at its
     minimum, half of the servers' slots.
     """
-    engine, rng = alone(servers=4), Random(3)
+    engine, rng = single_engine(servers=4), Random(3)
     engine.admission.load_balancers[0].window.size = 5 * 4 / 3
     now, in_flight, most = 0, [], 0
     for request_id in range(4000):
@@ -60,7 +60,7 @@
                     0.0,
                 ),
             )
-        for action in pick(engine.handle(now, arrival(request_id, now)), SendAttempt):
+        for action in actions_of_type(engine.handle(now, arrival(request_id, now)), SendAttempt):
             wait = max(0.0, len(in_flight) - 20) / 20  # 20 attempts at once without queueing
             duration = int(share * S * (rng.uniform(0.9, 1.1) + wait))
             in_flight.append((now + duration, action, duration))
@@ -74,13 +74,13 @@
     """Rule 4: at most overload multiple x slow-start capacity x a warm peer's rate at this limiter,
     from a budget that starts empty.
     """
-    engine = alone(servers=2)
+    engine = single_engine(servers=2)
     now = 100 * S
-    engine.handle(now, EndpointsUpdated((entry(2, booted=now),), False))
+    engine.handle(now, EndpointsUpdated((endpoint(2, started_at=now),), False))
     sent = []
     for request_id in range(200):  # 20 requests per second for 10 s, each answered after 100 ms
         now += S // 20
-        for action in pick(engine.handle(now, arrival(request_id, now)), SendAttempt):
+        for action in actions_of_type(engine.handle(now, arrival(request_id, now)), SendAttempt):
             sent.append((action.endpoint_id, now))
             duration = S // 10
             engine.handle(
@@ -104,7 +104,7 @@
 
 def test_a_small_window_grows_slowly() -> None:
     """A window below one grew by its reciprocal on every fast answer."""
-    load_balancer = alone(servers=1).admission.load_balancers[0]
+    load_balancer = single_engine(servers=1).admission.load_balancers[0]
     load_balancer.window.size = 0.5
     load_balancer.adjust_window(
         AttemptEnded(2, 0, 0, Outcome.SUCCEEDED, 100, True, 0, 0.0), load_balancer.stats[0]
@@ -115,42 +115,46 @@
 def test_low_value_requests_are_rejected_first_as_servers_fill() -> None:
     """Requests of low value per duration occupied the servers while valuable ones were rejected."""
     plans = (replace(PLANS[2], value_factor=5.0), PLANS[2])
-    engine = alone(plans=plans, servers=8)
+    engine = single_engine(plans=plans, servers=8)
     (
         engine.admission.load_balancers[0].window.best_value,
         engine.admission.load_balancers[0].window.size,
     ) = 5.0 / 2000, 10.0
-    sent = [pick(engine.handle(0, arrival(n, 0, plan=0)), SendAttempt) for n in range(6)]
+    sent = [actions_of_type(engine.handle(0, arrival(n, 0, plan=0)), SendAttempt) for n in range(6)]
     assert all(sent)
     engine.admission.load_balancers[0].window.size = 8.0
-    assert not pick(engine.handle(0, arrival(7, 0, plan=1)), SendAttempt)
-    assert pick(engine.handle(0, arrival(8, 0, plan=0)), SendAttempt)
+    assert not actions_of_type(engine.handle(0, arrival(7, 0, plan=1)), SendAttempt)
+    assert actions_of_type(engine.handle(0, arrival(8, 0, plan=0)), SendAttempt)
 
 
 def test_requests_possibly_over_quota_are_rejected_first_at_equal_value() -> None:
     """A window at half of its usual size rejected first requests of all plans with quota left."""
     free_excess = QuotaPlan(4.0, 8.0, 0, 0.1, 0.2, 0.0, 0.0, 0.0, 0.0)
     plans = (replace(free_excess, rate=0.4, burst=2.0, excess_cost=1.0), free_excess)
-    engine = alone(plans=plans, servers=8)
+    engine = single_engine(plans=plans, servers=8)
     (
         engine.admission.load_balancers[0].window.best_value,
         engine.admission.load_balancers[0].window.size,
     ) = 1.0, 10.0
     for n in range(5):
         engine.admission.load_balancers[0].window.in_flight[1000 + n, 0] = 0
-    assert not pick(engine.handle(0, arrival(1, 0, plan=0, customer=1, sets=38)), SendAttempt)
-    assert pick(engine.handle(0, arrival(2, 0, plan=1, customer=2, sets=38)), SendAttempt)
+    assert not actions_of_type(
+        engine.handle(0, arrival(1, 0, plan=0, tenant=1, limiter_set_size=38)), SendAttempt
+    )
+    assert actions_of_type(
+        engine.handle(0, arrival(2, 0, plan=1, tenant=2, limiter_set_size=38)), SendAttempt
+    )
 
 
 def test_slow_start_follows_the_peers_answers_not_the_attempts_sent() -> None:
     """Peers were sent three times what they could handle, and servers in slow start as much."""
-    engine = alone(servers=2)
+    engine = single_engine(servers=2)
     now = 100 * S
-    engine.handle(now, EndpointsUpdated((entry(2, booted=now),), False))
+    engine.handle(now, EndpointsUpdated((endpoint(2, started_at=now),), False))
     engine.admission.load_balancers[0].servers[2].slow_start_budget = 0.0
     for request_id in range(100):
         now += S // 20
-        for action in pick(engine.handle(now, arrival(request_id, now)), SendAttempt):
+        for action in actions_of_type(engine.handle(now, arrival(request_id, now)), SendAttempt):
             assert action.endpoint_id != 2
             engine.handle(
                 now,
@@ -162,7 +166,7 @@
 
 def test_slow_start_budgets_do_not_fall_with_requests_rejected_for_lack_of_budget() -> None:
     """With half of the servers new, fewer answers lowered the budgets and these the answers."""
-    load_balancer = alone(servers=6).admission.load_balancers[0]
+    load_balancer = single_engine(servers=6).admission.load_balancers[0]
     for n in range(400):
         load_balancer.loop.now = n * S // 10
         load_balancer.successes.add(1, load_balancer.loop.now)
@@ -177,7 +181,7 @@
 
 def test_a_server_that_fails_one_request_class_still_gets_the_others() -> None:
     """Some servers answered a single request class with errors only."""
-    engine = alone(servers=9)
+    engine = single_engine(servers=9)
     server = engine.admission.load_balancers[0].servers[0]
     for n in range(4):
         server.in_flight += 2
@@ -194,9 +198,9 @@
     """A limiter with few requests that uses all servers has too few outcomes of each."""
     users = [0] * 60
     for limiter_index in range(300):
-        load_balancer = alone(servers=60, limiters=300, me=limiter_index).admission.load_balancers[
-            0
-        ]
+        load_balancer = single_engine(
+            servers=60, limiter_count=300, limiter_index=limiter_index
+        ).admission.load_balancers[0]
         load_balancer.select_subset()
         assert len(load_balancer.subset[0]) == 6
         for server in load_balancer.subset[0]:
@@ -206,14 +210,14 @@
 
 def test_a_server_that_rejects_quickly_gets_less_and_does_not_shrink_the_window():
     # One throttled server looked idle and drew most attempts, and its rejections shrank the window.
-    engine, sends, pending = alone(servers=4, limiters=1), [0] * 4, []
+    engine, sends, pending = single_engine(servers=4, limiter_count=1), [0] * 4, []
     load_balancer, before = (
         engine.admission.load_balancers[0],
         engine.admission.load_balancers[0].window.size,
     )
 
     def schedule_outcomes(now, actions, attempt=0):
-        for sent in pick(actions, SendAttempt):
+        for sent in actions_of_type(actions, SendAttempt):
             sends[sent.endpoint_id] += 1
             outcome, duration = (
                 (Outcome.REJECTED, 5) if sent.endpoint_id == 2 else (Outcome.SUCCEEDED, 900)
@@ -240,9 +244,9 @@
 
 
 def test_a_removed_server_is_dropped_when_its_last_attempt_ends():
-    engine = alone(servers=1)
-    assert pick(engine.handle(10, arrival(1, 10)), SendAttempt)
-    engine.handle(20, EndpointsUpdated((entry(0, EndpointState.GONE),), False))
+    engine = single_engine(servers=1)
+    assert actions_of_type(engine.handle(10, arrival(1, 10)), SendAttempt)
+    engine.handle(20, EndpointsUpdated((endpoint(0, EndpointState.GONE),), False))
     assert list(engine.admission.load_balancers[0].servers) == [0]
     engine.handle(30, AttemptEnded(1, 0, 0, Outcome.SUCCEEDED, 20, True, 0, 0.0))
     assert not engine.admission.load_balancers[0].servers and not engine.admission.pending
@@ -250,11 +254,11 @@
 
 def test_attempts_without_a_response_do_not_fill_the_window():
     # About 70 of 130 attempts in flight waited on connections that had become unresponsive.
-    engine, sent = alone(servers=4, limiters=1), []
+    engine, sent = single_engine(servers=4, limiter_count=1), []
     for now in range(0, 40_000, 50):
-        actions = engine.handle(now, arrival(now, now, front=1))
-        assert pick(actions, SendAttempt), f"rejected at {now}"
-        sent += pick(actions, SendAttempt)
+        actions = engine.handle(now, arrival(now, now, frontend=1))
+        assert actions_of_type(actions, SendAttempt), f"rejected at {now}"
+        sent += actions_of_type(actions, SendAttempt)
         if len(sent) % 5:  # one in five gets no response, long before its time-out
             engine.handle(
                 now + 40,
@@ -274,7 +278,9 @@
     limiter_count, servers = 6, 4
     engines = [DecisionEngine(settings(n, limiter_count), n, 0) for n in range(limiter_count)]
     for engine in engines:
-        engine.handle(0, EndpointsUpdated(tuple(entry(n, booted=1) for n in range(servers)), True))
+        engine.handle(
+            0, EndpointsUpdated(tuple(endpoint(n, started_at=1) for n in range(servers)), True)
+        )
     now, request_id, in_flight, sent = 0, 0, [], []
     while now < 8 * S:
         now += S // 200
@@ -294,7 +300,7 @@
                 ),
             )
         request_id += 1
-        for action in pick(
+        for action in actions_of_type(
             engines[request_id % limiter_count].handle(now, arrival(request_id, now)), SendAttempt
         ):
             in_flight.append((now + S // 20, request_id % limiter_count, action))
--- a/tests/admission/test_rules.py
+++ b/tests/admission/test_rules.py
@@ -6,7 +6,8 @@
 
 from __future__ import annotations
 
-from helpers import PLANS, S, Stage, arrival, entry
+from helpers import PLANS, S, arrival, endpoint
+from helpers import EngineHarness as Stage  # the name that the seeded functions use
 from hypothesis import HealthCheck, given, settings
 from hypothesis import Phase as Run
 from hypothesis import strategies as st
@@ -53,46 +54,46 @@
                     event = arrival(
                         request_id, stage.now, n // 3 % 4, plan, 10 * plan + n // 5 % 2, sets
                     )
-                    stage.open[request_id] = (limiter, event, [])
-                    stage.give(limiter, event)
+                    stage.open_requests[request_id] = (limiter, event, [])
+                    stage.handle_event(limiter, event)
                     limiter = (limiter + 1) % sets
             case "outcomes":
-                for key in list(stage.out)[: 1 + n % 9]:
-                    stage.finish(key, OUTCOMES[n // 3 % len(OUTCOMES)])
+                for key in list(stage.attempts)[: 1 + n % 9]:
+                    stage.end_attempt(key, OUTCOMES[n // 3 % len(OUTCOMES)])
             case "counts":
-                while stage.calls:
-                    stage.count(
-                        n % len(stage.calls),
+                while stage.counter_calls:
+                    stage.answer_counter_call(
+                        n % len(stage.counter_calls),
                         COUNTER_OUTCOMES[n % len(COUNTER_OUTCOMES)],
                         n % 11 == 0,
                     )
             case "time":
-                stage.pass_time(10 + n % (3 * S))
+                stage.advance_clock(10 + n % (3 * S))
             case "list":
-                server = n % len(stage.entries)
+                server = n % len(stage.endpoints)
                 phase = (EndpointState.LIVE, EndpointState.DRAINING, EndpointState.GONE)[n // 5 % 3]
-                stage.entries[server] = entry(
+                stage.endpoints[server] = endpoint(
                     server, phase, stage.now if phase is EndpointState.LIVE else 0, server % 2
                 )
-                for index in range(len(stage.brains)):
-                    stage.tell(index)
+                for index in range(len(stage.engines)):
+                    stage.update_endpoints(index)
             case "stall":  # a limiter gets no timer events for a while, then all at once
-                stage.stalled = limiter
-                stage.pass_time(1 + n % (2 * S))
-                stage.stalled = None
+                stage.stalled_limiter = limiter
+                stage.advance_clock(1 + n % (2 * S))
+                stage.stalled_limiter = None
             case "empty":
-                stage.counts.clear()
+                stage.counter_totals.clear()
             case "kill":
                 stage.kill(limiter)
                 stage.start(limiter)
             case "disconnect":
-                if stage.open:
-                    disconnected = list(stage.open)[n % len(stage.open)]
-                    owner = stage.open[disconnected][0]
-                    stage.answer(disconnected)
-                    stage.give(owner, ClientDisconnected(disconnected))
-    stage.pass_time(5 * S)
-    assert not stage.open, "requests were lost"
+                if stage.open_requests:
+                    disconnected = list(stage.open_requests)[n % len(stage.open_requests)]
+                    owner = stage.open_requests[disconnected][0]
+                    stage.close_request(disconnected)
+                    stage.handle_event(owner, ClientDisconnected(disconnected))
+    stage.advance_clock(5 * S)
+    assert not stage.open_requests, "requests were lost"
 
 
 @settings(SEEDED, max_examples=150)
@@ -116,19 +117,19 @@
     """Rule 4 for the sum over all limiters, which get a new server's entry at the same time and an
     even rate of requests.
     """
-    stage = Stage(4, limiters=30)
+    stage = Stage(4, limiter_count=30)
     for request_id in range(1, 3001):
         if request_id == 1500:
-            stage.entries[4] = entry(4, booted=stage.now)
+            stage.endpoints[4] = endpoint(4, started_at=stage.now)
             for n in range(30):
-                stage.tell(n)
+                stage.update_endpoints(n)
         event = arrival(request_id, stage.now, 0, 2, 0, 30)
-        stage.open[request_id] = (request_id % 30, event, [])
-        stage.give(request_id % 30, event)
-        stage.pass_time(S // 100)
-        for key in [k for k, o in stage.out.items() if o[2] < stage.now - S // 10]:
-            stage.finish(key, Outcome.SUCCEEDED)
-    start = stage.entries[4].started_at
+        stage.open_requests[request_id] = (request_id % 30, event, [])
+        stage.handle_event(request_id % 30, event)
+        stage.advance_clock(S // 100)
+        for key in [k for k, o in stage.attempts.items() if o[2] < stage.now - S // 10]:
+            stage.end_attempt(key, Outcome.SUCCEEDED)
+    start = stage.endpoints[4].started_at
     cold_sends = [t for t, server in stage.sends if server == 4]
     for second in range(8):  # peers handle about 25 per second; the budget is checked over 1 s
         sent = sum(start + second * S <= t < start + (second + 1) * S for t in cold_sends)
--- a/tests/admission/test_services.py
+++ b/tests/admission/test_services.py
@@ -7,7 +7,17 @@
 from random import Random
 
 import pytest
-from helpers import FRONTENDS, PLANS, S, alone, arrival, entry, frontend, pick, settings
+from helpers import (
+    FRONTENDS,
+    PLANS,
+    S,
+    actions_of_type,
+    arrival,
+    endpoint,
+    frontend,
+    settings,
+    single_engine,
+)
 
 from loomstand.admission.actions import Action, IncrementCounter, Reject, SendAttempt, SetTimer
 from loomstand.admission.decision_engine import DecisionEngine
@@ -41,7 +51,7 @@
 def update_endpoints(engine: DecisionEngine, now: int, **services: list[int]) -> None:
     """Sends a complete endpoint list; `s1=[3, 4]`: servers 3 and 4 belong to service 1."""
     entries = [
-        replace(entry(n), service=int(s[1:])) for s, servers in services.items() for n in servers
+        replace(endpoint(n), service=int(s[1:])) for s, servers in services.items() for n in servers
     ]
     engine.handle(now, EndpointsUpdated(tuple(entries), True))
 
@@ -49,46 +59,50 @@
 def send_request(
     engine: DecisionEngine, request_id: int, now: int, service: int = 0, **more: int
 ) -> list[Action]:
-    return engine.handle(now, replace(arrival(request_id, now, sets=0, **more), service=service))
+    return engine.handle(
+        now, replace(arrival(request_id, now, limiter_set_size=0, **more), service=service)
+    )
 
 
 def test_requests_use_their_services_servers_and_a_complete_list_covers_all_services() -> None:
-    engine = DecisionEngine(settings(limiters=1, **GATEWAY_SETTINGS), 1, 0)
+    engine = DecisionEngine(settings(limiter_count=1, **GATEWAY_SETTINGS), 1, 0)
     update_endpoints(engine, 0, s1=[1, 2, 3], s2=[4, 5])
     used = {1: set(), 2: set()}
     for n in range(1, 13):  # all in flight at once
         used[1 + n % 2] |= {
             action.endpoint_id
-            for action in pick(send_request(engine, n, n, 1 + n % 2), SendAttempt)
+            for action in actions_of_type(send_request(engine, n, n, 1 + n % 2), SendAttempt)
         }
     assert used == {1: {1, 2, 3}, 2: {4, 5}}
     # a service without servers
-    assert pick(send_request(engine, 500, 2 * S, 7), Reject) == [Reject(500, 0, "servers full")]
+    assert actions_of_type(send_request(engine, 500, 2 * S, 7), Reject) == [
+        Reject(500, 0, "servers full")
+    ]
     update_endpoints(engine, 2 * S, s2=[5])
-    assert pick(send_request(engine, 501, 2 * S, 1), Reject)[0].reason == "servers full"
+    assert actions_of_type(send_request(engine, 501, 2 * S, 1), Reject)[0].reason == "servers full"
     assert {
         a.endpoint_id
         for n in range(3)
-        for a in pick(send_request(engine, 510 + n, 2 * S, 2), SendAttempt)
+        for a in actions_of_type(send_request(engine, 510 + n, 2 * S, 2), SendAttempt)
     } == {5}
 
 
 def test_the_window_follows_servers_added_one_by_one() -> None:
-    engine = DecisionEngine(settings(limiters=2, **GATEWAY_SETTINGS), 1, 0)
+    engine = DecisionEngine(settings(limiter_count=2, **GATEWAY_SETTINGS), 1, 0)
     for n in range(6):
-        engine.handle(0, EndpointsUpdated((replace(entry(n), service=1),), False))
+        engine.handle(0, EndpointsUpdated((replace(endpoint(n), service=1),), False))
     assert engine.admission.load_balancers[1].window.size == pytest.approx(7 * 6 / 2)
     engine.handle(
-        0, EndpointsUpdated((replace(entry(0, EndpointState.DRAINING), service=1),), False)
+        0, EndpointsUpdated((replace(endpoint(0, EndpointState.DRAINING), service=1),), False)
     )
     engine.handle(0, SettingsChanged(replace(engine.loop.settings, limiter_count=4)))
     assert engine.admission.load_balancers[1].window.size == pytest.approx(7 * 5 / 4)
 
 
 def test_a_request_class_and_a_plan_added_at_run_time() -> None:
-    engine = alone(servers=4, limiters=1)
+    engine = single_engine(servers=4, limiter_count=1)
     for n in range(8):  # server 0 fails; the servers' statistics must be kept
-        for action in pick(send_request(engine, n, 10 * n, front=1), SendAttempt):
+        for action in actions_of_type(send_request(engine, n, 10 * n, frontend=1), SendAttempt):
             outcome = Outcome.SERVER_ERROR if action.endpoint_id == 0 else Outcome.SUCCEEDED
             engine.handle(
                 10 * n + 5, AttemptEnded(n, 0, action.endpoint_id, outcome, 5, True, 0, 0.0)
@@ -97,24 +111,25 @@
     before = [v.is_ejected(1) for v in servers]
     added = replace(frontend(), attempt_limit=1)
     new_settings = replace(
-        settings(limiters=1), frontends=(*FRONTENDS, added), plans=(*PLANS, plan(1.0, 2.0))
+        settings(limiter_count=1), frontends=(*FRONTENDS, added), plans=(*PLANS, plan(1.0, 2.0))
     )
     assert engine.handle(S, SettingsChanged(new_settings)) == []
     assert [v.is_ejected(1) for v in servers] == before
-    event = replace(arrival(20, S, plan=len(PLANS), customer=5), frontend=len(FRONTENDS))
-    server = pick(engine.handle(S, event), SendAttempt)[0].endpoint_id
+    event = replace(arrival(20, S, plan=len(PLANS), tenant=5), frontend=len(FRONTENDS))
+    server = actions_of_type(engine.handle(S, event), SendAttempt)[0].endpoint_id
     actions = engine.handle(S + 5, AttemptEnded(20, 0, server, Outcome.REJECTED, 5, False, 0, 0.0))
-    assert pick(actions, Reject)[0].reason == "given up"  # the class's own attempt limit
-    assert pick(engine.handle(S + 6, replace(event, request_id=21)), SendAttempt)
+    assert actions_of_type(actions, Reject)[0].reason == "given up"  # the class's own attempt limit
+    assert actions_of_type(engine.handle(S + 6, replace(event, request_id=21)), SendAttempt)
     # its burst is used
     assert (
-        pick(engine.handle(S + 6, replace(event, request_id=22)), Reject)[0].reason == "old total"
+        actions_of_type(engine.handle(S + 6, replace(event, request_id=22)), Reject)[0].reason
+        == "old total"
     )
 
 
 def test_a_quota_lowered_under_load_keeps_past_usage() -> None:
     base_settings = settings(
-        limiters=1, plans=(plan(100.0, 50.0),), has_counter=False, **GATEWAY_SETTINGS
+        limiter_count=1, plans=(plan(100.0, 50.0),), has_counter=False, **GATEWAY_SETTINGS
     )
     engine = DecisionEngine(base_settings, 1, 0)
     update_endpoints(engine, 0, s0=[*range(40)])
@@ -122,7 +137,7 @@
     for n, now in enumerate(range(0, 10 * S, 20)):  # 500 per second
         if n == 1000:
             engine.handle(now, SettingsChanged(replace(base_settings, plans=(plan(10.0, 20.0),))))
-        for action in pick(send_request(engine, n, now, plan=0), SendAttempt):
+        for action in actions_of_type(send_request(engine, n, now, plan=0), SendAttempt):
             admitted[now // S] += 1
             engine.handle(
                 now, AttemptEnded(n, 0, action.endpoint_id, Outcome.SUCCEEDED, 5, True, 0, 0.0)
@@ -144,7 +159,7 @@
     """
     rng, base_settings = (
         Random(1),
-        settings(limiters=limiter_count, plans=(plan(rate, burst),), **GATEWAY_SETTINGS),
+        settings(limiter_count=limiter_count, plans=(plan(rate, burst),), **GATEWAY_SETTINGS),
     )
     engines = [
         DecisionEngine(replace(base_settings, limiter_index=n), n, 0) for n in range(limiter_count)
@@ -204,8 +219,8 @@
         zone = limiter_index * 4 // 75
         engine = DecisionEngine(
             settings(
-                me=limiter_index,
-                limiters=75,
+                limiter_index=limiter_index,
+                limiter_count=75,
                 zone=zone,
                 local_zone_share=local_zone_share,
                 **GATEWAY_SETTINGS,
@@ -214,7 +229,7 @@
             0,
         )
         engine.handle(
-            0, EndpointsUpdated(tuple(entry(n, hall=h) for n, h in enumerate(zones)), True)
+            0, EndpointsUpdated(tuple(endpoint(n, zone=h) for n, h in enumerate(zones)), True)
         )
         send_request(engine, 1, 0)
         subset = engine.admission.load_balancers[0].subset[0]
@@ -236,13 +251,17 @@
 def test_servers_of_other_zones_replace_failing_local_ones() -> None:
     zones = [0] * 6 + [1] * 6
     engine = DecisionEngine(
-        settings(limiters=20, local_zone_share=0.8, remote_zone_cost=2.0, **GATEWAY_SETTINGS), 1, 0
+        settings(limiter_count=20, local_zone_share=0.8, remote_zone_cost=2.0, **GATEWAY_SETTINGS),
+        1,
+        0,
+    )
+    engine.handle(
+        0, EndpointsUpdated(tuple(endpoint(n, zone=h) for n, h in enumerate(zones)), True)
     )
-    engine.handle(0, EndpointsUpdated(tuple(entry(n, hall=h) for n, h in enumerate(zones)), True))
     admitted = Counter()
     for request_id in range(400):
         actions, attempt = send_request(engine, request_id, request_id * S // 50), 0
-        while sent := pick(actions, SendAttempt):
+        while sent := actions_of_type(actions, SendAttempt):
             fails = sent[0].endpoint_id < 6
             admitted[sent[0].endpoint_id] += not fails
             outcome = Outcome.CONNECT_FAILED if fails else Outcome.SUCCEEDED
@@ -254,13 +273,13 @@
 
 
 def test_retries_are_charged_to_the_budget_of_their_service() -> None:
-    engine = DecisionEngine(settings(limiters=1, **GATEWAY_SETTINGS), 1, 0)
+    engine = DecisionEngine(settings(limiter_count=1, **GATEWAY_SETTINGS), 1, 0)
     update_endpoints(engine, 0, s1=[1, 2, 3, 4], s2=[5, 6])
 
     def count_attempts(request_id: int, service: int, outcome: Outcome) -> int:
         """Returns the number of attempts for a request if every attempt has this outcome."""
         actions, n = send_request(engine, request_id, 10, service), 0
-        while sent := pick(actions, SendAttempt):
+        while sent := actions_of_type(actions, SendAttempt):
             actions, n = (
                 engine.handle(
                     20, AttemptEnded(request_id, n, sent[0].endpoint_id, outcome, 5, False, 0, 0.0)
--- a/tests/admission/test_tenant_limiter.py
+++ b/tests/admission/test_tenant_limiter.py
@@ -10,7 +10,7 @@
 from random import Random
 
 import pytest
-from helpers import PLANS, S, alone, arrival, pick, settings
+from helpers import PLANS, S, actions_of_type, arrival, settings, single_engine
 
 from loomstand.admission.actions import IncrementCounter, SendAttempt
 from loomstand.admission.actors import ActorLoop
@@ -27,12 +27,16 @@
 ) -> TenantLimiter:
     loop = ActorLoop(settings(has_counter=has_counter), 1, 0)
     plan = QuotaPlan(rate, burst, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-    return TenantLimiter(loop, CounterClient(loop), arrival(1, 0, sets=sets), plan)
+    return TenantLimiter(loop, CounterClient(loop), arrival(1, 0, limiter_set_size=sets), plan)
 
 
 def count_admitted(engine: DecisionEngine, now: int, count: int, first_id: int) -> int:
     return sum(
-        len(pick(engine.handle(now, arrival(first_id + n, now, sets=1)), SendAttempt))
+        len(
+            actions_of_type(
+                engine.handle(now, arrival(first_id + n, now, limiter_set_size=1)), SendAttempt
+            )
+        )
         for n in range(count)
     )
 
@@ -40,7 +44,7 @@
 def test_a_quota_of_500_per_second_with_a_burst_of_ten() -> None:
     """Admits 11 of 12, 1 of 2, 0 of 0, 2 of 2, 0 of 0; the excess count is 10, 10, 9, 10, 9."""
     plan = QuotaPlan(500.0, 11.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-    engine = alone(servers=40, plans=(PLANS[0], PLANS[0], plan), has_counter=False)
+    engine = single_engine(servers=40, plans=(PLANS[0], PLANS[0], plan), has_counter=False)
     emission_interval = 20  # 2 ms
     admitted = [
         count_admitted(engine, n * emission_interval, count, 100 * n + 1)
@@ -120,13 +124,13 @@
     """Hundreds of limiters with at least one call in flight each overload a counter."""
     calls = 0
     for limiter_index in range(200):
-        engine = alone(servers=2, limiters=200, me=limiter_index)
+        engine = single_engine(servers=2, limiter_count=200, limiter_index=limiter_index)
         for n in range(20):
             actions = engine.handle(
-                n * S // 10, arrival(n, n * S // 10, plan=0, customer=n, sets=100)
+                n * S // 10, arrival(n, n * S // 10, plan=0, tenant=n, limiter_set_size=100)
             )
-            calls += len(pick(actions, IncrementCounter))
-            for action in pick(actions, IncrementCounter):
+            calls += len(actions_of_type(actions, IncrementCounter))
+            for action in actions_of_type(actions, IncrementCounter):
                 engine.handle(
                     n * S // 10, CounterReplied(action.counter_name, Outcome.NO_RESPONSE, 0.0, 500)
                 )
@@ -177,11 +181,11 @@
     start = 17_961_586_410_000 + seed
 
     def start_limiter(limiter_index: int, now: int) -> TenantLimiter:
-        loop = ActorLoop(settings(me=limiter_index, limiters=40), 1, now)
+        loop = ActorLoop(settings(limiter_index=limiter_index, limiter_count=40), 1, now)
         return TenantLimiter(
             loop,
             CounterClient(loop),
-            replace(arrival(1, now, sets=sets), limiter_set_start=37),
+            replace(arrival(1, now, limiter_set_size=sets), limiter_set_start=37),
             plan,
         )
 
@@ -227,12 +231,12 @@
 
 
 def test_a_tenant_with_one_request_takes_little_memory():
-    engine = alone()
-    engine.handle(1, arrival(0, 1, plan=1, customer=9999))
+    engine = single_engine()
+    engine.handle(1, arrival(0, 1, plan=1, tenant=9999))
     tracemalloc.start()
     for n in range(1, 501):
         # rejected by the rate limit: only the tenant's limiter is kept
-        engine.handle(1, arrival(n, 1, plan=1, customer=n))
+        engine.handle(1, arrival(n, 1, plan=1, tenant=n))
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     # 2,900 bytes per tenant with a dict and a deque each
@@ -241,10 +245,10 @@
 
 def test_few_of_many_tenants_with_one_request_are_kept():
     # a counting interval of 20 s
-    engine, slow = alone(), QuotaPlan(0.05, 1.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+    engine, slow = single_engine(), QuotaPlan(0.05, 1.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
     engine.loop.settings = replace(engine.loop.settings, plans=(slow,))
     for n in range(4000):  # 50 per second for 80 s
-        engine.handle(n * 200, arrival(n, n * 200, plan=0, customer=n))
+        engine.handle(n * 200, arrival(n, n * 200, plan=0, tenant=n))
         engine.handle(n * 200 + 50, AttemptEnded(n, 0, 0, Outcome.SUCCEEDED, 50, True, 0, 0.0))
     assert len(engine.admission.tenants) == len(engine.admission.tenants_by_digest) < 2500
     assert len(engine.admission.tenants) > 1000
--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -10,7 +10,7 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import S, arrival, entry, pick, settings
+from helpers import S, actions_of_type, arrival, endpoint, settings
 from hypothesis import given
 from hypothesis import settings as bounds
 from hypothesis import strategies as st
@@ -367,11 +367,11 @@
 
 
 def engine_with_plan(**over) -> DecisionEngine:
-    engine_settings = settings(limiters=1, **over)
+    engine_settings = settings(limiter_count=1, **over)
     names = (["look", "book", "uniqued", "any"], ["a", "b", "c", "d"], ["east", "west"])
     plan = plans.parse(table(refuse=[{"name": "cheap", "frontends": ["look"]}]))
     engine = DecisionEngine(engine_settings, 7, 0, FailoverPolicy(plan, engine_settings, names, 0))
-    engine.handle(0, EndpointsUpdated(tuple(entry(n, hall=n % 2) for n in range(8)), True))
+    engine.handle(0, EndpointsUpdated(tuple(endpoint(n, zone=n % 2) for n in range(8)), True))
     return engine
 
 
@@ -404,7 +404,9 @@
                     0.0,
                 ),
             )
-        for attempt in pick(engine.handle(now, arrival(first_id + n, now, frontend)), SendAttempt):
+        for attempt in actions_of_type(
+            engine.handle(now, arrival(first_id + n, now, frontend)), SendAttempt
+        ):
             is_dead = attempt.endpoint_id % 2 in dead_zones
             in_flight.append(
                 (
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,7 @@
-"""A small stage for the module, with checks of the five rules; and stand-ins for the limiter on
-sockets.
+"""Test harnesses for the decision engine and for a limiter on loopback sockets.
+
+`EngineHarness` runs several engines on a simulated clock and checks the five rules at each action;
+`LimiterHarness` runs one limiter against stub servers.
 """
 
 from __future__ import annotations
@@ -46,16 +48,16 @@
 from loomstand.testing.rehearsal.wire import WATCHING, chunk, own_host, read_message, said
 
 S = TICKS_PER_SECOND
-ActionKind = TypeVar("ActionKind")
+ActionType = TypeVar("ActionType")
 NOT_RUN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 def frontend(
     effect: Effect = Effect.IDEMPOTENT,
-    group: DeduplicationScope = DeduplicationScope.ALL,
-    late: float = 0.0,
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL,
+    late_value: float = 0.0,
 ) -> Frontend:
-    return Frontend(effect, group, 2 * S, S, 4 * S, 1.0, late, False)
+    return Frontend(effect, deduplication_scope, 2 * S, S, 4 * S, 1.0, late_value, False)
 
 
 FRONTENDS = (
@@ -72,10 +74,10 @@
 )
 
 
-def settings(me: int = 0, limiters: int = 3, **changes: object) -> EngineSettings:
+def settings(limiter_index: int = 0, limiter_count: int = 3, **changes: object) -> EngineSettings:
     base = EngineSettings(
-        me,
-        limiters,
+        limiter_index,
+        limiter_count,
         0,
         FRONTENDS,
         PLANS,
@@ -99,202 +101,246 @@
     return replace(base, **changes)
 
 
-def entry(
-    srv: int, phase: EndpointState = EndpointState.LIVE, booted: int = 0, hall: int = 0
+def endpoint(
+    endpoint_id: int,
+    state: EndpointState = EndpointState.LIVE,
+    started_at: int = 0,
+    zone: int = 0,
 ) -> Endpoint:
-    return Endpoint(srv, phase, hall, 0, srv % 2, 1.0, booted)
+    return Endpoint(endpoint_id, state, zone, 0, endpoint_id % 2, 1.0, started_at)
 
 
 def arrival(
-    req: int, now: int, front: int = 0, plan: int = 2, customer: int = 0, sets: int = 3
+    request_id: int,
+    now: int,
+    frontend: int = 0,
+    plan: int = 2,
+    tenant: int = 0,
+    limiter_set_size: int = 3,
 ) -> RequestArrived:
-    give_up = now + FRONTENDS[front].client_timeout
-    return RequestArrived(req, front, plan, customer, 1000 + customer, give_up, 1.0, sets, False)
-
-
-def alone(now: int = 0, servers: int = 3, **changes: object) -> DecisionEngine:
-    """One limiter with some long-running servers."""
-    brain = DecisionEngine(settings(**changes), 7, now)
-    brain.handle(now, EndpointsUpdated(tuple(entry(n) for n in range(servers)), True))
-    return brain
-
-
-def pick(actions: Sequence[Action], kind: type[ActionKind]) -> list[ActionKind]:
-    return [a for a in actions if isinstance(a, kind)]
+    deadline = now + FRONTENDS[frontend].client_timeout
+    return RequestArrived(
+        request_id, frontend, plan, tenant, 1000 + tenant, deadline, 1.0, limiter_set_size, False
+    )
 
 
-class Stage:
-    """Several limiters and what the outside sees of them all."""
+def single_engine(now: int = 0, servers: int = 3, **changes: object) -> DecisionEngine:
+    """The engine of one limiter, with servers that are past slow start."""
+    engine = DecisionEngine(settings(**changes), 7, now)
+    engine.handle(now, EndpointsUpdated(tuple(endpoint(n) for n in range(servers)), True))
+    return engine
+
+
+def actions_of_type(actions: Sequence[Action], action_type: type[ActionType]) -> list[ActionType]:
+    return [action for action in actions if isinstance(action, action_type)]
+
+
+class EngineHarness:
+    """The engines of several limiters on a simulated clock, with checks of the five rules.
+
+    Attributes:
+        now: The simulated time, in ticks.
+        endpoints: The servers by endpoint id.
+        engines: The engines by limiter index.
+        counter_totals: Totals of the shared counter by counter name.
+        counter_calls: Unanswered calls to the counter: limiter index and action.
+        timers: Due time in ticks, limiter index and tag.
+        open_requests: Requests without a final answer: limiter index, event and attempts; an
+            attempt has the server, the time it was sent and its outcome, None while pending.
+        attempts: Pending attempts by request id and attempt number: limiter index, server, time
+            sent and expiry.
+        draining_since: For each limiter, when each server was first listed as not live.
+        rate_limit_buckets: For each tenant, the tokens left of its rate limit and the time of that
+            reading.
+        sends: Time and server of each attempt.
+        stalled_limiter: Index of the limiter that gets no timer events, None for none.
+    """
 
-    def __init__(self, servers: int, limiters: int = 3, **changes: object) -> None:
+    def __init__(self, servers: int, limiter_count: int = 3, **changes: object) -> None:
         self.now = 1000 * S
-        self.changes = {"limiters": limiters, **changes}
-        self.entries = {n: entry(n, hall=n % 2) for n in range(servers)}
-        self.brains: list[DecisionEngine | None] = [None] * limiters
-        self.counts: dict[int, float] = {}
-        self.calls: list[tuple[int, IncrementCounter]] = []
+        self.changes = {"limiter_count": limiter_count, **changes}
+        self.endpoints = {n: endpoint(n, zone=n % 2) for n in range(servers)}
+        self.engines: list[DecisionEngine | None] = [None] * limiter_count
+        self.counter_totals: dict[int, float] = {}
+        self.counter_calls: list[tuple[int, IncrementCounter]] = []
         self.timers: list[tuple[int, int, int]] = []
-        # req: limiter, arrival, dispatches
-        self.open: dict[int, tuple[int, RequestArrived, list]] = {}
-        # limiter, server, sent, expiry
-        self.out: dict[tuple[int, int], tuple[int, int, int, int]] = {}
+        self.open_requests: dict[int, tuple[int, RequestArrived, list]] = {}
+        self.attempts: dict[tuple[int, int], tuple[int, int, int, int]] = {}
         self.answered: set[int] = set()
-        self.told: list[dict[int, int]] = [{} for _ in range(limiters)]
-        self.ceilings: dict[int, tuple[float, int]] = {}
-        self.sends: list[tuple[int, int]] = []  # time and server
-        self.stalled: int | None = None
-        for n in range(limiters):
+        self.draining_since: list[dict[int, int]] = [{} for _ in range(limiter_count)]
+        self.rate_limit_buckets: dict[int, tuple[float, int]] = {}
+        self.sends: list[tuple[int, int]] = []
+        self.stalled_limiter: int | None = None
+        for n in range(limiter_count):
             self.start(n)
 
     def start(self, n: int) -> None:
-        self.brains[n] = DecisionEngine(settings(n, **self.changes), n, self.now)
-        self.told[n] = {}
-        self.tell(n)
+        self.engines[n] = DecisionEngine(settings(n, **self.changes), n, self.now)
+        self.draining_since[n] = {}
+        self.update_endpoints(n)
 
-    def tell(self, n: int) -> None:
-        for e in self.entries.values():
+    def update_endpoints(self, n: int) -> None:
+        for e in self.endpoints.values():
             if e.state is not EndpointState.LIVE:
-                self.told[n].setdefault(e.endpoint_id, self.now)
+                self.draining_since[n].setdefault(e.endpoint_id, self.now)
             else:
-                self.told[n].pop(e.endpoint_id, None)
-        self.give(n, EndpointsUpdated(tuple(self.entries.values()), True))
+                self.draining_since[n].pop(e.endpoint_id, None)
+        self.handle_event(n, EndpointsUpdated(tuple(self.endpoints.values()), True))
 
     def kill(self, n: int) -> None:
-        """All that a killed limiter held is void."""
-        self.calls = [c for c in self.calls if c[0] != n]
+        """Drops the counter calls, timers, requests and attempts of a limiter that is killed."""
+        self.counter_calls = [c for c in self.counter_calls if c[0] != n]
         self.timers = [t for t in self.timers if t[1] != n]
-        self.open = {r: o for r, o in self.open.items() if o[0] != n}
-        self.out = {k: o for k, o in self.out.items() if o[0] != n}
-
-    def give(self, n: int, note: Event) -> None:
-        for act in self.brains[n].handle(self.now, note):
-            self.check(n, act)
-
-    def answer(self, req: int) -> None:
-        """Rule 1: one final answer."""
-        assert req in self.open, f"{req} answered twice"
-        del self.open[req]
-
-    def check(self, n: int, act: Action) -> None:
-        match act:
-            case SendAttempt(req, srv, expire):
-                self.check_dispatch(n, req, srv)
-                dispatches = self.open[req][2]
-                self.out[req, len(dispatches)] = (
+        self.open_requests = {r: o for r, o in self.open_requests.items() if o[0] != n}
+        self.attempts = {k: o for k, o in self.attempts.items() if o[0] != n}
+
+    def handle_event(self, n: int, event: Event) -> None:
+        for action in self.engines[n].handle(self.now, event):
+            self.check_action(n, action)
+
+    def close_request(self, request_id: int) -> None:
+        """Records the final answer of a request; rule 1: there is only one."""
+        assert request_id in self.open_requests, f"{request_id} answered twice"
+        del self.open_requests[request_id]
+
+    def check_action(self, n: int, action: Action) -> None:
+        match action:
+            case SendAttempt(request_id, server, expires_at):
+                self.check_attempt(n, request_id, server)
+                attempts = self.open_requests[request_id][2]
+                self.attempts[request_id, len(attempts)] = (
                     n,
-                    srv,
+                    server,
                     self.now,
-                    min(expire, self.open[req][1].deadline),
+                    min(expires_at, self.open_requests[request_id][1].deadline),
                 )
-                dispatches.append([srv, self.now, None])
-                self.sends.append((self.now, srv))
-            case Reject(req) | Abort(req):
-                _, note, dispatches = self.open[req]
-                front = FRONTENDS[note.frontend]
-                ran = any(d[2] not in NOT_RUN for d in dispatches)
-                # rule 2: a denial says that trying again is harmless
-                if isinstance(act, Reject) and ran:
-                    uniqued = (
-                        front.effect is Effect.DEDUPLICATED
-                        and front.deduplication_scope is DeduplicationScope.ALL
+                attempts.append([server, self.now, None])
+                self.sends.append((self.now, server))
+            case Reject(request_id) | Abort(request_id):
+                _, event, attempts = self.open_requests[request_id]
+                frontend = FRONTENDS[event.frontend]
+                may_have_run = any(attempt[2] not in NOT_RUN for attempt in attempts)
+                # rule 2: a rejection tells the client that it may retry
+                if isinstance(action, Reject) and may_have_run:
+                    is_deduplicated = (
+                        frontend.effect is Effect.DEDUPLICATED
+                        and frontend.deduplication_scope is DeduplicationScope.ALL
                     )
-                    assert front.effect is Effect.IDEMPOTENT or uniqued
-                self.answer(req)
-            case SetTimer(after, tag):
-                assert after > 0
-                self.timers.append((self.now + after, n, tag))
+                    assert frontend.effect is Effect.IDEMPOTENT or is_deduplicated
+                self.close_request(request_id)
+            case SetTimer(delay, tag):
+                assert delay > 0
+                self.timers.append((self.now + delay, n, tag))
             case IncrementCounter():
-                self.calls.append((n, act))
-
-    def check_dispatch(self, n: int, req: int, srv: int) -> None:
-        assert req in self.open, f"{req} sent after its answer"
-        _, note, before = self.open[req]
-        assert self.now < note.deadline
-        grace = self.told[n].get(srv)
-        assert grace is None or self.now <= grace + S, "sent to a draining server"  # rule 3
-        front = FRONTENDS[note.frontend]
-        for old, at, how in before:  # rule 2
-            assert how is not None, "two dispatches out"
-            if how in NOT_RUN or front.effect is Effect.IDEMPOTENT:
+                self.counter_calls.append((n, action))
+
+    def check_attempt(self, n: int, request_id: int, server: int) -> None:
+        assert request_id in self.open_requests, f"{request_id} sent after its final answer"
+        _, event, earlier = self.open_requests[request_id]
+        assert self.now < event.deadline
+        draining_since = self.draining_since[n].get(server)
+        # rule 3
+        assert draining_since is None or self.now <= draining_since + S, "sent to a draining server"
+        frontend = FRONTENDS[event.frontend]
+        for earlier_server, sent_at, outcome in earlier:  # rule 2
+            assert outcome is not None, "two attempts are pending"
+            if outcome in NOT_RUN or frontend.effect is Effect.IDEMPOTENT:
                 continue
-            assert front.effect is Effect.DEDUPLICATED, "a non-replayable req sent twice"
-            assert self.now < at + front.deduplication_window
+            assert frontend.effect is Effect.DEDUPLICATED, "a non-idempotent request was sent twice"
+            assert self.now < sent_at + frontend.deduplication_window
             assert (
-                front.deduplication_scope is DeduplicationScope.ALL
-                or self.entries[old].zone == self.entries[srv].zone
+                frontend.deduplication_scope is DeduplicationScope.ALL
+                or self.endpoints[earlier_server].zone == self.endpoints[server].zone
             )
-        plan = PLANS[note.plan]
-        if not before and plan.rate_limit:  # rule 5
-            left, at = self.ceilings.get(note.tenant, (plan.rate_limit_burst, self.now))
-            left = (
-                min(plan.rate_limit_burst, left + plan.rate_limit * (self.now - at) / S)
-                - note.units
+        plan = PLANS[event.plan]
+        if not earlier and plan.rate_limit:  # rule 5
+            tokens, read_at = self.rate_limit_buckets.get(
+                event.tenant, (plan.rate_limit_burst, self.now)
             )
-            assert left >= -plan.rate_limit_slack, "the ceiling was passed"
-            self.ceilings[note.tenant] = left, self.now
-
-    def finish(self, key: tuple[int, int], how: Outcome) -> None:
-        n, srv, sent, _ = self.out.pop(key)
-        req, dispatch = key
-        final = how is Outcome.SUCCEEDED or req not in self.open
-        if req in self.open:
-            self.open[req][2][dispatch][2] = how
-            if how is Outcome.SUCCEEDED:
-                self.answer(req)
-        self.give(n, AttemptEnded(req, dispatch, srv, how, self.now - sent, final, 0, 0.0))
-
-    def pass_time(self, span: int) -> None:
-        """Moves the clock, with timers, expiries and the end of each client's patience on the
-        way.
-        """
-        end = self.now + span
+            tokens = (
+                min(plan.rate_limit_burst, tokens + plan.rate_limit * (self.now - read_at) / S)
+                - event.units
+            )
+            assert tokens >= -plan.rate_limit_slack, "the rate limit was exceeded"
+            self.rate_limit_buckets[event.tenant] = tokens, self.now
+
+    def end_attempt(self, key: tuple[int, int], outcome: Outcome) -> None:
+        n, server, sent_at, _ = self.attempts.pop(key)
+        request_id, attempt_number = key
+        is_final = outcome is Outcome.SUCCEEDED or request_id not in self.open_requests
+        if request_id in self.open_requests:
+            self.open_requests[request_id][2][attempt_number][2] = outcome
+            if outcome is Outcome.SUCCEEDED:
+                self.close_request(request_id)
+        self.handle_event(
+            n,
+            AttemptEnded(
+                request_id, attempt_number, server, outcome, self.now - sent_at, is_final, 0, 0.0
+            ),
+        )
+
+    def advance_clock(self, duration: int) -> None:
+        """Advances the clock, fires due timers, expires attempts and checks client deadlines."""
+        end = self.now + duration
         while True:
-            dues = [t[0] for t in self.timers if t[1] != self.stalled] + [
-                o[3] for o in self.out.values()
+            due_times = [t[0] for t in self.timers if t[1] != self.stalled_limiter] + [
+                o[3] for o in self.attempts.values()
             ]
-            first = min(dues, default=end + 1)
-            if first > end:
+            next_due = min(due_times, default=end + 1)
+            if next_due > end:
                 break
-            self.now = max(self.now, first)
-            for due in [t for t in self.timers if t[0] <= self.now and t[1] != self.stalled]:
+            self.now = max(self.now, next_due)
+            for due in [
+                t for t in self.timers if t[0] <= self.now and t[1] != self.stalled_limiter
+            ]:
                 self.timers.remove(due)
-                self.give(due[1], TimerFired(due[2]))
-            for key in [k for k, o in self.out.items() if o[3] <= self.now]:
-                self.finish(key, Outcome.NO_RESPONSE)
+                self.handle_event(due[1], TimerFired(due[2]))
+            for key in [k for k, o in self.attempts.items() if o[3] <= self.now]:
+                self.end_attempt(key, Outcome.NO_RESPONSE)
         self.now = end
-        for req, (_, note, _) in self.open.items():
-            assert self.now <= note.deadline + 80, f"{req} got no answer in time"  # rule 1
-        for srv, e in self.entries.items():
-            if e.started_at and self.now - e.started_at < 10 * S:
-                self.check_cold(srv, e.started_at)
-
-    def check_cold(self, srv: int, booted: int) -> None:
-        """Rule 4, against what the busiest peer carried: a second's budget and one req a
-        limiter.
+        for request_id, (_, event, _) in self.open_requests.items():
+            # rule 1
+            assert self.now <= event.deadline + 80, f"{request_id} got no final answer in time"
+        for server, endpoint in self.endpoints.items():
+            if endpoint.started_at and self.now - endpoint.started_at < 10 * S:
+                self.check_slow_start(server, endpoint.started_at)
+
+    def check_slow_start(self, server: int, started_at: int) -> None:
+        """Checks rule 4: the load on a server in slow start.
+
+        The limit is the server's share of what the busiest warm server got, over one second, and
+        one request for each limiter.
         """
-        peers = [n for n in self.entries if not self.entries[n].started_at]
-        carried = max(
+        peers = [n for n in self.endpoints if not self.endpoints[n].started_at]
+        peer_requests = max(
             (sum(1 for t, s in self.sends if s == p and t > self.now - 4 * S) for p in peers),
             default=0,
         )
-        lately = sum(1 for t, s in self.sends if s == srv and t > max(booted, self.now - S))
-        warmth = 0.2 + 0.8 * (self.now - booted) / (10 * S)
-        assert lately <= 3.0 * warmth * max(carried, 4) / 2 + len(self.brains), (
-            "a cold server was pushed"
+        recent_requests = sum(
+            1 for t, s in self.sends if s == server and t > max(started_at, self.now - S)
         )
-
-    def count(self, at: int, how: Outcome, empty: bool) -> None:
-        n, call = self.calls.pop(at)
-        if empty:
-            self.counts.clear()
-        if how in (Outcome.SUCCEEDED, Outcome.NO_RESPONSE):
-            self.counts[call.counter_name] = self.counts.get(call.counter_name, 0.0) + call.amount
-        self.give(
-            n, CounterReplied(call.counter_name, how, self.counts.get(call.counter_name, 0.0), 30)
+        capacity_share = 0.2 + 0.8 * (self.now - started_at) / (10 * S)
+        assert recent_requests <= 3.0 * capacity_share * max(peer_requests, 4) / 2 + len(
+            self.engines
+        ), "too many requests to a server in slow start"
+
+    def answer_counter_call(self, index: int, outcome: Outcome, is_emptied: bool) -> None:
+        n, call = self.counter_calls.pop(index)
+        if is_emptied:
+            self.counter_totals.clear()
+        if outcome in (Outcome.SUCCEEDED, Outcome.NO_RESPONSE):
+            self.counter_totals[call.counter_name] = (
+                self.counter_totals.get(call.counter_name, 0.0) + call.amount
+            )
+        self.handle_event(
+            n,
+            CounterReplied(
+                call.counter_name, outcome, self.counter_totals.get(call.counter_name, 0.0), 30
+            ),
         )
 
 
-# Stand-ins on loopback, for the limiter on sockets.
+# --- a limiter on loopback sockets, and the stub servers around it
 
 
 HOST = own_host()
@@ -342,20 +388,23 @@
     } | changes
 
 
-class Peer:
-    """A stand-in that takes HTTP messages; `play(n, head, body)` answers the nth, or closes by
-    None.
+class StubServer:
+    """An HTTP server on loopback whose answers come from `respond(n, head, body)`.
+
+    n counts the requests from 0; None closes the connection without an answer.
     """
 
-    def __init__(self, play: Callable) -> None:
-        self.play, self.heads, self.bodies, self.connections = play, [], [], 0
+    def __init__(self, respond: Callable) -> None:
+        self.respond, self.heads, self.bodies, self.connections = respond, [], [], 0
         self.open: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> int:
-        self.server = await asyncio.start_server(self.talk, HOST, 0)
+        self.server = await asyncio.start_server(self.serve_connection, HOST, 0)
         return self.server.sockets[0].getsockname()[1]
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.connections += 1
         self.open.add(writer)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -364,23 +413,22 @@
                 n = len(self.heads)
                 self.heads.append(head)
                 self.bodies.append(body)
-                said = self.play(n, head, body)
-                said = await said if asyncio.iscoroutine(said) else said
-                if said is None:
+                response = self.respond(n, head, body)
+                response = await response if asyncio.iscoroutine(response) else response
+                if response is None:
                     break
-                writer.write(said)
+                writer.write(response)
                 await writer.drain()
         self.open.discard(writer)
         writer.close()
 
-    def cut(self) -> None:
-        """Breaks all connections."""
+    def abort_connections(self) -> None:
         for writer in list(self.open):
             writer.transport.abort()
 
     def stop(self) -> None:
         self.server.close()
-        self.cut()
+        self.abort_connections()
 
 
 def request(
@@ -395,36 +443,36 @@
     ).encode() + body
 
 
-class Caller:
-    """A client with one connection."""
+class HttpClient:
+    """An HTTP client with one connection to the limiter."""
 
     def __init__(self, port: int) -> None:
         self.port = port
 
-    async def __aenter__(self) -> Caller:
+    async def __aenter__(self) -> HttpClient:
         self.reader, self.writer = await asyncio.open_connection(HOST, self.port)
         return self
 
     async def __aexit__(self, *why: object) -> None:
         self.writer.close()
 
-    async def ask(self, raw: bytes) -> tuple[int, bytes, bytes]:
+    async def send_request(self, raw: bytes) -> tuple[int, bytes, bytes]:
         self.writer.write(raw)
-        return await self.answer()
+        return await self.read_response()
 
-    async def answer(self) -> tuple[int, bytes, bytes]:
-        """Status, head and body of the next answer."""
+    async def read_response(self) -> tuple[int, bytes, bytes]:
+        """Status, head and body of the next response."""
         head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), 4)
         length = int(re.search(rb"Content-Length: (\d+)", head)[1])
         return int(head[9:12]), head, await self.reader.readexactly(length)
 
-    async def closed(self) -> bool:
-        """Whether the limiter ends the connection cleanly now."""
+    async def is_closed(self) -> bool:
+        """Whether the limiter closes the connection without a reset, within 4 s."""
         return await asyncio.wait_for(self.reader.read(1), 4) == b""
 
 
-class Site:
-    """A limiter among stand-ins; `servers` says how each of them answers."""
+class LimiterHarness:
+    """A limiter with a stub counter, a stub discovery and a stub server for each of `servers`."""
 
     def __init__(
         self,
@@ -434,15 +482,17 @@
         **changes: object,
     ):
         self.arrival_clock = arrival_clock
-        self.servers = [Peer(play) for play in servers]
-        self.counter = Peer(counter or (lambda n, head, body: said(200, b"1")))
-        self.discovery = Peer(lambda n, head, body: WATCHING)
+        self.servers = [StubServer(respond) for respond in servers]
+        self.counter = StubServer(counter or (lambda n, head, body: said(200, b"1")))
+        self.discovery = StubServer(lambda n, head, body: WATCHING)
         self.changes = changes
 
-    async def __aenter__(self) -> Site:
+    async def __aenter__(self) -> LimiterHarness:
         ports = {"listen": free_port(), "counter": await self.counter.start()}
         ports["discovery"] = await self.discovery.start()
-        self.members = [member(f"s{n}", await peer.start()) for n, peer in enumerate(self.servers)]
+        self.members = [
+            member(f"s{n}", await server.start()) for n, server in enumerate(self.servers)
+        ]
         raw = json.dumps(config_file(ports, self.members, **self.changes)).encode()
         arrival_clock = (
             self.arrival_clock or asyncio.get_running_loop()._selector
@@ -462,21 +512,21 @@
         self.limiter.watch.stop()
         for client in list(self.limiter.listener.clients):
             client.channel.drop(Ending.STOPPING)
-        for peer in (*self.servers, self.counter, self.discovery):
-            peer.stop()
+        for server in (*self.servers, self.counter, self.discovery):
+            server.stop()
         self.limiter.stopped.set()
         await self.task
 
-    def tell(self, **list_: object) -> None:
-        """A line of the watch."""
+    def send_watch_line(self, **list_: object) -> None:
+        """Sends an endpoint list to the limiter, as a line of the discovery watch."""
         for writer in self.discovery.open:
             writer.write(chunk(list_))
 
 
-async def until(true: Callable[[], object]) -> None:
-    """Waits for something to come true, for a bounded time."""
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Waits until a condition holds, checking it 600 times every 5 ms at most."""
     for _ in range(600):
-        if true():
+        if condition():
             return
         await asyncio.sleep(0.005)
-    raise AssertionError("it did not come true")
+    raise AssertionError("the condition did not become true")
--- a/tests/test_ci.py
+++ b/tests/test_ci.py
@@ -112,7 +112,7 @@
 def test_every_file_whose_tests_use_sockets_or_processes_runs_alone():
     """But those that start a program and wait for its end, however long that takes."""
     real = re.compile(
-        r"\b(Popen|start_server|create_server|ThreadingHTTPServer|StandIn|Site)\(|from "
+        r"\b(Popen|start_server|create_server|ThreadingHTTPServer|StandIn|LimiterHarness)\(|from "
         r"rehearsals import"
     )
     # it names them itself
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -651,7 +651,7 @@
         DecisionEngine(dataclasses.replace(told, limiter_index=n), n + seed, now) for n in range(3)
     ]
     entries = {
-        n: dataclasses.replace(helpers.entry(n, hall=n % 2), service=n % services)
+        n: dataclasses.replace(helpers.endpoint(n, zone=n % 2), service=n % services)
         for n in range(6 * services)
     }
     counts: dict[int, float] = {}
@@ -741,7 +741,7 @@
                 [EndpointState.LIVE, EndpointState.LIVE, EndpointState.DRAINING, EndpointState.GONE]
             )
             booted = now if phase is EndpointState.LIVE else 0
-            made_new = helpers.entry(srv, phase, booted, srv % 2)
+            made_new = helpers.endpoint(srv, phase, booted, srv % 2)
             entries[srv] = dataclasses.replace(made_new, service=srv % services)
             for to in range(3):
                 give(to, EndpointsUpdated((entries[srv],), False))
