--- a/tests/golden/make.py
+++ b/tests/golden/make.py
@@ -1,13 +1,12 @@
 """Makes the fixtures beside this file: `python -m tests.golden.make`, from the root.
 
-They were made once, by the code as it was before the great renames, and hold what the programs
-sent, wrote and answered then. They aren't made again to get a pass: where a test against them
-fails, the programs behave otherwise than before, and may not understand programs or disks of
-before. Only a change of behaviour that is meant, and has its entry in the change log, is a reason
-to make them anew.
+They were made by the code before its names were changed, and hold the messages, pages and
+responses of that version. They are not made again to get a pass: if a test against them fails, the
+programs behave differently, and may be incompatible with older programs or disks. The only reason
+to make them again is an intended change of behaviour that has an entry in the change log.
 
 The files in `store-folder` are compacted copies that lmdb made of what the code wrote. The folder
-`older` has no pages of orders and of the learner's copy, as programs of before those wrote none.
+`older` has no pages of the change history and of the learner's copy, as older programs wrote none.
 """
 
 from __future__ import annotations
@@ -35,38 +34,38 @@
 
 def page_fixture() -> dict[str, Any]:
     return {
-        "records": {name: pages.hexed(record.pages()) for name, record in pages.records().items()},
-        "steps": pages.steps(), "others": pages.hexed(pages.other_pages()),
+        "records": {name: pages.to_hex(record.pages()) for name, record in pages.records().items()},
+        "steps": pages.steps(), "others": pages.to_hex(pages.other_pages()),
     }  # fmt: skip
 
 
 def main() -> None:
-    stores, town = runs.stores_run(), runs.town_run()
+    stores, cluster = runs.stores_run(), runs.cluster_run()
     save("stores", stores)
-    save("town", town)
+    save("town", cluster)
     save("older", runs.older_run())
-    save("outside", runs.outside_run())
+    save("outside", runs.operator_call_run())
     save("frames", pages.frames())
     save("pages", page_fixture())
     with tempfile.TemporaryDirectory() as work:
-        wrong = {
+        errors = {
             "configurations": {
-                name: {"input": runs.BAD_CONFIGURATIONS[name], "error": error}
-                for name, error in runs.configuration_errors(runs.BAD_CONFIGURATIONS).items()
+                name: {"input": runs.INVALID_CONFIGURATIONS[name], "error": error}
+                for name, error in runs.configuration_errors(runs.INVALID_CONFIGURATIONS).items()
             },
             "settings": {
-                name: {"input": runs.BAD_SETTINGS[name], "error": error}
-                for name, error in runs.settings_errors(runs.BAD_SETTINGS, Path(work)).items()
+                name: {"input": runs.INVALID_SETTINGS[name], "error": error}
+                for name, error in runs.settings_errors(runs.INVALID_SETTINGS, Path(work)).items()
             },
         }
-        save("errors", wrong)
+        save("errors", errors)
         shutil.rmtree(FOLDERS, ignore_errors=True)
-        disks = town["disks"]
-        duty = next(d for d in disks.values() if "duty" in d and "copy" not in d)
-        copy = next(d for d in disks.values() if "copy" in d and "duty" not in d)
-        older = pages.unhexed({n: p for n, p in copy.items() if n not in ("orders", "copy")})
-        for name, held in (("primary", duty), ("third", copy)):
-            pages.write_folder(pages.unhexed(held), FOLDERS / name, Path(work) / name)
+        disks = cluster["disks"]
+        primary = next(d for d in disks.values() if "duty" in d and "copy" not in d)
+        third = next(d for d in disks.values() if "copy" in d and "duty" not in d)
+        older = pages.from_hex({n: p for n, p in third.items() if n not in ("orders", "copy")})
+        for name, disk in (("primary", primary), ("third", third)):
+            pages.write_folder(pages.from_hex(disk), FOLDERS / name, Path(work) / name)
         pages.write_folder(older, FOLDERS / "older", Path(work) / "older")
 
 
--- a/tests/golden/make_wire.py
+++ b/tests/golden/make_wire.py
@@ -1,6 +1,6 @@
-"""Writes the fixtures `wire-*.json` of tests/test_golden_wire.py anew, by what the code does now.
+"""Writes the fixtures `wire-*.json` of tests/test_golden_wire.py from the current code.
 
-Run by hand, and only where a change of behaviour is meant: `python tests/golden/make_wire.py`.
+Run it by hand, and only after an intended change of behaviour: `python tests/golden/make_wire.py`.
 """
 
 from __future__ import annotations
--- a/tests/golden/names.py
+++ b/tests/golden/names.py
@@ -1,7 +1,7 @@
-"""Every import from the code that the golden tests make: a rename is followed here first.
+"""All imports of the golden tests from the code: a rename is followed here first.
 
-The attributes, methods and keyword arguments that `runs.py`, `pages.py` and the tests use of these
-are names of the code too. The fixtures hold bytes and texts, which stay when code is renamed.
+`runs.py`, `pages.py` and the tests also use attributes, methods and keyword arguments of these,
+which follow a rename too. The fixtures hold bytes and texts, which a rename doesn't change.
 """
 
 from __future__ import annotations
@@ -10,8 +10,7 @@
 from loomstand.config.settings import SettingsError, read_settings
 from loomstand.rpc.errors import CallRefusedError, FrameError
 from loomstand.rpc.frames import FrameDecoder, encode_frame, encode_item
-from loomstand.store.change_history import EMPTY_HISTORY as NO_ORDERS
-from loomstand.store.change_history import ChangeHistory, digest
+from loomstand.store.change_history import EMPTY_HISTORY, ChangeHistory, digest
 from loomstand.store.counting_lease import CountingLease, HolderPage
 from loomstand.store.disk import LmdbDisk
 from loomstand.store.learner import Learner
@@ -19,7 +18,7 @@
 from loomstand.store.record import Record, VersionedData
 from loomstand.store.recovery import recover
 from loomstand.store.views import Member, View
-from loomstand.testing.simulation.cluster import CONTROL as OUTSIDE_PORT
+from loomstand.testing.simulation.cluster import CONTROL as OPERATOR_PORT
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.http_log import exchange
 from loomstand.testing.simulation.loop import Life, VirtualLoop
@@ -30,29 +29,29 @@
 
 
 def store_record(store):
-    """The record of a store that runs."""
+    """Returns the record of a running store."""
     return store.replica.record
 
 
-def store_duty(store):
-    """What a store that runs knows of the counting duty: its epoch, number and host."""
+def store_counting_lease(store):
+    """Returns the epoch, number and holder of a running store's counting lease."""
     lease = store.parts.counting_leases.lease
     return [lease.epoch, lease.number, lease.holder]
 
 
 def store_copy(store):
-    """The learner's copy of a store that runs."""
+    """Returns the learner's copy of a running store."""
     return store.parts.dissemination.learner.copy
 
 
 def platter_pages(machine):
-    """The pages on the simulated disk of a machine."""
+    """Returns the pages on the simulated disk of a machine."""
     return machine.platter.pages
 
 
 __all__ = [
-    "NO_ORDERS",
-    "OUTSIDE_PORT",
+    "EMPTY_HISTORY",
+    "OPERATOR_PORT",
     "REGISTRY_PORT",
     "STORE_PORT",
     "CallRefusedError",
@@ -86,6 +85,6 @@
     "read_settings",
     "recover",
     "store_copy",
-    "store_duty",
+    "store_counting_lease",
     "store_record",
 ]
--- a/tests/golden/pages.py
+++ b/tests/golden/pages.py
@@ -1,4 +1,4 @@
-"""Frames and pages made from plain values, and folders of a real disk."""
+"""Frames and pages made from plain values, and LMDB folders of a store."""
 
 from __future__ import annotations
 
@@ -36,57 +36,59 @@
 
 
 def records() -> dict[str, names.Record]:
-    """Records of every form. The data and its orders fit each other, as in what a store writes."""
+    """Returns a record of every form; the data fits the change history, as a store writes them."""
     one, two, three = _member(1), _member(2), _member(3)
     view = names.View(4, one, two, (one, two, three))
     changed = names.View(6, two, None, (one, two), (one, two, three))
     rescued = names.View(1_000_001, three, one, (one, three), (), 1_000_001)
     data = b'{"version": "r12", "resources": []}'
-    orders = names.NO_ORDERS.appended(9, names.digest(b"nine")).appended(12, names.digest(data))
-    late = orders.with_superseded(10, names.digest(b"ten, too late"))
+    history = names.EMPTY_HISTORY.appended(9, names.digest(b"nine")).appended(
+        12, names.digest(data)
+    )
+    with_late_change = history.with_superseded(10, names.digest(b"ten, too late"))
     return {
         "new": names.Record(one.id, True),
         "new, not of the first start": names.Record(one.id, False),
         "promised": names.Record(one.id, True, 5),
-        "with a view": names.Record(one.id, True, 4, view, 12, data, 4, orders),
-        "with a late order": names.Record(one.id, True, 4, view, 12, data, 4, late),
-        "with a change of voters": names.Record(two.id, True, 6, changed, 12, data, 4, orders),
+        "with a view": names.Record(one.id, True, 4, view, 12, data, 4, history),
+        "with a late order": names.Record(one.id, True, 4, view, 12, data, 4, with_late_change),
+        "with a change of voters": names.Record(two.id, True, 6, changed, 12, data, 4, history),
         "after a rescue": names.Record(
-            three.id, False, 1_000_001, rescued, 12, data, 1_000_001, orders
+            three.id, False, 1_000_001, rescued, 12, data, 1_000_001, history
         ),
         "without orders": names.Record(one.id, True, 4, view, 12, data, 4),
     }
 
 
-def hexed(pages: dict[str, bytes]) -> dict[str, str]:
+def to_hex(pages: dict[str, bytes]) -> dict[str, str]:
     return {name: page.hex() for name, page in sorted(pages.items())}
 
 
-def unhexed(pages: dict[str, str]) -> dict[str, bytes]:
+def from_hex(pages: dict[str, str]) -> dict[str, bytes]:
     return {name: bytes.fromhex(page) for name, page in pages.items()}
 
 
 def other_pages() -> dict[str, bytes]:
-    """The pages beside the record: the duty's and the learner's."""
-    duty = names.CountingLease("10.1.0.1")
-    first = duty.page("10.1.0.1")
-    duty.number, duty.holder = 4, "10.1.0.1"
-    pages = {"duty, the first": first, "duty, the same": duty.page("10.1.0.1")}
-    pages["duty, another"] = duty.page("10.1.0.2")
-    made = {name: cbor2.dumps(page) for name, page in pages.items()}
-    return made | {
+    """Returns the pages beside the record: the counting lease's and the learner's."""
+    lease = names.CountingLease("10.1.0.1")
+    first = lease.page("10.1.0.1")
+    lease.number, lease.holder = 4, "10.1.0.1"
+    pages = {"duty, the first": first, "duty, the same": lease.page("10.1.0.1")}
+    pages["duty, another"] = lease.page("10.1.0.2")
+    encoded = {name: cbor2.dumps(page) for name, page in pages.items()}
+    return encoded | {
         "copy": names.Learner.pages(names.VersionedData(12, b'{"version": "r12"}'))["copy"]
     }
 
 
 def steps() -> dict[str, dict[str, str]]:
-    """Which pages a change of the record writes: from each form to the next one."""
-    many = list(records().items())
-    return {f"{a} -> {b}": hexed(new.pages(old)) for (a, old), (b, new) in pairwise(many)}
+    """Returns the pages that a change of the record writes, from each form to the next one."""
+    forms = list(records().items())
+    return {f"{a} -> {b}": to_hex(new.pages(old)) for (a, old), (b, new) in pairwise(forms)}
 
 
 def write_folder(pages: dict[str, bytes], folder: Path, work: Path) -> None:
-    """A store's folder with these pages, written by the code and compacted by lmdb."""
+    """Writes a store's folder with these pages, by the code, and compacts it by lmdb."""
 
     async def write() -> None:
         disk = names.LmdbDisk(work)
@@ -100,11 +102,11 @@
 
 
 async def read_folder(folder: Path) -> tuple[names.Record, dict[str, bytes]]:
-    """The record of a folder and all its pages, as a store reads them at its start."""
+    """Returns the record of a folder and all its pages, as a store reads them at its start."""
     disk = names.LmdbDisk(folder)
 
     def new() -> names.Record:
-        raise AssertionError("the folder was taken for empty")
+        raise AssertionError("the folder was recovered as empty")
 
     try:
         found = await names.recover(disk, new, asyncio.Event())
--- a/tests/golden/runs.py
+++ b/tests/golden/runs.py
@@ -1,7 +1,6 @@
-"""Simulated runs whose every message is recorded, and the answers to calls from outside.
+"""Simulated runs with all messages recorded, and the responses to operator calls.
 
-All of it is on simulated time with seeded random numbers: a run gives the same bytes in every
-process.
+The runs use simulated time and seeded random numbers: a run gives the same bytes in every process.
 """
 
 from __future__ import annotations
@@ -19,58 +18,60 @@
 ROLES = {names.STORE_PORT: "store", names.REGISTRY_PORT: "registry"}
 HOSTS = [f"10.{zone}.0.1" for zone in range(1, 5)]
 
-
-MOST_SECOND = 2_000  # bytes of an exchange that is kept as the second one
+# An exchange of more bytes is not kept as the second example of its call.
+MAX_SECOND_EXAMPLE_BYTES = 2_000
 
 
 class Recorder:
-    """Keeps examples of the exchanges of each role and call, and a digest over all bytes in order.
+    """Records examples of the exchanges of each role and call, and a digest of all bytes in order.
 
-    Kept are the first exchange of each shape (the keys of the request and of the answer, and
-    whether it was refused), the second exchange of the call unless it is large, and its last one.
-    The number of a call is 1 in the examples; on a real connection it counts up.
+    The examples are the first exchange of each shape (the keys of the request and of the answer,
+    and whether the call was refused), the second exchange of the call unless it is large, and its
+    last one. The call number is 1 in the examples; a real connection counts it up.
     """
 
     def __init__(self) -> None:
-        self.log, self.bytes, self.messages = sha256(), 0, 0
-        self.kept: dict[str, dict[str, dict[str, str]]] = {}
+        self.digest, self.bytes, self.messages = sha256(), 0, 0
+        self.examples: dict[str, dict[str, dict[str, str]]] = {}
         self.counts: dict[str, int] = {}
 
-    def note(self, what: str, host: str, frame: bytes) -> None:
-        self.log.update(f"{what} {host} {len(frame)} ".encode() + frame)
+    def record_message(self, event: str, host: str, frame: bytes) -> None:
+        self.digest.update(f"{event} {host} {len(frame)} ".encode() + frame)
         self.bytes += len(frame)
         self.messages += 1
 
-    def exchange(self, port: int, call: str, request: bytes, answer: bytes, shape: str) -> None:
+    def record_exchange(
+        self, port: int, call: str, request: bytes, answer: bytes, shape: str
+    ) -> None:
         key = f"{ROLES[port]} {call}"
         self.counts[key] = count = self.counts.get(key, 0) + 1
-        kept, entry = (
-            self.kept.setdefault(key, {}),
+        examples, example = (
+            self.examples.setdefault(key, {}),
             {"request": request.hex(), "answer": answer.hex()},
         )
-        kept.setdefault(shape, entry)
-        if count == 2 and len(request) + len(answer) < MOST_SECOND:
-            kept["second"] = entry
-        kept["last"] = entry
+        examples.setdefault(shape, example)
+        if count == 2 and len(request) + len(answer) < MAX_SECOND_EXAMPLE_BYTES:
+            examples["second"] = example
+        examples["last"] = example
 
     def result(self) -> dict[str, Any]:
         return {
-            "digest": self.log.hexdigest(),
+            "digest": self.digest.hexdigest(),
             "messages": self.messages,
             "bytes": self.bytes,
             "counts": dict(sorted(self.counts.items())),
-            "exchanges": dict(sorted(self.kept.items())),
+            "exchanges": dict(sorted(self.examples.items())),
         }
 
 
 @contextmanager
 def recording() -> Iterator[Recorder]:
-    """Records all calls of the simulated network, by a wrapper around its `call` and `listen`."""
+    """Records all calls of the simulated network, by wrapping its `call` and `listen`."""
     recorder, network = Recorder(), names.MachineNetwork
     call, listen = network.call, network.listen
 
     async def recorded_call(self, address, op, body, within):
-        recorder.note(
+        recorder.record_message(
             f"{self.host} calls {address[1]}", address[0], names.encode_item([1, op, body])
         )
         return await call(self, address, op, body, within)
@@ -78,19 +79,19 @@
     async def recorded_listen(self, address, serve):
         async def recorded_serve(op, body):
             request = names.encode_item([1, op, body])
-            asked = ",".join(sorted(body))
+            request_keys = ",".join(sorted(body))
             try:
-                said = await serve(op, body)
-            except names.CallRefusedError as why:
-                answer = names.encode_item([1, False, {"why": str(why)}])
-                recorder.note(f"refuses {op}", address[0], answer)
-                recorder.exchange(address[1], op, request, answer, f"{asked} refused")
+                response = await serve(op, body)
+            except names.CallRefusedError as error:
+                answer = names.encode_item([1, False, {"why": str(error)}])
+                recorder.record_message(f"refuses {op}", address[0], answer)
+                recorder.record_exchange(address[1], op, request, answer, f"{request_keys} refused")
                 raise
-            answer = names.encode_item([1, True, said])
-            recorder.note(f"answers {op}", address[0], answer)
-            shape = f"{asked} answered {','.join(sorted(said))}"
-            recorder.exchange(address[1], op, request, answer, shape)
-            return said
+            answer = names.encode_item([1, True, response])
+            recorder.record_message(f"answers {op}", address[0], answer)
+            shape = f"{request_keys} answered {','.join(sorted(response))}"
+            recorder.record_exchange(address[1], op, request, answer, shape)
+            return response
 
         await listen(self, address, recorded_serve)
 
@@ -104,8 +105,8 @@
 # --- stores alone
 
 
-class Stores:
-    """Four core machines with a store each, and somebody who calls them."""
+class StoreCluster:
+    """Four core machines with a store each, and a client that calls them."""
 
     def __init__(self, seed: int, seeds: list[str] = HOSTS[:3]) -> None:
         self.loop, rng = names.VirtualLoop(), Random(seed)
@@ -116,8 +117,8 @@
     def factory(self, host: str) -> Callable[..., Any]:
         def make(network, disk, clock, rng):
             seeds = tuple((h, names.STORE_PORT) for h in self.seeds)
-            place = names.StoreSettings((host, names.STORE_PORT), seeds, self.first)
-            return names.Store(place, network, disk, clock, rng)
+            settings = names.StoreSettings((host, names.STORE_PORT), seeds, self.first)
+            return names.Store(settings, network, disk, clock, rng)
 
         return make
 
@@ -139,79 +140,81 @@
             if got is not None:
                 return got
             await asyncio.sleep(0.05)
-        raise AssertionError("nothing is put")
+        raise AssertionError("no store accepted the change")
 
 
-async def _stores(world: Stores) -> None:
-    for machine in world.machines.values():
+async def _drive_stores(stores: StoreCluster) -> None:
+    for machine in stores.machines.values():
         machine.start()
     await asyncio.sleep(1.0)
-    await world.put(1, b"one")
-    world.first = False
-    await world.put(3, b"three")
-    await world.put(2, b"two, too late")  # acknowledged, and remembered
-    await world.put(3, b"three, another content")  # a conflict
-    await world.put(4, b"four", "offer")
+    await stores.put(1, b"one")
+    stores.first = False
+    await stores.put(3, b"three")
+    # acknowledged as superseded, and kept in the change history
+    await stores.put(2, b"two, too late")
+    await stores.put(3, b"three, another content")  # a conflict
+    await stores.put(4, b"four", "offer")
     for host in HOSTS:
-        await world.call(host, "read", {})
-        await world.call(host, "wait", {"have": 1, "mark": 0, "within": 0.3})
-        await world.call(host, "told", {})
-        await world.call(host, "held", {})
-        await world.call(host, "unheard-of", {})
-    primary = await world.primary()
+        await stores.call(host, "read", {})
+        await stores.call(host, "wait", {"have": 1, "mark": 0, "within": 0.3})
+        await stores.call(host, "told", {})
+        await stores.call(host, "held", {})
+        await stores.call(host, "unheard-of", {})
+    primary = await stores.primary()
     registry = {"host": primary, "life": 7}
-    await world.call(primary, "duty", registry)
-    await world.call(primary, "duty", {"host": "10.8.0.8", "life": 8})
+    await stores.call(primary, "duty", registry)
+    await stores.call(primary, "duty", {"host": "10.8.0.8", "life": 8})
     await asyncio.sleep(0.5)
-    await world.machines[primary].leave()  # hands over
+    await stores.machines[primary].leave()  # transfers leadership
     await asyncio.sleep(1.5)
-    await world.put(5, b"five")
-    world.machines[primary].start()
+    await stores.put(5, b"five")
+    stores.machines[primary].start()
     await asyncio.sleep(2.0)
-    primary = await world.primary()
-    await world.call(primary, "duty", registry)
-    await world.call(primary, "duty", registry | {"back": True})
-    world.machines[primary].power_off()  # a takeover
+    primary = await stores.primary()
+    await stores.call(primary, "duty", registry)
+    await stores.call(primary, "duty", registry | {"back": True})
+    stores.machines[primary].power_off()  # a takeover
     await asyncio.sleep(4.0)
-    await world.put(6, b"six")
-    world.machines[primary].start()
+    await stores.put(6, b"six")
+    stores.machines[primary].start()
     await asyncio.sleep(3.0)
-    lost = [await world.primary()]
+    lost = [await stores.primary()]
     lost.append(next(h for h in HOSTS if h != lost[0]))
-    for machine in world.machines.values():
+    for machine in stores.machines.values():
         machine.power_off(wipe=machine.host in lost)
-    for machine in world.machines.values():
+    for machine in stores.machines.values():
         machine.start()
     await asyncio.sleep(5.0)
-    await world.call(HOSTS[0], "rescue", {"gone": lost, "token": None}, 5.0)
-    for host in HOSTS:  # the first founds a view, the others are told that the state is another one
-        look = await world.call(host, "rescue", {"gone": [], "token": None}, 5.0)
-        token = look["case"]["token"] if host == HOSTS[0] else "7-of-before"
-        await world.call(host, "rescue", {"gone": [], "token": token}, 5.0)
+    await stores.call(HOSTS[0], "rescue", {"gone": lost, "token": None}, 5.0)
+    for host in HOSTS:  # the first call founds a view; the tokens of the others are outdated
+        response = await stores.call(host, "rescue", {"gone": [], "token": None}, 5.0)
+        token = response["case"]["token"] if host == HOSTS[0] else "7-of-before"
+        await stores.call(host, "rescue", {"gone": [], "token": token}, 5.0)
     await asyncio.sleep(3.0)
-    await world.put(9, b"nine")
+    await stores.put(9, b"nine")
     await asyncio.sleep(1.0)
-    last = await world.primary()
-    for host, machine in world.machines.items():
+    last = await stores.primary()
+    for host, machine in stores.machines.items():
         if host != last:
             machine.power_off()
-    await asyncio.sleep(4.0)  # as a candidate of a next view would
-    known = (await world.call(last, "told", {}))["known"]
+    await asyncio.sleep(4.0)
+    # the calls of a candidate for the next view
+    known = (await stores.call(last, "told", {}))["known"]
     asked = {"epoch": known + 1, "asker": "00000000000000aa"}
-    await world.call(last, "fetch", {"epoch": known + 7, "asker": "00000000000000ab"})
-    await world.call(last, "promise", asked | {"released": 0})
-    await world.call(last, "fetch", asked)
+    await stores.call(last, "fetch", {"epoch": known + 7, "asker": "00000000000000ab"})
+    await stores.call(last, "promise", asked | {"released": 0})
+    await stores.call(last, "fetch", asked)
 
 
 def stores_run() -> dict[str, Any]:
-    """Stores alone: changes, a leave, a takeover, two lost disks, a rescue; disks at the end."""
+    """Runs stores alone: changes, a leave, a takeover, two lost disks and a rescue."""
     with recording() as recorder:
-        world = Stores(11)
+        stores = StoreCluster(11)
         try:
-            world.loop.run_until_complete(_stores(world))
+            stores.loop.run_until_complete(_drive_stores(stores))
         finally:
-            world.loop.close()
-    return recorder.result() | {"disks": _disks(world.machines)}
+            stores.loop.close()
+    return recorder.result() | {"disks": _disks(stores.machines)}
 
 
 def _disks(machines: dict[str, Any]) -> dict[str, dict[str, str]]:
@@ -224,7 +227,7 @@
 # --- all programs
 
 
-async def _town(town: names.Cluster) -> None:
+async def _drive_cluster(town: names.Cluster) -> None:
     town.usual()
     town.tenant("ann", "key-of-ann", 12.0, 10.0)
     await town.begin()
@@ -234,17 +237,17 @@
         )
     )
     await asyncio.sleep(1.0)
-    for n in range(20):  # over 2,000 bytes: proxies fetch it packed
+    for n in range(20):  # over 2,000 bytes: proxies fetch it compressed
         town.route(f"more-{n}", "beta")
     assert await town.replace()
     await town.operator.read()
     await asyncio.sleep(1.0)
     await town.servers["alpha"][1].drain()
     await town.servers["beta"][1].leave()
-    await town.proxies["10.2.0.2"].end()  # says bye
+    await town.proxies["10.2.0.2"].end()  # sends the call `bye`
     await flow
     counting = town.counting()
-    for host in town.core(counting):  # a takeover, of the counting too
+    for host in town.core(counting):  # a takeover, also of the counting lease
         host.power_off()
     await asyncio.sleep(4.0)
     town.route("again", "alpha")
@@ -252,7 +255,7 @@
     for host in town.core(counting):
         host.start()
     await asyncio.sleep(3.0)
-    for host in town.core(town.core_ips[2]):  # gives its duties back
+    for host in town.core(town.core_ips[2]):  # releases its leases
         await host.end()
     await asyncio.sleep(1.0)
     for host in town.core(town.core_ips[2]):
@@ -260,8 +263,8 @@
     await asyncio.sleep(3.0)
 
 
-async def _lose_all(town: names.Cluster) -> None:
-    """All of the core loses power, two stores their disks: proxies give the configuration back."""
+async def _lose_core(town: names.Cluster) -> None:
+    """Powers off the core and wipes two stores: proxies offer the configuration to the core."""
     for ip in town.core_ips:
         registry, store = town.core(ip)
         registry.power_off()
@@ -273,23 +276,23 @@
     await asyncio.sleep(6.0)
 
 
-def town_run() -> dict[str, Any]:
-    """All programs: requests, a drain, a takeover, the core lost; the disks as before its loss."""
+def cluster_run() -> dict[str, Any]:
+    """Runs all programs: requests, a drain, a takeover, loss of the core; disks as before it."""
     with recording() as recorder:
         town = names.Cluster(7)
         try:
-            town.do(_town(town))
+            town.do(_drive_cluster(town))
             disks = _disks(town.stores)
-            town.do(_lose_all(town))
+            town.do(_lose_core(town))
         finally:
             town.loop.close()
     return recorder.result() | {"disks": disks}
 
 
-# --- calls as programs of before made them, and calls that are refused
+# --- calls as older programs made them, and calls that are refused
 
 
-async def _older(town: names.Cluster) -> None:
+async def _make_older_calls(town: names.Cluster) -> None:
     for host in (*town.stores.values(), *town.registries.values()):
         host.start()
     await asyncio.sleep(4.0)
@@ -330,7 +333,9 @@
         await call(registry, "grant", lone, host)
     for host in town.core(ip):
         host.power_off()
-    for _ in range(40):  # the next one to count says at first that it is young
+    for _ in range(
+        40
+    ):  # the next counting registry reports at first that its totals are incomplete
         await asyncio.sleep(0.2)
         for other in town.core_ips:
             if other != ip:
@@ -338,19 +343,19 @@
 
 
 def older_run() -> dict[str, Any]:
-    """Calls without the fields that programs of before don't send, and calls that are refused."""
+    """Runs calls without the fields that older programs don't send, and calls that are refused."""
     with recording() as recorder:
         town = names.Cluster(9, proxies=0, servers=0)
         try:
-            town.do(_older(town))
+            town.do(_make_older_calls(town))
         finally:
             town.loop.close()
     return recorder.result()
 
 
-# --- calls from outside
+# --- operator calls
 
-GOOD_BEAT = {
+VALID_HEARTBEAT = {
     "address": "10.3.9.1:8080",
     "information": {"service_name": "alpha", "zone": "east", "capacity_slots": 4},
     "status": {"state": "ready", "sequence": 5, "cold_remaining": "200ms"},
@@ -381,109 +386,117 @@
     return changed
 
 
-def _beats() -> dict[str, bytes]:
-    many = {
-        "good": GOOD_BEAT,
-        "again with a stale number": _with(GOOD_BEAT, 3, "status", "sequence"),
-        "unknown field": GOOD_BEAT | {"shoe_size": 44},
-        "no address": _without(GOOD_BEAT, "address"),
-        "bad address": GOOD_BEAT | {"address": "nowhere"},
-        "no information": _without(GOOD_BEAT, "information"),
-        "no service": _without(GOOD_BEAT, "information", "service_name"),
-        "no zone": _without(GOOD_BEAT, "information", "zone"),
-        "bad slots": _with(GOOD_BEAT, "many", "information", "capacity_slots"),
-        "no status": _without(GOOD_BEAT, "status"),
-        "no sequence": _without(GOOD_BEAT, "status", "sequence"),
-        "bad state": _with(GOOD_BEAT, "asleep", "status", "state"),
-        "bad time": _with(GOOD_BEAT, "soon", "status", "cold_remaining"),
-        "draining": _with(_with(GOOD_BEAT, 6, "status", "sequence"), "draining", "status", "state"),
+def _heartbeat_bodies() -> dict[str, bytes]:
+    bodies = {
+        "good": VALID_HEARTBEAT,
+        "again with a stale number": _with(VALID_HEARTBEAT, 3, "status", "sequence"),
+        "unknown field": VALID_HEARTBEAT | {"shoe_size": 44},
+        "no address": _without(VALID_HEARTBEAT, "address"),
+        "bad address": VALID_HEARTBEAT | {"address": "nowhere"},
+        "no information": _without(VALID_HEARTBEAT, "information"),
+        "no service": _without(VALID_HEARTBEAT, "information", "service_name"),
+        "no zone": _without(VALID_HEARTBEAT, "information", "zone"),
+        "bad slots": _with(VALID_HEARTBEAT, "many", "information", "capacity_slots"),
+        "no status": _without(VALID_HEARTBEAT, "status"),
+        "no sequence": _without(VALID_HEARTBEAT, "status", "sequence"),
+        "bad state": _with(VALID_HEARTBEAT, "asleep", "status", "state"),
+        "bad time": _with(VALID_HEARTBEAT, "soon", "status", "cold_remaining"),
+        "draining": _with(
+            _with(VALID_HEARTBEAT, 6, "status", "sequence"), "draining", "status", "state"
+        ),
         "a list": [],
     }
-    raw = {name: json.dumps(body).encode() for name, body in many.items()}
-    return raw | {"not JSON": b"{", "not UTF-8": b'{"address": "\xff"}', "empty": b""}
+    encoded = {name: json.dumps(body).encode() for name, body in bodies.items()}
+    return encoded | {"not JSON": b"{", "not UTF-8": b'{"address": "\xff"}', "empty": b""}
 
 
-async def _outside(town: names.Cluster, calls: dict[str, Any]) -> None:
+async def _make_operator_calls(town: names.Cluster, calls: dict[str, Any]) -> None:
     rpc = "/api/rpc?call="
 
-    async def say(name: str, raw: bytes, within: float = 6.0, ip: str = "") -> Any:
-        at = (ip or town.core_ips[0], names.OUTSIDE_PORT)
-        got = await names.exchange(town.operator.streams, at, raw, within)
-        assert got is not None, name
+    async def record_call(name: str, raw: bytes, within: float = 6.0, ip: str = "") -> Any:
+        at = (ip or town.core_ips[0], names.OPERATOR_PORT)
+        response = await names.exchange(town.operator.streams, at, raw, within)
+        assert response is not None, name
         shown = raw if len(raw) < 10_000 else raw[:200] + b"..."
         calls[name] = {
             "request": shown.decode("latin-1"),
-            "status": got.status,
-            "fields": got.fields,
-            "body": got.body.decode("latin-1"),
+            "status": response.status,
+            "fields": response.fields,
+            "body": response.body.decode("latin-1"),
         }
-        return got
+        return response
 
     first = json.dumps({"version": "r5", "resources": []}).encode()
-    await say("read before the first configuration", _raw(rpc + "configuration.read", b""))
-    await say("replace good", _raw(rpc + "configuration.replace", first))
-    await say("replace again, the same", _raw(rpc + "configuration.replace", first))
+    await record_call("read before the first configuration", _raw(rpc + "configuration.read", b""))
+    await record_call("replace good", _raw(rpc + "configuration.replace", first))
+    await record_call("replace again, the same", _raw(rpc + "configuration.replace", first))
     spaced = first.replace(b", ", b" , ")
-    await say("replace again, the same in other words", _raw(rpc + "configuration.replace", spaced))
+    await record_call(
+        "replace again, the same in other words", _raw(rpc + "configuration.replace", spaced)
+    )
     other = b'{"version": "r5", "resources": [{"resource_kind": "limits", "specification": {}}]}'
-    await say("replace with a number taken", _raw(rpc + "configuration.replace", other))
+    await record_call("replace with a number taken", _raw(rpc + "configuration.replace", other))
     stale = b'{"version": "r2", "resources": []}'
-    await say("replace with a stale number", _raw(rpc + "configuration.replace", stale))
-    for name, raw in BAD_CONFIGURATIONS.items():
-        await say(f"replace {name}", _raw(rpc + "configuration.replace", raw.encode("latin-1")))
-    await say("read", _raw(rpc + "configuration.read", b""))
-    for name, body in _beats().items():
-        await say(f"heartbeat {name}", _raw(rpc + "instances.heartbeat&of=i-1", body))
-    good = json.dumps(GOOD_BEAT).encode()
-    await say("heartbeat of nobody", _raw(rpc + "instances.heartbeat", good))
-    await say("heartbeat of another", _raw(rpc + "instances.heartbeat&of=i-2", good))
-    await say("status with servers", _raw(rpc + "system.status", b""))
-    await say("leave", _raw(rpc + "instances.leave&of=i-1", b""))
-    await say("leave again", _raw(rpc + "instances.leave&of=i-1", b""))
-    await say("leave of nobody", _raw(rpc + "instances.leave", b""))
-    await say("leave of one unknown", _raw(rpc + "instances.leave&of=i-9", b""))
-    await say("status", _raw(rpc + "system.status", b""))
-    await say("rescue look", _raw(rpc + "system.rescue", b""))
-    await say("rescue with a stale token", _raw(rpc + "system.rescue", b'{"gone":[],"token":"x"}'))
-    await say("rescue of text", _raw(rpc + "system.rescue", b'{"gone":"x"}'))
-    await say("rescue with a number", _raw(rpc + "system.rescue", b'{"token":7}'))
-    await say("rescue of a list", _raw(rpc + "system.rescue", b"[]"))
-    await say("rescue not JSON", _raw(rpc + "system.rescue", b"{"))
-    await say("rescue unknown field", _raw(rpc + "system.rescue", b'{"more":1}'))
-    await say("unknown call", _raw(rpc + "system.dance", b""))
-    await say("no call", _raw("/api/rpc", b""))
-    await say("unknown path", _raw("/api/other?call=system.status", b""))
-    await say("another method", _raw(rpc + "system.status", b"", "GET"))
-    await say("too large", _raw(rpc + "configuration.replace", b"", length=9 << 20))
+    await record_call("replace with a stale number", _raw(rpc + "configuration.replace", stale))
+    for name, raw in INVALID_CONFIGURATIONS.items():
+        await record_call(
+            f"replace {name}", _raw(rpc + "configuration.replace", raw.encode("latin-1"))
+        )
+    await record_call("read", _raw(rpc + "configuration.read", b""))
+    for name, body in _heartbeat_bodies().items():
+        await record_call(f"heartbeat {name}", _raw(rpc + "instances.heartbeat&of=i-1", body))
+    good = json.dumps(VALID_HEARTBEAT).encode()
+    await record_call("heartbeat of nobody", _raw(rpc + "instances.heartbeat", good))
+    await record_call("heartbeat of another", _raw(rpc + "instances.heartbeat&of=i-2", good))
+    await record_call("status with servers", _raw(rpc + "system.status", b""))
+    await record_call("leave", _raw(rpc + "instances.leave&of=i-1", b""))
+    await record_call("leave again", _raw(rpc + "instances.leave&of=i-1", b""))
+    await record_call("leave of nobody", _raw(rpc + "instances.leave", b""))
+    await record_call("leave of one unknown", _raw(rpc + "instances.leave&of=i-9", b""))
+    await record_call("status", _raw(rpc + "system.status", b""))
+    await record_call("rescue look", _raw(rpc + "system.rescue", b""))
+    await record_call(
+        "rescue with a stale token", _raw(rpc + "system.rescue", b'{"gone":[],"token":"x"}')
+    )
+    await record_call("rescue of text", _raw(rpc + "system.rescue", b'{"gone":"x"}'))
+    await record_call("rescue with a number", _raw(rpc + "system.rescue", b'{"token":7}'))
+    await record_call("rescue of a list", _raw(rpc + "system.rescue", b"[]"))
+    await record_call("rescue not JSON", _raw(rpc + "system.rescue", b"{"))
+    await record_call("rescue unknown field", _raw(rpc + "system.rescue", b'{"more":1}'))
+    await record_call("unknown call", _raw(rpc + "system.dance", b""))
+    await record_call("no call", _raw("/api/rpc", b""))
+    await record_call("unknown path", _raw("/api/other?call=system.status", b""))
+    await record_call("another method", _raw(rpc + "system.status", b"", "GET"))
+    await record_call("too large", _raw(rpc + "configuration.replace", b"", length=9 << 20))
     for store in town.stores.values():
         store.kill()
     await asyncio.sleep(3.0)
     late = b'{"version": "r9", "resources": []}'
-    await say("replace without stores", _raw(rpc + "configuration.replace", late))
-    await say("read without stores", _raw(rpc + "configuration.read", b""))
-    await say("status without stores", _raw(rpc + "system.status", b""))
-    await say("rescue without stores", _raw(rpc + "system.rescue", b""))
+    await record_call("replace without stores", _raw(rpc + "configuration.replace", late))
+    await record_call("read without stores", _raw(rpc + "configuration.read", b""))
+    await record_call("status without stores", _raw(rpc + "system.status", b""))
+    await record_call("rescue without stores", _raw(rpc + "system.rescue", b""))
 
 
-def outside_run() -> dict[str, Any]:
-    """The answers of a registry to calls from outside, by a name for each call."""
+def operator_call_run() -> dict[str, Any]:
+    """Returns the responses of a registry to operator calls, by a name for each call."""
     calls: dict[str, Any] = {}
     town = names.Cluster(5, proxies=0, servers=0)
 
-    async def all_of_it() -> None:
+    async def run_calls() -> None:
         for host in (*town.stores.values(), *town.registries.values()):
             host.start()
         await asyncio.sleep(3.0)
-        await _outside(town, calls)
+        await _make_operator_calls(town, calls)
 
     try:
-        town.do(all_of_it())
+        town.do(run_calls())
     finally:
         town.loop.close()
     return calls
 
 
-# --- bad input
+# --- invalid input
 
 _ROUTE = {
     "host": "a.example",
@@ -507,12 +520,12 @@
     return _configuration(_resource("routes", "r", spec), _resource("services", "s", {}))
 
 
-def _of(kind: str, spec: Any) -> str:
+def _single_resource(kind: str, spec: Any) -> str:
     return _configuration(_resource(kind, "x", spec))
 
 
 _SERVICE = _resource("services", "s", {})
-BAD_CONFIGURATIONS: dict[str, str] = {
+INVALID_CONFIGURATIONS: dict[str, str] = {
     "empty": "",
     "not JSON": "{",
     "not UTF-8": '{"version": "\xff"}',
@@ -552,11 +565,11 @@
     "weights of 0": _route(traffic_split=[{"service_name": "s", "weight": 0}]),
     "a weight too large": _route(traffic_split=[{"service_name": "s", "weight": 1e30}]),
     "an unknown service in a split": _route(traffic_split=[{"service_name": "t", "weight": 1}]),
-    "a bad health path": _of("services", {"health_check_path": "x"}),
-    "a limit no number": _of("services", {"connection_limit": "x"}),
-    "keys no list": _of("tenants", {"api_keys": "x"}),
-    "a key no text": _of("tenants", {"api_keys": [1]}),
-    "a bad limit": _of("limits", {"max_body_bytes": -1}),
+    "a bad health path": _single_resource("services", {"health_check_path": "x"}),
+    "a limit no number": _single_resource("services", {"connection_limit": "x"}),
+    "keys no list": _single_resource("tenants", {"api_keys": "x"}),
+    "a key no text": _single_resource("tenants", {"api_keys": [1]}),
+    "a bad limit": _single_resource("limits", {"max_body_bytes": -1}),
     "limits twice": _configuration(_resource("limits", "", {}), _resource("limits", "", {})),
     "a name twice": _configuration(_SERVICE, _SERVICE),
     "a prefix twice": _configuration(
@@ -591,7 +604,7 @@
     return "\n".join([*lines, *([] if value is None else [f"{key}={value}"])]) + "\n"
 
 
-BAD_SETTINGS: dict[str, str] = {
+INVALID_SETTINGS: dict[str, str] = {
     "empty": "",
     "no equals sign": SETTINGS + "rule_terms.bo\n",
     "no key": SETTINGS + "=x\n",
@@ -618,26 +631,26 @@
 
 
 def configuration_errors(inputs: dict[str, str]) -> dict[str, str]:
-    """What each of these is refused with."""
-    said: dict[str, str] = {}
+    """Returns the error of each configuration, empty for none."""
+    errors: dict[str, str] = {}
     for name, text in inputs.items():
         try:
             names.parse_configuration(text.encode("latin-1"))
-            said[name] = ""
-        except names.ConfigurationError as why:
-            said[name] = str(why)
-    return said
+            errors[name] = ""
+        except names.ConfigurationError as error:
+            errors[name] = str(error)
+    return errors
 
 
 def settings_errors(inputs: dict[str, str], folder: Any) -> dict[str, str]:
-    """What a file of each of these is refused with, PATH for the file's path."""
-    said: dict[str, str] = {}
+    """Returns the error of each settings file, empty for none, with PATH for the file's path."""
+    errors: dict[str, str] = {}
     for name, text in inputs.items():
         path = folder / "settings"
         path.write_bytes(text.encode("latin-1"))
         try:
             names.read_settings(str(path))
-            said[name] = ""
-        except names.SettingsError as why:
-            said[name] = str(why).replace(str(path), "PATH")
-    return said
+            errors[name] = ""
+        except names.SettingsError as error:
+            errors[name] = str(error).replace(str(path), "PATH")
+    return errors
