--- a/tests/golden/make_wire.py
+++ b/tests/golden/make_wire.py
@@ -18,7 +18,7 @@
 def main() -> None:
     session = golden.bench_input()
     golden.save("wire-bench.json", {"input": session, "output": golden.bench_output(session)})
-    for name, make in golden.PARTS.items():
+    for name, make in golden.FIXTURES.items():
         golden.save(name, make())
     for path in sorted(HERE.glob("wire-*.json")):
         print(path.name, path.stat().st_size, len(json.loads(path.read_text())))
--- a/tests/test_golden_programs.py
+++ b/tests/test_golden_programs.py
@@ -90,8 +90,8 @@
                 assert names.encode_frame(item).hex() == frame, call
 
 
-# A gossip round that also reports a server that leaves. The shape was possible before, but it is not
-# in the former recording.
+# A gossip round that also reports a server that leaves: a shape that was possible before, but does
+# not occur in the former recording.
 NEW_SHAPE = ("registry tell", "ages,alive,clock,counts,crew,rows answered same,unknown")
 
 
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -1,8 +1,7 @@
-"""Golden tests of what goes over wires, and of decisions: exact bytes and digests.
+"""Golden tests of messages on the wire and of decisions: exact bytes and digests.
 
-The fixtures are `tests/golden/wire-*.json`; `tests/golden/make_wire.py` writes them. A difference
-means that what the software does has changed. All clocks, seeds and ids are fixed, so nothing is
-masked.
+`tests/golden/make_wire.py` writes the fixtures `tests/golden/wire-*.json`. A difference means that
+the software behaves differently. All clocks, seeds and ids are fixed, so nothing is masked.
 """
 
 from __future__ import annotations
@@ -63,7 +62,8 @@
 
 HERE = Path(__file__).resolve().parent / "golden"
 S = TICKS_PER_SECOND
-YOUNGER_SETTINGS = {"cancels_abandoned_attempts"}  # of the engine: not in the fixtures
+# Engine settings added after the fixtures were made.
+SETTINGS_NOT_IN_FIXTURES = {"cancels_abandoned_attempts"}
 ACTIONS = {
     SendAttempt: "dispatch",
     Reject: "deny",
@@ -80,16 +80,16 @@
     return json.loads((HERE / name).read_text())
 
 
-def save(name: str, what: Any) -> None:
+def save(name: str, value: Any) -> None:
     HERE.mkdir(exist_ok=True)
-    (HERE / name).write_text(json.dumps(what, indent=1, ensure_ascii=True) + "\n")
+    (HERE / name).write_text(json.dumps(value, indent=1, ensure_ascii=True) + "\n")
 
 
 def text(raw: bytes) -> str:
     return raw.decode("latin-1")
 
 
-# --- the bench's wire
+# --- the protocol of the bench
 
 OUTCOMES = (
     "served",
@@ -117,12 +117,12 @@
     "message",
     "tally_back",
 }
-# The module makes no `call_off` and no `poll` today: `every_action` has a line of each.
+# The engine makes no `call_off` and no `poll` today: `action_lines` has a line of each.
 OPS = {"ok", "attempt", "overload_reply", "error", "wake_me", "bump", "journal_line"}
 
 
 def bench_settings(me: int, **changes: Any) -> dict[str, Any]:
-    """Settings of the first kind; `changes` replace whole parts."""
+    """Returns settings in the bench's format; `changes` replace top-level keys."""
     grade = {"on_time": 200, "deadline": 1000, "points": 1.0}
     return {
         "balancers": 3,
@@ -151,8 +151,19 @@
     } | changes
 
 
-class Bench:
-    """Plays the bench: writes lines in, reads lines out, and draws what comes next by a seed."""
+class BenchSession:
+    """A simulated bench: sends lines to the adapter, reads its lines, and draws events by a seed.
+
+    Attributes:
+        lines: All lines sent.
+        wall: The time that the bench reports, in ms.
+        running: Indices of the running limiters.
+        open_requests: Limiter index by request number.
+        attempt_numbers: Number of the last attempt by request number.
+        pending_attempts: Limiter index, request, attempt number, server and time sent.
+        counter_calls: Unanswered calls to the counter: limiter index and line.
+        timers: Due time, limiter index and tag.
+    """
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
@@ -160,12 +171,12 @@
         self.host = adapter.Host(self.out)
         self.lines: list[str] = []
         self.wall, self.batch, self.txn, self.sheet = 5000.0, 0, 0, 0
-        self.up: set[int] = set()
-        self.open: dict[int, int] = {}  # request: limiter
-        self.attempts: dict[int, int] = {}
-        self.out_now: list[tuple[int, int, int, str, float]] = []
-        self.counts: dict[int, float] = {}
-        self.calls: list[tuple[int, dict[str, Any]]] = []
+        self.running: set[int] = set()
+        self.open_requests: dict[int, int] = {}
+        self.attempt_numbers: dict[int, int] = {}
+        self.pending_attempts: list[tuple[int, int, int, str, float]] = []
+        self.counter_totals: dict[int, float] = {}
+        self.counter_calls: list[tuple[int, dict[str, Any]]] = []
         self.timers: list[tuple[float, int, int]] = []
 
     def put(self, op: str, **fields: Any) -> None:
@@ -173,35 +184,37 @@
         self.lines.append(line)
         self.host.take(line.encode())
 
-    def play(self, *events: tuple[str, dict[str, Any]]) -> None:
-        """One batch, and what comes of it."""
+    def run_batch(self, *events: tuple[str, dict[str, Any]]) -> None:
+        """Sends one batch of events and handles the lines that answer it."""
         self.batch += 1
         self.put("begin_batch", wall=round(self.wall, 1), batch=self.batch)
         for op, fields in events:
             self.put(op, **fields)
         self.put("flush")
-        said = self.out.getvalue().splitlines()
+        output = self.out.getvalue().splitlines()
         self.out.seek(0)
         self.out.truncate()
-        for raw in said:
-            self.heard(json.loads(raw))
+        for raw in output:
+            self.handle_line(json.loads(raw))
 
-    def heard(self, line: dict[str, Any]) -> None:
-        inst = line.get("limiter_id", -1)
+    def handle_line(self, line: dict[str, Any]) -> None:
+        limiter = line.get("limiter_id", -1)
         match line["op"]:
             case "attempt":
                 txn = line["txn"]
-                no = self.attempts.get(txn, -1) + 1
-                self.attempts[txn] = no
-                self.out_now.append((inst, txn, no, line["server"], self.wall))
+                attempt_number = self.attempt_numbers.get(txn, -1) + 1
+                self.attempt_numbers[txn] = attempt_number
+                self.pending_attempts.append(
+                    (limiter, txn, attempt_number, line["server"], self.wall)
+                )
             case "overload_reply" | "error":
-                self.open.pop(line["txn"], None)
+                self.open_requests.pop(line["txn"], None)
             case "wake_me":
-                self.timers.append((self.wall + line["after"], inst, line["tag"]))
+                self.timers.append((self.wall + line["after"], limiter, line["tag"]))
             case "bump":
-                self.calls.append((inst, line))
+                self.counter_calls.append((limiter, line))
 
-    def sheet_of(self, phases: dict[str, str], **more: Any) -> tuple[str, dict[str, Any]]:
+    def endpoint_sheet(self, phases: dict[str, str], **more: Any) -> tuple[str, dict[str, Any]]:
         self.sheet += 1
         items = [
             {
@@ -217,24 +230,24 @@
         ]
         return "pool", {"sheet": self.sheet, "items": items}
 
-    def start(self, inst: int, conf: dict[str, Any]) -> tuple[str, dict[str, Any]]:
-        self.up.add(inst)
-        return "start", {"limiter_id": inst, "entropy": 77 + inst, "conf": conf}
+    def start(self, limiter: int, conf: dict[str, Any]) -> tuple[str, dict[str, Any]]:
+        self.running.add(limiter)
+        return "start", {"limiter_id": limiter, "entropy": 77 + limiter, "conf": conf}
 
-    def gone(self, inst: int) -> None:
-        """All that a limiter held is void."""
-        self.open = {t: n for t, n in self.open.items() if n != inst}
-        self.out_now = [o for o in self.out_now if o[0] != inst]
-        self.calls = [c for c in self.calls if c[0] != inst]
-        self.timers = [t for t in self.timers if t[1] != inst]
+    def drop_limiter(self, limiter: int) -> None:
+        """Drops the requests, attempts, counter calls and timers of a limiter."""
+        self.open_requests = {t: n for t, n in self.open_requests.items() if n != limiter}
+        self.pending_attempts = [o for o in self.pending_attempts if o[0] != limiter]
+        self.counter_calls = [c for c in self.counter_calls if c[0] != limiter]
+        self.timers = [t for t in self.timers if t[1] != limiter]
 
     def arrival(self) -> tuple[str, dict[str, Any]]:
-        rng, inst = self.rng, self.rng.choice(sorted(self.up))
+        rng, limiter = self.rng, self.rng.choice(sorted(self.running))
         self.txn += 1
-        self.open[self.txn] = inst
+        self.open_requests[self.txn] = limiter
         plan = rng.choice(["small", "large", "open", "open", "capped", "few", ""])
         fields = {
-            "limiter_id": inst,
+            "limiter_id": limiter,
             "txn": self.txn,
             "priority": rng.choice(["look", "pay", "book", "feed"]),
         }
@@ -261,85 +274,91 @@
             events.append(("elapsed", {"limiter_id": due[1], "tag": due[2]}))
         events += [self.arrival() for _ in range(rng.choice([0, 1, 1, 2, 6]))]
         for _ in range(rng.randrange(4)):
-            if self.out_now:
-                inst, txn, no, server, at = self.out_now.pop(rng.randrange(len(self.out_now)))
-                how = rng.choice(OUTCOMES[:1] * 8 + OUTCOMES)
-                if how == "served" and rng.random() < 0.3:
-                    events.append(("started", {"limiter_id": inst, "txn": txn, "send_no": no}))
-                final = how == "served" or txn not in self.open
+            if self.pending_attempts:
+                limiter, txn, attempt_number, server, at = self.pending_attempts.pop(
+                    rng.randrange(len(self.pending_attempts))
+                )
+                outcome = rng.choice(OUTCOMES[:1] * 8 + OUTCOMES)
+                if outcome == "served" and rng.random() < 0.3:
+                    events.append(
+                        ("started", {"limiter_id": limiter, "txn": txn, "send_no": attempt_number})
+                    )
+                final = outcome == "served" or txn not in self.open_requests
                 if final:
-                    self.open.pop(txn, None)
-                said = {
-                    "limiter_id": inst,
+                    self.open_requests.pop(txn, None)
+                event = {
+                    "limiter_id": limiter,
                     "txn": txn,
                     "server": server,
-                    "state_code": how,
-                    "send_no": no,
+                    "state_code": outcome,
+                    "send_no": attempt_number,
                 }
-                said |= {
+                event |= {
                     "took": round(self.wall - at, 1),
                     "final": final,
                     "fleet_use": 1,
                     "cost": 0.0,
                 }
-                events.append(("returned", said))
-        while self.calls and rng.random() < 0.7:
-            inst, call = self.calls.pop(0)
-            how = rng.choice(
+                events.append(("returned", event))
+        while self.counter_calls and rng.random() < 0.7:
+            limiter, call = self.counter_calls.pop(0)
+            outcome = rng.choice(
                 ["served"] * 6 + ["no_answer", "turned_away", "no_connection", "not_sent"]
             )
             name = call["cname"]
-            if how in ("served", "no_answer"):
-                self.counts[name] = self.counts.get(name, 0.0) + call["step"]
-            said = {
-                "limiter_id": inst,
+            if outcome in ("served", "no_answer"):
+                self.counter_totals[name] = self.counter_totals.get(name, 0.0) + call["step"]
+            event = {
+                "limiter_id": limiter,
                 "cname": name,
-                "state_code": how,
-                "now_at": self.counts.get(name, 0.0),
+                "state_code": outcome,
+                "now_at": self.counter_totals.get(name, 0.0),
             }
-            events.append(("tally_back", said | {"took": 1.5}))
-        if self.open and rng.random() < 0.08:
-            txn = rng.choice(sorted(self.open))
-            events.append(("vanished", {"limiter_id": self.open.pop(txn), "txn": txn}))
+            events.append(("tally_back", event | {"took": 1.5}))
+        if self.open_requests and rng.random() < 0.08:
+            txn = rng.choice(sorted(self.open_requests))
+            events.append(("vanished", {"limiter_id": self.open_requests.pop(txn), "txn": txn}))
         if rng.random() < 0.05:
-            inst = rng.choice(sorted(self.up))
-            how = rng.choice(OUTCOMES)
-            said = {"limiter_id": inst, "server": "s1", "state_code": how, "took": 2.0}
-            events.append(("probe_done", said))
-            events.append(("message", {"limiter_id": inst, "src": 1}))
-        self.play(*events)
+            limiter = rng.choice(sorted(self.running))
+            outcome = rng.choice(OUTCOMES)
+            event = {"limiter_id": limiter, "server": "s1", "state_code": outcome, "took": 2.0}
+            events.append(("probe_done", event))
+            events.append(("message", {"limiter_id": limiter, "src": 1}))
+        self.run_batch(*events)
 
 
 def bench_input() -> list[str]:
-    """The session's input lines, drawn along what the adapter answers."""
-    bench = Bench(11)
+    """Draws the input lines of a session, which depend on the adapter's output."""
+    bench = BenchSession(11)
     phases = {f"s{n}": "live" for n in range(4)}
 
     def lists(
-        scope: str, pool: tuple[str, dict[str, Any]], *insts: int
+        scope: str, pool: tuple[str, dict[str, Any]], *limiters: int
     ) -> list[tuple[str, dict[str, Any]]]:
         sheet = pool[1]["sheet"]
         return [pool] + [
             ("registry", {"limiter_id": n, "scope": scope, "sheet": sheet, "gen": sheet})
-            for n in insts
+            for n in limiters
         ]
 
-    bench.play(*(bench.start(n, bench_settings(n)) for n in range(3)))
-    bench.play(bench.arrival())  # nobody to send to yet
-    bench.play(*lists("all", bench.sheet_of(phases), 0, 1, 2))
+    bench.run_batch(*(bench.start(n, bench_settings(n)) for n in range(3)))
+    bench.run_batch(bench.arrival())  # no server is known yet
+    bench.run_batch(*lists("all", bench.endpoint_sheet(phases), 0, 1, 2))
     for _ in range(60):
         bench.step()
-    bench.play(("registry", {"limiter_id": 0, "scope": "refused"}))
-    cold = bench.sheet_of({"s4": "live"}, boot_time=round(bench.wall, 1))
-    bench.play(*lists("changes", cold, 0, 1, 2))
+    bench.run_batch(("registry", {"limiter_id": 0, "scope": "refused"}))
+    cold = bench.endpoint_sheet({"s4": "live"}, boot_time=round(bench.wall, 1))
+    bench.run_batch(*lists("changes", cold, 0, 1, 2))
     for _ in range(25):
         bench.step()
-    bench.play(*lists("changes", bench.sheet_of({"s0": "quiescing", "s1": "dead"}), 0, 1, 2))
+    bench.run_batch(
+        *lists("changes", bench.endpoint_sheet({"s0": "quiescing", "s1": "dead"}), 0, 1, 2)
+    )
     for _ in range(25):
         bench.step()
-    bench.gone(2)
-    bench.up.discard(2)
-    bench.play(("down", {"limiter_id": 2}))
+    bench.drop_limiter(2)
+    bench.running.discard(2)
+    bench.run_batch(("down", {"limiter_id": 2}))
     for _ in range(10):
         bench.step()
     other = bench_settings(
@@ -348,10 +367,10 @@
         allowed={"try_limit": 2, "retry_after": False},
         rules={"answer_slack": 20, "drain_grace": 0},
     )
-    bench.play(bench.start(2, other), *lists("remembered", bench.sheet_of(phases), 2))
+    bench.run_batch(bench.start(2, other), *lists("remembered", bench.endpoint_sheet(phases), 2))
     for _ in range(60):
         bench.step()
-    bench.wall += 11_000.0  # counts are told in the journal
+    bench.wall += 11_000.0  # the adapter writes its counts to the journal
     for _ in range(30):
         bench.step()
     return bench.lines
@@ -366,25 +385,25 @@
 
 
 def test_a_session_of_the_bench_has_exactly_these_lines() -> None:
-    held = load("wire-bench.json")
-    said = bench_output(held["input"])
-    assert said == held["output"]
-    assert {json.loads(line)["op"] for line in held["input"]} == EVENTS
-    assert {json.loads(line)["op"] for line in said} == OPS
-    events = [json.loads(line) for line in held["input"]]
+    recorded = load("wire-bench.json")
+    output = bench_output(recorded["input"])
+    assert output == recorded["output"]
+    assert {json.loads(line)["op"] for line in recorded["input"]} == EVENTS
+    assert {json.loads(line)["op"] for line in output} == OPS
+    events = [json.loads(line) for line in recorded["input"]]
     assert {e["state_code"] for e in events if e["op"] == "returned"} == set(OUTCOMES)
     assert {e["scope"] for e in events if e["op"] == "registry"} == {
         "changes", "all", "remembered", "refused",
     }  # fmt: skip
 
 
-def test_the_sessions_input_is_what_its_maker_draws() -> None:
-    """The input hangs on the output, so this too shows a change."""
+def test_the_input_of_the_session_is_drawn_again() -> None:
+    """The input depends on the output, so a changed output shows here too."""
     assert bench_input() == load("wire-bench.json")["input"]
 
 
-def bad_lines() -> dict[str, Any]:
-    """What the program says of input that it can't obey: status, output and errors."""
+def invalid_lines() -> dict[str, Any]:
+    """Returns the program's exit status, output and errors for invalid input."""
     begin, start = '{"op":"begin_batch","wall":1,"batch":1}', bench_settings(0)
     started = json.dumps({"op": "start", "limiter_id": 0, "entropy": 1, "conf": start})
     inbound = '{"op":"inbound","limiter_id":0,"txn":1,"priority":"%s","give_up_at":900.0}'
@@ -420,7 +439,7 @@
         "settings without grades": [begin, started.replace('"grades": [', '"grades": [], "g": [')],
         "an empty line": ["", begin, '{"op":"flush"}'],
     }
-    said = {}
+    results = {}
     for name, lines in cases.items():
         raw, out, err = "\n".join(lines).encode("latin-1"), io.BytesIO(), io.StringIO()
         streams = SimpleNamespace(
@@ -433,12 +452,12 @@
             patch.setattr(adapter.sys, "stdin", streams.stdin)
             patch.setattr(adapter.sys, "stderr", streams.stderr)
             status = adapter.main()
-        said[name] = {"status": status, "out": text(out.getvalue()), "err": err.getvalue()}
-    return said
+        results[name] = {"status": status, "out": text(out.getvalue()), "err": err.getvalue()}
+    return results
 
 
-def every_action() -> dict[str, str]:
-    """One line of each action, also of those that the module makes seldom or never."""
+def action_lines() -> dict[str, str]:
+    """Returns a line of each action, including those that the engine makes rarely or never."""
     start = adapter_wire.line_decoder.decode(
         json.dumps(
             {"op": "start", "limiter_id": 3, "entropy": 1, "conf": bench_settings(0)}
@@ -446,7 +465,7 @@
     )
     inst = adapter.Instance(start, 0)
     inst.servers.index_of("s0")
-    acts = [
+    actions = [
         SendAttempt(7, 0, 12_345),
         Reject(7, 250, "full"),
         Abort(7),
@@ -456,15 +475,17 @@
         CheckHealth(0),
         LogMessage("a line"),
     ]
-    lines = {ACTIONS[type(act)]: text(msgspec.json.encode(inst.line(3, act))) for act in acts}
+    lines = {
+        ACTIONS[type(action)]: text(msgspec.json.encode(inst.line(3, action))) for action in actions
+    }
 
-    class Fails:
-        def handle(self, now: int, note: Any) -> None:
+    class FailingEngine:
+        def handle(self, now: int, event: Any) -> None:
             raise ValueError("out of order")
 
     out = io.BytesIO()
     host = adapter.Host(out)
-    inst.brain = Fails()
+    inst.brain = FailingEngine()
     host.instances[3] = inst
     for line in (b'{"op":"begin_batch","wall":1,"batch":1}', b'{"op":"elapsed","limiter_id":3}'):
         host.take(line)
@@ -472,15 +493,15 @@
     return lines | {"broken": text(out.getvalue())}
 
 
-# --- datagrams of peers
+# --- datagrams between limiters
 
 
 def datagrams() -> dict[str, Any]:
-    words = [
+    updates = [
         messages.MemberUpdate(3, "10.0.0.3:7000", 2, 1),
         messages.MemberUpdate(4, "10.0.0.4:7000", 1, 0),
     ]
-    base = (1, 5, 42, words)
+    base = (1, 5, 42, updates)
     servers = [
         config.BackendRecord(id="s1", address="10.0.1.1:80", phase="active", zone="east", pod=1),
         config.BackendRecord(
@@ -492,7 +513,7 @@
             kind="x",
         ),
     ]
-    kinds = [
+    datagram_messages = [
         messages.Ping(*base, age=0.25, seq=9),
         messages.Ack(*base, age=-1.0, seq=9, target=4),
         messages.Check(*base, seq=10, target=4),
@@ -501,56 +522,56 @@
         messages.Ping(0, 0, 0, []),
         messages.Part(2, 1, 7, []),
     ]
-    said: dict[str, Any] = {}
-    for number, kind in enumerate(kinds):
-        raw = messages.encode(kind)
-        back = messages.decode(raw)
-        assert back == kind and type(back) is type(kind)
-        assert messages.encode(back) == raw
-        said[f"{number} {type(kind).__name__}"] = {
+    results: dict[str, Any] = {}
+    for number, message in enumerate(datagram_messages):
+        raw = messages.encode(message)
+        decoded = messages.decode(raw)
+        assert decoded == message and type(decoded) is type(message)
+        assert messages.encode(decoded) == raw
+        results[f"{number} {type(message).__name__}"] = {
             "bytes": raw.hex(),
-            "values": msgspec.to_builtins(back),
+            "values": msgspec.to_builtins(decoded),
         }
-    whole = messages.encode(kinds[4])
-    spoilt = {
+    valid = messages.encode(datagram_messages[4])
+    invalid = {
         "nothing": b"",
         "no msgpack": b"\xc1",
         "JSON": b'{"id":1}',
-        "cut": whole[:-3],
-        "more after it": whole + b"\x00",
+        "cut": valid[:-3],
+        "more after it": valid + b"\x00",
         "no array": b"\x81\xa1a\x01",
-        "an unknown kind": whole.replace(b"\xa4Part", b"\xa4Port", 1),
-        "a text for a number": whole.replace(b"\xa4Part\x01", b"\xa4Part\xa1x", 1),
+        "an unknown kind": valid.replace(b"\xa4Part", b"\xa4Port", 1),
+        "a text for a number": valid.replace(b"\xa4Part\x01", b"\xa4Part\xa1x", 1),
         "too short": b"\x92\xa4Ping\x01",
-        "a spoilt address": whole.replace(b"10.0.1.1:80", b"10.0.1.1=80", 1),
-        "a spoilt phase": whole.replace(b"active", b"asleep", 1),
-        "not UTF-8": whole.replace(b"east", b"ea\xff\xfe", 1),
+        "a spoilt address": valid.replace(b"10.0.1.1:80", b"10.0.1.1=80", 1),
+        "a spoilt phase": valid.replace(b"active", b"asleep", 1),
+        "not UTF-8": valid.replace(b"east", b"ea\xff\xfe", 1),
     }
-    for name, raw in spoilt.items():
+    for name, raw in invalid.items():
         try:
-            said[name] = msgspec.to_builtins(messages.decode(raw))
-        except (msgspec.DecodeError, config.LimiterConfigError, UnicodeDecodeError) as why:
-            said[name] = f"{type(why).__name__}: {why}"
-    return said | {"most bytes": messages.MAX_DATAGRAM_BYTES}
+            results[name] = msgspec.to_builtins(messages.decode(raw))
+        except (msgspec.DecodeError, config.LimiterConfigError, UnicodeDecodeError) as error:
+            results[name] = f"{type(error).__name__}: {error}"
+    return results | {"most bytes": messages.MAX_DATAGRAM_BYTES}
 
 
 # --- the configuration of the stand-alone limiter
 
 
 def values_in_the_fixture(settings: EngineSettings) -> tuple[Any, ...]:
-    """The settings' values without those of fields that are younger than the fixture.
+    """Returns the values of the settings that the fixture has.
 
-    These have to be at their defaults, by which a stand-alone limiter does what it did.
+    The other settings must have their defaults, with which a stand-alone limiter behaves as before.
     """
     values = list(dataclasses.astuple(settings))
     for number, field in reversed([*enumerate(dataclasses.fields(settings))]):
-        if field.name in YOUNGER_SETTINGS:
+        if field.name in SETTINGS_NOT_IN_FIXTURES:
             assert values.pop(number) == field.default
     return tuple(values)
 
 
 def configurations() -> dict[str, Any]:
-    """The error of each faulty file, and the settings of one that is right."""
+    """Returns the error of each invalid file, and the settings of a valid one."""
     ports = {"listen": 8001, "discovery": 8002, "counter": 8003}
     base = helpers.config_file(ports, []) | {
         "listen": "10.0.0.1:8001",
@@ -563,7 +584,7 @@
 
     grade = base["settings"]["grades"][0]
     no_me = {k: v for k, v in base["settings"].items() if k != "me"}
-    faulty = {
+    invalid = {
         "no settings": {},
         "no me": base | {"settings": no_me},
         "me too high": settings(me=1),
@@ -591,35 +612,35 @@
         | {"known": {"members": [{"id": "a", "host_port": "10.0.0.1:1", "phase": "x"}]}},
         "no plan there": base | {"plan": "there/is/none.json"},
     }
-    raws = {name: json.dumps(file).encode() for name, file in faulty.items()}
+    raws = {name: json.dumps(file).encode() for name, file in invalid.items()}
     raws |= {"no JSON": b"{", "empty": b"", "a list": b"[]", "trailing": b"{} x"}
     raws |= {"not UTF-8": b'{"name":"\xff"}'}
-    said: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     for name, raw in raws.items():
-        with pytest.raises(config.LimiterConfigError) as why:
+        with pytest.raises(config.LimiterConfigError) as error:
             config.parse_limiter_config(raw, {})
-        said[name] = str(why.value)
+        results[name] = str(error.value)
     for name, env in {
         "listen by environment": {"PROXY_LISTEN": "nowhere"},
         "discovery by environment": {"PROXY_DISCOVERY": "10.0.0.1:99999"},
     }.items():
-        with pytest.raises(config.LimiterConfigError) as why:
+        with pytest.raises(config.LimiterConfigError) as error:
             config.parse_limiter_config(json.dumps(base).encode(), env)
-        said[name] = str(why.value)
+        results[name] = str(error.value)
     for name, env in {"no file": {}, "not there": {"PROXY_CONFIG": "there/is/none.json"}}.items():
-        with pytest.raises(config.LimiterConfigError) as why:
+        with pytest.raises(config.LimiterConfigError) as error:
             config.load_limiter_config(env)
-        said[name] = str(why.value)
-    right = config.parse_limiter_config(json.dumps(base).encode(), {"PROXY_NAME": "other"})
+        results[name] = str(error.value)
+    valid = config.parse_limiter_config(json.dumps(base).encode(), {"PROXY_NAME": "other"})
     values = msgspec.to_builtins(
-        values_in_the_fixture(config.engine_settings(right.settings, 0))
+        values_in_the_fixture(config.engine_settings(valid.settings, 0))
     )  # enums by value
-    return said | {
+    return results | {
         "right": [
-            right.name,
-            right.listen_address,
-            right.counter_address,
-            right.random_seed,
+            valid.name,
+            valid.listen_address,
+            valid.counter_address,
+            valid.random_seed,
             values,
         ]
     }
@@ -629,11 +650,11 @@
 
 
 def digest_of_decisions(seed: int, services: int, events: int = 20_000) -> dict[str, Any]:
-    """Three modules driven by drawn events; digests of all actions, one after each fifth."""
+    """Drives three engines with drawn events; digests their actions after each fifth of them."""
     rng, now = Random(seed), 1000 * S
-    told = helpers.settings(0)
+    engine_settings = helpers.settings(0)
     if services > 1:
-        told = helpers.settings(
+        engine_settings = helpers.settings(
             0,
             total_trust_intervals=1.5,
             initial_burst_share=0.5,
@@ -647,51 +668,58 @@
             sends_retry_after=True,
             max_retry_after=20_000,
         )
-    brains = [
-        DecisionEngine(dataclasses.replace(told, limiter_index=n), n + seed, now) for n in range(3)
+    engines = [
+        DecisionEngine(dataclasses.replace(engine_settings, limiter_index=n), n + seed, now)
+        for n in range(3)
     ]
-    entries = {
+    endpoints = {
         n: dataclasses.replace(helpers.endpoint(n, zone=n % 2), service=n % services)
         for n in range(6 * services)
     }
-    counts: dict[int, float] = {}
-    calls: list[tuple[int, IncrementCounter]] = []
+    counter_totals: dict[int, float] = {}
+    counter_calls: list[tuple[int, IncrementCounter]] = []
     timers: list[tuple[int, int, int, int]] = []
-    open_: dict[int, int] = {}
-    sent: dict[int, int] = {}
-    out: list[tuple[int, int, int, int, int, int]] = []
-    req = made = 0
-    tally: dict[str, int] = {}
-    sum_, marks = hashlib.sha256(), []
-
-    def give(n: int, note: Any) -> None:
-        nonlocal made
-        for act in brains[n].handle(now, note):
-            values = [ACTIONS[type(act)], *dataclasses.astuple(act)]
-            tally[values[0]] = tally.get(values[0], 0) + 1
-            sum_.update(repr((n, now, values)).encode())
-            match act:
+    open_requests: dict[int, int] = {}
+    attempt_numbers: dict[int, int] = {}
+    attempts: list[tuple[int, int, int, int, int, int]] = []
+    request_id = timer_number = 0
+    action_counts: dict[str, int] = {}
+    digest, digests = hashlib.sha256(), []
+
+    def handle_event(n: int, event: Any) -> None:
+        nonlocal timer_number
+        for action in engines[n].handle(now, event):
+            values = [ACTIONS[type(action)], *dataclasses.astuple(action)]
+            action_counts[values[0]] = action_counts.get(values[0], 0) + 1
+            digest.update(repr((n, now, values)).encode())
+            match action:
                 case SendAttempt():
-                    number = sent[act.request_id] = sent.get(act.request_id, -1) + 1
-                    out.append((n, act.request_id, number, act.endpoint_id, now, act.expires_at))
+                    number = attempt_numbers[action.request_id] = (
+                        attempt_numbers.get(action.request_id, -1) + 1
+                    )
+                    attempts.append(
+                        (n, action.request_id, number, action.endpoint_id, now, action.expires_at)
+                    )
                 case Reject() | Abort():
-                    open_.pop(act.request_id, None)
+                    open_requests.pop(action.request_id, None)
                 case SetTimer():
-                    made += 1
-                    timers.append((now + act.delay, made, n, act.tag))
+                    timer_number += 1
+                    timers.append((now + action.delay, timer_number, n, action.tag))
                 case IncrementCounter():
-                    calls.append((n, act))
+                    counter_calls.append((n, action))
 
-    def finish(at: int, how: Outcome) -> None:
-        n, id_, number, srv, since, _ = out.pop(at)
-        final = how is Outcome.SUCCEEDED or id_ not in open_
+    def finish(index: int, outcome: Outcome) -> None:
+        n, request_id, number, server, since, _ = attempts.pop(index)
+        final = outcome is Outcome.SUCCEEDED or request_id not in open_requests
         if final:
-            open_.pop(id_, None)
-        give(n, AttemptEnded(id_, number, srv, how, now - since, final, 0, 0.0))
+            open_requests.pop(request_id, None)
+        handle_event(
+            n, AttemptEnded(request_id, number, server, outcome, now - since, final, 0, 0.0)
+        )
 
     for n in range(3):
-        give(n, EndpointsUpdated(tuple(entries.values()), True))
-    bad = [
+        handle_event(n, EndpointsUpdated(tuple(endpoints.values()), True))
+    failures = [
         Outcome.SERVER_ERROR,
         Outcome.REJECTED,
         Outcome.CONNECT_FAILED,
@@ -702,70 +730,97 @@
     for step in range(events):
         for due in sorted(t for t in timers if t[0] <= now):
             timers.remove(due)
-            give(due[2], TimerFired(due[3]))
-        for at in reversed([k for k, o in enumerate(out) if o[5] <= now]):
-            finish(at, Outcome.NO_RESPONSE)
+            handle_event(due[2], TimerFired(due[3]))
+        for index in reversed([k for k, o in enumerate(attempts) if o[5] <= now]):
+            finish(index, Outcome.NO_RESPONSE)
         what, n = rng.random(), rng.randrange(3)
         if what < 0.42:
-            req += 1
-            open_[req] = n
+            request_id += 1
+            open_requests[request_id] = n
             plan = rng.randrange(len(PLANS))
-            note = helpers.arrival(req, now, rng.randrange(4), plan, 10 * plan + rng.randrange(4))
-            note = dataclasses.replace(
-                note, service=rng.randrange(services), limiter_set_start=rng.randrange(3)
+            event = helpers.arrival(
+                request_id, now, rng.randrange(4), plan, 10 * plan + rng.randrange(4)
             )
-            give(n, note)
+            event = dataclasses.replace(
+                event, service=rng.randrange(services), limiter_set_start=rng.randrange(3)
+            )
+            handle_event(n, event)
         elif what < 0.72:
-            if out:
-                trouble = rng.random() < (0.5 if step % 4000 > 3000 else 0.05)
-                finish(rng.randrange(len(out)), rng.choice(bad) if trouble else Outcome.SUCCEEDED)
+            if attempts:
+                failed = rng.random() < (0.5 if step % 4000 > 3000 else 0.05)
+                finish(
+                    rng.randrange(len(attempts)),
+                    rng.choice(failures) if failed else Outcome.SUCCEEDED,
+                )
         elif what < 0.82:
-            if calls:
-                n, call = calls.pop(rng.randrange(len(calls)))
-                how = rng.choice([Outcome.SUCCEEDED] * 6 + [Outcome.NO_RESPONSE, Outcome.REJECTED])
-                if how is not Outcome.REJECTED:
-                    counts[call.counter_name] = counts.get(call.counter_name, 0.0) + call.amount
-                give(
+            if counter_calls:
+                n, call = counter_calls.pop(rng.randrange(len(counter_calls)))
+                outcome = rng.choice(
+                    [Outcome.SUCCEEDED] * 6 + [Outcome.NO_RESPONSE, Outcome.REJECTED]
+                )
+                if outcome is not Outcome.REJECTED:
+                    counter_totals[call.counter_name] = (
+                        counter_totals.get(call.counter_name, 0.0) + call.amount
+                    )
+                handle_event(
                     n,
-                    CounterReplied(call.counter_name, how, counts.get(call.counter_name, 0.0), 30),
+                    CounterReplied(
+                        call.counter_name, outcome, counter_totals.get(call.counter_name, 0.0), 30
+                    ),
                 )
         elif what < 0.97:
             now += rng.choice([3, 20, 100, 400, 900])
         elif what < 0.98:
-            if open_:
-                gone = rng.choice(list(open_))
-                give(open_.pop(gone), ClientDisconnected(gone))
+            if open_requests:
+                disconnected = rng.choice(list(open_requests))
+                handle_event(open_requests.pop(disconnected), ClientDisconnected(disconnected))
         elif what < 0.985:
-            srv = rng.randrange(len(entries))
-            phase = rng.choice(
+            server = rng.randrange(len(endpoints))
+            state = rng.choice(
                 [EndpointState.LIVE, EndpointState.LIVE, EndpointState.DRAINING, EndpointState.GONE]
             )
-            booted = now if phase is EndpointState.LIVE else 0
-            made_new = helpers.endpoint(srv, phase, booted, srv % 2)
-            entries[srv] = dataclasses.replace(made_new, service=srv % services)
-            for to in range(3):
-                give(to, EndpointsUpdated((entries[srv],), False))
+            started_at = now if state is EndpointState.LIVE else 0
+            endpoint = helpers.endpoint(server, state, started_at, server % 2)
+            endpoints[server] = dataclasses.replace(endpoint, service=server % services)
+            for limiter in range(3):
+                handle_event(limiter, EndpointsUpdated((endpoints[server],), False))
         elif what < 0.987:
-            give(n, EndpointsUpdated(tuple(entries.values()), True))
-        elif what < 0.989 and out:
-            give(out[0][0], ResponseStarted(out[0][1], out[0][2]))
+            handle_event(n, EndpointsUpdated(tuple(endpoints.values()), True))
+        elif what < 0.989 and attempts:
+            handle_event(attempts[0][0], ResponseStarted(attempts[0][1], attempts[0][2]))
         elif what < 0.991:
-            give(n, HealthCheckFinished(rng.randrange(len(entries)), rng.choice([*Outcome]), 40))
-        elif what < 0.994 and counts:
-            name = rng.choice(list(counts))
-            give(n, TenantTotalUpdated(name, counts[name] + 2.0, 0, rng.randrange(4), 1000, 3, 0))
+            handle_event(
+                n, HealthCheckFinished(rng.randrange(len(endpoints)), rng.choice([*Outcome]), 40)
+            )
+        elif what < 0.994 and counter_totals:
+            name = rng.choice(list(counter_totals))
+            handle_event(
+                n,
+                TenantTotalUpdated(
+                    name, counter_totals[name] + 2.0, 0, rng.randrange(4), 1000, 3, 0
+                ),
+            )
         elif what < 0.996:
             limiters = rng.choice([3, 3, 4])
-            told = dataclasses.replace(told, limiter_count=limiters, clock_offset=rng.randrange(50))
-            for to in range(3):
-                give(to, SettingsChanged(dataclasses.replace(told, limiter_index=to)))
+            engine_settings = dataclasses.replace(
+                engine_settings, limiter_count=limiters, clock_offset=rng.randrange(50)
+            )
+            for limiter in range(3):
+                handle_event(
+                    limiter,
+                    SettingsChanged(dataclasses.replace(engine_settings, limiter_index=limiter)),
+                )
         if step % (events // 5) == events // 5 - 1:
-            marks.append(sum_.hexdigest()[:16])
-    return {"actions": dict(sorted(tally.items())), "digests": marks, "whole": sum_.hexdigest()}
+            digests.append(digest.hexdigest()[:16])
+    return {
+        "actions": dict(sorted(action_counts.items())),
+        "digests": digests,
+        "whole": digest.hexdigest(),
+    }
 
 
 def decisions() -> dict[str, Any]:
-    """Two seeds with one service, one with three."""
+    """Returns the digests of two seeds with one service and of one with three."""
     return {
         "seed 1": digest_of_decisions(1, 1),
         "seed 2": digest_of_decisions(2, 1),
@@ -773,12 +828,12 @@
     }
 
 
-def test_the_drawn_events_bring_every_action_that_the_module_makes() -> None:
+def test_the_drawn_events_cause_every_action_that_the_engine_makes() -> None:
     for run in load("wire-decisions.json").values():
         assert set(run["actions"]) == {"dispatch", "deny", "abort", "wake", "count", "log"}
 
 
-# --- answers to clients, and requests as servers get them
+# --- responses to clients, and requests as servers receive them
 
 HOST, SERVER_IPS = "10.0.0.1", ("10.0.1.1", "10.0.1.2")
 MALFORMED = {
@@ -801,48 +856,48 @@
 }
 
 
-class Watched:
-    """Notes what goes on from `host` to servers, as it is written to simulated streams."""
+class ForwardedData:
+    """Records the data that `host` writes to simulated streams to servers."""
 
     def __init__(self, patch: pytest.MonkeyPatch, host: str, servers: str) -> None:
         self.sent: list[list[str]] = []
         write = End.write
 
-        def noted(end: End, data: Any) -> None:
+        def recording_write(end: End, data: Any) -> None:
             if end.host == host and end.far.startswith(servers):
                 self.sent.append([end.far, text(bytes(data))])
             write(end, data)
 
-        patch.setattr(End, "write", noted)
+        patch.setattr(End, "write", recording_write)
 
     def take(self) -> list[list[str]]:
         sent, self.sent = self.sent, []
         return sent
 
 
-async def say(
+async def send_and_read(
     streams: Streams, address: tuple[str, int], raw: bytes, seconds: float
 ) -> dict[str, Any]:
-    """What comes back on a new connection in so many seconds, and how that ended, if it did."""
+    """Sends data on a new connection; returns the answer after `seconds` and how it ended."""
     talk = await streams.open(Talk, address, 1.0)
     talk.transport.write(raw)
     await asyncio.sleep(seconds)
-    got = {"answer": text(bytes(talk.buf)), "end": talk.over}
+    result = {"answer": text(bytes(talk.buf)), "end": talk.over}
     talk.transport.abort()
-    return got
+    return result
 
 
-class StillLimiter(Limiter):
-    """A limiter on the loop's clock."""
+class LoopClockLimiter(Limiter):
+    """A limiter whose clock is the event loop's."""
 
     def now(self) -> int:
         return int(self.loop.time() * 10_000) + 18_000_000_000_000
 
 
 class SimulatedServer(asyncio.Protocol):
-    """A server that answers as its `how` says, the same for all of them."""
+    """A server whose answers `behaviour` selects, the same for all servers."""
 
-    how = "ok"
+    behaviour = "ok"
 
     def connection_made(self, transport: Any) -> None:
         self.transport, self.buf = transport, b""
@@ -853,7 +908,7 @@
         if not end or len(body) < helpers.wire.length_of(head):
             return
         self.buf = b""
-        match SimulatedServer.how:
+        match SimulatedServer.behaviour:
             case "ok":
                 self.transport.write(
                     helpers.said(200, b"hello", b"Metered-Units: 1\r\nX-More: 1\r\n")
@@ -875,12 +930,12 @@
                 self.transport.write(b"what is this\r\n\r\n")
 
 
-def limiter_answers() -> dict[str, Any]:
-    """Answers of the stand-alone limiter."""
-    said: dict[str, Any] = {}
+def limiter_responses() -> dict[str, Any]:
+    """Returns responses of the stand-alone limiter."""
+    responses: dict[str, Any] = {}
 
     async def work(patch: pytest.MonkeyPatch) -> None:
-        watched = Watched(patch, HOST, "10.0.1.")
+        forwarded = ForwardedData(patch, HOST, "10.0.1.")
         cables = Cables(SimNetwork(Random(1)), Random(2))
         loop = asyncio.get_running_loop()
         members = [
@@ -895,7 +950,7 @@
         }
         file["settings"] |= more
         file["settings"]["allowed"] |= {"retry_after": True, "max_retry_after": 3000}
-        limiter = StillLimiter(
+        limiter = LoopClockLimiter(
             config.parse_limiter_config(json.dumps(file).encode(), {}), Virtual()
         )
         here = Streams(cables, HOST, Life())
@@ -906,9 +961,11 @@
         loop.call_later(1.0, limiter.sweep)
         client = Streams(cables, "10.9.0.1", Life())
 
-        async def one(name: str, raw: bytes, seconds: float = 0.5, how: str = "ok") -> None:
-            SimulatedServer.how = how
-            said[name] = await say(client, (HOST, 80), raw, seconds) | {"sent on": watched.take()}
+        async def one(name: str, raw: bytes, seconds: float = 0.5, behaviour: str = "ok") -> None:
+            SimulatedServer.behaviour = behaviour
+            responses[name] = await send_and_read(client, (HOST, 80), raw, seconds) | {
+                "sent on": forwarded.take()
+            }
 
         ready = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
         await one("not ready", ready)
@@ -923,11 +980,9 @@
         await one("book again", helpers.request("book", body=b"b", extra="Client-Retry: 1\r\n"))
         await one("two at once", helpers.request(id_="r2") + helpers.request(id_="r3"))
         await one("close", helpers.request(extra="Connection: close, X-Hop\r\nX-Hop: 1\r\n"))
-        await one("in chunks", helpers.request(), how="chunks")
+        await one("in chunks", helpers.request(), behaviour="chunks")
         small = helpers.request().replace(b"X-Tier: basic", b"X-Tier: small")
-        small = small.replace(
-            b"account=00000000", b"account=00000001"
-        )  # a plan stays with its account
+        small = small.replace(b"account=00000000", b"account=00000001")  # an account keeps its plan
         for n in range(4):
             await one(f"small {n}", small, 0.1)
         usual = helpers.request()
@@ -945,10 +1000,10 @@
             await one(name, usual.replace(old, new))
         for name, raw in MALFORMED.items():
             await one(name, raw, 14.0 if name == "cut" else 0.5)
-        for how in ("full", "busy", "error", "missing", "lost", "spoilt", "silent"):
+        for behaviour in ("full", "busy", "error", "missing", "lost", "spoilt", "silent"):
             for front in ("look", "book"):
-                await one(f"{front}, {how}", helpers.request(front), 2.5, how)
-                await asyncio.sleep(20.0)  # what is held against servers is forgotten
+                await one(f"{front}, {behaviour}", helpers.request(front), 2.5, behaviour)
+                await asyncio.sleep(20.0)  # until the servers' failures no longer count
         limiter.stop()
         await one("stopping", helpers.request())
         await one("not ready as it stops", ready, 0.01)
@@ -956,7 +1011,7 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(time, "process_time", lambda: 0.0)
         play(lambda: work(patch))
-    return said
+    return responses
 
 
 def proxy_request(
@@ -978,13 +1033,13 @@
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-def proxy_answers() -> dict[str, Any]:
-    """Answers of the proxy in a small cluster."""
-    said: dict[str, Any] = {}
+def proxy_responses() -> dict[str, Any]:
+    """Returns responses of the proxy in a small cluster."""
+    responses: dict[str, Any] = {}
     with pytest.MonkeyPatch.context() as patch:
         town = Cluster(5, proxies=1, servers=2)
         ip = next(iter(town.proxies))
-        watched = Watched(patch, ip, "10.3.")
+        forwarded = ForwardedData(patch, ip, "10.3.")
         client = town.streams("10.9.0.1")
 
         def one(
@@ -992,17 +1047,17 @@
         ) -> None:
             for server in town.servers["alpha"]:
                 server.trouble = trouble
-            said[name] = town.do(say(client, (ip, port), raw, seconds)) | {
-                "sent on": watched.take()
+            responses[name] = town.do(send_and_read(client, (ip, port), raw, seconds)) | {
+                "sent on": forwarded.take()
             }
 
         def readiness(path: str) -> bytes:
             return b"GET %b HTTP/1.1\r\nHost: a\r\n\r\n" % path.encode()
 
-        async def alone() -> None:
+        async def start_proxy() -> None:
             town.proxies[ip].start()
 
-        town.do(alone())
+        town.do(start_proxy())
         town.wait(0.1)
         one("no configuration", proxy_request(), 2.0)
         one("not ready", readiness("/api/readiness"), port=READINESS)
@@ -1040,7 +1095,7 @@
             one(f"poor {n}", proxy_request(key="key-of-poor"), 0.1)
         for name, raw in MALFORMED.items():
             one(name, raw, 14.0 if name == "cut" else 0.5)
-        for how in (
+        for behaviour in (
             "full",
             "error",
             "bare",
@@ -1053,40 +1108,42 @@
             "silent",
         ):
             for path, method in (("/single/x", "GET"), ("/once/x", "POST"), ("/a/x", "GET")):
-                seconds = 3.2 if how == "silent" else 0.6
-                one(f"{method} {path}, {how}", proxy_request(path, method), seconds, how)
+                seconds = 3.2 if behaviour == "silent" else 0.6
+                one(
+                    f"{method} {path}, {behaviour}", proxy_request(path, method), seconds, behaviour
+                )
                 town.wait(3.0)
         one("a short time", proxy_request("/short/x"), 2.0, "slow")
         town.loop.close()
-    return said
+    return responses
 
 
 def statuses(name: str) -> set[int]:
-    answers = [one["answer"] for one in load(name).values()]
+    answers = [response["answer"] for response in load(name).values()]
     return {int(answer.split(" ")[1]) for answer in answers if answer}
 
 
-def test_answers_of_all_kinds_are_among_the_fixtures() -> None:
-    usual = {200, 400, 404, 408, 413, 429, 431, 502, 503}
-    assert statuses("wire-limiter.json") >= usual
-    advised = [
+def test_the_fixtures_have_responses_of_all_statuses() -> None:
+    common = {200, 400, 404, 408, 413, 429, 431, 502, 503}
+    assert statuses("wire-limiter.json") >= common
+    retry_later = [
         one for one in load("wire-limiter.json").values() if "\r\nRetry-After: " in one["answer"]
     ]
-    assert advised and advised[0]["answer"].startswith("HTTP/1.1 429 ")
-    assert statuses("wire-proxy.json") >= usual | {401, 500, 504}
+    assert retry_later and retry_later[0]["answer"].startswith("HTTP/1.1 429 ")
+    assert statuses("wire-proxy.json") >= common | {401, 500, 504}
 
 
-PARTS: dict[str, Callable[[], Any]] = {
-    "wire-bad-lines.json": bad_lines,
-    "wire-actions.json": every_action,
+FIXTURES: dict[str, Callable[[], Any]] = {
+    "wire-bad-lines.json": invalid_lines,
+    "wire-actions.json": action_lines,
     "wire-datagrams.json": datagrams,
     "wire-configurations.json": configurations,
     "wire-decisions.json": decisions,
-    "wire-limiter.json": limiter_answers,
-    "wire-proxy.json": proxy_answers,
+    "wire-limiter.json": limiter_responses,
+    "wire-proxy.json": proxy_responses,
 }
 
 
-@pytest.mark.parametrize("name", PARTS)
-def test_as_in_the_fixture(name: str) -> None:
-    assert json.loads(json.dumps(PARTS[name]())) == load(name)
+@pytest.mark.parametrize("name", FIXTURES)
+def test_current_values_equal_the_fixture(name: str) -> None:
+    assert json.loads(json.dumps(FIXTURES[name]())) == load(name)
