--- a/benchmarks/hot_paths.py
+++ b/benchmarks/hot_paths.py
@@ -2,19 +2,18 @@
 
     python -m benchmarks.hot_paths [--repeat N] [--scale SHARE] [--json]
 
-Run by hand, without sockets. Every repeat does the same fixed script anew, and the table gives the
-minimum and the median over the repeats in microseconds: the minimum is what to compare on a busy
-machine. To compare with the code before a change, copy this file into a checkout of the older
-commit and run it there, in turn with the newer one; where names were changed in between, only the
-names of the program's own parts are adapted in the copy. `--scale 0.1` does a tenth of the work.
-
-    decision   arrival, send and success of a request at the module's own interface
-    frame      packing one call and one answer as frames, and reading both back
+Run by hand, without sockets. Every repeat runs the same fixed script, and the table has the minimum
+and the median over the repeats in microseconds: on a busy machine, compare the minimum. To compare
+with an older commit, copy this file into a checkout of it, adapt names that have changed, and run
+both versions in turn. `--scale 0.1` does a tenth of the work.
+
+    decision   arrival, attempt and success of a request at the decision engine's interface
+    frame      encoding one call and one answer as frames, and decoding both
     ask, count, grant
-               the registry's handler, called in process, with one frame each way around it
-    beat       the store's handler, likewise
-    request    a request through the proxy on simulated streams: client, proxy, server and back,
-               with the simulation's own work, so it shows less of a change than the others
+               the registry's handler, called in process, with one frame in each direction
+    beat       the store's handler, called in the same way
+    request    a request through the proxy on simulated streams: client, proxy, server and back;
+               it includes the simulation's work, so a change shows less than in the others
 """
 
 from __future__ import annotations
@@ -55,8 +54,11 @@
 
 
 def settings() -> EngineSettings:
-    """One limiter of three, a frontend of each effect, and a plan with and one without a quota."""
-    fronts = tuple(
+    """Returns settings of one of three limiters, with a frontend for each effect and two plans.
+
+    The first plan has no quota, the second one has.
+    """
+    frontends = tuple(
         Frontend(effect, DeduplicationScope.ALL, 2 * S, S, 4 * S, 1.0, 0.0, False)
         for effect in Effect
     )
@@ -68,7 +70,7 @@
         limiter_index=0,
         limiter_count=3,
         zone=0,
-        frontends=fronts,
+        frontends=frontends,
         plans=plans,
         attempt_limit=3,
         can_cancel_attempts=False,
@@ -90,67 +92,71 @@
 
 
 def decisions(requests: int) -> float:
-    """Seconds a request, over so many; all timers are kept, and each count is answered at once."""
-    brain, now = DecisionEngine(settings(), 7, 1000 * S), 1000 * S
-    entries = tuple(Endpoint(n, EndpointState.LIVE, 0, 0, 0, 1.0, 0) for n in range(12))
-    brain.handle(now, EndpointsUpdated(entries, True))
+    """Returns the seconds per request; timers fire when due, counter calls are answered at once."""
+    engine, now = DecisionEngine(settings(), 7, 1000 * S), 1000 * S
+    endpoints = tuple(Endpoint(n, EndpointState.LIVE, 0, 0, 0, 1.0, 0) for n in range(12))
+    engine.handle(now, EndpointsUpdated(endpoints, True))
     timers: list[tuple[int, int]] = []
     sent = 0
-    begun = perf_counter()
+    started_at = perf_counter()
     for req in range(1, requests + 1):
         now += 10
         if timers and timers[0][0] <= now:
-            brain.handle(now, TimerFired(timers.pop(0)[1]))
-        plan, customer = req & 1, req % 50
-        note = RequestArrived(
-            req, req % 3, plan, 2 * customer + plan, 1000 + customer, now + 4 * S, 1.0, 0, False
+            engine.handle(now, TimerFired(timers.pop(0)[1]))
+        plan, tenant = req & 1, req % 50
+        arrival = RequestArrived(
+            req, req % 3, plan, 2 * tenant + plan, 1000 + tenant, now + 4 * S, 1.0, 0, False
         )
-        for act in brain.handle(now, note):
-            match act:
+        for action in engine.handle(now, arrival):
+            match action:
                 case SendAttempt():
                     sent += 1
-                    done = AttemptEnded(req, 0, act.endpoint_id, Outcome.SUCCEEDED, 5, True, 0, 0.0)
-                    brain.handle(now + 5, done)
+                    ended = AttemptEnded(
+                        req, 0, action.endpoint_id, Outcome.SUCCEEDED, 5, True, 0, 0.0
+                    )
+                    engine.handle(now + 5, ended)
                 case SetTimer():
-                    timers.append((now + act.delay, act.tag))
+                    timers.append((now + action.delay, action.tag))
                     timers.sort()
                 case IncrementCounter():
-                    got = CounterReplied(act.counter_name, Outcome.SUCCEEDED, act.amount, 20)
-                    brain.handle(now + 5, got)
-    took = perf_counter() - begun
-    assert sent > 0.9 * requests, f"only {sent} of {requests} were sent"
+                    reply = CounterReplied(
+                        action.counter_name, Outcome.SUCCEEDED, action.amount, 20
+                    )
+                    engine.handle(now + 5, reply)
+    took = perf_counter() - started_at
+    assert sent > 0.9 * requests, f"only {sent} of {requests} requests were sent"
     return took / requests
 
 
 def frames(calls: int) -> float:
-    """Seconds a call: its two frames packed and read."""
+    """Returns the seconds per call for encoding and decoding its two frames."""
     body = {"name": "n-1", "s": 1 << 20, "h": 1234, "f": 17, "c": 3, "q": 9, "clock": 1.8e13}
-    said = {"h": 1235, "rows": [["i-1", "10.0.0.1:80", "alpha", "east", 8, "ready", 9, 0]]}
-    there, back = FrameDecoder(), FrameDecoder()
-    begun = perf_counter()
+    answer_body = {"h": 1235, "rows": [["i-1", "10.0.0.1:80", "alpha", "east", 8, "ready", 9, 0]]}
+    server_decoder, client_decoder = FrameDecoder(), FrameDecoder()
+    started_at = perf_counter()
     for number in range(calls):
-        (call,) = there.feed(encode_frame(CallFrame(number, "ask", body)))
-        (answer,) = back.feed(encode_frame(AnswerFrame(call.number, True, said)))
-    took = perf_counter() - begun
-    assert answer == AnswerFrame(calls - 1, True, said)
+        (call,) = server_decoder.feed(encode_frame(CallFrame(number, "ask", body)))
+        (answer,) = client_decoder.feed(encode_frame(AnswerFrame(call.number, True, answer_body)))
+    took = perf_counter() - started_at
+    assert answer == AnswerFrame(calls - 1, True, answer_body)
     return took / calls
 
 
 async def calls(serve: Serve, op: str, bodies: list[dict[str, Any]]) -> float:
-    """Seconds a call of the handler, with its frames."""
-    there, back = FrameDecoder(), FrameDecoder()
-    begun = perf_counter()
+    """Returns the seconds per call of the handler, with its frames."""
+    server_decoder, client_decoder = FrameDecoder(), FrameDecoder()
+    started_at = perf_counter()
     for number, body in enumerate(bodies):
-        (call,) = there.feed(encode_frame(CallFrame(number, op, body)))
-        said = await serve(call.operation, call.body)
-        (answer,) = back.feed(encode_frame(AnswerFrame(number, True, said)))
-    took = perf_counter() - begun
+        (call,) = server_decoder.feed(encode_frame(CallFrame(number, op, body)))
+        answer_body = await serve(call.operation, call.body)
+        (answer,) = client_decoder.feed(encode_frame(AnswerFrame(number, True, answer_body)))
+    took = perf_counter() - started_at
     assert answer.number == len(bodies) - 1
     return took / len(bodies)
 
 
-def town() -> Cluster:
-    """A small cluster that has begun, with two tenants that have quotas."""
+def running_cluster() -> Cluster:
+    """Returns a small running cluster, with two tenants that have quotas."""
     made = Cluster(1, proxies=1, servers=4)
     made.usual()
     made.tenant("greedy", "key-of-greedy", 1000, 1000)
@@ -160,18 +166,18 @@
     return made
 
 
-def between(count: int) -> dict[str, float]:
-    """Seconds a call by its name, at the registry that counts and at the primary's store."""
-    made = town()
+def calls_between_programs(count: int) -> dict[str, float]:
+    """Returns the seconds per call by operation, at the counting registry and at a store."""
+    made = running_cluster()
     try:
         registry = made.registry(made.counting())
-        begin = {"name": "bench", "h": -1, "f": -1, "c": 0}
-        held = made.do(registry.requests.serve("ask", begin))
-        # each call has a version behind, so there is news and it is answered at once
+        first_ask = {"name": "bench", "h": -1, "f": -1, "c": 0}
+        session = made.do(registry.requests.serve("ask", first_ask))
+        # each call states an outdated revision, so it is answered at once
         ask = {
-            "s": held["s"],
-            "h": held["h"] - 1,
-            "f": held["f"],
+            "s": session["s"],
+            "h": session["h"] - 1,
+            "f": session["f"],
             "c": registry.state.configuration.version,
             "q": 0,
         }
@@ -191,7 +197,7 @@
             ],
         }
         took = {
-            op: made.do(calls(registry.requests.serve, op, said)) for op, said in bodies.items()
+            op: made.do(calls(registry.requests.serve, op, of_op)) for op, of_op in bodies.items()
         }
         one, other = [host.programs[0] for host in made.stores.values()][:2]
         beat = other.replica.heartbeat(one.settings.address).to_wire()
@@ -202,48 +208,48 @@
 
 
 def requests(count: int) -> float:
-    """Seconds a request, one after the other on a kept connection, in a quiet cluster."""
-    made = town()
+    """Returns the seconds per request, in sequence on a kept connection, in an idle cluster."""
+    made = running_cluster()
     try:
 
         async def work() -> tuple[float, int]:
-            begun, good = perf_counter(), 0
+            started_at, succeeded = perf_counter(), 0
             for _ in range(count):
-                good += (await made.get(tries=1)).status == 200
-            return perf_counter() - begun, good
+                succeeded += (await made.get(tries=1)).status == 200
+            return perf_counter() - started_at, succeeded
 
-        took, good = made.do(work())
-        assert good > 0.99 * count, f"only {good} of {count} succeeded"
+        took, succeeded = made.do(work())
+        assert succeeded > 0.99 * count, f"only {succeeded} of {count} succeeded"
     finally:
         made.loop.close()
     return took / count
 
 
-def once(scale: float) -> dict[str, float]:
-    """All paths once, in microseconds."""
+def measure_once(scale: float) -> dict[str, float]:
+    """Returns the time of each path, in microseconds."""
     took = {"decision": decisions(int(30_000 * scale)), "frame": frames(int(20_000 * scale))}
-    took |= between(int(10_000 * scale))
+    took |= calls_between_programs(int(10_000 * scale))
     took["request"] = requests(int(4_000 * scale))
     return {path: 1e6 * seconds for path, seconds in took.items()}
 
 
 @click.command()
-@click.option("--repeat", default=5, show_default=True, help="Times that all is measured.")
+@click.option("--repeat", default=5, show_default=True, help="Number of measurements.")
 @click.option("--scale", default=1.0, show_default=True, help="Share of the usual work.")
-@click.option("--json", "as_json", is_flag=True, help="JSON in place of a table.")
+@click.option("--json", "as_json", is_flag=True, help="JSON instead of a table.")
 def main(repeat: int, scale: float, as_json: bool) -> None:
     logging.disable(logging.CRITICAL)
-    runs = [once(scale) for _ in range(repeat)]
-    found = {path: [run[path] for run in runs] for path in runs[0]}
+    runs = [measure_once(scale) for _ in range(repeat)]
+    times = {path: [run[path] for run in runs] for path in runs[0]}
     if as_json:
         rows = {
             path: {"min_us": round(min(took), 3), "median_us": round(median(took), 3)}
-            for path, took in found.items()
+            for path, took in times.items()
         }
         print(json.dumps({"repeat": repeat, "scale": scale, "paths": rows}))
         return
     print(f"{'path':10} {'min us':>10} {'median us':>10}")
-    for path, took in found.items():
+    for path, took in times.items():
         print(f"{path:10} {min(took):10.2f} {median(took):10.2f}")
 
 
--- a/benchmarks/lab_calibrate.py
+++ b/benchmarks/lab_calibrate.py
@@ -1,11 +1,10 @@
-"""Calibration of the lab: one small scenario in simulated time and on loopback sockets, side by
-side.
+"""Calibration of the emulator: the same small scenario in simulated time and on loopback sockets.
 
-The sockets' side runs `loomstand serve` as its own process, with stand-ins written here from the
-wire the limiter speaks: servers that are M/M/c queues like the lab's (`capacity` at once, a bounded
-queue, exponential work, 503 with `Not-Started: 1` when full), a counter that keeps totals by name
-for `expire_ms`, a discovery watch that lists nothing new, and Poisson clients, one connection a
-req. Both sides count G and the denial share the same way (`docs/lab.md`). Run by hand, never in CI:
+The socket run starts `loomstand serve` as a process, with stubs of its peers: servers that are
+M/M/c queues like the emulator's (`capacity` requests at once, a bounded queue, exponential service
+times, 503 with `Not-Started: 1` when full), a counter that holds totals by name for `expire_ms`, a
+discovery watch without changes, and Poisson clients with one connection per request. Both runs
+compute G and the share of rejections in the same way (`docs/lab.md`). Run by hand, never in CI:
 
     .venv/bin/python -m benchmarks.lab_calibrate --seconds 20 [--seed N] [--work-ms 60]
 """
@@ -41,7 +40,7 @@
 
 
 class Server:
-    """`capacity` reqs at work at once, `queue` more waiting, exponential work of mean `work_s`."""
+    """A stub server: `capacity` requests at once, `queue` waiting, mean service time `work_s`."""
 
     def __init__(self, capacity: int, queue: int, work_s: float, rng: random.Random) -> None:
         self.capacity, self.queue, self.work_s, self.rng = capacity, queue, work_s, rng
@@ -70,7 +69,7 @@
 
 
 class Counter:
-    """Totals by name, each kept for the `expire_ms` of its last add."""
+    """A stub counter: totals by name, each held for the `expire_ms` of its last increment."""
 
     def __init__(self) -> None:
         self.totals: dict[bytes, tuple[float, float]] = {}
@@ -95,7 +94,7 @@
 
 
 async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A watch that never changes: the list is in the configuration."""
+    """A stub discovery whose watch never changes: the list is in the configuration."""
     try:
         await read_message(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -106,7 +105,8 @@
     writer.close()
 
 
-async def sockets(scenario: sc.Scenario, seed: int) -> dict:
+async def run_on_sockets(scenario: sc.Scenario, seed: int) -> dict:
+    """Returns the counts, G and the share of rejections of a run on loopback sockets."""
     rng = random.Random(seed)
     f, g, p = scenario.fleet, scenario.frontends[0], scenario.plans[0]
     servers = [Server(f.capacity, f.queue, g.work_ms / 1000, rng) for _ in range(f.servers)]
@@ -115,18 +115,18 @@
     watch = await asyncio.start_server(discovery, HOST, 0)
     port = free_port(HOST)
 
-    def at(srv: asyncio.AbstractServer) -> str:
-        return f"{HOST}:{srv.sockets[0].getsockname()[1]}"
+    def address(server: asyncio.AbstractServer) -> str:
+        return f"{HOST}:{server.sockets[0].getsockname()[1]}"
 
     conf = {
         "listen": f"{HOST}:{port}",
-        "discovery": at(watch),
-        "counter": at(counter),
+        "discovery": address(watch),
+        "counter": address(counter),
         "seed": "1",
         "known": {
             "complete": True,
             "members": [
-                {"id": f"s-{n}", "host_port": at(s), "locality": "a"}
+                {"id": f"s-{n}", "host_port": address(s), "locality": "a"}
                 for n, s in enumerate(listening)
             ],
         },
@@ -178,17 +178,17 @@
             pass
         await asyncio.sleep(0.025)
     counts = {"taken": 0, "passed": 0, "denied": 0, "other": 0}
-    worth = offered = 0.0
-    levels = [[p.burst, time.monotonic()] for _ in range(p.customers)]
+    value = offered = 0.0
+    buckets = [[p.burst, time.monotonic()] for _ in range(p.customers)]
 
-    async def one(n: int, customer: int) -> None:
-        nonlocal worth, offered
+    async def send_request(n: int, customer: int) -> None:
+        nonlocal value, offered
         now = time.monotonic()
-        held = levels[customer]
-        held[0], held[1] = min(p.burst, held[0] + p.rate * (now - held[1])), now
-        inside = held[0] >= 1.0
-        held[0] -= 1.0 if inside else 0.0
-        offered += g.value if inside else 0.0
+        bucket = buckets[customer]
+        bucket[0], bucket[1] = min(p.burst, bucket[0] + p.rate * (now - bucket[1])), now
+        within_quota = bucket[0] >= 1.0
+        bucket[0] -= 1.0 if within_quota else 0.0
+        offered += g.value if within_quota else 0.0
         counts["taken"] += 1
         raw = (
             f"GET /{g.name}?account={customer:016x} HTTP/1.1\r\nHost: x\r\nRequest-Id: {n}\r\n"
@@ -208,7 +208,7 @@
         status, took = int(head[9:12]), time.monotonic() - now
         if status == 200:
             counts["passed"] += 1
-            worth += g.value if inside and took <= g.response_target_ms / 1000 else 0.0
+            value += g.value if within_quota and took <= g.response_target_ms / 1000 else 0.0
         elif status == 429:
             counts["denied"] += 1
         else:
@@ -217,11 +217,11 @@
     tasks, n, began = set(), 0, time.monotonic()
     rate, due = p.rate * p.demand * p.customers, 0.0
     while due < scenario.seconds:
-        # by the clock, so that the loop's own lag does not thin the traffic
+        # due times follow the clock, so that lag of the event loop doesn't reduce the rate
         due += rng.expovariate(rate)
         await asyncio.sleep(max(0.0, began + due - time.monotonic()))
         n += 1
-        task = asyncio.create_task(one(n, rng.randrange(p.customers)))
+        task = asyncio.create_task(send_request(n, rng.randrange(p.customers)))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
     await asyncio.gather(*tasks)
@@ -230,7 +230,7 @@
     os.unlink(file.name)
     return {
         "counts": counts,
-        "G": worth / offered if offered else 0.0,
+        "G": value / offered if offered else 0.0,
         "denied_share": counts["denied"] / max(1, counts["taken"]),
     }
 
@@ -239,17 +239,23 @@
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--work-ms", type=float, default=20.0, help="mean work a req at a server")
+    parser.add_argument(
+        "--work-ms", type=float, default=20.0, help="mean service time of a request, in ms"
+    )
     args = parser.parse_args()
     table = sc.with_values(
         {**SCENARIO, "seconds": args.seconds},
         {"frontends": [{**SCENARIO["frontends"][0], "work_ms": args.work_ms}]},
     )
     scenario = sc.from_table(table)
-    lab = runner.run(scenario, args.seed)["runs"]["brain"]
-    real = asyncio.run(sockets(scenario, args.seed))
+    emulated = runner.run(scenario, args.seed)["runs"]["brain"]
+    real = asyncio.run(run_on_sockets(scenario, args.seed))
     rows = {
-        "lab": {"G": lab["G"], "denied_share": lab["denied_share"], "counts": lab["counts"]},
+        "lab": {
+            "G": emulated["G"],
+            "denied_share": emulated["denied_share"],
+            "counts": emulated["counts"],
+        },
         "sockets": real,
     }
     rows["ratio"] = {
--- a/benchmarks/lab_scale.py
+++ b/benchmarks/lab_scale.py
@@ -1,13 +1,12 @@
-"""The lab's cost against its size: wall time and events a second for N limiters x 60 s simulated.
+"""Cost of the emulator by size: wall time and events per second for N limiters and 60 s simulated.
 
-Traffic grows with the fleet (ten customers a limiter at 2 reqs a second each, one server for two
-limiters), so each limiter sees about 20 reqs a second at every size, as on a mass day, and a cost
-linear in limiters shows as a flat `us a req`. Only the module is played (no baselines). Not a timed
-test: run by hand,
+Traffic grows with the fleet (ten tenants per limiter at 2 requests per second each, one server for
+two limiters), so each limiter gets about 20 requests per second at every size, and a cost linear in
+limiters shows as a constant `us a req`. Only the decision engine runs, no baselines. Run by hand:
 
     .venv/bin/python -m benchmarks.lab_scale 10 100 1000 --seconds 60 --json scale.json
 
-Each size runs in a process of its own, at the same time.
+The sizes run at the same time, each in its own process.
 """
 
 from __future__ import annotations
@@ -22,7 +21,7 @@
 from loomstand.testing.emulator import scenario as sc
 
 
-def one(args: tuple[int, float]) -> dict:
+def measure(args: tuple[int, float]) -> dict:
     limiters, seconds = args
     scenario = sc.from_table(
         {
@@ -45,9 +44,9 @@
             "plans": [{"name": "basic", "rate": 2, "burst": 6, "customers": 10 * limiters}],
         }
     )
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     played = runner.play(scenario, "brain", 1)
-    wall = time.perf_counter() - began
+    wall = time.perf_counter() - started_at
     reqs = played.summary["counts"]["taken"]
     return {
         "limiters": limiters,
@@ -69,16 +68,20 @@
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--json", default="")
     parser.add_argument(
-        "--plot", default="", help="a PNG of wall time and cost a req against limiters"
+        "--plot",
+        default="",
+        help="PNG file for wall time and cost per request by number of limiters",
+    )
+    parser.add_argument(
+        "--rows", default="", help="JSON file of an earlier run to plot instead of running"
     )
-    parser.add_argument("--rows", default="", help="draw rows from this JSON instead of running")
     args = parser.parse_args()
     if args.rows:
         with open(args.rows) as file:
             rows = json.load(file)
     else:
         with ProcessPoolExecutor(max_workers=len(args.sizes)) as pool:
-            rows = list(pool.map(one, [(n, args.seconds) for n in args.sizes]))
+            rows = list(pool.map(measure, [(n, args.seconds) for n in args.sizes]))
     for row in rows:
         print(json.dumps(row))
     if args.json:
@@ -107,7 +110,7 @@
     right.set_ylabel("us a req")
     right.set_ylim(0, max(r["us_per_req"] for r in rows) * 1.2)
     fig.legend(loc="upper left", bbox_to_anchor=(0.12, 0.88))
-    left.set_title("lab cost by size (the module alone)")
+    left.set_title("emulator cost by size (decision engine alone)")
     fig.tight_layout()
     fig.savefig(path, dpi=100)
 
--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -1,9 +1,8 @@
-"""The pure parts of peers at sizes that processes don't reach: list calls, time to a list,
-messages.
+"""Limiter membership at sizes that processes don't reach: discovery calls, readiness, datagrams.
 
-All limiters start within a second, each given eight others' addresses; discovery bears ten calls a
-second and refuses others, after which a limiter asks again as its rank says. Datagrams take 0.2 to
-2 ms, one in 100 is lost. By hand, never in CI:
+All limiters start within a second, each with the addresses of eight others. Discovery answers ten
+calls per second and refuses the rest; a refused limiter retries according to its rank. Datagrams
+take 0.2 to 2 ms, and one in 100 is lost. Run by hand, never in CI:
 
     python -m benchmarks.peers_scale 200 1000 5000 --plot docs/peers-scale.png
 """
@@ -21,11 +20,11 @@
 from loomstand.membership.members import Membership
 from loomstand.membership.messages import Part, Want
 
-BEARS, LOSS, GIVEN, SERVERS = 10.0, 0.01, 8, 300
+DISCOVERY_CALLS_PER_SECOND, LOSS_SHARE, CONFIGURED_PEERS, SERVERS = 10.0, 0.01, 8, 300
 
 
 class Fleet:
-    """So many limiters in simulated time; messages go as objects, which nobody changes after."""
+    """A number of limiters in simulated time; messages are passed as objects and not modified."""
 
     def __init__(self, n: int, seed: int) -> None:
         self.rng, self.n, self.now = Random(seed), n, 0.0
@@ -33,38 +32,42 @@
         self.order = self.sent = 0
         self.machines: list[Membership | None] = [None] * n
         self.lists: list[EndpointLists | None] = [None] * n
-        self.held: list[bool] = [False] * n
+        self.watching: list[bool] = [False] * n
         self.ready: list[float] = [-1.0] * n
         self.started = [self.rng.random() for _ in range(n)]
         self.calls: list[tuple[float, bool]] = []
-        self.left, self.left_at = BEARS, 0.0
-        member = [BackendRecord(id=f"s{k}", address="127.0.0.1:1") for k in range(SERVERS)]
-        self.list = BackendList(revision=5, complete=True, backends=member)
+        self.tokens, self.tokens_at = DISCOVERY_CALLS_PER_SECOND, 0.0
+        backends = [BackendRecord(id=f"s{k}", address="127.0.0.1:1") for k in range(SERVERS)]
+        self.list = BackendList(revision=5, complete=True, backends=backends)
         for i in range(n):
             self.push(self.started[i], i, None)
 
-    def push(self, at: float, i: int, what: object) -> None:
+    def push(self, at: float, i: int, message: object) -> None:
         self.order += 1
-        heapq.heappush(self.heap, (at, self.order, i, what))
+        heapq.heappush(self.heap, (at, self.order, i, message))
 
-    def begin(self, i: int) -> None:
-        given = [str(self.rng.randrange(self.n)) for _ in range(GIVEN)]
-        self.machines[i] = Membership(i, str(i), 1, given, self.rng.getrandbits(32), self.now)
+    def start(self, i: int) -> None:
+        peers = [str(self.rng.randrange(self.n)) for _ in range(CONFIGURED_PEERS)]
+        self.machines[i] = Membership(i, str(i), 1, peers, self.rng.getrandbits(32), self.now)
         self.lists[i] = EndpointLists(i, self.now, self.n)
 
-    def discovery(self, i: int) -> None:
-        """A call for the list: answered at once, or turned away."""
-        self.left = min(BEARS, self.left + BEARS * (self.now - self.left_at))
-        self.left_at = self.now
-        room = self.left >= 1
-        self.left -= room
-        self.calls.append((self.now, room))
-        self.held[i] = room
-        if room:
+    def call_discovery(self, i: int) -> None:
+        """Calls discovery for the list, which answers at once or refuses the call."""
+        self.tokens = min(
+            DISCOVERY_CALLS_PER_SECOND,
+            self.tokens + DISCOVERY_CALLS_PER_SECOND * (self.now - self.tokens_at),
+        )
+        self.tokens_at = self.now
+        is_answered = self.tokens >= 1
+        self.tokens -= is_answered
+        self.calls.append((self.now, is_answered))
+        self.watching[i] = is_answered
+        if is_answered:
             self.lists[i].from_discovery(self.now, self.list)
-            self.got(i)
+            self.record_list(i)
 
-    def got(self, i: int) -> None:
+    def record_list(self, i: int) -> None:
+        """Records when a limiter got its first list."""
         if self.ready[i] < 0:
             self.ready[i] = self.now - self.started[i]
 
@@ -73,30 +76,30 @@
         m.revision, m.age = lists.revision, lists.age(now)
         m.tick(now)
         if not lists.revision or now - lists.started_at < 1.0:
-            here = [p.address for p in m.peers.values() if p.address] or m.configured_addresses
-            for whom in self.rng.sample(here, min(2, len(here))):
-                m.send(whom, Want(*m.header()))
-        on = lists.should_watch(now, m.alive())
-        if on and not self.held[i]:
-            self.discovery(i)
-        elif not on:
-            self.held[i] = False
-        if self.held[i]:
-            lists.confirmed_at = now  # its beats
+            addresses = [p.address for p in m.peers.values() if p.address] or m.configured_addresses
+            for address in self.rng.sample(addresses, min(2, len(addresses))):
+                m.send(address, Want(*m.header()))
+        should_watch = lists.should_watch(now, m.alive())
+        if should_watch and not self.watching[i]:
+            self.call_discovery(i)
+        elif not should_watch:
+            self.watching[i] = False
+        if self.watching[i]:
+            lists.confirmed_at = now  # the heartbeats of the watch
         self.flush(i)
         self.push(now + 2 * TICK_SECONDS, i, None)
 
     def flush(self, i: int) -> None:
         m = self.machines[i]
-        out, m.outbox = m.outbox, []
-        for whom, message in out:
-            at = whom if isinstance(whom, str) else m.peers[whom].address if whom in m.peers else ""
-            if at:
+        outbox, m.outbox = m.outbox, []
+        for to, message in outbox:
+            address = to if isinstance(to, str) else m.peers[to].address if to in m.peers else ""
+            if address:
                 self.sent += 1
-                if self.rng.random() >= LOSS:
-                    self.push(self.now + self.rng.uniform(0.0002, 0.002), int(at), message)
+                if self.rng.random() >= LOSS_SHARE:
+                    self.push(self.now + self.rng.uniform(0.0002, 0.002), int(address), message)
 
-    def came(self, i: int, message: object) -> None:
+    def receive(self, i: int, message: object) -> None:
         m, lists = self.machines[i], self.lists[i]
         if m is None or message.id == i:
             return
@@ -106,7 +109,7 @@
         match message:
             case Part():
                 if lists.from_peer(self.now, message) is not None:
-                    self.got(i)
+                    self.record_list(i)
             case Want() if message.revision < lists.revision:
                 for part in lists.whole_list():
                     part.incarnation, part.age = m.incarnation, lists.age(self.now)
@@ -115,35 +118,35 @@
             m.send(message.id, Want(*m.header()))
         self.flush(i)
 
-    def play(self, until: float) -> None:
+    def run(self, until: float) -> None:
         while self.heap and self.heap[0][0] <= until:
-            self.now, _, i, what = heapq.heappop(self.heap)
-            if what is not None:
-                self.came(i, what)
+            self.now, _, i, message = heapq.heappop(self.heap)
+            if message is not None:
+                self.receive(i, message)
             else:
                 if self.machines[i] is None:
-                    self.begin(i)
+                    self.start(i)
                 self.tick(i)
         self.now = until
 
 
 def measure(n: int, seconds: float, seed: int) -> dict:
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     fleet = Fleet(n, seed)
-    fleet.play(seconds - 5)
-    before = fleet.sent
-    fleet.play(seconds)
+    fleet.run(seconds - 5)
+    sent_before = fleet.sent
+    fleet.run(seconds)
     ready = sorted(fleet.ready)
     return {
         "limiters": n,
         "calls": len(fleet.calls),
-        "turned away": sum(not room for _, room in fleet.calls),
+        "turned away": sum(not is_answered for _, is_answered in fleet.calls),
         "ready median": round(ready[n // 2], 2),
         "ready last": round(ready[-1], 2) if ready[0] >= 0 else None,
-        "messages a second and limiter": round((fleet.sent - before) / 5 / n, 2),
+        "messages a second and limiter": round((fleet.sent - sent_before) / 5 / n, 2),
         "in all": round(fleet.sent / n, 1),
         "known of all": round(sum(len(m.alive()) for m in fleet.machines) / n / n, 4),
-        "wall s": round(time.perf_counter() - began, 1),
+        "wall s": round(time.perf_counter() - started_at, 1),
     }
 
 
--- a/benchmarks/scale_cluster.py
+++ b/benchmarks/scale_cluster.py
@@ -1,9 +1,8 @@
-"""The processes of a scale run: what they need, how they start, what they cost, and that all of
-them end.
+"""The processes of a scale run: their needs, start, cost and end.
 
-Every program listens on an address of its own in 127.0.0.0/8, on the same ports, as machines do.
-Whatever ends a run (its end, a fault, SIGINT, SIGTERM), each process that it started is ended by
-its id and waited for; should the run itself be killed, the kernel ends them (`PR_SET_PDEATHSIG`).
+Every program listens on its own address in 127.0.0.0/8, on the same ports, as on machines of its
+own. However a run ends (completion, a fault, SIGINT, SIGTERM), it ends each process that it started
+by its pid and waits for it; if the run itself is killed, the kernel ends them (`PR_SET_PDEATHSIG`).
 """
 
 from __future__ import annotations
@@ -27,32 +26,42 @@
 
 from loomstand.rpc.network import Address
 
-CONTROL, FIRST_PORT, FRONT, READY = 8783, 7340, 8782, 8789
+CONTROL_PORT, FIRST_INTERNAL_PORT, FRONTEND_PORT, READINESS_PORT = 8783, 7340, 8782, 8789
 ZONES = {"z1": "r1", "z2": "r1", "z3": "r1"}
-HEARTBEAT = 1.5  # s, as at the sites
-DESCRIPTORS = 4096  # that a program is told it may have, as at the sites
-MOST_PROCESSES = 300
-MOST_SHARE = 0.5  # of the machine's memory
+HEARTBEAT_SECONDS = 1.5  # as at the sites
+DESCRIPTOR_LIMIT = 4096  # in the settings of a program, as at the sites
+MAX_PROCESSES = 300
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory
 SPARE_DESCRIPTORS = 200
-PER_WORKER = 750  # hollow limiters in one process: its loop must not be what is measured
+LIMITERS_PER_WORKER = 750  # more in one process would measure its event loop
 SERVERS_PER_WORKER = 4000
-# What a size will take, in MB, measured at 30 to 300 limiters and rounded up: a program, a worker,
-# a hollow limiter, and of it a server that it knows; a server's own heartbeats; a row, a route, a
-# tenant in a program.
+# Memory in MB, an upper bound for 30 to 300 limiters: a program, a worker, a hollow limiter, and in
+# it each server that it knows; a server's heartbeats; a row, a route and a tenant in a program; a
+# route or a tenant in the configuration that a hollow limiter holds.
 PROGRAM_MB, WORKER_MB, LIMITER_MB, KNOWN_MB = 60.0, 50.0, 0.25, 0.0015
 SERVER_MB, ROW_MB, ROUTE_MB, TENANT_MB, BYTES_MB = 0.05, 0.004, 0.012, 0.012, 0.0004
 PR_SET_PDEATHSIG = 1
-ENDS_WITHIN = 3.0  # s that a process has from SIGTERM to SIGKILL
+STOP_TIMEOUT_SECONDS = 3.0  # from SIGTERM to SIGKILL
 
 
-class TooLarge(Exception):
-    """A size that this machine can't hold: the message names the limit."""
+class SizeLimitError(Exception):
+    """A size is beyond a limit of this machine; the message names the limit."""
 
 
 @dataclass(slots=True, frozen=True)
 class Size:
-    """One point of a sweep. `changes` and `counts` are a second, counts for each limiter; `use` is
-    what each tenant uses of its quota, a few tenants being large.
+    """One point of a sweep.
+
+    Attributes:
+        limiters: Number of hollow limiters.
+        servers: Number of hollow servers.
+        routes: Number of routes in the configuration.
+        tenants: Number of tenants in the configuration; a few of them are large.
+        changes: Changes of the configuration per second.
+        counts: Counter calls per second and limiter.
+        use: Share of its quota that each tenant uses.
+        cores: Number of core machines, with a registry and a store each.
+        proxies: Number of real proxies.
     """
 
     limiters: int = 30
@@ -66,23 +75,26 @@
     proxies: int = 2
 
     def __post_init__(self) -> None:
-        for name, least in (
+        for name, minimum in (
             ("limiters", 1),
             ("servers", 1),
             ("routes", 1),
             ("tenants", 1),
             ("cores", 1),
         ):
-            if getattr(self, name) < least:
-                raise TooLarge(f"{name}: {getattr(self, name)} is under {least}")
+            if getattr(self, name) < minimum:
+                raise SizeLimitError(f"{name}: {getattr(self, name)} is less than {minimum}")
         if self.proxies < 0 or self.changes < 0 or self.counts < 0 or self.use <= 0:
-            raise TooLarge("proxies, changes and counts can't be under 0, nor use 0")
+            raise SizeLimitError(
+                "proxies, changes and counts can't be negative, and use must be positive"
+            )
         if self.cores > 100 or self.proxies > 100:
-            raise TooLarge("cores and proxies: over 100 of one kind have no addresses here")
+            raise SizeLimitError("cores and proxies: there are addresses for 100 of each")
 
     @property
     def workers(self) -> int:
-        return max(1, -(-self.limiters // PER_WORKER))
+        """Processes of hollow limiters."""
+        return max(1, -(-self.limiters // LIMITERS_PER_WORKER))
 
     @property
     def keepers(self) -> int:
@@ -92,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Need:
-    """What a size will take: processes, memory in MB, and the most descriptors of one process."""
+    """What a size needs: processes, memory in MB, and file descriptors of one process."""
 
     processes: int
     memory_mb: float
@@ -100,6 +112,7 @@
 
 
 def need(size: Size) -> Need:
+    """Returns an estimate of what a size needs."""
     programs = 2 * size.cores + size.proxies
     row = size.servers * ROW_MB + size.routes * ROUTE_MB + size.tenants * TENANT_MB
     memory = (
@@ -109,7 +122,7 @@
         * (LIMITER_MB + size.servers * KNOWN_MB + (size.routes + size.tenants) * BYTES_MB)
         + size.servers * SERVER_MB
     )
-    worker = min(size.limiters, PER_WORKER) * size.cores
+    worker = min(size.limiters, LIMITERS_PER_WORKER) * size.cores
     registry = size.limiters + size.proxies + size.servers + 4 * size.cores
     return Need(
         programs + size.workers + size.keepers, memory, max(worker, registry) + SPARE_DESCRIPTORS
@@ -118,41 +131,41 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What a run may take of this machine."""
+    """What a run may use: processes, memory in MB, and file descriptors of one process."""
 
-    processes: int = MOST_PROCESSES
+    processes: int = MAX_PROCESSES
     memory_mb: float = 0.0
     descriptors: int = 0
 
     @staticmethod
     def of_machine(memory_mb: float | None = None) -> Limits:
-        """Half of the memory, or less; and the descriptors that a process may ask for."""
-        half = psutil.virtual_memory().total * MOST_SHARE / 1e6
+        """Returns at most half of the memory, and the hard limit of file descriptors."""
+        half = psutil.virtual_memory().total * MAX_MEMORY_SHARE / 1e6
         return Limits(
-            MOST_PROCESSES,
+            MAX_PROCESSES,
             min(half, memory_mb or half),
             resource.getrlimit(resource.RLIMIT_NOFILE)[1],
         )
 
     def check(self, size: Size) -> Need:
-        """What the size needs; TooLarge where that is beyond a limit, before anything is
-        started.
+        """Returns what the size needs.
+
+        Raises:
+            SizeLimitError: The need is beyond a limit.
         """
-        wants = need(size)
-        for name, has, most in (
-            ("processes", wants.processes, self.processes),
-            ("memory, MB", round(wants.memory_mb), round(self.memory_mb)),
-            ("descriptors of one process", wants.descriptors, self.descriptors),
+        needed = need(size)
+        for name, value, limit in (
+            ("processes", needed.processes, self.processes),
+            ("memory, MB", round(needed.memory_mb), round(self.memory_mb)),
+            ("descriptors of one process", needed.descriptors, self.descriptors),
         ):
-            if has > most:
-                raise TooLarge(f"{name}: {has} needed, {most} is the limit ({size})")
-        return wants
+            if value > limit:
+                raise SizeLimitError(f"{name}: {value} needed, {limit} is the limit ({size})")
+        return needed
 
 
-def bound() -> None:
-    """In a child, before its program: it ends with the run, and may open as many descriptors as
-    allowed.
-    """
+def prepare_child() -> None:
+    """Runs in a child before its program: ties its life to the run, raises its descriptor limit."""
     ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
@@ -160,8 +173,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Cost:
-    """What a process holds: resident bytes, descriptors. Its processor time it tells itself, as the
-    ticks of others' view (10 ms) are too coarse for windows of seconds.
+    """What a process holds: resident bytes and file descriptors.
+
+    Each process reports its own processor time, as the 10 ms ticks of /proc are too coarse for
+    windows of seconds.
     """
 
     resident: int
@@ -175,20 +190,20 @@
     role: str
     name: str
     process: asyncio.subprocess.Process
-    figures: Path | None = None  # where a program writes its counts at SIGUSR1
+    figures: Path | None = None  # file for a program's counts, written on SIGUSR1
 
     def cost(self) -> Cost:
-        known = psutil.Process(self.process.pid)
-        with known.oneshot():
-            return Cost(known.memory_info().rss, known.num_fds())
+        process = psutil.Process(self.process.pid)
+        with process.oneshot():
+            return Cost(process.memory_info().rss, process.num_fds())
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         return self.process.returncode is None
 
     async def counts(self) -> dict[str, Any]:
-        """A program's messages and bytes so far."""
-        if self.figures is None or not self.runs:
+        """Returns a program's counts of messages and bytes so far."""
+        if self.figures is None or not self.is_running:
             return {}
         self.figures.unlink(missing_ok=True)
         self.process.send_signal(signal.SIGUSR1)
@@ -196,41 +211,43 @@
             if self.figures.exists():
                 return json.loads(self.figures.read_text())
             await asyncio.sleep(0.02)
-        raise RuntimeError(f"{self.name}: gave no counts in 4 s")
+        raise RuntimeError(f"{self.name}: wrote no counts within 4 s")
 
-    async def order(self, **said: Any) -> dict[str, Any]:
-        """An order to a worker, and its answer."""
+    async def order(self, **order: Any) -> dict[str, Any]:
+        """Sends an order to a worker and returns its answer."""
         assert self.process.stdin is not None and self.process.stdout is not None
-        self.process.stdin.write(json.dumps(said).encode() + b"\n")
+        self.process.stdin.write(json.dumps(order).encode() + b"\n")
         line = await self.process.stdout.readline()
         if not line:
-            raise RuntimeError(f"{self.name}: ended at {said['do']}")
+            raise RuntimeError(f"{self.name}: ended during {order['do']}")
         answer = json.loads(line)
         if "error" in answer:
-            raise RuntimeError(f"{self.name}: {said['do']}: {answer['error']}")
+            raise RuntimeError(f"{self.name}: {order['do']}: {answer['error']}")
         return answer
 
 
 @dataclass(slots=True)
 class Processes:
-    """All that a run started. `end` ends them, whatever became of the run."""
+    """All processes that a run started, which `end` ends."""
 
     limits: Limits
     children: list[Child] = field(default_factory=list)
-    began: list[int] = field(default_factory=list)  # the ids of all that were ever started
+    pids: list[int] = field(default_factory=list)  # of all processes ever started
 
     async def start(
         self,
         role: str,
         name: str,
         arguments: list[str],
-        variables: dict[str, str],
+        environment: dict[str, str],
         log: Path,
         figures: Path | None = None,
         pipes: bool = False,
     ) -> Child:
         if len(self.running()) >= self.limits.processes:
-            raise TooLarge(f"processes: {self.limits.processes} run, and that is the limit")
+            raise SizeLimitError(
+                f"processes: {self.limits.processes} are running, which is the limit"
+            )
         pipe = asyncio.subprocess.PIPE if pipes else asyncio.subprocess.DEVNULL
         with log.open("ab") as errors:
             process = await asyncio.create_subprocess_exec(
@@ -239,52 +256,64 @@
                 stdin=pipe,
                 stdout=pipe if pipes else errors,
                 stderr=errors,
-                env=os.environ | variables,
-                preexec_fn=bound,
+                env=os.environ | environment,
+                preexec_fn=prepare_child,
                 limit=256 << 20,
                 start_new_session=True,
             )
         child = Child(role, name, process, figures)
         self.children.append(child)
-        self.began.append(process.pid)
+        self.pids.append(process.pid)
         return child
 
     def running(self) -> list[Child]:
-        return [child for child in self.children if child.runs]
+        return [child for child in self.children if child.is_running]
 
     def memory(self) -> float:
-        """Resident MB of all; TooLarge where that is beyond the limit."""
+        """Returns the resident memory of all processes in MB.
+
+        Raises:
+            SizeLimitError: It is beyond the limit.
+        """
         used = sum(child.cost().resident for child in self.running()) / 1e6
         if used > self.limits.memory_mb:
-            raise TooLarge(
+            raise SizeLimitError(
                 f"memory, MB: {used:.0f} in use, {self.limits.memory_mb:.0f} is the limit"
             )
         return used
 
     async def end(self, children: list[Child] | None = None, kill: bool = False) -> None:
-        """SIGTERM, and SIGKILL to those that still run after 3 s; returns when all have ended."""
-        mine = [child for child in (self.children if children is None else children) if child.runs]
-        for child in mine:
+        """Ends processes by SIGTERM, or SIGKILL after 3 s, and waits until they have ended."""
+        running = [
+            child for child in (self.children if children is None else children) if child.is_running
+        ]
+        for child in running:
             if child.process.stdin is not None:
                 child.process.stdin.close()
             child.process.send_signal(signal.SIGKILL if kill else signal.SIGTERM)
-        waits = [asyncio.ensure_future(child.process.wait()) for child in mine]
+        waits = [asyncio.ensure_future(child.process.wait()) for child in running]
         if waits:
-            await asyncio.wait(waits, timeout=ENDS_WITHIN)
-        for child in mine:
-            if child.runs:
+            await asyncio.wait(waits, timeout=STOP_TIMEOUT_SECONDS)
+        for child in running:
+            if child.is_running:
                 child.process.kill()
         await asyncio.gather(*waits)
 
 
 class Cluster:
-    """The system of one size: cores (a registry and a store each), real proxies, and hollow ones
-    beside.
+    """The system of one size: core machines, real proxies, hollow limiters and hollow servers.
+
+    A core machine has a registry and a store.
     """
 
     def __init__(self, size: Size, limits: Limits, net: int, profile: str = "") -> None:
-        """`net` is the second part of its addresses; `profile` the role whose first process is
-        profiled.
+        """Creates the cluster without processes.
+
+        Args:
+            size: The size of the system.
+            limits: What the run may use of the machine.
+            net: Second part of the addresses.
+            profile: Role whose first process is profiled; empty for none.
         """
         self.size, self.net, self.profile = size, net, profile
         self.processes = Processes(limits)
@@ -297,18 +326,16 @@
         return f"127.{self.net}.1.{n + 1}"
 
     def controls(self) -> list[Address]:
-        return [(self.core(n), CONTROL) for n in range(self.size.cores)]
+        return [(self.core(n), CONTROL_PORT) for n in range(self.size.cores)]
 
     def origins(self) -> list[Address]:
-        """Where servers are that answer requests: one address for each, some hundred at most."""
+        """Returns the addresses of the servers that answer requests, at most 250."""
         if self.size.servers > 250:
-            raise RuntimeError(f"requests go to 250 servers at most, not {self.size.servers}")
+            raise RuntimeError(f"requests need at most 250 servers, not {self.size.servers}")
         return [(f"127.{self.net}.3.{n + 1}", 8080) for n in range(self.size.servers)]
 
     def settings(self, name: str, role: str, ip: str, first: bool) -> str:
-        """A settings file's text, with the descriptors of the sites' machines, and memory
-        enough.
-        """
+        """Returns the text of a settings file, with the descriptor limit of the sites' machines."""
         zone = list(ZONES)[int(ip.rsplit(".", 1)[1]) % len(ZONES)]
         seeds = ",".join(f"{ip}:{port}" for ip, port in self.controls()[:3])
         lines = [
@@ -321,31 +348,29 @@
             "self.loss_counted=true",
             f"self.first_start={str(first).lower()}",
             "self.limits.memory_mb=4000",
-            f"self.limits.file_descriptors={DESCRIPTORS}",
-            f"network.internal_ports={FIRST_PORT},{FIRST_PORT + 15}",
+            f"self.limits.file_descriptors={DESCRIPTOR_LIMIT}",
+            f"network.internal_ports={FIRST_INTERNAL_PORT},{FIRST_INTERNAL_PORT + 15}",
             f"network.seed_nodes={seeds}",
-            f"platform_settings.heartbeat={HEARTBEAT * 1000:.0f}ms",
+            f"platform_settings.heartbeat={HEARTBEAT_SECONDS * 1000:.0f}ms",
             *(f"network.zones.{zone}={region}" for zone, region in ZONES.items()),
         ]
         if role == "proxy":
             lines += [
                 "self.serves=frontend",
-                f"network.listen_addresses.frontend={ip}:{FRONT}",
-                f"network.listen_addresses.readiness={ip}:{READY}",
+                f"network.listen_addresses.frontend={ip}:{FRONTEND_PORT}",
+                f"network.listen_addresses.readiness={ip}:{READINESS_PORT}",
             ]
         if role == "registry":
             lines += [
                 "self.serves=control_plane",
-                f"network.listen_addresses.control_plane={ip}:{CONTROL}",
+                f"network.listen_addresses.control_plane={ip}:{CONTROL_PORT}",
             ]
         if role == "store":
             lines += [f"self.data_directory={self.folder / name}", "self.limits.disk_mb=256"]
         return "\n".join(lines) + "\n"
 
     async def program(self, role: str, n: int, first: bool = True) -> Child:
-        """Starts the n-th program of a role; `first` where the whole system starts for the first
-        time.
-        """
+        """Starts the n-th program of a role; `first` if the system starts for the first time."""
         name, ip = f"{role}-{n}", self.core(n) if role != "proxy" else f"127.{self.net}.2.{n + 1}"
         conf, figures = self.folder / f"{name}.conf", self.folder / f"{name}.json"
         (self.folder / name).mkdir(exist_ok=True)
@@ -353,9 +378,9 @@
         arguments = ["-m", "benchmarks.scale_role", role, str(figures)]
         if role == self.profile and n == 0:
             arguments += ["--profile", str(self.folder / "profile.stats")]
-        told = {"LOOMSTAND_CONFIG": str(conf)}
+        environment = {"LOOMSTAND_CONFIG": str(conf)}
         return await self.processes.start(
-            role, name, arguments, told, self.folder / f"{name}.log", figures
+            role, name, arguments, environment, self.folder / f"{name}.log", figures
         )
 
     async def worker(self, role: str, n: int) -> Child:
@@ -374,7 +399,7 @@
     async def post(
         self, call: str, body: bytes = b"", n: int = 0, within: float = 1.0
     ) -> tuple[int, bytes]:
-        """A call of the operator to the n-th registry; status 0 where there is no answer."""
+        """Sends an operator call to the n-th registry; returns status 0 for no answer."""
         try:
             async with asyncio.timeout(within):
                 reader, writer = await asyncio.open_connection(
@@ -393,32 +418,37 @@
                         for line in answer.split(b"\r\n")[1:]
                         if b":" in line
                     )
-                    said = await reader.readexactly(int(fields.get(b"content-length", b"0")))
-                    return int(answer[9:12]), said
+                    content = await reader.readexactly(int(fields.get(b"content-length", b"0")))
+                    return int(answer[9:12]), content
                 finally:
                     writer.transport.abort()
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError):
             return 0, b""
 
     async def replace(self, within: float) -> tuple[float, float, int]:
-        """A new version, sent until it is taken: when it was sent first, when acknowledged,
-        tries.
+        """Sends a new version of the configuration until it is acknowledged.
+
+        Returns:
+            The time of the first call, the time of the acknowledgement, and the number of calls.
+
+        Raises:
+            RuntimeError: The version was refused or not acknowledged in time.
         """
         self.version += 1
         body = configuration(self.version, self.size)
-        began, tries = time.monotonic(), 0
-        # a body of megabytes is given longer, as the protocol has it
-        patience = 1.0 + len(body) / 2e6
-        while time.monotonic() - began < within:
+        started_at, tries = time.monotonic(), 0
+        # the protocol allows more time for a body of megabytes
+        timeout = 1.0 + len(body) / 2e6
+        while time.monotonic() - started_at < within:
             tries += 1
-            status, said = await self.post("configuration.replace", body, tries - 1, patience)
+            status, answer = await self.post("configuration.replace", body, tries - 1, timeout)
             if status == 200:
-                return began, time.monotonic(), tries
+                return started_at, time.monotonic(), tries
             if status in (400, 413):
-                raise RuntimeError(f"configuration of {len(body)} bytes: {status} {said[:200]!r}")
+                raise RuntimeError(f"configuration of {len(body)} bytes: {status} {answer[:200]!r}")
             await asyncio.sleep(0.05)
         raise RuntimeError(
-            f"configuration of {len(body)} bytes: not taken in {within:.0f} s ({tries} tries)"
+            f"configuration of {len(body)} bytes: not acknowledged in {within:.0f} s, {tries} calls"
         )
 
     async def end(self) -> None:
@@ -429,7 +459,7 @@
 
 
 def configuration(version: int, size: Size) -> bytes:
-    """A configuration of a size, as the operator sends it; each version moves one route."""
+    """Returns a configuration of a size; each version assigns one route to another service."""
     services = max(1, min(size.routes, size.servers // 4))
     resources: list[dict[str, Any]] = [
         {
@@ -458,7 +488,7 @@
                 },
             }
         )
-    whole = sum(1 / (n + 1) for n in range(size.tenants))
+    weight_sum = sum(1 / (n + 1) for n in range(size.tenants))
     resources += [
         {
             "resource_kind": "tenants",
@@ -466,7 +496,7 @@
             "specification": {
                 "api_keys": [f"key-of-tenant-{n}"],
                 "priority": 1,
-                **quota(size, n, whole),
+                **quota(size, n, weight_sum),
             },
         }
         for n in range(size.tenants)
@@ -476,17 +506,18 @@
     ).encode()
 
 
-def quota(size: Size, n: int, whole: float) -> dict[str, float]:
-    """A tenant's quota by its part of what limiters count, 5 a second at the least; where they
-    count nothing, more than requests of one proxy come to.
+def quota(size: Size, n: int, weight_sum: float) -> dict[str, float]:
+    """Returns a tenant's quota, from its share of the counter calls and at least 5 per second.
+
+    Without counter calls it is more than the requests of one proxy.
     """
-    least = 5.0 if size.counts else 1000.0
-    rate = max(least, round(size.limiters * size.counts / (n + 1) / whole / size.use, 1))
+    minimum = 5.0 if size.counts else 1000.0
+    rate = max(minimum, round(size.limiters * size.counts / (n + 1) / weight_sum / size.use, 1))
     return {"rate_per_s": rate, "burst_size": 2 * rate}
 
 
 def free_net(taken: Callable[[int], bool] | None = None) -> int:
-    """A second part of addresses that nobody listens on, so that runs don't meet."""
+    """Returns a second part of addresses that no process listens on, so that runs don't collide."""
     used = taken or (
         lambda net: any(c.laddr and c.laddr.ip.startswith(f"127.{net}.") for c in connections())
     )
--- a/benchmarks/scale_fit.py
+++ b/benchmarks/scale_fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through what a scale run measured, how far off they are, and plots."""
+"""Linear fits to the measurements of a scale run, their residuals, and plots."""
 
 from __future__ import annotations
 
@@ -14,8 +14,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Slope:
-    """A line `start + slope * by`. `off` is the worst residual as a share of what was measured
-    there; `bend` the last step's slope by the first's, 1 where the line is one.
+    """A line `start + slope * by` through measured points.
+
+    Attributes:
+        what: Name of the measurement.
+        by: Name of the size that was swept.
+        slope: Increase per unit of the size.
+        start: Value at size 0.
+        off: Largest residual, as a share of the measured value.
+        bend: Slope of the last step divided by that of the first; 1 for a straight line.
+        points: The sizes and measured values.
     """
 
     what: str
@@ -28,8 +36,9 @@
 
 
 def fit(what: str, by: str, points: list[tuple[float, float]]) -> Slope | None:
-    """Least squares of the relative distance, so that small sizes count as much; None under two
-    points.
+    """Fits a line by least squares of the relative residuals, so that all sizes weigh the same.
+
+    Returns None for fewer than two sizes.
     """
     points = sorted(points)
     if len({x for x, _ in points}) < 2:
@@ -95,27 +104,27 @@
 def values(
     points: list[Point], by: str, get: Callable[[Point], float]
 ) -> list[tuple[float, float]]:
-    """What was measured at each size, where it was."""
-    got = []
-    for one in points:
+    """Returns the sizes and the measured values, without the sizes that lack the measurement."""
+    measured = []
+    for point in points:
         try:
-            got.append((float(one["size"][by]), float(get(one))))
+            measured.append((float(point["size"][by]), float(get(point))))
         except (KeyError, TypeError):
             continue
-    return got
+    return measured
 
 
 def slopes(sweeps: dict[str, list[Point]]) -> list[Slope]:
-    """The lines of all that was measured by what was swept."""
-    found = (
+    """Returns the fit of each measurement by each size that was swept."""
+    fits = (
         fit(what, by, values(points, by, get))
         for by, points in sweeps.items()
         for what, get in MEASURED.items()
     )
-    return [slope for slope in found if slope is not None]
+    return [slope for slope in fits if slope is not None]
 
 
-# The window that shows what a sweep costs.
+# The window that shows the cost of a sweep; the window at rest for others.
 WINDOW = {
     "routes": "changing",
     "tenants": "changing",
@@ -131,32 +140,32 @@
     "times": ("ms", lambda what, by: what.endswith(" ms")),
     "memory": ("MB resident", lambda what, by: what.endswith(", MB")),
 }
-ACROSS = 4  # panels in a row
+PANELS_PER_ROW = 4
 
 
 def plots(sweeps: dict[str, list[Point]], folder: Path) -> list[Path]:
-    """A file for each kind of figure, a panel for each sweep: what was measured, and its line."""
+    """Writes a plot for each kind of measurement, with a panel of points and lines per sweep."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    wrote = []
+    written = []
     swept = [(by, points) for by, points in sweeps.items() if len(points) > 1]
-    down = max(1, -(-len(swept) // ACROSS))
+    rows = max(1, -(-len(swept) // PANELS_PER_ROW))
     for kind, (unit, shows) in PANELS.items():
         figure, axes = pyplot.subplots(
-            down, ACROSS, figsize=(3.6 * ACROSS, 3.2 * down), squeeze=False
+            rows, PANELS_PER_ROW, figsize=(3.6 * PANELS_PER_ROW, 3.2 * rows), squeeze=False
         )
         for axis in axes.flat[len(swept) :]:
             axis.set_axis_off()
         for axis, (by, points) in zip(axes.flat, swept, strict=False):
             for n, what in enumerate(what for what in MEASURED if shows(what, by)):
-                got = values(points, by, MEASURED[what])
-                line = fit(what, by, got)
+                measured = values(points, by, MEASURED[what])
+                line = fit(what, by, measured)
                 if line is None:
                     continue
-                x, y = np.array([p[0] for p in got]), np.array([p[1] for p in got])
+                x, y = np.array([p[0] for p in measured]), np.array([p[1] for p in measured])
                 color = f"C{n % 10}"
                 axis.plot(x, y, "o", color=color, markersize=4, label=what.rsplit(",", 1)[0])
                 along = np.geomspace(x.min(), x.max(), 50)
@@ -171,5 +180,5 @@
         path = folder / f"capacity-{kind}.png"
         figure.savefig(path, dpi=75)
         pyplot.close(figure)
-        wrote.append(path)
-    return wrote
+        written.append(path)
+    return written
--- a/benchmarks/scale_measure.py
+++ b/benchmarks/scale_measure.py
@@ -1,8 +1,8 @@
-"""The measuring of one size of the system: `scale_run` is its command.
+"""Measures one size of the system; `scale_run` is the command.
 
-Parts, in this order: start of the core, servers and limiters; a window at rest, one while limiters
-count, one while the configuration changes; drains; the loss of the primary store and of the
-registry that counts; a cold start of the whole core; requests through a real proxy.
+The parts of a measurement, in order: start of the core, servers and limiters; a window at rest, one
+with counter calls, requests through a real proxy; a window with changes of the configuration;
+drains; loss of the primary store and of the counting registry; a cold start of the whole core.
 """
 
 from __future__ import annotations
@@ -20,58 +20,56 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.scale_cluster import (
-    FRONT,
-    HEARTBEAT,
+    FRONTEND_PORT,
+    HEARTBEAT_SECONDS,
     ZONES,
     Child,
     Cluster,
     Cost,
     Limits,
     Size,
-    TooLarge,
+    SizeLimitError,
     free_net,
 )
 from loomstand.config.units import format_address
 
-WHOLE_WITHIN = 60.0  # s that limiters have to come to know everything
-SPREAD = 1.0  # s over which limiters start, and SPREAD_SERVERS servers
-SPREAD_SERVERS = HEARTBEAT
-SETTLES = 2.0  # s before a window
-DRAINS, LEAST_CHANGES = 3, 3
+READY_TIMEOUT_SECONDS = 60.0  # for limiters to get the configuration and all servers
+LIMITER_START_SECONDS = 1.0  # limiters start at random times in this span
+SERVER_START_SECONDS = HEARTBEAT_SECONDS  # servers start at random times in this span
+SETTLING_SECONDS = 2.0  # before a window
+DRAIN_COUNT, MIN_CHANGES = 3, 3
 
 Figures = dict[str, Any]
 
 
 def times(values: list[float]) -> Figures:
-    """Median, 99th and worst of times in seconds, in milliseconds, by a histogram of three
-    digits.
-    """
+    """Returns median, 99th percentile and maximum in ms, with three digits, of times in seconds."""
     histogram = HdrHistogram(1, 3_600_000_000, 3)
     for value in values:
         histogram.record_value(max(1, round(value * 1e6)))
     if not values:
         return {"n": 0}
-    at = {"median": 50.0, "p99": 99.0, "worst": 100.0}
+    percentiles = {"median": 50.0, "p99": 99.0, "worst": 100.0}
     return {"n": len(values)} | {
-        name: round(histogram.get_value_at_percentile(share) / 1000, 1)
-        for name, share in at.items()
+        name: round(histogram.get_value_at_percentile(percentile) / 1000, 1)
+        for name, percentile in percentiles.items()
     }
 
 
 @dataclass(slots=True)
 class Sample:
-    """All counts of all processes at one moment."""
+    """The counts of all processes at one time."""
 
     at: float
     costs: dict[str, tuple[Child, Cost]]
     counts: dict[str, Figures]
-    cpu: dict[str, list[float]]  # user and kernel, as each process has it of itself
+    cpu: dict[str, list[float]]  # user and kernel seconds, reported by each process
     hollow: Figures
-    beats: list[int]  # of servers: acknowledged, without an answer, connections opened
+    beats: list[int]  # heartbeats acknowledged, failed; connections opened for them
 
 
-class Run:
-    """The measuring of one size."""
+class Measurement:
+    """The measurement of one size."""
 
     def __init__(
         self,
@@ -84,36 +82,36 @@
         self.cluster, self.size, self.seconds, self.say = cluster, cluster.size, seconds, say
         self.events, self.rates = events, rates if cluster.size.proxies else ()
         self.found: Figures = {"size": asdict(cluster.size)}
-        self.left = 0  # servers that drain
+        self.draining = 0  # number of servers that drain
         self.clients: list[Child] = []
         self.rng = Random(1)
 
     # samples and windows
 
-    async def workers(self, **said: Any) -> list[Figures]:
-        """One order to all processes of hollow limiters."""
-        return await asyncio.gather(*(worker.order(**said) for worker in self.cluster.workers))
+    async def order_workers(self, **order: Any) -> list[Figures]:
+        """Sends an order to all processes of hollow limiters."""
+        return await asyncio.gather(*(worker.order(**order) for worker in self.cluster.workers))
 
     async def figures(self) -> Figures:
-        """The workers' figures, together."""
-        each = await self.workers(do="figures")
-        whole = {
+        """Returns the combined figures of all workers."""
+        each = await self.order_workers(do="figures")
+        lists = {
             key: sorted(at for one in each for at in one[key])
             for key in ("whole", "whole_at", "passed_at")
         }
         sums = ("limiters", "known", "standing", "counted", "uncounted", "bytes_in", "bytes_out")
-        said: Figures = whole | {key: sum(one[key] for one in each) for key in sums}
+        figures: Figures = lists | {key: sum(one[key] for one in each) for key in sums}
         for key in ("forced", "gone"):
-            said[key] = {}
+            figures[key] = {}
             for one in each:
-                for what, at in one[key].items():
-                    said[key].setdefault(what, []).extend(at)
+                for name, at in one[key].items():
+                    figures[key].setdefault(name, []).extend(at)
         for key in ("calls", "failed"):
             names = {name for one in each for name in one[key]}
-            said[key] = {name: sum(one[key].get(name, 0) for one in each) for name in names}
-        said["count_ms"] = [took for one in each for took in one["count_ms"]]
-        said["cpu"] = [one["cpu"] for one in each]
-        return said | {
+            figures[key] = {name: sum(one[key].get(name, 0) for one in each) for name in names}
+        figures["count_ms"] = [took for one in each for took in one["count_ms"]]
+        figures["cpu"] = [one["cpu"] for one in each]
+        return figures | {
             "fleet": max(one["fleet"] for one in each),
             "size": max(one["size"] for one in each),
         }
@@ -123,51 +121,53 @@
         self.cluster.processes.memory()
         costs = {child.name: (child, child.cost()) for child in running}
         at = time.monotonic()
-        named = [child for child in running if child.figures]
+        programs = [child for child in running if child.figures]
         counts = dict(
             zip(
-                [c.name for c in named],
-                await asyncio.gather(*(c.counts() for c in named)),
+                [c.name for c in programs],
+                await asyncio.gather(*(c.counts() for c in programs)),
                 strict=True,
             )
         )
-        kept = await asyncio.gather(
+        servers = await asyncio.gather(
             *(keeper.order(do="figures") for keeper in self.cluster.keepers)
         )
         hollow = await self.figures()
         cpu = {name: count["cpu"] for name, count in counts.items()}
         cpu |= {
-            child.name: one["cpu"] for child, one in zip(self.cluster.keepers, kept, strict=True)
+            child.name: one["cpu"] for child, one in zip(self.cluster.keepers, servers, strict=True)
         }
         cpu |= {
             child.name: one for child, one in zip(self.cluster.workers, hollow["cpu"], strict=True)
         }
-        beats = [sum(one[key] for one in kept) for key in ("beats", "beats_failed", "opened")]
+        beats = [sum(one[key] for one in servers) for key in ("beats", "beats_failed", "opened")]
         return Sample(at, costs, counts, cpu, hollow, beats)
 
     async def window(self, name: str, seconds: float) -> None:
-        """What each role costs a second; the registry that counts and the primary store are told
-        apart.
+        """Measures the cost of each role per second.
+
+        The counting registry and the primary store are roles of their own.
         """
-        counter, primary = await self.seats()
+        counter, primary = await self.counter_and_primary()
         before = await self.sample()
         await asyncio.sleep(seconds)
         after = await self.sample()
-        self.found[name] = self.between(before, after, counter, primary)
+        self.found[name] = self.costs_between(before, after, counter, primary)
 
-    def between(self, before: Sample, after: Sample, counter: str, primary: str) -> Figures:
-        lasted = after.at - before.at
+    def costs_between(self, before: Sample, after: Sample, counter: str, primary: str) -> Figures:
+        """Returns the costs per second of each role between two samples."""
+        duration = after.at - before.at
         roles: dict[str, list[Figures]] = {}
         for child, cost in after.costs.values():
             if child.name not in before.cpu or child.name not in after.cpu:
                 continue
-            was, used, role = before.cpu[child.name], after.cpu[child.name], child.role
+            cpu_before, cpu_after, role = before.cpu[child.name], after.cpu[child.name], child.role
             role = (
                 "counter" if child.name == counter else "primary" if child.name == primary else role
             )
             one: Figures = {
-                "user_ms": 1000 * (used[0] - was[0]) / lasted,
-                "kernel_ms": 1000 * (used[1] - was[1]) / lasted,
+                "user_ms": 1000 * (cpu_after[0] - cpu_before[0]) / duration,
+                "kernel_ms": 1000 * (cpu_after[1] - cpu_before[1]) / duration,
                 "resident_mb": cost.resident / 1e6,
                 "descriptors": float(cost.descriptors),
             }
@@ -175,42 +175,42 @@
                 then = before.counts[child.name]
                 for way in ("taken", "made"):
                     one[way] = sum(
-                        (now[way][op] - then[way].get(op, 0)) / lasted for op in now[way]
+                        (now[way][op] - then[way].get(op, 0)) / duration for op in now[way]
                     )
                 for way, count in now["bytes"].items():
                     key = f"kb_{way.replace(' ', '_')}"
-                    one[key] = (count - then["bytes"].get(way, 0)) / 1000 / lasted
+                    one[key] = (count - then["bytes"].get(way, 0)) / 1000 / duration
                 ops = {
-                    op: (n - then["taken"].get(op, 0)) / lasted for op, n in now["taken"].items()
+                    op: (n - then["taken"].get(op, 0)) / duration for op, n in now["taken"].items()
                 }
                 one["ops"] = {op: rate for op, rate in ops.items() if rate > 0}
             roles.setdefault(role, []).append(one)
-        said: Figures = {}
-        for role, many in roles.items():
-            keys = {key for one in many for key in one if key != "ops"}
-            said[role] = {
-                key: round(sum(one.get(key, 0.0) for one in many) / len(many), 3)
+        costs: Figures = {}
+        for role, processes in roles.items():
+            keys = {key for one in processes for key in one if key != "ops"}
+            costs[role] = {
+                key: round(sum(one.get(key, 0.0) for one in processes) / len(processes), 3)
                 for key in sorted(keys)
             }
-            ops = {op for one in many for op in one.get("ops", {})}
-            said[role]["ops"] = {
-                op: round(sum(o.get("ops", {}).get(op, 0) for o in many) / len(many), 2)
+            ops = {op for one in processes for op in one.get("ops", {})}
+            costs[role]["ops"] = {
+                op: round(sum(o.get("ops", {}).get(op, 0) for o in processes) / len(processes), 2)
                 for op in ops
             }
         n, a, b = self.size.limiters, before.hollow, after.hollow
-        said["limiter"] = {
+        costs["limiter"] = {
             "calls": {
-                op: round((b["calls"][op] - a["calls"].get(op, 0)) / lasted / n, 3)
+                op: round((b["calls"][op] - a["calls"].get(op, 0)) / duration / n, 3)
                 for op in b["calls"]
             },
             "failed": {op: b["failed"][op] - a["failed"].get(op, 0) for op in b["failed"]},
-            "kb_in": round((b["bytes_in"] - a["bytes_in"]) / 1000 / lasted / n, 4),
-            "kb_out": round((b["bytes_out"] - a["bytes_out"]) / 1000 / lasted / n, 4),
+            "kb_in": round((b["bytes_in"] - a["bytes_in"]) / 1000 / duration / n, 4),
+            "kb_out": round((b["bytes_out"] - a["bytes_out"]) / 1000 / duration / n, 4),
         }
         for role in ("hollow", "keeper"):
-            if role in said:
-                said[role]["each_ms"] = round(
-                    (said[role]["user_ms"] + said[role]["kernel_ms"])
+            if role in costs:
+                costs[role]["each_ms"] = round(
+                    (costs[role]["user_ms"] + costs[role]["kernel_ms"])
                     * len(roles[role])
                     / (n if role == "hollow" else self.size.servers),
                     4,
@@ -218,38 +218,41 @@
         for key, now, then in zip(
             ("beats", "beats failed", "opened"), after.beats, before.beats, strict=True
         ):
-            said[key] = round((now - then) / lasted, 2)
-        return said | {"seconds": round(lasted, 2)}
+            costs[key] = round((now - then) / duration, 2)
+        return costs | {"seconds": round(duration, 2)}
 
     async def status(self, n: int = 0) -> Figures:
         for step in range(20):
-            code, said = await self.cluster.post("system.status", n=n + step, within=2.0)
+            code, body = await self.cluster.post("system.status", n=n + step, within=2.0)
             if code == 200:
-                return json.loads(said)
+                return json.loads(body)
             await asyncio.sleep(0.1)
-        raise RuntimeError("no registry gives its status")
-
-    async def seats(self) -> tuple[str, str]:
-        """The names of the registry that counts and of the primary store."""
-        said = await self.status()
-        by = said["counting"]["by"] or ""
-        primary = ((said["store"] or {}).get("primary") or "").partition(":")[0]
-        where = {self.cluster.core(n): n for n in range(self.size.cores)}
-        return f"registry-{where.get(by, -1)}", f"store-{where.get(primary, -1)}"
-
-    async def until(self, there: Callable[[Figures], bool], within: float) -> tuple[bool, Figures]:
-        began = time.monotonic()
-        while not there(said := await self.figures()):
-            if time.monotonic() - began > within:
-                return False, said
+        raise RuntimeError("no registry answers with its status")
+
+    async def counter_and_primary(self) -> tuple[str, str]:
+        """Returns the names of the counting registry and of the primary store."""
+        status = await self.status()
+        counter = status["counting"]["by"] or ""
+        primary = ((status["store"] or {}).get("primary") or "").partition(":")[0]
+        numbers = {self.cluster.core(n): n for n in range(self.size.cores)}
+        return f"registry-{numbers.get(counter, -1)}", f"store-{numbers.get(primary, -1)}"
+
+    async def wait_until(
+        self, condition: Callable[[Figures], bool], within: float
+    ) -> tuple[bool, Figures]:
+        """Waits for a condition on the figures; returns whether it holds, and the figures."""
+        started_at = time.monotonic()
+        while not condition(figures := await self.figures()):
+            if time.monotonic() - started_at > within:
+                return False, figures
             await asyncio.sleep(0.2)
-        return True, said
+        return True, figures
 
     # the parts of a measurement
 
-    async def play(self) -> Figures:
+    async def run(self) -> Figures:
         await self.start()
-        await asyncio.sleep(SETTLES)
+        await asyncio.sleep(SETTLING_SECONDS)
         self.say("at rest")
         await self.window("rest", self.seconds)
         if self.size.counts > 0:
@@ -273,214 +276,221 @@
         return self.found
 
     async def start(self) -> None:
-        """Core, configuration, servers, limiters, in this order; the times of each."""
+        """Starts the core, the servers and the limiters, in this order, and times each."""
         cluster, size = self.cluster, self.size
         self.say("core")
-        began = time.monotonic()
+        started_at = time.monotonic()
         await cluster.start_core()
         _, acked, tries = await cluster.replace(30.0)
         places = []
-        if self.rates:  # servers are where something answers
+        if self.rates:  # the servers' addresses must answer requests
             origin = await cluster.worker("origin", 0)
-            await origin.order(do="origins", addresses=[list(where) for where in cluster.origins()])
-            places = [format_address(where) for where in cluster.origins()]
-        self.found["first configuration"] = {"s": round(acked - began, 2), "tries": tries}
+            await origin.order(
+                do="origins", addresses=[list(address) for address in cluster.origins()]
+            )
+            places = [format_address(address) for address in cluster.origins()]
+        self.found["first configuration"] = {"s": round(acked - started_at, 2), "tries": tries}
         self.say(f"{size.servers} servers")
         cluster.keepers = [await cluster.worker("keeper", n) for n in range(size.keepers)]
-        part = -(-size.servers // size.keepers)
-        controls = [list(where) for where in cluster.controls()]
+        per_keeper = -(-size.servers // size.keepers)
+        controls = [list(address) for address in cluster.controls()]
         for n, keeper in enumerate(cluster.keepers):
-            many = min(part, size.servers - n * part)
+            many = min(per_keeper, size.servers - n * per_keeper)
             await keeper.order(
                 do="servers",
-                first=n * part,
+                first=n * per_keeper,
                 many=many,
                 services=max(1, min(size.routes, size.servers // 4)),
                 zones=list(ZONES),
                 controls=controls,
-                every=HEARTBEAT,
-                spread=SPREAD_SERVERS,
-                places=places[n * part : n * part + many],
+                every=HEARTBEAT_SECONDS,
+                spread=SERVER_START_SECONDS,
+                places=places[n * per_keeper : n * per_keeper + many],
             )
-        began = time.monotonic()
+        started_at = time.monotonic()
         for _ in range(300):
-            known = [await self.status(n) for n in range(size.cores)]
+            statuses = [await self.status(n) for n in range(size.cores)]
             if all(
-                sum(n for s in said["servers"].values() for n in s.values()) >= size.servers
-                for said in known
+                sum(n for s in status["servers"].values() for n in s.values()) >= size.servers
+                for status in statuses
             ):
                 break
             await asyncio.sleep(0.1)
-        self.found["servers known"] = {"s": round(time.monotonic() - began, 2)}
+        self.found["servers known"] = {"s": round(time.monotonic() - started_at, 2)}
         self.say(f"{size.limiters} limiters")
         for n in range(size.proxies):
             await cluster.program("proxy", n)
         cluster.workers = [await cluster.worker("hollow", n) for n in range(size.workers)]
-        part = -(-size.limiters // size.workers)
+        per_worker = -(-size.limiters // size.workers)
         text = cluster.settings("hollow", "hollow", cluster.core(0), True)
         orders = []
         for n, worker in enumerate(cluster.workers):
-            many = min(part, size.limiters - n * part)
+            many = min(per_worker, size.limiters - n * per_worker)
             orders.append(
                 worker.order(
                     do="limiters",
                     settings=text,
-                    first=n * part,
+                    first=n * per_worker,
                     many=many,
-                    spread=SPREAD,
+                    spread=LIMITER_START_SECONDS,
                     servers=size.servers,
                     version=cluster.version,
                 )
             )
         await asyncio.gather(*orders)
-        _, said = await self.until(lambda said: len(said["whole"]) >= size.limiters, WHOLE_WITHIN)
-        self.found["limiters start"] = times(said["whole"]) | {"of": size.limiters}
-        self.found["configuration bytes"] = said["size"]
+        _, figures = await self.wait_until(
+            lambda figures: len(figures["whole"]) >= size.limiters, READY_TIMEOUT_SECONDS
+        )
+        self.found["limiters start"] = times(figures["whole"]) | {"of": size.limiters}
+        self.found["configuration bytes"] = figures["size"]
 
     async def counting(self) -> None:
-        await self.workers(do="counts", rate=self.size.counts, tenants=self.size.tenants)
-        await asyncio.sleep(SETTLES / 2)
+        await self.order_workers(do="counts", rate=self.size.counts, tenants=self.size.tenants)
+        await asyncio.sleep(SETTLING_SECONDS / 2)
         await self.window("counting", self.seconds)
-        said = await self.figures()
-        self.found["counting"]["times"] = times([took / 1000 for took in said["count_ms"]])
-        await self.workers(do="counts", rate=0.0, tenants=1)
+        figures = await self.figures()
+        self.found["counting"]["times"] = times([took / 1000 for took in figures["count_ms"]])
+        await self.order_workers(do="counts", rate=0.0, tenants=1)
 
     async def changes(self) -> None:
-        """Changes of the configuration at their rate; how long each is under way to each
-        limiter.
-        """
+        """Changes the configuration at its rate, and measures when the limiters get each change."""
         cluster, size = self.cluster, self.size
         seconds = self.seconds if size.changes else 0.0
-        many = max(LEAST_CHANGES, round(size.changes * seconds))
-        apart = 1 / size.changes if size.changes else 1.0
-        apart = min(apart, 1.0)  # the least number of changes takes no longer than a window
-        counter, primary = await self.seats()
-        before, sent, began = (
+        many = max(MIN_CHANGES, round(size.changes * seconds))
+        interval = 1 / size.changes if size.changes else 1.0
+        interval = min(interval, 1.0)  # MIN_CHANGES then take no longer than a window
+        counter, primary = await self.counter_and_primary()
+        before, sent, started_at = (
             await self.sample(),
             dict[str, tuple[float, float]](),
             time.monotonic(),
         )
         for n in range(many):
-            await asyncio.sleep(max(0.0, began + n * apart - time.monotonic()))
+            await asyncio.sleep(max(0.0, started_at + n * interval - time.monotonic()))
             first, acked, _ = await cluster.replace(15.0)
             sent[str(cluster.version)] = (first, acked)
         newest = str(cluster.version)
-        _, said = await self.until(
-            lambda said: len(said["forced"].get(newest, [])) >= size.limiters, 20.0
+        _, figures = await self.wait_until(
+            lambda figures: len(figures["forced"].get(newest, [])) >= size.limiters, 20.0
         )
         after = await self.sample()
-        self.found["changing"] = self.between(before, after, counter, primary)
-        # a limiter that took a newer version meanwhile never has this one: it counts by the newer
+        self.found["changing"] = self.costs_between(before, after, counter, primary)
+        # a limiter that skipped a version is counted for the newer version only
         lags, order = list[float](), sorted(sent, key=int)
         for version in order:
-            lags += [at - sent[version][0] for at in said["forced"].get(version, [])]
-        reached = len(said["forced"].get(newest, []))
+            lags += [at - sent[version][0] for at in figures["forced"].get(version, [])]
+        reached = len(figures["forced"].get(newest, []))
         self.found["change"] = {
             "acknowledged": times([acked - first for first, acked in sent.values()]),
             "in force": times(lags) | {"of": size.limiters * many},
             "newest at": [reached, size.limiters],
-            "apart_s": round((max(f for f, _ in sent.values()) - began) / max(1, many - 1), 3),
+            "apart_s": round((max(f for f, _ in sent.values()) - started_at) / max(1, many - 1), 3),
         }
 
     async def drains(self) -> None:
         cluster, size = self.cluster, self.size
         ids = [
-            f"i-{n:08x}" for n in self.rng.sample(range(size.servers), min(DRAINS, size.servers))
+            f"i-{n:08x}"
+            for n in self.rng.sample(range(size.servers), min(DRAIN_COUNT, size.servers))
         ]
-        await self.workers(do="watch", ids=ids)
-        part, lags, acks = -(-size.servers // size.keepers), list[float](), list[float]()
+        await self.order_workers(do="watch", ids=ids)
+        per_keeper, lags, acks = -(-size.servers // size.keepers), list[float](), list[float]()
         for id_ in ids:
-            keeper = cluster.keepers[int(id_[2:], 16) // part]
-            said = await keeper.order(do="drain", id=id_)
-            await self.until(
+            keeper = cluster.keepers[int(id_[2:], 16) // per_keeper]
+            drain = await keeper.order(do="drain", id=id_)
+            await self.wait_until(
                 lambda now, id_=id_: len(now["gone"].get(id_, [])) >= size.limiters, 10.0
             )
             now = await self.figures()
-            lags += [at - said["began"] for at in now["gone"].get(id_, [])]
-            acks += [said["acked"] - said["began"]] if said["acked"] else []
-        self.left = len(ids)
+            lags += [at - drain["began"] for at in now["gone"].get(id_, [])]
+            acks += [drain["acked"] - drain["began"]] if drain["acked"] else []
+        self.draining = len(ids)
         self.found["drain"] = {
             "acknowledged": times(acks) | {"of": len(ids)},
             "known": times(lags) | {"of": len(ids) * size.limiters},
         }
 
     async def primary_lost(self) -> None:
-        """SIGKILL to the primary store: until a change is acknowledged again."""
-        _, primary = await self.seats()
+        """Kills the primary store, and measures the time until a change is acknowledged."""
+        _, primary = await self.counter_and_primary()
         child = next((c for c in self.cluster.of("store") if c.name == primary), None)
         if child is None or self.size.cores < 3:
             self.found["primary lost"] = {
                 "skipped": "no primary known" if child is None else "under 3 cores"
             }
             return
-        began = time.monotonic()
+        started_at = time.monotonic()
         await self.cluster.processes.end([child], kill=True)
         _, acked, tries = await self.cluster.replace(30.0)
-        self.found["primary lost"] = {"s": round(acked - began, 2), "tries": tries}
+        self.found["primary lost"] = {"s": round(acked - started_at, 2), "tries": tries}
         await self.cluster.program("store", int(primary.rpartition("-")[2]), first=False)
-        await asyncio.sleep(SETTLES)
+        await asyncio.sleep(SETTLING_SECONDS)
 
     async def counter_lost(self) -> None:
-        """SIGKILL to the registry that counts: until a limiter is given a total again."""
-        counter, _ = await self.seats()
+        """Kills the counting registry, and measures the time until a limiter gets a total."""
+        counter, _ = await self.counter_and_primary()
         child = next((c for c in self.cluster.of("registry") if c.name == counter), None)
         if child is None or self.size.cores < 3:
             self.found["counter lost"] = {
                 "skipped": "no counter known" if child is None else "under 3 cores"
             }
             return
-        await self.workers(
+        await self.order_workers(
             do="counts", rate=max(1.0, 30 / self.size.limiters), tenants=self.size.tenants
         )
         await asyncio.sleep(1.0)
-        began = time.monotonic()
+        started_at = time.monotonic()
         await self.cluster.processes.end([child], kill=True)
-        _, said = await self.until(
-            lambda said: any(at > began + 0.1 for at in said["passed_at"]), 15.0
+        _, figures = await self.wait_until(
+            lambda figures: any(at > started_at + 0.1 for at in figures["passed_at"]), 15.0
         )
-        again = [at for at in said["passed_at"] if at > began + 0.1]
-        self.found["counter lost"] = {"s": round(min(again) - began, 2) if again else None}
-        await self.workers(do="counts", rate=0.0, tenants=1)
+        again = [at for at in figures["passed_at"] if at > started_at + 0.1]
+        self.found["counter lost"] = {"s": round(min(again) - started_at, 2) if again else None}
+        await self.order_workers(do="counts", rate=0.0, tenants=1)
         await self.cluster.program("registry", int(counter.rpartition("-")[2]), first=False)
-        await asyncio.sleep(SETTLES)
+        await asyncio.sleep(SETTLING_SECONDS)
 
     async def cold_start(self) -> None:
-        """SIGKILL to the whole core, and a start of all: until limiters are sure again of the
-        newest.
-        """
+        """Kills and restarts the whole core, and measures the time until limiters are current."""
         cluster, size = self.cluster, self.size
         core = [
             child for child in cluster.processes.running() if child.role in ("registry", "store")
         ]
         await cluster.processes.end(core, kill=True)
-        await self.workers(do="await", version=cluster.version, servers=size.servers - self.left)
-        began = time.monotonic()
+        await self.order_workers(
+            do="await", version=cluster.version, servers=size.servers - self.draining
+        )
+        started_at = time.monotonic()
         await cluster.start_core(first=False)
         _, acked, tries = await cluster.replace(45.0)
-        _, said = await self.until(lambda said: len(said["whole"]) >= size.limiters, WHOLE_WITHIN)
+        _, figures = await self.wait_until(
+            lambda figures: len(figures["whole"]) >= size.limiters, READY_TIMEOUT_SECONDS
+        )
         self.found["cold start"] = {
-            "acknowledged_s": round(acked - began, 2),
+            "acknowledged_s": round(acked - started_at, 2),
             "tries": tries,
-            "limiters": times([at - began for at in said["whole_at"]]) | {"of": size.limiters},
+            "limiters": times([at - started_at for at in figures["whole_at"]])
+            | {"of": size.limiters},
         }
 
     async def traffic(self, rate: float) -> None:
-        """Requests through one real proxy to servers that answer at once, and to one of these
-        itself: what the proxy adds, and what a request costs it.
+        """Sends requests through a real proxy to servers that answer at once, and directly to one.
+
+        The difference is the time that the proxy adds; its processor time is the cost of a request.
         """
         cluster, size = self.cluster, self.size
         if not self.clients:
             self.clients = [await cluster.worker("clients", 0)]
             self.found["requests"] = []
         proxy = cluster.of("proxy")[0]
-        name = int(proxy.name.rpartition("-")[2])
+        number = int(proxy.name.rpartition("-")[2])
         load = {"rate": rate, "seconds": self.seconds, "tenants": size.tenants, "seed": 1}
         load["routes"] = max(1, min(size.routes, size.servers // 4))
         (ip, port), clients = cluster.origins()[0], self.clients[0]
-        straight = await clients.order(do="load", ip=ip, port=port, **load)
+        direct = await clients.order(do="load", ip=ip, port=port, **load)
         before = (await proxy.counts())["cpu"]
         through = await clients.order(
-            do="load", ip=f"127.{cluster.net}.2.{name + 1}", port=FRONT, **load
+            do="load", ip=f"127.{cluster.net}.2.{number + 1}", port=FRONTEND_PORT, **load
         )
         after = (await proxy.counts())["cpu"]
         many = max(1, len(through["ms"]))
@@ -488,7 +498,7 @@
             {
                 "rate": rate,
                 "statuses": through["statuses"],
-                "straight": times([took / 1000 for took in straight["ms"]]),
+                "straight": times([took / 1000 for took in direct["ms"]]),
                 "through": times([took / 1000 for took in through["ms"]]),
                 "user_ms": round(1000 * (after[0] - before[0]) / many, 4),
                 "kernel_ms": round(1000 * (after[1] - before[1]) / many, 4),
@@ -503,43 +513,54 @@
     say: Callable[[str], None] = lambda text: None,
     events: bool = True,
     profile: str = "",
-    began: list[int] | None = None,
+    pids: list[int] | None = None,
     rates: tuple[float, ...] = (),
 ) -> Figures:
-    """One size, from its start to the end of all its processes, however that comes. `began` is
-    given the ids of all processes that were started; `rates` are of requests a second through a
-    real proxy, one after the other. Raises TooLarge, before anything is started where that can be
-    known.
+    """Measures one size, and ends all its processes however the measurement ends.
+
+    Args:
+        size: The size of the system.
+        limits: What the run may use of the machine.
+        seconds: Duration of each window.
+        say: Called with the part of the measurement that starts.
+        events: Whether to measure changes, drains, losses and a cold start.
+        profile: Role whose first process is profiled; empty for none.
+        pids: List that gets the pids of all processes started.
+        rates: Requests per second through a real proxy, measured in sequence.
+
+    Raises:
+        SizeLimitError: The size is beyond a limit; before any process is started, if its need
+            already is.
     """
-    wants = limits.check(size)
+    needed = limits.check(size)
     cluster, at = Cluster(size, limits, free_net(), profile), time.monotonic()
-    run = Run(cluster, seconds, say, events, rates)
-    if began is not None:
-        cluster.processes.began = began
+    measurement = Measurement(cluster, seconds, say, events, rates)
+    if pids is not None:
+        cluster.processes.pids = pids
     try:
-        found = await run.play()
-        # first those that keep the program busy, so that it has time to write what it saw
+        found = await measurement.run()
+        # the load ends first, so that the profiled program has time to write its profile
         if profile:
             await cluster.processes.end([*cluster.workers, *cluster.keepers])
-            await asyncio.sleep(SETTLES)
+            await asyncio.sleep(SETTLING_SECONDS)
             await cluster.processes.end()
-            found["profile"] = profiled(cluster.folder / "profile.stats")
-    except TooLarge:
+            found["profile"] = most_expensive(cluster.folder / "profile.stats")
+    except SizeLimitError:
         raise
-    except Exception as why:  # what it measured until then stands
-        found = run.found | {"failed": f"{type(why).__name__}: {why}"}
+    except Exception as error:  # the measurements until then are kept
+        found = measurement.found | {"failed": f"{type(error).__name__}: {error}"}
     finally:
-        # those that count as lost anyway needn't hand over to each other
+        # killed, as a transfer of duties between them is not needed
         await cluster.processes.end(kill=True)
         await cluster.end()
-    return found | {"need": asdict(wants), "took_s": round(time.monotonic() - at, 1)}
+    return found | {"need": asdict(needed), "took_s": round(time.monotonic() - at, 1)}
 
 
-def profiled(path: Path, most: int = 25) -> list[list[Any]]:
-    """The dearest functions of a profile: name, calls, own seconds, seconds with those called."""
+def most_expensive(path: Path, count: int = 25) -> list[list[Any]]:
+    """Returns the functions with the most own time: name, calls, own seconds, total seconds."""
     stats = pstats.Stats(str(path))
     rows = []
-    for (file, line, name), (_, calls, own, whole, _) in stats.stats.items():
+    for (file, line, name), (_, calls, own, total, _) in stats.stats.items():
         where = f"{Path(file).parent.name}/{Path(file).name}:{line}" if line else file
-        rows.append([f"{where} {name}", calls, round(own, 3), round(whole, 3)])
-    return sorted(rows, key=lambda row: -row[2])[:most]
+        rows.append([f"{where} {name}", calls, round(own, 3), round(total, 3)])
+    return sorted(rows, key=lambda row: -row[2])[:count]
--- a/benchmarks/scale_role.py
+++ b/benchmarks/scale_role.py
@@ -1,10 +1,11 @@
-"""One real program of the system, with its messages counted: `python -m benchmarks.scale_role
-PROGRAM FILE`.
+"""Runs one program of the system and counts its messages.
 
-The program runs unchanged by its own `__main__`. Counted are the calls that it makes and takes by
-operation, and the bytes of frames and of calls from outside; at SIGUSR1 they are written to FILE as
-JSON, at once and whole. With `--profile STATS` the program's work is profiled (`cProfile`), and its
-times are no measure then.
+    python -m benchmarks.scale_role PROGRAM FILE [--profile STATS]
+
+The program runs unchanged, by its own `__main__`. The calls that it makes and serves are counted by
+operation, and the bytes of frames and of operator calls; on SIGUSR1 the counts are written to FILE
+as JSON, atomically. With `--profile STATS` the program is profiled (`cProfile`), which distorts its
+times.
 """
 
 from __future__ import annotations
@@ -24,62 +25,67 @@
 from loomstand.rpc.operator_http import OperatorHttpServer
 from loomstand.rpc.tcp_connection import ServerConnection, TcpConnection
 
-taken: Counter[str] = Counter()
+served: Counter[str] = Counter()
 made: Counter[str] = Counter()
 size: Counter[str] = Counter()
 
 
-def counted() -> None:
-    """Puts the counts between the program and its network."""
-    pack, received, answer, serve = (
+def install_counters() -> None:
+    """Wraps the program's network functions so that they count."""
+    encode_frame, receive, serve_call, serve = (
         tcp_connection.encode_frame,
         TcpConnection.data_received,
         ServerConnection.serve_call,
         OperatorHttpServer.serve,
     )
 
-    def packed(frame: Frame) -> bytes:
-        raw = pack(frame)
+    def counted_encode_frame(frame: Frame) -> bytes:
+        raw = encode_frame(frame)
         size["out"] += len(raw)
         if isinstance(frame, CallFrame):
             made[frame.operation] += 1
         return raw
 
-    def data_received(line: TcpConnection, data: bytes) -> None:
+    def counted_data_received(connection: TcpConnection, data: bytes) -> None:
         size["in"] += len(data)
-        received(line, data)
+        receive(connection, data)
 
-    def answered(line: ServerConnection, call: CallFrame) -> Any:
-        taken[call.operation] += 1
-        return answer(line, call)
+    def counted_serve_call(connection: ServerConnection, call: CallFrame) -> Any:
+        served[call.operation] += 1
+        return serve_call(connection, call)
 
-    def served(
-        outside: OperatorHttpServer, held: Any, method: bytes, target: bytes, body: bytes
+    def counted_serve(
+        server: OperatorHttpServer, connection: Any, method: bytes, target: bytes, body: bytes
     ) -> Any:
-        taken["outside"] += 1
+        served["outside"] += 1
         size["outside in"] += len(target) + len(body)
-        return serve(outside, held, method, target, body)
+        return serve(server, connection, method, target, body)
 
-    tcp_connection.encode_frame = packed
-    TcpConnection.data_received = data_received
-    ServerConnection.serve_call = answered
-    OperatorHttpServer.serve = served
+    tcp_connection.encode_frame = counted_encode_frame
+    TcpConnection.data_received = counted_data_received
+    ServerConnection.serve_call = counted_serve_call
+    OperatorHttpServer.serve = counted_serve
 
 
 def main() -> None:
     program, out, *more = sys.argv[1:]
 
-    def tell(*_: object) -> None:
-        use = resource.getrusage(resource.RUSAGE_SELF)  # finer than the ticks that others see
+    def write_counts(*_: object) -> None:
+        usage = resource.getrusage(resource.RUSAGE_SELF)  # finer than the 10 ms ticks of /proc
         with open(out + ".new", "w", encoding="utf-8") as file:
             json.dump(
-                {"taken": taken, "made": made, "bytes": size, "cpu": [use.ru_utime, use.ru_stime]},
+                {
+                    "taken": served,
+                    "made": made,
+                    "bytes": size,
+                    "cpu": [usage.ru_utime, usage.ru_stime],
+                },
                 file,
             )
         os.replace(out + ".new", out)
 
-    signal.signal(signal.SIGUSR1, tell)
-    counted()
+    signal.signal(signal.SIGUSR1, write_counts)
+    install_counters()
     sys.argv = [f"loomstand.{program}"]
     if more[:1] != ["--profile"]:
         runpy.run_module(
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -1,15 +1,17 @@
-"""What the system costs at a size, by real processes on loopback: `python -m benchmarks.scale_run`.
-
-Real registries, stores and proxies beside hollow limiters and servers (`scale_hollow`). Each size
-is measured at rest, while limiters count, and while the configuration changes; then come drains,
-the loss of the primary store, the loss of the registry that counts, and a cold start of the whole
-core (`scale_measure`). One figure of the size is swept at a time. The run says beforehand what it
-needs and refuses what is beyond a limit.
-
-    python -m benchmarks.scale_run --sweep limiters=30,100,300 --sweep servers=60,300,1000 --out
-    scale.json python -m benchmarks.scale_run --sweep limiters=3000 --need          # only what it
-    would need python -m benchmarks.scale_run --read a.json b.json --plots docs     # slopes and
-    plots of earlier runs
+"""Measures what the system costs at a size, with real processes on loopback sockets.
+
+Real registries, stores and proxies run beside hollow limiters and servers (`scale_hollow`). Each
+size is measured at rest, with counter calls, and with changes of the configuration; then follow
+drains, the loss of the primary store, the loss of the counting registry, and a cold start of the
+whole core (`scale_measure`). One number of the size is swept at a time. The run first prints what
+it needs and refuses a size beyond a limit.
+
+    # two sweeps
+    python -m benchmarks.scale_run --sweep limiters=30,100,300 --sweep servers=60,300 --out a.json
+    # only the need of a size
+    python -m benchmarks.scale_run --sweep limiters=3000 --need
+    # slopes and plots of earlier runs
+    python -m benchmarks.scale_run --read a.json b.json --plots docs
 """
 
 from __future__ import annotations
@@ -31,29 +33,29 @@
 from rich.progress import Progress, SpinnerColumn, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from benchmarks.scale_cluster import Limits, Size, TooLarge, need
+from benchmarks.scale_cluster import Limits, Size, SizeLimitError, need
 from benchmarks.scale_fit import plots, slopes
 from benchmarks.scale_measure import Figures, measure
 
 SWEPT = ("limiters", "servers", "routes", "tenants", "changes", "counts", "use", "cores")
 
 
-def table(all_: list[Figures], swept: str) -> Table:
-    """What was measured, a column for each size."""
-    said = Table(title=f"by {swept}", title_justify="left")
-    said.add_column("")
-    for one in all_:
-        said.add_column(f"{one['size'][swept]:g}", justify="right")
+def results_table(results: list[Figures], swept: str) -> Table:
+    """Returns the measurements of a sweep, with a column for each size."""
+    table = Table(title=f"by {swept}", title_justify="left")
+    table.add_column("")
+    for one in results:
+        table.add_column(f"{one['size'][swept]:g}", justify="right")
 
     def row(name: str, get: Callable[[Figures], Any]) -> None:
         cells = []
-        for one in all_:
+        for one in results:
             try:
                 cells.append(str(get(one)))
             except (KeyError, TypeError):
                 cells.append("-")
         if set(cells) != {"-"}:
-            said.add_row(name, *cells)
+            table.add_row(name, *cells)
 
     def cpu(one: Figures, window: str, role: str) -> str:
         at = one[window][role]
@@ -118,22 +120,23 @@
     row("a request, ms: rate: through - straight, median 99th; work", requests)
     row("memory of all, MB", lambda one: round(one["memory_mb"]))
     row("failed", lambda one: one["failed"])
-    return said
+    return table
 
 
-def asked(text: str) -> tuple[str, list[float]]:
-    """`limiters=30,100` as a name and numbers."""
+def parse_sweep(text: str) -> tuple[str, list[float]]:
+    """Parses `limiters=30,100` into a name and numbers."""
     name, _, values = text.partition("=")
     if name not in SWEPT:
-        raise argparse.ArgumentTypeError(f"{name!r} is none of {', '.join(SWEPT)}")
+        raise argparse.ArgumentTypeError(f"{name!r} is not one of {', '.join(SWEPT)}")
     try:
         numbers = [float(value) for value in values.split(",")]
     except ValueError:
-        raise argparse.ArgumentTypeError(f"{values!r} is no list of numbers") from None
+        raise argparse.ArgumentTypeError(f"{values!r} is not a list of numbers") from None
     return name, numbers
 
 
-def at(size: Size, name: str, value: float) -> Size:
+def with_value(size: Size, name: str, value: float) -> Size:
+    """Returns the size with another value; only some numbers of a size may be fractional."""
     return replace(size, **{name: value if name in ("changes", "counts", "use") else int(value)})
 
 
@@ -142,7 +145,7 @@
 
 
 def read(paths: list[Path]) -> Figures:
-    """Earlier runs, their points by what they swept."""
+    """Returns the results of earlier runs, joined by the number that was swept."""
     runs = [json.loads(path.read_text()) for path in paths]
     joined: Figures = {"machine": runs[0]["machine"], "sweeps": {}}
     for one in runs:
@@ -153,13 +156,13 @@
     return joined
 
 
-def shown(told: Figures, console: Console) -> None:
-    for name, points in told["sweeps"].items():
-        console.print(table([one for one in points if one], name))
+def print_results(results: Figures, console: Console) -> None:
+    for name, points in results["sweeps"].items():
+        console.print(results_table([one for one in points if one], name))
     lines = Table(
         "what", "by", "a unit", "at none", "fit off by, %", "last step / first", title="slopes"
     )
-    for slope in slopes(told["sweeps"]):
+    for slope in slopes(results["sweeps"]):
         lines.add_row(
             slope.what,
             slope.by,
@@ -176,66 +179,75 @@
         description=__doc__, formatter_class=argparse.RawTextHelpFormatter
     )
     parser.add_argument(
-        "--sweep", type=asked, action="append", help="a figure and its values: limiters=30,100"
+        "--sweep",
+        type=parse_sweep,
+        action="append",
+        help="a number of the size and its values: limiters=30,100",
     )
     parser.add_argument(
-        "--base", type=asked, action="append", help="a figure that isn't swept: servers=60"
+        "--base", type=parse_sweep, action="append", help="a number that isn't swept: servers=60"
     )
     parser.add_argument("--cores", type=int, default=3)
-    parser.add_argument("--proxies", type=int, default=2, help="real ones")
-    parser.add_argument("--seconds", type=float, default=4.0, help="of each window")
+    parser.add_argument("--proxies", type=int, default=2, help="number of real proxies")
+    parser.add_argument("--seconds", type=float, default=4.0, help="duration of each window")
     parser.add_argument(
-        "--memory", type=float, help="MB at the most; half of the machine's if not given"
+        "--memory", type=float, help="limit in MB; default: half of the machine's memory"
     )
     parser.add_argument(
-        "--requests", type=float, nargs="+", help="rates a second through a real proxy"
+        "--requests", type=float, nargs="+", help="rates per second through a real proxy"
     )
     parser.add_argument(
-        "--no-events", action="store_true", help="only the windows at rest and counting"
+        "--no-events", action="store_true", help="only the windows at rest and with counter calls"
     )
     parser.add_argument(
-        "--profile", choices=("registry", "store", "proxy"), help="the first one of a role"
+        "--profile",
+        choices=("registry", "store", "proxy"),
+        help="role whose first process is profiled",
     )
-    parser.add_argument("--need", action="store_true", help="only say what it would need")
-    parser.add_argument("--out", type=Path, help="a file for all figures, as JSON")
+    parser.add_argument("--need", action="store_true", help="only print what the run would need")
+    parser.add_argument("--out", type=Path, help="file for all results, as JSON")
     parser.add_argument(
-        "--read", type=Path, nargs="+", help="files of earlier runs, instead of a run"
+        "--read", type=Path, nargs="+", help="files of earlier runs to print instead of a run"
     )
-    parser.add_argument("--plots", type=Path, help="a folder for the plots")
+    parser.add_argument("--plots", type=Path, help="folder for the plots")
     args = parser.parse_args(arguments)
     console = Console(width=max(120, Console().width))
     try:
         if args.read:
-            told = read(args.read)
+            results = read(args.read)
         else:
-            told = sweep(args, console)
-            if told is None:
+            results = sweep(args, console)
+            if results is None:
                 return 0
-    except TooLarge as why:
-        console.print(f"refused: {why}", style="bold", markup=False)
+    except SizeLimitError as error:
+        console.print(f"refused: {error}", style="bold", markup=False)
         return 2
     except KeyboardInterrupt:
         console.print("stopped: all that was started has ended")
         return 130
-    shown(told, console)
+    print_results(results, console)
     if args.plots:
-        for path in plots(told["sweeps"], args.plots):
+        for path in plots(results["sweeps"], args.plots):
             console.print(f"wrote {path}")
-    return 1 if any("failed" in one for points in told["sweeps"].values() for one in points) else 0
+    return 1 if any("failed" in one for pts in results["sweeps"].values() for one in pts) else 0
 
 
 def sweep(args: argparse.Namespace, console: Console) -> Figures | None:
-    """All the sizes that were asked for; None where only their need was. Raises TooLarge."""
+    """Measures all sizes of the sweeps; returns None with `--need`.
+
+    Raises:
+        SizeLimitError: A size is beyond a limit.
+    """
     base = Size(cores=args.cores, proxies=args.proxies)
     for name, values in args.base or ():
-        base = at(base, name, values[0])
+        base = with_value(base, name, values[0])
     sizes = [
-        (name, at(base, name, v))
+        (name, with_value(base, name, v))
         for name, values in args.sweep or [("limiters", [30.0])]
         for v in values
     ]
     limits = Limits.of_machine(args.memory)
-    wants = Table(
+    needs = Table(
         "size",
         "processes",
         "memory, MB",
@@ -245,11 +257,11 @@
     )
     for name, size in sizes:
         one = need(size)
-        wants.add_row(
+        needs.add_row(
             f"{name} {getattr(size, name):g}",
             *map(str, (one.processes, round(one.memory_mb), one.descriptors)),
         )
-    console.print(wants)
+    console.print(needs)
     console.print(
         f"limits: {limits.processes} processes, {limits.memory_mb:.0f} MB, {limits.descriptors} "
         "descriptors"
@@ -264,7 +276,7 @@
         "load_before": os.getloadavg(),
         "memory_mb": round(psutil.virtual_memory().total / 1e6),
     }
-    told: Figures = {"machine": machine, "sweeps": {}}
+    results: Figures = {"machine": machine, "sweeps": {}}
     columns = SpinnerColumn(), TextColumn("{task.description}"), TimeElapsedColumn()
     with Progress(*columns, console=console, disable=not console.is_terminal) as progress:
         for n, (name, size) in enumerate(sizes, 1):
@@ -274,7 +286,7 @@
             def say(text: str, title: str = title, task: Any = task) -> None:
                 progress.update(task, description=f"{title}: {text}")
 
-            work = measure(
+            measurement = measure(
                 size,
                 limits,
                 args.seconds,
@@ -283,9 +295,9 @@
                 args.profile or "",
                 rates=tuple(args.requests or ()),
             )
-            found = asyncio.run(signalled(work))
+            found = asyncio.run(run_until_signal(measurement))
             found["load"] = os.getloadavg()
-            told["sweeps"].setdefault(name, []).append(found)
+            results["sweeps"].setdefault(name, []).append(found)
             progress.update(
                 task, description=f"{title}: {found.get('failed', 'done')}", completed=1, total=1
             )
@@ -293,19 +305,21 @@
                 console.print(
                     f"{title}: {found.get('failed', 'done')}, {found['took_s']} s", markup=False
                 )
-            if args.out:  # after each size: a run that is stopped has what it measured
-                args.out.write_text(json.dumps(told, indent=1) + "\n")
+            if args.out:  # after each size, so that a run that is stopped keeps its results
+                args.out.write_text(json.dumps(results, indent=1) + "\n")
     if args.profile:
-        for row in told["sweeps"][sizes[-1][0]][-1].get("profile", []):
+        for row in results["sweeps"][sizes[-1][0]][-1].get("profile", []):
             console.print(f"{row[2]:8.3f} {row[3]:8.3f} {row[1]:9} {row[0]}", markup=False)
-    return told
+    return results
+
 
+async def run_until_signal(measurement: Any) -> Figures:
+    """Runs a measurement, which SIGINT and SIGTERM cancel; it ends its processes then.
 
-async def signalled(work: Any) -> Figures:
-    """The work, called off at SIGINT or SIGTERM: it ends what it started, then
-    KeyboardInterrupt.
+    Raises:
+        KeyboardInterrupt: It was cancelled.
     """
-    loop, task = asyncio.get_running_loop(), asyncio.ensure_future(work)
+    loop, task = asyncio.get_running_loop(), asyncio.ensure_future(measurement)
     for sig in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(sig, task.cancel)
     try:
--- a/benchmarks/sites_plot.py
+++ b/benchmarks/sites_plot.py
@@ -1,10 +1,14 @@
 """Draws docs/sites-rig.png and docs/sites-lab.png, and prints the tables of docs/sites.md.
 
-for s in 1 2 3 4 5; do
-    loomstand rehearse examples/rehearse/site-loss.toml --seed $s --out out/on$s
-    loomstand rehearse examples/rehearse/site-loss.toml --seed $s --no-plan --out out/off$s
-done python -m benchmarks.sites_plot rig out docs/sites-rig.png python -m benchmarks.sites_plot lab
-docs/sites-lab.png     # ten runs at 1,000 limiters, some minutes
+The `rig` plot needs the reports of ten rehearsals; the `lab` plot runs ten scenarios of 1,000
+limiters, which takes some minutes:
+
+    for s in 1 2 3 4 5; do
+        loomstand rehearse examples/rehearse/site-loss.toml --seed $s --out out/on$s
+        loomstand rehearse examples/rehearse/site-loss.toml --seed $s --no-plan --out out/off$s
+    done
+    python -m benchmarks.sites_plot rig out docs/sites-rig.png
+    python -m benchmarks.sites_plot lab docs/sites-lab.png
 """
 
 from __future__ import annotations
@@ -25,18 +29,20 @@
 
 
 def of_best(report: dict, since: int, until: int) -> float:
+    """Returns the value served from second `since` to `until`, as a share of the maximum."""
     rows = report["series"][since:until]
     return sum(sum(r["served"]) for r in rows) / sum(r["best"] for r in rows)
 
 
-def steady(report: dict, lost: int, wanted: float = 0.9) -> int:
-    """Seconds from the loss until three seconds in a row reach so much of the best."""
+def recovery_seconds(report: dict, lost: int, wanted: float = 0.9) -> int:
+    """Returns the time from the loss until three seconds in a row reach a share of the maximum."""
     rows = [sum(r["served"]) / max(1e-9, r["best"]) for r in report["series"]]
-    good = (k for k in range(lost, len(rows) - 3) if min(rows[k : k + 3]) >= wanted)
-    return next(good, len(rows)) - lost
+    recovered = (k for k in range(lost, len(rows) - 3) if min(rows[k : k + 3]) >= wanted)
+    return next(recovered, len(rows)) - lost
 
 
-def rig(out: Path, place: str) -> None:
+def plot_rehearsals(out: Path, path: str) -> None:
+    """Prints and plots rehearsals with and without the plan, from the reports in `out`."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -62,14 +68,14 @@
         print(
             name,
             "steady after",
-            [steady(r, 12) for r in reports],
+            [recovery_seconds(r, 12) for r in reports],
             "ran again",
             [r["ran_again"] for r in reports],
         )
-        most = [
+        busiest = [
             [round(max(x[1] for x in rows[15:27])) for rows in r["zones"].values()] for r in reports
         ]
-        print(name, "rules", [r["held"] for r in reports], "most in hand", most)
+        print(name, "rules", [r["held"] for r in reports], "most in hand", busiest)
         xs = range(36)
         for r in reports:
             ax.plot(xs, [sum(r["series"][x]["served"]) for x in xs], color="C0", alpha=0.5, lw=1)
@@ -93,13 +99,13 @@
         ax.legend(fontsize=8)
     axes[1].set_xlabel("second of arrival")
     fig.tight_layout()
-    fig.savefig(place, dpi=80)
+    fig.savefig(path, dpi=80)
 
 
-def point(args: tuple[float, bool]) -> dict:
+def run_scenario(args: tuple[float, bool]) -> dict:
     load, sited = args
-    sets = {"clients.burst_factor": load / 0.85, "sited": sited}
-    played = runner.run(sc.from_table(sc.with_values(sc.read(LAB), sets)), 0)
+    values = {"clients.burst_factor": load / 0.85, "sited": sited}
+    played = runner.run(sc.from_table(sc.with_values(sc.read(LAB), values)), 0)
     rows = played["series"]["brain"]["seconds"]
     spans = [
         sum(r[4] for r in rows[a:b]) / sum(r[5] for r in rows[a:b])
@@ -114,15 +120,18 @@
     }
 
 
-def lab(place: str) -> None:
+def plot_emulator_runs(path: str) -> None:
+    """Runs the scenario in the emulator at each load, with and without the plan, and plots it."""
     with ProcessPoolExecutor(4) as pool:
         draw(
-            list(pool.map(point, [(load, sited) for load in LOADS for sited in (False, True)])),
-            place,
+            list(
+                pool.map(run_scenario, [(load, sited) for load in LOADS for sited in (False, True)])
+            ),
+            path,
         )
 
 
-def draw(points: list[dict], place: str) -> None:
+def draw(points: list[dict], path: str) -> None:
     import matplotlib
 
     matplotlib.use("Agg")
@@ -130,29 +139,29 @@
 
     fig, ax = plt.subplots(figsize=(8, 4))
     for sited, style in ((False, "--"), (True, "-")):
-        mine = [p for p in points if p["sited"] is sited]
+        selected = [p for p in points if p["sited"] is sited]
         for n, span in enumerate(("before", "first 3 s", "until the return", "after")):
             label = f"{span}, plan {'on' if sited else 'off'}"
             ax.plot(
-                [p["load"] for p in mine],
-                [p["spans"][n] for p in mine],
+                [p["load"] for p in selected],
+                [p["spans"][n] for p in selected],
                 style,
                 color=f"C{n}",
                 marker="o",
                 label=label,
             )
-        for p in mine:
+        for p in selected:
             print(p["load"], sited, round(p["G"], 3), [round(s, 3) for s in p["spans"]], p["rules"])
     ax.set_xlabel("load, of the slots")
     ax.set_ylabel("worth served in time")
     ax.set_ylim(0, 1)
     ax.legend(fontsize=7, ncol=2)
     fig.tight_layout()
-    fig.savefig(place, dpi=80)
+    fig.savefig(path, dpi=80)
 
 
 if __name__ == "__main__":
     if sys.argv[1] == "rig":
-        rig(Path(sys.argv[2]), sys.argv[3])
+        plot_rehearsals(Path(sys.argv[2]), sys.argv[3])
     else:
-        lab(sys.argv[2])
+        plot_emulator_runs(sys.argv[2])
--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -1,10 +1,9 @@
-"""The system's own traffic and work by the number of proxies, on the simulated network, without
-sockets.
+"""Measures the system's control traffic and processor time by number of proxies, in simulation.
 
-Whole clusters of N proxies, four core machines, and servers and tenants in the proportion of the
-grown sites. Counted: calls and bytes (frames of cbor2, both ways, without TCP's own) that each
-program takes part in, by operation; processor time in each machine's own callbacks, coding of
-frames included, sockets not. By hand:
+Whole clusters of N proxies, four core machines, and servers and tenants in the proportions of the
+grown sites. It counts the calls and the bytes of frames (both directions, no TCP overhead) of each
+program by operation, and the processor time of each machine's callbacks, which includes encoding
+and decoding of frames and excludes sockets. Run by hand:
 
     python -m benchmarks.system_scale 8 20 75 150 --out /tmp/scale.json
 """
@@ -27,26 +26,24 @@
 
 from absl import logging
 
-from loomstand.registry.limiter_sessions import SESSION_POLL_SECONDS as ASK
+from loomstand.registry.limiter_sessions import SESSION_POLL_SECONDS
 from loomstand.rpc.frames import FrameDecoder, encode_item
 from loomstand.testing.simulation import loop as simulation
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.network import MachineNetwork
 
 CORES = 4
-# A proxy's part of the grown sites' servers, tenants and requests a second, the mean of both.
+# Servers, tenants and requests per second for each proxy, the mean of both grown sites.
 SERVERS, TENANTS, REQUESTS = (107 + 155) / 160, (79 + 84) / 160, (740 + 461) / 160
-USE = 0.6  # of its quota, by each tenant: as at the sites
-SPREAD = 2.0  # s over which proxies and servers start that were all killed
+QUOTA_USE = 0.6  # share of its quota that each tenant uses, as at the sites
+START_SPREAD_SECONDS = 2.0  # proxies and servers restart at random times in this span
 REGISTRY, STORE = 7340, 7355
-TO_STORE = {"wait", "status", "put", "read", "offer"}  # what a registry calls its store by
+REGISTRY_TO_STORE = {"wait", "status", "put", "read", "offer"}  # calls of a registry to its store
 
 
 @dataclass(slots=True)
 class Meter:
-    """What went on since the last `take`: by host, program and operation; and work by host, in
-    seconds.
-    """
+    """Calls and bytes by host, program and operation, and processor seconds, since `clear`."""
 
     calls: Counter[tuple[str, str, str]] = field(default_factory=Counter)
     bytes: Counter[tuple[str, str, str]] = field(default_factory=Counter)
@@ -65,14 +62,15 @@
 def caller(host: str, port: int, op: str) -> str:
     if host.startswith("10.2."):
         return "proxy"
-    return "registry" if port == REGISTRY or op in TO_STORE else "store"
+    return "registry" if port == REGISTRY or op in REGISTRY_TO_STORE else "store"
 
 
 def metered(meter: Meter) -> ExitStack:
-    """Has every call coded and counted, and every callback of a machine timed."""
+    """Patches the simulation to encode and count every call, and to time every callback."""
     call, listen, run = MachineNetwork.call, MachineNetwork.listen, simulation._Gate.__call__
 
-    def decoded(raw: bytes) -> int:
+    def decode(raw: bytes) -> int:
+        """Decodes frames, for the cost of it; returns their size."""
         for _ in FrameDecoder().feed(raw):
             pass
         return len(raw)
@@ -80,47 +78,47 @@
     async def calling(air: MachineNetwork, address: Any, op: str, body: Any, within: float) -> Any:
         who = caller(air.host, address[1], op)
         meter.count(air.host, who, op, len(encode_item([1000, op, body])), 1)
-        got = await call(air, address, op, body, within)
-        if got.is_ok():
-            meter.count(air.host, who, op, decoded(encode_item([1000, True, got.ok])))
-        return got
+        result = await call(air, address, op, body, within)
+        if result.is_ok():
+            meter.count(air.host, who, op, decode(encode_item([1000, True, result.ok])))
+        return result
 
     async def listening(air: MachineNetwork, address: Any, serve: Any) -> None:
         program = "registry" if address[1] == REGISTRY else "store"
 
         async def serving(op: str, body: Any) -> Any:
-            meter.count(air.host, program, op, decoded(encode_item([1000, op, body])), 1)
-            said = await serve(op, body)
-            meter.count(air.host, program, op, len(encode_item([1000, True, said])))
-            return said
+            meter.count(air.host, program, op, decode(encode_item([1000, op, body])), 1)
+            response = await serve(op, body)
+            meter.count(air.host, program, op, len(encode_item([1000, True, response])))
+            return response
 
         await listen(air, address, serving)
 
     def running(gate: Any) -> None:
-        begun = time.process_time()
+        started_at = time.process_time()
         run(gate)
-        meter.work[gate.life] += time.process_time() - begun
+        meter.work[gate.life] += time.process_time() - started_at
 
     stack = ExitStack()
-    for thing, name, new in (
+    for owner, name, replacement in (
         (MachineNetwork, "call", calling),
         (MachineNetwork, "listen", listening),
     ):
-        stack.enter_context(mock.patch.object(thing, name, new))
+        stack.enter_context(mock.patch.object(owner, name, replacement))
     stack.enter_context(mock.patch.object(simulation._Gate, "__call__", running))
     return stack
 
 
 def build(n: int, seed: int) -> Cluster:
-    """A town with the grown sites' proportions; it isn't begun."""
+    """Returns a cluster with the grown sites' proportions, not started."""
     town = Cluster(seed, CORES, n, max(1, round(n * SERVERS / 2)))
     town.usual()
     del town.resources["tenants", "ann"]
     town.book.owners.clear()
-    many = max(1, round(n * TENANTS))
-    whole = sum(1 / (k + 1) for k in range(many))
-    for k in range(many):
-        rate = max(1.0, n * REQUESTS / (k + 1) / whole / USE)
+    tenants = max(1, round(n * TENANTS))
+    weight_sum = sum(1 / (k + 1) for k in range(tenants))
+    for k in range(tenants):
+        rate = max(1.0, n * REQUESTS / (k + 1) / weight_sum / QUOTA_USE)
         town.tenant(f"tenant-{k}", f"key-of-tenant-{k}", rate, 2 * rate)
     for server in (s for many in town.servers.values() for s in many):
         server.slots, server.work = 2, (0.09, 0.22)
@@ -128,24 +126,31 @@
 
 
 async def traffic(town: Cluster, rate: float, seconds: float) -> Counter[int]:
-    """Requests of all tenants, a few of them large, at all proxies; what came of them."""
+    """Sends requests of all tenants, a few of them large, to all proxies; returns the statuses."""
     rng, keys, tasks = Random(7), [*town.book.owners], []
     weights = [1 / (k + 1) for k in range(len(keys))]
     begun = town.loop.time()
     while town.loop.time() - begun < seconds:
         name, method = rng.choice((("a", "GET"), ("b", "GET"), ("once", "POST")))
         key = rng.choices(keys, weights)[0]
-        what = (method, "town.example", f"/{name}/x", key, b"" if method == "GET" else b"body" * 50)
+        request = (
+            method,
+            "town.example",
+            f"/{name}/x",
+            key,
+            b"" if method == "GET" else b"body" * 50,
+        )
         tasks.append(
-            town.loop.create_task(town.client.go(*what, idempotent=method == "GET", tries=1))
+            town.loop.create_task(town.client.go(*request, idempotent=method == "GET", tries=1))
         )
         await asyncio.sleep(rng.expovariate(rate))
     return Counter(reply.status for reply in await asyncio.gather(*tasks))
 
 
-def looked(town: Cluster, meter: Meter, seconds: float, alone: bool = False) -> dict[str, Any]:
-    """Per second and machine: calls, bytes, work; `counter` is the registry that counts. Where
-    `alone`, sums for an event rather than rates.
+def summarize(town: Cluster, meter: Meter, seconds: float, alone: bool = False) -> dict[str, Any]:
+    """Returns calls, bytes and work per second and machine; `counter` is the counting registry.
+
+    With `alone` they are sums for a single event instead of rates.
     """
     counter = town.counting()
     rows: dict[str, Any] = {}
@@ -155,9 +160,9 @@
         "counter": ("registry", [counter]),
         "store": ("store", town.core_ips),
     }
-    over = 1.0 if alone else seconds
+    divisor = 1.0 if alone else seconds
     for label, (program, hosts) in groups.items():
-        many = len(hosts) * over
+        many = len(hosts) * divisor
         ops = sorted({op for host, who, op in meter.calls if who == program and host in hosts})
         each = {
             op: [
@@ -185,71 +190,74 @@
 
 
 def measure(n: int, seconds: float, seed: int) -> dict[str, Any]:
-    """All of it for `n` proxies."""
-    meter, begun, said = Meter(), time.process_time(), dict[str, Any]()
-    gc.disable()  # the simulation's garbage is no work of a machine's
+    """Returns all measurements for `n` proxies."""
+    meter, started_at, results = Meter(), time.process_time(), dict[str, Any]()
+    gc.disable()  # collecting the simulation's garbage is not work of a machine
     with metered(meter):
         town = build(n, seed)
 
-        def event(what: Callable[[], Any], lasts: float) -> dict[str, Any]:
-            """Beyond what an idle time of that length has."""
+        def measure_event(action: Callable[[], Any], duration: float) -> dict[str, Any]:
+            """Returns the sums for an event and the rest of its duration."""
             meter.clear()
             gc.collect()
             at = town.loop.time()
-            town.do(what()) if asyncio.iscoroutinefunction(what) else what()
-            town.wait(max(0.0, lasts - (town.loop.time() - at)))
-            return looked(town, meter, town.loop.time() - at, alone=True)
+            town.do(action()) if asyncio.iscoroutinefunction(action) else action()
+            town.wait(max(0.0, duration - (town.loop.time() - at)))
+            return summarize(town, meter, town.loop.time() - at, alone=True)
 
-        said["start"] = event(town.begin, 4.0)
+        results["start"] = measure_event(town.begin, 4.0)
         town.wait(4.0)
         meter.clear()
         town.wait(seconds)
-        said["idle"] = looked(town, meter, seconds)
+        results["idle"] = summarize(town, meter, seconds)
         town.do(traffic(town, n * REQUESTS, 3.0))
         meter.clear()
         at = town.loop.time()
         replies = town.do(traffic(town, n * REQUESTS, seconds))
-        said["loaded"] = looked(town, meter, town.loop.time() - at)
-        said["loaded"]["replies"] = {str(k): v for k, v in sorted(replies.items())}
+        results["loaded"] = summarize(town, meter, town.loop.time() - at)
+        results["loaded"]["replies"] = {str(k): v for k, v in sorted(replies.items())}
         town.wait(3.0)
         leaving, first = town.servers["alpha"][0], next(iter(town.proxies.values()))
-        said["drain"] = event(leaving.drain, 1.0)
-        said["configuration"] = event(town.replace, 1.0)
-        said["proxy lost"] = event(first.kill, 2.0)
+        results["drain"] = measure_event(leaving.drain, 1.0)
+        results["configuration"] = measure_event(town.replace, 1.0)
+        results["proxy lost"] = measure_event(first.kill, 2.0)
 
-        async def back() -> None:
+        async def restart() -> None:
             first.start()
 
-        said["proxy back"] = event(back, 2.0)
-        few = town.servers["beta"][: max(1, n // 10)]
+        results["proxy back"] = measure_event(restart, 2.0)
+        flapping = town.servers["beta"][: max(1, n // 10)]
 
         async def flap() -> None:
-            for server in few:
+            for server in flapping:
                 server.kill()
             await asyncio.sleep(1.0)
-            for server in few:
+            for server in flapping:
                 server.start()
 
-        said["flap of a tenth"] = event(flap, 6.0)
+        results["flap of a tenth"] = measure_event(flap, 6.0)
 
-        async def herd() -> None:
+        async def restart_all() -> None:
             rng, servers = Random(seed), [s for many in town.servers.values() for s in many]
             for machine in (*town.proxies.values(), *servers):
                 machine.kill()
             await asyncio.sleep(0.5)
             for machine in (*town.proxies.values(), *servers):
-                town.loop.call_later(rng.uniform(0, SPREAD), machine.start)
+                town.loop.call_later(rng.uniform(0, START_SPREAD_SECONDS), machine.start)
 
-        said["all start"] = event(herd, 0.5 + SPREAD + 1.5)
-        said["sizes"] = {"configuration": len(town.versions[town.version]), "flapping": len(few)}
-        said["took"] = round(time.process_time() - begun, 1)
-        said |= {"N": n, "M": sum(map(len, town.servers.values())), "T": len(town.book.owners)}
+        results["all start"] = measure_event(restart_all, 0.5 + START_SPREAD_SECONDS + 1.5)
+        results["sizes"] = {
+            "configuration": len(town.versions[town.version]),
+            "flapping": len(flapping),
+        }
+        results["took"] = round(time.process_time() - started_at, 1)
+        results |= {"N": n, "M": sum(map(len, town.servers.values())), "T": len(town.book.owners)}
         town.book.check()
         town.loop.close()
-    return said
+    return results
 
 
-def table(all_: list[dict[str, Any]]) -> str:
+def format_table(results: list[dict[str, Any]]) -> str:
     lines = []
     for phase in (
         "start",
@@ -266,16 +274,18 @@
         lines.append(f"\n{phase} ({unit}): calls / kB / ms of work")
         for program in ("proxy", "registry", "counter", "store"):
             cells = []
-            for said in all_:
-                row = said[phase][program]
+            for result in results:
+                row = result[phase][program]
                 cells.append(
                     f"{row['calls']:8.1f} {row['bytes'] / 1000:8.1f} {row['work_ms']:8.1f}"
                 )
             lines.append(f"  {program:8} " + " |".join(cells))
             if phase in ("idle", "loaded"):
-                for op in sorted({op for said in all_ for op in said[phase][program]["ops"]}):
-                    got = [said[phase][program]["ops"].get(op, [0.0, 0.0]) for said in all_]
-                    cells = [f"{calls:8.1f} {size / 1000:8.1f} {'':8}" for calls, size in got]
+                for op in sorted(
+                    {op for result in results for op in result[phase][program]["ops"]}
+                ):
+                    rates = [r[phase][program]["ops"].get(op, [0.0, 0.0]) for r in results]
+                    cells = [f"{calls:8.1f} {size / 1000:8.1f} {'':8}" for calls, size in rates]
                     lines.append(f"    {op:6} " + " |".join(cells))
     return "\n".join(lines)
 
@@ -286,26 +296,27 @@
     )
     parser.add_argument("proxies", type=int, nargs="*", default=[8, 20, 75, 150])
     parser.add_argument(
-        "--seconds", type=float, default=5.0, help="of simulated time, idle and loaded"
+        "--seconds", type=float, default=5.0, help="simulated time of each window, idle and loaded"
     )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--out", type=Path, help="a file for all figures, as JSON")
+    parser.add_argument("--out", type=Path, help="file for all results, as JSON")
     args = parser.parse_args()
     logging.set_verbosity(logging.ERROR)
-    all_ = []
+    results = []
     for n in args.proxies:
-        all_.append(said := measure(n, args.seconds, args.seed))
-        asks = n / ASK
+        results.append(result := measure(n, args.seconds, args.seed))
+        asks = n / SESSION_POLL_SECONDS
         print(
-            f"N {n}, M {said['M']}, T {said['T']}: took {said['took']} s; asks a registry N/{ASK} "
-            "= "
-            f"{asks:.0f} a second, a proxy {CORES / ASK:.1f}; beats a core M/{1.5 * CORES} = "
-            f"{said['M'] / 1.5 / CORES:.1f}; sizes {said['sizes']}; {said['loaded']['replies']}",
+            f"N {n}, M {result['M']}, T {result['T']}: took {result['took']} s; asks a registry "
+            f"N/{SESSION_POLL_SECONDS} = {asks:.0f} a second, a proxy "
+            f"{CORES / SESSION_POLL_SECONDS:.1f}; beats a core M/{1.5 * CORES} = "
+            f"{result['M'] / 1.5 / CORES:.1f}; sizes {result['sizes']}; "
+            f"{result['loaded']['replies']}",
             flush=True,
         )
-    print(table(all_))
+    print(format_table(results))
     if args.out:
-        args.out.write_text(json.dumps(all_, indent=1) + "\n")
+        args.out.write_text(json.dumps(results, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/tests/system/test_scale_run.py
+++ b/tests/system/test_scale_run.py
@@ -20,7 +20,7 @@
 import pytest
 
 from benchmarks import scale_fit, scale_measure, scale_run
-from benchmarks.scale_cluster import Cluster, Limits, Size, TooLarge, need
+from benchmarks.scale_cluster import Cluster, Limits, Size, SizeLimitError, need
 from benchmarks.scale_measure import measure
 from loomstand.limiter.endings import Ending
 from loomstand.registry.limiters import LimiterTable
@@ -44,10 +44,10 @@
 
 def test_a_small_size_is_measured_and_all_processes_end(monkeypatch: pytest.MonkeyPatch) -> None:
     # the test checks no costs, so a short settling time is enough
-    monkeypatch.setattr(scale_measure, "SETTLES", 0.2)
-    began: list[int] = []
+    monkeypatch.setattr(scale_measure, "SETTLING_SECONDS", 0.2)
+    pids: list[int] = []
     found = asyncio.run(
-        measure(SMALL_SIZE, Limits.of_machine(), 0.5, events=False, began=began, rates=(20.0,))
+        measure(SMALL_SIZE, Limits.of_machine(), 0.5, events=False, pids=pids, rates=(20.0,))
     )
     assert "failed" not in found
     assert (
@@ -64,7 +64,7 @@
     assert counting["times"]["n"] > 2 and not counting["limiter"]["failed"]
     assert rest["proxy"]["resident_mb"] > 10 and rest["counter"]["user_ms"] > 0
     assert found["requests"][0]["statuses"] == {"200": found["requests"][0]["through"]["n"]}
-    assert len(began) == len(set(began)) >= 6 and not remaining_processes(began)
+    assert len(pids) == len(set(pids)) >= 6 and not remaining_processes(pids)
 
 
 @pytest.mark.parametrize(
@@ -81,10 +81,10 @@
 def test_a_size_beyond_a_limit_starts_no_process_and_names_the_limit(
     limits: Limits, named: str
 ) -> None:
-    began: list[int] = []
-    with pytest.raises(TooLarge, match=named):
-        asyncio.run(measure(SMALL_SIZE, limits, 0.5, began=began))
-    assert not began
+    pids: list[int] = []
+    with pytest.raises(SizeLimitError, match=named):
+        asyncio.run(measure(SMALL_SIZE, limits, 0.5, pids=pids))
+    assert not pids
 
 
 def test_the_command_refuses_a_size_and_prints_what_it_needs(
@@ -114,16 +114,16 @@
         cluster.processes.limits = Limits(9, 1.0, 9)
         cluster.processes.memory()
 
-    began: list[int] = []
+    pids: list[int] = []
     monkeypatch.setattr(Cluster, "replace", fails)
-    run = measure(SMALL_SIZE, Limits.of_machine(), 0.2, began=began)
+    run = measure(SMALL_SIZE, Limits.of_machine(), 0.2, pids=pids)
     if cause == "a fault":
         found = asyncio.run(run)
         assert found["failed"] == "OSError: injected fault" and found["size"]["limiters"] == 4
     else:
-        with pytest.raises(TooLarge, match=r"memory, MB: .* in use, 1 is the limit"):
+        with pytest.raises(SizeLimitError, match=r"memory, MB: .* in use, 1 is the limit"):
             asyncio.run(run)
-    assert len(began) == 2 and not remaining_processes(began)
+    assert len(pids) == 2 and not remaining_processes(pids)
 
 
 def test_sigint_ends_all_processes() -> None:
@@ -195,16 +195,14 @@
         def stop(self, why: Ending) -> None:
             self.stopped = True
 
-    async def closed_connections(count: int) -> list[int]:
+    async def closed(count: int) -> list[int]:
         server = OperatorHttpServer(lambda *_: None, None, 1 << 20, 600, 4096)
         connections = [OperatorConnection() for _ in range(count)]
         for connection in connections:
             server.listener.add(connection)
         return [n for n, connection in enumerate(connections) if connection.stopped]
 
-    assert asyncio.run(closed_connections(300)) == [] and asyncio.run(closed_connections(301)) == [
-        0
-    ]
+    assert asyncio.run(closed(300)) == [] and asyncio.run(closed(301)) == [0]
 
 
 def test_limiters_are_checked_for_expiry_only_when_one_can_expire() -> None:
