--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -36,7 +36,7 @@
             counts = (
                 "discovery turned away 1"
                 if "status 503" in text
-                else "discovery said counts can't be read 1"
+                else "discovery said what can't be read 1"
             )
         elif text.startswith(("listens ", "told to stop")):
             counts = "starts 1" if text.startswith("listens ") else "stops 1"
--- a/benchmarks/hot_paths.py
+++ b/benchmarks/hot_paths.py
@@ -99,20 +99,28 @@
     timers: list[tuple[int, int]] = []
     sent = 0
     started_at = perf_counter()
-    for req in range(1, requests + 1):
+    for request_id in range(1, requests + 1):
         now += 10
         if timers and timers[0][0] <= now:
             engine.handle(now, TimerFired(timers.pop(0)[1]))
-        plan, tenant = req & 1, req % 50
+        plan, tenant = request_id & 1, request_id % 50
         arrival = RequestArrived(
-            req, req % 3, plan, 2 * tenant + plan, 1000 + tenant, now + 4 * S, 1.0, 0, False
+            request_id,
+            request_id % 3,
+            plan,
+            2 * tenant + plan,
+            1000 + tenant,
+            now + 4 * S,
+            1.0,
+            0,
+            False,
         )
         for action in engine.handle(now, arrival):
             match action:
                 case SendAttempt():
                     sent += 1
                     ended = AttemptEnded(
-                        req, 0, action.endpoint_id, Outcome.SUCCEEDED, 5, True, 0, 0.0
+                        request_id, 0, action.endpoint_id, Outcome.SUCCEEDED, 5, True, 0, 0.0
                     )
                     engine.handle(now + 5, ended)
                 case SetTimer():
--- a/benchmarks/lab_calibrate.py
+++ b/benchmarks/lab_calibrate.py
@@ -181,17 +181,17 @@
     value = offered = 0.0
     buckets = [[p.burst, time.monotonic()] for _ in range(p.customers)]
 
-    async def send_request(n: int, customer: int) -> None:
+    async def send_request(n: int, tenant: int) -> None:
         nonlocal value, offered
         now = time.monotonic()
-        bucket = buckets[customer]
+        bucket = buckets[tenant]
         bucket[0], bucket[1] = min(p.burst, bucket[0] + p.rate * (now - bucket[1])), now
         within_quota = bucket[0] >= 1.0
         bucket[0] -= 1.0 if within_quota else 0.0
         offered += g.value if within_quota else 0.0
         counts["taken"] += 1
         raw = (
-            f"GET /{g.name}?account={customer:016x} HTTP/1.1\r\nHost: x\r\nRequest-Id: {n}\r\n"
+            f"GET /{g.name}?account={tenant:016x} HTTP/1.1\r\nHost: x\r\nRequest-Id: {n}\r\n"
             f"Request-Class: {g.name}\r\nX-Tier: {p.name}\r\n"
             f"Request-Timeout-Ms: {g.client_timeout_ms:.0f}\r\nContent-Length: 0\r\n\r\n"
         )
@@ -214,12 +214,12 @@
         else:
             counts["other"] += 1
 
-    tasks, n, began = set(), 0, time.monotonic()
+    tasks, n, started_at = set(), 0, time.monotonic()
     rate, due = p.rate * p.demand * p.customers, 0.0
     while due < scenario.seconds:
         # due times follow the clock, so that lag of the event loop doesn't reduce the rate
         due += rng.expovariate(rate)
-        await asyncio.sleep(max(0.0, began + due - time.monotonic()))
+        await asyncio.sleep(max(0.0, started_at + due - time.monotonic()))
         n += 1
         task = asyncio.create_task(send_request(n, rng.randrange(p.customers)))
         tasks.add(task)
--- a/benchmarks/scale_fit.py
+++ b/benchmarks/scale_fit.py
@@ -17,7 +17,7 @@
     """A line `start + slope * by` through measured points.
 
     Attributes:
-        what: Name of the measurement.
+        name: Name of the measurement.
         by: Name of the size that was swept.
         slope: Increase per unit of the size.
         start: Value at size 0.
@@ -26,7 +26,7 @@
         points: The sizes and measured values.
     """
 
-    what: str
+    name: str
     by: str
     slope: float
     start: float
@@ -35,7 +35,7 @@
     points: tuple[tuple[float, float], ...]
 
 
-def fit(what: str, by: str, points: list[tuple[float, float]]) -> Slope | None:
+def fit(name: str, by: str, points: list[tuple[float, float]]) -> Slope | None:
     """Fits a line by least squares of the relative residuals, so that all sizes weigh the same.
 
     Returns None for fewer than two sizes.
@@ -51,7 +51,7 @@
     last = (y[-1] - y[-2]) / (x[-1] - x[-2]) if x[-1] > x[-2] else 0.0
     bend = float(last / first) if first else float("nan")
     return Slope(
-        what,
+        name,
         by,
         float(slope),
         float(start),
@@ -117,9 +117,9 @@
 def slopes(sweeps: dict[str, list[Point]]) -> list[Slope]:
     """Returns the fit of each measurement by each size that was swept."""
     fits = (
-        fit(what, by, values(points, by, get))
+        fit(name, by, values(points, by, get))
         for by, points in sweeps.items()
-        for what, get in MEASURED.items()
+        for name, get in MEASURED.items()
     )
     return [slope for slope in fits if slope is not None]
 
@@ -135,10 +135,10 @@
 PANELS = {
     "work": (
         "ms of processor a second",
-        lambda what, by: what.endswith(f"{WINDOW.get(by, 'rest')}, ms/s"),
+        lambda name, by: name.endswith(f"{WINDOW.get(by, 'rest')}, ms/s"),
     ),
-    "times": ("ms", lambda what, by: what.endswith(" ms")),
-    "memory": ("MB resident", lambda what, by: what.endswith(", MB")),
+    "times": ("ms", lambda name, by: name.endswith(" ms")),
+    "memory": ("MB resident", lambda name, by: name.endswith(", MB")),
 }
 PANELS_PER_ROW = 4
 
@@ -160,14 +160,14 @@
         for axis in axes.flat[len(swept) :]:
             axis.set_axis_off()
         for axis, (by, points) in zip(axes.flat, swept, strict=False):
-            for n, what in enumerate(what for what in MEASURED if shows(what, by)):
-                measured = values(points, by, MEASURED[what])
-                line = fit(what, by, measured)
+            for n, name in enumerate(name for name in MEASURED if shows(name, by)):
+                measured = values(points, by, MEASURED[name])
+                line = fit(name, by, measured)
                 if line is None:
                     continue
                 x, y = np.array([p[0] for p in measured]), np.array([p[1] for p in measured])
                 color = f"C{n % 10}"
-                axis.plot(x, y, "o", color=color, markersize=4, label=what.rsplit(",", 1)[0])
+                axis.plot(x, y, "o", color=color, markersize=4, label=name.rsplit(",", 1)[0])
                 along = np.geomspace(x.min(), x.max(), 50)
                 axis.plot(along, line.start + line.slope * along, "-", color=color, linewidth=0.8)
             axis.set_xscale("log")
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -164,7 +164,7 @@
     )
     for slope in slopes(results["sweeps"]):
         lines.add_row(
-            slope.what,
+            slope.name,
             slope.by,
             f"{slope.slope:.4g}",
             f"{slope.start:.4g}",
--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -129,8 +129,8 @@
     """Sends requests of all tenants, a few of them large, to all proxies; returns the statuses."""
     rng, keys, tasks = Random(7), [*town.book.owners], []
     weights = [1 / (k + 1) for k in range(len(keys))]
-    begun = town.loop.time()
-    while town.loop.time() - begun < seconds:
+    started_at = town.loop.time()
+    while town.loop.time() - started_at < seconds:
         name, method = rng.choice((("a", "GET"), ("b", "GET"), ("once", "POST")))
         key = rng.choices(keys, weights)[0]
         request = (
--- a/tests/features/system.feature
+++ b/tests/features/system.feature
@@ -29,12 +29,12 @@
   Scenario Outline: A server drains
     Given a running cluster
     And a flow of 80 requests a second
-    When a server starts to drain and <what>
-    Then no request reaches that server later than 0.5 s after
+    When a server starts to drain and <event>
+    Then no request reaches that server later than 0.5 s after the acknowledgement
     And at least 98.5 % of the requests succeed
 
     Examples:
-      | what                                                  |
+      | event                                                 |
       | nothing else happens                                  |
       | the registry that acknowledged is killed              |
       | the machine that acknowledged loses power             |
@@ -42,25 +42,25 @@
 
   Scenario Outline: A proxy restarts
     Given a running cluster
-    When a proxy is killed, a route is added, <what> and it restarts
+    When a proxy is killed, a route is added, <event> and it restarts
     Then it has the newest configuration when it becomes ready
     And no proxy went back to an older configuration
 
     Examples:
-      | what                                                   |
+      | event                                                  |
       | nothing else happens                                   |
       | only a registry partitioned from the core can reach it |
       | the core is killed at once                             |
 
   Scenario Outline: The core is lost right after an acknowledgement
     Given a running cluster
-    When a route is added and right after it <what>
+    When a route is added and right after it <event>
     Then the configuration that is read equals the one that was sent
     And every proxy has the configuration within 2.5 s
     And no proxy went back to an older configuration
 
     Examples:
-      | what                                                       |
+      | event                                                      |
       | all of the core is killed                                  |
       | all of the core loses power                                |
       | the primary's disk is wiped and the rest loses power       |
--- a/tests/system/test_scale_run.py
+++ b/tests/system/test_scale_run.py
@@ -177,7 +177,7 @@
     file = tmp_path / "run.json"
     file.write_text(json.dumps({"machine": {}, "sweeps": {"servers": points}}))
     found = scale_fit.slopes(scale_run.read([file])["sweeps"])
-    assert [(one.what, round(one.slope, 6)) for one in found] == [("registry, MB", 1.0)]
+    assert [(one.name, round(one.slope, 6)) for one in found] == [("registry, MB", 1.0)]
 
 
 def test_operator_connections_may_use_half_of_the_sockets() -> None:
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -190,19 +190,19 @@
 # --- a server drains
 
 
-@when(parsers.re("a server starts to drain and (?P<what>.*)"))
-def _(town, what):
+@when(parsers.re("a server starts to drain and (?P<event>.*)"))
+def _(town, event):
     server = town.servers["alpha"][1]
 
     async def drain():
         at, core = await server.drain()
         registry, store = town.core(core[0])
-        if "registry" in what:
+        if "registry" in event:
             registry.kill()
-        elif "power" in what:
+        elif "power" in event:
             registry.power_off()
             store.power_off()
-        elif "partitioned" in what:
+        elif "partitioned" in event:
             town.sky.apart(
                 [core[0]], [ip for ip in (*town.core_ips, *town.proxies) if ip != core[0]]
             )
@@ -213,7 +213,7 @@
     assert len(earlier) > 5
 
 
-@then(parsers.parse("no request reaches that server later than {s:g} s after"))
+@then(parsers.parse("no request reaches that server later than {s:g} s after the acknowledgement"))
 def _(town, s):
     town.wait(5.0)
     delays = [
@@ -236,13 +236,13 @@
 # --- a proxy restarts
 
 
-@when(parsers.re("a proxy is killed, a route is added, (?P<what>.*) and it restarts"))
-def _(town, what):
+@when(parsers.re("a proxy is killed, a route is added, (?P<event>.*) and it restarts"))
+def _(town, event):
     ip = first_proxy(town)
 
     async def restart():
         town.proxies[ip].kill()
-        if "partitioned" in what:
+        if "partitioned" in event:
             isolated = next(core for core in town.core_ips if core != town.counting())
             town.sky.apart([isolated], [core for core in town.core_ips if core != isolated])
             town.operator.cores = [(c, port) for c, port in town.controls if c != isolated]
@@ -255,17 +255,17 @@
             town.sky.cuts |= cut_links
             await asyncio.sleep(3.7)  # the store detects a partition after 2.5 s
         await add_route(town)
-        if "killed" in what:
+        if "killed" in event:
             for host in (*town.stores.values(), *town.registries.values()):
                 host.kill()
         town.proxies[ip].start()
         await asyncio.sleep(0.6)
-        if "partitioned" in what:
+        if "partitioned" in event:
             assert town.proxy(
                 ip
             ).configuration.table.version < town.version and not await town.ready(ip)
             town.sky.cuts -= cut_links
-        if "killed" in what:
+        if "killed" in event:
             for host in (*town.stores.values(), *town.registries.values()):
                 host.start()
 
@@ -283,19 +283,19 @@
 # --- the core is lost
 
 
-@when(parsers.re("a route is added and right after it (?P<what>.*)"))
-def _(town, what):
+@when(parsers.re("a route is added and right after it (?P<event>.*)"))
+def _(town, event):
     stores, registries = [*town.stores.values()], [*town.registries.values()]
-    proxies = [*town.proxies.values()] if "proxies" in what else []
+    proxies = [*town.proxies.values()] if "proxies" in event else []
 
     async def lose_core():
         primary = town.counting()
         await add_route(town)
         for host in (*stores, *registries, *proxies):
-            if "killed" in what:
+            if "killed" in event:
                 host.kill()
             else:
-                host.power_off(wipe=host is town.stores[primary] and "wiped" in what)
+                host.power_off(wipe=host is town.stores[primary] and "wiped" in event)
         await asyncio.sleep(0.7)
         for host in (*stores, *registries, *proxies):
             host.start()
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -733,8 +733,8 @@
             handle_event(due[2], TimerFired(due[3]))
         for index in reversed([k for k, o in enumerate(attempts) if o[5] <= now]):
             finish(index, Outcome.NO_RESPONSE)
-        what, n = rng.random(), rng.randrange(3)
-        if what < 0.42:
+        draw, n = rng.random(), rng.randrange(3)
+        if draw < 0.42:
             request_id += 1
             open_requests[request_id] = n
             plan = rng.randrange(len(PLANS))
@@ -745,14 +745,14 @@
                 event, service=rng.randrange(services), limiter_set_start=rng.randrange(3)
             )
             handle_event(n, event)
-        elif what < 0.72:
+        elif draw < 0.72:
             if attempts:
                 failed = rng.random() < (0.5 if step % 4000 > 3000 else 0.05)
                 finish(
                     rng.randrange(len(attempts)),
                     rng.choice(failures) if failed else Outcome.SUCCEEDED,
                 )
-        elif what < 0.82:
+        elif draw < 0.82:
             if counter_calls:
                 n, call = counter_calls.pop(rng.randrange(len(counter_calls)))
                 outcome = rng.choice(
@@ -768,13 +768,13 @@
                         call.counter_name, outcome, counter_totals.get(call.counter_name, 0.0), 30
                     ),
                 )
-        elif what < 0.97:
+        elif draw < 0.97:
             now += rng.choice([3, 20, 100, 400, 900])
-        elif what < 0.98:
+        elif draw < 0.98:
             if open_requests:
                 disconnected = rng.choice(list(open_requests))
                 handle_event(open_requests.pop(disconnected), ClientDisconnected(disconnected))
-        elif what < 0.985:
+        elif draw < 0.985:
             server = rng.randrange(len(endpoints))
             state = rng.choice(
                 [EndpointState.LIVE, EndpointState.LIVE, EndpointState.DRAINING, EndpointState.GONE]
@@ -784,15 +784,15 @@
             endpoints[server] = dataclasses.replace(endpoint, service=server % services)
             for limiter in range(3):
                 handle_event(limiter, EndpointsUpdated((endpoints[server],), False))
-        elif what < 0.987:
+        elif draw < 0.987:
             handle_event(n, EndpointsUpdated(tuple(endpoints.values()), True))
-        elif what < 0.989 and attempts:
+        elif draw < 0.989 and attempts:
             handle_event(attempts[0][0], ResponseStarted(attempts[0][1], attempts[0][2]))
-        elif what < 0.991:
+        elif draw < 0.991:
             handle_event(
                 n, HealthCheckFinished(rng.randrange(len(endpoints)), rng.choice([*Outcome]), 40)
             )
-        elif what < 0.994 and counter_totals:
+        elif draw < 0.994 and counter_totals:
             name = rng.choice(list(counter_totals))
             handle_event(
                 n,
@@ -800,7 +800,7 @@
                     name, counter_totals[name] + 2.0, 0, rng.randrange(4), 1000, 3, 0
                 ),
             )
-        elif what < 0.996:
+        elif draw < 0.996:
             limiters = rng.choice([3, 3, 4])
             engine_settings = dataclasses.replace(
                 engine_settings, limiter_count=limiters, clock_offset=rng.randrange(50)
