--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -30,8 +30,8 @@
     http_response,
     member,
     request,
-    until,
     wait_until,
+    watch_chunk,
 )
 
 from loomstand.admission.actions import IncrementCounter
