--- a/loomstand/failover/engine_view.py
+++ b/loomstand/failover/engine_view.py
@@ -57,7 +57,7 @@
         self.replace_plan(plan)
 
     def replace_plan(self, plan: ZonePlan) -> None:
-        """Replace the plan; the states of the zones and of the window controller are kept."""
+        """Replaces the plan; the states of the zones and of the window controller are kept."""
         self.plan = plan
         self.planned_demand = (
             sum(d.rate * d.work_ms / 1000 for d in plan.demand) if plan.zones else 0.0
@@ -77,7 +77,7 @@
     # reports of the engine
 
     def update_endpoints(self, now: int, servers: Iterable[tuple[int, int, int]]) -> None:
-        """Follow the live servers, each with its number, zone and start time."""
+        """Follows the live servers, each with its number, zone and start time."""
         live = list(servers)
         self.detector.update_endpoints(now, live)
         # A lost zone takes its limiters with it, so the remaining limiters need larger subsets: the
@@ -105,7 +105,7 @@
             )
 
     def remaining_limiter_share(self, lost_zone: int = -1) -> float:
-        """Return the share of all limiters outside lost zones.
+        """Returns the share of all limiters outside lost zones.
 
         The limiters of a lost zone count as lost with it, because their clients move to the others.
 
@@ -119,7 +119,7 @@
         return remaining / total if remaining else 1.0
 
     def min_window(self, limiters: int) -> float:
-        """Return the smallest window: this limiter's part of five attempts for each server."""
+        """Returns the smallest window: this limiter's part of five attempts for each server."""
         live = sum(
             len(z.live) for zone, z in self.detector.zones.items() if not self.is_avoided(zone)
         )
@@ -128,7 +128,7 @@
     def new_size(
         self, size: float, min_size: float, zone: int, lateness: float, in_flight: int
     ) -> float:
-        """Return the window size after an answer.
+        """Returns the window size after an answer.
 
         An answer from a lost zone changes nothing, as it says nothing about the other zones.
         """
@@ -143,7 +143,7 @@
         )
 
     def max_window(self) -> float:
-        """Return the largest window: this limiter's part of the remaining zones' planned capacity.
+        """Returns the largest window: this limiter's part of the remaining zones' planned capacity.
 
         The part is the demand at this limiter divided by the plan's total demand. Without this
         bound, one of eight limiters reached twice the window of the others, and admitted requests
@@ -162,7 +162,7 @@
         return self.detector.is_avoided(zone)
 
     def may_use_server(self, zone: int, capacity: float, draw: float) -> bool:
-        """Return whether a server may be chosen for this attempt.
+        """Returns whether a server may be chosen for this attempt.
 
         A server that warms up is chosen in proportion to its capacity, so that all limiters
         together send it what it can handle. A server of a returning zone is chosen by the zone's
@@ -174,7 +174,7 @@
         return draw < share * capacity
 
     def is_probe(self, zone: int, rank: int, probe_share: float, draw: float) -> bool:
-        """Return whether a request may probe an ejected server.
+        """Returns whether a request may probe an ejected server.
 
         Only requests of rank 0 may: by the server's own probe share, or by a fixed one where its
         zone is lost.
@@ -187,7 +187,7 @@
         return self.order.admits(now, rank, work, window, draw)
 
     def evaluate_zones(self, now: int) -> list[str]:
-        """Evaluate the zones and return their changes as log lines.
+        """Evaluates the zones and returns their changes as log lines.
 
         Sets `window_scale`, the factor by which the changes enlarge or shrink the window.
         """
--- a/loomstand/failover/shedding_order.py
+++ b/loomstand/failover/shedding_order.py
@@ -37,7 +37,7 @@
             self.decayed_at = now
 
     def demand(self, now: int) -> list[float]:
-        """Return for each rank the mean number of attempts in flight if all were admitted."""
+        """Returns for each rank the mean number of attempts in flight if all were admitted."""
         self.decay(now)
         # the meter starts at zero: divide by the weight of the time since then
         observed = self.span * (1 - exp((self.started_at - now) / self.span))
@@ -56,7 +56,7 @@
         return [max(by_span) for by_span in zip(*(m.demand(now) for m in self.meters), strict=True)]
 
     def admits(self, now: int, rank: int, work: float, window: float, draw: float) -> bool:
-        """Record a request and return whether it is admitted.
+        """Records a request and returns whether it is admitted.
 
         Args:
             now: The time in ticks.
@@ -74,7 +74,7 @@
 
 
 def admitted_shares(demand: Sequence[float], window: float, reserved_share: float) -> list[float]:
-    """Return for each rank the share of its requests to admit.
+    """Returns for each rank the share of its requests to admit.
 
     The window is assigned from the last rank down; the others can't use the reserved share.
     """
@@ -111,7 +111,7 @@
         self.answers, self.in_flight_sum, self.is_clean = 0, 0, True
 
     def update(self, size: float, min_size: float, lateness: float, in_flight: int) -> float:
-        """Return the window size after an answer.
+        """Returns the window size after an answer.
 
         Args:
             size: The size before.
--- a/loomstand/failover/subset_selection.py
+++ b/loomstand/failover/subset_selection.py
@@ -33,7 +33,7 @@
 def preferred_servers(
     ring: Sequence[ServerT], settings: EngineSettings, max_count: int
 ) -> list[ServerT]:
-    """Return at most `max_count` servers of the ring in order of preference.
+    """Returns at most `max_count` servers of the ring in order of preference.
 
     With `settings.local_zone_share`, every prefix of the list has that share of servers in the
     limiter's own zone while there are any, as traffic between zones is expensive. The other servers
@@ -66,7 +66,7 @@
     subset_size: int,
     frontend_count: int,
 ) -> tuple[list[list[ServerT]], list[list[ServerT]]]:
-    """Return for each frontend the servers to use and the ejected servers, which include `lost`.
+    """Returns for each frontend the servers to use and the ejected servers, which include `lost`.
 
     The subset stays the same, so that outcomes accumulate quickly for its servers. Ejected servers
     are replaced by the next ones in order of preference, unless most are ejected: then the fault is
@@ -89,6 +89,6 @@
 
 
 def _reversed_from_offset(limiter_index: int, ring: list[ServerT]) -> list[ServerT]:
-    """Return the ring starting at the limiter's offset, in reverse order for `pop`."""
+    """Returns the ring starting at the limiter's offset, in reverse order for `pop`."""
     offset = int(len(ring) * (limiter_index * GOLDEN_RATIO_FRACTION % 1.0))
     return [*ring[offset:], *ring[:offset]][::-1]
--- a/loomstand/failover/zone_loss_detector.py
+++ b/loomstand/failover/zone_loss_detector.py
@@ -83,7 +83,7 @@
     # observations
 
     def update_endpoints(self, now: int, servers: Iterable[tuple[int, int, int]]) -> None:
-        """Follow an endpoint list.
+        """Follows an endpoint list.
 
         Args:
             now: The time in ticks.
@@ -140,7 +140,7 @@
         is_answered: bool,
         is_late: bool,
     ) -> None:
-        """Follow the end of an attempt.
+        """Follows the end of an attempt.
 
         Args:
             now: The time in ticks.
@@ -180,7 +180,7 @@
     # evaluation
 
     def silent_servers(self, now: int, zone: ZoneHealth) -> tuple[set[int], set[int]]:
-        """Return the silent servers and all servers in use.
+        """Returns the silent servers and all servers in use.
 
         A server is silent if an answer has been overdue or missing since the zone's last answer.
         Answers that were overdue before concern single servers: others have answered since.
@@ -197,7 +197,7 @@
         return silent & zone.live.keys(), in_use & zone.live.keys()
 
     def evaluate(self, now: int) -> None:
-        """Update the states of all zones, at most once in an eighth of the answer timeout."""
+        """Updates the states of all zones, at most once in an eighth of the answer timeout."""
         if now - self.evaluated_at < self.answer_timeout // 8:
             return
         self.evaluated_at = now
@@ -226,7 +226,7 @@
                     self.set_state(now, zone_id, ZoneState.WHOLE, "the zone handled its full share")
 
     def advance_return(self, now: int, zone: ZoneHealth) -> None:
-        """Add the time since the last update to the return, without the time it was paused."""
+        """Adds the time since the last update to the return, without the time it was paused."""
         if now > zone.paused_until:
             zone.return_progress += now - max(zone.progress_updated_at, zone.paused_until)
         zone.progress_updated_at = now
@@ -234,7 +234,7 @@
     def set_state(
         self, now: int, zone_id: int, new: ZoneState, reason: str, live_before: int = 0
     ) -> None:
-        """Change a zone's state; `live_before` counts its servers where the list has none now."""
+        """Changes a zone's state; `live_before` counts its servers where the list has none now."""
         zone = self.zones[zone_id]
         own = live_before or len(zone.live)
         others = sum(
@@ -263,7 +263,7 @@
     # queries
 
     def is_avoided(self, zone_id: int) -> bool:
-        """Return whether the zone receives probes only. Never true of all zones at once."""
+        """Returns whether the zone receives probes only. Never true of all zones at once."""
         zone = self.zones.get(zone_id)
         if zone is None or zone.state not in (ZoneState.DOUBTFUL, ZoneState.LOST):
             return False
@@ -273,7 +273,7 @@
         )
 
     def traffic_share(self, zone_id: int) -> float:
-        """Return the share of its usual traffic that a zone receives: 1 unless it is returning."""
+        """Returns the share of its usual traffic that a zone receives: 1 unless it is returning."""
         zone = self.zones.get(zone_id)
         if zone is None or zone.state is not ZoneState.RETURNING:
             return 1.0
--- a/loomstand/failover/zone_plan.py
+++ b/loomstand/failover/zone_plan.py
@@ -83,11 +83,11 @@
                 raise PlanError(f"key 'refuse[{n}].name': '{name}' occurs twice")
 
     def rank_count(self) -> int:
-        """Return the number of ranks: those of `refuse`, unmatched requests and `keep`."""
+        """Returns the number of ranks: those of `refuse`, unmatched requests and `keep`."""
         return len(self.refuse) + 2
 
     def rank(self, frontend: str, plan: str, is_retry: bool, is_over_quota: bool) -> int:
-        """Return the rank of a request; 0 is refused first.
+        """Returns the rank of a request; 0 is refused first.
 
         Requests that match `keep` have the last rank. For others the first matching entry of
         `refuse` counts; requests that match none are refused after all entries.
@@ -103,7 +103,7 @@
 
 
 def parse(table: dict, frontends: Sequence[str] = (), plans: Sequence[str] = ()) -> ZonePlan:
-    """Convert a TOML table to a plan.
+    """Converts a TOML table to a plan.
 
     Args:
         table: The table.
@@ -132,7 +132,7 @@
 
 
 def load(path: str, frontends: Sequence[str] = (), plans: Sequence[str] = ()) -> ZonePlan:
-    """Read a plan from a file; see `parse`.
+    """Reads a plan from a file; see `parse`.
 
     Raises:
         PlanError: The file can't be used. The message names the file and the key.
@@ -179,7 +179,7 @@
 
 
 def forecast(plan: ZonePlan, lost: str) -> Forecast:
-    """Compute the effects of the loss of a zone.
+    """Computes the effects of the loss of a zone.
 
     The zone's load is distributed over the remaining zones by their capacity; load beyond their
     usable capacity is refused in the plan's order.
--- a/loomstand/membership/driver.py
+++ b/loomstand/membership/driver.py
@@ -93,7 +93,7 @@
         self.transport = transport
 
     def tick(self) -> None:
-        """Run the timers, and schedule the next call."""
+        """Runs the timers, and schedules the next call."""
         if self.transport is None or self.transport.is_closing():
             return
         now = self.limiter.loop.time()
@@ -122,7 +122,7 @@
         self.limiter.loop.call_later(TICK_SECONDS, self.tick)
 
     def flush(self) -> None:
-        """Send the messages in the outbox, and log changes of members' states."""
+        """Sends the messages in the outbox, and logs changes of members' states."""
         outbox, self.members.outbox = self.members.outbox, []
         for recipient, message in outbox:
             address = (
@@ -179,7 +179,7 @@
         self.flush()
 
     def apply_from_peer(self, changes: BackendList, part: Part) -> None:
-        """Pass a peer's list or change to the limiter, and forward a change."""
+        """Passes a peer's list or change to the limiter, and forwards a change."""
         self.watch.revision = max(self.watch.revision, changes.revision)
         self.counts["lists from peers"] += 1
         self.limiter.update_servers(changes)
@@ -187,7 +187,7 @@
             self.forward(part)
 
     def discovery_listed(self, received: BackendList) -> None:
-        """Apply a list from discovery, and forward a change to peers."""
+        """Applies a list from discovery, and forwards a change to peers."""
         part = self.lists.from_discovery(self.limiter.loop.time(), received)
         if part is not None:
             self.counts["lists from discovery"] += 1
@@ -196,7 +196,7 @@
             self.flush()
 
     def discovery_confirmed(self) -> None:
-        """Note that discovery confirmed the list as unchanged."""
+        """Notes that discovery confirmed the list as unchanged."""
         if self.lists.revision:
             self.lists.confirmed_at = self.limiter.loop.time()
 
--- a/loomstand/membership/endpoint_lists.py
+++ b/loomstand/membership/endpoint_lists.py
@@ -50,7 +50,7 @@
     # watching discovery
 
     def should_watch(self, now: float, alive: Sequence[int]) -> bool:
-        """Return whether this limiter is to watch discovery now.
+        """Returns whether this limiter is to watch discovery now.
 
         The rank among the live limiters decides. Until enough of them are known, the limiter's
         number takes its place: at a simultaneous start nobody knows the others, and a limiter that
@@ -68,16 +68,16 @@
         return now - since > rank * WATCH_STAGGER_SECONDS
 
     def observe_age(self, now: float, age: float) -> None:
-        """Note how many seconds ago discovery confirmed a peer's list; below 0 for never."""
+        """Notes how many seconds ago discovery confirmed a peer's list; below 0 for never."""
         if age >= 0:
             self.confirmed_at = max(self.confirmed_at, now - age)
 
     def age(self, now: float) -> float:
-        """Return how many seconds ago discovery confirmed the list; -1 without a list."""
+        """Returns how many seconds ago discovery confirmed the list; -1 without a list."""
         return now - self.confirmed_at if self.revision else -1.0
 
     def should_request(self, now: float, revision: int) -> bool:
-        """Return whether to request the list of a peer with this revision; counts as requested."""
+        """Returns whether to request the list of a peer with this revision; counts as requested."""
         if revision <= self.revision or now - self.requested_at < REQUEST_INTERVAL_SECONDS:
             return False
         self.requested_at = now
@@ -86,7 +86,7 @@
     # accepting lists
 
     def from_discovery(self, now: float, received: BackendList) -> Part | None:
-        """Apply a list from discovery, which is always accepted, even with a lower revision.
+        """Applies a list from discovery, which is always accepted, even with a lower revision.
 
         Returns:
             The change to forward, or None if nothing changed.
@@ -124,7 +124,7 @@
                 self.removed.pop(server.id, None)
 
     def from_peer(self, now: float, part: Part) -> BackendList | None:
-        """Apply a part of a peer's list.
+        """Applies a part of a peer's list.
 
         The list never goes back: a removed server returns with discovery's own list or a higher
         revision only, and a server that is missing in a peer's list is not removed.
@@ -165,7 +165,7 @@
         return BackendList(revision=part.revision, complete=False, backends=servers)
 
     def whole_list(self) -> list[Part]:
-        """Return the parts of the whole list; none without a list."""
+        """Returns the parts of the whole list; none without a list."""
         if not self.revision:
             return []
         removed = [BackendRecord(id=i, address="127.0.0.1:1", phase="left") for i in self.removed]
@@ -185,7 +185,7 @@
         ]
 
     def from_configuration(self, configured: BackendList) -> None:
-        """Apply the list of the configuration file.
+        """Applies the list of the configuration file.
 
         It may be out of date: its revision counts, but not as a confirmation by discovery.
         """
--- a/loomstand/membership/members.py
+++ b/loomstand/membership/members.py
@@ -102,7 +102,7 @@
     # queries
 
     def alive(self) -> list[int]:
-        """Return the sorted numbers of the members that count as alive, including this one."""
+        """Returns the sorted numbers of the members that count as alive, including this one."""
         alive = [
             p.id
             for p in self.peers.values()
@@ -111,20 +111,20 @@
         return sorted([*alive, self.limiter_id])
 
     def is_known_source(self, id_: int, source: str) -> bool:
-        """Return whether a message from limiter `id_` came from a known address of a peer."""
+        """Returns whether a message from limiter `id_` came from a known address of a peer."""
         peer = self.peers.get(id_)
         return source in self.configured_addresses or (peer is not None and peer.address == source)
 
     def suspicion_seconds(self) -> float:
-        """Return how long a suspicion lasts before the member counts as dead."""
+        """Returns how long a suspicion lasts before the member counts as dead."""
         return SUSPICION_FACTOR * PROBE_PERIOD_SECONDS * max(1.0, log2(len(self.peers) + 2))
 
     # timer
 
     def tick(self, now: float) -> None:
-        """Handle overdue answers and expired suspicions, and send the next ping.
+        """Handles overdue answers and expired suspicions, and sends the next ping.
 
-        Call it about ten times a second.
+        Must be called about ten times a second.
         """
         for seq, (target, since, is_relayed) in list(self.pending_pings.items()):
             peer = self.peers.get(target)
@@ -167,7 +167,7 @@
             self.ping(now)
 
     def ping(self, now: float) -> None:
-        """Ping the next member of the round, and one configured address without a live member."""
+        """Pings the next member of the round, and one configured address without a live member."""
         while self.ping_round and self.live_peer(self.ping_round[-1]) is None:
             self.ping_round.pop()
         if not self.ping_round:
@@ -200,7 +200,7 @@
         )
 
     def leave(self) -> None:
-        """Announce to some members that this one leaves; they spread the update."""
+        """Announces to some members that this one leaves; they spread the update."""
         self.has_left = True
         self.spread(MemberUpdate(self.limiter_id, self.address, self.incarnation, MemberState.LEFT))
         alive = [p.id for p in self.peers.values() if p.state is MemberState.ALIVE]
@@ -210,11 +210,11 @@
     # messages
 
     def header(self) -> tuple[int, int, int, list[MemberUpdate], float]:
-        """Return the fields of `Message` for the next message; counts its updates as sent."""
+        """Returns the fields of `Message` for the next message; counts its updates as sent."""
         return self.limiter_id, self.incarnation, self.revision, self.next_updates(), self.age
 
     def next_updates(self) -> list[MemberUpdate]:
-        """Return the updates that were sent least often."""
+        """Returns the updates that were sent least often."""
         selected = sorted(self.updates.items(), key=lambda u: -u[1][1])[:MAX_UPDATES]
         for id_, update in selected:
             update[1] -= 1
@@ -223,7 +223,7 @@
         return [update[0] for _, update in selected]
 
     def spread(self, update: MemberUpdate) -> None:
-        """Send an update along with the next messages."""
+        """Sends an update along with the next messages."""
         self.updates[update.id] = [
             update,
             ceil(UPDATE_REPEAT_FACTOR * log2(len(self.peers) + 2)) + 1,
@@ -233,7 +233,7 @@
         self.outbox.append((recipient, message))
 
     def receive(self, now: float, message: Message, source: str) -> None:
-        """Handle a message from a known address."""
+        """Handles a message from a known address."""
         self.update_sender(now, message, source)
         for update in message.updates:
             self.apply_update(now, update)
@@ -259,7 +259,7 @@
             self.send(requester, Ack(*self.header(), requester_seq, target))
 
     def update_sender(self, now: float, message: Message, source: str) -> None:
-        """Record that the sender of a message is alive in its stated incarnation."""
+        """Records that the sender of a message is alive in its stated incarnation."""
         known = self.peers.get(message.id)
         if known is None or message.incarnation > known.incarnation:
             self.apply_update(
@@ -273,7 +273,7 @@
                 self.spread(MemberUpdate(peer.id, peer.address, peer.incarnation, peer.state))
 
     def apply_update(self, now: float, update: MemberUpdate) -> None:
-        """Apply a state update by the rules that make all views converge.
+        """Applies a state update by the rules that make all views converge.
 
         The higher incarnation overrides, and at equal incarnations the greater state.
         """
--- a/loomstand/membership/messages.py
+++ b/loomstand/membership/messages.py
@@ -92,7 +92,7 @@
 
 
 def decode(raw: bytes) -> AnyMessage:
-    """Decode a datagram.
+    """Decodes a datagram.
 
     Raises:
         msgspec.DecodeError: It is not a valid message (includes msgspec.ValidationError).
--- a/loomstand/registry/__main__.py
+++ b/loomstand/registry/__main__.py
@@ -11,7 +11,7 @@
 
 
 async def make_registry(settings: Settings, arrival_clock: ArrivalClockSelector) -> RegistryService:
-    """Create a registry on real sockets."""
+    """Creates a registry on real sockets."""
     return RegistryService(settings, TcpNetwork(), arrival_clock)
 
 
--- a/loomstand/registry/change_notifier.py
+++ b/loomstand/registry/change_notifier.py
@@ -24,7 +24,7 @@
         self._waiters: dict[asyncio.Future[None], None] = {}
 
     def notify(self) -> None:
-        """Wake all sessions after a change."""
+        """Wakes all sessions after a change."""
         waiters = self._waiters
         self._waiters = {}
         for waiter in waiters:
@@ -32,23 +32,23 @@
                 waiter.set_result(None)
 
     def notify_system_state(self) -> None:
-        """Increment the revision of the system state, and wake all sessions."""
+        """Increments the revision of the system state, and wakes all sessions."""
         self.system_state_revision += 1
         self.notify()
 
     def notify_limiters(self, limiters_revision: int) -> None:
-        """Notify of the system state if the set of limiters changed since the last call."""
+        """Notifies of the system state if the set of limiters changed since the last call."""
         if limiters_revision != self._limiters_revision:
             self._limiters_revision = limiters_revision
             self.notify_system_state()
 
     def close(self) -> None:
-        """End all waits."""
+        """Ends all waits."""
         self.is_closed = True
         self.notify()
 
     async def wait_until(self, condition: Callable[[], bool], timeout_seconds: float) -> None:
-        """Wait until the condition holds or the time is over; each change rechecks it."""
+        """Waits until the condition holds or the time is over; each change rechecks it."""
         deadline = self._clock() + timeout_seconds
         while not condition():
             left_seconds = deadline - self._clock()
--- a/loomstand/registry/configuration_cache.py
+++ b/loomstand/registry/configuration_cache.py
@@ -44,16 +44,16 @@
         self._compressed_data = b""
 
     def replace(self, version: int, data: bytes) -> None:
-        """Replace the configuration held."""
+        """Replaces the configuration held."""
         self.version = version
         self.data = data
 
     def is_current(self, now: float) -> bool:
-        """Return whether the configuration held is known to be the newest."""
+        """Returns whether the configuration held is known to be the newest."""
         return self.is_reported_current and now < self.report_expires_at
 
     def parse(self, data: bytes) -> Configuration:
-        """Parse a configuration; the last result is cached.
+        """Parses a configuration; the last result is cached.
 
         Raises:
             ConfigurationError: The configuration is invalid.
@@ -63,16 +63,16 @@
         return self._parsed
 
     def is_compressible(self) -> bool:
-        """Return whether the configuration is large enough to be compressed for limiters."""
+        """Returns whether the configuration is large enough to be compressed for limiters."""
         return len(self.data) >= MIN_COMPRESSED_BYTES
 
     def compressed(self) -> bytes:
-        """Return the configuration compressed by zlib."""
+        """Returns the configuration compressed by zlib."""
         if self._compressed_version != self.version:
             self._compressed_data = zlib.compress(self.data, COMPRESSION_LEVEL)
             self._compressed_version = self.version
         return self._compressed_data
 
     def was_recently_empty(self, now: float) -> bool:
-        """Return whether there was no configuration, and so no quota, until just now."""
+        """Returns whether there was no configuration, and so no quota, until just now."""
         return now - self.confirmed_empty_at < STARTUP_SECONDS
--- a/loomstand/registry/context.py
+++ b/loomstand/registry/context.py
@@ -24,13 +24,13 @@
         self._tasks: set[asyncio.Task[object]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, object]) -> None:
-        """Start a task."""
+        """Starts a task."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """Cancel the tasks that still run, and wait for their end."""
+        """Cancels the tasks that still run, and waits for their end."""
         running = list(self._tasks)
         for task in running:
             task.cancel()
@@ -73,17 +73,17 @@
         return self.settings.store_address(self.host)
 
     def stores(self) -> list[Address]:
-        """Return the addresses of all stores."""
+        """Returns the addresses of all stores."""
         return [self.settings.store_address(host) for host in self.core_hosts]
 
     def other_registries(self) -> list[Address]:
-        """Return the addresses of the other registries."""
+        """Returns the addresses of the other registries."""
         return [
             self.settings.registry_address(host) for host in self.core_hosts if host != self.host
         ]
 
     def set_core_hosts(self, hosts: set[str]) -> None:
-        """Replace the core machines; this one is always included."""
+        """Replaces the core machines; this one is always included."""
         self.core_hosts = tuple(sorted({self.host, *hosts}))
 
 
--- a/loomstand/registry/counters.py
+++ b/loomstand/registry/counters.py
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, term: int, is_successor: bool = False) -> None:
-        """Start an empty set of counters.
+        """Starts an empty set of counters.
 
         Args:
             term: Number of this set of counters.
@@ -37,7 +37,7 @@
         self.sums: dict[int, tuple[float, float]] = {}
 
     def add(self, name: int, step: float, retention_seconds: float, now: float) -> float:
-        """Add to a sum and keep it for at least `retention_seconds` more.
+        """Adds to a sum and keeps it for at least `retention_seconds` more.
 
         Returns:
             The total.
@@ -49,13 +49,13 @@
         return total
 
     def is_incomplete(self, now: float) -> bool:
-        """Return whether totals may be too low; the first call starts the time."""
+        """Returns whether totals may be too low; the first call starts the time."""
         if self.complete_at is None:
             self.complete_at = now + INCOMPLETE_SECONDS
         return now < self.complete_at
 
     def expire(self, now: float) -> None:
-        """Remove the sums whose retention time is over."""
+        """Removes the sums whose retention time is over."""
         expired = [name for name, (_, kept_until) in self.sums.items() if kept_until < now]
         for name in expired:
             del self.sums[name]
--- a/loomstand/registry/counting_lease.py
+++ b/loomstand/registry/counting_lease.py
@@ -68,11 +68,11 @@
     has_lost_primary: bool = False
 
     def is_held(self, now: float) -> bool:
-        """Return whether this registry holds the lease."""
+        """Returns whether this registry holds the lease."""
         return now < self.expires_at
 
     def observe(self, now: float, primary: Address | None, row: CountingTermRow | None) -> bool:
-        """Apply the primary and the term that a store or another registry reports.
+        """Applies the primary and the term that a store or another registry reports.
 
         Args:
             now: The clock's reading.
@@ -99,7 +99,7 @@
         return self.last_holder != last_holder_before
 
     def _is_uninterrupted(self, term: CountingTerm, holder: str) -> bool:
-        """Return whether no other registry can have counted between the known term and `term`."""
+        """Returns whether no other registry can have counted between the known term and `term`."""
         if holder and holder != self.host:
             return False
         is_same_epoch = term.epoch == self.term.epoch
@@ -109,32 +109,32 @@
         return term == self.term or (is_same_epoch and not self.holder and steps <= 1)
 
     def may_request(self) -> bool:
-        """Return whether this registry may request the lease: no other host holds it."""
+        """Returns whether this registry may request the lease: no other host holds it."""
         return self.term != NO_TERM and self.holder in ("", self.host)
 
     def stores_to_ask(self, stores: list[Address]) -> list[Address]:
-        """Return the primary, or all stores if it is unknown, as any may become primary."""
+        """Returns the primary, or all stores if it is unknown, as any may become primary."""
         if self.has_lost_primary or self.primary is None:
             return stores
         return [self.primary]
 
     def request(self, is_release: bool = False) -> CountingLeaseRequest:
-        """Return the message that requests or releases the lease."""
+        """Returns the message that requests or releases the lease."""
         return CountingLeaseRequest(
             host=self.host, incarnation=self.incarnation, is_release=is_release
         )
 
     def extend(self, sent_at: float, lease_seconds: float) -> None:
-        """Extend the lease from the time the request was sent; the primary counts from later."""
+        """Extends the lease from the time the request was sent; the primary counts from later."""
         self.expires_at = max(self.expires_at, sent_at + lease_seconds)
 
     def release(self) -> CountingLeaseRequest:
-        """End the lease here, and return the message that releases it at the store."""
+        """Ends the lease here, and returns the message that releases it at the store."""
         self.expires_at = 0.0
         return self.request(is_release=True)
 
     def delay_seconds(self, now: float) -> float:
-        """Return the time to wait until the next request."""
+        """Returns the time to wait until the next request."""
         return (
             RENEWAL_INTERVAL_SECONDS
             if self.is_held(now) and not self.has_lost_primary
--- a/loomstand/registry/counting_service.py
+++ b/loomstand/registry/counting_service.py
@@ -64,7 +64,7 @@
     # calls of limiters
 
     async def handle_increment(self, request: IncrementRequest) -> IncrementResponse:
-        """Increment a counter for a limiter."""
+        """Increments a counter for a limiter."""
         now = self._require_lease()
         counters = self.counters
         name, step = request.counter_name, request.step
@@ -77,7 +77,7 @@
         return IncrementResponse(total=total, counting_term=counters.term)
 
     async def handle_credits(self, request: CreditRequest) -> CreditResponse:
-        """Record the credits that a limiter holds, and grant more."""
+        """Records the credits that a limiter holds, and grants more."""
         now = self._require_lease()
         self.grants.advance(now, self._limiters.ranks)
         grants = self.grants.handle_request(request, now)
@@ -92,17 +92,17 @@
     # used by the other parts of the registry
 
     def is_counting(self, now: float) -> bool:
-        """Return whether this registry holds the counting lease."""
+        """Returns whether this registry holds the counting lease."""
         return self.lease.is_held(now)
 
     def own_term(self, now: float) -> CountingTermRow | None:
-        """Return this registry's term, None if it doesn't hold the lease."""
+        """Returns this registry's term, None if it doesn't hold the lease."""
         if not self.lease.is_held(now):
             return None
         return CountingTermRow(*self.lease.term, self.lease.host)
 
     def endpoint(self) -> CounterEndpointRow | None:
-        """Return the address of the registry that counts, None if it is unknown."""
+        """Returns the address of the registry that counts, None if it is unknown."""
         holder = self.lease.last_holder
         if not holder:
             return None
@@ -110,7 +110,7 @@
         return CounterEndpointRow(*address, *self.lease.term)
 
     def totals_since(self, revision: int) -> list[TenantTotalRow]:
-        """Return the totals of tenants near their limit that changed after a revision."""
+        """Returns the totals of tenants near their limit that changed after a revision."""
         return [
             TenantTotalRow(
                 bucket.counter_name,
@@ -121,7 +121,7 @@
         ]
 
     def update_quotas(self, tenants: Iterable[Tenant], is_change: bool) -> None:
-        """Apply changed quotas.
+        """Applies changed quotas.
 
         Args:
             tenants: The tenants of the configuration held.
@@ -132,12 +132,12 @@
         self.grants.update_quotas(tenants, is_counting)
 
     def expire(self, now: float) -> None:
-        """Remove expired counters and credits."""
+        """Removes expired counters and credits."""
         self.counters.expire(now)
         self.grants.expire(now, self._limiters.ranks)
 
     def observe_term(self, primary: Address | None, term: CountingTermRow | None) -> None:
-        """Apply the primary and counting term that a store or another registry reports."""
+        """Applies the primary and counting term that a store or another registry reports."""
         lease = self.lease
         primary_before = lease.primary
         term_before = lease.term
@@ -150,7 +150,7 @@
             self._term_changed.set()
 
     def _reset(self) -> None:
-        """Start with new counters and grants, as another registry may have counted."""
+        """Starts with new counters and grants, as another registry may have counted."""
         now = self._context.clock()
         counters_term = self._context.rng.getrandbits(COUNTERS_TERM_BITS)
         is_successor = now > self._started_at + STARTUP_SECONDS
@@ -162,11 +162,11 @@
     # the lease
 
     def stop(self) -> None:
-        """Wake `run`, which ends once the registry is stopping."""
+        """Wakes `run`, which ends once the registry is stopping."""
         self._term_changed.set()
 
     async def run(self) -> None:
-        """Request and renew the lease while no other host holds it; release it at the end."""
+        """Requests and renews the lease while no other host holds it; releases it at the end."""
         lease = self.lease
         while not self._context.is_stopping:
             self._term_changed.clear()
@@ -184,7 +184,7 @@
             await self._release_lease()
 
     async def request_lease(self, store: Address) -> bool:
-        """Request the lease from one store, which may be or become the primary.
+        """Requests the lease from one store, which may be or become the primary.
 
         Returns:
             Whether it granted the lease.
--- a/loomstand/registry/http_responses.py
+++ b/loomstand/registry/http_responses.py
@@ -28,10 +28,10 @@
 
 
 def json_response(status: int, value: Mapping[str, object]) -> HttpResponse:
-    """Return a response with a JSON object."""
+    """Returns a response with a JSON object."""
     return HttpResponse(status, json.dumps(value).encode())
 
 
 def error_response(status: int, text: str) -> HttpResponse:
-    """Return a response with the reason of an error."""
+    """Returns a response with the reason of an error."""
     return json_response(status, {"error": text})
--- a/loomstand/registry/http_routing.py
+++ b/loomstand/registry/http_routing.py
@@ -30,7 +30,7 @@
 
     @classmethod
     def parse(cls, method: bytes, target: bytes) -> HttpRequest:
-        """Parse the method and the target of a request line."""
+        """Parses the method and the target of a request line."""
         path, _, raw_query = target.decode("latin-1").partition("?")
         pairs = parse_qsl(raw_query, keep_blank_values=True, max_num_fields=MAX_QUERY_FIELDS)
         query: dict[str, str] = {}
@@ -54,7 +54,7 @@
     mismatch_status: HTTPStatus = HTTPStatus.NOT_FOUND
 
     def match(self, request: HttpRequest) -> HandlerT | HTTPStatus:
-        """Return the request's handler, or the status of the part that doesn't match."""
+        """Returns the request's handler, or the status of the part that doesn't match."""
         child = self.children.get(self.select(request) or "")
         if isinstance(child, RouteNode):
             return child.match(request)
@@ -62,17 +62,17 @@
 
 
 def match_path(children: Mapping[str, RouteNode[HandlerT] | HandlerT]) -> RouteNode[HandlerT]:
-    """Return a node that matches the path."""
+    """Returns a node that matches the path."""
     return RouteNode(lambda request: request.path, children, HTTPStatus.NOT_FOUND)
 
 
 def match_method(children: Mapping[str, RouteNode[HandlerT] | HandlerT]) -> RouteNode[HandlerT]:
-    """Return a node that matches the method."""
+    """Returns a node that matches the method."""
     return RouteNode(lambda request: request.method, children, HTTPStatus.METHOD_NOT_ALLOWED)
 
 
 def match_query(
     name: str, children: Mapping[str, RouteNode[HandlerT] | HandlerT]
 ) -> RouteNode[HandlerT]:
-    """Return a node that matches one field of the query."""
+    """Returns a node that matches one field of the query."""
     return RouteNode(lambda request: request.query.get(name), children, HTTPStatus.NOT_FOUND)
--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -56,7 +56,7 @@
 
     @classmethod
     def from_row(cls, row: InstanceRow, now: float) -> Instance:
-        """Convert a row of a message.
+        """Converts a row of a message.
 
         Raises:
             ValueError: The state is unknown.
@@ -75,7 +75,7 @@
         )
 
     def to_row(self, now: float) -> InstanceRow:
-        """Return the server as a row of a message."""
+        """Returns the server as a row of a message."""
         left_seconds = self.slow_start_until - now
         return InstanceRow(
             self.id,
@@ -89,7 +89,7 @@
         )
 
     def differs(self, other: Instance) -> bool:
-        """Return whether the change from `other` to this must be reported to limiters."""
+        """Returns whether the change from `other` to this must be reported to limiters."""
         compared = replace(
             other,
             sequence=self.sequence,
@@ -118,7 +118,7 @@
         self.id_by_address: dict[str, str] = {}
 
     def apply(self, instance: Instance, heartbeat_at: float) -> bool:
-        """Apply a server's heartbeat, or its row from another registry.
+        """Applies a server's heartbeat, or its row from another registry.
 
         Returns:
             Whether a change must be reported to limiters.
@@ -152,7 +152,7 @@
             del self.id_by_address[instance.address]
 
     def mark_gone(self, instance_id: str) -> bool:
-        """Mark a server as ended.
+        """Marks a server as ended.
 
         Returns:
             Whether the change must be reported to limiters.
@@ -164,7 +164,7 @@
         return self.apply(gone, self.last_heartbeat_at.get(instance_id, 0.0))
 
     def apply_heartbeat(self, instance_id: str, sequence: int, heartbeat_at: float) -> bool:
-        """Apply a heartbeat that another registry received.
+        """Applies a heartbeat that another registry received.
 
         Returns:
             False if the server's row is needed because the server is unknown or silent here.
@@ -182,7 +182,7 @@
         return True
 
     def expire(self, now: float) -> bool:
-        """Mark servers without heartbeats as silent or gone, and remove those gone for long.
+        """Marks servers without heartbeats as silent or gone, and removes those gone for long.
 
         Returns:
             Whether a change must be reported to limiters.
@@ -209,7 +209,7 @@
             self.mark_gone(instance.id)
 
     def changed_since(self, revision: int, now: float) -> list[InstanceRow]:
-        """Return the rows of the servers that changed after a revision."""
+        """Returns the rows of the servers that changed after a revision."""
         return [
             instance.to_row(now)
             for instance in self.by_id.values()
@@ -217,7 +217,7 @@
         ]
 
     def rows(self, instance_ids: Iterable[str], now: float) -> list[InstanceRow]:
-        """Return the rows of these servers, without unknown ones."""
+        """Returns the rows of these servers, without unknown ones."""
         return [
             self.by_id[instance_id].to_row(now)
             for instance_id in instance_ids
@@ -225,14 +225,14 @@
         ]
 
     def ages(self, instance_ids: Iterable[str], now: float) -> dict[str, float]:
-        """Return the seconds since the last heartbeat of each of these servers, by id."""
+        """Returns the seconds since the last heartbeat of each of these servers, by id."""
         return {
             instance_id: now - self.last_heartbeat_at.get(instance_id, now)
             for instance_id in instance_ids
         }
 
     def count_states(self) -> dict[str, dict[str, int]]:
-        """Return the number of servers in each state except `gone`, by service."""
+        """Returns the number of servers in each state except `gone`, by service."""
         counts: dict[str, dict[str, int]] = {}
         for instance in self.by_id.values():
             if instance.state == GONE:
--- a/loomstand/registry/limiter_sessions.py
+++ b/loomstand/registry/limiter_sessions.py
@@ -40,7 +40,7 @@
         self._count = rng.getrandbits(INITIAL_COUNT_BITS)
 
     def next(self) -> int:
-        """Return the id of a new session, which none had before this registry's start."""
+        """Returns the id of a new session, which none had before this registry's start."""
         self._count += 1
         return self._count << SESSION_ID_RANDOM_BITS | self._rng.getrandbits(SESSION_ID_RANDOM_BITS)
 
@@ -68,7 +68,7 @@
         self._limiter_names: dict[int, str] = {}  # by session id
 
     async def handle_session(self, request: SessionRequest) -> SessionResponse:
-        """Return state newer than the limiter's, or wait `SESSION_POLL_SECONDS` for a change."""
+        """Returns state newer than the limiter's, or waits `SESSION_POLL_SECONDS` for a change."""
         is_new = request.session_id not in self._limiter_names
         if is_new:
             request = self._open_session(request)
@@ -91,7 +91,7 @@
         return self._response(request, name, is_new, now)
 
     def _open_session(self, request: SessionRequest) -> SessionRequest:
-        """Open a session, and return the request with its id and without known revisions."""
+        """Opens a session, and returns the request with its id and without known revisions."""
         name = request.limiter_name
         if name is None:
             raise CallRefusedError("no such session")
@@ -159,7 +159,7 @@
         )
 
     async def handle_deregister(self, request: DeregisterRequest) -> Acknowledgement:
-        """End a limiter's session here, and forward the request to the other registries."""
+        """Ends a limiter's session here, and forwards the request to the other registries."""
         name = request.limiter_name
         self._limiters.deregister(name, self._context.clock())
         self._counting.grants.release(name)
--- a/loomstand/registry/limiters.py
+++ b/loomstand/registry/limiters.py
@@ -48,23 +48,23 @@
         self.next_expiry_at = 0.0
 
     def limiter_set(self, name: str) -> LimiterSetRow:
-        """Return a limiter's rank, the number of limiters and the number of silent ones."""
+        """Returns a limiter's rank, the number of limiters and the number of silent ones."""
         return LimiterSetRow(self.ranks.get(name, 0), len(self.ranks), len(self.silent))
 
     def session_digest(self) -> int:
-        """Return a checksum of the limiters with a session at this registry."""
+        """Returns a checksum of the limiters with a session at this registry."""
         return crc32("\n".join(sorted(self.last_call_at)).encode())
 
     def session_ages(self, now: float) -> dict[str, float]:
-        """Return the seconds since each limiter's last call to this registry, by name."""
+        """Returns the seconds since each limiter's last call to this registry, by name."""
         return {name: now - called_at for name, called_at in self.last_call_at.items()}
 
     def has_called(self, name: str) -> bool:
-        """Return whether a limiter called this registry and hasn't deregistered since."""
+        """Returns whether a limiter called this registry and hasn't deregistered since."""
         return name in self.last_call_at
 
     def record_call(self, name: str, now: float) -> None:
-        """Record a limiter's call to this registry."""
+        """Records a limiter's call to this registry."""
         is_member = (
             name in self.last_call_at
             and self.ranks.get(name) is not None
@@ -76,7 +76,7 @@
             self.expire(now)
 
     def record_report(self, name: str, last_contact_at: float, now: float) -> None:
-        """Record another registry's report of a limiter's last call.
+        """Records another registry's report of a limiter's last call.
 
         It is ignored if the limiter also called this registry: limiters combine the answers of all
         registries themselves.
@@ -88,13 +88,13 @@
             self.expire(now)
 
     def deregister(self, name: str, now: float) -> None:
-        """Remove a limiter that ended its session, without reserving its rank."""
+        """Removes a limiter that ended its session, without reserving its rank."""
         self.last_call_at.pop(name, None)
         if self.last_contact_at.pop(name, None) is not None:
             self.expire(now)
 
     def expire(self, now: float) -> None:
-        """End the sessions that timed out, and remove limiters silent for too long.
+        """Ends the sessions that timed out, and removes limiters silent for too long.
 
         The times of calls only grow. Until `next_expiry_at`, therefore, only a call of a new or
         silent limiter can change the result.
--- a/loomstand/registry/operator_api.py
+++ b/loomstand/registry/operator_api.py
@@ -61,7 +61,7 @@
         self.pending_bytes = 0
 
     async def handle_replace(self, _request: HttpRequest, body: bytes) -> HttpResponse:
-        """Replace the configuration."""
+        """Replaces the configuration."""
         if self.pending_bytes and self.pending_bytes + len(body) > MAX_PENDING_BYTES:
             text = "busy with other large configurations"
             return error_response(HTTPStatus.SERVICE_UNAVAILABLE, text)
@@ -89,7 +89,7 @@
         return json_response(HTTPStatus.OK, {"version": committed})
 
     async def handle_read(self, _request: HttpRequest, _body: bytes) -> HttpResponse:
-        """Return the committed configuration."""
+        """Returns the committed configuration."""
         size_bytes = len(self._state.configuration.data)
         timeout_seconds = READ_TIMEOUT_SECONDS + transfer_seconds(size_bytes)
         result = await self._store_client.forward(ReadRequest(), ReadResponse, timeout_seconds)
@@ -99,7 +99,7 @@
         return error_response(HTTPStatus.SERVICE_UNAVAILABLE, text)
 
     async def handle_status(self, _request: HttpRequest, _body: bytes) -> HttpResponse:
-        """Return the status of the system as this registry sees it."""
+        """Returns the status of the system as this registry sees it."""
         store = await self._store_client.status()
         now = self._context.clock()
         configuration = self._state.configuration
@@ -127,11 +127,11 @@
         return json_response(HTTPStatus.OK, msgspec.to_builtins(status))
 
     async def handle_rescue(self, _request: HttpRequest, body: bytes) -> HttpResponse:
-        """Inspect a lost store, or re-found it."""
+        """Inspects a lost store, or re-founds it."""
         return await handle_rescue(self._context.network, self._context.local_store, body)
 
     def operator_addresses(self) -> list[str]:
-        """Return the address at which each core machine serves this API.
+        """Returns the address at which each core machine serves this API.
 
         The ports of seed nodes are known; the other machines are assumed to use this one's port.
         """
--- a/loomstand/registry/process.py
+++ b/loomstand/registry/process.py
@@ -35,7 +35,7 @@
         wall_seconds: float | None = None,
         streams: Streams | None = None,
     ) -> None:
-        """Create the registry and its HTTP server.
+        """Creates the registry and its HTTP server.
 
         Args:
             settings: The machine's settings.
@@ -57,7 +57,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until `stop`."""
+        """Serves until `stop`."""
         address = self.context.settings.listen_addresses.control_plane
         if address is None:
             raise ValueError("listen_addresses.control_plane: not set")
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -69,7 +69,7 @@
         clock: Callable[[], float],
         wall_seconds: float | None = None,
     ) -> None:
-        """Create and connect the parts.
+        """Creates and connects the parts.
 
         Args:
             settings: The machine's settings.
@@ -129,7 +129,7 @@
         return match_path({"/api/rpc": by_method})
 
     async def run(self) -> None:
-        """Serve until `stop`."""
+        """Serves until `stop`."""
         settings = self.context.settings
         address = settings.registry_address(settings.ip_address)
         await self.context.network.listen(address, self.requests.serve)
@@ -145,20 +145,20 @@
             await self.context.tasks.close()
 
     def stop(self) -> None:
-        """Make `run` end, after it has released the counting lease."""
+        """Makes `run` end, after it has released the counting lease."""
         self.context.is_stopping = True
         self.context.notifier.close()
         self.counting.stop()
 
     def reload(self, settings: Settings) -> None:
-        """Log that changed settings apply at the next start only.
+        """Logs that changed settings apply at the next start only.
 
         The seed nodes are needed at the start only; afterwards the store reports the core machines.
         """
         logging.info("registry: settings_changed node=%s applies=next_start", settings.node_name)
 
     async def handle_http(self, method: bytes, target: bytes, body: bytes) -> HttpResponse:
-        """Handle an HTTP request of a server or an operator."""
+        """Handles an HTTP request of a server or an operator."""
         request = HttpRequest.parse(method, target)
         handler = self._http_routes.match(request)
         if isinstance(handler, HTTPStatus):
@@ -171,7 +171,7 @@
 
 
 def _incarnation(host: str, wall_seconds: float | None) -> str:
-    """Return a text that identifies this start of the registry."""
+    """Returns a text that identifies this start of the registry."""
     if wall_seconds is None:
         nanoseconds = time.time_ns()
     else:
--- a/loomstand/registry/quota_buckets.py
+++ b/loomstand/registry/quota_buckets.py
@@ -47,7 +47,7 @@
     changed_at_revision: int = 0
 
     def add(self, requests: float, now: float) -> bool:
-        """Add requests.
+        """Adds requests.
 
         Returns:
             Whether the bucket is near its limit with these requests.
@@ -71,7 +71,7 @@
         self.buckets: dict[int, UsageBucket] = {}
 
     def update_quotas(self, tenants: Iterable[Tenant]) -> None:
-        """Apply changed quotas; the levels of existing buckets stay."""
+        """Applies changed quotas; the levels of existing buckets stay."""
         buckets_before = self.buckets
         self.buckets = {}
         for tenant in tenants:
@@ -84,14 +84,14 @@
             self.buckets[digest] = bucket
 
     def reset(self) -> None:
-        """Empty the buckets for new counters: limiters repeat their sums."""
+        """Empties the buckets for new counters: limiters repeat their sums."""
         for bucket in self.buckets.values():
             bucket.level = 0.0
 
     def record(
         self, counter_name: int, step: float, total: float, now: float, is_complete: bool = True
     ) -> bool:
-        """Record an increment of a counter by a limiter.
+        """Records an increment of a counter by a limiter.
 
         Args:
             counter_name: Name of the counter.
@@ -119,5 +119,5 @@
         return True
 
     def changed_since(self, revision: int) -> list[UsageBucket]:
-        """Return the buckets whose total changed for limiters after that revision."""
+        """Returns the buckets whose total changed for limiters after that revision."""
         return [bucket for bucket in self.buckets.values() if bucket.changed_at_revision > revision]
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -51,12 +51,12 @@
 
 
 def bucket_depth(rate: float, burst: float, bounds: RuleBounds) -> float:
-    """Return the depth of a tenant's bucket, in requests beyond its rate."""
+    """Returns the depth of a tenant's bucket, in requests beyond its rate."""
     return max(1.0, burst) + CHARGED_OVERSHOOT_SHARE * allowed_overshoot(rate, burst, bounds)
 
 
 def allowed_overshoot(rate: float, burst: float, bounds: RuleBounds) -> float:
-    """Return the requests that the rule allows in a window beyond rate x window + burst."""
+    """Returns the requests that the rule allows in a window beyond rate x window + burst."""
     quota = rate * bounds.quota_window_seconds + burst
     return bounds.quota_overshoot * quota + bounds.quota_slack
 
@@ -83,7 +83,7 @@
     outstanding: dict[str, float] = field(default_factory=dict)
 
     def leak(self, leak_time: float, unreported: float = 0.0, inherited: float = 0.0) -> None:
-        """Leak up to a time, but not below the credits that limiters may hold.
+        """Leaks up to a time, but not below the credits that limiters may hold.
 
         Args:
             leak_time: The time by which buckets leak, in seconds.
@@ -157,7 +157,7 @@
         self.updated_at = 0.0
 
     def reset(self, term: int, now: float, is_unused: bool = False) -> None:
-        """Start a new term with nearly full buckets, as all credits may have been granted before.
+        """Starts a new term with nearly full buckets, as all credits may have been granted before.
 
         Args:
             term: Number of the new term.
@@ -175,7 +175,7 @@
             bucket.updated_at = self.leak_time
 
     def update_quotas(self, tenants: Iterable[Tenant], is_counting: bool) -> None:
-        """Apply changed quotas.
+        """Applies changed quotas.
 
         A bucket keeps its level, up to its new depth. A new bucket starts empty if this registry is
         counting, else at its initial level.
@@ -212,7 +212,7 @@
         return bucket
 
     def advance(self, now: float, limiter_names: Iterable[str]) -> None:
-        """Advance `leak_time`, slowed by the share of the rate that isolated limiters may use.
+        """Advances `leak_time`, slowed by the share of the rate that isolated limiters may use.
 
         Args:
             now: The clock's reading.
@@ -236,7 +236,7 @@
         self.leak_factor = 1.0 - ISOLATED_SHARE * self.isolated_count / self.limiter_count
 
     def unreported(self, bucket: CreditBucket) -> UnreportedCredits:
-        """Return the credits of a bucket that limiters may hold without having reported them.
+        """Returns the credits of a bucket that limiters may hold without having reported them.
 
         Zero for a bucket too small to be shared out: the reserve would take all of it.
         """
@@ -250,11 +250,11 @@
         return UnreportedCredits(self.isolated_count * max(1.0, share), inherited)
 
     def is_small(self, bucket: CreditBucket) -> bool:
-        """Return whether a bucket is too small to be shared out ahead of use."""
+        """Returns whether a bucket is too small to be shared out ahead of use."""
         return bucket.depth < MIN_CREDITS_PER_LIMITER * self.limiter_count
 
     def release(self, limiter_name: str) -> None:
-        """Release the credits of a limiter that ended its session: it admits no more requests."""
+        """Releases the credits of a limiter that ended its session: it admits no more requests."""
         self.callers.pop(limiter_name, None)
         self._release_credits(limiter_name)
 
@@ -263,7 +263,7 @@
             bucket.outstanding.pop(limiter_name, None)
 
     def expire(self, now: float, limiter_names: Iterable[str]) -> None:
-        """Release the credits of limiters that stopped calling, and remove unknown limiters."""
+        """Releases the credits of limiters that stopped calling, and removes unknown limiters."""
         names = {*limiter_names}
         for name, caller in list(self.callers.items()):
             if now - caller.last_call_at <= CREDIT_RESERVATION_SECONDS:
@@ -273,7 +273,7 @@
                 del self.callers[name]
 
     def handle_request(self, request: CreditRequest, now: float) -> list[CreditGrantRow] | None:
-        """Record the credits that a limiter holds and spent, and grant new ones.
+        """Records the credits that a limiter holds and spent, and grants new ones.
 
         Returns:
             The credits granted; None if the request is of another term: the limiter must first
@@ -308,12 +308,12 @@
         return CreditGrantRow(demand.tenant, self.grant(bucket, limiter_name, demand), 0)
 
     def is_closed(self, tenant_digest: int) -> bool:
-        """Return whether a bucket is half full, so that no limiter admits before it reports."""
+        """Returns whether a bucket is half full, so that no limiter admits before it reports."""
         bucket = self.buckets.get(tenant_digest)
         return bucket is not None and bucket.level >= self.closing_level(bucket)
 
     def closing_level(self, bucket: CreditBucket) -> float:
-        """Return the level from which a small quota's bucket is closed.
+        """Returns the level from which a small quota's bucket is closed.
 
         With no more limiters than `quota_slack` requests, a registry that starts counting doesn't
         open the bucket: with 12 limiters and two moves of the counting lease, 48 requests ran at a
@@ -323,7 +323,7 @@
         return min(bucket.depth, bucket.initial_level if has_few_limiters else inf) / 2
 
     def grant(self, bucket: CreditBucket, limiter_name: str, demand: CreditDemandRow) -> float:
-        """Grant whole credits: with fractions at many limiters, none could admit a request.
+        """Grants whole credits: with fractions at many limiters, none could admit a request.
 
         - Less than 1/2 free: a limiter whose tenant is idle gets no credit while it holds one, nor
           in the first `CREDIT_RESERVATION_SECONDS` after a reset.
--- a/loomstand/registry/replication.py
+++ b/loomstand/registry/replication.py
@@ -60,7 +60,7 @@
     # calls of other registries
 
     async def handle_gossip(self, request: GossipRequest) -> GossipResponse:
-        """Apply another registry's message, and return what this registry lacks."""
+        """Applies another registry's message, and returns what this registry lacks."""
         now = self._context.clock()
         ages = request.instance_ages or {}
         for row in request.instances or ():
@@ -83,7 +83,7 @@
         )
 
     async def handle_snapshot(self, _request: SnapshotRequest) -> SnapshotResponse:
-        """Return all servers to a registry that has just started."""
+        """Returns all servers to a registry that has just started."""
         now = self._context.clock()
         return SnapshotResponse(
             instances=self._instances.changed_since(0, now),
@@ -108,13 +108,13 @@
     # calls to other registries
 
     def record_heartbeat(self, instance: Instance) -> None:
-        """Note a server's heartbeat, which is sent to the others in the next round."""
+        """Notes a server's heartbeat, which is sent to the others in the next round."""
         self._unsent_sequences[instance.id] = max(
             instance.sequence, self._unsent_sequences.get(instance.id, 0)
         )
 
     async def broadcast(self, instance_id: str, timeout_seconds: float) -> bool:
-        """Send a changed server to the other registries.
+        """Sends a changed server to the other registries.
 
         Registries that don't answer get the row in a later round.
 
@@ -125,7 +125,7 @@
         request = GossipRequest(instances=rows)
 
         async def send(registry: Address) -> bool:
-            """Send the row to a registry, or add it to a later round."""
+            """Sends the row to a registry, or adds it to a later round."""
             result = await self._call(registry, request, GossipResponse, timeout_seconds)
             if result.is_error():
                 self.add_pending(registry, [instance_id])
@@ -138,7 +138,7 @@
     async def call_others(
         self, request: Request, response_type: type[ResponseT], timeout_seconds: float
     ) -> list[Result[ResponseT, CallFailure]]:
-        """Call all other registries concurrently, and return their answers."""
+        """Calls all other registries concurrently, and returns their answers."""
         calls = (
             self._call(registry, request, response_type, timeout_seconds)
             for registry in self._context.other_registries()
@@ -146,11 +146,11 @@
         return await asyncio.gather(*calls)
 
     def add_pending(self, registry: Address, instance_ids: Iterable[str]) -> None:
-        """Add these servers to the next round for a registry."""
+        """Adds these servers to the next round for a registry."""
         self._pending.setdefault(registry, set()).update(instance_ids)
 
     async def bootstrap(self) -> None:
-        """Apply the others' snapshots, instead of waiting for the next heartbeats."""
+        """Applies the others' snapshots, instead of waiting for the next heartbeats."""
         results = await self.call_others(
             SnapshotRequest(), SnapshotResponse, SNAPSHOT_TIMEOUT_SECONDS
         )
@@ -166,7 +166,7 @@
             self._shared_clock.synchronize(snapshot.clock_seconds, now)
 
     async def run(self) -> None:
-        """Expire old state and send a round to the other registries, once per interval."""
+        """Expires old state and sends a round to the other registries, once per interval."""
         while not self._context.is_stopping:
             await asyncio.sleep(GOSSIP_INTERVAL_SECONDS)
             now = self._context.clock()
--- a/loomstand/registry/request_router.py
+++ b/loomstand/registry/request_router.py
@@ -16,7 +16,7 @@
         return f"no call {operation!r}"
 
     async def serve(self, operation: str, body: Body) -> Body:
-        """Handle a call.
+        """Handles a call.
 
         Raises:
             CallRefusedError: The operation is unknown, or the body is invalid.
--- a/loomstand/registry/rescue.py
+++ b/loomstand/registry/rescue.py
@@ -15,7 +15,7 @@
 
 
 def parse_rescue(body: bytes) -> RescueRequest:
-    """Parse an operator's `{"gone": [host], "token": text}`; both fields are optional.
+    """Parses an operator's `{"gone": [host], "token": text}`; both fields are optional.
 
     Raises:
         ValueError: The body isn't JSON, or a field has the wrong type.
@@ -32,7 +32,7 @@
 
 
 async def handle_rescue(network: Network, store: Address, body: bytes) -> HttpResponse:
-    """Forward an operator's call to the store on this machine.
+    """Forwards an operator's call to the store on this machine.
 
     Returns:
         The state of the store, or the view that was founded; 409 with the reasons if the token
--- a/loomstand/registry/server_heartbeats.py
+++ b/loomstand/registry/server_heartbeats.py
@@ -39,7 +39,7 @@
         self.field = "body"
 
     def read(self, instance_id: str, body: bytes, now: float) -> Instance:
-        """Parse a heartbeat; an error raised here concerns `field`."""
+        """Parses a heartbeat; an error raised here concerns `field`."""
         heartbeat = json.loads(body)
         self.field = "address"
         address = str(heartbeat["address"])
@@ -63,7 +63,7 @@
 
 
 def parse_heartbeat(instance_id: str, body: bytes, now: float) -> Instance:
-    """Parse a heartbeat.
+    """Parses a heartbeat.
 
     Args:
         instance_id: Id of the server.
@@ -96,7 +96,7 @@
         self._acknowledged_at: dict[str, float] = {}
 
     async def handle_heartbeat(self, request: HttpRequest, body: bytes) -> HttpResponse:
-        """Apply a heartbeat; acknowledge a drain once more than half of the registries have it."""
+        """Applies a heartbeat; acknowledges a drain once most registries have it."""
         instance = parse_heartbeat(request.query.get("of", ""), body, self._context.clock())
         now = self._context.clock()
         self._replication.record_heartbeat(instance)
@@ -111,7 +111,7 @@
         return EMPTY_RESPONSE
 
     async def handle_leave(self, request: HttpRequest, _body: bytes) -> HttpResponse:
-        """Mark a server as ended; acknowledge it once more than half of the registries have it."""
+        """Marks a server as ended; acknowledges it once most registries have it."""
         instance_id = request.query.get("of", "")
         if not instance_id:
             raise BadRequestError("of: a server's id is needed")
@@ -123,7 +123,7 @@
         return await self._acknowledge_departure(instance_id)
 
     async def _acknowledge_departure(self, instance_id: str) -> HttpResponse:
-        """Acknowledge a server's departure if more than half of the registries have it."""
+        """Acknowledges a server's departure if more than half of the registries have it."""
         now = self._context.clock()
         self._forget_old_departures(now)
         if instance_id not in self._acknowledged_at:
--- a/loomstand/registry/shared_clock.py
+++ b/loomstand/registry/shared_clock.py
@@ -31,11 +31,11 @@
     stepped_at: float = -STEP_REPEAT_SECONDS
 
     def read(self, now: float) -> float:
-        """Return the shared clock's reading, in seconds."""
+        """Returns the shared clock's reading, in seconds."""
         return now + self.offset_seconds
 
     def ticks(self, now: float, is_counting: bool) -> int | None:
-        """Return the reading for limiters, in ticks of 0.1 ms; None while the clock is unknown.
+        """Returns the reading for limiters, in ticks of 0.1 ms; None while the clock is unknown.
 
         The first registry that counts sets the clock.
         """
@@ -43,7 +43,7 @@
         return round(self.read(now) * TICKS_PER_SECOND) if self.is_known else None
 
     def synchronize(self, reading: float, now: float) -> bool:
-        """Set the clock to the reading of another program.
+        """Sets the clock to the reading of another program.
 
         Returns:
             Whether the step is larger than `MIN_STEP_SECONDS`.
@@ -57,5 +57,5 @@
         return True
 
     def has_recently_stepped(self, now: float) -> bool:
-        """Return whether the clock must still be reported to limiters after a step."""
+        """Returns whether the clock must still be reported to limiters after a step."""
         return now - self.stepped_at < STEP_REPEAT_SECONDS
--- a/loomstand/registry/store_client.py
+++ b/loomstand/registry/store_client.py
@@ -64,7 +64,7 @@
     # calls of limiters
 
     async def handle_configuration(self, request: ConfigurationRequest) -> ConfigurationResponse:
-        """Return the configuration, compressed if it is large and the limiter accepts that."""
+        """Returns the configuration, compressed if it is large and the limiter accepts that."""
         configuration = self._configuration
         if not request.accepts_compressed or not configuration.is_compressible():
             return ConfigurationResponse(version=configuration.version, data=configuration.data)
@@ -73,7 +73,7 @@
         )
 
     async def handle_offer(self, request: OfferRequest) -> Acknowledgement:
-        """Forward a limiter's newer configuration to the store, which may have lost it."""
+        """Forwards a limiter's newer configuration to the store, which may have lost it."""
         if request.version > self._configuration.version:
             offer = OfferRequest(version=request.version, data=request.data)
             timeout_seconds = CHANGE_TIMEOUT_SECONDS + transfer_seconds(len(request.data))
@@ -85,7 +85,7 @@
     async def forward(
         self, request: Request, response_type: type[ResponseT], timeout_seconds: float
     ) -> Result[ResponseT, CallFailure]:
-        """Send a request for the primary to the store on this machine.
+        """Sends a request for the primary to the store on this machine.
 
         That store forwards it to the primary. If it can't have run there, the other stores are
         tried until the timeout.
@@ -118,7 +118,7 @@
         return Ok(response)
 
     async def status(self) -> StatusResponse | None:
-        """Return the status of the store on this machine, None if it doesn't answer."""
+        """Returns the status of the store on this machine, None if it doesn't answer."""
         result = await call(
             self._context.network,
             self._context.local_store,
@@ -129,7 +129,7 @@
         return result.ok if result.is_ok() else None
 
     async def run(self) -> None:
-        """Long-poll the store for changes of its status and of the configuration."""
+        """Long-polls the store for changes of its status and of the configuration."""
         answered_at = self._context.clock()
         known_revision = 0
         while not self._context.is_stopping:
@@ -155,19 +155,19 @@
             await asyncio.sleep(RETRY_SECONDS)
 
     def close(self) -> None:
-        """Cancel the delayed update of quotas."""
+        """Cancels the delayed update of quotas."""
         if self._quota_timer is not None:
             self._quota_timer.cancel()
 
     def _expire_report(self, answered_at: float) -> None:
-        """Treat the configuration as possibly outdated once the store's last report expired."""
+        """Treats the configuration as possibly outdated once the store's last report expired."""
         is_silent = self._context.clock() - answered_at >= REPORT_LIFETIME_SECONDS
         if self._configuration.is_reported_current and is_silent:
             self._configuration.is_reported_current = False
             self._notifier.notify_system_state()
 
     def _apply_status(self, status: WaitResponse, sent_at: float) -> None:
-        """Apply the store's response to a request that was sent at `sent_at`."""
+        """Applies the store's response to a request that was sent at `sent_at`."""
         configuration = self._configuration
         configuration.report_expires_at = sent_at + WAIT_SECONDS + REPORT_LIFETIME_SECONDS
         if status.version > configuration.version and isinstance(status.data, bytes):
@@ -210,7 +210,7 @@
         self._notifier.notify()
 
     def _update_quotas(self, is_change: bool) -> None:
-        """Apply the quotas of the configuration held.
+        """Applies the quotas of the configuration held.
 
         Args:
             is_change: Whether the previous configuration was known, or was known not to exist.
@@ -227,7 +227,7 @@
         self._counting.update_quotas(configuration.tenants or (), is_change)
 
     async def _offer(self) -> None:
-        """Offer the configuration held to the store on this machine.
+        """Offers the configuration held to the store on this machine.
 
         The store doesn't know that this version was committed.
         """
--- a/loomstand/registry/system_status.py
+++ b/loomstand/registry/system_status.py
@@ -96,7 +96,7 @@
 
 
 def store_status(response: StatusResponse) -> StoreStatus:
-    """Return the part of a store's answer that operators get."""
+    """Returns the part of a store's answer that operators get."""
     return StoreStatus(
         version=f"r{response.version}",
         epoch=response.epoch,
--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -383,7 +383,7 @@
     first_id: int,
     frontend: int = 0,
 ) -> dict:
-    """Send 40 requests/s; servers answer after 50 ms, attempts in dead zones fail after 4 s."""
+    """Sends 40 requests/s; servers answer after 50 ms, attempts in dead zones fail after 4 s."""
     in_flight, sent = [], {}
     for n in range(round(seconds * 40)):
         now += S // 40
--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -61,7 +61,7 @@
 
 
 def run_rehearsal(rehearsal: Rehearsal, out: Path, plan: bytes = PLAN, seed: int = 1):
-    """Return the report and the recorded events, after checking the rules and that all processes
+    """Returns the report and the recorded events, after checking the rules and that all processes
     have ended.
     """
     report = run_and_report(rehearsal, out, plan, seed=seed)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -286,7 +286,7 @@
 
 
 def run_rehearsal(rehearsal: Rehearsal, out) -> tuple[dict, checker.RehearsalEvents]:
-    """Return the report and the recorded events, after checking the rules and that all processes
+    """Returns the report and the recorded events, after checking the rules and that all processes
     have ended.
     """
     report = run_and_report(rehearsal, out)
@@ -416,7 +416,7 @@
 
 
 def failed_starts(seeds: range) -> list[int]:
-    """Return the seeds of starts in which a limiter has no list in time, or asks discovery twice.
+    """Returns the seeds of starts in which a limiter has no list in time, or asks discovery twice.
 
     Of the three limiters that ask at once two die and one is cut off from discovery, each at a
     random time between before it has the list and after it has forwarded the list.
