--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -78,7 +78,7 @@
     click.echo(f"frontends: {', '.join(frontend.name for frontend in config.settings.frontends)}")
     click.echo(f"plans: {', '.join(plan.name for plan in config.settings.plans) or 'none'}")
     initial = config.initial_backends
-    click.echo(f"servers known: {len(initial.backends)}, as of revision {initial.revision}")
+    click.echo(f"initial servers: {len(initial.backends)}, as of revision {initial.revision}")
 
 
 @main.command()
@@ -281,7 +281,7 @@
 @plan.command("check")
 @click.argument("path", metavar="FILE", type=click.Path(dir_okay=False))
 def plan_check(path: str) -> None:
-    """Read the plan in FILE and name the invalid key if there is one."""
+    """Read the plan in FILE and print the invalid key if there is one."""
     zone_plan = load_site_plan(path)
     order = (
         [rule.name for rule in zone_plan.refuse]
@@ -295,26 +295,25 @@
 @plan.command("show")
 @click.argument("path", metavar="FILE", type=click.Path(dir_okay=False))
 def plan_show(path: str) -> None:
-    """Show for the loss of each zone of the plan in FILE where its load goes and what is refused;
-    exit 1 if the fleet is too small to bear one of the losses.
+    """Forecast for the loss of each zone in FILE where its load moves and what is refused; exit 1
+    if the fleet is too small for one of the losses.
     """
     from loomstand.failover.zone_plan import forecast
 
     zone_plan, sufficient = load_site_plan(path), True
     if not zone_plan.zones or not zone_plan.demand:
-        raise click.ClickException(
-            f"{path}: key 'zones' and key 'demand' are needed for a forecast"
-        )
+        raise click.ClickException(f"{path}: a forecast needs key 'zones' and key 'demand'")
     for lost_zone in ["", *(zone.name for zone in zone_plan.zones)]:
         result = forecast(zone_plan, lost_zone)
         click.echo(f"zone {lost_zone} lost:" if lost_zone else "no zone lost:")
         click.echo(
-            f"  asked {result.demand_slots:.1f} slots, room for {result.usable_slots:.1f}; "
-            f"use {result.utilization:.2f}; worth {result.admitted_value_share:.3f}"
+            f"  demand {result.demand_slots:.1f} slots, usable {result.usable_slots:.1f}; "
+            f"utilization {result.utilization:.2f}; "
+            f"admitted value {result.admitted_value_share:.3f}"
         )
         if lost_zone:
             click.echo(
-                "  its load goes to "
+                "  its load moves to "
                 + ", ".join(
                     f"{zone} {slots:.1f} slots" for zone, slots in result.moved_slots.items()
                 )
@@ -327,13 +326,14 @@
                 )
         if result.missing_servers_for_all:
             click.echo(
-                f"  {result.missing_servers_for_all} more servers would bear all that is asked"
+                f"  {result.missing_servers_for_all} more servers would cover the whole demand"
             )
         if result.missing_servers:
             sufficient = False
             s = "" if result.missing_servers == 1 else "s"
             click.echo(
-                f"  the fleet does not bear this: {result.missing_servers} more server{s} needed"
+                f"  the fleet is too small for this loss: {result.missing_servers} more server{s} "
+                "needed"
             )
     if not sufficient:
         raise SystemExit(1)
--- a/loomstand/ctl/advice.py
+++ b/loomstand/ctl/advice.py
@@ -59,8 +59,8 @@
             out.append(
                 ConfigurationWarning(
                     places.place("routes", route.name, "public"),
-                    "served without a key and outside all quotas, though there are tenants",
-                    "set it to false, unless anybody may send requests",
+                    "served without a key and without quotas, although tenants are configured",
+                    "set it to false, unless requests without a key are intended",
                 )
             )
     out += _check_nested_routes(config.routes, places)
@@ -85,7 +85,7 @@
     if route.target_latency_seconds == 0:
         yield ConfigurationWarning(
             place("target_latency"),
-            "0: no response can come within it",
+            "0: no response can arrive within it",
             "set the latency that clients expect",
         )
     if route.timeout_seconds == 0:
@@ -108,12 +108,13 @@
             f"{route.max_attempts} on a non-idempotent route limits the servers tried, not the "
             "executions: another server is tried only if the previous one certainly didn't run "
             "the request",
-            "keep it if that is intended, else set 1; what may have run is never repeated",
+            "keep it if that is intended, else set 1; a request that may have run is never "
+            "repeated",
         )
     if any(c in route.path_prefix for c in "?# "):
         yield ConfigurationWarning(
             place("path_prefix"),
-            "contains a character that no path has: no request matches it",
+            "contains a character that can't occur in a path: no request matches it",
             "remove the character",
         )
     yield from _check_split(route, places)
@@ -127,7 +128,7 @@
         yield ConfigurationWarning(
             places.place("routes", route.name, "service_name"),
             f"ignored, as traffic_split takes precedence{unnamed}",
-            "remove the one that isn't meant",
+            "remove the one that isn't intended",
         )
     for n, (service, weight) in enumerate(route.traffic_split):
         place = places.place("routes", route.name, f"traffic_split[{n}]")
@@ -148,7 +149,7 @@
 ) -> Iterator[ConfigurationWarning]:
     """Warns of a route whose prefix lies within that of another of the same host and kind.
 
-    Nested routes of different kinds are usual: they tell idempotent paths from the others.
+    Nested routes of different kinds are common: they separate idempotent paths from the others.
     """
     by_prefix = {(route.host, route.path_prefix): route for route in routes}
     for route in routes:
@@ -203,5 +204,5 @@
         yield ConfigurationWarning(
             places.place("tenants", tenant.name, "rate_per_s"),
             f"no quota: the tenant is unlimited{burst}",
-            "set one",
+            "set rate_per_s",
         )
--- a/loomstand/ctl/commands.py
+++ b/loomstand/ctl/commands.py
@@ -71,9 +71,7 @@
     return value
 
 
-def _epilog(
-    *examples: str, codes: str = "0 fine, 1 found something wrong, 2 bad usage or input"
-) -> str:
+def _epilog(*examples: str, codes: str = "0 fine, 1 problem found, 2 bad usage or input") -> str:
     """Returns the end of a command's help: the examples and the exit codes."""
     lines = "\n".join(f"    python -m {PROGRAM} {example}" for example in examples)
     return f"Example:\n\n{lines}\n\nExit codes: {codes}."
@@ -103,7 +101,7 @@
         num_args=-1,
         parse=lambda texts: [_parse_host(t) for t in texts],
         show_default=False,
-        help="addresses, as shown, of core machines whose disks are lost permanently",
+        help="addresses, as shown, of core machines whose disks are permanently lost",
     ),
 ]
 Json = Annotated[bool, cappa.Arg(long="--json", show_default=False, help="print JSON")]
@@ -237,16 +235,16 @@
 @cappa.command(
     name="rescue",
     invoke="loomstand.ctl.rescue.rescue",
-    help="Show what is left of the store after it lost more than it tolerates, and found it anew "
-    "with `--yes`.",
+    help="Show what data is left of a store that lost more members than it tolerates, and re-found "
+    "it with `--yes`.",
     description="Read docs/rescue.md first. A machine named by `--gone` must never come back. "
     "Operators "
-    "have to ensure this, as the programs can't check it. Without `--yes` nothing is changed.",
+    "must ensure this, as the programs can't check it. Without `--yes` nothing is changed.",
     epilog=_epilog(
         "core rescue --at 10.1.0.33:8783",
         "core rescue --at 10.1.0.33:8783 --gone 10.2.0.25 10.3.0.14 --yes",
-        codes="0 founded anew, or without `--yes` a primary serves; 1 a rescue is due, waits or "
-        "was refused; "
+        codes="0 re-founded, or without `--yes` a primary serves; 1 a rescue is due, blocked or "
+        "refused; "
         "2 bad usage",
     ),
 )
@@ -256,7 +254,7 @@
     gone: Gone = field(default_factory=list)
     yes: Annotated[
         bool,
-        cappa.Arg(long="--yes", show_default=False, help="found the store anew from what is shown"),
+        cappa.Arg(long="--yes", show_default=False, help="re-found the store from the data shown"),
     ] = False
     json: Json = False
 
@@ -270,10 +268,9 @@
 @cappa.command(
     name="draw",
     invoke="loomstand.ctl.days.days_draw",
-    help="Draw days for the bench's `run SITE FILE`, which combine the troubles that SITE lists.",
-    description="Without `--days`, as many as it takes for every two kinds of trouble to meet. "
-    "The same "
-    "arguments give the same files.",
+    help="Draw days for the bench's `run SITE FILE`, which combine the faults that SITE lists.",
+    description="Without `--days`, draws as many days as are needed for every two kinds of fault "
+    "to occur together. The same arguments give the same files.",
     epilog=_epilog(
         "days draw nakhla-loom.toml --severity harsh --seed 7 --out /tmp/days",
         codes="0 fine, 2 bad usage or input, or a file exists with other contents",
@@ -300,7 +297,7 @@
             value_name="N",
             parse=_parse_day_count,
             show_default=False,
-            help="number of days; drawn at random once all pairs of kinds have met",
+            help="number of days; drawn at random once each pair of kinds has occurred together",
         ),
     ] = None
     seed: Annotated[
@@ -309,13 +306,13 @@
     severity: Annotated[
         Literal["mild", "usual", "harsh"],
         cappa.Arg(
-            long="--severity", help="strength of the troubles, and their number a day: 4, 6 or 8"
+            long="--severity", help="severity of the faults, and their number per day: 4, 6 or 8"
         ),
     ] = "usual"
     kinds: Annotated[
         str,
         cappa.Arg(
-            long="--kinds", value_name="A,B", show_default=False, help="only these kinds of trouble"
+            long="--kinds", value_name="A,B", show_default=False, help="only these kinds of fault"
         ),
     ] = ""
     load: Annotated[
@@ -332,7 +329,7 @@
         cappa.Arg(
             long="--dense",
             show_default=False,
-            help="many troubles of every kind at once, most of them from this group",
+            help="many faults of every kind at once, most of them from this group",
         ),
     ] = ""
     json: Json = False
@@ -394,11 +391,11 @@
 @cappa.command(
     name="compare",
     invoke="loomstand.ctl.journal.journal_compare",
-    help="Show the days of two entries side by side, and which causes cost more or less.",
+    help="Compare the days of two entries, and show which causes cost more or less.",
     epilog=_epilog(
         "journal compare dcd8f963 4dc70f73",
-        codes="0 fine, 1 NEW is worse by more than noise or breaks a rule that OLD kept, "
-        "2 bad usage, or not entries of this bench and one site",
+        codes="0 fine, 1 NEW is worse by more than noise or breaks a rule that OLD didn't break, "
+        "2 bad usage, or not two entries of this bench and the same site",
     ),
 )
 @dataclass
@@ -427,11 +424,15 @@
     journal: Journal = "journal"
     site: Annotated[
         str | None,
-        cappa.Arg(long="--site", value_name="S", show_default=False, help="only of this site"),
+        cappa.Arg(
+            long="--site", value_name="S", show_default=False, help="only entries of this site"
+        ),
     ] = None
     verb: Annotated[
         str | None,
-        cappa.Arg(long="--verb", value_name="V", show_default=False, help="only of this verb"),
+        cappa.Arg(
+            long="--verb", value_name="V", show_default=False, help="only entries of this verb"
+        ),
     ] = None
     json: Json = False
 
--- a/loomstand/ctl/days.py
+++ b/loomstand/ctl/days.py
@@ -34,20 +34,20 @@
         print(json.dumps(index, indent=2))
         return 0
     table = tables.make_table(
-        "day", "like", "closing", "meet at", "troubles", no_wrap=("closing", "meet at")
+        "day", "based on", "closing", "overlap at", "faults", no_wrap=("closing", "overlap at")
     )
     for n, day in enumerate(index["days"], 1):
         meeting = "" if day["meeting_s"] is None else f"{day['meeting_s']:g} s"
-        counts = Counter(trouble["kind"] for trouble in day["troubles"])
-        troubles = ", ".join(
+        counts = Counter(fault["kind"] for fault in day["troubles"])
+        faults = ", ".join(
             kind if count == 1 else f"{kind} x {count}" for kind, count in counts.items()
         )
-        table.add_row(str(n), day["base"], day["closing"] or "none", meeting, single_line(troubles))
+        table.add_row(str(n), day["base"], day["closing"] or "none", meeting, single_line(faults))
     tables.make_console().print(table)
     pairs = index["pairs"]
     by_day = f", all by day {pairs['all_met_by_day']}" if pairs["all_met_by_day"] else ""
     print(f"{pluralize(len(drawn), 'day')} and {INDEX_FILE} in {single_line(command.out)}")
-    print(f"{pairs['met']} of {pairs['possible']} pairs of kinds meet{by_day}")
+    print(f"{pairs['met']} of {pairs['possible']} pairs of kinds occur together{by_day}")
     return 0
 
 
--- a/loomstand/ctl/files.py
+++ b/loomstand/ctl/files.py
@@ -62,17 +62,17 @@
         f"{settings.node_name}: role {settings.role}, "
         f"on a machine of class {settings.machine_class}",
         f"at {settings.ip_address} in zone {settings.zone}, region {settings.region}; "
-        + ("its loss counts" if settings.loss_counted else "its loss does not count"),
-        f"serves {', '.join(settings.serves) or 'nothing outside'}",
+        + ("its loss is counted" if settings.loss_counted else "its loss is not counted"),
+        f"serves {', '.join(settings.serves) or 'no external interface'}",
         *(f"listens at {format_address(a)} for {n}" for n, a in listeners),
-        "system's own calls: "
+        "internal calls: "
         f"registry {format_address(settings.registry_address(settings.ip_address))}, "
         f"store {format_address(settings.store_address(settings.ip_address))}",
         f"seeds: {', '.join(map(format_address, settings.seed_nodes))}",
         "zones: "
         + (
             ", ".join(f"{zone} ({region})" for zone, region in settings.zones.items())
-            or "none named"
+            or "none configured"
         ),
         f"first start: {'yes' if settings.first_start else 'no'}; data in "
         f"{settings.data_directory or 'memory only'}",
@@ -82,7 +82,7 @@
         f"{format_number(limits.link_mbps)} Mbit/s, {limits.disk_mb} MB of disk",
         f"heartbeats every {format_seconds(settings.heartbeat_seconds)}; contracts: "
         f"{', '.join(settings.contracts) or 'none'}",
-        f"bears the loss of {pluralize(settings.tolerated_losses.machines, 'machine')}, "
+        f"tolerates the loss of {pluralize(settings.tolerated_losses.machines, 'machine')}, "
         f"{pluralize(settings.tolerated_losses.zones, 'zone')}, "
         f"{pluralize(settings.tolerated_losses.regions, 'region')}",
         "bounds:",
@@ -138,7 +138,7 @@
     )
     print(f"valid: {summary['version']}, {counts}; {pluralize(len(warnings), 'warning')}")
     for warning in warnings:
-        print(f"{warning.place}: {warning.what}\n    mend: {warning.mend}")
+        print(f"{warning.place}: {warning.what}\n    remedy: {warning.mend}")
     return 0
 
 
--- a/loomstand/ctl/journal.py
+++ b/loomstand/ctl/journal.py
@@ -39,7 +39,9 @@
         f"*-{stem}*.json", root_dir=journal
     )
     if len(paths) != 1 or not entry_id:
-        problem = f"matches {len(paths)} entries" if paths else "is no file and no entry's id"
+        problem = (
+            f"matches {len(paths)} entries" if paths else "is neither a file nor an entry's id"
+        )
         raise CommandError(f"{single_line(entry_id) or 'nothing'} {problem} in {journal}")
     return os.path.join(journal, paths[0])
 
@@ -65,7 +67,7 @@
         if command.site:
             raise CommandError(
                 f"{path}: describes site {single_line(site_file.name)}, "
-                f"but the entry is of {single_line(record.site)}"
+                f"but the entry is of site {single_line(record.site)}"
             )
     return (), ()
 
@@ -124,13 +126,13 @@
     table = tables.make_table(
         "day",
         "slot",
-        "weighs",
+        "weight",
         "score",
         "worth",
         "served",
         "prices",
-        "most lost to",
-        right=("weighs", "score", "worth", "served", "prices"),
+        "largest loss",
+        right=("weight", "score", "worth", "served", "prices"),
     )
     for weight, day in zip(losses.weights(record), record.days, strict=True):
         prices, largest = sum(price.worth for price in day.prices), losses.of_day(day)[0]
@@ -154,7 +156,7 @@
     for loss in shown:
         table.add_row(single_line(_format_cause(loss)), f"{loss.worth:.3f}", f"{loss.score:.3f}")
     sums = [sum(getattr(loss, field) for loss in totals) for field in ("worth", "score")]
-    table.add_row("in sum", *(f"{value:.3f}" for value in sums))
+    table.add_row("total", *(f"{value:.3f}" for value in sums))
     console.print(table)
     print(_format_score(record))
     if len(record.days) > MAX_DETAILED_DAYS:
@@ -222,8 +224,8 @@
     old, new = (_load_entry(text, command.journal) for text in (command.old, command.new))
     if old.site != new.site:
         raise CommandError(
-            f"{single_line(old.id)} is of {single_line(old.site)}, "
-            f"{single_line(new.id)} of {single_line(new.site)}"
+            f"{single_line(old.id)} is of site {single_line(old.site)}, "
+            f"{single_line(new.id)} of site {single_line(new.site)}"
         )
     changes = losses.changes(old, new)
     if not changes:
@@ -297,8 +299,8 @@
     console.print(table)
     unmatched = [len(e.days) - len(changes) for e in (old, new)]
     if any(unmatched):
-        print(f"days of one entry alone, left out: {unmatched[0]} and {unmatched[1]}")
-    print(f"a change of a day's score under {losses.NOISE} is noise")
+        print(f"days in only one entry, left out: {unmatched[0]} and {unmatched[1]}")
+    print(f"changes of a day's score below {losses.NOISE} are noise")
 
 
 def journal_list(command: JournalList) -> int:
--- a/loomstand/ctl/rescue.py
+++ b/loomstand/ctl/rescue.py
@@ -12,7 +12,7 @@
 from loomstand.ctl.common import CommandError, single_line
 from loomstand.ctl.status import query_registries
 
-# Without an answer. The registry gives its store 5 s for a whole rescue.
+# Time without a byte of the response. The registry allows its store 5 s for a whole rescue.
 RESCUE_TIMEOUT_SECONDS = 6.0
 
 Case = dict[str, Any]  # the JSON of a `system.rescue` report or of its result
@@ -60,7 +60,7 @@
     differ = len({other["token"] for other in cases.values()}) > 1
     if differ:  # a network partition between core machines looks like the loss of some
         obstacles = [
-            "the core machines don't see the same: mend the links between them, or look again"
+            "the core machines don't see the same: restore the network between them, or retry"
         ]
     done = _execute(command, at, case) if command.yes and not obstacles else None
     serving = any(_is_serving(other) for other in cases.values())
@@ -85,11 +85,11 @@
 ) -> None:
     for at, case in cases.items():
         if at:
-            print(f"as {at} sees it:")
+            print(f"report of {at}:")
         for line in _format_case(case):
             print(single_line(line))
     for at, reason in failed.items():
-        print(f"{at} reports nothing: {single_line(reason)}")
+        print(f"{at} gives no report: {single_line(reason)}")
     for obstacle in obstacles:
         print(f"waits: {single_line(obstacle)}")
     if done is not None:
@@ -97,10 +97,10 @@
             f"founded: epoch {done['epoch']}, {single_line(str(done['version']))} in force, "
             f"{single_line(_format_members(done))}"
         )
-        print("push the next configuration under a version well above any that was ever sent")
+        print("push the next configuration with a version well above all versions ever pushed")
     elif not obstacles:
         print(
-            f"`--yes` founds the store anew at {single_line(str(case['chosen']))}, with "
+            f"`--yes` re-founds the store at {single_line(str(case['chosen']))}, with "
             f"{single_line(str(case['version']))}"
         )
 
@@ -126,12 +126,11 @@
         return done
     except CallError as error:
         raise CommandError(
-            f"no clear answer, it may be founded all the same: look at `status`: {error}", 1
+            f"no clear response, the store may be re-founded nevertheless; check `status`: {error}",
+            1,
         ) from None
     except (ValueError, KeyError, TypeError, RecursionError):
-        raise CommandError(
-            f"{at} gives an answer that isn't understood; look at `status`", 1
-        ) from None
+        raise CommandError(f"{at} gave an invalid response; check `status`", 1) from None
 
 
 def _format_case(case: Case) -> list[str]:
@@ -140,7 +139,7 @@
     lines = [
         f"the newest view known: epoch {epoch}"
         if epoch
-        else "no view is known: all who ever voted must be gone"
+        else "no view is known: all members that ever voted must be permanently lost"
     ]
     for member in case["members"]:
         roles = ["votes"] * bool(member["votes"]) + ["had the data"] * bool(member["data"])
@@ -155,22 +154,22 @@
     lines.append("in reach:")
     for member in case["reach"]:
         versions = (
-            f"in force {member['in_force']}, given back {member['given_back']}, "
+            f"in force {member['in_force']}, offered {member['given_back']}, "
             f"on disk {member['on_disk']}"
         )
         lines.append(
             f"  {member['host']} ({member['id']}): {versions}"
-            + "; its disk is in trouble" * bool(member["disk_in_trouble"])
+            + "; its disk is unhealthy" * bool(member["disk_in_trouble"])
         )
     newest = str(case["version"])
     if _is_serving(case):
         return lines
     if newest == "r0":
-        lines.append("no member in reach holds a configuration: the store would begin empty")
+        lines.append("no member in reach holds a configuration: the store would start empty")
     else:
         lines.append(f"the newest found: {newest}, to be put in force by {case['chosen']}")
     lines.append(
-        "a later version that was acknowledged, but that no member in reach holds, can't be "
-        "detected and is lost"
+        "a later version that was acknowledged, but that no member in reach holds, is lost; it "
+        "can't be detected"
     )
     return lines
--- a/loomstand/ctl/status.py
+++ b/loomstand/ctl/status.py
@@ -125,7 +125,7 @@
     service.
     """
     store, missing = report["store"], report["limiters"]["missing"]
-    line = "store: no answer"
+    line = "store: no response"
     if store:
         line = f"store: epoch {int(store['epoch'])}, primary {store['primary'] or 'none'}"
         line += f", backup {store['backup']}" if store["backup"] else ""
@@ -157,7 +157,8 @@
     # A line that all registries report is printed once, without their addresses.
     for line, addresses in reporters.items():
         console.print(
-            line + ("" if len(addresses) == len(answered) else f" (says {', '.join(addresses)})")
+            line
+            + ("" if len(addresses) == len(answered) else f" (reported by {', '.join(addresses)})")
         )
     for address, report in reports.items():
         if "failed" in report:
@@ -165,4 +166,4 @@
     for problem in problems:
         console.print(f"WRONG: {problem}")
     if not problems:
-        console.print("all registries that answered hold one version, and a primary serves")
+        console.print("all registries that responded hold the same version, and a primary serves")
--- a/loomstand/registry/server_heartbeats.py
+++ b/loomstand/registry/server_heartbeats.py
@@ -96,7 +96,7 @@
         self._acknowledged_at: dict[str, float] = {}
 
     async def handle_heartbeat(self, request: HttpRequest, body: bytes) -> HttpResponse:
-        """Applies a heartbeat; acknowledges a drain once most registries have it."""
+        """Applies a heartbeat; acknowledges a drain once a majority of the registries has it."""
         instance = parse_heartbeat(request.query.get("of", ""), body, self._context.clock())
         now = self._context.clock()
         self._replication.record_heartbeat(instance)
@@ -111,7 +111,7 @@
         return EMPTY_RESPONSE
 
     async def handle_leave(self, request: HttpRequest, _body: bytes) -> HttpResponse:
-        """Marks a server as ended; acknowledges it once most registries have it."""
+        """Marks a server as ended; acknowledges it once a majority of the registries has it."""
         instance_id = request.query.get("of", "")
         if not instance_id:
             raise BadRequestError("of: a server's id is needed")
--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -328,7 +328,7 @@
     registry.held = json.dumps({"case": due}).encode()
     args = ["core", "rescue", "--at", registry.at, "--gone", *gone]
     assert main(args) == 1  # a rescue is due, but not confirmed with `--yes`
-    assert "`--yes` founds the store anew at 10.1.0.3, with r7" in capsys.readouterr().out
+    assert "`--yes` re-founds the store at 10.1.0.3, with r7" in capsys.readouterr().out
     done = {
         "epoch": 1000003,
         "version": "r7",
--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -114,7 +114,7 @@
     path.write_text(busy)
     result = CliRunner().invoke(main, ["plan", "show", str(path)])
     assert result.exit_code == 1
-    assert "the fleet does not bear this: 1 more server" in result.output
+    assert "the fleet is too small for this loss: 1 more server" in result.output
     assert CliRunner().invoke(main, ["plan", "show", str(DEPLOY)]).exit_code == 0
     path.write_text(busy.replace("slots = 8", "slots = 0"))
     result = CliRunner().invoke(main, ["plan", "check", str(path)])
