--- a/loomstand/limiter/buffers.py
+++ b/loomstand/limiter/buffers.py
@@ -107,14 +107,14 @@
         self.skip(len(data))
         return data
 
-    def find(self, what: bytes, start: int = 0) -> int:
-        """Returns the offset of the first `what` from offset `start` on; -1 if there is none."""
+    def find(self, pattern: bytes, start: int = 0) -> int:
+        """Returns the offset of the first `pattern` from offset `start` on; -1 if there is none."""
         if self.head + self.used > self.size:
             data = self.peek()
             self.buf[: len(data)] = data
             self.head = 0
-        at = self.buf.find(what, self.head + start, self.head + self.used)
-        return at - self.head if at >= 0 else -1
+        index = self.buf.find(pattern, self.head + start, self.head + self.used)
+        return index - self.head if index >= 0 else -1
 
     def close(self) -> None:
         """Discards the content and returns the memory to the budget."""
--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -91,7 +91,7 @@
             self.handle()
 
     def handle(self) -> None:
-        """Handles one complete request: own paths here, all others in the limiter."""
+        """Handles one complete request; the limiter handles all but the listener's own paths."""
         limiter, parser = self.listener.limiter, self.parser
         if self.listener.own_paths and parser.target.startswith(b"/-/"):
             status = 404
@@ -144,8 +144,10 @@
     def idle(self) -> bool:
         """Whether no request is being received, processed or answered."""
         channel = self.channel
-        between = self.request is None and not channel.inbound.used and not self.parser.begun
-        return between and channel.written and not channel.lingering
+        is_between_requests = (
+            self.request is None and not channel.inbound.used and not self.parser.begun
+        )
+        return is_between_requests and channel.written and not channel.lingering
 
     @property
     def is_receiving_head(self) -> bool:
@@ -176,9 +178,9 @@
             accepts_per_iteration,
             sockets,
         )
-        # Protocol: clients hold at most a third of the descriptors for requests. Clients that send
-        # one request and keep the connection open would use all of it, so half of that third is
-        # reserved for active clients.
+        # Protocol: client connections use at most a third of the descriptors. Clients that send one
+        # request and keep the connection open would use all of that, so half of it is reserved
+        # for active clients.
         self.keep_alive_limit = sockets // 6
         self.idle_timeout_seconds, self.own_paths = IDLE_TIMEOUT_SECONDS, True
         self.max_body_bytes, self.max_header_bytes = (
@@ -251,7 +253,7 @@
         return False
 
     def close_stuck(self, within: float) -> bool:
-        """Closes the connection that has been stuck longest, if for more than `within` seconds.
+        """Closes the connection that has stalled longest, if for more than `within` seconds.
 
         Returns whether there was one.
         """
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -44,7 +44,7 @@
 from loomstand.limiter.upstream import ConnectionPool
 
 SWEEP_INTERVAL_SECONDS = 1.0
-SWEEPS_PER_CONNECTIONS_LINE = 10
+SWEEPS_PER_CONNECTION_LOG = 10  # sweeps from one log line about connections to the next
 ACCEPT_ITERATIONS = 5  # event loop iterations within which an accepted connection is set up
 FINISH_POLL_SECONDS = 0.02  # between checks for pending responses during shutdown
 TICK_NANOSECONDS = 100_000  # per tick of the shared clock
@@ -171,7 +171,7 @@
         if abandoned is not None:
             self.log(abandoned)
         self.sweep_count += 1
-        if self.sweep_count % SWEEPS_PER_CONNECTIONS_LINE == 0:
+        if self.sweep_count % SWEEPS_PER_CONNECTION_LOG == 0:
             self._log_connections()
         if not self.stopped.is_set():
             self.loop.call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
@@ -198,7 +198,7 @@
         Args:
             spared: A client connection that stays open.
         """
-        # Active clients have sent bytes within a connect time-out.
+        # An active client sends its request within a connect time-out of connecting.
         listener, within = self.listener, self.pool.connect_timeout
         idle = (
             listener.close_silent(spared, within)
@@ -292,13 +292,20 @@
     ) -> None:
         """Reports an attempt's outcome to the engine, after any response to the client."""
         request = attempt.request
-        took = max(0, self.now() - attempt.sent_at)
+        duration = max(0, self.now() - attempt.sent_at)
         final = request.client is None
         if request.is_abandoned:
             self.abandoned.attempt_ended(outcome is Outcome.CANCELLED)
         self.handle_event(
             AttemptEnded(
-                request.id, attempt.number, attempt.endpoint_id, outcome, took, final, metered, 0.0
+                request.id,
+                attempt.number,
+                attempt.endpoint_id,
+                outcome,
+                duration,
+                final,
+                metered,
+                0.0,
             )
         )
         self.forget_request(request)
--- a/loomstand/limiter/http_parser.py
+++ b/loomstand/limiter/http_parser.py
@@ -42,8 +42,8 @@
 class Malformed(Exception):
     """Invalid HTTP message; `status` is the HTTP status for a response to it."""
 
-    def __init__(self, status: int, what: str) -> None:
-        super().__init__(what)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
@@ -165,7 +165,7 @@
 
     def sized_body(self, ring: Ring) -> bool:
         if ring.used < self.remaining:
-            # Grows once rather than by doubling. A failure shows when the connection reads on.
+            # Grows once rather than by doubling; if it fails, the next read ends the connection.
             ring.grow(self.remaining)
             return False
         self.body, self.state = ring.take(self.remaining), None
@@ -229,10 +229,10 @@
     def start_line(self, line: bytes) -> None:
         match = REQUEST_LINE(line)
         if not match:
-            old = line.startswith(b"HTTP/", line.rfind(b" ") + 1) and not line.endswith(
-                (b"HTTP/1.0", b"HTTP/1.1")
-            )
-            raise Malformed(505 if old else 400, "bad request line")
+            is_unsupported_version = line.startswith(
+                b"HTTP/", line.rfind(b" ") + 1
+            ) and not line.endswith((b"HTTP/1.0", b"HTTP/1.1"))
+            raise Malformed(505 if is_unsupported_version else 400, "bad request line")
         self.method, self.target, minor = match.groups()
         if self.method in (b"HEAD", b"CONNECT", b"TRACE"):  # their responses are framed differently
             raise Malformed(501, "method not taken")
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -92,7 +92,7 @@
             # Imported only if needed, to save CPU time at the start.
             from loomstand.membership.driver import PeerProtocol
 
-            own, fleet, known = (
+            index, count, initial_list = (
                 self.settings.limiter_index,
                 self.settings.limiter_count,
                 config.initial_backends,
@@ -100,11 +100,11 @@
             self.peers = PeerProtocol(
                 self,
                 self.watch,
-                own,
-                fleet,
+                index,
+                count,
                 config.peer_address,
                 config.peer_addresses,
-                known,
+                initial_list,
                 config.random_seed,
             )
         self.message_timeout_seconds = max(f.client_timeout_ms for f in settings.frontends) / 1000
@@ -160,8 +160,8 @@
             fixed.append("zone_plan")
         deferred = [f for f in fixed if getattr(config, f) != getattr(old, f)]
         suffix = f"; {', '.join(deferred)}: only at the next start" if deferred else ""
-        where = f"discovery at {config.discovery_address}, counter at {config.counter_address}"
-        self.log(f"read its configuration again: {where}{suffix}")
+        addresses = f"discovery at {config.discovery_address}, counter at {config.counter_address}"
+        self.log(f"read its configuration again: {addresses}{suffix}")
 
     def stop(self) -> None:
         if not self.listener.stopping and self.peers is not None:
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -82,7 +82,7 @@
     def arrival_clock(self) -> ArrivalClock: ...
 
     def request_received(
-        self, client: ClientHandle, parser: http_parser.RequestReceiver, at: float
+        self, client: ClientHandle, parser: http_parser.RequestReceiver, arrived_at: float
     ) -> None: ...
 
     # The request class of the limiter, as set on the client by `request_received`.
--- a/loomstand/store/__main__.py
+++ b/loomstand/store/__main__.py
@@ -34,7 +34,7 @@
         await self._store.run()
 
     def stop(self) -> None:
-        """Starts a graceful shutdown, which hands over this store's roles first."""
+        """Starts a graceful shutdown: other members take over this store's roles first."""
         if self._stopping is None:
             self._stopping = asyncio.get_running_loop().create_task(self._store.stop())
 
--- a/loomstand/store/acceptor.py
+++ b/loomstand/store/acceptor.py
@@ -23,12 +23,15 @@
     """Handles protocol requests; each response is sent once the replica's change is on disk."""
 
     def __init__(self, io: ReplicaIO, counting_leases: CountingLeaseService) -> None:
-        """Sets the acceptor up; a granted counting lease may prevent promises."""
+        """Creates the acceptor; a granted counting lease may block promises."""
         self._io = io
         self._counting_leases = counting_leases
 
     async def handle_prepare(self, request: PrepareRequest) -> PrepareResponse:
-        """Promises an epoch to a candidate; epoch 0 only asks whether it would, without a write."""
+        """Promises an epoch to a candidate.
+
+        A request for epoch 0 only asks whether the next epoch would be promised, without a write.
+        """
         is_promised = False
         if not self._counting_leases.blocks_promise(request.released_epoch):
             if request.epoch == 0:
--- a/loomstand/store/configuration_service.py
+++ b/loomstand/store/configuration_service.py
@@ -60,7 +60,7 @@
             io: The store's replica.
             leadership: Elections and replication of this store.
             status: Status of this store.
-            on_offer: Receives each configuration that a registry or limiter gives back.
+            on_offer: Receives each configuration that a registry or limiter offers.
         """
         self._io = io
         self._leadership = leadership
@@ -71,7 +71,7 @@
     # --- changes
 
     async def handle_offer(self, request: OfferRequest) -> PutResponse:
-        """Takes back a configuration that this store may have lost, from a registry or limiter."""
+        """Accepts a configuration that this store may have lost, from a registry or limiter."""
         self._on_offer(VersionedData(request.version, request.data))
         return await self.handle_put(request)
 
--- a/loomstand/store/counting_lease.py
+++ b/loomstand/store/counting_lease.py
@@ -6,7 +6,7 @@
 
 - The granted span ends within the primary's own lease. The registry measures it from sending its
   request; the primary measures it from its response, lengthened by the tolerated clock drift. So a
-  primary that serves only after the previous lease has expired needn't know of earlier grants.
+  primary that serves only after the previous lease has expired needs no record of its grants.
 - A primary that serves before the previous lease has expired knows the holder. After a restart it
   reads the holder from its disk, where it was written before the grant, and grants the lease to no
   other registry for one lease period. After a leadership transfer its predecessor has reported the
@@ -83,7 +83,7 @@
     asked_at: dict[str, float] = field(default_factory=dict)
     epoch: int = 0
 
-    # --- state that outlives a primary
+    # --- state kept across a restart or change of the primary
 
     def page(self, host: str) -> HolderPage:
         """Returns the page to have on disk before the lease is granted to `host` or renewed."""
@@ -108,7 +108,7 @@
         )
 
     def apply_handover(self, now: float, handover: LeaseHandoverRow) -> None:
-        """Takes over the state reported by the previous primary."""
+        """Adopts the state reported by the previous primary."""
         self.epoch = handover.epoch
         self.number = handover.number
         self.holder = handover.holder
@@ -121,7 +121,7 @@
         """Records the holder reported by the serving primary of `epoch`; ignores older reports."""
         if (epoch, number) <= (self.epoch, self.number):
             return
-        if epoch > self.epoch:  # a new primary serves only if it knows of all unexpired grants
+        if epoch > self.epoch:  # a new primary serves only if it knows all unexpired grants
             self.persisted_page = None
             self.granted_until = LONG_AGO
         self.epoch = epoch
@@ -146,7 +146,7 @@
         self.asked_at.clear()
 
     def is_granted(self, now: float) -> bool:
-        """Whether a registry may hold the lease by a grant of which this member knows."""
+        """Whether a registry may still hold the lease by a grant known to this member."""
         return now < self.granted_until
 
     def expire(self, now: float) -> bool:
--- a/loomstand/store/counting_lease_service.py
+++ b/loomstand/store/counting_lease_service.py
@@ -91,7 +91,7 @@
         """Whether a promise must be refused to a candidate.
 
         This applies if this member granted the counting lease and then transferred its leadership,
-        and the candidate doesn't know of the grant.
+        and the grant wasn't reported to the candidate.
 
         Args:
             released_epoch: Epoch of the view whose primary reported to the candidate that it no
@@ -150,7 +150,7 @@
         self.lease.observe(view.epoch, serving.number, serving.holder)
 
     def is_fresh(self) -> bool:
-        """Whether no newer version can have been committed without this store knowing of it.
+        """Whether this store is certain to know the newest committed version.
 
         That holds while the primary's last reported lease lasts. It also holds for a short time
         after contact with the primary is lost if this store reaches a quorum of electors, as any
--- a/loomstand/store/dissemination.py
+++ b/loomstand/store/dissemination.py
@@ -35,7 +35,7 @@
     """
 
     def __init__(self, io: ReplicaIO, learner: Learner, on_new_version: Callable[[], None]) -> None:
-        """Sets it up; `on_new_version` is called when this store learns a new committed version."""
+        """Creates the component; `on_new_version` is called for each newly learned version."""
         self._io = io
         self.learner = learner
         self._on_new_version = on_new_version
@@ -43,7 +43,10 @@
         self._pull_timeout_seconds = CALL_SECONDS
 
     def push(self) -> None:
-        """Sends the committed configuration to all stores that answered lately, concurrently."""
+        """Sends the committed configuration to all stores, concurrently.
+
+        Stores without a response for `REPLACE_VOTER_AFTER_SECONDS` are left out.
+        """
         self._on_new_version()
         replica = self._io.replica
         now = self._io.clock()
@@ -109,7 +112,7 @@
         """Returns the committed configuration to another store.
 
         Raises:
-            CallRefusedError: This store has learned of no committed configuration since its start.
+            CallRefusedError: This store has received no committed configuration since its start.
         """
         replica = self._io.replica
         if not replica.has_committed_version:
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipTransfer:
-    """The handover of a leaving primary to its backup.
+    """The transfer of leadership from a leaving primary to its backup.
 
     Attributes:
         primary_id: Member id of the primary.
@@ -81,7 +81,7 @@
     Attributes:
         io: The candidate's replica, with its disk and calls.
         rules: The decisions of the election.
-        transfer: The handover by the former primary, None if there was none.
+        transfer: The transfer by the former primary, None if there was none.
         promised_ids: Ids of the members that promised the epoch.
     """
 
@@ -137,7 +137,7 @@
         return self.rules.is_outdated(self.io.replica)
 
     async def _would_win(self) -> bool:
-        """Whether a quorum would promise: a partitioned member must not raise epochs in vain."""
+        """Whether a quorum would promise; keeps a partitioned member from raising its epoch."""
         replica = self.io.replica
         own_id = replica.member.id
         if not replica.may_promise(self.io.clock(), replica.promised_epoch + 1, own_id, 0):
@@ -198,7 +198,7 @@
         return epoch if self.rules.is_won(replica, self.promised_ids) else None
 
     def _waits_for_seeds(self) -> bool:
-        """Whether a founder should retry to get all seeds: of two voters neither may fail."""
+        """Whether a founder should retry to get all seeds: two voters tolerate no failure."""
         replica = self.io.replica
         is_early = self.io.clock() < replica.started_at + FOUNDING_WAIT_SECONDS
         lacks_seeds = len(self.promised_ids) < len(replica.seeds)
--- a/loomstand/store/election_rules.py
+++ b/loomstand/store/election_rules.py
@@ -37,10 +37,10 @@
         """The members that are asked for promises."""
         if self.base is not None:
             return list(self.base.electors().values())
-        peers = ((at, replica.peers.by_address.get(at)) for at in replica.seeds)
+        peers = ((address, replica.peers.by_address.get(address)) for address in replica.seeds)
         return [
-            Member(peer.id, at)
-            for at, peer in peers
+            Member(peer.id, address)
+            for address, peer in peers
             if peer is not None and peer.id and peer.is_founder
         ]
 
--- a/loomstand/store/graceful_shutdown.py
+++ b/loomstand/store/graceful_shutdown.py
@@ -11,13 +11,13 @@
 # in progress, and the exit of the interpreter.
 SAFETY_MARGIN_SECONDS = 1.0
 
-# Share of the grace period during which the store waits to hand over roles whose data other
-# members also hold; after that a restart is the shorter interruption.
+# Share of the grace period during which the store waits for others to take over roles whose data
+# they also hold; after that a restart is the shorter interruption.
 HANDOVER_SHARE = 0.5
 
 
 def may_shut_down(replica: Replica, now: float, since: float, grace_period_seconds: float) -> bool:
-    """Whether a member that was told to stop at `since` may exit.
+    """Whether a member that was asked to stop at `since` may exit.
 
     It may exit at once if no view names it. For half of the grace period it waits until other
     members have taken over its roles. A member that may hold the only copy, or whose vote the
--- a/loomstand/store/heartbeats.py
+++ b/loomstand/store/heartbeats.py
@@ -30,7 +30,7 @@
         on_answer: Callable[[], None],
         on_status: Callable[[], None],
     ) -> None:
-        """Sets the heartbeats up.
+        """Creates the component.
 
         Args:
             io: The store's replica.
--- a/loomstand/store/leadership.py
+++ b/loomstand/store/leadership.py
@@ -38,13 +38,13 @@
         become_serving: Callable[[], None],
         on_view_change: Callable[[], None],
     ) -> None:
-        """Sets it up.
+        """Creates the component.
 
         Args:
             io: The store's replica.
-            counting_leases: The counting lease, which a transfer hands over.
+            counting_leases: The counting lease, whose state is part of a transfer.
             dissemination: Pushes the committed configuration to the other stores.
-            become_serving: Lets the store begin to serve, if it can.
+            become_serving: Makes the store serve if it can.
             on_view_change: Called after each election.
         """
         self._io = io
@@ -139,7 +139,7 @@
         replica.is_established = False
         await self._io.persist(lambda now: replica.promise(now, epoch, backup.id, view.epoch))
         logging.info("store: leadership transferred to=%s epoch=%d", backup.address[0], epoch)
-        # the counting lease is handed over too, so its holder goes on counting
+        # the state of the counting lease is transferred too, so its holder keeps the lease
         request = TransferLeadershipRequest(
             primary_id=replica.member.id,
             epoch=epoch,
@@ -150,7 +150,7 @@
         return not isinstance(answer, CallFailure)
 
     async def handle_transfer(self, request: TransferLeadershipRequest) -> Acknowledgement:
-        """Starts an election in the background, as the primary hands over to this backup."""
+        """Starts an election in the background: the primary transfers leadership to this backup."""
         transfer = LeadershipTransfer(request.primary_id, request.epoch, request.released_epoch)
         self._io.spawn(self._take_over(transfer, request.counting_lease))
         return Acknowledgement()
--- a/loomstand/store/member_report.py
+++ b/loomstand/store/member_report.py
@@ -24,7 +24,7 @@
         highest_epoch: Highest epoch that it promised or observed.
         view: Newest view known to the member.
         committed_version: Highest version known to the member as committed.
-        offered_version: Highest version that registries or limiters gave back since its start.
+        offered_version: Highest version that registries or limiters offered since its start.
         disk_version: Version on its disk, committed or not.
     """
 
@@ -56,7 +56,7 @@
 
     @staticmethod
     def of(replica: Replica, now: float, offered: VersionedData) -> MemberReport:
-        """Creates the report of this member; `offered` is the configuration given back to it."""
+        """Creates the report of this member; `offered` is the configuration offered to it."""
         view = replica.newest_known_view()
         return MemberReport(
             replica.member,
--- a/loomstand/store/peers.py
+++ b/loomstand/store/peers.py
@@ -82,7 +82,7 @@
                 self.by_address.setdefault(address, Peer()).named_at = now
 
     def forget(self, now: float, retained: Collection[Address]) -> None:
-        """Drops the addresses that haven't been listed recently, except for those in `retained`."""
+        """Drops the addresses not listed for `FORGET_ADDRESS_AFTER_SECONDS`, except `retained`."""
         for address, peer in list(self.by_address.items()):
             if address not in retained and now - peer.named_at > FORGET_ADDRESS_AFTER_SECONDS:
                 del self.by_address[address]
@@ -141,7 +141,7 @@
         return peer is not None and peer.id == member.id and peer.state is MemberState.LEAVING
 
     def avoid(self, now: float, member: Member) -> None:
-        """Avoids a member as backup for a while, after it failed to write."""
+        """Avoids a member as backup for `AVOID_MEMBER_SECONDS`, after it failed to write."""
         self.avoided_until[member.id] = now + AVOID_MEMBER_SECONDS
 
     def is_avoided(self, now: float, member: Member) -> bool:
@@ -150,12 +150,15 @@
 
     def live_members(self, now: float) -> list[Member]:
         """Returns the other members that respond and are healthy, by address."""
-        members = [Member(peer.id, at) for at, peer in self.by_address.items() if peer.id]
+        members = [Member(peer.id, address) for address, peer in self.by_address.items() if peer.id]
         usable = [member for member in members if self.is_usable(now, member)]
         return sorted(usable, key=lambda member: member.address)
 
     def recent_addresses(self, now: float) -> list[Address]:
-        """Returns the sorted addresses of this store and of those that recently responded."""
+        """Returns the sorted addresses of this store and of those that responded recently.
+
+        A response is recent for `REPLACE_VOTER_AFTER_SECONDS`.
+        """
         recent = [
             address
             for address, peer in self.by_address.items()
@@ -171,7 +174,7 @@
         """Returns the members that may be the backup, best first.
 
         Members that recently failed to write come last. Otherwise the order is: members that have
-        the data by view `base`, voters, members of another network than this one's.
+        the data by view `base`, voters, members of other networks (other first two address octets).
         """
         electors = base.electors() if base else {}
         own_network = self.own_member.address[0].rsplit(".", 2)[0]
@@ -191,5 +194,5 @@
 
 
 def is_reachable(peer: Peer, now: float) -> bool:
-    """Whether the peer recently responded to a heartbeat."""
+    """Whether the peer responded to a heartbeat within `UNREACHABLE_AFTER_SECONDS`."""
     return now - peer.answered_at < UNREACHABLE_AFTER_SECONDS
--- a/loomstand/store/planning.py
+++ b/loomstand/store/planning.py
@@ -28,7 +28,7 @@
     FOUND = "found"  # create the first view of the store
     TAKE_OVER = "take_over"  # become primary after the lease expired, or at a handover
     CHANGE_VIEW = "change_view"  # as the primary, while its lease is valid
-    REPLICATE = "replicate"  # have the backup write the primary's record again
+    REPLICATE = "replicate"  # write the primary's record to the backup again
     TRANSFER_LEADERSHIP = "transfer_leadership"
     RESCUE = "rescue"  # re-found the store on an operator's request
 
--- a/loomstand/store/program.py
+++ b/loomstand/store/program.py
@@ -98,7 +98,7 @@
             io: The store's replica.
             pages: Pages on the disk at the start.
             first_revision: First revision of the status.
-            tick: Does the due work.
+            tick: Runs the periodic checks and due actions.
             become_serving: Makes the store serve if it can.
         """
         self.io = io
@@ -241,8 +241,8 @@
             now = self.clock()
             # after a restart of all members, the primary recorded on disk requests its lease at
             # short intervals while the others come up
-            asks_often = replica.is_primary() and not replica.is_leader(now)
-            interval_seconds = TICK_SECONDS if asks_often else HEARTBEAT_INTERVAL_SECONDS
+            requests_lease_often = replica.is_primary() and not replica.is_leader(now)
+            interval_seconds = TICK_SECONDS if requests_lease_often else HEARTBEAT_INTERVAL_SECONDS
             if now - sent_at >= interval_seconds - TICK_SECONDS / 2:
                 sent_at = now
                 self.parts.heartbeats.send_all()
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -6,7 +6,7 @@
 
 - A configuration is committed once the primary and the backup of a view have it on disk. A
   candidate that ends that view needs promises from a quorum of its electors, and the configuration
-  of its primary or backup; a member that hands it out promises to write nothing more under that
+  of its primary or backup; a member that returns it promises to write nothing more under that
   view. So each of the two has every acknowledged change.
 - A voter grants the lease only to the primary of the view on its own disk, and only while it has
   promised no higher epoch. So a quorum of grants also shows that those electors installed the view.
@@ -70,7 +70,7 @@
         inherited_history: The change history read with the configuration as a candidate.
         has_committed_version: Whether `version` comes from a serving primary, directly or through
             other members.
-        state: Its own state.
+        state: Its own health.
         highest_epoch_observed: The highest promised epoch that a member reported in an election.
         backoff_until: Time until which it starts no action (`planning`), after its own failed
             attempt or a promise to another candidate.
@@ -114,7 +114,10 @@
             self.peers.add(now, seeds)
 
     def forget_addresses(self, now: float) -> None:
-        """Drops addresses that no store reported lately, except seeds and the view's members."""
+        """Drops addresses that are no longer listed, see `PeerTable.forget`.
+
+        Those of the seeds and of the view's members are kept.
+        """
         members = self.newest_view.members().values() if self.newest_view else ()
         self.peers.forget(now, {*self.seeds, *(member.address for member in members)})
 
@@ -265,7 +268,7 @@
             self.is_leader(now) and self.is_established and self.state is not MemberState.UNHEALTHY
         )
 
-    # --- what is committed
+    # --- the committed configuration
 
     def become_established(self, now: float) -> bool:
         """Begins to serve once the lease and the backup's write allow it, and commits the record.
@@ -322,7 +325,8 @@
             now: The current time.
             epoch: The epoch that the candidate stands for.
             candidate_id: Member id of the candidate.
-            released_epoch: Epoch of the view whose primary handed over to the candidate, 0 if none.
+            released_epoch: Epoch of the view whose primary transferred its leadership to the
+                candidate, 0 if none.
         """
         view = self.record.view
         if epoch <= self.promised_epoch:
@@ -415,7 +419,7 @@
         return replace(self.record, promised_epoch=view.epoch, view=view)
 
     def on_persisted(self, record: Record) -> None:
-        """Takes over a record whose write to disk has completed."""
+        """Adopts a record whose write to disk has completed."""
         self.record = record
         view = record.view
         if view is not None:
--- a/loomstand/store/replica_io.py
+++ b/loomstand/store/replica_io.py
@@ -188,7 +188,7 @@
     ) -> CallFailure | None:
         """Replicates the configuration to a member's disk.
 
-        A member that doesn't respond is avoided as backup for a while.
+        A member that doesn't respond is avoided as backup for `AVOID_MEMBER_SECONDS`.
 
         Returns:
             None if the member wrote it, otherwise the kind of failure.
--- a/loomstand/store/rescue.py
+++ b/loomstand/store/rescue.py
@@ -22,8 +22,8 @@
 from loomstand.store.peers import MemberState
 from loomstand.store.views import EPOCH_RANGE, Member, View, newest_view
 
-# Minimum uptime of members before a rescue: limiters and registries give back the versions that
-# they hold within 2 s.
+# Minimum uptime of members before a rescue: limiters and registries offer the versions that they
+# hold, which takes up to 2 s.
 MIN_UPTIME_SECONDS = 4.0
 
 
--- a/loomstand/store/rescue_service.py
+++ b/loomstand/store/rescue_service.py
@@ -33,7 +33,7 @@
 
 
 class RescueService:
-    """Handles rescues at one store and keeps the newest configuration given back to it."""
+    """Handles rescues at one store and keeps the newest configuration offered to it."""
 
     def __init__(
         self,
@@ -51,11 +51,11 @@
         self._io = io
         self._leadership_lock = leadership_lock
         self._become_serving = become_serving
-        # newest configuration that was given back and isn't known to be committed
+        # newest configuration that was offered and isn't known to be committed
         self._offered = NO_CONFIGURATION
 
     def offer(self, configuration: VersionedData) -> None:
-        """Keeps a configuration given back by a registry or limiter; a rescue may need it."""
+        """Keeps a configuration offered by a registry or limiter; a rescue may need it."""
         if configuration.version > max(self._offered.version, self._io.replica.version):
             self._offered = configuration
 
--- a/loomstand/store/status_board.py
+++ b/loomstand/store/status_board.py
@@ -17,7 +17,7 @@
 from loomstand.store.replica_io import ReplicaIO
 from loomstand.store.timing import REPLACE_VOTER_AFTER_SECONDS
 
-# Limit for holding back a response to `wait` as serving primary: a third of the lease.
+# Limit for delaying a response to `wait` as serving primary: a third of the lease.
 MAX_WAIT_AS_PRIMARY_SECONDS = 0.4
 
 
--- a/loomstand/store/views.py
+++ b/loomstand/store/views.py
@@ -60,7 +60,7 @@
     Attributes:
         epoch: Number of the view; views are totally ordered by it.
         primary: The member that serves.
-        backup: The member that writes each change beside the primary, None if there is none.
+        backup: The member that writes each change along with the primary, None if there is none.
         voters: The members that elect the next primary.
         former_voters: The voters before a membership change, until the change is complete.
         rescue_epoch: The epoch at which operators last re-founded the store (`rescue`), 0 if never;
