--- a/tests/golden/make_wire.py
+++ b/tests/golden/make_wire.py
@@ -1,6 +1,6 @@
-"""Writes the fixtures `wire-*.json` of tests/test_golden_wire.py anew, by what the code does now.
+"""Writes the fixtures `wire-*.json` of tests/test_golden_wire.py from the current code.
 
-Run by hand, and only where a change of behaviour is meant: `python tests/golden/make_wire.py`.
+Run it by hand, and only after an intended change of behaviour: `python tests/golden/make_wire.py`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 def main() -> None:
     session = golden.bench_input()
     golden.save("wire-bench.json", {"input": session, "output": golden.bench_output(session)})
-    for name, make in golden.PARTS.items():
+    for name, make in golden.FIXTURES.items():
         golden.save(name, make())
     for path in sorted(HERE.glob("wire-*.json")):
         print(path.name, path.stat().st_size, len(json.loads(path.read_text())))
