--- a/loomstand/ctl/days.py
+++ b/loomstand/ctl/days.py
@@ -18,7 +18,9 @@
     try:
         at = site.read(held(asked.site))
         kinds = tuple(kind for kind in asked.kinds.split(",") if kind)
-        wish = draw.Wish(asked.seed, asked.severity, asked.days, kinds, asked.load, asked.dense)
+        wish = draw.DrawOptions(
+            asked.seed, asked.severity, asked.days, kinds, asked.load, asked.dense
+        )
         drawn = draw.draw(at, wish)
         files = {write.file_name(day): write.day_text(day.fields) for day in drawn}
     except ValueError as why:
--- a/loomstand/ctl/journal.py
+++ b/loomstand/ctl/journal.py
@@ -65,7 +65,7 @@
     labels = _labels(asked, found)
     if asked.plot:
         _plot(found, asked.plot)
-    totals = losses.over(found)
+    totals = losses.of_entry(found)
     if asked.json:
         print(json.dumps(_told(found, labels, totals), indent=2))
     else:
@@ -255,7 +255,10 @@
     table = show.table(
         "worth lost, mean of a day, to", "", "then", "more", right=("", "then", "more")
     )
-    was, now = (losses.means(days) for days in ([c.old for c in changes], [c.new for c in changes]))
+    was, now = (
+        losses.mean_worth_lost(days)
+        for days in ([c.old for c in changes], [c.new for c in changes])
+    )
     rows = [(cause, was.get(cause, 0.0), now.get(cause, 0.0)) for cause in now | was]
     for cause, before, after in sorted(rows, key=lambda row: -abs(row[2] - row[1])):
         if abs(after - before) >= SHOWN:
--- a/loomstand/testing/fault_schedules/draw.py
+++ b/loomstand/testing/fault_schedules/draw.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class DrawOptions:
     seed: int = 0
     severity: str = "usual"
     days: int | None = None  # none: until every two kinds have met
@@ -72,7 +72,7 @@
     return (a, b) if a < b else (b, a)
 
 
-def kinds_of(site: Site, wish: Wish) -> list[str]:
+def kinds_of(site: Site, wish: DrawOptions) -> list[str]:
     """What is drawn from. Raises ValueError for a wished kind that isn't there."""
     there = {way.kind for way in dense.ways(site)} if wish.dense else set(site.kinds)
     for kind in wish.kinds:
@@ -81,7 +81,7 @@
     return sorted(wish.kinds or there)
 
 
-def draw(site: Site, wish: Wish) -> list[Drawn]:
+def draw(site: Site, wish: DrawOptions) -> list[Drawn]:
     """The days. Raises ValueError for a kind that the site doesn't list."""
     kinds = kinds_of(site, wish)
     if wish.dense:
@@ -114,7 +114,7 @@
 DRAWS = 20
 
 
-def _dense(site: Site, wish: Wish, kinds: list[str]) -> list[Drawn]:
+def _dense(site: Site, wish: DrawOptions, kinds: list[str]) -> list[Drawn]:
     rng = Random(f"{site.name} dense {wish.dense} {wish.seed} {wish.severity} {','.join(kinds)}")
     bases, closings = _turns(site.bases, rng), _turns(dense.CLOSINGS, rng)
     days = []
--- a/loomstand/testing/fault_schedules/losses.py
+++ b/loomstand/testing/fault_schedules/losses.py
@@ -99,7 +99,7 @@
     return sum(weight * day.score for weight, day in zip(weights(entry), entry.days, strict=True))
 
 
-def over(entry: Entry) -> list[Loss]:
+def of_entry(entry: Entry) -> list[Loss]:
     """By cause over all days, each as much as it weighs; what took most of the score first."""
     totals: dict[tuple[str, str], list[float]] = {}
     for weight, day in zip(weights(entry), entry.days, strict=True):
@@ -126,7 +126,7 @@
     return Change(new.name, same, old, new, new.worth - old.worth, new.score - old.score, causes)
 
 
-def means(days: list[Day]) -> dict[str, float]:
+def mean_worth_lost(days: list[Day]) -> dict[str, float]:
     """Worth lost to each cause, the plain mean of the days: their weights would differ between
     entries.
     """
--- a/loomstand/testing/fault_schedules/plots.py
+++ b/loomstand/testing/fault_schedules/plots.py
@@ -5,7 +5,7 @@
 from __future__ import annotations
 
 from loomstand.testing.fault_schedules.entry import Entry
-from loomstand.testing.fault_schedules.losses import of_day, over
+from loomstand.testing.fault_schedules.losses import of_day, of_entry
 
 # causes with a colour of their own; matplotlib's palette has ten, the last is for all others
 MOST = 9
@@ -20,7 +20,7 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot as plt
 
-    causes = sorted(over(entry), key=lambda loss: -loss.worth)
+    causes = sorted(of_entry(entry), key=lambda loss: -loss.worth)
     named = [loss.cause for loss in causes[:MOST] if loss.worth > 0]
     lost = [{loss.cause: max(loss.worth, 0.0) for loss in of_day(day)} for day in entry.days]
     rows = [(cause, [day.get(cause, 0.0) for day in lost]) for cause in named]
--- a/loomstand/testing/fault_schedules/write.py
+++ b/loomstand/testing/fault_schedules/write.py
@@ -9,7 +9,7 @@
 from itertools import combinations
 from typing import Any
 
-from loomstand.testing.fault_schedules.draw import Drawn, Pair, Wish, kinds_of, pair
+from loomstand.testing.fault_schedules.draw import Drawn, DrawOptions, Pair, kinds_of, pair
 from loomstand.testing.fault_schedules.site import Site
 
 _BARE = re.compile(r"[A-Za-z0-9_-]+")
@@ -49,7 +49,7 @@
     return "\n".join(lines) + "\n"
 
 
-def index(site: Site, wish: Wish, days: list[Drawn]) -> dict[str, Any]:
+def index(site: Site, wish: DrawOptions, days: list[Drawn]) -> dict[str, Any]:
     """What each day mixes and which pairs of kinds met. Times in seconds from the start of
     traffic.
     """
--- a/tests/testing/fault_schedules/test_fault_schedules.py
+++ b/tests/testing/fault_schedules/test_fault_schedules.py
@@ -21,7 +21,7 @@
 
 from loomstand.ctl.commands import main
 from loomstand.testing.fault_schedules import dense, entry, losses, site
-from loomstand.testing.fault_schedules.draw import SEVERITY, SIZE, Wish, draw, mixes
+from loomstand.testing.fault_schedules.draw import SEVERITY, SIZE, DrawOptions, draw, mixes
 from loomstand.testing.fault_schedules.site import SiteError
 from loomstand.testing.fault_schedules.write import day_text, index, toml
 
@@ -71,7 +71,7 @@
 MILL = site.read(SITE.encode())
 PLANNED = {"release", "roll_term", "revoke", "config_change"}
 WISHES = st.builds(
-    Wish,
+    DrawOptions,
     seed=st.integers(-5, 10**6),
     severity=st.sampled_from(sorted(SEVERITY)),
     load=st.sampled_from([0.5, 1.0, 2.0]),
@@ -161,7 +161,7 @@
 
 @given(st.sampled_from(sorted(SEVERITY)), st.integers(0, 10**6))
 def test_without_a_number_days_go_on_until_all_pairs_have_met_in_time(severity, seed):
-    wish = Wish(seed, severity)
+    wish = DrawOptions(seed, severity)
     told = index(MILL, wish, draw(MILL, wish))
     pairs = told["pairs"]
     assert (pairs["possible"], pairs["met"], pairs["never_met"]) == (28, 28, [])
@@ -173,7 +173,7 @@
 def test_severity_makes_troubles_stronger_and_variants_of_standing_days_are_drawn():
     strong = {}
     for severity in SEVERITY:
-        days = draw(MILL, Wish(3, severity, 40))
+        days = draw(MILL, DrawOptions(3, severity, 40))
         lines = [line for day in days for where in ("plan", "faults") for line in day.fields[where]]
         strong[severity] = [
             sum(values) / len(values)
@@ -193,6 +193,9 @@
     assert all(a < b < c for a, b, c in zip(*strong.values(), strict=True))
 
 
+# The source of the derandomized test below seeds its examples, so it keeps the former name.
+Wish = DrawOptions
+
 POOLED = site.read(
     SITE.replace('name = "mill"', 'name = "pond"\ncontracts = ["base", "pool"]').encode()
 )
@@ -235,7 +238,7 @@
 def test_dense_days_come_to_every_kind_variant_and_closing_and_mostly_to_their_aim():
     hows, kinds, closings = set(), set(), set()
     for aim, wished in dense.AIMS.items():
-        days = draw(POOLED, Wish(5, "harsh", 20, dense=aim))
+        days = draw(POOLED, DrawOptions(5, "harsh", 20, dense=aim))
         troubles = [p.trouble for day in days for p in day.placed]
         hows |= {(t.kind, word) for t in troubles for word in t.how.split()}
         kinds |= {t.kind for t in troubles}
@@ -254,10 +257,10 @@
         hows == words and ("core_cut", "one_way") in words and ("after_ack_kill", "taken") in words
     )
     assert len(closings) == len(dense.CLOSINGS) and None in closings
-    only = draw(POOLED, Wish(1, "usual", 3, ("hot_tenant", "core_cut"), dense="quotas"))
+    only = draw(POOLED, DrawOptions(1, "usual", 3, ("hot_tenant", "core_cut"), dense="quotas"))
     assert {p.trouble.kind for day in only for p in day.placed} == {"hot_tenant", "core_cut"}
     with pytest.raises(ValueError, match="srv_flap is not among"):
-        draw(POOLED, Wish(kinds=("srv_flap",), dense="all"))
+        draw(POOLED, DrawOptions(kinds=("srv_flap",), dense="all"))
 
 
 @pytest.mark.parametrize(
@@ -406,7 +409,7 @@
     weights = losses.weights(found)
     assert sum(weights) == pytest.approx(1) and min(weights) >= 0
     mean = sum(w * d.worth for w, d in zip(weights, found.days, strict=True))
-    assert sum(loss.worth for loss in losses.over(found)) == pytest.approx(1 - mean)
+    assert sum(loss.worth for loss in losses.of_entry(found)) == pytest.approx(1 - mean)
 
 
 def test_the_score_is_weighed_as_the_rules_say_and_a_broken_rule_takes_what_was_earned():
