--- a/loomstand/testing/model_checker/mutants.py
+++ b/loomstand/testing/model_checker/mutants.py
@@ -13,6 +13,7 @@
 from loomstand.store.record import Record, VersionedData
 from loomstand.store.replica import Replica
 from loomstand.store.rescue_election_rules import RescueElectionRules
+from loomstand.store.timing import GRANT_SECONDS
 from loomstand.store.views import Member, View
 from loomstand.testing.model_checker.member import CodeUnderTest
 from loomstand.testing.model_checker.state_space import Bounds
@@ -92,7 +93,7 @@
 
     def grant_installed(self, now: float, view: View) -> None:
         self.granted_to = view.primary.id
-        self.grant_ends_at = now + 1.25
+        self.grant_ends_at = now + GRANT_SECONDS
 
 
 class SkipsRecipientCheck(Replica):
