--- a/loomstand/ctl/days.py
+++ b/loomstand/ctl/days.py
@@ -21,7 +21,7 @@
     try:
         at = site.read(read_input(command.site))
         kinds = tuple(kind for kind in command.kinds.split(",") if kind)
-        wish = draw.Wish(
+        wish = draw.DrawOptions(
             command.seed, command.severity, command.days, kinds, command.load, command.dense
         )
         drawn = draw.draw(at, wish)
--- a/loomstand/ctl/journal.py
+++ b/loomstand/ctl/journal.py
@@ -78,7 +78,7 @@
     labels = _class_and_zone_names(command, record)
     if command.plot:
         _draw_plot(record, command.plot)
-    totals = losses.over(record)
+    totals = losses.of_entry(record)
     if command.json:
         print(json.dumps(_entry_json(record, labels, totals), indent=2))
     else:
@@ -285,7 +285,8 @@
         "worth lost, mean of a day, to", "", "then", "more", right=("", "then", "more")
     )
     old_means, new_means = (
-        losses.means(days) for days in ([c.old for c in changes], [c.new for c in changes])
+        losses.mean_worth_lost(days)
+        for days in ([c.old for c in changes], [c.new for c in changes])
     )
     rows = [
         (cause, old_means.get(cause, 0.0), new_means.get(cause, 0.0))
