--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -50,7 +50,7 @@
 
     calls: Counter[tuple[str, str, str]] = field(default_factory=Counter)
     bytes: Counter[tuple[str, str, str]] = field(default_factory=Counter)
-    work: dict[simulation.Life, float] = field(default_factory=lambda: defaultdict(float))
+    work: dict[simulation.SimProcess, float] = field(default_factory=lambda: defaultdict(float))
 
     def count(self, host: str, program: str, op: str, size: int, calls: int = 0) -> None:
         self.calls[host, program, op] += calls
@@ -70,36 +70,42 @@
 
 def metered(meter: Meter) -> ExitStack:
     """Has every call coded and counted, and every callback of a machine timed."""
-    call, listen, run = MachineNetwork.call, MachineNetwork.listen, simulation._Gate.__call__
+    call, listen, run = (
+        MachineNetwork.call,
+        MachineNetwork.listen,
+        simulation._ProcessCallback.__call__,
+    )
 
     def decoded(raw: bytes) -> int:
         for _ in FrameDecoder().feed(raw):
             pass
         return len(raw)
 
-    async def calling(air: MachineNetwork, address: Any, op: str, body: Any, within: float) -> Any:
-        who = caller(air.host, address[1], op)
-        meter.count(air.host, who, op, len(encode_item([1000, op, body])), 1)
-        got = await call(air, address, op, body, within)
+    async def calling(
+        network: MachineNetwork, address: Any, op: str, body: Any, within: float
+    ) -> Any:
+        who = caller(network.host, address[1], op)
+        meter.count(network.host, who, op, len(encode_item([1000, op, body])), 1)
+        got = await call(network, address, op, body, within)
         if got.is_ok():
-            meter.count(air.host, who, op, decoded(encode_item([1000, True, got.ok])))
+            meter.count(network.host, who, op, decoded(encode_item([1000, True, got.ok])))
         return got
 
-    async def listening(air: MachineNetwork, address: Any, serve: Any) -> None:
+    async def listening(network: MachineNetwork, address: Any, serve: Any) -> None:
         program = "registry" if address[1] == REGISTRY else "store"
 
         async def serving(op: str, body: Any) -> Any:
-            meter.count(air.host, program, op, decoded(encode_item([1000, op, body])), 1)
+            meter.count(network.host, program, op, decoded(encode_item([1000, op, body])), 1)
             said = await serve(op, body)
-            meter.count(air.host, program, op, len(encode_item([1000, True, said])))
+            meter.count(network.host, program, op, len(encode_item([1000, True, said])))
             return said
 
-        await listen(air, address, serving)
+        await listen(network, address, serving)
 
     def running(gate: Any) -> None:
         begun = time.process_time()
         run(gate)
-        meter.work[gate.life] += time.process_time() - begun
+        meter.work[gate.process] += time.process_time() - begun
 
     stack = ExitStack()
     for thing, name, new in (
@@ -107,53 +113,53 @@
         (MachineNetwork, "listen", listening),
     ):
         stack.enter_context(mock.patch.object(thing, name, new))
-    stack.enter_context(mock.patch.object(simulation._Gate, "__call__", running))
+    stack.enter_context(mock.patch.object(simulation._ProcessCallback, "__call__", running))
     return stack
 
 
 def build(n: int, seed: int) -> Cluster:
     """A town with the grown sites' proportions; it isn't begun."""
-    town = Cluster(seed, CORES, n, max(1, round(n * SERVERS / 2)))
-    town.usual()
-    del town.resources["tenants", "ann"]
-    town.book.owners.clear()
+    cluster = Cluster(seed, CORES, n, max(1, round(n * SERVERS / 2)))
+    cluster.usual()
+    del cluster.resources["tenants", "ann"]
+    cluster.request_log.owners.clear()
     many = max(1, round(n * TENANTS))
     whole = sum(1 / (k + 1) for k in range(many))
     for k in range(many):
         rate = max(1.0, n * REQUESTS / (k + 1) / whole / USE)
-        town.tenant(f"tenant-{k}", f"key-of-tenant-{k}", rate, 2 * rate)
-    for server in (s for many in town.servers.values() for s in many):
+        cluster.tenant(f"tenant-{k}", f"key-of-tenant-{k}", rate, 2 * rate)
+    for server in (s for many in cluster.servers.values() for s in many):
         server.slots, server.work = 2, (0.09, 0.22)
-    return town
+    return cluster
 
 
-async def traffic(town: Cluster, rate: float, seconds: float) -> Counter[int]:
+async def traffic(cluster: Cluster, rate: float, seconds: float) -> Counter[int]:
     """Requests of all tenants, a few of them large, at all proxies; what came of them."""
-    rng, keys, tasks = Random(7), [*town.book.owners], []
+    rng, keys, tasks = Random(7), [*cluster.request_log.owners], []
     weights = [1 / (k + 1) for k in range(len(keys))]
-    begun = town.loop.time()
-    while town.loop.time() - begun < seconds:
+    begun = cluster.loop.time()
+    while cluster.loop.time() - begun < seconds:
         name, method = rng.choice((("a", "GET"), ("b", "GET"), ("once", "POST")))
         key = rng.choices(keys, weights)[0]
         what = (method, "town.example", f"/{name}/x", key, b"" if method == "GET" else b"body" * 50)
         tasks.append(
-            town.loop.create_task(town.client.go(*what, idempotent=method == "GET", tries=1))
+            cluster.loop.create_task(cluster.client.go(*what, idempotent=method == "GET", tries=1))
         )
         await asyncio.sleep(rng.expovariate(rate))
     return Counter(reply.status for reply in await asyncio.gather(*tasks))
 
 
-def looked(town: Cluster, meter: Meter, seconds: float, alone: bool = False) -> dict[str, Any]:
+def looked(cluster: Cluster, meter: Meter, seconds: float, alone: bool = False) -> dict[str, Any]:
     """Per second and machine: calls, bytes, work; `counter` is the registry that counts. Where
     `alone`, sums for an event rather than rates.
     """
-    counter = town.counting()
+    counter = cluster.counting()
     rows: dict[str, Any] = {}
     groups: dict[str, tuple[str, list[str]]] = {
-        "proxy": ("proxy", [*town.proxies]),
-        "registry": ("registry", [ip for ip in town.core_ips if ip != counter]),
+        "proxy": ("proxy", [*cluster.proxies]),
+        "registry": ("registry", [ip for ip in cluster.core_ips if ip != counter]),
         "counter": ("registry", [counter]),
-        "store": ("store", town.core_ips),
+        "store": ("store", cluster.core_ips),
     }
     over = 1.0 if alone else seconds
     for label, (program, hosts) in groups.items():
@@ -167,18 +173,20 @@
             for op in ops
         }
         machines = (
-            town.proxies
+            cluster.proxies
             if label == "proxy"
-            else town.stores
+            else cluster.stores
             if label == "store"
-            else town.registries
+            else cluster.registries
         )
-        lives = [machines[host].life for host in hosts]
+        processes = [machines[host].process for host in hosts]
         rows[label] = {
             "ops": each,
             "calls": round(sum(v[0] for v in each.values()), 2),
             "bytes": round(sum(v[1] for v in each.values()), 1),
-            "work_ms": round(1000 * sum(meter.work[life] for life in lives if life) / many, 2),
+            "work_ms": round(
+                1000 * sum(meter.work[process] for process in processes if process) / many, 2
+            ),
         }
     meter.clear()
     return rows
@@ -189,39 +197,39 @@
     meter, begun, said = Meter(), time.process_time(), dict[str, Any]()
     gc.disable()  # the simulation's garbage is no work of a machine's
     with metered(meter):
-        town = build(n, seed)
+        cluster = build(n, seed)
 
         def event(what: Callable[[], Any], lasts: float) -> dict[str, Any]:
             """Beyond what an idle time of that length has."""
             meter.clear()
             gc.collect()
-            at = town.loop.time()
-            town.do(what()) if asyncio.iscoroutinefunction(what) else what()
-            town.wait(max(0.0, lasts - (town.loop.time() - at)))
-            return looked(town, meter, town.loop.time() - at, alone=True)
+            at = cluster.loop.time()
+            cluster.do(what()) if asyncio.iscoroutinefunction(what) else what()
+            cluster.wait(max(0.0, lasts - (cluster.loop.time() - at)))
+            return looked(cluster, meter, cluster.loop.time() - at, alone=True)
 
-        said["start"] = event(town.begin, 4.0)
-        town.wait(4.0)
+        said["start"] = event(cluster.begin, 4.0)
+        cluster.wait(4.0)
         meter.clear()
-        town.wait(seconds)
-        said["idle"] = looked(town, meter, seconds)
-        town.do(traffic(town, n * REQUESTS, 3.0))
+        cluster.wait(seconds)
+        said["idle"] = looked(cluster, meter, seconds)
+        cluster.do(traffic(cluster, n * REQUESTS, 3.0))
         meter.clear()
-        at = town.loop.time()
-        replies = town.do(traffic(town, n * REQUESTS, seconds))
-        said["loaded"] = looked(town, meter, town.loop.time() - at)
+        at = cluster.loop.time()
+        replies = cluster.do(traffic(cluster, n * REQUESTS, seconds))
+        said["loaded"] = looked(cluster, meter, cluster.loop.time() - at)
         said["loaded"]["replies"] = {str(k): v for k, v in sorted(replies.items())}
-        town.wait(3.0)
-        leaving, first = town.servers["alpha"][0], next(iter(town.proxies.values()))
+        cluster.wait(3.0)
+        leaving, first = cluster.servers["alpha"][0], next(iter(cluster.proxies.values()))
         said["drain"] = event(leaving.drain, 1.0)
-        said["configuration"] = event(town.replace, 1.0)
+        said["configuration"] = event(cluster.replace, 1.0)
         said["proxy lost"] = event(first.kill, 2.0)
 
         async def back() -> None:
             first.start()
 
         said["proxy back"] = event(back, 2.0)
-        few = town.servers["beta"][: max(1, n // 10)]
+        few = cluster.servers["beta"][: max(1, n // 10)]
 
         async def flap() -> None:
             for server in few:
@@ -233,19 +241,26 @@
         said["flap of a tenth"] = event(flap, 6.0)
 
         async def herd() -> None:
-            rng, servers = Random(seed), [s for many in town.servers.values() for s in many]
-            for machine in (*town.proxies.values(), *servers):
+            rng, servers = Random(seed), [s for many in cluster.servers.values() for s in many]
+            for machine in (*cluster.proxies.values(), *servers):
                 machine.kill()
             await asyncio.sleep(0.5)
-            for machine in (*town.proxies.values(), *servers):
-                town.loop.call_later(rng.uniform(0, SPREAD), machine.start)
+            for machine in (*cluster.proxies.values(), *servers):
+                cluster.loop.call_later(rng.uniform(0, SPREAD), machine.start)
 
         said["all start"] = event(herd, 0.5 + SPREAD + 1.5)
-        said["sizes"] = {"configuration": len(town.versions[town.version]), "flapping": len(few)}
+        said["sizes"] = {
+            "configuration": len(cluster.versions[cluster.version]),
+            "flapping": len(few),
+        }
         said["took"] = round(time.process_time() - begun, 1)
-        said |= {"N": n, "M": sum(map(len, town.servers.values())), "T": len(town.book.owners)}
-        town.book.check()
-        town.loop.close()
+        said |= {
+            "N": n,
+            "M": sum(map(len, cluster.servers.values())),
+            "T": len(cluster.request_log.owners),
+        }
+        cluster.request_log.check()
+        cluster.loop.close()
     return said
 
 
--- a/loomstand/testing/simulation/bounds.py
+++ b/loomstand/testing/simulation/bounds.py
@@ -16,11 +16,13 @@
 from loomstand.config.settings import RuleBounds
 
 CORE = "core"  # the kind of a pair that only trouble of the core touches
-SMALL = 60  # requests a window, under which a quota's leeway is mostly `quota_slack`: 6 of 26
+SMALL_QUOTA_REQUESTS = (
+    60  # requests a window, under which a quota's leeway is mostly `quota_slack`: 6 of 26
+)
 
 
 @dataclass(slots=True, frozen=True)
-class Span:
+class FaultSpan:
     """Trouble from its beginning to its end, on these machines. `core`: it unsettles the core, and
     so touches every limiter; `most`: more than half of the core ran and was connected through it.
     `kind` is cut, started, slow or core: what a limiter is called whose last trouble it was.
@@ -36,20 +38,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class AppliedChange:
     """A limiter changed what it goes by, in its life of that number. `server` is "" where it is a
     version that came into force, else that server's use began (`value` 1) or ended (0).
     """
 
     at: float
     host: str
-    life: int
+    process_number: int
     server: str
     value: int
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
+class ConfigurationChange:
     """A version of the configuration. `acked` is inf where no acknowledgement came; `quotas` by
     tenant: rate in requests a second and burst.
     """
@@ -73,7 +75,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ran:
+class Arrival:
     """An arrival at a server of a request that a client had sent to the limiter `front`; `ran`: not
     turned away.
     """
@@ -95,11 +97,11 @@
     limiters: list[str]
     begun: float = 0.0
     ended: float = 0.0
-    spans: list[Span] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
-    changes: list[Change] = field(default_factory=list)
+    spans: list[FaultSpan] = field(default_factory=list)
+    told: list[AppliedChange] = field(default_factory=list)
+    changes: list[ConfigurationChange] = field(default_factory=list)
     drains: list[Drain] = field(default_factory=list)
-    arrivals: list[Ran] = field(default_factory=list)
+    arrivals: list[Arrival] = field(default_factory=list)
     # by service: when clients sent requests
     asked: dict[str, list[float]] = field(default_factory=dict)
     # from, to: no serving primary
@@ -124,7 +126,7 @@
     broken: int
 
 
-class Worst:
+class WorstFigure:
     """Gathers one figure."""
 
     def __init__(self, name: str) -> None:
@@ -146,9 +148,9 @@
     out = quota(history, bounds)
     out += news(history, bounds) + drains(history, bounds) + late(history, bounds)
     out += budget(history, bounds) + orders(history, bounds) + unserved(history)
-    twins = Worst("moments with two counters")
+    twins = WorstFigure("moments with two counters")
     twins.add(len(history.twins), 0, next(iter(history.twins), history.begun), "")
-    faults = Worst("rules broken by any answer")
+    faults = WorstFigure("rules broken by any answer")
     faults.add(len(history.faults), 0, history.begun, "; ".join(history.faults[:3]))
     return out + twins.figure() + faults.figure()
 
@@ -161,15 +163,15 @@
     allowed. Of small quotas most is slack, so they are a figure of their own.
     """
     large, small = (
-        Worst("quota: share of the leeway used"),
-        Worst("quota, small: share of the leeway used"),
+        WorstFigure("quota: share of the leeway used"),
+        WorstFigure("quota, small: share of the leeway used"),
     )
     window = bounds.quota_window_seconds
-    first: dict[str, Ran] = {}
+    first: dict[str, Arrival] = {}
     for run in history.arrivals:
         if run.ran and run.tenant and run.id not in first:
             first[run.id] = run
-    by_tenant: dict[str, list[Ran]] = {}
+    by_tenant: dict[str, list[Arrival]] = {}
     for run in first.values():
         if run.at - run.sent <= window:  # any other is in no window: it is both sent and run in it
             by_tenant.setdefault(run.tenant, []).append(run)
@@ -189,7 +191,9 @@
                 leeway = bounds.quota_overshoot * most + bounds.quota_slack
                 allowed = f"{most + leeway:.1f} are allowed"
                 who = f"{tenant}: {count} where {allowed} and {most:.0f} the quota"
-                (large if most >= SMALL else small).add((count - most) / leeway, 1.0, start, who)
+                (large if most >= SMALL_QUOTA_REQUESTS else small).add(
+                    (count - most) / leeway, 1.0, start, who
+                )
     return large.figure() + small.figure()
 
 
@@ -222,7 +226,7 @@
 
 def trouble(
     history: History, host: str, since: float, until: float, bounds: RuleBounds
-) -> Span | None:
+) -> FaultSpan | None:
     """The trouble of a limiter, or of the core, that ended last among those within `contact` of a
     span.
     """
@@ -236,12 +240,12 @@
     return max(near, key=lambda s: (s.ended, s.kind != CORE), default=None)
 
 
-class News:
+class PropagationDelays:
     """Delays of one kind of news, by what befell the limiters that it was for."""
 
     def __init__(self, name: str, within: float, history: History, bounds: RuleBounds) -> None:
         self.name, self.within, self.history, self.bounds = name, within, history, bounds
-        self.kinds: dict[str, Worst] = {}
+        self.kinds: dict[str, WorstFigure] = {}
 
     def add(self, host: str, acked: float, known: float, who: str, free: bool = False) -> None:
         """News acknowledged at one time was in force at another. Where there was trouble the delay
@@ -264,7 +268,7 @@
             limit = max(
                 [limit, *(s.ended + self.bounds.contact_seconds for s in near if s.ended < known)]
             )
-        worst = self.kinds.setdefault(kind, Worst(f"{self.name}, {kind}"))
+        worst = self.kinds.setdefault(kind, WorstFigure(f"{self.name}, {kind}"))
         worst.add(
             max(0.0, known - since),
             inf if free else max(0.0, limit - since),
@@ -276,9 +280,9 @@
         return [figure for kind in sorted(self.kinds) for figure in self.kinds[kind].figure()]
 
 
-def by_life(told: Iterable[Told], server: bool) -> dict[str, list[Told]]:
+def by_life(told: Iterable[AppliedChange], server: bool) -> dict[str, list[AppliedChange]]:
     """By limiter, in the order of time: versions, or the use of servers."""
-    out: dict[str, list[Told]] = {}
+    out: dict[str, list[AppliedChange]] = {}
     for word in told:
         if bool(word.server) is server:
             out.setdefault(word.host, []).append(word)
@@ -289,7 +293,9 @@
     """CONFIG: from the acknowledgement of a version to its force, or that of a later one, at each
     limiter. One that starts must have what was acknowledged before too.
     """
-    found = News("version in force", bounds.configuration_apply_seconds, history, bounds)
+    found = PropagationDelays(
+        "version in force", bounds.configuration_apply_seconds, history, bounds
+    )
     words = by_life(history.told, False)
     for host in history.limiters:
         mine = words.get(host, [])
@@ -307,7 +313,7 @@
                 later = [w for w in mine if w.at >= start]
                 # where other trouble ended sooner, its life began within the span
                 within = [w for w in mine if begun < w.at < start and w.value >= newest.version]
-                if within and all(w.life == within[-1].life for w in later):
+                if within and all(w.process_number == within[-1].process_number for w in later):
                     later = [replace(within[-1], at=start)]
                 known = min(
                     (w.at for w in later if w.value >= newest.version), default=history.ended
@@ -316,7 +322,7 @@
     return found.figures()
 
 
-def since_when(mine: list[Told], change: Change, ended: float) -> float:
+def since_when(mine: list[AppliedChange], change: ConfigurationChange, ended: float) -> float:
     """When a limiter first held that version or a later one; lives after that one are told of by
     their starts.
     """
@@ -327,7 +333,7 @@
     """DRAIN, as the limiters know of it: from the acknowledgement to the end of a server's use at
     each.
     """
-    found = News("drain known", bounds.drain_seconds, history, bounds)
+    found = PropagationDelays("drain known", bounds.drain_seconds, history, bounds)
     words = by_life(history.told, True)
     for drain in history.drains:
         free = unsure(history, drain, bounds)
@@ -362,7 +368,7 @@
 
 def late(history: History, bounds: RuleBounds) -> list[Figure]:
     """DRAIN, as servers see it: what arrives at one after its drain was acknowledged."""
-    found = News("arrival after a drain", bounds.drain_seconds, history, bounds)
+    found = PropagationDelays("arrival after a drain", bounds.drain_seconds, history, bounds)
     drained = {drain.server: drain for drain in history.drains}
     for run in history.arrivals:
         drain = drained.get(run.server)
@@ -390,7 +396,10 @@
     """BUDGET. The value is the share of `budget_slack` that further tries took beyond the ratio's
     part.
     """
-    worst, window = Worst("further tries: share of the slack used"), bounds.budget_window_seconds
+    worst, window = (
+        WorstFigure("further tries: share of the slack used"),
+        bounds.budget_window_seconds,
+    )
     seen: set[str] = set()
     again: dict[str, list[float]] = {}
     for run in sorted(history.arrivals, key=lambda r: r.at):
@@ -412,7 +421,7 @@
     """Acks: how long a change took that was sent and acknowledged with no trouble near, or
     `acknowledge` past where none came.
     """
-    worst = Worst("acknowledgement of a change in settled times")
+    worst = WorstFigure("acknowledgement of a change in settled times")
     for change in history.changes:
         until = min(change.acked, change.sent + bounds.acknowledge_seconds)
         calm = all(
@@ -433,7 +442,7 @@
     """Spans without a serving primary; those in which half of the core was gone count from their
     end.
     """
-    worst = Worst("without a serving primary")
+    worst = WorstFigure("without a serving primary")
     for since, until in history.unserved:
         gone = [
             s.ended for s in history.spans if not s.most and s.begun <= until and s.ended > since
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -17,20 +17,20 @@
 from loomstand.registry.process import RegistryService
 from loomstand.rpc.errors import CallRefusedError
 from loomstand.store.program import Store, StoreSettings
-from loomstand.testing.simulation.bounds import Told
+from loomstand.testing.simulation.bounds import AppliedChange
 from loomstand.testing.simulation.configuration_draft import ConfigurationDraft
-from loomstand.testing.simulation.http_log import Book, exchange
-from loomstand.testing.simulation.loop import Life, VirtualLoop
-from loomstand.testing.simulation.machine import Factory
+from loomstand.testing.simulation.http_log import RequestLog, exchange
+from loomstand.testing.simulation.loop import SimProcess, VirtualLoop
+from loomstand.testing.simulation.machine import ProgramFactory
 from loomstand.testing.simulation.network import SimNetwork
-from loomstand.testing.simulation.sim_disk import Platter
-from loomstand.testing.simulation.streams import Address, Cables, Host, Streams
+from loomstand.testing.simulation.sim_disk import DiskState
+from loomstand.testing.simulation.streams import Address, Host, Streams, TcpStack
 from loomstand.testing.simulation.workload import Client, Operator, Server
 
 ZONES = "east", "west"
-CONTROL, FRONT, READINESS, SERVING = 8783, 8782, 8789, 8080
-WALL = 1.8e9  # the time of day when the loop's is 0
-LOOK = 1.0  # s between the platform's looks at who is ready
+CONTROL_PORT, FRONT_PORT, READINESS_PORT, SERVER_PORT = 8783, 8782, 8789, 8080
+WALL_CLOCK_START_SECONDS = 1.8e9  # the time of day when the loop's is 0
+READINESS_PERIOD_SECONDS = 1.0  # s between the platform's looks at who is ready
 SETTINGS = """
 self.node_name={name}
 self.role=r
@@ -51,7 +51,7 @@
 """
 
 
-class Virtual:
+class VirtualTurns:
     """In the place of the selector's readings: bytes have come when they are read."""
 
     count, longest = 0, 0.0
@@ -77,13 +77,18 @@
         rng: Random,
         streams: Streams,
         wall: float,
-        book: Book,
-        told: list[Told],
-        life: int,
+        request_log: RequestLog,
+        told: list[AppliedChange],
+        process_number: int,
     ) -> None:
-        """`told` takes what comes into force here, in the life of that number."""
-        self.wall, self.faults, self.marks, self.life = wall, book.faults, told, life
-        super().__init__(settings, network, rng, Virtual(), streams)  # type: ignore[arg-type]
+        """`told` takes what comes into force here, in the process_number of that number."""
+        self.wall, self.faults, self.marks, self.process_number = (
+            wall,
+            request_log.faults,
+            told,
+            process_number,
+        )
+        super().__init__(settings, network, rng, VirtualTurns(), streams)  # type: ignore[arg-type]
         self.log = self.hear
         self.endpoints.endpoint = self.endpoint  # type: ignore[method-assign]
 
@@ -108,7 +113,9 @@
 
     def mark(self, server: str, value: int) -> None:
         self.marks.append(
-            Told(self.loop.time(), self.settings.ip_address, self.life, server, value)
+            AppliedChange(
+                self.loop.time(), self.settings.ip_address, self.process_number, server, value
+            )
         )
 
     def hear(self, text: str) -> None:
@@ -119,7 +126,7 @@
         self.faults.append(f"{what.get('message')}: {what.get('exception')!r}")
 
 
-class Runs:
+class ProgramRunner:
     """A proxy or registry as a machine runs it: `stop` returns when it has ended."""
 
     def __init__(self, inner: Any) -> None:
@@ -141,16 +148,16 @@
 
     def __init__(self, seed: int = 1, cores: int = 3, proxies: int = 4, servers: int = 3) -> None:
         self.loop = VirtualLoop()
-        self.rng, self.book = Random(seed), Book()
-        self.owners = self.book.owners
-        self.sky = SimNetwork(Random(self.rng.getrandbits(64)))
-        self.cables = Cables(self.sky, Random(self.rng.getrandbits(64)))
+        self.rng, self.request_log = Random(seed), RequestLog()
+        self.owners = self.request_log.owners
+        self.network = SimNetwork(Random(self.rng.getrandbits(64)))
+        self.tcp = TcpStack(self.network, Random(self.rng.getrandbits(64)))
         self.first = True
-        self.told: list[Told] = []  # what came into force at proxies, all of their lives
-        self.lives = 0
+        self.told: list[AppliedChange] = []  # what came into force at proxies, all of their lives
+        self.proxy_starts = 0
         self.steps: dict[str, float] = {}  # s by which a machine's time of day was set off
         self.core_ips = [f"10.1.0.{n + 1}" for n in range(cores)]
-        self.controls = [(ip, CONTROL) for ip in self.core_ips]
+        self.controls = [(ip, CONTROL_PORT) for ip in self.core_ips]
         self.registries = {ip: self.host(ip, self.registry_factory(ip)) for ip in self.core_ips}
         self.stores = {ip: self.host(ip, self.store_factory(ip)) for ip in self.core_ips}
         self.proxies = {f"10.2.0.{n + 1}": Host for n in range(proxies)}
@@ -163,23 +170,23 @@
         self.background: list[asyncio.Task[Any]] = []
 
     def failed(self, loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
-        self.book.faults.append(f"{what.get('message')}: {what.get('exception')!r}")
+        self.request_log.faults.append(f"{what.get('message')}: {what.get('exception')!r}")
 
-    def host(self, ip: str, make: Factory) -> Host:
+    def host(self, ip: str, make: ProgramFactory) -> Host:
         made = Host(
             ip,
-            self.sky,
+            self.network,
             Random(self.rng.getrandbits(64)),
             [make],
-            Platter(Random(self.rng.getrandbits(64))),
+            DiskState(Random(self.rng.getrandbits(64))),
             self.rng.uniform(0, 1e4),
         )
-        made.cables = self.cables
+        made.tcp = self.tcp
         return made
 
     def settings(self, ip: str) -> Settings:
         zone = ZONES[int(ip.split(".")[-1]) % 2]
-        seeds = ",".join(f"{ip}:{CONTROL}" for ip in self.core_ips[:3])
+        seeds = ",".join(f"{ip}:{CONTROL_PORT}" for ip in self.core_ips[:3])
         first = str(self.first).lower()
         return parse_settings(
             SETTINGS.format(name=f"n-{ip}", ip=ip, zone=zone, first=first, seeds=seeds)
@@ -187,17 +194,22 @@
 
     def wall(self, ip: str, rng: Random) -> float:
         """The time of day as a machine has it; programs read it when they start."""
-        return WALL + self.loop.time() + self.steps.get(ip, 0.0) + rng.uniform(-0.2, 0.2)
+        return (
+            WALL_CLOCK_START_SECONDS
+            + self.loop.time()
+            + self.steps.get(ip, 0.0)
+            + rng.uniform(-0.2, 0.2)
+        )
 
-    def registry_factory(self, ip: str) -> Factory:
-        def make(air: Any, disk: Any, clock: Any, rng: Random) -> Any:
-            streams = Streams(self.cables, ip, air.life)
-            return Runs(
+    def registry_factory(self, ip: str) -> ProgramFactory:
+        def make(network: Any, disk: Any, clock: Any, rng: Random) -> Any:
+            streams = Streams(self.tcp, ip, network.process)
+            return ProgramRunner(
                 # type: ignore[arg-type]
                 RegistryService(
                     self.settings(ip),
-                    air,
-                    Virtual(),
+                    network,
+                    VirtualTurns(),
                     clock=clock,
                     wall_seconds=self.wall(ip, rng),
                     streams=streams,
@@ -206,24 +218,31 @@
 
         return make
 
-    def store_factory(self, ip: str) -> Factory:
-        def make(air: Any, disk: Any, clock: Any, rng: Random) -> Any:
+    def store_factory(self, ip: str) -> ProgramFactory:
+        def make(network: Any, disk: Any, clock: Any, rng: Random) -> Any:
             settings = self.settings(ip)
             seeds = tuple(settings.store_address(seed) for seed, _ in settings.seed_nodes)
             place = StoreSettings(settings.store_address(ip), seeds, settings.first_start)
-            return Store(place, air, disk, clock, rng)
+            return Store(place, network, disk, clock, rng)
 
         return make
 
-    def proxy_factory(self, ip: str) -> Factory:
-        def make(air: Any, disk: Any, clock: Any, rng: Random) -> Any:
-            streams = Streams(self.cables, ip, air.life)
-            self.lives += 1
+    def proxy_factory(self, ip: str) -> ProgramFactory:
+        def make(network: Any, disk: Any, clock: Any, rng: Random) -> Any:
+            streams = Streams(self.tcp, ip, network.process)
+            self.proxy_starts += 1
             wall = self.wall(ip, rng)
             made = SimProxy(
-                self.settings(ip), air, rng, streams, wall, self.book, self.told, self.lives
+                self.settings(ip),
+                network,
+                rng,
+                streams,
+                wall,
+                self.request_log,
+                self.told,
+                self.proxy_starts,
             )
-            return Runs(made)
+            return ProgramRunner(made)
 
         return make
 
@@ -238,17 +257,21 @@
 
     def server(self, ip: str, service: str, zone: str) -> Server:
         rng = Random(self.rng.getrandbits(64))
-        made = Server(self.cables, self.book, rng, (ip, SERVING), service, zone, [*self.controls])
+        made = Server(
+            self.tcp, self.request_log, rng, (ip, SERVER_PORT), service, zone, [*self.controls]
+        )
         made.core = self.rng.randrange(len(self.controls))
         return made
 
     def streams(self, ip: str) -> Streams:
-        return Streams(self.cables, ip, Life())
+        return Streams(self.tcp, ip, SimProcess())
 
     def someone(self) -> Client:
         rng = Random(self.rng.getrandbits(64))
-        everyone = [(ip, FRONT) for ip in self.proxies]  # where none is ready
-        return Client(self.streams("10.9.0.1"), self.book, rng, lambda: self.inside or everyone)
+        everyone = [(ip, FRONT_PORT) for ip in self.proxies]  # where none is ready
+        return Client(
+            self.streams("10.9.0.1"), self.request_log, rng, lambda: self.inside or everyone
+        )
 
     # time
 
@@ -278,7 +301,7 @@
             for task in self.background:
                 if task.done() and not task.cancelled():
                     task.result()
-            self.book.check()
+            self.request_log.check()
         finally:
             self.loop.close()
 
@@ -310,12 +333,12 @@
             fit = [ip for ip, n in misses.items() if n < 2]
             if 2 * len(fit) < len(misses):
                 fit = [*misses] if fit else []
-            self.inside = [(ip, FRONT) for ip in fit]
-            await asyncio.sleep(LOOK)
+            self.inside = [(ip, FRONT_PORT) for ip in fit]
+            await asyncio.sleep(READINESS_PERIOD_SECONDS)
 
     async def ready(self, ip: str, streams: Streams | None = None) -> bool:
         raw = b"GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
-        got = await exchange(streams or self.streams("10.7.0.1"), (ip, READINESS), raw, 0.9)
+        got = await exchange(streams or self.streams("10.7.0.1"), (ip, READINESS_PORT), raw, 0.9)
         return got is not None and got.status == 200
 
     def proxy(self, ip: str) -> SimProxy:
@@ -394,7 +417,7 @@
         reply.
         """
         ask = self.client.ask("POST", "town.example", f"/{name}/x", key, b"body " * 20, **more)
-        front = (at, FRONT) if at else self.rng.choice(self.inside)
+        front = (at, FRONT_PORT) if at else self.rng.choice(self.inside)
         return ask, await self.client.once(ask, front)
 
     async def flow(
--- a/loomstand/testing/simulation/control_plane.py
+++ b/loomstand/testing/simulation/control_plane.py
@@ -14,13 +14,13 @@
 from random import Random
 
 from loomstand.store.timing import LEASE_SECONDS
-from loomstand.testing.simulation.cluster import CONTROL, Cluster
+from loomstand.testing.simulation.cluster import CONTROL_PORT, Cluster
 from loomstand.testing.simulation.http_log import Message, exchange, post
 from loomstand.testing.simulation.streams import Host
 
-PATIENT = 30.0  # s that these operators wait, so that late answers are seen too
+CALL_TIMEOUT_SECONDS = 30.0  # s that these operators wait, so that late answers are seen too
 # s by which what is read may be older than its answer: passing on, and the way back
-PASSED = LEASE_SECONDS + 0.1
+READ_STALENESS_SECONDS = LEASE_SECONDS + 0.1
 
 
 class ControlPlane(Cluster):
@@ -49,9 +49,9 @@
         return max(v for t, v in self.acked if t <= at)
 
     async def ask(self, ip: str, call: str, body: bytes, within: float) -> Message | None:
-        return await exchange(self.operator.streams, (ip, CONTROL), post(call, body), within)
+        return await exchange(self.operator.streams, (ip, CONTROL_PORT), post(call, body), within)
 
-    async def order(self, ip: str, within: float = PATIENT, version: int = 0) -> int:
+    async def order(self, ip: str, within: float = CALL_TIMEOUT_SECONDS, version: int = 0) -> int:
         """One sending of an order, a new one or one that was sent before; its status, 0 without an
         answer.
         """
@@ -68,7 +68,7 @@
             self.unclear += 1
         return status
 
-    async def read(self, ip: str, within: float = PATIENT) -> int:
+    async def read(self, ip: str, within: float = CALL_TIMEOUT_SECONDS) -> int:
         """What is read, 0 if nothing is handed out."""
         asked = self.loop.time()
         got = await self.ask(ip, "configuration.read", b"", within)
@@ -76,7 +76,7 @@
             assert got is None or got.status == 503, got
             return 0
         version = int(json.loads(got.body)["version"][1:])
-        owed = self.newest(max(asked, self.loop.time() - PASSED))
+        owed = self.newest(max(asked, self.loop.time() - READ_STALENESS_SECONDS))
         assert version >= owed, (
             f"{ip} handed out r{version} at {self.loop.time():.3f}, r{owed} was in force"
         )
@@ -158,9 +158,9 @@
             for other in plane.core_ips[: 2 if kind == "third" else None]:
                 if other != ip:
                     ends = (other, ip) if kind == "deaf" else (ip, other)
-                    plane.sky.cut(*ends, both=kind in ("cut", "third"))
+                    plane.network.cut(*ends, both=kind in ("cut", "third"))
             await asyncio.sleep(lasts)
-            plane.sky.mend()
+            plane.network.mend()
         elif kind == "leave":
             await asyncio.gather(*(host.end() for host in plane.hosts(ip)))
             for host in plane.hosts(ip):
--- a/loomstand/testing/simulation/faults.py
+++ b/loomstand/testing/simulation/faults.py
@@ -13,7 +13,7 @@
 from contextlib import asynccontextmanager
 from random import Random
 
-from loomstand.testing.simulation.bounds import CORE, Drain, History, Span
+from loomstand.testing.simulation.bounds import CORE, Drain, FaultSpan, History
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.streams import Host
 from loomstand.testing.simulation.workload import Server
@@ -46,9 +46,11 @@
     "lossy",
 ]
 SERVERS = ["server", "trouble", "swap", "wave", "wave", "leave", "leave", "release"]
-GAP = 0.7  # s between two steps of a rolling stop
-STOPS = 6.0  # s after which a program that was told to stop is killed
-LEAVES = 3.0  # s that a server goes on after its drain was acknowledged: `drain` and a little more
+ROLL_GAP_SECONDS = 0.7  # s between two steps of a rolling stop
+STOP_TIMEOUT_SECONDS = 6.0  # s after which a program that was told to stop is killed
+DRAIN_TO_EXIT_SECONDS = (
+    3.0  # s that a server goes on after its drain was acknowledged: `drain` and a little more
+)
 
 
 class Faults:
@@ -56,13 +58,13 @@
 
     def __init__(
         self,
-        town: Cluster,
+        cluster: Cluster,
         rng: Random,
         history: History | None = None,
         lasts: tuple[float, ...] = (0.3, 1.0, 3.0),
     ) -> None:
-        self.town, self.rng, self.lengths = town, rng, lasts
-        self.history = History([*town.proxies]) if history is None else history
+        self.cluster, self.rng, self.lengths = cluster, rng, lasts
+        self.history = History([*cluster.proxies]) if history is None else history
 
     async def one(self, kinds: list[str]) -> None:
         """One of the kinds, from its beginning to its end."""
@@ -73,11 +75,11 @@
         self, kind: str, what: str, hosts: Iterable[str], core: bool = False, most: bool = True
     ) -> AsyncIterator[None]:
         """Trouble for as long as the block lasts; one that the day's end breaks off has no end."""
-        begun, where = self.town.loop.time(), frozenset(hosts)
+        begun, where = self.cluster.loop.time(), frozenset(hosts)
         spans, n = self.history.spans, len(self.history.spans)
-        spans.append(Span(kind, what, where, begun, core=core, most=most))
+        spans.append(FaultSpan(kind, what, where, begun, core=core, most=most))
         yield
-        spans[n] = Span(kind, what, where, begun, self.town.loop.time(), core, most)
+        spans[n] = FaultSpan(kind, what, where, begun, self.cluster.loop.time(), core, most)
 
     async def last(self) -> None:
         await asyncio.sleep(self.rng.choice(self.lengths))
@@ -85,12 +87,18 @@
     def some(self, low: float, high: float) -> list[str]:
         """A share of the proxies, one at the least."""
         share = self.rng.uniform(low, high)
-        return self.rng.sample([*self.town.proxies], max(1, round(share * len(self.town.proxies))))
+        return self.rng.sample(
+            [*self.cluster.proxies], max(1, round(share * len(self.cluster.proxies)))
+        )
 
     def a_core(self) -> str:
         """A core machine, half the time the one whose store is primary."""
-        held = [ip for ip, host in self.town.stores.items() if host.runs and self.town.serves(ip)]
-        return held[0] if held and self.rng.random() < 0.5 else self.rng.choice(self.town.core_ips)
+        held = [
+            ip for ip, host in self.cluster.stores.items() if host.runs and self.cluster.serves(ip)
+        ]
+        return (
+            held[0] if held and self.rng.random() < 0.5 else self.rng.choice(self.cluster.core_ips)
+        )
 
     # power
 
@@ -108,32 +116,32 @@
                 host.start()
 
     async def proxy(self) -> None:
-        ip = self.rng.choice([*self.town.proxies])
+        ip = self.rng.choice([*self.cluster.proxies])
         async with self.span("started", "killed", [ip]):
-            await self.down([self.town.proxies[ip]], self.rng.random() < 0.5)
+            await self.down([self.cluster.proxies[ip]], self.rng.random() < 0.5)
 
     async def herd(self) -> None:
         ips = self.some(0.3, 0.6)
         async with self.span("started", "killed together", ips):
-            await self.down([self.town.proxies[ip] for ip in ips], False)
+            await self.down([self.cluster.proxies[ip] for ip in ips], False)
 
     async def term(self) -> None:
-        await self.replaced([self.rng.choice([*self.town.proxies])], "told to stop")
+        await self.replaced([self.rng.choice([*self.cluster.proxies])], "told to stop")
 
     async def roll(self) -> None:
         """Most limiters are told to stop, two at a time, and start again."""
         ips, rolls = self.some(0.6, 1.0), []
         for n in range(0, len(ips), 2):
             rolls.append(asyncio.ensure_future(self.replaced(ips[n : n + 2])))
-            await asyncio.sleep(GAP)
+            await asyncio.sleep(ROLL_GAP_SECONDS)
         await asyncio.gather(*rolls)
 
     async def replaced(self, ips: list[str], what: str = "rolled") -> None:
         """Told to stop, and started once they have; other trouble may kill them before."""
-        hosts = [self.town.proxies[ip] for ip in ips]
+        hosts = [self.cluster.proxies[ip] for ip in ips]
         async with self.span("started", what, ips):
             if ends := [asyncio.ensure_future(host.end()) for host in hosts if host.up]:
-                await asyncio.wait(ends, timeout=STOPS)
+                await asyncio.wait(ends, timeout=STOP_TIMEOUT_SECONDS)
             for host in hosts:
                 host.kill()
             self.back(hosts)
@@ -143,34 +151,36 @@
         ips = self.some(0.1, 0.3)
         async with self.span("started", "clock step", ips):
             self.steps(ips)
-            await self.down([self.town.proxies[ip] for ip in ips], False)
+            await self.down([self.cluster.proxies[ip] for ip in ips], False)
 
     def steps(self, ips: list[str]) -> None:
         by = self.rng.choice((-1600.0, -3.0, 2.0, 1600.0))
-        self.town.steps |= dict.fromkeys(ips, by)
+        self.cluster.steps |= dict.fromkeys(ips, by)
 
     async def core(self) -> None:
         ip, wipe = self.a_core(), self.rng.random() < 0.25
         async with self.span(
             CORE, "core machine wiped" if wipe else "core machine killed", [ip], True
         ):
-            await self.down([*self.town.core(ip)], wipe or self.rng.random() < 0.5, wipe)
+            await self.down([*self.cluster.core(ip)], wipe or self.rng.random() < 0.5, wipe)
 
     async def step_core(self) -> None:
         ip = self.a_core()
         async with self.span(CORE, "core clock step", [ip], True):
             self.steps([ip])
-            await self.down([*self.town.core(ip)], False)
+            await self.down([*self.cluster.core(ip)], False)
 
     async def registry(self) -> None:
         """The counting registry is lost, its counts with it; the store beside it goes on."""
         ip = self.a_core()
         async with self.span(CORE, "registry killed", [ip], True):
-            await self.down([self.town.registries[ip]], False)
+            await self.down([self.cluster.registries[ip]], False)
 
     async def all_core(self) -> None:
-        async with self.span(CORE, "all of the core killed", self.town.core_ips, True, False):
-            await self.down([*self.town.stores.values(), *self.town.registries.values()], False)
+        async with self.span(CORE, "all of the core killed", self.cluster.core_ips, True, False):
+            await self.down(
+                [*self.cluster.stores.values(), *self.cluster.registries.values()], False
+            )
 
     # processes and disks
 
@@ -184,33 +194,33 @@
     async def freeze_proxy(self) -> None:
         ips = self.some(0.0, 0.2)
         async with self.span("slow", "frozen", ips):
-            await self.frozen([self.town.proxies[ip] for ip in ips])
+            await self.frozen([self.cluster.proxies[ip] for ip in ips])
 
     async def freeze_core(self) -> None:
         ip = self.a_core()
         hosts = self.rng.choice(([0], [1], [0, 1]))
         async with self.span(CORE, "core processes frozen", [ip], True):
-            await self.frozen([self.town.core(ip)[n] for n in hosts])
+            await self.frozen([self.cluster.core(ip)[n] for n in hosts])
 
     async def freeze(self) -> None:
         await (self.freeze_proxy if self.rng.random() < 0.3 else self.freeze_core)()
 
     async def disk(self) -> None:
         ip, what = self.a_core(), self.rng.choice(("hangs", "refuses", "slower"))
-        platter = self.town.stores[ip].platter
+        disk_state = self.cluster.stores[ip].disk_state
         async with self.span(CORE, f"disk {what}", [ip], True):
-            setattr(platter, what, 28.0 if what == "slower" else True)
+            setattr(disk_state, what, 28.0 if what == "slower" else True)
             await self.last()
-            platter.hangs = platter.refuses = False
-            platter.slower = 1.0
+            disk_state.hangs = disk_state.refuses = False
+            disk_state.slower = 1.0
 
     # links
 
     async def cut_for(self, pairs: set[tuple[str, str]]) -> None:
         """Nothing comes from the first to the second of each pair."""
-        self.town.sky.cuts |= pairs
+        self.cluster.network.cuts |= pairs
         await self.last()
-        self.town.sky.mend(pairs)
+        self.cluster.network.mend(pairs)
 
     def between(self, one: Iterable[str], others: Iterable[str]) -> set[tuple[str, str]]:
         """Both ways, or at times one way only."""
@@ -221,7 +231,7 @@
     async def part(self) -> None:
         """Limiters are cut off from the core; in half of the cases from servers, too."""
         ips = self.some(0.1, 0.3)
-        there = list(self.town.core_ips)
+        there = list(self.cluster.core_ips)
         if self.rng.random() < 0.5:
             there += self.server_ips()
         async with self.span("cut", "limiters cut off", ips):
@@ -229,7 +239,7 @@
 
     async def cut(self) -> None:
         """The core in two, its limiters with one side or the other, or still in reach of both."""
-        cores, side = list(self.town.core_ips), [self.a_core()]
+        cores, side = list(self.cluster.core_ips), [self.a_core()]
         if len(cores) == 4 and self.rng.random() < 0.4:
             side.append(self.rng.choice([ip for ip in cores if ip not in side]))
         most = 2 * len(side) < len(cores)
@@ -237,7 +247,7 @@
         with_side = self.some(0.1, 0.4) if self.rng.random() < 0.6 else []
         pairs = self.between(side, rest)
         if with_side:
-            pairs |= self.between(side, [ip for ip in self.town.proxies if ip not in with_side])
+            pairs |= self.between(side, [ip for ip in self.cluster.proxies if ip not in with_side])
             pairs |= self.between(with_side, rest)
         async with self.span(CORE, f"core cut {len(side)}/{len(rest)}", cores, True, most):
             if with_side:
@@ -249,17 +259,17 @@
     async def alone(self) -> None:
         """One machine, cut off from everyone."""
         core = self.rng.random() < 0.4
-        ip = self.a_core() if core else self.rng.choice([*self.town.proxies])
-        everyone = [*self.town.proxies, *self.town.core_ips, *self.server_ips()]
+        ip = self.a_core() if core else self.rng.choice([*self.cluster.proxies])
+        everyone = [*self.cluster.proxies, *self.cluster.core_ips, *self.server_ips()]
         async with self.span(CORE if core else "cut", "alone", [ip], core):
             await self.cut_for({p for o in everyone if o != ip for p in ((ip, o), (o, ip))})
 
     async def slowed(self, ips: list[str]) -> None:
         more = self.rng.choice((0.02, 0.1, 0.4))
-        self.town.sky.slow |= dict.fromkeys(ips, more)
+        self.cluster.network.slow |= dict.fromkeys(ips, more)
         await self.last()
         for ip in ips:
-            self.town.sky.slow.pop(ip, None)  # other trouble may have ended it
+            self.cluster.network.slow.pop(ip, None)  # other trouble may have ended it
 
     async def slow_proxy(self) -> None:
         ips = self.some(0.05, 0.3)
@@ -272,20 +282,20 @@
             await self.slowed([ip])
 
     async def lossy(self) -> None:
-        everyone = [*self.town.core_ips, *self.town.proxies]
+        everyone = [*self.cluster.core_ips, *self.cluster.proxies]
         async with self.span("slow", "all links lossy", everyone, True, False):
-            self.town.sky.lost = self.rng.choice((0.02, 0.1))
+            self.cluster.network.lost = self.rng.choice((0.02, 0.1))
             await self.last()
-            self.town.sky.lost = 0.0
+            self.cluster.network.lost = 0.0
 
     # servers
 
     def server_ips(self) -> list[str]:
-        return [server.address[0] for many in self.town.servers.values() for server in many]
+        return [server.address[0] for many in self.cluster.servers.values() for server in many]
 
     def a_server(self) -> Server:
         """One that is in use and not about to leave."""
-        many = self.town.servers[self.rng.choice([*self.town.servers])]
+        many = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
         return self.rng.choice([s for s in many if s.state == "ready"] or many)
 
     async def server(self) -> None:
@@ -303,7 +313,7 @@
 
     async def wave(self) -> None:
         """Half of a service's servers turn away, fail or lose what they get."""
-        many = self.town.servers[self.rng.choice([*self.town.servers])]
+        many = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
         ill, what, share = (
             many[::2],
             self.rng.choice(("full", "error", "reset", "refuses")),
@@ -317,7 +327,7 @@
 
     async def swap(self) -> None:
         """Two servers end, and each address is the other service's next."""
-        one, other = self.town.servers["alpha"][0], self.town.servers["beta"][0]
+        one, other = self.cluster.servers["alpha"][0], self.cluster.servers["beta"][0]
         one.kill()
         other.kill()
         one.address, other.address = other.address, one.address
@@ -332,16 +342,16 @@
         """In order; another takes its place."""
         id_ = server.id
         at, core = await server.drain()
-        self.history.drains.append(Drain(id_, at, core[0], at + LEAVES))
-        await asyncio.sleep(LEAVES)
+        self.history.drains.append(Drain(id_, at, core[0], at + DRAIN_TO_EXIT_SECONDS))
+        await asyncio.sleep(DRAIN_TO_EXIT_SECONDS)
         await server.leave()
         server.start()
 
     async def release(self) -> None:
         """Some servers of a service are replaced, one a second."""
-        many = self.town.servers[self.rng.choice([*self.town.servers])]
+        many = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
         leaving = []
         for server in many[:3]:
-            leaving.append(self.town.loop.create_task(self.leaves(server)))
+            leaving.append(self.cluster.loop.create_task(self.leaves(server)))
             await asyncio.sleep(1.0)
         await asyncio.gather(*leaving)
--- a/loomstand/testing/simulation/http_log.py
+++ b/loomstand/testing/simulation/http_log.py
@@ -13,9 +13,9 @@
 from math import inf
 from typing import Any
 
-from loomstand.testing.simulation.streams import Address, End, Streams
+from loomstand.testing.simulation.streams import Address, SimTransport, Streams
 
-PROMISES = (408, 421, 429, 503)  # not run, and never will be
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # not run, and never will be
 Fields = dict[str, str]
 
 
@@ -32,14 +32,14 @@
         return int(self.start.split()[1])
 
 
-class Broken(Exception):
+class ConnectionBrokenError(Exception):
     """A connection that ended within a message, or bytes that are none; says how."""
 
 
-class Talk(asyncio.Protocol):
+class HttpConnection(asyncio.Protocol):
     """One end of a connection: bytes that came, and how it ended."""
 
-    transport: End
+    transport: SimTransport
     stands: Callable[[], None] | None = None
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
 
     async def more(self) -> None:
         if self.over:
-            raise Broken(self.over)
+            raise ConnectionBrokenError(self.over)
         self.waits = asyncio.get_running_loop().create_future()
         await self.waits
 
@@ -105,7 +105,7 @@
         while line := await self.line():
             name, colon, value = line.decode("latin-1").partition(":")
             if not colon:
-                raise Broken("bytes that are no message")
+                raise ConnectionBrokenError("bytes that are no message")
             fields[name.strip().lower()] = value.strip()
         body = b""
         if fields.get("transfer-encoding") == "chunked":
@@ -119,7 +119,7 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class ClientRequest:
     """A client's request, one try of it; `sent` and `front` are when and where it last went.
 
     `left_at` is when the client closed its connection without an answer.
@@ -149,7 +149,7 @@
 
 
 @dataclass(slots=True)
-class Run:
+class ServerArrival:
     """A request at a server: that ran, or was turned away.
 
     `ended` is when the server stopped work on it.
@@ -165,26 +165,26 @@
 
 
 @dataclass(slots=True)
-class Book:
+class RequestLog:
     """All that the people saw."""
 
-    asks: dict[str, Ask] = field(default_factory=dict)
+    requests: dict[str, ClientRequest] = field(default_factory=dict)
     replies: dict[str, Reply] = field(default_factory=dict)
-    arrivals: list[Run] = field(default_factory=list)
+    arrivals: list[ServerArrival] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
     owners: dict[str, str] = field(default_factory=dict)  # of keys, ever: the tenant
 
-    def runs(self, id_: str = "") -> list[Run]:
+    def runs(self, id_: str = "") -> list[ServerArrival]:
         return [r for r in self.arrivals if r.ran and id_ in ("", r.id)]
 
-    def runs_after_departure(self, seconds: float) -> list[Run]:
+    def runs_after_departure(self, seconds: float) -> list[ServerArrival]:
         """The runs that went on for longer than that after their client had left."""
-        return [run for run in self.runs() if run.ended > self.asks[run.id].left_at + seconds]
+        return [run for run in self.runs() if run.ended > self.requests[run.id].left_at + seconds]
 
-    def arrived(self, run: Run, message: Message) -> None:
+    def arrived(self, run: ServerArrival, message: Message) -> None:
         """At a server: checked against what the client sent (UNASKED)."""
         self.arrivals.append(run)
-        ask = self.asks.get(run.id)
+        ask = self.requests.get(run.id)
         if ask is None:
             self.faults.append(f"{run.id}: nobody sent this")
             return
@@ -197,7 +197,7 @@
         if run.ran and run.tenant != self.owners.get(ask.key, ""):
             self.faults.append(f"{run.id}: ran for {run.tenant!r}")
 
-    def got(self, ask: Ask, reply: Reply) -> None:
+    def got(self, ask: ClientRequest, reply: Reply) -> None:
         """At a client (MIXED)."""
         self.replies[ask.id] = reply
         said = reply.fields.get("loomstand-request-id", ask.id)
@@ -216,10 +216,10 @@
         for run in self.runs():
             ran[run.id] = ran.get(run.id, 0) + 1
         for id_, times in ran.items():
-            ask, reply = self.asks[id_], self.replies.get(id_)
+            ask, reply = self.requests[id_], self.replies.get(id_)
             if not ask.idempotent and times > 1:
                 self.faults.append(f"{id_}: ran {times} times")
-            if reply is not None and reply.status in PROMISES:
+            if reply is not None and reply.status in NOT_EXECUTED_STATUSES:
                 self.faults.append(f"{id_}: answered {reply.status}, and ran")
         assert self.faults == []
 
@@ -233,10 +233,10 @@
     talk = None
     try:
         async with asyncio.timeout(within):
-            talk = await streams.open(Talk, address, within)
+            talk = await streams.open(HttpConnection, address, within)
             talk.transport.write(raw)
             return await talk.message()
-    except (OSError, TimeoutError, Broken):
+    except (OSError, TimeoutError, ConnectionBrokenError):
         return None
     finally:
         if talk is not None:
--- a/loomstand/testing/simulation/hunt.py
+++ b/loomstand/testing/simulation/hunt.py
@@ -17,7 +17,7 @@
 from loomstand.testing.simulation.bounds import Figure, History, judge
 from loomstand.testing.simulation.scenario import Day, Setup
 
-NEAR = 12.0  # s before and after the worst moment that a narrative tells
+NARRATIVE_SECONDS = 12.0  # s before and after the worst moment that a narrative tells
 
 
 def one(asked: tuple[int, Setup]) -> tuple[int, list[Figure]]:
@@ -79,7 +79,7 @@
     ]
     lines += [(a, f"no primary until {b:.2f}", b) for a, b in history.unserved]
     for at, line, until in sorted(lines):
-        if at < chosen.at + NEAR and until > chosen.at - NEAR:
+        if at < chosen.at + NARRATIVE_SECONDS and until > chosen.at - NARRATIVE_SECONDS:
             print(f"{at:8.2f}  {line}")
 
 
--- a/loomstand/testing/simulation/loop.py
+++ b/loomstand/testing/simulation/loop.py
@@ -19,50 +19,52 @@
 
 
 @dataclass(slots=True, eq=False)
-class Life:
+class SimProcess:
     """A process from its start to its end."""
 
     alive: bool = True
     frozen: bool = False
-    parked: list[_Gate] = field(default_factory=list)
+    deferred: list[_ProcessCallback] = field(default_factory=list)
 
     def context(self) -> contextvars.Context:
         """In which to start what belongs to this life."""
         made = contextvars.Context()
-        made.run(LIFE.set, self)
+        made.run(CURRENT_PROCESS.set, self)
         return made
 
     def thaw(self) -> None:
         self.frozen = False
-        parked, self.parked = self.parked, []
+        parked, self.deferred = self.deferred, []
         for gate in parked:
-            asyncio.get_running_loop().call_soon(gate, context=_NOBODY)
+            asyncio.get_running_loop().call_soon(gate, context=_NO_PROCESS)
 
 
 @dataclass(slots=True, eq=False)
-class _Gate:
+class _ProcessCallback:
     """A callback of a life, which may be cancelled while that is frozen."""
 
-    life: Life
+    process: SimProcess
     callback: Callable[..., Any]
     args: tuple[Any, ...]
     context: contextvars.Context
     handle: asyncio.Handle | None = None
 
     def __call__(self) -> None:
-        if not self.life.alive or (self.handle is not None and self.handle.cancelled()):
+        if not self.process.alive or (self.handle is not None and self.handle.cancelled()):
             return
-        if self.life.frozen:
-            self.life.parked.append(self)
+        if self.process.frozen:
+            self.process.deferred.append(self)
         else:
             self.context.run(self.callback, *self.args)
 
 
-LIFE: contextvars.ContextVar[Life | None] = contextvars.ContextVar("life", default=None)
-_NOBODY = contextvars.Context()
+CURRENT_PROCESS: contextvars.ContextVar[SimProcess | None] = contextvars.ContextVar(
+    "life", default=None
+)
+_NO_PROCESS = contextvars.Context()
 
 
-class _Skip(selectors.BaseSelector):
+class _VirtualSelector(selectors.BaseSelector):
     """Instead of waiting, moves the loop's clock to the next timer."""
 
     def __init__(self) -> None:
@@ -88,8 +90,8 @@
 
 class VirtualLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self._skip = _Skip()
-        super().__init__(self._skip)
+        self._virtual_selector = _VirtualSelector()
+        super().__init__(self._virtual_selector)
         # held till they're done, so that a dead life's work isn't unwound while others still run
         self.made: set[asyncio.Task[Any]] = set()
 
@@ -103,28 +105,28 @@
         self.set_task_factory(make)
 
     def time(self) -> float:
-        return self._skip.now
+        return self._virtual_selector.now
 
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> asyncio.Handle:
         context = contextvars.copy_context() if context is None else context
-        life = context.get(LIFE)
+        process = context.get(CURRENT_PROCESS)
         if self.is_closed():  # work that is unwound at the end has nothing left to wake
             return asyncio.Handle(callback, args, self, context)
-        if life is None:
+        if process is None:
             return super().call_soon(callback, *args, context=context)
-        gate = _Gate(life, callback, args, context)
-        gate.handle = super().call_soon(gate, context=_NOBODY)
+        gate = _ProcessCallback(process, callback, args, context)
+        gate.handle = super().call_soon(gate, context=_NO_PROCESS)
         return gate.handle
 
     def call_at(
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
         context = contextvars.copy_context() if context is None else context
-        life = context.get(LIFE)
-        if life is None:
+        process = context.get(CURRENT_PROCESS)
+        if process is None:
             return super().call_at(when, callback, *args, context=context)
-        gate = _Gate(life, callback, args, context)
-        gate.handle = timer = super().call_at(when, gate, context=_NOBODY)
+        gate = _ProcessCallback(process, callback, args, context)
+        gate.handle = timer = super().call_at(when, gate, context=_NO_PROCESS)
         return timer
 
     def close(self) -> None:
@@ -136,7 +138,7 @@
         self.made.clear()
 
 
-def play(work: Callable[[], Coroutine[Any, Any, T]]) -> T:
+def run_simulated(work: Callable[[], Coroutine[Any, Any, T]]) -> T:
     """Runs `work` on a loop of its own, whose time begins at 0."""
     loop = VirtualLoop()
     try:
--- a/loomstand/testing/simulation/network.py
+++ b/loomstand/testing/simulation/network.py
@@ -17,15 +17,15 @@
 
 from loomstand.rpc import Address, CallHandler
 from loomstand.rpc.errors import CallFailure, CallRefusedError
-from loomstand.testing.simulation.loop import LIFE, Life
+from loomstand.testing.simulation.loop import CURRENT_PROCESS, SimProcess
 
-DELAY = (0.0005, 0.004)  # s one way: machines of one region, and of neighbouring ones
+LINK_DELAY_SECONDS = (0.0005, 0.004)  # s one way: machines of one region, and of neighbouring ones
 Body = dict[str, Any]
 
 
 @dataclass(slots=True)
 class Listener:
-    life: Life
+    process: SimProcess
     serve: CallHandler
 
 
@@ -64,7 +64,7 @@
 
     async def carry(self, one: str, other: str) -> bool:
         """Bytes on their way; whether they arrive."""
-        low, high = DELAY
+        low, high = LINK_DELAY_SECONDS
         await asyncio.sleep(
             self.rng.uniform(low, high) + self.slow.get(one, 0.0) + self.slow.get(other, 0.0)
         )
@@ -82,13 +82,13 @@
 class MachineNetwork:
     """A machine's Network, for one life."""
 
-    sky: SimNetwork
+    network: SimNetwork
     host: str
-    life: Life
-    met: dict[Address, Life] = field(default_factory=dict)  # connections that stand
+    process: SimProcess
+    met: dict[Address, SimProcess] = field(default_factory=dict)  # connections that stand
 
     async def listen(self, address: Address, serve: CallHandler) -> None:
-        self.sky.listeners[address] = Listener(self.life, serve)
+        self.network.listeners[address] = Listener(self.process, serve)
 
     async def call(
         self, address: Address, op: str, body: Body, within: float
@@ -97,7 +97,9 @@
         answer: asyncio.Future[Result[Body, CallFailure]] = loop.create_future()
         sent: list[bool] = []  # whether the request's bytes are under way
         # on the wire nothing is frozen or killed with the caller
-        run = loop.create_task(self._run(address, op, body, sent, answer), context=_WIRE.copy())
+        run = loop.create_task(
+            self._run(address, op, body, sent, answer), context=_WIRE_CONTEXT.copy()
+        )
         try:
             async with asyncio.timeout(within):
                 return await answer
@@ -109,35 +111,35 @@
     async def _run(
         self, address: Address, op: str, body: Body, sent: list[bool], answer: Any
     ) -> None:
-        there = self.sky.listeners.get(address)
-        if self.met.get(address) is not (there.life if there else None) or there is None:
+        there = self.network.listeners.get(address)
+        if self.met.get(address) is not (there.process if there else None) or there is None:
             if not (
-                await self.sky.carry(self.host, address[0])
-                and await self.sky.carry(address[0], self.host)
+                await self.network.carry(self.host, address[0])
+                and await self.network.carry(address[0], self.host)
             ):
                 return None
-            there = self.sky.listeners.get(address)
-            if there is None or not there.life.alive:
-                return _give(answer, Error(CallFailure.NEVER_RAN))
-            self.met[address] = there.life
+            there = self.network.listeners.get(address)
+            if there is None or not there.process.alive:
+                return _complete(answer, Error(CallFailure.NEVER_RAN))
+            self.met[address] = there.process
         if answer.done():
             return None
         sent.append(True)
-        if not await self.sky.carry(self.host, address[0]):
+        if not await self.network.carry(self.host, address[0]):
             return None
-        if not there.life.alive:
-            if self.sky.open(address[0], self.host):
-                _give(answer, Error(CallFailure.MAY_HAVE_RUN))
+        if not there.process.alive:
+            if self.network.open(address[0], self.host):
+                _complete(answer, Error(CallFailure.MAY_HAVE_RUN))
             return None
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[Result[Body, CallFailure]] = loop.create_future()
         served = loop.create_task(
-            _serve(there.serve, op, body, reply), context=there.life.context()
+            _serve(there.serve, op, body, reply), context=there.process.context()
         )
         result = await reply
         del served
-        if there.life.alive and await self.sky.carry(address[0], self.host):
-            _give(answer, result)
+        if there.process.alive and await self.network.carry(address[0], self.host):
+            _complete(answer, result)
 
 
 async def _serve(serve: CallHandler, op: str, body: Body, reply: Any) -> None:
@@ -147,17 +149,17 @@
         reply.set_result(Error(CallFailure.REFUSED))
 
 
-def _give(answer: Any, result: Any) -> None:
+def _complete(answer: Any, result: Any) -> None:
     if not answer.done():
         answer.set_result(result)
 
 
-def _wire() -> Any:
+def _make_wire_context() -> Any:
     import contextvars
 
     made = contextvars.Context()
-    made.run(LIFE.set, None)
+    made.run(CURRENT_PROCESS.set, None)
     return made
 
 
-_WIRE = _wire()
+_WIRE_CONTEXT = _make_wire_context()
--- a/loomstand/testing/simulation/scenario.py
+++ b/loomstand/testing/simulation/scenario.py
@@ -11,20 +11,20 @@
 from typing import Any
 
 from loomstand.config.settings import RuleBounds
-from loomstand.testing.simulation.bounds import Change, History, Ran
+from loomstand.testing.simulation.bounds import Arrival, ConfigurationChange, History
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.faults import CORES, DENSE, LIMITERS, SERVERS, Faults
 
-LOOK = 0.01  # s between looks at who serves and who counts
+OBSERVATION_PERIOD_SECONDS = 0.01  # s between looks at who serves and who counts
 # s of calm at the end: what is under way comes into force, or is late beyond every bound.
-CALM = 6.0
+FINAL_CALM_SECONDS = 6.0
 # Lengths of troubles in s: from what hardly anybody sees to the 10 s for which a part is usually
 # cut off.
-LENGTHS = (0.3, 1.0, 2.0, 4.0, 10.0)
+FAULT_SECONDS = (0.3, 1.0, 2.0, 4.0, 10.0)
 # Requests a second and burst over rate. The share of a tenant at one of 12 limiters goes from a
 # tenth of a request a second to four, so that both small and large parts of a quota are seen.
-RATES, BURSTS = (1.0, 4.0, 12.0, 30.0, 50.0), (0.5, 1.0, 2.0)
-HOT = 8.0  # a hot tenant sends so many times its usual
+TENANT_RATES, BURST_TO_RATE = (1.0, 4.0, 12.0, 30.0, 50.0), (0.5, 1.0, 2.0)
+HOT_LOAD_FACTOR = 8.0  # a hot tenant sends so many times its usual
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,44 +60,53 @@
         rng = self.rng = Random(seed)
         self.setup = setup or Setup()
         cores = self.setup.cores or rng.choice((3, 3, 4))
-        self.town = Cluster(rng.getrandbits(32), cores, self.setup.limiters, self.setup.servers)
-        self.history = History([*self.town.proxies])
-        self.troubles = Faults(self.town, Random(rng.getrandbits(32)), self.history, LENGTHS)
-        rates = [rate * self.setup.quotas for rate in RATES]
+        self.cluster = Cluster(rng.getrandbits(32), cores, self.setup.limiters, self.setup.servers)
+        self.history = History([*self.cluster.proxies])
+        self.troubles = Faults(
+            self.cluster, Random(rng.getrandbits(32)), self.history, FAULT_SECONDS
+        )
+        rates = [rate * self.setup.quotas for rate in TENANT_RATES]
         self.loads = [
             Load(f"t{n}", rate, rate * rng.uniform(0.8, 1.4)) for n, rate in enumerate(rates)
         ]
-        self.town.usual()
+        self.cluster.usual()
         for load in self.loads:
             self.key(load)
-            self.town.tenant(load.name, load.key, load.rate, round(load.rate * rng.choice(BURSTS)))
+            self.cluster.tenant(
+                load.name, load.key, load.rate, round(load.rate * rng.choice(BURST_TO_RATE))
+            )
 
     def play(self) -> tuple[History, RuleBounds]:
         """Plays it, once: what came of it, and the bounds that it was under."""
         try:
-            self.town.do(self.whole())
-            return self.told(), self.town.settings(self.town.core_ips[0]).bounds
+            self.cluster.do(self.whole())
+            return self.told(), self.cluster.settings(self.cluster.core_ips[0]).bounds
         finally:
-            self.town.loop.close()
+            self.cluster.loop.close()
 
     def key(self, load: Load) -> None:
         load.key = f"key-{load.name}-{self.rng.getrandbits(32):08x}"
 
     async def whole(self) -> None:
         """The first configuration, the lanes side by side, and the calm."""
-        town, history = self.town, self.history
-        sent = town.loop.time() + 0.5
-        await town.begin()
-        history.begun = town.loop.time()
-        history.changes.append(Change(town.version, sent, history.begun, self.quotas()))
+        cluster, history = self.cluster, self.history
+        sent = cluster.loop.time() + 0.5
+        await cluster.begin()
+        history.begun = cluster.loop.time()
+        history.changes.append(
+            ConfigurationChange(cluster.version, sent, history.begun, self.quotas())
+        )
         until = history.begun + self.setup.length
-        looks = town.loop.create_task(self.look())
-        flows = [town.loop.create_task(self.clients(load, until + CALM)) for load in self.loads]
+        looks = cluster.loop.create_task(self.look())
+        flows = [
+            cluster.loop.create_task(self.clients(load, until + FINAL_CALM_SECONDS))
+            for load in self.loads
+        ]
         await asyncio.gather(*self.lanes(until))
-        await asyncio.sleep(max(0.0, until + CALM - town.loop.time()))
+        await asyncio.sleep(max(0.0, until + FINAL_CALM_SECONDS - cluster.loop.time()))
         await asyncio.gather(*flows)
         looks.cancel()
-        history.ended = town.loop.time()
+        history.ended = cluster.loop.time()
 
     def lanes(self, until: float) -> list[Coroutine[Any, Any, None]]:
         """What happens, side by side."""
@@ -130,7 +139,7 @@
         rng = Random(self.rng.getrandbits(32))
         while True:
             await asyncio.sleep(rng.uniform(low, high))
-            if self.town.loop.time() >= until:
+            if self.cluster.loop.time() >= until:
                 return
             await what()
 
@@ -138,8 +147,8 @@
 
     async def clients(self, load: Load, until: float) -> None:
         """Requests of one tenant, each to any limiter that the platform passes connections to."""
-        client, rng, tasks = self.town.someone(), Random(self.rng.getrandbits(32)), []
-        while self.town.loop.time() < until:
+        client, rng, tasks = self.cluster.someone(), Random(self.rng.getrandbits(32)), []
+        while self.cluster.loop.time() < until:
             method, name = rng.choice((("GET", "a"), ("GET", "b"), ("POST", "once")))
             what = (
                 method,
@@ -149,8 +158,10 @@
                 b"" if method == "GET" else b"body",
             )
             asked = client.go(*what, tries=rng.choice((1, 3)), idempotent=method == "GET")
-            tasks.append(self.town.loop.create_task(asked))
-            await asyncio.sleep(rng.expovariate(load.usual * (HOT if load.hot else 1.0)))
+            tasks.append(self.cluster.loop.create_task(asked))
+            await asyncio.sleep(
+                rng.expovariate(load.usual * (HOT_LOAD_FACTOR if load.hot else 1.0))
+            )
         await asyncio.gather(*tasks)
 
     async def heat(self) -> None:
@@ -164,68 +175,70 @@
 
     def quotas(self) -> dict[str, tuple[float, float]]:
         named = {
-            name: spec for (kind, name), spec in self.town.resources.items() if kind == "tenants"
+            name: spec for (kind, name), spec in self.cluster.resources.items() if kind == "tenants"
         }
         return {name: (spec["rate_per_s"], spec["burst_size"]) for name, spec in named.items()}
 
     async def order(self) -> None:
         """A change of the configuration: a quota, a key taken away, or a route."""
-        town, rng, load = self.town, self.rng, self.rng.choice(self.loads)
+        cluster, rng, load = self.cluster, self.rng, self.rng.choice(self.loads)
         what, spec = (
             rng.choice(("quota", "quota", "key", "route")),
-            town.resources["tenants", load.name],
+            cluster.resources["tenants", load.name],
         )
         if what == "quota":
             x = rng.choice((0.4, 0.7, 1.5, 2.5))
-            most = max(RATES) * self.setup.quotas
+            most = max(TENANT_RATES) * self.setup.quotas
             rate = min(1.2 * most, max(1.0, round(spec["rate_per_s"] * x)))
-            town.tenant(load.name, load.key, rate, round(rate * rng.choice(BURSTS)))
+            cluster.tenant(load.name, load.key, rate, round(rate * rng.choice(BURST_TO_RATE)))
             load.usual = rate * rng.uniform(0.8, 1.4)
         elif what == "key":
             self.key(load)
-            town.tenant(load.name, load.key, spec["rate_per_s"], spec["burst_size"])
+            cluster.tenant(load.name, load.key, spec["rate_per_s"], spec["burst_size"])
         else:
-            town.route(f"n{town.version}", rng.choice([*town.servers]))
-        sent = town.loop.time()
-        done = await town.replace(6.0)
-        acked = town.loop.time() if done else float("inf")
-        self.history.changes.append(Change(town.version, sent, acked, self.quotas()))
+            cluster.route(f"n{cluster.version}", rng.choice([*cluster.servers]))
+        sent = cluster.loop.time()
+        done = await cluster.replace(6.0)
+        acked = cluster.loop.time() if done else float("inf")
+        self.history.changes.append(
+            ConfigurationChange(cluster.version, sent, acked, self.quotas())
+        )
 
     # what was seen
 
     async def look(self) -> None:
         """Who serves as primary, and who counts."""
-        town, since = self.town, -1.0
+        cluster, since = self.cluster, -1.0
         while True:
-            now = town.loop.time()
-            served = any(town.serves(ip) for ip in town.core_ips)
+            now = cluster.loop.time()
+            served = any(cluster.serves(ip) for ip in cluster.core_ips)
             if not served and since < 0:
                 since = now
             elif served and since >= 0:
                 self.history.unserved.append((since, now))
                 since = -1.0
-            if sum(town.counts(ip) for ip in town.core_ips) > 1:
+            if sum(cluster.counts(ip) for ip in cluster.core_ips) > 1:
                 self.history.twins.append(now)
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(OBSERVATION_PERIOD_SECONDS)
 
     def told(self) -> History:
         """With the people's book."""
-        history, book = self.history, self.town.book
+        history, request_log = self.history, self.cluster.request_log
         try:
-            book.check()
+            request_log.check()
         except AssertionError:
-            history.faults = book.faults
+            history.faults = request_log.faults
         route = {
             f"/{name}/x": spec["service_name"]
-            for (kind, name), spec in self.town.resources.items()
+            for (kind, name), spec in self.cluster.resources.items()
             if kind == "routes"
         }
-        for ask in book.asks.values():
+        for ask in request_log.requests.values():
             history.asked.setdefault(route[ask.path], []).append(ask.sent)
-        for run in book.arrivals:
-            ask = book.asks[run.id]
+        for run in request_log.arrivals:
+            ask = request_log.requests[run.id]
             history.arrivals.append(
-                Ran(
+                Arrival(
                     run.id,
                     run.tenant,
                     run.service,
@@ -236,5 +249,5 @@
                     run.ran,
                 )
             )
-        history.told = self.town.told
+        history.told = self.cluster.told
         return history
--- a/loomstand/testing/simulation/sim_disk.py
+++ b/loomstand/testing/simulation/sim_disk.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-COMMIT = 0.0035  # s for a commit on the target's disks
+COMMIT_SECONDS = 0.0035  # s for a commit on the target's disks
 
 
 @dataclass(slots=True)
-class Platter:
+class DiskState:
     """What outlives a process: the pages, and the trouble that the disk is in."""
 
     rng: Random
@@ -35,31 +35,31 @@
 class SimDisk:
     """A life's way to its platter; one write at a time, in order."""
 
-    platter: Platter
+    disk_state: DiskState
     gate: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     async def load(self) -> dict[str, bytes]:
-        while self.platter.hangs:
+        while self.disk_state.hangs:
             await asyncio.sleep(0.05)
-        if self.platter.unread:
+        if self.disk_state.unread:
             raise OSError("the disk can't be opened")
-        return dict(self.platter.pages)
+        return dict(self.disk_state.pages)
 
     async def save(self, pages: dict[str, bytes]) -> None:
-        platter, turn = self.platter, self.platter.turn
+        disk_state, turn = self.disk_state, self.disk_state.turn
         async with self.gate:
-            if platter.refuses:
-                await asyncio.sleep(COMMIT)
+            if disk_state.refuses:
+                await asyncio.sleep(COMMIT_SECONDS)
                 raise OSError("the disk refuses")
             # somewhere in it the pages are there, though nobody knows yet
-            share = platter.rng.random()
+            share = disk_state.rng.random()
             await self._spin(share)
-            if platter.turn == turn:
-                platter.pages.update(pages)
-                platter.writes += 1
+            if disk_state.turn == turn:
+                disk_state.pages.update(pages)
+                disk_state.writes += 1
             await self._spin(1.0 - share)
 
     async def _spin(self, share: float) -> None:
-        await asyncio.sleep(COMMIT * share * self.platter.slower)
-        while self.platter.hangs:
+        await asyncio.sleep(COMMIT_SECONDS * share * self.disk_state.slower)
+        while self.disk_state.hangs:
             await asyncio.sleep(0.05)
--- a/loomstand/testing/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -21,19 +21,21 @@
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import Wire
 from loomstand.rpc.errors import CallRefusedError
-from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.loop import SimProcess
 from loomstand.testing.simulation.machine import Machine
-from loomstand.testing.simulation.network import DELAY, Listener, SimNetwork
+from loomstand.testing.simulation.network import LINK_DELAY_SECONDS, Listener, SimNetwork
 
 Address = tuple[str, int]
-WINDOW = 16384  # bytes that an end takes which its process hasn't read: windows are small
+WINDOW_BYTES = 16384  # bytes that an end takes which its process hasn't read: windows are small
 # s until what meets a cut is sent again: of bytes at first, of an opening, and at most
-AGAIN = 0.2, 1.0, 3.0
-SPLIT = 0.15  # share of writes that come in two pieces
-_KERNEL = contextvars.Context()  # in no life: kernels go on where processes are frozen or killed
+RETRANSMIT_SECONDS = 0.2, 1.0, 3.0
+SPLIT_SHARE = 0.15  # share of writes that come in two pieces
+_KERNEL_CONTEXT = (
+    contextvars.Context()
+)  # in no life: kernels go on where processes are frozen or killed
 
 
-class Kind(Enum):
+class SegmentKind(Enum):
     """What is on the way."""
 
     OPEN = auto()
@@ -45,68 +47,68 @@
 
 
 @dataclass(slots=True)
-class Port(Listener):
+class StreamListener(Listener):
     """A listener for streams among the sky's."""
 
     make: Callable[[], asyncio.BaseProtocol] = field(kw_only=True)
 
     def close(self) -> None:
         """New connections are refused."""
-        for address in [a for a, at in self.sky.listeners.items() if at is self]:
-            del self.sky.listeners[address]
+        for address in [a for a, at in self.network.listeners.items() if at is self]:
+            del self.network.listeners[address]
 
-    sky: SimNetwork = field(kw_only=True)
+    network: SimNetwork = field(kw_only=True)
 
 
 @dataclass(slots=True)
-class Cables:
+class TcpStack:
     """All connections under a sky. `ends` has each until its process and its kernel are done with
     it.
     """
 
-    sky: SimNetwork
+    network: SimNetwork
     rng: Random
-    ends: set[End] = field(default_factory=set)
+    ends: set[SimTransport] = field(default_factory=set)
 
-    def died(self, life: Life) -> None:
+    def died(self, process: SimProcess) -> None:
         """A process ended: its machine's kernel closes what it had, by a reset where bytes are
         unread, and often by one otherwise.
         """
-        for end in sorted((e for e in self.ends if e.life is life), key=lambda e: e.number):
+        for end in sorted((e for e in self.ends if e.process is process), key=lambda e: e.number):
             end.forsaken()
 
 
-class End(asyncio.Transport):
+class SimTransport(asyncio.Transport):
     """One end of a connection."""
 
     count = 0
 
-    def __init__(self, cables: Cables, host: str, life: Life | None, far: str) -> None:
+    def __init__(self, tcp: TcpStack, host: str, process: SimProcess | None, far: str) -> None:
         super().__init__()
-        End.count += 1
-        self.number = End.count  # so that sets of them have an order
-        self.cables, self.host, self.life, self.far = cables, host, life, far
+        SimTransport.count += 1
+        self.number = SimTransport.count  # so that sets of them have an order
+        self.tcp, self.host, self.process, self.far = tcp, host, process, far
         self.loop = asyncio.get_running_loop()
-        self.context = life.context() if life is not None else contextvars.Context()
+        self.context = process.context() if process is not None else contextvars.Context()
         self.protocol: Any = None
-        self.peer: End | None = None
+        self.peer: SimTransport | None = None
         self.refused: Callable[[], None] | None = None  # of one that hasn't come up
         # on the way out
-        self.way: deque[tuple[float, Kind, Any]] = deque()
+        self.way: deque[tuple[float, SegmentKind, Any]] = deque()
         self.timer: asyncio.TimerHandle | None = None
-        self.last, self.pause = 0.0, AGAIN[0]
+        self.last, self.pause = 0.0, RETRANSMIT_SECONDS[0]
         # sending
         # what waits in the process; what the other end takes
-        self.buffer, self.credit = bytearray(), WINDOW
+        self.buffer, self.credit = bytearray(), WINDOW_BYTES
         self.full = self.ending = self.ended = False  # writing paused; its end is wanted; is sent
         # receiving
         self.came: deque[bytes] = deque()  # read by the kernel, not by the process
-        self.over: Kind | None = None
+        self.over: SegmentKind | None = None
         self.reading, self.woken, self.told = True, False, False
         self.resets = False  # its close is a reset, as with SO_LINGER 0
         self.closing = self.closed = self.lost = False  # by the process; `lost` once it was told
         self.gone = False  # the kernel knows the connection no more
-        cables.ends.add(self)
+        tcp.ends.add(self)
 
     # the process's side
 
@@ -188,11 +190,11 @@
             piece = bytes(self.buffer[: self.credit])
             del self.buffer[: len(piece)]
             self.credit -= len(piece)
-            if len(piece) > 1 and self.cables.rng.random() < SPLIT:
-                cut = self.cables.rng.randrange(1, len(piece))
-                self.put(Kind.DATA, piece[:cut])
+            if len(piece) > 1 and self.tcp.rng.random() < SPLIT_SHARE:
+                cut = self.tcp.rng.randrange(1, len(piece))
+                self.put(SegmentKind.DATA, piece[:cut])
                 piece = piece[cut:]
-            self.put(Kind.DATA, piece)
+            self.put(SegmentKind.DATA, piece)
         if self.buffer:
             return
         if self.full and not self.closed:
@@ -200,7 +202,7 @@
             self.protocol.resume_writing()
         if (self.ending or self.closing) and not self.ended and not self.gone:
             self.ended = True
-            self.put(Kind.END)
+            self.put(SegmentKind.END)
         if self.closing and not self.closed:
             self.finish(None)
 
@@ -216,7 +218,7 @@
                 self.reset()
             elif not self.ended:
                 self.ended = True
-                self.put(Kind.END)
+                self.put(SegmentKind.END)
             self.settle()
         self.loop.call_soon(self.lose, why, context=self.context)
 
@@ -254,10 +256,10 @@
             else:
                 self.protocol.data_received(data)
             if not self.gone:
-                self.put(Kind.TOOK, len(data))
+                self.put(SegmentKind.TOOK, len(data))
         if self.over is None or self.closed or self.came or not self.reading:
             return
-        if self.over is Kind.RESET:
+        if self.over is SegmentKind.RESET:
             self.fail(ConnectionResetError("reset"))
         elif not self.told:
             self.told = True
@@ -266,36 +268,42 @@
 
     # the kernel's side
 
-    def put(self, kind: Kind, data: Any = b"") -> None:
+    def put(self, kind: SegmentKind, data: Any = b"") -> None:
         """On the way, behind what is there."""
-        sky, (low, high) = self.cables.sky, DELAY
+        network, (low, high) = self.tcp.network, LINK_DELAY_SECONDS
         took = (
-            sky.rng.uniform(low, high) + sky.slow.get(self.host, 0.0) + sky.slow.get(self.far, 0.0)
+            network.rng.uniform(low, high)
+            + network.slow.get(self.host, 0.0)
+            + network.slow.get(self.far, 0.0)
         )
-        if sky.lost and sky.rng.random() < sky.lost:
-            took += AGAIN[0]
+        if network.lost and network.rng.random() < network.lost:
+            took += RETRANSMIT_SECONDS[0]
         self.last = max(self.last, self.loop.time() + took)
         self.way.append((self.last, kind, data))
         self.arm()
 
     def arm(self, at: float = 0.0) -> None:
         if self.timer is None and self.way:
-            self.timer = self.loop.call_at(max(at, self.way[0][0]), self.carry, context=_KERNEL)
+            self.timer = self.loop.call_at(
+                max(at, self.way[0][0]), self.carry, context=_KERNEL_CONTEXT
+            )
 
     def carry(self) -> None:
         """Brings over what is due, or tries again later."""
-        self.timer, now, sky = None, self.loop.time(), self.cables.sky
-        if not sky.open(self.host, self.far):
+        self.timer, now, network = None, self.loop.time(), self.tcp.network
+        if not network.open(self.host, self.far):
             # a reset is sent once, and nothing of that connection again
-            if self.host in sky.off or any(kind is Kind.RESET for _, kind, _ in self.way):
+            if self.host in network.off or any(
+                kind is SegmentKind.RESET for _, kind, _ in self.way
+            ):
                 self.way.clear()
-            self.arm(now + self.pause * (0.8 + 0.4 * self.cables.rng.random()))
-            self.pause = min(AGAIN[2], 2 * self.pause)
+            self.arm(now + self.pause * (0.8 + 0.4 * self.tcp.rng.random()))
+            self.pause = min(RETRANSMIT_SECONDS[2], 2 * self.pause)
             return
-        self.pause = AGAIN[0]
+        self.pause = RETRANSMIT_SECONDS[0]
         while self.way and self.way[0][0] <= now:
             _, kind, data = self.way.popleft()
-            if kind is Kind.OPEN:
+            if kind is SegmentKind.OPEN:
                 self.knock(data)
             elif self.peer is not None:
                 self.peer.arrive(kind, data)
@@ -304,13 +312,13 @@
 
     def knock(self, address: Address) -> None:
         """An opening has come to where it goes."""
-        port, cables = self.cables.sky.listeners.get(address), self.cables
-        there = isinstance(port, Port) and port.life.alive
-        other = End(cables, address[0], port.life if there else None, self.host)
+        port, tcp = self.tcp.network.listeners.get(address), self.tcp
+        there = isinstance(port, StreamListener) and port.process.alive
+        other = SimTransport(tcp, address[0], port.process if there else None, self.host)
         self.peer, other.peer = other, self
         if self.gone:  # given up meanwhile
             there = False
-        other.put(Kind.TAKEN if there else Kind.RESET)
+        other.put(SegmentKind.TAKEN if there else SegmentKind.RESET)
         if not there:
             other.gone = other.closed = True
             return
@@ -321,25 +329,25 @@
 
         self.loop.call_soon(accept, context=other.context)
 
-    def arrive(self, kind: Kind, data: Any) -> None:
+    def arrive(self, kind: SegmentKind, data: Any) -> None:
         if self.gone:
-            if kind not in (Kind.RESET, Kind.TOOK):
-                self.put(Kind.RESET)
-        elif kind is Kind.RESET:
-            self.gone, self.over = True, Kind.RESET
+            if kind not in (SegmentKind.RESET, SegmentKind.TOOK):
+                self.put(SegmentKind.RESET)
+        elif kind is SegmentKind.RESET:
+            self.gone, self.over = True, SegmentKind.RESET
             self.way.clear()
             if self.refused is not None:
                 self.loop.call_soon(self.refused, context=self.context)
             self.wake()
-        elif kind is Kind.TAKEN:
+        elif kind is SegmentKind.TAKEN:
             self.refused = None
             self.loop.call_soon(self.up, context=self.context)
-        elif kind is Kind.TOOK:
+        elif kind is SegmentKind.TOOK:
             self.credit += data
             if not self.closed:
                 self.loop.call_soon(self.push, context=self.context)
-        elif kind is Kind.END:
-            self.over = Kind.END
+        elif kind is SegmentKind.END:
+            self.over = SegmentKind.END
             self.wake()
         elif self.closed:  # nobody is there to read it
             self.reset()
@@ -359,49 +367,53 @@
                 self.timer.cancel()
                 self.timer = None
             if self.peer is not None:
-                self.put(Kind.RESET)
+                self.put(SegmentKind.RESET)
             self.gone = True
 
     def forsaken(self) -> None:
         """Its process is no more."""
         self.closed = self.lost = True
-        if self.came or self.cables.rng.random() < 0.5:
+        if self.came or self.tcp.rng.random() < 0.5:
             self.reset()
         elif not self.gone and not self.ended:
             self.ended = True
-            self.put(Kind.END)
+            self.put(SegmentKind.END)
         self.settle()
 
     def settle(self) -> None:
         """Forgets what is over on both sides."""
-        if self.closed and not self.way and (self.gone or (self.ended and self.over is Kind.END)):
+        if (
+            self.closed
+            and not self.way
+            and (self.gone or (self.ended and self.over is SegmentKind.END))
+        ):
             self.gone = True
-            self.cables.ends.discard(self)
+            self.tcp.ends.discard(self)
 
 
 class Host(Machine):
     """A machine whose connections end with its processes."""
 
-    cables: Cables
+    tcp: TcpStack
 
     def kill(self) -> None:
         super().kill()
-        if self.life is not None:
-            self.cables.died(self.life)
+        if self.process is not None:
+            self.tcp.died(self.process)
 
     def power_off(self, wipe: bool = False) -> None:
         """Falls silent: nothing says that its connections are over until somebody writes to it
         later.
         """
-        self.sky.off.add(self.host)
+        self.network.off.add(self.host)
         super().power_off(wipe)
 
     async def end(self) -> None:
         """SIGTERM: its programs are asked to stop; the machine stays on."""
-        if self.life is not None:
+        if self.process is not None:
             loop = asyncio.get_running_loop()
             await asyncio.gather(
-                *(loop.create_task(p.stop(), context=self.life.context()) for p in self.programs)
+                *(loop.create_task(p.stop(), context=self.process.context()) for p in self.programs)
             )
             self.kill()
 
@@ -410,22 +422,22 @@
 class Streams:
     """Connections of one life on one host: `net.driver.Streams`, and `open` for stand-ins."""
 
-    cables: Cables
+    tcp: TcpStack
     host: str
-    life: Life
+    process: SimProcess
 
     async def listen(
         self, loop: Any, make: Callable[[], Any], address: Address, *bounds: int
-    ) -> Port:
-        port = Port(self.life, _nothing, make=make, sky=self.cables.sky)
-        self.cables.sky.listeners[address] = port
+    ) -> StreamListener:
+        port = StreamListener(self.process, _refuse_call, make=make, network=self.tcp.network)
+        self.tcp.network.listeners[address] = port
         return port
 
-    def dial(self, protocol: Any, address: Address, refused: Callable[[], None]) -> End:
+    def dial(self, protocol: Any, address: Address, refused: Callable[[], None]) -> SimTransport:
         """An opening on its way; `protocol` hears of it once the connection stands."""
-        end = End(self.cables, self.host, self.life, address[0])
-        end.protocol, end.refused, end.pause = protocol, refused, AGAIN[1]
-        end.put(Kind.OPEN, address)
+        end = SimTransport(self.tcp, self.host, self.process, address[0])
+        end.protocol, end.refused, end.pause = protocol, refused, RETRANSMIT_SECONDS[1]
+        end.put(SegmentKind.OPEN, address)
         return end
 
     def connect(self, loop: Any, wire: Wire, address: Address, within: float) -> None:
@@ -472,5 +484,5 @@
         return made
 
 
-async def _nothing(op: str, body: dict[str, Any]) -> dict[str, Any]:
+async def _refuse_call(op: str, body: dict[str, Any]) -> dict[str, Any]:
     raise CallRefusedError("no calls here")
--- a/loomstand/testing/simulation/workload.py
+++ b/loomstand/testing/simulation/workload.py
@@ -11,23 +11,23 @@
 from typing import Any
 
 from loomstand.testing.simulation.http_log import (
-    PROMISES,
-    Ask,
-    Book,
-    Broken,
+    NOT_EXECUTED_STATUSES,
+    ClientRequest,
+    ConnectionBrokenError,
+    HttpConnection,
     Message,
     Reply,
-    Run,
-    Talk,
+    RequestLog,
+    ServerArrival,
     exchange,
     post,
     stamp_of,
 )
-from loomstand.testing.simulation.loop import Life
-from loomstand.testing.simulation.streams import Address, Cables, Port, Streams
+from loomstand.testing.simulation.loop import SimProcess
+from loomstand.testing.simulation.streams import Address, StreamListener, Streams, TcpStack
 
-ANSWER = re.compile(rb"HTTP/1\.1 ([1-5][0-9]{2}) [^\r\n]*")
-FINAL = (400, 401, 404, 413, 431)  # after these no further try is made
+STATUS_LINE = re.compile(rb"HTTP/1\.1 ([1-5][0-9]{2}) [^\r\n]*")
+FINAL_STATUSES = (400, 401, 404, 413, 431)  # after these no further try is made
 
 
 class Server:
@@ -42,54 +42,56 @@
 
     def __init__(
         self,
-        cables: Cables,
-        book: Book,
+        tcp: TcpStack,
+        request_log: RequestLog,
         rng: Random,
         address: Address,
         service: str,
         zone: str,
         cores: list[Address],
     ) -> None:
-        self.cables, self.book, self.rng, self.cores = cables, book, rng, cores
+        self.tcp, self.request_log, self.rng, self.cores = tcp, request_log, rng, cores
         self.address, self.service, self.zone = address, service, zone
         self.slots, self.queue, self.work, self.keep = 8, 8, (0.005, 0.02), 10
         self.trouble, self.share, self.only = "", 1.0, ""  # `only` for requests of that method
         self.id, self.state, self.sequence, self.core = "", "ready", 0, 0
-        self.life: Life | None = None
-        self.port: Port | None = None
+        self.process: SimProcess | None = None
+        self.port: StreamListener | None = None
         self.busy, self.waiting, self.last = 0, 0, ""
         self.acked: tuple[float, Address] | None = None  # when and by whom the newest beat was
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.connections: set[Served] = set()
+        self.connections: set[ServerHttpConnection] = set()
         self.slow_seconds = 1.0  # that `slow` takes more
 
     def start(self) -> None:
         """A new life."""
         self.id, self.state, self.sequence = f"i-{self.rng.getrandbits(32):08x}", "ready", 0
-        self.life, self.busy, self.waiting = Life(), 0, 0
-        self.streams = self.make_streams(self.life)
+        self.process, self.busy, self.waiting = SimProcess(), 0, 0
+        self.streams = self.make_streams(self.process)
         self.spawn(self.run())
 
-    def make_streams(self, life: Life) -> Streams:
+    def make_streams(self, process: SimProcess) -> Streams:
         """How a life's connections come to be."""
-        return Streams(self.cables, self.address[0], life)
+        return Streams(self.tcp, self.address[0], process)
 
     def kill(self) -> None:
-        if self.life is not None:
-            self.life.alive = False
-            self.cables.died(self.life)
+        if self.process is not None:
+            self.process.alive = False
+            self.tcp.died(self.process)
         if self.port is not None:
             self.port.close()
 
     def spawn(self, work: Any) -> None:
-        assert self.life is not None
-        task = asyncio.get_running_loop().create_task(work, context=self.life.context())
+        assert self.process is not None
+        task = asyncio.get_running_loop().create_task(work, context=self.process.context())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
-        self.port = await self.streams.listen(loop, lambda: Served(self), self.address)
+        self.port = await self.streams.listen(
+            loop, lambda: ServerHttpConnection(self), self.address
+        )
         while True:
             await self.beat()
             await asyncio.sleep(1.5 * self.rng.uniform(0.9, 1.1))
@@ -130,19 +132,19 @@
 
     # requests
 
-    async def serve(self, talk: Served) -> None:
+    async def serve(self, talk: ServerHttpConnection) -> None:
         self.connections.add(talk)
         try:
             while not talk.over:
                 message = await talk.message()
                 await self.one(talk, message)
-        except Broken:
+        except ConnectionBrokenError:
             pass
         finally:
             self.connections.discard(talk)
         talk.transport.close()
 
-    async def one(self, talk: Served, message: Message) -> None:
+    async def one(self, talk: ServerHttpConnection, message: Message) -> None:
         loop, fields = asyncio.get_running_loop(), message.fields
         id_ = fields.get("loomstand-request-id", "")
         method = message.start.split(b" ")[0].decode()
@@ -150,18 +152,18 @@
         trouble = self.trouble if hit else ""
         wait = int(fields.get("loomstand-deadline-remaining", 60_000)) / 1000
         until = loop.time() + wait
-        run = Run(
+        run = ServerArrival(
             loop.time(), self.service, self.id, id_, fields.get("loomstand-tenant-name", ""), False
         )
         if trouble == "dark":
             await asyncio.Event().wait()
         if fields.get("loomstand-expected-instance", self.id) != self.id:
-            self.book.arrived(run, message)
+            self.request_log.arrived(run, message)
             self.say(talk, 421, id_, b"", turned=True)
             return
         full = self.busy >= self.slots and self.waiting >= self.queue
         if trouble == "full" or full or not id_:
-            self.book.arrived(run, message)
+            self.request_log.arrived(run, message)
             self.say(talk, 503 if id_ else 400, id_, b"full", turned=True)
             return
         self.waiting += 1
@@ -169,12 +171,12 @@
             await asyncio.sleep(0.002)
         self.waiting -= 1
         if loop.time() >= until or talk.over:
-            self.book.arrived(run, message)
+            self.request_log.arrived(run, message)
             self.say(talk, 503, id_, b"", turned=True)
             return
         self.busy += 1
         run.ran, run.at = True, loop.time()
-        self.book.arrived(run, message)
+        self.request_log.arrived(run, message)
         try:
             work = self.rng.uniform(*self.work) + (self.slow_seconds if trouble == "slow" else 0.0)
             if await talk.closed_within(max(0.0, min(work, until - loop.time()))):
@@ -184,7 +186,7 @@
             run.ended = loop.time()
         await self.answer(talk, id_, trouble, b"504" if loop.time() >= until else b"")
 
-    async def answer(self, talk: Served, id_: str, trouble: str, late: bytes) -> None:
+    async def answer(self, talk: ServerHttpConnection, id_: str, trouble: str, late: bytes) -> None:
         body = b"%s %d " % (id_.encode(), self.rng.getrandbits(32)) + b"x" * self.rng.randrange(300)
         if trouble == "close":
             talk.transport.abort()
@@ -217,7 +219,9 @@
                 self.say(talk, 200, id_, body + b" again")
         talk.held = self.said(200, id_, body + b" again")
 
-    def say(self, talk: Served, status: int, id_: str, body: bytes, turned: bool = False) -> None:
+    def say(
+        self, talk: ServerHttpConnection, status: int, id_: str, body: bytes, turned: bool = False
+    ) -> None:
         talk.transport.write(self.said(status, id_, body, turned))
 
     def said(
@@ -237,7 +241,7 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-class Served(Talk):
+class ServerHttpConnection(HttpConnection):
     """A connection at a server."""
 
     def __init__(self, server: Server) -> None:
@@ -257,10 +261,14 @@
     """Makes requests, on kept connections or each on its own."""
 
     def __init__(
-        self, streams: Streams, book: Book, rng: Random, fronts: Callable[[], list[Address]]
+        self,
+        streams: Streams,
+        request_log: RequestLog,
+        rng: Random,
+        fronts: Callable[[], list[Address]],
     ) -> None:
-        self.streams, self.book, self.rng, self.fronts = streams, book, rng, fronts
-        self.idle: dict[Address, Talk] = {}
+        self.streams, self.request_log, self.rng, self.fronts = streams, request_log, rng, fronts
+        self.idle: dict[Address, HttpConnection] = {}
         self.keep, self.chunked = True, False
 
     def ask(
@@ -271,12 +279,14 @@
         key: str = "",
         body: bytes = b"",
         idempotent: bool = False,
-    ) -> Ask:
-        ask = Ask(f"{self.rng.getrandbits(64):016x}", method, host, path, key, body, idempotent)
-        self.book.asks[ask.id] = ask
+    ) -> ClientRequest:
+        ask = ClientRequest(
+            f"{self.rng.getrandbits(64):016x}", method, host, path, key, body, idempotent
+        )
+        self.request_log.requests[ask.id] = ask
         return ask
 
-    def raw(self, ask: Ask, left: float) -> bytes:
+    def raw(self, ask: ClientRequest, left: float) -> bytes:
         lines = [
             f"{ask.method} {ask.path} HTTP/1.1",
             f"Host: {ask.host}",
@@ -296,7 +306,7 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
     async def once(
-        self, ask: Ask, front: Address, within: float = 5.0, patience: float = inf
+        self, ask: ClientRequest, front: Address, within: float = 5.0, patience: float = inf
     ) -> Reply:
         """One try; what comes is checked.
 
@@ -310,19 +320,21 @@
         talk, reply = self.idle.pop(front, None), Reply(0, "silent")
         ask.sent, ask.front = loop.time(), front
         if talk is not None and talk.buf:
-            self.book.faults.append(f"{ask.id}: {bytes(talk.buf[:60])!r} where nothing was asked")
+            self.request_log.faults.append(
+                f"{ask.id}: {bytes(talk.buf[:60])!r} where nothing was asked"
+            )
         if talk is not None and talk.over:
             talk = None
         try:
             async with asyncio.timeout(min(within, patience)):
                 if talk is None:
-                    talk = await self.streams.open(Talk, front, 1.0)
+                    talk = await self.streams.open(HttpConnection, front, 1.0)
                 talk.transport.write(self.raw(ask, within))
                 got = await talk.message()
-                if ANSWER.fullmatch(got.start) is None or "content-length" not in got.fields:
-                    self.book.faults.append(f"{ask.id}: no answer: {got.start!r}")
+                if STATUS_LINE.fullmatch(got.start) is None or "content-length" not in got.fields:
+                    self.request_log.faults.append(f"{ask.id}: no answer: {got.start!r}")
                 reply = Reply(got.status, "", got.fields, got.body)
-        except Broken as why:
+        except ConnectionBrokenError as why:
             reply = Reply(0, str(why))
         except ConnectionRefusedError:
             reply = Reply(0, "refused")
@@ -331,7 +343,7 @@
         reply.at = loop.time()
         if reply.end == "silent" and talk is not None:
             ask.left_at = reply.at
-        self.book.got(ask, reply)
+        self.request_log.got(ask, reply)
         if talk is not None:
             if self.keep and reply.status and reply.fields.get("connection", "").lower() != "close":
                 self.idle[front] = talk
@@ -346,9 +358,11 @@
         for n in range(tries):
             ask, left = self.ask(*what, **more), until - loop.time()
             reply = await self.once(ask, self.rng.choice(self.fronts()), left)
-            if 200 <= reply.status < 300 or reply.status in FINAL or n + 1 == tries:
+            if 200 <= reply.status < 300 or reply.status in FINAL_STATUSES or n + 1 == tries:
                 break
-            if not (ask.idempotent or reply.status in PROMISES or reply.end == "refused"):
+            if not (
+                ask.idempotent or reply.status in NOT_EXECUTED_STATUSES or reply.end == "refused"
+            ):
                 break
             wait = float(reply.fields.get("retry-after", 0.05))
             wait = min(wait, (until - loop.time()) / 3)
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -19,15 +19,21 @@
 from loomstand.limiter.endings import Ending
 from loomstand.proxy.request import ProxyAttempt, ProxyRequest
 from loomstand.proxy.upstream import UpstreamPool
-from loomstand.testing.simulation.cluster import FRONT, Cluster
-from loomstand.testing.simulation.http_log import Broken, Message, Reply, Run, Talk
-from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.cluster import FRONT_PORT, Cluster
+from loomstand.testing.simulation.http_log import (
+    ConnectionBrokenError,
+    HttpConnection,
+    Message,
+    Reply,
+    ServerArrival,
+)
+from loomstand.testing.simulation.loop import SimProcess
 from loomstand.testing.simulation.network import SimNetwork
-from loomstand.testing.simulation.streams import Cables, Streams
+from loomstand.testing.simulation.streams import Streams, TcpStack
 from loomstand.testing.simulation.workload import Server
 
-US, THEM = "10.2.0.1", "10.3.0.1"
-PROOFS = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
+PROXY_IP, SERVER_IP = "10.2.0.1", "10.3.0.1"
+NOT_RUN_OUTCOMES = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 STAMP = "Loomstand-Response-Stamp: s"
 
 
@@ -38,17 +44,17 @@
     return ("\r\n".join(head) + "\r\n\r\n").encode() + body
 
 
-class Played(Talk):
+class ScriptedServerConnection(HttpConnection):
     """A server's connection: runs each whole request and answers as its play says: bytes, seconds
     to wait, or "reset", "close", "half" (its sending ends); it runs nothing where that begins with
     "refuse". `early` answers once a head is there.
     """
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: UpstreamFixture) -> None:
         super().__init__()
         self.stage = stage
         self.task = asyncio.get_running_loop().create_task(
-            self.serve(), context=stage.life.context()
+            self.serve(), context=stage.process.context()
         )
 
     async def serve(self) -> None:
@@ -68,7 +74,7 @@
                     self.stage.ran.append(message.fields["loomstand-request-id"])
                     self.stage.ran_at[self.stage.ran[-1]] = self.stage.loop.time()
                 await self.act(play)
-        except Broken:
+        except ConnectionBrokenError:
             pass
 
     async def act(self, play: list[Any]) -> None:
@@ -88,35 +94,35 @@
                 self.transport.close()
 
 
-class Stage:
+class UpstreamFixture:
     """A pool of connections to one server, and in place of the proxy a book of what came of each
     request.
     """
 
     def __init__(self) -> None:
-        self.sky = SimNetwork(Random(1))
-        self.cables = Cables(self.sky, Random(2))
+        self.network = SimNetwork(Random(1))
+        self.tcp = TcpStack(self.network, Random(2))
         self.loop = asyncio.get_running_loop()
         self.room, self.endings, self.most_answer = Room(1 << 22), Tally[str](), 1 << 16
-        self.life, self.mine = Life(), Life()
+        self.process, self.own_process = SimProcess(), SimProcess()
         self.plays: list[list[Any]] = []
         self.early = False
         self.ran: list[str] = []
         self.ran_at: dict[str, float] = {}
         self.came_of: dict[str, list[Outcome]] = {}
         self.bodies: dict[str, tuple[int, bytes, str]] = {}
-        self.talks: list[Played] = []
+        self.talks: list[ScriptedServerConnection] = []
         self.pool = UpstreamPool(self, 0.25, 60.0)  # type: ignore[arg-type]
         # type: ignore[method-assign]
-        self.pool.connect = Streams(self.cables, US, self.mine).connect
-        self.pool.set_address(0, (THEM, 80))
+        self.pool.connect = Streams(self.tcp, PROXY_IP, self.own_process).connect
+        self.pool.set_address(0, (SERVER_IP, 80))
 
-    async def open(self) -> Stage:
-        def make() -> Played:
-            self.talks.append(Played(self))
+    async def open(self) -> UpstreamFixture:
+        def make() -> ScriptedServerConnection:
+            self.talks.append(ScriptedServerConnection(self))
             return self.talks[-1]
 
-        await Streams(self.cables, THEM, self.life).listen(self.loop, make, (THEM, 80))
+        await Streams(self.tcp, SERVER_IP, self.process).listen(self.loop, make, (SERVER_IP, 80))
         return self
 
     def now(self) -> int:
@@ -164,7 +170,7 @@
         passed.
         """
         for id_, outcomes in self.came_of.items():
-            proved = sum(o in PROOFS for o in outcomes)
+            proved = sum(o in NOT_RUN_OUTCOMES for o in outcomes)
             assert self.ran.count(id_) <= len(outcomes) - proved, (id_, outcomes)
             if Outcome.SUCCEEDED in outcomes:
                 _, body, extra = self.bodies[id_]
@@ -175,7 +181,7 @@
     return said(200, id_, STAMP, *lines, body=b"of " + id_.encode())
 
 
-class Tricky(Server):
+class ScriptedServer(Server):
     """A server whose requests meet what `script` says, one after the other: what befalls one, and
     at which byte of its answer.
     """
@@ -187,10 +193,14 @@
         id_ = message.fields["loomstand-request-id"]
         # its sending ended after the answer before: it runs none, says nothing
         if talk.transport.ending:
-            self.book.arrived(Run(self.now(), self.service, self.id, id_, "", False), message)
+            self.request_log.arrived(
+                ServerArrival(self.now(), self.service, self.id, id_, "", False), message
+            )
             return
         if what in ("unread", "refuses twice"):
-            self.book.arrived(Run(self.now(), self.service, self.id, id_, "", False), message)
+            self.request_log.arrived(
+                ServerArrival(self.now(), self.service, self.id, id_, "", False), message
+            )
         if what == "unread":
             self.broken(talk)
         elif what == "refuses twice":
@@ -240,18 +250,18 @@
                 talk.transport.write(extra[what][at:])
 
 
-class OddCluster(Cluster):
+class ScriptedCluster(Cluster):
     """One proxy, two tricky servers a service."""
 
     def __init__(self, script: list[tuple[str, int]] | None = None) -> None:
         self.script = script or []
         super().__init__(3, cores=1, proxies=1, servers=2)
         self.do(self.begin())
-        self.front, self.whole = (US, FRONT), set[str]()
+        self.front, self.whole = (PROXY_IP, FRONT_PORT), set[str]()
 
     def server(self, ip: str, service: str, zone: str) -> Server:
         made = super().server(ip, service, zone)
-        made.__class__, made.script = Tricky, self.script  # type: ignore[attr-defined]
+        made.__class__, made.script = ScriptedServer, self.script  # type: ignore[attr-defined]
         return made
 
     async def asks(self, idempotent: bool, how: str, at: int, size: int) -> None:
@@ -272,7 +282,7 @@
         at = len(raw) * at // 400
         try:
             async with asyncio.timeout(3.0):
-                talk = await self.streams("10.9.0.1").open(Talk, self.front, 1.0)
+                talk = await self.streams("10.9.0.1").open(HttpConnection, self.front, 1.0)
                 at_once = how in ("whole", "pipelined", "half", "leaves")
                 if at_once or how == "pieces" or at == len(raw):
                     self.whole.update(ask.id for ask in asks)
@@ -289,41 +299,43 @@
                     return
                 for ask in asks:
                     got = await talk.message()
-                    self.book.got(
+                    self.request_log.got(
                         ask, Reply(got.status, "", got.fields, got.body, self.loop.time())
                     )
-        except (Broken, OSError, TimeoutError):
+        except (ConnectionBrokenError, OSError, TimeoutError):
             pass
 
     async def happens(self, after: float, what: str, lasts: float) -> None:
         await asyncio.sleep(after)
-        host, servers = self.proxies[US], [s for many in self.servers.values() for s in many]
+        host, servers = self.proxies[PROXY_IP], [s for many in self.servers.values() for s in many]
         server, there = servers[int(after * 1000) % 2], [s.address[0] for s in servers]
         if what in ("cut", "deaf", "dumb"):
-            pairs = {(ip, US) for ip in there} if what != "deaf" else set()
-            self.sky.cuts |= pairs | ({(US, ip) for ip in there} if what != "dumb" else set())
+            pairs = {(ip, PROXY_IP) for ip in there} if what != "deaf" else set()
+            self.network.cuts |= pairs | (
+                {(PROXY_IP, ip) for ip in there} if what != "dumb" else set()
+            )
         elif what == "away":
-            self.sky.cut("10.9.0.1", US)
+            self.network.cut("10.9.0.1", PROXY_IP)
         elif what == "freeze":
             host.freeze()
-        elif what == "server freezes" and server.life is not None:
-            server.life.frozen = True
+        elif what == "server freezes" and server.process is not None:
+            server.process.frozen = True
         elif what == "server dies":
             server.kill()
         elif what == "term":
             await host.end()
         await asyncio.sleep(lasts)
-        self.sky.mend()
+        self.network.mend()
         host.thaw()
-        if server.life is not None and server.life.alive:
-            server.life.thaw()
-        elif server.life is not None:
+        if server.process is not None and server.process.alive:
+            server.process.thaw()
+        elif server.process is not None:
             server.start()
         if not host.up:
             host.start()
 
 
-BEFALLS = [
+ANSWER_FAULTS = [
     "",
     "",
     "unread",
@@ -339,5 +351,5 @@
     "long pause",
     "silent",
 ]
-HOW = ["whole", "whole", "pieces", "pipelined", "half", "breaks", "leaves"]
-HAPPENS = ["cut", "deaf", "dumb", "away", "freeze", "server freezes", "server dies", "term"]
+SEND_MODES = ["whole", "whole", "pieces", "pipelined", "half", "breaks", "leaves"]
+DISTURBANCES = ["cut", "deaf", "dumb", "away", "freeze", "server freezes", "server dies", "term"]
--- a/loomstand/testing/simulation/wrong_calls.py
+++ b/loomstand/testing/simulation/wrong_calls.py
@@ -12,13 +12,13 @@
 from loomstand.rpc.errors import CallFailure, CallRefusedError
 from loomstand.rpc.frames import CallFrame, encode_item
 from loomstand.rpc.tcp_connection import ServerConnection
-from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.loop import SimProcess
 from loomstand.testing.simulation.network import SimNetwork
 from loomstand.testing.simulation.stream_network import StreamNetwork
-from loomstand.testing.simulation.streams import Cables, Streams
+from loomstand.testing.simulation.streams import Streams, TcpStack
 
-HERE, THERE = "10.0.0.1", ("10.0.0.2", 7340)
-WAYS = [
+CALLER_IP, SERVER_ADDRESS = "10.0.0.1", ("10.0.0.2", 7340)
+ANSWER_FAULTS = [
     "",
     "pause",
     "reset",
@@ -32,7 +32,7 @@
 ]
 
 
-class OddConnection(ServerConnection):
+class ScriptedConnection(ServerConnection):
     """A server's connection that sends its answers as `owner.plays` says: each a way, and at which
     byte.
     """
@@ -85,28 +85,28 @@
             self.transport.write(raw)
 
 
-class OddNetwork(StreamNetwork):
+class ScriptedNetwork(StreamNetwork):
     plays: list[tuple[str, int]]
 
     async def listen(self, address: Any, handler: Any) -> None:
         loop = asyncio.get_running_loop()
-        await self.streams.listen(loop, lambda: OddConnection(self, handler), address)
+        await self.streams.listen(loop, lambda: ScriptedConnection(self, handler), address)
 
 
-class Pair:
+class CallerAndServer:
     """A caller and one that is called, which notes what it ran."""
 
     def __init__(self, plays: list[tuple[str, int]] | None = None) -> None:
-        self.sky, self.loop = SimNetwork(Random(1)), asyncio.get_running_loop()
-        self.cables = Cables(self.sky, Random(2))
-        self.life, self.ran, self.said = Life(), [], dict[int, Result[Any, CallFailure]]()
-        self.caller = StreamNetwork(Streams(self.cables, HERE, Life()))
-        self.called = OddNetwork(Streams(self.cables, THERE[0], self.life))
+        self.network, self.loop = SimNetwork(Random(1)), asyncio.get_running_loop()
+        self.tcp = TcpStack(self.network, Random(2))
+        self.process, self.ran, self.said = SimProcess(), [], dict[int, Result[Any, CallFailure]]()
+        self.caller = StreamNetwork(Streams(self.tcp, CALLER_IP, SimProcess()))
+        self.called = ScriptedNetwork(Streams(self.tcp, SERVER_ADDRESS[0], self.process))
         self.called.plays = plays or []
         self.ran_at: dict[int, float] = {}
 
-    async def open(self) -> Pair:
-        await self.called.listen(THERE, self.serve)
+    async def open(self) -> CallerAndServer:
+        await self.called.listen(SERVER_ADDRESS, self.serve)
         return self
 
     async def serve(self, op: str, body: Any) -> Any:
@@ -119,7 +119,7 @@
 
     async def call(self, n: int, lasts: float = 0.0, within: float = 0.3, size: int = 0) -> Any:
         body = {"n": n, "for": lasts, "fill": bytes(size)}
-        self.said[n] = got = await self.caller.call(THERE, "do", body, within)
+        self.said[n] = got = await self.caller.call(SERVER_ADDRESS, "do", body, within)
         return got
 
     def check(self) -> None:
--- a/loomstand/testing/soak/checks.py
+++ b/loomstand/testing/soak/checks.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from loomstand.testing.simulation.http_log import Ask, Book, Reply, Run
+from loomstand.testing.simulation.http_log import ClientRequest, Reply, RequestLog, ServerArrival
 from loomstand.testing.soak.timing import GRACE_SECONDS
 
 # RULES.md has bounds for machines that aren't loaded; all processes of a run share this one.
@@ -33,16 +33,16 @@
     acknowledged_at: float
 
 
-def lost_requests(book: Book, was_disturbed: WasDisturbed) -> list[str]:
+def lost_requests(request_log: RequestLog, was_disturbed: WasDisturbed) -> list[str]:
     """LOST: a proxy that was only asked to stop closed a connection in place of an answer.
 
     Either once the request had been sent on, or later than a moment after its last byte. A proxy
     that was killed or frozen meanwhile, and a client that left, are passed over.
     """
-    runs = runs_by_request(book)
+    runs = runs_by_request(request_log)
     lost = []
-    for ask in book.asks.values():
-        reply = book.replies.get(ask.id)
+    for ask in request_log.requests.values():
+        reply = request_log.replies.get(ask.id)
         if reply is None or reply.status or reply.end not in NO_ANSWER:
             continue
         if was_disturbed(ask.front[0], ask.sent, reply.at, False):
@@ -53,24 +53,26 @@
     return lost
 
 
-def abandoned_runs(book: Book, was_disturbed: WasDisturbed) -> list[str]:
+def abandoned_runs(request_log: RequestLog, was_disturbed: WasDisturbed) -> list[str]:
     """GONE: a server was still at work for a client that had left, on what may be repeated."""
-    late = book.runs_after_departure(DEPARTURE_SECONDS + LOAD_SLACK_SECONDS)
+    late = request_log.runs_after_departure(DEPARTURE_SECONDS + LOAD_SLACK_SECONDS)
     return [
-        f"GONE: {run.id} went on for {run.ended - book.asks[run.id].left_at:.2f} s"
+        f"GONE: {run.id} went on for {run.ended - request_log.requests[run.id].left_at:.2f} s"
         for run in late
-        if book.asks[run.id].idempotent
-        and not was_disturbed(book.asks[run.id].front[0], run.at, run.ended, False)
+        if request_log.requests[run.id].idempotent
+        and not was_disturbed(request_log.requests[run.id].front[0], run.at, run.ended, False)
     ]
 
 
-def late_arrivals(book: Book, drains: list[Drain], was_disturbed: WasDisturbed) -> list[str]:
+def late_arrivals(
+    request_log: RequestLog, drains: list[Drain], was_disturbed: WasDisturbed
+) -> list[str]:
     """DRAIN: a request reached a server long after it had said that it leaves."""
     acknowledged_at = {drain.server: drain.acknowledged_at for drain in drains}
     late = []
-    for run in book.arrivals:
+    for run in request_log.arrivals:
         since = run.at - acknowledged_at.get(run.server, run.at)
-        front = book.asks[run.id].front[0] if run.id in book.asks else ""
+        front = request_log.requests[run.id].front[0] if run.id in request_log.requests else ""
         if since <= DRAIN_SECONDS + LOAD_SLACK_SECONDS:
             continue
         if not was_disturbed(front, run.at - CONTACT_SECONDS, run.at, True):
@@ -80,7 +82,7 @@
     return late
 
 
-def needless_overdue(book: Book, front: str, overdue_at: list[float]) -> list[str]:
+def needless_overdue(request_log: RequestLog, front: str, overdue_at: list[float]) -> list[str]:
     """A proxy was there beyond its grace period though no server was at work for it at the end.
 
     Where one is, in the last sixth of the period, the proxy is right to wait for it.
@@ -89,23 +91,23 @@
     for moment in overdue_at:
         at_work = any(
             run.at < moment and (not run.ended or run.ended > moment - GRACE_SECONDS / 6)
-            for run in book.runs()
-            if book.asks[run.id].front[0] == front
+            for run in request_log.runs()
+            if request_log.requests[run.id].front[0] == front
         )
         if not at_work:
             needless.append(f"{front}: still there {GRACE_SECONDS:g} s after SIGTERM")
     return needless
 
 
-def runs_by_request(book: Book) -> dict[str, Run]:
+def runs_by_request(request_log: RequestLog) -> dict[str, ServerArrival]:
     """Returns the first run of each request that was begun at a server."""
-    runs: dict[str, Run] = {}
-    for run in book.runs():
+    runs: dict[str, ServerArrival] = {}
+    for run in request_log.runs():
         runs.setdefault(run.id, run)
     return runs
 
 
-def describe(ask: Ask, reply: Reply) -> str:
+def describe(ask: ClientRequest, reply: Reply) -> str:
     """Returns a request and what came of it in a line."""
     seconds = reply.at - ask.sent
     where = f"{ask.id} {ask.method} at {ask.front[0]}, sent at {ask.sent:.3f}"
--- a/loomstand/testing/soak/cluster.py
+++ b/loomstand/testing/soak/cluster.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from loomstand.testing.simulation.configuration_draft import ConfigurationDraft
-from loomstand.testing.simulation.http_log import Book, exchange
+from loomstand.testing.simulation.http_log import RequestLog, exchange
 from loomstand.testing.simulation.streams import Address
 from loomstand.testing.simulation.workload import Client, Operator
 from loomstand.testing.soak.loopback import LoopbackServer, LoopbackStreams
@@ -71,8 +71,8 @@
             folder: For settings, logs and the stores' disks; exists and is empty.
         """
         self.rng = Random(seed)
-        self.book = Book()
-        self.owners = self.book.owners
+        self.request_log = RequestLog()
+        self.owners = self.request_log.owners
         self.resources = {}
         self.folder = folder
         self.network = network
@@ -105,7 +105,7 @@
     def client(self) -> Client:
         """Returns a client of its own."""
         rng = Random(self.rng.getrandbits(64))
-        return Client(self._streams(), self.book, rng, lambda: self.inside)  # type: ignore[arg-type]
+        return Client(self._streams(), self.request_log, rng, lambda: self.inside)  # type: ignore[arg-type]
 
     async def start(self) -> None:
         """Starts all, sends the first configuration and waits until every proxy is ready.
@@ -172,7 +172,7 @@
     def _server(self, service: str, place: int, number: int) -> LoopbackServer:
         address = (self._ip(3, 50 * place + number), SERVER_PORT)
         rng = Random(self.rng.getrandbits(64))
-        server = LoopbackServer(self.book, rng, address, service, ZONES[number % len(ZONES)])
+        server = LoopbackServer(self.request_log, rng, address, service, ZONES[number % len(ZONES)])
         server.cores = [*self.controls]
         server.slow_seconds = SLOW_SECONDS
         return server
--- a/loomstand/testing/soak/loopback.py
+++ b/loomstand/testing/soak/loopback.py
@@ -9,8 +9,8 @@
 from random import Random
 from typing import Any
 
-from loomstand.testing.simulation.http_log import Book, Talk
-from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.http_log import HttpConnection, RequestLog
+from loomstand.testing.simulation.loop import SimProcess
 from loomstand.testing.simulation.streams import Address
 from loomstand.testing.simulation.workload import Server
 
@@ -23,7 +23,9 @@
 
     host: str
 
-    async def open(self, make: Callable[[], Talk], address: Address, within: float) -> Talk:
+    async def open(
+        self, make: Callable[[], HttpConnection], address: Address, within: float
+    ) -> HttpConnection:
         """Returns a connection's protocol once it stands.
 
         Raises:
@@ -41,7 +43,7 @@
         return talk
 
     async def listen(
-        self, loop: asyncio.AbstractEventLoop, make: Callable[[], Talk], address: Address
+        self, loop: asyncio.AbstractEventLoop, make: Callable[[], HttpConnection], address: Address
     ) -> asyncio.Server:
         """Listens at an address that may have been in use until just now."""
         listener = socket.create_server(address, family=socket.AF_INET, reuse_port=False)
@@ -51,20 +53,22 @@
 class LoopbackServer(Server):
     """A server of a service, on a real socket."""
 
-    def __init__(self, book: Book, rng: Random, address: Address, service: str, zone: str) -> None:
+    def __init__(
+        self, request_log: RequestLog, rng: Random, address: Address, service: str, zone: str
+    ) -> None:
         """Makes a server that doesn't listen yet; `cores` are set before it starts."""
-        no_cables: Any = None
-        super().__init__(no_cables, book, rng, address, service, zone, [])
+        no_tcp: Any = None
+        super().__init__(no_tcp, request_log, rng, address, service, zone, [])
 
-    def make_streams(self, life: Life) -> Any:  # noqa: ANN401 - the base's type has more in it
+    def make_streams(self, process: SimProcess) -> Any:  # noqa: ANN401 - the base's type has more in it
         """See the base class."""
-        del life
+        del process
         return LoopbackStreams(self.address[0])
 
     def kill(self) -> None:
         """Ends it at once, with all of its connections."""
-        if self.life is not None:
-            self.life.alive = False
+        if self.process is not None:
+            self.process.alive = False
         if self.port is not None:
             self.port.close()
         for task in list(self.tasks):
--- a/loomstand/testing/soak/run.py
+++ b/loomstand/testing/soak/run.py
@@ -279,21 +279,21 @@
 
     def check_all(self) -> None:
         """What the book and the processes tell once all have ended."""
-        book = self.cluster.book
+        request_log = self.cluster.request_log
         faults = self.report.faults
         try:
-            book.check()
+            request_log.check()
         except AssertionError:
-            faults.extend(book.faults)
+            faults.extend(request_log.faults)
         for checked in (
-            lost_requests(book, self.was_disturbed),
-            abandoned_runs(book, self.was_disturbed),
-            late_arrivals(book, self.drains, self.was_disturbed),
+            lost_requests(request_log, self.was_disturbed),
+            abandoned_runs(request_log, self.was_disturbed),
+            late_arrivals(request_log, self.drains, self.was_disturbed),
         ):
             faults.extend(checked)
         for process in self.cluster.processes.values():
             faults.extend(process.check_log())
-            faults.extend(needless_overdue(book, process.ip, process.overdue_at))
+            faults.extend(needless_overdue(request_log, process.ip, process.overdue_at))
 
     def was_disturbed(self, ip: str, since: float, until: float, planned_too: bool) -> bool:
         """See `checks.WasDisturbed`."""
--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -201,13 +201,13 @@
 
 
 def test_status_of_a_whole_town_is_shown_and_disagreement_is_told(stand, capsys):
-    town = Cluster(proxies=2)
-    town.do(town.begin())
-    town.wait(2.0)
+    cluster = Cluster(proxies=2)
+    cluster.do(cluster.begin())
+    cluster.wait(2.0)
     asked = (b"POST", b"/api/rpc?call=system.status", b"")
-    got = [town.do(town.registry(ip).handle_http(*asked)) for ip in town.core_ips]
+    got = [cluster.do(cluster.registry(ip).handle_http(*asked)) for ip in cluster.core_ips]
     told = [json.loads(raw) for code, raw in got if code == 200]
-    town.close()
+    cluster.close()
     assert len(told) == 3 and sum(t["counting"]["here"] for t in told) == 1
     assert told[0]["servers"] == {"alpha": {"ready": 3}, "beta": {"ready": 3}}
     assert told[0]["cores"] == ["10.1.0.1:8783", "10.1.0.2:8783", "10.1.0.3:8783"]
--- a/tests/golden/names.py
+++ b/tests/golden/names.py
@@ -19,10 +19,10 @@
 from loomstand.store.record import Record, VersionedData
 from loomstand.store.recovery import recover
 from loomstand.store.views import Member, View
-from loomstand.testing.simulation.cluster import CONTROL as OUTSIDE_PORT
+from loomstand.testing.simulation.cluster import CONTROL_PORT as OUTSIDE_PORT
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.http_log import exchange
-from loomstand.testing.simulation.loop import Life, VirtualLoop
+from loomstand.testing.simulation.loop import SimProcess, VirtualLoop
 from loomstand.testing.simulation.machine import machines as make_machines
 from loomstand.testing.simulation.network import MachineNetwork, SimNetwork
 
@@ -45,9 +45,9 @@
     return store.parts.dissemination.learner.copy
 
 
-def platter_pages(machine):
+def disk_pages(machine):
     """The pages on the simulated disk of a machine."""
-    return machine.platter.pages
+    return machine.disk_state.pages
 
 
 __all__ = [
@@ -64,25 +64,25 @@
     "FrameError",
     "HolderPage",
     "Learner",
-    "Life",
     "LmdbDisk",
     "MachineNetwork",
     "Member",
     "Record",
     "SettingsError",
     "SimNetwork",
+    "SimProcess",
     "Store",
     "StoreSettings",
     "VersionedData",
     "View",
     "VirtualLoop",
     "digest",
+    "disk_pages",
     "encode_frame",
     "encode_item",
     "exchange",
     "make_machines",
     "parse_configuration",
-    "platter_pages",
     "read_settings",
     "recover",
     "store_copy",
--- a/tests/golden/runs.py
+++ b/tests/golden/runs.py
@@ -109,9 +109,11 @@
 
     def __init__(self, seed: int, seeds: list[str] = HOSTS[:3]) -> None:
         self.loop, rng = names.VirtualLoop(), Random(seed)
-        self.sky, self.first, self.seeds = names.SimNetwork(rng), True, seeds
-        self.air = names.MachineNetwork(self.sky, "10.9.0.1", names.Life())
-        self.machines = names.make_machines(self.sky, rng, HOSTS, lambda host: [self.factory(host)])
+        self.network, self.first, self.seeds = names.SimNetwork(rng), True, seeds
+        self.client_network = names.MachineNetwork(self.network, "10.9.0.1", names.SimProcess())
+        self.machines = names.make_machines(
+            self.network, rng, HOSTS, lambda host: [self.factory(host)]
+        )
 
     def factory(self, host: str) -> Callable[..., Any]:
         def make(network, disk, clock, rng):
@@ -122,7 +124,7 @@
         return make
 
     async def call(self, host: str, op: str, body: dict[str, Any], within: float = 1.0) -> Any:
-        got = await self.air.call((host, names.STORE_PORT), op, body, within)
+        got = await self.client_network.call((host, names.STORE_PORT), op, body, within)
         return got.ok if got.is_ok() else None
 
     async def primary(self) -> str:
@@ -216,7 +218,7 @@
 
 def _disks(machines: dict[str, Any]) -> dict[str, dict[str, str]]:
     return {
-        host: {name: page.hex() for name, page in sorted(names.platter_pages(machine).items())}
+        host: {name: page.hex() for name, page in sorted(names.disk_pages(machine).items())}
         for host, machine in machines.items()
     }
 
@@ -224,51 +226,51 @@
 # --- all programs
 
 
-async def _town(town: names.Cluster) -> None:
-    town.usual()
-    town.tenant("ann", "key-of-ann", 12.0, 10.0)
-    await town.begin()
-    flow = town.behind(
-        town.flow(
-            town.client, 30, 4.0, "GET", "town.example", "/a/x", "key-of-ann", idempotent=True
+async def _town(cluster: names.Cluster) -> None:
+    cluster.usual()
+    cluster.tenant("ann", "key-of-ann", 12.0, 10.0)
+    await cluster.begin()
+    flow = cluster.behind(
+        cluster.flow(
+            cluster.client, 30, 4.0, "GET", "town.example", "/a/x", "key-of-ann", idempotent=True
         )
     )
     await asyncio.sleep(1.0)
     for n in range(20):  # over 2,000 bytes: proxies fetch it packed
-        town.route(f"more-{n}", "beta")
-    assert await town.replace()
-    await town.operator.read()
+        cluster.route(f"more-{n}", "beta")
+    assert await cluster.replace()
+    await cluster.operator.read()
     await asyncio.sleep(1.0)
-    await town.servers["alpha"][1].drain()
-    await town.servers["beta"][1].leave()
-    await town.proxies["10.2.0.2"].end()  # says bye
+    await cluster.servers["alpha"][1].drain()
+    await cluster.servers["beta"][1].leave()
+    await cluster.proxies["10.2.0.2"].end()  # says bye
     await flow
-    counting = town.counting()
-    for host in town.core(counting):  # a takeover, of the counting too
+    counting = cluster.counting()
+    for host in cluster.core(counting):  # a takeover, of the counting too
         host.power_off()
     await asyncio.sleep(4.0)
-    town.route("again", "alpha")
-    assert await town.replace(8.0)
-    for host in town.core(counting):
+    cluster.route("again", "alpha")
+    assert await cluster.replace(8.0)
+    for host in cluster.core(counting):
         host.start()
     await asyncio.sleep(3.0)
-    for host in town.core(town.core_ips[2]):  # gives its duties back
+    for host in cluster.core(cluster.core_ips[2]):  # gives its duties back
         await host.end()
     await asyncio.sleep(1.0)
-    for host in town.core(town.core_ips[2]):
+    for host in cluster.core(cluster.core_ips[2]):
         host.start()
     await asyncio.sleep(3.0)
 
 
-async def _lose_all(town: names.Cluster) -> None:
+async def _lose_all(cluster: names.Cluster) -> None:
     """All of the core loses power, two stores their disks: proxies give the configuration back."""
-    for ip in town.core_ips:
-        registry, store = town.core(ip)
+    for ip in cluster.core_ips:
+        registry, store = cluster.core(ip)
         registry.power_off()
-        store.power_off(wipe=ip != town.core_ips[0])
+        store.power_off(wipe=ip != cluster.core_ips[0])
     await asyncio.sleep(0.5)
-    for ip in town.core_ips:
-        for host in town.core(ip):
+    for ip in cluster.core_ips:
+        for host in cluster.core(ip):
             host.start()
     await asyncio.sleep(6.0)
 
@@ -276,30 +278,30 @@
 def town_run() -> dict[str, Any]:
     """All programs: requests, a drain, a takeover, the core lost; the disks as before its loss."""
     with recording() as recorder:
-        town = names.Cluster(7)
+        cluster = names.Cluster(7)
         try:
-            town.do(_town(town))
-            disks = _disks(town.stores)
-            town.do(_lose_all(town))
+            cluster.do(_town(cluster))
+            disks = _disks(cluster.stores)
+            cluster.do(_lose_all(cluster))
         finally:
-            town.loop.close()
+            cluster.loop.close()
     return recorder.result() | {"disks": disks}
 
 
 # --- calls as programs of before made them, and calls that are refused
 
 
-async def _older(town: names.Cluster) -> None:
-    for host in (*town.stores.values(), *town.registries.values()):
+async def _older(cluster: names.Cluster) -> None:
+    for host in (*cluster.stores.values(), *cluster.registries.values()):
         host.start()
     await asyncio.sleep(4.0)
-    air = names.MachineNetwork(town.sky, "10.9.0.1", names.Life())
+    client_network = names.MachineNetwork(cluster.network, "10.9.0.1", names.SimProcess())
 
     async def call(port: int, op: str, body: dict[str, Any], ip: str = "") -> Any:
-        got = await air.call((ip or town.core_ips[0], port), op, body, 1.5)
+        got = await client_network.call((ip or cluster.core_ips[0], port), op, body, 1.5)
         return got.ok if got.is_ok() else None
 
-    store, registry, ip = names.STORE_PORT, names.REGISTRY_PORT, town.counting()
+    store, registry, ip = names.STORE_PORT, names.REGISTRY_PORT, cluster.counting()
     await call(store, "put", {"version": 4, "data": b'{"version":"r4","resources":[]}'})
     await asyncio.sleep(1.0)
     await call(store, "wait", {"have": 4, "within": 0.2})  # without a mark
@@ -325,14 +327,14 @@
     step = {"name": 7 << 40, "step": 2.0, "keep": 5.0}
     entry = [7 << 40, 0.0, 1.0, 2.0, 0.0]
     lone = {"name": "n-of-before", "life": 3, "number": 0, "alone": True, "entries": [entry]}
-    for host in (ip, *(other for other in town.core_ips if other != ip)):
+    for host in (ip, *(other for other in cluster.core_ips if other != ip)):
         await call(registry, "count", step, host)
         await call(registry, "grant", lone, host)
-    for host in town.core(ip):
+    for host in cluster.core(ip):
         host.power_off()
     for _ in range(40):  # the next one to count says at first that it is young
         await asyncio.sleep(0.2)
-        for other in town.core_ips:
+        for other in cluster.core_ips:
             if other != ip:
                 await call(registry, "count", step, other)
 
@@ -340,11 +342,11 @@
 def older_run() -> dict[str, Any]:
     """Calls without the fields that programs of before don't send, and calls that are refused."""
     with recording() as recorder:
-        town = names.Cluster(9, proxies=0, servers=0)
+        cluster = names.Cluster(9, proxies=0, servers=0)
         try:
-            town.do(_older(town))
+            cluster.do(_older(cluster))
         finally:
-            town.loop.close()
+            cluster.loop.close()
     return recorder.result()
 
 
@@ -403,12 +405,12 @@
     return raw | {"not JSON": b"{", "not UTF-8": b'{"address": "\xff"}', "empty": b""}
 
 
-async def _outside(town: names.Cluster, calls: dict[str, Any]) -> None:
+async def _outside(cluster: names.Cluster, calls: dict[str, Any]) -> None:
     rpc = "/api/rpc?call="
 
     async def say(name: str, raw: bytes, within: float = 6.0, ip: str = "") -> Any:
-        at = (ip or town.core_ips[0], names.OUTSIDE_PORT)
-        got = await names.exchange(town.operator.streams, at, raw, within)
+        at = (ip or cluster.core_ips[0], names.OUTSIDE_PORT)
+        got = await names.exchange(cluster.operator.streams, at, raw, within)
         assert got is not None, name
         shown = raw if len(raw) < 10_000 else raw[:200] + b"..."
         calls[name] = {
@@ -455,7 +457,7 @@
     await say("unknown path", _raw("/api/other?call=system.status", b""))
     await say("another method", _raw(rpc + "system.status", b"", "GET"))
     await say("too large", _raw(rpc + "configuration.replace", b"", length=9 << 20))
-    for store in town.stores.values():
+    for store in cluster.stores.values():
         store.kill()
     await asyncio.sleep(3.0)
     late = b'{"version": "r9", "resources": []}'
@@ -468,18 +470,18 @@
 def outside_run() -> dict[str, Any]:
     """The answers of a registry to calls from outside, by a name for each call."""
     calls: dict[str, Any] = {}
-    town = names.Cluster(5, proxies=0, servers=0)
+    cluster = names.Cluster(5, proxies=0, servers=0)
 
     async def all_of_it() -> None:
-        for host in (*town.stores.values(), *town.registries.values()):
+        for host in (*cluster.stores.values(), *cluster.registries.values()):
             host.start()
         await asyncio.sleep(3.0)
-        await _outside(town, calls)
+        await _outside(cluster, calls)
 
     try:
-        town.do(all_of_it())
+        cluster.do(all_of_it())
     finally:
-        town.loop.close()
+        cluster.loop.close()
     return calls
 
 
--- a/tests/proxy/test_abandoned_requests.py
+++ b/tests/proxy/test_abandoned_requests.py
@@ -18,7 +18,7 @@
 
 from loomstand.admission.load_balancer import LoadBalancer
 from loomstand.testing.simulation.cluster import Cluster
-from loomstand.testing.simulation.http_log import Ask
+from loomstand.testing.simulation.http_log import ClientRequest
 
 COUNT = re.compile(r"(\w+)=(\d+)")
 CLIENT_TIMEOUT_SECONDS = 0.11  # a slow server takes more than a second for a request
@@ -43,10 +43,10 @@
         server.slots = 24
 
 
-async def disconnect_early(cluster: Cluster, count: int) -> list[Ask]:
+async def disconnect_early(cluster: Cluster, count: int) -> list[ClientRequest]:
     """Sends idempotent requests whose clients disconnect while a server processes them."""
 
-    async def disconnect(number: int) -> Ask:
+    async def disconnect(number: int) -> ClientRequest:
         ask = cluster.client.ask("GET", "town.example", "/patient/x", "key-of-ann", idempotent=True)
         front = cluster.inside[number % len(cluster.inside)]
         await cluster.someone().once(ask, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS)
@@ -59,8 +59,8 @@
     slow_servers(cluster)
     asks = cluster.do(disconnect_early(cluster, 24))
     cluster.wait(4.0)
-    assert sum(bool(cluster.book.runs(ask.id)) for ask in asks) == len(asks)
-    assert cluster.book.runs_after_departure(MAX_RUN_AFTER_DISCONNECT_SECONDS) == []
+    assert sum(bool(cluster.request_log.runs(ask.id)) for ask in asks) == len(asks)
+    assert cluster.request_log.runs_after_departure(MAX_RUN_AFTER_DISCONNECT_SECONDS) == []
 
 
 def test_disconnects_and_cancelled_attempts_are_logged(cluster):
@@ -80,7 +80,7 @@
 def test_non_idempotent_request_runs_to_completion_after_its_client_disconnects(cluster):
     slow_servers(cluster)
 
-    async def disconnect() -> Ask:
+    async def disconnect() -> ClientRequest:
         ask = cluster.client.ask("POST", "town.example", "/once/x", "key-of-ann", b"body")
         front = cluster.inside[0]
         await cluster.someone().once(ask, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS)
@@ -88,16 +88,16 @@
 
     ask = cluster.do(disconnect())
     cluster.wait(4.0)
-    (run,) = cluster.book.runs(ask.id)
+    (run,) = cluster.request_log.runs(ask.id)
     assert run.ended - run.at > 1.0
 
 
 def test_request_is_not_sent_if_its_client_disconnects_while_connecting(cluster):
     """Applies to idempotent and non-idempotent requests."""
     for server in cluster.servers["alpha"]:
-        cluster.sky.slow[server.address[0]] = 0.1
+        cluster.network.slow[server.address[0]] = 0.1
 
-    async def disconnect(method: str, path: str, idempotent: bool) -> Ask:
+    async def disconnect(method: str, path: str, idempotent: bool) -> ClientRequest:
         ask = cluster.client.ask(method, "town.example", path, "key-of-ann", idempotent=idempotent)
         await cluster.someone().once(ask, cluster.inside[0], within=5.0, patience=0.05)
         return ask
@@ -105,7 +105,7 @@
     cluster.do(disconnect("GET", "/a/x", True))
     cluster.do(disconnect("POST", "/once/x", False))
     cluster.wait(3.0)
-    assert cluster.book.arrivals == []
+    assert cluster.request_log.arrivals == []
 
 
 def balancers(cluster: Cluster) -> list[LoadBalancer]:
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -9,9 +9,9 @@
 
 from loomstand.limiter.client_connection import Client
 from loomstand.proxy.client_limits import ClientLimitUpdates
-from loomstand.testing.simulation.cluster import FRONT, Cluster
-from loomstand.testing.simulation.http_log import Broken, Talk
-from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.cluster import FRONT_PORT, Cluster
+from loomstand.testing.simulation.http_log import ConnectionBrokenError, HttpConnection
+from loomstand.testing.simulation.loop import SimProcess
 from loomstand.testing.simulation.streams import Streams
 
 INITIAL_LIMITS = {
@@ -28,7 +28,7 @@
     made.resources["limits", "limits"] = INITIAL_LIMITS
     made.usual()
     made.do(made.begin())
-    made.front = (next(iter(made.proxies)), FRONT)
+    made.front = (next(iter(made.proxies)), FRONT_PORT)
     yield made
     made.close()
 
@@ -58,13 +58,15 @@
 
 async def partial_header_duration(cluster: Cluster) -> float:
     """Returns the seconds until a client that sends a partial header is answered or closed."""
-    connection = await Streams(cluster.cables, "10.9.9.9", Life()).open(Talk, cluster.front, 1.0)
+    connection = await Streams(cluster.tcp, "10.9.9.9", SimProcess()).open(
+        HttpConnection, cluster.front, 1.0
+    )
     started_at = cluster.loop.time()
     connection.transport.write(b"GET /a/x HTTP/1.1\r\nHost: to")
     try:
         async with asyncio.timeout(30.0):
             assert (await connection.message()).status == 408
-    except Broken:
+    except ConnectionBrokenError:
         pass
     return cluster.loop.time() - started_at
 
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from loomstand.testing.simulation.cluster import FRONT, SERVING, Cluster
-from loomstand.testing.simulation.http_log import Talk
-from loomstand.testing.simulation.loop import Life, play
+from loomstand.testing.simulation.cluster import FRONT_PORT, SERVER_PORT, Cluster
+from loomstand.testing.simulation.http_log import HttpConnection
+from loomstand.testing.simulation.loop import SimProcess, run_simulated
 from loomstand.testing.simulation.network import SimNetwork
-from loomstand.testing.simulation.streams import WINDOW, Cables, Streams
+from loomstand.testing.simulation.streams import WINDOW_BYTES, Streams, TcpStack
 from loomstand.testing.simulation.workload import Server
 
 
@@ -32,7 +32,7 @@
     if few == 1:  # the most used server: at a low rate a proxy uses only some of them
         cluster.do(send_gets(cluster, 6, name=service[0]))
         servers = sorted(
-            servers, key=lambda s: -sum(r.server == s.id for r in cluster.book.arrivals)
+            servers, key=lambda s: -sum(r.server == s.id for r in cluster.request_log.arrivals)
         )
     for server in servers[:few]:
         server.trouble, server.share = fault, share
@@ -40,7 +40,7 @@
 
 def arrival_counts(cluster: Cluster) -> Counter[str]:
     """Returns how often each request arrived at any server."""
-    return Counter(run.id for run in cluster.book.arrivals)
+    return Counter(run.id for run in cluster.request_log.arrivals)
 
 
 async def send_gets(cluster: Cluster, count: int, tries: int = 1, name: str = "a") -> Counter[int]:
@@ -52,37 +52,37 @@
 
 def test_stream_applies_backpressure_without_losing_or_reordering_bytes():
     async def work() -> None:
-        sky = SimNetwork(Random(1))
-        cables = Cables(sky, Random(2))
-        here, there = (Streams(cables, host, Life()) for host in ("10.0.0.1", "10.0.0.2"))
-        accepted: list[Talk] = []
+        network = SimNetwork(Random(1))
+        tcp = TcpStack(network, Random(2))
+        here, there = (Streams(tcp, host, SimProcess()) for host in ("10.0.0.1", "10.0.0.2"))
+        accepted: list[HttpConnection] = []
         loop = asyncio.get_running_loop()
 
-        def make() -> Talk:
-            accepted.append(Talk())
+        def make() -> HttpConnection:
+            accepted.append(HttpConnection())
             return accepted[-1]
 
         await there.listen(loop, make, ("10.0.0.2", 80))
-        talk = await here.open(Talk, ("10.0.0.2", 80), 1.0)
+        talk = await here.open(HttpConnection, ("10.0.0.2", 80), 1.0)
         await asyncio.sleep(0.1)
         accepted[0].transport.pause_reading()
-        data = Random(3).randbytes(5 * WINDOW)
+        data = Random(3).randbytes(5 * WINDOW_BYTES)
         for at in range(0, len(data), 777):
             talk.transport.write(data[at : at + 777])
         await asyncio.sleep(1.0)
-        assert talk.transport.get_write_buffer_size() == 4 * WINDOW and not accepted[0].buf
-        sky.cut("10.0.0.1", "10.0.0.2")
+        assert talk.transport.get_write_buffer_size() == 4 * WINDOW_BYTES and not accepted[0].buf
+        network.cut("10.0.0.1", "10.0.0.2")
         accepted[0].transport.resume_reading()
         await asyncio.sleep(3.0)
-        assert bytes(accepted[0].buf) == data[:WINDOW]
-        sky.mend()
+        assert bytes(accepted[0].buf) == data[:WINDOW_BYTES]
+        network.mend()
         await asyncio.sleep(10.0)
         assert bytes(accepted[0].buf) == data
         talk.transport.close()
         await asyncio.sleep(0.1)
         assert accepted[0].over == "closed"
 
-    play(work)
+    run_simulated(work)
 
 
 def test_reset_after_a_partition_leaves_no_gap_in_the_received_bytes():
@@ -91,65 +91,65 @@
     """
 
     async def work() -> None:
-        sky = SimNetwork(Random(1))
-        cables = Cables(sky, Random(2))
-        here, there = (Streams(cables, host, Life()) for host in ("10.0.0.1", "10.0.0.2"))
-        accepted: list[Talk] = []
+        network = SimNetwork(Random(1))
+        tcp = TcpStack(network, Random(2))
+        here, there = (Streams(tcp, host, SimProcess()) for host in ("10.0.0.1", "10.0.0.2"))
+        accepted: list[HttpConnection] = []
 
-        def make() -> Talk:
-            accepted.append(Talk())
+        def make() -> HttpConnection:
+            accepted.append(HttpConnection())
             return accepted[-1]
 
         await there.listen(asyncio.get_running_loop(), make, ("10.0.0.2", 80))
-        talk = await here.open(Talk, ("10.0.0.2", 80), 1.0)
+        talk = await here.open(HttpConnection, ("10.0.0.2", 80), 1.0)
         talk.transport.get_extra_info("reset_on_close")()
-        sky.cut("10.0.0.1", "10.0.0.2")
+        network.cut("10.0.0.1", "10.0.0.2")
         talk.transport.write(b"GET /a HTTP")
         await asyncio.sleep(0.1)
-        sky.mend()
+        network.mend()
         talk.transport.write(b"/1.1")
         talk.transport.abort()
         await asyncio.sleep(2.0)
         assert (bytes(accepted[0].buf), accepted[0].over) == (b"", "reset")
 
-    play(work)
+    run_simulated(work)
 
 
 @pytest.mark.parametrize("failure", ["kill", "off", "cut", "no listener"])
 def test_connection_ends_according_to_the_failure_of_its_machine(failure):
     async def work() -> None:
-        sky = SimNetwork(Random(1))
-        cables = Cables(sky, Random(2))
-        client, life = Streams(cables, "10.0.0.1", Life()), Life()
+        network = SimNetwork(Random(1))
+        tcp = TcpStack(network, Random(2))
+        client, process = Streams(tcp, "10.0.0.1", SimProcess()), SimProcess()
         loop, address = asyncio.get_running_loop(), ("10.0.0.2", 80)
         if failure == "no listener":
             with pytest.raises(ConnectionRefusedError):
-                await client.open(Talk, address, 1.0)
-            assert loop.time() < 0.02 and not cables.ends
+                await client.open(HttpConnection, address, 1.0)
+            assert loop.time() < 0.02 and not tcp.ends
             return
-        port = await Streams(cables, "10.0.0.2", life).listen(loop, Talk, address)
-        talk = await client.open(Talk, address, 1.0)
+        port = await Streams(tcp, "10.0.0.2", process).listen(loop, HttpConnection, address)
+        talk = await client.open(HttpConnection, address, 1.0)
         if failure == "cut":
-            sky.cut("10.0.0.1", "10.0.0.2")
+            network.cut("10.0.0.1", "10.0.0.2")
         else:
-            life.alive = False
+            process.alive = False
             port.close()
             if failure == "off":
-                sky.off.add("10.0.0.2")
-            cables.died(life)
+                network.off.add("10.0.0.2")
+            tcp.died(process)
         await asyncio.sleep(5.0)
         assert bool(talk.over) == (failure == "kill")
         started_at = loop.time()
         with pytest.raises(ConnectionRefusedError if failure == "kill" else TimeoutError):
-            await client.open(Talk, address, 1.0)
+            await client.open(HttpConnection, address, 1.0)
         assert loop.time() - started_at < (0.02 if failure == "kill" else 1.01)
-        sky.mend()
-        sky.off.clear()
+        network.mend()
+        network.off.clear()
         talk.transport.write(b"x")  # a machine that was powered off has lost the connection
         await asyncio.sleep(5.0)
         assert bool(talk.over) == (failure != "cut")
 
-    play(work)
+    run_simulated(work)
 
 
 # --- at most one execution, and no false guarantee that a request was not executed
@@ -170,7 +170,7 @@
         inject_fault(cluster, fault)
         ask, reply = cluster.do(cluster.once())
     assert reply.status in (502, 504), reply
-    assert len(cluster.book.runs(ask.id)) == arrival_counts(cluster)[ask.id] == 1
+    assert len(cluster.request_log.runs(ask.id)) == arrival_counts(cluster)[ask.id] == 1
     assert reply.at - ask.sent < (5.0 if fault == "silent" else 1.0)
 
 
@@ -180,12 +180,12 @@
     cluster.wait(0.1)
     assert statuses[200] >= 38  # the retry budget may not suffice for the first requests
     assert max(arrival_counts(cluster).values()) == 2 and {
-        len(cluster.book.runs(id_)) for id_ in arrival_counts(cluster)
+        len(cluster.request_log.runs(id_)) for id_ in arrival_counts(cluster)
     } <= {
         0,
         1,
     }
-    assert not all(run.ran for run in cluster.book.arrivals)
+    assert not all(run.ran for run in cluster.request_log.arrivals)
 
 
 def test_request_is_answered_503_and_not_executed_if_all_servers_are_full(cluster):
@@ -194,7 +194,7 @@
         _, reply = cluster.do(cluster.once())
         # in seconds
         assert reply.status == 503 and 0.05 <= float(reply.fields["retry-after"]) <= 0.65
-    assert not cluster.book.runs()
+    assert not cluster.request_log.runs()
 
 
 @pytest.mark.parametrize("failure", ["refused", "off"])
@@ -207,7 +207,7 @@
     def down(server: Server) -> None:
         server.kill()
         if failure == "off":
-            cluster.sky.off.add(server.address[0])
+            cluster.network.off.add(server.address[0])
 
     down(first)
     replies = [cluster.do(cluster.once()) for _ in range(20)]
@@ -217,9 +217,9 @@
         down(server)
     ask, reply = cluster.do(cluster.once())
     assert reply.status == 503 and "retry-after" in reply.fields
-    assert reply.at - ask.sent < (0.1 if failure == "refused" else 1.0) and not cluster.book.runs(
-        ask.id
-    )
+    assert reply.at - ask.sent < (
+        0.1 if failure == "refused" else 1.0
+    ) and not cluster.request_log.runs(ask.id)
 
 
 @pytest.mark.parametrize("fault", ["close", "reset", "cut", "spoilt", "error"])
@@ -272,14 +272,14 @@
     for _ in range(12):
         ask, reply = cluster.do(cluster.once())
         # a server whose responses all fail is ejected, so requests are rejected without an attempt
-        assert reply.status == (502 if cluster.book.runs(ask.id) else 503), reply
-    assert len(cluster.book.runs()) >= 3
+        assert reply.status == (502 if cluster.request_log.runs(ask.id) else 503), reply
+    assert len(cluster.request_log.runs()) >= 3
     cluster.close()
 
 
 def test_large_chunked_bodies_arrive_complete_over_slow_links(cluster):
     cluster.client.chunked = True
-    cluster.sky.slow["10.9.0.1"] = 0.02
+    cluster.network.slow["10.9.0.1"] = 0.02
     body = Random(4).randbytes(300_000)
     reply = cluster.do(
         cluster.client.go("PUT", "town.example", "/a/x", "key-of-ann", body, within=20.0)
@@ -297,7 +297,13 @@
     previous = cluster.servers["alpha"][0]
     previous.kill()
     replacement = Server(
-        cluster.cables, cluster.book, Random(9), (previous.address[0], SERVING), "beta", "east", []
+        cluster.tcp,
+        cluster.request_log,
+        Random(9),
+        (previous.address[0], SERVER_PORT),
+        "beta",
+        "east",
+        [],
     )
 
     async def start_replacement() -> None:
@@ -307,7 +313,7 @@
     target = ("POST", "town.example", "/once/x", "key-of-ann", b"body")
     replies = cluster.do(cluster.flow(cluster.client, 80, 4, *target, tries=1))
     assert sum(reply.status == 200 for reply in replies) >= len(replies) - 2
-    misdirected = [run for run in cluster.book.arrivals if run.server == replacement.id]
+    misdirected = [run for run in cluster.request_log.arrivals if run.server == replacement.id]
     assert 1 <= len(misdirected) <= len(cluster.proxies) and not any(run.ran for run in misdirected)
 
 
@@ -318,7 +324,7 @@
     cluster: Cluster, tenant: str, rate: float, burst: float
 ) -> list[tuple[float, int]]:
     """Returns the 5 s windows in which more of a tenant's requests ran than the rule permits."""
-    run_times = sorted(run.at for run in cluster.book.runs() if run.tenant == tenant)
+    run_times = sorted(run.at for run in cluster.request_log.runs() if run.tenant == tenant)
     limit = (rate * 5 + burst) * 1.1 + 20
     counts = [(t, sum(t <= other < t + 5 for other in run_times)) for t in run_times]
     return [(t, n) for t, n in counts if n > limit]
@@ -337,7 +343,7 @@
     ips, rng = [*cluster.proxies], Random(seed)
     greedy, modest = cluster.someone(), cluster.someone()
     weights = [8, 4, 2, 1, 1, 0]
-    greedy.fronts = lambda: [(rng.choices(ips, weights)[0], FRONT)]
+    greedy.fronts = lambda: [(rng.choices(ips, weights)[0], FRONT_PORT)]
     target = ("GET", "town.example")
 
     async def run_scenario() -> None:
@@ -357,8 +363,8 @@
         await asyncio.sleep(8)
         registry, store = cluster.core(counting := cluster.counting())
         if failure == "cut":
-            cluster.sky.cut(first, counting)
-        before.update(cluster.book.replies)
+            cluster.network.cut(first, counting)
+        before.update(cluster.request_log.replies)
         if failure == "frozen":
             registry.freeze()
         elif failure != "cut":
@@ -369,7 +375,7 @@
         assert failure == "machine" or cluster.counting() != counting
         weights.reverse()  # so that the last split favours the wrong proxies
         await asyncio.sleep(3)
-        cluster.sky.mend()
+        cluster.network.mend()
         (registry.thaw if registry.up else registry.start)()
         if failure == "machine":
             store.start()
@@ -380,16 +386,16 @@
     assert not quota_violations(cluster, "greedy", 40, 40) and not quota_violations(
         cluster, "modest", 40, 40
     )
-    ran = Counter(run.tenant for run in cluster.book.runs())
+    ran = Counter(run.tenant for run in cluster.request_log.runs())
     assert ran["greedy"] >= 0.6 * 40 * 19  # most of the quota is usable
     modest_statuses = Counter(
-        cluster.book.replies[a.id].status
-        for a in cluster.book.asks.values()
+        cluster.request_log.replies[a.id].status
+        for a in cluster.request_log.requests.values()
         if a.key == "key-of-modest"
     )
     statuses_before = Counter(
-        cluster.book.replies[a.id].status
-        for a in cluster.book.asks.values()
+        cluster.request_log.replies[a.id].status
+        for a in cluster.request_log.requests.values()
         # matched by id, as replies with status 429 to the other tenant are equal by value
         if a.key == "key-of-modest" and a.id in before
     )
@@ -409,13 +415,15 @@
     cluster.do(cluster.begin())
     target, fronts = ("GET", "town.example", "/a/x", "key-of-greedy"), [*cluster.proxies]
     greedy, rng = cluster.someone(), Random(3)
-    greedy.fronts = lambda: [(rng.choice(fronts), FRONT)]
+    greedy.fronts = lambda: [(rng.choice(fronts), FRONT_PORT)]
     cluster.do(cluster.flow(greedy, usual, 6, *target, idempotent=True, tries=1))
-    replies_before = cluster.book.replies.copy()
+    replies_before = cluster.request_log.replies.copy()
     cluster.do(cluster.flow(greedy, hot, 8, *target, idempotent=True, tries=1))
     assert not quota_violations(cluster, "greedy", rate, rate)
     statuses = Counter(
-        reply.status for id, reply in cluster.book.replies.items() if id not in replies_before
+        reply.status
+        for id, reply in cluster.request_log.replies.items()
+        if id not in replies_before
     )
     assert statuses[200] >= 0.9 * rate * 8  # the quota is usable
     # reporting doesn't cause rejections at the usual rate
@@ -434,9 +442,11 @@
     inject_fault(cluster, fault, share, few)
     target = ("GET", "town.example", "/a/x", "key-of-ann")
     cluster.do(cluster.flow(cluster.client, 100, 14, *target, idempotent=True))
-    request_times = sorted(a.sent for a in cluster.book.asks.values() if a.path == "/a/x")
+    request_times = sorted(
+        a.sent for a in cluster.request_log.requests.values() if a.path == "/a/x"
+    )
     seen: set[str] = set()
-    retry_times = [r.at for r in cluster.book.arrivals if r.id in seen or seen.add(r.id)]
+    retry_times = [r.at for r in cluster.request_log.arrivals if r.id in seen or seen.add(r.id)]
     for t in retry_times:
         retries = sum(t <= other < t + 10 for other in retry_times)
         assert retries <= 0.2 * sum(t <= other < t + 10 for other in request_times) + 56
--- a/tests/proxy/test_sessions.py
+++ b/tests/proxy/test_sessions.py
@@ -12,7 +12,7 @@
 from loomstand.proxy.shared_clock import ONE_WAY_TICKS, SharedClock
 from loomstand.rpc.errors import CallFailure
 from loomstand.testing.simulation.cluster import Cluster
-from loomstand.testing.simulation.loop import play
+from loomstand.testing.simulation.loop import run_simulated
 
 
 class ScriptedNetwork:
@@ -70,7 +70,7 @@
         await asyncio.sleep(seconds)
         return listener.limiters, set(sessions.tasks)
 
-    return play(work)
+    return run_simulated(work)
 
 
 def test_limiter_set_of_the_most_complete_registry_takes_precedence():
@@ -122,7 +122,7 @@
         ).start()
         await asyncio.sleep(0.5)
 
-    play(work)
+    run_simulated(work)
     assert ["s" in body for body in requests[:5]] == [False, True, True, False, True]
     assert all("name" in body for body in requests if "s" not in body)
 
@@ -170,7 +170,7 @@
     assert max(clocks) - min(clocks) <= 50  # 5 ms
     greedy, target = cluster.someone(), ("GET", "town.example", "/a/x", "key-of-greedy")
     cluster.do(cluster.flow(greedy, 200, 8, *target, idempotent=True, tries=1))
-    run_times = sorted(run.at for run in cluster.book.runs() if run.tenant == "greedy")
+    run_times = sorted(run.at for run in cluster.request_log.runs() if run.tenant == "greedy")
     assert (
         max(sum(t <= other < t + 5 for other in run_times) for t in run_times)
         <= (40 * 5 + 40) * 1.1 + 20
--- a/tests/proxy/test_unusual_faults.py
+++ b/tests/proxy/test_unusual_faults.py
@@ -45,15 +45,17 @@
 
 def traffic_share(cluster: Cluster, server: Server, since: float, method: str) -> float:
     """Returns the share of a service's requests that were sent to a server."""
-    arrivals = [r for r in cluster.book.arrivals if r.at >= since and r.service == server.service]
-    arrivals = [r for r in arrivals if cluster.book.asks[r.id].method == method]
+    arrivals = [
+        r for r in cluster.request_log.arrivals if r.at >= since and r.service == server.service
+    ]
+    arrivals = [r for r in arrivals if cluster.request_log.requests[r.id].method == method]
     return sum(r.server == server.id for r in arrivals) / len(arrivals)
 
 
 def drop_connections(cluster: Cluster, servers: list[Server]) -> int:
     """Drops the servers' ends of all connections without notice; returns their number."""
-    lives = {server.life for server in servers}
-    ends = [end for end in cluster.cables.ends if end.life in lives and not end.gone]
+    processes = {server.process for server in servers}
+    ends = [end for end in cluster.tcp.ends if end.process in processes and not end.gone]
     for end in ends:
         end.gone = end.closed = end.lost = True
         end.way.clear()
@@ -128,7 +130,7 @@
         assert dropped >= 2 * server_count
         replies = [cluster.do(cluster.get(tries=1)) for _ in range(10)]
         assert Counter(reply.status for reply in replies) == {200: 10}
-    assert max(Counter(run.id for run in cluster.book.arrivals).values()) == 1
+    assert max(Counter(run.id for run in cluster.request_log.arrivals).values()) == 1
 
 
 @seeds
@@ -144,9 +146,11 @@
         assert {reply.status for _, reply in replies} <= {200, 502}
         lost_count += len(lost)
         cluster.wait(1.0)
-        assert not any(cluster.book.runs(id_) for id_ in lost)
+        assert not any(cluster.request_log.runs(id_) for id_ in lost)
         assert all(
-            len(cluster.book.runs(ask.id)) == 1 for ask, reply in replies if reply.status == 200
+            len(cluster.request_log.runs(ask.id)) == 1
+            for ask, reply in replies
+            if reply.status == 200
         )
     # after the first loss a proxy distrusts the idle connections to all servers of the service;
     # otherwise one request would be lost for each server
@@ -158,7 +162,7 @@
 
 @seeds
 def test_lossy_links_keep_proxies_ready_and_deliver_configuration_changes(cluster):
-    cluster.sky.lost = 0.05
+    cluster.network.lost = 0.05
     both, states = start_flows(cluster, 80, 9.0), []
 
     async def sample_states() -> None:
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -22,31 +22,31 @@
 from loomstand.proxy import upstream
 from loomstand.proxy.program import Proxy
 from loomstand.proxy.upstream import UpstreamConnection, UpstreamPool
-from loomstand.testing.simulation.loop import play
-from loomstand.testing.simulation.streams import WINDOW
+from loomstand.testing.simulation.loop import run_simulated
+from loomstand.testing.simulation.streams import WINDOW_BYTES
 from loomstand.testing.simulation.wrong_answers import (
-    BEFALLS,
-    HAPPENS,
-    HOW,
+    ANSWER_FAULTS,
+    DISTURBANCES,
+    PROXY_IP,
+    SEND_MODES,
+    SERVER_IP,
     STAMP,
-    THEM,
-    US,
-    OddCluster,
-    Stage,
+    ScriptedCluster,
+    UpstreamFixture,
     said,
     whole,
 )
 
 
-def run_stage(work: Callable[[Stage], Any]) -> None:
+def run_stage(work: Callable[[UpstreamFixture], Any]) -> None:
     async def run() -> None:
-        stage = await Stage().open()
+        stage = await UpstreamFixture().open()
         await work(stage)
-        stage.sky.mend()
+        stage.network.mend()
         await asyncio.sleep(20.0)  # until delayed data has arrived
         stage.check()
 
-    play(run)
+    run_simulated(run)
 
 
 # --- responses interrupted or repeated at each byte
@@ -55,7 +55,7 @@
 def interrupt_at_every_byte() -> None:
     for interruption in ("close", "reset", "half", "silence", "pause"):
 
-        async def work(stage: Stage, interruption: str = interruption) -> None:
+        async def work(stage: UpstreamFixture, interruption: str = interruption) -> None:
             for at in range(len(whole("r000"))):
                 id_ = f"r{at:03}"
                 raw = whole(id_)
@@ -81,12 +81,12 @@
 
 def surplus_response(
     make_response: Callable[[str], bytes], *, ahead: bool
-) -> Callable[[Stage], Any]:
+) -> Callable[[UpstreamFixture], Any]:
     """Splits a surplus response at each byte: its rest is sent in answer to the next request, in
     one write with that request's own response if `ahead`, else shortly before it.
     """
 
-    async def work(stage: Stage) -> None:
+    async def work(stage: UpstreamFixture) -> None:
         size = len(make_response("r0000"))
         for at in range(size + 1):
             first, second = f"r{at:04}", f"n{at:04}"
@@ -126,7 +126,7 @@
 NOT_EXECUTED = "Loomstand-Not-Executed: true"
 
 
-async def duplicate_rejection(stage: Stage) -> None:
+async def duplicate_rejection(stage: UpstreamFixture) -> None:
     size = len(said(503, "r0000", NOT_EXECUTED))
     for at in range(0, size + 1, 3):
         id_, request = f"r{at:04}", stage.request(f"r{at:04}")
@@ -143,8 +143,8 @@
     run_stage(duplicate_rejection)
 
 
-def not_executed_status(status: int) -> Callable[[Stage], Any]:
-    async def work(stage: Stage) -> None:
+def not_executed_status(status: int) -> Callable[[UpstreamFixture], Any]:
+    async def work(stage: UpstreamFixture) -> None:
         for id_, lines in ("bare", []), ("with", [NOT_EXECUTED]):
             proof = status != 200 if lines else status == 421
             success = [STAMP] if status == 200 else []
@@ -167,20 +167,22 @@
 # --- requests to servers
 
 
-async def expire_during_partition(stage: Stage) -> None:
+async def expire_during_partition(stage: UpstreamFixture) -> None:
     """Sends bodies below and above the window, partitions the link at several times, and heals it
     after the attempt has expired.
     """
-    for n, size in enumerate((0, 100, WINDOW - 400, WINDOW, 3 * WINDOW, 6 * WINDOW)):
+    for n, size in enumerate(
+        (0, 100, WINDOW_BYTES - 400, WINDOW_BYTES, 3 * WINDOW_BYTES, 6 * WINDOW_BYTES)
+    ):
         for after in (0.0, 0.001, 0.004, 0.006, 0.009, 0.013, 0.02):
             id_ = f"r{n}{after}"
             stage.plays = [[1.0, whole(id_)]]
             stage.send(stage.request(id_, bytes(size)), 0.3)
             await asyncio.sleep(after)
-            stage.sky.cut(US, THEM)
+            stage.network.cut(PROXY_IP, SERVER_IP)
             await asyncio.sleep(0.4)
             expired_at = stage.loop.time()
-            stage.sky.mend()
+            stage.network.mend()
             await asyncio.sleep(6.0)
             assert stage.ran_at.get(id_, 0.0) < expired_at, (
                 f"{id_} ran after its expiry, with the outcomes {stage.came_of[id_]}"
@@ -192,7 +194,7 @@
 
 
 def test_connection_pending_at_the_deadline_sends_nothing_later():
-    async def work(stage: Stage) -> None:
+    async def work(stage: UpstreamFixture) -> None:
         for n in range(20):
             stage.send(stage.request(f"r{n}"), 0.0005 * n)
             await asyncio.sleep(0.1)
@@ -201,7 +203,7 @@
     run_stage(work)
 
 
-async def resume_after_deadline(stage: Stage) -> None:
+async def resume_after_deadline(stage: UpstreamFixture) -> None:
     attempt = stage.send(stage.request("r"))
     attempt.timer.cancel()
     attempt.expires_at = stage.now()  # as if the process had been suspended until after that
@@ -213,17 +215,17 @@
     run_stage(resume_after_deadline)
 
 
-async def unresponsive_server(stage: Stage) -> None:
+async def unresponsive_server(stage: UpstreamFixture) -> None:
     stage.plays = [[0.05, whole("a")], [0.05, whole("b")], [], [whole("d")]]
     for id_ in "ab":  # creates two idle connections
         stage.send(stage.request(id_))
     await asyncio.sleep(0.2)
     assert len(stage.talks) == 2
-    stage.life.frozen = True
+    stage.process.frozen = True
     stage.send(stage.request("c"), 0.2)
     await asyncio.sleep(0.3)
     assert stage.came_of["c"] == [Outcome.NO_RESPONSE]
-    stage.life.thaw()  # the server executes the requests in its buffers
+    stage.process.thaw()  # the server executes the requests in its buffers
     await asyncio.sleep(0.1)
     assert stage.ran == ["a", "b", "c"]
     stage.send(stage.request("d"))
@@ -237,11 +239,11 @@
     run_stage(unresponsive_server)
 
 
-def early_response(status: int) -> Callable[[Stage], Any]:
-    async def work(stage: Stage) -> None:
+def early_response(status: int) -> Callable[[UpstreamFixture], Any]:
+    async def work(stage: UpstreamFixture) -> None:
         stage.early, raw = True, whole("r") if status == 200 else said(503, "r", NOT_EXECUTED)
         stage.plays = [[raw], [whole("n")]]
-        stage.send(stage.request("r", bytes(5 * WINDOW)))
+        stage.send(stage.request("r", bytes(5 * WINDOW_BYTES)))
         await asyncio.sleep(0.2)
         assert stage.came_of["r"] == [Outcome.SUCCEEDED if status == 200 else Outcome.REJECTED]
         assert "r" not in stage.ran and not stage.pool.connections
@@ -258,7 +260,7 @@
 
 
 def test_excessive_surplus_responses_do_not_hold_a_request():
-    async def work(stage: Stage) -> None:
+    async def work(stage: UpstreamFixture) -> None:
         stage.plays = [[whole("x") * 40 + whole("r")]]
         stage.send(stage.request("r"))
         await asyncio.sleep(0.2)
@@ -270,12 +272,12 @@
 # --- the whole proxy, with random faults
 
 
-SCRIPT = st.lists(st.tuples(st.sampled_from(BEFALLS), st.integers(0, 250)), max_size=12)
+SCRIPT = st.lists(st.tuples(st.sampled_from(ANSWER_FAULTS), st.integers(0, 250)), max_size=12)
 REQUESTS = st.lists(
     st.tuples(
         st.sampled_from((0.0, 0.0, 0.005, 0.02, 0.3)),
         st.booleans(),
-        st.sampled_from(HOW),
+        st.sampled_from(SEND_MODES),
         st.integers(0, 400),
         st.sampled_from((0, 100, 100, 15_900, 50_000)),
     ),
@@ -283,13 +285,15 @@
     max_size=10,
 )
 EVENTS = st.lists(
-    st.tuples(st.floats(0.0, 0.5), st.sampled_from(HAPPENS), st.sampled_from((0.05, 0.5, 3.0))),
+    st.tuples(
+        st.floats(0.0, 0.5), st.sampled_from(DISTURBANCES), st.sampled_from((0.05, 0.5, 3.0))
+    ),
     max_size=3,
 )
 
 
-def played(script: list[Any], requests: list[Any], events: list[Any]) -> OddCluster:
-    cluster = OddCluster(list(script))
+def played(script: list[Any], requests: list[Any], events: list[Any]) -> ScriptedCluster:
+    cluster = ScriptedCluster(list(script))
 
     async def work() -> None:
         tasks = [cluster.loop.create_task(cluster.happens(*event)) for event in events]
@@ -301,7 +305,7 @@
 
     try:
         cluster.do(work())
-        early = {run.id for run in cluster.book.runs()} - cluster.whole
+        early = {run.id for run in cluster.request_log.runs()} - cluster.whole
         assert not early, f"executed before they were sent completely: {early}"
     finally:
         cluster.close()
@@ -326,7 +330,7 @@
 # --- engine actions that the proxy must not carry out
 
 
-async def pending_request(cluster: OddCluster) -> tuple[Any, Any, asyncio.Task[Any]]:
+async def pending_request(cluster: ScriptedCluster) -> tuple[Any, Any, asyncio.Task[Any]]:
     """Sends a non-idempotent request that stays pending at a server.
 
     Returns the proxy, the proxy's request and the task that awaits the reply.
@@ -334,14 +338,14 @@
     ask = cluster.client.ask("PUT", "town.example", "/once/x", "key-of-ann", b"body")
     task = cluster.loop.create_task(cluster.client.once(ask, cluster.front))
     await asyncio.sleep(0.05)
-    proxy = cluster.proxy(US)
+    proxy = cluster.proxy(PROXY_IP)
     (request,) = [r for r in proxy.requests.values() if r.request_id == ask.id.encode()]
     assert any(request.attempts)
     return proxy, request, task
 
 
 def check_engine_action(action: str) -> None:
-    cluster = OddCluster([("pause", 50)] if action == "reject" else [("long pause", 0)])
+    cluster = ScriptedCluster([("pause", 50)] if action == "reject" else [("long pause", 0)])
 
     async def work() -> None:
         proxy, request, task = await pending_request(cluster)
@@ -352,7 +356,7 @@
                 proxy.send_attempt(SendAttempt(request.id, endpoint_id, request.deadline))
         reply = await task
         assert reply.status not in (408, 421, 429, 503)
-        assert len(cluster.book.runs()) <= 1
+        assert len(cluster.request_log.runs()) <= 1
 
     try:
         cluster.do(work())
@@ -368,48 +372,52 @@
 # --- startup, shutdown and pipelining
 
 
-async def requests_during_startup(cluster: OddCluster) -> None:
+async def requests_during_startup(cluster: ScriptedCluster) -> None:
     """Sends requests while the proxy has no configuration and knows no server."""
-    host = cluster.proxies[US]
+    host = cluster.proxies[PROXY_IP]
     host.kill()
     await asyncio.sleep(2.0)
     host.start()
     await asyncio.sleep(0.001)
     tasks = []
     for n in range(60):
-        tasks.append(cluster.loop.create_task(cluster.asks(False, HOW[n % len(HOW)], 200, 100)))
+        tasks.append(
+            cluster.loop.create_task(cluster.asks(False, SEND_MODES[n % len(SEND_MODES)], 200, 100))
+        )
         await asyncio.sleep(0.02)
     await asyncio.gather(*tasks)
 
 
-async def requests_during_restart(cluster: OddCluster) -> None:
+async def requests_during_restart(cluster: ScriptedCluster) -> None:
     """Sends requests on new and reused connections from before a SIGTERM until after a restart."""
-    host, tasks = cluster.proxies[US], []
+    host, tasks = cluster.proxies[PROXY_IP], []
     for n in range(150):
         if n == 50:
             tasks.append(cluster.loop.create_task(cluster.happens(0.0, "term", 0.3)))
         ask = cluster.client.ask("PUT", "town.example", "/once/x", "key-of-ann", b"body")
         tasks.append(cluster.loop.create_task(cluster.client.once(ask, cluster.front, 2.0)))
-        tasks.append(cluster.loop.create_task(cluster.asks(False, HOW[n % len(HOW)], 200, 100)))
+        tasks.append(
+            cluster.loop.create_task(cluster.asks(False, SEND_MODES[n % len(SEND_MODES)], 200, 100))
+        )
         await asyncio.sleep(0.03)
     await asyncio.gather(*tasks)
     assert host.up
 
 
-async def pipelined_requests(cluster: OddCluster) -> None:
+async def pipelined_requests(cluster: ScriptedCluster) -> None:
     """Sends two pipelined requests, of which the first takes longer."""
     for n in range(20):
         cluster.script[:] = [("pause", 9 * n), ("", 0)]
         await cluster.asks(n % 2 == 0, "pipelined", 0, 100)
 
 
-def run_odd_cluster(work: Callable[[OddCluster], Any]) -> None:
-    cluster = OddCluster()
+def run_odd_cluster(work: Callable[[ScriptedCluster], Any]) -> None:
+    cluster = ScriptedCluster()
 
     async def run() -> None:
         await work(cluster)
         await asyncio.sleep(8.0)
-        assert len(cluster.book.runs()) > 10
+        assert len(cluster.request_log.runs()) > 10
 
     try:
         cluster.do(run())
--- a/tests/registry/test_instances.py
+++ b/tests/registry/test_instances.py
@@ -25,7 +25,7 @@
 def cut_off(cluster: Cluster) -> str:
     """Cuts a registry's machine off from the other core machines; servers still reach it."""
     isolated = cluster.core_ips[1]
-    cluster.sky.apart([isolated], [ip for ip in cluster.core_ips if ip != isolated])
+    cluster.network.apart([isolated], [ip for ip in cluster.core_ips if ip != isolated])
     return isolated
 
 
@@ -45,8 +45,8 @@
 
 def heal(cluster: Cluster) -> None:
     """Ends the partition; delayed messages are lost, as their senders closed the connections."""
-    cluster.sky.held.clear()
-    cluster.sky.mend()
+    cluster.network.held.clear()
+    cluster.network.mend()
     cluster.wait(2.5)
 
 
--- a/tests/registry/test_quota_grants.py
+++ b/tests/registry/test_quota_grants.py
@@ -526,6 +526,8 @@
         await traffic
 
     cluster.do(run_scenario())
-    statuses = Counter(reply.status for reply in cluster.book.replies.values() if reply is not None)
+    statuses = Counter(
+        reply.status for reply in cluster.request_log.replies.values() if reply is not None
+    )
     assert (statuses[429] <= 5) is has_credit_wait and statuses[200] > 100
     cluster.close()
--- a/tests/rpc/test_rpc.py
+++ b/tests/rpc/test_rpc.py
@@ -17,24 +17,31 @@
 from loomstand.rpc.errors import CallFailure
 from loomstand.rpc.frames import AnswerFrame, encode_item
 from loomstand.rpc.tcp_connection import ClientConnection
-from loomstand.testing.simulation.loop import play
-from loomstand.testing.simulation.wrong_calls import HERE, THERE, WAYS, Pair
+from loomstand.testing.simulation.loop import run_simulated
+from loomstand.testing.simulation.wrong_calls import (
+    ANSWER_FAULTS,
+    CALLER_IP,
+    SERVER_ADDRESS,
+    CallerAndServer,
+)
 
 
-def paired(work: Callable[[Pair], Any], plays: list[tuple[str, int]] | None = None) -> None:
+def paired(
+    work: Callable[[CallerAndServer], Any], plays: list[tuple[str, int]] | None = None
+) -> None:
     async def run() -> None:
-        pair = await Pair(plays).open()
+        pair = await CallerAndServer(plays).open()
         await work(pair)
-        pair.sky.mend()
+        pair.network.mend()
         await asyncio.sleep(8.0)  # what is late comes now
         pair.check()
 
-    play(run)
+    run_simulated(run)
 
 
-async def every_way(pair: Pair) -> None:
+async def every_way(pair: CallerAndServer) -> None:
     n = 0
-    for how in WAYS:
+    for how in ANSWER_FAULTS:
         for at in range(len(encode_item([1, True, {"n": 1000}]))):
             n += 1
             await pair.call(n + 20_000)  # the connection's first
@@ -49,14 +56,14 @@
 
 
 def test_a_spoilt_call_is_not_run_as_another():
-    async def work(pair: Pair) -> None:
+    async def work(pair: CallerAndServer) -> None:
         await pair.call(0)
-        line = pair.caller.connections[THERE]
+        line = pair.caller.connections[SERVER_ADDRESS]
         for at in range(len(encode_item([9, "do", {"n": 9, "for": 0.0, "fill": b""}]))):
             raw = bytearray(encode_item([90 + at, "do", {"n": 90 + at, "for": 0.0, "fill": b""}]))
             raw[at] ^= 1 << (at % 8)
             await pair.call(1000 + at)
-            line = pair.caller.connections[THERE]
+            line = pair.caller.connections[SERVER_ADDRESS]
             line.transport.write(bytes(raw))
             await asyncio.sleep(0.05)
             line.close()
@@ -67,7 +74,7 @@
     paired(work)
 
 
-async def late_answers(pair: Pair) -> None:
+async def late_answers(pair: CallerAndServer) -> None:
     """Answers that come after their call's time, and those of a connection that was given up."""
     for n in range(0, 60, 2):
         await pair.call(n, 0.09 + 0.001 * n, 0.1)
@@ -78,17 +85,17 @@
     paired(late_answers)
 
 
-async def behind_a_cut(pair: Pair) -> None:
+async def behind_a_cut(pair: CallerAndServer) -> None:
     for n in range(40):
         await pair.call(5000 + n)
-        held = pair.loop.call_later(0.0005 * n, pair.sky.cut, HERE, THERE[0])
+        held = pair.loop.call_later(0.0005 * n, pair.network.cut, CALLER_IP, SERVER_ADDRESS[0])
         await asyncio.gather(*(pair.call(20 * n + k, 0.0, 0.2, 5000 * k) for k in range(4)))
         for k in range(4, 12):  # two silences in a row, and the connection is given up
             await pair.call(20 * n + k, 0.0, 0.2)
         held.cancel()
         await asyncio.sleep(0.6)
         healed = pair.loop.time()
-        pair.sky.mend()
+        pair.network.mend()
         await asyncio.sleep(5.0)
         late = [k for k in range(20 * n, 20 * n + 12) if pair.ran_at.get(k, 0.0) > healed]
         assert not late, f"ran after they were given up: {late}"
@@ -99,19 +106,19 @@
 
 
 def test_one_that_thaws_runs_a_call_late_and_once_and_its_answer_is_nobodys():
-    async def work(pair: Pair) -> None:
+    async def work(pair: CallerAndServer) -> None:
         await pair.call(0)
-        pair.life.frozen = True
+        pair.process.frozen = True
         for n in range(1, 5):
             assert (await pair.call(n, 0.0, 0.1)).error is CallFailure.MAY_HAVE_RUN or n > 2
-        pair.life.thaw()
+        pair.process.thaw()
         for n in range(5, 9):
             assert (await pair.call(n)).is_ok()
 
     paired(work)
 
 
-async def called_off(pair: Pair) -> None:
+async def called_off(pair: CallerAndServer) -> None:
     task = pair.loop.create_task(pair.call(1, 1.0, 2.0))
     await asyncio.sleep(0.1)
     task.cancel()
@@ -121,7 +128,7 @@
         async with asyncio.timeout(0.1):
             await pair.call(2, 1.0, 2.0)
     assert (await pair.call(3)).is_ok()
-    assert (await pair.caller.call(THERE, "refuse", {}, 0.2)).error is CallFailure.REFUSED
+    assert (await pair.caller.call(SERVER_ADDRESS, "refuse", {}, 0.2)).error is CallFailure.REFUSED
 
 
 def test_a_caller_that_is_called_off_ends_and_does_not_take_it_for_a_silence():
@@ -166,7 +173,7 @@
     ),
     max_size=3,
 )
-PLAYS = st.lists(st.tuples(st.sampled_from(WAYS), st.integers(0, 40)), max_size=16)
+PLAYS = st.lists(st.tuples(st.sampled_from(ANSWER_FAULTS), st.integers(0, 40)), max_size=16)
 # Keeps the drawn examples when names in the test change: without it Hypothesis takes the seed from
 # the source of the test.
 DRAWN_EXAMPLES_SEED = int(
@@ -186,21 +193,26 @@
 @seed(DRAWN_EXAMPLES_SEED)
 @given(PLAYS, CALLS, EVENTS)
 def test_drawn_troubles_give_each_call_its_own_answer_and_no_false_proof(plays, calls, events):
-    async def work(pair: Pair) -> None:
+    async def work(pair: CallerAndServer) -> None:
         async def happens(after: float, what: str, lasts: float) -> None:
             await asyncio.sleep(after)
             if what == "freeze":
-                pair.life.frozen = True
+                pair.process.frozen = True
             elif what == "reset":
                 for line in [*pair.called.accepted]:
                     line.close()
             else:
-                pair.sky.cut(
-                    *((HERE, THERE[0]) if what != "dumb" else (THERE[0], HERE)), what == "cut"
+                pair.network.cut(
+                    *(
+                        (CALLER_IP, SERVER_ADDRESS[0])
+                        if what != "dumb"
+                        else (SERVER_ADDRESS[0], CALLER_IP)
+                    ),
+                    what == "cut",
                 )
             await asyncio.sleep(lasts)
-            pair.sky.mend()
-            pair.life.thaw()
+            pair.network.mend()
+            pair.process.thaw()
 
         tasks = [pair.loop.create_task(happens(*event)) for event in events]
         for n, (gap, *call) in enumerate(calls):
--- a/tests/store/test_counting_lease.py
+++ b/tests/store/test_counting_lease.py
@@ -63,18 +63,18 @@
                 await asyncio.wait([asyncio.ensure_future(host.leave())], timeout=4.0)
             elif what in ("cut", "half"):  # of a machine from all or some, or in one direction
                 for other in rng.sample([i for i in self.core_ips if i != ip], rng.choice((1, 2))):
-                    self.sky.cut(ip, other, what == "cut")
+                    self.network.cut(ip, other, what == "cut")
             elif what == "slow":
                 # both ways, and twice within a machine
-                self.sky.slow[ip] = rng.choice((0.02, 0.05, 0.09))
+                self.network.slow[ip] = rng.choice((0.02, 0.05, 0.09))
             elif host.up:
                 (host.freeze if what == "freeze" else host.kill)()
             await asyncio.sleep(rng.choice((0.02, 0.3, 0.9, 1.5, 2.5)))
             for machine in (*self.stores.values(), *self.registries.values()):
                 (machine.thaw if machine.up else machine.start)()
-            self.sky.mend()
+            self.network.mend()
             if rng.random() < 0.5:
-                self.sky.slow.clear()
+                self.network.slow.clear()
             await asyncio.sleep(rng.choice((0.02, 0.3, 1.5, 3.0)))
 
 
@@ -89,7 +89,7 @@
         )
         if watch.done():
             watch.result()
-        core.sky.slow.clear()
+        core.network.slow.clear()
         core.wait(4.0)
         assert core.counters(), "nobody counts in calm simulation"
     finally:
@@ -124,7 +124,7 @@
     core.do(core.simulation(0))
     (ip,) = core.counters()
     registry, store = core.registry(ip), next(s for s in core.stores.values() if serves(s))
-    core.sky.slow[ip] = 0.09
+    core.network.slow[ip] = 0.09
 
     async def ask() -> None:
         sent, registry.counting.lease.expires_at = registry.context.clock(), 0.0
@@ -144,7 +144,7 @@
     core.do(core.simulation(0))
     a = next(ip for ip, s in core.stores.items() if serves(s))
     store, view = core.stores[a].programs[0], core.stores[a].programs[0].replica.record.view
-    core.sky.cut(a, next(m.address[0] for m in view.voters if not view.has_data(m.id)))
+    core.network.cut(a, next(m.address[0] for m in view.voters if not view.has_data(m.id)))
     core.wait(3.0)  # the lease stands by the backup alone; the third one's grant is long over
 
     async def part() -> None:
@@ -259,7 +259,7 @@
     # which go on hearing each other
     few = [first, next(ip for ip in system.core_ips if ip not in votes)]
     rest = [ip for ip in system.core_ips if ip not in few]
-    system.sky.apart(few, rest)
+    system.network.apart(few, rest)
 
     async def day() -> None:
         begun = system.loop.time()
--- a/tests/store/test_first_start.py
+++ b/tests/store/test_first_start.py
@@ -52,7 +52,7 @@
     assert all(
         sorted(system.registry(ip).context.core_hosts) == system.core_ips for ip in system.core_ips
     )
-    assert not system.book.faults
+    assert not system.request_log.faults
 
 
 def test_a_long_pause_between_connection_attempts_of_a_proxy_is_detected(monkeypatch):
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -36,7 +36,7 @@
 from loomstand.store.disk import LmdbDisk
 from loomstand.store.replica import Replica
 from loomstand.testing.simulation.cluster import Cluster
-from loomstand.testing.simulation.loop import play
+from loomstand.testing.simulation.loop import run_simulated
 
 
 def is_in_force_everywhere(system: Cluster) -> bool:
@@ -199,7 +199,7 @@
         assert store.replica.version == cluster.acknowledged_version, (
             f"{machine.host} never caught up"
         )
-        assert sum(map(len, machine.platter.pages.values())) < 1000 + 16 * MAX_ENTRIES
+        assert sum(map(len, machine.disk_state.pages.values())) < 1000 + 16 * MAX_ENTRIES
         assert len(store.parts.io.tasks) < 20 and len(store.replica.history.entries) <= MAX_ENTRIES
 
 
@@ -235,7 +235,7 @@
     system = Cluster(5, proxies=2)
     system.do(system.begin())
     ip = next(iter(system.proxies))
-    system.sky.apart([ip], system.core_ips)
+    system.network.apart([ip], system.core_ips)
 
     async def many(number: int) -> None:
         for n in range(number):
@@ -245,7 +245,7 @@
 
     system.do(many(versions))
     assert system.proxy(ip).configuration.table.version < system.version - versions
-    system.sky.mend()
+    system.network.mend()
     newest, going = system.version, system.behind(many(60))
     took = system.do(
         system.until(lambda: system.proxy(ip).configuration.table.version >= newest, 4.0)
@@ -298,7 +298,7 @@
         await asyncio.sleep(20.0)
         return got
 
-    return play(work)
+    return run_simulated(work)
 
 
 def test_a_configuration_that_takes_longer_than_the_changes_apart_comes_all_the_same(monkeypatch):
