--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -15,8 +15,8 @@
 from loomstand.rpc.messages.configuration_messages import ReadResponse
 from loomstand.store import freshness
 from loomstand.store.configuration_service import ConfigurationService
-from loomstand.testing.simulation.cluster import CONTROL, Cluster
-from loomstand.testing.simulation.control_plane import PASSED, ControlPlane, drawn
+from loomstand.testing.simulation.cluster import CONTROL_PORT, Cluster
+from loomstand.testing.simulation.control_plane import READ_STALENESS_SECONDS, ControlPlane, drawn
 from loomstand.testing.simulation.streams import Host
 
 
@@ -49,7 +49,7 @@
             host.freeze()
         await asyncio.sleep(3.0)
         assert await plane.order(others[0], 1.0) == 200
-        await asyncio.sleep(PASSED + 0.2)
+        await asyncio.sleep(READ_STALENESS_SECONDS + 0.2)
         for host in frozen[who]:
             host.thaw()
         version = await late
@@ -131,7 +131,7 @@
     async def twenty() -> None:
         first = plane.primary()
         rest = [ip for ip in plane.core_ips if ip != first]
-        plane.sky.cuts |= cuts(plane, how)
+        plane.network.cuts |= cuts(plane, how)
         until, taken = plane.loop.time() + 20.0, 0
         late = []
         while plane.loop.time() < until:
@@ -145,7 +145,7 @@
             await plane.read(rest[-1], 1.0)
             await asyncio.sleep(0.25)
         assert taken > 40  # of about 75
-        plane.sky.mend()
+        plane.network.mend()
         await asyncio.gather(*late)
         await asyncio.sleep(1.5)
         await plane.calm()
@@ -165,9 +165,9 @@
 
     async def story() -> tuple[float, int, int, float]:
         rest = [c for c in system.core_ips if c != alone]
-        system.sky.apart([alone], rest)
-        system.sky.apart([ip], rest)
-        system.operator.cores = [(c, CONTROL) for c in rest]
+        system.network.apart([alone], rest)
+        system.network.apart([ip], rest)
+        system.operator.cores = [(c, CONTROL_PORT) for c in rest]
         await asyncio.sleep(2.0)
         system.route("new", "alpha")
         assert await system.replace()
@@ -177,7 +177,7 @@
             lambda: bool(system.proxies[ip].programs) and system.proxy(ip).is_ready, 6.0
         )
         held = system.proxy(ip).configuration.table.version
-        system.sky.mend()
+        system.network.mend()
         back = await system.until(
             lambda: system.proxy(ip).configuration.table.version == system.version, 3.0
         )
@@ -213,7 +213,7 @@
     version = plane.version
     await asyncio.sleep(ms / 1000)
     if how in ("off", "deaf", "dumb"):
-        plane.sky.cuts |= cuts(plane, how) if plane.primary() else set()
+        plane.network.cuts |= cuts(plane, how) if plane.primary() else set()
     for host in plane.hosts(first):
         if how == "frozen":
             host.freeze()
@@ -224,8 +224,8 @@
         assert plane.loop.time() < until, "not acknowledged by those that are left"
         await asyncio.sleep(0.1)
     await plane.order(others[0], 1.0)
-    await asyncio.sleep(PASSED + 0.3)
-    plane.sky.mend()
+    await asyncio.sleep(READ_STALENESS_SECONDS + 0.3)
+    plane.network.mend()
     for host in plane.hosts(first):
         if how == "frozen":
             host.thaw()
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -102,12 +102,12 @@
     before = {m.host: store.replica.member for m, store in cluster.stores()}
     for machine in cluster.machines.values():
         machine.power_off()
-        setattr(machine.platter, trouble, True)
+        setattr(machine.disk_state, trouble, True)
     cluster.start()
     cluster.wait(5.0)
     assert not cluster.stores() and not cluster.do(cluster.put_within(2.0))
     for machine in cluster.machines.values():
-        setattr(machine.platter, trouble, False)
+        setattr(machine.disk_state, trouble, False)
     assert cluster.do(cluster.put_within(4.5))  # the disks are read again within a second
     assert cluster.do(cluster.read_newest()) >= cluster.acknowledged_version
     assert {m.host: store.replica.member for m, store in cluster.stores()} == before
--- a/tests/store/test_replica_copies.py
+++ b/tests/store/test_replica_copies.py
@@ -43,7 +43,7 @@
         view = max((v for v in views if v), key=lambda v: v.epoch, default=None)
         synced = elected = 0
         for machine in self.machines.values():
-            pages = machine.platter.pages
+            pages = machine.disk_state.pages
             record = Record.from_pages(pages)
             if record is None:
                 continue
@@ -118,7 +118,7 @@
     for whom in ("the backup", "the primary"):
         machine = cluster.machine_in_role(whom)
         await machine.leave()
-        machine.platter.wipe()
+        machine.disk_state.wipe()
         await asyncio.sleep(2.0)
 
 
@@ -127,7 +127,7 @@
     both = [cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")]
     await asyncio.gather(*(m.leave() for m in both))
     for machine in both:
-        machine.platter.wipe()
+        machine.disk_state.wipe()
     await asyncio.sleep(3.0)
 
 
@@ -142,7 +142,7 @@
         fresh[come].start()
         await asyncio.sleep(1.0)
         await cluster.machines[gone].leave()
-        cluster.machines[gone].platter.wipe()
+        cluster.machines[gone].disk_state.wipe()
         await asyncio.sleep(3.0)
 
 
@@ -196,7 +196,7 @@
     assert cluster.loop.time() - begun <= 6.0 - graceful_shutdown.SAFETY_MARGIN_SECONDS + 0.3, (
         "a process is held past its grace period"
     )
-    backup.platter.wipe()
+    backup.disk_state.wipe()
     await back
     await asyncio.sleep(2.0)
 
--- a/tests/store/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -356,9 +356,9 @@
     old, named = {}, []
     for machine in (cluster.machines[host] for host in lost):
         machine.power_off()
-        old[machine] = dict(machine.platter.pages)
+        old[machine] = dict(machine.disk_state.pages)
         if machine.host == renewed:
-            machine.platter.wipe()
+            machine.disk_state.wipe()
             machine.start()
         else:
             named.append(machine.host)
@@ -385,7 +385,7 @@
     async def back(machine: Machine) -> None:
         await asyncio.sleep(rng.choice((0.0, rng.uniform(0.0, 3.0))))
         machine.power_off()
-        machine.platter.pages = old[machine]
+        machine.disk_state.pages = old[machine]
         machine.start()
 
     await asyncio.gather(*map(back, old))
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -17,7 +17,7 @@
 from loomstand.store.replica import Replica
 from loomstand.store.timing import GRANT_SECONDS, LEASE_SECONDS
 from loomstand.store.views import Member, View
-from loomstand.testing.simulation.loop import Life, VirtualLoop
+from loomstand.testing.simulation.loop import SimProcess, VirtualLoop
 from loomstand.testing.simulation.machine import Machine, machines
 from loomstand.testing.simulation.network import MachineNetwork, SimNetwork
 
@@ -49,7 +49,7 @@
         self.network = SimNetwork(self.rng)
         self.first = True
         self.seeds = [*hosts[:3]]
-        self.client = MachineNetwork(self.network, OPERATOR, Life())
+        self.client = MachineNetwork(self.network, OPERATOR, SimProcess())
         self.machines = machines(self.network, self.rng, [*hosts], lambda h: [self.maker(h)])
         self.sent = 0
         self.acknowledged_version = 0
@@ -370,9 +370,9 @@
 
 @when(parsers.re("the disk of (?P<role>.*) (?P<fault>hangs|refuses|is slow)"))
 def _(cluster, role, fault):
-    platter = cluster.machine_in_role(role).platter
-    platter.hangs, platter.refuses = fault == "hangs", fault == "refuses"
-    platter.slower = 60.0 if fault == "is slow" else 1.0
+    disk_state = cluster.machine_in_role(role).disk_state
+    disk_state.hangs, disk_state.refuses = fault == "hangs", fault == "refuses"
+    disk_state.slower = 60.0 if fault == "is slow" else 1.0
 
 
 @when("the primary is told to stop")
@@ -589,7 +589,7 @@
         "wipe",
     )
     kind = rng.choice(kinds if alone else kinds[:-1])
-    platter = machine.platter
+    disk_state = machine.disk_state
     if kind in ("kill", "power", "wipe"):
         machine.kill() if kind == "kill" else machine.power_off(wipe=kind == "wipe")
         await asyncio.sleep(duration)
@@ -611,10 +611,10 @@
         await asyncio.sleep(duration)
         cluster.network.mend()
     else:
-        platter.hangs, platter.refuses = kind == "hangs", kind == "refuses"
-        platter.slower = 100.0 if kind == "slow" else 1.0
+        disk_state.hangs, disk_state.refuses = kind == "hangs", kind == "refuses"
+        disk_state.slower = 100.0 if kind == "slow" else 1.0
         await asyncio.sleep(duration)
-        platter.hangs, platter.refuses, platter.slower = False, False, 1.0
+        disk_state.hangs, disk_state.refuses, disk_state.slower = False, False, 1.0
 
 
 async def _run_random_faults(cluster: StoreCluster, rng: Random) -> None:
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -10,7 +10,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from loomstand.testing.simulation.cluster import FRONT, Cluster
+from loomstand.testing.simulation.cluster import FRONT_PORT, Cluster
 from loomstand.testing.simulation.faults import Faults
 
 scenarios("../features/system.feature")
@@ -19,7 +19,7 @@
 
 
 @pytest.fixture
-def town():
+def cluster():
     made = Cluster(7)
     made.back = made.behind(made.going_back())
     made.flows = []
@@ -27,51 +27,51 @@
     made.close()
 
 
-def first(town: Cluster) -> str:
-    return next(iter(town.proxies))
+def first(cluster: Cluster) -> str:
+    return next(iter(cluster.proxies))
 
 
 async def at_all(
-    town: Cluster, name: str, wanted: int, key: str = "key-of-ann", only: str = ""
+    cluster: Cluster, name: str, wanted: int, key: str = "key-of-ann", only: str = ""
 ) -> None:
     """What each proxy answers on a route."""
-    for ip in [only] if only else town.proxies:
-        _, reply = await town.once(name, key, ip)
+    for ip in [only] if only else cluster.proxies:
+        _, reply = await cluster.once(name, key, ip)
         assert reply.status == wanted, (ip, reply)
 
 
-async def all_have(town: Cluster, within: float) -> float:
-    newest = town.version
-    return await town.until(
+async def all_have(cluster: Cluster, within: float) -> float:
+    newest = cluster.version
+    return await cluster.until(
         lambda: (
-            len(town.all_proxies()) == len(town.proxies)
+            len(cluster.all_proxies()) == len(cluster.proxies)
             and all(
                 s.configuration.table is not None and s.configuration.table.version == newest
-                for s in town.all_proxies()
+                for s in cluster.all_proxies()
             )
         ),
         within,
     )
 
 
-async def add(town: Cluster) -> None:
-    town.route(NEW, "alpha", "non_idempotent")
-    assert await town.replace()
+async def add(cluster: Cluster) -> None:
+    cluster.route(NEW, "alpha", "non_idempotent")
+    assert await cluster.replace()
 
 
 # --- beginnings
 
 
 @given("a town at work")
-def _(town):
-    town.do(town.begin())
+def _(cluster):
+    cluster.do(cluster.begin())
 
 
 @given(parsers.parse("a flow of {rate:d} requests a second"))
-def _(town, rate):
+def _(cluster, rate):
     """Of which some can't be repeated, on kept connections and on new ones."""
     for n, keep in enumerate((True, False)):
-        client = town.someone()
+        client = cluster.someone()
         client.keep, client.chunked = keep, bool(n)
         for method, name, again in (("GET", "a", True), ("POST", "once", False)):
             what = (
@@ -81,15 +81,15 @@
                 "key-of-ann",
                 b"" if again else b"body" * 50,
             )
-            town.flows.append(
-                town.behind(town.flow(client, rate / 4, 8.0, *what, idempotent=again))
+            cluster.flows.append(
+                cluster.behind(cluster.flow(client, rate / 4, 8.0, *what, idempotent=again))
             )
-    town.wait(1.0)
+    cluster.wait(1.0)
 
 
 @given("servers that take 3 s")
-def _(town):
-    for server in town.servers["alpha"]:
+def _(cluster):
+    for server in cluster.servers["alpha"]:
         server.work = (2.9, 3.1)
 
 
@@ -97,130 +97,136 @@
 
 
 @then("every proxy is ready")
-def _(town):
-    for ip in town.proxies:
-        assert town.do(town.ready(ip))
+def _(cluster):
+    for ip in cluster.proxies:
+        assert cluster.do(cluster.ready(ip))
 
 
 @then("every proxy serves requests with a key and no others")
-def _(town):
-    town.do(at_all(town, "once", 200))
-    town.do(at_all(town, "b", 200))
-    town.do(at_all(town, "a", 401, ""))
+def _(cluster):
+    cluster.do(at_all(cluster, "once", 200))
+    cluster.do(at_all(cluster, "b", 200))
+    cluster.do(at_all(cluster, "a", 401, ""))
 
 
 @then("a route that is unknown is answered 404 and a key that is unknown 401")
-def _(town):
-    town.do(at_all(town, "nowhere", 404))
-    town.do(at_all(town, "a", 401, "key-of-nobody"))
-    assert all(run.tenant == "ann" for run in town.book.runs())
+def _(cluster):
+    cluster.do(at_all(cluster, "nowhere", 404))
+    cluster.do(at_all(cluster, "a", 401, "key-of-nobody"))
+    assert all(run.tenant == "ann" for run in cluster.request_log.runs())
 
 
 @then("the configuration is read back as it was sent")
-def _(town):
-    assert town.do(town.operator.read(10.0)) == town.versions[town.version]
+def _(cluster):
+    assert cluster.do(cluster.operator.read(10.0)) == cluster.versions[cluster.version]
 
 
 @when(parsers.parse("a flow of {rate:d} requests a second lasts {s:d} s"))
-def _(town, rate, s):
+def _(cluster, rate, s):
     what = ("GET", "town.example", "/b/x", "key-of-ann")
-    town.said = town.do(town.flow(town.client, rate, s, *what, idempotent=True))
+    cluster.said = cluster.do(cluster.flow(cluster.client, rate, s, *what, idempotent=True))
 
 
 @then("all of them are served")
-def _(town):
-    assert Counter(reply.status for reply in town.said) == {200: len(town.said)}
-    sent = {id_: ask.sent for id_, ask in town.book.asks.items()}
-    assert all(reply.at - sent[reply.fields["loomstand-request-id"]] < 0.2 for reply in town.said)
+def _(cluster):
+    assert Counter(reply.status for reply in cluster.said) == {200: len(cluster.said)}
+    sent = {id_: ask.sent for id_, ask in cluster.request_log.requests.items()}
+    assert all(
+        reply.at - sent[reply.fields["loomstand-request-id"]] < 0.2 for reply in cluster.said
+    )
 
 
 @when("a route is added")
-def _(town):
-    town.do(add(town))
+def _(cluster):
+    cluster.do(add(cluster))
 
 
 @then(parsers.parse("within {s:g} s of the acknowledgement it is served at every proxy"))
-def _(town, s):
-    town.wait(s)
-    town.do(at_all(town, NEW, 200))
+def _(cluster, s):
+    cluster.wait(s)
+    cluster.do(at_all(cluster, NEW, 200))
 
 
 @when("that route is taken away")
-def _(town):
-    del town.resources["routes", NEW]
-    assert town.do(town.replace())
+def _(cluster):
+    del cluster.resources["routes", NEW]
+    assert cluster.do(cluster.replace())
 
 
 @then(parsers.parse("within {s:g} s of the acknowledgement it is answered 404 at every proxy"))
-def _(town, s):
-    town.wait(s)
-    town.do(at_all(town, NEW, 404))
+def _(cluster, s):
+    cluster.wait(s)
+    cluster.do(at_all(cluster, NEW, 404))
 
 
 @when("the key is exchanged for another")
-def _(town):
-    town.tenant("ann", "second-key-of-ann")
-    assert town.do(town.replace())
+def _(cluster):
+    cluster.tenant("ann", "second-key-of-ann")
+    assert cluster.do(cluster.replace())
 
 
 @then(parsers.parse("within {s:g} s of the acknowledgement only the new key is served"))
-def _(town, s):
-    town.wait(s)
-    town.do(at_all(town, "a", 401))
-    town.do(at_all(town, "a", 200, "second-key-of-ann"))
+def _(cluster, s):
+    cluster.wait(s)
+    cluster.do(at_all(cluster, "a", 401))
+    cluster.do(at_all(cluster, "a", 200, "second-key-of-ann"))
 
 
 @when("the operator sends a route to an unknown service")
-def _(town):
-    town.route("bad", "gamma")
-    town.said = town.do(
-        town.operator.call("configuration.replace", town.body(town.version + 5), 3.0)
+def _(cluster):
+    cluster.route("bad", "gamma")
+    cluster.said = cluster.do(
+        cluster.operator.call("configuration.replace", cluster.body(cluster.version + 5), 3.0)
     )
 
 
 @then("it is answered 400")
-def _(town):
-    assert town.said.status == 400
-    town.wait(1.0)
-    town.do(at_all(town, "bad", 404))
+def _(cluster):
+    assert cluster.said.status == 400
+    cluster.wait(1.0)
+    cluster.do(at_all(cluster, "bad", 404))
 
 
 # --- a server leaves
 
 
 @when(parsers.re("a server says that it drains and (?P<what>.*)"))
-def _(town, what):
-    server = town.servers["alpha"][1]
+def _(cluster, what):
+    server = cluster.servers["alpha"][1]
 
     async def drain():
         at, core = await server.drain()
-        registry, store = town.core(core[0])
+        registry, store = cluster.core(core[0])
         if "registry" in what:
             registry.kill()
         elif "power" in what:
             registry.power_off()
             store.power_off()
         elif "cut off" in what:
-            town.sky.apart(
-                [core[0]], [ip for ip in (*town.core_ips, *town.proxies) if ip != core[0]]
+            cluster.network.apart(
+                [core[0]], [ip for ip in (*cluster.core_ips, *cluster.proxies) if ip != core[0]]
             )
         return at
 
-    town.leaving, town.acked = server.id, town.do(drain())
-    before = [run for run in town.book.arrivals if run.server == server.id]
+    cluster.leaving, cluster.acked = server.id, cluster.do(drain())
+    before = [run for run in cluster.request_log.arrivals if run.server == server.id]
     assert len(before) > 5
 
 
 @then(parsers.parse("no request reaches that server later than {s:g} s after"))
-def _(town, s):
-    town.wait(5.0)
-    late = [run.at - town.acked for run in town.book.arrivals if run.server == town.leaving]
+def _(cluster, s):
+    cluster.wait(5.0)
+    late = [
+        run.at - cluster.acked
+        for run in cluster.request_log.arrivals
+        if run.server == cluster.leaving
+    ]
     assert max(late) < s
 
 
 @then("hardly any request fails")
-def _(town):
-    said = [reply for flow in town.flows for reply in town.do(flow)]
+def _(cluster):
+    said = [reply for flow in cluster.flows for reply in cluster.do(flow)]
     good = sum(reply.status == 200 for reply in said)
     assert len(said) > 300 and good >= 0.985 * len(said), Counter((r.status, r.end) for r in said)
 
@@ -229,205 +235,208 @@
 
 
 @when(parsers.re("a proxy is killed, a route is added, (?P<what>.*) and it starts again"))
-def _(town, what):
-    ip = first(town)
+def _(cluster, what):
+    ip = first(cluster)
 
     async def again():
-        town.proxies[ip].kill()
+        cluster.proxies[ip].kill()
         if "cut off" in what:
-            alone = next(core for core in town.core_ips if core != town.counting())
-            town.sky.apart([alone], [core for core in town.core_ips if core != alone])
-            town.operator.cores = [(c, port) for c, port in town.controls if c != alone]
+            alone = next(core for core in cluster.core_ips if core != cluster.counting())
+            cluster.network.apart([alone], [core for core in cluster.core_ips if core != alone])
+            cluster.operator.cores = [(c, port) for c, port in cluster.controls if c != alone]
             others = {
-                pair for core in town.core_ips if core != alone for pair in ((core, ip), (ip, core))
+                pair
+                for core in cluster.core_ips
+                if core != alone
+                for pair in ((core, ip), (ip, core))
             }
-            town.sky.cuts |= others
+            cluster.network.cuts |= others
             await asyncio.sleep(3.7)  # nobody can know of a cut at once: the store takes 2.5 s
-        await add(town)
+        await add(cluster)
         if "killed" in what:
-            for host in (*town.stores.values(), *town.registries.values()):
+            for host in (*cluster.stores.values(), *cluster.registries.values()):
                 host.kill()
-        town.proxies[ip].start()
+        cluster.proxies[ip].start()
         await asyncio.sleep(0.6)
         if "cut off" in what:
-            assert town.proxy(
+            assert cluster.proxy(
                 ip
-            ).configuration.table.version < town.version and not await town.ready(ip)
-            town.sky.cuts -= others
+            ).configuration.table.version < cluster.version and not await cluster.ready(ip)
+            cluster.network.cuts -= others
         if "killed" in what:
-            for host in (*town.stores.values(), *town.registries.values()):
+            for host in (*cluster.stores.values(), *cluster.registries.values()):
                 host.start()
 
-    town.do(again())
+    cluster.do(again())
 
 
 @then("it has the newest configuration when it is first ready")
-def _(town):
-    proxy = town.proxy(first(town))
-    town.do(town.until(lambda: proxy.is_ready, 8.0))
-    assert proxy.configuration.table.version == town.version
-    town.do(at_all(town, NEW, 200, only=first(town)))
+def _(cluster):
+    proxy = cluster.proxy(first(cluster))
+    cluster.do(cluster.until(lambda: proxy.is_ready, 8.0))
+    assert proxy.configuration.table.version == cluster.version
+    cluster.do(at_all(cluster, NEW, 200, only=first(cluster)))
 
 
 # --- the core is lost
 
 
 @when(parsers.re("a route is added and right after it (?P<what>.*)"))
-def _(town, what):
-    stores, registries = [*town.stores.values()], [*town.registries.values()]
-    proxies = [*town.proxies.values()] if "proxies" in what else []
+def _(cluster, what):
+    stores, registries = [*cluster.stores.values()], [*cluster.registries.values()]
+    proxies = [*cluster.proxies.values()] if "proxies" in what else []
 
     async def lose():
-        primary = town.counting()
-        await add(town)
+        primary = cluster.counting()
+        await add(cluster)
         for host in (*stores, *registries, *proxies):
             if "killed" in what:
                 host.kill()
             else:
-                host.power_off(wipe=host is town.stores[primary] and "wiped" in what)
+                host.power_off(wipe=host is cluster.stores[primary] and "wiped" in what)
         await asyncio.sleep(0.7)
         for host in (*stores, *registries, *proxies):
             host.start()
 
-    town.do(lose())
+    cluster.do(lose())
 
 
 @then(parsers.parse("every proxy has it within {s:g} s"))
-def _(town, s):
-    town.do(all_have(town, s))
+def _(cluster, s):
+    cluster.do(all_have(cluster, s))
 
 
 @then("no proxy went back")
-def _(town):
-    assert not town.back.done()
+def _(cluster):
+    assert not cluster.back.done()
 
 
 # --- a proxy alone
 
 
 @when("a proxy is cut off from the core")
-def _(town):
-    town.sky.apart([first(town)], town.core_ips)
+def _(cluster):
+    cluster.network.apart([first(cluster)], cluster.core_ips)
 
 
 @when("all of the core loses power")
-def _(town):
-    for host in (*town.stores.values(), *town.registries.values()):
+def _(cluster):
+    for host in (*cluster.stores.values(), *cluster.registries.values()):
         host.power_off()
 
 
 @then(parsers.parse("requests on older routes are served there for {s:d} s"))
-def _(town, s):
+def _(cluster, s):
     for _ in range(10 * s):
-        town.do(at_all(town, "once", 200, only=first(town)))
-        town.wait(0.1)
+        cluster.do(at_all(cluster, "once", 200, only=first(cluster)))
+        cluster.wait(0.1)
 
 
 @then(parsers.parse("requests on older routes are served everywhere for {s:d} s"))
-def _(town, s):
+def _(cluster, s):
     for _ in range(4 * s):
-        town.do(at_all(town, "once", 200))
-        town.wait(0.25)
+        cluster.do(at_all(cluster, "once", 200))
+        cluster.wait(0.25)
 
 
 @then("it still lacks the new route")
-def _(town):
-    town.do(at_all(town, NEW, 404, only=first(town)))
+def _(cluster):
+    cluster.do(at_all(cluster, NEW, 404, only=first(cluster)))
 
 
 @when("the cut is mended")
-def _(town):
-    town.sky.mend()
+def _(cluster):
+    cluster.network.mend()
 
 
 @then(parsers.parse("it has the newest configuration within {s:g} s"))
-def _(town, s):
-    town.do(all_have(town, s))
-    town.do(at_all(town, NEW, 200))
+def _(cluster, s):
+    cluster.do(all_have(cluster, s))
+    cluster.do(at_all(cluster, NEW, 200))
 
 
 # --- told to stop
 
 
 @when("a proxy is told to stop")
-def _(town):
-    ip = first(town)
-    town.taken = [town.behind(town.once(at=ip)) for _ in range(2)]
-    town.wait(0.3)
-    town.asked = town.loop.time()
-    town.parting = town.behind(town.proxies[ip].end())
+def _(cluster):
+    ip = first(cluster)
+    cluster.taken = [cluster.behind(cluster.once(at=ip)) for _ in range(2)]
+    cluster.wait(0.3)
+    cluster.asked = cluster.loop.time()
+    cluster.parting = cluster.behind(cluster.proxies[ip].end())
 
 
 @then("its readiness says 503 at once")
-def _(town):
-    town.wait(0.01)
-    assert not town.do(town.ready(first(town)))
-    assert not town.parting.done()
+def _(cluster):
+    cluster.wait(0.01)
+    assert not cluster.do(cluster.ready(first(cluster)))
+    assert not cluster.parting.done()
 
 
 @then("what it took is answered whole, with Connection: close")
-def _(town):
-    late = [town.do(town.once(at=first(town)))]  # the platform may not have seen it yet
-    for ask, reply in [*[town.do(taken) for taken in town.taken], *late]:
+def _(cluster):
+    late = [cluster.do(cluster.once(at=first(cluster)))]  # the platform may not have seen it yet
+    for ask, reply in [*[cluster.do(taken) for taken in cluster.taken], *late]:
         assert reply.status == 200, reply
-        if reply.at > town.asked:
+        if reply.at > cluster.asked:
             assert reply.fields["connection"] == "close" and reply.at - ask.sent < 3.3
-    town.do(asyncio.sleep(0))
+    cluster.do(asyncio.sleep(0))
 
 
 @then(parsers.parse("it ends within {s:g} s"))
-def _(town, s):
-    town.do(town.parting)
-    assert town.loop.time() - town.asked < s
-    said = [reply for flow in town.flows for reply in town.do(flow)]
+def _(cluster, s):
+    cluster.do(cluster.parting)
+    assert cluster.loop.time() - cluster.asked < s
+    said = [reply for flow in cluster.flows for reply in cluster.do(flow)]
     assert all(reply.status in (200, 503) for reply in said), Counter(
         (r.status, r.end) for r in said
     )
-    refused = [r for r in town.book.replies.values() if r.status == 0]
+    refused = [r for r in cluster.request_log.replies.values() if r.status == 0]
     assert all(reply.end == "refused" for reply in refused), refused
-    _, reply = town.do(town.once(at=first(town)))
+    _, reply = cluster.do(cluster.once(at=first(cluster)))
     assert reply.end == "refused"
 
 
 @when("each core machine is told to stop and starts again")
-def _(town):
+def _(cluster):
     async def roll():
-        for ip in town.core_ips:
-            registry, store = town.core(ip)
+        for ip in cluster.core_ips:
+            registry, store = cluster.core(ip)
             await asyncio.gather(registry.end(), store.end())
             await asyncio.sleep(0.3)
             registry.start()
             store.start()
             await asyncio.sleep(1.0)
 
-    town.do(roll())
+    cluster.do(roll())
 
 
 @then(parsers.parse("a change is acknowledged within {s:g} s"))
-def _(town, s):
-    town.route(NEW, "beta")
-    assert town.do(town.replace(s))
+def _(cluster, s):
+    cluster.route(NEW, "beta")
+    assert cluster.do(cluster.replace(s))
 
 
 @when(parsers.parse("a proxy is frozen, a route is taken away, and it thaws after {s:d} s"))
-def _(town, s):
+def _(cluster, s):
     async def freeze():
-        await add(town)
+        await add(cluster)
         await asyncio.sleep(1.0)
-        town.proxies[first(town)].freeze()
-        del town.resources["routes", NEW]
-        assert await town.replace()
+        cluster.proxies[first(cluster)].freeze()
+        del cluster.resources["routes", NEW]
+        assert await cluster.replace()
         await asyncio.sleep(s)
-        town.proxies[first(town)].thaw()
+        cluster.proxies[first(cluster)].thaw()
 
-    town.do(freeze())
+    cluster.do(freeze())
 
 
 @then(parsers.parse("that route is answered 404 there within {s:g} s"))
-def _(town, s):
-    town.wait(s)
-    town.do(at_all(town, NEW, 404, only=first(town)))
-    assert (first(town), FRONT) in town.inside
+def _(cluster, s):
+    cluster.wait(s)
+    cluster.do(at_all(cluster, NEW, 404, only=first(cluster)))
+    assert (first(cluster), FRONT_PORT) in cluster.inside
 
 
 # --- random faults
@@ -436,11 +445,11 @@
 KINDS = ["core", "proxy", "term", "leave", "server", "trouble", "alone", "freeze", "disk", "swap"]
 
 
-async def _day(town: Cluster, rng: Random) -> None:
-    await town.begin()
-    acked, flows = town.version, []
+async def _day(cluster: Cluster, rng: Random) -> None:
+    await cluster.begin()
+    acked, flows = cluster.version, []
     for keep in (True, False):
-        client = town.someone()
+        client = cluster.someone()
         client.keep = client.chunked = keep
         for method, name, again in (("GET", "a", True), ("POST", "once", False)):
             what = (
@@ -450,30 +459,30 @@
                 "key-of-ann",
                 b"" if again else b"body" * 50,
             )
-            flows.append(town.behind(town.flow(client, 15, 20, *what, idempotent=again)))
-    troubles = Faults(town, rng)
+            flows.append(cluster.behind(cluster.flow(client, 15, 20, *what, idempotent=again)))
+    troubles = Faults(cluster, rng)
     for _ in range(5):
         await troubles.one(KINDS)
-        town.route(f"n{town.version}", rng.choice([*town.servers]))
-        if await town.replace(6.0):
-            acked = town.version
+        cluster.route(f"n{cluster.version}", rng.choice([*cluster.servers]))
+        if await cluster.replace(6.0):
+            acked = cluster.version
         await asyncio.sleep(rng.choice((0.2, 1.0)))
     await asyncio.sleep(6.0)
     said = Counter([reply.status for flow in flows for reply in await flow])
     assert said[200] > 0.95 * sum(said.values()), said
-    read = await town.operator.read(8.0)
+    read = await cluster.operator.read(8.0)
     version = int(json.loads(read)["version"][1:])
-    assert version >= acked and read == town.versions[version]
-    town.version = version
-    await all_have(town, APPLY)
-    said = Counter([(await town.get(tries=1)).status for _ in range(30)])
+    assert version >= acked and read == cluster.versions[version]
+    cluster.version = version
+    await all_have(cluster, APPLY)
+    said = Counter([(await cluster.get(tries=1)).status for _ in range(30)])
     assert said[200] >= 28, said
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_day_of_random_faults_breaks_no_rule(seed):
-    town = Cluster(seed)
-    back = town.behind(town.going_back())
-    town.do(_day(town, Random(seed + 100)))
+    cluster = Cluster(seed)
+    back = cluster.behind(cluster.going_back())
+    cluster.do(_day(cluster, Random(seed + 100)))
     assert not back.done()
-    town.close()
+    cluster.close()
--- a/tests/test_golden_programs.py
+++ b/tests/test_golden_programs.py
@@ -247,9 +247,9 @@
     host = record.view.primary.address[0] if name == "primary" else "10.1.0.3"
     world = runs.Stores(3, ["10.1.0.1", "10.1.0.2", "10.1.0.3"])
     (machine,) = names.make_machines(
-        world.sky, runs.Random(1), [host], lambda host: [world.factory(host)]
+        world.network, runs.Random(1), [host], lambda host: [world.factory(host)]
     ).values()
-    names.platter_pages(machine).update(found)
+    names.disk_pages(machine).update(found)
 
     async def begin():
         machine.start()
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -55,11 +55,11 @@
 from loomstand.membership import messages
 from loomstand.testing.bench_adapter import __main__ as adapter
 from loomstand.testing.bench_adapter import wire as adapter_wire
-from loomstand.testing.simulation.cluster import FRONT, READINESS, Cluster, Virtual
-from loomstand.testing.simulation.http_log import Talk
-from loomstand.testing.simulation.loop import Life, play
+from loomstand.testing.simulation.cluster import FRONT_PORT, READINESS_PORT, Cluster, VirtualTurns
+from loomstand.testing.simulation.http_log import HttpConnection
+from loomstand.testing.simulation.loop import SimProcess, run_simulated
 from loomstand.testing.simulation.network import SimNetwork
-from loomstand.testing.simulation.streams import Cables, End, Streams
+from loomstand.testing.simulation.streams import SimTransport, Streams, TcpStack
 
 HERE = Path(__file__).resolve().parent / "golden"
 S = TICKS_PER_SECOND
@@ -806,14 +806,14 @@
 
     def __init__(self, patch: pytest.MonkeyPatch, host: str, servers: str) -> None:
         self.sent: list[list[str]] = []
-        write = End.write
+        write = SimTransport.write
 
-        def noted(end: End, data: Any) -> None:
+        def noted(end: SimTransport, data: Any) -> None:
             if end.host == host and end.far.startswith(servers):
                 self.sent.append([end.far, text(bytes(data))])
             write(end, data)
 
-        patch.setattr(End, "write", noted)
+        patch.setattr(SimTransport, "write", noted)
 
     def take(self) -> list[list[str]]:
         sent, self.sent = self.sent, []
@@ -824,7 +824,7 @@
     streams: Streams, address: tuple[str, int], raw: bytes, seconds: float
 ) -> dict[str, Any]:
     """What comes back on a new connection in so many seconds, and how that ended, if it did."""
-    talk = await streams.open(Talk, address, 1.0)
+    talk = await streams.open(HttpConnection, address, 1.0)
     talk.transport.write(raw)
     await asyncio.sleep(seconds)
     got = {"answer": text(bytes(talk.buf)), "end": talk.over}
@@ -881,7 +881,7 @@
 
     async def work(patch: pytest.MonkeyPatch) -> None:
         watched = Watched(patch, HOST, "10.0.1.")
-        cables = Cables(SimNetwork(Random(1)), Random(2))
+        tcp = TcpStack(SimNetwork(Random(1)), Random(2))
         loop = asyncio.get_running_loop()
         members = [
             {"id": f"s{n}", "host_port": f"{ip}:80", "locality": "east"}
@@ -896,15 +896,15 @@
         file["settings"] |= more
         file["settings"]["allowed"] |= {"retry_after": True, "max_retry_after": 3000}
         limiter = StillLimiter(
-            config.parse_limiter_config(json.dumps(file).encode(), {}), Virtual()
+            config.parse_limiter_config(json.dumps(file).encode(), {}), VirtualTurns()
         )
-        here = Streams(cables, HOST, Life())
+        here = Streams(tcp, HOST, SimProcess())
         limiter.listener.bind, limiter.pool.connect = here.listen, here.connect
         for ip in SERVER_IPS:
-            await Streams(cables, ip, Life()).listen(loop, SimulatedServer, (ip, 80))
+            await Streams(tcp, ip, SimProcess()).listen(loop, SimulatedServer, (ip, 80))
         await limiter.listener.listen((HOST, 80))
         loop.call_later(1.0, limiter.sweep)
-        client = Streams(cables, "10.9.0.1", Life())
+        client = Streams(tcp, "10.9.0.1", SimProcess())
 
         async def one(name: str, raw: bytes, seconds: float = 0.5, how: str = "ok") -> None:
             SimulatedServer.how = how
@@ -955,7 +955,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(time, "process_time", lambda: 0.0)
-        play(lambda: work(patch))
+        run_simulated(lambda: work(patch))
     return said
 
 
@@ -982,17 +982,17 @@
     """Answers of the proxy in a small cluster."""
     said: dict[str, Any] = {}
     with pytest.MonkeyPatch.context() as patch:
-        town = Cluster(5, proxies=1, servers=2)
-        ip = next(iter(town.proxies))
+        cluster = Cluster(5, proxies=1, servers=2)
+        ip = next(iter(cluster.proxies))
         watched = Watched(patch, ip, "10.3.")
-        client = town.streams("10.9.0.1")
+        client = cluster.streams("10.9.0.1")
 
         def one(
-            name: str, raw: bytes, seconds: float = 0.5, trouble: str = "", port: int = FRONT
+            name: str, raw: bytes, seconds: float = 0.5, trouble: str = "", port: int = FRONT_PORT
         ) -> None:
-            for server in town.servers["alpha"]:
+            for server in cluster.servers["alpha"]:
                 server.trouble = trouble
-            said[name] = town.do(say(client, (ip, port), raw, seconds)) | {
+            said[name] = cluster.do(say(client, (ip, port), raw, seconds)) | {
                 "sent on": watched.take()
             }
 
@@ -1000,27 +1000,27 @@
             return b"GET %b HTTP/1.1\r\nHost: a\r\n\r\n" % path.encode()
 
         async def alone() -> None:
-            town.proxies[ip].start()
+            cluster.proxies[ip].start()
 
-        town.do(alone())
-        town.wait(0.1)
+        cluster.do(alone())
+        cluster.wait(0.1)
         one("no configuration", proxy_request(), 2.0)
-        one("not ready", readiness("/api/readiness"), port=READINESS)
-        town.proxies[ip].kill()
-        town.usual()
-        town.route("open", "alpha", public=True)
-        town.route("single", "alpha", maximum_attempts=1)
-        town.route("short", "alpha", timeout="400ms", target_latency="100ms")
-        town.route("nobody", "gamma")
-        town.resources["services", "gamma"] = {
+        one("not ready", readiness("/api/readiness"), port=READINESS_PORT)
+        cluster.proxies[ip].kill()
+        cluster.usual()
+        cluster.route("open", "alpha", public=True)
+        cluster.route("single", "alpha", maximum_attempts=1)
+        cluster.route("short", "alpha", timeout="400ms", target_latency="100ms")
+        cluster.route("nobody", "gamma")
+        cluster.resources["services", "gamma"] = {
             "health_check_path": "/health",
             "connection_limit": 130,
         }
-        town.tenant("poor", "key-of-poor", 1, 1)
-        town.do(town.begin())
-        town.wait(5.0)
-        one("ready", readiness("/api/readiness"), port=READINESS)
-        one("another path", readiness("/api/other"), port=READINESS)
+        cluster.tenant("poor", "key-of-poor", 1, 1)
+        cluster.do(cluster.begin())
+        cluster.wait(5.0)
+        one("ready", readiness("/api/readiness"), port=READINESS_PORT)
+        one("another path", readiness("/api/other"), port=READINESS_PORT)
         one("an own path of the other limiter", readiness("/-/ready"))
         one("get", proxy_request())
         one("post", proxy_request("/once/x", "POST", body=b"some words"))
@@ -1055,9 +1055,9 @@
             for path, method in (("/single/x", "GET"), ("/once/x", "POST"), ("/a/x", "GET")):
                 seconds = 3.2 if how == "silent" else 0.6
                 one(f"{method} {path}, {how}", proxy_request(path, method), seconds, how)
-                town.wait(3.0)
+                cluster.wait(3.0)
         one("a short time", proxy_request("/short/x"), 2.0, "slow")
-        town.loop.close()
+        cluster.loop.close()
     return said
 
 
--- a/tests/testing/simulation/test_bounds.py
+++ b/tests/testing/simulation/test_bounds.py
@@ -13,13 +13,13 @@
 from loomstand.testing.simulation import hunt
 from loomstand.testing.simulation.bounds import (
     CORE,
-    Change,
+    AppliedChange,
+    Arrival,
+    ConfigurationChange,
     Drain,
+    FaultSpan,
     Figure,
     History,
-    Ran,
-    Span,
-    Told,
     judge,
 )
 from loomstand.testing.simulation.cluster import Cluster
@@ -27,7 +27,7 @@
 
 BOUNDS = Cluster(1, 1, 1, 1).settings("10.1.0.1").bounds
 ANN = {"ann": (10.0, 20.0)}  # of which 50 + 20 are the quota of a window, and 97 are allowed
-FIRST = Change(1, 0.0, 0.1, ANN)
+FIRST = ConfigurationChange(1, 0.0, 0.1, ANN)
 Q, SMALL = "quota: share of the leeway used", "quota, small: share of the leeway used"
 
 
@@ -35,11 +35,11 @@
     return {figure.name: figure for figure in judge(history, BOUNDS)}
 
 
-def runs(many: int, since: float, until: float, tenant: str = "ann") -> list[Ran]:
+def runs(many: int, since: float, until: float, tenant: str = "ann") -> list[Arrival]:
     """So many, evenly, each run as soon as it was sent."""
     step = (until - since) / many
     at = [since + n * step for n in range(many)]
-    return [Ran(f"{tenant}-{t}", tenant, "alpha", "i-1", "one", t, t + 0.001) for t in at]
+    return [Arrival(f"{tenant}-{t}", tenant, "alpha", "i-1", "one", t, t + 0.001) for t in at]
 
 
 # --- quotas
@@ -62,12 +62,12 @@
         (12.4, [], False),
         (12.6, [], True),
         # not in touch for long enough
-        (12.6, [Span("cut", "", frozenset(["one"]), 9.0, 9.5)], False),
-        (15.1, [Span("cut", "", frozenset(["one"]), 9.0, 9.5)], True),
+        (12.6, [FaultSpan("cut", "", frozenset(["one"]), 9.0, 9.5)], False),
+        (15.1, [FaultSpan("cut", "", frozenset(["one"]), 9.0, 9.5)], True),
     ],
 )
 def test_a_lower_quota_binds_once_all_were_in_touch(at, spans, broken):
-    lower = Change(2, 9.9, 10.0, {"ann": (4.0, 10.0)})
+    lower = ConfigurationChange(2, 9.9, 10.0, {"ann": (4.0, 10.0)})
     history = History(
         ["one"], ended=30.0, spans=spans, changes=[FIRST, lower], arrivals=runs(54, at, at + 4)
     )
@@ -75,7 +75,7 @@
 
 
 def test_a_higher_quota_counts_from_its_sending_also_without_an_acknowledgement():
-    higher = Change(2, 10.0, float("inf"), {"ann": (20.0, 20.0)})
+    higher = ConfigurationChange(2, 10.0, float("inf"), {"ann": (20.0, 20.0)})
     for at, broken in ((2.0, True), (8.0, False)):
         history = History(["one"], changes=[FIRST, higher], arrivals=runs(130, at, at + 4.5))
         assert bool(of(history)[Q].broken) is broken
@@ -84,13 +84,19 @@
 # --- news
 
 
-def heard(known: float, *spans: Span, acked: float = 10.0) -> dict[str, Figure]:
+def heard(known: float, *spans: FaultSpan, acked: float = 10.0) -> dict[str, Figure]:
     """A version, and a drain, acknowledged at one time and in force at another."""
-    told = [Told(1.0, "one", 1, "", 1), Told(1.0, "one", 1, "i-1", 1)]
-    told += [Told(known, "one", 1, "", 2), Told(known, "one", 1, "i-1", 0)]
+    told = [AppliedChange(1.0, "one", 1, "", 1), AppliedChange(1.0, "one", 1, "i-1", 1)]
+    told += [AppliedChange(known, "one", 1, "", 2), AppliedChange(known, "one", 1, "i-1", 0)]
     drain = Drain("i-1", acked, "core")
     history = History(
-        ["one"], 0.0, 60.0, [*spans], told, [FIRST, Change(2, 9.0, acked, ANN)], [drain]
+        ["one"],
+        0.0,
+        60.0,
+        [*spans],
+        told,
+        [FIRST, ConfigurationChange(2, 9.0, acked, ANN)],
+        [drain],
     )
     return of(history)
 
@@ -106,16 +112,22 @@
     ("span", "known", "name", "value", "broken"),
     [
         # from its end, and `contact`
-        (Span("cut", "", frozenset(["one"]), 8.0, 18.0), 20.9, "cut", 2.9, 0),
-        (Span("cut", "", frozenset(["one"]), 8.0, 18.0), 21.1, "cut", 3.1, 1),
-        (Span("slow", "", frozenset(["one"]), 8.0, 9.0), 12.4, "slow", 2.4, 0),
+        (FaultSpan("cut", "", frozenset(["one"]), 8.0, 18.0), 20.9, "cut", 2.9, 0),
+        (FaultSpan("cut", "", frozenset(["one"]), 8.0, 18.0), 21.1, "cut", 3.1, 1),
+        (FaultSpan("slow", "", frozenset(["one"]), 8.0, 9.0), 12.4, "slow", 2.4, 0),
         # another's trouble
-        (Span("cut", "", frozenset(["two"]), 8.0, 18.0), 12.6, "connected", 2.6, 1),
-        (Span("cut", "", frozenset(["one"]), 30.0, 40.0), 12.6, "connected", 2.6, 1),  # came later
+        (FaultSpan("cut", "", frozenset(["two"]), 8.0, 18.0), 12.6, "connected", 2.6, 1),
+        (
+            FaultSpan("cut", "", frozenset(["one"]), 30.0, 40.0),
+            12.6,
+            "connected",
+            2.6,
+            1,
+        ),  # came later
         # not beyond the stretch
-        (Span(CORE, "", frozenset(["core"]), 9.5, 18.0, True), 20.4, CORE, 2.4, 0),
-        (Span(CORE, "", frozenset(["core"]), 9.5, 18.0, True), 20.6, CORE, 2.6, 1),
-        (Span(CORE, "", frozenset(["core"]), 9.5, 18.0, True, most=False), 20.9, CORE, 2.9, 0),
+        (FaultSpan(CORE, "", frozenset(["core"]), 9.5, 18.0, True), 20.4, CORE, 2.4, 0),
+        (FaultSpan(CORE, "", frozenset(["core"]), 9.5, 18.0, True), 20.6, CORE, 2.6, 1),
+        (FaultSpan(CORE, "", frozenset(["core"]), 9.5, 18.0, True, most=False), 20.9, CORE, 2.9, 0),
     ],
 )
 def test_trouble_puts_the_delay_off_to_its_end(span, known, name, value, broken):
@@ -125,8 +137,8 @@
 
 @pytest.mark.parametrize(("known", "broken"), [(20.9, 0), (23.5, 1)])
 def test_the_cores_stretch_does_not_bind_a_limiter_that_was_cut_off_until_its_end(known, broken):
-    cut = Span("cut", "", frozenset(["one"]), 8.0, 20.4)
-    core = Span(CORE, "", frozenset(["core"]), 20.45, 20.5, True)
+    cut = FaultSpan("cut", "", frozenset(["one"]), 8.0, 20.4)
+    core = FaultSpan(CORE, "", frozenset(["core"]), 20.45, 20.5, True)
     assert heard(known, cut, core)["version in force, core"].broken == broken
     assert (
         heard(20.9, core, replace(core, begun=9.0, ended=9.1))["version in force, core"].broken == 1
@@ -134,23 +146,29 @@
 
 
 def test_a_limiter_that_starts_needs_what_was_acknowledged_before():
-    span = Span("started", "killed", frozenset(["one"]), 20.0, 21.0)
-    told = [Told(1.0, "one", 1, "", 1), Told(10.5, "one", 1, "", 2), Told(21.2, "one", 2, "", 1)]
-    told.append(Told(24.5, "one", 2, "", 2))
-    changes = [FIRST, Change(2, 9.0, 10.0, ANN)]
+    span = FaultSpan("started", "killed", frozenset(["one"]), 20.0, 21.0)
+    told = [
+        AppliedChange(1.0, "one", 1, "", 1),
+        AppliedChange(10.5, "one", 1, "", 2),
+        AppliedChange(21.2, "one", 2, "", 1),
+    ]
+    told.append(AppliedChange(24.5, "one", 2, "", 2))
+    changes = [FIRST, ConfigurationChange(2, 9.0, 10.0, ANN)]
     figure = of(History(["one"], 0.0, 60.0, [span], told, changes))["version in force, started"]
     assert figure.value == pytest.approx(3.5) and figure.allowed == 3.0 and figure.broken == 1
 
 
 def test_a_request_at_a_drained_server_is_found_unless_its_link_held_it_up():
-    run = Ran("r", "", "alpha", "i-1", "one", 12.0, 12.6)
+    run = Arrival("r", "", "alpha", "i-1", "one", 12.0, 12.6)
     history = History(
         ["one"], 0.0, 60.0, changes=[FIRST], drains=[Drain("i-1", 10.0, "core")], arrivals=[run]
     )
     assert of(history)["arrival after a drain, connected"].broken == 1
-    history.spans = [Span("slow", "", frozenset(["one"]), 9.0, 10.0)]
+    history.spans = [FaultSpan("slow", "", frozenset(["one"]), 9.0, 10.0)]
     assert of(history)["arrival after a drain, slow"].broken == 0
-    history.spans = [Span(CORE, "", frozenset(["core"]), 9.0, 9.5, True)]  # whose word binds nobody
+    history.spans = [
+        FaultSpan(CORE, "", frozenset(["core"]), 9.0, 9.5, True)
+    ]  # whose word binds nobody
     assert of(history)["arrival after a drain, core"].broken == 0
 
 
@@ -161,7 +179,7 @@
 def test_further_tries_beyond_the_budget_are_found(more, broken):
     """Of 100 requests in the window before: 20 and the slack of 56."""
     asked = {"alpha": [5.0 + 0.01 * n for n in range(100)]}
-    first = [Ran(f"r{n}", "", "alpha", "i-1", "one", 10.0, 10.0) for n in range(more)]
+    first = [Arrival(f"r{n}", "", "alpha", "i-1", "one", 10.0, 10.0) for n in range(more)]
     again = [replace(run, at=12.0 + 0.01 * n) for n, run in enumerate(first)]
     history = History(["one"], ended=30.0, asked=asked, arrivals=first + again)
     figure = of(history)["further tries: share of the slack used"]
@@ -169,12 +187,12 @@
 
 
 def test_a_late_acknowledgement_two_counters_and_a_lost_primary_are_found():
-    history = History(["one"], 0.0, 60.0, changes=[Change(1, 10.0, 15.5, {})])
+    history = History(["one"], 0.0, 60.0, changes=[ConfigurationChange(1, 10.0, 15.5, {})])
     history.twins, history.unserved = [20.0], [(30.0, 34.0)]
     assert of(history)["acknowledgement of a change in settled times"].broken
     assert of(history)["moments with two counters"].broken
     assert of(history)["without a serving primary"].value == pytest.approx(4.0)
-    history.spans = [Span(CORE, "", frozenset(["core"]), 8.0, 12.0, True, most=False)]
+    history.spans = [FaultSpan(CORE, "", frozenset(["core"]), 8.0, 12.0, True, most=False)]
     history.spans.append(replace(history.spans[0], begun=29.0, ended=33.0))
     assert "acknowledgement of a change in settled times" not in of(history)
     assert of(history)["without a serving primary"].value == pytest.approx(1.0)
@@ -197,11 +215,11 @@
         async def parted():
             self.loads[-1].hot = True
             await asyncio.sleep(2.0)
-            ips = [*self.town.proxies][:4]
+            ips = [*self.cluster.proxies][:4]
             async with self.troubles.span("cut", "limiters cut off", ips):
-                self.town.sky.apart(ips, self.town.core_ips)
+                self.cluster.network.apart(ips, self.cluster.core_ips)
                 await asyncio.sleep(9.0)
-                self.town.sky.mend()
+                self.cluster.network.mend()
 
         return [parted()]
 
--- a/tests/testing/soak/test_checks.py
+++ b/tests/testing/soak/test_checks.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from loomstand.testing.simulation.http_log import Ask, Book, Reply, Run
+from loomstand.testing.simulation.http_log import ClientRequest, Reply, RequestLog, ServerArrival
 from loomstand.testing.soak.checks import (
     Drain,
     abandoned_runs,
@@ -26,14 +26,16 @@
     return planned_too
 
 
-def book(reply: Reply, *, ran: bool, ended: float = 0.0, left_at: float = 1e9) -> Book:
+def book(reply: Reply, *, ran: bool, ended: float = 0.0, left_at: float = 1e9) -> RequestLog:
     """One request sent at 10 s, that was begun at a server at 10.1 s or didn't arrive there."""
-    made = Book()
-    ask = Ask("r1", "GET", "town.example", "/a/x", "", b"", True, 10.0, ("10.2.0.1", 80), left_at)
-    made.asks[ask.id] = ask
+    made = RequestLog()
+    ask = ClientRequest(
+        "r1", "GET", "town.example", "/a/x", "", b"", True, 10.0, ("10.2.0.1", 80), left_at
+    )
+    made.requests[ask.id] = ask
     made.replies[ask.id] = reply
     if ran:
-        made.arrivals.append(Run(10.1, "alpha", "i-1", ask.id, "", True, ended))
+        made.arrivals.append(ServerArrival(10.1, "alpha", "i-1", ask.id, "", True, ended))
     return made
 
 
