--- a/benchmarks/hot_paths.py
+++ b/benchmarks/hot_paths.py
@@ -152,10 +152,10 @@
 def town() -> Cluster:
     """A small cluster that has begun, with two tenants that have quotas."""
     made = Cluster(1, proxies=1, servers=4)
-    made.usual()
+    made.use_default_configuration()
     made.tenant("greedy", "key-of-greedy", 1000, 1000)
     made.tenant("modest", "key-of-modest", 1000, 1000)
-    made.do(made.begin())
+    made.run(made.start())
     made.wait(3.0)
     return made
 
@@ -164,9 +164,9 @@
     """Seconds a call by its name, at the registry that counts and at the primary's store."""
     made = town()
     try:
-        registry = made.registry(made.counting())
+        registry = made.registry(made.counting_host())
         begin = {"name": "bench", "h": -1, "f": -1, "c": 0}
-        held = made.do(registry.requests.serve("ask", begin))
+        held = made.run(registry.requests.serve("ask", begin))
         # each call has a version behind, so there is news and it is answered at once
         ask = {
             "s": held["s"],
@@ -191,11 +191,11 @@
             ],
         }
         took = {
-            op: made.do(calls(registry.requests.serve, op, said)) for op, said in bodies.items()
+            op: made.run(calls(registry.requests.serve, op, said)) for op, said in bodies.items()
         }
         one, other = [host.programs[0] for host in made.stores.values()][:2]
         beat = other.replica.heartbeat(one.settings.address).to_wire()
-        took["beat"] = made.do(calls(one.serve, "beat", [dict(beat) for _ in range(count)]))
+        took["beat"] = made.run(calls(one.serve, "beat", [dict(beat) for _ in range(count)]))
     finally:
         made.loop.close()
     return took
@@ -212,7 +212,7 @@
                 good += (await made.get(tries=1)).status == 200
             return perf_counter() - begun, good
 
-        took, good = made.do(work())
+        took, good = made.run(work())
         assert good > 0.99 * count, f"only {good} of {count} succeeded"
     finally:
         made.loop.close()
--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -120,7 +120,7 @@
 def build(n: int, seed: int) -> Cluster:
     """A town with the grown sites' proportions; it isn't begun."""
     cluster = Cluster(seed, CORES, n, max(1, round(n * SERVERS / 2)))
-    cluster.usual()
+    cluster.use_default_configuration()
     del cluster.resources["tenants", "ann"]
     cluster.request_log.owners.clear()
     many = max(1, round(n * TENANTS))
@@ -129,7 +129,7 @@
         rate = max(1.0, n * REQUESTS / (k + 1) / whole / USE)
         cluster.tenant(f"tenant-{k}", f"key-of-tenant-{k}", rate, 2 * rate)
     for server in (s for many in cluster.servers.values() for s in many):
-        server.slots, server.work = 2, (0.09, 0.22)
+        server.slots, server.work_seconds = 2, (0.09, 0.22)
     return cluster
 
 
@@ -143,7 +143,9 @@
         key = rng.choices(keys, weights)[0]
         what = (method, "town.example", f"/{name}/x", key, b"" if method == "GET" else b"body" * 50)
         tasks.append(
-            cluster.loop.create_task(cluster.client.go(*what, idempotent=method == "GET", tries=1))
+            cluster.loop.create_task(
+                cluster.client.send_with_retries(*what, idempotent=method == "GET", tries=1)
+            )
         )
         await asyncio.sleep(rng.expovariate(rate))
     return Counter(reply.status for reply in await asyncio.gather(*tasks))
@@ -153,7 +155,7 @@
     """Per second and machine: calls, bytes, work; `counter` is the registry that counts. Where
     `alone`, sums for an event rather than rates.
     """
-    counter = cluster.counting()
+    counter = cluster.counting_host()
     rows: dict[str, Any] = {}
     groups: dict[str, tuple[str, list[str]]] = {
         "proxy": ("proxy", [*cluster.proxies]),
@@ -204,19 +206,19 @@
             meter.clear()
             gc.collect()
             at = cluster.loop.time()
-            cluster.do(what()) if asyncio.iscoroutinefunction(what) else what()
+            cluster.run(what()) if asyncio.iscoroutinefunction(what) else what()
             cluster.wait(max(0.0, lasts - (cluster.loop.time() - at)))
             return looked(cluster, meter, cluster.loop.time() - at, alone=True)
 
-        said["start"] = event(cluster.begin, 4.0)
+        said["start"] = event(cluster.start, 4.0)
         cluster.wait(4.0)
         meter.clear()
         cluster.wait(seconds)
         said["idle"] = looked(cluster, meter, seconds)
-        cluster.do(traffic(cluster, n * REQUESTS, 3.0))
+        cluster.run(traffic(cluster, n * REQUESTS, 3.0))
         meter.clear()
         at = cluster.loop.time()
-        replies = cluster.do(traffic(cluster, n * REQUESTS, seconds))
+        replies = cluster.run(traffic(cluster, n * REQUESTS, seconds))
         said["loaded"] = looked(cluster, meter, cluster.loop.time() - at)
         said["loaded"]["replies"] = {str(k): v for k, v in sorted(replies.items())}
         cluster.wait(3.0)
--- a/loomstand/testing/simulation/bounds.py
+++ b/loomstand/testing/simulation/bounds.py
@@ -98,7 +98,7 @@
     begun: float = 0.0
     ended: float = 0.0
     spans: list[FaultSpan] = field(default_factory=list)
-    told: list[AppliedChange] = field(default_factory=list)
+    applied_changes: list[AppliedChange] = field(default_factory=list)
     changes: list[ConfigurationChange] = field(default_factory=list)
     drains: list[Drain] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
@@ -296,7 +296,7 @@
     found = PropagationDelays(
         "version in force", bounds.configuration_apply_seconds, history, bounds
     )
-    words = by_life(history.told, False)
+    words = by_life(history.applied_changes, False)
     for host in history.limiters:
         mine = words.get(host, [])
         for change in history.changes:
@@ -334,7 +334,7 @@
     each.
     """
     found = PropagationDelays("drain known", bounds.drain_seconds, history, bounds)
-    words = by_life(history.told, True)
+    words = by_life(history.applied_changes, True)
     for drain in history.drains:
         free = unsure(history, drain, bounds)
         for host in history.limiters:
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -82,14 +82,14 @@
         process_number: int,
     ) -> None:
         """`told` takes what comes into force here, in the process_number of that number."""
-        self.wall, self.faults, self.marks, self.process_number = (
+        self.wall, self.faults, self.applied_changes, self.process_number = (
             wall,
-            request_log.faults,
+            request_log.violations,
             told,
             process_number,
         )
         super().__init__(settings, network, rng, VirtualTurns(), streams)  # type: ignore[arg-type]
-        self.log = self.hear
+        self.log = self.record_fault
         self.endpoints.endpoint = self.endpoint  # type: ignore[method-assign]
 
     def start_engine(self) -> DecisionEngine:
@@ -103,22 +103,24 @@
     def apply_configuration(self, version: int, data: bytes) -> bool:
         taken = super().apply_configuration(version, data)
         if taken:
-            self.mark("", version)
+            self.record_change("", version)
         return taken
 
     def endpoint(self, endpoint_id: int, instance: TrackedInstance) -> Endpoint:
         """In the place of the method of `endpoints`."""
-        self.mark(self.endpoints.instance_ids[endpoint_id], int(instance.availability == READY))
+        self.record_change(
+            self.endpoints.instance_ids[endpoint_id], int(instance.availability == READY)
+        )
         return EndpointUpdates.endpoint(self.endpoints, endpoint_id, instance)
 
-    def mark(self, server: str, value: int) -> None:
-        self.marks.append(
+    def record_change(self, server: str, value: int) -> None:
+        self.applied_changes.append(
             AppliedChange(
                 self.loop.time(), self.settings.ip_address, self.process_number, server, value
             )
         )
 
-    def hear(self, text: str) -> None:
+    def record_fault(self, text: str) -> None:
         if "failed on" in text:
             self.faults.append(text)
 
@@ -153,26 +155,30 @@
         self.network = SimNetwork(Random(self.rng.getrandbits(64)))
         self.tcp = TcpStack(self.network, Random(self.rng.getrandbits(64)))
         self.first = True
-        self.told: list[AppliedChange] = []  # what came into force at proxies, all of their lives
+        self.applied_changes: list[
+            AppliedChange
+        ] = []  # what came into force at proxies, all of their lives
         self.proxy_starts = 0
-        self.steps: dict[str, float] = {}  # s by which a machine's time of day was set off
+        self.clock_offsets: dict[str, float] = {}  # s by which a machine's time of day was set off
         self.core_ips = [f"10.1.0.{n + 1}" for n in range(cores)]
-        self.controls = [(ip, CONTROL_PORT) for ip in self.core_ips]
-        self.registries = {ip: self.host(ip, self.registry_factory(ip)) for ip in self.core_ips}
-        self.stores = {ip: self.host(ip, self.store_factory(ip)) for ip in self.core_ips}
+        self.control_addresses = [(ip, CONTROL_PORT) for ip in self.core_ips]
+        self.registries = {
+            ip: self.make_host(ip, self.registry_factory(ip)) for ip in self.core_ips
+        }
+        self.stores = {ip: self.make_host(ip, self.store_factory(ip)) for ip in self.core_ips}
         self.proxies = {f"10.2.0.{n + 1}": Host for n in range(proxies)}
-        self.proxies = {ip: self.host(ip, self.proxy_factory(ip)) for ip in self.proxies}
-        self.loop.set_exception_handler(self.failed)
-        self.do(self.people(servers))
+        self.proxies = {ip: self.make_host(ip, self.proxy_factory(ip)) for ip in self.proxies}
+        self.loop.set_exception_handler(self.on_loop_exception)
+        self.run(self.create_workload(servers))
         self.versions: dict[int, bytes] = {}
         self.version, self.resources = 0, dict[tuple[str, str], dict[str, Any]]()
-        self.inside: list[Address] = []  # proxies that the platform passes connections to
+        self.routed_proxies: list[Address] = []  # proxies that the platform passes connections to
         self.background: list[asyncio.Task[Any]] = []
 
-    def failed(self, loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
-        self.request_log.faults.append(f"{what.get('message')}: {what.get('exception')!r}")
+    def on_loop_exception(self, loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
+        self.request_log.violations.append(f"{what.get('message')}: {what.get('exception')!r}")
 
-    def host(self, ip: str, make: ProgramFactory) -> Host:
+    def make_host(self, ip: str, make: ProgramFactory) -> Host:
         made = Host(
             ip,
             self.network,
@@ -192,12 +198,12 @@
             SETTINGS.format(name=f"n-{ip}", ip=ip, zone=zone, first=first, seeds=seeds)
         )
 
-    def wall(self, ip: str, rng: Random) -> float:
+    def wall_clock(self, ip: str, rng: Random) -> float:
         """The time of day as a machine has it; programs read it when they start."""
         return (
             WALL_CLOCK_START_SECONDS
             + self.loop.time()
-            + self.steps.get(ip, 0.0)
+            + self.clock_offsets.get(ip, 0.0)
             + rng.uniform(-0.2, 0.2)
         )
 
@@ -211,7 +217,7 @@
                     network,
                     VirtualTurns(),
                     clock=clock,
-                    wall_seconds=self.wall(ip, rng),
+                    wall_seconds=self.wall_clock(ip, rng),
                     streams=streams,
                 )
             )
@@ -231,7 +237,7 @@
         def make(network: Any, disk: Any, clock: Any, rng: Random) -> Any:
             streams = Streams(self.tcp, ip, network.process)
             self.proxy_starts += 1
-            wall = self.wall(ip, rng)
+            wall = self.wall_clock(ip, rng)
             made = SimProxy(
                 self.settings(ip),
                 network,
@@ -239,49 +245,55 @@
                 streams,
                 wall,
                 self.request_log,
-                self.told,
+                self.applied_changes,
                 self.proxy_starts,
             )
             return ProgramRunner(made)
 
         return make
 
-    async def people(self, servers: int) -> None:
+    async def create_workload(self, servers: int) -> None:
         self.servers: dict[str, list[Server]] = {}
         for s, service in enumerate(("alpha", "beta")):
             self.servers[service] = [
-                self.server(f"10.3.{s}.{n + 1}", service, ZONES[n % 2]) for n in range(servers)
+                self.make_server(f"10.3.{s}.{n + 1}", service, ZONES[n % 2]) for n in range(servers)
             ]
-        self.operator = Operator(self.streams("10.8.0.1"), self.rng, self.controls)
-        self.client = self.someone()
+        self.operator = Operator(self.streams("10.8.0.1"), self.rng, self.control_addresses)
+        self.client = self.new_client()
 
-    def server(self, ip: str, service: str, zone: str) -> Server:
+    def make_server(self, ip: str, service: str, zone: str) -> Server:
         rng = Random(self.rng.getrandbits(64))
         made = Server(
-            self.tcp, self.request_log, rng, (ip, SERVER_PORT), service, zone, [*self.controls]
+            self.tcp,
+            self.request_log,
+            rng,
+            (ip, SERVER_PORT),
+            service,
+            zone,
+            [*self.control_addresses],
         )
-        made.core = self.rng.randrange(len(self.controls))
+        made.core_index = self.rng.randrange(len(self.control_addresses))
         return made
 
     def streams(self, ip: str) -> Streams:
         return Streams(self.tcp, ip, SimProcess())
 
-    def someone(self) -> Client:
+    def new_client(self) -> Client:
         rng = Random(self.rng.getrandbits(64))
         everyone = [(ip, FRONT_PORT) for ip in self.proxies]  # where none is ready
         return Client(
-            self.streams("10.9.0.1"), self.request_log, rng, lambda: self.inside or everyone
+            self.streams("10.9.0.1"), self.request_log, rng, lambda: self.routed_proxies or everyone
         )
 
     # time
 
-    def do(self, work: Coroutine[Any, Any, Any]) -> Any:
+    def run(self, work: Coroutine[Any, Any, Any]) -> Any:
         return self.loop.run_until_complete(work)
 
     def wait(self, seconds: float) -> None:
-        self.do(asyncio.sleep(seconds))
+        self.run(asyncio.sleep(seconds))
 
-    async def until(self, there: Callable[[], bool], within: float) -> float:
+    async def wait_until(self, there: Callable[[], bool], within: float) -> float:
         """Waits until something is so; how long it took. Fails after `within` seconds."""
         begun = self.loop.time()
         while not there():
@@ -289,7 +301,7 @@
             await asyncio.sleep(0.005)
         return self.loop.time() - begun
 
-    def behind(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def run_in_background(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Goes on beside what the test does, to its end."""
         task = self.loop.create_task(work)
         self.background.append(task)
@@ -307,7 +319,7 @@
 
     # life
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         """All start; the operator sends the first configuration; the platform finds all proxies
         ready.
         """
@@ -315,10 +327,10 @@
             host.start()
         for server in (s for many in self.servers.values() for s in many):
             server.start()
-        self.behind(self.platform())
+        self.run_in_background(self.platform())
         await asyncio.sleep(0.5)
         assert await self.replace(20.0)
-        await self.until(lambda: len(self.inside) == len(self.proxies), 6.0)
+        await self.wait_until(lambda: len(self.routed_proxies) == len(self.proxies), 6.0)
         self.first = False
 
     async def platform(self) -> None:
@@ -326,17 +338,17 @@
         streams, misses = self.streams("10.7.0.1"), dict.fromkeys(self.proxies, 2)
 
         async def look(ip: str) -> None:
-            misses[ip] = 0 if await self.ready(ip, streams) else misses[ip] + 1
+            misses[ip] = 0 if await self.is_ready(ip, streams) else misses[ip] + 1
 
         while True:
             await asyncio.gather(*(look(ip) for ip in self.proxies))
             fit = [ip for ip, n in misses.items() if n < 2]
             if 2 * len(fit) < len(misses):
                 fit = [*misses] if fit else []
-            self.inside = [(ip, FRONT_PORT) for ip in fit]
+            self.routed_proxies = [(ip, FRONT_PORT) for ip in fit]
             await asyncio.sleep(READINESS_PERIOD_SECONDS)
 
-    async def ready(self, ip: str, streams: Streams | None = None) -> bool:
+    async def is_ready(self, ip: str, streams: Streams | None = None) -> bool:
         raw = b"GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
         got = await exchange(streams or self.streams("10.7.0.1"), (ip, READINESS_PORT), raw, 0.9)
         return got is not None and got.status == 200
@@ -347,29 +359,29 @@
     def registry(self, ip: str) -> RegistryService:
         return self.registries[ip].programs[0].inner
 
-    def all_proxies(self) -> list[SimProxy]:
-        return [self.proxy(ip) for ip, host in self.proxies.items() if host.runs]
+    def running_proxies(self) -> list[SimProxy]:
+        return [self.proxy(ip) for ip, host in self.proxies.items() if host.is_running]
 
-    def counting(self) -> str:
+    def counting_host(self) -> str:
         """The core machine whose registry counts."""
-        held = self.counters()
+        held = self.counting_hosts()
         assert len(held) == 1
         return held[0]
 
-    def counters(self) -> list[str]:
+    def counting_hosts(self) -> list[str]:
         """All that would count, the frozen ones as they thaw."""
         up = [
             self.registry(ip) for ip, host in self.registries.items() if host.up and host.programs
         ]
         return [r.context.host for r in up if r.counting.is_counting(r.context.clock())]
 
-    def counts(self, ip: str) -> bool:
+    def is_counting(self, ip: str) -> bool:
         """Whether the registry of a core machine counts now."""
-        return self.registries[ip].runs and ip in self.counters()
+        return self.registries[ip].is_running and ip in self.counting_hosts()
 
-    def serves(self, ip: str) -> bool:
+    def is_serving(self, ip: str) -> bool:
         """Whether the store of a core machine serves now as primary."""
-        if not self.stores[ip].runs:
+        if not self.stores[ip].is_running:
             return False
         store = self.stores[ip].programs[0]
         try:
@@ -380,11 +392,11 @@
     def core(self, ip: str) -> tuple[Host, Host]:
         return self.registries[ip], self.stores[ip]
 
-    async def going_back(self) -> None:
+    async def check_versions_never_decrease(self) -> None:
         """Looks all the while that no proxy takes a lower version in its life."""
         held: dict[SimProxy, int] = {}
         while True:
-            for proxy in self.all_proxies():
+            for proxy in self.running_proxies():
                 version = proxy.configuration.table.version if proxy.configuration.table else 0
                 assert held.get(proxy, 0) <= version, f"{proxy.settings.node_name} went back"
                 held[proxy] = version
@@ -392,13 +404,13 @@
 
     # the configuration
 
-    def usual(self) -> None:
+    def use_default_configuration(self) -> None:
         self.begin_draft([*self.servers])
 
     async def replace(self, lasts: float = 5.0) -> bool:
         """The operator sends what is in `resources` under the next version."""
         if not self.resources:
-            self.usual()
+            self.use_default_configuration()
         self.version += self.rng.choice((1, 1, 3))
         self.versions[self.version] = body = self.body(self.version)
         return await self.operator.replace(body, lasts)
@@ -406,27 +418,29 @@
     # requests
 
     async def get(self, name: str = "a", key: str = "key-of-ann", **more: Any) -> Any:
-        return await self.client.go(
+        return await self.client.send_with_retries(
             "GET", "town.example", f"/{name}/x?n=1", key, idempotent=True, **more
         )
 
-    async def once(
+    async def send_once(
         self, name: str = "once", key: str = "key-of-ann", at: str = "", **more: Any
     ) -> Any:
         """One try of a request that can't be repeated, or of whatever route; gives ask and
         reply.
         """
-        ask = self.client.ask("POST", "town.example", f"/{name}/x", key, b"body " * 20, **more)
-        front = (at, FRONT_PORT) if at else self.rng.choice(self.inside)
-        return ask, await self.client.once(ask, front)
+        ask = self.client.new_request(
+            "POST", "town.example", f"/{name}/x", key, b"body " * 20, **more
+        )
+        front = (at, FRONT_PORT) if at else self.rng.choice(self.routed_proxies)
+        return ask, await self.client.send_once(ask, front)
 
-    async def flow(
+    async def send_requests(
         self, client: Client, rate: float, seconds: float, *what: Any, **more: Any
     ) -> list[Any]:
         """So many requests a second, each going its own way; what came of each."""
         begun, tasks = self.loop.time(), []
         rng = Random(self.rng.getrandbits(64))
         while self.loop.time() - begun < seconds:
-            tasks.append(self.loop.create_task(client.go(*what, **more)))
+            tasks.append(self.loop.create_task(client.send_with_retries(*what, **more)))
             await asyncio.sleep(rng.expovariate(rate))
         return list(await asyncio.gather(*tasks))
--- a/loomstand/testing/simulation/control_plane.py
+++ b/loomstand/testing/simulation/control_plane.py
@@ -28,16 +28,16 @@
 
     def __init__(self, seed: int, cores: int = 3) -> None:
         super().__init__(seed, cores, proxies=0, servers=0)
-        self.usual()
+        self.use_default_configuration()
         # when it was heard, and the newest by then
         self.acked: list[tuple[float, int]] = [(0.0, 0)]
         self.sent: dict[int, bytes] = {}
-        self.reads, self.unclear = 0, 0
+        self.reads, self.unacknowledged = 0, 0
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         for host in self.hosts():
             host.start()
-        while await self.order(self.core_ips[0], 1.0) != 200:
+        while await self.send_change(self.core_ips[0], 1.0) != 200:
             await asyncio.sleep(0.2)
         self.first = False
 
@@ -45,13 +45,15 @@
         ips = [ip] if ip else self.core_ips
         return [h for i in ips for h in self.core(i)]
 
-    def newest(self, at: float) -> int:
+    def newest_acknowledged(self, at: float) -> int:
         return max(v for t, v in self.acked if t <= at)
 
-    async def ask(self, ip: str, call: str, body: bytes, within: float) -> Message | None:
+    async def call(self, ip: str, call: str, body: bytes, within: float) -> Message | None:
         return await exchange(self.operator.streams, (ip, CONTROL_PORT), post(call, body), within)
 
-    async def order(self, ip: str, within: float = CALL_TIMEOUT_SECONDS, version: int = 0) -> int:
+    async def send_change(
+        self, ip: str, within: float = CALL_TIMEOUT_SECONDS, version: int = 0
+    ) -> int:
         """One sending of an order, a new one or one that was sent before; its status, 0 without an
         answer.
         """
@@ -59,24 +61,24 @@
             self.version += self.rng.choice((1, 1, 3))
             version = self.version
             self.sent[version] = self.body(version)
-        got = await self.ask(ip, "configuration.replace", self.sent[version], within)
+        got = await self.call(ip, "configuration.replace", self.sent[version], within)
         status = got.status if got else 0
         assert status in (0, 200, 503), f"{ip} refused r{version}, a valid order: {got}"
         if status == 200:
             self.acked.append((self.loop.time(), max(version, self.acked[-1][1])))
         else:
-            self.unclear += 1
+            self.unacknowledged += 1
         return status
 
-    async def read(self, ip: str, within: float = CALL_TIMEOUT_SECONDS) -> int:
+    async def read_version(self, ip: str, within: float = CALL_TIMEOUT_SECONDS) -> int:
         """What is read, 0 if nothing is handed out."""
         asked = self.loop.time()
-        got = await self.ask(ip, "configuration.read", b"", within)
+        got = await self.call(ip, "configuration.read", b"", within)
         if got is None or got.status != 200:
             assert got is None or got.status == 503, got
             return 0
         version = int(json.loads(got.body)["version"][1:])
-        owed = self.newest(max(asked, self.loop.time() - READ_STALENESS_SECONDS))
+        owed = self.newest_acknowledged(max(asked, self.loop.time() - READ_STALENESS_SECONDS))
         assert version >= owed, (
             f"{ip} handed out r{version} at {self.loop.time():.3f}, r{owed} was in force"
         )
@@ -85,12 +87,15 @@
         return version
 
     def primary(self) -> str:
-        return next((ip for ip in self.core_ips if self.serves(ip)), "")
+        return next((ip for ip in self.core_ips if self.is_serving(ip)), "")
 
-    async def calm(self) -> None:
+    async def check_recovered(self) -> None:
         """An order is taken, and what is read is what was acknowledged."""
         for ip in self.core_ips * 4:
-            if await self.order(ip, 1.0) == 200 and await self.read(ip, 1.0) >= self.acked[-1][1]:
+            if (
+                await self.send_change(ip, 1.0) == 200
+                and await self.read_version(ip, 1.0) >= self.acked[-1][1]
+            ):
                 return
             await asyncio.sleep(0.1)
         raise AssertionError("calm, and nothing is acknowledged or read")
@@ -108,12 +113,14 @@
         while True:
             await asyncio.sleep(rng.uniform(0.01, 0.4))
             ips = rng.sample(plane.core_ips, 2)
-            plane.behind(plane.order(ips[0]))
+            plane.run_in_background(plane.send_change(ips[0]))
             if rng.random() < 0.4:
-                plane.behind(plane.order(ips[1]))
+                plane.run_in_background(plane.send_change(ips[1]))
             if rng.random() < 0.4:
-                plane.behind(plane.order(ips[1], version=rng.choice([*plane.sent][-4:])))
-            plane.behind(plane.read(rng.choice(plane.core_ips)))
+                plane.run_in_background(
+                    plane.send_change(ips[1], version=rng.choice([*plane.sent][-4:]))
+                )
+            plane.run_in_background(plane.read_version(rng.choice(plane.core_ips)))
 
     def machine(self) -> str:
         first = self.plane.primary()
@@ -160,9 +167,9 @@
                     ends = (other, ip) if kind == "deaf" else (ip, other)
                     plane.network.cut(*ends, both=kind in ("cut", "third"))
             await asyncio.sleep(lasts)
-            plane.network.mend()
+            plane.network.heal()
         elif kind == "leave":
-            await asyncio.gather(*(host.end() for host in plane.hosts(ip)))
+            await asyncio.gather(*(host.terminate() for host in plane.hosts(ip)))
             for host in plane.hosts(ip):
                 host.start()
         else:
@@ -173,34 +180,34 @@
         plane = self.plane
         self.fresh += 1
         new = f"10.1.0.{self.fresh}"
-        plane.registries[new] = plane.host(new, plane.registry_factory(new))
-        plane.stores[new] = plane.host(new, plane.store_factory(new))
+        plane.registries[new] = plane.make_host(new, plane.registry_factory(new))
+        plane.stores[new] = plane.make_host(new, plane.store_factory(new))
         plane.core_ips = [new if other == ip else other for other in plane.core_ips]
         for host in plane.hosts(new):
             host.start()
         await asyncio.sleep(self.rng.choice((0.1, 1.0)))
-        await asyncio.gather(*(host.end() for host in plane.core(ip)))
+        await asyncio.gather(*(host.terminate() for host in plane.core(ip)))
         for host in plane.core(ip):
             host.power_off(wipe=True)
         await asyncio.sleep(4.0)
 
 
-def drawn(seed: int, steps: int = 6) -> ControlPlane:
+def run_random_faults(seed: int, steps: int = 6) -> ControlPlane:
     plane = ControlPlane(seed, 3 + seed % 2)
     troubles = Troubles(plane, Random(seed))
 
     async def day() -> None:
-        await plane.begin()
-        operators = plane.behind(troubles.operate())
+        await plane.start()
+        operators = plane.run_in_background(troubles.operate())
         for _ in range(steps):
             await troubles.one()
             await asyncio.sleep(troubles.rng.choice((0.05, 0.5, 2.0)))
         operators.cancel()
         await asyncio.sleep(5.0)
-        await plane.calm()
+        await plane.check_recovered()
 
     try:
-        plane.do(day())
+        plane.run(day())
         for task in plane.background:
             if task.done() and not task.cancelled():
                 task.result()
@@ -214,7 +221,7 @@
     broken, reads, acked = list[int](), 0, 0
     for seed in range(first, first + count):
         try:
-            plane = drawn(seed, 8)
+            plane = run_random_faults(seed, 8)
         except AssertionError as why:
             broken.append(seed)
             print(f"{seed}: {why}", flush=True)
--- a/loomstand/testing/simulation/faults.py
+++ b/loomstand/testing/simulation/faults.py
@@ -94,7 +94,9 @@
     def a_core(self) -> str:
         """A core machine, half the time the one whose store is primary."""
         held = [
-            ip for ip, host in self.cluster.stores.items() if host.runs and self.cluster.serves(ip)
+            ip
+            for ip, host in self.cluster.stores.items()
+            if host.is_running and self.cluster.is_serving(ip)
         ]
         return (
             held[0] if held and self.rng.random() < 0.5 else self.rng.choice(self.cluster.core_ips)
@@ -140,7 +142,7 @@
         """Told to stop, and started once they have; other trouble may kill them before."""
         hosts = [self.cluster.proxies[ip] for ip in ips]
         async with self.span("started", what, ips):
-            if ends := [asyncio.ensure_future(host.end()) for host in hosts if host.up]:
+            if ends := [asyncio.ensure_future(host.terminate()) for host in hosts if host.up]:
                 await asyncio.wait(ends, timeout=STOP_TIMEOUT_SECONDS)
             for host in hosts:
                 host.kill()
@@ -155,7 +157,7 @@
 
     def steps(self, ips: list[str]) -> None:
         by = self.rng.choice((-1600.0, -3.0, 2.0, 1600.0))
-        self.cluster.steps |= dict.fromkeys(ips, by)
+        self.cluster.clock_offsets |= dict.fromkeys(ips, by)
 
     async def core(self) -> None:
         ip, wipe = self.a_core(), self.rng.random() < 0.25
@@ -218,9 +220,9 @@
 
     async def cut_for(self, pairs: set[tuple[str, str]]) -> None:
         """Nothing comes from the first to the second of each pair."""
-        self.cluster.network.cuts |= pairs
+        self.cluster.network.blocked_links |= pairs
         await self.last()
-        self.cluster.network.mend(pairs)
+        self.cluster.network.heal(pairs)
 
     def between(self, one: Iterable[str], others: Iterable[str]) -> set[tuple[str, str]]:
         """Both ways, or at times one way only."""
@@ -266,10 +268,12 @@
 
     async def slowed(self, ips: list[str]) -> None:
         more = self.rng.choice((0.02, 0.1, 0.4))
-        self.cluster.network.slow |= dict.fromkeys(ips, more)
+        self.cluster.network.extra_delay_seconds |= dict.fromkeys(ips, more)
         await self.last()
         for ip in ips:
-            self.cluster.network.slow.pop(ip, None)  # other trouble may have ended it
+            self.cluster.network.extra_delay_seconds.pop(
+                ip, None
+            )  # other trouble may have ended it
 
     async def slow_proxy(self) -> None:
         ips = self.some(0.05, 0.3)
@@ -284,9 +288,9 @@
     async def lossy(self) -> None:
         everyone = [*self.cluster.core_ips, *self.cluster.proxies]
         async with self.span("slow", "all links lossy", everyone, True, False):
-            self.cluster.network.lost = self.rng.choice((0.02, 0.1))
+            self.cluster.network.loss_rate = self.rng.choice((0.02, 0.1))
             await self.last()
-            self.cluster.network.lost = 0.0
+            self.cluster.network.loss_rate = 0.0
 
     # servers
 
@@ -307,9 +311,12 @@
     async def trouble(self) -> None:
         server = self.a_server()
         what = "full error close silent reset cut spoilt surplus late slow bare dark refuses"
-        server.trouble, server.share = self.rng.choice(what.split()), self.rng.choice((0.3, 1.0))
+        server.fault, server.fault_share = (
+            self.rng.choice(what.split()),
+            self.rng.choice((0.3, 1.0)),
+        )
         await self.last()
-        server.trouble = ""
+        server.fault = ""
 
     async def wave(self) -> None:
         """Half of a service's servers turn away, fail or lose what they get."""
@@ -320,10 +327,10 @@
             self.rng.random(),
         )
         for server in ill:
-            server.trouble, server.share = what, share
+            server.fault, server.fault_share = what, share
         await self.last()
         for server in ill:
-            server.trouble = ""
+            server.fault = ""
 
     async def swap(self) -> None:
         """Two servers end, and each address is the other service's next."""
--- a/loomstand/testing/simulation/http_log.py
+++ b/loomstand/testing/simulation/http_log.py
@@ -40,81 +40,81 @@
     """One end of a connection: bytes that came, and how it ended."""
 
     transport: SimTransport
-    stands: Callable[[], None] | None = None
+    on_established: Callable[[], None] | None = None
 
     def __init__(self) -> None:
-        self.buf, self.over = bytearray(), ""
-        self.waits: asyncio.Future[None] | None = None
+        self.buffer, self.closed_reason = bytearray(), ""
+        self.waiter: asyncio.Future[None] | None = None
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        if self.stands is not None:
-            self.stands()
+        if self.on_established is not None:
+            self.on_established()
 
     def data_received(self, data: bytes) -> None:
-        self.buf += data
+        self.buffer += data
         self.wake()
 
     def eof_received(self) -> bool:
-        self.over = self.over or "closed"
+        self.closed_reason = self.closed_reason or "closed"
         self.wake()
         return True
 
     def connection_lost(self, why: Exception | None) -> None:
-        self.over = self.over or ("reset" if why else "closed")
+        self.closed_reason = self.closed_reason or ("reset" if why else "closed")
         self.wake()
 
     def wake(self) -> None:
-        if self.waits is not None and not self.waits.done():
-            self.waits.set_result(None)
+        if self.waiter is not None and not self.waiter.done():
+            self.waiter.set_result(None)
 
-    async def more(self) -> None:
-        if self.over:
-            raise ConnectionBrokenError(self.over)
-        self.waits = asyncio.get_running_loop().create_future()
-        await self.waits
+    async def wait_for_data(self) -> None:
+        if self.closed_reason:
+            raise ConnectionBrokenError(self.closed_reason)
+        self.waiter = asyncio.get_running_loop().create_future()
+        await self.waiter
 
     async def closed_within(self, seconds: float) -> bool:
         """Waits until the other side has closed or the time is over; whether it has closed."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        while not self.over and loop.time() < until:
-            self.waits = loop.create_future()
+        while not self.closed_reason and loop.time() < until:
+            self.waiter = loop.create_future()
             timer = loop.call_at(until, self.wake)
-            await self.waits
+            await self.waiter
             timer.cancel()
-        return bool(self.over)
+        return bool(self.closed_reason)
 
-    async def line(self) -> bytes:
-        while (end := self.buf.find(b"\r\n")) < 0:
-            await self.more()
-        out = bytes(self.buf[:end])
-        del self.buf[: end + 2]
+    async def read_line(self) -> bytes:
+        while (end := self.buffer.find(b"\r\n")) < 0:
+            await self.wait_for_data()
+        out = bytes(self.buffer[:end])
+        del self.buffer[: end + 2]
         return out
 
-    async def take(self, n: int) -> bytes:
-        while len(self.buf) < n:
-            await self.more()
-        out = bytes(self.buf[:n])
-        del self.buf[:n]
+    async def read_exactly(self, n: int) -> bytes:
+        while len(self.buffer) < n:
+            await self.wait_for_data()
+        out = bytes(self.buffer[:n])
+        del self.buffer[:n]
         return out
 
-    async def message(self) -> Message:
+    async def read_message(self) -> Message:
         """The next one. Raises Broken."""
-        start, fields = await self.line(), Fields()
-        while line := await self.line():
+        start, fields = await self.read_line(), Fields()
+        while line := await self.read_line():
             name, colon, value = line.decode("latin-1").partition(":")
             if not colon:
                 raise ConnectionBrokenError("bytes that are no message")
             fields[name.strip().lower()] = value.strip()
         body = b""
         if fields.get("transfer-encoding") == "chunked":
-            while size := int(await self.line(), 16):
-                body += await self.take(size)
-                await self.line()
-            await self.line()
+            while size := int(await self.read_line(), 16):
+                body += await self.read_exactly(size)
+                await self.read_line()
+            await self.read_line()
         elif "content-length" in fields:
-            body = await self.take(int(fields["content-length"]))
+            body = await self.read_exactly(int(fields["content-length"]))
         return Message(start, fields, body)
 
 
@@ -171,7 +171,7 @@
     requests: dict[str, ClientRequest] = field(default_factory=dict)
     replies: dict[str, Reply] = field(default_factory=dict)
     arrivals: list[ServerArrival] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     owners: dict[str, str] = field(default_factory=dict)  # of keys, ever: the tenant
 
     def runs(self, id_: str = "") -> list[ServerArrival]:
@@ -181,32 +181,32 @@
         """The runs that went on for longer than that after their client had left."""
         return [run for run in self.runs() if run.ended > self.requests[run.id].left_at + seconds]
 
-    def arrived(self, run: ServerArrival, message: Message) -> None:
+    def record_arrival(self, run: ServerArrival, message: Message) -> None:
         """At a server: checked against what the client sent (UNASKED)."""
         self.arrivals.append(run)
         ask = self.requests.get(run.id)
         if ask is None:
-            self.faults.append(f"{run.id}: nobody sent this")
+            self.violations.append(f"{run.id}: nobody sent this")
             return
         method, target, _ = message.start.decode("latin-1").split(" ")
         if (method, target, message.body) != (ask.method, ask.path, ask.body):
-            self.faults.append(f"{run.id}: changed on its way: {message.start!r}")
+            self.violations.append(f"{run.id}: changed on its way: {message.start!r}")
         seen = " ".join(message.fields.values())
         if "authorization" in message.fields or (ask.key and ask.key in seen):
-            self.faults.append(f"{run.id}: its key went on")
+            self.violations.append(f"{run.id}: its key went on")
         if run.ran and run.tenant != self.owners.get(ask.key, ""):
-            self.faults.append(f"{run.id}: ran for {run.tenant!r}")
+            self.violations.append(f"{run.id}: ran for {run.tenant!r}")
 
-    def got(self, ask: ClientRequest, reply: Reply) -> None:
+    def record_reply(self, ask: ClientRequest, reply: Reply) -> None:
         """At a client (MIXED)."""
         self.replies[ask.id] = reply
         said = reply.fields.get("loomstand-request-id", ask.id)
         if said != ask.id:
-            self.faults.append(f"{ask.id}: the answer to {said}")
+            self.violations.append(f"{ask.id}: the answer to {said}")
         if 200 <= reply.status < 300:
             stamp = reply.fields.get("loomstand-response-stamp", "")
             if stamp != stamp_of(ask.id, reply.body):
-                self.faults.append(
+                self.violations.append(
                     f"{ask.id}: a success with {reply.body[:40]!r}, stamped {stamp!r}"
                 )
 
@@ -218,10 +218,10 @@
         for id_, times in ran.items():
             ask, reply = self.requests[id_], self.replies.get(id_)
             if not ask.idempotent and times > 1:
-                self.faults.append(f"{id_}: ran {times} times")
+                self.violations.append(f"{id_}: ran {times} times")
             if reply is not None and reply.status in NOT_EXECUTED_STATUSES:
-                self.faults.append(f"{id_}: answered {reply.status}, and ran")
-        assert self.faults == []
+                self.violations.append(f"{id_}: answered {reply.status}, and ran")
+        assert self.violations == []
 
 
 def stamp_of(id_: str, body: bytes) -> str:
@@ -235,7 +235,7 @@
         async with asyncio.timeout(within):
             talk = await streams.open(HttpConnection, address, within)
             talk.transport.write(raw)
-            return await talk.message()
+            return await talk.read_message()
     except (OSError, TimeoutError, ConnectionBrokenError):
         return None
     finally:
--- a/loomstand/testing/simulation/machine.py
+++ b/loomstand/testing/simulation/machine.py
@@ -32,8 +32,8 @@
     rng: Random
     factories: list[ProgramFactory]
     disk_state: DiskState
-    skew: float = 0.0  # s by which its steady clock differs from the loop's
-    rate: float = 1.0  # by which its steady clock runs faster than the loop's
+    clock_offset: float = 0.0  # s by which its steady clock differs from the loop's
+    clock_rate: float = 1.0  # by which its steady clock runs faster than the loop's
     process: SimProcess | None = None
     programs: list[Any] = field(default_factory=list)
 
@@ -42,19 +42,19 @@
         return self.process is not None and self.process.alive
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         return self.up and self.process is not None and not self.process.frozen
 
     def start(self) -> None:
         """Power on, all programs from their beginning."""
-        self.network.off.discard(self.host)
+        self.network.powered_off.discard(self.host)
         process = self.process = SimProcess()
         loop = asyncio.get_running_loop()
 
         def begin() -> None:
             self.programs = []
             for make in self.factories:
-                clock = lambda: loop.time() * self.rate + self.skew  # noqa: E731
+                clock = lambda: loop.time() * self.clock_rate + self.clock_offset  # noqa: E731
                 seeded = Random(self.rng.getrandbits(64))
                 network = MachineNetwork(self.network, self.host, process)
                 program = make(network, SimDisk(self.disk_state), clock, seeded)
@@ -77,7 +77,7 @@
     def power_off(self, wipe: bool = False) -> None:
         """As `kill`, but it falls silent, and what was being written is gone or not."""
         self.kill()
-        self.network.off.add(self.host)
+        self.network.powered_off.add(self.host)
         self.disk_state.power_off()
         if wipe:
             self.disk_state.wipe()
@@ -90,7 +90,7 @@
         if self.process is not None:
             self.process.thaw()
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """SIGTERM: its programs are asked to stop; then it's off."""
         if self.process is not None:
             loop = asyncio.get_running_loop()
--- a/loomstand/testing/simulation/network.py
+++ b/loomstand/testing/simulation/network.py
@@ -33,48 +33,62 @@
 class SimNetwork:
     rng: Random
     listeners: dict[Address, Listener] = field(default_factory=dict)
-    off: set[str] = field(default_factory=set)  # hosts without power
-    cuts: set[tuple[str, str]] = field(default_factory=set)  # from, to: nothing comes through
-    slow: dict[str, float] = field(default_factory=dict)  # s more, to and from a host
-    lost: float = 0.0  # share of calls whose request or answer is lost, their connection with them
-    held: list[tuple[str, str, asyncio.Future[None]]] = field(default_factory=list)
+    powered_off: set[str] = field(default_factory=set)  # hosts without power
+    blocked_links: set[tuple[str, str]] = field(
+        default_factory=set
+    )  # from, to: nothing comes through
+    extra_delay_seconds: dict[str, float] = field(
+        default_factory=dict
+    )  # s more, to and from a host
+    loss_rate: float = (
+        0.0  # share of calls whose request or answer is lost, their connection with them
+    )
+    held_transfers: list[tuple[str, str, asyncio.Future[None]]] = field(default_factory=list)
 
     def cut(self, one: str, other: str, both: bool = True) -> None:
-        self.cuts |= {(one, other), (other, one)} if both else {(one, other)}
+        self.blocked_links |= {(one, other), (other, one)} if both else {(one, other)}
 
-    def apart(self, *sides: list[str]) -> None:
+    def partition(self, *sides: list[str]) -> None:
         """Cuts the sides from each other."""
         for i, side in enumerate(sides):
             for other in (h for rest in sides[i + 1 :] for h in rest):
                 for host in side:
                     self.cut(host, other)
 
-    def mend(self, only: set[tuple[str, str]] | None = None) -> None:
+    def heal(self, only: set[tuple[str, str]] | None = None) -> None:
         """Ends all cuts, or only those; bytes that were held up go on."""
-        ends = set(self.cuts) if only is None else only
-        self.cuts -= ends
-        through = [h for h in self.held if only is None or h[:2] in ends]
-        self.held = [] if only is None else [h for h in self.held if h[:2] not in ends]
+        ends = set(self.blocked_links) if only is None else only
+        self.blocked_links -= ends
+        through = [h for h in self.held_transfers if only is None or h[:2] in ends]
+        self.held_transfers = (
+            [] if only is None else [h for h in self.held_transfers if h[:2] not in ends]
+        )
         for *_, waits in through:
             if not waits.done():
                 waits.set_result(None)
 
-    def open(self, one: str, other: str) -> bool:
-        return (one, other) not in self.cuts and one not in self.off and other not in self.off
+    def is_reachable(self, one: str, other: str) -> bool:
+        return (
+            (one, other) not in self.blocked_links
+            and one not in self.powered_off
+            and other not in self.powered_off
+        )
 
-    async def carry(self, one: str, other: str) -> bool:
+    async def deliver(self, one: str, other: str) -> bool:
         """Bytes on their way; whether they arrive."""
         low, high = LINK_DELAY_SECONDS
         await asyncio.sleep(
-            self.rng.uniform(low, high) + self.slow.get(one, 0.0) + self.slow.get(other, 0.0)
+            self.rng.uniform(low, high)
+            + self.extra_delay_seconds.get(one, 0.0)
+            + self.extra_delay_seconds.get(other, 0.0)
         )
-        if self.open(one, other):
-            return self.rng.random() >= self.lost
-        if (one, other) in self.cuts and self.rng.random() < 0.5:
+        if self.is_reachable(one, other):
+            return self.rng.random() >= self.loss_rate
+        if (one, other) in self.blocked_links and self.rng.random() < 0.5:
             through = asyncio.get_running_loop().create_future()
-            self.held.append((one, other, through))
+            self.held_transfers.append((one, other, through))
             await through
-            return self.open(one, other)
+            return self.is_reachable(one, other)
         return False
 
 
@@ -85,7 +99,9 @@
     network: SimNetwork
     host: str
     process: SimProcess
-    met: dict[Address, SimProcess] = field(default_factory=dict)  # connections that stand
+    connected_processes: dict[Address, SimProcess] = field(
+        default_factory=dict
+    )  # connections that stand
 
     async def listen(self, address: Address, serve: CallHandler) -> None:
         self.network.listeners[address] = Listener(self.process, serve)
@@ -104,7 +120,7 @@
             async with asyncio.timeout(within):
                 return await answer
         except TimeoutError:
-            self.met.pop(address, None)
+            self.connected_processes.pop(address, None)
             del run  # goes on: what is under way may still arrive
             return Error(CallFailure.MAY_HAVE_RUN if sent else CallFailure.NEVER_RAN)
 
@@ -112,23 +128,26 @@
         self, address: Address, op: str, body: Body, sent: list[bool], answer: Any
     ) -> None:
         there = self.network.listeners.get(address)
-        if self.met.get(address) is not (there.process if there else None) or there is None:
+        if (
+            self.connected_processes.get(address) is not (there.process if there else None)
+            or there is None
+        ):
             if not (
-                await self.network.carry(self.host, address[0])
-                and await self.network.carry(address[0], self.host)
+                await self.network.deliver(self.host, address[0])
+                and await self.network.deliver(address[0], self.host)
             ):
                 return None
             there = self.network.listeners.get(address)
             if there is None or not there.process.alive:
                 return _complete(answer, Error(CallFailure.NEVER_RAN))
-            self.met[address] = there.process
+            self.connected_processes[address] = there.process
         if answer.done():
             return None
         sent.append(True)
-        if not await self.network.carry(self.host, address[0]):
+        if not await self.network.deliver(self.host, address[0]):
             return None
         if not there.process.alive:
-            if self.network.open(address[0], self.host):
+            if self.network.is_reachable(address[0], self.host):
                 _complete(answer, Error(CallFailure.MAY_HAVE_RUN))
             return None
         loop = asyncio.get_running_loop()
@@ -138,7 +157,7 @@
         )
         result = await reply
         del served
-        if there.process.alive and await self.network.carry(address[0], self.host):
+        if there.process.alive and await self.network.deliver(address[0], self.host):
             _complete(answer, result)
 
 
--- a/loomstand/testing/simulation/scenario.py
+++ b/loomstand/testing/simulation/scenario.py
@@ -69,7 +69,7 @@
         self.loads = [
             Load(f"t{n}", rate, rate * rng.uniform(0.8, 1.4)) for n, rate in enumerate(rates)
         ]
-        self.cluster.usual()
+        self.cluster.use_default_configuration()
         for load in self.loads:
             self.key(load)
             self.cluster.tenant(
@@ -79,7 +79,7 @@
     def play(self) -> tuple[History, RuleBounds]:
         """Plays it, once: what came of it, and the bounds that it was under."""
         try:
-            self.cluster.do(self.whole())
+            self.cluster.run(self.whole())
             return self.told(), self.cluster.settings(self.cluster.core_ips[0]).bounds
         finally:
             self.cluster.loop.close()
@@ -91,7 +91,7 @@
         """The first configuration, the lanes side by side, and the calm."""
         cluster, history = self.cluster, self.history
         sent = cluster.loop.time() + 0.5
-        await cluster.begin()
+        await cluster.start()
         history.begun = cluster.loop.time()
         history.changes.append(
             ConfigurationChange(cluster.version, sent, history.begun, self.quotas())
@@ -147,7 +147,7 @@
 
     async def clients(self, load: Load, until: float) -> None:
         """Requests of one tenant, each to any limiter that the platform passes connections to."""
-        client, rng, tasks = self.cluster.someone(), Random(self.rng.getrandbits(32)), []
+        client, rng, tasks = self.cluster.new_client(), Random(self.rng.getrandbits(32)), []
         while self.cluster.loop.time() < until:
             method, name = rng.choice((("GET", "a"), ("GET", "b"), ("POST", "once")))
             what = (
@@ -157,7 +157,9 @@
                 load.key,
                 b"" if method == "GET" else b"body",
             )
-            asked = client.go(*what, tries=rng.choice((1, 3)), idempotent=method == "GET")
+            asked = client.send_with_retries(
+                *what, tries=rng.choice((1, 3)), idempotent=method == "GET"
+            )
             tasks.append(self.cluster.loop.create_task(asked))
             await asyncio.sleep(
                 rng.expovariate(load.usual * (HOT_LOAD_FACTOR if load.hot else 1.0))
@@ -211,13 +213,13 @@
         cluster, since = self.cluster, -1.0
         while True:
             now = cluster.loop.time()
-            served = any(cluster.serves(ip) for ip in cluster.core_ips)
+            served = any(cluster.is_serving(ip) for ip in cluster.core_ips)
             if not served and since < 0:
                 since = now
             elif served and since >= 0:
                 self.history.unserved.append((since, now))
                 since = -1.0
-            if sum(cluster.counts(ip) for ip in cluster.core_ips) > 1:
+            if sum(cluster.is_counting(ip) for ip in cluster.core_ips) > 1:
                 self.history.twins.append(now)
             await asyncio.sleep(OBSERVATION_PERIOD_SECONDS)
 
@@ -227,7 +229,7 @@
         try:
             request_log.check()
         except AssertionError:
-            history.faults = request_log.faults
+            history.faults = request_log.violations
         route = {
             f"/{name}/x": spec["service_name"]
             for (kind, name), spec in self.cluster.resources.items()
@@ -249,5 +251,5 @@
                     run.ran,
                 )
             )
-        history.told = self.cluster.told
+        history.applied_changes = self.cluster.applied_changes
         return history
--- a/loomstand/testing/simulation/sim_disk.py
+++ b/loomstand/testing/simulation/sim_disk.py
@@ -18,16 +18,16 @@
     slower: float = 1.0  # a commit takes that many times as long
     refuses: bool = False
     hangs: bool = False
-    unread: bool = False  # it can't be opened
-    writes: int = 0
+    is_unreadable: bool = False  # it can't be opened
+    write_count: int = 0
     # counts losses of power and wipes: a write that began before one isn't heard of again
-    turn: int = 0
+    generation: int = 0
 
     def power_off(self) -> None:
-        self.turn += 1
+        self.generation += 1
 
     def wipe(self) -> None:
-        self.turn += 1
+        self.generation += 1
         self.pages = {}
 
 
@@ -36,30 +36,30 @@
     """A life's way to its platter; one write at a time, in order."""
 
     disk_state: DiskState
-    gate: asyncio.Lock = field(default_factory=asyncio.Lock)
+    write_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     async def load(self) -> dict[str, bytes]:
         while self.disk_state.hangs:
             await asyncio.sleep(0.05)
-        if self.disk_state.unread:
+        if self.disk_state.is_unreadable:
             raise OSError("the disk can't be opened")
         return dict(self.disk_state.pages)
 
     async def save(self, pages: dict[str, bytes]) -> None:
-        disk_state, turn = self.disk_state, self.disk_state.turn
-        async with self.gate:
+        disk_state, turn = self.disk_state, self.disk_state.generation
+        async with self.write_lock:
             if disk_state.refuses:
                 await asyncio.sleep(COMMIT_SECONDS)
                 raise OSError("the disk refuses")
             # somewhere in it the pages are there, though nobody knows yet
             share = disk_state.rng.random()
-            await self._spin(share)
-            if disk_state.turn == turn:
+            await self._wait(share)
+            if disk_state.generation == turn:
                 disk_state.pages.update(pages)
-                disk_state.writes += 1
-            await self._spin(1.0 - share)
+                disk_state.write_count += 1
+            await self._wait(1.0 - share)
 
-    async def _spin(self, share: float) -> None:
+    async def _wait(self, share: float) -> None:
         await asyncio.sleep(COMMIT_SECONDS * share * self.disk_state.slower)
         while self.disk_state.hangs:
             await asyncio.sleep(0.05)
--- a/loomstand/testing/simulation/stream_network.py
+++ b/loomstand/testing/simulation/stream_network.py
@@ -16,13 +16,13 @@
 class StreamClientConnection(ClientConnection):
     """A connection that tells the stream that dialled it when it stands."""
 
-    stands: Callable[[], None] | None = None
+    on_established: Callable[[], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the stream: the connection is established."""
         super().connection_made(transport)
-        if self.stands is not None:
-            self.stands()
+        if self.on_established is not None:
+            self.on_established()
 
 
 class StreamNetwork(TcpNetwork):
--- a/loomstand/testing/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -273,10 +273,10 @@
         network, (low, high) = self.tcp.network, LINK_DELAY_SECONDS
         took = (
             network.rng.uniform(low, high)
-            + network.slow.get(self.host, 0.0)
-            + network.slow.get(self.far, 0.0)
+            + network.extra_delay_seconds.get(self.host, 0.0)
+            + network.extra_delay_seconds.get(self.far, 0.0)
         )
-        if network.lost and network.rng.random() < network.lost:
+        if network.loss_rate and network.rng.random() < network.loss_rate:
             took += RETRANSMIT_SECONDS[0]
         self.last = max(self.last, self.loop.time() + took)
         self.way.append((self.last, kind, data))
@@ -291,9 +291,9 @@
     def carry(self) -> None:
         """Brings over what is due, or tries again later."""
         self.timer, now, network = None, self.loop.time(), self.tcp.network
-        if not network.open(self.host, self.far):
+        if not network.is_reachable(self.host, self.far):
             # a reset is sent once, and nothing of that connection again
-            if self.host in network.off or any(
+            if self.host in network.powered_off or any(
                 kind is SegmentKind.RESET for _, kind, _ in self.way
             ):
                 self.way.clear()
@@ -405,10 +405,10 @@
         """Falls silent: nothing says that its connections are over until somebody writes to it
         later.
         """
-        self.network.off.add(self.host)
+        self.network.powered_off.add(self.host)
         super().power_off(wipe)
 
-    async def end(self) -> None:
+    async def terminate(self) -> None:
         """SIGTERM: its programs are asked to stop; the machine stays on."""
         if self.process is not None:
             loop = asyncio.get_running_loop()
@@ -471,7 +471,7 @@
                 stands.set_exception(why) if why else stands.set_result(None)
 
         protocol = make()
-        made, protocol.stands = protocol, done
+        made, protocol.on_established = protocol, done
         end = self.dial(made, address, lambda: done(ConnectionRefusedError(address)))
         try:
             async with asyncio.timeout(within):
--- a/loomstand/testing/simulation/workload.py
+++ b/loomstand/testing/simulation/workload.py
@@ -52,13 +52,19 @@
     ) -> None:
         self.tcp, self.request_log, self.rng, self.cores = tcp, request_log, rng, cores
         self.address, self.service, self.zone = address, service, zone
-        self.slots, self.queue, self.work, self.keep = 8, 8, (0.005, 0.02), 10
-        self.trouble, self.share, self.only = "", 1.0, ""  # `only` for requests of that method
-        self.id, self.state, self.sequence, self.core = "", "ready", 0, 0
+        self.slots, self.queue, self.work_seconds, self.keep_alive_seconds = 8, 8, (0.005, 0.02), 10
+        self.fault, self.fault_share, self.fault_method = (
+            "",
+            1.0,
+            "",
+        )  # `only` for requests of that method
+        self.id, self.state, self.sequence, self.core_index = "", "ready", 0, 0
         self.process: SimProcess | None = None
         self.port: StreamListener | None = None
         self.busy, self.waiting, self.last = 0, 0, ""
-        self.acked: tuple[float, Address] | None = None  # when and by whom the newest beat was
+        self.last_acknowledgement: tuple[float, Address] | None = (
+            None  # when and by whom the newest beat was
+        )
         self.tasks: set[asyncio.Task[Any]] = set()
         self.connections: set[ServerHttpConnection] = set()
         self.slow_seconds = 1.0  # that `slow` takes more
@@ -93,10 +99,10 @@
             loop, lambda: ServerHttpConnection(self), self.address
         )
         while True:
-            await self.beat()
+            await self.send_heartbeat()
             await asyncio.sleep(1.5 * self.rng.uniform(0.9, 1.1))
 
-    async def beat(self) -> bool:
+    async def send_heartbeat(self) -> bool:
         """One heartbeat, at the next core machine where one fails."""
         for _ in range(len(self.cores)):
             self.sequence += 1
@@ -105,29 +111,29 @@
             status = {"state": self.state, "sequence": self.sequence, "cold_remaining": "0ms"}
             where = f"{self.address[0]}:{self.address[1]}"
             body = json.dumps({"address": where, "information": info, "status": status}).encode()
-            if await self.tell(f"instances.heartbeat&of={self.id}", body):
+            if await self.call_registry(f"instances.heartbeat&of={self.id}", body):
                 return True
-            self.core += 1
+            self.core_index += 1
         return False
 
-    async def tell(self, call: str, body: bytes) -> bool:
-        core = self.cores[self.core % len(self.cores)]
+    async def call_registry(self, call: str, body: bytes) -> bool:
+        core = self.cores[self.core_index % len(self.cores)]
         got = await exchange(self.streams, core, post(call, body), 1.0)
         if got is None or not 200 <= got.status < 300:
             return False
-        self.acked = asyncio.get_running_loop().time(), core
+        self.last_acknowledgement = asyncio.get_running_loop().time(), core
         return True
 
     async def drain(self) -> tuple[float, Address]:
         """Says that it leaves; when that was acknowledged, and by whom."""
         self.state = "draining"
-        while not await self.beat():
+        while not await self.send_heartbeat():
             await asyncio.sleep(0.2)
-        assert self.acked is not None
-        return self.acked
+        assert self.last_acknowledgement is not None
+        return self.last_acknowledgement
 
     async def leave(self) -> None:
-        await self.tell(f"instances.leave&of={self.id}", b"")
+        await self.call_registry(f"instances.leave&of={self.id}", b"")
         self.kill()
 
     # requests
@@ -135,21 +141,21 @@
     async def serve(self, talk: ServerHttpConnection) -> None:
         self.connections.add(talk)
         try:
-            while not talk.over:
-                message = await talk.message()
-                await self.one(talk, message)
+            while not talk.closed_reason:
+                message = await talk.read_message()
+                await self.handle_request(talk, message)
         except ConnectionBrokenError:
             pass
         finally:
             self.connections.discard(talk)
         talk.transport.close()
 
-    async def one(self, talk: ServerHttpConnection, message: Message) -> None:
+    async def handle_request(self, talk: ServerHttpConnection, message: Message) -> None:
         loop, fields = asyncio.get_running_loop(), message.fields
         id_ = fields.get("loomstand-request-id", "")
         method = message.start.split(b" ")[0].decode()
-        hit = self.only in ("", method) and self.rng.random() < self.share
-        trouble = self.trouble if hit else ""
+        hit = self.fault_method in ("", method) and self.rng.random() < self.fault_share
+        trouble = self.fault if hit else ""
         wait = int(fields.get("loomstand-deadline-remaining", 60_000)) / 1000
         until = loop.time() + wait
         run = ServerArrival(
@@ -158,27 +164,29 @@
         if trouble == "dark":
             await asyncio.Event().wait()
         if fields.get("loomstand-expected-instance", self.id) != self.id:
-            self.request_log.arrived(run, message)
-            self.say(talk, 421, id_, b"", turned=True)
+            self.request_log.record_arrival(run, message)
+            self.send_response(talk, 421, id_, b"", turned=True)
             return
         full = self.busy >= self.slots and self.waiting >= self.queue
         if trouble == "full" or full or not id_:
-            self.request_log.arrived(run, message)
-            self.say(talk, 503 if id_ else 400, id_, b"full", turned=True)
+            self.request_log.record_arrival(run, message)
+            self.send_response(talk, 503 if id_ else 400, id_, b"full", turned=True)
             return
         self.waiting += 1
-        while self.busy >= self.slots and not talk.over and loop.time() < until:
+        while self.busy >= self.slots and not talk.closed_reason and loop.time() < until:
             await asyncio.sleep(0.002)
         self.waiting -= 1
-        if loop.time() >= until or talk.over:
-            self.request_log.arrived(run, message)
-            self.say(talk, 503, id_, b"", turned=True)
+        if loop.time() >= until or talk.closed_reason:
+            self.request_log.record_arrival(run, message)
+            self.send_response(talk, 503, id_, b"", turned=True)
             return
         self.busy += 1
         run.ran, run.at = True, loop.time()
-        self.request_log.arrived(run, message)
+        self.request_log.record_arrival(run, message)
         try:
-            work = self.rng.uniform(*self.work) + (self.slow_seconds if trouble == "slow" else 0.0)
+            work = self.rng.uniform(*self.work_seconds) + (
+                self.slow_seconds if trouble == "slow" else 0.0
+            )
             if await talk.closed_within(max(0.0, min(work, until - loop.time()))):
                 return  # nobody is there to answer
         finally:
@@ -196,41 +204,41 @@
             talk.transport.reset()
             talk.transport.fail(ConnectionResetError())
         elif trouble == "cut":
-            raw = self.said(200, id_, body)
+            raw = self.encode_response(200, id_, body)
             talk.transport.write(raw[: self.rng.randrange(1, len(raw))])
             talk.transport.close()
         elif trouble == "spoilt":
-            raw = self.said(200, id_, body)
+            raw = self.encode_response(200, id_, body)
             at = self.rng.choice((0, 3, raw.index(b"Content-Length") + 16))
             talk.transport.write(raw[:at] + b"\x00\xff spoilt\r\n" + raw[at:])
         elif late or trouble == "error":
-            self.say(talk, 504 if late else 500, id_, body)
+            self.send_response(talk, 504 if late else 500, id_, body)
         elif trouble == "bare":
-            talk.transport.write(self.said(200, id_, body, stamp=False))
-        elif trouble == "late" and talk.held:
+            talk.transport.write(self.encode_response(200, id_, body, stamp=False))
+        elif trouble == "late" and talk.previous_duplicate:
             # the surplus answer of the request before, where this one's is due
-            talk.transport.write(talk.held)
+            talk.transport.write(talk.previous_duplicate)
             await asyncio.sleep(self.rng.choice((0.0, 0.02)))
-            self.say(talk, 200, id_, body)
+            self.send_response(talk, 200, id_, body)
         else:
-            self.say(talk, 200, id_, body)
+            self.send_response(talk, 200, id_, body)
             if trouble == "surplus":
                 await asyncio.sleep(self.rng.choice((0.0, 0.0, 0.001, 0.03)))
-                self.say(talk, 200, id_, body + b" again")
-        talk.held = self.said(200, id_, body + b" again")
+                self.send_response(talk, 200, id_, body + b" again")
+        talk.previous_duplicate = self.encode_response(200, id_, body + b" again")
 
-    def say(
+    def send_response(
         self, talk: ServerHttpConnection, status: int, id_: str, body: bytes, turned: bool = False
     ) -> None:
-        talk.transport.write(self.said(status, id_, body, turned))
+        talk.transport.write(self.encode_response(status, id_, body, turned))
 
-    def said(
+    def encode_response(
         self, status: int, id_: str, body: bytes, turned: bool = False, stamp: bool = True
     ) -> bytes:
         lines = [
             f"HTTP/1.1 {status} X",
             f"Content-Length: {len(body)}",
-            f"Keep-Alive: timeout={self.keep}",
+            f"Keep-Alive: timeout={self.keep_alive_seconds}",
         ]
         if id_:
             lines.append(f"Loomstand-Request-Id: {id_}")
@@ -246,11 +254,11 @@
 
     def __init__(self, server: Server) -> None:
         super().__init__()
-        self.server, self.held = server, b""
+        self.server, self.previous_duplicate = server, b""
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
-        if self.server.trouble == "refuses":
+        if self.server.fault == "refuses":
             transport.reset()
             transport.fail(ConnectionResetError())
         else:
@@ -265,13 +273,18 @@
         streams: Streams,
         request_log: RequestLog,
         rng: Random,
-        fronts: Callable[[], list[Address]],
+        front_addresses: Callable[[], list[Address]],
     ) -> None:
-        self.streams, self.request_log, self.rng, self.fronts = streams, request_log, rng, fronts
+        self.streams, self.request_log, self.rng, self.front_addresses = (
+            streams,
+            request_log,
+            rng,
+            front_addresses,
+        )
         self.idle: dict[Address, HttpConnection] = {}
-        self.keep, self.chunked = True, False
+        self.keep_alive, self.chunked = True, False
 
-    def ask(
+    def new_request(
         self,
         method: str,
         host: str,
@@ -286,7 +299,7 @@
         self.request_log.requests[ask.id] = ask
         return ask
 
-    def raw(self, ask: ClientRequest, left: float) -> bytes:
+    def encode_request(self, ask: ClientRequest, left: float) -> bytes:
         lines = [
             f"{ask.method} {ask.path} HTTP/1.1",
             f"Host: {ask.host}",
@@ -305,7 +318,7 @@
             lines.append(f"Content-Length: {len(body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
-    async def once(
+    async def send_once(
         self, ask: ClientRequest, front: Address, within: float = 5.0, patience: float = inf
     ) -> Reply:
         """One try; what comes is checked.
@@ -319,20 +332,20 @@
         loop = asyncio.get_running_loop()
         talk, reply = self.idle.pop(front, None), Reply(0, "silent")
         ask.sent, ask.front = loop.time(), front
-        if talk is not None and talk.buf:
-            self.request_log.faults.append(
-                f"{ask.id}: {bytes(talk.buf[:60])!r} where nothing was asked"
+        if talk is not None and talk.buffer:
+            self.request_log.violations.append(
+                f"{ask.id}: {bytes(talk.buffer[:60])!r} where nothing was asked"
             )
-        if talk is not None and talk.over:
+        if talk is not None and talk.closed_reason:
             talk = None
         try:
             async with asyncio.timeout(min(within, patience)):
                 if talk is None:
                     talk = await self.streams.open(HttpConnection, front, 1.0)
-                talk.transport.write(self.raw(ask, within))
-                got = await talk.message()
+                talk.transport.write(self.encode_request(ask, within))
+                got = await talk.read_message()
                 if STATUS_LINE.fullmatch(got.start) is None or "content-length" not in got.fields:
-                    self.request_log.faults.append(f"{ask.id}: no answer: {got.start!r}")
+                    self.request_log.violations.append(f"{ask.id}: no answer: {got.start!r}")
                 reply = Reply(got.status, "", got.fields, got.body)
         except ConnectionBrokenError as why:
             reply = Reply(0, str(why))
@@ -343,21 +356,27 @@
         reply.at = loop.time()
         if reply.end == "silent" and talk is not None:
             ask.left_at = reply.at
-        self.request_log.got(ask, reply)
+        self.request_log.record_reply(ask, reply)
         if talk is not None:
-            if self.keep and reply.status and reply.fields.get("connection", "").lower() != "close":
+            if (
+                self.keep_alive
+                and reply.status
+                and reply.fields.get("connection", "").lower() != "close"
+            ):
                 self.idle[front] = talk
             else:
                 talk.transport.close()
         return reply
 
-    async def go(self, *what: Any, within: float = 5.0, tries: int = 3, **more: Any) -> Reply:
+    async def send_with_retries(
+        self, *what: Any, within: float = 5.0, tries: int = 3, **more: Any
+    ) -> Reply:
         """A request with its further tries, each under an id of its own on a new connection."""
         loop = asyncio.get_running_loop()
         until = loop.time() + within
         for n in range(tries):
-            ask, left = self.ask(*what, **more), until - loop.time()
-            reply = await self.once(ask, self.rng.choice(self.fronts()), left)
+            ask, left = self.new_request(*what, **more), until - loop.time()
+            reply = await self.send_once(ask, self.rng.choice(self.front_addresses()), left)
             if 200 <= reply.status < 300 or reply.status in FINAL_STATUSES or n + 1 == tries:
                 break
             if not (
@@ -376,18 +395,18 @@
     """Sends configurations to the core and reads them back, moving on from whoever fails."""
 
     def __init__(self, streams: Streams, rng: Random, cores: list[Address]) -> None:
-        self.streams, self.rng, self.cores, self.at = streams, rng, cores, 0
+        self.streams, self.rng, self.cores, self.core_index = streams, rng, cores, 0
 
     async def call(self, call: str, body: bytes, lasts: float) -> Message | None:
         """The answer, or None where none came in `lasts` seconds."""
         loop = asyncio.get_running_loop()
         until, pause = loop.time() + lasts, 0.05
         while loop.time() < until:
-            core = self.cores[self.at % len(self.cores)]
+            core = self.cores[self.core_index % len(self.cores)]
             got = await exchange(self.streams, core, post(call, body), 1.0)
             if got is not None and (got.status < 500 and got.status not in (408, 429)):
                 return got
-            self.at += 1
+            self.core_index += 1
             await asyncio.sleep(pause)
             pause = min(1.0, 1.5 * pause)
         return None
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -60,13 +60,13 @@
     async def serve(self) -> None:
         try:
             while True:
-                while b"\r\n\r\n" not in self.buf:
-                    await self.more()
+                while b"\r\n\r\n" not in self.buffer:
+                    await self.wait_for_data()
                 if self.stage.early:
                     await self.act(self.stage.plays.pop(0))
                     self.stage.early = False
                     continue
-                message = await self.message()
+                message = await self.read_message()
                 play = self.stage.plays.pop(0) if self.stage.plays else []
                 if play[:1] == ["refuse"]:
                     del play[0]
@@ -188,28 +188,28 @@
 
     script: list[tuple[str, int]]
 
-    async def one(self, talk: Any, message: Message) -> None:
+    async def handle_request(self, talk: Any, message: Message) -> None:
         talk.play = what, at = self.script.pop(0) if self.script else ("", 0)
         id_ = message.fields["loomstand-request-id"]
         # its sending ended after the answer before: it runs none, says nothing
         if talk.transport.ending:
-            self.request_log.arrived(
+            self.request_log.record_arrival(
                 ServerArrival(self.now(), self.service, self.id, id_, "", False), message
             )
             return
         if what in ("unread", "refuses twice"):
-            self.request_log.arrived(
+            self.request_log.record_arrival(
                 ServerArrival(self.now(), self.service, self.id, id_, "", False), message
             )
         if what == "unread":
             self.broken(talk)
         elif what == "refuses twice":
-            raw = self.said(503, id_, b"full", turned=True)
+            raw = self.encode_response(503, id_, b"full", turned=True)
             talk.transport.write(raw + raw[:at])
             await asyncio.sleep(0.01)
             talk.transport.write(raw[at:])
         else:
-            await super().one(talk, message)
+            await super().handle_request(talk, message)
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
@@ -220,11 +220,11 @@
 
     async def answer(self, talk: Any, id_: str, trouble: str, late: bytes) -> None:
         (what, at), body = talk.play, b"%s of %s" % (id_.encode(), self.id.encode())
-        raw = self.said(504 if late else 200, id_, body)
+        raw = self.encode_response(504 if late else 200, id_, body)
         extra = {
             "again": raw,
-            "nobody": self.said(503, "", b"", turned=True),
-            "bare": self.said(429, "", b""),
+            "nobody": self.encode_response(503, "", b"", turned=True),
+            "bare": self.encode_response(429, "", b""),
         }
         if what in extra:
             raw += extra[what][:at]
@@ -241,9 +241,9 @@
             talk.transport.close()
         elif what in ("pause", "long pause"):
             await asyncio.sleep(0.02 if what == "pause" else 3.0)
-            if not talk.over:
+            if not talk.closed_reason:
                 talk.transport.write(raw[at:])
-        elif what != "silent" and not talk.over:
+        elif what != "silent" and not talk.closed_reason:
             talk.transport.write(raw)
             if what in extra:
                 await asyncio.sleep(0.004)
@@ -256,19 +256,19 @@
     def __init__(self, script: list[tuple[str, int]] | None = None) -> None:
         self.script = script or []
         super().__init__(3, cores=1, proxies=1, servers=2)
-        self.do(self.begin())
-        self.front, self.whole = (PROXY_IP, FRONT_PORT), set[str]()
+        self.run(self.start())
+        self.front, self.fully_sent = (PROXY_IP, FRONT_PORT), set[str]()
 
-    def server(self, ip: str, service: str, zone: str) -> Server:
-        made = super().server(ip, service, zone)
+    def make_server(self, ip: str, service: str, zone: str) -> Server:
+        made = super().make_server(ip, service, zone)
         made.__class__, made.script = ScriptedServer, self.script  # type: ignore[attr-defined]
         return made
 
-    async def asks(self, idempotent: bool, how: str, at: int, size: int) -> None:
+    async def send_requests_in_mode(self, idempotent: bool, how: str, at: int, size: int) -> None:
         """One client's request, sent in some way; its answers are checked against their ids."""
         many = 2 if how == "pipelined" else 1
         asks = [
-            self.client.ask(
+            self.client.new_request(
                 "PUT",
                 "town.example",
                 f"/{'a' if idempotent else 'once'}/x",
@@ -278,14 +278,14 @@
             )
             for _ in range(many)
         ]
-        raw = b"".join(self.client.raw(ask, 2.0) for ask in asks)
+        raw = b"".join(self.client.encode_request(ask, 2.0) for ask in asks)
         at = len(raw) * at // 400
         try:
             async with asyncio.timeout(3.0):
                 talk = await self.streams("10.9.0.1").open(HttpConnection, self.front, 1.0)
                 at_once = how in ("whole", "pipelined", "half", "leaves")
                 if at_once or how == "pieces" or at == len(raw):
-                    self.whole.update(ask.id for ask in asks)
+                    self.fully_sent.update(ask.id for ask in asks)
                 talk.transport.write(raw if at_once else raw[:at])
                 if how == "pieces":
                     await asyncio.sleep(0.03)
@@ -298,20 +298,20 @@
                     talk.transport.abort()
                     return
                 for ask in asks:
-                    got = await talk.message()
-                    self.request_log.got(
+                    got = await talk.read_message()
+                    self.request_log.record_reply(
                         ask, Reply(got.status, "", got.fields, got.body, self.loop.time())
                     )
         except (ConnectionBrokenError, OSError, TimeoutError):
             pass
 
-    async def happens(self, after: float, what: str, lasts: float) -> None:
+    async def disturb(self, after: float, what: str, lasts: float) -> None:
         await asyncio.sleep(after)
         host, servers = self.proxies[PROXY_IP], [s for many in self.servers.values() for s in many]
         server, there = servers[int(after * 1000) % 2], [s.address[0] for s in servers]
         if what in ("cut", "deaf", "dumb"):
             pairs = {(ip, PROXY_IP) for ip in there} if what != "deaf" else set()
-            self.network.cuts |= pairs | (
+            self.network.blocked_links |= pairs | (
                 {(PROXY_IP, ip) for ip in there} if what != "dumb" else set()
             )
         elif what == "away":
@@ -323,9 +323,9 @@
         elif what == "server dies":
             server.kill()
         elif what == "term":
-            await host.end()
+            await host.terminate()
         await asyncio.sleep(lasts)
-        self.network.mend()
+        self.network.heal()
         host.thaw()
         if server.process is not None and server.process.alive:
             server.process.thaw()
--- a/loomstand/testing/soak/cluster.py
+++ b/loomstand/testing/soak/cluster.py
@@ -53,11 +53,11 @@
     """Core machines with a registry and a store each, proxies, servers, clients, an operator.
 
     Attributes:
-        book: What clients and servers saw.
+        request_log: What clients and servers saw.
         processes: The programs by name.
         servers: The servers by name.
         operator: Who sends configurations.
-        inside: Addresses of the proxies that get new connections.
+        routed_proxies: Addresses of the proxies that get new connections.
         acknowledged_version: The newest version that was acknowledged.
     """
 
@@ -77,7 +77,7 @@
         self.folder = folder
         self.network = network
         self.core_ips = [self._ip(1, number) for number in range(CORE_MACHINES)]
-        self.controls: list[Address] = [(ip, CONTROL_PORT) for ip in self.core_ips]
+        self.control_addresses: list[Address] = [(ip, CONTROL_PORT) for ip in self.core_ips]
         self.processes: dict[str, ProgramProcess] = {}
         for ip in self.core_ips:
             for role in ("store", "registry"):
@@ -90,8 +90,8 @@
             for place, service in enumerate(SERVICES)
             for number in range(SERVERS_PER_SERVICE)
         }
-        self.operator = Operator(self._streams(), self.rng, self.controls)  # type: ignore[arg-type]
-        self.inside: list[Address] = []
+        self.operator = Operator(self._streams(), self.rng, self.control_addresses)  # type: ignore[arg-type]
+        self.routed_proxies: list[Address] = []
         self.sent_version = self.acknowledged_version = 0
         self.begin_draft([*SERVICES])
         self.route("a", "alpha", target_latency=PATIENT_TARGET)
@@ -105,7 +105,7 @@
     def client(self) -> Client:
         """Returns a client of its own."""
         rng = Random(self.rng.getrandbits(64))
-        return Client(self._streams(), self.request_log, rng, lambda: self.inside)  # type: ignore[arg-type]
+        return Client(self._streams(), self.request_log, rng, lambda: self.routed_proxies)  # type: ignore[arg-type]
 
     async def start(self) -> None:
         """Starts all, sends the first configuration and waits until every proxy is ready.
@@ -127,14 +127,14 @@
             await asyncio.sleep(0.2)
 
     async def watch_readiness(self) -> None:
-        """Keeps `inside` as the platform does, until it is cancelled."""
+        """Keeps `routed_proxies` as the platform does, until it is cancelled."""
         misses = dict.fromkeys(self.proxy_ips, 0)
         while True:
             answers = await asyncio.gather(*(self.is_ready(ip) for ip in self.proxy_ips))
             for ip, is_ready in zip(self.proxy_ips, answers, strict=True):
                 misses[ip] = 0 if is_ready else misses[ip] + 1
             ready = [ip for ip in self.proxy_ips if misses[ip] < MISSES_UNTIL_OUT]
-            self.inside = [(ip, FRONT_PORT) for ip in ready or self.proxy_ips]
+            self.routed_proxies = [(ip, FRONT_PORT) for ip in ready or self.proxy_ips]
             await asyncio.sleep(READINESS_PERIOD_SECONDS)
 
     async def is_ready(self, ip: str) -> bool:
@@ -173,7 +173,7 @@
         address = (self._ip(3, 50 * place + number), SERVER_PORT)
         rng = Random(self.rng.getrandbits(64))
         server = LoopbackServer(self.request_log, rng, address, service, ZONES[number % len(ZONES)])
-        server.cores = [*self.controls]
+        server.cores = [*self.control_addresses]
         server.slow_seconds = SLOW_SECONDS
         return server
 
@@ -190,7 +190,7 @@
 
     def _settings(self, role: str, ip: str, is_first: bool) -> str:
         """Returns a settings file's text; the order of the seeds is another each time."""
-        seeds = self.rng.sample(self.controls, len(self.controls))
+        seeds = self.rng.sample(self.control_addresses, len(self.control_addresses))
         served = {"proxy": "frontend", "registry": "control_plane", "store": ""}[role]
         listens = {
             "proxy": {"frontend": FRONT_PORT, "readiness": READINESS_PORT},
--- a/loomstand/testing/soak/run.py
+++ b/loomstand/testing/soak/run.py
@@ -172,9 +172,9 @@
                 await self.drain(step.target)
             case Action.SLOW:
                 server = self.cluster.servers[step.target]
-                server.trouble = "slow"
+                server.fault = "slow"
                 await asyncio.sleep(step.seconds)
-                server.trouble = ""
+                server.fault = ""
             case _:
                 until = asyncio.get_running_loop().time() + step.seconds
                 self.hurried_until = max(self.hurried_until, until)
@@ -207,19 +207,21 @@
         client = self.cluster.client()
         rng = client.rng
         while not self.is_over:
-            kept = [front for front, talk in client.idle.items() if not talk.over]
+            kept = [front for front, talk in client.idle.items() if not talk.closed_reason]
             if kept and rng.random() < KEPT_SHARE:
                 front = rng.choice(kept)
             else:
-                front = rng.choice(self.cluster.inside)
+                front = rng.choice(self.cluster.routed_proxies)
             is_idempotent = rng.random() < IDEMPOTENT_SHARE
             method, path = ("GET", "/a/x") if is_idempotent else ("POST", "/once/x")
             body = b"" if is_idempotent else b"body " * 20
-            ask = client.ask(method, "town.example", path, "key-of-ann", body, is_idempotent)
+            ask = client.new_request(
+                method, "town.example", path, "key-of-ann", body, is_idempotent
+            )
             in_hurry = asyncio.get_running_loop().time() < self.hurried_until
             is_impatient = in_hurry and rng.random() < HURRY_SHARE
             patience = rng.uniform(*PATIENCE_SECONDS) if is_impatient else inf
-            reply = await client.once(ask, front, TIMEOUT_SECONDS, patience)
+            reply = await client.send_once(ask, front, TIMEOUT_SECONDS, patience)
             self.report.endings[ending(reply)] += 1
             await asyncio.sleep(rng.uniform(*THINK_SECONDS))
         for talk in client.idle.values():
@@ -254,14 +256,16 @@
         )
         replies = []
         for ip in cluster.proxy_ips:
-            ask = client.ask("GET", "town.example", f"/{newest}/x", "key-of-ann", idempotent=True)
-            reply = await client.once(ask, (ip, FRONT_PORT))
+            ask = client.new_request(
+                "GET", "town.example", f"/{newest}/x", "key-of-ann", idempotent=True
+            )
+            reply = await client.send_once(ask, (ip, FRONT_PORT))
             if reply.status != HTTPStatus.OK:
                 faults.append(f"CONFIG: {ip} answers {ending(reply)} on the newest route {newest}")
         for _ in range(FINAL_REQUESTS):
             front = (self.rng.choice(cluster.proxy_ips), FRONT_PORT)
-            ask = client.ask("GET", "town.example", "/a/x", "key-of-ann", idempotent=True)
-            replies.append(await client.once(ask, front))
+            ask = client.new_request("GET", "town.example", "/a/x", "key-of-ann", idempotent=True)
+            replies.append(await client.send_once(ask, front))
         served = sum(reply.status == HTTPStatus.OK for reply in replies) / len(replies)
         if served < MIN_SERVED_SHARE:
             faults.append(f"RECOVER: {served:.2f} of the last requests were served")
@@ -284,7 +288,7 @@
         try:
             request_log.check()
         except AssertionError:
-            faults.extend(request_log.faults)
+            faults.extend(request_log.violations)
         for checked in (
             lost_requests(request_log, self.was_disturbed),
             abandoned_runs(request_log, self.was_disturbed),
--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -202,10 +202,10 @@
 
 def test_status_of_a_whole_town_is_shown_and_disagreement_is_told(stand, capsys):
     cluster = Cluster(proxies=2)
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
     cluster.wait(2.0)
     asked = (b"POST", b"/api/rpc?call=system.status", b"")
-    got = [cluster.do(cluster.registry(ip).handle_http(*asked)) for ip in cluster.core_ips]
+    got = [cluster.run(cluster.registry(ip).handle_http(*asked)) for ip in cluster.core_ips]
     told = [json.loads(raw) for code, raw in got if code == 200]
     cluster.close()
     assert len(told) == 3 and sum(t["counting"]["here"] for t in told) == 1
--- a/tests/golden/runs.py
+++ b/tests/golden/runs.py
@@ -165,7 +165,7 @@
     await world.call(primary, "duty", registry)
     await world.call(primary, "duty", {"host": "10.8.0.8", "life": 8})
     await asyncio.sleep(0.5)
-    await world.machines[primary].leave()  # hands over
+    await world.machines[primary].shut_down()  # hands over
     await asyncio.sleep(1.5)
     await world.put(5, b"five")
     world.machines[primary].start()
@@ -227,11 +227,11 @@
 
 
 async def _town(cluster: names.Cluster) -> None:
-    cluster.usual()
+    cluster.use_default_configuration()
     cluster.tenant("ann", "key-of-ann", 12.0, 10.0)
-    await cluster.begin()
-    flow = cluster.behind(
-        cluster.flow(
+    await cluster.start()
+    flow = cluster.run_in_background(
+        cluster.send_requests(
             cluster.client, 30, 4.0, "GET", "town.example", "/a/x", "key-of-ann", idempotent=True
         )
     )
@@ -243,9 +243,9 @@
     await asyncio.sleep(1.0)
     await cluster.servers["alpha"][1].drain()
     await cluster.servers["beta"][1].leave()
-    await cluster.proxies["10.2.0.2"].end()  # says bye
+    await cluster.proxies["10.2.0.2"].terminate()  # says bye
     await flow
-    counting = cluster.counting()
+    counting = cluster.counting_host()
     for host in cluster.core(counting):  # a takeover, of the counting too
         host.power_off()
     await asyncio.sleep(4.0)
@@ -255,7 +255,7 @@
         host.start()
     await asyncio.sleep(3.0)
     for host in cluster.core(cluster.core_ips[2]):  # gives its duties back
-        await host.end()
+        await host.terminate()
     await asyncio.sleep(1.0)
     for host in cluster.core(cluster.core_ips[2]):
         host.start()
@@ -280,9 +280,9 @@
     with recording() as recorder:
         cluster = names.Cluster(7)
         try:
-            cluster.do(_town(cluster))
+            cluster.run(_town(cluster))
             disks = _disks(cluster.stores)
-            cluster.do(_lose_all(cluster))
+            cluster.run(_lose_all(cluster))
         finally:
             cluster.loop.close()
     return recorder.result() | {"disks": disks}
@@ -301,7 +301,7 @@
         got = await client_network.call((ip or cluster.core_ips[0], port), op, body, 1.5)
         return got.ok if got.is_ok() else None
 
-    store, registry, ip = names.STORE_PORT, names.REGISTRY_PORT, cluster.counting()
+    store, registry, ip = names.STORE_PORT, names.REGISTRY_PORT, cluster.counting_host()
     await call(store, "put", {"version": 4, "data": b'{"version":"r4","resources":[]}'})
     await asyncio.sleep(1.0)
     await call(store, "wait", {"have": 4, "within": 0.2})  # without a mark
@@ -344,7 +344,7 @@
     with recording() as recorder:
         cluster = names.Cluster(9, proxies=0, servers=0)
         try:
-            cluster.do(_older(cluster))
+            cluster.run(_older(cluster))
         finally:
             cluster.loop.close()
     return recorder.result()
@@ -479,7 +479,7 @@
         await _outside(cluster, calls)
 
     try:
-        cluster.do(all_of_it())
+        cluster.run(all_of_it())
     finally:
         cluster.loop.close()
     return calls
--- a/tests/proxy/test_abandoned_requests.py
+++ b/tests/proxy/test_abandoned_requests.py
@@ -28,7 +28,7 @@
 @pytest.fixture
 def cluster() -> Iterator[Cluster]:
     made = Cluster(1, proxies=2)
-    made.do(made.begin())
+    made.run(made.start())
     yield made
     made.close()
 
@@ -36,10 +36,10 @@
 def slow_servers(cluster: Cluster) -> None:
     """Makes servers take a second per request, many at once, within the attempts' timeout."""
     cluster.route("patient", "alpha", target_latency="3000ms")
-    cluster.do(cluster.replace())
+    cluster.run(cluster.replace())
     cluster.wait(1.0)
     for server in cluster.servers["alpha"]:
-        server.trouble = "slow"
+        server.fault = "slow"
         server.slots = 24
 
 
@@ -47,9 +47,13 @@
     """Sends idempotent requests whose clients disconnect while a server processes them."""
 
     async def disconnect(number: int) -> ClientRequest:
-        ask = cluster.client.ask("GET", "town.example", "/patient/x", "key-of-ann", idempotent=True)
-        front = cluster.inside[number % len(cluster.inside)]
-        await cluster.someone().once(ask, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS)
+        ask = cluster.client.new_request(
+            "GET", "town.example", "/patient/x", "key-of-ann", idempotent=True
+        )
+        front = cluster.routed_proxies[number % len(cluster.routed_proxies)]
+        await cluster.new_client().send_once(
+            ask, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS
+        )
         return ask
 
     return list(await asyncio.gather(*(disconnect(number) for number in range(count))))
@@ -57,7 +61,7 @@
 
 def test_servers_stop_processing_requests_of_disconnected_clients(cluster):
     slow_servers(cluster)
-    asks = cluster.do(disconnect_early(cluster, 24))
+    asks = cluster.run(disconnect_early(cluster, 24))
     cluster.wait(4.0)
     assert sum(bool(cluster.request_log.runs(ask.id)) for ask in asks) == len(asks)
     assert cluster.request_log.runs_after_departure(MAX_RUN_AFTER_DISCONNECT_SECONDS) == []
@@ -66,9 +70,9 @@
 def test_disconnects_and_cancelled_attempts_are_logged(cluster):
     slow_servers(cluster)
     lines: list[str] = []
-    for proxy in cluster.all_proxies():
+    for proxy in cluster.running_proxies():
         proxy.log = lines.append
-    cluster.do(disconnect_early(cluster, 24))
+    cluster.run(disconnect_early(cluster, 24))
     cluster.wait(4.0)
     counts: Counter[str] = Counter()
     for line in lines:
@@ -81,12 +85,14 @@
     slow_servers(cluster)
 
     async def disconnect() -> ClientRequest:
-        ask = cluster.client.ask("POST", "town.example", "/once/x", "key-of-ann", b"body")
-        front = cluster.inside[0]
-        await cluster.someone().once(ask, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS)
+        ask = cluster.client.new_request("POST", "town.example", "/once/x", "key-of-ann", b"body")
+        front = cluster.routed_proxies[0]
+        await cluster.new_client().send_once(
+            ask, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS
+        )
         return ask
 
-    ask = cluster.do(disconnect())
+    ask = cluster.run(disconnect())
     cluster.wait(4.0)
     (run,) = cluster.request_log.runs(ask.id)
     assert run.ended - run.at > 1.0
@@ -95,21 +101,25 @@
 def test_request_is_not_sent_if_its_client_disconnects_while_connecting(cluster):
     """Applies to idempotent and non-idempotent requests."""
     for server in cluster.servers["alpha"]:
-        cluster.network.slow[server.address[0]] = 0.1
+        cluster.network.extra_delay_seconds[server.address[0]] = 0.1
 
     async def disconnect(method: str, path: str, idempotent: bool) -> ClientRequest:
-        ask = cluster.client.ask(method, "town.example", path, "key-of-ann", idempotent=idempotent)
-        await cluster.someone().once(ask, cluster.inside[0], within=5.0, patience=0.05)
+        ask = cluster.client.new_request(
+            method, "town.example", path, "key-of-ann", idempotent=idempotent
+        )
+        await cluster.new_client().send_once(
+            ask, cluster.routed_proxies[0], within=5.0, patience=0.05
+        )
         return ask
 
-    cluster.do(disconnect("GET", "/a/x", True))
-    cluster.do(disconnect("POST", "/once/x", False))
+    cluster.run(disconnect("GET", "/a/x", True))
+    cluster.run(disconnect("POST", "/once/x", False))
     cluster.wait(3.0)
     assert cluster.request_log.arrivals == []
 
 
 def balancers(cluster: Cluster) -> list[LoadBalancer]:
-    proxies = cluster.all_proxies()
+    proxies = cluster.running_proxies()
     return [b for proxy in proxies for b in proxy.engine.admission.load_balancers.values()]
 
 
@@ -117,7 +127,7 @@
     """Early disconnects neither eject a server nor change the size of a window."""
     slow_servers(cluster)
     sizes = [balancer.window.size for balancer in balancers(cluster)]
-    cluster.do(disconnect_early(cluster, 24))
+    cluster.run(disconnect_early(cluster, 24))
     cluster.wait(0.1)
     for balancer in balancers(cluster):
         for server in balancer.servers.values():
@@ -126,5 +136,5 @@
         assert not balancer.window.in_flight
     assert [balancer.window.size for balancer in balancers(cluster)] == sizes
     for server in cluster.servers["alpha"]:
-        server.trouble = ""
-    assert cluster.do(cluster.get("patient")).status == 200
+        server.fault = ""
+    assert cluster.run(cluster.get("patient")).status == 200
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -26,8 +26,8 @@
 def cluster():
     made = Cluster(3, proxies=1)
     made.resources["limits", "limits"] = INITIAL_LIMITS
-    made.usual()
-    made.do(made.begin())
+    made.use_default_configuration()
+    made.run(made.start())
     made.front = (next(iter(made.proxies)), FRONT_PORT)
     yield made
     made.close()
@@ -35,15 +35,17 @@
 
 def change_limits(cluster: Cluster, **limits) -> None:
     cluster.resources["limits", "limits"] = INITIAL_LIMITS | limits
-    assert cluster.do(cluster.replace())
+    assert cluster.run(cluster.replace())
     cluster.wait(0.5)
 
 
 def send_request(cluster: Cluster, body: int = 0, path: str = "x") -> tuple[int, bool]:
     """Sends a request once; returns the status and whether the idle connection was reused."""
     idle = cluster.client.idle.get(cluster.front)
-    ask = cluster.client.ask("POST", "town.example", f"/once/{path}", "key-of-ann", b"b" * body)
-    reply = cluster.do(cluster.client.once(ask, cluster.front))
+    ask = cluster.client.new_request(
+        "POST", "town.example", f"/once/{path}", "key-of-ann", b"b" * body
+    )
+    reply = cluster.run(cluster.client.send_once(ask, cluster.front))
     return reply.status, idle is not None and cluster.client.idle.get(cluster.front) is idle
 
 
@@ -65,7 +67,7 @@
     connection.transport.write(b"GET /a/x HTTP/1.1\r\nHost: to")
     try:
         async with asyncio.timeout(30.0):
-            assert (await connection.message()).status == 408
+            assert (await connection.read_message()).status == 408
     except ConnectionBrokenError:
         pass
     return cluster.loop.time() - started_at
@@ -73,15 +75,15 @@
 
 def test_header_timeout_follows_the_newest_configuration(cluster):
     # the margin is one second, and connections are checked once a second
-    assert 3.0 <= cluster.do(partial_header_duration(cluster)) <= 5.1
+    assert 3.0 <= cluster.run(partial_header_duration(cluster)) <= 5.1
     change_limits(cluster, header_timeout="6000ms")
-    assert 6.0 <= cluster.do(partial_header_duration(cluster)) <= 8.1
+    assert 6.0 <= cluster.run(partial_header_duration(cluster)) <= 8.1
 
 
 def test_mutant_without_header_timeout_is_detected(cluster):
     """Mutation: the header timeout is disabled, so only the timeout of a body applies."""
     cluster.proxy(cluster.front[0]).listener.header_timeout_seconds = inf
-    assert cluster.do(partial_header_duration(cluster)) > 5.1
+    assert cluster.run(partial_header_duration(cluster)) > 5.1
 
 
 def test_shorter_idle_timeout_applies_after_the_previous_one_has_elapsed(cluster):
@@ -90,7 +92,7 @@
     cluster.wait(11.4)  # 80% of the previous timeout
     assert send_request(cluster) == (200, True)
     cluster.wait(8.0)  # the shorter timeout has taken effect
-    assert cluster.client.idle[cluster.front].over
+    assert cluster.client.idle[cluster.front].closed_reason
     assert send_request(cluster) == (200, False)
 
 
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -19,7 +19,7 @@
 @pytest.fixture
 def cluster():
     made = Cluster(1, proxies=2)
-    made.do(made.begin())
+    made.run(made.start())
     yield made
     made.close()
 
@@ -30,12 +30,12 @@
     """Injects a fault into the first `few` servers of a service, for a share of the requests."""
     servers = cluster.servers[service]
     if few == 1:  # the most used server: at a low rate a proxy uses only some of them
-        cluster.do(send_gets(cluster, 6, name=service[0]))
+        cluster.run(send_gets(cluster, 6, name=service[0]))
         servers = sorted(
             servers, key=lambda s: -sum(r.server == s.id for r in cluster.request_log.arrivals)
         )
     for server in servers[:few]:
-        server.trouble, server.share = fault, share
+        server.fault, server.fault_share = fault, share
 
 
 def arrival_counts(cluster: Cluster) -> Counter[str]:
@@ -70,17 +70,17 @@
         for at in range(0, len(data), 777):
             talk.transport.write(data[at : at + 777])
         await asyncio.sleep(1.0)
-        assert talk.transport.get_write_buffer_size() == 4 * WINDOW_BYTES and not accepted[0].buf
+        assert talk.transport.get_write_buffer_size() == 4 * WINDOW_BYTES and not accepted[0].buffer
         network.cut("10.0.0.1", "10.0.0.2")
         accepted[0].transport.resume_reading()
         await asyncio.sleep(3.0)
-        assert bytes(accepted[0].buf) == data[:WINDOW_BYTES]
-        network.mend()
+        assert bytes(accepted[0].buffer) == data[:WINDOW_BYTES]
+        network.heal()
         await asyncio.sleep(10.0)
-        assert bytes(accepted[0].buf) == data
+        assert bytes(accepted[0].buffer) == data
         talk.transport.close()
         await asyncio.sleep(0.1)
-        assert accepted[0].over == "closed"
+        assert accepted[0].closed_reason == "closed"
 
     run_simulated(work)
 
@@ -106,11 +106,11 @@
         network.cut("10.0.0.1", "10.0.0.2")
         talk.transport.write(b"GET /a HTTP")
         await asyncio.sleep(0.1)
-        network.mend()
+        network.heal()
         talk.transport.write(b"/1.1")
         talk.transport.abort()
         await asyncio.sleep(2.0)
-        assert (bytes(accepted[0].buf), accepted[0].over) == (b"", "reset")
+        assert (bytes(accepted[0].buffer), accepted[0].closed_reason) == (b"", "reset")
 
     run_simulated(work)
 
@@ -135,19 +135,19 @@
             process.alive = False
             port.close()
             if failure == "off":
-                network.off.add("10.0.0.2")
+                network.powered_off.add("10.0.0.2")
             tcp.died(process)
         await asyncio.sleep(5.0)
-        assert bool(talk.over) == (failure == "kill")
+        assert bool(talk.closed_reason) == (failure == "kill")
         started_at = loop.time()
         with pytest.raises(ConnectionRefusedError if failure == "kill" else TimeoutError):
             await client.open(HttpConnection, address, 1.0)
         assert loop.time() - started_at < (0.02 if failure == "kill" else 1.01)
-        network.mend()
-        network.off.clear()
+        network.heal()
+        network.powered_off.clear()
         talk.transport.write(b"x")  # a machine that was powered off has lost the connection
         await asyncio.sleep(5.0)
-        assert bool(talk.over) == (failure != "cut")
+        assert bool(talk.closed_reason) == (failure != "cut")
 
     run_simulated(work)
 
@@ -161,14 +161,14 @@
 ):
     if fault == "slow":  # the server is killed before it responds
         inject_fault(cluster, fault)
-        pending = cluster.behind(cluster.once())
+        pending = cluster.run_in_background(cluster.send_once())
         cluster.wait(0.5)
         for server in cluster.servers["alpha"]:
             server.kill()
-        ask, reply = cluster.do(pending)
+        ask, reply = cluster.run(pending)
     else:
         inject_fault(cluster, fault)
-        ask, reply = cluster.do(cluster.once())
+        ask, reply = cluster.run(cluster.send_once())
     assert reply.status in (502, 504), reply
     assert len(cluster.request_log.runs(ask.id)) == arrival_counts(cluster)[ask.id] == 1
     assert reply.at - ask.sent < (5.0 if fault == "silent" else 1.0)
@@ -176,7 +176,7 @@
 
 def test_rejected_non_idempotent_request_is_retried_on_another_server(cluster):
     inject_fault(cluster, "full", few=1)
-    statuses = Counter(cluster.do(cluster.once())[1].status for _ in range(40))
+    statuses = Counter(cluster.run(cluster.send_once())[1].status for _ in range(40))
     cluster.wait(0.1)
     assert statuses[200] >= 38  # the retry budget may not suffice for the first requests
     assert max(arrival_counts(cluster).values()) == 2 and {
@@ -191,7 +191,7 @@
 def test_request_is_answered_503_and_not_executed_if_all_servers_are_full(cluster):
     inject_fault(cluster, "full")
     for _ in range(10):
-        _, reply = cluster.do(cluster.once())
+        _, reply = cluster.run(cluster.send_once())
         # in seconds
         assert reply.status == 503 and 0.05 <= float(reply.fields["retry-after"]) <= 0.65
     assert not cluster.request_log.runs()
@@ -202,20 +202,20 @@
     first, *rest = cluster.servers["alpha"]
     for server in cluster.servers["alpha"]:
         # a request sent on a reused connection may have run, so it could not be answered with 503
-        server.keep = 0
+        server.keep_alive_seconds = 0
 
     def down(server: Server) -> None:
         server.kill()
         if failure == "off":
-            cluster.network.off.add(server.address[0])
+            cluster.network.powered_off.add(server.address[0])
 
     down(first)
-    replies = [cluster.do(cluster.once()) for _ in range(20)]
+    replies = [cluster.run(cluster.send_once()) for _ in range(20)]
     assert sum(reply.status == 200 for _, reply in replies) >= 19
     assert all(reply.at - ask.sent < 0.5 for ask, reply in replies)
     for server in rest:
         down(server)
-    ask, reply = cluster.do(cluster.once())
+    ask, reply = cluster.run(cluster.send_once())
     assert reply.status == 503 and "retry-after" in reply.fields
     assert reply.at - ask.sent < (
         0.1 if failure == "refused" else 1.0
@@ -225,24 +225,24 @@
 @pytest.mark.parametrize("fault", ["close", "reset", "cut", "spoilt", "error"])
 def test_idempotent_request_is_retried_on_other_servers_up_to_the_limit(cluster, fault):
     inject_fault(cluster, fault, few=1)
-    assert cluster.do(send_gets(cluster, 60))[200] >= 58
+    assert cluster.run(send_gets(cluster, 60))[200] >= 58
     arrivals = arrival_counts(cluster)
     assert max(arrivals.values()) >= 2
     inject_fault(cluster, fault)
     cluster.wait(1.0)
-    statuses = cluster.do(send_gets(cluster, 30))
+    statuses = cluster.run(send_gets(cluster, 30))
     assert set(statuses) <= {500, 502, 503, 504}, statuses
     assert max(arrival_counts(cluster).values()) <= 3
 
 
 def test_maximum_attempts_of_one_prevents_retries(cluster):
     cluster.route("a", "alpha", maximum_attempts=1)
-    assert cluster.do(cluster.replace())
+    assert cluster.run(cluster.replace())
     cluster.wait(0.5)
     inject_fault(cluster, "close", few=1)
-    cluster.do(send_gets(cluster, 40))
+    cluster.run(send_gets(cluster, 40))
     assert max(arrival_counts(cluster).values()) == 1 and set(
-        cluster.do(send_gets(cluster, 20))
+        cluster.run(send_gets(cluster, 20))
     ) <= {200, 502}
 
 
@@ -253,12 +253,12 @@
 @pytest.mark.parametrize("fault", ["surplus", "late"])
 def test_surplus_response_is_never_delivered_to_another_request(fault, seed):
     cluster = Cluster(seed, proxies=2, servers=1)
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
     inject_fault(cluster, fault, share=0.7)
     target = ("GET", "town.example", "/a/x", "key-of-ann")
-    replies = cluster.do(cluster.flow(cluster.client, 60, 4, *target, idempotent=True))
+    replies = cluster.run(cluster.send_requests(cluster.client, 60, 4, *target, idempotent=True))
     assert sum(reply.status == 200 for reply in replies) > 0.9 * len(replies) > 150
-    replies = [cluster.do(cluster.once()) for _ in range(40)]
+    replies = [cluster.run(cluster.send_once()) for _ in range(40)]
     assert sum(reply.status == 200 for _, reply in replies) >= 30
     cluster.close()  # checks the id, stamp and body of each response
 
@@ -267,10 +267,10 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_incomplete_or_unverified_response_is_not_forwarded(fault, seed):
     cluster = Cluster(seed, proxies=1, servers=1)
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
     inject_fault(cluster, fault)
     for _ in range(12):
-        ask, reply = cluster.do(cluster.once())
+        ask, reply = cluster.run(cluster.send_once())
         # a server whose responses all fail is ejected, so requests are rejected without an attempt
         assert reply.status == (502 if cluster.request_log.runs(ask.id) else 503), reply
     assert len(cluster.request_log.runs()) >= 3
@@ -279,15 +279,17 @@
 
 def test_large_chunked_bodies_arrive_complete_over_slow_links(cluster):
     cluster.client.chunked = True
-    cluster.network.slow["10.9.0.1"] = 0.02
+    cluster.network.extra_delay_seconds["10.9.0.1"] = 0.02
     body = Random(4).randbytes(300_000)
-    reply = cluster.do(
-        cluster.client.go("PUT", "town.example", "/a/x", "key-of-ann", body, within=20.0)
+    reply = cluster.run(
+        cluster.client.send_with_retries(
+            "PUT", "town.example", "/a/x", "key-of-ann", body, within=20.0
+        )
     )
     assert reply.status == 200
     for keep in (True, False):
-        cluster.client.keep = keep
-        assert cluster.do(send_gets(cluster, 5)) == {200: 5}
+        cluster.client.keep_alive = keep
+        assert cluster.run(send_gets(cluster, 5)) == {200: 5}
 
 
 # --- misdirected requests
@@ -309,9 +311,9 @@
     async def start_replacement() -> None:
         replacement.start()
 
-    cluster.do(start_replacement())
+    cluster.run(start_replacement())
     target = ("POST", "town.example", "/once/x", "key-of-ann", b"body")
-    replies = cluster.do(cluster.flow(cluster.client, 80, 4, *target, tries=1))
+    replies = cluster.run(cluster.send_requests(cluster.client, 80, 4, *target, tries=1))
     assert sum(reply.status == 200 for reply in replies) >= len(replies) - 2
     misdirected = [run for run in cluster.request_log.arrivals if run.server == replacement.id]
     assert 1 <= len(misdirected) <= len(cluster.proxies) and not any(run.ran for run in misdirected)
@@ -335,33 +337,33 @@
 )
 def test_quota_holds_across_proxies_while_the_counting_registry_fails(seed, failure):
     cluster = Cluster(seed, proxies=6)
-    cluster.usual()
+    cluster.use_default_configuration()
     cluster.tenant("greedy", "key-of-greedy", 40, 40)
     cluster.tenant("modest", "key-of-modest", 40, 40)
     cluster.route("m", "beta")
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
     ips, rng = [*cluster.proxies], Random(seed)
-    greedy, modest = cluster.someone(), cluster.someone()
+    greedy, modest = cluster.new_client(), cluster.new_client()
     weights = [8, 4, 2, 1, 1, 0]
-    greedy.fronts = lambda: [(rng.choices(ips, weights)[0], FRONT_PORT)]
+    greedy.front_addresses = lambda: [(rng.choices(ips, weights)[0], FRONT_PORT)]
     target = ("GET", "town.example")
 
     async def run_scenario() -> None:
         # moves counting away from the machine of the primary store, to be partitioned from it later
         if failure == "cut":
             cluster.registries[first].kill()
-            await cluster.until(lambda: cluster.counters() not in ([], [first]), 2.0)
+            await cluster.wait_until(lambda: cluster.counting_hosts() not in ([], [first]), 2.0)
             cluster.registries[first].start()
         calm = cluster.loop.create_task(
-            cluster.flow(modest, 25, 19, *target, "/m/x", "key-of-modest", idempotent=True)
+            cluster.send_requests(modest, 25, 19, *target, "/m/x", "key-of-modest", idempotent=True)
         )
         flood = cluster.loop.create_task(
-            cluster.flow(
+            cluster.send_requests(
                 greedy, 200, 19, *target, "/a/x", "key-of-greedy", idempotent=True, tries=1
             )
         )
         await asyncio.sleep(8)
-        registry, store = cluster.core(counting := cluster.counting())
+        registry, store = cluster.core(counting := cluster.counting_host())
         if failure == "cut":
             cluster.network.cut(first, counting)
         before.update(cluster.request_log.replies)
@@ -372,17 +374,17 @@
         if failure == "machine":
             store.kill()
         await asyncio.sleep(2)
-        assert failure == "machine" or cluster.counting() != counting
+        assert failure == "machine" or cluster.counting_host() != counting
         weights.reverse()  # so that the last split favours the wrong proxies
         await asyncio.sleep(3)
-        cluster.network.mend()
+        cluster.network.heal()
         (registry.thaw if registry.up else registry.start)()
         if failure == "machine":
             store.start()
         await asyncio.gather(calm, flood)
 
-    first, before = cluster.counting(), set[str]()
-    cluster.do(run_scenario())
+    first, before = cluster.counting_host(), set[str]()
+    cluster.run(run_scenario())
     assert not quota_violations(cluster, "greedy", 40, 40) and not quota_violations(
         cluster, "modest", 40, 40
     )
@@ -410,15 +412,15 @@
     the registry to report, unrequested, what the other proxies admit.
     """
     cluster = Cluster(3, proxies=60, servers=20)
-    cluster.usual()
+    cluster.use_default_configuration()
     cluster.tenant("greedy", "key-of-greedy", rate, rate)
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
     target, fronts = ("GET", "town.example", "/a/x", "key-of-greedy"), [*cluster.proxies]
-    greedy, rng = cluster.someone(), Random(3)
-    greedy.fronts = lambda: [(rng.choice(fronts), FRONT_PORT)]
-    cluster.do(cluster.flow(greedy, usual, 6, *target, idempotent=True, tries=1))
+    greedy, rng = cluster.new_client(), Random(3)
+    greedy.front_addresses = lambda: [(rng.choice(fronts), FRONT_PORT)]
+    cluster.run(cluster.send_requests(greedy, usual, 6, *target, idempotent=True, tries=1))
     replies_before = cluster.request_log.replies.copy()
-    cluster.do(cluster.flow(greedy, hot, 8, *target, idempotent=True, tries=1))
+    cluster.run(cluster.send_requests(greedy, hot, 8, *target, idempotent=True, tries=1))
     assert not quota_violations(cluster, "greedy", rate, rate)
     statuses = Counter(
         reply.status
@@ -438,10 +440,10 @@
 @pytest.mark.parametrize(("few", "share"), [(2, 1.0), (4, 0.5)])
 def test_retries_stay_within_the_budget_shared_by_all_proxies(fault, few, share):
     cluster = Cluster(1, proxies=4, servers=4)
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
     inject_fault(cluster, fault, share, few)
     target = ("GET", "town.example", "/a/x", "key-of-ann")
-    cluster.do(cluster.flow(cluster.client, 100, 14, *target, idempotent=True))
+    cluster.run(cluster.send_requests(cluster.client, 100, 14, *target, idempotent=True))
     request_times = sorted(
         a.sent for a in cluster.request_log.requests.values() if a.path == "/a/x"
     )
--- a/tests/proxy/test_sessions.py
+++ b/tests/proxy/test_sessions.py
@@ -149,27 +149,27 @@
 def test_limiter_started_with_a_wrong_wall_clock_uses_the_shared_clock():
     """A proxy starts while the core is down, on a machine whose wall clock is off by 1,600 s."""
     cluster = Cluster(5, proxies=3)
-    cluster.usual()
+    cluster.use_default_configuration()
     cluster.tenant("greedy", "key-of-greedy", 40, 40)
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
     skewed = next(iter(cluster.proxies))
     core = [host for ip in cluster.core_ips for host in cluster.core(ip)]
 
     async def restart_without_core() -> None:
         for host in [*core, cluster.proxies[skewed]]:
             host.kill()
-        cluster.steps[skewed] = 1600.0
+        cluster.clock_offsets[skewed] = 1600.0
         cluster.proxies[skewed].start()
         await asyncio.sleep(4.0)
         for host in core:
             host.start()
         await asyncio.sleep(4.0)
 
-    cluster.do(restart_without_core())
-    clocks = [proxy.now() + proxy.shared_clock.offset for proxy in cluster.all_proxies()]
+    cluster.run(restart_without_core())
+    clocks = [proxy.now() + proxy.shared_clock.offset for proxy in cluster.running_proxies()]
     assert max(clocks) - min(clocks) <= 50  # 5 ms
-    greedy, target = cluster.someone(), ("GET", "town.example", "/a/x", "key-of-greedy")
-    cluster.do(cluster.flow(greedy, 200, 8, *target, idempotent=True, tries=1))
+    greedy, target = cluster.new_client(), ("GET", "town.example", "/a/x", "key-of-greedy")
+    cluster.run(cluster.send_requests(greedy, 200, 8, *target, idempotent=True, tries=1))
     run_times = sorted(run.at for run in cluster.request_log.runs() if run.tenant == "greedy")
     assert (
         max(sum(t <= other < t + 5 for other in run_times) for t in run_times)
--- a/tests/proxy/test_unusual_faults.py
+++ b/tests/proxy/test_unusual_faults.py
@@ -22,7 +22,7 @@
 @pytest.fixture
 def cluster(request: pytest.FixtureRequest) -> Iterator[Cluster]:
     made = Cluster(request.param, proxies=2, servers=4)
-    made.do(made.begin())
+    made.run(made.start())
     yield made
     made.close()  # also checks that no non-idempotent request ran twice
 
@@ -30,9 +30,9 @@
 def start_flows(cluster: Cluster, rate: float, seconds: float) -> list[asyncio.Task[list[Reply]]]:
     """Starts flows of idempotent and of non-idempotent requests, without retries by clients."""
     return [
-        cluster.behind(
-            cluster.flow(
-                cluster.someone(), rate / 2, seconds, *target, idempotent=idempotent, tries=1
+        cluster.run_in_background(
+            cluster.send_requests(
+                cluster.new_client(), rate / 2, seconds, *target, idempotent=idempotent, tries=1
             )
         )
         for target, idempotent in ((GET, True), (POST, False))
@@ -71,10 +71,10 @@
     faulty = cluster.servers["alpha"][0]
     both = start_flows(cluster, 80, 9.0)
     cluster.wait(1.0)
-    faulty.trouble, faulty.share = fault, 0.5
+    faulty.fault, faulty.fault_share = fault, 0.5
     cluster.wait(3.0)
     since = cluster.loop.time()
-    reads, writes = (cluster.do(flow) for flow in both)
+    reads, writes = (cluster.run(flow) for flow in both)
     # some non-idempotent requests are lost, as they can't be retried
     assert success_ratio(reads) == 1.0 and success_ratio(writes) >= 0.92
     assert (
@@ -98,13 +98,13 @@
 
     both = start_flows(cluster, 80, 9.0)
     for n, server in enumerate(cluster.servers["alpha"][:2]):
-        cluster.behind(flap(server, 1.0 + 1.2 * n))
-    reads, writes = (cluster.do(flow) for flow in both)
+        cluster.run_in_background(flap(server, 1.0 + 1.2 * n))
+    reads, writes = (cluster.run(flow) for flow in both)
     assert success_ratio(reads) == 1.0 and success_ratio(writes) >= 0.985
     cluster.wait(1.0)
     since = cluster.loop.time()
     for flow in start_flows(cluster, 80, 3.0):
-        assert success_ratio(cluster.do(flow)) == 1.0
+        assert success_ratio(cluster.run(flow)) == 1.0
     # failures of a previous run of a server don't count: all servers are used again
     assert all(
         traffic_share(cluster, server, since, "GET") > 0.02 for server in cluster.servers["alpha"]
@@ -117,7 +117,7 @@
 def create_idle_connections(cluster: Cluster) -> None:
     """Sends requests, so that their connections are idle afterwards."""
     for flow in start_flows(cluster, 150, 2.0):
-        cluster.do(flow)
+        cluster.run(flow)
     cluster.wait(0.5)
 
 
@@ -128,7 +128,7 @@
         create_idle_connections(cluster)
         dropped = drop_connections(cluster, cluster.servers["alpha"][:server_count])
         assert dropped >= 2 * server_count
-        replies = [cluster.do(cluster.get(tries=1)) for _ in range(10)]
+        replies = [cluster.run(cluster.get(tries=1)) for _ in range(10)]
         assert Counter(reply.status for reply in replies) == {200: 10}
     assert max(Counter(run.id for run in cluster.request_log.arrivals).values()) == 1
 
@@ -140,7 +140,7 @@
         create_idle_connections(cluster)
         dropped = drop_connections(cluster, cluster.servers["alpha"])
         assert dropped >= 8
-        replies = [cluster.do(cluster.once()) for _ in range(30)]
+        replies = [cluster.run(cluster.send_once()) for _ in range(30)]
         lost = [ask.id for ask, reply in replies if reply.status != 200]
         # a proxy must assume that a lost request may have run, although it never does here
         assert {reply.status for _, reply in replies} <= {200, 502}
@@ -162,31 +162,31 @@
 
 @seeds
 def test_lossy_links_keep_proxies_ready_and_deliver_configuration_changes(cluster):
-    cluster.network.lost = 0.05
+    cluster.network.loss_rate = 0.05
     both, states = start_flows(cluster, 80, 9.0), []
 
     async def sample_states() -> None:
         while True:
             states.extend(
                 (proxy.is_ready, proxy.limiters.total, proxy.limiters.silent)
-                for proxy in cluster.all_proxies()
+                for proxy in cluster.running_proxies()
             )
             await asyncio.sleep(0.05)
 
-    cluster.behind(sample_states())
+    cluster.run_in_background(sample_states())
     for n in range(3):
         cluster.wait(2.0)
         cluster.route(f"new{n}", "beta")
-        assert cluster.do(cluster.replace(3.0))
+        assert cluster.run(cluster.replace(3.0))
 
         def is_distributed():
             return all(
                 proxy.configuration.table.version == cluster.version
-                for proxy in cluster.all_proxies()
+                for proxy in cluster.running_proxies()
             )
 
-        assert cluster.do(cluster.until(is_distributed, 2.5)) < 1.0
+        assert cluster.run(cluster.wait_until(is_distributed, 2.5)) < 1.0
     for flow in both:
-        assert success_ratio(cluster.do(flow)) >= 0.99
+        assert success_ratio(cluster.run(flow)) >= 0.99
     ready = sum(state == (True, 2, 0) for state in states)
     assert ready >= 0.97 * len(states) > 200, Counter(states)
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -42,7 +42,7 @@
     async def run() -> None:
         stage = await UpstreamFixture().open()
         await work(stage)
-        stage.network.mend()
+        stage.network.heal()
         await asyncio.sleep(20.0)  # until delayed data has arrived
         stage.check()
 
@@ -182,7 +182,7 @@
             stage.network.cut(PROXY_IP, SERVER_IP)
             await asyncio.sleep(0.4)
             expired_at = stage.loop.time()
-            stage.network.mend()
+            stage.network.heal()
             await asyncio.sleep(6.0)
             assert stage.ran_at.get(id_, 0.0) < expired_at, (
                 f"{id_} ran after its expiry, with the outcomes {stage.came_of[id_]}"
@@ -296,16 +296,16 @@
     cluster = ScriptedCluster(list(script))
 
     async def work() -> None:
-        tasks = [cluster.loop.create_task(cluster.happens(*event)) for event in events]
+        tasks = [cluster.loop.create_task(cluster.disturb(*event)) for event in events]
         for gap, *request in requests:
             await asyncio.sleep(gap)
-            tasks.append(cluster.loop.create_task(cluster.asks(*request)))
+            tasks.append(cluster.loop.create_task(cluster.send_requests_in_mode(*request)))
         await asyncio.gather(*tasks)
         await asyncio.sleep(12.0)  # until delayed data has arrived
 
     try:
-        cluster.do(work())
-        early = {run.id for run in cluster.request_log.runs()} - cluster.whole
+        cluster.run(work())
+        early = {run.id for run in cluster.request_log.runs()} - cluster.fully_sent
         assert not early, f"executed before they were sent completely: {early}"
     finally:
         cluster.close()
@@ -335,8 +335,8 @@
 
     Returns the proxy, the proxy's request and the task that awaits the reply.
     """
-    ask = cluster.client.ask("PUT", "town.example", "/once/x", "key-of-ann", b"body")
-    task = cluster.loop.create_task(cluster.client.once(ask, cluster.front))
+    ask = cluster.client.new_request("PUT", "town.example", "/once/x", "key-of-ann", b"body")
+    task = cluster.loop.create_task(cluster.client.send_once(ask, cluster.front))
     await asyncio.sleep(0.05)
     proxy = cluster.proxy(PROXY_IP)
     (request,) = [r for r in proxy.requests.values() if r.request_id == ask.id.encode()]
@@ -359,7 +359,7 @@
         assert len(cluster.request_log.runs()) <= 1
 
     try:
-        cluster.do(work())
+        cluster.run(work())
     finally:
         cluster.close()
 
@@ -382,7 +382,9 @@
     tasks = []
     for n in range(60):
         tasks.append(
-            cluster.loop.create_task(cluster.asks(False, SEND_MODES[n % len(SEND_MODES)], 200, 100))
+            cluster.loop.create_task(
+                cluster.send_requests_in_mode(False, SEND_MODES[n % len(SEND_MODES)], 200, 100)
+            )
         )
         await asyncio.sleep(0.02)
     await asyncio.gather(*tasks)
@@ -393,11 +395,13 @@
     host, tasks = cluster.proxies[PROXY_IP], []
     for n in range(150):
         if n == 50:
-            tasks.append(cluster.loop.create_task(cluster.happens(0.0, "term", 0.3)))
-        ask = cluster.client.ask("PUT", "town.example", "/once/x", "key-of-ann", b"body")
-        tasks.append(cluster.loop.create_task(cluster.client.once(ask, cluster.front, 2.0)))
+            tasks.append(cluster.loop.create_task(cluster.disturb(0.0, "term", 0.3)))
+        ask = cluster.client.new_request("PUT", "town.example", "/once/x", "key-of-ann", b"body")
+        tasks.append(cluster.loop.create_task(cluster.client.send_once(ask, cluster.front, 2.0)))
         tasks.append(
-            cluster.loop.create_task(cluster.asks(False, SEND_MODES[n % len(SEND_MODES)], 200, 100))
+            cluster.loop.create_task(
+                cluster.send_requests_in_mode(False, SEND_MODES[n % len(SEND_MODES)], 200, 100)
+            )
         )
         await asyncio.sleep(0.03)
     await asyncio.gather(*tasks)
@@ -408,7 +412,7 @@
     """Sends two pipelined requests, of which the first takes longer."""
     for n in range(20):
         cluster.script[:] = [("pause", 9 * n), ("", 0)]
-        await cluster.asks(n % 2 == 0, "pipelined", 0, 100)
+        await cluster.send_requests_in_mode(n % 2 == 0, "pipelined", 0, 100)
 
 
 def run_odd_cluster(work: Callable[[ScriptedCluster], Any]) -> None:
@@ -420,7 +424,7 @@
         assert len(cluster.request_log.runs()) > 10
 
     try:
-        cluster.do(run())
+        cluster.run(run())
     finally:
         cluster.close()
 
--- a/tests/registry/test_instances.py
+++ b/tests/registry/test_instances.py
@@ -12,7 +12,7 @@
 @pytest.fixture
 def cluster():
     made = Cluster(11)
-    made.do(made.begin())
+    made.run(made.start())
     yield made
     made.close()
 
@@ -25,7 +25,7 @@
 def cut_off(cluster: Cluster) -> str:
     """Cuts a registry's machine off from the other core machines; servers still reach it."""
     isolated = cluster.core_ips[1]
-    cluster.network.apart([isolated], [ip for ip in cluster.core_ips if ip != isolated])
+    cluster.network.partition([isolated], [ip for ip in cluster.core_ips if ip != isolated])
     return isolated
 
 
@@ -35,7 +35,7 @@
     """
     server = cluster.servers["alpha"][0]
     cut_off(cluster)
-    server.core = 0
+    server.core_index = 0
     _, (acked_by, _) = await server.drain()
     assert acked_by == cluster.core_ips[0]
     if ends:
@@ -45,8 +45,8 @@
 
 def heal(cluster: Cluster) -> None:
     """Ends the partition; delayed messages are lost, as their senders closed the connections."""
-    cluster.network.held.clear()
-    cluster.network.mend()
+    cluster.network.held_transfers.clear()
+    cluster.network.heal()
     cluster.wait(2.5)
 
 
@@ -54,7 +54,7 @@
 def test_a_drain_or_an_end_missed_in_a_partition_is_replicated_within_two_rounds_after(
     cluster, ends
 ):
-    id_ = cluster.do(leave_during_a_partition(cluster, ends))
+    id_ = cluster.run(leave_during_a_partition(cluster, ends))
     wanted = GONE if ends else DRAINING
     cluster.wait(0.5)
     assert states(cluster, id_).count(wanted) == 2  # the third is cut off
@@ -66,7 +66,7 @@
 def test_a_missed_drain_or_end_is_not_replicated_without_pending_rows(cluster, monkeypatch, ends):
     """Mutation: a registry sends a change once, and not again to registries that missed it."""
     monkeypatch.setattr(Replication, "add_pending", lambda *_: None)
-    id_ = cluster.do(leave_during_a_partition(cluster, ends))
+    id_ = cluster.run(leave_during_a_partition(cluster, ends))
     heal(cluster)
     assert states(cluster, id_).count(GONE if ends else DRAINING) == 2
 
@@ -80,27 +80,27 @@
     server = cluster.servers["alpha"][0]
     isolated = cut_off(cluster)
     server.state = "draining"
-    server.cores = [(isolated, port) for ip, port in cluster.controls if ip == isolated]
-    assert [cluster.do(server.beat()) for _ in range(times)] == [False] * times
+    server.cores = [(isolated, port) for ip, port in cluster.control_addresses if ip == isolated]
+    assert [cluster.run(server.send_heartbeat()) for _ in range(times)] == [False] * times
     assert states(cluster, server.id).count(DRAINING) == 1
-    server.cores = [*cluster.controls]
-    _, (acked_by, _) = cluster.do(server.drain())
+    server.cores = [*cluster.control_addresses]
+    _, (acked_by, _) = cluster.run(server.drain())
     assert acked_by != isolated
     assert states(cluster, server.id) == [DRAINING] * len(cluster.core_ips)
 
 
 def test_a_registry_that_is_cut_off_acknowledges_no_end(cluster):
     server = cluster.servers["alpha"][0]
-    server.core = cluster.core_ips.index(cut_off(cluster))
-    assert not cluster.do(server.tell(f"instances.leave&of={server.id}", b""))
+    server.core_index = cluster.core_ips.index(cut_off(cluster))
+    assert not cluster.run(server.call_registry(f"instances.leave&of={server.id}", b""))
     heal(cluster)
-    assert cluster.do(server.tell(f"instances.leave&of={server.id}", b""))
+    assert cluster.run(server.call_registry(f"instances.leave&of={server.id}", b""))
     assert states(cluster, server.id) == [GONE] * len(cluster.core_ips)
 
 
 def test_a_drain_is_acknowledged_while_one_core_machine_of_three_is_lost(cluster):
     server = cluster.servers["alpha"][0]
     cluster.registries[cluster.core_ips[2]].kill()
-    server.core = 0
-    _, (acked_by, _) = cluster.do(server.drain())
+    server.core_index = 0
+    _, (acked_by, _) = cluster.run(server.drain())
     assert acked_by == cluster.core_ips[0]
--- a/tests/registry/test_limiter_sessions.py
+++ b/tests/registry/test_limiter_sessions.py
@@ -12,7 +12,7 @@
 @pytest.fixture
 def cluster() -> Iterator[Cluster]:
     started = Cluster(1, proxies=4)
-    started.do(started.begin())
+    started.run(started.start())
     yield started
     started.close()
 
@@ -31,7 +31,7 @@
     for ip in lost:
         cluster.registries[ip].kill()
     cluster.wait(1.0)
-    cluster.do(cluster.proxies["10.2.0.1"].end())
+    cluster.run(cluster.proxies["10.2.0.1"].terminate())
     for _ in range(4):
         cluster.wait(0.5)
         for ip in cluster.core_ips[:registries]:
--- a/tests/registry/test_program.py
+++ b/tests/registry/test_program.py
@@ -33,7 +33,7 @@
 
 def test_a_registry_ignores_changed_settings_until_its_next_start():
     cluster = Cluster(4, proxies=1)
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
     registry = cluster.registry(cluster.core_ips[0])
     core_hosts = registry.context.core_hosts
     registry.reload(cluster.settings(cluster.core_ips[0]))
--- a/tests/registry/test_quota_grants.py
+++ b/tests/registry/test_quota_grants.py
@@ -507,14 +507,14 @@
     if not has_credit_wait:
         monkeypatch.setattr(admission_adapter, "CREDIT_WAIT_SHARE", 0.0)
     cluster = Cluster(3, proxies=6)
-    cluster.usual()
+    cluster.use_default_configuration()
     cluster.tenant("ann", "key-of-ann", 20, 20)
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
 
     async def run_scenario() -> None:
         request = ("GET", "town.example", "/a/x", "key-of-ann")
-        traffic = cluster.behind(
-            cluster.flow(cluster.client, 12, 11, *request, idempotent=True, tries=1)
+        traffic = cluster.run_in_background(
+            cluster.send_requests(cluster.client, 12, 11, *request, idempotent=True, tries=1)
         )
         await asyncio.sleep(4)
         hosts = [*cluster.proxies.values(), *cluster.registries.values(), *cluster.stores.values()]
@@ -525,7 +525,7 @@
             host.start()
         await traffic
 
-    cluster.do(run_scenario())
+    cluster.run(run_scenario())
     statuses = Counter(
         reply.status for reply in cluster.request_log.replies.values() if reply is not None
     )
--- a/tests/rpc/test_rpc.py
+++ b/tests/rpc/test_rpc.py
@@ -32,7 +32,7 @@
     async def run() -> None:
         pair = await CallerAndServer(plays).open()
         await work(pair)
-        pair.network.mend()
+        pair.network.heal()
         await asyncio.sleep(8.0)  # what is late comes now
         pair.check()
 
@@ -95,7 +95,7 @@
         held.cancel()
         await asyncio.sleep(0.6)
         healed = pair.loop.time()
-        pair.network.mend()
+        pair.network.heal()
         await asyncio.sleep(5.0)
         late = [k for k in range(20 * n, 20 * n + 12) if pair.ran_at.get(k, 0.0) > healed]
         assert not late, f"ran after they were given up: {late}"
@@ -211,7 +211,7 @@
                     what == "cut",
                 )
             await asyncio.sleep(lasts)
-            pair.network.mend()
+            pair.network.heal()
             pair.process.thaw()
 
         tasks = [pair.loop.create_task(happens(*event)) for event in events]
--- a/tests/store/test_change_history.py
+++ b/tests/store/test_change_history.py
@@ -240,7 +240,7 @@
 def run_seed(seed: int) -> Ledger:
     cluster = StoreCluster(seed)
     try:
-        ledger = cluster.do(run_random_faults(cluster, Random(seed)))
+        ledger = cluster.run(run_random_faults(cluster, Random(seed)))
         cluster.close()
         return ledger
     finally:
@@ -314,17 +314,17 @@
 
     async def send() -> int:
         body = system.body(version).replace(b"5000ms", more.encode() or b"5000ms")
-        system.operator.at = system.core_ips.index(ip)
+        system.operator.core_index = system.core_ips.index(ip)
         got = await system.operator.call("configuration.replace", body, 8.0)
         assert got is not None
         return got.status
 
-    return system.do(send())
+    return system.run(send())
 
 
 def test_registries_refuse_another_content_after_takeover_restart_and_a_lost_disk():
     system = Cluster(3)
-    system.do(system.begin())
+    system.run(system.start())
     hosts, number = system.core_ips, system.version + 5
     versions = (number, number + 4)
     assert (
@@ -340,11 +340,11 @@
                 assert replace_status(system, ip, version, "4000ms") == 409
             assert replace_status(system, ip, number + 1) == 200  # lower, and never committed
             assert replace_status(system, ip, number + 1, "4000ms") == 409
-        assert json.loads(system.do(system.operator.read()))["version"] == f"r{versions[1]}"
+        assert json.loads(system.run(system.operator.read()))["version"] == f"r{versions[1]}"
 
     check_answers()
     for fault in ("kill", "power", "wipe"):
-        targets = [ip for ip in hosts if system.serves(ip)] if fault != "power" else hosts
+        targets = [ip for ip in hosts if system.is_serving(ip)] if fault != "power" else hosts
         assert targets
         for ip in targets:
             for host in system.core(ip):
@@ -357,7 +357,7 @@
                 host.start()
             await asyncio.sleep(4.0)
 
-        system.do(restart([host for ip in targets for host in system.core(ip)]))
+        system.run(restart([host for ip in targets for host in system.core(ip)]))
         check_answers()
     system.close()
 
@@ -369,7 +369,7 @@
     cluster.first = False
     ledger = Ledger(cluster)
     for version in (2, 5, 7):
-        assert cluster.do(ledger.send_change("10.1.0.1", version, "ann"))
+        assert cluster.run(ledger.send_change("10.1.0.1", version, "ann"))
     lost = [cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")]
     for machine in lost:
         machine.power_off(wipe=True)
@@ -377,11 +377,11 @@
     cluster.start()
     cluster.wait(5.0)
 
-    cluster.do(rescue(cluster))
+    cluster.run(rescue(cluster))
     cluster.wait(1.0)
     for host in cluster.machines:
-        assert all(cluster.do(ledger.send_change(host, version, "ann")) for version in (2, 5, 7))
-        assert cluster.do(ledger.send_change(host, 7, "bob")) is False
+        assert all(cluster.run(ledger.send_change(host, version, "ann")) for version in (2, 5, 7))
+        assert cluster.run(ledger.send_change(host, 7, "bob")) is False
     cluster.close()
 
 
@@ -397,18 +397,18 @@
         cluster.wait(2.0)
         cluster.first = False
         old = cluster.primary()
-        assert cluster.do(ledger.send_change(old.host, 9, "ann"))
+        assert cluster.run(ledger.send_change(old.host, 9, "ann"))
         rest = [h for h in cluster.machines if h != old.host]
-        cluster.network.apart([old.host], rest)
+        cluster.network.partition([old.host], rest)
         cluster.wait(4.0)
-        assert cluster.do(
+        assert cluster.run(
             ledger.send_change(cluster.primary().host, 7, "ann")
         )  # superseded by version 9, and acknowledged
-        cluster.network.mend()
+        cluster.network.heal()
         cluster.wait(3.0)
         for _ in range(6):
             if (now := cluster.primary()) is old:
-                return cluster.do(ledger.send_change(old.host, 7, "bob"))
+                return cluster.run(ledger.send_change(old.host, 7, "bob"))
             now.power_off()
             cluster.wait(4.0)
             cluster.start()
--- a/tests/store/test_first_start.py
+++ b/tests/store/test_first_start.py
@@ -31,7 +31,7 @@
         system.loop.call_later(rng.uniform(0, START_SPREAD_SECONDS), server.start)
     await asyncio.sleep(START_SPREAD_SECONDS)
     assert await system.replace(20.0)
-    while not all([await system.ready(ip) for ip in system.proxies]):
+    while not all([await system.is_ready(ip) for ip in system.proxies]):
         await asyncio.sleep(0.1)
     return system.loop.time() - now
 
@@ -45,14 +45,14 @@
 
 @pytest.mark.parametrize("seeds_last", [False, True])
 def test_all_proxies_are_ready_soon_and_one_store_is_founded(system, seeds_last):
-    assert system.do(start_all(system, seeds_last)) < READY_SECONDS
+    assert system.run(start_all(system, seeds_last)) < READY_SECONDS
     system.wait(1.5)
-    assert sum(system.serves(ip) for ip in system.core_ips) == 1  # no second store was founded
-    assert len(system.counters()) == 1
+    assert sum(system.is_serving(ip) for ip in system.core_ips) == 1  # no second store was founded
+    assert len(system.counting_hosts()) == 1
     assert all(
         sorted(system.registry(ip).context.core_hosts) == system.core_ips for ip in system.core_ips
     )
-    assert not system.request_log.faults
+    assert not system.request_log.violations
 
 
 def test_a_long_pause_between_connection_attempts_of_a_proxy_is_detected(monkeypatch):
@@ -61,5 +61,5 @@
     """
     monkeypatch.setattr(sessions, "BACKOFF_SECONDS", (8.0, 8.0))
     system = Cluster(1, proxies=3)
-    assert system.do(start_all(system, True)) > READY_SECONDS
+    assert system.run(start_all(system, True)) > READY_SECONDS
     system.close()
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -40,7 +40,7 @@
 
 
 def is_in_force_everywhere(system: Cluster) -> bool:
-    return all(p.configuration.table.version == system.version for p in system.all_proxies())
+    return all(p.configuration.table.version == system.version for p in system.running_proxies())
 
 
 def resources(routes: int) -> list[dict[str, Any]]:
@@ -173,7 +173,7 @@
         if kind in ("power", "wipe", "all"):
             struck.power_off(wipe=kind == "wipe")
         elif kind == "cut":
-            cluster.network.apart([struck.host], [h for h in hosts if h != struck.host])
+            cluster.network.partition([struck.host], [h for h in hosts if h != struck.host])
         else:
             struck.freeze()
         await changes(cluster, 105, struck.host)
@@ -189,7 +189,7 @@
         elif kind in ("power", "wipe"):
             struck.start()
         elif kind == "cut":
-            cluster.network.mend()
+            cluster.network.heal()
         else:
             struck.thaw()
         await changes(cluster, 5, "")
@@ -206,7 +206,7 @@
 def long_day(seed: int) -> None:
     cluster = StoreCluster(seed)
     try:
-        cluster.do(a_long_day(cluster, Random(seed)))
+        cluster.run(a_long_day(cluster, Random(seed)))
         cluster.close()
     finally:
         cluster.loop.close()
@@ -233,9 +233,9 @@
     on.
     """
     system = Cluster(5, proxies=2)
-    system.do(system.begin())
+    system.run(system.start())
     ip = next(iter(system.proxies))
-    system.network.apart([ip], system.core_ips)
+    system.network.partition([ip], system.core_ips)
 
     async def many(number: int) -> None:
         for n in range(number):
@@ -243,16 +243,16 @@
             assert await system.replace()
             await asyncio.sleep(0.02)
 
-    system.do(many(versions))
+    system.run(many(versions))
     assert system.proxy(ip).configuration.table.version < system.version - versions
-    system.network.mend()
-    newest, going = system.version, system.behind(many(60))
-    took = system.do(
-        system.until(lambda: system.proxy(ip).configuration.table.version >= newest, 4.0)
+    system.network.heal()
+    newest, going = system.version, system.run_in_background(many(60))
+    took = system.run(
+        system.wait_until(lambda: system.proxy(ip).configuration.table.version >= newest, 4.0)
     )
-    system.do(asyncio.wait_for(going, 60.0))
-    system.do(
-        system.until(
+    system.run(asyncio.wait_for(going, 60.0))
+    system.run(
+        system.wait_until(
             lambda: is_in_force_everywhere(system),
             0.5,
         )
@@ -325,20 +325,20 @@
 
     monkeypatch.setattr(StoreClient, "handle_configuration", fetch)
     system = Cluster(6, proxies=2)
-    system.do(system.begin())
+    system.run(system.start())
     for n in range(3000):
         system.route(f"many{n}", ("alpha", "beta")[n % 2])
-    assert system.do(system.replace())
-    system.do(
-        system.until(
+    assert system.run(system.replace())
+    system.run(
+        system.wait_until(
             lambda: is_in_force_everywhere(system),
             2.0,
         )
     )
     size = len(system.versions[system.version])
     assert size > 700_000 and max(sent) < size / 10
-    assert system.do(system.operator.read()) == system.versions[system.version]
-    large = system.do(
+    assert system.run(system.operator.read()) == system.versions[system.version]
+    large = system.run(
         system.operator.call("configuration.replace", b" " * (MAX_BODY_BYTES + 1), 5.0)
     )
     assert large.status == 413 and b"long" in large.body
@@ -347,7 +347,7 @@
 
 def test_large_orders_at_once_wait_their_turn(monkeypatch):
     system = Cluster(4, proxies=1)
-    system.do(system.begin())
+    system.run(system.start())
     number, registry = system.version, system.registry(system.core_ips[0])
     orders = [system.body(number + 1 + n) for n in range(8)]
 
@@ -357,18 +357,18 @@
         )
         return sorted(status for status, _ in await asyncio.gather(*calls))
 
-    assert system.do(at_once()) == [200] * 8 and registry.operator_api.pending_bytes == 0
+    assert system.run(at_once()) == [200] * 8 and registry.operator_api.pending_bytes == 0
     monkeypatch.setattr(operator_api, "MAX_PENDING_BYTES", 3 * len(orders[0]) + 3)
     assert (
-        system.do(at_once()) == [200] * 3 + [503] * 5 and registry.operator_api.pending_bytes == 0
+        system.run(at_once()) == [200] * 3 + [503] * 5 and registry.operator_api.pending_bytes == 0
     )
     monkeypatch.setattr(
         operator_api, "MAX_PENDING_BYTES", 10
     )  # one that is larger by itself is taken, too
     assert (
-        system.do(registry.handle_http(b"POST", b"/api/rpc?call=configuration.replace", orders[7]))[
-            0
-        ]
+        system.run(
+            registry.handle_http(b"POST", b"/api/rpc?call=configuration.replace", orders[7])
+        )[0]
         == 200
     )
     system.close()
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -16,14 +16,18 @@
 from loomstand.store import freshness
 from loomstand.store.configuration_service import ConfigurationService
 from loomstand.testing.simulation.cluster import CONTROL_PORT, Cluster
-from loomstand.testing.simulation.control_plane import READ_STALENESS_SECONDS, ControlPlane, drawn
+from loomstand.testing.simulation.control_plane import (
+    READ_STALENESS_SECONDS,
+    ControlPlane,
+    run_random_faults,
+)
 from loomstand.testing.simulation.streams import Host
 
 
 @pytest.fixture
 def plane():
     made = ControlPlane(3)
-    made.do(made.begin())
+    made.run(made.start())
     made.wait(0.5)
     yield made
     made.close()
@@ -43,12 +47,14 @@
         frozen = {"registry": [plane.registries[first]], "store": [plane.stores[first]]}
         frozen["both"] = plane.hosts(first)
         others = [ip for ip in plane.core_ips if ip != first]
-        late = plane.behind(plane.read(first if asked == "itself" else others[0]))
+        late = plane.run_in_background(
+            plane.read_version(first if asked == "itself" else others[0])
+        )
         await asyncio.sleep(ms / 1000)
         for host in frozen[who]:
             host.freeze()
         await asyncio.sleep(3.0)
-        assert await plane.order(others[0], 1.0) == 200
+        assert await plane.send_change(others[0], 1.0) == 200
         await asyncio.sleep(READ_STALENESS_SECONDS + 0.2)
         for host in frozen[who]:
             host.thaw()
@@ -56,7 +62,7 @@
         await asyncio.sleep(2.5)
         return version
 
-    return [plane.do(one(ms / 2)) for ms in range(3, 34, 4)]
+    return [plane.run(one(ms / 2)) for ms in range(3, 34, 4)]
 
 
 @pytest.mark.parametrize(
@@ -74,7 +80,7 @@
         lambda lease_seconds, asked_at, now, timeout_seconds: timeout_seconds,
     )
     plane = ControlPlane(3)
-    plane.do(plane.begin())
+    plane.run(plane.start())
     with pytest.raises(AssertionError, match="handed out"):
         thawed_reads(plane, "registry", "itself")
     with contextlib.suppress(AssertionError):  # the same one, of a task that the cluster watched
@@ -105,7 +111,7 @@
     plane.registries[ip].freeze()
     plane.wait(store_client.WAIT_SECONDS + store_client.REPORT_LIFETIME_SECONDS)
     assert not configuration.is_current(clock())
-    plane.do(thaw(plane.registries[ip]))
+    plane.run(thaw(plane.registries[ip]))
     plane.wait(0.5)
     assert configuration.is_current(clock())
 
@@ -131,26 +137,31 @@
     async def twenty() -> None:
         first = plane.primary()
         rest = [ip for ip in plane.core_ips if ip != first]
-        plane.network.cuts |= cuts(plane, how)
+        plane.network.blocked_links |= cuts(plane, how)
         until, taken = plane.loop.time() + 20.0, 0
         late = []
         while plane.loop.time() < until:
-            late += [plane.behind(plane.order(first)), plane.behind(plane.read(first))]
+            late += [
+                plane.run_in_background(plane.send_change(first)),
+                plane.run_in_background(plane.read_version(first)),
+            ]
             # sent again, to the machine that is cut off
             if plane.sent and plane.rng.random() < 0.5:
                 late.append(
-                    plane.behind(plane.order(first, version=plane.rng.choice([*plane.sent])))
+                    plane.run_in_background(
+                        plane.send_change(first, version=plane.rng.choice([*plane.sent]))
+                    )
                 )
-            taken += await plane.order(rest[-1], 1.0) == 200
-            await plane.read(rest[-1], 1.0)
+            taken += await plane.send_change(rest[-1], 1.0) == 200
+            await plane.read_version(rest[-1], 1.0)
             await asyncio.sleep(0.25)
         assert taken > 40  # of about 75
-        plane.network.mend()
+        plane.network.heal()
         await asyncio.gather(*late)
         await asyncio.sleep(1.5)
-        await plane.calm()
+        await plane.check_recovered()
 
-    plane.do(twenty())
+    plane.run(twenty())
 
 
 def started_behind_a_cut() -> tuple[float, int, int, float]:
@@ -159,31 +170,31 @@
     has that.
     """
     system = Cluster(5, proxies=2, servers=2)
-    system.do(system.begin())
+    system.run(system.start())
     ip = next(iter(system.proxies))
-    alone = next(c for c in system.core_ips if not system.serves(c))
+    alone = next(c for c in system.core_ips if not system.is_serving(c))
 
     async def story() -> tuple[float, int, int, float]:
         rest = [c for c in system.core_ips if c != alone]
-        system.network.apart([alone], rest)
-        system.network.apart([ip], rest)
+        system.network.partition([alone], rest)
+        system.network.partition([ip], rest)
         system.operator.cores = [(c, CONTROL_PORT) for c in rest]
         await asyncio.sleep(2.0)
         system.route("new", "alpha")
         assert await system.replace()
         system.proxies[ip].kill()
         system.proxies[ip].start()
-        ready = await system.until(
+        ready = await system.wait_until(
             lambda: bool(system.proxies[ip].programs) and system.proxy(ip).is_ready, 6.0
         )
         held = system.proxy(ip).configuration.table.version
-        system.network.mend()
-        back = await system.until(
+        system.network.heal()
+        back = await system.wait_until(
             lambda: system.proxy(ip).configuration.table.version == system.version, 3.0
         )
         return ready, held, system.version, back
 
-    found = system.do(story())
+    found = system.run(story())
     system.close()
     return found
 
@@ -208,24 +219,25 @@
     first = plane.primary()
     others = [ip for ip in plane.core_ips if ip != first]
     late = [
-        plane.behind(w) for w in (plane.order(first), plane.read(first), plane.order(others[0]))
+        plane.run_in_background(w)
+        for w in (plane.send_change(first), plane.read_version(first), plane.send_change(others[0]))
     ]
     version = plane.version
     await asyncio.sleep(ms / 1000)
     if how in ("off", "deaf", "dumb"):
-        plane.network.cuts |= cuts(plane, how) if plane.primary() else set()
+        plane.network.blocked_links |= cuts(plane, how) if plane.primary() else set()
     for host in plane.hosts(first):
         if how == "frozen":
             host.freeze()
         elif how == "wiped":
             host.power_off(wipe=True)
     until = plane.loop.time() + 5.0
-    while await plane.order(others[-1], 1.0, version) != 200:
+    while await plane.send_change(others[-1], 1.0, version) != 200:
         assert plane.loop.time() < until, "not acknowledged by those that are left"
         await asyncio.sleep(0.1)
-    await plane.order(others[0], 1.0)
+    await plane.send_change(others[0], 1.0)
     await asyncio.sleep(READ_STALENESS_SECONDS + 0.3)
-    plane.network.mend()
+    plane.network.heal()
     for host in plane.hosts(first):
         if how == "frozen":
             host.thaw()
@@ -233,20 +245,20 @@
             host.start()
     await asyncio.gather(*late)
     await asyncio.sleep(4.0 if how == "wiped" else 1.0)
-    await plane.calm()
+    await plane.check_recovered()
 
 
 @pytest.mark.parametrize("how", ["off", "deaf", "dumb", "frozen", "wiped"])
 def test_a_primary_struck_at_any_step_of_an_order(plane, how):
     for ms in range(0, 26, 3):
-        plane.do(struck(plane, how, ms + 0.5))
+        plane.run(struck(plane, how, ms + 0.5))
 
 
 # --- at random
 
 
 def test_drawn_troubles_lose_nothing_refuse_nothing_and_hand_out_nothing_old():
-    planes = [drawn(seed) for seed in range(4)]
+    planes = [run_random_faults(seed) for seed in range(4)]
     assert sum(p.reads for p in planes) > 300 and sum(len(p.acked) for p in planes) > 300
 
 
@@ -258,4 +270,4 @@
     monkeypatch.setattr(ConfigurationService, "handle_read", read)
     with pytest.raises(AssertionError, match="handed out"):
         for seed in range(8):
-            drawn(seed)
+            run_random_faults(seed)
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -92,23 +92,23 @@
     assert start_with_failures()[0].id == "old"
 
 
-@pytest.mark.parametrize("trouble", ["unread", "hangs"])
+@pytest.mark.parametrize("trouble", ["is_unreadable", "hangs"])
 def test_a_cluster_whose_disks_cannot_be_read_for_a_while_loses_nothing(trouble):
     cluster = StoreCluster()
     cluster.start()
     cluster.wait(2.0)
     cluster.first = False
-    assert cluster.do(cluster.put_within(0.5))
+    assert cluster.run(cluster.put_within(0.5))
     before = {m.host: store.replica.member for m, store in cluster.stores()}
     for machine in cluster.machines.values():
         machine.power_off()
         setattr(machine.disk_state, trouble, True)
     cluster.start()
     cluster.wait(5.0)
-    assert not cluster.stores() and not cluster.do(cluster.put_within(2.0))
+    assert not cluster.stores() and not cluster.run(cluster.put_within(2.0))
     for machine in cluster.machines.values():
         setattr(machine.disk_state, trouble, False)
-    assert cluster.do(cluster.put_within(4.5))  # the disks are read again within a second
-    assert cluster.do(cluster.read_newest()) >= cluster.acknowledged_version
+    assert cluster.run(cluster.put_within(4.5))  # the disks are read again within a second
+    assert cluster.run(cluster.read_newest()) >= cluster.acknowledged_version
     assert {m.host: store.replica.member for m, store in cluster.stores()} == before
     cluster.close()
--- a/tests/store/test_replica_copies.py
+++ b/tests/store/test_replica_copies.py
@@ -80,7 +80,7 @@
         for task in self.tasks:
             task.cancel()
         self.wait(4.0)
-        assert self.do(self.read_newest()) >= self.acknowledged_version
+        assert self.run(self.read_newest()) >= self.acknowledged_version
         self.close()
         return {k: round(v, 3) for k, v in self.few.items()}
 
@@ -107,7 +107,7 @@
 async def rolled(cluster: StoreCluster) -> None:
     """SIGTERM to one after the other, each back after a second."""
     for machine in [*cluster.machines.values()]:
-        await machine.leave()
+        await machine.shut_down()
         await asyncio.sleep(1.0)
         machine.start()
         await asyncio.sleep(1.5)
@@ -117,7 +117,7 @@
     """SIGTERM to the backup, which takes its disk with it, and then to the primary."""
     for whom in ("the backup", "the primary"):
         machine = cluster.machine_in_role(whom)
-        await machine.leave()
+        await machine.shut_down()
         machine.disk_state.wipe()
         await asyncio.sleep(2.0)
 
@@ -125,7 +125,7 @@
 async def two_leave(cluster: StoreCluster) -> None:
     """SIGTERM to the primary and the backup at one moment; their disks go with them."""
     both = [cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")]
-    await asyncio.gather(*(m.leave() for m in both))
+    await asyncio.gather(*(m.shut_down() for m in both))
     for machine in both:
         machine.disk_state.wipe()
     await asyncio.sleep(3.0)
@@ -141,7 +141,7 @@
         cluster.machines[come] = fresh[come]
         fresh[come].start()
         await asyncio.sleep(1.0)
-        await cluster.machines[gone].leave()
+        await cluster.machines[gone].shut_down()
         cluster.machines[gone].disk_state.wipe()
         await asyncio.sleep(3.0)
 
@@ -164,8 +164,8 @@
 def test_how_long_fewer_copies_exist(name):
     step, three, two, elected = STEPS[name]
     cluster = Copies()
-    cluster.do(cluster.work())
-    cluster.do(step(cluster))
+    cluster.run(cluster.work())
+    cluster.run(step(cluster))
     few = cluster.end()
     print(name, few)
     assert few.get(("synced", 3), 0.0) <= three
@@ -183,13 +183,13 @@
     after `away` s.
     """
     first, backup = cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")
-    leaving_ = cluster.loop.create_task(backup.leave()) if after >= 0.0 else None
+    leaving_ = cluster.loop.create_task(backup.shut_down()) if after >= 0.0 else None
     await asyncio.sleep(max(0.0, after))
     assert after > 0.0 or await cluster.put_within(0.5)
     first.power_off(wipe=True)
     if leaving_ is None:
         await asyncio.sleep(-after)
-        leaving_ = cluster.loop.create_task(backup.leave())
+        leaving_ = cluster.loop.create_task(backup.shut_down())
     back = cluster.loop.create_task(returns(first, away))
     begun = cluster.loop.time()
     await leaving_
@@ -223,8 +223,8 @@
     """The first of the stories that loses an acknowledged version, or comes to a stop."""
     for seed, (after, away) in (LEAVES | (CHANGING if hosts > 3 else {})).items():
         cluster = Copies(seed, hosts)
-        cluster.do(cluster.work())
-        cluster.do(last_copy_leaves(cluster, after, away))
+        cluster.run(cluster.work())
+        cluster.run(last_copy_leaves(cluster, after, away))
         try:
             cluster.end()
         except AssertionError:
@@ -304,12 +304,12 @@
 def rescued() -> tuple[int, int]:
     """What operators' rescue finds after that, and what was acknowledged."""
     cluster = Copies()
-    cluster.do(cluster.work())
+    cluster.run(cluster.work())
     for task in cluster.tasks:
         task.cancel()
-    cluster.do(lose_two_disks_with_all_power(cluster))
+    cluster.run(lose_two_disks_with_all_power(cluster))
     acked, cluster.acknowledged_version = cluster.acknowledged_version, 0
-    done = cluster.do(rescue(cluster))
+    done = cluster.run(rescue(cluster))
     cluster.close()
     return int(done["version"][1:]), acked
 
--- a/tests/store/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -34,7 +34,7 @@
 
 async def ask(cluster: StoreCluster, gone=(), token=None, at: str = "") -> dict:
     """A look at the rescue, or the word for it, at a member that runs."""
-    host = at or next(h for h, m in cluster.machines.items() if m.runs and h not in gone)
+    host = at or next(h for h, m in cluster.machines.items() if m.is_running and h not in gone)
     got = await cluster.client.call((host, PORT), "rescue", {"gone": [*gone], "token": token}, 5.0)
     return got.ok
 
@@ -50,8 +50,8 @@
 
 
 def waits(cluster: StoreCluster, gone=()) -> list[str]:
-    found = cluster.do(ask(cluster, gone))["case"]
-    assert "no" in cluster.do(ask(cluster, gone, found["token"]))
+    found = cluster.run(ask(cluster, gone))["case"]
+    assert "no" in cluster.run(ask(cluster, gone, found["token"]))
     return found["waits"]
 
 
@@ -70,25 +70,25 @@
     cluster.start()
     cluster.wait(2.0)
     cluster.first = False
-    assert cluster.do(cluster.put_within(0.5))
+    assert cluster.run(cluster.put_within(0.5))
     cluster.wait(0.3)
 
 
 @then(parsers.parse("nothing is acknowledged for {s:d} s"))
 def _(cluster, s):
-    assert not cluster.do(cluster.put_within(s))
+    assert not cluster.run(cluster.put_within(s))
 
 
 @then("a rescue is due")
 def _(cluster):
-    found = cluster.do(ask(cluster))["case"]
+    found = cluster.run(ask(cluster))["case"]
     assert found["waits"] == [] and found["version"] == f"r{cluster.acknowledged_version}"
     assert sum(m["lost"] for m in found["members"]) == 2 and len(found["reach"]) == 4
 
 
 @when("operators rescue it")
 def _(cluster):
-    cluster.done = cluster.do(rescue(cluster))
+    cluster.done = cluster.run(rescue(cluster))
 
 
 @then("the newest acknowledged version is in force, under an epoch of the next million")
@@ -103,7 +103,7 @@
         and len(view.voters) == 3
         and view.backup
     )
-    assert cluster.do(cluster.read_newest()) == cluster.acknowledged_version
+    assert cluster.run(cluster.read_newest()) == cluster.acknowledged_version
 
 
 @when("the primary and a voter lose power")
@@ -117,11 +117,11 @@
 def _(cluster):
     first, voter = (m.host for m in cluster.away)
     for gone, waited in (([], [first, voter]), ([first], [voter]), ([first, voter], [])):
-        said = waits(cluster, gone) if waited else cluster.do(ask(cluster, gone))["case"]["waits"]
+        said = waits(cluster, gone) if waited else cluster.run(ask(cluster, gone))["case"]["waits"]
         assert sorted(w.split()[0] for w in said) == sorted(waited)
         assert all("doesn't answer" in w for w in said)
-    there = next(h for h, m in cluster.machines.items() if m.runs)
-    said = cluster.do(ask(cluster, [first, voter, there], at=there))["case"]["waits"]
+    there = next(h for h, m in cluster.machines.items() if m.is_running)
+    said = cluster.run(ask(cluster, [first, voter, there], at=there))["case"]["waits"]
     assert f"{there}: named as gone, and answers" in said
 
 
@@ -142,7 +142,7 @@
 
 @when("operators look, and then a stand-by is killed")
 def _(cluster):
-    cluster.said = cluster.do(ask(cluster))["case"]
+    cluster.said = cluster.run(ask(cluster))["case"]
     assert cluster.said["waits"] == []
     next(m for m in cluster.machines.values() if m.host != cluster.said["chosen"]).kill()
 
@@ -150,7 +150,9 @@
 @then("their token is refused, and one that was made up")
 def _(cluster):
     for token in (cluster.said["token"], "3-0123456789ab"):
-        assert "another one than that of this token" in cluster.do(ask(cluster, (), token))["no"][0]
+        assert (
+            "another one than that of this token" in cluster.run(ask(cluster, (), token))["no"][0]
+        )
     assert cluster.find_primary() is None
 
 
@@ -160,7 +162,7 @@
         token = (await ask(cluster))["case"]["token"]
         return await asyncio.gather(*(ask(cluster, (), token, at) for at in HOSTS[1:3]))
 
-    cluster.said = cluster.do(both())
+    cluster.said = cluster.run(both())
 
 
 @then("one of them founded a view that all members follow")
@@ -194,8 +196,8 @@
 
 @when("operators rescue it, naming both")
 def _(cluster):
-    cluster.done = cluster.do(rescue(cluster, [m.host for m in cluster.away]))
-    assert cluster.do(cluster.put_within(0.3, tuple(m.host for m in cluster.away)))
+    cluster.done = cluster.run(rescue(cluster, [m.host for m in cluster.away]))
+    assert cluster.run(cluster.put_within(0.3, tuple(m.host for m in cluster.away)))
 
 
 @when("both start again")
@@ -215,7 +217,7 @@
         for machine in machines:
             what(machine)
 
-    cluster.do(all_())
+    cluster.run(all_())
 
 
 @then("the old primary serves nothing of its old view")
@@ -241,7 +243,7 @@
     _at_work(cluster)
     away = [cluster.machine_in_role("the primary"), cluster.machine_in_role("a voter")]
     left = [h for h in HOSTS if h not in (m.host for m in away)]
-    cluster.network.apart([m.host for m in away], left)
+    cluster.network.partition([m.host for m in away], left)
     cluster.wait(2.0)
     gone = [m.host for m in away]
 
@@ -249,10 +251,10 @@
         found = (await ask(cluster, gone, at=left[0]))["case"]
         assert "done" in await ask(cluster, gone, found["token"], left[0])
 
-    cluster.do(wrong())
+    cluster.run(wrong())
     old = away[0].programs[0]
     assert old.replica.lease_left(old.clock()) > 0.0
-    cluster.network.mend()
+    cluster.network.heal()
     cluster.wait(0.3)
     serving = [g for _, g in cluster.stores() if g.replica.lease_left(g.clock()) > 0.0]
     assert len(serving) == 1 and serving[0] is not old
@@ -380,7 +382,7 @@
         await asyncio.sleep(4.5)
     if cluster.find_primary() is None:  # else all had the view already
         assert int((await rescue(cluster, named))["version"][1:]) >= cluster.acknowledged_version
-    cluster.network.slow = {h: rng.choice((0.0, 0.05)) for h in cluster.machines}
+    cluster.network.extra_delay_seconds = {h: rng.choice((0.0, 0.05)) for h in cluster.machines}
 
     async def back(machine: Machine) -> None:
         await asyncio.sleep(rng.choice((0.0, rng.uniform(0.0, 3.0))))
@@ -392,7 +394,7 @@
     await asyncio.sleep(3.0)
     for operator in operators:
         operator.cancel()
-    cluster.network.slow = {}
+    cluster.network.extra_delay_seconds = {}
     assert await cluster.put_within(3.0)
     assert await cluster.read_newest() >= cluster.acknowledged_version
     assert {g.replica.newest_known_view().rescue_epoch > 0 for _, g in cluster.stores()} == {True}
@@ -401,7 +403,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_a_rescue_amid_changes_loses_nothing_that_was_in_reach(seed):
     cluster = StoreCluster(seed, (*HOSTS, "10.5.0.1")[: 4 + seed % 2])
-    cluster.do(_lost_and_found(cluster, Random(seed + 1000)))
+    cluster.run(_lost_and_found(cluster, Random(seed + 1000)))
     cluster.close()
 
 
@@ -410,7 +412,7 @@
 
 def test_registries_give_their_stores_back_what_those_lost():
     system = Cluster(3, proxies=1)
-    system.do(system.begin())
+    system.run(system.start())
     system.wait(1.0)
     for host in (*system.proxies.values(), *system.stores.values()):
         host.power_off(wipe=True)
@@ -420,7 +422,7 @@
         for host in system.stores.values():
             host.start()
 
-    system.do(again())
+    system.run(again())
     system.wait(2.0)
     _, answer = _word(system, {})
     assert [r["given_back"] for r in answer["case"]["reach"]] == [f"r{system.version}"] * 3
@@ -430,20 +432,22 @@
 @pytest.fixture
 def system():
     made = Cluster(7, proxies=2)
-    made.back = made.behind(made.going_back())
+    made.back = made.run_in_background(made.check_versions_never_decrease())
     yield made
     made.close()
 
 
 def _word(system, body: dict, core: int = 0):
     call = post("system.rescue", json.dumps(body).encode())
-    got = system.do(exchange(system.streams("10.8.0.1"), system.controls[core], call, 5.0))
+    got = system.run(
+        exchange(system.streams("10.8.0.1"), system.control_addresses[core], call, 5.0)
+    )
     return got.status, json.loads(got.body)
 
 
 @given("a system at work whose core lost all disks")
 def _(system):
-    system.do(system.begin())
+    system.run(system.start())
     hosts = [*system.stores.values(), *system.registries.values()]
     system.wait(1.0)
     for host in hosts:
@@ -454,19 +458,19 @@
         for host in hosts:
             host.start()
 
-    system.do(again())
+    system.run(again())
 
 
 @then("requests are served all the while and changes are not")
 def _(system):
     for _ in range(25):
         for ip in system.proxies:
-            _, reply = system.do(system.once("once", at=ip))
+            _, reply = system.run(system.send_once("once", at=ip))
             assert reply.status == 200
         system.wait(0.25)
     held, system.held = system.version, system.versions[system.version]
-    assert not system.do(system.replace(3.0))
-    assert {s.configuration.table.version for s in system.all_proxies()} == {held}
+    assert not system.run(system.replace(3.0))
+    assert {s.configuration.table.version for s in system.running_proxies()} == {held}
 
 
 @when("its operators look at the rescue and give their word")
@@ -485,9 +489,9 @@
 
 @then("the configuration that the limiters held is in force, and changes are")
 def _(system):
-    assert system.do(system.operator.read(3.0)) == system.held
+    assert system.run(system.operator.read(3.0)) == system.held
     system.route("later", "beta")
-    assert system.do(system.replace(2.0))
+    assert system.run(system.replace(2.0))
     assert not system.back.done()
 
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -67,11 +67,11 @@
 
         return make
 
-    def do(self, work):
+    def run(self, work):
         return self.loop.run_until_complete(work)
 
     def wait(self, seconds: float) -> None:
-        self.do(asyncio.sleep(seconds))
+        self.run(asyncio.sleep(seconds))
         if self.check_task.done():
             self.check_task.result()
 
@@ -81,7 +81,7 @@
                 if host not in excluded and not machine.up:
                     machine.start()
 
-        self.do(all_())
+        self.run(all_())
 
     async def check_periodically(self) -> None:
         while True:
@@ -101,7 +101,7 @@
         return [
             (m, store)
             for m in self.machines.values()
-            if m.runs
+            if m.is_running
             for store in m.programs
             if store.is_running
         ]
@@ -232,7 +232,7 @@
     cluster.start()
     cluster.wait(2.0)
     cluster.first = False
-    assert cluster.do(cluster.put_within(0.5))
+    assert cluster.run(cluster.put_within(0.5))
     return cluster.primary()
 
 
@@ -255,24 +255,24 @@
 
 @when(parsers.parse("the primary is killed {ms:d} ms into a change"))
 def _(cluster, old, ms):
-    cluster.do(_into_a_change(cluster, ms, old.kill))
+    cluster.run(_into_a_change(cluster, ms, old.kill))
 
 
 @when(parsers.parse("the primary is frozen {ms:d} ms into a change"), target_fixture="change")
 def _(cluster, old, ms):
-    return cluster.do(_into_a_change(cluster, ms, old.freeze))
+    return cluster.run(_into_a_change(cluster, ms, old.freeze))
 
 
 @when("the primary resumes")
 def _(cluster, old):
-    cluster.do(asyncio.sleep(0))
+    cluster.run(asyncio.sleep(0))
     cluster.loop.call_soon(old.thaw)
     cluster.check()
 
 
 @then("the change in progress at the freeze was not acknowledged")
 def _(cluster, change):
-    assert cluster.do(change) is False
+    assert cluster.run(change) is False
 
 
 @then("the old primary itself can't acknowledge a change")
@@ -308,20 +308,20 @@
         for machine in cluster.machines.values():
             machine.power_off(wipe=machine is wiped)
 
-    cluster.do(down())
+    cluster.run(down())
     cluster.wait(seconds)
     cluster.start()
 
 
 @when("the primary is partitioned from all others")
 def _(cluster, old):
-    cluster.network.apart([old.host], [h for h in HOSTS if h != old.host])
+    cluster.network.partition([old.host], [h for h in HOSTS if h != old.host])
 
 
 @when("the primary and the stand-by are partitioned from the others")
 def _(cluster, old):
     side = [old.host, cluster.machine_in_role("a stand-by").host]
-    cluster.network.apart(side, [h for h in HOSTS if h not in side])
+    cluster.network.partition(side, [h for h in HOSTS if h not in side])
 
 
 @when("the primary receives no messages")
@@ -332,27 +332,27 @@
 
 @when("the partition heals")
 def _(cluster):
-    cluster.network.mend()
+    cluster.network.heal()
 
 
 @then("the old primary acknowledges nothing")
 def _(cluster, old):
-    assert not cluster.do(cluster.put(old.host))
+    assert not cluster.run(cluster.put(old.host))
 
 
 @then(parsers.parse("a change is acknowledged within {s:g} s"))
 def _(cluster, s):
-    assert cluster.do(cluster.put_within(s))
+    assert cluster.run(cluster.put_within(s))
 
 
 @then(parsers.parse("a change is acknowledged within {s:g} s by the others"))
 def _(cluster, old, s):
-    assert cluster.do(cluster.put_within(s, (old.host,)))
+    assert cluster.run(cluster.put_within(s, (old.host,)))
 
 
 @then("nothing acknowledged is lost")
 def _(cluster):
-    assert cluster.do(cluster.read_newest()) >= cluster.acknowledged_version
+    assert cluster.run(cluster.read_newest()) >= cluster.acknowledged_version
 
 
 @then(parsers.parse("all machines hold the newest acknowledged version within {s:g} s"))
@@ -377,7 +377,7 @@
 
 @when("the primary is told to stop")
 def _(cluster, old):
-    cluster.loop.create_task(old.leave())
+    cluster.loop.create_task(old.shut_down())
 
 
 @when("the machines are replaced by new ones one after the other")
@@ -391,9 +391,9 @@
         cluster.machines[new_host] = new_machines[new_host]
         cluster.start(*[h for h in HOSTS if not cluster.machines[h].up])
         cluster.wait(1.0)
-        cluster.do(cluster.machines[old_host].leave())
+        cluster.run(cluster.machines[old_host].shut_down())
         cluster.wait(3.0)
-        assert cluster.do(cluster.put_within(0.5))
+        assert cluster.run(cluster.put_within(0.5))
 
 
 @when("the old machines come back")
@@ -449,8 +449,8 @@
         for machine in cluster.machines.values():
             machine.power_off(wipe=machine is old)
 
-    cluster.do(lose())
-    cluster.network.mend()
+    cluster.run(lose())
+    cluster.network.heal()
     cluster.start()
 
 
@@ -601,7 +601,7 @@
         await asyncio.sleep(duration)
         machine.thaw()
     elif kind == "leave":
-        await machine.leave()
+        await machine.shut_down()
         await asyncio.sleep(duration)
         machine.start()
     elif kind in ("cut", "in", "out"):
@@ -609,7 +609,7 @@
             ends = (machine.host, other) if kind == "out" else (other, machine.host)
             cluster.network.cut(*ends, both=kind == "cut")
         await asyncio.sleep(duration)
-        cluster.network.mend()
+        cluster.network.heal()
     else:
         disk_state.hangs, disk_state.refuses = kind == "hangs", kind == "refuses"
         disk_state.slower = 100.0 if kind == "slow" else 1.0
@@ -641,7 +641,7 @@
     await asyncio.sleep(5.0)
     for operator in operators:
         operator.cancel()
-    bound = 4.0 if cluster.network.lost or cluster.network.slow else 0.3
+    bound = 4.0 if cluster.network.loss_rate or cluster.network.extra_delay_seconds else 0.3
     assert await cluster.put_within(bound), "no change is acknowledged after the faults have ended"
     assert await cluster.read_newest() >= cluster.acknowledged_version
 
@@ -649,5 +649,5 @@
 @pytest.mark.parametrize("seed", range(30))
 def test_random_faults_lose_nothing(seed):
     cluster = StoreCluster(seed, (*HOSTS, "10.5.0.1")[: 3 + seed % 3])
-    cluster.do(_run_random_faults(cluster, Random(seed + 1000)))
+    cluster.run(_run_random_faults(cluster, Random(seed + 1000)))
     cluster.close()
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -21,7 +21,7 @@
 @pytest.fixture
 def cluster():
     made = Cluster(7)
-    made.back = made.behind(made.going_back())
+    made.back = made.run_in_background(made.check_versions_never_decrease())
     made.flows = []
     yield made
     made.close()
@@ -36,18 +36,18 @@
 ) -> None:
     """What each proxy answers on a route."""
     for ip in [only] if only else cluster.proxies:
-        _, reply = await cluster.once(name, key, ip)
+        _, reply = await cluster.send_once(name, key, ip)
         assert reply.status == wanted, (ip, reply)
 
 
 async def all_have(cluster: Cluster, within: float) -> float:
     newest = cluster.version
-    return await cluster.until(
+    return await cluster.wait_until(
         lambda: (
-            len(cluster.all_proxies()) == len(cluster.proxies)
+            len(cluster.running_proxies()) == len(cluster.proxies)
             and all(
                 s.configuration.table is not None and s.configuration.table.version == newest
-                for s in cluster.all_proxies()
+                for s in cluster.running_proxies()
             )
         ),
         within,
@@ -64,15 +64,15 @@
 
 @given("a town at work")
 def _(cluster):
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
 
 
 @given(parsers.parse("a flow of {rate:d} requests a second"))
 def _(cluster, rate):
     """Of which some can't be repeated, on kept connections and on new ones."""
     for n, keep in enumerate((True, False)):
-        client = cluster.someone()
-        client.keep, client.chunked = keep, bool(n)
+        client = cluster.new_client()
+        client.keep_alive, client.chunked = keep, bool(n)
         for method, name, again in (("GET", "a", True), ("POST", "once", False)):
             what = (
                 method,
@@ -82,7 +82,9 @@
                 b"" if again else b"body" * 50,
             )
             cluster.flows.append(
-                cluster.behind(cluster.flow(client, rate / 4, 8.0, *what, idempotent=again))
+                cluster.run_in_background(
+                    cluster.send_requests(client, rate / 4, 8.0, *what, idempotent=again)
+                )
             )
     cluster.wait(1.0)
 
@@ -90,7 +92,7 @@
 @given("servers that take 3 s")
 def _(cluster):
     for server in cluster.servers["alpha"]:
-        server.work = (2.9, 3.1)
+        server.work_seconds = (2.9, 3.1)
 
 
 # --- a calm day
@@ -99,32 +101,34 @@
 @then("every proxy is ready")
 def _(cluster):
     for ip in cluster.proxies:
-        assert cluster.do(cluster.ready(ip))
+        assert cluster.run(cluster.is_ready(ip))
 
 
 @then("every proxy serves requests with a key and no others")
 def _(cluster):
-    cluster.do(at_all(cluster, "once", 200))
-    cluster.do(at_all(cluster, "b", 200))
-    cluster.do(at_all(cluster, "a", 401, ""))
+    cluster.run(at_all(cluster, "once", 200))
+    cluster.run(at_all(cluster, "b", 200))
+    cluster.run(at_all(cluster, "a", 401, ""))
 
 
 @then("a route that is unknown is answered 404 and a key that is unknown 401")
 def _(cluster):
-    cluster.do(at_all(cluster, "nowhere", 404))
-    cluster.do(at_all(cluster, "a", 401, "key-of-nobody"))
+    cluster.run(at_all(cluster, "nowhere", 404))
+    cluster.run(at_all(cluster, "a", 401, "key-of-nobody"))
     assert all(run.tenant == "ann" for run in cluster.request_log.runs())
 
 
 @then("the configuration is read back as it was sent")
 def _(cluster):
-    assert cluster.do(cluster.operator.read(10.0)) == cluster.versions[cluster.version]
+    assert cluster.run(cluster.operator.read(10.0)) == cluster.versions[cluster.version]
 
 
 @when(parsers.parse("a flow of {rate:d} requests a second lasts {s:d} s"))
 def _(cluster, rate, s):
     what = ("GET", "town.example", "/b/x", "key-of-ann")
-    cluster.said = cluster.do(cluster.flow(cluster.client, rate, s, *what, idempotent=True))
+    cluster.said = cluster.run(
+        cluster.send_requests(cluster.client, rate, s, *what, idempotent=True)
+    )
 
 
 @then("all of them are served")
@@ -138,44 +142,44 @@
 
 @when("a route is added")
 def _(cluster):
-    cluster.do(add(cluster))
+    cluster.run(add(cluster))
 
 
 @then(parsers.parse("within {s:g} s of the acknowledgement it is served at every proxy"))
 def _(cluster, s):
     cluster.wait(s)
-    cluster.do(at_all(cluster, NEW, 200))
+    cluster.run(at_all(cluster, NEW, 200))
 
 
 @when("that route is taken away")
 def _(cluster):
     del cluster.resources["routes", NEW]
-    assert cluster.do(cluster.replace())
+    assert cluster.run(cluster.replace())
 
 
 @then(parsers.parse("within {s:g} s of the acknowledgement it is answered 404 at every proxy"))
 def _(cluster, s):
     cluster.wait(s)
-    cluster.do(at_all(cluster, NEW, 404))
+    cluster.run(at_all(cluster, NEW, 404))
 
 
 @when("the key is exchanged for another")
 def _(cluster):
     cluster.tenant("ann", "second-key-of-ann")
-    assert cluster.do(cluster.replace())
+    assert cluster.run(cluster.replace())
 
 
 @then(parsers.parse("within {s:g} s of the acknowledgement only the new key is served"))
 def _(cluster, s):
     cluster.wait(s)
-    cluster.do(at_all(cluster, "a", 401))
-    cluster.do(at_all(cluster, "a", 200, "second-key-of-ann"))
+    cluster.run(at_all(cluster, "a", 401))
+    cluster.run(at_all(cluster, "a", 200, "second-key-of-ann"))
 
 
 @when("the operator sends a route to an unknown service")
 def _(cluster):
     cluster.route("bad", "gamma")
-    cluster.said = cluster.do(
+    cluster.said = cluster.run(
         cluster.operator.call("configuration.replace", cluster.body(cluster.version + 5), 3.0)
     )
 
@@ -184,7 +188,7 @@
 def _(cluster):
     assert cluster.said.status == 400
     cluster.wait(1.0)
-    cluster.do(at_all(cluster, "bad", 404))
+    cluster.run(at_all(cluster, "bad", 404))
 
 
 # --- a server leaves
@@ -203,12 +207,12 @@
             registry.power_off()
             store.power_off()
         elif "cut off" in what:
-            cluster.network.apart(
+            cluster.network.partition(
                 [core[0]], [ip for ip in (*cluster.core_ips, *cluster.proxies) if ip != core[0]]
             )
         return at
 
-    cluster.leaving, cluster.acked = server.id, cluster.do(drain())
+    cluster.leaving, cluster.acked = server.id, cluster.run(drain())
     before = [run for run in cluster.request_log.arrivals if run.server == server.id]
     assert len(before) > 5
 
@@ -226,7 +230,7 @@
 
 @then("hardly any request fails")
 def _(cluster):
-    said = [reply for flow in cluster.flows for reply in cluster.do(flow)]
+    said = [reply for flow in cluster.flows for reply in cluster.run(flow)]
     good = sum(reply.status == 200 for reply in said)
     assert len(said) > 300 and good >= 0.985 * len(said), Counter((r.status, r.end) for r in said)
 
@@ -241,16 +245,18 @@
     async def again():
         cluster.proxies[ip].kill()
         if "cut off" in what:
-            alone = next(core for core in cluster.core_ips if core != cluster.counting())
-            cluster.network.apart([alone], [core for core in cluster.core_ips if core != alone])
-            cluster.operator.cores = [(c, port) for c, port in cluster.controls if c != alone]
+            alone = next(core for core in cluster.core_ips if core != cluster.counting_host())
+            cluster.network.partition([alone], [core for core in cluster.core_ips if core != alone])
+            cluster.operator.cores = [
+                (c, port) for c, port in cluster.control_addresses if c != alone
+            ]
             others = {
                 pair
                 for core in cluster.core_ips
                 if core != alone
                 for pair in ((core, ip), (ip, core))
             }
-            cluster.network.cuts |= others
+            cluster.network.blocked_links |= others
             await asyncio.sleep(3.7)  # nobody can know of a cut at once: the store takes 2.5 s
         await add(cluster)
         if "killed" in what:
@@ -261,21 +267,21 @@
         if "cut off" in what:
             assert cluster.proxy(
                 ip
-            ).configuration.table.version < cluster.version and not await cluster.ready(ip)
-            cluster.network.cuts -= others
+            ).configuration.table.version < cluster.version and not await cluster.is_ready(ip)
+            cluster.network.blocked_links -= others
         if "killed" in what:
             for host in (*cluster.stores.values(), *cluster.registries.values()):
                 host.start()
 
-    cluster.do(again())
+    cluster.run(again())
 
 
 @then("it has the newest configuration when it is first ready")
 def _(cluster):
     proxy = cluster.proxy(first(cluster))
-    cluster.do(cluster.until(lambda: proxy.is_ready, 8.0))
+    cluster.run(cluster.wait_until(lambda: proxy.is_ready, 8.0))
     assert proxy.configuration.table.version == cluster.version
-    cluster.do(at_all(cluster, NEW, 200, only=first(cluster)))
+    cluster.run(at_all(cluster, NEW, 200, only=first(cluster)))
 
 
 # --- the core is lost
@@ -287,7 +293,7 @@
     proxies = [*cluster.proxies.values()] if "proxies" in what else []
 
     async def lose():
-        primary = cluster.counting()
+        primary = cluster.counting_host()
         await add(cluster)
         for host in (*stores, *registries, *proxies):
             if "killed" in what:
@@ -298,12 +304,12 @@
         for host in (*stores, *registries, *proxies):
             host.start()
 
-    cluster.do(lose())
+    cluster.run(lose())
 
 
 @then(parsers.parse("every proxy has it within {s:g} s"))
 def _(cluster, s):
-    cluster.do(all_have(cluster, s))
+    cluster.run(all_have(cluster, s))
 
 
 @then("no proxy went back")
@@ -316,7 +322,7 @@
 
 @when("a proxy is cut off from the core")
 def _(cluster):
-    cluster.network.apart([first(cluster)], cluster.core_ips)
+    cluster.network.partition([first(cluster)], cluster.core_ips)
 
 
 @when("all of the core loses power")
@@ -328,31 +334,31 @@
 @then(parsers.parse("requests on older routes are served there for {s:d} s"))
 def _(cluster, s):
     for _ in range(10 * s):
-        cluster.do(at_all(cluster, "once", 200, only=first(cluster)))
+        cluster.run(at_all(cluster, "once", 200, only=first(cluster)))
         cluster.wait(0.1)
 
 
 @then(parsers.parse("requests on older routes are served everywhere for {s:d} s"))
 def _(cluster, s):
     for _ in range(4 * s):
-        cluster.do(at_all(cluster, "once", 200))
+        cluster.run(at_all(cluster, "once", 200))
         cluster.wait(0.25)
 
 
 @then("it still lacks the new route")
 def _(cluster):
-    cluster.do(at_all(cluster, NEW, 404, only=first(cluster)))
+    cluster.run(at_all(cluster, NEW, 404, only=first(cluster)))
 
 
 @when("the cut is mended")
 def _(cluster):
-    cluster.network.mend()
+    cluster.network.heal()
 
 
 @then(parsers.parse("it has the newest configuration within {s:g} s"))
 def _(cluster, s):
-    cluster.do(all_have(cluster, s))
-    cluster.do(at_all(cluster, NEW, 200))
+    cluster.run(all_have(cluster, s))
+    cluster.run(at_all(cluster, NEW, 200))
 
 
 # --- told to stop
@@ -361,40 +367,42 @@
 @when("a proxy is told to stop")
 def _(cluster):
     ip = first(cluster)
-    cluster.taken = [cluster.behind(cluster.once(at=ip)) for _ in range(2)]
+    cluster.taken = [cluster.run_in_background(cluster.send_once(at=ip)) for _ in range(2)]
     cluster.wait(0.3)
     cluster.asked = cluster.loop.time()
-    cluster.parting = cluster.behind(cluster.proxies[ip].end())
+    cluster.parting = cluster.run_in_background(cluster.proxies[ip].terminate())
 
 
 @then("its readiness says 503 at once")
 def _(cluster):
     cluster.wait(0.01)
-    assert not cluster.do(cluster.ready(first(cluster)))
+    assert not cluster.run(cluster.is_ready(first(cluster)))
     assert not cluster.parting.done()
 
 
 @then("what it took is answered whole, with Connection: close")
 def _(cluster):
-    late = [cluster.do(cluster.once(at=first(cluster)))]  # the platform may not have seen it yet
-    for ask, reply in [*[cluster.do(taken) for taken in cluster.taken], *late]:
+    late = [
+        cluster.run(cluster.send_once(at=first(cluster)))
+    ]  # the platform may not have seen it yet
+    for ask, reply in [*[cluster.run(taken) for taken in cluster.taken], *late]:
         assert reply.status == 200, reply
         if reply.at > cluster.asked:
             assert reply.fields["connection"] == "close" and reply.at - ask.sent < 3.3
-    cluster.do(asyncio.sleep(0))
+    cluster.run(asyncio.sleep(0))
 
 
 @then(parsers.parse("it ends within {s:g} s"))
 def _(cluster, s):
-    cluster.do(cluster.parting)
+    cluster.run(cluster.parting)
     assert cluster.loop.time() - cluster.asked < s
-    said = [reply for flow in cluster.flows for reply in cluster.do(flow)]
+    said = [reply for flow in cluster.flows for reply in cluster.run(flow)]
     assert all(reply.status in (200, 503) for reply in said), Counter(
         (r.status, r.end) for r in said
     )
     refused = [r for r in cluster.request_log.replies.values() if r.status == 0]
     assert all(reply.end == "refused" for reply in refused), refused
-    _, reply = cluster.do(cluster.once(at=first(cluster)))
+    _, reply = cluster.run(cluster.send_once(at=first(cluster)))
     assert reply.end == "refused"
 
 
@@ -403,19 +411,19 @@
     async def roll():
         for ip in cluster.core_ips:
             registry, store = cluster.core(ip)
-            await asyncio.gather(registry.end(), store.end())
+            await asyncio.gather(registry.terminate(), store.terminate())
             await asyncio.sleep(0.3)
             registry.start()
             store.start()
             await asyncio.sleep(1.0)
 
-    cluster.do(roll())
+    cluster.run(roll())
 
 
 @then(parsers.parse("a change is acknowledged within {s:g} s"))
 def _(cluster, s):
     cluster.route(NEW, "beta")
-    assert cluster.do(cluster.replace(s))
+    assert cluster.run(cluster.replace(s))
 
 
 @when(parsers.parse("a proxy is frozen, a route is taken away, and it thaws after {s:d} s"))
@@ -429,14 +437,14 @@
         await asyncio.sleep(s)
         cluster.proxies[first(cluster)].thaw()
 
-    cluster.do(freeze())
+    cluster.run(freeze())
 
 
 @then(parsers.parse("that route is answered 404 there within {s:g} s"))
 def _(cluster, s):
     cluster.wait(s)
-    cluster.do(at_all(cluster, NEW, 404, only=first(cluster)))
-    assert (first(cluster), FRONT_PORT) in cluster.inside
+    cluster.run(at_all(cluster, NEW, 404, only=first(cluster)))
+    assert (first(cluster), FRONT_PORT) in cluster.routed_proxies
 
 
 # --- random faults
@@ -446,11 +454,11 @@
 
 
 async def _day(cluster: Cluster, rng: Random) -> None:
-    await cluster.begin()
+    await cluster.start()
     acked, flows = cluster.version, []
     for keep in (True, False):
-        client = cluster.someone()
-        client.keep = client.chunked = keep
+        client = cluster.new_client()
+        client.keep_alive = client.chunked = keep
         for method, name, again in (("GET", "a", True), ("POST", "once", False)):
             what = (
                 method,
@@ -459,7 +467,11 @@
                 "key-of-ann",
                 b"" if again else b"body" * 50,
             )
-            flows.append(cluster.behind(cluster.flow(client, 15, 20, *what, idempotent=again)))
+            flows.append(
+                cluster.run_in_background(
+                    cluster.send_requests(client, 15, 20, *what, idempotent=again)
+                )
+            )
     troubles = Faults(cluster, rng)
     for _ in range(5):
         await troubles.one(KINDS)
@@ -482,7 +494,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_a_day_of_random_faults_breaks_no_rule(seed):
     cluster = Cluster(seed)
-    back = cluster.behind(cluster.going_back())
-    cluster.do(_day(cluster, Random(seed + 100)))
+    back = cluster.run_in_background(cluster.check_versions_never_decrease())
+    cluster.run(_day(cluster, Random(seed + 100)))
     assert not back.done()
     cluster.close()
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -827,7 +827,7 @@
     talk = await streams.open(HttpConnection, address, 1.0)
     talk.transport.write(raw)
     await asyncio.sleep(seconds)
-    got = {"answer": text(bytes(talk.buf)), "end": talk.over}
+    got = {"answer": text(bytes(talk.buffer)), "end": talk.closed_reason}
     talk.transport.abort()
     return got
 
@@ -991,8 +991,8 @@
             name: str, raw: bytes, seconds: float = 0.5, trouble: str = "", port: int = FRONT_PORT
         ) -> None:
             for server in cluster.servers["alpha"]:
-                server.trouble = trouble
-            said[name] = cluster.do(say(client, (ip, port), raw, seconds)) | {
+                server.fault = trouble
+            said[name] = cluster.run(say(client, (ip, port), raw, seconds)) | {
                 "sent on": watched.take()
             }
 
@@ -1002,12 +1002,12 @@
         async def alone() -> None:
             cluster.proxies[ip].start()
 
-        cluster.do(alone())
+        cluster.run(alone())
         cluster.wait(0.1)
         one("no configuration", proxy_request(), 2.0)
         one("not ready", readiness("/api/readiness"), port=READINESS_PORT)
         cluster.proxies[ip].kill()
-        cluster.usual()
+        cluster.use_default_configuration()
         cluster.route("open", "alpha", public=True)
         cluster.route("single", "alpha", maximum_attempts=1)
         cluster.route("short", "alpha", timeout="400ms", target_latency="100ms")
@@ -1017,7 +1017,7 @@
             "connection_limit": 130,
         }
         cluster.tenant("poor", "key-of-poor", 1, 1)
-        cluster.do(cluster.begin())
+        cluster.run(cluster.start())
         cluster.wait(5.0)
         one("ready", readiness("/api/readiness"), port=READINESS_PORT)
         one("another path", readiness("/api/other"), port=READINESS_PORT)
--- a/tests/testing/simulation/test_bounds.py
+++ b/tests/testing/simulation/test_bounds.py
@@ -217,9 +217,9 @@
             await asyncio.sleep(2.0)
             ips = [*self.cluster.proxies][:4]
             async with self.troubles.span("cut", "limiters cut off", ips):
-                self.cluster.network.apart(ips, self.cluster.core_ips)
+                self.cluster.network.partition(ips, self.cluster.core_ips)
                 await asyncio.sleep(9.0)
-                self.cluster.network.mend()
+                self.cluster.network.heal()
 
         return [parted()]
 
