--- a/loomstand/testing/simulation/bounds.py
+++ b/loomstand/testing/simulation/bounds.py
@@ -29,12 +29,12 @@
     """
 
     kind: str
-    what: str
+    description: str
     hosts: frozenset[str]
     begun: float
     ended: float = inf
     core: bool = False
-    most: bool = True
+    majority_connected: bool = True
 
 
 @dataclass(slots=True, frozen=True)
@@ -103,12 +103,14 @@
     drains: list[Drain] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     # by service: when clients sent requests
-    asked: dict[str, list[float]] = field(default_factory=dict)
+    request_times: dict[str, list[float]] = field(default_factory=dict)
     # from, to: no serving primary
-    unserved: list[tuple[float, float]] = field(default_factory=list)
-    twins: list[float] = field(default_factory=list)  # looks that found two registries counting
+    primary_gaps: list[tuple[float, float]] = field(default_factory=list)
+    double_counting_times: list[float] = field(
+        default_factory=list
+    )  # looks that found two registries counting
     # rules broken whatever the day (the people's book)
-    faults: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True, frozen=True)
@@ -143,15 +145,28 @@
         return [Figure(self.name, *self.worst, self.many, self.broken)] if self.worst else []
 
 
-def judge(history: History, bounds: RuleBounds) -> list[Figure]:
+def evaluate(history: History, bounds: RuleBounds) -> list[Figure]:
     """The day's figures, in a fixed order; one that nothing was seen of is left out."""
     out = quota(history, bounds)
-    out += news(history, bounds) + drains(history, bounds) + late(history, bounds)
-    out += budget(history, bounds) + orders(history, bounds) + unserved(history)
+    out += (
+        configuration_propagation(history, bounds)
+        + drains(history, bounds)
+        + arrivals_after_drain(history, bounds)
+    )
+    out += (
+        budget(history, bounds)
+        + acknowledgement_times(history, bounds)
+        + longest_without_primary(history)
+    )
     twins = WorstFigure("moments with two counters")
-    twins.add(len(history.twins), 0, next(iter(history.twins), history.begun), "")
+    twins.add(
+        len(history.double_counting_times),
+        0,
+        next(iter(history.double_counting_times), history.begun),
+        "",
+    )
     faults = WorstFigure("rules broken by any answer")
-    faults.add(len(history.faults), 0, history.begun, "; ".join(history.faults[:3]))
+    faults.add(len(history.violations), 0, history.begun, "; ".join(history.violations[:3]))
     return out + twins.figure() + faults.figure()
 
 
@@ -224,7 +239,7 @@
 # --- news
 
 
-def trouble(
+def disturbing_span(
     history: History, host: str, since: float, until: float, bounds: RuleBounds
 ) -> FaultSpan | None:
     """The trouble of a limiter, or of the core, that ended last among those within `contact` of a
@@ -247,19 +262,19 @@
         self.name, self.within, self.history, self.bounds = name, within, history, bounds
         self.kinds: dict[str, WorstFigure] = {}
 
-    def add(self, host: str, acked: float, known: float, who: str, free: bool = False) -> None:
+    def add(self, host: str, acked: float, known: float, who: str, unbounded: bool = False) -> None:
         """News acknowledged at one time was in force at another. Where there was trouble the delay
         counts from the end of that. `free`: no bound holds, as whoever acknowledged it was in
         trouble.
         """
-        span = trouble(self.history, host, acked, known, self.bounds)
+        span = disturbing_span(self.history, host, acked, known, self.bounds)
         if span is not None and span.ended >= known > acked:
             return  # still in it, whatever it went by
         kind, since, limit = "connected", acked, acked + self.within
         if span is not None:
             kind, since = span.kind, max(acked, span.ended)
             limit = max(limit, span.ended + self.bounds.contact_seconds)
-        if span is not None and span.kind == CORE and span.most:
+        if span is not None and span.kind == CORE and span.majority_connected:
             limit = min(limit, acked + self.within + self.bounds.stretch_limit_seconds)
             # the stretch is the core's: one that was cut off until just now has its own time
             near = (
@@ -271,7 +286,7 @@
         worst = self.kinds.setdefault(kind, WorstFigure(f"{self.name}, {kind}"))
         worst.add(
             max(0.0, known - since),
-            inf if free else max(0.0, limit - since),
+            inf if unbounded else max(0.0, limit - since),
             since,
             f"{who} at {host}",
         )
@@ -280,28 +295,28 @@
         return [figure for kind in sorted(self.kinds) for figure in self.kinds[kind].figure()]
 
 
-def by_life(told: Iterable[AppliedChange], server: bool) -> dict[str, list[AppliedChange]]:
+def changes_by_host(told: Iterable[AppliedChange], server: bool) -> dict[str, list[AppliedChange]]:
     """By limiter, in the order of time: versions, or the use of servers."""
     out: dict[str, list[AppliedChange]] = {}
-    for word in told:
-        if bool(word.server) is server:
-            out.setdefault(word.host, []).append(word)
+    for applied in told:
+        if bool(applied.server) is server:
+            out.setdefault(applied.host, []).append(applied)
     return out
 
 
-def news(history: History, bounds: RuleBounds) -> list[Figure]:
+def configuration_propagation(history: History, bounds: RuleBounds) -> list[Figure]:
     """CONFIG: from the acknowledgement of a version to its force, or that of a later one, at each
     limiter. One that starts must have what was acknowledged before too.
     """
     found = PropagationDelays(
         "version in force", bounds.configuration_apply_seconds, history, bounds
     )
-    words = by_life(history.applied_changes, False)
+    changes = changes_by_host(history.applied_changes, False)
     for host in history.limiters:
-        mine = words.get(host, [])
+        mine = changes.get(host, [])
         for change in history.changes:
             if change.acked < inf:
-                known = since_when(mine, change, history.ended)
+                known = first_applied_at(mine, change, history.ended)
                 found.add(host, change.acked, known, f"r{change.version}")
         starts = [
             s for s in history.spans if s.kind == "started" and host in s.hosts and s.ended < inf
@@ -322,7 +337,7 @@
     return found.figures()
 
 
-def since_when(mine: list[AppliedChange], change: ConfigurationChange, ended: float) -> float:
+def first_applied_at(mine: list[AppliedChange], change: ConfigurationChange, ended: float) -> float:
     """When a limiter first held that version or a later one; lives after that one are told of by
     their starts.
     """
@@ -334,23 +349,23 @@
     each.
     """
     found = PropagationDelays("drain known", bounds.drain_seconds, history, bounds)
-    words = by_life(history.applied_changes, True)
+    changes = changes_by_host(history.applied_changes, True)
     for drain in history.drains:
-        free = unsure(history, drain, bounds)
+        unbounded = is_acknowledged_by_disturbed_core(history, drain, bounds)
         for host in history.limiters:
-            mine = [w for w in words.get(host, []) if w.server == drain.server]
+            mine = [w for w in changes.get(host, []) if w.server == drain.server]
             known = drain.acked if any(w.at <= drain.acked for w in mine) else -inf
-            for word, after in zip_longest(mine, mine[1:]):
-                if word.value:  # in use until the next word, its life's end, or the day's
+            for applied, after in zip_longest(mine, mine[1:]):
+                if applied.value:  # in use until the next word, its life's end, or the day's
                     until = after.at if after is not None else history.ended
-                    known = max(known, min(until, life_end(history, host, word.at)))
+                    known = max(known, min(until, process_end(history, host, applied.at)))
             if known > -inf:
                 known = min(drain.left, max(known, drain.acked))
-                found.add(host, drain.acked, known, drain.server, free)
+                found.add(host, drain.acked, known, drain.server, unbounded)
     return found.figures()
 
 
-def life_end(history: History, host: str, at: float) -> float:
+def process_end(history: History, host: str, at: float) -> float:
     """When the life of a limiter ended that was on at that time."""
     ends = [
         s.begun for s in history.spans if s.kind == "started" and host in s.hosts and s.begun >= at
@@ -358,7 +373,7 @@
     return min(ends, default=history.ended)
 
 
-def unsure(history: History, drain: Drain, bounds: RuleBounds) -> bool:
+def is_acknowledged_by_disturbed_core(history: History, drain: Drain, bounds: RuleBounds) -> bool:
     """Whether the core machine that acknowledged a drain was out of touch: then it binds nobody."""
     return any(
         s.core and drain.by in s.hosts and s.begun <= drain.acked < s.ended + bounds.contact_seconds
@@ -366,7 +381,7 @@
     )
 
 
-def late(history: History, bounds: RuleBounds) -> list[Figure]:
+def arrivals_after_drain(history: History, bounds: RuleBounds) -> list[Figure]:
     """DRAIN, as servers see it: what arrives at one after its drain was acknowledged."""
     found = PropagationDelays("arrival after a drain", bounds.drain_seconds, history, bounds)
     drained = {drain.server: drain for drain in history.drains}
@@ -384,7 +399,7 @@
             drain.acked,
             run.at,
             f"{run.id} for {run.server}",
-            held or unsure(history, drain, bounds),
+            held or is_acknowledged_by_disturbed_core(history, drain, bounds),
         )
     return found.figures()
 
@@ -407,7 +422,7 @@
             again.setdefault(run.service, []).append(run.at)
         seen.add(run.id)
     for service, at in again.items():
-        asked = sorted(history.asked.get(service, []))
+        asked = sorted(history.request_times.get(service, []))
         for n, start in enumerate(at):
             count = bisect_right(at, start + window) - n
             spans = [start, start - window, start - window / 2]
@@ -417,7 +432,7 @@
     return worst.figure()
 
 
-def orders(history: History, bounds: RuleBounds) -> list[Figure]:
+def acknowledgement_times(history: History, bounds: RuleBounds) -> list[Figure]:
     """Acks: how long a change took that was sent and acknowledged with no trouble near, or
     `acknowledge` past where none came.
     """
@@ -438,14 +453,16 @@
     return worst.figure()
 
 
-def unserved(history: History) -> list[Figure]:
+def longest_without_primary(history: History) -> list[Figure]:
     """Spans without a serving primary; those in which half of the core was gone count from their
     end.
     """
     worst = WorstFigure("without a serving primary")
-    for since, until in history.unserved:
+    for since, until in history.primary_gaps:
         gone = [
-            s.ended for s in history.spans if not s.most and s.begun <= until and s.ended > since
+            s.ended
+            for s in history.spans
+            if not s.majority_connected and s.begun <= until and s.ended > since
         ]
         worst.add(max(0.0, until - max([since, *gone])), inf, since, "")
     return worst.figure()
--- a/loomstand/testing/simulation/control_plane.py
+++ b/loomstand/testing/simulation/control_plane.py
@@ -101,13 +101,13 @@
         raise AssertionError("calm, and nothing is acknowledged or read")
 
 
-class Troubles:
+class CoreFaults:
     """What befalls the core's machines at moments within orders; one disk at a time is lost."""
 
     def __init__(self, plane: ControlPlane, rng: Random) -> None:
-        self.plane, self.rng, self.fresh = plane, rng, len(plane.core_ips)
+        self.plane, self.rng, self.machine_count = plane, rng, len(plane.core_ips)
 
-    async def operate(self) -> None:
+    async def send_operations(self) -> None:
         """Orders and questions to any machine, orders sent again, two at one moment."""
         plane, rng = self.plane, self.rng
         while True:
@@ -126,7 +126,7 @@
         first = self.plane.primary()
         return first if first and self.rng.random() < 0.5 else self.rng.choice(self.plane.core_ips)
 
-    async def one(self) -> None:
+    async def inject(self) -> None:
         plane, rng, ip = self.plane, self.rng, self.machine()
         lasts = rng.choice((0.3, 1.2, 2.0, 4.0))
         hosts = plane.hosts(ip)
@@ -173,13 +173,13 @@
             for host in plane.hosts(ip):
                 host.start()
         else:
-            await self.exchange(ip)
+            await self.replace_machine(ip)
 
-    async def exchange(self, ip: str) -> None:
+    async def replace_machine(self, ip: str) -> None:
         """A new machine comes, the old one leaves for good, and its disk with it."""
         plane = self.plane
-        self.fresh += 1
-        new = f"10.1.0.{self.fresh}"
+        self.machine_count += 1
+        new = f"10.1.0.{self.machine_count}"
         plane.registries[new] = plane.make_host(new, plane.registry_factory(new))
         plane.stores[new] = plane.make_host(new, plane.store_factory(new))
         plane.core_ips = [new if other == ip else other for other in plane.core_ips]
@@ -194,14 +194,14 @@
 
 def run_random_faults(seed: int, steps: int = 6) -> ControlPlane:
     plane = ControlPlane(seed, 3 + seed % 2)
-    troubles = Troubles(plane, Random(seed))
+    faults = CoreFaults(plane, Random(seed))
 
     async def day() -> None:
         await plane.start()
-        operators = plane.run_in_background(troubles.operate())
+        operators = plane.run_in_background(faults.send_operations())
         for _ in range(steps):
-            await troubles.one()
-            await asyncio.sleep(troubles.rng.choice((0.05, 0.5, 2.0)))
+            await faults.inject()
+            await asyncio.sleep(faults.rng.choice((0.05, 0.5, 2.0)))
         operators.cancel()
         await asyncio.sleep(5.0)
         await plane.check_recovered()
--- a/loomstand/testing/simulation/faults.py
+++ b/loomstand/testing/simulation/faults.py
@@ -63,10 +63,10 @@
         history: History | None = None,
         lasts: tuple[float, ...] = (0.3, 1.0, 3.0),
     ) -> None:
-        self.cluster, self.rng, self.lengths = cluster, rng, lasts
+        self.cluster, self.rng, self.durations = cluster, rng, lasts
         self.history = History([*cluster.proxies]) if history is None else history
 
-    async def one(self, kinds: list[str]) -> None:
+    async def inject(self, kinds: list[str]) -> None:
         """One of the kinds, from its beginning to its end."""
         await getattr(self, self.rng.choice(kinds))()
 
@@ -77,21 +77,21 @@
         """Trouble for as long as the block lasts; one that the day's end breaks off has no end."""
         begun, where = self.cluster.loop.time(), frozenset(hosts)
         spans, n = self.history.spans, len(self.history.spans)
-        spans.append(FaultSpan(kind, what, where, begun, core=core, most=most))
+        spans.append(FaultSpan(kind, what, where, begun, core=core, majority_connected=most))
         yield
         spans[n] = FaultSpan(kind, what, where, begun, self.cluster.loop.time(), core, most)
 
-    async def last(self) -> None:
-        await asyncio.sleep(self.rng.choice(self.lengths))
+    async def wait_fault_duration(self) -> None:
+        await asyncio.sleep(self.rng.choice(self.durations))
 
-    def some(self, low: float, high: float) -> list[str]:
+    def draw_proxies(self, low: float, high: float) -> list[str]:
         """A share of the proxies, one at the least."""
         share = self.rng.uniform(low, high)
         return self.rng.sample(
             [*self.cluster.proxies], max(1, round(share * len(self.cluster.proxies)))
         )
 
-    def a_core(self) -> str:
+    def draw_core(self) -> str:
         """A core machine, half the time the one whose store is primary."""
         held = [
             ip
@@ -104,14 +104,14 @@
 
     # power
 
-    async def down(self, hosts: list[Host], off: bool, wipe: bool = False) -> None:
+    async def take_down(self, hosts: list[Host], off: bool, wipe: bool = False) -> None:
         """Killed, or without power, and back after a while."""
         for host in hosts:
             host.power_off(wipe) if off else host.kill()
-        await self.last()
-        self.back(hosts)
+        await self.wait_fault_duration()
+        self.start_again(hosts)
 
-    def back(self, hosts: list[Host]) -> None:
+    def start_again(self, hosts: list[Host]) -> None:
         """Those that other trouble hasn't started meanwhile."""
         for host in hosts:
             if not host.up:
@@ -120,25 +120,25 @@
     async def proxy(self) -> None:
         ip = self.rng.choice([*self.cluster.proxies])
         async with self.span("started", "killed", [ip]):
-            await self.down([self.cluster.proxies[ip]], self.rng.random() < 0.5)
+            await self.take_down([self.cluster.proxies[ip]], self.rng.random() < 0.5)
 
     async def herd(self) -> None:
-        ips = self.some(0.3, 0.6)
+        ips = self.draw_proxies(0.3, 0.6)
         async with self.span("started", "killed together", ips):
-            await self.down([self.cluster.proxies[ip] for ip in ips], False)
+            await self.take_down([self.cluster.proxies[ip] for ip in ips], False)
 
     async def term(self) -> None:
-        await self.replaced([self.rng.choice([*self.cluster.proxies])], "told to stop")
+        await self.restart([self.rng.choice([*self.cluster.proxies])], "told to stop")
 
     async def roll(self) -> None:
         """Most limiters are told to stop, two at a time, and start again."""
-        ips, rolls = self.some(0.6, 1.0), []
+        ips, rolls = self.draw_proxies(0.6, 1.0), []
         for n in range(0, len(ips), 2):
-            rolls.append(asyncio.ensure_future(self.replaced(ips[n : n + 2])))
+            rolls.append(asyncio.ensure_future(self.restart(ips[n : n + 2])))
             await asyncio.sleep(ROLL_GAP_SECONDS)
         await asyncio.gather(*rolls)
 
-    async def replaced(self, ips: list[str], what: str = "rolled") -> None:
+    async def restart(self, ips: list[str], what: str = "rolled") -> None:
         """Told to stop, and started once they have; other trouble may kill them before."""
         hosts = [self.cluster.proxies[ip] for ip in ips]
         async with self.span("started", what, ips):
@@ -146,85 +146,85 @@
                 await asyncio.wait(ends, timeout=STOP_TIMEOUT_SECONDS)
             for host in hosts:
                 host.kill()
-            self.back(hosts)
+            self.start_again(hosts)
 
     async def step(self) -> None:
         """The time of day jumps, and the programs read it anew."""
-        ips = self.some(0.1, 0.3)
+        ips = self.draw_proxies(0.1, 0.3)
         async with self.span("started", "clock step", ips):
-            self.steps(ips)
-            await self.down([self.cluster.proxies[ip] for ip in ips], False)
+            self.shift_clocks(ips)
+            await self.take_down([self.cluster.proxies[ip] for ip in ips], False)
 
-    def steps(self, ips: list[str]) -> None:
+    def shift_clocks(self, ips: list[str]) -> None:
         by = self.rng.choice((-1600.0, -3.0, 2.0, 1600.0))
         self.cluster.clock_offsets |= dict.fromkeys(ips, by)
 
     async def core(self) -> None:
-        ip, wipe = self.a_core(), self.rng.random() < 0.25
+        ip, wipe = self.draw_core(), self.rng.random() < 0.25
         async with self.span(
             CORE, "core machine wiped" if wipe else "core machine killed", [ip], True
         ):
-            await self.down([*self.cluster.core(ip)], wipe or self.rng.random() < 0.5, wipe)
+            await self.take_down([*self.cluster.core(ip)], wipe or self.rng.random() < 0.5, wipe)
 
     async def step_core(self) -> None:
-        ip = self.a_core()
+        ip = self.draw_core()
         async with self.span(CORE, "core clock step", [ip], True):
-            self.steps([ip])
-            await self.down([*self.cluster.core(ip)], False)
+            self.shift_clocks([ip])
+            await self.take_down([*self.cluster.core(ip)], False)
 
     async def registry(self) -> None:
         """The counting registry is lost, its counts with it; the store beside it goes on."""
-        ip = self.a_core()
+        ip = self.draw_core()
         async with self.span(CORE, "registry killed", [ip], True):
-            await self.down([self.cluster.registries[ip]], False)
+            await self.take_down([self.cluster.registries[ip]], False)
 
     async def all_core(self) -> None:
         async with self.span(CORE, "all of the core killed", self.cluster.core_ips, True, False):
-            await self.down(
+            await self.take_down(
                 [*self.cluster.stores.values(), *self.cluster.registries.values()], False
             )
 
     # processes and disks
 
-    async def frozen(self, hosts: list[Host]) -> None:
+    async def freeze_hosts(self, hosts: list[Host]) -> None:
         for host in hosts:
             host.freeze()
-        await self.last()
+        await self.wait_fault_duration()
         for host in hosts:
             host.thaw()
 
     async def freeze_proxy(self) -> None:
-        ips = self.some(0.0, 0.2)
+        ips = self.draw_proxies(0.0, 0.2)
         async with self.span("slow", "frozen", ips):
-            await self.frozen([self.cluster.proxies[ip] for ip in ips])
+            await self.freeze_hosts([self.cluster.proxies[ip] for ip in ips])
 
     async def freeze_core(self) -> None:
-        ip = self.a_core()
+        ip = self.draw_core()
         hosts = self.rng.choice(([0], [1], [0, 1]))
         async with self.span(CORE, "core processes frozen", [ip], True):
-            await self.frozen([self.cluster.core(ip)[n] for n in hosts])
+            await self.freeze_hosts([self.cluster.core(ip)[n] for n in hosts])
 
     async def freeze(self) -> None:
         await (self.freeze_proxy if self.rng.random() < 0.3 else self.freeze_core)()
 
     async def disk(self) -> None:
-        ip, what = self.a_core(), self.rng.choice(("hangs", "refuses", "slower"))
+        ip, what = self.draw_core(), self.rng.choice(("hangs", "refuses", "slower"))
         disk_state = self.cluster.stores[ip].disk_state
         async with self.span(CORE, f"disk {what}", [ip], True):
             setattr(disk_state, what, 28.0 if what == "slower" else True)
-            await self.last()
+            await self.wait_fault_duration()
             disk_state.hangs = disk_state.refuses = False
             disk_state.slower = 1.0
 
     # links
 
-    async def cut_for(self, pairs: set[tuple[str, str]]) -> None:
+    async def block_links(self, pairs: set[tuple[str, str]]) -> None:
         """Nothing comes from the first to the second of each pair."""
         self.cluster.network.blocked_links |= pairs
-        await self.last()
+        await self.wait_fault_duration()
         self.cluster.network.heal(pairs)
 
-    def between(self, one: Iterable[str], others: Iterable[str]) -> set[tuple[str, str]]:
+    def links_between(self, one: Iterable[str], others: Iterable[str]) -> set[tuple[str, str]]:
         """Both ways, or at times one way only."""
         ways = {(a, b) for a in one for b in others}
         back = {(b, a) for a, b in ways}
@@ -232,64 +232,66 @@
 
     async def part(self) -> None:
         """Limiters are cut off from the core; in half of the cases from servers, too."""
-        ips = self.some(0.1, 0.3)
+        ips = self.draw_proxies(0.1, 0.3)
         there = list(self.cluster.core_ips)
         if self.rng.random() < 0.5:
             there += self.server_ips()
         async with self.span("cut", "limiters cut off", ips):
-            await self.cut_for(self.between(ips, there))
+            await self.block_links(self.links_between(ips, there))
 
     async def cut(self) -> None:
         """The core in two, its limiters with one side or the other, or still in reach of both."""
-        cores, side = list(self.cluster.core_ips), [self.a_core()]
+        cores, side = list(self.cluster.core_ips), [self.draw_core()]
         if len(cores) == 4 and self.rng.random() < 0.4:
             side.append(self.rng.choice([ip for ip in cores if ip not in side]))
         most = 2 * len(side) < len(cores)
         rest = [ip for ip in cores if ip not in side]
-        with_side = self.some(0.1, 0.4) if self.rng.random() < 0.6 else []
-        pairs = self.between(side, rest)
+        with_side = self.draw_proxies(0.1, 0.4) if self.rng.random() < 0.6 else []
+        pairs = self.links_between(side, rest)
         if with_side:
-            pairs |= self.between(side, [ip for ip in self.cluster.proxies if ip not in with_side])
-            pairs |= self.between(with_side, rest)
+            pairs |= self.links_between(
+                side, [ip for ip in self.cluster.proxies if ip not in with_side]
+            )
+            pairs |= self.links_between(with_side, rest)
         async with self.span(CORE, f"core cut {len(side)}/{len(rest)}", cores, True, most):
             if with_side:
                 async with self.span("cut", "with the cut part of the core", with_side):
-                    await self.cut_for(pairs)
+                    await self.block_links(pairs)
             else:
-                await self.cut_for(pairs)
+                await self.block_links(pairs)
 
     async def alone(self) -> None:
         """One machine, cut off from everyone."""
         core = self.rng.random() < 0.4
-        ip = self.a_core() if core else self.rng.choice([*self.cluster.proxies])
+        ip = self.draw_core() if core else self.rng.choice([*self.cluster.proxies])
         everyone = [*self.cluster.proxies, *self.cluster.core_ips, *self.server_ips()]
         async with self.span(CORE if core else "cut", "alone", [ip], core):
-            await self.cut_for({p for o in everyone if o != ip for p in ((ip, o), (o, ip))})
+            await self.block_links({p for o in everyone if o != ip for p in ((ip, o), (o, ip))})
 
-    async def slowed(self, ips: list[str]) -> None:
+    async def slow_down(self, ips: list[str]) -> None:
         more = self.rng.choice((0.02, 0.1, 0.4))
         self.cluster.network.extra_delay_seconds |= dict.fromkeys(ips, more)
-        await self.last()
+        await self.wait_fault_duration()
         for ip in ips:
             self.cluster.network.extra_delay_seconds.pop(
                 ip, None
             )  # other trouble may have ended it
 
     async def slow_proxy(self) -> None:
-        ips = self.some(0.05, 0.3)
+        ips = self.draw_proxies(0.05, 0.3)
         async with self.span("slow", "slow links", ips):
-            await self.slowed(ips)
+            await self.slow_down(ips)
 
     async def slow_core(self) -> None:
-        ip = self.a_core()
+        ip = self.draw_core()
         async with self.span(CORE, "core links slow", [ip], True):
-            await self.slowed([ip])
+            await self.slow_down([ip])
 
     async def lossy(self) -> None:
         everyone = [*self.cluster.core_ips, *self.cluster.proxies]
         async with self.span("slow", "all links lossy", everyone, True, False):
             self.cluster.network.loss_rate = self.rng.choice((0.02, 0.1))
-            await self.last()
+            await self.wait_fault_duration()
             self.cluster.network.loss_rate = 0.0
 
     # servers
@@ -297,25 +299,25 @@
     def server_ips(self) -> list[str]:
         return [server.address[0] for many in self.cluster.servers.values() for server in many]
 
-    def a_server(self) -> Server:
+    def draw_server(self) -> Server:
         """One that is in use and not about to leave."""
         many = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
         return self.rng.choice([s for s in many if s.state == "ready"] or many)
 
     async def server(self) -> None:
-        server = self.a_server()
+        server = self.draw_server()
         server.kill()
-        await self.last()
+        await self.wait_fault_duration()
         server.start()
 
     async def trouble(self) -> None:
-        server = self.a_server()
+        server = self.draw_server()
         what = "full error close silent reset cut spoilt surplus late slow bare dark refuses"
         server.fault, server.fault_share = (
             self.rng.choice(what.split()),
             self.rng.choice((0.3, 1.0)),
         )
-        await self.last()
+        await self.wait_fault_duration()
         server.fault = ""
 
     async def wave(self) -> None:
@@ -328,7 +330,7 @@
         )
         for server in ill:
             server.fault, server.fault_share = what, share
-        await self.last()
+        await self.wait_fault_duration()
         for server in ill:
             server.fault = ""
 
@@ -338,14 +340,14 @@
         one.kill()
         other.kill()
         one.address, other.address = other.address, one.address
-        await self.last()
+        await self.wait_fault_duration()
         one.start()
         other.start()
 
     async def leave(self) -> None:
-        await self.leaves(self.a_server())
+        await self.drain_and_replace(self.draw_server())
 
-    async def leaves(self, server: Server) -> None:
+    async def drain_and_replace(self, server: Server) -> None:
         """In order; another takes its place."""
         id_ = server.id
         at, core = await server.drain()
@@ -359,6 +361,6 @@
         many = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
         leaving = []
         for server in many[:3]:
-            leaving.append(self.cluster.loop.create_task(self.leaves(server)))
+            leaving.append(self.cluster.loop.create_task(self.drain_and_replace(server)))
             await asyncio.sleep(1.0)
         await asyncio.gather(*leaving)
--- a/loomstand/testing/simulation/hunt.py
+++ b/loomstand/testing/simulation/hunt.py
@@ -14,20 +14,20 @@
 from math import inf
 from pathlib import Path
 
-from loomstand.testing.simulation.bounds import Figure, History, judge
+from loomstand.testing.simulation.bounds import Figure, History, evaluate
 from loomstand.testing.simulation.scenario import Day, Setup
 
 NARRATIVE_SECONDS = 12.0  # s before and after the worst moment that a narrative tells
 
 
-def one(asked: tuple[int, Setup]) -> tuple[int, list[Figure]]:
+def run_day(asked: tuple[int, Setup]) -> tuple[int, list[Figure]]:
     """A day's figures."""
     seed, setup = asked
-    history, bounds = Day(seed, setup).play()
-    return seed, judge(history, bounds)
+    history, bounds = Day(seed, setup).simulate()
+    return seed, evaluate(history, bounds)
 
 
-def table(days: Iterable[tuple[int, list[Figure]]]) -> list[tuple[Figure, int, int]]:
+def worst_by_name(days: Iterable[tuple[int, list[Figure]]]) -> list[tuple[Figure, int, int]]:
     """Of each name the worst figure, its day's seed, and how many days broke it."""
     worst: dict[str, tuple[Figure, int, int]] = {}
     for seed, figures in days:
@@ -44,20 +44,20 @@
     return [worst[name] for name in sorted(worst)]
 
 
-def shown(figure: Figure) -> str:
+def format_figure(figure: Figure) -> str:
     allowed = "-" if figure.allowed == inf else f"{figure.allowed:.3g}"
     mark = f"  BROKEN ({figure.broken})" if figure.broken else ""
     return f"{figure.name:46s} {figure.value:9.3f} of {allowed:>5s}  {figure.who}{mark}"
 
 
-def tell(history: History, figures: list[Figure]) -> None:
+def print_narrative(history: History, figures: list[Figure]) -> None:
     """What went on around the worst moment: that of a broken figure, else that of the quotas."""
     for figure in figures:
-        print(f"at {figure.at:7.2f}  {shown(figure)}")
+        print(f"at {figure.at:7.2f}  {format_figure(figure)}")
     chosen = max(figures, key=lambda f: (f.broken > 0, f.name.startswith("quota")))
     print(f"\naround {chosen.at:.2f} s: {chosen.name}, {chosen.who}")
     lines = [
-        (s.begun, f"{s.what}: {', '.join(sorted(s.hosts))}, until {s.ended:.2f}", s.ended)
+        (s.begun, f"{s.description}: {', '.join(sorted(s.hosts))}, until {s.ended:.2f}", s.ended)
         for s in history.spans
     ]
     for before, change in zip([None, *history.changes], history.changes, strict=False):
@@ -77,7 +77,7 @@
     lines += [
         (d.acked, f"drain of {d.server} acknowledged by {d.by}", d.acked) for d in history.drains
     ]
-    lines += [(a, f"no primary until {b:.2f}", b) for a, b in history.unserved]
+    lines += [(a, f"no primary until {b:.2f}", b) for a, b in history.primary_gaps]
     for at, line, until in sorted(lines):
         if at < chosen.at + NARRATIVE_SECONDS and until > chosen.at - NARRATIVE_SECONDS:
             print(f"{at:8.2f}  {line}")
@@ -139,19 +139,19 @@
             parser.error(f"{path}: its folder isn't there")
     setup = Setup(limiters=asked.limiters, quotas=asked.quotas, dense=asked.dense)
     if asked.day is not None:
-        history, bounds = Day(asked.day, setup).play()
-        figures = judge(history, bounds)
-        tell(history, figures)
+        history, bounds = Day(asked.day, setup).simulate()
+        figures = evaluate(history, bounds)
+        print_narrative(history, figures)
         return int(any(f.broken for f in figures))
     begun = time.monotonic()
     seeds = [(seed, setup) for seed in range(asked.seed, asked.seed + asked.days)]
     with ProcessPoolExecutor(asked.jobs) as pool:
-        days = list(pool.map(one, seeds))
-    found = table(days)
+        days = list(pool.map(run_day, seeds))
+    found = worst_by_name(days)
     print(f"{len(days)} days of {setup.length:g} s with {setup.limiters} limiters", end="")
     print(f", {time.monotonic() - begun:.0f} s to play")
     for figure, seed, broke in found:
-        print(f"{shown(figure)}  day {seed}" + (f", {broke} days" if broke else ""))
+        print(f"{format_figure(figure)}  day {seed}" + (f", {broke} days" if broke else ""))
     try:
         if asked.json:
             with open(asked.json, "w") as file:
--- a/loomstand/testing/simulation/scenario.py
+++ b/loomstand/testing/simulation/scenario.py
@@ -48,7 +48,7 @@
 
     name: str
     rate: float
-    usual: float
+    normal_rate: float
     key: str = ""
     hot: bool = False
 
@@ -62,32 +62,30 @@
         cores = self.setup.cores or rng.choice((3, 3, 4))
         self.cluster = Cluster(rng.getrandbits(32), cores, self.setup.limiters, self.setup.servers)
         self.history = History([*self.cluster.proxies])
-        self.troubles = Faults(
-            self.cluster, Random(rng.getrandbits(32)), self.history, FAULT_SECONDS
-        )
+        self.faults = Faults(self.cluster, Random(rng.getrandbits(32)), self.history, FAULT_SECONDS)
         rates = [rate * self.setup.quotas for rate in TENANT_RATES]
         self.loads = [
             Load(f"t{n}", rate, rate * rng.uniform(0.8, 1.4)) for n, rate in enumerate(rates)
         ]
         self.cluster.use_default_configuration()
         for load in self.loads:
-            self.key(load)
+            self.draw_key(load)
             self.cluster.tenant(
                 load.name, load.key, load.rate, round(load.rate * rng.choice(BURST_TO_RATE))
             )
 
-    def play(self) -> tuple[History, RuleBounds]:
+    def simulate(self) -> tuple[History, RuleBounds]:
         """Plays it, once: what came of it, and the bounds that it was under."""
         try:
-            self.cluster.run(self.whole())
-            return self.told(), self.cluster.settings(self.cluster.core_ips[0]).bounds
+            self.cluster.run(self.run_day())
+            return self.collect_history(), self.cluster.settings(self.cluster.core_ips[0]).bounds
         finally:
             self.cluster.loop.close()
 
-    def key(self, load: Load) -> None:
+    def draw_key(self, load: Load) -> None:
         load.key = f"key-{load.name}-{self.rng.getrandbits(32):08x}"
 
-    async def whole(self) -> None:
+    async def run_day(self) -> None:
         """The first configuration, the lanes side by side, and the calm."""
         cluster, history = self.cluster, self.history
         sent = cluster.loop.time() + 0.5
@@ -97,42 +95,48 @@
             ConfigurationChange(cluster.version, sent, history.begun, self.quotas())
         )
         until = history.begun + self.setup.length
-        looks = cluster.loop.create_task(self.look())
+        looks = cluster.loop.create_task(self.observe())
         flows = [
             cluster.loop.create_task(self.clients(load, until + FINAL_CALM_SECONDS))
             for load in self.loads
         ]
-        await asyncio.gather(*self.lanes(until))
+        await asyncio.gather(*self.activities(until))
         await asyncio.sleep(max(0.0, until + FINAL_CALM_SECONDS - cluster.loop.time()))
         await asyncio.gather(*flows)
         looks.cancel()
         history.ended = cluster.loop.time()
 
-    def lanes(self, until: float) -> list[Coroutine[Any, Any, None]]:
+    def activities(self, until: float) -> list[Coroutine[Any, Any, None]]:
         """What happens, side by side."""
         rng = self.rng
         if self.setup.dense:
             return self.dense(until)
         # a third of the days spare the limiters or the core: bounds in touch need calm to be tested
-        lanes = [self.lane(until, 0.5, 3.0, lambda: self.troubles.one(SERVERS))]
-        lanes += [self.lane(until, 1.0, 4.0, self.order), self.lane(until, 0.5, 4.0, self.heat)]
+        lanes = [self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVERS))]
+        lanes += [
+            self.repeat(until, 1.0, 4.0, self.change_configuration),
+            self.repeat(until, 0.5, 4.0, self.raise_load),
+        ]
         if (which := rng.random()) < 0.83:
             gap = rng.choice((1.0, 3.0, 9.0))
-            lanes.append(self.lane(until, 0.2, gap, lambda: self.troubles.one(LIMITERS)))
+            lanes.append(self.repeat(until, 0.2, gap, lambda: self.faults.inject(LIMITERS)))
         if not 0.66 < which < 0.83:
             gap = rng.choice((3.0, 9.0, 15.0))
-            lanes.append(self.lane(until, 0.2, gap, lambda: self.troubles.one(CORES)))
+            lanes.append(self.repeat(until, 0.2, gap, lambda: self.faults.inject(CORES)))
         return lanes
 
     def dense(self, until: float) -> list[Coroutine[Any, Any, None]]:
-        lanes = [self.lane(until, 0.0, 1.0, self.heat), self.lane(until, 0.0, 1.0, self.heat)]
+        lanes = [
+            self.repeat(until, 0.0, 1.0, self.raise_load),
+            self.repeat(until, 0.0, 1.0, self.raise_load),
+        ]
         for gap in (0.5, 1.0, 2.0):
-            lanes.append(self.lane(until, 0.0, gap, lambda: self.troubles.one(DENSE)))
-        lanes.append(self.lane(until, 0.5, 4.0, lambda: self.troubles.one(CORES)))
-        lanes.append(self.lane(until, 0.5, 3.0, lambda: self.troubles.one(SERVERS)))
-        return [*lanes, self.lane(until, 0.3, 2.0, self.order)]
+            lanes.append(self.repeat(until, 0.0, gap, lambda: self.faults.inject(DENSE)))
+        lanes.append(self.repeat(until, 0.5, 4.0, lambda: self.faults.inject(CORES)))
+        lanes.append(self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVERS)))
+        return [*lanes, self.repeat(until, 0.3, 2.0, self.change_configuration)]
 
-    async def lane(
+    async def repeat(
         self, until: float, low: float, high: float, what: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
         """One thing after another, with pauses of `low` to `high` seconds."""
@@ -162,11 +166,11 @@
             )
             tasks.append(self.cluster.loop.create_task(asked))
             await asyncio.sleep(
-                rng.expovariate(load.usual * (HOT_LOAD_FACTOR if load.hot else 1.0))
+                rng.expovariate(load.normal_rate * (HOT_LOAD_FACTOR if load.hot else 1.0))
             )
         await asyncio.gather(*tasks)
 
-    async def heat(self) -> None:
+    async def raise_load(self) -> None:
         """One tenant sends many times its usual."""
         load = self.rng.choice(self.loads)
         load.hot = True
@@ -181,7 +185,7 @@
         }
         return {name: (spec["rate_per_s"], spec["burst_size"]) for name, spec in named.items()}
 
-    async def order(self) -> None:
+    async def change_configuration(self) -> None:
         """A change of the configuration: a quota, a key taken away, or a route."""
         cluster, rng, load = self.cluster, self.rng, self.rng.choice(self.loads)
         what, spec = (
@@ -193,9 +197,9 @@
             most = max(TENANT_RATES) * self.setup.quotas
             rate = min(1.2 * most, max(1.0, round(spec["rate_per_s"] * x)))
             cluster.tenant(load.name, load.key, rate, round(rate * rng.choice(BURST_TO_RATE)))
-            load.usual = rate * rng.uniform(0.8, 1.4)
+            load.normal_rate = rate * rng.uniform(0.8, 1.4)
         elif what == "key":
-            self.key(load)
+            self.draw_key(load)
             cluster.tenant(load.name, load.key, spec["rate_per_s"], spec["burst_size"])
         else:
             cluster.route(f"n{cluster.version}", rng.choice([*cluster.servers]))
@@ -208,7 +212,7 @@
 
     # what was seen
 
-    async def look(self) -> None:
+    async def observe(self) -> None:
         """Who serves as primary, and who counts."""
         cluster, since = self.cluster, -1.0
         while True:
@@ -217,26 +221,26 @@
             if not served and since < 0:
                 since = now
             elif served and since >= 0:
-                self.history.unserved.append((since, now))
+                self.history.primary_gaps.append((since, now))
                 since = -1.0
             if sum(cluster.is_counting(ip) for ip in cluster.core_ips) > 1:
-                self.history.twins.append(now)
+                self.history.double_counting_times.append(now)
             await asyncio.sleep(OBSERVATION_PERIOD_SECONDS)
 
-    def told(self) -> History:
+    def collect_history(self) -> History:
         """With the people's book."""
         history, request_log = self.history, self.cluster.request_log
         try:
             request_log.check()
         except AssertionError:
-            history.faults = request_log.violations
+            history.violations = request_log.violations
         route = {
             f"/{name}/x": spec["service_name"]
             for (kind, name), spec in self.cluster.resources.items()
             if kind == "routes"
         }
         for ask in request_log.requests.values():
-            history.asked.setdefault(route[ask.path], []).append(ask.sent)
+            history.request_times.setdefault(route[ask.path], []).append(ask.sent)
         for run in request_log.arrivals:
             ask = request_log.requests[run.id]
             history.arrivals.append(
--- a/loomstand/testing/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -38,19 +38,19 @@
 class SegmentKind(Enum):
     """What is on the way."""
 
-    OPEN = auto()
-    TAKEN = auto()  # the answer to an opening
+    SYN = auto()
+    SYN_ACK = auto()  # the answer to an opening
     DATA = auto()
-    TOOK = auto()  # so much was read: the window is open again
-    END = auto()
-    RESET = auto()
+    WINDOW_UPDATE = auto()  # so much was read: the window is open again
+    FIN = auto()
+    RST = auto()
 
 
 @dataclass(slots=True)
 class StreamListener(Listener):
     """A listener for streams among the sky's."""
 
-    make: Callable[[], asyncio.BaseProtocol] = field(kw_only=True)
+    protocol_factory: Callable[[], asyncio.BaseProtocol] = field(kw_only=True)
 
     def close(self) -> None:
         """New connections are refused."""
@@ -68,14 +68,16 @@
 
     network: SimNetwork
     rng: Random
-    ends: set[SimTransport] = field(default_factory=set)
+    transports: set[SimTransport] = field(default_factory=set)
 
-    def died(self, process: SimProcess) -> None:
+    def process_ended(self, process: SimProcess) -> None:
         """A process ended: its machine's kernel closes what it had, by a reset where bytes are
         unread, and often by one otherwise.
         """
-        for end in sorted((e for e in self.ends if e.process is process), key=lambda e: e.number):
-            end.forsaken()
+        for end in sorted(
+            (e for e in self.transports if e.process is process), key=lambda e: e.number
+        ):
+            end.process_ended()
 
 
 class SimTransport(asyncio.Transport):
@@ -87,40 +89,44 @@
         super().__init__()
         SimTransport.count += 1
         self.number = SimTransport.count  # so that sets of them have an order
-        self.tcp, self.host, self.process, self.far = tcp, host, process, far
+        self.tcp, self.host, self.process, self.remote_host = tcp, host, process, far
         self.loop = asyncio.get_running_loop()
         self.context = process.context() if process is not None else contextvars.Context()
         self.protocol: Any = None
         self.peer: SimTransport | None = None
-        self.refused: Callable[[], None] | None = None  # of one that hasn't come up
+        self.on_refused: Callable[[], None] | None = None  # of one that hasn't come up
         # on the way out
-        self.way: deque[tuple[float, SegmentKind, Any]] = deque()
+        self.in_transit: deque[tuple[float, SegmentKind, Any]] = deque()
         self.timer: asyncio.TimerHandle | None = None
-        self.last, self.pause = 0.0, RETRANSMIT_SECONDS[0]
+        self.last_arrival_at, self.retransmit_delay = 0.0, RETRANSMIT_SECONDS[0]
         # sending
         # what waits in the process; what the other end takes
-        self.buffer, self.credit = bytearray(), WINDOW_BYTES
-        self.full = self.ending = self.ended = False  # writing paused; its end is wanted; is sent
+        self.buffer, self.send_window = bytearray(), WINDOW_BYTES
+        self.write_paused = self.eof_requested = self.fin_sent = (
+            False  # writing paused; its end is wanted; is sent
+        )
         # receiving
-        self.came: deque[bytes] = deque()  # read by the kernel, not by the process
-        self.over: SegmentKind | None = None
-        self.reading, self.woken, self.told = True, False, False
-        self.resets = False  # its close is a reset, as with SO_LINGER 0
-        self.closing = self.closed = self.lost = False  # by the process; `lost` once it was told
-        self.gone = False  # the kernel knows the connection no more
-        tcp.ends.add(self)
+        self.received: deque[bytes] = deque()  # read by the kernel, not by the process
+        self.remote_end: SegmentKind | None = None
+        self.reading, self.delivery_scheduled, self.eof_delivered = True, False, False
+        self.resets_on_close = False  # its close is a reset, as with SO_LINGER 0
+        self.closing = self.closed = self.loss_notified = (
+            False  # by the process; `lost` once it was told
+        )
+        self.discarded = False  # the kernel knows the connection no more
+        tcp.transports.add(self)
 
     # the process's side
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         if name == "reset_on_close":
-            return self.abortive
+            return self.set_reset_on_close
         if name == "unread":
-            return lambda: bool(self.came) or self.over is not None
-        return (self.far, 0) if name == "peername" else default
+            return lambda: bool(self.received) or self.remote_end is not None
+        return (self.remote_host, 0) if name == "peername" else default
 
-    def abortive(self) -> None:
-        self.resets = True
+    def set_reset_on_close(self) -> None:
+        self.resets_on_close = True
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         pass
@@ -148,33 +154,33 @@
 
     def resume_reading(self) -> None:
         self.reading = True
-        self.wake()
+        self.schedule_delivery()
 
     def write(self, data: Any) -> None:
-        if self.ending:
+        if self.eof_requested:
             raise RuntimeError("written after its end")
         if self.closed or self.closing:
             return
-        if self.gone:
+        if self.discarded:
             self.fail(ConnectionResetError("written to a connection that broke"))
             return
         self.buffer += data
-        self.push()
-        if self.buffer and not self.full:
-            self.full = True
+        self.flush()
+        if self.buffer and not self.write_paused:
+            self.write_paused = True
             self.protocol.pause_writing()
 
     def write_eof(self) -> None:
-        if self.gone:
+        if self.discarded:
             raise OSError("not connected")
-        self.ending = True
-        self.push()
+        self.eof_requested = True
+        self.flush()
 
     def close(self) -> None:
         """Ends it once all is written."""
         if not self.closing and not self.closed:
             self.closing = True
-            self.push()
+            self.flush()
 
     def abort(self) -> None:
         """As a socket's close: what the kernel has is still sent, but bytes left unread make it a
@@ -182,70 +188,70 @@
         """
         self.buffer.clear()
         if not self.closed:
-            self.finish(None)
+            self.finish_close(None)
 
-    def push(self) -> None:
+    def flush(self) -> None:
         """Gives the kernel what it takes."""
-        if self.buffer and self.credit and not self.gone:
-            piece = bytes(self.buffer[: self.credit])
+        if self.buffer and self.send_window and not self.discarded:
+            piece = bytes(self.buffer[: self.send_window])
             del self.buffer[: len(piece)]
-            self.credit -= len(piece)
+            self.send_window -= len(piece)
             if len(piece) > 1 and self.tcp.rng.random() < SPLIT_SHARE:
                 cut = self.tcp.rng.randrange(1, len(piece))
-                self.put(SegmentKind.DATA, piece[:cut])
+                self.send_segment(SegmentKind.DATA, piece[:cut])
                 piece = piece[cut:]
-            self.put(SegmentKind.DATA, piece)
+            self.send_segment(SegmentKind.DATA, piece)
         if self.buffer:
             return
-        if self.full and not self.closed:
-            self.full = False
+        if self.write_paused and not self.closed:
+            self.write_paused = False
             self.protocol.resume_writing()
-        if (self.ending or self.closing) and not self.ended and not self.gone:
-            self.ended = True
-            self.put(SegmentKind.END)
+        if (self.eof_requested or self.closing) and not self.fin_sent and not self.discarded:
+            self.fin_sent = True
+            self.send_segment(SegmentKind.FIN)
         if self.closing and not self.closed:
-            self.finish(None)
+            self.finish_close(None)
 
     def fail(self, why: Exception) -> None:
         self.buffer.clear()
         if not self.closed:
-            self.finish(why)
+            self.finish_close(why)
 
-    def finish(self, why: Exception | None) -> None:
+    def finish_close(self, why: Exception | None) -> None:
         self.closed = True
-        if not self.gone:
-            if self.came or self.resets:
+        if not self.discarded:
+            if self.received or self.resets_on_close:
                 self.reset()
-            elif not self.ended:
-                self.ended = True
-                self.put(SegmentKind.END)
-            self.settle()
-        self.loop.call_soon(self.lose, why, context=self.context)
-
-    def lose(self, why: Exception | None) -> None:
-        if not self.lost:
-            self.lost = True
+            elif not self.fin_sent:
+                self.fin_sent = True
+                self.send_segment(SegmentKind.FIN)
+            self.discard_if_done()
+        self.loop.call_soon(self.notify_connection_lost, why, context=self.context)
+
+    def notify_connection_lost(self, why: Exception | None) -> None:
+        if not self.loss_notified:
+            self.loss_notified = True
             if self.protocol is not None:
                 self.protocol.connection_lost(why)
 
-    def up(self) -> None:
+    def establish(self) -> None:
         """The connection stands: its process hears of it."""
         if not self.closed:
             self.protocol.connection_made(self)
-            self.hand()
+            self.deliver_received()
 
-    def wake(self) -> None:
-        if not self.woken and not self.closed:
-            self.woken = True
-            self.loop.call_soon(self.hand, context=self.context)
+    def schedule_delivery(self) -> None:
+        if not self.delivery_scheduled and not self.closed:
+            self.delivery_scheduled = True
+            self.loop.call_soon(self.deliver_received, context=self.context)
 
-    def hand(self) -> None:
+    def deliver_received(self) -> None:
         """Gives the process what has come."""
-        self.woken = False
+        self.delivery_scheduled = False
         if self.protocol is None:
             return
-        while self.came and self.reading and not self.closed:
-            data, taken = self.came.popleft(), 0
+        while self.received and self.reading and not self.closed:
+            data, taken = self.received.popleft(), 0
             if isinstance(self.protocol, asyncio.BufferedProtocol):
                 while taken < len(data) and not self.closed:
                     space = self.protocol.get_buffer(-1)
@@ -255,140 +261,140 @@
                     self.protocol.buffer_updated(n)
             else:
                 self.protocol.data_received(data)
-            if not self.gone:
-                self.put(SegmentKind.TOOK, len(data))
-        if self.over is None or self.closed or self.came or not self.reading:
+            if not self.discarded:
+                self.send_segment(SegmentKind.WINDOW_UPDATE, len(data))
+        if self.remote_end is None or self.closed or self.received or not self.reading:
             return
-        if self.over is SegmentKind.RESET:
+        if self.remote_end is SegmentKind.RST:
             self.fail(ConnectionResetError("reset"))
-        elif not self.told:
-            self.told = True
+        elif not self.eof_delivered:
+            self.eof_delivered = True
             if not self.protocol.eof_received():
                 self.close()
 
     # the kernel's side
 
-    def put(self, kind: SegmentKind, data: Any = b"") -> None:
+    def send_segment(self, kind: SegmentKind, data: Any = b"") -> None:
         """On the way, behind what is there."""
         network, (low, high) = self.tcp.network, LINK_DELAY_SECONDS
         took = (
             network.rng.uniform(low, high)
             + network.extra_delay_seconds.get(self.host, 0.0)
-            + network.extra_delay_seconds.get(self.far, 0.0)
+            + network.extra_delay_seconds.get(self.remote_host, 0.0)
         )
         if network.loss_rate and network.rng.random() < network.loss_rate:
             took += RETRANSMIT_SECONDS[0]
-        self.last = max(self.last, self.loop.time() + took)
-        self.way.append((self.last, kind, data))
-        self.arm()
+        self.last_arrival_at = max(self.last_arrival_at, self.loop.time() + took)
+        self.in_transit.append((self.last_arrival_at, kind, data))
+        self.arm_timer()
 
-    def arm(self, at: float = 0.0) -> None:
-        if self.timer is None and self.way:
+    def arm_timer(self, at: float = 0.0) -> None:
+        if self.timer is None and self.in_transit:
             self.timer = self.loop.call_at(
-                max(at, self.way[0][0]), self.carry, context=_KERNEL_CONTEXT
+                max(at, self.in_transit[0][0]), self.transmit, context=_KERNEL_CONTEXT
             )
 
-    def carry(self) -> None:
+    def transmit(self) -> None:
         """Brings over what is due, or tries again later."""
         self.timer, now, network = None, self.loop.time(), self.tcp.network
-        if not network.is_reachable(self.host, self.far):
+        if not network.is_reachable(self.host, self.remote_host):
             # a reset is sent once, and nothing of that connection again
             if self.host in network.powered_off or any(
-                kind is SegmentKind.RESET for _, kind, _ in self.way
+                kind is SegmentKind.RST for _, kind, _ in self.in_transit
             ):
-                self.way.clear()
-            self.arm(now + self.pause * (0.8 + 0.4 * self.tcp.rng.random()))
-            self.pause = min(RETRANSMIT_SECONDS[2], 2 * self.pause)
+                self.in_transit.clear()
+            self.arm_timer(now + self.retransmit_delay * (0.8 + 0.4 * self.tcp.rng.random()))
+            self.retransmit_delay = min(RETRANSMIT_SECONDS[2], 2 * self.retransmit_delay)
             return
-        self.pause = RETRANSMIT_SECONDS[0]
-        while self.way and self.way[0][0] <= now:
-            _, kind, data = self.way.popleft()
-            if kind is SegmentKind.OPEN:
-                self.knock(data)
+        self.retransmit_delay = RETRANSMIT_SECONDS[0]
+        while self.in_transit and self.in_transit[0][0] <= now:
+            _, kind, data = self.in_transit.popleft()
+            if kind is SegmentKind.SYN:
+                self.open_at_listener(data)
             elif self.peer is not None:
-                self.peer.arrive(kind, data)
-        self.arm()
-        self.settle()
+                self.peer.receive_segment(kind, data)
+        self.arm_timer()
+        self.discard_if_done()
 
-    def knock(self, address: Address) -> None:
+    def open_at_listener(self, address: Address) -> None:
         """An opening has come to where it goes."""
         port, tcp = self.tcp.network.listeners.get(address), self.tcp
         there = isinstance(port, StreamListener) and port.process.alive
         other = SimTransport(tcp, address[0], port.process if there else None, self.host)
         self.peer, other.peer = other, self
-        if self.gone:  # given up meanwhile
+        if self.discarded:  # given up meanwhile
             there = False
-        other.put(SegmentKind.TAKEN if there else SegmentKind.RESET)
+        other.send_segment(SegmentKind.SYN_ACK if there else SegmentKind.RST)
         if not there:
-            other.gone = other.closed = True
+            other.discarded = other.closed = True
             return
 
         def accept() -> None:
-            other.protocol = port.make()
-            other.up()
+            other.protocol = port.protocol_factory()
+            other.establish()
 
         self.loop.call_soon(accept, context=other.context)
 
-    def arrive(self, kind: SegmentKind, data: Any) -> None:
-        if self.gone:
-            if kind not in (SegmentKind.RESET, SegmentKind.TOOK):
-                self.put(SegmentKind.RESET)
-        elif kind is SegmentKind.RESET:
-            self.gone, self.over = True, SegmentKind.RESET
-            self.way.clear()
-            if self.refused is not None:
-                self.loop.call_soon(self.refused, context=self.context)
-            self.wake()
-        elif kind is SegmentKind.TAKEN:
-            self.refused = None
-            self.loop.call_soon(self.up, context=self.context)
-        elif kind is SegmentKind.TOOK:
-            self.credit += data
+    def receive_segment(self, kind: SegmentKind, data: Any) -> None:
+        if self.discarded:
+            if kind not in (SegmentKind.RST, SegmentKind.WINDOW_UPDATE):
+                self.send_segment(SegmentKind.RST)
+        elif kind is SegmentKind.RST:
+            self.discarded, self.remote_end = True, SegmentKind.RST
+            self.in_transit.clear()
+            if self.on_refused is not None:
+                self.loop.call_soon(self.on_refused, context=self.context)
+            self.schedule_delivery()
+        elif kind is SegmentKind.SYN_ACK:
+            self.on_refused = None
+            self.loop.call_soon(self.establish, context=self.context)
+        elif kind is SegmentKind.WINDOW_UPDATE:
+            self.send_window += data
             if not self.closed:
-                self.loop.call_soon(self.push, context=self.context)
-        elif kind is SegmentKind.END:
-            self.over = SegmentKind.END
-            self.wake()
+                self.loop.call_soon(self.flush, context=self.context)
+        elif kind is SegmentKind.FIN:
+            self.remote_end = SegmentKind.FIN
+            self.schedule_delivery()
         elif self.closed:  # nobody is there to read it
             self.reset()
         else:
-            self.came.append(data)
-            self.wake()
-        self.settle()
+            self.received.append(data)
+            self.schedule_delivery()
+        self.discard_if_done()
 
     def reset(self) -> None:
         """The kernel breaks it off, once; what is on the way comes before that. What met a cut
         never comes, nor what was sent after it: no byte is read over a gap.
         """
-        if not self.gone:
-            if self.way and self.way[0][0] <= self.loop.time():
-                self.way.clear()
+        if not self.discarded:
+            if self.in_transit and self.in_transit[0][0] <= self.loop.time():
+                self.in_transit.clear()
             if self.timer is not None:
                 self.timer.cancel()
                 self.timer = None
             if self.peer is not None:
-                self.put(SegmentKind.RESET)
-            self.gone = True
+                self.send_segment(SegmentKind.RST)
+            self.discarded = True
 
-    def forsaken(self) -> None:
+    def process_ended(self) -> None:
         """Its process is no more."""
-        self.closed = self.lost = True
-        if self.came or self.tcp.rng.random() < 0.5:
+        self.closed = self.loss_notified = True
+        if self.received or self.tcp.rng.random() < 0.5:
             self.reset()
-        elif not self.gone and not self.ended:
-            self.ended = True
-            self.put(SegmentKind.END)
-        self.settle()
+        elif not self.discarded and not self.fin_sent:
+            self.fin_sent = True
+            self.send_segment(SegmentKind.FIN)
+        self.discard_if_done()
 
-    def settle(self) -> None:
+    def discard_if_done(self) -> None:
         """Forgets what is over on both sides."""
         if (
             self.closed
-            and not self.way
-            and (self.gone or (self.ended and self.over is SegmentKind.END))
+            and not self.in_transit
+            and (self.discarded or (self.fin_sent and self.remote_end is SegmentKind.FIN))
         ):
-            self.gone = True
-            self.tcp.ends.discard(self)
+            self.discarded = True
+            self.tcp.transports.discard(self)
 
 
 class Host(Machine):
@@ -399,7 +405,7 @@
     def kill(self) -> None:
         super().kill()
         if self.process is not None:
-            self.tcp.died(self.process)
+            self.tcp.process_ended(self.process)
 
     def power_off(self, wipe: bool = False) -> None:
         """Falls silent: nothing says that its connections are over until somebody writes to it
@@ -429,15 +435,21 @@
     async def listen(
         self, loop: Any, make: Callable[[], Any], address: Address, *bounds: int
     ) -> StreamListener:
-        port = StreamListener(self.process, _refuse_call, make=make, network=self.tcp.network)
+        port = StreamListener(
+            self.process, _refuse_call, protocol_factory=make, network=self.tcp.network
+        )
         self.tcp.network.listeners[address] = port
         return port
 
     def dial(self, protocol: Any, address: Address, refused: Callable[[], None]) -> SimTransport:
         """An opening on its way; `protocol` hears of it once the connection stands."""
         end = SimTransport(self.tcp, self.host, self.process, address[0])
-        end.protocol, end.refused, end.pause = protocol, refused, RETRANSMIT_SECONDS[1]
-        end.put(SegmentKind.OPEN, address)
+        end.protocol, end.on_refused, end.retransmit_delay = (
+            protocol,
+            refused,
+            RETRANSMIT_SECONDS[1],
+        )
+        end.send_segment(SegmentKind.SYN, address)
         return end
 
     def connect(self, loop: Any, wire: Wire, address: Address, within: float) -> None:
@@ -456,9 +468,9 @@
 
         def off() -> None:
             timer.cancel()
-            end.refused, end.closed, end.gone = None, True, True
-            end.way.clear()
-            end.settle()
+            end.on_refused, end.closed, end.discarded = None, True, True
+            end.in_transit.clear()
+            end.discard_if_done()
 
         wire.off = off
 
@@ -477,9 +489,9 @@
             async with asyncio.timeout(within):
                 await stands
         except BaseException:
-            end.refused, end.closed, end.gone = None, True, True
-            end.way.clear()
-            end.settle()
+            end.on_refused, end.closed, end.discarded = None, True, True
+            end.in_transit.clear()
+            end.discard_if_done()
             raise
         return made
 
--- a/loomstand/testing/simulation/workload.py
+++ b/loomstand/testing/simulation/workload.py
@@ -83,7 +83,7 @@
     def kill(self) -> None:
         if self.process is not None:
             self.process.alive = False
-            self.tcp.died(self.process)
+            self.tcp.process_ended(self.process)
         if self.port is not None:
             self.port.close()
 
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -63,11 +63,11 @@
                 while b"\r\n\r\n" not in self.buffer:
                     await self.wait_for_data()
                 if self.stage.early:
-                    await self.act(self.stage.plays.pop(0))
+                    await self.act(self.stage.scripts.pop(0))
                     self.stage.early = False
                     continue
                 message = await self.read_message()
-                play = self.stage.plays.pop(0) if self.stage.plays else []
+                play = self.stage.scripts.pop(0) if self.stage.scripts else []
                 if play[:1] == ["refuse"]:
                     del play[0]
                 else:
@@ -105,13 +105,13 @@
         self.loop = asyncio.get_running_loop()
         self.room, self.endings, self.most_answer = Room(1 << 22), Tally[str](), 1 << 16
         self.process, self.own_process = SimProcess(), SimProcess()
-        self.plays: list[list[Any]] = []
+        self.scripts: list[list[Any]] = []
         self.early = False
         self.ran: list[str] = []
         self.ran_at: dict[str, float] = {}
-        self.came_of: dict[str, list[Outcome]] = {}
+        self.outcomes: dict[str, list[Outcome]] = {}
         self.bodies: dict[str, tuple[int, bytes, str]] = {}
-        self.talks: list[ScriptedServerConnection] = []
+        self.connections: list[ScriptedServerConnection] = []
         self.pool = UpstreamPool(self, 0.25, 60.0)  # type: ignore[arg-type]
         # type: ignore[method-assign]
         self.pool.connect = Streams(self.tcp, PROXY_IP, self.own_process).connect
@@ -119,8 +119,8 @@
 
     async def open(self) -> UpstreamFixture:
         def make() -> ScriptedServerConnection:
-            self.talks.append(ScriptedServerConnection(self))
-            return self.talks[-1]
+            self.connections.append(ScriptedServerConnection(self))
+            return self.connections[-1]
 
         await Streams(self.tcp, SERVER_IP, self.process).listen(self.loop, make, (SERVER_IP, 80))
         return self
@@ -143,7 +143,7 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         id_ = attempt.request.request_id.decode()
-        self.came_of.setdefault(id_, []).append(outcome)
+        self.outcomes.setdefault(id_, []).append(outcome)
         if attempt.request.server_response is not None:
             self.bodies[id_] = attempt.request.server_response
 
@@ -169,7 +169,7 @@
         """No proof for what ran, one end for each sending, and only an own whole answer has
         passed.
         """
-        for id_, outcomes in self.came_of.items():
+        for id_, outcomes in self.outcomes.items():
             proved = sum(o in NOT_RUN_OUTCOMES for o in outcomes)
             assert self.ran.count(id_) <= len(outcomes) - proved, (id_, outcomes)
             if Outcome.SUCCEEDED in outcomes:
@@ -192,7 +192,7 @@
         talk.play = what, at = self.script.pop(0) if self.script else ("", 0)
         id_ = message.fields["loomstand-request-id"]
         # its sending ended after the answer before: it runs none, says nothing
-        if talk.transport.ending:
+        if talk.transport.eof_requested:
             self.request_log.record_arrival(
                 ServerArrival(self.now(), self.service, self.id, id_, "", False), message
             )
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -125,7 +125,7 @@
         if failure == "no listener":
             with pytest.raises(ConnectionRefusedError):
                 await client.open(HttpConnection, address, 1.0)
-            assert loop.time() < 0.02 and not tcp.ends
+            assert loop.time() < 0.02 and not tcp.transports
             return
         port = await Streams(tcp, "10.0.0.2", process).listen(loop, HttpConnection, address)
         talk = await client.open(HttpConnection, address, 1.0)
@@ -136,7 +136,7 @@
             port.close()
             if failure == "off":
                 network.powered_off.add("10.0.0.2")
-            tcp.died(process)
+            tcp.process_ended(process)
         await asyncio.sleep(5.0)
         assert bool(talk.closed_reason) == (failure == "kill")
         started_at = loop.time()
--- a/tests/proxy/test_unusual_faults.py
+++ b/tests/proxy/test_unusual_faults.py
@@ -55,10 +55,10 @@
 def drop_connections(cluster: Cluster, servers: list[Server]) -> int:
     """Drops the servers' ends of all connections without notice; returns their number."""
     processes = {server.process for server in servers}
-    ends = [end for end in cluster.tcp.ends if end.process in processes and not end.gone]
+    ends = [end for end in cluster.tcp.transports if end.process in processes and not end.discarded]
     for end in ends:
-        end.gone = end.closed = end.lost = True
-        end.way.clear()
+        end.discarded = end.closed = end.loss_notified = True
+        end.in_transit.clear()
     return len(ends)
 
 
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -62,15 +62,15 @@
                 steps = {"silence": [2.0, raw[at:]], "pause": [0.02, raw[at:]]}.get(
                     interruption, [interruption]
                 )
-                stage.plays = [[raw[:at], *steps]]
+                stage.scripts = [[raw[:at], *steps]]
                 stage.send(stage.request(id_), 0.2)
                 await asyncio.sleep(0.25)
                 success = Outcome.SUCCEEDED if interruption == "pause" else None
                 failure = (
                     Outcome.NO_RESPONSE if interruption == "silence" else Outcome.CONNECTION_LOST
                 )
-                assert stage.came_of[id_] == [success or failure], (interruption, at)
-                stage.plays = []
+                assert stage.outcomes[id_] == [success or failure], (interruption, at)
+                stage.scripts = []
 
         run_stage(work)
 
@@ -91,7 +91,7 @@
         for at in range(size + 1):
             first, second = f"r{at:04}", f"n{at:04}"
             extra, own = make_response(first), whole(second)
-            stage.plays = [
+            stage.scripts = [
                 [whole(first), extra[:at]],
                 [extra[at:] + own] if ahead else [extra[at:], 0.01, own],
             ]
@@ -99,8 +99,8 @@
             await asyncio.sleep(0.008 if at % 2 else 0.02)
             stage.send(stage.request(second))
             await asyncio.sleep(0.1)
-            assert stage.came_of[first] == [Outcome.SUCCEEDED]
-            assert set(stage.came_of[second]) <= {Outcome.SUCCEEDED, Outcome.CONNECTION_LOST}
+            assert stage.outcomes[first] == [Outcome.SUCCEEDED]
+            assert set(stage.outcomes[second]) <= {Outcome.SUCCEEDED, Outcome.CONNECTION_LOST}
             for connections in list(stage.pool.idle.values()):
                 for connection in list(connections):
                     stage.pool.close(connection, Ending.IDLE)
@@ -131,12 +131,12 @@
     for at in range(0, size + 1, 3):
         id_, request = f"r{at:04}", stage.request(f"r{at:04}")
         raw = said(503, id_, NOT_EXECUTED)
-        stage.plays = [["refuse", raw, raw[:at], 0.02, raw[at:]], [0.05, whole(id_)]]
+        stage.scripts = [["refuse", raw, raw[:at], 0.02, raw[at:]], [0.05, whole(id_)]]
         stage.send(request)
         await asyncio.sleep(0.012)
         stage.send(request)  # as if no other server had capacity
         await asyncio.sleep(0.2)
-        assert stage.came_of[id_] == [Outcome.REJECTED, Outcome.SUCCEEDED]
+        assert stage.outcomes[id_] == [Outcome.REJECTED, Outcome.SUCCEEDED]
 
 
 def test_duplicate_rejection_is_not_matched_with_the_second_attempt():
@@ -148,13 +148,13 @@
         for id_, lines in ("bare", []), ("with", [NOT_EXECUTED]):
             proof = status != 200 if lines else status == 421
             success = [STAMP] if status == 200 else []
-            stage.plays = [
+            stage.scripts = [
                 ["refuse"] * proof + [said(status, id_, *success, *lines, body=b"of bare")]
             ]
             stage.send(stage.request(id_))
             await asyncio.sleep(0.1)
             expected = Outcome.REJECTED if proof else Outcome.CONNECTION_LOST
-            assert stage.came_of[id_] == [Outcome.SUCCEEDED if success and not lines else expected]
+            assert stage.outcomes[id_] == [Outcome.SUCCEEDED if success and not lines else expected]
 
     return work
 
@@ -176,7 +176,7 @@
     ):
         for after in (0.0, 0.001, 0.004, 0.006, 0.009, 0.013, 0.02):
             id_ = f"r{n}{after}"
-            stage.plays = [[1.0, whole(id_)]]
+            stage.scripts = [[1.0, whole(id_)]]
             stage.send(stage.request(id_, bytes(size)), 0.3)
             await asyncio.sleep(after)
             stage.network.cut(PROXY_IP, SERVER_IP)
@@ -185,7 +185,7 @@
             stage.network.heal()
             await asyncio.sleep(6.0)
             assert stage.ran_at.get(id_, 0.0) < expired_at, (
-                f"{id_} ran after its expiry, with the outcomes {stage.came_of[id_]}"
+                f"{id_} ran after its expiry, with the outcomes {stage.outcomes[id_]}"
             )
 
 
@@ -198,7 +198,7 @@
         for n in range(20):
             stage.send(stage.request(f"r{n}"), 0.0005 * n)
             await asyncio.sleep(0.1)
-            assert len(stage.came_of[f"r{n}"]) == 1
+            assert len(stage.outcomes[f"r{n}"]) == 1
 
     run_stage(work)
 
@@ -208,7 +208,7 @@
     attempt.timer.cancel()
     attempt.expires_at = stage.now()  # as if the process had been suspended until after that
     await asyncio.sleep(0.5)
-    assert stage.came_of == {"r": [Outcome.CONNECT_FAILED]} and stage.ran == []
+    assert stage.outcomes == {"r": [Outcome.CONNECT_FAILED]} and stage.ran == []
 
 
 def test_process_suspended_past_the_deadline_sends_nothing():
@@ -216,21 +216,21 @@
 
 
 async def unresponsive_server(stage: UpstreamFixture) -> None:
-    stage.plays = [[0.05, whole("a")], [0.05, whole("b")], [], [whole("d")]]
+    stage.scripts = [[0.05, whole("a")], [0.05, whole("b")], [], [whole("d")]]
     for id_ in "ab":  # creates two idle connections
         stage.send(stage.request(id_))
     await asyncio.sleep(0.2)
-    assert len(stage.talks) == 2
+    assert len(stage.connections) == 2
     stage.process.frozen = True
     stage.send(stage.request("c"), 0.2)
     await asyncio.sleep(0.3)
-    assert stage.came_of["c"] == [Outcome.NO_RESPONSE]
+    assert stage.outcomes["c"] == [Outcome.NO_RESPONSE]
     stage.process.thaw()  # the server executes the requests in its buffers
     await asyncio.sleep(0.1)
     assert stage.ran == ["a", "b", "c"]
     stage.send(stage.request("d"))
     await asyncio.sleep(0.1)
-    assert stage.came_of["d"] == [Outcome.SUCCEEDED] and len(stage.talks) == 3, (
+    assert stage.outcomes["d"] == [Outcome.SUCCEEDED] and len(stage.connections) == 3, (
         "reused a connection older than the timeout"
     )
 
@@ -242,14 +242,14 @@
 def early_response(status: int) -> Callable[[UpstreamFixture], Any]:
     async def work(stage: UpstreamFixture) -> None:
         stage.early, raw = True, whole("r") if status == 200 else said(503, "r", NOT_EXECUTED)
-        stage.plays = [[raw], [whole("n")]]
+        stage.scripts = [[raw], [whole("n")]]
         stage.send(stage.request("r", bytes(5 * WINDOW_BYTES)))
         await asyncio.sleep(0.2)
-        assert stage.came_of["r"] == [Outcome.SUCCEEDED if status == 200 else Outcome.REJECTED]
+        assert stage.outcomes["r"] == [Outcome.SUCCEEDED if status == 200 else Outcome.REJECTED]
         assert "r" not in stage.ran and not stage.pool.connections
         stage.send(stage.request("n"))
         await asyncio.sleep(0.2)
-        assert stage.came_of["n"] == [Outcome.SUCCEEDED] and len(stage.talks) == 2
+        assert stage.outcomes["n"] == [Outcome.SUCCEEDED] and len(stage.connections) == 2
 
     return work
 
@@ -261,10 +261,10 @@
 
 def test_excessive_surplus_responses_do_not_hold_a_request():
     async def work(stage: UpstreamFixture) -> None:
-        stage.plays = [[whole("x") * 40 + whole("r")]]
+        stage.scripts = [[whole("x") * 40 + whole("r")]]
         stage.send(stage.request("r"))
         await asyncio.sleep(0.2)
-        assert stage.came_of["r"] == [Outcome.CONNECTION_LOST]
+        assert stage.outcomes["r"] == [Outcome.CONNECTION_LOST]
 
     run_stage(work)
 
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -474,7 +474,7 @@
             )
     troubles = Faults(cluster, rng)
     for _ in range(5):
-        await troubles.one(KINDS)
+        await troubles.inject(KINDS)
         cluster.route(f"n{cluster.version}", rng.choice([*cluster.servers]))
         if await cluster.replace(6.0):
             acked = cluster.version
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -809,8 +809,8 @@
         write = SimTransport.write
 
         def noted(end: SimTransport, data: Any) -> None:
-            if end.host == host and end.far.startswith(servers):
-                self.sent.append([end.far, text(bytes(data))])
+            if end.host == host and end.remote_host.startswith(servers):
+                self.sent.append([end.remote_host, text(bytes(data))])
             write(end, data)
 
         patch.setattr(SimTransport, "write", noted)
--- a/tests/testing/simulation/test_bounds.py
+++ b/tests/testing/simulation/test_bounds.py
@@ -20,7 +20,7 @@
     FaultSpan,
     Figure,
     History,
-    judge,
+    evaluate,
 )
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.scenario import Day, Setup
@@ -32,7 +32,7 @@
 
 
 def of(history: History) -> dict[str, Figure]:
-    return {figure.name: figure for figure in judge(history, BOUNDS)}
+    return {figure.name: figure for figure in evaluate(history, BOUNDS)}
 
 
 def runs(many: int, since: float, until: float, tenant: str = "ann") -> list[Arrival]:
@@ -71,7 +71,7 @@
     history = History(
         ["one"], ended=30.0, spans=spans, changes=[FIRST, lower], arrivals=runs(54, at, at + 4)
     )
-    assert any(f.broken for f in judge(history, BOUNDS) if "quota" in f.name) is broken
+    assert any(f.broken for f in evaluate(history, BOUNDS) if "quota" in f.name) is broken
 
 
 def test_a_higher_quota_counts_from_its_sending_also_without_an_acknowledgement():
@@ -127,7 +127,13 @@
         # not beyond the stretch
         (FaultSpan(CORE, "", frozenset(["core"]), 9.5, 18.0, True), 20.4, CORE, 2.4, 0),
         (FaultSpan(CORE, "", frozenset(["core"]), 9.5, 18.0, True), 20.6, CORE, 2.6, 1),
-        (FaultSpan(CORE, "", frozenset(["core"]), 9.5, 18.0, True, most=False), 20.9, CORE, 2.9, 0),
+        (
+            FaultSpan(CORE, "", frozenset(["core"]), 9.5, 18.0, True, majority_connected=False),
+            20.9,
+            CORE,
+            2.9,
+            0,
+        ),
     ],
 )
 def test_trouble_puts_the_delay_off_to_its_end(span, known, name, value, broken):
@@ -181,18 +187,20 @@
     asked = {"alpha": [5.0 + 0.01 * n for n in range(100)]}
     first = [Arrival(f"r{n}", "", "alpha", "i-1", "one", 10.0, 10.0) for n in range(more)]
     again = [replace(run, at=12.0 + 0.01 * n) for n, run in enumerate(first)]
-    history = History(["one"], ended=30.0, asked=asked, arrivals=first + again)
+    history = History(["one"], ended=30.0, request_times=asked, arrivals=first + again)
     figure = of(history)["further tries: share of the slack used"]
     assert figure.value == pytest.approx((more - 20) / 56) and bool(figure.broken) is bool(broken)
 
 
 def test_a_late_acknowledgement_two_counters_and_a_lost_primary_are_found():
     history = History(["one"], 0.0, 60.0, changes=[ConfigurationChange(1, 10.0, 15.5, {})])
-    history.twins, history.unserved = [20.0], [(30.0, 34.0)]
+    history.double_counting_times, history.primary_gaps = [20.0], [(30.0, 34.0)]
     assert of(history)["acknowledgement of a change in settled times"].broken
     assert of(history)["moments with two counters"].broken
     assert of(history)["without a serving primary"].value == pytest.approx(4.0)
-    history.spans = [FaultSpan(CORE, "", frozenset(["core"]), 8.0, 12.0, True, most=False)]
+    history.spans = [
+        FaultSpan(CORE, "", frozenset(["core"]), 8.0, 12.0, True, majority_connected=False)
+    ]
     history.spans.append(replace(history.spans[0], begun=29.0, ended=33.0))
     assert "acknowledgement of a change in settled times" not in of(history)
     assert of(history)["without a serving primary"].value == pytest.approx(1.0)
@@ -203,20 +211,20 @@
 
 def test_a_day_is_the_same_twice():
     setup = Setup(limiters=4, length=6.0, servers=3)
-    one, other = (hunt.one((3, setup)) for _ in range(2))
+    one, other = (hunt.run_day((3, setup)) for _ in range(2))
     assert one == other and {f.name for f in one[1]} >= {Q, "version in force, connected"}
-    assert hunt.one((4, setup))[1] != one[1]
+    assert hunt.run_day((4, setup))[1] != one[1]
 
 
 class Parted(Day):
     """Half of eight limiters are cut off from the core, while the largest tenant is hot."""
 
-    def lanes(self, until):
+    def activities(self, until):
         async def parted():
             self.loads[-1].hot = True
             await asyncio.sleep(2.0)
             ips = [*self.cluster.proxies][:4]
-            async with self.troubles.span("cut", "limiters cut off", ips):
+            async with self.faults.span("cut", "limiters cut off", ips):
                 self.cluster.network.partition(ips, self.cluster.core_ips)
                 await asyncio.sleep(9.0)
                 self.cluster.network.heal()
@@ -232,10 +240,10 @@
     if not held:
         monkeypatch.setattr(limiters, "SILENT_RETENTION_SECONDS", limiters.SESSION_TIMEOUT_SECONDS)
         monkeypatch.setattr(QuotaCredits, "may_admit", lambda *_: True)
-    history, bounds = Parted(5, Setup(limiters=8, length=11.0, servers=3)).play()
-    quota = {figure.name: figure for figure in judge(history, bounds)}[Q]
+    history, bounds = Parted(5, Setup(limiters=8, length=11.0, servers=3)).simulate()
+    quota = {figure.name: figure for figure in evaluate(history, bounds)}[Q]
     assert bool(quota.broken) is not held, quota
-    assert all(f.broken == 0 for f in judge(history, bounds) if "quota" not in f.name)
+    assert all(f.broken == 0 for f in evaluate(history, bounds) if "quota" not in f.name)
 
 
 def test_of_many_days_the_worst_is_named_with_its_seed():
@@ -243,7 +251,7 @@
         return Figure("quota", value, 1.0, 0.0, "ann", 9, broken)
 
     days = [(1, [figure(0.2)]), (2, [figure(1.2, 3)]), (3, [figure(0.9)])]
-    assert hunt.table(days) == [(figure(1.2, 3), 2, 1)]
+    assert hunt.worst_by_name(days) == [(figure(1.2, 3), 2, 1)]
 
 
 @pytest.mark.parametrize(
@@ -265,6 +273,6 @@
         monkeypatch.setattr(CounterReplay, "record", lambda *_: 0.0)
         monkeypatch.setattr(counters, "INCOMPLETE_SECONDS", 0.0)
         monkeypatch.setattr(QuotaCredits, "may_admit", lambda *_: True)
-    history, bounds = Day(1072, Setup(length=6.0)).play()
-    quota = {figure.name: figure for figure in judge(history, bounds)}[Q]
+    history, bounds = Day(1072, Setup(length=6.0)).simulate()
+    quota = {figure.name: figure for figure in evaluate(history, bounds)}[Q]
     assert bool(quota.broken) is not known, quota
