--- a/loomstand/testing/simulation/__init__.py
+++ b/loomstand/testing/simulation/__init__.py
@@ -1,3 +1,3 @@
-"""A simulated network, disks and clocks, on which tests run whole clusters in one process and no
-time.
+"""Deterministic simulation of network, disks and clocks, on which tests run whole clusters in one
+process and in virtual time.
 """
--- a/loomstand/testing/simulation/bounds.py
+++ b/loomstand/testing/simulation/bounds.py
@@ -1,8 +1,8 @@
-"""What a day showed, put beside what the rules allow. Pure: a `History` in, `Figure`s out.
+"""Compares the `History` of a simulated day with the bounds of the rules, without I/O.
 
-Times are seconds on the day's clock; limiters and core machines are named by their addresses. A
-limiter is
-*in touch* once all trouble of its own and of the core is `contact` past (RULES).
+Times are seconds on the virtual clock; limiters and core machines are named by their addresses. A
+limiter is *in touch* once its own faults and those of the core ended at least `contact` ago
+(RULES).
 """
 
 from __future__ import annotations
@@ -15,17 +15,16 @@
 
 from loomstand.config.settings import RuleBounds
 
-CORE = "core"  # the kind of a pair that only trouble of the core touches
-SMALL_QUOTA_REQUESTS = (
-    60  # requests a window, under which a quota's leeway is mostly `quota_slack`: 6 of 26
-)
+CORE = "core"  # kind of a fault of the core, which affects every limiter
+SMALL_QUOTA_REQUESTS = 60  # a window; below, leeway is mostly `quota_slack`: 6 of 26
 
 
 @dataclass(slots=True, frozen=True)
 class FaultSpan:
-    """Trouble from its beginning to its end, on these machines. `core`: it unsettles the core, and
-    so touches every limiter; `most`: more than half of the core ran and was connected through it.
-    `kind` is cut, started, slow or core: what a limiter is called whose last trouble it was.
+    """A fault of these machines from its begin to its end. `core`: a fault of the core, which
+    affects every limiter; `majority_connected`: more than half of the core ran and was connected
+    all the time. `kind` is cut, started, slow or core, and groups the figures of limiters by their
+    last fault.
     """
 
     kind: str
@@ -39,8 +38,9 @@
 
 @dataclass(slots=True, frozen=True)
 class AppliedChange:
-    """A limiter changed what it goes by, in its life of that number. `server` is "" where it is a
-    version that came into force, else that server's use began (`value` 1) or ended (0).
+    """A change applied at a limiter, by its process of that number. With `server` "" the
+    configuration version `value` came into force; else the limiter began (`value` 1) or ended (0)
+    to use that server.
     """
 
     at: float
@@ -64,8 +64,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """A server's end that was acknowledged, by the core machine `by`; from `left` on it is gone,
-    and who still lists it breaks nothing.
+    """A drain of a server that the core machine `by` acknowledged. The server exits at `left`;
+    limiters that list it later break no rule.
     """
 
     server: str
@@ -76,8 +76,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """An arrival at a server of a request that a client had sent to the limiter `front`; `ran`: not
-    turned away.
+    """The arrival at a server of a request that a client had sent to the limiter `front`; `ran`:
+    the server ran it and didn't reject it.
     """
 
     id: str
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class History:
-    """All that the gauges need of a day."""
+    """The observations of a day that the figures are computed from."""
 
     limiters: list[str]
     begun: float = 0.0
@@ -102,21 +102,20 @@
     changes: list[ConfigurationChange] = field(default_factory=list)
     drains: list[Drain] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    # by service: when clients sent requests
+    # by service: times at which clients sent requests
     request_times: dict[str, list[float]] = field(default_factory=dict)
-    # from, to: no serving primary
+    # (from, to): no store served as primary
     primary_gaps: list[tuple[float, float]] = field(default_factory=list)
-    double_counting_times: list[float] = field(
-        default_factory=list
-    )  # looks that found two registries counting
-    # rules broken whatever the day (the people's book)
+    # observations of two counting registries
+    double_counting_times: list[float] = field(default_factory=list)
+    # rules broken that hold in every run, from the request log
     violations: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True, frozen=True)
 class Figure:
-    """The worst of one kind in a day: `value` beside the `allowed` of that very moment (inf: none
-    is set), of `many`; `broken` of them were over theirs.
+    """The worst measurement of one kind in a day: `value` and the bound `allowed` at that time
+    (inf: no bound). `many` is the number of measurements, `broken` that of those over their bound.
     """
 
     name: str
@@ -129,7 +128,7 @@
 
 
 class WorstFigure:
-    """Gathers one figure."""
+    """Collects the measurements of one figure."""
 
     def __init__(self, name: str) -> None:
         self.name, self.many, self.broken = name, 0, 0
@@ -146,7 +145,7 @@
 
 
 def evaluate(history: History, bounds: RuleBounds) -> list[Figure]:
-    """The day's figures, in a fixed order; one that nothing was seen of is left out."""
+    """Returns the figures of a day in a fixed order; figures without measurements are left out."""
     out = quota(history, bounds)
     out += (
         configuration_propagation(history, bounds)
@@ -174,8 +173,8 @@
 
 
 def quota(history: History, bounds: RuleBounds) -> list[Figure]:
-    """QUOTA. The value is the share of the leeway used: 0 at rate x window + burst, 1 at the
-    allowed. Of small quotas most is slack, so they are a figure of their own.
+    """QUOTA. The value is the used share of the leeway: 0 at rate x window + burst, 1 at the
+    bound. Small quotas are a figure of their own, as most of their leeway is slack.
     """
     large, small = (
         WorstFigure("quota: share of the leeway used"),
@@ -188,13 +187,14 @@
             first[run.id] = run
     by_tenant: dict[str, list[Arrival]] = {}
     for run in first.values():
-        if run.at - run.sent <= window:  # any other is in no window: it is both sent and run in it
+        # counted only in a window that contains both its sending and its arrival
+        if run.at - run.sent <= window:
             by_tenant.setdefault(run.tenant, []).append(run)
     versions = [*in_force(history, bounds)]
     for tenant, runs in by_tenant.items():
-        sent, came = sorted(r.sent for r in runs), sorted(r.at for r in runs)
+        sent, arrived_at = sorted(r.sent for r in runs), sorted(r.at for r in runs)
         for start in sent:
-            count = bisect_right(came, start + window) - bisect_left(sent, start)
+            count = bisect_right(arrived_at, start + window) - bisect_left(sent, start)
             limits = [
                 rate * window + burst if rate else inf
                 for since, until, quotas in versions
@@ -215,9 +215,9 @@
 def in_force(
     history: History, bounds: RuleBounds
 ) -> Iterator[tuple[float, float, Mapping[str, tuple[float, float]]]]:
-    """Versions with the span in which a window may begin that still has their quotas. A version may
-    be in force once it is sent; a higher one binds when all limiters were in touch for
-    `configuration_apply`.
+    """Yields the time span of each version in which a window may begin under its quotas. A version
+    may be in force once it is sent; it is superseded when all limiters were in touch for
+    `configuration_apply` after a higher one was acknowledged.
     """
     until = inf
     for change in sorted(history.changes, key=lambda c: -c.version):
@@ -227,7 +227,7 @@
 
 
 def bound_from(history: History, acked: float, bounds: RuleBounds) -> float:
-    """When all limiters have been in touch for `configuration_apply` after that acknowledgement."""
+    """Returns when all limiters have been in touch for `configuration_apply` after `acked`."""
     at = acked + bounds.configuration_apply_seconds
     calm = bounds.configuration_apply_seconds + bounds.contact_seconds
     for span in sorted(history.spans, key=lambda s: s.begun):
@@ -236,14 +236,14 @@
     return at
 
 
-# --- news
+# --- propagation of changes
 
 
 def disturbing_span(
     history: History, host: str, since: float, until: float, bounds: RuleBounds
 ) -> FaultSpan | None:
-    """The trouble of a limiter, or of the core, that ended last among those within `contact` of a
-    span.
+    """Returns the fault of a limiter or the core that ended last, among those active within
+    `contact` before `since` or until `until`.
     """
     near = [
         s
@@ -256,36 +256,45 @@
 
 
 class PropagationDelays:
-    """Delays of one kind of news, by what befell the limiters that it was for."""
+    """Propagation delays of one kind of change, by the last fault of the limiter."""
 
     def __init__(self, name: str, within: float, history: History, bounds: RuleBounds) -> None:
         self.name, self.within, self.history, self.bounds = name, within, history, bounds
         self.kinds: dict[str, WorstFigure] = {}
 
-    def add(self, host: str, acked: float, known: float, who: str, unbounded: bool = False) -> None:
-        """News acknowledged at one time was in force at another. Where there was trouble the delay
-        counts from the end of that. `free`: no bound holds, as whoever acknowledged it was in
-        trouble.
+    def add(
+        self, host: str, acked: float, applied_at: float, who: str, unbounded: bool = False
+    ) -> None:
+        """Adds a change that was acknowledged at `acked` and applied at `applied_at`.
+
+        After a fault the delay counts from its end. `unbounded`: no bound holds, as the core
+        machine that acknowledged the change had a fault.
         """
-        span = disturbing_span(self.history, host, acked, known, self.bounds)
-        if span is not None and span.ended >= known > acked:
-            return  # still in it, whatever it went by
+        span = disturbing_span(self.history, host, acked, applied_at, self.bounds)
+        if span is not None and span.ended >= applied_at > acked:
+            return  # applied during the fault
         kind, since, limit = "connected", acked, acked + self.within
         if span is not None:
             kind, since = span.kind, max(acked, span.ended)
             limit = max(limit, span.ended + self.bounds.contact_seconds)
         if span is not None and span.kind == CORE and span.majority_connected:
             limit = min(limit, acked + self.within + self.bounds.stretch_limit_seconds)
-            # the stretch is the core's: one that was cut off until just now has its own time
+            # the stretch limit holds for faults of the core: a limiter that was cut off itself has
+            # `contact` from the end of its own fault
             near = (
-                s for s in self.history.spans if not s.core and host in s.hosts and s.begun <= known
+                s
+                for s in self.history.spans
+                if not s.core and host in s.hosts and s.begun <= applied_at
             )
             limit = max(
-                [limit, *(s.ended + self.bounds.contact_seconds for s in near if s.ended < known)]
+                [
+                    limit,
+                    *(s.ended + self.bounds.contact_seconds for s in near if s.ended < applied_at),
+                ]
             )
         worst = self.kinds.setdefault(kind, WorstFigure(f"{self.name}, {kind}"))
         worst.add(
-            max(0.0, known - since),
+            max(0.0, applied_at - since),
             inf if unbounded else max(0.0, limit - since),
             since,
             f"{who} at {host}",
@@ -295,29 +304,31 @@
         return [figure for kind in sorted(self.kinds) for figure in self.kinds[kind].figure()]
 
 
-def changes_by_host(told: Iterable[AppliedChange], server: bool) -> dict[str, list[AppliedChange]]:
-    """By limiter, in the order of time: versions, or the use of servers."""
+def changes_by_host(
+    applied_changes: Iterable[AppliedChange], server: bool
+) -> dict[str, list[AppliedChange]]:
+    """Groups changes by limiter, in order of time: of servers if `server`, else of versions."""
     out: dict[str, list[AppliedChange]] = {}
-    for applied in told:
+    for applied in applied_changes:
         if bool(applied.server) is server:
             out.setdefault(applied.host, []).append(applied)
     return out
 
 
 def configuration_propagation(history: History, bounds: RuleBounds) -> list[Figure]:
-    """CONFIG: from the acknowledgement of a version to its force, or that of a later one, at each
-    limiter. One that starts must have what was acknowledged before too.
+    """CONFIG: from the acknowledgement of a version until it or a later one is in force at each
+    limiter. A limiter that starts must also apply what was acknowledged before.
     """
     found = PropagationDelays(
         "version in force", bounds.configuration_apply_seconds, history, bounds
     )
     changes = changes_by_host(history.applied_changes, False)
     for host in history.limiters:
-        mine = changes.get(host, [])
+        host_changes = changes.get(host, [])
         for change in history.changes:
             if change.acked < inf:
-                known = first_applied_at(mine, change, history.ended)
-                found.add(host, change.acked, known, f"r{change.version}")
+                applied_at = first_applied_at(host_changes, change, history.ended)
+                found.add(host, change.acked, applied_at, f"r{change.version}")
         starts = [
             s for s in history.spans if s.kind == "started" and host in s.hosts and s.ended < inf
         ]
@@ -325,48 +336,51 @@
             before = [c for c in history.changes if c.acked <= start]
             if before:
                 newest = max(before, key=lambda c: c.version)
-                later = [w for w in mine if w.at >= start]
-                # where other trouble ended sooner, its life began within the span
-                within = [w for w in mine if begun < w.at < start and w.value >= newest.version]
+                later = [w for w in host_changes if w.at >= start]
+                # where another fault ended earlier, the process started within this span
+                within = [
+                    w for w in host_changes if begun < w.at < start and w.value >= newest.version
+                ]
                 if within and all(w.process_number == within[-1].process_number for w in later):
                     later = [replace(within[-1], at=start)]
-                known = min(
+                applied_at = min(
                     (w.at for w in later if w.value >= newest.version), default=history.ended
                 )
-                found.add(host, start, known, f"r{newest.version}")
+                found.add(host, start, applied_at, f"r{newest.version}")
     return found.figures()
 
 
-def first_applied_at(mine: list[AppliedChange], change: ConfigurationChange, ended: float) -> float:
-    """When a limiter first held that version or a later one; lives after that one are told of by
-    their starts.
+def first_applied_at(
+    host_changes: list[AppliedChange], change: ConfigurationChange, ended: float
+) -> float:
+    """Returns when a limiter first applied that version or a later one; later processes are
+    measured from their starts.
     """
-    return min((w.at for w in mine if w.value >= change.version), default=ended)
+    return min((w.at for w in host_changes if w.value >= change.version), default=ended)
 
 
 def drains(history: History, bounds: RuleBounds) -> list[Figure]:
-    """DRAIN, as the limiters know of it: from the acknowledgement to the end of a server's use at
-    each.
-    """
+    """DRAIN at the limiters: from the acknowledgement until each has ended to use the server."""
     found = PropagationDelays("drain known", bounds.drain_seconds, history, bounds)
     changes = changes_by_host(history.applied_changes, True)
     for drain in history.drains:
         unbounded = is_acknowledged_by_disturbed_core(history, drain, bounds)
         for host in history.limiters:
-            mine = [w for w in changes.get(host, []) if w.server == drain.server]
-            known = drain.acked if any(w.at <= drain.acked for w in mine) else -inf
-            for applied, after in zip_longest(mine, mine[1:]):
-                if applied.value:  # in use until the next word, its life's end, or the day's
+            host_changes = [w for w in changes.get(host, []) if w.server == drain.server]
+            applied_at = drain.acked if any(w.at <= drain.acked for w in host_changes) else -inf
+            for applied, after in zip_longest(host_changes, host_changes[1:]):
+                # in use until the next change, the end of the process, or the end of the day
+                if applied.value:
                     until = after.at if after is not None else history.ended
-                    known = max(known, min(until, process_end(history, host, applied.at)))
-            if known > -inf:
-                known = min(drain.left, max(known, drain.acked))
-                found.add(host, drain.acked, known, drain.server, unbounded)
+                    applied_at = max(applied_at, min(until, process_end(history, host, applied.at)))
+            if applied_at > -inf:
+                applied_at = min(drain.left, max(applied_at, drain.acked))
+                found.add(host, drain.acked, applied_at, drain.server, unbounded)
     return found.figures()
 
 
 def process_end(history: History, host: str, at: float) -> float:
-    """When the life of a limiter ended that was on at that time."""
+    """Returns when the process of a limiter that ran at that time ended."""
     ends = [
         s.begun for s in history.spans if s.kind == "started" and host in s.hosts and s.begun >= at
     ]
@@ -374,7 +388,9 @@
 
 
 def is_acknowledged_by_disturbed_core(history: History, drain: Drain, bounds: RuleBounds) -> bool:
-    """Whether the core machine that acknowledged a drain was out of touch: then it binds nobody."""
+    """Returns whether the core machine that acknowledged a drain was out of touch: then no bound
+    holds for it.
+    """
     return any(
         s.core and drain.by in s.hosts and s.begun <= drain.acked < s.ended + bounds.contact_seconds
         for s in history.spans
@@ -382,14 +398,14 @@
 
 
 def arrivals_after_drain(history: History, bounds: RuleBounds) -> list[Figure]:
-    """DRAIN, as servers see it: what arrives at one after its drain was acknowledged."""
+    """DRAIN at the servers: requests that arrive after the drain was acknowledged."""
     found = PropagationDelays("arrival after a drain", bounds.drain_seconds, history, bounds)
     drained = {drain.server: drain for drain in history.drains}
     for run in history.arrivals:
         drain = drained.get(run.server)
         if drain is None or run.at <= drain.acked:
             continue
-        # what a link held up, or a process that was frozen, isn't late (Held up)
+        # requests held by a link or a frozen process aren't late (Held up)
         held = any(
             run.front in s.hosts and s.begun <= run.at < s.ended + bounds.contact_seconds
             for s in history.spans
@@ -408,9 +424,7 @@
 
 
 def budget(history: History, bounds: RuleBounds) -> list[Figure]:
-    """BUDGET. The value is the share of `budget_slack` that further tries took beyond the ratio's
-    part.
-    """
+    """BUDGET. The value is the share of `budget_slack` that retries used beyond the retry ratio."""
     worst, window = (
         WorstFigure("further tries: share of the slack used"),
         bounds.budget_window_seconds,
@@ -433,8 +447,8 @@
 
 
 def acknowledgement_times(history: History, bounds: RuleBounds) -> list[Figure]:
-    """Acks: how long a change took that was sent and acknowledged with no trouble near, or
-    `acknowledge` past where none came.
+    """Acks: seconds from the sending of a change to its acknowledgement, without faults from
+    `contact` before until it, or until `acknowledge` after the sending if none came.
     """
     worst = WorstFigure("acknowledgement of a change in settled times")
     for change in history.changes:
@@ -454,15 +468,15 @@
 
 
 def longest_without_primary(history: History) -> list[Figure]:
-    """Spans without a serving primary; those in which half of the core was gone count from their
-    end.
+    """The longest time without a serving primary; counted from the end of faults that left no
+    connected majority of the core.
     """
     worst = WorstFigure("without a serving primary")
     for since, until in history.primary_gaps:
-        gone = [
+        fault_ends = [
             s.ended
             for s in history.spans
             if not s.majority_connected and s.begun <= until and s.ended > since
         ]
-        worst.add(max(0.0, until - max([since, *gone])), inf, since, "")
+        worst.add(max(0.0, until - max([since, *fault_ends])), inf, since, "")
     return worst.figure()
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""A whole town: core machines, proxies and the people who use them, in one process and no time."""
+"""A whole simulated cluster: core machines, proxies, servers, clients and an operator."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 
 ZONES = "east", "west"
 CONTROL_PORT, FRONT_PORT, READINESS_PORT, SERVER_PORT = 8783, 8782, 8789, 8080
-WALL_CLOCK_START_SECONDS = 1.8e9  # the time of day when the loop's is 0
-READINESS_PERIOD_SECONDS = 1.0  # s between the platform's looks at who is ready
+WALL_CLOCK_START_SECONDS = 1.8e9  # wall clock when the loop's clock is 0
+READINESS_PERIOD_SECONDS = 1.0  # between two readiness checks of the platform
 SETTINGS = """
 self.node_name={name}
 self.role=r
@@ -52,7 +52,7 @@
 
 
 class VirtualTurns:
-    """In the place of the selector's readings: bytes have come when they are read."""
+    """Stands in for `event_loop.Turns`: bytes count as received when they are read."""
 
     count, longest = 0, 0.0
 
@@ -68,7 +68,7 @@
 
 
 class SimProxy(Proxy):
-    """A proxy on the loop's clock, whose own troubles fail the test."""
+    """A proxy on the virtual clock; its internal errors are recorded as violations."""
 
     def __init__(
         self,
@@ -78,14 +78,25 @@
         streams: Streams,
         wall: float,
         request_log: RequestLog,
-        told: list[AppliedChange],
+        applied_changes: list[AppliedChange],
         process_number: int,
     ) -> None:
-        """`told` takes what comes into force here, in the process_number of that number."""
+        """Creates a proxy that appends each change it applies to `applied_changes`.
+
+        Args:
+            settings: Of this proxy.
+            network: Of its process.
+            rng: Random generator of its own.
+            streams: Connections of its process.
+            wall: Wall clock of its machine at its start, in seconds.
+            request_log: Takes internal errors as violations.
+            applied_changes: Shared by all proxies.
+            process_number: Of this start, unique among the starts of all proxies.
+        """
         self.wall, self.faults, self.applied_changes, self.process_number = (
             wall,
             request_log.violations,
-            told,
+            applied_changes,
             process_number,
         )
         super().__init__(settings, network, rng, VirtualTurns(), streams)  # type: ignore[arg-type]
@@ -93,7 +104,7 @@
         self.endpoints.endpoint = self.endpoint  # type: ignore[method-assign]
 
     def start_engine(self) -> DecisionEngine:
-        if "engine" not in self.__dict__:  # at its start: the time of day as its machine has it
+        if "engine" not in self.__dict__:  # at its start: by the wall clock of its machine
             self.epoch = int((self.wall - self.loop.time()) * 1e9)
         return super().start_engine()
 
@@ -107,7 +118,7 @@
         return taken
 
     def endpoint(self, endpoint_id: int, instance: TrackedInstance) -> Endpoint:
-        """In the place of the method of `endpoints`."""
+        """Replaces `EndpointUpdates.endpoint`: records the change and calls the original."""
         self.record_change(
             self.endpoints.instance_ids[endpoint_id], int(instance.availability == READY)
         )
@@ -124,12 +135,12 @@
         if "failed on" in text:
             self.faults.append(text)
 
-    def on_loop_exception(self, loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
-        self.faults.append(f"{what.get('message')}: {what.get('exception')!r}")
+    def on_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        self.faults.append(f"{context.get('message')}: {context.get('exception')!r}")
 
 
 class ProgramRunner:
-    """A proxy or registry as a machine runs it: `stop` returns when it has ended."""
+    """Adapts a proxy or registry to `Program`: `stop` returns when `run` has ended."""
 
     def __init__(self, inner: Any) -> None:
         self.inner, self.ended = inner, asyncio.Event()
@@ -144,9 +155,7 @@
 
 
 class Cluster(ConfigurationDraft):
-    """`cores` core machines with a registry and a store each, `proxies`, and the servers of each
-    service.
-    """
+    """Core machines with a registry and a store each, proxies, and `servers` per service."""
 
     def __init__(self, seed: int = 1, cores: int = 3, proxies: int = 4, servers: int = 3) -> None:
         self.loop = VirtualLoop()
@@ -155,11 +164,9 @@
         self.network = SimNetwork(Random(self.rng.getrandbits(64)))
         self.tcp = TcpStack(self.network, Random(self.rng.getrandbits(64)))
         self.first = True
-        self.applied_changes: list[
-            AppliedChange
-        ] = []  # what came into force at proxies, all of their lives
+        self.applied_changes: list[AppliedChange] = []  # at proxies, over all their restarts
         self.proxy_starts = 0
-        self.clock_offsets: dict[str, float] = {}  # s by which a machine's time of day was set off
+        self.clock_offsets: dict[str, float] = {}  # s, of the wall clocks of machines
         self.core_ips = [f"10.1.0.{n + 1}" for n in range(cores)]
         self.control_addresses = [(ip, CONTROL_PORT) for ip in self.core_ips]
         self.registries = {
@@ -172,11 +179,13 @@
         self.run(self.create_workload(servers))
         self.versions: dict[int, bytes] = {}
         self.version, self.resources = 0, dict[tuple[str, str], dict[str, Any]]()
-        self.routed_proxies: list[Address] = []  # proxies that the platform passes connections to
+        self.routed_proxies: list[Address] = []  # proxies that get new connections
         self.background: list[asyncio.Task[Any]] = []
 
-    def on_loop_exception(self, loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
-        self.request_log.violations.append(f"{what.get('message')}: {what.get('exception')!r}")
+    def on_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        self.request_log.violations.append(
+            f"{context.get('message')}: {context.get('exception')!r}"
+        )
 
     def make_host(self, ip: str, make: ProgramFactory) -> Host:
         made = Host(
@@ -199,7 +208,7 @@
         )
 
     def wall_clock(self, ip: str, rng: Random) -> float:
-        """The time of day as a machine has it; programs read it when they start."""
+        """Returns the wall clock of a machine in seconds; programs read it when they start."""
         return (
             WALL_CLOCK_START_SECONDS
             + self.loop.time()
@@ -280,7 +289,7 @@
 
     def new_client(self) -> Client:
         rng = Random(self.rng.getrandbits(64))
-        everyone = [(ip, FRONT_PORT) for ip in self.proxies]  # where none is ready
+        everyone = [(ip, FRONT_PORT) for ip in self.proxies]  # used while no proxy is ready
         return Client(
             self.streams("10.9.0.1"), self.request_log, rng, lambda: self.routed_proxies or everyone
         )
@@ -293,22 +302,26 @@
     def wait(self, seconds: float) -> None:
         self.run(asyncio.sleep(seconds))
 
-    async def wait_until(self, there: Callable[[], bool], within: float) -> float:
-        """Waits until something is so; how long it took. Fails after `within` seconds."""
+    async def wait_until(self, condition: Callable[[], bool], within: float) -> float:
+        """Waits until the condition holds; returns the seconds it took.
+
+        Raises:
+            AssertionError: It doesn't hold within `within` seconds.
+        """
         begun = self.loop.time()
-        while not there():
+        while not condition():
             assert self.loop.time() - begun < within, f"not within {within} s"
             await asyncio.sleep(0.005)
         return self.loop.time() - begun
 
     def run_in_background(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Goes on beside what the test does, to its end."""
+        """Runs a coroutine beside the test; `close` raises its failure."""
         task = self.loop.create_task(work)
         self.background.append(task)
         return task
 
     def close(self) -> None:
-        """Ends it all, and checks what the people saw."""
+        """Raises failures of background tasks, checks the request log and closes the loop."""
         try:
             for task in self.background:
                 if task.done() and not task.cancelled():
@@ -317,35 +330,36 @@
         finally:
             self.loop.close()
 
-    # life
+    # start and observation
 
     async def start(self) -> None:
-        """All start; the operator sends the first configuration; the platform finds all proxies
-        ready.
-        """
+        """Starts all, sends the first configuration and waits until all proxies are ready."""
         for host in (*self.stores.values(), *self.registries.values(), *self.proxies.values()):
             host.start()
         for server in (s for many in self.servers.values() for s in many):
             server.start()
-        self.run_in_background(self.platform())
+        self.run_in_background(self.run_readiness_checks())
         await asyncio.sleep(0.5)
         assert await self.replace(20.0)
         await self.wait_until(lambda: len(self.routed_proxies) == len(self.proxies), 6.0)
         self.first = False
 
-    async def platform(self) -> None:
-        """Looks once a second who is ready; two misses put a proxy out."""
+    async def run_readiness_checks(self) -> None:
+        """Checks readiness each second; a proxy that fails two checks gets no new connections.
+
+        If fewer than half are ready, all get connections, unless none is ready.
+        """
         streams, misses = self.streams("10.7.0.1"), dict.fromkeys(self.proxies, 2)
 
-        async def look(ip: str) -> None:
+        async def check(ip: str) -> None:
             misses[ip] = 0 if await self.is_ready(ip, streams) else misses[ip] + 1
 
         while True:
-            await asyncio.gather(*(look(ip) for ip in self.proxies))
-            fit = [ip for ip, n in misses.items() if n < 2]
-            if 2 * len(fit) < len(misses):
-                fit = [*misses] if fit else []
-            self.routed_proxies = [(ip, FRONT_PORT) for ip in fit]
+            await asyncio.gather(*(check(ip) for ip in self.proxies))
+            ready = [ip for ip, n in misses.items() if n < 2]
+            if 2 * len(ready) < len(misses):
+                ready = [*misses] if ready else []
+            self.routed_proxies = [(ip, FRONT_PORT) for ip in ready]
             await asyncio.sleep(READINESS_PERIOD_SECONDS)
 
     async def is_ready(self, ip: str, streams: Streams | None = None) -> bool:
@@ -363,42 +377,44 @@
         return [self.proxy(ip) for ip, host in self.proxies.items() if host.is_running]
 
     def counting_host(self) -> str:
-        """The core machine whose registry counts."""
+        """Returns the core machine whose registry holds the counting lease."""
         held = self.counting_hosts()
         assert len(held) == 1
         return held[0]
 
     def counting_hosts(self) -> list[str]:
-        """All that would count, the frozen ones as they thaw."""
+        """Returns all core machines that hold a valid counting lease, frozen ones included."""
         up = [
             self.registry(ip) for ip, host in self.registries.items() if host.up and host.programs
         ]
         return [r.context.host for r in up if r.counting.is_counting(r.context.clock())]
 
     def is_counting(self, ip: str) -> bool:
-        """Whether the registry of a core machine counts now."""
+        """Returns whether the registry of a core machine runs and counts now."""
         return self.registries[ip].is_running and ip in self.counting_hosts()
 
     def is_serving(self, ip: str) -> bool:
-        """Whether the store of a core machine serves now as primary."""
+        """Returns whether the store of a core machine runs and serves as primary now."""
         if not self.stores[ip].is_running:
             return False
         store = self.stores[ip].programs[0]
         try:
             return store.replica.lease_left(store.clock()) > 0.0
-        except CallRefusedError:  # it reads its disk yet
+        except CallRefusedError:  # it is still reading its disk
             return False
 
     def core(self, ip: str) -> tuple[Host, Host]:
         return self.registries[ip], self.stores[ip]
 
     async def check_versions_never_decrease(self) -> None:
-        """Looks all the while that no proxy takes a lower version in its life."""
+        """Checks every 20 ms that the version at a running proxy never decreases."""
         held: dict[SimProxy, int] = {}
         while True:
             for proxy in self.running_proxies():
                 version = proxy.configuration.table.version if proxy.configuration.table else 0
-                assert held.get(proxy, 0) <= version, f"{proxy.settings.node_name} went back"
+                assert held.get(proxy, 0) <= version, (
+                    f"{proxy.settings.node_name} went back to a lower version"
+                )
                 held[proxy] = version
             await asyncio.sleep(0.02)
 
@@ -408,7 +424,7 @@
         self.begin_draft([*self.servers])
 
     async def replace(self, lasts: float = 5.0) -> bool:
-        """The operator sends what is in `resources` under the next version."""
+        """Sends `resources` as the next version; returns whether it was acknowledged."""
         if not self.resources:
             self.use_default_configuration()
         self.version += self.rng.choice((1, 1, 3))
@@ -425,19 +441,17 @@
     async def send_once(
         self, name: str = "once", key: str = "key-of-ann", at: str = "", **more: Any
     ) -> Any:
-        """One try of a request that can't be repeated, or of whatever route; gives ask and
-        reply.
-        """
-        ask = self.client.new_request(
+        """Sends a POST request once; returns the request and its reply."""
+        request = self.client.new_request(
             "POST", "town.example", f"/{name}/x", key, b"body " * 20, **more
         )
         front = (at, FRONT_PORT) if at else self.rng.choice(self.routed_proxies)
-        return ask, await self.client.send_once(ask, front)
+        return request, await self.client.send_once(request, front)
 
     async def send_requests(
         self, client: Client, rate: float, seconds: float, *what: Any, **more: Any
     ) -> list[Any]:
-        """So many requests a second, each going its own way; what came of each."""
+        """Sends `rate` requests a second on average for `seconds`; returns their replies."""
         begun, tasks = self.loop.time(), []
         rng = Random(self.rng.getrandbits(64))
         while self.loop.time() - begun < seconds:
--- a/loomstand/testing/simulation/configuration_draft.py
+++ b/loomstand/testing/simulation/configuration_draft.py
@@ -1,4 +1,4 @@
-"""The configuration that an operator of a simulation or soak run has in hand. Pure."""
+"""The configuration that an operator of a simulation or soak run edits and sends. No I/O."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class ConfigurationDraft:
-    """Routes of host `town.example`, services and tenants, which a test changes and sends."""
+    """Routes of the host `town.example`, services and tenants, edited by tests."""
 
     resources: dict[tuple[str, str], dict[str, Any]]
-    owners: dict[str, str]  # of keys, ever: the tenant
+    owners: dict[str, str]  # tenant by key, also of keys that were replaced
 
     def service(self, name: str) -> None:
         """Adds a service."""
@@ -41,7 +41,10 @@
         self.owners[key] = name
 
     def begin_draft(self, services: list[str]) -> None:
-        """What a test begins with: two services, a route that must not run twice, a tenant."""
+        """Adds the default resources: the services, three routes and a tenant.
+
+        Routes `a` and `b` are idempotent, `once` isn't.
+        """
         for service in services:
             self.service(service)
         self.route("a", "alpha")
@@ -50,7 +53,7 @@
         self.tenant("ann", "key-of-ann")
 
     def body(self, version: int) -> bytes:
-        """Returns it as it is sent."""
+        """Returns the request body for this version."""
         resources = [
             {"resource_kind": kind, "metadata": {"name": name}, "specification": specification}
             for (kind, name), specification in self.resources.items()
--- a/loomstand/testing/simulation/control_plane.py
+++ b/loomstand/testing/simulation/control_plane.py
@@ -1,8 +1,8 @@
-"""Core machines alone under drawn troubles, and operators who note what they sent, heard and were
-promised.
+"""Core machines under random faults, with operators whose reads and changes are checked.
 
-    python -m loomstand.testing.simulation.control_plane 1000 300    # 300 runs from seed 1000 on; 1
-    if one breaks
+    python -m loomstand.testing.simulation.control_plane 1000 300
+
+runs 300 seeds from 1000 on; the exit status is 1 if one breaks a rule.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from loomstand.testing.simulation.http_log import Message, exchange, post
 from loomstand.testing.simulation.streams import Host
 
-CALL_TIMEOUT_SECONDS = 30.0  # s that these operators wait, so that late answers are seen too
-# s by which what is read may be older than its answer: passing on, and the way back
+CALL_TIMEOUT_SECONDS = 30.0  # long, so that late answers are checked too
+# age that a version may have when its answer arrives: forwarding, and the way back
 READ_STALENESS_SECONDS = LEASE_SECONDS + 0.1
 
 
 class ControlPlane(Cluster):
-    """Core machines alone, and what operators sent, heard and were told to be in force."""
+    """Core machines without proxies, and the versions that operators sent and had acknowledged."""
 
     def __init__(self, seed: int, cores: int = 3) -> None:
         super().__init__(seed, cores, proxies=0, servers=0)
         self.use_default_configuration()
-        # when it was heard, and the newest by then
+        # (time of the acknowledgement, newest acknowledged version by then)
         self.acked: list[tuple[float, int]] = [(0.0, 0)]
         self.sent: dict[int, bytes] = {}
         self.reads, self.unacknowledged = 0, 0
@@ -54,16 +54,14 @@
     async def send_change(
         self, ip: str, within: float = CALL_TIMEOUT_SECONDS, version: int = 0
     ) -> int:
-        """One sending of an order, a new one or one that was sent before; its status, 0 without an
-        answer.
-        """
+        """Sends a change, a new one or `version` again; returns its status, 0 without an answer."""
         if not version:
             self.version += self.rng.choice((1, 1, 3))
             version = self.version
             self.sent[version] = self.body(version)
         got = await self.call(ip, "configuration.replace", self.sent[version], within)
         status = got.status if got else 0
-        assert status in (0, 200, 503), f"{ip} refused r{version}, a valid order: {got}"
+        assert status in (0, 200, 503), f"{ip} refused r{version}, a valid change: {got}"
         if status == 200:
             self.acked.append((self.loop.time(), max(version, self.acked[-1][1])))
         else:
@@ -71,16 +69,16 @@
         return status
 
     async def read_version(self, ip: str, within: float = CALL_TIMEOUT_SECONDS) -> int:
-        """What is read, 0 if nothing is handed out."""
+        """Reads the configuration; returns its version, 0 if the machine returns none."""
         asked = self.loop.time()
         got = await self.call(ip, "configuration.read", b"", within)
         if got is None or got.status != 200:
             assert got is None or got.status == 503, got
             return 0
         version = int(json.loads(got.body)["version"][1:])
-        owed = self.newest_acknowledged(max(asked, self.loop.time() - READ_STALENESS_SECONDS))
-        assert version >= owed, (
-            f"{ip} handed out r{version} at {self.loop.time():.3f}, r{owed} was in force"
+        lowest = self.newest_acknowledged(max(asked, self.loop.time() - READ_STALENESS_SECONDS))
+        assert version >= lowest, (
+            f"{ip} handed out r{version} at {self.loop.time():.3f}, r{lowest} was in force"
         )
         assert got.body == self.sent[version]
         self.reads += 1
@@ -90,7 +88,7 @@
         return next((ip for ip in self.core_ips if self.is_serving(ip)), "")
 
     async def check_recovered(self) -> None:
-        """An order is taken, and what is read is what was acknowledged."""
+        """Checks that a change is acknowledged and the newest version read, within four rounds."""
         for ip in self.core_ips * 4:
             if (
                 await self.send_change(ip, 1.0) == 200
@@ -98,17 +96,17 @@
             ):
                 return
             await asyncio.sleep(0.1)
-        raise AssertionError("calm, and nothing is acknowledged or read")
+        raise AssertionError("no faults, but no change is acknowledged or read back")
 
 
 class CoreFaults:
-    """What befalls the core's machines at moments within orders; one disk at a time is lost."""
+    """Random faults of core machines while changes are in progress; one disk at a time is lost."""
 
     def __init__(self, plane: ControlPlane, rng: Random) -> None:
         self.plane, self.rng, self.machine_count = plane, rng, len(plane.core_ips)
 
     async def send_operations(self) -> None:
-        """Orders and questions to any machine, orders sent again, two at one moment."""
+        """Sends changes and reads to random machines, some changes twice or two at once."""
         plane, rng = self.plane, self.rng
         while True:
             await asyncio.sleep(rng.uniform(0.01, 0.4))
@@ -159,7 +157,7 @@
             await asyncio.sleep(lasts)
             for host in plane.hosts(ip):
                 host.start()
-            # `catch_up`, after which another may be lost
+            # at least `catch_up`, after which another disk may be lost
             await asyncio.sleep(4.0 * (kind == "wipe"))
         elif kind in ("cut", "deaf", "dumb", "third"):
             for other in plane.core_ips[: 2 if kind == "third" else None]:
@@ -176,7 +174,7 @@
             await self.replace_machine(ip)
 
     async def replace_machine(self, ip: str) -> None:
-        """A new machine comes, the old one leaves for good, and its disk with it."""
+        """Adds a new machine and removes an old one with its disk."""
         plane = self.plane
         self.machine_count += 1
         new = f"10.1.0.{self.machine_count}"
@@ -216,15 +214,15 @@
     return plane
 
 
-def main(words: Sequence[str]) -> int:
-    first, count = int(words[0]), int(words[1])
+def main(arguments: Sequence[str]) -> int:
+    first, count = int(arguments[0]), int(arguments[1])
     broken, reads, acked = list[int](), 0, 0
     for seed in range(first, first + count):
         try:
             plane = run_random_faults(seed, 8)
-        except AssertionError as why:
+        except AssertionError as error:
             broken.append(seed)
-            print(f"{seed}: {why}", flush=True)
+            print(f"{seed}: {error}", flush=True)
         else:
             reads, acked = reads + plane.reads, acked + len(plane.acked) - 1
     print(f"{count} runs, {acked} acknowledgements, {reads} reads, broken: {broken or 'none'}")
--- a/loomstand/testing/simulation/faults.py
+++ b/loomstand/testing/simulation/faults.py
@@ -1,9 +1,9 @@
-"""What may befall a town, each drawn from a random generator and over when its method returns.
+"""Random faults of a simulated cluster; each has ended when its method returns.
 
 Kinds of limiters: proxy, herd, term, part, freeze_proxy, slow_proxy, step, roll. Of the core: core,
 registry, freeze_core, cut, disk, step_core, slow_core, all_core, lossy. Of servers: server,
-trouble, wave, swap, leave, release. `alone` cuts any machine off from everyone, `freeze` stops any
-process. All but those of servers leave their spans in the history.
+trouble, wave, swap, leave, release. `alone` partitions one machine from all others, `freeze`
+freezes processes. All but faults of servers record a span in the history.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     "slow_proxy",
     "step",
 ]
-# Of dense days, on which several of these go on at once.
+# Of dense days, on which several faults overlap.
 DENSE = [*LIMITERS, "roll", "roll", "herd", "step", "part"]
 CORES = [
     "core",
@@ -46,15 +46,14 @@
     "lossy",
 ]
 SERVERS = ["server", "trouble", "swap", "wave", "wave", "leave", "leave", "release"]
-ROLL_GAP_SECONDS = 0.7  # s between two steps of a rolling stop
-STOP_TIMEOUT_SECONDS = 6.0  # s after which a program that was told to stop is killed
-DRAIN_TO_EXIT_SECONDS = (
-    3.0  # s that a server goes on after its drain was acknowledged: `drain` and a little more
-)
+ROLL_GAP_SECONDS = 0.7  # between two steps of a rolling restart
+STOP_TIMEOUT_SECONDS = 6.0  # after which a program that was asked to stop is killed
+# from the acknowledgement of a drain until the server exits; more than the bound `drain`
+DRAIN_TO_EXIT_SECONDS = 3.0
 
 
 class Faults:
-    """Faults of one town. `lasts`: the lengths to draw from, in seconds."""
+    """Faults of one cluster. `lasts`: the durations to draw from, in seconds."""
 
     def __init__(
         self,
@@ -67,32 +66,45 @@
         self.history = History([*cluster.proxies]) if history is None else history
 
     async def inject(self, kinds: list[str]) -> None:
-        """One of the kinds, from its beginning to its end."""
+        """Runs one fault of the kinds, from its begin to its end."""
         await getattr(self, self.rng.choice(kinds))()
 
     @asynccontextmanager
     async def span(
-        self, kind: str, what: str, hosts: Iterable[str], core: bool = False, most: bool = True
+        self,
+        kind: str,
+        description: str,
+        hosts: Iterable[str],
+        core: bool = False,
+        majority_connected: bool = True,
     ) -> AsyncIterator[None]:
-        """Trouble for as long as the block lasts; one that the day's end breaks off has no end."""
+        """Records a fault that lasts as long as the block; one cut short by the end of the day has
+        no end.
+        """
         begun, where = self.cluster.loop.time(), frozenset(hosts)
         spans, n = self.history.spans, len(self.history.spans)
-        spans.append(FaultSpan(kind, what, where, begun, core=core, majority_connected=most))
+        spans.append(
+            FaultSpan(
+                kind, description, where, begun, core=core, majority_connected=majority_connected
+            )
+        )
         yield
-        spans[n] = FaultSpan(kind, what, where, begun, self.cluster.loop.time(), core, most)
+        spans[n] = FaultSpan(
+            kind, description, where, begun, self.cluster.loop.time(), core, majority_connected
+        )
 
     async def wait_fault_duration(self) -> None:
         await asyncio.sleep(self.rng.choice(self.durations))
 
     def draw_proxies(self, low: float, high: float) -> list[str]:
-        """A share of the proxies, one at the least."""
+        """Draws a share of the proxies, at least one."""
         share = self.rng.uniform(low, high)
         return self.rng.sample(
             [*self.cluster.proxies], max(1, round(share * len(self.cluster.proxies)))
         )
 
     def draw_core(self) -> str:
-        """A core machine, half the time the one whose store is primary."""
+        """Draws a core machine, with probability 1/2 the one whose store is primary."""
         held = [
             ip
             for ip, host in self.cluster.stores.items()
@@ -105,14 +117,14 @@
     # power
 
     async def take_down(self, hosts: list[Host], off: bool, wipe: bool = False) -> None:
-        """Killed, or without power, and back after a while."""
+        """Kills hosts or cuts their power, and starts them again after the drawn duration."""
         for host in hosts:
             host.power_off(wipe) if off else host.kill()
         await self.wait_fault_duration()
         self.start_again(hosts)
 
     def start_again(self, hosts: list[Host]) -> None:
-        """Those that other trouble hasn't started meanwhile."""
+        """Starts the hosts that another fault hasn't started already."""
         for host in hosts:
             if not host.up:
                 host.start()
@@ -131,17 +143,17 @@
         await self.restart([self.rng.choice([*self.cluster.proxies])], "told to stop")
 
     async def roll(self) -> None:
-        """Most limiters are told to stop, two at a time, and start again."""
+        """Restarts most limiters, two at a time."""
         ips, rolls = self.draw_proxies(0.6, 1.0), []
         for n in range(0, len(ips), 2):
             rolls.append(asyncio.ensure_future(self.restart(ips[n : n + 2])))
             await asyncio.sleep(ROLL_GAP_SECONDS)
         await asyncio.gather(*rolls)
 
-    async def restart(self, ips: list[str], what: str = "rolled") -> None:
-        """Told to stop, and started once they have; other trouble may kill them before."""
+    async def restart(self, ips: list[str], description: str = "rolled") -> None:
+        """Stops proxies and starts them again; another fault may kill them before."""
         hosts = [self.cluster.proxies[ip] for ip in ips]
-        async with self.span("started", what, ips):
+        async with self.span("started", description, ips):
             if ends := [asyncio.ensure_future(host.terminate()) for host in hosts if host.up]:
                 await asyncio.wait(ends, timeout=STOP_TIMEOUT_SECONDS)
             for host in hosts:
@@ -149,7 +161,7 @@
             self.start_again(hosts)
 
     async def step(self) -> None:
-        """The time of day jumps, and the programs read it anew."""
+        """Steps the wall clock of some proxies and restarts them, as programs read it at start."""
         ips = self.draw_proxies(0.1, 0.3)
         async with self.span("started", "clock step", ips):
             self.shift_clocks(ips)
@@ -173,7 +185,7 @@
             await self.take_down([*self.cluster.core(ip)], False)
 
     async def registry(self) -> None:
-        """The counting registry is lost, its counts with it; the store beside it goes on."""
+        """Kills a registry, which loses its counts; the store on the same machine goes on."""
         ip = self.draw_core()
         async with self.span(CORE, "registry killed", [ip], True):
             await self.take_down([self.cluster.registries[ip]], False)
@@ -219,19 +231,19 @@
     # links
 
     async def block_links(self, pairs: set[tuple[str, str]]) -> None:
-        """Nothing comes from the first to the second of each pair."""
+        """Blocks links, each from the first to the second host of a pair."""
         self.cluster.network.blocked_links |= pairs
         await self.wait_fault_duration()
         self.cluster.network.heal(pairs)
 
     def links_between(self, one: Iterable[str], others: Iterable[str]) -> set[tuple[str, str]]:
-        """Both ways, or at times one way only."""
+        """Returns the links between two groups: both directions, or at random only one."""
         ways = {(a, b) for a in one for b in others}
         back = {(b, a) for a, b in ways}
         return self.rng.choice((ways | back, ways | back, ways | back, ways, back))
 
     async def part(self) -> None:
-        """Limiters are cut off from the core; in half of the cases from servers, too."""
+        """Cuts limiters off from the core; with probability 1/2 from servers, too."""
         ips = self.draw_proxies(0.1, 0.3)
         there = list(self.cluster.core_ips)
         if self.rng.random() < 0.5:
@@ -240,11 +252,11 @@
             await self.block_links(self.links_between(ips, there))
 
     async def cut(self) -> None:
-        """The core in two, its limiters with one side or the other, or still in reach of both."""
+        """Partitions the core in two; limiters reach one side, or both."""
         cores, side = list(self.cluster.core_ips), [self.draw_core()]
         if len(cores) == 4 and self.rng.random() < 0.4:
             side.append(self.rng.choice([ip for ip in cores if ip not in side]))
-        most = 2 * len(side) < len(cores)
+        majority_connected = 2 * len(side) < len(cores)
         rest = [ip for ip in cores if ip not in side]
         with_side = self.draw_proxies(0.1, 0.4) if self.rng.random() < 0.6 else []
         pairs = self.links_between(side, rest)
@@ -253,7 +265,9 @@
                 side, [ip for ip in self.cluster.proxies if ip not in with_side]
             )
             pairs |= self.links_between(with_side, rest)
-        async with self.span(CORE, f"core cut {len(side)}/{len(rest)}", cores, True, most):
+        async with self.span(
+            CORE, f"core cut {len(side)}/{len(rest)}", cores, True, majority_connected
+        ):
             if with_side:
                 async with self.span("cut", "with the cut part of the core", with_side):
                     await self.block_links(pairs)
@@ -261,7 +275,7 @@
                 await self.block_links(pairs)
 
     async def alone(self) -> None:
-        """One machine, cut off from everyone."""
+        """Partitions one machine from all others."""
         core = self.rng.random() < 0.4
         ip = self.draw_core() if core else self.rng.choice([*self.cluster.proxies])
         everyone = [*self.cluster.proxies, *self.cluster.core_ips, *self.server_ips()]
@@ -273,9 +287,8 @@
         self.cluster.network.extra_delay_seconds |= dict.fromkeys(ips, more)
         await self.wait_fault_duration()
         for ip in ips:
-            self.cluster.network.extra_delay_seconds.pop(
-                ip, None
-            )  # other trouble may have ended it
+            # another fault may have ended it
+            self.cluster.network.extra_delay_seconds.pop(ip, None)
 
     async def slow_proxy(self) -> None:
         ips = self.draw_proxies(0.05, 0.3)
@@ -297,12 +310,14 @@
     # servers
 
     def server_ips(self) -> list[str]:
-        return [server.address[0] for many in self.cluster.servers.values() for server in many]
+        return [
+            server.address[0] for servers in self.cluster.servers.values() for server in servers
+        ]
 
     def draw_server(self) -> Server:
-        """One that is in use and not about to leave."""
-        many = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
-        return self.rng.choice([s for s in many if s.state == "ready"] or many)
+        """Draws a server, if possible one that isn't draining."""
+        servers = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
+        return self.rng.choice([s for s in servers if s.state == "ready"] or servers)
 
     async def server(self) -> None:
         server = self.draw_server()
@@ -321,21 +336,21 @@
         server.fault = ""
 
     async def wave(self) -> None:
-        """Half of a service's servers turn away, fail or lose what they get."""
-        many = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
-        ill, what, share = (
-            many[::2],
+        """Half of the servers of a service reject, fail or reset their requests."""
+        servers = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
+        faulty, what, share = (
+            servers[::2],
             self.rng.choice(("full", "error", "reset", "refuses")),
             self.rng.random(),
         )
-        for server in ill:
+        for server in faulty:
             server.fault, server.fault_share = what, share
         await self.wait_fault_duration()
-        for server in ill:
+        for server in faulty:
             server.fault = ""
 
     async def swap(self) -> None:
-        """Two servers end, and each address is the other service's next."""
+        """Two servers of different services end and start with each other's address."""
         one, other = self.cluster.servers["alpha"][0], self.cluster.servers["beta"][0]
         one.kill()
         other.kill()
@@ -348,7 +363,7 @@
         await self.drain_and_replace(self.draw_server())
 
     async def drain_and_replace(self, server: Server) -> None:
-        """In order; another takes its place."""
+        """Drains a server and replaces it by a new instance."""
         id_ = server.id
         at, core = await server.drain()
         self.history.drains.append(Drain(id_, at, core[0], at + DRAIN_TO_EXIT_SECONDS))
@@ -357,10 +372,10 @@
         server.start()
 
     async def release(self) -> None:
-        """Some servers of a service are replaced, one a second."""
-        many = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
+        """Replaces up to three servers of a service, starting one a second."""
+        servers = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
         leaving = []
-        for server in many[:3]:
+        for server in servers[:3]:
             leaving.append(self.cluster.loop.create_task(self.drain_and_replace(server)))
             await asyncio.sleep(1.0)
         await asyncio.gather(*leaving)
--- a/loomstand/testing/simulation/http_log.py
+++ b/loomstand/testing/simulation/http_log.py
@@ -1,7 +1,7 @@
-"""What people say and see: HTTP messages on simulated streams, and the book of a day's requests.
+"""HTTP messages on simulated streams, and the log of all requests of a run.
 
-Messages are read and written here by themselves, so that nothing of the programs' own parsers is
-trusted. A `Book` has in `faults` what breaks a rule whatever the day.
+Messages are parsed and encoded here, independently of the parsers under test. `violations` of a
+`RequestLog` lists broken rules that hold in every run.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 from loomstand.testing.simulation.streams import Address, SimTransport, Streams
 
-NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # not run, and never will be
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # the request wasn't run and won't be
 Fields = dict[str, str]
 
 
 @dataclass(slots=True)
 class Message:
-    """One whole message."""
+    """A complete HTTP message."""
 
     start: bytes
     fields: Fields
@@ -33,11 +33,11 @@
 
 
 class ConnectionBrokenError(Exception):
-    """A connection that ended within a message, or bytes that are none; says how."""
+    """The connection ended within a message, or the bytes are no HTTP message."""
 
 
 class HttpConnection(asyncio.Protocol):
-    """One end of a connection: bytes that came, and how it ended."""
+    """One end of an HTTP connection: the received bytes, and how it was closed."""
 
     transport: SimTransport
     on_established: Callable[[], None] | None = None
@@ -60,8 +60,8 @@
         self.wake()
         return True
 
-    def connection_lost(self, why: Exception | None) -> None:
-        self.closed_reason = self.closed_reason or ("reset" if why else "closed")
+    def connection_lost(self, error: Exception | None) -> None:
+        self.closed_reason = self.closed_reason or ("reset" if error else "closed")
         self.wake()
 
     def wake(self) -> None:
@@ -75,7 +75,7 @@
         await self.waiter
 
     async def closed_within(self, seconds: float) -> bool:
-        """Waits until the other side has closed or the time is over; whether it has closed."""
+        """Waits up to `seconds` for the peer to close; returns whether it has closed."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while not self.closed_reason and loop.time() < until:
@@ -100,12 +100,16 @@
         return out
 
     async def read_message(self) -> Message:
-        """The next one. Raises Broken."""
+        """Reads the next message.
+
+        Raises:
+            ConnectionBrokenError: The connection ended before, or the bytes are no message.
+        """
         start, fields = await self.read_line(), Fields()
         while line := await self.read_line():
             name, colon, value = line.decode("latin-1").partition(":")
             if not colon:
-                raise ConnectionBrokenError("bytes that are no message")
+                raise ConnectionBrokenError("not an HTTP message")
             fields[name.strip().lower()] = value.strip()
         body = b""
         if fields.get("transfer-encoding") == "chunked":
@@ -120,7 +124,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request, one try of it; `sent` and `front` are when and where it last went.
+    """One try of a client's request; `sent` and `front` are when and to which proxy it was sent.
 
     `left_at` is when the client closed its connection without an answer.
     """
@@ -139,7 +143,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What came of a try: a status, or 0 and how it ended without one."""
+    """The result of a try: a status, or 0 and how the connection ended."""
 
     status: int
     end: str = ""
@@ -150,7 +154,7 @@
 
 @dataclass(slots=True)
 class ServerArrival:
-    """A request at a server: that ran, or was turned away.
+    """The arrival of a request at a server, which ran or rejected it.
 
     `ended` is when the server stopped work on it.
     """
@@ -166,58 +170,59 @@
 
 @dataclass(slots=True)
 class RequestLog:
-    """All that the people saw."""
+    """All requests, replies and arrivals of a run, and the rules that they break."""
 
     requests: dict[str, ClientRequest] = field(default_factory=dict)
     replies: dict[str, Reply] = field(default_factory=dict)
     arrivals: list[ServerArrival] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
-    owners: dict[str, str] = field(default_factory=dict)  # of keys, ever: the tenant
+    # tenant by key, also of keys that were replaced
+    owners: dict[str, str] = field(default_factory=dict)
 
     def runs(self, id_: str = "") -> list[ServerArrival]:
         return [r for r in self.arrivals if r.ran and id_ in ("", r.id)]
 
     def runs_after_departure(self, seconds: float) -> list[ServerArrival]:
-        """The runs that went on for longer than that after their client had left."""
+        """Returns the runs that lasted longer than `seconds` after their client had left."""
         return [run for run in self.runs() if run.ended > self.requests[run.id].left_at + seconds]
 
     def record_arrival(self, run: ServerArrival, message: Message) -> None:
-        """At a server: checked against what the client sent (UNASKED)."""
+        """Records an arrival at a server and compares it with the sent request (UNASKED)."""
         self.arrivals.append(run)
-        ask = self.requests.get(run.id)
-        if ask is None:
-            self.violations.append(f"{run.id}: nobody sent this")
+        request = self.requests.get(run.id)
+        if request is None:
+            self.violations.append(f"{run.id}: no client sent this")
             return
         method, target, _ = message.start.decode("latin-1").split(" ")
-        if (method, target, message.body) != (ask.method, ask.path, ask.body):
+        if (method, target, message.body) != (request.method, request.path, request.body):
             self.violations.append(f"{run.id}: changed on its way: {message.start!r}")
         seen = " ".join(message.fields.values())
-        if "authorization" in message.fields or (ask.key and ask.key in seen):
-            self.violations.append(f"{run.id}: its key went on")
-        if run.ran and run.tenant != self.owners.get(ask.key, ""):
+        if "authorization" in message.fields or (request.key and request.key in seen):
+            self.violations.append(f"{run.id}: the API key was forwarded")
+        if run.ran and run.tenant != self.owners.get(request.key, ""):
             self.violations.append(f"{run.id}: ran for {run.tenant!r}")
 
-    def record_reply(self, ask: ClientRequest, reply: Reply) -> None:
-        """At a client (MIXED)."""
-        self.replies[ask.id] = reply
-        said = reply.fields.get("loomstand-request-id", ask.id)
-        if said != ask.id:
-            self.violations.append(f"{ask.id}: the answer to {said}")
+    def record_reply(self, request: ClientRequest, reply: Reply) -> None:
+        """Records a reply at a client and checks that it belongs to the request (MIXED)."""
+        self.replies[request.id] = reply
+        reply_id = reply.fields.get("loomstand-request-id", request.id)
+        if reply_id != request.id:
+            self.violations.append(f"{request.id}: the answer to {reply_id}")
         if 200 <= reply.status < 300:
             stamp = reply.fields.get("loomstand-response-stamp", "")
-            if stamp != stamp_of(ask.id, reply.body):
+            if stamp != stamp_of(request.id, reply.body):
                 self.violations.append(
-                    f"{ask.id}: a success with {reply.body[:40]!r}, stamped {stamp!r}"
+                    f"{request.id}: a success with {reply.body[:40]!r}, stamped {stamp!r}"
                 )
 
     def check(self) -> None:
-        """What breaks a rule on any day (MIXED, UNASKED, TWICE, REFUSED)."""
+        """Asserts that no rule is broken (MIXED, UNASKED, TWICE, REFUSED)."""
         ran: dict[str, int] = {}
         for run in self.runs():
             ran[run.id] = ran.get(run.id, 0) + 1
         for id_, times in ran.items():
-            ask, reply = self.requests[id_], self.replies.get(id_)
-            if not ask.idempotent and times > 1:
+            request, reply = self.requests[id_], self.replies.get(id_)
+            if not request.idempotent and times > 1:
                 self.violations.append(f"{id_}: ran {times} times")
             if reply is not None and reply.status in NOT_EXECUTED_STATUSES:
                 self.violations.append(f"{id_}: answered {reply.status}, and ran")
@@ -229,18 +234,18 @@
 
 
 async def exchange(streams: Streams, address: Address, raw: bytes, within: float) -> Message | None:
-    """One call on a connection of its own; None where no whole answer comes in time."""
-    talk = None
+    """Sends a request on a new connection; returns None if no complete answer comes in time."""
+    connection = None
     try:
         async with asyncio.timeout(within):
-            talk = await streams.open(HttpConnection, address, within)
-            talk.transport.write(raw)
-            return await talk.read_message()
+            connection = await streams.open(HttpConnection, address, within)
+            connection.transport.write(raw)
+            return await connection.read_message()
     except (OSError, TimeoutError, ConnectionBrokenError):
         return None
     finally:
-        if talk is not None:
-            talk.transport.abort()
+        if connection is not None:
+            connection.transport.abort()
 
 
 def post(call: str, body: bytes) -> bytes:
--- a/loomstand/testing/simulation/hunt.py
+++ b/loomstand/testing/simulation/hunt.py
@@ -1,4 +1,4 @@
-"""`python -m loomstand.testing.simulation.hunt`: many drawn days of a whole cluster; the worst
+"""`python -m loomstand.testing.simulation.hunt`: many random days of a whole cluster; the worst
 figures.
 """
 
@@ -17,30 +17,30 @@
 from loomstand.testing.simulation.bounds import Figure, History, evaluate
 from loomstand.testing.simulation.scenario import Day, Setup
 
-NARRATIVE_SECONDS = 12.0  # s before and after the worst moment that a narrative tells
+NARRATIVE_SECONDS = 12.0  # printed before and after the worst moment
 
 
-def run_day(asked: tuple[int, Setup]) -> tuple[int, list[Figure]]:
-    """A day's figures."""
-    seed, setup = asked
+def run_day(arguments: tuple[int, Setup]) -> tuple[int, list[Figure]]:
+    """Returns the seed and the figures of a day."""
+    seed, setup = arguments
     history, bounds = Day(seed, setup).simulate()
     return seed, evaluate(history, bounds)
 
 
 def worst_by_name(days: Iterable[tuple[int, list[Figure]]]) -> list[tuple[Figure, int, int]]:
-    """Of each name the worst figure, its day's seed, and how many days broke it."""
+    """Returns the worst figure of each name, the seed of its day, and how many days broke it."""
     worst: dict[str, tuple[Figure, int, int]] = {}
     for seed, figures in days:
         for figure in figures:
-            had = worst.get(figure.name)
-            broke = int(figure.broken > 0) + (had[2] if had else 0)
-            if had is None or (bool(figure.broken), figure.value) > (
-                bool(had[0].broken),
-                had[0].value,
+            previous = worst.get(figure.name)
+            broken_days = int(figure.broken > 0) + (previous[2] if previous else 0)
+            if previous is None or (bool(figure.broken), figure.value) > (
+                bool(previous[0].broken),
+                previous[0].value,
             ):
-                worst[figure.name] = figure, seed, broke
+                worst[figure.name] = figure, seed, broken_days
             else:
-                worst[figure.name] = *had[:2], broke
+                worst[figure.name] = *previous[:2], broken_days
     return [worst[name] for name in sorted(worst)]
 
 
@@ -51,7 +51,9 @@
 
 
 def print_narrative(history: History, figures: list[Figure]) -> None:
-    """What went on around the worst moment: that of a broken figure, else that of the quotas."""
+    """Prints the figures, and the events around the worst moment of a broken figure, else of the
+    quotas.
+    """
     for figure in figures:
         print(f"at {figure.at:7.2f}  {format_figure(figure)}")
     chosen = max(figures, key=lambda f: (f.broken > 0, f.name.startswith("quota")))
@@ -84,7 +86,7 @@
 
 
 def plot(path: str, days: list[tuple[int, list[Figure]]]) -> None:
-    """Each figure's share of its allowed by day, as an image."""
+    """Plots each figure over its allowed value by day, to an image file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -114,7 +116,7 @@
 
 
 def main(words: list[str] | None = None) -> int:
-    """1 if a judged bound is broken, else 0."""
+    """Returns the exit status: 1 if a bound is broken, 2 if a file can't be written, else 0."""
     parser = argparse.ArgumentParser(
         prog="python -m loomstand.testing.simulation.hunt", description=__doc__
     )
@@ -127,43 +129,46 @@
         "--quotas", type=float, default=1.0, help="times the usual ones, as sites grow"
     )
     parser.add_argument(
-        "--dense", action="store_true", help="several troubles at once, within seconds"
+        "--dense", action="store_true", help="several faults at once, within seconds"
     )
     parser.add_argument("--jobs", type=whole, default=4, help="processes side by side")
     parser.add_argument("--json", metavar="FILE", help="all days' figures")
     parser.add_argument("--plot", metavar="PNG", help="each day's worst over its allowed")
     parser.add_argument("--day", type=int, metavar="SEED", help="this one alone, with what went on")
-    asked = parser.parse_args(words)
-    for path in (asked.json, asked.plot):  # rather than after all days were played
+    arguments = parser.parse_args(words)
+    for path in (arguments.json, arguments.plot):  # before all days are simulated
         if path and not Path(path).resolve().parent.is_dir():
             parser.error(f"{path}: its folder isn't there")
-    setup = Setup(limiters=asked.limiters, quotas=asked.quotas, dense=asked.dense)
-    if asked.day is not None:
-        history, bounds = Day(asked.day, setup).simulate()
+    setup = Setup(limiters=arguments.limiters, quotas=arguments.quotas, dense=arguments.dense)
+    if arguments.day is not None:
+        history, bounds = Day(arguments.day, setup).simulate()
         figures = evaluate(history, bounds)
         print_narrative(history, figures)
         return int(any(f.broken for f in figures))
     begun = time.monotonic()
-    seeds = [(seed, setup) for seed in range(asked.seed, asked.seed + asked.days)]
-    with ProcessPoolExecutor(asked.jobs) as pool:
+    seeds = [(seed, setup) for seed in range(arguments.seed, arguments.seed + arguments.days)]
+    with ProcessPoolExecutor(arguments.jobs) as pool:
         days = list(pool.map(run_day, seeds))
     found = worst_by_name(days)
     print(f"{len(days)} days of {setup.length:g} s with {setup.limiters} limiters", end="")
     print(f", {time.monotonic() - begun:.0f} s to play")
-    for figure, seed, broke in found:
-        print(f"{format_figure(figure)}  day {seed}" + (f", {broke} days" if broke else ""))
+    for figure, seed, broken_days in found:
+        print(
+            f"{format_figure(figure)}  day {seed}"
+            + (f", {broken_days} days" if broken_days else "")
+        )
     try:
-        if asked.json:
-            with open(asked.json, "w") as file:
+        if arguments.json:
+            with open(arguments.json, "w") as file:
                 json.dump(
                     [{"seed": s, "figures": [asdict(f) for f in fs]} for s, fs in days],
                     file,
                     indent=1,
                 )
-        if asked.plot:
-            plot(asked.plot, days)
-    except OSError as why:
-        print(f"hunt: {why}", file=sys.stderr)
+        if arguments.plot:
+            plot(arguments.plot, days)
+    except OSError as error:
+        print(f"hunt: {error}", file=sys.stderr)
         return 2
     return int(any(figure.broken for figure, _, _ in found))
 
--- a/loomstand/testing/simulation/loop.py
+++ b/loomstand/testing/simulation/loop.py
@@ -1,8 +1,8 @@
-"""An event loop whose time is made up: waiting takes none, and machines in it can be frozen or
-killed.
+"""An event loop on virtual time, in which simulated processes can be frozen or killed.
 
-What runs belongs to the `Life` in whose context it was started, and whatever it starts or waits for
-does too. A frozen life's callbacks wait until it thaws; a dead one's never run.
+A callback belongs to the `SimProcess` in whose context it was scheduled, and so do the tasks and
+timers that it creates. Callbacks of a frozen process are deferred until it thaws; those of a killed
+process never run.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 @dataclass(slots=True, eq=False)
 class SimProcess:
-    """A process from its start to its end."""
+    """A simulated operating system process, from its start to its end."""
 
     alive: bool = True
     frozen: bool = False
     deferred: list[_ProcessCallback] = field(default_factory=list)
 
     def context(self) -> contextvars.Context:
-        """In which to start what belongs to this life."""
+        """Returns a new context; what is started in it belongs to this process."""
         made = contextvars.Context()
         made.run(CURRENT_PROCESS.set, self)
         return made
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, eq=False)
 class _ProcessCallback:
-    """A callback of a life, which may be cancelled while that is frozen."""
+    """A callback of a process; it can be cancelled while the process is frozen."""
 
     process: SimProcess
     callback: Callable[..., Any]
@@ -59,13 +59,13 @@
 
 
 CURRENT_PROCESS: contextvars.ContextVar[SimProcess | None] = contextvars.ContextVar(
-    "life", default=None
+    "process", default=None
 )
 _NO_PROCESS = contextvars.Context()
 
 
 class _VirtualSelector(selectors.BaseSelector):
-    """Instead of waiting, moves the loop's clock to the next timer."""
+    """A selector that advances the virtual clock to the next timer instead of waiting."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -80,7 +80,9 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("nothing will ever happen here: a wait without an end")
+            raise RuntimeError(
+                "deadlock in the simulation: no callback is ready and no timer is set"
+            )
         self.now += max(0.0, timeout)
         return []
 
@@ -89,10 +91,13 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
+    """An event loop on virtual time that assigns each callback to its process."""
+
     def __init__(self) -> None:
         self._virtual_selector = _VirtualSelector()
         super().__init__(self._virtual_selector)
-        # held till they're done, so that a dead life's work isn't unwound while others still run
+        # Keeps tasks of killed processes until the loop closes, so that garbage collection doesn't
+        # unwind them while others still run.
         self.made: set[asyncio.Task[Any]] = set()
 
         def make(loop: Any, coro: Any, **kwargs: Any) -> asyncio.Task[Any]:
@@ -110,7 +115,7 @@
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> asyncio.Handle:
         context = contextvars.copy_context() if context is None else context
         process = context.get(CURRENT_PROCESS)
-        if self.is_closed():  # work that is unwound at the end has nothing left to wake
+        if self.is_closed():  # coroutines closed by `close` may still schedule callbacks
             return asyncio.Handle(callback, args, self, context)
         if process is None:
             return super().call_soon(callback, *args, context=context)
@@ -130,7 +135,7 @@
         return timer
 
     def close(self) -> None:
-        """Ends all work, that of the dead too."""
+        """Closes the loop and all unfinished coroutines, also those of killed processes."""
         super().close()
         for task in self.made:
             with contextlib.suppress(RuntimeError):
@@ -139,7 +144,7 @@
 
 
 def run_simulated(work: Callable[[], Coroutine[Any, Any, T]]) -> T:
-    """Runs `work` on a loop of its own, whose time begins at 0."""
+    """Runs `work` on a new virtual loop, whose time begins at 0, and returns its result."""
     loop = VirtualLoop()
     try:
         return loop.run_until_complete(work())
--- a/loomstand/testing/simulation/machine.py
+++ b/loomstand/testing/simulation/machine.py
@@ -1,4 +1,4 @@
-"""Machines under one sky, and what can befall them."""
+"""Simulated machines on one network, and their faults: kill, power loss, freeze."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
 
 
 class Program(Protocol):
+    """A program that a machine runs: `run` ends after `stop`."""
+
     def run(self) -> Coroutine[Any, Any, None]: ...
 
     def stop(self) -> Coroutine[Any, Any, None]: ...
@@ -25,28 +27,30 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A host with its disk and the programs that its factories make, each start anew."""
+    """A host with its disk; each start makes its programs by the factories."""
 
     host: str
     network: SimNetwork
     rng: Random
     factories: list[ProgramFactory]
     disk_state: DiskState
-    clock_offset: float = 0.0  # s by which its steady clock differs from the loop's
-    clock_rate: float = 1.0  # by which its steady clock runs faster than the loop's
+    clock_offset: float = 0.0  # s, of its monotonic clock to the loop's
+    clock_rate: float = 1.0  # of its monotonic clock to the loop's
     process: SimProcess | None = None
     programs: list[Any] = field(default_factory=list)
 
     @property
     def up(self) -> bool:
+        """Whether its process is alive."""
         return self.process is not None and self.process.alive
 
     @property
     def is_running(self) -> bool:
+        """Whether its process is alive and not frozen."""
         return self.up and self.process is not None and not self.process.frozen
 
     def start(self) -> None:
-        """Power on, all programs from their beginning."""
+        """Powers the machine on and starts all programs."""
         self.network.powered_off.discard(self.host)
         process = self.process = SimProcess()
         loop = asyncio.get_running_loop()
@@ -64,9 +68,7 @@
         process.context().run(begin)
 
     def kill(self) -> None:
-        """Its processes end this moment; its ports refuse calls, its disk keeps what was
-        written.
-        """
+        """Kills its process: its ports refuse calls, its disk keeps what was written."""
         if self.process is not None:
             self.process.alive = False
         for address in [
@@ -75,7 +77,7 @@
             del self.network.listeners[address]
 
     def power_off(self, wipe: bool = False) -> None:
-        """As `kill`, but it falls silent, and what was being written is gone or not."""
+        """As `kill`, but the machine no longer answers, and a write in progress may be lost."""
         self.kill()
         self.network.powered_off.add(self.host)
         self.disk_state.power_off()
@@ -91,7 +93,7 @@
             self.process.thaw()
 
     async def shut_down(self) -> None:
-        """SIGTERM: its programs are asked to stop; then it's off."""
+        """Stops the programs as on SIGTERM, then powers the machine off."""
         if self.process is not None:
             loop = asyncio.get_running_loop()
             stops = [
@@ -112,7 +114,7 @@
     hosts: list[str],
     factories: Callable[[str], list[ProgramFactory]],
 ) -> dict[str, Machine]:
-    """Machines by host, each with an empty disk and a clock of its own; none is started."""
+    """Returns machines by host, each with an empty disk and its own clock; none is started."""
     return {
         host: Machine(
             host,
--- a/loomstand/testing/simulation/network.py
+++ b/loomstand/testing/simulation/network.py
@@ -1,9 +1,8 @@
-"""The sky over all machines: who reaches whom and how fast. Calls go over it as over TCP
-connections.
+"""The simulated network between all machines: reachability, delay and loss, and calls as over TCP.
 
-A call first needs a connection to the listener's present life: one round trip. Where nobody
-listens, it's refused at once; a machine that is off, or behind a cut, stays silent. Bytes that meet
-a cut are lost, or held up until it's mended; the caller has long given up by then.
+A call first needs a connection to the process that listens now: one round trip. A port without a
+listener refuses it at once; a machine that is off or partitioned doesn't answer. Bytes on a blocked
+link are lost, or held until the link is healed; the call has usually timed out by then.
 """
 
 from __future__ import annotations
@@ -19,53 +18,55 @@
 from loomstand.rpc.errors import CallFailure, CallRefusedError
 from loomstand.testing.simulation.loop import CURRENT_PROCESS, SimProcess
 
-LINK_DELAY_SECONDS = (0.0005, 0.004)  # s one way: machines of one region, and of neighbouring ones
+LINK_DELAY_SECONDS = (0.0005, 0.004)  # one way: within a region, and between neighbouring regions
 Body = dict[str, Any]
 
 
 @dataclass(slots=True)
 class Listener:
+    """A listening port: its process and the handler of its calls."""
+
     process: SimProcess
     serve: CallHandler
 
 
 @dataclass(slots=True)
 class SimNetwork:
+    """The state of the network: listeners, blocked links, delays and loss."""
+
     rng: Random
     listeners: dict[Address, Listener] = field(default_factory=dict)
     powered_off: set[str] = field(default_factory=set)  # hosts without power
-    blocked_links: set[tuple[str, str]] = field(
-        default_factory=set
-    )  # from, to: nothing comes through
-    extra_delay_seconds: dict[str, float] = field(
-        default_factory=dict
-    )  # s more, to and from a host
-    loss_rate: float = (
-        0.0  # share of calls whose request or answer is lost, their connection with them
-    )
+    # (from, to): all bytes are lost or held
+    blocked_links: set[tuple[str, str]] = field(default_factory=set)
+    # added one way, to and from a host
+    extra_delay_seconds: dict[str, float] = field(default_factory=dict)
+    # share of call messages lost; a stream segment is delayed by a retransmission
+    loss_rate: float = 0.0
     held_transfers: list[tuple[str, str, asyncio.Future[None]]] = field(default_factory=list)
 
     def cut(self, one: str, other: str, both: bool = True) -> None:
+        """Blocks the link between two hosts; without `both` only from `one` to `other`."""
         self.blocked_links |= {(one, other), (other, one)} if both else {(one, other)}
 
     def partition(self, *sides: list[str]) -> None:
-        """Cuts the sides from each other."""
+        """Blocks all links between the sides, in both directions."""
         for i, side in enumerate(sides):
             for other in (h for rest in sides[i + 1 :] for h in rest):
                 for host in side:
                     self.cut(host, other)
 
     def heal(self, only: set[tuple[str, str]] | None = None) -> None:
-        """Ends all cuts, or only those; bytes that were held up go on."""
+        """Unblocks all links, or only those given; held bytes are delivered."""
         ends = set(self.blocked_links) if only is None else only
         self.blocked_links -= ends
-        through = [h for h in self.held_transfers if only is None or h[:2] in ends]
+        healed = [h for h in self.held_transfers if only is None or h[:2] in ends]
         self.held_transfers = (
             [] if only is None else [h for h in self.held_transfers if h[:2] not in ends]
         )
-        for *_, waits in through:
-            if not waits.done():
-                waits.set_result(None)
+        for *_, unblocked in healed:
+            if not unblocked.done():
+                unblocked.set_result(None)
 
     def is_reachable(self, one: str, other: str) -> bool:
         return (
@@ -75,7 +76,7 @@
         )
 
     async def deliver(self, one: str, other: str) -> bool:
-        """Bytes on their way; whether they arrive."""
+        """Waits for the transfer of bytes from one host to another; returns whether they arrive."""
         low, high = LINK_DELAY_SECONDS
         await asyncio.sleep(
             self.rng.uniform(low, high)
@@ -85,23 +86,22 @@
         if self.is_reachable(one, other):
             return self.rng.random() >= self.loss_rate
         if (one, other) in self.blocked_links and self.rng.random() < 0.5:
-            through = asyncio.get_running_loop().create_future()
-            self.held_transfers.append((one, other, through))
-            await through
+            unblocked = asyncio.get_running_loop().create_future()
+            self.held_transfers.append((one, other, unblocked))
+            await unblocked
             return self.is_reachable(one, other)
         return False
 
 
 @dataclass(slots=True)
 class MachineNetwork:
-    """A machine's Network, for one life."""
+    """The `rpc.Network` of one process on a machine."""
 
     network: SimNetwork
     host: str
     process: SimProcess
-    connected_processes: dict[Address, SimProcess] = field(
-        default_factory=dict
-    )  # connections that stand
+    # by address: the process at the other end of the open connection
+    connected_processes: dict[Address, SimProcess] = field(default_factory=dict)
 
     async def listen(self, address: Address, serve: CallHandler) -> None:
         self.network.listeners[address] = Listener(self.process, serve)
@@ -111,8 +111,8 @@
     ) -> Result[Body, CallFailure]:
         loop = asyncio.get_running_loop()
         answer: asyncio.Future[Result[Body, CallFailure]] = loop.create_future()
-        sent: list[bool] = []  # whether the request's bytes are under way
-        # on the wire nothing is frozen or killed with the caller
+        sent: list[bool] = []  # not empty once the request is being transferred
+        # transfers go on when the caller is frozen or killed
         run = loop.create_task(
             self._run(address, op, body, sent, answer), context=_WIRE_CONTEXT.copy()
         )
@@ -121,43 +121,43 @@
                 return await answer
         except TimeoutError:
             self.connected_processes.pop(address, None)
-            del run  # goes on: what is under way may still arrive
+            del run  # the transfer goes on, and the request may still arrive
             return Error(CallFailure.MAY_HAVE_RUN if sent else CallFailure.NEVER_RAN)
 
     async def _run(
         self, address: Address, op: str, body: Body, sent: list[bool], answer: Any
     ) -> None:
-        there = self.network.listeners.get(address)
+        listener = self.network.listeners.get(address)
         if (
-            self.connected_processes.get(address) is not (there.process if there else None)
-            or there is None
+            self.connected_processes.get(address) is not (listener.process if listener else None)
+            or listener is None
         ):
             if not (
                 await self.network.deliver(self.host, address[0])
                 and await self.network.deliver(address[0], self.host)
             ):
                 return None
-            there = self.network.listeners.get(address)
-            if there is None or not there.process.alive:
+            listener = self.network.listeners.get(address)
+            if listener is None or not listener.process.alive:
                 return _complete(answer, Error(CallFailure.NEVER_RAN))
-            self.connected_processes[address] = there.process
+            self.connected_processes[address] = listener.process
         if answer.done():
             return None
         sent.append(True)
         if not await self.network.deliver(self.host, address[0]):
             return None
-        if not there.process.alive:
+        if not listener.process.alive:
             if self.network.is_reachable(address[0], self.host):
                 _complete(answer, Error(CallFailure.MAY_HAVE_RUN))
             return None
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[Result[Body, CallFailure]] = loop.create_future()
         served = loop.create_task(
-            _serve(there.serve, op, body, reply), context=there.process.context()
+            _serve(listener.serve, op, body, reply), context=listener.process.context()
         )
         result = await reply
         del served
-        if there.process.alive and await self.network.deliver(address[0], self.host):
+        if listener.process.alive and await self.network.deliver(address[0], self.host):
             _complete(answer, result)
 
 
--- a/loomstand/testing/simulation/scenario.py
+++ b/loomstand/testing/simulation/scenario.py
@@ -1,5 +1,5 @@
-"""A day drawn from a seed: tenants at or above their quotas, troubles side by side, and what came
-of it.
+"""A random day of a simulated cluster: tenants at or above their quotas, concurrent faults, and the
+history of what was observed.
 """
 
 from __future__ import annotations
@@ -15,23 +15,22 @@
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.faults import CORES, DENSE, LIMITERS, SERVERS, Faults
 
-OBSERVATION_PERIOD_SECONDS = 0.01  # s between looks at who serves and who counts
-# s of calm at the end: what is under way comes into force, or is late beyond every bound.
+OBSERVATION_PERIOD_SECONDS = 0.01  # between two observations of who serves and who counts
+# Without faults at the end: longer than every bound, so that what isn't in force by then is late.
 FINAL_CALM_SECONDS = 6.0
-# Lengths of troubles in s: from what hardly anybody sees to the 10 s for which a part is usually
-# cut off.
+# Durations of faults: from hardly noticeable to the usual 10 s of a partition.
 FAULT_SECONDS = (0.3, 1.0, 2.0, 4.0, 10.0)
-# Requests a second and burst over rate. The share of a tenant at one of 12 limiters goes from a
-# tenth of a request a second to four, so that both small and large parts of a quota are seen.
+# Requests a second, and burst (requests) over rate. One of 12 limiters gets 0.1 to 4 requests a
+# second of a tenant, so that both small and large shares of a quota occur.
 TENANT_RATES, BURST_TO_RATE = (1.0, 4.0, 12.0, 30.0, 50.0), (0.5, 1.0, 2.0)
-HOT_LOAD_FACTOR = 8.0  # a hot tenant sends so many times its usual
+HOT_LOAD_FACTOR = 8.0  # on the request rate of a hot tenant
 
 
 @dataclass(slots=True, frozen=True)
 class Setup:
     """The size of a day: `length` in seconds; `cores` 0 draws 3 or 4; `quotas` is a factor on
-    RATES. `dense`: troubles come within seconds of each other, several at once, with two tenants
-    hot and quotas lowered.
+    the rates of tenants. `dense`: faults follow within seconds and overlap, with up to two hot
+    tenants and frequent changes of quotas.
     """
 
     limiters: int = 12
@@ -44,7 +43,7 @@
 
 @dataclass(slots=True)
 class Load:
-    """A tenant's clients: requests a second now, and the key that they have."""
+    """The load of a tenant: rates in requests a second, and the API key of its clients."""
 
     name: str
     rate: float
@@ -54,7 +53,7 @@
 
 
 class Day:
-    """A day; the same for the same seed and setup."""
+    """A simulated day; deterministic for a seed and setup."""
 
     def __init__(self, seed: int, setup: Setup | None = None) -> None:
         rng = self.rng = Random(seed)
@@ -75,7 +74,7 @@
             )
 
     def simulate(self) -> tuple[History, RuleBounds]:
-        """Plays it, once: what came of it, and the bounds that it was under."""
+        """Simulates the day, once; returns its history and the bounds that apply to it."""
         try:
             self.cluster.run(self.run_day())
             return self.collect_history(), self.cluster.settings(self.cluster.core_ips[0]).bounds
@@ -86,7 +85,7 @@
         load.key = f"key-{load.name}-{self.rng.getrandbits(32):08x}"
 
     async def run_day(self) -> None:
-        """The first configuration, the lanes side by side, and the calm."""
+        """Starts the cluster, runs all activities concurrently, then a calm phase."""
         cluster, history = self.cluster, self.history
         sent = cluster.loop.time() + 0.5
         await cluster.start()
@@ -95,51 +94,52 @@
             ConfigurationChange(cluster.version, sent, history.begun, self.quotas())
         )
         until = history.begun + self.setup.length
-        looks = cluster.loop.create_task(self.observe())
-        flows = [
+        observation = cluster.loop.create_task(self.observe())
+        client_tasks = [
             cluster.loop.create_task(self.clients(load, until + FINAL_CALM_SECONDS))
             for load in self.loads
         ]
         await asyncio.gather(*self.activities(until))
         await asyncio.sleep(max(0.0, until + FINAL_CALM_SECONDS - cluster.loop.time()))
-        await asyncio.gather(*flows)
-        looks.cancel()
+        await asyncio.gather(*client_tasks)
+        observation.cancel()
         history.ended = cluster.loop.time()
 
     def activities(self, until: float) -> list[Coroutine[Any, Any, None]]:
-        """What happens, side by side."""
+        """Returns the activities, which run concurrently."""
         rng = self.rng
         if self.setup.dense:
             return self.dense(until)
-        # a third of the days spare the limiters or the core: bounds in touch need calm to be tested
-        lanes = [self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVERS))]
-        lanes += [
+        # A third of the days has no faults of limiters or none of the core: bounds for connected
+        # limiters are only tested without faults.
+        activities = [self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVERS))]
+        activities += [
             self.repeat(until, 1.0, 4.0, self.change_configuration),
             self.repeat(until, 0.5, 4.0, self.raise_load),
         ]
-        if (which := rng.random()) < 0.83:
+        if (fault_draw := rng.random()) < 0.83:
             gap = rng.choice((1.0, 3.0, 9.0))
-            lanes.append(self.repeat(until, 0.2, gap, lambda: self.faults.inject(LIMITERS)))
-        if not 0.66 < which < 0.83:
+            activities.append(self.repeat(until, 0.2, gap, lambda: self.faults.inject(LIMITERS)))
+        if not 0.66 < fault_draw < 0.83:
             gap = rng.choice((3.0, 9.0, 15.0))
-            lanes.append(self.repeat(until, 0.2, gap, lambda: self.faults.inject(CORES)))
-        return lanes
+            activities.append(self.repeat(until, 0.2, gap, lambda: self.faults.inject(CORES)))
+        return activities
 
     def dense(self, until: float) -> list[Coroutine[Any, Any, None]]:
-        lanes = [
+        activities = [
             self.repeat(until, 0.0, 1.0, self.raise_load),
             self.repeat(until, 0.0, 1.0, self.raise_load),
         ]
         for gap in (0.5, 1.0, 2.0):
-            lanes.append(self.repeat(until, 0.0, gap, lambda: self.faults.inject(DENSE)))
-        lanes.append(self.repeat(until, 0.5, 4.0, lambda: self.faults.inject(CORES)))
-        lanes.append(self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVERS)))
-        return [*lanes, self.repeat(until, 0.3, 2.0, self.change_configuration)]
+            activities.append(self.repeat(until, 0.0, gap, lambda: self.faults.inject(DENSE)))
+        activities.append(self.repeat(until, 0.5, 4.0, lambda: self.faults.inject(CORES)))
+        activities.append(self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVERS)))
+        return [*activities, self.repeat(until, 0.3, 2.0, self.change_configuration)]
 
     async def repeat(
         self, until: float, low: float, high: float, what: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
-        """One thing after another, with pauses of `low` to `high` seconds."""
+        """Repeats an activity until a time, with pauses of `low` to `high` seconds."""
         rng = Random(self.rng.getrandbits(32))
         while True:
             await asyncio.sleep(rng.uniform(low, high))
@@ -150,7 +150,7 @@
     # clients
 
     async def clients(self, load: Load, until: float) -> None:
-        """Requests of one tenant, each to any limiter that the platform passes connections to."""
+        """Sends requests of one tenant, each to a random limiter that gets new connections."""
         client, rng, tasks = self.cluster.new_client(), Random(self.rng.getrandbits(32)), []
         while self.cluster.loop.time() < until:
             method, name = rng.choice((("GET", "a"), ("GET", "b"), ("POST", "once")))
@@ -171,7 +171,7 @@
         await asyncio.gather(*tasks)
 
     async def raise_load(self) -> None:
-        """One tenant sends many times its usual."""
+        """Raises the request rate of one tenant to a multiple for some seconds."""
         load = self.rng.choice(self.loads)
         load.hot = True
         await asyncio.sleep(self.rng.choice((2.0, 5.0, 8.0)))
@@ -186,7 +186,7 @@
         return {name: (spec["rate_per_s"], spec["burst_size"]) for name, spec in named.items()}
 
     async def change_configuration(self) -> None:
-        """A change of the configuration: a quota, a key taken away, or a route."""
+        """Changes the configuration: a quota, a key that is replaced, or a new route."""
         cluster, rng, load = self.cluster, self.rng, self.rng.choice(self.loads)
         what, spec = (
             rng.choice(("quota", "quota", "key", "route")),
@@ -210,10 +210,10 @@
             ConfigurationChange(cluster.version, sent, acked, self.quotas())
         )
 
-    # what was seen
+    # observations
 
     async def observe(self) -> None:
-        """Who serves as primary, and who counts."""
+        """Records times without a serving primary, and with two counting registries."""
         cluster, since = self.cluster, -1.0
         while True:
             now = cluster.loop.time()
@@ -228,7 +228,7 @@
             await asyncio.sleep(OBSERVATION_PERIOD_SECONDS)
 
     def collect_history(self) -> History:
-        """With the people's book."""
+        """Returns the history with the requests and violations of the request log."""
         history, request_log = self.history, self.cluster.request_log
         try:
             request_log.check()
@@ -239,18 +239,18 @@
             for (kind, name), spec in self.cluster.resources.items()
             if kind == "routes"
         }
-        for ask in request_log.requests.values():
-            history.request_times.setdefault(route[ask.path], []).append(ask.sent)
+        for request in request_log.requests.values():
+            history.request_times.setdefault(route[request.path], []).append(request.sent)
         for run in request_log.arrivals:
-            ask = request_log.requests[run.id]
+            request = request_log.requests[run.id]
             history.arrivals.append(
                 Arrival(
                     run.id,
                     run.tenant,
                     run.service,
                     run.server,
-                    ask.front[0],
-                    ask.sent,
+                    request.front[0],
+                    request.sent,
                     run.at,
                     run.ran,
                 )
--- a/loomstand/testing/simulation/sim_disk.py
+++ b/loomstand/testing/simulation/sim_disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk: pages written together, on the platter only after a while."""
+"""A simulated disk that writes pages atomically, with the latency of a commit."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from dataclasses import dataclass, field
 from random import Random
 
-COMMIT_SECONDS = 0.0035  # s for a commit on the target's disks
+COMMIT_SECONDS = 0.0035  # latency of a commit on the disks of the target machines
 
 
 @dataclass(slots=True)
 class DiskState:
-    """What outlives a process: the pages, and the trouble that the disk is in."""
+    """The durable state of a disk, which outlives processes: its pages and its faults."""
 
     rng: Random
     pages: dict[str, bytes] = field(default_factory=dict)
-    slower: float = 1.0  # a commit takes that many times as long
+    slower: float = 1.0  # factor on the latency of a commit
     refuses: bool = False
     hangs: bool = False
-    is_unreadable: bool = False  # it can't be opened
+    is_unreadable: bool = False  # opening it fails
     write_count: int = 0
-    # counts losses of power and wipes: a write that began before one isn't heard of again
+    # counts power losses and wipes; a write that began before one of them is dropped
     generation: int = 0
 
     def power_off(self) -> None:
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class SimDisk:
-    """A life's way to its platter; one write at a time, in order."""
+    """The disk as one process sees it; writes are serialized."""
 
     disk_state: DiskState
     write_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
@@ -50,8 +50,8 @@
         async with self.write_lock:
             if disk_state.refuses:
                 await asyncio.sleep(COMMIT_SECONDS)
-                raise OSError("the disk refuses")
-            # somewhere in it the pages are there, though nobody knows yet
+                raise OSError("the disk refuses writes")
+            # the pages become durable at a random time before the commit is acknowledged
             share = disk_state.rng.random()
             await self._wait(share)
             if disk_state.generation == turn:
--- a/loomstand/testing/simulation/stream_network.py
+++ b/loomstand/testing/simulation/stream_network.py
@@ -1,6 +1,4 @@
-"""Calls between the system's processes on simulated streams: the code of `rpc.tcp_network`, byte by
-byte.
-"""
+"""Calls between processes on simulated streams, by the production code of `rpc.tcp_network`."""
 
 from __future__ import annotations
 
@@ -14,7 +12,7 @@
 
 
 class StreamClientConnection(ClientConnection):
-    """A connection that tells the stream that dialled it when it stands."""
+    """A client connection that calls `on_established` once it is established."""
 
     on_established: Callable[[], None] | None = None
 
@@ -26,7 +24,7 @@
 
 
 class StreamNetwork(TcpNetwork):
-    """`TcpNetwork` of one life on one host."""
+    """The `TcpNetwork` of one process on a host."""
 
     def __init__(self, streams: Streams) -> None:
         """Opens and accepts connections by `streams`."""
--- a/loomstand/testing/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -1,10 +1,9 @@
-"""Simulated TCP: byte streams under the sky, as transports for protocols of asyncio
-(`net.driver.Wire`).
+"""Simulated TCP on the simulated network: transports for asyncio protocols (`event_loop.Wire`).
 
-A connection's two ends are its machines' kernels'; what their processes are told runs in their
-lives. Bytes come in order, whole, in pieces. What meets a cut is sent again, ever more rarely,
-until it comes through or its sender's kernel forgets it; resets are sent once. A write waits where
-the other end's window is full.
+Each end of a connection belongs to the kernel of its machine; callbacks of the protocol run in its
+process. Bytes arrive complete and in order, at times split into pieces. Segments on a blocked link
+are sent again with exponential backoff until they arrive or the sender's kernel drops the
+connection; resets are sent once. A write waits while the receiver's window is full.
 """
 
 from __future__ import annotations
@@ -26,34 +25,33 @@
 from loomstand.testing.simulation.network import LINK_DELAY_SECONDS, Listener, SimNetwork
 
 Address = tuple[str, int]
-WINDOW_BYTES = 16384  # bytes that an end takes which its process hasn't read: windows are small
-# s until what meets a cut is sent again: of bytes at first, of an opening, and at most
+WINDOW_BYTES = 16384  # receive window: unread bytes that an end accepts
+# until a blocked segment is sent again: data at first, SYN at first, at most
 RETRANSMIT_SECONDS = 0.2, 1.0, 3.0
-SPLIT_SHARE = 0.15  # share of writes that come in two pieces
-_KERNEL_CONTEXT = (
-    contextvars.Context()
-)  # in no life: kernels go on where processes are frozen or killed
+SPLIT_SHARE = 0.15  # of the writes, delivered in two pieces
+# Belongs to no process: kernels go on when processes are frozen or killed.
+_KERNEL_CONTEXT = contextvars.Context()
 
 
 class SegmentKind(Enum):
-    """What is on the way."""
+    """The kind of a simulated segment."""
 
     SYN = auto()
-    SYN_ACK = auto()  # the answer to an opening
+    SYN_ACK = auto()
     DATA = auto()
-    WINDOW_UPDATE = auto()  # so much was read: the window is open again
+    WINDOW_UPDATE = auto()  # by the bytes that the receiving process has read
     FIN = auto()
     RST = auto()
 
 
 @dataclass(slots=True)
 class StreamListener(Listener):
-    """A listener for streams among the sky's."""
+    """A listener of the simulated network that accepts streams."""
 
     protocol_factory: Callable[[], asyncio.BaseProtocol] = field(kw_only=True)
 
     def close(self) -> None:
-        """New connections are refused."""
+        """Stops listening: new connections are refused."""
         for address in [a for a, at in self.network.listeners.items() if at is self]:
             del self.network.listeners[address]
 
@@ -62,8 +60,8 @@
 
 @dataclass(slots=True)
 class TcpStack:
-    """All connections under a sky. `ends` has each until its process and its kernel are done with
-    it.
+    """All simulated TCP connections. `transports` holds each end until its process and kernel have
+    both closed it.
     """
 
     network: SimNetwork
@@ -71,8 +69,9 @@
     transports: set[SimTransport] = field(default_factory=set)
 
     def process_ended(self, process: SimProcess) -> None:
-        """A process ended: its machine's kernel closes what it had, by a reset where bytes are
-        unread, and often by one otherwise.
+        """Closes the connections of a process that ended, as its kernel does.
+
+        Those with unread bytes are reset, the others at random reset or closed by FIN.
         """
         for end in sorted(
             (e for e in self.transports if e.process is process), key=lambda e: e.number
@@ -85,35 +84,35 @@
 
     count = 0
 
-    def __init__(self, tcp: TcpStack, host: str, process: SimProcess | None, far: str) -> None:
+    def __init__(
+        self, tcp: TcpStack, host: str, process: SimProcess | None, remote_host: str
+    ) -> None:
         super().__init__()
         SimTransport.count += 1
-        self.number = SimTransport.count  # so that sets of them have an order
-        self.tcp, self.host, self.process, self.remote_host = tcp, host, process, far
+        self.number = SimTransport.count  # orders sets of transports in the same way in every run
+        self.tcp, self.host, self.process, self.remote_host = tcp, host, process, remote_host
         self.loop = asyncio.get_running_loop()
         self.context = process.context() if process is not None else contextvars.Context()
         self.protocol: Any = None
         self.peer: SimTransport | None = None
-        self.on_refused: Callable[[], None] | None = None  # of one that hasn't come up
-        # on the way out
+        self.on_refused: Callable[[], None] | None = None  # set until the connection is established
+        # segments in transit to the other end
         self.in_transit: deque[tuple[float, SegmentKind, Any]] = deque()
         self.timer: asyncio.TimerHandle | None = None
         self.last_arrival_at, self.retransmit_delay = 0.0, RETRANSMIT_SECONDS[0]
         # sending
-        # what waits in the process; what the other end takes
+        # bytes not yet given to the kernel; bytes that the other end still accepts
         self.buffer, self.send_window = bytearray(), WINDOW_BYTES
-        self.write_paused = self.eof_requested = self.fin_sent = (
-            False  # writing paused; its end is wanted; is sent
-        )
+        # EOF is requested by the process, FIN is sent by the kernel
+        self.write_paused = self.eof_requested = self.fin_sent = False
         # receiving
-        self.received: deque[bytes] = deque()  # read by the kernel, not by the process
+        self.received: deque[bytes] = deque()  # by the kernel, not yet read by the process
         self.remote_end: SegmentKind | None = None
         self.reading, self.delivery_scheduled, self.eof_delivered = True, False, False
-        self.resets_on_close = False  # its close is a reset, as with SO_LINGER 0
-        self.closing = self.closed = self.loss_notified = (
-            False  # by the process; `lost` once it was told
-        )
-        self.discarded = False  # the kernel knows the connection no more
+        self.resets_on_close = False  # close sends a reset, as with SO_LINGER 0
+        # by the process; `loss_notified` once `connection_lost` was called
+        self.closing = self.closed = self.loss_notified = False
+        self.discarded = False  # the kernel has dropped the connection
         tcp.transports.add(self)
 
     # the process's side
@@ -158,11 +157,11 @@
 
     def write(self, data: Any) -> None:
         if self.eof_requested:
-            raise RuntimeError("written after its end")
+            raise RuntimeError("write after EOF")
         if self.closed or self.closing:
             return
         if self.discarded:
-            self.fail(ConnectionResetError("written to a connection that broke"))
+            self.fail(ConnectionResetError("write to a broken connection"))
             return
         self.buffer += data
         self.flush()
@@ -177,21 +176,21 @@
         self.flush()
 
     def close(self) -> None:
-        """Ends it once all is written."""
+        """Closes the connection once all data is written."""
         if not self.closing and not self.closed:
             self.closing = True
             self.flush()
 
     def abort(self) -> None:
-        """As a socket's close: what the kernel has is still sent, but bytes left unread make it a
-        reset.
+        """Closes as a socket does: the kernel still sends what it has; unread bytes turn the close
+        into a reset.
         """
         self.buffer.clear()
         if not self.closed:
             self.finish_close(None)
 
     def flush(self) -> None:
-        """Gives the kernel what it takes."""
+        """Passes buffered bytes to the kernel, as far as the send window allows."""
         if self.buffer and self.send_window and not self.discarded:
             piece = bytes(self.buffer[: self.send_window])
             del self.buffer[: len(piece)]
@@ -212,12 +211,12 @@
         if self.closing and not self.closed:
             self.finish_close(None)
 
-    def fail(self, why: Exception) -> None:
+    def fail(self, error: Exception) -> None:
         self.buffer.clear()
         if not self.closed:
-            self.finish_close(why)
+            self.finish_close(error)
 
-    def finish_close(self, why: Exception | None) -> None:
+    def finish_close(self, error: Exception | None) -> None:
         self.closed = True
         if not self.discarded:
             if self.received or self.resets_on_close:
@@ -226,16 +225,16 @@
                 self.fin_sent = True
                 self.send_segment(SegmentKind.FIN)
             self.discard_if_done()
-        self.loop.call_soon(self.notify_connection_lost, why, context=self.context)
+        self.loop.call_soon(self.notify_connection_lost, error, context=self.context)
 
-    def notify_connection_lost(self, why: Exception | None) -> None:
+    def notify_connection_lost(self, error: Exception | None) -> None:
         if not self.loss_notified:
             self.loss_notified = True
             if self.protocol is not None:
-                self.protocol.connection_lost(why)
+                self.protocol.connection_lost(error)
 
     def establish(self) -> None:
-        """The connection stands: its process hears of it."""
+        """Calls `connection_made` of the protocol."""
         if not self.closed:
             self.protocol.connection_made(self)
             self.deliver_received()
@@ -246,7 +245,7 @@
             self.loop.call_soon(self.deliver_received, context=self.context)
 
     def deliver_received(self) -> None:
-        """Gives the process what has come."""
+        """Passes received bytes, then EOF or a reset, to the protocol."""
         self.delivery_scheduled = False
         if self.protocol is None:
             return
@@ -275,16 +274,16 @@
     # the kernel's side
 
     def send_segment(self, kind: SegmentKind, data: Any = b"") -> None:
-        """On the way, behind what is there."""
+        """Puts a segment in transit, behind those sent before."""
         network, (low, high) = self.tcp.network, LINK_DELAY_SECONDS
-        took = (
+        delay = (
             network.rng.uniform(low, high)
             + network.extra_delay_seconds.get(self.host, 0.0)
             + network.extra_delay_seconds.get(self.remote_host, 0.0)
         )
         if network.loss_rate and network.rng.random() < network.loss_rate:
-            took += RETRANSMIT_SECONDS[0]
-        self.last_arrival_at = max(self.last_arrival_at, self.loop.time() + took)
+            delay += RETRANSMIT_SECONDS[0]
+        self.last_arrival_at = max(self.last_arrival_at, self.loop.time() + delay)
         self.in_transit.append((self.last_arrival_at, kind, data))
         self.arm_timer()
 
@@ -295,10 +294,10 @@
             )
 
     def transmit(self) -> None:
-        """Brings over what is due, or tries again later."""
+        """Delivers the segments that are due; on a blocked link tries again later."""
         self.timer, now, network = None, self.loop.time(), self.tcp.network
         if not network.is_reachable(self.host, self.remote_host):
-            # a reset is sent once, and nothing of that connection again
+            # a reset is sent once, and ends the retransmission of all else
             if self.host in network.powered_off or any(
                 kind is SegmentKind.RST for _, kind, _ in self.in_transit
             ):
@@ -317,12 +316,12 @@
         self.discard_if_done()
 
     def open_at_listener(self, address: Address) -> None:
-        """An opening has come to where it goes."""
+        """Handles a SYN that has arrived: the listener accepts it, or it is reset."""
         port, tcp = self.tcp.network.listeners.get(address), self.tcp
         there = isinstance(port, StreamListener) and port.process.alive
         other = SimTransport(tcp, address[0], port.process if there else None, self.host)
         self.peer, other.peer = other, self
-        if self.discarded:  # given up meanwhile
+        if self.discarded:  # the client has closed it since
             there = False
         other.send_segment(SegmentKind.SYN_ACK if there else SegmentKind.RST)
         if not there:
@@ -355,7 +354,7 @@
         elif kind is SegmentKind.FIN:
             self.remote_end = SegmentKind.FIN
             self.schedule_delivery()
-        elif self.closed:  # nobody is there to read it
+        elif self.closed:  # no process is left to read it
             self.reset()
         else:
             self.received.append(data)
@@ -363,8 +362,8 @@
         self.discard_if_done()
 
     def reset(self) -> None:
-        """The kernel breaks it off, once; what is on the way comes before that. What met a cut
-        never comes, nor what was sent after it: no byte is read over a gap.
+        """Resets the connection, once, behind the segments in transit. Segments that met a blocked
+        link are dropped with all later ones, so that no byte is read beyond a gap.
         """
         if not self.discarded:
             if self.in_transit and self.in_transit[0][0] <= self.loop.time():
@@ -377,7 +376,7 @@
             self.discarded = True
 
     def process_ended(self) -> None:
-        """Its process is no more."""
+        """Closes the connection after its process has ended."""
         self.closed = self.loss_notified = True
         if self.received or self.tcp.rng.random() < 0.5:
             self.reset()
@@ -387,7 +386,7 @@
         self.discard_if_done()
 
     def discard_if_done(self) -> None:
-        """Forgets what is over on both sides."""
+        """Drops the transport once both sides have closed."""
         if (
             self.closed
             and not self.in_transit
@@ -398,7 +397,7 @@
 
 
 class Host(Machine):
-    """A machine whose connections end with its processes."""
+    """A machine whose connections are closed when its process ends."""
 
     tcp: TcpStack
 
@@ -408,14 +407,12 @@
             self.tcp.process_ended(self.process)
 
     def power_off(self, wipe: bool = False) -> None:
-        """Falls silent: nothing says that its connections are over until somebody writes to it
-        later.
-        """
+        """Powers off without closing connections: peers notice when they write to it later."""
         self.network.powered_off.add(self.host)
         super().power_off(wipe)
 
     async def terminate(self) -> None:
-        """SIGTERM: its programs are asked to stop; the machine stays on."""
+        """Stops the programs as on SIGTERM; the machine stays on."""
         if self.process is not None:
             loop = asyncio.get_running_loop()
             await asyncio.gather(
@@ -426,7 +423,7 @@
 
 @dataclass(slots=True)
 class Streams:
-    """Connections of one life on one host: `net.driver.Streams`, and `open` for stand-ins."""
+    """Listens and connects for one process on a host, as `event_loop` does on sockets."""
 
     tcp: TcpStack
     host: str
@@ -442,7 +439,7 @@
         return port
 
     def dial(self, protocol: Any, address: Address, refused: Callable[[], None]) -> SimTransport:
-        """An opening on its way; `protocol` hears of it once the connection stands."""
+        """Sends a SYN; `protocol.connection_made` is called once the connection is established."""
         end = SimTransport(self.tcp, self.host, self.process, address[0])
         end.protocol, end.on_refused, end.retransmit_delay = (
             protocol,
@@ -453,41 +450,46 @@
         return end
 
     def connect(self, loop: Any, wire: Wire, address: Address, within: float) -> None:
-        """As `net.driver.connect`."""
+        """Connects a `Wire`; it is stopped on refusal or after `within` seconds."""
 
         def refused() -> None:
             timer.cancel()
             wire.stop(Ending.REFUSED)
 
-        def late() -> None:
+        def time_out() -> None:
             if wire.transport is None:
                 wire.stop(Ending.SILENT_CONNECT)
 
         end = self.dial(wire, address, refused)
-        timer = loop.call_later(within, late)
+        timer = loop.call_later(within, time_out)
 
-        def off() -> None:
+        def cancel_connect() -> None:
             timer.cancel()
             end.on_refused, end.closed, end.discarded = None, True, True
             end.in_transit.clear()
             end.discard_if_done()
 
-        wire.off = off
+        wire.off = cancel_connect
 
     async def open(self, make: Callable[[], Any], address: Address, within: float) -> Any:
-        """A connection's protocol once it stands. Raises ConnectionRefusedError or TimeoutError."""
-        stands: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        """Connects and returns the protocol.
+
+        Raises:
+            ConnectionRefusedError: The remote kernel refused the connection.
+            TimeoutError: The connection wasn't established within `within` seconds.
+        """
+        established: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-        def done(why: Exception | None = None) -> None:
-            if not stands.done():
-                stands.set_exception(why) if why else stands.set_result(None)
+        def done(error: Exception | None = None) -> None:
+            if not established.done():
+                established.set_exception(error) if error else established.set_result(None)
 
         protocol = make()
         made, protocol.on_established = protocol, done
         end = self.dial(made, address, lambda: done(ConnectionRefusedError(address)))
         try:
             async with asyncio.timeout(within):
-                await stands
+                await established
         except BaseException:
             end.on_refused, end.closed, end.discarded = None, True, True
             end.in_transit.clear()
@@ -497,4 +499,4 @@
 
 
 async def _refuse_call(op: str, body: dict[str, Any]) -> dict[str, Any]:
-    raise CallRefusedError("no calls here")
+    raise CallRefusedError("a stream listener serves no calls")
--- a/loomstand/testing/simulation/workload.py
+++ b/loomstand/testing/simulation/workload.py
@@ -1,4 +1,4 @@
-"""Who uses the system: servers, clients and the operator, as the pages describe them."""
+"""Simulated users of the system: servers, clients and the operator."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 from loomstand.testing.simulation.streams import Address, StreamListener, Streams, TcpStack
 
 STATUS_LINE = re.compile(rb"HTTP/1\.1 ([1-5][0-9]{2}) [^\r\n]*")
-FINAL_STATUSES = (400, 401, 404, 413, 431)  # after these no further try is made
+FINAL_STATUSES = (400, 401, 404, 413, 431)  # not retried
 
 
 class Server:
-    """A server of a service. `trouble` is what befalls its requests: "" or one of
+    """A server of a service. `fault` is the fault that its requests meet: "" or one of
 
     `full` (Not-Executed), `error` (its own 500), `bare` (a success without its stamp); and, after
-    the run: `close`, `silent`, `reset`, `cut` (within the answer), `spoilt` (bytes that are no
-    answer), `surplus` (a second answer at once), `late` (the second answer comes where the next is
-    due), `slow` (`slow_seconds` more). `refuses` resets new connections. `dark` hears and says
-    nothing, runs nothing.
+    the run: `close`, `silent`, `reset`, `cut` (within the answer), `spoilt` (malformed bytes),
+    `surplus` (a second answer at once), `late` (the second answer comes in place of the next one),
+    `slow` (`slow_seconds` more). `refuses` resets new connections. `dark` reads requests, but
+    neither runs nor answers them.
     """
 
     def __init__(
@@ -53,34 +53,31 @@
         self.tcp, self.request_log, self.rng, self.cores = tcp, request_log, rng, cores
         self.address, self.service, self.zone = address, service, zone
         self.slots, self.queue, self.work_seconds, self.keep_alive_seconds = 8, 8, (0.005, 0.02), 10
-        self.fault, self.fault_share, self.fault_method = (
-            "",
-            1.0,
-            "",
-        )  # `only` for requests of that method
+        # `fault_method`: the fault only hits requests of this method; "" for all
+        self.fault, self.fault_share, self.fault_method = "", 1.0, ""
         self.id, self.state, self.sequence, self.core_index = "", "ready", 0, 0
         self.process: SimProcess | None = None
         self.port: StreamListener | None = None
         self.busy, self.waiting, self.last = 0, 0, ""
-        self.last_acknowledgement: tuple[float, Address] | None = (
-            None  # when and by whom the newest beat was
-        )
+        # time and core machine of the last acknowledged call
+        self.last_acknowledgement: tuple[float, Address] | None = None
         self.tasks: set[asyncio.Task[Any]] = set()
         self.connections: set[ServerHttpConnection] = set()
-        self.slow_seconds = 1.0  # that `slow` takes more
+        self.slow_seconds = 1.0  # added by the fault `slow`
 
     def start(self) -> None:
-        """A new life."""
+        """Starts a new process with a new instance id."""
         self.id, self.state, self.sequence = f"i-{self.rng.getrandbits(32):08x}", "ready", 0
         self.process, self.busy, self.waiting = SimProcess(), 0, 0
         self.streams = self.make_streams(self.process)
         self.spawn(self.run())
 
     def make_streams(self, process: SimProcess) -> Streams:
-        """How a life's connections come to be."""
+        """Returns the streams that a process listens and connects with."""
         return Streams(self.tcp, self.address[0], process)
 
     def kill(self) -> None:
+        """Kills the process; its connections are closed and its port refuses new ones."""
         if self.process is not None:
             self.process.alive = False
             self.tcp.process_ended(self.process)
@@ -103,7 +100,7 @@
             await asyncio.sleep(1.5 * self.rng.uniform(0.9, 1.1))
 
     async def send_heartbeat(self) -> bool:
-        """One heartbeat, at the next core machine where one fails."""
+        """Sends a heartbeat, after a failure to the next core machine; returns its success."""
         for _ in range(len(self.cores)):
             self.sequence += 1
             info = {"service_name": self.service, "version": "v1", "zone": self.zone}
@@ -117,6 +114,7 @@
         return False
 
     async def call_registry(self, call: str, body: bytes) -> bool:
+        """Sends a call to the current core machine; returns whether it was acknowledged."""
         core = self.cores[self.core_index % len(self.cores)]
         got = await exchange(self.streams, core, post(call, body), 1.0)
         if got is None or not 200 <= got.status < 300:
@@ -125,7 +123,7 @@
         return True
 
     async def drain(self) -> tuple[float, Address]:
-        """Says that it leaves; when that was acknowledged, and by whom."""
+        """Announces its end; returns when and by which core machine that was acknowledged."""
         self.state = "draining"
         while not await self.send_heartbeat():
             await asyncio.sleep(0.2)
@@ -133,107 +131,115 @@
         return self.last_acknowledgement
 
     async def leave(self) -> None:
+        """Deregisters the instance and ends the process."""
         await self.call_registry(f"instances.leave&of={self.id}", b"")
         self.kill()
 
     # requests
 
-    async def serve(self, talk: ServerHttpConnection) -> None:
-        self.connections.add(talk)
+    async def serve(self, connection: ServerHttpConnection) -> None:
+        self.connections.add(connection)
         try:
-            while not talk.closed_reason:
-                message = await talk.read_message()
-                await self.handle_request(talk, message)
+            while not connection.closed_reason:
+                message = await connection.read_message()
+                await self.handle_request(connection, message)
         except ConnectionBrokenError:
             pass
         finally:
-            self.connections.discard(talk)
-        talk.transport.close()
+            self.connections.discard(connection)
+        connection.transport.close()
 
-    async def handle_request(self, talk: ServerHttpConnection, message: Message) -> None:
+    async def handle_request(self, connection: ServerHttpConnection, message: Message) -> None:
         loop, fields = asyncio.get_running_loop(), message.fields
         id_ = fields.get("loomstand-request-id", "")
         method = message.start.split(b" ")[0].decode()
         hit = self.fault_method in ("", method) and self.rng.random() < self.fault_share
-        trouble = self.fault if hit else ""
+        fault = self.fault if hit else ""
         wait = int(fields.get("loomstand-deadline-remaining", 60_000)) / 1000
         until = loop.time() + wait
         run = ServerArrival(
             loop.time(), self.service, self.id, id_, fields.get("loomstand-tenant-name", ""), False
         )
-        if trouble == "dark":
+        if fault == "dark":
             await asyncio.Event().wait()
         if fields.get("loomstand-expected-instance", self.id) != self.id:
             self.request_log.record_arrival(run, message)
-            self.send_response(talk, 421, id_, b"", turned=True)
+            self.send_response(connection, 421, id_, b"", not_executed=True)
             return
         full = self.busy >= self.slots and self.waiting >= self.queue
-        if trouble == "full" or full or not id_:
+        if fault == "full" or full or not id_:
             self.request_log.record_arrival(run, message)
-            self.send_response(talk, 503 if id_ else 400, id_, b"full", turned=True)
+            self.send_response(connection, 503 if id_ else 400, id_, b"full", not_executed=True)
             return
         self.waiting += 1
-        while self.busy >= self.slots and not talk.closed_reason and loop.time() < until:
+        while self.busy >= self.slots and not connection.closed_reason and loop.time() < until:
             await asyncio.sleep(0.002)
         self.waiting -= 1
-        if loop.time() >= until or talk.closed_reason:
+        if loop.time() >= until or connection.closed_reason:
             self.request_log.record_arrival(run, message)
-            self.send_response(talk, 503, id_, b"", turned=True)
+            self.send_response(connection, 503, id_, b"", not_executed=True)
             return
         self.busy += 1
         run.ran, run.at = True, loop.time()
         self.request_log.record_arrival(run, message)
         try:
             work = self.rng.uniform(*self.work_seconds) + (
-                self.slow_seconds if trouble == "slow" else 0.0
+                self.slow_seconds if fault == "slow" else 0.0
             )
-            if await talk.closed_within(max(0.0, min(work, until - loop.time()))):
-                return  # nobody is there to answer
+            if await connection.closed_within(max(0.0, min(work, until - loop.time()))):
+                return  # the proxy has closed the connection
         finally:
             self.busy -= 1
             run.ended = loop.time()
-        await self.answer(talk, id_, trouble, b"504" if loop.time() >= until else b"")
+        await self.answer(connection, id_, fault, b"504" if loop.time() >= until else b"")
 
-    async def answer(self, talk: ServerHttpConnection, id_: str, trouble: str, late: bytes) -> None:
+    async def answer(
+        self, connection: ServerHttpConnection, id_: str, fault: str, late: bytes
+    ) -> None:
         body = b"%s %d " % (id_.encode(), self.rng.getrandbits(32)) + b"x" * self.rng.randrange(300)
-        if trouble == "close":
-            talk.transport.abort()
-        elif trouble == "silent":
+        if fault == "close":
+            connection.transport.abort()
+        elif fault == "silent":
             await asyncio.Event().wait()
-        elif trouble == "reset":
-            talk.transport.reset()
-            talk.transport.fail(ConnectionResetError())
-        elif trouble == "cut":
+        elif fault == "reset":
+            connection.transport.reset()
+            connection.transport.fail(ConnectionResetError())
+        elif fault == "cut":
             raw = self.encode_response(200, id_, body)
-            talk.transport.write(raw[: self.rng.randrange(1, len(raw))])
-            talk.transport.close()
-        elif trouble == "spoilt":
+            connection.transport.write(raw[: self.rng.randrange(1, len(raw))])
+            connection.transport.close()
+        elif fault == "spoilt":
             raw = self.encode_response(200, id_, body)
             at = self.rng.choice((0, 3, raw.index(b"Content-Length") + 16))
-            talk.transport.write(raw[:at] + b"\x00\xff spoilt\r\n" + raw[at:])
-        elif late or trouble == "error":
-            self.send_response(talk, 504 if late else 500, id_, body)
-        elif trouble == "bare":
-            talk.transport.write(self.encode_response(200, id_, body, stamp=False))
-        elif trouble == "late" and talk.previous_duplicate:
-            # the surplus answer of the request before, where this one's is due
-            talk.transport.write(talk.previous_duplicate)
+            connection.transport.write(raw[:at] + b"\x00\xff spoilt\r\n" + raw[at:])
+        elif late or fault == "error":
+            self.send_response(connection, 504 if late else 500, id_, body)
+        elif fault == "bare":
+            connection.transport.write(self.encode_response(200, id_, body, stamp=False))
+        elif fault == "late" and connection.previous_duplicate:
+            # the second answer to the previous request, in place of this answer
+            connection.transport.write(connection.previous_duplicate)
             await asyncio.sleep(self.rng.choice((0.0, 0.02)))
-            self.send_response(talk, 200, id_, body)
+            self.send_response(connection, 200, id_, body)
         else:
-            self.send_response(talk, 200, id_, body)
-            if trouble == "surplus":
+            self.send_response(connection, 200, id_, body)
+            if fault == "surplus":
                 await asyncio.sleep(self.rng.choice((0.0, 0.0, 0.001, 0.03)))
-                self.send_response(talk, 200, id_, body + b" again")
-        talk.previous_duplicate = self.encode_response(200, id_, body + b" again")
+                self.send_response(connection, 200, id_, body + b" again")
+        connection.previous_duplicate = self.encode_response(200, id_, body + b" again")
 
     def send_response(
-        self, talk: ServerHttpConnection, status: int, id_: str, body: bytes, turned: bool = False
+        self,
+        connection: ServerHttpConnection,
+        status: int,
+        id_: str,
+        body: bytes,
+        not_executed: bool = False,
     ) -> None:
-        talk.transport.write(self.encode_response(status, id_, body, turned))
+        connection.transport.write(self.encode_response(status, id_, body, not_executed))
 
     def encode_response(
-        self, status: int, id_: str, body: bytes, turned: bool = False, stamp: bool = True
+        self, status: int, id_: str, body: bytes, not_executed: bool = False, stamp: bool = True
     ) -> bytes:
         lines = [
             f"HTTP/1.1 {status} X",
@@ -242,7 +248,7 @@
         ]
         if id_:
             lines.append(f"Loomstand-Request-Id: {id_}")
-        if turned:
+        if not_executed:
             lines.append("Loomstand-Not-Executed: true")
         elif stamp:
             lines.append(f"Loomstand-Response-Stamp: {stamp_of(id_, body)}")
@@ -250,7 +256,7 @@
 
 
 class ServerHttpConnection(HttpConnection):
-    """A connection at a server."""
+    """The server side of a connection."""
 
     def __init__(self, server: Server) -> None:
         super().__init__()
@@ -266,7 +272,7 @@
 
 
 class Client:
-    """Makes requests, on kept connections or each on its own."""
+    """Sends requests, on kept connections or on a new one each."""
 
     def __init__(
         self,
@@ -293,22 +299,22 @@
         body: bytes = b"",
         idempotent: bool = False,
     ) -> ClientRequest:
-        ask = ClientRequest(
+        request = ClientRequest(
             f"{self.rng.getrandbits(64):016x}", method, host, path, key, body, idempotent
         )
-        self.request_log.requests[ask.id] = ask
-        return ask
+        self.request_log.requests[request.id] = request
+        return request
 
-    def encode_request(self, ask: ClientRequest, left: float) -> bytes:
+    def encode_request(self, request: ClientRequest, left: float) -> bytes:
         lines = [
-            f"{ask.method} {ask.path} HTTP/1.1",
-            f"Host: {ask.host}",
-            f"Loomstand-Request-Id: {ask.id}",
+            f"{request.method} {request.path} HTTP/1.1",
+            f"Host: {request.host}",
+            f"Loomstand-Request-Id: {request.id}",
             f"Loomstand-Deadline-Remaining: {int(left * 1000)}",
             "Loomstand-Tenant-Name: somebody",
         ]
-        lines += [f"Authorization: Bearer {ask.key}"] if ask.key else []
-        body = ask.body
+        lines += [f"Authorization: Bearer {request.key}"] if request.key else []
+        body = request.body
         if self.chunked and body:
             lines.append("Transfer-Encoding: chunked")
             half = len(body) // 2
@@ -319,68 +325,70 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
     async def send_once(
-        self, ask: ClientRequest, front: Address, within: float = 5.0, patience: float = inf
+        self, request: ClientRequest, front: Address, within: float = 5.0, patience: float = inf
     ) -> Reply:
-        """One try; what comes is checked.
+        """Sends a request once; the reply is checked.
 
         Args:
-            ask: The request.
+            request: The request.
             front: The proxy's address.
-            within: Seconds that the proxy is told to have.
-            patience: Seconds after which the client closes its connection all the same.
+            within: Seconds until the deadline that the request states.
+            patience: Seconds after which the client closes the connection.
         """
         loop = asyncio.get_running_loop()
-        talk, reply = self.idle.pop(front, None), Reply(0, "silent")
-        ask.sent, ask.front = loop.time(), front
-        if talk is not None and talk.buffer:
+        connection, reply = self.idle.pop(front, None), Reply(0, "silent")
+        request.sent, request.front = loop.time(), front
+        if connection is not None and connection.buffer:
             self.request_log.violations.append(
-                f"{ask.id}: {bytes(talk.buffer[:60])!r} where nothing was asked"
+                f"{request.id}: {bytes(connection.buffer[:60])!r} where nothing was asked"
             )
-        if talk is not None and talk.closed_reason:
-            talk = None
+        if connection is not None and connection.closed_reason:
+            connection = None
         try:
             async with asyncio.timeout(min(within, patience)):
-                if talk is None:
-                    talk = await self.streams.open(HttpConnection, front, 1.0)
-                talk.transport.write(self.encode_request(ask, within))
-                got = await talk.read_message()
+                if connection is None:
+                    connection = await self.streams.open(HttpConnection, front, 1.0)
+                connection.transport.write(self.encode_request(request, within))
+                got = await connection.read_message()
                 if STATUS_LINE.fullmatch(got.start) is None or "content-length" not in got.fields:
-                    self.request_log.violations.append(f"{ask.id}: no answer: {got.start!r}")
+                    self.request_log.violations.append(f"{request.id}: no answer: {got.start!r}")
                 reply = Reply(got.status, "", got.fields, got.body)
-        except ConnectionBrokenError as why:
-            reply = Reply(0, str(why))
+        except ConnectionBrokenError as error:
+            reply = Reply(0, str(error))
         except ConnectionRefusedError:
             reply = Reply(0, "refused")
         except TimeoutError:
-            reply = Reply(0, "silent" if talk is not None else "refused")
+            reply = Reply(0, "silent" if connection is not None else "refused")
         reply.at = loop.time()
-        if reply.end == "silent" and talk is not None:
-            ask.left_at = reply.at
-        self.request_log.record_reply(ask, reply)
-        if talk is not None:
+        if reply.end == "silent" and connection is not None:
+            request.left_at = reply.at
+        self.request_log.record_reply(request, reply)
+        if connection is not None:
             if (
                 self.keep_alive
                 and reply.status
                 and reply.fields.get("connection", "").lower() != "close"
             ):
-                self.idle[front] = talk
+                self.idle[front] = connection
             else:
-                talk.transport.close()
+                connection.transport.close()
         return reply
 
     async def send_with_retries(
         self, *what: Any, within: float = 5.0, tries: int = 3, **more: Any
     ) -> Reply:
-        """A request with its further tries, each under an id of its own on a new connection."""
+        """Sends a request with retries, each with its own id; returns the last reply."""
         loop = asyncio.get_running_loop()
         until = loop.time() + within
         for n in range(tries):
-            ask, left = self.new_request(*what, **more), until - loop.time()
-            reply = await self.send_once(ask, self.rng.choice(self.front_addresses()), left)
+            request, left = self.new_request(*what, **more), until - loop.time()
+            reply = await self.send_once(request, self.rng.choice(self.front_addresses()), left)
             if 200 <= reply.status < 300 or reply.status in FINAL_STATUSES or n + 1 == tries:
                 break
             if not (
-                ask.idempotent or reply.status in NOT_EXECUTED_STATUSES or reply.end == "refused"
+                request.idempotent
+                or reply.status in NOT_EXECUTED_STATUSES
+                or reply.end == "refused"
             ):
                 break
             wait = float(reply.fields.get("retry-after", 0.05))
@@ -392,13 +400,13 @@
 
 
 class Operator:
-    """Sends configurations to the core and reads them back, moving on from whoever fails."""
+    """Sends and reads configurations; after a failure goes on to the next core machine."""
 
     def __init__(self, streams: Streams, rng: Random, cores: list[Address]) -> None:
         self.streams, self.rng, self.cores, self.core_index = streams, rng, cores, 0
 
     async def call(self, call: str, body: bytes, lasts: float) -> Message | None:
-        """The answer, or None where none came in `lasts` seconds."""
+        """Returns the answer, or None if none came within `lasts` seconds."""
         loop = asyncio.get_running_loop()
         until, pause = loop.time() + lasts, 0.05
         while loop.time() < until:
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -1,7 +1,7 @@
-"""Servers and clients that send wrong, late, doubled and half answers, byte by byte, and what comes
-of them.
+"""Scripted servers and clients that send wrong, late, duplicate and truncated messages.
 
-`Stage` has a proxy's connections to one server, without its decisions; `OddCluster` a whole proxy.
+`UpstreamFixture` tests the connections of a proxy to one server, without the admission engine;
+`ScriptedCluster` a whole proxy.
 """
 
 from __future__ import annotations
@@ -38,16 +38,18 @@
 
 
 def said(status: int, id_: str = "", *lines: str, body: bytes = b"body") -> bytes:
-    """An answer's bytes."""
+    """Returns the bytes of a response."""
     fields = [f"Loomstand-Request-Id: {id_}"] if id_ else []
     head = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *fields, *lines]
     return ("\r\n".join(head) + "\r\n\r\n").encode() + body
 
 
 class ScriptedServerConnection(HttpConnection):
-    """A server's connection: runs each whole request and answers as its play says: bytes, seconds
-    to wait, or "reset", "close", "half" (its sending ends); it runs nothing where that begins with
-    "refuse". `early` answers once a head is there.
+    """A server connection that answers each complete request by a script.
+
+    The steps of a script are bytes to send, seconds to wait, "reset", "close" or "half" (closes the
+    sending side). A request runs unless its script begins with "refuse". With `early` of the
+    fixture the connection answers once a header block is complete.
     """
 
     def __init__(self, stage: UpstreamFixture) -> None:
@@ -67,18 +69,18 @@
                     self.stage.early = False
                     continue
                 message = await self.read_message()
-                play = self.stage.scripts.pop(0) if self.stage.scripts else []
-                if play[:1] == ["refuse"]:
-                    del play[0]
+                script = self.stage.scripts.pop(0) if self.stage.scripts else []
+                if script[:1] == ["refuse"]:
+                    del script[0]
                 else:
                     self.stage.ran.append(message.fields["loomstand-request-id"])
                     self.stage.ran_at[self.stage.ran[-1]] = self.stage.loop.time()
-                await self.act(play)
+                await self.act(script)
         except ConnectionBrokenError:
             pass
 
-    async def act(self, play: list[Any]) -> None:
-        for step in play:
+    async def act(self, script: list[Any]) -> None:
+        for step in script:
             if isinstance(step, bytes):
                 if not self.transport.is_closing():
                     self.transport.write(step)
@@ -95,7 +97,7 @@
 
 
 class UpstreamFixture:
-    """A pool of connections to one server, and in place of the proxy a book of what came of each
+    """A pool of connections to one server; in place of the proxy it records the outcomes of each
     request.
     """
 
@@ -166,8 +168,8 @@
         return attempt
 
     def check(self) -> None:
-        """No proof for what ran, one end for each sending, and only an own whole answer has
-        passed.
+        """Asserts that no request that ran is reported as not run, that each attempt has one
+        outcome, and that a success has the complete response to its own request.
         """
         for id_, outcomes in self.outcomes.items():
             proved = sum(o in NOT_RUN_OUTCOMES for o in outcomes)
@@ -182,17 +184,17 @@
 
 
 class ScriptedServer(Server):
-    """A server whose requests meet what `script` says, one after the other: what befalls one, and
-    at which byte of its answer.
+    """A server whose requests meet the faults of `script` in order: a fault each, and the byte of
+    the response at which it happens.
     """
 
     script: list[tuple[str, int]]
 
-    async def handle_request(self, talk: Any, message: Message) -> None:
-        talk.play = what, at = self.script.pop(0) if self.script else ("", 0)
+    async def handle_request(self, connection: Any, message: Message) -> None:
+        connection.script = what, at = self.script.pop(0) if self.script else ("", 0)
         id_ = message.fields["loomstand-request-id"]
-        # its sending ended after the answer before: it runs none, says nothing
-        if talk.transport.eof_requested:
+        # its sending side was closed after the previous response: it neither runs nor answers
+        if connection.transport.eof_requested:
             self.request_log.record_arrival(
                 ServerArrival(self.now(), self.service, self.id, id_, "", False), message
             )
@@ -202,28 +204,28 @@
                 ServerArrival(self.now(), self.service, self.id, id_, "", False), message
             )
         if what == "unread":
-            self.broken(talk)
+            self.reset_connection(connection)
         elif what == "refuses twice":
-            raw = self.encode_response(503, id_, b"full", turned=True)
-            talk.transport.write(raw + raw[:at])
+            raw = self.encode_response(503, id_, b"full", not_executed=True)
+            connection.transport.write(raw + raw[:at])
             await asyncio.sleep(0.01)
-            talk.transport.write(raw[at:])
+            connection.transport.write(raw[at:])
         else:
-            await super().handle_request(talk, message)
+            await super().handle_request(connection, message)
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def broken(self, talk: Any) -> None:
-        talk.transport.reset()
-        talk.transport.fail(ConnectionResetError())
+    def reset_connection(self, connection: Any) -> None:
+        connection.transport.reset()
+        connection.transport.fail(ConnectionResetError())
 
-    async def answer(self, talk: Any, id_: str, trouble: str, late: bytes) -> None:
-        (what, at), body = talk.play, b"%s of %s" % (id_.encode(), self.id.encode())
+    async def answer(self, connection: Any, id_: str, fault: str, late: bytes) -> None:
+        (what, at), body = connection.script, b"%s of %s" % (id_.encode(), self.id.encode())
         raw = self.encode_response(504 if late else 200, id_, body)
         extra = {
             "again": raw,
-            "nobody": self.encode_response(503, "", b"", turned=True),
+            "nobody": self.encode_response(503, "", b"", not_executed=True),
             "bare": self.encode_response(429, "", b""),
         }
         if what in extra:
@@ -231,27 +233,27 @@
         elif what == "instead":
             raw = extra["nobody"]
         elif what in ("reset", "half", "close", "pause", "long pause"):
-            talk.transport.write(raw[:at])
+            connection.transport.write(raw[:at])
         if what == "reset":
-            self.broken(talk)
+            self.reset_connection(connection)
         elif what == "half":
             with suppress(OSError):  # it may be reset already
-                talk.transport.write_eof()
+                connection.transport.write_eof()
         elif what == "close":
-            talk.transport.close()
+            connection.transport.close()
         elif what in ("pause", "long pause"):
             await asyncio.sleep(0.02 if what == "pause" else 3.0)
-            if not talk.closed_reason:
-                talk.transport.write(raw[at:])
-        elif what != "silent" and not talk.closed_reason:
-            talk.transport.write(raw)
+            if not connection.closed_reason:
+                connection.transport.write(raw[at:])
+        elif what != "silent" and not connection.closed_reason:
+            connection.transport.write(raw)
             if what in extra:
                 await asyncio.sleep(0.004)
-                talk.transport.write(extra[what][at:])
+                connection.transport.write(extra[what][at:])
 
 
 class ScriptedCluster(Cluster):
-    """One proxy, two tricky servers a service."""
+    """A cluster of one proxy and two scripted servers per service."""
 
     def __init__(self, script: list[tuple[str, int]] | None = None) -> None:
         self.script = script or []
@@ -265,9 +267,9 @@
         return made
 
     async def send_requests_in_mode(self, idempotent: bool, how: str, at: int, size: int) -> None:
-        """One client's request, sent in some way; its answers are checked against their ids."""
+        """Sends a request of a client in the given mode; the replies are checked by their ids."""
         many = 2 if how == "pipelined" else 1
-        asks = [
+        requests = [
             self.client.new_request(
                 "PUT",
                 "town.example",
@@ -278,29 +280,29 @@
             )
             for _ in range(many)
         ]
-        raw = b"".join(self.client.encode_request(ask, 2.0) for ask in asks)
+        raw = b"".join(self.client.encode_request(request, 2.0) for request in requests)
         at = len(raw) * at // 400
         try:
             async with asyncio.timeout(3.0):
-                talk = await self.streams("10.9.0.1").open(HttpConnection, self.front, 1.0)
+                connection = await self.streams("10.9.0.1").open(HttpConnection, self.front, 1.0)
                 at_once = how in ("whole", "pipelined", "half", "leaves")
                 if at_once or how == "pieces" or at == len(raw):
-                    self.fully_sent.update(ask.id for ask in asks)
-                talk.transport.write(raw if at_once else raw[:at])
+                    self.fully_sent.update(request.id for request in requests)
+                connection.transport.write(raw if at_once else raw[:at])
                 if how == "pieces":
                     await asyncio.sleep(0.03)
-                    talk.transport.write(raw[at:])
-                elif how == "half" and talk.transport.get_write_buffer_size() == 0:
+                    connection.transport.write(raw[at:])
+                elif how == "half" and connection.transport.get_write_buffer_size() == 0:
                     with suppress(OSError):  # it may be reset already
-                        talk.transport.write_eof()
+                        connection.transport.write_eof()
                 elif how in ("breaks", "leaves"):
                     await asyncio.sleep(0.0 if how == "breaks" else at / 20_000)
-                    talk.transport.abort()
+                    connection.transport.abort()
                     return
-                for ask in asks:
-                    got = await talk.read_message()
+                for request in requests:
+                    got = await connection.read_message()
                     self.request_log.record_reply(
-                        ask, Reply(got.status, "", got.fields, got.body, self.loop.time())
+                        request, Reply(got.status, "", got.fields, got.body, self.loop.time())
                     )
         except (ConnectionBrokenError, OSError, TimeoutError):
             pass
--- a/loomstand/testing/simulation/wrong_calls.py
+++ b/loomstand/testing/simulation/wrong_calls.py
@@ -1,4 +1,4 @@
-"""Calls between processes whose answers come wrong, late, doubled or in part, byte by byte."""
+"""Calls between processes whose answers are corrupted, late, duplicate or truncated."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 class ScriptedConnection(ServerConnection):
-    """A server's connection that sends its answers as `owner.plays` says: each a way, and at which
-    byte.
+    """A server connection that sends its answers by `owner.plays`: one of ANSWER_FAULTS for
+    each, and the byte at which it happens.
     """
 
     def __init__(self, owner: Any, handler: Any) -> None:
         super().__init__(owner, handler)
-        self.whole, self.ended, self.summed = asyncio.Lock(), False, False
+        self.answer_lock, self.eof_sent, self.checksum_sent = asyncio.Lock(), False, False
 
     async def serve_call(self, call: CallFrame) -> None:
         number = call.number
@@ -48,44 +48,48 @@
         except CallRefusedError:
             raw = encode_item([number, False, {}])
         how, at = self.owner.plays.pop(0) if self.owner.plays else ("", 0)
-        async with self.whole:
-            if not self.summed:  # the first frame may be of one that makes no sums yet
-                self.summed, how = True, "" if how == "spoilt" else how
-            await self.sent(number, raw, how, at % len(raw))
-
-    async def sent(self, number: int, raw: bytes, how: str, at: int) -> None:
+        async with self.answer_lock:
+            if (
+                not self.checksum_sent
+            ):  # the first frame may be of a peer that doesn't send checksums yet
+                self.checksum_sent, how = True, "" if how == "spoilt" else how
+            await self.send_answer(number, raw, how, at % len(raw))
+
+    async def send_answer(self, number: int, raw: bytes, how: str, at: int) -> None:
         if how == "pause":
-            self.say(raw[:at])
+            self.write_unless_closed(raw[:at])
             await asyncio.sleep(0.02)
-            self.say(raw[at:])
+            self.write_unless_closed(raw[at:])
         elif how in ("reset", "close", "half"):
-            self.say(raw[:at])
+            self.write_unless_closed(raw[:at])
             if how == "reset":
                 self.close()
             elif how == "half" and not self.transport.is_closing():
-                self.ended = True
+                self.eof_sent = True
                 with suppress(OSError):  # it may be reset already
                     self.transport.write_eof()
             else:
                 self.transport.close()
         elif how == "spoilt":
-            self.say(raw[:at] + bytes([raw[at] ^ (1 << (at % 8))]) + raw[at + 1 :])
+            self.write_unless_closed(raw[:at] + bytes([raw[at] ^ (1 << (at % 8))]) + raw[at + 1 :])
         elif how == "foreign":
-            self.say(encode_item([number + 10_000, True, {"n": "foreign"}]) + raw)
+            self.write_unless_closed(encode_item([number + 10_000, True, {"n": "foreign"}]) + raw)
         elif how == "no answer":
-            self.say(encode_item([number, "x", {"n": "none"}]))
+            self.write_unless_closed(encode_item([number, "x", {"n": "none"}]))
         else:
-            self.say(raw)
+            self.write_unless_closed(raw)
         if how in ("twice", "late twice"):
             await asyncio.sleep(0.1 if how == "late twice" else 0.0)
-            self.say(encode_item([number, True, {"n": "again"}]))
+            self.write_unless_closed(encode_item([number, True, {"n": "again"}]))
 
-    def say(self, raw: bytes) -> None:
-        if not self.transport.is_closing() and not self.ended:
+    def write_unless_closed(self, raw: bytes) -> None:
+        if not self.transport.is_closing() and not self.eof_sent:
             self.transport.write(raw)
 
 
 class ScriptedNetwork(StreamNetwork):
+    """A `StreamNetwork` that answers calls by `plays`."""
+
     plays: list[tuple[str, int]]
 
     async def listen(self, address: Any, handler: Any) -> None:
@@ -94,12 +98,16 @@
 
 
 class CallerAndServer:
-    """A caller and one that is called, which notes what it ran."""
+    """A caller, and a server that records the calls that it ran."""
 
     def __init__(self, plays: list[tuple[str, int]] | None = None) -> None:
         self.network, self.loop = SimNetwork(Random(1)), asyncio.get_running_loop()
         self.tcp = TcpStack(self.network, Random(2))
-        self.process, self.ran, self.said = SimProcess(), [], dict[int, Result[Any, CallFailure]]()
+        self.process, self.ran, self.results = (
+            SimProcess(),
+            [],
+            dict[int, Result[Any, CallFailure]](),
+        )
         self.caller = StreamNetwork(Streams(self.tcp, CALLER_IP, SimProcess()))
         self.called = ScriptedNetwork(Streams(self.tcp, SERVER_ADDRESS[0], self.process))
         self.called.plays = plays or []
@@ -119,14 +127,14 @@
 
     async def call(self, n: int, lasts: float = 0.0, within: float = 0.3, size: int = 0) -> Any:
         body = {"n": n, "for": lasts, "fill": bytes(size)}
-        self.said[n] = got = await self.caller.call(SERVER_ADDRESS, "do", body, within)
+        self.results[n] = got = await self.caller.call(SERVER_ADDRESS, "do", body, within)
         return got
 
     def check(self) -> None:
-        """Each answer is the own one, nothing runs twice, and what is proved not to have run
-        hasn't.
+        """Asserts that each call has its own answer, that none ran twice, and that none reported as
+        not run has run.
         """
-        for n, got in self.said.items():
+        for n, got in self.results.items():
             assert self.ran.count(n) <= 1
             if got.is_ok():
                 assert got.ok == {"n": n} and n in self.ran
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -1,5 +1,6 @@
-"""A limiter with a fault put in on purpose, for the checker to find: `faulty.py FAULT --config
-FILE`.
+"""Runs a limiter with an injected fault that the checker must find.
+
+faulty.py FAULT --config FILE
 """
 
 from __future__ import annotations
@@ -18,34 +19,36 @@
 from loomstand.limiter import limiter
 
 
-def put_in(fault: str, patch: Callable[[object, str, object], None] = setattr) -> None:
-    """Puts a fault into the limiter's classes by `patch`."""
-    usual = DecisionEngine.handle
+def inject_fault(fault: str, patch: Callable[[object, str, object], None] = setattr) -> None:
+    """Injects a fault into the limiter's classes by `patch`."""
+    original_handle = DecisionEngine.handle
 
     def handle(self, now, note):
         if fault == "drain" and isinstance(note, EndpointsUpdated):
             note.endpoints = tuple(replace(e, state=EndpointState.LIVE) for e in note.endpoints)
-        return usual(self, now, note)
+        return original_handle(self, now, note)
 
-    if fault == "answers":  # rule 1: every twentieth passed req is never answered
+    if fault == "answers":  # rule 1: every twentieth passed request is never answered
         answer = limiter.Limiter.answer
         patch(
             limiter.Limiter,
             "answer",
             lambda self, req, *more, **kw: req.id % 20 == 0 or answer(self, req, *more, **kw),
         )
-    elif fault == "twice":  # rule 2: what may have run is sent again
+    elif fault == "twice":  # rule 2: a request that may have run is sent again
         patch(LoadBalancer, "is_safe_to_send", lambda self, pending, server: True)
-    elif fault == "cold":  # rule 4: no budget for cold servers
+    elif fault == "cold":  # rule 4: servers in slow start get as many requests as others
         patch(LoadBalancer, "allows_slow_start", lambda self, server: True)
         patch(Backend, "capacity", lambda self: 1.0)
-    elif fault == "ceiling":  # rule 5: the whole ceiling at each limiter, full at the start
+    elif (
+        fault == "ceiling"
+    ):  # rule 5: each limiter grants the whole ceiling, with a full bucket at the start
         patch(RateLimitBucket, "capacity", lambda self, now: self.burst * self.limiters)
         patch(RateLimitBucket, "earned", lambda self, now: now * self.rate)
     patch(DecisionEngine, "handle", handle)
 
 
 if __name__ == "__main__":
-    put_in(sys.argv[1])
+    inject_fault(sys.argv[1])
     sys.argv = ["loomstand", "serve", *sys.argv[2:]]
     main.main()
--- a/tests/testing/simulation/test_bounds.py
+++ b/tests/testing/simulation/test_bounds.py
@@ -1,4 +1,6 @@
-"""The gauges of a day: on histories made by hand, and on drawn days with a defence taken out."""
+"""The figures of a simulated day: on handwritten histories, and on random days with a safeguard
+removed.
+"""
 
 from __future__ import annotations
 
@@ -26,17 +28,17 @@
 from loomstand.testing.simulation.scenario import Day, Setup
 
 BOUNDS = Cluster(1, 1, 1, 1).settings("10.1.0.1").bounds
-ANN = {"ann": (10.0, 20.0)}  # of which 50 + 20 are the quota of a window, and 97 are allowed
+ANN = {"ann": (10.0, 20.0)}  # quota of a window: 50 + 20 requests; with the leeway 97
 FIRST = ConfigurationChange(1, 0.0, 0.1, ANN)
 Q, SMALL = "quota: share of the leeway used", "quota, small: share of the leeway used"
 
 
-def of(history: History) -> dict[str, Figure]:
+def figures_by_name(history: History) -> dict[str, Figure]:
     return {figure.name: figure for figure in evaluate(history, BOUNDS)}
 
 
 def runs(many: int, since: float, until: float, tenant: str = "ann") -> list[Arrival]:
-    """So many, evenly, each run as soon as it was sent."""
+    """Returns evenly spaced arrivals, each 1 ms after its sending."""
     step = (until - since) / many
     at = [since + n * step for n in range(many)]
     return [Arrival(f"{tenant}-{t}", tenant, "alpha", "i-1", "one", t, t + 0.001) for t in at]
@@ -48,9 +50,9 @@
 @pytest.mark.parametrize(("many", "broken"), [(97, False), (98, True)])
 def test_a_request_beyond_what_is_allowed_is_found_and_one_at_it_is_not(many, broken):
     history = History(["one"], ended=30.0, changes=[FIRST], arrivals=runs(many, 10.0, 14.9))
-    again = history.arrivals[3]  # a second run of one is no second request, nor is one turned away
+    again = history.arrivals[3]  # neither a second run of a request nor a rejected one counts
     history.arrivals += [replace(again, at=again.at + 0.1), replace(again, id="x", ran=False)]
-    figure = of(history)[Q]
+    figure = figures_by_name(history)[Q]
     assert bool(figure.broken) is broken and figure.value == pytest.approx((many - 70) / 27)
     assert figure.at == pytest.approx(10.0) and f"{many} where" in figure.who
 
@@ -58,7 +60,7 @@
 @pytest.mark.parametrize(
     ("at", "spans", "broken"),
     [
-        # sent a moment before the lower limit binds, 2.5 s after its acknowledgement
+        # sent just before the lower quota binds, 2.5 s after its acknowledgement
         (12.4, [], False),
         (12.6, [], True),
         # not in touch for long enough
@@ -78,44 +80,47 @@
     higher = ConfigurationChange(2, 10.0, float("inf"), {"ann": (20.0, 20.0)})
     for at, broken in ((2.0, True), (8.0, False)):
         history = History(["one"], changes=[FIRST, higher], arrivals=runs(130, at, at + 4.5))
-        assert bool(of(history)[Q].broken) is broken
+        assert bool(figures_by_name(history)[Q].broken) is broken
 
 
-# --- news
+# --- propagation of changes
 
 
-def heard(known: float, *spans: FaultSpan, acked: float = 10.0) -> dict[str, Figure]:
-    """A version, and a drain, acknowledged at one time and in force at another."""
-    told = [AppliedChange(1.0, "one", 1, "", 1), AppliedChange(1.0, "one", 1, "i-1", 1)]
-    told += [AppliedChange(known, "one", 1, "", 2), AppliedChange(known, "one", 1, "i-1", 0)]
+def figures_of_change(known: float, *spans: FaultSpan, acked: float = 10.0) -> dict[str, Figure]:
+    """Returns the figures of a version and a drain, acknowledged at `acked`, applied at `known`."""
+    applied_changes = [AppliedChange(1.0, "one", 1, "", 1), AppliedChange(1.0, "one", 1, "i-1", 1)]
+    applied_changes += [
+        AppliedChange(known, "one", 1, "", 2),
+        AppliedChange(known, "one", 1, "i-1", 0),
+    ]
     drain = Drain("i-1", acked, "core")
     history = History(
         ["one"],
         0.0,
         60.0,
         [*spans],
-        told,
+        applied_changes,
         [FIRST, ConfigurationChange(2, 9.0, acked, ANN)],
         [drain],
     )
-    return of(history)
+    return figures_by_name(history)
 
 
 @pytest.mark.parametrize("known", [12.49, 12.51])
-def test_news_later_than_its_bound_is_found(known):
+def test_a_change_applied_later_than_its_bound_is_found(known):
     for name in ("version in force, connected", "drain known, connected"):
-        figure = heard(known)[name]
+        figure = figures_of_change(known)[name]
         assert figure.value == pytest.approx(known - 10.0) and bool(figure.broken) is (known > 12.5)
 
 
 @pytest.mark.parametrize(
     ("span", "known", "name", "value", "broken"),
     [
-        # from its end, and `contact`
+        # the delay counts from the end of the fault; the bound is `contact`
         (FaultSpan("cut", "", frozenset(["one"]), 8.0, 18.0), 20.9, "cut", 2.9, 0),
         (FaultSpan("cut", "", frozenset(["one"]), 8.0, 18.0), 21.1, "cut", 3.1, 1),
         (FaultSpan("slow", "", frozenset(["one"]), 8.0, 9.0), 12.4, "slow", 2.4, 0),
-        # another's trouble
+        # a fault of another limiter
         (FaultSpan("cut", "", frozenset(["two"]), 8.0, 18.0), 12.6, "connected", 2.6, 1),
         (
             FaultSpan("cut", "", frozenset(["one"]), 30.0, 40.0),
@@ -123,8 +128,8 @@
             "connected",
             2.6,
             1,
-        ),  # came later
-        # not beyond the stretch
+        ),  # a later fault
+        # bounded by the stretch limit
         (FaultSpan(CORE, "", frozenset(["core"]), 9.5, 18.0, True), 20.4, CORE, 2.4, 0),
         (FaultSpan(CORE, "", frozenset(["core"]), 9.5, 18.0, True), 20.6, CORE, 2.6, 1),
         (
@@ -136,8 +141,8 @@
         ),
     ],
 )
-def test_trouble_puts_the_delay_off_to_its_end(span, known, name, value, broken):
-    figure = heard(known, span)[f"version in force, {name}"]
+def test_the_delay_counts_from_the_end_of_a_fault(span, known, name, value, broken):
+    figure = figures_of_change(known, span)[f"version in force, {name}"]
     assert figure.value == pytest.approx(value) and figure.broken == broken
 
 
@@ -145,22 +150,27 @@
 def test_the_cores_stretch_does_not_bind_a_limiter_that_was_cut_off_until_its_end(known, broken):
     cut = FaultSpan("cut", "", frozenset(["one"]), 8.0, 20.4)
     core = FaultSpan(CORE, "", frozenset(["core"]), 20.45, 20.5, True)
-    assert heard(known, cut, core)["version in force, core"].broken == broken
+    assert figures_of_change(known, cut, core)["version in force, core"].broken == broken
     assert (
-        heard(20.9, core, replace(core, begun=9.0, ended=9.1))["version in force, core"].broken == 1
+        figures_of_change(20.9, core, replace(core, begun=9.0, ended=9.1))[
+            "version in force, core"
+        ].broken
+        == 1
     )
 
 
 def test_a_limiter_that_starts_needs_what_was_acknowledged_before():
     span = FaultSpan("started", "killed", frozenset(["one"]), 20.0, 21.0)
-    told = [
+    applied_changes = [
         AppliedChange(1.0, "one", 1, "", 1),
         AppliedChange(10.5, "one", 1, "", 2),
         AppliedChange(21.2, "one", 2, "", 1),
     ]
-    told.append(AppliedChange(24.5, "one", 2, "", 2))
+    applied_changes.append(AppliedChange(24.5, "one", 2, "", 2))
     changes = [FIRST, ConfigurationChange(2, 9.0, 10.0, ANN)]
-    figure = of(History(["one"], 0.0, 60.0, [span], told, changes))["version in force, started"]
+    figure = figures_by_name(History(["one"], 0.0, 60.0, [span], applied_changes, changes))[
+        "version in force, started"
+    ]
     assert figure.value == pytest.approx(3.5) and figure.allowed == 3.0 and figure.broken == 1
 
 
@@ -169,13 +179,13 @@
     history = History(
         ["one"], 0.0, 60.0, changes=[FIRST], drains=[Drain("i-1", 10.0, "core")], arrivals=[run]
     )
-    assert of(history)["arrival after a drain, connected"].broken == 1
+    assert figures_by_name(history)["arrival after a drain, connected"].broken == 1
     history.spans = [FaultSpan("slow", "", frozenset(["one"]), 9.0, 10.0)]
-    assert of(history)["arrival after a drain, slow"].broken == 0
+    assert figures_by_name(history)["arrival after a drain, slow"].broken == 0
     history.spans = [
         FaultSpan(CORE, "", frozenset(["core"]), 9.0, 9.5, True)
-    ]  # whose word binds nobody
-    assert of(history)["arrival after a drain, core"].broken == 0
+    ]  # its acknowledgement binds no limiter
+    assert figures_by_name(history)["arrival after a drain, core"].broken == 0
 
 
 # --- the rest
@@ -183,27 +193,27 @@
 
 @pytest.mark.parametrize(("more", "broken"), [(76, 0), (77, 1)])
 def test_further_tries_beyond_the_budget_are_found(more, broken):
-    """Of 100 requests in the window before: 20 and the slack of 56."""
+    """With 100 requests in the window before, 20 retries and the slack of 56 are allowed."""
     asked = {"alpha": [5.0 + 0.01 * n for n in range(100)]}
     first = [Arrival(f"r{n}", "", "alpha", "i-1", "one", 10.0, 10.0) for n in range(more)]
     again = [replace(run, at=12.0 + 0.01 * n) for n, run in enumerate(first)]
     history = History(["one"], ended=30.0, request_times=asked, arrivals=first + again)
-    figure = of(history)["further tries: share of the slack used"]
+    figure = figures_by_name(history)["further tries: share of the slack used"]
     assert figure.value == pytest.approx((more - 20) / 56) and bool(figure.broken) is bool(broken)
 
 
 def test_a_late_acknowledgement_two_counters_and_a_lost_primary_are_found():
     history = History(["one"], 0.0, 60.0, changes=[ConfigurationChange(1, 10.0, 15.5, {})])
     history.double_counting_times, history.primary_gaps = [20.0], [(30.0, 34.0)]
-    assert of(history)["acknowledgement of a change in settled times"].broken
-    assert of(history)["moments with two counters"].broken
-    assert of(history)["without a serving primary"].value == pytest.approx(4.0)
+    assert figures_by_name(history)["acknowledgement of a change in settled times"].broken
+    assert figures_by_name(history)["moments with two counters"].broken
+    assert figures_by_name(history)["without a serving primary"].value == pytest.approx(4.0)
     history.spans = [
         FaultSpan(CORE, "", frozenset(["core"]), 8.0, 12.0, True, majority_connected=False)
     ]
     history.spans.append(replace(history.spans[0], begun=29.0, ended=33.0))
-    assert "acknowledgement of a change in settled times" not in of(history)
-    assert of(history)["without a serving primary"].value == pytest.approx(1.0)
+    assert "acknowledgement of a change in settled times" not in figures_by_name(history)
+    assert figures_by_name(history)["without a serving primary"].value == pytest.approx(1.0)
 
 
 # --- whole days
@@ -216,11 +226,11 @@
     assert hunt.run_day((4, setup))[1] != one[1]
 
 
-class Parted(Day):
-    """Half of eight limiters are cut off from the core, while the largest tenant is hot."""
+class PartitionedDay(Day):
+    """Half of eight limiters are cut off from the core while the largest tenant is hot."""
 
     def activities(self, until):
-        async def parted():
+        async def partition():
             self.loads[-1].hot = True
             await asyncio.sleep(2.0)
             ips = [*self.cluster.proxies][:4]
@@ -229,18 +239,18 @@
                 await asyncio.sleep(9.0)
                 self.cluster.network.heal()
 
-        return [parted()]
+        return [partition()]
 
 
 @pytest.mark.parametrize("held", [True, False])
-def test_a_place_that_is_not_held_for_a_silent_limiter_shows_in_the_gauges(held, monkeypatch):
-    """With credits it takes more to break the quota: they are out, too (their own mutations are in
-    tests/test_quota_grants.py).
+def test_a_share_that_is_not_held_for_a_silent_limiter_breaks_the_quota(held, monkeypatch):
+    """Credits alone keep the quota, so they are disabled as well; their own safeguards are tested
+    in tests/registry/test_quota_grants.py.
     """
     if not held:
         monkeypatch.setattr(limiters, "SILENT_RETENTION_SECONDS", limiters.SESSION_TIMEOUT_SECONDS)
         monkeypatch.setattr(QuotaCredits, "may_admit", lambda *_: True)
-    history, bounds = Parted(5, Setup(limiters=8, length=11.0, servers=3)).simulate()
+    history, bounds = PartitionedDay(5, Setup(limiters=8, length=11.0, servers=3)).simulate()
     quota = {figure.name: figure for figure in evaluate(history, bounds)}[Q]
     assert bool(quota.broken) is not held, quota
     assert all(f.broken == 0 for f in evaluate(history, bounds) if "quota" not in f.name)
@@ -255,11 +265,11 @@
 
 
 @pytest.mark.parametrize(
-    "words", [["--days", "0"], ["--limiters", "x"], ["--json", "/nowhere/f", "--days", "1"]]
+    "arguments", [["--days", "0"], ["--limiters", "x"], ["--json", "/nowhere/f", "--days", "1"]]
 )
-def test_bad_words_end_with_2_before_a_day_is_played(words, capsys):
+def test_invalid_arguments_exit_with_2_before_a_day_is_simulated(arguments, capsys):
     with pytest.raises(SystemExit) as ended:
-        hunt.main(words)
+        hunt.main(arguments)
     assert ended.value.code == 2 and "hunt" in capsys.readouterr().err
 
 
@@ -268,7 +278,7 @@
 
 @pytest.mark.parametrize("known", [True, False])
 def test_a_counter_that_moves_gives_no_second_burst(known, monkeypatch):
-    """A drawn day in which the duty to count moves while a tenant is hot."""
+    """A random day in which the counting lease moves while a tenant is hot."""
     if not known:
         monkeypatch.setattr(CounterReplay, "record", lambda *_: 0.0)
         monkeypatch.setattr(counters, "INCOMPLETE_SECONDS", 0.0)
