--- a/benchmarks/hot_paths.py
+++ b/benchmarks/hot_paths.py
@@ -149,7 +149,7 @@
     return took / len(bodies)
 
 
-def town() -> Cluster:
+def start_cluster() -> Cluster:
     """A small cluster that has begun, with two tenants that have quotas."""
     made = Cluster(1, proxies=1, servers=4)
     made.use_default_configuration()
@@ -162,7 +162,7 @@
 
 def between(count: int) -> dict[str, float]:
     """Seconds a call by its name, at the registry that counts and at the primary's store."""
-    made = town()
+    made = start_cluster()
     try:
         registry = made.registry(made.counting_host())
         begin = {"name": "bench", "h": -1, "f": -1, "c": 0}
@@ -203,7 +203,7 @@
 
 def requests(count: int) -> float:
     """Seconds a request, one after the other on a kept connection, in a quiet cluster."""
-    made = town()
+    made = start_cluster()
     try:
 
         async def work() -> tuple[float, int]:
--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -118,7 +118,7 @@
 
 
 def build(n: int, seed: int) -> Cluster:
-    """A town with the grown sites' proportions; it isn't begun."""
+    """Builds a cluster in the proportions of the grown sites, which isn't started."""
     cluster = Cluster(seed, CORES, n, max(1, round(n * SERVERS / 2)))
     cluster.use_default_configuration()
     del cluster.resources["tenants", "ann"]
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -37,7 +37,7 @@
 STAMP = "Loomstand-Response-Stamp: s"
 
 
-def said(status: int, id_: str = "", *lines: str, body: bytes = b"body") -> bytes:
+def encode_answer(status: int, id_: str = "", *lines: str, body: bytes = b"body") -> bytes:
     """Returns the bytes of a response."""
     fields = [f"Loomstand-Request-Id: {id_}"] if id_ else []
     head = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *fields, *lines]
@@ -179,8 +179,8 @@
                 assert body == b"of " + id_.encode() and f"loomstand-request-id: {id_}\r\n" in extra
 
 
-def whole(id_: str, *lines: str) -> bytes:
-    return said(200, id_, STAMP, *lines, body=b"of " + id_.encode())
+def success_answer(id_: str, *lines: str) -> bytes:
+    return encode_answer(200, id_, STAMP, *lines, body=b"of " + id_.encode())
 
 
 class ScriptedServer(Server):
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -33,8 +33,8 @@
     STAMP,
     ScriptedCluster,
     UpstreamFixture,
-    said,
-    whole,
+    encode_answer,
+    success_answer,
 )
 
 
@@ -56,9 +56,9 @@
     for interruption in ("close", "reset", "half", "silence", "pause"):
 
         async def work(stage: UpstreamFixture, interruption: str = interruption) -> None:
-            for at in range(len(whole("r000"))):
+            for at in range(len(success_answer("r000"))):
                 id_ = f"r{at:03}"
-                raw = whole(id_)
+                raw = success_answer(id_)
                 steps = {"silence": [2.0, raw[at:]], "pause": [0.02, raw[at:]]}.get(
                     interruption, [interruption]
                 )
@@ -90,9 +90,9 @@
         size = len(make_response("r0000"))
         for at in range(size + 1):
             first, second = f"r{at:04}", f"n{at:04}"
-            extra, own = make_response(first), whole(second)
+            extra, own = make_response(first), success_answer(second)
             stage.scripts = [
-                [whole(first), extra[:at]],
+                [success_answer(first), extra[:at]],
                 [extra[at:] + own] if ahead else [extra[at:], 0.01, own],
             ]
             stage.send(stage.request(first))
@@ -109,11 +109,11 @@
 
 
 SURPLUS: dict[str, Callable[[str], bytes]] = {
-    "duplicate": lambda id_: whole(id_),
-    "rejection": lambda id_: said(503, id_, "Loomstand-Not-Executed: true"),
-    "rejection without id": lambda id_: said(503, "", "Loomstand-Not-Executed: true"),
-    "error without id": lambda id_: said(500, ""),
-    "interim": lambda id_: b"HTTP/1.1 100 Continue\r\n\r\n" + whole(id_),
+    "duplicate": lambda id_: success_answer(id_),
+    "rejection": lambda id_: encode_answer(503, id_, "Loomstand-Not-Executed: true"),
+    "rejection without id": lambda id_: encode_answer(503, "", "Loomstand-Not-Executed: true"),
+    "error without id": lambda id_: encode_answer(500, ""),
+    "interim": lambda id_: b"HTTP/1.1 100 Continue\r\n\r\n" + success_answer(id_),
 }
 
 
@@ -127,11 +127,11 @@
 
 
 async def duplicate_rejection(stage: UpstreamFixture) -> None:
-    size = len(said(503, "r0000", NOT_EXECUTED))
+    size = len(encode_answer(503, "r0000", NOT_EXECUTED))
     for at in range(0, size + 1, 3):
         id_, request = f"r{at:04}", stage.request(f"r{at:04}")
-        raw = said(503, id_, NOT_EXECUTED)
-        stage.scripts = [["refuse", raw, raw[:at], 0.02, raw[at:]], [0.05, whole(id_)]]
+        raw = encode_answer(503, id_, NOT_EXECUTED)
+        stage.scripts = [["refuse", raw, raw[:at], 0.02, raw[at:]], [0.05, success_answer(id_)]]
         stage.send(request)
         await asyncio.sleep(0.012)
         stage.send(request)  # as if no other server had capacity
@@ -149,7 +149,7 @@
             proof = status != 200 if lines else status == 421
             success = [STAMP] if status == 200 else []
             stage.scripts = [
-                ["refuse"] * proof + [said(status, id_, *success, *lines, body=b"of bare")]
+                ["refuse"] * proof + [encode_answer(status, id_, *success, *lines, body=b"of bare")]
             ]
             stage.send(stage.request(id_))
             await asyncio.sleep(0.1)
@@ -176,7 +176,7 @@
     ):
         for after in (0.0, 0.001, 0.004, 0.006, 0.009, 0.013, 0.02):
             id_ = f"r{n}{after}"
-            stage.scripts = [[1.0, whole(id_)]]
+            stage.scripts = [[1.0, success_answer(id_)]]
             stage.send(stage.request(id_, bytes(size)), 0.3)
             await asyncio.sleep(after)
             stage.network.cut(PROXY_IP, SERVER_IP)
@@ -216,7 +216,12 @@
 
 
 async def unresponsive_server(stage: UpstreamFixture) -> None:
-    stage.scripts = [[0.05, whole("a")], [0.05, whole("b")], [], [whole("d")]]
+    stage.scripts = [
+        [0.05, success_answer("a")],
+        [0.05, success_answer("b")],
+        [],
+        [success_answer("d")],
+    ]
     for id_ in "ab":  # creates two idle connections
         stage.send(stage.request(id_))
     await asyncio.sleep(0.2)
@@ -241,8 +246,11 @@
 
 def early_response(status: int) -> Callable[[UpstreamFixture], Any]:
     async def work(stage: UpstreamFixture) -> None:
-        stage.early, raw = True, whole("r") if status == 200 else said(503, "r", NOT_EXECUTED)
-        stage.scripts = [[raw], [whole("n")]]
+        stage.early, raw = (
+            True,
+            success_answer("r") if status == 200 else encode_answer(503, "r", NOT_EXECUTED),
+        )
+        stage.scripts = [[raw], [success_answer("n")]]
         stage.send(stage.request("r", bytes(5 * WINDOW_BYTES)))
         await asyncio.sleep(0.2)
         assert stage.outcomes["r"] == [Outcome.SUCCEEDED if status == 200 else Outcome.REJECTED]
@@ -261,7 +269,7 @@
 
 def test_excessive_surplus_responses_do_not_hold_a_request():
     async def work(stage: UpstreamFixture) -> None:
-        stage.scripts = [[whole("x") * 40 + whole("r")]]
+        stage.scripts = [[success_answer("x") * 40 + success_answer("r")]]
         stage.send(stage.request("r"))
         await asyncio.sleep(0.2)
         assert stage.outcomes["r"] == [Outcome.CONNECTION_LOST]
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -62,7 +62,7 @@
 # --- beginnings
 
 
-@given("a town at work")
+@given("a running cluster")
 def _(cluster):
     cluster.run(cluster.start())
 
