--- a/benchmarks/hot_paths.py
+++ b/benchmarks/hot_paths.py
@@ -163,24 +163,24 @@
     return took / len(bodies)
 
 
-def running_cluster() -> Cluster:
+def start_cluster() -> Cluster:
     """Returns a small running cluster, with two tenants that have quotas."""
     made = Cluster(1, proxies=1, servers=4)
-    made.usual()
+    made.use_default_configuration()
     made.tenant("greedy", "key-of-greedy", 1000, 1000)
     made.tenant("modest", "key-of-modest", 1000, 1000)
-    made.do(made.begin())
+    made.run(made.start())
     made.wait(3.0)
     return made
 
 
 def calls_between_programs(count: int) -> dict[str, float]:
     """Returns the seconds per call by operation, at the counting registry and at a store."""
-    made = running_cluster()
+    made = start_cluster()
     try:
-        registry = made.registry(made.counting())
+        registry = made.registry(made.counting_host())
         first_ask = {"name": "bench", "h": -1, "f": -1, "c": 0}
-        session = made.do(registry.requests.serve("ask", first_ask))
+        session = made.run(registry.requests.serve("ask", first_ask))
         # each call states an outdated revision, so it is answered at once
         ask = {
             "s": session["s"],
@@ -205,11 +205,11 @@
             ],
         }
         took = {
-            op: made.do(calls(registry.requests.serve, op, of_op)) for op, of_op in bodies.items()
+            op: made.run(calls(registry.requests.serve, op, of_op)) for op, of_op in bodies.items()
         }
         one, other = [host.programs[0] for host in made.stores.values()][:2]
         beat = other.replica.heartbeat(one.settings.address).to_wire()
-        took["beat"] = made.do(calls(one.serve, "beat", [dict(beat) for _ in range(count)]))
+        took["beat"] = made.run(calls(one.serve, "beat", [dict(beat) for _ in range(count)]))
     finally:
         made.loop.close()
     return took
@@ -217,7 +217,7 @@
 
 def requests(count: int) -> float:
     """Returns the seconds per request, in sequence on a kept connection, in an idle cluster."""
-    made = running_cluster()
+    made = start_cluster()
     try:
 
         async def work() -> tuple[float, int]:
@@ -226,7 +226,7 @@
                 succeeded += (await made.get(tries=1)).status == 200
             return perf_counter() - started_at, succeeded
 
-        took, succeeded = made.do(work())
+        took, succeeded = made.run(work())
         assert succeeded > 0.99 * count, f"only {succeeded} of {count} succeeded"
     finally:
         made.loop.close()
--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -47,7 +47,7 @@
 
     calls: Counter[tuple[str, str, str]] = field(default_factory=Counter)
     bytes: Counter[tuple[str, str, str]] = field(default_factory=Counter)
-    work: dict[simulation.Life, float] = field(default_factory=lambda: defaultdict(float))
+    work: dict[simulation.SimProcess, float] = field(default_factory=lambda: defaultdict(float))
 
     def count(self, host: str, program: str, op: str, size: int, calls: int = 0) -> None:
         self.calls[host, program, op] += calls
@@ -67,7 +67,11 @@
 
 def metered(meter: Meter) -> ExitStack:
     """Patches the simulation to encode and count every call, and to time every callback."""
-    call, listen, run = MachineNetwork.call, MachineNetwork.listen, simulation._Gate.__call__
+    call, listen, run = (
+        MachineNetwork.call,
+        MachineNetwork.listen,
+        simulation._ProcessCallback.__call__,
+    )
 
     def decode(raw: bytes) -> int:
         """Decodes frames, for the cost of it; returns their size."""
@@ -75,29 +79,31 @@
             pass
         return len(raw)
 
-    async def calling(air: MachineNetwork, address: Any, op: str, body: Any, within: float) -> Any:
-        who = caller(air.host, address[1], op)
-        meter.count(air.host, who, op, len(encode_item([1000, op, body])), 1)
-        result = await call(air, address, op, body, within)
+    async def calling(
+        network: MachineNetwork, address: Any, op: str, body: Any, within: float
+    ) -> Any:
+        who = caller(network.host, address[1], op)
+        meter.count(network.host, who, op, len(encode_item([1000, op, body])), 1)
+        result = await call(network, address, op, body, within)
         if result.is_ok():
-            meter.count(air.host, who, op, decode(encode_item([1000, True, result.ok])))
+            meter.count(network.host, who, op, decode(encode_item([1000, True, result.ok])))
         return result
 
-    async def listening(air: MachineNetwork, address: Any, serve: Any) -> None:
+    async def listening(network: MachineNetwork, address: Any, serve: Any) -> None:
         program = "registry" if address[1] == REGISTRY else "store"
 
         async def serving(op: str, body: Any) -> Any:
-            meter.count(air.host, program, op, decode(encode_item([1000, op, body])), 1)
+            meter.count(network.host, program, op, decode(encode_item([1000, op, body])), 1)
             response = await serve(op, body)
-            meter.count(air.host, program, op, len(encode_item([1000, True, response])))
+            meter.count(network.host, program, op, len(encode_item([1000, True, response])))
             return response
 
-        await listen(air, address, serving)
+        await listen(network, address, serving)
 
     def running(gate: Any) -> None:
         started_at = time.process_time()
         run(gate)
-        meter.work[gate.life] += time.process_time() - started_at
+        meter.work[gate.process] += time.process_time() - started_at
 
     stack = ExitStack()
     for owner, name, replacement in (
@@ -105,32 +111,32 @@
         (MachineNetwork, "listen", listening),
     ):
         stack.enter_context(mock.patch.object(owner, name, replacement))
-    stack.enter_context(mock.patch.object(simulation._Gate, "__call__", running))
+    stack.enter_context(mock.patch.object(simulation._ProcessCallback, "__call__", running))
     return stack
 
 
 def build(n: int, seed: int) -> Cluster:
-    """Returns a cluster with the grown sites' proportions, not started."""
-    town = Cluster(seed, CORES, n, max(1, round(n * SERVERS / 2)))
-    town.usual()
-    del town.resources["tenants", "ann"]
-    town.book.owners.clear()
+    """Builds a cluster in the proportions of the grown sites, which not started."""
+    cluster = Cluster(seed, CORES, n, max(1, round(n * SERVERS / 2)))
+    cluster.use_default_configuration()
+    del cluster.resources["tenants", "ann"]
+    cluster.request_log.owners.clear()
     tenants = max(1, round(n * TENANTS))
     weight_sum = sum(1 / (k + 1) for k in range(tenants))
     for k in range(tenants):
         rate = max(1.0, n * REQUESTS / (k + 1) / weight_sum / QUOTA_USE)
-        town.tenant(f"tenant-{k}", f"key-of-tenant-{k}", rate, 2 * rate)
-    for server in (s for many in town.servers.values() for s in many):
-        server.slots, server.work = 2, (0.09, 0.22)
-    return town
+        cluster.tenant(f"tenant-{k}", f"key-of-tenant-{k}", rate, 2 * rate)
+    for server in (s for many in cluster.servers.values() for s in many):
+        server.slots, server.work_seconds = 2, (0.09, 0.22)
+    return cluster
 
 
-async def traffic(town: Cluster, rate: float, seconds: float) -> Counter[int]:
+async def traffic(cluster: Cluster, rate: float, seconds: float) -> Counter[int]:
     """Sends requests of all tenants, a few of them large, to all proxies; returns the statuses."""
-    rng, keys, tasks = Random(7), [*town.book.owners], []
+    rng, keys, tasks = Random(7), [*cluster.request_log.owners], []
     weights = [1 / (k + 1) for k in range(len(keys))]
-    started_at = town.loop.time()
-    while town.loop.time() - started_at < seconds:
+    started_at = cluster.loop.time()
+    while cluster.loop.time() - started_at < seconds:
         name, method = rng.choice((("a", "GET"), ("b", "GET"), ("once", "POST")))
         key = rng.choices(keys, weights)[0]
         request = (
@@ -141,24 +147,28 @@
             b"" if method == "GET" else b"body" * 50,
         )
         tasks.append(
-            town.loop.create_task(town.client.go(*request, idempotent=method == "GET", tries=1))
+            cluster.loop.create_task(
+                cluster.client.send_with_retries(*request, idempotent=method == "GET", tries=1)
+            )
         )
         await asyncio.sleep(rng.expovariate(rate))
     return Counter(reply.status for reply in await asyncio.gather(*tasks))
 
 
-def summarize(town: Cluster, meter: Meter, seconds: float, alone: bool = False) -> dict[str, Any]:
+def summarize(
+    cluster: Cluster, meter: Meter, seconds: float, alone: bool = False
+) -> dict[str, Any]:
     """Returns calls, bytes and work per second and machine; `counter` is the counting registry.
 
     With `alone` they are sums for a single event instead of rates.
     """
-    counter = town.counting()
+    counter = cluster.counting_host()
     rows: dict[str, Any] = {}
     groups: dict[str, tuple[str, list[str]]] = {
-        "proxy": ("proxy", [*town.proxies]),
-        "registry": ("registry", [ip for ip in town.core_ips if ip != counter]),
+        "proxy": ("proxy", [*cluster.proxies]),
+        "registry": ("registry", [ip for ip in cluster.core_ips if ip != counter]),
         "counter": ("registry", [counter]),
-        "store": ("store", town.core_ips),
+        "store": ("store", cluster.core_ips),
     }
     divisor = 1.0 if alone else seconds
     for label, (program, hosts) in groups.items():
@@ -172,18 +182,20 @@
             for op in ops
         }
         machines = (
-            town.proxies
+            cluster.proxies
             if label == "proxy"
-            else town.stores
+            else cluster.stores
             if label == "store"
-            else town.registries
+            else cluster.registries
         )
-        lives = [machines[host].life for host in hosts]
+        processes = [machines[host].process for host in hosts]
         rows[label] = {
             "ops": each,
             "calls": round(sum(v[0] for v in each.values()), 2),
             "bytes": round(sum(v[1] for v in each.values()), 1),
-            "work_ms": round(1000 * sum(meter.work[life] for life in lives if life) / many, 2),
+            "work_ms": round(
+                1000 * sum(meter.work[process] for process in processes if process) / many, 2
+            ),
         }
     meter.clear()
     return rows
@@ -194,39 +206,39 @@
     meter, started_at, results = Meter(), time.process_time(), dict[str, Any]()
     gc.disable()  # collecting the simulation's garbage is not work of a machine
     with metered(meter):
-        town = build(n, seed)
+        cluster = build(n, seed)
 
         def measure_event(action: Callable[[], Any], duration: float) -> dict[str, Any]:
             """Returns the sums for an event and the rest of its duration."""
             meter.clear()
             gc.collect()
-            at = town.loop.time()
-            town.do(action()) if asyncio.iscoroutinefunction(action) else action()
-            town.wait(max(0.0, duration - (town.loop.time() - at)))
-            return summarize(town, meter, town.loop.time() - at, alone=True)
+            at = cluster.loop.time()
+            cluster.run(action()) if asyncio.iscoroutinefunction(action) else action()
+            cluster.wait(max(0.0, duration - (cluster.loop.time() - at)))
+            return summarize(cluster, meter, cluster.loop.time() - at, alone=True)
 
-        results["start"] = measure_event(town.begin, 4.0)
-        town.wait(4.0)
+        results["start"] = measure_event(cluster.start, 4.0)
+        cluster.wait(4.0)
         meter.clear()
-        town.wait(seconds)
-        results["idle"] = summarize(town, meter, seconds)
-        town.do(traffic(town, n * REQUESTS, 3.0))
+        cluster.wait(seconds)
+        results["idle"] = summarize(cluster, meter, seconds)
+        cluster.run(traffic(cluster, n * REQUESTS, 3.0))
         meter.clear()
-        at = town.loop.time()
-        replies = town.do(traffic(town, n * REQUESTS, seconds))
-        results["loaded"] = summarize(town, meter, town.loop.time() - at)
+        at = cluster.loop.time()
+        replies = cluster.run(traffic(cluster, n * REQUESTS, seconds))
+        results["loaded"] = summarize(cluster, meter, cluster.loop.time() - at)
         results["loaded"]["replies"] = {str(k): v for k, v in sorted(replies.items())}
-        town.wait(3.0)
-        leaving, first = town.servers["alpha"][0], next(iter(town.proxies.values()))
+        cluster.wait(3.0)
+        leaving, first = cluster.servers["alpha"][0], next(iter(cluster.proxies.values()))
         results["drain"] = measure_event(leaving.drain, 1.0)
-        results["configuration"] = measure_event(town.replace, 1.0)
+        results["configuration"] = measure_event(cluster.replace, 1.0)
         results["proxy lost"] = measure_event(first.kill, 2.0)
 
         async def restart() -> None:
             first.start()
 
         results["proxy back"] = measure_event(restart, 2.0)
-        flapping = town.servers["beta"][: max(1, n // 10)]
+        flapping = cluster.servers["beta"][: max(1, n // 10)]
 
         async def flap() -> None:
             for server in flapping:
@@ -238,22 +250,26 @@
         results["flap of a tenth"] = measure_event(flap, 6.0)
 
         async def restart_all() -> None:
-            rng, servers = Random(seed), [s for many in town.servers.values() for s in many]
-            for machine in (*town.proxies.values(), *servers):
+            rng, servers = Random(seed), [s for many in cluster.servers.values() for s in many]
+            for machine in (*cluster.proxies.values(), *servers):
                 machine.kill()
             await asyncio.sleep(0.5)
-            for machine in (*town.proxies.values(), *servers):
-                town.loop.call_later(rng.uniform(0, START_SPREAD_SECONDS), machine.start)
+            for machine in (*cluster.proxies.values(), *servers):
+                cluster.loop.call_later(rng.uniform(0, START_SPREAD_SECONDS), machine.start)
 
         results["all start"] = measure_event(restart_all, 0.5 + START_SPREAD_SECONDS + 1.5)
         results["sizes"] = {
-            "configuration": len(town.versions[town.version]),
+            "configuration": len(cluster.versions[cluster.version]),
             "flapping": len(flapping),
         }
         results["took"] = round(time.process_time() - started_at, 1)
-        results |= {"N": n, "M": sum(map(len, town.servers.values())), "T": len(town.book.owners)}
-        town.book.check()
-        town.loop.close()
+        results |= {
+            "N": n,
+            "M": sum(map(len, cluster.servers.values())),
+            "T": len(cluster.request_log.owners),
+        }
+        cluster.request_log.check()
+        cluster.loop.close()
     return results
 
 
--- a/loomstand/testing/simulation/scenario.py
+++ b/loomstand/testing/simulation/scenario.py
@@ -1,5 +1,5 @@
-"""A day drawn from a seed: tenants at or above their quotas, troubles side by side, and what came
-of it.
+"""A random day of a simulated cluster: tenants at or above their quotas, concurrent faults, and the
+history of what was observed.
 """
 
 from __future__ import annotations
@@ -11,27 +11,26 @@
 from typing import Any
 
 from loomstand.config.settings import RuleBounds
-from loomstand.testing.simulation.bounds import Change, History, Ran
+from loomstand.testing.simulation.bounds import Arrival, ConfigurationChange, History
 from loomstand.testing.simulation.cluster import Cluster
 from loomstand.testing.simulation.faults import CORES, DENSE, LIMITERS, SERVERS, Faults
 
-LOOK = 0.01  # s between looks at who serves and who counts
-# s of calm at the end: what is under way comes into force, or is late beyond every bound.
-CALM = 6.0
-# Lengths of troubles in s: from what hardly anybody sees to the 10 s for which a part is usually
-# cut off.
-LENGTHS = (0.3, 1.0, 2.0, 4.0, 10.0)
-# Requests a second and burst over rate. The share of a tenant at one of 12 limiters goes from a
-# tenth of a request a second to four, so that both small and large parts of a quota are seen.
-RATES, BURSTS = (1.0, 4.0, 12.0, 30.0, 50.0), (0.5, 1.0, 2.0)
-HOT = 8.0  # a hot tenant sends so many times its usual
+OBSERVATION_PERIOD_SECONDS = 0.01  # between two observations of who serves and who counts
+# Without faults at the end: longer than every bound, so that what isn't in force by then is late.
+FINAL_CALM_SECONDS = 6.0
+# Durations of faults: from hardly noticeable to the usual 10 s of a partition.
+FAULT_SECONDS = (0.3, 1.0, 2.0, 4.0, 10.0)
+# Requests a second, and burst (requests) over rate. One of 12 limiters gets 0.1 to 4 requests a
+# second of a tenant, so that both small and large shares of a quota occur.
+TENANT_RATES, BURST_TO_RATE = (1.0, 4.0, 12.0, 30.0, 50.0), (0.5, 1.0, 2.0)
+HOT_LOAD_FACTOR = 8.0  # on the request rate of a hot tenant
 
 
 @dataclass(slots=True, frozen=True)
 class Setup:
     """The size of a day: `length` in seconds; `cores` 0 draws 3 or 4; `quotas` is a factor on
-    RATES. `dense`: troubles come within seconds of each other, several at once, with two tenants
-    hot and quotas lowered.
+    the rates of tenants. `dense`: faults follow within seconds and overlap, with up to two hot
+    tenants and frequent changes of quotas.
     """
 
     limiters: int = 12
@@ -44,102 +43,116 @@
 
 @dataclass(slots=True)
 class Load:
-    """A tenant's clients: requests a second now, and the key that they have."""
+    """The load of a tenant: rates in requests a second, and the API key of its clients."""
 
     name: str
     rate: float
-    usual: float
+    normal_rate: float
     key: str = ""
     hot: bool = False
 
 
 class Day:
-    """A day; the same for the same seed and setup."""
+    """A simulated day; deterministic for a seed and setup."""
 
     def __init__(self, seed: int, setup: Setup | None = None) -> None:
         rng = self.rng = Random(seed)
         self.setup = setup or Setup()
         cores = self.setup.cores or rng.choice((3, 3, 4))
-        self.town = Cluster(rng.getrandbits(32), cores, self.setup.limiters, self.setup.servers)
-        self.history = History([*self.town.proxies])
-        self.troubles = Faults(self.town, Random(rng.getrandbits(32)), self.history, LENGTHS)
-        rates = [rate * self.setup.quotas for rate in RATES]
+        self.cluster = Cluster(rng.getrandbits(32), cores, self.setup.limiters, self.setup.servers)
+        self.history = History([*self.cluster.proxies])
+        self.faults = Faults(self.cluster, Random(rng.getrandbits(32)), self.history, FAULT_SECONDS)
+        rates = [rate * self.setup.quotas for rate in TENANT_RATES]
         self.loads = [
             Load(f"t{n}", rate, rate * rng.uniform(0.8, 1.4)) for n, rate in enumerate(rates)
         ]
-        self.town.usual()
+        self.cluster.use_default_configuration()
         for load in self.loads:
-            self.key(load)
-            self.town.tenant(load.name, load.key, load.rate, round(load.rate * rng.choice(BURSTS)))
+            self.draw_key(load)
+            self.cluster.tenant(
+                load.name, load.key, load.rate, round(load.rate * rng.choice(BURST_TO_RATE))
+            )
 
-    def play(self) -> tuple[History, RuleBounds]:
-        """Plays it, once: what came of it, and the bounds that it was under."""
+    def simulate(self) -> tuple[History, RuleBounds]:
+        """Simulates the day, once; returns its history and the bounds that apply to it."""
         try:
-            self.town.do(self.whole())
-            return self.told(), self.town.settings(self.town.core_ips[0]).bounds
+            self.cluster.run(self.run_day())
+            return self.collect_history(), self.cluster.settings(self.cluster.core_ips[0]).bounds
         finally:
-            self.town.loop.close()
+            self.cluster.loop.close()
 
-    def key(self, load: Load) -> None:
+    def draw_key(self, load: Load) -> None:
         load.key = f"key-{load.name}-{self.rng.getrandbits(32):08x}"
 
-    async def whole(self) -> None:
-        """The first configuration, the lanes side by side, and the calm."""
-        town, history = self.town, self.history
-        sent = town.loop.time() + 0.5
-        await town.begin()
-        history.begun = town.loop.time()
-        history.changes.append(Change(town.version, sent, history.begun, self.quotas()))
+    async def run_day(self) -> None:
+        """Starts the cluster, runs all activities concurrently, then a calm phase."""
+        cluster, history = self.cluster, self.history
+        sent = cluster.loop.time() + 0.5
+        await cluster.start()
+        history.begun = cluster.loop.time()
+        history.changes.append(
+            ConfigurationChange(cluster.version, sent, history.begun, self.quotas())
+        )
         until = history.begun + self.setup.length
-        looks = town.loop.create_task(self.look())
-        flows = [town.loop.create_task(self.clients(load, until + CALM)) for load in self.loads]
-        await asyncio.gather(*self.lanes(until))
-        await asyncio.sleep(max(0.0, until + CALM - town.loop.time()))
-        await asyncio.gather(*flows)
-        looks.cancel()
-        history.ended = town.loop.time()
-
-    def lanes(self, until: float) -> list[Coroutine[Any, Any, None]]:
-        """What happens, side by side."""
+        observation = cluster.loop.create_task(self.observe())
+        client_tasks = [
+            cluster.loop.create_task(self.clients(load, until + FINAL_CALM_SECONDS))
+            for load in self.loads
+        ]
+        await asyncio.gather(*self.activities(until))
+        await asyncio.sleep(max(0.0, until + FINAL_CALM_SECONDS - cluster.loop.time()))
+        await asyncio.gather(*client_tasks)
+        observation.cancel()
+        history.ended = cluster.loop.time()
+
+    def activities(self, until: float) -> list[Coroutine[Any, Any, None]]:
+        """Returns the activities, which run concurrently."""
         rng = self.rng
         if self.setup.dense:
             return self.dense(until)
-        # a third of the days spare the limiters or the core: bounds in touch need calm to be tested
-        lanes = [self.lane(until, 0.5, 3.0, lambda: self.troubles.one(SERVERS))]
-        lanes += [self.lane(until, 1.0, 4.0, self.order), self.lane(until, 0.5, 4.0, self.heat)]
-        if (which := rng.random()) < 0.83:
+        # A third of the days has no faults of limiters or none of the core: bounds for connected
+        # limiters are only tested without faults.
+        activities = [self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVERS))]
+        activities += [
+            self.repeat(until, 1.0, 4.0, self.change_configuration),
+            self.repeat(until, 0.5, 4.0, self.raise_load),
+        ]
+        if (fault_draw := rng.random()) < 0.83:
             gap = rng.choice((1.0, 3.0, 9.0))
-            lanes.append(self.lane(until, 0.2, gap, lambda: self.troubles.one(LIMITERS)))
-        if not 0.66 < which < 0.83:
+            activities.append(self.repeat(until, 0.2, gap, lambda: self.faults.inject(LIMITERS)))
+        if not 0.66 < fault_draw < 0.83:
             gap = rng.choice((3.0, 9.0, 15.0))
-            lanes.append(self.lane(until, 0.2, gap, lambda: self.troubles.one(CORES)))
-        return lanes
+            activities.append(self.repeat(until, 0.2, gap, lambda: self.faults.inject(CORES)))
+        return activities
 
     def dense(self, until: float) -> list[Coroutine[Any, Any, None]]:
-        lanes = [self.lane(until, 0.0, 1.0, self.heat), self.lane(until, 0.0, 1.0, self.heat)]
+        activities = [
+            self.repeat(until, 0.0, 1.0, self.raise_load),
+            self.repeat(until, 0.0, 1.0, self.raise_load),
+        ]
         for gap in (0.5, 1.0, 2.0):
-            lanes.append(self.lane(until, 0.0, gap, lambda: self.troubles.one(DENSE)))
-        lanes.append(self.lane(until, 0.5, 4.0, lambda: self.troubles.one(CORES)))
-        lanes.append(self.lane(until, 0.5, 3.0, lambda: self.troubles.one(SERVERS)))
-        return [*lanes, self.lane(until, 0.3, 2.0, self.order)]
+            activities.append(self.repeat(until, 0.0, gap, lambda: self.faults.inject(DENSE)))
+        activities.append(self.repeat(until, 0.5, 4.0, lambda: self.faults.inject(CORES)))
+        activities.append(self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVERS)))
+        return [*activities, self.repeat(until, 0.3, 2.0, self.change_configuration)]
 
-    async def lane(
+    async def repeat(
         self, until: float, low: float, high: float, what: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
-        """One thing after another, with pauses of `low` to `high` seconds."""
+        """Repeats an activity until a time, with pauses of `low` to `high` seconds."""
         rng = Random(self.rng.getrandbits(32))
         while True:
             await asyncio.sleep(rng.uniform(low, high))
-            if self.town.loop.time() >= until:
+            if self.cluster.loop.time() >= until:
                 return
             await what()
 
     # clients
 
     async def clients(self, load: Load, until: float) -> None:
-        """Requests of one tenant, each to any limiter that the platform passes connections to."""
-        client, rng, tasks = self.town.someone(), Random(self.rng.getrandbits(32)), []
-        while self.town.loop.time() < until:
+        """Sends requests of one tenant, each to a random limiter that gets new connections."""
+        client, rng, tasks = self.cluster.new_client(), Random(self.rng.getrandbits(32)), []
+        while self.cluster.loop.time() < until:
             method, name = rng.choice((("GET", "a"), ("GET", "b"), ("POST", "once")))
             what = (
                 method,
@@ -148,13 +161,17 @@
                 load.key,
                 b"" if method == "GET" else b"body",
             )
-            asked = client.go(*what, tries=rng.choice((1, 3)), idempotent=method == "GET")
-            tasks.append(self.town.loop.create_task(asked))
-            await asyncio.sleep(rng.expovariate(load.usual * (HOT if load.hot else 1.0)))
+            asked = client.send_with_retries(
+                *what, tries=rng.choice((1, 3)), idempotent=method == "GET"
+            )
+            tasks.append(self.cluster.loop.create_task(asked))
+            await asyncio.sleep(
+                rng.expovariate(load.normal_rate * (HOT_LOAD_FACTOR if load.hot else 1.0))
+            )
         await asyncio.gather(*tasks)
 
-    async def heat(self) -> None:
-        """One tenant sends many times its usual."""
+    async def raise_load(self) -> None:
+        """Raises the request rate of one tenant to a multiple for some seconds."""
         load = self.rng.choice(self.loads)
         load.hot = True
         await asyncio.sleep(self.rng.choice((2.0, 5.0, 8.0)))
@@ -164,77 +181,79 @@
 
     def quotas(self) -> dict[str, tuple[float, float]]:
         named = {
-            name: spec for (kind, name), spec in self.town.resources.items() if kind == "tenants"
+            name: spec for (kind, name), spec in self.cluster.resources.items() if kind == "tenants"
         }
         return {name: (spec["rate_per_s"], spec["burst_size"]) for name, spec in named.items()}
 
-    async def order(self) -> None:
-        """A change of the configuration: a quota, a key taken away, or a route."""
-        town, rng, load = self.town, self.rng, self.rng.choice(self.loads)
+    async def change_configuration(self) -> None:
+        """Changes the configuration: a quota, a key that is replaced, or a new route."""
+        cluster, rng, load = self.cluster, self.rng, self.rng.choice(self.loads)
         what, spec = (
             rng.choice(("quota", "quota", "key", "route")),
-            town.resources["tenants", load.name],
+            cluster.resources["tenants", load.name],
         )
         if what == "quota":
             x = rng.choice((0.4, 0.7, 1.5, 2.5))
-            most = max(RATES) * self.setup.quotas
+            most = max(TENANT_RATES) * self.setup.quotas
             rate = min(1.2 * most, max(1.0, round(spec["rate_per_s"] * x)))
-            town.tenant(load.name, load.key, rate, round(rate * rng.choice(BURSTS)))
-            load.usual = rate * rng.uniform(0.8, 1.4)
+            cluster.tenant(load.name, load.key, rate, round(rate * rng.choice(BURST_TO_RATE)))
+            load.normal_rate = rate * rng.uniform(0.8, 1.4)
         elif what == "key":
-            self.key(load)
-            town.tenant(load.name, load.key, spec["rate_per_s"], spec["burst_size"])
+            self.draw_key(load)
+            cluster.tenant(load.name, load.key, spec["rate_per_s"], spec["burst_size"])
         else:
-            town.route(f"n{town.version}", rng.choice([*town.servers]))
-        sent = town.loop.time()
-        done = await town.replace(6.0)
-        acked = town.loop.time() if done else float("inf")
-        self.history.changes.append(Change(town.version, sent, acked, self.quotas()))
+            cluster.route(f"n{cluster.version}", rng.choice([*cluster.servers]))
+        sent = cluster.loop.time()
+        done = await cluster.replace(6.0)
+        acked = cluster.loop.time() if done else float("inf")
+        self.history.changes.append(
+            ConfigurationChange(cluster.version, sent, acked, self.quotas())
+        )
 
-    # what was seen
+    # observations
 
-    async def look(self) -> None:
-        """Who serves as primary, and who counts."""
-        town, since = self.town, -1.0
+    async def observe(self) -> None:
+        """Records times without a serving primary, and with two counting registries."""
+        cluster, since = self.cluster, -1.0
         while True:
-            now = town.loop.time()
-            served = any(town.serves(ip) for ip in town.core_ips)
+            now = cluster.loop.time()
+            served = any(cluster.is_serving(ip) for ip in cluster.core_ips)
             if not served and since < 0:
                 since = now
             elif served and since >= 0:
-                self.history.unserved.append((since, now))
+                self.history.primary_gaps.append((since, now))
                 since = -1.0
-            if sum(town.counts(ip) for ip in town.core_ips) > 1:
-                self.history.twins.append(now)
-            await asyncio.sleep(LOOK)
+            if sum(cluster.is_counting(ip) for ip in cluster.core_ips) > 1:
+                self.history.double_counting_times.append(now)
+            await asyncio.sleep(OBSERVATION_PERIOD_SECONDS)
 
-    def told(self) -> History:
-        """With the people's book."""
-        history, book = self.history, self.town.book
+    def collect_history(self) -> History:
+        """Returns the history with the requests and violations of the request log."""
+        history, request_log = self.history, self.cluster.request_log
         try:
-            book.check()
+            request_log.check()
         except AssertionError:
-            history.faults = book.faults
+            history.violations = request_log.violations
         route = {
             f"/{name}/x": spec["service_name"]
-            for (kind, name), spec in self.town.resources.items()
+            for (kind, name), spec in self.cluster.resources.items()
             if kind == "routes"
         }
-        for ask in book.asks.values():
-            history.asked.setdefault(route[ask.path], []).append(ask.sent)
-        for run in book.arrivals:
-            ask = book.asks[run.id]
+        for request in request_log.requests.values():
+            history.request_times.setdefault(route[request.path], []).append(request.sent)
+        for run in request_log.arrivals:
+            request = request_log.requests[run.id]
             history.arrivals.append(
-                Ran(
+                Arrival(
                     run.id,
                     run.tenant,
                     run.service,
                     run.server,
-                    ask.front[0],
-                    ask.sent,
+                    request.front[0],
+                    request.sent,
                     run.at,
                     run.ran,
                 )
             )
-        history.told = self.town.told
+        history.applied_changes = self.cluster.applied_changes
         return history
--- a/loomstand/testing/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -1,10 +1,9 @@
-"""Simulated TCP: byte streams under the sky, as transports for protocols of asyncio
-(`limiter.event_loop.SocketChannel`).
+"""Simulated TCP: transports for asyncio protocols such as `event_loop.SocketChannel`.
 
-A connection's two ends are its machines' kernels'; what their processes are told runs in their
-lives. Bytes come in order, whole, in pieces. What meets a cut is sent again, ever more rarely,
-until it comes through or its sender's kernel forgets it; resets are sent once. A write waits where
-the other end's window is full.
+Each end of a connection belongs to the kernel of its machine; callbacks of the protocol run in its
+process. Bytes arrive complete and in order, at times split into pieces. Segments on a blocked link
+are sent again with exponential backoff until they arrive or the sender's kernel drops the
+connection; resets are sent once. A write waits while the receiver's window is full.
 """
 
 from __future__ import annotations
@@ -21,104 +20,112 @@
 from loomstand.limiter.endings import Ending
 from loomstand.limiter.event_loop import SocketChannel
 from loomstand.rpc.errors import CallRefusedError
-from loomstand.testing.simulation.loop import Life
+from loomstand.testing.simulation.loop import SimProcess
 from loomstand.testing.simulation.machine import Machine
-from loomstand.testing.simulation.network import DELAY, Listener, SimNetwork
+from loomstand.testing.simulation.network import LINK_DELAY_SECONDS, Listener, SimNetwork
 
 Address = tuple[str, int]
-WINDOW = 16384  # bytes that an end takes which its process hasn't read: windows are small
-# s until what meets a cut is sent again: of bytes at first, of an opening, and at most
-AGAIN = 0.2, 1.0, 3.0
-SPLIT = 0.15  # share of writes that come in two pieces
-_KERNEL = contextvars.Context()  # in no life: kernels go on where processes are frozen or killed
+WINDOW_BYTES = 16384  # receive window: unread bytes that an end accepts
+# until a blocked segment is sent again: data at first, SYN at first, at most
+RETRANSMIT_SECONDS = 0.2, 1.0, 3.0
+SPLIT_SHARE = 0.15  # of the writes, delivered in two pieces
+# Belongs to no process: kernels go on when processes are frozen or killed.
+_KERNEL_CONTEXT = contextvars.Context()
 
 
-class Kind(Enum):
-    """What is on the way."""
+class SegmentKind(Enum):
+    """The kind of a simulated segment."""
 
-    OPEN = auto()
-    TAKEN = auto()  # the answer to an opening
+    SYN = auto()
+    SYN_ACK = auto()
     DATA = auto()
-    TOOK = auto()  # so much was read: the window is open again
-    END = auto()
-    RESET = auto()
+    WINDOW_UPDATE = auto()  # by the bytes that the receiving process has read
+    FIN = auto()
+    RST = auto()
 
 
 @dataclass(slots=True)
-class Port(Listener):
-    """A listener for streams among the sky's."""
+class StreamListener(Listener):
+    """A listener of the simulated network that accepts streams."""
 
-    make: Callable[[], asyncio.BaseProtocol] = field(kw_only=True)
+    protocol_factory: Callable[[], asyncio.BaseProtocol] = field(kw_only=True)
 
     def close(self) -> None:
-        """New connections are refused."""
-        for address in [a for a, at in self.sky.listeners.items() if at is self]:
-            del self.sky.listeners[address]
+        """Stops listening: new connections are refused."""
+        for address in [a for a, at in self.network.listeners.items() if at is self]:
+            del self.network.listeners[address]
 
-    sky: SimNetwork = field(kw_only=True)
+    network: SimNetwork = field(kw_only=True)
 
 
 @dataclass(slots=True)
-class Cables:
-    """All connections under a sky. `ends` has each until its process and its kernel are done with
-    it.
+class TcpStack:
+    """All simulated TCP connections. `transports` holds each end until its process and kernel have
+    both closed it.
     """
 
-    sky: SimNetwork
+    network: SimNetwork
     rng: Random
-    ends: set[End] = field(default_factory=set)
+    transports: set[SimTransport] = field(default_factory=set)
 
-    def died(self, life: Life) -> None:
-        """A process ended: its machine's kernel closes what it had, by a reset where bytes are
-        unread, and often by one otherwise.
+    def process_ended(self, process: SimProcess) -> None:
+        """Closes the connections of a process that ended, as its kernel does.
+
+        Those with unread bytes are reset, the others at random reset or closed by FIN.
         """
-        for end in sorted((e for e in self.ends if e.life is life), key=lambda e: e.number):
-            end.forsaken()
+        for end in sorted(
+            (e for e in self.transports if e.process is process), key=lambda e: e.number
+        ):
+            end.process_ended()
 
 
-class End(asyncio.Transport):
+class SimTransport(asyncio.Transport):
     """One end of a connection."""
 
     count = 0
 
-    def __init__(self, cables: Cables, host: str, life: Life | None, far: str) -> None:
+    def __init__(
+        self, tcp: TcpStack, host: str, process: SimProcess | None, remote_host: str
+    ) -> None:
         super().__init__()
-        End.count += 1
-        self.number = End.count  # so that sets of them have an order
-        self.cables, self.host, self.life, self.far = cables, host, life, far
+        SimTransport.count += 1
+        self.number = SimTransport.count  # orders sets of transports in the same way in every run
+        self.tcp, self.host, self.process, self.remote_host = tcp, host, process, remote_host
         self.loop = asyncio.get_running_loop()
-        self.context = life.context() if life is not None else contextvars.Context()
+        self.context = process.context() if process is not None else contextvars.Context()
         self.protocol: Any = None
-        self.peer: End | None = None
-        self.refused: Callable[[], None] | None = None  # of one that hasn't come up
-        # on the way out
-        self.way: deque[tuple[float, Kind, Any]] = deque()
+        self.peer: SimTransport | None = None
+        self.on_refused: Callable[[], None] | None = None  # set until the connection is established
+        # segments in transit to the other end
+        self.in_transit: deque[tuple[float, SegmentKind, Any]] = deque()
         self.timer: asyncio.TimerHandle | None = None
-        self.last, self.pause = 0.0, AGAIN[0]
+        self.last_arrival_at, self.retransmit_delay = 0.0, RETRANSMIT_SECONDS[0]
         # sending
-        # what waits in the process; what the other end takes
-        self.buffer, self.credit = bytearray(), WINDOW
-        self.full = self.ending = self.ended = False  # writing paused; its end is wanted; is sent
+        # bytes not yet given to the kernel; bytes that the other end still accepts
+        self.buffer, self.send_window = bytearray(), WINDOW_BYTES
+        # EOF is requested by the process, FIN is sent by the kernel
+        self.write_paused = self.eof_requested = self.fin_sent = False
         # receiving
-        self.came: deque[bytes] = deque()  # read by the kernel, not by the process
-        self.over: Kind | None = None
-        self.reading, self.woken, self.told = True, False, False
-        self.resets = False  # its close is a reset, as with SO_LINGER 0
-        self.closing = self.closed = self.lost = False  # by the process; `lost` once it was told
-        self.gone = False  # the kernel knows the connection no more
-        cables.ends.add(self)
+        self.received: deque[bytes] = deque()  # by the kernel, not yet read by the process
+        self.remote_end: SegmentKind | None = None
+        self.reading, self.delivery_scheduled, self.eof_delivered = True, False, False
+        self.resets_on_close = False  # close sends a reset, as with SO_LINGER 0
+        # by the process; `loss_notified` once `connection_lost` was called
+        self.closing = self.closed = self.loss_notified = False
+        self.discarded = False  # the kernel has dropped the connection
+        tcp.transports.add(self)
 
     # the process's side
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         if name == "reset_on_close":
-            return self.abortive
+            return self.set_reset_on_close
         if name == "unread":
-            return lambda: bool(self.came) or self.over is not None
-        return (self.far, 0) if name == "peername" else default
+            return lambda: bool(self.received) or self.remote_end is not None
+        return (self.remote_host, 0) if name == "peername" else default
 
-    def abortive(self) -> None:
-        self.resets = True
+    def set_reset_on_close(self) -> None:
+        self.resets_on_close = True
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         pass
@@ -146,104 +153,104 @@
 
     def resume_reading(self) -> None:
         self.reading = True
-        self.wake()
+        self.schedule_delivery()
 
     def write(self, data: Any) -> None:
-        if self.ending:
-            raise RuntimeError("written after its end")
+        if self.eof_requested:
+            raise RuntimeError("write after EOF")
         if self.closed or self.closing:
             return
-        if self.gone:
-            self.fail(ConnectionResetError("written to a connection that broke"))
+        if self.discarded:
+            self.fail(ConnectionResetError("write to a broken connection"))
             return
         self.buffer += data
-        self.push()
-        if self.buffer and not self.full:
-            self.full = True
+        self.flush()
+        if self.buffer and not self.write_paused:
+            self.write_paused = True
             self.protocol.pause_writing()
 
     def write_eof(self) -> None:
-        if self.gone:
+        if self.discarded:
             raise OSError("not connected")
-        self.ending = True
-        self.push()
+        self.eof_requested = True
+        self.flush()
 
     def close(self) -> None:
-        """Ends it once all is written."""
+        """Closes the connection once all data is written."""
         if not self.closing and not self.closed:
             self.closing = True
-            self.push()
+            self.flush()
 
     def abort(self) -> None:
-        """As a socket's close: what the kernel has is still sent, but bytes left unread make it a
-        reset.
+        """Closes as a socket does: the kernel still sends what it has; unread bytes turn the close
+        into a reset.
         """
         self.buffer.clear()
         if not self.closed:
-            self.finish(None)
+            self.finish_close(None)
 
-    def push(self) -> None:
-        """Gives the kernel what it takes."""
-        if self.buffer and self.credit and not self.gone:
-            piece = bytes(self.buffer[: self.credit])
+    def flush(self) -> None:
+        """Passes buffered bytes to the kernel, as far as the send window allows."""
+        if self.buffer and self.send_window and not self.discarded:
+            piece = bytes(self.buffer[: self.send_window])
             del self.buffer[: len(piece)]
-            self.credit -= len(piece)
-            if len(piece) > 1 and self.cables.rng.random() < SPLIT:
-                cut = self.cables.rng.randrange(1, len(piece))
-                self.put(Kind.DATA, piece[:cut])
+            self.send_window -= len(piece)
+            if len(piece) > 1 and self.tcp.rng.random() < SPLIT_SHARE:
+                cut = self.tcp.rng.randrange(1, len(piece))
+                self.send_segment(SegmentKind.DATA, piece[:cut])
                 piece = piece[cut:]
-            self.put(Kind.DATA, piece)
+            self.send_segment(SegmentKind.DATA, piece)
         if self.buffer:
             return
-        if self.full and not self.closed:
-            self.full = False
+        if self.write_paused and not self.closed:
+            self.write_paused = False
             self.protocol.resume_writing()
-        if (self.ending or self.closing) and not self.ended and not self.gone:
-            self.ended = True
-            self.put(Kind.END)
+        if (self.eof_requested or self.closing) and not self.fin_sent and not self.discarded:
+            self.fin_sent = True
+            self.send_segment(SegmentKind.FIN)
         if self.closing and not self.closed:
-            self.finish(None)
+            self.finish_close(None)
 
-    def fail(self, why: Exception) -> None:
+    def fail(self, error: Exception) -> None:
         self.buffer.clear()
         if not self.closed:
-            self.finish(why)
+            self.finish_close(error)
 
-    def finish(self, why: Exception | None) -> None:
+    def finish_close(self, error: Exception | None) -> None:
         self.closed = True
-        if not self.gone:
-            if self.came or self.resets:
+        if not self.discarded:
+            if self.received or self.resets_on_close:
                 self.reset()
-            elif not self.ended:
-                self.ended = True
-                self.put(Kind.END)
-            self.settle()
-        self.loop.call_soon(self.lose, why, context=self.context)
-
-    def lose(self, why: Exception | None) -> None:
-        if not self.lost:
-            self.lost = True
+            elif not self.fin_sent:
+                self.fin_sent = True
+                self.send_segment(SegmentKind.FIN)
+            self.discard_if_done()
+        self.loop.call_soon(self.notify_connection_lost, error, context=self.context)
+
+    def notify_connection_lost(self, error: Exception | None) -> None:
+        if not self.loss_notified:
+            self.loss_notified = True
             if self.protocol is not None:
-                self.protocol.connection_lost(why)
+                self.protocol.connection_lost(error)
 
-    def up(self) -> None:
-        """The connection stands: its process hears of it."""
+    def establish(self) -> None:
+        """Calls `connection_made` of the protocol."""
         if not self.closed:
             self.protocol.connection_made(self)
-            self.hand()
+            self.deliver_received()
 
-    def wake(self) -> None:
-        if not self.woken and not self.closed:
-            self.woken = True
-            self.loop.call_soon(self.hand, context=self.context)
+    def schedule_delivery(self) -> None:
+        if not self.delivery_scheduled and not self.closed:
+            self.delivery_scheduled = True
+            self.loop.call_soon(self.deliver_received, context=self.context)
 
-    def hand(self) -> None:
-        """Gives the process what has come."""
-        self.woken = False
+    def deliver_received(self) -> None:
+        """Passes received bytes, then EOF or a reset, to the protocol."""
+        self.delivery_scheduled = False
         if self.protocol is None:
             return
-        while self.came and self.reading and not self.closed:
-            data, taken = self.came.popleft(), 0
+        while self.received and self.reading and not self.closed:
+            data, taken = self.received.popleft(), 0
             if isinstance(self.protocol, asyncio.BufferedProtocol):
                 while taken < len(data) and not self.closed:
                     space = self.protocol.get_buffer(-1)
@@ -253,224 +260,243 @@
                     self.protocol.buffer_updated(n)
             else:
                 self.protocol.data_received(data)
-            if not self.gone:
-                self.put(Kind.TOOK, len(data))
-        if self.over is None or self.closed or self.came or not self.reading:
+            if not self.discarded:
+                self.send_segment(SegmentKind.WINDOW_UPDATE, len(data))
+        if self.remote_end is None or self.closed or self.received or not self.reading:
             return
-        if self.over is Kind.RESET:
+        if self.remote_end is SegmentKind.RST:
             self.fail(ConnectionResetError("reset"))
-        elif not self.told:
-            self.told = True
+        elif not self.eof_delivered:
+            self.eof_delivered = True
             if not self.protocol.eof_received():
                 self.close()
 
     # the kernel's side
 
-    def put(self, kind: Kind, data: Any = b"") -> None:
-        """On the way, behind what is there."""
-        sky, (low, high) = self.cables.sky, DELAY
-        took = (
-            sky.rng.uniform(low, high) + sky.slow.get(self.host, 0.0) + sky.slow.get(self.far, 0.0)
+    def send_segment(self, kind: SegmentKind, data: Any = b"") -> None:
+        """Puts a segment in transit, behind those sent before."""
+        network, (low, high) = self.tcp.network, LINK_DELAY_SECONDS
+        delay = (
+            network.rng.uniform(low, high)
+            + network.extra_delay_seconds.get(self.host, 0.0)
+            + network.extra_delay_seconds.get(self.remote_host, 0.0)
         )
-        if sky.lost and sky.rng.random() < sky.lost:
-            took += AGAIN[0]
-        self.last = max(self.last, self.loop.time() + took)
-        self.way.append((self.last, kind, data))
-        self.arm()
-
-    def arm(self, at: float = 0.0) -> None:
-        if self.timer is None and self.way:
-            self.timer = self.loop.call_at(max(at, self.way[0][0]), self.carry, context=_KERNEL)
-
-    def carry(self) -> None:
-        """Brings over what is due, or tries again later."""
-        self.timer, now, sky = None, self.loop.time(), self.cables.sky
-        if not sky.open(self.host, self.far):
-            # a reset is sent once, and nothing of that connection again
-            if self.host in sky.off or any(kind is Kind.RESET for _, kind, _ in self.way):
-                self.way.clear()
-            self.arm(now + self.pause * (0.8 + 0.4 * self.cables.rng.random()))
-            self.pause = min(AGAIN[2], 2 * self.pause)
+        if network.loss_rate and network.rng.random() < network.loss_rate:
+            delay += RETRANSMIT_SECONDS[0]
+        self.last_arrival_at = max(self.last_arrival_at, self.loop.time() + delay)
+        self.in_transit.append((self.last_arrival_at, kind, data))
+        self.arm_timer()
+
+    def arm_timer(self, at: float = 0.0) -> None:
+        if self.timer is None and self.in_transit:
+            self.timer = self.loop.call_at(
+                max(at, self.in_transit[0][0]), self.transmit, context=_KERNEL_CONTEXT
+            )
+
+    def transmit(self) -> None:
+        """Delivers the segments that are due; on a blocked link tries again later."""
+        self.timer, now, network = None, self.loop.time(), self.tcp.network
+        if not network.is_reachable(self.host, self.remote_host):
+            # a reset is sent once, and ends the retransmission of all else
+            if self.host in network.powered_off or any(
+                kind is SegmentKind.RST for _, kind, _ in self.in_transit
+            ):
+                self.in_transit.clear()
+            self.arm_timer(now + self.retransmit_delay * (0.8 + 0.4 * self.tcp.rng.random()))
+            self.retransmit_delay = min(RETRANSMIT_SECONDS[2], 2 * self.retransmit_delay)
             return
-        self.pause = AGAIN[0]
-        while self.way and self.way[0][0] <= now:
-            _, kind, data = self.way.popleft()
-            if kind is Kind.OPEN:
-                self.knock(data)
+        self.retransmit_delay = RETRANSMIT_SECONDS[0]
+        while self.in_transit and self.in_transit[0][0] <= now:
+            _, kind, data = self.in_transit.popleft()
+            if kind is SegmentKind.SYN:
+                self.open_at_listener(data)
             elif self.peer is not None:
-                self.peer.arrive(kind, data)
-        self.arm()
-        self.settle()
-
-    def knock(self, address: Address) -> None:
-        """An opening has come to where it goes."""
-        port, cables = self.cables.sky.listeners.get(address), self.cables
-        there = isinstance(port, Port) and port.life.alive
-        other = End(cables, address[0], port.life if there else None, self.host)
+                self.peer.receive_segment(kind, data)
+        self.arm_timer()
+        self.discard_if_done()
+
+    def open_at_listener(self, address: Address) -> None:
+        """Handles a SYN that has arrived: the listener accepts it, or it is reset."""
+        port, tcp = self.tcp.network.listeners.get(address), self.tcp
+        there = isinstance(port, StreamListener) and port.process.alive
+        other = SimTransport(tcp, address[0], port.process if there else None, self.host)
         self.peer, other.peer = other, self
-        if self.gone:  # given up meanwhile
+        if self.discarded:  # the client has closed it since
             there = False
-        other.put(Kind.TAKEN if there else Kind.RESET)
+        other.send_segment(SegmentKind.SYN_ACK if there else SegmentKind.RST)
         if not there:
-            other.gone = other.closed = True
+            other.discarded = other.closed = True
             return
 
         def accept() -> None:
-            other.protocol = port.make()
-            other.up()
+            other.protocol = port.protocol_factory()
+            other.establish()
 
         self.loop.call_soon(accept, context=other.context)
 
-    def arrive(self, kind: Kind, data: Any) -> None:
-        if self.gone:
-            if kind not in (Kind.RESET, Kind.TOOK):
-                self.put(Kind.RESET)
-        elif kind is Kind.RESET:
-            self.gone, self.over = True, Kind.RESET
-            self.way.clear()
-            if self.refused is not None:
-                self.loop.call_soon(self.refused, context=self.context)
-            self.wake()
-        elif kind is Kind.TAKEN:
-            self.refused = None
-            self.loop.call_soon(self.up, context=self.context)
-        elif kind is Kind.TOOK:
-            self.credit += data
+    def receive_segment(self, kind: SegmentKind, data: Any) -> None:
+        if self.discarded:
+            if kind not in (SegmentKind.RST, SegmentKind.WINDOW_UPDATE):
+                self.send_segment(SegmentKind.RST)
+        elif kind is SegmentKind.RST:
+            self.discarded, self.remote_end = True, SegmentKind.RST
+            self.in_transit.clear()
+            if self.on_refused is not None:
+                self.loop.call_soon(self.on_refused, context=self.context)
+            self.schedule_delivery()
+        elif kind is SegmentKind.SYN_ACK:
+            self.on_refused = None
+            self.loop.call_soon(self.establish, context=self.context)
+        elif kind is SegmentKind.WINDOW_UPDATE:
+            self.send_window += data
             if not self.closed:
-                self.loop.call_soon(self.push, context=self.context)
-        elif kind is Kind.END:
-            self.over = Kind.END
-            self.wake()
-        elif self.closed:  # nobody is there to read it
+                self.loop.call_soon(self.flush, context=self.context)
+        elif kind is SegmentKind.FIN:
+            self.remote_end = SegmentKind.FIN
+            self.schedule_delivery()
+        elif self.closed:  # no process is left to read it
             self.reset()
         else:
-            self.came.append(data)
-            self.wake()
-        self.settle()
+            self.received.append(data)
+            self.schedule_delivery()
+        self.discard_if_done()
 
     def reset(self) -> None:
-        """The kernel breaks it off, once; what is on the way comes before that. What met a cut
-        never comes, nor what was sent after it: no byte is read over a gap.
+        """Resets the connection, once, behind the segments in transit. Segments that met a blocked
+        link are dropped with all later ones, so that no byte is read beyond a gap.
         """
-        if not self.gone:
-            if self.way and self.way[0][0] <= self.loop.time():
-                self.way.clear()
+        if not self.discarded:
+            if self.in_transit and self.in_transit[0][0] <= self.loop.time():
+                self.in_transit.clear()
             if self.timer is not None:
                 self.timer.cancel()
                 self.timer = None
             if self.peer is not None:
-                self.put(Kind.RESET)
-            self.gone = True
+                self.send_segment(SegmentKind.RST)
+            self.discarded = True
 
-    def forsaken(self) -> None:
-        """Its process is no more."""
-        self.closed = self.lost = True
-        if self.came or self.cables.rng.random() < 0.5:
+    def process_ended(self) -> None:
+        """Closes the connection after its process has ended."""
+        self.closed = self.loss_notified = True
+        if self.received or self.tcp.rng.random() < 0.5:
             self.reset()
-        elif not self.gone and not self.ended:
-            self.ended = True
-            self.put(Kind.END)
-        self.settle()
-
-    def settle(self) -> None:
-        """Forgets what is over on both sides."""
-        if self.closed and not self.way and (self.gone or (self.ended and self.over is Kind.END)):
-            self.gone = True
-            self.cables.ends.discard(self)
+        elif not self.discarded and not self.fin_sent:
+            self.fin_sent = True
+            self.send_segment(SegmentKind.FIN)
+        self.discard_if_done()
+
+    def discard_if_done(self) -> None:
+        """Drops the transport once both sides have closed."""
+        if (
+            self.closed
+            and not self.in_transit
+            and (self.discarded or (self.fin_sent and self.remote_end is SegmentKind.FIN))
+        ):
+            self.discarded = True
+            self.tcp.transports.discard(self)
 
 
 class Host(Machine):
-    """A machine whose connections end with its processes."""
+    """A machine whose connections are closed when its process ends."""
 
-    cables: Cables
+    tcp: TcpStack
 
     def kill(self) -> None:
         super().kill()
-        if self.life is not None:
-            self.cables.died(self.life)
+        if self.process is not None:
+            self.tcp.process_ended(self.process)
 
     def power_off(self, wipe: bool = False) -> None:
-        """Falls silent: nothing says that its connections are over until somebody writes to it
-        later.
-        """
-        self.sky.off.add(self.host)
+        """Powers off without closing connections: peers notice when they write to it later."""
+        self.network.powered_off.add(self.host)
         super().power_off(wipe)
 
-    async def end(self) -> None:
-        """SIGTERM: its programs are asked to stop; the machine stays on."""
-        if self.life is not None:
+    async def terminate(self) -> None:
+        """Stops the programs as on SIGTERM; the machine stays on."""
+        if self.process is not None:
             loop = asyncio.get_running_loop()
             await asyncio.gather(
-                *(loop.create_task(p.stop(), context=self.life.context()) for p in self.programs)
+                *(loop.create_task(p.stop(), context=self.process.context()) for p in self.programs)
             )
             self.kill()
 
 
 @dataclass(slots=True)
 class Streams:
-    """Connections of one life on one host: `event_loop.Streams`, and `open` for stand-ins."""
+    """Listens and connects for one process on a host, as `event_loop` does on sockets."""
 
-    cables: Cables
+    tcp: TcpStack
     host: str
-    life: Life
+    process: SimProcess
 
     async def listen(
         self, loop: Any, make: Callable[[], Any], address: Address, *bounds: int
-    ) -> Port:
-        port = Port(self.life, _nothing, make=make, sky=self.cables.sky)
-        self.cables.sky.listeners[address] = port
+    ) -> StreamListener:
+        port = StreamListener(
+            self.process, _refuse_call, protocol_factory=make, network=self.tcp.network
+        )
+        self.tcp.network.listeners[address] = port
         return port
 
-    def dial(self, protocol: Any, address: Address, refused: Callable[[], None]) -> End:
-        """An opening on its way; `protocol` hears of it once the connection stands."""
-        end = End(self.cables, self.host, self.life, address[0])
-        end.protocol, end.refused, end.pause = protocol, refused, AGAIN[1]
-        end.put(Kind.OPEN, address)
+    def dial(self, protocol: Any, address: Address, refused: Callable[[], None]) -> SimTransport:
+        """Sends a SYN; `protocol.connection_made` is called once the connection is established."""
+        end = SimTransport(self.tcp, self.host, self.process, address[0])
+        end.protocol, end.on_refused, end.retransmit_delay = (
+            protocol,
+            refused,
+            RETRANSMIT_SECONDS[1],
+        )
+        end.send_segment(SegmentKind.SYN, address)
         return end
 
     def connect(self, loop: Any, channel: SocketChannel, address: Address, within: float) -> None:
-        """As `limiter.event_loop.connect`."""
+        """Connects a `Wire`; it is stopped on refusal or after `within` seconds."""
 
         def refused() -> None:
             timer.cancel()
             channel.stop(Ending.REFUSED)
 
-        def late() -> None:
+        def time_out() -> None:
             if channel.transport is None:
                 channel.stop(Ending.SILENT_CONNECT)
 
         end = self.dial(channel, address, refused)
-        timer = loop.call_later(within, late)
+        timer = loop.call_later(within, time_out)
 
-        def off() -> None:
+        def cancel_connect() -> None:
             timer.cancel()
-            end.refused, end.closed, end.gone = None, True, True
-            end.way.clear()
-            end.settle()
+            end.on_refused, end.closed, end.discarded = None, True, True
+            end.in_transit.clear()
+            end.discard_if_done()
 
-        channel.cancel_connect = off
+        channel.cancel_connect = cancel_connect
 
     async def open(self, make: Callable[[], Any], address: Address, within: float) -> Any:
-        """A connection's protocol once it stands. Raises ConnectionRefusedError or TimeoutError."""
-        stands: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        """Connects and returns the protocol.
+
+        Raises:
+            ConnectionRefusedError: The remote kernel refused the connection.
+            TimeoutError: The connection wasn't established within `within` seconds.
+        """
+        established: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-        def done(why: Exception | None = None) -> None:
-            if not stands.done():
-                stands.set_exception(why) if why else stands.set_result(None)
+        def done(error: Exception | None = None) -> None:
+            if not established.done():
+                established.set_exception(error) if error else established.set_result(None)
 
         protocol = make()
-        made, protocol.stands = protocol, done
+        made, protocol.on_established = protocol, done
         end = self.dial(made, address, lambda: done(ConnectionRefusedError(address)))
         try:
             async with asyncio.timeout(within):
-                await stands
+                await established
         except BaseException:
-            end.refused, end.closed, end.gone = None, True, True
-            end.way.clear()
-            end.settle()
+            end.on_refused, end.closed, end.discarded = None, True, True
+            end.in_transit.clear()
+            end.discard_if_done()
             raise
         return made
 
 
-async def _nothing(op: str, body: dict[str, Any]) -> dict[str, Any]:
-    raise CallRefusedError("no calls here")
+async def _refuse_call(op: str, body: dict[str, Any]) -> dict[str, Any]:
+    raise CallRefusedError("a stream listener serves no calls")
--- a/loomstand/testing/soak/checks.py
+++ b/loomstand/testing/soak/checks.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from loomstand.testing.simulation.http_log import Ask, Book, Reply, Run
+from loomstand.testing.simulation.http_log import ClientRequest, Reply, RequestLog, ServerArrival
 from loomstand.testing.soak.timing import GRACE_SECONDS
 
 # The limits of RULES.md are for machines without load; all processes of a run share one machine.
@@ -37,17 +37,17 @@
     acknowledged_at: float
 
 
-def lost_requests(book: Book, was_disturbed: WasDisturbed) -> list[str]:
+def lost_requests(request_log: RequestLog, was_disturbed: WasDisturbed) -> list[str]:
     """LOST: a proxy that was running or stopping in order closed a connection without an answer.
 
     A close counts if the request had been forwarded, or if it came more than `LOSS_SLACK_SECONDS`
     (plus the slack for load) after the request was sent. Requests are skipped if the proxy was
     killed or frozen in that time or the client left.
     """
-    runs = runs_by_request(book)
+    runs = runs_by_request(request_log)
     lost = []
-    for ask in book.asks.values():
-        reply = book.replies.get(ask.id)
+    for ask in request_log.requests.values():
+        reply = request_log.replies.get(ask.id)
         if reply is None or reply.status or reply.end not in NO_ANSWER:
             continue
         if was_disturbed(ask.front[0], ask.sent, reply.at, False):
@@ -58,24 +58,26 @@
     return lost
 
 
-def abandoned_runs(book: Book, was_disturbed: WasDisturbed) -> list[str]:
+def abandoned_runs(request_log: RequestLog, was_disturbed: WasDisturbed) -> list[str]:
     """GONE: a server still worked on an idempotent request long after its client had left."""
-    late = book.runs_after_departure(DEPARTURE_SECONDS + LOAD_SLACK_SECONDS)
+    late = request_log.runs_after_departure(DEPARTURE_SECONDS + LOAD_SLACK_SECONDS)
     return [
-        f"GONE: {run.id} went on for {run.ended - book.asks[run.id].left_at:.2f} s"
+        f"GONE: {run.id} went on for {run.ended - request_log.requests[run.id].left_at:.2f} s"
         for run in late
-        if book.asks[run.id].idempotent
-        and not was_disturbed(book.asks[run.id].front[0], run.at, run.ended, False)
+        if request_log.requests[run.id].idempotent
+        and not was_disturbed(request_log.requests[run.id].front[0], run.at, run.ended, False)
     ]
 
 
-def late_arrivals(book: Book, drains: list[Drain], was_disturbed: WasDisturbed) -> list[str]:
+def late_arrivals(
+    request_log: RequestLog, drains: list[Drain], was_disturbed: WasDisturbed
+) -> list[str]:
     """DRAIN: a request reached a server long after its draining was acknowledged."""
     acknowledged_at = {drain.server: drain.acknowledged_at for drain in drains}
     late = []
-    for run in book.arrivals:
+    for run in request_log.arrivals:
         since = run.at - acknowledged_at.get(run.server, run.at)
-        front = book.asks[run.id].front[0] if run.id in book.asks else ""
+        front = request_log.requests[run.id].front[0] if run.id in request_log.requests else ""
         if since <= DRAIN_SECONDS + LOAD_SLACK_SECONDS:
             continue
         if not was_disturbed(front, run.at - CONTACT_SECONDS, run.at, True):
@@ -85,7 +87,7 @@
     return late
 
 
-def needless_overdue(book: Book, front: str, overdue_at: list[float]) -> list[str]:
+def needless_overdue(request_log: RequestLog, front: str, overdue_at: list[float]) -> list[str]:
     """A proxy exceeded its grace period although no server was working for it at the end.
 
     A proxy may wait for a server that works for it in the last sixth of the period.
@@ -94,23 +96,23 @@
     for moment in overdue_at:
         server_works = any(
             run.at < moment and (not run.ended or run.ended > moment - GRACE_SECONDS / 6)
-            for run in book.runs()
-            if book.asks[run.id].front[0] == front
+            for run in request_log.runs()
+            if request_log.requests[run.id].front[0] == front
         )
         if not server_works:
             needless.append(f"{front}: still there {GRACE_SECONDS:g} s after SIGTERM")
     return needless
 
 
-def runs_by_request(book: Book) -> dict[str, Run]:
+def runs_by_request(request_log: RequestLog) -> dict[str, ServerArrival]:
     """Returns the first run of each request that a server started."""
-    runs: dict[str, Run] = {}
-    for run in book.runs():
+    runs: dict[str, ServerArrival] = {}
+    for run in request_log.runs():
         runs.setdefault(run.id, run)
     return runs
 
 
-def describe(ask: Ask, reply: Reply) -> str:
+def describe(ask: ClientRequest, reply: Reply) -> str:
     """Returns a request and its result as one line."""
     seconds = reply.at - ask.sent
     where = f"{ask.id} {ask.method} at {ask.front[0]}, sent at {ask.sent:.3f}"
--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -254,10 +254,10 @@
 
 def test_status_of_a_cluster_is_printed_and_different_versions_are_reported(start_registry, capsys):
     cluster = Cluster(proxies=2)
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
     cluster.wait(2.0)
     request = (b"POST", b"/api/rpc?call=system.status", b"")
-    responses = [cluster.do(cluster.registry(ip).handle_http(*request)) for ip in cluster.core_ips]
+    responses = [cluster.run(cluster.registry(ip).handle_http(*request)) for ip in cluster.core_ips]
     reports = [json.loads(raw) for code, raw in responses if code == 200]
     cluster.close()
     assert len(reports) == 3 and sum(report["counting"]["here"] for report in reports) == 1
--- a/tests/golden/runs.py
+++ b/tests/golden/runs.py
@@ -110,9 +110,11 @@
 
     def __init__(self, seed: int, seeds: list[str] = HOSTS[:3]) -> None:
         self.loop, rng = names.VirtualLoop(), Random(seed)
-        self.sky, self.first, self.seeds = names.SimNetwork(rng), True, seeds
-        self.air = names.MachineNetwork(self.sky, "10.9.0.1", names.Life())
-        self.machines = names.make_machines(self.sky, rng, HOSTS, lambda host: [self.factory(host)])
+        self.network, self.first, self.seeds = names.SimNetwork(rng), True, seeds
+        self.client_network = names.MachineNetwork(self.network, "10.9.0.1", names.SimProcess())
+        self.machines = names.make_machines(
+            self.network, rng, HOSTS, lambda host: [self.factory(host)]
+        )
 
     def factory(self, host: str) -> Callable[..., Any]:
         def make(network, disk, clock, rng):
@@ -123,7 +125,7 @@
         return make
 
     async def call(self, host: str, op: str, body: dict[str, Any], within: float = 1.0) -> Any:
-        got = await self.air.call((host, names.STORE_PORT), op, body, within)
+        got = await self.client_network.call((host, names.STORE_PORT), op, body, within)
         return got.ok if got.is_ok() else None
 
     async def primary(self) -> str:
@@ -165,7 +167,7 @@
     await stores.call(primary, "duty", registry)
     await stores.call(primary, "duty", {"host": "10.8.0.8", "life": 8})
     await asyncio.sleep(0.5)
-    await stores.machines[primary].leave()  # transfers leadership
+    await stores.machines[primary].shut_down()  # transfers leadership
     await asyncio.sleep(1.5)
     await stores.put(5, b"five")
     stores.machines[primary].start()
@@ -219,7 +221,7 @@
 
 def _disks(machines: dict[str, Any]) -> dict[str, dict[str, str]]:
     return {
-        host: {name: page.hex() for name, page in sorted(names.platter_pages(machine).items())}
+        host: {name: page.hex() for name, page in sorted(names.disk_pages(machine).items())}
         for host, machine in machines.items()
     }
 
@@ -227,51 +229,51 @@
 # --- all programs
 
 
-async def _drive_cluster(town: names.Cluster) -> None:
-    town.usual()
-    town.tenant("ann", "key-of-ann", 12.0, 10.0)
-    await town.begin()
-    flow = town.behind(
-        town.flow(
-            town.client, 30, 4.0, "GET", "town.example", "/a/x", "key-of-ann", idempotent=True
+async def _drive_cluster(cluster: names.Cluster) -> None:
+    cluster.use_default_configuration()
+    cluster.tenant("ann", "key-of-ann", 12.0, 10.0)
+    await cluster.start()
+    flow = cluster.run_in_background(
+        cluster.send_requests(
+            cluster.client, 30, 4.0, "GET", "town.example", "/a/x", "key-of-ann", idempotent=True
         )
     )
     await asyncio.sleep(1.0)
     for n in range(20):  # over 2,000 bytes: proxies fetch it compressed
-        town.route(f"more-{n}", "beta")
-    assert await town.replace()
-    await town.operator.read()
+        cluster.route(f"more-{n}", "beta")
+    assert await cluster.replace()
+    await cluster.operator.read()
     await asyncio.sleep(1.0)
-    await town.servers["alpha"][1].drain()
-    await town.servers["beta"][1].leave()
-    await town.proxies["10.2.0.2"].end()  # sends the call `bye`
+    await cluster.servers["alpha"][1].drain()
+    await cluster.servers["beta"][1].leave()
+    await cluster.proxies["10.2.0.2"].terminate()  # sends the call `bye`
     await flow
-    counting = town.counting()
-    for host in town.core(counting):  # a takeover, also of the counting lease
+    counting = cluster.counting_host()
+    for host in cluster.core(counting):  # a takeover, also of the counting lease
         host.power_off()
     await asyncio.sleep(4.0)
-    town.route("again", "alpha")
-    assert await town.replace(8.0)
-    for host in town.core(counting):
+    cluster.route("again", "alpha")
+    assert await cluster.replace(8.0)
+    for host in cluster.core(counting):
         host.start()
     await asyncio.sleep(3.0)
-    for host in town.core(town.core_ips[2]):  # releases its leases
-        await host.end()
+    for host in cluster.core(cluster.core_ips[2]):  # releases its leases
+        await host.terminate()
     await asyncio.sleep(1.0)
-    for host in town.core(town.core_ips[2]):
+    for host in cluster.core(cluster.core_ips[2]):
         host.start()
     await asyncio.sleep(3.0)
 
 
-async def _lose_core(town: names.Cluster) -> None:
+async def _lose_core(cluster: names.Cluster) -> None:
     """Powers off the core and wipes two stores: proxies offer the configuration to the core."""
-    for ip in town.core_ips:
-        registry, store = town.core(ip)
+    for ip in cluster.core_ips:
+        registry, store = cluster.core(ip)
         registry.power_off()
-        store.power_off(wipe=ip != town.core_ips[0])
+        store.power_off(wipe=ip != cluster.core_ips[0])
     await asyncio.sleep(0.5)
-    for ip in town.core_ips:
-        for host in town.core(ip):
+    for ip in cluster.core_ips:
+        for host in cluster.core(ip):
             host.start()
     await asyncio.sleep(6.0)
 
@@ -279,30 +281,30 @@
 def cluster_run() -> dict[str, Any]:
     """Runs all programs: requests, a drain, a takeover, loss of the core; disks as before it."""
     with recording() as recorder:
-        town = names.Cluster(7)
+        cluster = names.Cluster(7)
         try:
-            town.do(_drive_cluster(town))
-            disks = _disks(town.stores)
-            town.do(_lose_core(town))
+            cluster.run(_drive_cluster(cluster))
+            disks = _disks(cluster.stores)
+            cluster.run(_lose_core(cluster))
         finally:
-            town.loop.close()
+            cluster.loop.close()
     return recorder.result() | {"disks": disks}
 
 
 # --- calls as older programs made them, and calls that are refused
 
 
-async def _make_older_calls(town: names.Cluster) -> None:
-    for host in (*town.stores.values(), *town.registries.values()):
+async def _make_older_calls(cluster: names.Cluster) -> None:
+    for host in (*cluster.stores.values(), *cluster.registries.values()):
         host.start()
     await asyncio.sleep(4.0)
-    air = names.MachineNetwork(town.sky, "10.9.0.1", names.Life())
+    client_network = names.MachineNetwork(cluster.network, "10.9.0.1", names.SimProcess())
 
     async def call(port: int, op: str, body: dict[str, Any], ip: str = "") -> Any:
-        got = await air.call((ip or town.core_ips[0], port), op, body, 1.5)
+        got = await client_network.call((ip or cluster.core_ips[0], port), op, body, 1.5)
         return got.ok if got.is_ok() else None
 
-    store, registry, ip = names.STORE_PORT, names.REGISTRY_PORT, town.counting()
+    store, registry, ip = names.STORE_PORT, names.REGISTRY_PORT, cluster.counting_host()
     await call(store, "put", {"version": 4, "data": b'{"version":"r4","resources":[]}'})
     await asyncio.sleep(1.0)
     await call(store, "wait", {"have": 4, "within": 0.2})  # without a mark
@@ -328,16 +330,16 @@
     step = {"name": 7 << 40, "step": 2.0, "keep": 5.0}
     entry = [7 << 40, 0.0, 1.0, 2.0, 0.0]
     lone = {"name": "n-of-before", "life": 3, "number": 0, "alone": True, "entries": [entry]}
-    for host in (ip, *(other for other in town.core_ips if other != ip)):
+    for host in (ip, *(other for other in cluster.core_ips if other != ip)):
         await call(registry, "count", step, host)
         await call(registry, "grant", lone, host)
-    for host in town.core(ip):
+    for host in cluster.core(ip):
         host.power_off()
     for _ in range(
         40
     ):  # the next counting registry reports at first that its totals are incomplete
         await asyncio.sleep(0.2)
-        for other in town.core_ips:
+        for other in cluster.core_ips:
             if other != ip:
                 await call(registry, "count", step, other)
 
@@ -345,11 +347,11 @@
 def older_run() -> dict[str, Any]:
     """Runs calls without the fields that older programs don't send, and calls that are refused."""
     with recording() as recorder:
-        town = names.Cluster(9, proxies=0, servers=0)
+        cluster = names.Cluster(9, proxies=0, servers=0)
         try:
-            town.do(_make_older_calls(town))
+            cluster.run(_make_older_calls(cluster))
         finally:
-            town.loop.close()
+            cluster.loop.close()
     return recorder.result()
 
 
@@ -410,12 +412,12 @@
     return encoded | {"not JSON": b"{", "not UTF-8": b'{"address": "\xff"}', "empty": b""}
 
 
-async def _make_operator_calls(town: names.Cluster, calls: dict[str, Any]) -> None:
+async def _make_operator_calls(cluster: names.Cluster, calls: dict[str, Any]) -> None:
     rpc = "/api/rpc?call="
 
     async def record_call(name: str, raw: bytes, within: float = 6.0, ip: str = "") -> Any:
-        at = (ip or town.core_ips[0], names.OPERATOR_PORT)
-        response = await names.exchange(town.operator.streams, at, raw, within)
+        at = (ip or cluster.core_ips[0], names.OPERATOR_PORT)
+        response = await names.exchange(cluster.operator.streams, at, raw, within)
         assert response is not None, name
         shown = raw if len(raw) < 10_000 else raw[:200] + b"..."
         calls[name] = {
@@ -468,7 +470,7 @@
     await record_call("unknown path", _raw("/api/other?call=system.status", b""))
     await record_call("another method", _raw(rpc + "system.status", b"", "GET"))
     await record_call("too large", _raw(rpc + "configuration.replace", b"", length=9 << 20))
-    for store in town.stores.values():
+    for store in cluster.stores.values():
         store.kill()
     await asyncio.sleep(3.0)
     late = b'{"version": "r9", "resources": []}'
@@ -481,18 +483,18 @@
 def operator_call_run() -> dict[str, Any]:
     """Returns the responses of a registry to operator calls, by a name for each call."""
     calls: dict[str, Any] = {}
-    town = names.Cluster(5, proxies=0, servers=0)
+    cluster = names.Cluster(5, proxies=0, servers=0)
 
     async def run_calls() -> None:
-        for host in (*town.stores.values(), *town.registries.values()):
+        for host in (*cluster.stores.values(), *cluster.registries.values()):
             host.start()
         await asyncio.sleep(3.0)
-        await _make_operator_calls(town, calls)
+        await _make_operator_calls(cluster, calls)
 
     try:
-        town.do(run_calls())
+        cluster.run(run_calls())
     finally:
-        town.loop.close()
+        cluster.loop.close()
     return calls
 
 
--- a/tests/proxy/test_sessions.py
+++ b/tests/proxy/test_sessions.py
@@ -12,7 +12,7 @@
 from loomstand.proxy.shared_clock import ONE_WAY_TICKS, SharedClock
 from loomstand.rpc.errors import CallFailure
 from loomstand.testing.simulation.cluster import Cluster
-from loomstand.testing.simulation.loop import play
+from loomstand.testing.simulation.loop import run_simulated
 
 
 class ScriptedNetwork:
@@ -70,7 +70,7 @@
         await asyncio.sleep(seconds)
         return listener.limiters, set(sessions.tasks)
 
-    return play(work)
+    return run_simulated(work)
 
 
 def test_limiter_set_of_the_most_complete_registry_takes_precedence():
@@ -122,7 +122,7 @@
         ).start()
         await asyncio.sleep(0.5)
 
-    play(work)
+    run_simulated(work)
     assert ["s" in body for body in requests[:5]] == [False, True, True, False, True]
     assert all("name" in body for body in requests if "s" not in body)
 
@@ -149,28 +149,28 @@
 def test_limiter_started_with_a_wrong_wall_clock_uses_the_shared_clock():
     """A proxy starts while the core is down, on a machine whose wall clock is off by 1,600 s."""
     cluster = Cluster(5, proxies=3)
-    cluster.usual()
+    cluster.use_default_configuration()
     cluster.tenant("greedy", "key-of-greedy", 40, 40)
-    cluster.do(cluster.begin())
+    cluster.run(cluster.start())
     skewed = next(iter(cluster.proxies))
     core = [host for ip in cluster.core_ips for host in cluster.core(ip)]
 
     async def restart_without_core() -> None:
         for host in [*core, cluster.proxies[skewed]]:
             host.kill()
-        cluster.steps[skewed] = 1600.0
+        cluster.clock_offsets[skewed] = 1600.0
         cluster.proxies[skewed].start()
         await asyncio.sleep(4.0)
         for host in core:
             host.start()
         await asyncio.sleep(4.0)
 
-    cluster.do(restart_without_core())
-    clocks = [proxy.now() + proxy.shared_clock.offset for proxy in cluster.all_proxies()]
+    cluster.run(restart_without_core())
+    clocks = [proxy.now() + proxy.shared_clock.offset for proxy in cluster.running_proxies()]
     assert max(clocks) - min(clocks) <= 50  # 5 ms
-    greedy, target = cluster.someone(), ("GET", "town.example", "/a/x", "key-of-greedy")
-    cluster.do(cluster.flow(greedy, 200, 8, *target, idempotent=True, tries=1))
-    run_times = sorted(run.at for run in cluster.book.runs() if run.tenant == "greedy")
+    greedy, target = cluster.new_client(), ("GET", "town.example", "/a/x", "key-of-greedy")
+    cluster.run(cluster.send_requests(greedy, 200, 8, *target, idempotent=True, tries=1))
+    run_times = sorted(run.at for run in cluster.request_log.runs() if run.tenant == "greedy")
     assert (
         max(sum(t <= other < t + 5 for other in run_times) for t in run_times)
         <= (40 * 5 + 40) * 1.1 + 20
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -34,11 +34,11 @@
 from loomstand.store.disk import LmdbDisk
 from loomstand.store.replica import Replica
 from loomstand.testing.simulation.cluster import Cluster
-from loomstand.testing.simulation.loop import play
+from loomstand.testing.simulation.loop import run_simulated
 
 
 def is_in_force_everywhere(system: Cluster) -> bool:
-    return all(p.configuration.table.version == system.version for p in system.all_proxies())
+    return all(p.configuration.table.version == system.version for p in system.running_proxies())
 
 
 def resources(routes: int) -> list[dict[str, Any]]:
@@ -174,7 +174,7 @@
         if kind in ("power", "wipe", "all"):
             failed.power_off(wipe=kind == "wipe")
         elif kind == "cut":
-            cluster.network.apart([failed.host], [h for h in hosts if h != failed.host])
+            cluster.network.partition([failed.host], [h for h in hosts if h != failed.host])
         else:
             failed.freeze()
         await put_changes(cluster, 105, failed.host)
@@ -190,7 +190,7 @@
         elif kind in ("power", "wipe"):
             failed.start()
         elif kind == "cut":
-            cluster.network.mend()
+            cluster.network.heal()
         else:
             failed.thaw()
         await put_changes(cluster, 5, "")
@@ -200,14 +200,14 @@
         assert store.replica.version == cluster.acknowledged_version, (
             f"{machine.host} didn't catch up"
         )
-        assert sum(map(len, machine.platter.pages.values())) < 1000 + 16 * MAX_ENTRIES
+        assert sum(map(len, machine.disk_state.pages.values())) < 1000 + 16 * MAX_ENTRIES
         assert len(store.parts.io.tasks) < 20 and len(store.replica.history.entries) <= MAX_ENTRIES
 
 
 def run_outages(seed: int) -> None:
     cluster = StoreCluster(seed)
     try:
-        cluster.do(outages_during_changes(cluster, Random(seed)))
+        cluster.run(outages_during_changes(cluster, Random(seed)))
         cluster.close()
     finally:
         cluster.loop.close()
@@ -235,9 +235,9 @@
     They are measured from the end of its partition; changes continue meanwhile.
     """
     system = Cluster(5, proxies=2)
-    system.do(system.begin())
+    system.run(system.start())
     ip = next(iter(system.proxies))
-    system.sky.apart([ip], system.core_ips)
+    system.network.partition([ip], system.core_ips)
 
     async def change_routes(number: int) -> None:
         for n in range(number):
@@ -245,16 +245,16 @@
             assert await system.replace()
             await asyncio.sleep(0.02)
 
-    system.do(change_routes(versions))
+    system.run(change_routes(versions))
     assert system.proxy(ip).configuration.table.version < system.version - versions
-    system.sky.mend()
-    newest, changing = system.version, system.behind(change_routes(60))
-    duration = system.do(
-        system.until(lambda: system.proxy(ip).configuration.table.version >= newest, 4.0)
+    system.network.heal()
+    newest, changing = system.version, system.run_in_background(change_routes(60))
+    duration = system.run(
+        system.wait_until(lambda: system.proxy(ip).configuration.table.version >= newest, 4.0)
     )
-    system.do(asyncio.wait_for(changing, 60.0))
-    system.do(
-        system.until(
+    system.run(asyncio.wait_for(changing, 60.0))
+    system.run(
+        system.wait_until(
             lambda: is_in_force_everywhere(system),
             0.5,
         )
@@ -302,7 +302,7 @@
         await asyncio.sleep(20.0)
         return got
 
-    return play(work)
+    return run_simulated(work)
 
 
 def test_a_transfer_longer_than_the_interval_between_changes_still_completes(monkeypatch):
@@ -329,20 +329,20 @@
 
     monkeypatch.setattr(StoreClient, "handle_configuration", fetch)
     system = Cluster(6, proxies=2)
-    system.do(system.begin())
+    system.run(system.start())
     for n in range(3000):
         system.route(f"many{n}", ("alpha", "beta")[n % 2])
-    assert system.do(system.replace())
-    system.do(
-        system.until(
+    assert system.run(system.replace())
+    system.run(
+        system.wait_until(
             lambda: is_in_force_everywhere(system),
             2.0,
         )
     )
     size = len(system.versions[system.version])
     assert size > 700_000 and max(sent) < size / 10
-    assert system.do(system.operator.read()) == system.versions[system.version]
-    large = system.do(
+    assert system.run(system.operator.read()) == system.versions[system.version]
+    large = system.run(
         system.operator.call("configuration.replace", b" " * (MAX_BODY_BYTES + 1), 5.0)
     )
     assert large.status == 413 and b"long" in large.body
@@ -351,7 +351,7 @@
 
 def test_large_changes_at_once_are_limited_by_their_size(monkeypatch):
     system = Cluster(4, proxies=1)
-    system.do(system.begin())
+    system.run(system.start())
     number, registry = system.version, system.registry(system.core_ips[0])
     orders = [system.body(number + 1 + n) for n in range(8)]
 
@@ -361,18 +361,18 @@
         )
         return sorted(status for status, _ in await asyncio.gather(*calls))
 
-    assert system.do(at_once()) == [200] * 8 and registry.operator_api.pending_bytes == 0
+    assert system.run(at_once()) == [200] * 8 and registry.operator_api.pending_bytes == 0
     monkeypatch.setattr(operator_api, "MAX_PENDING_BYTES", 3 * len(orders[0]) + 3)
     assert (
-        system.do(at_once()) == [200] * 3 + [503] * 5 and registry.operator_api.pending_bytes == 0
+        system.run(at_once()) == [200] * 3 + [503] * 5 and registry.operator_api.pending_bytes == 0
     )
     monkeypatch.setattr(
         operator_api, "MAX_PENDING_BYTES", 10
     )  # a single change above the limit is accepted, too
     assert (
-        system.do(registry.handle_http(b"POST", b"/api/rpc?call=configuration.replace", orders[7]))[
-            0
-        ]
+        system.run(
+            registry.handle_http(b"POST", b"/api/rpc?call=configuration.replace", orders[7])
+        )[0]
         == 200
     )
     system.close()
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -16,15 +16,19 @@
 from loomstand.rpc.messages.configuration_messages import ReadResponse
 from loomstand.store import freshness
 from loomstand.store.configuration_service import ConfigurationService
-from loomstand.testing.simulation.cluster import CONTROL, Cluster
-from loomstand.testing.simulation.control_plane import PASSED, ControlPlane, drawn
+from loomstand.testing.simulation.cluster import CONTROL_PORT, Cluster
+from loomstand.testing.simulation.control_plane import (
+    READ_STALENESS_SECONDS,
+    ControlPlane,
+    run_random_faults,
+)
 from loomstand.testing.simulation.streams import Host
 
 
 @pytest.fixture
 def plane():
     made = ControlPlane(3)
-    made.do(made.begin())
+    made.run(made.start())
     made.wait(0.5)
     yield made
     made.close()
@@ -49,20 +53,22 @@
         frozen = {"registry": [plane.registries[first]], "store": [plane.stores[first]]}
         frozen["both"] = plane.hosts(first)
         others = [ip for ip in plane.core_ips if ip != first]
-        late = plane.behind(plane.read(first if asked == "itself" else others[0]))
+        late = plane.run_in_background(
+            plane.read_version(first if asked == "itself" else others[0])
+        )
         await asyncio.sleep(ms / 1000)
         for host in frozen[who]:
             host.freeze()
         await asyncio.sleep(3.0)
-        assert await plane.order(others[0], 1.0) == 200
-        await asyncio.sleep(PASSED + 0.2)
+        assert await plane.send_change(others[0], 1.0) == 200
+        await asyncio.sleep(READ_STALENESS_SECONDS + 0.2)
         for host in frozen[who]:
             host.thaw()
         version = await late
         await asyncio.sleep(2.5)
         return version
 
-    return [plane.do(one(ms / 2)) for ms in range(3, 34, 4)]
+    return [plane.run(one(ms / 2)) for ms in range(3, 34, 4)]
 
 
 @pytest.mark.parametrize(
@@ -80,7 +86,7 @@
         lambda lease_seconds, asked_at, now, timeout_seconds: timeout_seconds,
     )
     plane = ControlPlane(3)
-    plane.do(plane.begin())
+    plane.run(plane.start())
     with pytest.raises(AssertionError, match="handed out"):
         reads_during_freeze(plane, "registry", "itself")
     with contextlib.suppress(AssertionError):  # the same error from a background task
@@ -111,7 +117,7 @@
     plane.registries[ip].freeze()
     plane.wait(store_client.WAIT_SECONDS + store_client.REPORT_LIFETIME_SECONDS)
     assert not configuration.is_current(clock())
-    plane.do(thaw(plane.registries[ip]))
+    plane.run(thaw(plane.registries[ip]))
     plane.wait(0.5)
     assert configuration.is_current(clock())
 
@@ -138,26 +144,31 @@
     async def scenario() -> None:
         first = plane.primary()
         rest = [ip for ip in plane.core_ips if ip != first]
-        plane.sky.cuts |= cuts(plane, how)
+        plane.network.blocked_links |= cuts(plane, how)
         until, acknowledged = plane.loop.time() + 20.0, 0
         late = []
         while plane.loop.time() < until:
-            late += [plane.behind(plane.order(first)), plane.behind(plane.read(first))]
+            late += [
+                plane.run_in_background(plane.send_change(first)),
+                plane.run_in_background(plane.read_version(first)),
+            ]
             # a repeated request to the partitioned machine
             if plane.sent and plane.rng.random() < 0.5:
                 late.append(
-                    plane.behind(plane.order(first, version=plane.rng.choice([*plane.sent])))
+                    plane.run_in_background(
+                        plane.send_change(first, version=plane.rng.choice([*plane.sent]))
+                    )
                 )
-            acknowledged += await plane.order(rest[-1], 1.0) == 200
-            await plane.read(rest[-1], 1.0)
+            acknowledged += await plane.send_change(rest[-1], 1.0) == 200
+            await plane.read_version(rest[-1], 1.0)
             await asyncio.sleep(0.25)
         assert acknowledged > 40  # of about 75 changes
-        plane.sky.mend()
+        plane.network.heal()
         await asyncio.gather(*late)
         await asyncio.sleep(1.5)
-        await plane.calm()
+        await plane.check_recovered()
 
-    plane.do(scenario())
+    plane.run(scenario())
 
 
 def start_in_minority_partition() -> tuple[float, int, int, float]:
@@ -170,31 +181,31 @@
         the end of the partition until the proxy has that version.
     """
     system = Cluster(5, proxies=2, servers=2)
-    system.do(system.begin())
+    system.run(system.start())
     ip = next(iter(system.proxies))
-    alone = next(c for c in system.core_ips if not system.serves(c))
+    alone = next(c for c in system.core_ips if not system.is_serving(c))
 
     async def scenario() -> tuple[float, int, int, float]:
         rest = [c for c in system.core_ips if c != alone]
-        system.sky.apart([alone], rest)
-        system.sky.apart([ip], rest)
-        system.operator.cores = [(c, CONTROL) for c in rest]
+        system.network.partition([alone], rest)
+        system.network.partition([ip], rest)
+        system.operator.cores = [(c, CONTROL_PORT) for c in rest]
         await asyncio.sleep(2.0)
         system.route("new", "alpha")
         assert await system.replace()
         system.proxies[ip].kill()
         system.proxies[ip].start()
-        ready = await system.until(
+        ready = await system.wait_until(
             lambda: bool(system.proxies[ip].programs) and system.proxy(ip).is_ready, 6.0
         )
         held = system.proxy(ip).configuration.table.version
-        system.sky.mend()
-        recovery = await system.until(
+        system.network.heal()
+        recovery = await system.wait_until(
             lambda: system.proxy(ip).configuration.table.version == system.version, 3.0
         )
         return ready, held, system.version, recovery
 
-    result = system.do(scenario())
+    result = system.run(scenario())
     system.close()
     return result
 
@@ -217,24 +228,25 @@
     first = plane.primary()
     others = [ip for ip in plane.core_ips if ip != first]
     late = [
-        plane.behind(w) for w in (plane.order(first), plane.read(first), plane.order(others[0]))
+        plane.run_in_background(w)
+        for w in (plane.send_change(first), plane.read_version(first), plane.send_change(others[0]))
     ]
     version = plane.version
     await asyncio.sleep(ms / 1000)
     if how in ("isolated", "inbound", "outbound"):
-        plane.sky.cuts |= cuts(plane, how) if plane.primary() else set()
+        plane.network.blocked_links |= cuts(plane, how) if plane.primary() else set()
     for host in plane.hosts(first):
         if how == "frozen":
             host.freeze()
         elif how == "wiped":
             host.power_off(wipe=True)
     until = plane.loop.time() + 5.0
-    while await plane.order(others[-1], 1.0, version) != 200:
+    while await plane.send_change(others[-1], 1.0, version) != 200:
         assert plane.loop.time() < until, "not acknowledged by the remaining machines"
         await asyncio.sleep(0.1)
-    await plane.order(others[0], 1.0)
-    await asyncio.sleep(PASSED + 0.3)
-    plane.sky.mend()
+    await plane.send_change(others[0], 1.0)
+    await asyncio.sleep(READ_STALENESS_SECONDS + 0.3)
+    plane.network.heal()
     for host in plane.hosts(first):
         if how == "frozen":
             host.thaw()
@@ -242,20 +254,20 @@
             host.start()
     await asyncio.gather(*late)
     await asyncio.sleep(4.0 if how == "wiped" else 1.0)
-    await plane.calm()
+    await plane.check_recovered()
 
 
 @pytest.mark.parametrize("how", ["isolated", "inbound", "outbound", "frozen", "wiped"])
 def test_a_fault_of_the_primary_at_any_step_of_a_change(plane, how):
     for ms in range(0, 26, 3):
-        plane.do(fault_during_change(plane, how, ms + 0.5))
+        plane.run(fault_during_change(plane, how, ms + 0.5))
 
 
 # --- random faults
 
 
 def test_random_faults_lose_no_change_refuse_none_and_serve_no_outdated_version():
-    planes = [drawn(seed) for seed in range(4)]
+    planes = [run_random_faults(seed) for seed in range(4)]
     assert sum(p.reads for p in planes) > 300 and sum(len(p.acked) for p in planes) > 300
 
 
@@ -267,4 +279,4 @@
     monkeypatch.setattr(ConfigurationService, "handle_read", read)
     with pytest.raises(AssertionError, match="handed out"):
         for seed in range(8):
-            drawn(seed)
+            run_random_faults(seed)
--- a/tests/store/test_replica_copies.py
+++ b/tests/store/test_replica_copies.py
@@ -44,7 +44,7 @@
         view = max((v for v in views if v), key=lambda v: v.epoch, default=None)
         synced = elected = 0
         for machine in self.machines.values():
-            pages = machine.platter.pages
+            pages = machine.disk_state.pages
             record = Record.from_pages(pages)
             if record is None:
                 continue
@@ -83,7 +83,7 @@
         for task in self.tasks:
             task.cancel()
         self.wait(4.0)
-        assert self.do(self.read_newest()) >= self.acknowledged_version
+        assert self.run(self.read_newest()) >= self.acknowledged_version
         self.close()
         return {k: round(v, 3) for k, v in self.low_copy_seconds.items()}
 
@@ -110,7 +110,7 @@
 async def rolling_restart(cluster: StoreCluster) -> None:
     """Sends SIGTERM to one machine after the other; each restarts after 1 s."""
     for machine in [*cluster.machines.values()]:
-        await machine.leave()
+        await machine.shut_down()
         await asyncio.sleep(1.0)
         machine.start()
         await asyncio.sleep(1.5)
@@ -120,17 +120,17 @@
     """Shuts down the backup and loses its disk, then does the same to the primary."""
     for role in ("the backup", "the primary"):
         machine = cluster.machine_in_role(role)
-        await machine.leave()
-        machine.platter.wipe()
+        await machine.shut_down()
+        machine.disk_state.wipe()
         await asyncio.sleep(2.0)
 
 
 async def remove_both_at_once(cluster: StoreCluster) -> None:
     """Shuts down the primary and the backup at the same time and loses both disks."""
     both = [cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")]
-    await asyncio.gather(*(m.leave() for m in both))
+    await asyncio.gather(*(m.shut_down() for m in both))
     for machine in both:
-        machine.platter.wipe()
+        machine.disk_state.wipe()
     await asyncio.sleep(3.0)
 
 
@@ -144,8 +144,8 @@
         cluster.machines[new_host] = fresh[new_host]
         fresh[new_host].start()
         await asyncio.sleep(1.0)
-        await cluster.machines[old_host].leave()
-        cluster.machines[old_host].platter.wipe()
+        await cluster.machines[old_host].shut_down()
+        cluster.machines[old_host].disk_state.wipe()
         await asyncio.sleep(3.0)
 
 
@@ -167,8 +167,8 @@
 def test_how_long_fewer_copies_exist(name):
     step, three, two, elected = STEPS[name]
     cluster = CopyCountingCluster()
-    cluster.do(cluster.start_counting())
-    cluster.do(step(cluster))
+    cluster.run(cluster.start_counting())
+    cluster.run(step(cluster))
     low = cluster.finish()
     print(name, low)
     assert low.get(("synced", 3), 0.0) <= three
@@ -188,20 +188,20 @@
     empty disk `away` seconds later.
     """
     first, backup = cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")
-    leaving = cluster.loop.create_task(backup.leave()) if after >= 0.0 else None
+    leaving = cluster.loop.create_task(backup.shut_down()) if after >= 0.0 else None
     await asyncio.sleep(max(0.0, after))
     assert after > 0.0 or await cluster.put_within(0.5)
     first.power_off(wipe=True)
     if leaving is None:
         await asyncio.sleep(-after)
-        leaving = cluster.loop.create_task(backup.leave())
+        leaving = cluster.loop.create_task(backup.shut_down())
     back = cluster.loop.create_task(restart_later(first, away))
     started_at = cluster.loop.time()
     await leaving
     assert (
         cluster.loop.time() - started_at <= 6.0 - graceful_shutdown.SAFETY_MARGIN_SECONDS + 0.3
     ), "a process runs longer than its grace period"
-    backup.platter.wipe()
+    backup.disk_state.wipe()
     await back
     await asyncio.sleep(2.0)
 
@@ -229,8 +229,8 @@
     """Returns the first seed that loses an acknowledged version or stops serving, else None."""
     for seed, (after, away) in (LEAVES | (CHANGING if hosts > 3 else {})).items():
         cluster = CopyCountingCluster(seed, hosts)
-        cluster.do(cluster.start_counting())
-        cluster.do(last_copy_leaves(cluster, after, away))
+        cluster.run(cluster.start_counting())
+        cluster.run(last_copy_leaves(cluster, after, away))
         try:
             cluster.finish()
         except AssertionError:
@@ -315,12 +315,12 @@
 def rescue_after_loss() -> tuple[int, int]:
     """Returns the version that a rescue restores after this loss, and the acknowledged one."""
     cluster = CopyCountingCluster()
-    cluster.do(cluster.start_counting())
+    cluster.run(cluster.start_counting())
     for task in cluster.tasks:
         task.cancel()
-    cluster.do(lose_two_disks_with_all_power(cluster))
+    cluster.run(lose_two_disks_with_all_power(cluster))
     acked, cluster.acknowledged_version = cluster.acknowledged_version, 0
-    result = cluster.do(rescue(cluster))
+    result = cluster.run(rescue(cluster))
     cluster.close()
     return int(result["version"][1:]), acked
 
--- a/tests/store/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -32,7 +32,7 @@
 
 async def ask(cluster: StoreCluster, gone=(), token=None, at: str = "") -> dict:
     """Requests the rescue case, or with its token the rescue, at a running member."""
-    host = at or next(h for h, m in cluster.machines.items() if m.runs and h not in gone)
+    host = at or next(h for h, m in cluster.machines.items() if m.is_running and h not in gone)
     got = await cluster.client.call((host, PORT), "rescue", {"gone": [*gone], "token": token}, 5.0)
     return got.ok
 
@@ -49,8 +49,8 @@
 
 def obstacles(cluster: StoreCluster, gone=()) -> list[str]:
     """Returns the obstacles to a rescue, and checks that it is refused."""
-    case = cluster.do(ask(cluster, gone))["case"]
-    assert "no" in cluster.do(ask(cluster, gone, case["token"]))
+    case = cluster.run(ask(cluster, gone))["case"]
+    assert "no" in cluster.run(ask(cluster, gone, case["token"]))
     return case["waits"]
 
 
@@ -69,25 +69,25 @@
     cluster.start()
     cluster.wait(2.0)
     cluster.first = False
-    assert cluster.do(cluster.put_within(0.5))
+    assert cluster.run(cluster.put_within(0.5))
     cluster.wait(0.3)
 
 
 @then(parsers.parse("nothing is acknowledged for {s:d} s"))
 def _(cluster, s):
-    assert not cluster.do(cluster.put_within(s))
+    assert not cluster.run(cluster.put_within(s))
 
 
 @then("a rescue is due")
 def _(cluster):
-    case = cluster.do(ask(cluster))["case"]
+    case = cluster.run(ask(cluster))["case"]
     assert case["waits"] == [] and case["version"] == f"r{cluster.acknowledged_version}"
     assert sum(m["lost"] for m in case["members"]) == 2 and len(case["reach"]) == 4
 
 
 @when("operators rescue the store")
 def _(cluster):
-    cluster.done = cluster.do(rescue(cluster))
+    cluster.done = cluster.run(rescue(cluster))
 
 
 @then("the newest acknowledged version is in force, under an epoch of the next epoch range")
@@ -102,7 +102,7 @@
         and len(view.voters) == 3
         and view.backup
     )
-    assert cluster.do(cluster.read_newest()) == cluster.acknowledged_version
+    assert cluster.run(cluster.read_newest()) == cluster.acknowledged_version
 
 
 @when("the primary and a voter lose power")
@@ -119,12 +119,14 @@
     first, voter = (m.host for m in cluster.away)
     for gone, missing in (([], [first, voter]), ([first], [voter]), ([first, voter], [])):
         reasons = (
-            obstacles(cluster, gone) if missing else cluster.do(ask(cluster, gone))["case"]["waits"]
+            obstacles(cluster, gone)
+            if missing
+            else cluster.run(ask(cluster, gone))["case"]["waits"]
         )
         assert sorted(w.split()[0] for w in reasons) == sorted(missing)
         assert all("doesn't answer" in w for w in reasons)
-    there = next(h for h, m in cluster.machines.items() if m.runs)
-    reasons = cluster.do(ask(cluster, [first, voter, there], at=there))["case"]["waits"]
+    there = next(h for h, m in cluster.machines.items() if m.is_running)
+    reasons = cluster.run(ask(cluster, [first, voter, there], at=there))["case"]["waits"]
     assert f"{there}: named as gone, and answers" in reasons
 
 
@@ -145,7 +147,7 @@
 
 @when("operators request a token, and then a stand-by is killed")
 def _(cluster):
-    cluster.case = cluster.do(ask(cluster))["case"]
+    cluster.case = cluster.run(ask(cluster))["case"]
     assert cluster.case["waits"] == []
     next(m for m in cluster.machines.values() if m.host != cluster.case["chosen"]).kill()
 
@@ -153,7 +155,9 @@
 @then("their token and an invalid one are refused")
 def _(cluster):
     for token in (cluster.case["token"], "3-0123456789ab"):
-        assert "another one than that of this token" in cluster.do(ask(cluster, (), token))["no"][0]
+        assert (
+            "another one than that of this token" in cluster.run(ask(cluster, (), token))["no"][0]
+        )
     assert cluster.find_primary() is None
 
 
@@ -163,7 +167,7 @@
         token = (await ask(cluster))["case"]["token"]
         return await asyncio.gather(*(ask(cluster, (), token, at) for at in HOSTS[1:3]))
 
-    cluster.replies = cluster.do(both())
+    cluster.replies = cluster.run(both())
 
 
 @then("one of them founds a view that all members follow")
@@ -197,8 +201,8 @@
 
 @when("operators rescue the store, naming both as gone")
 def _(cluster):
-    cluster.done = cluster.do(rescue(cluster, [m.host for m in cluster.away]))
-    assert cluster.do(cluster.put_within(0.3, tuple(m.host for m in cluster.away)))
+    cluster.done = cluster.run(rescue(cluster, [m.host for m in cluster.away]))
+    assert cluster.run(cluster.put_within(0.3, tuple(m.host for m in cluster.away)))
 
 
 @when("both start again")
@@ -218,7 +222,7 @@
         for machine in machines:
             what(machine)
 
-    cluster.do(all_())
+    cluster.run(all_())
 
 
 @then("the old primary doesn't serve under its old view")
@@ -244,7 +248,7 @@
     _at_work(cluster)
     away = [cluster.machine_in_role("the primary"), cluster.machine_in_role("a voter")]
     left = [h for h in HOSTS if h not in (m.host for m in away)]
-    cluster.network.apart([m.host for m in away], left)
+    cluster.network.partition([m.host for m in away], left)
     cluster.wait(2.0)
     gone = [m.host for m in away]
 
@@ -252,10 +256,10 @@
         case = (await ask(cluster, gone, at=left[0]))["case"]
         assert "done" in await ask(cluster, gone, case["token"], left[0])
 
-    cluster.do(rescue_wrongly())
+    cluster.run(rescue_wrongly())
     old = away[0].programs[0]
     assert old.replica.lease_left(old.clock()) > 0.0
-    cluster.network.mend()
+    cluster.network.heal()
     cluster.wait(0.3)
     serving = [g for _, g in cluster.stores() if g.replica.lease_left(g.clock()) > 0.0]
     assert len(serving) == 1 and serving[0] is not old
@@ -361,9 +365,9 @@
     old, named = {}, []
     for machine in (cluster.machines[host] for host in lost):
         machine.power_off()
-        old[machine] = dict(machine.platter.pages)
+        old[machine] = dict(machine.disk_state.pages)
         if machine.host == renewed:
-            machine.platter.wipe()
+            machine.disk_state.wipe()
             machine.start()
         else:
             named.append(machine.host)
@@ -385,19 +389,19 @@
         await asyncio.sleep(4.5)
     if cluster.find_primary() is None:  # otherwise all members already had the new view
         assert int((await rescue(cluster, named))["version"][1:]) >= cluster.acknowledged_version
-    cluster.network.slow = {h: rng.choice((0.0, 0.05)) for h in cluster.machines}
+    cluster.network.extra_delay_seconds = {h: rng.choice((0.0, 0.05)) for h in cluster.machines}
 
     async def back(machine: Machine) -> None:
         await asyncio.sleep(rng.choice((0.0, rng.uniform(0.0, 3.0))))
         machine.power_off()
-        machine.platter.pages = old[machine]
+        machine.disk_state.pages = old[machine]
         machine.start()
 
     await asyncio.gather(*map(back, old))
     await asyncio.sleep(3.0)
     for operator in operators:
         operator.cancel()
-    cluster.network.slow = {}
+    cluster.network.extra_delay_seconds = {}
     assert await cluster.put_within(3.0)
     assert await cluster.read_newest() >= cluster.acknowledged_version
     assert {g.replica.newest_known_view().rescue_epoch > 0 for _, g in cluster.stores()} == {True}
@@ -406,7 +410,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_a_rescue_during_changes_loses_no_reachable_version(seed):
     cluster = StoreCluster(seed, (*HOSTS, "10.5.0.1")[: 4 + seed % 2])
-    cluster.do(_rescue_with_faults(cluster, Random(seed + 1000)))
+    cluster.run(_rescue_with_faults(cluster, Random(seed + 1000)))
     cluster.close()
 
 
@@ -415,7 +419,7 @@
 
 def test_registries_give_back_the_configuration_to_stores_that_lost_it():
     system = Cluster(3, proxies=1)
-    system.do(system.begin())
+    system.run(system.start())
     system.wait(1.0)
     for host in (*system.proxies.values(), *system.stores.values()):
         host.power_off(wipe=True)
@@ -425,7 +429,7 @@
         for host in system.stores.values():
             host.start()
 
-    system.do(again())
+    system.run(again())
     system.wait(2.0)
     _, answer = _call_rescue(system, {})
     assert [r["given_back"] for r in answer["case"]["reach"]] == [f"r{system.version}"] * 3
@@ -435,20 +439,22 @@
 @pytest.fixture
 def system():
     made = Cluster(7, proxies=2)
-    made.back = made.behind(made.going_back())
+    made.back = made.run_in_background(made.check_versions_never_decrease())
     yield made
     made.close()
 
 
 def _call_rescue(system, body: dict, core: int = 0):
     call = post("system.rescue", json.dumps(body).encode())
-    got = system.do(exchange(system.streams("10.8.0.1"), system.controls[core], call, 5.0))
+    got = system.run(
+        exchange(system.streams("10.8.0.1"), system.control_addresses[core], call, 5.0)
+    )
     return got.status, json.loads(got.body)
 
 
 @given("a system at work whose core lost all disks")
 def _(system):
-    system.do(system.begin())
+    system.run(system.start())
     hosts = [*system.stores.values(), *system.registries.values()]
     system.wait(1.0)
     for host in hosts:
@@ -459,19 +465,19 @@
         for host in hosts:
             host.start()
 
-    system.do(again())
+    system.run(again())
 
 
 @then("requests are served throughout, and changes are refused")
 def _(system):
     for _ in range(25):
         for ip in system.proxies:
-            _, reply = system.do(system.once("once", at=ip))
+            _, reply = system.run(system.send_once("once", at=ip))
             assert reply.status == 200
         system.wait(0.25)
     held, system.held = system.version, system.versions[system.version]
-    assert not system.do(system.replace(3.0))
-    assert {s.configuration.table.version for s in system.all_proxies()} == {held}
+    assert not system.run(system.replace(3.0))
+    assert {s.configuration.table.version for s in system.running_proxies()} == {held}
 
 
 @when("operators review the rescue case and confirm it")
@@ -490,9 +496,9 @@
 
 @then("the limiters' configuration is in force, and changes are acknowledged")
 def _(system):
-    assert system.do(system.operator.read(3.0)) == system.held
+    assert system.run(system.operator.read(3.0)) == system.held
     system.route("later", "beta")
-    assert system.do(system.replace(2.0))
+    assert system.run(system.replace(2.0))
     assert not system.back.done()
 
 
--- a/tests/test_golden_programs.py
+++ b/tests/test_golden_programs.py
@@ -249,9 +249,9 @@
     host = record.view.primary.address[0] if name == "primary" else "10.1.0.3"
     stores = runs.StoreCluster(3, ["10.1.0.1", "10.1.0.2", "10.1.0.3"])
     (machine,) = names.make_machines(
-        stores.sky, runs.Random(1), [host], lambda host: [stores.factory(host)]
+        stores.network, runs.Random(1), [host], lambda host: [stores.factory(host)]
     ).values()
-    names.platter_pages(machine).update(found)
+    names.disk_pages(machine).update(found)
 
     async def start_store():
         machine.start()
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -54,11 +54,11 @@
 from loomstand.membership import messages
 from loomstand.testing.bench_adapter import __main__ as adapter
 from loomstand.testing.bench_adapter import wire as adapter_wire
-from loomstand.testing.simulation.cluster import FRONT, READINESS, Cluster, Virtual
-from loomstand.testing.simulation.http_log import Talk
-from loomstand.testing.simulation.loop import Life, play
+from loomstand.testing.simulation.cluster import FRONT_PORT, READINESS_PORT, Cluster, VirtualTurns
+from loomstand.testing.simulation.http_log import HttpConnection
+from loomstand.testing.simulation.loop import SimProcess, run_simulated
 from loomstand.testing.simulation.network import SimNetwork
-from loomstand.testing.simulation.streams import Cables, End, Streams
+from loomstand.testing.simulation.streams import SimTransport, Streams, TcpStack
 
 HERE = Path(__file__).resolve().parent / "golden"
 S = TICKS_PER_SECOND
@@ -862,14 +862,14 @@
 
     def __init__(self, patch: pytest.MonkeyPatch, host: str, servers: str) -> None:
         self.sent: list[list[str]] = []
-        write = End.write
+        write = SimTransport.write
 
-        def recording_write(end: End, data: Any) -> None:
-            if end.host == host and end.far.startswith(servers):
-                self.sent.append([end.far, text(bytes(data))])
+        def recording_write(end: SimTransport, data: Any) -> None:
+            if end.host == host and end.remote_host.startswith(servers):
+                self.sent.append([end.remote_host, text(bytes(data))])
             write(end, data)
 
-        patch.setattr(End, "write", recording_write)
+        patch.setattr(SimTransport, "write", recording_write)
 
     def take(self) -> list[list[str]]:
         sent, self.sent = self.sent, []
@@ -880,10 +880,10 @@
     streams: Streams, address: tuple[str, int], raw: bytes, seconds: float
 ) -> dict[str, Any]:
     """Sends data on a new connection; returns the answer after `seconds` and how it ended."""
-    talk = await streams.open(Talk, address, 1.0)
+    talk = await streams.open(HttpConnection, address, 1.0)
     talk.transport.write(raw)
     await asyncio.sleep(seconds)
-    result = {"answer": text(bytes(talk.buf)), "end": talk.over}
+    result = {"answer": text(bytes(talk.buffer)), "end": talk.closed_reason}
     talk.transport.abort()
     return result
 
@@ -937,7 +937,7 @@
 
     async def work(patch: pytest.MonkeyPatch) -> None:
         forwarded = ForwardedData(patch, HOST, "10.0.1.")
-        cables = Cables(SimNetwork(Random(1)), Random(2))
+        tcp = TcpStack(SimNetwork(Random(1)), Random(2))
         loop = asyncio.get_running_loop()
         members = [
             {"id": f"s{n}", "host_port": f"{ip}:80", "locality": "east"}
@@ -952,15 +952,15 @@
         file["settings"] |= more
         file["settings"]["allowed"] |= {"retry_after": True, "max_retry_after": 3000}
         limiter = LoopClockLimiter(
-            config.parse_limiter_config(json.dumps(file).encode(), {}), Virtual()
+            config.parse_limiter_config(json.dumps(file).encode(), {}), VirtualTurns()
         )
-        here = Streams(cables, HOST, Life())
+        here = Streams(tcp, HOST, SimProcess())
         limiter.listener.bind, limiter.pool.connect = here.listen, here.connect
         for ip in SERVER_IPS:
-            await Streams(cables, ip, Life()).listen(loop, SimulatedServer, (ip, 80))
+            await Streams(tcp, ip, SimProcess()).listen(loop, SimulatedServer, (ip, 80))
         await limiter.listener.listen((HOST, 80))
         loop.call_later(1.0, limiter.sweep)
-        client = Streams(cables, "10.9.0.1", Life())
+        client = Streams(tcp, "10.9.0.1", SimProcess())
 
         async def one(name: str, raw: bytes, seconds: float = 0.5, behaviour: str = "ok") -> None:
             SimulatedServer.behaviour = behaviour
@@ -1011,7 +1011,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(time, "process_time", lambda: 0.0)
-        play(lambda: work(patch))
+        run_simulated(lambda: work(patch))
     return responses
 
 
@@ -1038,17 +1038,17 @@
     """Returns responses of the proxy in a small cluster."""
     responses: dict[str, Any] = {}
     with pytest.MonkeyPatch.context() as patch:
-        town = Cluster(5, proxies=1, servers=2)
-        ip = next(iter(town.proxies))
+        cluster = Cluster(5, proxies=1, servers=2)
+        ip = next(iter(cluster.proxies))
         forwarded = ForwardedData(patch, ip, "10.3.")
-        client = town.streams("10.9.0.1")
+        client = cluster.streams("10.9.0.1")
 
         def one(
-            name: str, raw: bytes, seconds: float = 0.5, trouble: str = "", port: int = FRONT
+            name: str, raw: bytes, seconds: float = 0.5, trouble: str = "", port: int = FRONT_PORT
         ) -> None:
-            for server in town.servers["alpha"]:
-                server.trouble = trouble
-            responses[name] = town.do(send_and_read(client, (ip, port), raw, seconds)) | {
+            for server in cluster.servers["alpha"]:
+                server.fault = trouble
+            responses[name] = cluster.run(send_and_read(client, (ip, port), raw, seconds)) | {
                 "sent on": forwarded.take()
             }
 
@@ -1056,27 +1056,27 @@
             return b"GET %b HTTP/1.1\r\nHost: a\r\n\r\n" % path.encode()
 
         async def start_proxy() -> None:
-            town.proxies[ip].start()
+            cluster.proxies[ip].start()
 
-        town.do(start_proxy())
-        town.wait(0.1)
+        cluster.run(start_proxy())
+        cluster.wait(0.1)
         one("no configuration", proxy_request(), 2.0)
-        one("not ready", readiness("/api/readiness"), port=READINESS)
-        town.proxies[ip].kill()
-        town.usual()
-        town.route("open", "alpha", public=True)
-        town.route("single", "alpha", maximum_attempts=1)
-        town.route("short", "alpha", timeout="400ms", target_latency="100ms")
-        town.route("nobody", "gamma")
-        town.resources["services", "gamma"] = {
+        one("not ready", readiness("/api/readiness"), port=READINESS_PORT)
+        cluster.proxies[ip].kill()
+        cluster.use_default_configuration()
+        cluster.route("open", "alpha", public=True)
+        cluster.route("single", "alpha", maximum_attempts=1)
+        cluster.route("short", "alpha", timeout="400ms", target_latency="100ms")
+        cluster.route("nobody", "gamma")
+        cluster.resources["services", "gamma"] = {
             "health_check_path": "/health",
             "connection_limit": 130,
         }
-        town.tenant("poor", "key-of-poor", 1, 1)
-        town.do(town.begin())
-        town.wait(5.0)
-        one("ready", readiness("/api/readiness"), port=READINESS)
-        one("another path", readiness("/api/other"), port=READINESS)
+        cluster.tenant("poor", "key-of-poor", 1, 1)
+        cluster.run(cluster.start())
+        cluster.wait(5.0)
+        one("ready", readiness("/api/readiness"), port=READINESS_PORT)
+        one("another path", readiness("/api/other"), port=READINESS_PORT)
         one("an own path of the other limiter", readiness("/-/ready"))
         one("get", proxy_request())
         one("post", proxy_request("/once/x", "POST", body=b"some words"))
@@ -1113,9 +1113,9 @@
                 one(
                     f"{method} {path}, {behaviour}", proxy_request(path, method), seconds, behaviour
                 )
-                town.wait(3.0)
+                cluster.wait(3.0)
         one("a short time", proxy_request("/short/x"), 2.0, "slow")
-        town.loop.close()
+        cluster.loop.close()
     return responses
 
 
--- a/tests/testing/soak/test_checks.py
+++ b/tests/testing/soak/test_checks.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from loomstand.testing.simulation.http_log import Ask, Book, Reply, Run
+from loomstand.testing.simulation.http_log import ClientRequest, Reply, RequestLog, ServerArrival
 from loomstand.testing.soak.checks import (
     Drain,
     abandoned_runs,
@@ -26,14 +26,16 @@
     return planned_too
 
 
-def book(reply: Reply, *, ran: bool, ended: float = 0.0, left_at: float = 1e9) -> Book:
+def book(reply: Reply, *, ran: bool, ended: float = 0.0, left_at: float = 1e9) -> RequestLog:
     """Log with one request, sent at 10 s, that a server started at 10.1 s if `ran` is set."""
-    log = Book()
-    ask = Ask("r1", "GET", "town.example", "/a/x", "", b"", True, 10.0, ("10.2.0.1", 80), left_at)
-    log.asks[ask.id] = ask
+    log = RequestLog()
+    ask = ClientRequest(
+        "r1", "GET", "town.example", "/a/x", "", b"", True, 10.0, ("10.2.0.1", 80), left_at
+    )
+    log.requests[ask.id] = ask
     log.replies[ask.id] = reply
     if ran:
-        log.arrivals.append(Run(10.1, "alpha", "i-1", ask.id, "", True, ended))
+        log.arrivals.append(ServerArrival(10.1, "alpha", "i-1", ask.id, "", True, ended))
     return log
 
 
