--- a/loomstand/testing/simulation/bounds.py
+++ b/loomstand/testing/simulation/bounds.py
@@ -134,25 +134,27 @@
         self.name, self.many, self.broken = name, 0, 0
         self.worst: tuple[float, float, float, str] | None = None
 
-    def add(self, value: float, allowed: float, at: float, who: str) -> None:
+    def add(self, value: float, allowed: float, at: float, subject: str) -> None:
+        """Adds a measurement of `subject` at a time and the bound that was `allowed` then."""
         self.many += 1
         self.broken += value > allowed + 1e-9
         if self.worst is None or value > self.worst[0]:
-            self.worst = value, allowed, at, who
+            self.worst = value, allowed, at, subject
 
     def figure(self) -> list[Figure]:
+        """Returns the worst measurement as a figure; empty without measurements."""
         return [Figure(self.name, *self.worst, self.many, self.broken)] if self.worst else []
 
 
 def evaluate(history: History, bounds: RuleBounds) -> list[Figure]:
     """Returns the figures of a day in a fixed order; figures without measurements are left out."""
-    out = quota(history, bounds)
-    out += (
+    figures = quota(history, bounds)
+    figures += (
         configuration_propagation(history, bounds)
         + drains(history, bounds)
         + arrivals_after_drain(history, bounds)
     )
-    out += (
+    figures += (
         budget(history, bounds)
         + acknowledgement_times(history, bounds)
         + longest_without_primary(history)
@@ -166,7 +168,7 @@
     )
     faults = WorstFigure("rules broken by any answer")
     faults.add(len(history.violations), 0, history.begun, "; ".join(history.violations[:3]))
-    return out + twins.figure() + faults.figure()
+    return figures + twins.figure() + faults.figure()
 
 
 # --- quotas
@@ -181,12 +183,12 @@
         WorstFigure("quota, small: share of the leeway used"),
     )
     window = bounds.quota_window_seconds
-    first: dict[str, Arrival] = {}
+    first_runs: dict[str, Arrival] = {}
     for run in history.arrivals:
-        if run.ran and run.tenant and run.id not in first:
-            first[run.id] = run
+        if run.ran and run.tenant and run.id not in first_runs:
+            first_runs[run.id] = run
     by_tenant: dict[str, list[Arrival]] = {}
-    for run in first.values():
+    for run in first_runs.values():
         # counted only in a window that contains both its sending and its arrival
         if run.at - run.sent <= window:
             by_tenant.setdefault(run.tenant, []).append(run)
@@ -205,9 +207,9 @@
             if most < inf:
                 leeway = bounds.quota_overshoot * most + bounds.quota_slack
                 allowed = f"{most + leeway:.1f} are allowed"
-                who = f"{tenant}: {count} where {allowed} and {most:.0f} the quota"
+                subject = f"{tenant}: {count} where {allowed} and {most:.0f} the quota"
                 (large if most >= SMALL_QUOTA_REQUESTS else small).add(
-                    (count - most) / leeway, 1.0, start, who
+                    (count - most) / leeway, 1.0, start, subject
                 )
     return large.figure() + small.figure()
 
@@ -263,7 +265,7 @@
         self.kinds: dict[str, WorstFigure] = {}
 
     def add(
-        self, host: str, acked: float, applied_at: float, who: str, unbounded: bool = False
+        self, host: str, acked: float, applied_at: float, subject: str, unbounded: bool = False
     ) -> None:
         """Adds a change that was acknowledged at `acked` and applied at `applied_at`.
 
@@ -297,10 +299,11 @@
             max(0.0, applied_at - since),
             inf if unbounded else max(0.0, limit - since),
             since,
-            f"{who} at {host}",
+            f"{subject} at {host}",
         )
 
     def figures(self) -> list[Figure]:
+        """Returns the figure of each kind of fault, sorted by kind."""
         return [figure for kind in sorted(self.kinds) for figure in self.kinds[kind].figure()]
 
 
@@ -308,18 +311,18 @@
     applied_changes: Iterable[AppliedChange], server: bool
 ) -> dict[str, list[AppliedChange]]:
     """Groups changes by limiter, in order of time: of servers if `server`, else of versions."""
-    out: dict[str, list[AppliedChange]] = {}
+    by_host: dict[str, list[AppliedChange]] = {}
     for applied in applied_changes:
         if bool(applied.server) is server:
-            out.setdefault(applied.host, []).append(applied)
-    return out
+            by_host.setdefault(applied.host, []).append(applied)
+    return by_host
 
 
 def configuration_propagation(history: History, bounds: RuleBounds) -> list[Figure]:
     """CONFIG: from the acknowledgement of a version until it or a later one is in force at each
     limiter. A limiter that starts must also apply what was acknowledged before.
     """
-    found = PropagationDelays(
+    delays = PropagationDelays(
         "version in force", bounds.configuration_apply_seconds, history, bounds
     )
     changes = changes_by_host(history.applied_changes, False)
@@ -328,7 +331,7 @@
         for change in history.changes:
             if change.acked < inf:
                 applied_at = first_applied_at(host_changes, change, history.ended)
-                found.add(host, change.acked, applied_at, f"r{change.version}")
+                delays.add(host, change.acked, applied_at, f"r{change.version}")
         starts = [
             s for s in history.spans if s.kind == "started" and host in s.hosts and s.ended < inf
         ]
@@ -346,8 +349,8 @@
                 applied_at = min(
                     (w.at for w in later if w.value >= newest.version), default=history.ended
                 )
-                found.add(host, start, applied_at, f"r{newest.version}")
-    return found.figures()
+                delays.add(host, start, applied_at, f"r{newest.version}")
+    return delays.figures()
 
 
 def first_applied_at(
@@ -361,7 +364,7 @@
 
 def drains(history: History, bounds: RuleBounds) -> list[Figure]:
     """DRAIN at the limiters: from the acknowledgement until each has ended to use the server."""
-    found = PropagationDelays("drain known", bounds.drain_seconds, history, bounds)
+    delays = PropagationDelays("drain known", bounds.drain_seconds, history, bounds)
     changes = changes_by_host(history.applied_changes, True)
     for drain in history.drains:
         unbounded = is_acknowledged_by_disturbed_core(history, drain, bounds)
@@ -375,8 +378,8 @@
                     applied_at = max(applied_at, min(until, process_end(history, host, applied.at)))
             if applied_at > -inf:
                 applied_at = min(drain.left, max(applied_at, drain.acked))
-                found.add(host, drain.acked, applied_at, drain.server, unbounded)
-    return found.figures()
+                delays.add(host, drain.acked, applied_at, drain.server, unbounded)
+    return delays.figures()
 
 
 def process_end(history: History, host: str, at: float) -> float:
@@ -399,25 +402,25 @@
 
 def arrivals_after_drain(history: History, bounds: RuleBounds) -> list[Figure]:
     """DRAIN at the servers: requests that arrive after the drain was acknowledged."""
-    found = PropagationDelays("arrival after a drain", bounds.drain_seconds, history, bounds)
+    delays = PropagationDelays("arrival after a drain", bounds.drain_seconds, history, bounds)
     drained = {drain.server: drain for drain in history.drains}
     for run in history.arrivals:
         drain = drained.get(run.server)
         if drain is None or run.at <= drain.acked:
             continue
         # requests held by a link or a frozen process aren't late (Held up)
-        held = any(
+        delayed_by_fault = any(
             run.front in s.hosts and s.begun <= run.at < s.ended + bounds.contact_seconds
             for s in history.spans
         )
-        found.add(
+        delays.add(
             run.front,
             drain.acked,
             run.at,
             f"{run.id} for {run.server}",
-            held or is_acknowledged_by_disturbed_core(history, drain, bounds),
+            delayed_by_fault or is_acknowledged_by_disturbed_core(history, drain, bounds),
         )
-    return found.figures()
+    return delays.figures()
 
 
 # --- the rest
@@ -429,18 +432,21 @@
         WorstFigure("further tries: share of the slack used"),
         bounds.budget_window_seconds,
     )
-    seen: set[str] = set()
-    again: dict[str, list[float]] = {}
+    seen_ids: set[str] = set()
+    retry_times: dict[str, list[float]] = {}
     for run in sorted(history.arrivals, key=lambda r: r.at):
-        if run.id in seen:
-            again.setdefault(run.service, []).append(run.at)
-        seen.add(run.id)
-    for service, at in again.items():
-        asked = sorted(history.request_times.get(service, []))
+        if run.id in seen_ids:
+            retry_times.setdefault(run.service, []).append(run.at)
+        seen_ids.add(run.id)
+    for service, at in retry_times.items():
+        request_times = sorted(history.request_times.get(service, []))
         for n, start in enumerate(at):
             count = bisect_right(at, start + window) - n
             spans = [start, start - window, start - window / 2]
-            base = max(bisect_right(asked, s + window) - bisect_left(asked, s) for s in spans)
+            base = max(
+                bisect_right(request_times, s + window) - bisect_left(request_times, s)
+                for s in spans
+            )
             over = (count - bounds.retry_budget_ratio * base) / bounds.budget_slack
             worst.add(over, 1.0, start, f"{service}: {count} beside {base} requests")
     return worst.figure()
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -52,7 +52,7 @@
 
 
 class VirtualTurns:
-    """Stands in for `event_loop.Turns`: bytes count as received when they are read."""
+    """Stands in for `ArrivalClockSelector`: bytes count as received when they are read."""
 
     count, longest_iteration = 0, 0.0
 
@@ -109,13 +109,14 @@
         return super().start_engine()
 
     def now(self) -> int:
+        """Returns the wall clock time of its machine in ticks of 0.1 ms."""
         return int(self.loop.time() * 10_000) + self.epoch // 100_000
 
     def apply_configuration(self, version: int, data: bytes) -> bool:
-        taken = super().apply_configuration(version, data)
-        if taken:
+        applied = super().apply_configuration(version, data)
+        if applied:
             self.record_change("", version)
-        return taken
+        return applied
 
     def endpoint(self, endpoint_id: int, instance: TrackedInstance) -> Endpoint:
         """Replaces `EndpointUpdates.endpoint`: records the change and calls the original."""
@@ -125,6 +126,7 @@
         return EndpointUpdates.endpoint(self.endpoints, endpoint_id, instance)
 
     def record_change(self, server: str, value: int) -> None:
+        """Records that this proxy applied a change of a version (no server) or of a server."""
         self.applied_changes.append(
             AppliedChange(
                 self.loop.time(), self.settings.ip_address, self.process_number, server, value
@@ -132,6 +134,7 @@
         )
 
     def record_fault(self, text: str) -> None:
+        """Records a log line that reports an internal error."""
         if "failed on" in text:
             self.faults.append(text)
 
@@ -188,7 +191,8 @@
         )
 
     def make_host(self, ip: str, make: ProgramFactory) -> Host:
-        made = Host(
+        """Creates a machine that runs one program, and the random generators it uses."""
+        host = Host(
             ip,
             self.network,
             Random(self.rng.getrandbits(64)),
@@ -196,15 +200,16 @@
             DiskState(Random(self.rng.getrandbits(64))),
             self.rng.uniform(0, 1e4),
         )
-        made.tcp = self.tcp
-        return made
+        host.tcp = self.tcp
+        return host
 
     def settings(self, ip: str) -> Settings:
+        """Returns the settings of a machine; the last byte of its address selects the zone."""
         zone = ZONES[int(ip.split(".")[-1]) % 2]
         seeds = ",".join(f"{ip}:{CONTROL_PORT}" for ip in self.core_ips[:3])
-        first = str(self.first).lower()
+        first_start = str(self.first).lower()
         return parse_settings(
-            SETTINGS.format(name=f"n-{ip}", ip=ip, zone=zone, first=first, seeds=seeds)
+            SETTINGS.format(name=f"n-{ip}", ip=ip, zone=zone, first=first_start, seeds=seeds)
         )
 
     def wall_clock(self, ip: str, rng: Random) -> float:
@@ -237,8 +242,8 @@
         def make(network: Any, disk: Any, clock: Any, rng: Random) -> Any:
             settings = self.settings(ip)
             seeds = tuple(settings.store_address(seed) for seed, _ in settings.seed_nodes)
-            place = StoreSettings(settings.store_address(ip), seeds, settings.first_start)
-            return Store(place, network, disk, clock, rng)
+            store_settings = StoreSettings(settings.store_address(ip), seeds, settings.first_start)
+            return Store(store_settings, network, disk, clock, rng)
 
         return make
 
@@ -247,7 +252,7 @@
             streams = Streams(self.tcp, ip, network.process)
             self.proxy_starts += 1
             wall = self.wall_clock(ip, rng)
-            made = SimProxy(
+            proxy = SimProxy(
                 self.settings(ip),
                 network,
                 rng,
@@ -257,11 +262,12 @@
                 self.applied_changes,
                 self.proxy_starts,
             )
-            return ProgramRunner(made)
+            return ProgramRunner(proxy)
 
         return make
 
     async def create_workload(self, servers: int) -> None:
+        """Creates the servers of both services, the operator and the client."""
         self.servers: dict[str, list[Server]] = {}
         for s, service in enumerate(("alpha", "beta")):
             self.servers[service] = [
@@ -272,7 +278,7 @@
 
     def make_server(self, ip: str, service: str, zone: str) -> Server:
         rng = Random(self.rng.getrandbits(64))
-        made = Server(
+        server = Server(
             self.tcp,
             self.request_log,
             rng,
@@ -281,25 +287,32 @@
             zone,
             [*self.control_addresses],
         )
-        made.core_index = self.rng.randrange(len(self.control_addresses))
-        return made
+        server.core_index = self.rng.randrange(len(self.control_addresses))
+        return server
 
     def streams(self, ip: str) -> Streams:
+        """Returns the connections of a new process on a host."""
         return Streams(self.tcp, ip, SimProcess())
 
     def new_client(self) -> Client:
+        """Creates a client that uses the proxies that get new connections."""
         rng = Random(self.rng.getrandbits(64))
-        everyone = [(ip, FRONT_PORT) for ip in self.proxies]  # used while no proxy is ready
+        all_addresses = [(ip, FRONT_PORT) for ip in self.proxies]  # used while no proxy is ready
         return Client(
-            self.streams("10.9.0.1"), self.request_log, rng, lambda: self.routed_proxies or everyone
+            self.streams("10.9.0.1"),
+            self.request_log,
+            rng,
+            lambda: self.routed_proxies or all_addresses,
         )
 
     # time
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
+        """Runs a coroutine on the virtual loop until it ends; returns its result."""
         return self.loop.run_until_complete(work)
 
     def wait(self, seconds: float) -> None:
+        """Advances the simulation by a time."""
         self.run(asyncio.sleep(seconds))
 
     async def wait_until(self, condition: Callable[[], bool], within: float) -> float:
@@ -363,9 +376,10 @@
             await asyncio.sleep(READINESS_PERIOD_SECONDS)
 
     async def is_ready(self, ip: str, streams: Streams | None = None) -> bool:
+        """Returns whether a proxy answers a readiness check with status 200 within 0.9 s."""
         raw = b"GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
-        got = await exchange(streams or self.streams("10.7.0.1"), (ip, READINESS_PORT), raw, 0.9)
-        return got is not None and got.status == 200
+        answer = await exchange(streams or self.streams("10.7.0.1"), (ip, READINESS_PORT), raw, 0.9)
+        return answer is not None and answer.status == 200
 
     def proxy(self, ip: str) -> SimProxy:
         return self.proxies[ip].programs[0].inner
@@ -378,9 +392,9 @@
 
     def counting_host(self) -> str:
         """Returns the core machine whose registry holds the counting lease."""
-        held = self.counting_hosts()
-        assert len(held) == 1
-        return held[0]
+        hosts = self.counting_hosts()
+        assert len(hosts) == 1
+        return hosts[0]
 
     def counting_hosts(self) -> list[str]:
         """Returns all core machines that hold a valid counting lease, frozen ones included."""
@@ -404,18 +418,19 @@
             return False
 
     def core(self, ip: str) -> tuple[Host, Host]:
+        """Returns the registry and the store of a core machine."""
         return self.registries[ip], self.stores[ip]
 
     async def check_versions_never_decrease(self) -> None:
         """Checks every 20 ms that the version at a running proxy never decreases."""
-        held: dict[SimProxy, int] = {}
+        last_versions: dict[SimProxy, int] = {}
         while True:
             for proxy in self.running_proxies():
                 version = proxy.configuration.table.version if proxy.configuration.table else 0
-                assert held.get(proxy, 0) <= version, (
+                assert last_versions.get(proxy, 0) <= version, (
                     f"{proxy.settings.node_name} went back to a lower version"
                 )
-                held[proxy] = version
+                last_versions[proxy] = version
             await asyncio.sleep(0.02)
 
     # the configuration
@@ -434,6 +449,7 @@
     # requests
 
     async def get(self, name: str = "a", key: str = "key-of-ann", **more: Any) -> Any:
+        """Sends an idempotent GET request with retries; returns the last reply."""
         return await self.client.send_with_retries(
             "GET", "town.example", f"/{name}/x?n=1", key, idempotent=True, **more
         )
@@ -449,12 +465,14 @@
         return request, await self.client.send_once(request, front)
 
     async def send_requests(
-        self, client: Client, rate: float, seconds: float, *what: Any, **more: Any
+        self, client: Client, rate: float, seconds: float, *request_arguments: Any, **more: Any
     ) -> list[Any]:
         """Sends `rate` requests a second on average for `seconds`; returns their replies."""
         begun, tasks = self.loop.time(), []
         rng = Random(self.rng.getrandbits(64))
         while self.loop.time() - begun < seconds:
-            tasks.append(self.loop.create_task(client.send_with_retries(*what, **more)))
+            tasks.append(
+                self.loop.create_task(client.send_with_retries(*request_arguments, **more))
+            )
             await asyncio.sleep(rng.expovariate(rate))
         return list(await asyncio.gather(*tasks))
--- a/loomstand/testing/simulation/control_plane.py
+++ b/loomstand/testing/simulation/control_plane.py
@@ -35,6 +35,7 @@
         self.reads, self.unacknowledged = 0, 0
 
     async def start(self) -> None:
+        """Starts the core machines and waits until one acknowledges a change."""
         for host in self.hosts():
             host.start()
         while await self.send_change(self.core_ips[0], 1.0) != 200:
@@ -42,13 +43,16 @@
         self.first = False
 
     def hosts(self, ip: str = "") -> list[Host]:
+        """Returns the registry and the store of one core machine, or of all."""
         ips = [ip] if ip else self.core_ips
         return [h for i in ips for h in self.core(i)]
 
     def newest_acknowledged(self, at: float) -> int:
+        """Returns the newest version that was acknowledged by a time."""
         return max(v for t, v in self.acked if t <= at)
 
     async def call(self, ip: str, call: str, body: bytes, within: float) -> Message | None:
+        """Sends a call to a core machine; returns None if no answer comes in time."""
         return await exchange(self.operator.streams, (ip, CONTROL_PORT), post(call, body), within)
 
     async def send_change(
@@ -59,9 +63,9 @@
             self.version += self.rng.choice((1, 1, 3))
             version = self.version
             self.sent[version] = self.body(version)
-        got = await self.call(ip, "configuration.replace", self.sent[version], within)
-        status = got.status if got else 0
-        assert status in (0, 200, 503), f"{ip} refused r{version}, a valid change: {got}"
+        answer = await self.call(ip, "configuration.replace", self.sent[version], within)
+        status = answer.status if answer else 0
+        assert status in (0, 200, 503), f"{ip} refused r{version}, a valid change: {answer}"
         if status == 200:
             self.acked.append((self.loop.time(), max(version, self.acked[-1][1])))
         else:
@@ -70,17 +74,17 @@
 
     async def read_version(self, ip: str, within: float = CALL_TIMEOUT_SECONDS) -> int:
         """Reads the configuration; returns its version, 0 if the machine returns none."""
-        asked = self.loop.time()
-        got = await self.call(ip, "configuration.read", b"", within)
-        if got is None or got.status != 200:
-            assert got is None or got.status == 503, got
+        asked_at = self.loop.time()
+        answer = await self.call(ip, "configuration.read", b"", within)
+        if answer is None or answer.status != 200:
+            assert answer is None or answer.status == 503, answer
             return 0
-        version = int(json.loads(got.body)["version"][1:])
-        lowest = self.newest_acknowledged(max(asked, self.loop.time() - READ_STALENESS_SECONDS))
+        version = int(json.loads(answer.body)["version"][1:])
+        lowest = self.newest_acknowledged(max(asked_at, self.loop.time() - READ_STALENESS_SECONDS))
         assert version >= lowest, (
             f"{ip} handed out r{version} at {self.loop.time():.3f}, r{lowest} was in force"
         )
-        assert got.body == self.sent[version]
+        assert answer.body == self.sent[version]
         self.reads += 1
         return version
 
@@ -121,10 +125,14 @@
             plane.run_in_background(plane.read_version(rng.choice(plane.core_ips)))
 
     def machine(self) -> str:
-        first = self.plane.primary()
-        return first if first and self.rng.random() < 0.5 else self.rng.choice(self.plane.core_ips)
+        """Draws a core machine, with probability 1/2 the one whose store is primary."""
+        primary = self.plane.primary()
+        return (
+            primary if primary and self.rng.random() < 0.5 else self.rng.choice(self.plane.core_ips)
+        )
 
     async def inject(self) -> None:
+        """Injects one random fault and ends it."""
         plane, rng, ip = self.plane, self.rng, self.machine()
         lasts = rng.choice((0.3, 1.2, 2.0, 4.0))
         hosts = plane.hosts(ip)
@@ -191,6 +199,7 @@
 
 
 def run_random_faults(seed: int, steps: int = 6) -> ControlPlane:
+    """Simulates `steps` random faults during changes and reads, then checks the recovery."""
     plane = ControlPlane(seed, 3 + seed % 2)
     faults = CoreFaults(plane, Random(seed))
 
@@ -215,9 +224,10 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    first, count = int(arguments[0]), int(arguments[1])
+    """Runs the seeds and prints the broken ones; returns 1 if there are any, else 0."""
+    first_seed, count = int(arguments[0]), int(arguments[1])
     broken, reads, acked = list[int](), 0, 0
-    for seed in range(first, first + count):
+    for seed in range(first_seed, first_seed + count):
         try:
             plane = run_random_faults(seed, 8)
         except AssertionError as error:
--- a/loomstand/testing/simulation/faults.py
+++ b/loomstand/testing/simulation/faults.py
@@ -105,13 +105,15 @@
 
     def draw_core(self) -> str:
         """Draws a core machine, with probability 1/2 the one whose store is primary."""
-        held = [
+        primaries = [
             ip
             for ip, host in self.cluster.stores.items()
             if host.is_running and self.cluster.is_serving(ip)
         ]
         return (
-            held[0] if held and self.rng.random() < 0.5 else self.rng.choice(self.cluster.core_ips)
+            primaries[0]
+            if primaries and self.rng.random() < 0.5
+            else self.rng.choice(self.cluster.core_ips)
         )
 
     # power
@@ -130,16 +132,19 @@
                 host.start()
 
     async def proxy(self) -> None:
+        """Kills a proxy or cuts its power."""
         ip = self.rng.choice([*self.cluster.proxies])
         async with self.span("started", "killed", [ip]):
             await self.take_down([self.cluster.proxies[ip]], self.rng.random() < 0.5)
 
     async def herd(self) -> None:
+        """Kills 30 to 60 % of the proxies at once."""
         ips = self.draw_proxies(0.3, 0.6)
         async with self.span("started", "killed together", ips):
             await self.take_down([self.cluster.proxies[ip] for ip in ips], False)
 
     async def term(self) -> None:
+        """Stops a proxy as on SIGTERM and starts it again."""
         await self.restart([self.rng.choice([*self.cluster.proxies])], "told to stop")
 
     async def roll(self) -> None:
@@ -168,10 +173,12 @@
             await self.take_down([self.cluster.proxies[ip] for ip in ips], False)
 
     def shift_clocks(self, ips: list[str]) -> None:
-        by = self.rng.choice((-1600.0, -3.0, 2.0, 1600.0))
-        self.cluster.clock_offsets |= dict.fromkeys(ips, by)
+        """Sets one random offset in seconds for the wall clocks of machines."""
+        offset = self.rng.choice((-1600.0, -3.0, 2.0, 1600.0))
+        self.cluster.clock_offsets |= dict.fromkeys(ips, offset)
 
     async def core(self) -> None:
+        """Kills both programs of a core machine, cuts its power or wipes its disk."""
         ip, wipe = self.draw_core(), self.rng.random() < 0.25
         async with self.span(
             CORE, "core machine wiped" if wipe else "core machine killed", [ip], True
@@ -179,6 +186,7 @@
             await self.take_down([*self.cluster.core(ip)], wipe or self.rng.random() < 0.5, wipe)
 
     async def step_core(self) -> None:
+        """Steps the wall clock of a core machine and restarts its programs."""
         ip = self.draw_core()
         async with self.span(CORE, "core clock step", [ip], True):
             self.shift_clocks([ip])
@@ -191,6 +199,7 @@
             await self.take_down([self.cluster.registries[ip]], False)
 
     async def all_core(self) -> None:
+        """Kills all programs of the core at once."""
         async with self.span(CORE, "all of the core killed", self.cluster.core_ips, True, False):
             await self.take_down(
                 [*self.cluster.stores.values(), *self.cluster.registries.values()], False
@@ -199,6 +208,7 @@
     # processes and disks
 
     async def freeze_hosts(self, hosts: list[Host]) -> None:
+        """Freezes the processes of hosts for the drawn duration."""
         for host in hosts:
             host.freeze()
         await self.wait_fault_duration()
@@ -211,19 +221,22 @@
             await self.freeze_hosts([self.cluster.proxies[ip] for ip in ips])
 
     async def freeze_core(self) -> None:
+        """Freezes the registry, the store or both on a core machine."""
         ip = self.draw_core()
         hosts = self.rng.choice(([0], [1], [0, 1]))
         async with self.span(CORE, "core processes frozen", [ip], True):
             await self.freeze_hosts([self.cluster.core(ip)[n] for n in hosts])
 
     async def freeze(self) -> None:
+        """Freezes proxies or, with probability 0.7, processes of a core machine."""
         await (self.freeze_proxy if self.rng.random() < 0.3 else self.freeze_core)()
 
     async def disk(self) -> None:
-        ip, what = self.draw_core(), self.rng.choice(("hangs", "refuses", "slower"))
+        """Makes the disk of a store hang, refuse writes or write slowly."""
+        ip, fault = self.draw_core(), self.rng.choice(("hangs", "refuses", "slower"))
         disk_state = self.cluster.stores[ip].disk_state
-        async with self.span(CORE, f"disk {what}", [ip], True):
-            setattr(disk_state, what, 28.0 if what == "slower" else True)
+        async with self.span(CORE, f"disk {fault}", [ip], True):
+            setattr(disk_state, fault, 28.0 if fault == "slower" else True)
             await self.wait_fault_duration()
             disk_state.hangs = disk_state.refuses = False
             disk_state.slower = 1.0
@@ -236,20 +249,24 @@
         await self.wait_fault_duration()
         self.cluster.network.heal(pairs)
 
-    def links_between(self, one: Iterable[str], others: Iterable[str]) -> set[tuple[str, str]]:
+    def links_between(
+        self, hosts: Iterable[str], other_hosts: Iterable[str]
+    ) -> set[tuple[str, str]]:
         """Returns the links between two groups: both directions, or at random only one."""
-        ways = {(a, b) for a in one for b in others}
-        back = {(b, a) for a, b in ways}
-        return self.rng.choice((ways | back, ways | back, ways | back, ways, back))
+        forward = {(a, b) for a in hosts for b in other_hosts}
+        backward = {(b, a) for a, b in forward}
+        return self.rng.choice(
+            (forward | backward, forward | backward, forward | backward, forward, backward)
+        )
 
     async def part(self) -> None:
         """Cuts limiters off from the core; with probability 1/2 from servers, too."""
         ips = self.draw_proxies(0.1, 0.3)
-        there = list(self.cluster.core_ips)
+        remote_ips = list(self.cluster.core_ips)
         if self.rng.random() < 0.5:
-            there += self.server_ips()
+            remote_ips += self.server_ips()
         async with self.span("cut", "limiters cut off", ips):
-            await self.block_links(self.links_between(ips, there))
+            await self.block_links(self.links_between(ips, remote_ips))
 
     async def cut(self) -> None:
         """Partitions the core in two; limiters reach one side, or both."""
@@ -257,16 +274,16 @@
         if len(cores) == 4 and self.rng.random() < 0.4:
             side.append(self.rng.choice([ip for ip in cores if ip not in side]))
         majority_connected = 2 * len(side) < len(cores)
-        rest = [ip for ip in cores if ip not in side]
+        other_side = [ip for ip in cores if ip not in side]
         with_side = self.draw_proxies(0.1, 0.4) if self.rng.random() < 0.6 else []
-        pairs = self.links_between(side, rest)
+        pairs = self.links_between(side, other_side)
         if with_side:
             pairs |= self.links_between(
                 side, [ip for ip in self.cluster.proxies if ip not in with_side]
             )
-            pairs |= self.links_between(with_side, rest)
+            pairs |= self.links_between(with_side, other_side)
         async with self.span(
-            CORE, f"core cut {len(side)}/{len(rest)}", cores, True, majority_connected
+            CORE, f"core cut {len(side)}/{len(other_side)}", cores, True, majority_connected
         ):
             if with_side:
                 async with self.span("cut", "with the cut part of the core", with_side):
@@ -278,13 +295,14 @@
         """Partitions one machine from all others."""
         core = self.rng.random() < 0.4
         ip = self.draw_core() if core else self.rng.choice([*self.cluster.proxies])
-        everyone = [*self.cluster.proxies, *self.cluster.core_ips, *self.server_ips()]
+        all_ips = [*self.cluster.proxies, *self.cluster.core_ips, *self.server_ips()]
         async with self.span(CORE if core else "cut", "alone", [ip], core):
-            await self.block_links({p for o in everyone if o != ip for p in ((ip, o), (o, ip))})
+            await self.block_links({p for o in all_ips if o != ip for p in ((ip, o), (o, ip))})
 
     async def slow_down(self, ips: list[str]) -> None:
-        more = self.rng.choice((0.02, 0.1, 0.4))
-        self.cluster.network.extra_delay_seconds |= dict.fromkeys(ips, more)
+        """Delays all bytes to and from machines."""
+        delay = self.rng.choice((0.02, 0.1, 0.4))
+        self.cluster.network.extra_delay_seconds |= dict.fromkeys(ips, delay)
         await self.wait_fault_duration()
         for ip in ips:
             # another fault may have ended it
@@ -301,8 +319,9 @@
             await self.slow_down([ip])
 
     async def lossy(self) -> None:
-        everyone = [*self.cluster.core_ips, *self.cluster.proxies]
-        async with self.span("slow", "all links lossy", everyone, True, False):
+        """Makes all links lose 2 or 10 % of the call messages and delay as many segments."""
+        hosts = [*self.cluster.core_ips, *self.cluster.proxies]
+        async with self.span("slow", "all links lossy", hosts, True, False):
             self.cluster.network.loss_rate = self.rng.choice((0.02, 0.1))
             await self.wait_fault_duration()
             self.cluster.network.loss_rate = 0.0
@@ -320,16 +339,18 @@
         return self.rng.choice([s for s in servers if s.state == "ready"] or servers)
 
     async def server(self) -> None:
+        """Kills a server and starts it again."""
         server = self.draw_server()
         server.kill()
         await self.wait_fault_duration()
         server.start()
 
     async def trouble(self) -> None:
+        """Makes a server apply a random fault to 30 % or all of its requests."""
         server = self.draw_server()
-        what = "full error close silent reset cut spoilt surplus late slow bare dark refuses"
+        fault_names = "full error close silent reset cut spoilt surplus late slow bare dark refuses"
         server.fault, server.fault_share = (
-            self.rng.choice(what.split()),
+            self.rng.choice(fault_names.split()),
             self.rng.choice((0.3, 1.0)),
         )
         await self.wait_fault_duration()
@@ -338,28 +359,29 @@
     async def wave(self) -> None:
         """Half of the servers of a service reject, fail or reset their requests."""
         servers = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
-        faulty, what, share = (
+        faulty, fault, share = (
             servers[::2],
             self.rng.choice(("full", "error", "reset", "refuses")),
             self.rng.random(),
         )
         for server in faulty:
-            server.fault, server.fault_share = what, share
+            server.fault, server.fault_share = fault, share
         await self.wait_fault_duration()
         for server in faulty:
             server.fault = ""
 
     async def swap(self) -> None:
         """Two servers of different services end and start with each other's address."""
-        one, other = self.cluster.servers["alpha"][0], self.cluster.servers["beta"][0]
-        one.kill()
-        other.kill()
-        one.address, other.address = other.address, one.address
+        alpha, beta = self.cluster.servers["alpha"][0], self.cluster.servers["beta"][0]
+        alpha.kill()
+        beta.kill()
+        alpha.address, beta.address = beta.address, alpha.address
         await self.wait_fault_duration()
-        one.start()
-        other.start()
+        alpha.start()
+        beta.start()
 
     async def leave(self) -> None:
+        """Drains a server and replaces it by a new instance."""
         await self.drain_and_replace(self.draw_server())
 
     async def drain_and_replace(self, server: Server) -> None:
--- a/loomstand/testing/simulation/http_log.py
+++ b/loomstand/testing/simulation/http_log.py
@@ -65,10 +65,12 @@
         self.wake()
 
     def wake(self) -> None:
+        """Wakes the task that waits for bytes or for the end of the connection."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
     async def wait_for_data(self) -> None:
+        """Waits until bytes arrive or the peer closes the connection."""
         if self.closed_reason:
             raise ConnectionBrokenError(self.closed_reason)
         self.waiter = asyncio.get_running_loop().create_future()
@@ -88,16 +90,16 @@
     async def read_line(self) -> bytes:
         while (end := self.buffer.find(b"\r\n")) < 0:
             await self.wait_for_data()
-        out = bytes(self.buffer[:end])
+        line = bytes(self.buffer[:end])
         del self.buffer[: end + 2]
-        return out
+        return line
 
     async def read_exactly(self, n: int) -> bytes:
         while len(self.buffer) < n:
             await self.wait_for_data()
-        out = bytes(self.buffer[:n])
+        data = bytes(self.buffer[:n])
         del self.buffer[:n]
-        return out
+        return data
 
     async def read_message(self) -> Message:
         """Reads the next message.
@@ -180,6 +182,7 @@
     owners: dict[str, str] = field(default_factory=dict)
 
     def runs(self, id_: str = "") -> list[ServerArrival]:
+        """Returns the arrivals that ran, of all requests or of one."""
         return [r for r in self.arrivals if r.ran and id_ in ("", r.id)]
 
     def runs_after_departure(self, seconds: float) -> list[ServerArrival]:
@@ -196,8 +199,8 @@
         method, target, _ = message.start.decode("latin-1").split(" ")
         if (method, target, message.body) != (request.method, request.path, request.body):
             self.violations.append(f"{run.id}: changed on its way: {message.start!r}")
-        seen = " ".join(message.fields.values())
-        if "authorization" in message.fields or (request.key and request.key in seen):
+        field_values = " ".join(message.fields.values())
+        if "authorization" in message.fields or (request.key and request.key in field_values):
             self.violations.append(f"{run.id}: the API key was forwarded")
         if run.ran and run.tenant != self.owners.get(request.key, ""):
             self.violations.append(f"{run.id}: ran for {run.tenant!r}")
@@ -230,6 +233,7 @@
 
 
 def stamp_of(id_: str, body: bytes) -> str:
+    """Returns the value of `Loomstand-Response-Stamp` for a response body."""
     return f"3e1b.{id_}.{zlib.crc32(body):08x}"
 
 
@@ -249,6 +253,7 @@
 
 
 def post(call: str, body: bytes) -> bytes:
+    """Returns the bytes of an RPC request."""
     return (
         b"POST /api/rpc?call=%b HTTP/1.1\r\nHost: core\r\nContent-Type: application/json\r\n"
         b"Content-Length: %d\r\n\r\n%b" % (call.encode(), len(body), body)
--- a/loomstand/testing/simulation/hunt.py
+++ b/loomstand/testing/simulation/hunt.py
@@ -45,6 +45,7 @@
 
 
 def format_figure(figure: Figure) -> str:
+    """Returns a figure as a line of the report."""
     allowed = "-" if figure.allowed == inf else f"{figure.allowed:.3g}"
     mark = f"  BROKEN ({figure.broken})" if figure.broken else ""
     return f"{figure.name:46s} {figure.value:9.3f} of {allowed:>5s}  {figure.who}{mark}"
@@ -66,13 +67,13 @@
         new = {
             t: q for t, q in change.quotas.items() if before is None or before.quotas.get(t) != q
         }
-        what = "".join(
+        quota_changes = "".join(
             f", {tenant} {rate:g}/s and {burst:g}" for tenant, (rate, burst) in new.items()
         )
         lines.append(
             (
                 change.sent,
-                f"r{change.version} sent, acknowledged at {change.acked:.2f}{what}",
+                f"r{change.version} sent, acknowledged at {change.acked:.2f}{quota_changes}",
                 change.acked,
             )
         )
@@ -80,9 +81,9 @@
         (d.acked, f"drain of {d.server} acknowledged by {d.by}", d.acked) for d in history.drains
     ]
     lines += [(a, f"no primary until {b:.2f}", b) for a, b in history.primary_gaps]
-    for at, line, until in sorted(lines):
+    for at, text, until in sorted(lines):
         if at < chosen.at + NARRATIVE_SECONDS and until > chosen.at - NARRATIVE_SECONDS:
-            print(f"{at:8.2f}  {line}")
+            print(f"{at:8.2f}  {text}")
 
 
 def plot(path: str, days: list[tuple[int, list[Figure]]]) -> None:
@@ -110,12 +111,13 @@
 
 
 def whole(text: str) -> int:
+    """Parses a positive integer argument."""
     if (number := int(text)) < 1:
         raise argparse.ArgumentTypeError(f"{text}: must be 1 or more")
     return number
 
 
-def main(words: list[str] | None = None) -> int:
+def main(argv: list[str] | None = None) -> int:
     """Returns the exit status: 1 if a bound is broken, 2 if a file can't be written, else 0."""
     parser = argparse.ArgumentParser(
         prog="python -m loomstand.testing.simulation.hunt", description=__doc__
@@ -135,7 +137,7 @@
     parser.add_argument("--json", metavar="FILE", help="all days' figures")
     parser.add_argument("--plot", metavar="PNG", help="each day's worst over its allowed")
     parser.add_argument("--day", type=int, metavar="SEED", help="this one alone, with what went on")
-    arguments = parser.parse_args(words)
+    arguments = parser.parse_args(argv)
     for path in (arguments.json, arguments.plot):  # before all days are simulated
         if path and not Path(path).resolve().parent.is_dir():
             parser.error(f"{path}: its folder isn't there")
@@ -149,10 +151,10 @@
     seeds = [(seed, setup) for seed in range(arguments.seed, arguments.seed + arguments.days)]
     with ProcessPoolExecutor(arguments.jobs) as pool:
         days = list(pool.map(run_day, seeds))
-    found = worst_by_name(days)
+    worst = worst_by_name(days)
     print(f"{len(days)} days of {setup.length:g} s with {setup.limiters} limiters", end="")
     print(f", {time.monotonic() - begun:.0f} s to play")
-    for figure, seed, broken_days in found:
+    for figure, seed, broken_days in worst:
         print(
             f"{format_figure(figure)}  day {seed}"
             + (f", {broken_days} days" if broken_days else "")
@@ -170,7 +172,7 @@
     except OSError as error:
         print(f"hunt: {error}", file=sys.stderr)
         return 2
-    return int(any(figure.broken for figure, _, _ in found))
+    return int(any(figure.broken for figure, _, _ in worst))
 
 
 if __name__ == "__main__":
--- a/loomstand/testing/simulation/loop.py
+++ b/loomstand/testing/simulation/loop.py
@@ -28,11 +28,12 @@
 
     def context(self) -> contextvars.Context:
         """Returns a new context; what is started in it belongs to this process."""
-        made = contextvars.Context()
-        made.run(CURRENT_PROCESS.set, self)
-        return made
+        context = contextvars.Context()
+        context.run(CURRENT_PROCESS.set, self)
+        return context
 
     def thaw(self) -> None:
+        """Continues the process; its deferred callbacks run in their order."""
         self.frozen = False
         parked, self.deferred = self.deferred, []
         for gate in parked:
--- a/loomstand/testing/simulation/machine.py
+++ b/loomstand/testing/simulation/machine.py
@@ -85,6 +85,7 @@
             self.disk_state.wipe()
 
     def freeze(self) -> None:
+        """Freezes the process; its callbacks are deferred until `thaw`."""
         if self.process is not None:
             self.process.frozen = True
 
--- a/loomstand/testing/simulation/network.py
+++ b/loomstand/testing/simulation/network.py
@@ -52,7 +52,7 @@
     def partition(self, *sides: list[str]) -> None:
         """Blocks all links between the sides, in both directions."""
         for i, side in enumerate(sides):
-            for other in (h for rest in sides[i + 1 :] for h in rest):
+            for other in (h for other_side in sides[i + 1 :] for h in other_side):
                 for host in side:
                     self.cut(host, other)
 
@@ -69,6 +69,7 @@
                 unblocked.set_result(None)
 
     def is_reachable(self, one: str, other: str) -> bool:
+        """Returns whether bytes from `one` to `other` arrive: link open, both machines on."""
         return (
             (one, other) not in self.blocked_links
             and one not in self.powered_off
@@ -176,9 +177,9 @@
 def _make_wire_context() -> Any:
     import contextvars
 
-    made = contextvars.Context()
-    made.run(CURRENT_PROCESS.set, None)
-    return made
+    context = contextvars.Context()
+    context.run(CURRENT_PROCESS.set, None)
+    return context
 
 
 _WIRE_CONTEXT = _make_wire_context()
--- a/loomstand/testing/simulation/scenario.py
+++ b/loomstand/testing/simulation/scenario.py
@@ -82,6 +82,7 @@
             self.cluster.loop.close()
 
     def draw_key(self, load: Load) -> None:
+        """Draws a new API key for the tenant of a load."""
         load.key = f"key-{load.name}-{self.rng.getrandbits(32):08x}"
 
     async def run_day(self) -> None:
@@ -126,6 +127,7 @@
         return activities
 
     def dense(self, until: float) -> list[Coroutine[Any, Any, None]]:
+        """Returns the activities of a day with overlapping faults."""
         activities = [
             self.repeat(until, 0.0, 1.0, self.raise_load),
             self.repeat(until, 0.0, 1.0, self.raise_load),
@@ -137,7 +139,11 @@
         return [*activities, self.repeat(until, 0.3, 2.0, self.change_configuration)]
 
     async def repeat(
-        self, until: float, low: float, high: float, what: Callable[[], Coroutine[Any, Any, None]]
+        self,
+        until: float,
+        low: float,
+        high: float,
+        activity: Callable[[], Coroutine[Any, Any, None]],
     ) -> None:
         """Repeats an activity until a time, with pauses of `low` to `high` seconds."""
         rng = Random(self.rng.getrandbits(32))
@@ -145,7 +151,7 @@
             await asyncio.sleep(rng.uniform(low, high))
             if self.cluster.loop.time() >= until:
                 return
-            await what()
+            await activity()
 
     # clients
 
@@ -154,17 +160,17 @@
         client, rng, tasks = self.cluster.new_client(), Random(self.rng.getrandbits(32)), []
         while self.cluster.loop.time() < until:
             method, name = rng.choice((("GET", "a"), ("GET", "b"), ("POST", "once")))
-            what = (
+            request_arguments = (
                 method,
                 "town.example",
                 f"/{name}/x",
                 load.key,
                 b"" if method == "GET" else b"body",
             )
-            asked = client.send_with_retries(
-                *what, tries=rng.choice((1, 3)), idempotent=method == "GET"
+            sending = client.send_with_retries(
+                *request_arguments, tries=rng.choice((1, 3)), idempotent=method == "GET"
             )
-            tasks.append(self.cluster.loop.create_task(asked))
+            tasks.append(self.cluster.loop.create_task(sending))
             await asyncio.sleep(
                 rng.expovariate(load.normal_rate * (HOT_LOAD_FACTOR if load.hot else 1.0))
             )
@@ -180,6 +186,7 @@
     # the operator
 
     def quotas(self) -> dict[str, tuple[float, float]]:
+        """Returns the configured rate (requests/s) and burst size by tenant."""
         named = {
             name: spec for (kind, name), spec in self.cluster.resources.items() if kind == "tenants"
         }
@@ -188,17 +195,17 @@
     async def change_configuration(self) -> None:
         """Changes the configuration: a quota, a key that is replaced, or a new route."""
         cluster, rng, load = self.cluster, self.rng, self.rng.choice(self.loads)
-        what, spec = (
+        change, spec = (
             rng.choice(("quota", "quota", "key", "route")),
             cluster.resources["tenants", load.name],
         )
-        if what == "quota":
-            x = rng.choice((0.4, 0.7, 1.5, 2.5))
+        if change == "quota":
+            factor = rng.choice((0.4, 0.7, 1.5, 2.5))
             most = max(TENANT_RATES) * self.setup.quotas
-            rate = min(1.2 * most, max(1.0, round(spec["rate_per_s"] * x)))
+            rate = min(1.2 * most, max(1.0, round(spec["rate_per_s"] * factor)))
             cluster.tenant(load.name, load.key, rate, round(rate * rng.choice(BURST_TO_RATE)))
             load.normal_rate = rate * rng.uniform(0.8, 1.4)
-        elif what == "key":
+        elif change == "key":
             self.draw_key(load)
             cluster.tenant(load.name, load.key, spec["rate_per_s"], spec["burst_size"])
         else:
--- a/loomstand/testing/simulation/sim_disk.py
+++ b/loomstand/testing/simulation/sim_disk.py
@@ -24,9 +24,11 @@
     generation: int = 0
 
     def power_off(self) -> None:
+        """Drops writes that are in progress."""
         self.generation += 1
 
     def wipe(self) -> None:
+        """Erases the disk and drops writes that are in progress."""
         self.generation += 1
         self.pages = {}
 
@@ -46,7 +48,7 @@
         return dict(self.disk_state.pages)
 
     async def save(self, pages: dict[str, bytes]) -> None:
-        disk_state, turn = self.disk_state, self.disk_state.generation
+        disk_state, generation = self.disk_state, self.disk_state.generation
         async with self.write_lock:
             if disk_state.refuses:
                 await asyncio.sleep(COMMIT_SECONDS)
@@ -54,7 +56,7 @@
             # the pages become durable at a random time before the commit is acknowledged
             share = disk_state.rng.random()
             await self._wait(share)
-            if disk_state.generation == turn:
+            if disk_state.generation == generation:
                 disk_state.pages.update(pages)
                 disk_state.write_count += 1
             await self._wait(1.0 - share)
--- a/loomstand/testing/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -212,11 +212,13 @@
             self.finish_close(None)
 
     def fail(self, error: Exception) -> None:
+        """Drops unsent bytes and closes the connection with an error."""
         self.buffer.clear()
         if not self.closed:
             self.finish_close(error)
 
     def finish_close(self, error: Exception | None) -> None:
+        """Closes the connection for the process; unread bytes turn the close into a reset."""
         self.closed = True
         if not self.discarded:
             if self.received or self.resets_on_close:
@@ -228,6 +230,7 @@
         self.loop.call_soon(self.notify_connection_lost, error, context=self.context)
 
     def notify_connection_lost(self, error: Exception | None) -> None:
+        """Calls `connection_lost` of the protocol, once."""
         if not self.loss_notified:
             self.loss_notified = True
             if self.protocol is not None:
@@ -240,6 +243,7 @@
             self.deliver_received()
 
     def schedule_delivery(self) -> None:
+        """Schedules `deliver_received` in the process, once."""
         if not self.delivery_scheduled and not self.closed:
             self.delivery_scheduled = True
             self.loop.call_soon(self.deliver_received, context=self.context)
@@ -250,13 +254,13 @@
         if self.protocol is None:
             return
         while self.received and self.reading and not self.closed:
-            data, taken = self.received.popleft(), 0
+            data, copied = self.received.popleft(), 0
             if isinstance(self.protocol, asyncio.BufferedProtocol):
-                while taken < len(data) and not self.closed:
+                while copied < len(data) and not self.closed:
                     space = self.protocol.get_buffer(-1)
-                    n = min(len(space), len(data) - taken)
-                    space[:n] = data[taken : taken + n]
-                    taken += n
+                    n = min(len(space), len(data) - copied)
+                    space[:n] = data[copied : copied + n]
+                    copied += n
                     self.protocol.buffer_updated(n)
             else:
                 self.protocol.data_received(data)
@@ -288,6 +292,7 @@
         self.arm_timer()
 
     def arm_timer(self, at: float = 0.0) -> None:
+        """Schedules `transmit` for the first segment in transit, not before `at`."""
         if self.timer is None and self.in_transit:
             self.timer = self.loop.call_at(
                 max(at, self.in_transit[0][0]), self.transmit, context=_KERNEL_CONTEXT
@@ -318,23 +323,26 @@
     def open_at_listener(self, address: Address) -> None:
         """Handles a SYN that has arrived: the listener accepts it, or it is reset."""
         port, tcp = self.tcp.network.listeners.get(address), self.tcp
-        there = isinstance(port, StreamListener) and port.process.alive
-        other = SimTransport(tcp, address[0], port.process if there else None, self.host)
-        self.peer, other.peer = other, self
+        is_accepted = isinstance(port, StreamListener) and port.process.alive
+        accepting_end = SimTransport(
+            tcp, address[0], port.process if is_accepted else None, self.host
+        )
+        self.peer, accepting_end.peer = accepting_end, self
         if self.discarded:  # the client has closed it since
-            there = False
-        other.send_segment(SegmentKind.SYN_ACK if there else SegmentKind.RST)
-        if not there:
-            other.discarded = other.closed = True
+            is_accepted = False
+        accepting_end.send_segment(SegmentKind.SYN_ACK if is_accepted else SegmentKind.RST)
+        if not is_accepted:
+            accepting_end.discarded = accepting_end.closed = True
             return
 
         def accept() -> None:
-            other.protocol = port.protocol_factory()
-            other.establish()
+            accepting_end.protocol = port.protocol_factory()
+            accepting_end.establish()
 
-        self.loop.call_soon(accept, context=other.context)
+        self.loop.call_soon(accept, context=accepting_end.context)
 
     def receive_segment(self, kind: SegmentKind, data: Any) -> None:
+        """Handles a segment that has arrived at the kernel of this end."""
         if self.discarded:
             if kind not in (SegmentKind.RST, SegmentKind.WINDOW_UPDATE):
                 self.send_segment(SegmentKind.RST)
@@ -432,6 +440,7 @@
     async def listen(
         self, loop: Any, make: Callable[[], Any], address: Address, *bounds: int
     ) -> StreamListener:
+        """Accepts connections to an address with protocols that `make` creates."""
         port = StreamListener(
             self.process, _refuse_call, protocol_factory=make, network=self.tcp.network
         )
@@ -450,7 +459,7 @@
         return end
 
     def connect(self, loop: Any, channel: SocketChannel, address: Address, within: float) -> None:
-        """Connects a `Wire`; it is stopped on refusal or after `within` seconds."""
+        """Connects a `SocketChannel`; it is stopped on refusal or after `within` seconds."""
 
         def refused() -> None:
             timer.cancel()
--- a/loomstand/testing/simulation/workload.py
+++ b/loomstand/testing/simulation/workload.py
@@ -85,12 +85,14 @@
             self.port.close()
 
     def spawn(self, work: Any) -> None:
+        """Runs a coroutine as a task of the server's process."""
         assert self.process is not None
         task = asyncio.get_running_loop().create_task(work, context=self.process.context())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run(self) -> None:
+        """Listens, then sends heartbeats every 1.5 s on average."""
         loop = asyncio.get_running_loop()
         self.port = await self.streams.listen(
             loop, lambda: ServerHttpConnection(self), self.address
@@ -106,8 +108,8 @@
             info = {"service_name": self.service, "version": "v1", "zone": self.zone}
             info["capacity_slots"] = self.slots
             status = {"state": self.state, "sequence": self.sequence, "cold_remaining": "0ms"}
-            where = f"{self.address[0]}:{self.address[1]}"
-            body = json.dumps({"address": where, "information": info, "status": status}).encode()
+            address = f"{self.address[0]}:{self.address[1]}"
+            body = json.dumps({"address": address, "information": info, "status": status}).encode()
             if await self.call_registry(f"instances.heartbeat&of={self.id}", body):
                 return True
             self.core_index += 1
@@ -116,8 +118,8 @@
     async def call_registry(self, call: str, body: bytes) -> bool:
         """Sends a call to the current core machine; returns whether it was acknowledged."""
         core = self.cores[self.core_index % len(self.cores)]
-        got = await exchange(self.streams, core, post(call, body), 1.0)
-        if got is None or not 200 <= got.status < 300:
+        answer = await exchange(self.streams, core, post(call, body), 1.0)
+        if answer is None or not 200 <= answer.status < 300:
             return False
         self.last_acknowledgement = asyncio.get_running_loop().time(), core
         return True
@@ -138,6 +140,7 @@
     # requests
 
     async def serve(self, connection: ServerHttpConnection) -> None:
+        """Reads and handles the requests of a connection until it ends."""
         self.connections.add(connection)
         try:
             while not connection.closed_reason:
@@ -150,6 +153,7 @@
         connection.transport.close()
 
     async def handle_request(self, connection: ServerHttpConnection, message: Message) -> None:
+        """Rejects a request, or runs it and answers; `fault` may change both."""
         loop, fields = asyncio.get_running_loop(), message.fields
         id_ = fields.get("loomstand-request-id", "")
         method = message.start.split(b" ")[0].decode()
@@ -196,6 +200,7 @@
     async def answer(
         self, connection: ServerHttpConnection, id_: str, fault: str, late: bytes
     ) -> None:
+        """Sends the response of a request that ran, changed by `fault`."""
         body = b"%s %d " % (id_.encode(), self.rng.getrandbits(32)) + b"x" * self.rng.randrange(300)
         if fault == "close":
             connection.transport.abort()
@@ -241,6 +246,7 @@
     def encode_response(
         self, status: int, id_: str, body: bytes, not_executed: bool = False, stamp: bool = True
     ) -> bytes:
+        """Returns the bytes of a response."""
         lines = [
             f"HTTP/1.1 {status} X",
             f"Content-Length: {len(body)}",
@@ -299,18 +305,20 @@
         body: bytes = b"",
         idempotent: bool = False,
     ) -> ClientRequest:
+        """Creates a request with a random id and records it in the request log."""
         request = ClientRequest(
             f"{self.rng.getrandbits(64):016x}", method, host, path, key, body, idempotent
         )
         self.request_log.requests[request.id] = request
         return request
 
-    def encode_request(self, request: ClientRequest, left: float) -> bytes:
+    def encode_request(self, request: ClientRequest, remaining: float) -> bytes:
+        """Returns the bytes of a request; `remaining`: seconds until its deadline."""
         lines = [
             f"{request.method} {request.path} HTTP/1.1",
             f"Host: {request.host}",
             f"Loomstand-Request-Id: {request.id}",
-            f"Loomstand-Deadline-Remaining: {int(left * 1000)}",
+            f"Loomstand-Deadline-Remaining: {int(remaining * 1000)}",
             "Loomstand-Tenant-Name: somebody",
         ]
         lines += [f"Authorization: Bearer {request.key}"] if request.key else []
@@ -349,10 +357,15 @@
                 if connection is None:
                     connection = await self.streams.open(HttpConnection, front, 1.0)
                 connection.transport.write(self.encode_request(request, within))
-                got = await connection.read_message()
-                if STATUS_LINE.fullmatch(got.start) is None or "content-length" not in got.fields:
-                    self.request_log.violations.append(f"{request.id}: no answer: {got.start!r}")
-                reply = Reply(got.status, "", got.fields, got.body)
+                message = await connection.read_message()
+                if (
+                    STATUS_LINE.fullmatch(message.start) is None
+                    or "content-length" not in message.fields
+                ):
+                    self.request_log.violations.append(
+                        f"{request.id}: no answer: {message.start!r}"
+                    )
+                reply = Reply(message.status, "", message.fields, message.body)
         except ConnectionBrokenError as error:
             reply = Reply(0, str(error))
         except ConnectionRefusedError:
@@ -375,14 +388,16 @@
         return reply
 
     async def send_with_retries(
-        self, *what: Any, within: float = 5.0, tries: int = 3, **more: Any
+        self, *request_arguments: Any, within: float = 5.0, tries: int = 3, **more: Any
     ) -> Reply:
         """Sends a request with retries, each with its own id; returns the last reply."""
         loop = asyncio.get_running_loop()
         until = loop.time() + within
         for n in range(tries):
-            request, left = self.new_request(*what, **more), until - loop.time()
-            reply = await self.send_once(request, self.rng.choice(self.front_addresses()), left)
+            request, remaining = self.new_request(*request_arguments, **more), until - loop.time()
+            reply = await self.send_once(
+                request, self.rng.choice(self.front_addresses()), remaining
+            )
             if 200 <= reply.status < 300 or reply.status in FINAL_STATUSES or n + 1 == tries:
                 break
             if not (
@@ -411,18 +426,20 @@
         until, pause = loop.time() + lasts, 0.05
         while loop.time() < until:
             core = self.cores[self.core_index % len(self.cores)]
-            got = await exchange(self.streams, core, post(call, body), 1.0)
-            if got is not None and (got.status < 500 and got.status not in (408, 429)):
-                return got
+            answer = await exchange(self.streams, core, post(call, body), 1.0)
+            if answer is not None and (answer.status < 500 and answer.status not in (408, 429)):
+                return answer
             self.core_index += 1
             await asyncio.sleep(pause)
             pause = min(1.0, 1.5 * pause)
         return None
 
     async def replace(self, body: bytes, lasts: float = 5.0) -> bool:
-        got = await self.call("configuration.replace", body, lasts)
-        return got is not None and got.status == 200
+        """Sends a configuration; returns whether it was acknowledged."""
+        answer = await self.call("configuration.replace", body, lasts)
+        return answer is not None and answer.status == 200
 
     async def read(self, lasts: float = 5.0) -> bytes:
-        got = await self.call("configuration.read", b"", lasts)
-        return got.body if got is not None and got.status == 200 else b""
+        """Reads the configuration; returns no bytes if the call fails."""
+        answer = await self.call("configuration.read", b"", lasts)
+        return answer.body if answer is not None and answer.status == 200 else b""
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -60,6 +60,7 @@
         )
 
     async def serve(self) -> None:
+        """Reads requests and acts on the script of each until the connection ends."""
         try:
             while True:
                 while b"\r\n\r\n" not in self.buffer:
@@ -80,6 +81,7 @@
             pass
 
     async def act(self, script: list[Any]) -> None:
+        """Runs the steps of a script."""
         for step in script:
             if isinstance(step, bytes):
                 if not self.transport.is_closing():
@@ -124,6 +126,8 @@
         self.pool.set_address(0, (SERVER_IP, 80))
 
     async def open(self) -> UpstreamFixture:
+        """Starts the server."""
+
         def make() -> ScriptedServerConnection:
             self.connections.append(ScriptedServerConnection(self))
             return self.connections[-1]
@@ -132,6 +136,7 @@
         return self
 
     def now(self) -> int:
+        """Returns the virtual time in ticks of 0.1 ms."""
         return int(self.loop.time() * 10_000)
 
     def spare_sockets(self) -> int:
@@ -146,6 +151,7 @@
     def attempt_ended(
         self, attempt: Any, outcome: Outcome, metered: int = 0, body: bytes = b""
     ) -> None:
+        """Records the outcome and the response of an attempt."""
         if attempt.timer is not None:
             attempt.timer.cancel()
         id_ = attempt.request.request_id.decode()
@@ -154,6 +160,7 @@
             self.bodies[id_] = attempt.request.server_response
 
     def request(self, id_: str, body: bytes = b"", idempotent: bool = False) -> ProxyRequest:
+        """Returns a request as the proxy has parsed it."""
         parser, ring = http_parser.RequestReceiver(1 << 20), Ring(self.memory_budget, 1 << 21)
         head = f"POST /x HTTP/1.1\r\nHost: h\r\nLoomstand-Request-Id: {id_}\r\n"
         head += f"Content-Length: {len(body)}\r\n"
@@ -164,6 +171,7 @@
         return request
 
     def send(self, request: ProxyRequest, within: float = 1.0) -> ProxyAttempt:
+        """Sends an attempt of a request; it expires after `within` seconds."""
         expires_at = self.now() + int(within * 10_000)
         attempt = ProxyAttempt(request, len(request.attempts), 0, self.now(), expires_at, "i-1")
         request.attempts.append(attempt)
@@ -184,6 +192,7 @@
 
 
 def success_answer(id_: str, *lines: str) -> bytes:
+    """Returns the bytes of the complete response to a request."""
     return encode_answer(200, id_, STAMP, *lines, body=b"of " + id_.encode())
 
 
@@ -195,7 +204,7 @@
     script: list[tuple[str, int]]
 
     async def handle_request(self, connection: Any, message: Message) -> None:
-        connection.script = what, at = self.script.pop(0) if self.script else ("", 0)
+        connection.script = scripted_fault, at = self.script.pop(0) if self.script else ("", 0)
         id_ = message.fields["loomstand-request-id"]
         # its sending side was closed after the previous response: it neither runs nor answers
         if connection.transport.eof_requested:
@@ -203,13 +212,13 @@
                 ServerArrival(self.now(), self.service, self.id, id_, "", False), message
             )
             return
-        if what in ("unread", "refuses twice"):
+        if scripted_fault in ("unread", "refuses twice"):
             self.request_log.record_arrival(
                 ServerArrival(self.now(), self.service, self.id, id_, "", False), message
             )
-        if what == "unread":
+        if scripted_fault == "unread":
             self.reset_connection(connection)
-        elif what == "refuses twice":
+        elif scripted_fault == "refuses twice":
             raw = self.encode_response(503, id_, b"full", not_executed=True)
             connection.transport.write(raw + raw[:at])
             await asyncio.sleep(0.01)
@@ -225,35 +234,38 @@
         connection.transport.fail(ConnectionResetError())
 
     async def answer(self, connection: Any, id_: str, fault: str, late: bytes) -> None:
-        (what, at), body = connection.script, b"%s of %s" % (id_.encode(), self.id.encode())
+        (scripted_fault, at), body = (
+            connection.script,
+            b"%s of %s" % (id_.encode(), self.id.encode()),
+        )
         raw = self.encode_response(504 if late else 200, id_, body)
         extra = {
             "again": raw,
             "nobody": self.encode_response(503, "", b"", not_executed=True),
             "bare": self.encode_response(429, "", b""),
         }
-        if what in extra:
-            raw += extra[what][:at]
-        elif what == "instead":
+        if scripted_fault in extra:
+            raw += extra[scripted_fault][:at]
+        elif scripted_fault == "instead":
             raw = extra["nobody"]
-        elif what in ("reset", "half", "close", "pause", "long pause"):
+        elif scripted_fault in ("reset", "half", "close", "pause", "long pause"):
             connection.transport.write(raw[:at])
-        if what == "reset":
+        if scripted_fault == "reset":
             self.reset_connection(connection)
-        elif what == "half":
+        elif scripted_fault == "half":
             with suppress(OSError):  # it may be reset already
                 connection.transport.write_eof()
-        elif what == "close":
+        elif scripted_fault == "close":
             connection.transport.close()
-        elif what in ("pause", "long pause"):
-            await asyncio.sleep(0.02 if what == "pause" else 3.0)
+        elif scripted_fault in ("pause", "long pause"):
+            await asyncio.sleep(0.02 if scripted_fault == "pause" else 3.0)
             if not connection.closed_reason:
                 connection.transport.write(raw[at:])
-        elif what != "silent" and not connection.closed_reason:
+        elif scripted_fault != "silent" and not connection.closed_reason:
             connection.transport.write(raw)
-            if what in extra:
+            if scripted_fault in extra:
                 await asyncio.sleep(0.004)
-                connection.transport.write(extra[what][at:])
+                connection.transport.write(extra[scripted_fault][at:])
 
 
 class ScriptedCluster(Cluster):
@@ -266,13 +278,13 @@
         self.front, self.fully_sent = (PROXY_IP, FRONT_PORT), set[str]()
 
     def make_server(self, ip: str, service: str, zone: str) -> Server:
-        made = super().make_server(ip, service, zone)
-        made.__class__, made.script = ScriptedServer, self.script  # type: ignore[attr-defined]
-        return made
+        server = super().make_server(ip, service, zone)
+        server.__class__, server.script = ScriptedServer, self.script  # type: ignore[attr-defined]
+        return server
 
-    async def send_requests_in_mode(self, idempotent: bool, how: str, at: int, size: int) -> None:
+    async def send_requests_in_mode(self, idempotent: bool, mode: str, at: int, size: int) -> None:
         """Sends a request of a client in the given mode; the replies are checked by their ids."""
-        many = 2 if how == "pipelined" else 1
+        many = 2 if mode == "pipelined" else 1
         requests = [
             self.client.new_request(
                 "PUT",
@@ -289,46 +301,48 @@
         try:
             async with asyncio.timeout(3.0):
                 connection = await self.streams("10.9.0.1").open(HttpConnection, self.front, 1.0)
-                at_once = how in ("whole", "pipelined", "half", "leaves")
-                if at_once or how == "pieces" or at == len(raw):
+                at_once = mode in ("whole", "pipelined", "half", "leaves")
+                if at_once or mode == "pieces" or at == len(raw):
                     self.fully_sent.update(request.id for request in requests)
                 connection.transport.write(raw if at_once else raw[:at])
-                if how == "pieces":
+                if mode == "pieces":
                     await asyncio.sleep(0.03)
                     connection.transport.write(raw[at:])
-                elif how == "half" and connection.transport.get_write_buffer_size() == 0:
+                elif mode == "half" and connection.transport.get_write_buffer_size() == 0:
                     with suppress(OSError):  # it may be reset already
                         connection.transport.write_eof()
-                elif how in ("breaks", "leaves"):
-                    await asyncio.sleep(0.0 if how == "breaks" else at / 20_000)
+                elif mode in ("breaks", "leaves"):
+                    await asyncio.sleep(0.0 if mode == "breaks" else at / 20_000)
                     connection.transport.abort()
                     return
                 for request in requests:
-                    got = await connection.read_message()
+                    message = await connection.read_message()
                     self.request_log.record_reply(
-                        request, Reply(got.status, "", got.fields, got.body, self.loop.time())
+                        request,
+                        Reply(message.status, "", message.fields, message.body, self.loop.time()),
                     )
         except (ConnectionBrokenError, OSError, TimeoutError):
             pass
 
-    async def disturb(self, after: float, what: str, lasts: float) -> None:
+    async def disturb(self, after: float, disturbance: str, lasts: float) -> None:
+        """Injects a disturbance `after` seconds, ends it after `lasts` more seconds."""
         await asyncio.sleep(after)
         host, servers = self.proxies[PROXY_IP], [s for many in self.servers.values() for s in many]
-        server, there = servers[int(after * 1000) % 2], [s.address[0] for s in servers]
-        if what in ("cut", "deaf", "dumb"):
-            pairs = {(ip, PROXY_IP) for ip in there} if what != "deaf" else set()
+        server, server_ips = servers[int(after * 1000) % 2], [s.address[0] for s in servers]
+        if disturbance in ("cut", "deaf", "dumb"):
+            pairs = {(ip, PROXY_IP) for ip in server_ips} if disturbance != "deaf" else set()
             self.network.blocked_links |= pairs | (
-                {(PROXY_IP, ip) for ip in there} if what != "dumb" else set()
+                {(PROXY_IP, ip) for ip in server_ips} if disturbance != "dumb" else set()
             )
-        elif what == "away":
+        elif disturbance == "away":
             self.network.cut("10.9.0.1", PROXY_IP)
-        elif what == "freeze":
+        elif disturbance == "freeze":
             host.freeze()
-        elif what == "server freezes" and server.process is not None:
+        elif disturbance == "server freezes" and server.process is not None:
             server.process.frozen = True
-        elif what == "server dies":
+        elif disturbance == "server dies":
             server.kill()
-        elif what == "term":
+        elif disturbance == "term":
             await host.terminate()
         await asyncio.sleep(lasts)
         self.network.heal()
--- a/loomstand/testing/simulation/wrong_calls.py
+++ b/loomstand/testing/simulation/wrong_calls.py
@@ -42,44 +42,46 @@
         self.answer_lock, self.eof_sent, self.checksum_sent = asyncio.Lock(), False, False
 
     async def serve_call(self, call: CallFrame) -> None:
+        """Runs a call and answers it by the next entry of `plays`."""
         number = call.number
         try:
             raw = encode_item([number, True, await self.handler(call.operation, call.body)])
         except CallRefusedError:
             raw = encode_item([number, False, {}])
-        how, at = self.owner.plays.pop(0) if self.owner.plays else ("", 0)
+        fault, at = self.owner.plays.pop(0) if self.owner.plays else ("", 0)
         async with self.answer_lock:
             if (
                 not self.checksum_sent
             ):  # the first frame may be of a peer that doesn't send checksums yet
-                self.checksum_sent, how = True, "" if how == "spoilt" else how
-            await self.send_answer(number, raw, how, at % len(raw))
+                self.checksum_sent, fault = True, "" if fault == "spoilt" else fault
+            await self.send_answer(number, raw, fault, at % len(raw))
 
-    async def send_answer(self, number: int, raw: bytes, how: str, at: int) -> None:
-        if how == "pause":
+    async def send_answer(self, number: int, raw: bytes, fault: str, at: int) -> None:
+        """Sends an answer with a fault at byte `at`."""
+        if fault == "pause":
             self.write_unless_closed(raw[:at])
             await asyncio.sleep(0.02)
             self.write_unless_closed(raw[at:])
-        elif how in ("reset", "close", "half"):
+        elif fault in ("reset", "close", "half"):
             self.write_unless_closed(raw[:at])
-            if how == "reset":
+            if fault == "reset":
                 self.close()
-            elif how == "half" and not self.transport.is_closing():
+            elif fault == "half" and not self.transport.is_closing():
                 self.eof_sent = True
                 with suppress(OSError):  # it may be reset already
                     self.transport.write_eof()
             else:
                 self.transport.close()
-        elif how == "spoilt":
+        elif fault == "spoilt":
             self.write_unless_closed(raw[:at] + bytes([raw[at] ^ (1 << (at % 8))]) + raw[at + 1 :])
-        elif how == "foreign":
+        elif fault == "foreign":
             self.write_unless_closed(encode_item([number + 10_000, True, {"n": "foreign"}]) + raw)
-        elif how == "no answer":
+        elif fault == "no answer":
             self.write_unless_closed(encode_item([number, "x", {"n": "none"}]))
         else:
             self.write_unless_closed(raw)
-        if how in ("twice", "late twice"):
-            await asyncio.sleep(0.1 if how == "late twice" else 0.0)
+        if fault in ("twice", "late twice"):
+            await asyncio.sleep(0.1 if fault == "late twice" else 0.0)
             self.write_unless_closed(encode_item([number, True, {"n": "again"}]))
 
     def write_unless_closed(self, raw: bytes) -> None:
@@ -114,10 +116,12 @@
         self.ran_at: dict[int, float] = {}
 
     async def open(self) -> CallerAndServer:
+        """Starts the server."""
         await self.called.listen(SERVER_ADDRESS, self.serve)
         return self
 
     async def serve(self, op: str, body: Any) -> Any:
+        """Runs a call for `for` seconds and records it."""
         if op == "refuse":
             raise CallRefusedError("no")
         self.ran.append(body["n"])
@@ -126,18 +130,19 @@
         return {"n": body["n"]}
 
     async def call(self, n: int, lasts: float = 0.0, within: float = 0.3, size: int = 0) -> Any:
+        """Sends call `n`, which takes `lasts` seconds to run, and records its result."""
         body = {"n": n, "for": lasts, "fill": bytes(size)}
-        self.results[n] = got = await self.caller.call(SERVER_ADDRESS, "do", body, within)
-        return got
+        self.results[n] = result = await self.caller.call(SERVER_ADDRESS, "do", body, within)
+        return result
 
     def check(self) -> None:
         """Asserts that each call has its own answer, that none ran twice, and that none reported as
         not run has run.
         """
-        for n, got in self.results.items():
+        for n, result in self.results.items():
             assert self.ran.count(n) <= 1
-            if got.is_ok():
-                assert got.ok == {"n": n} and n in self.ran
+            if result.is_ok():
+                assert result.ok == {"n": n} and n in self.ran
             else:
-                assert got.error is not CallFailure.NEVER_RAN or n not in self.ran, n
-                assert got.error is not CallFailure.REFUSED, n
+                assert result.error is not CallFailure.NEVER_RAN or n not in self.ran, n
+                assert result.error is not CallFailure.REFUSED, n
