--- a/loomstand/testing/emulator/baselines.py
+++ b/loomstand/testing/emulator/baselines.py
@@ -54,6 +54,7 @@
         self.frontends: dict[int, int] = {}  # frontend by request, while its attempt is in flight
 
     def handle(self, now: int, event: Event) -> list[Action]:
+        """Returns the actions for an event."""
         match event:
             case EndpointsUpdated():
                 if event.complete:
@@ -101,6 +102,7 @@
         self.jobs: dict[int, tuple[RequestArrived, list[int], bool]] = {}
 
     def handle(self, now: int, event: Event) -> list[Action]:
+        """Returns the actions for an event."""
         match event:
             case RequestArrived():
                 if not 0 <= event.plan < len(self.s.plans):
--- a/loomstand/testing/emulator/checker.py
+++ b/loomstand/testing/emulator/checker.py
@@ -62,10 +62,10 @@
 
     def first(self, most: int = 5) -> list[Violation]:
         """Returns the first violations of each rule, at most `most`."""
-        out: list[Violation] = []
+        violations: list[Violation] = []
         for rule in RULE_NAMES:
-            out += [b for b in self.violations if b.rule == rule][:most]
-        return out
+            violations += [b for b in self.violations if b.rule == rule][:most]
+        return violations
 
 
 def check(history: History, scenario: sc.Scenario) -> Verdict:
@@ -91,19 +91,19 @@
 def check_answers(history: History, scenario: sc.Scenario) -> list[Violation]:
     """Returns the violations of rule 1."""
     slack = round(scenario.fleet.answer_slack_ms * TICKS_PER_MS)
-    out = []
+    violations = []
     for r in history.reqs:
         if r.answer_count > 1:
-            out.append(
+            violations.append(
                 Violation(1, r.req, r.limiter, r.answered_at, f"{r.answer_count} final answers")
             )
         if r.orphaned or r.client_left:
             continue
         if r.answer_count == 0:
-            out.append(Violation(1, r.req, r.limiter, r.deadline, "no final answer"))
+            violations.append(Violation(1, r.req, r.limiter, r.deadline, "no final answer"))
         elif r.answered_at > r.deadline + slack:
             late = (r.answered_at - r.deadline) / TICKS_PER_MS
-            out.append(
+            violations.append(
                 Violation(
                     1,
                     r.req,
@@ -112,21 +112,21 @@
                     f"{r.answer} {late:.1f} ms after the client timeout",
                 )
             )
-    return out
+    return violations
 
 
 def check_effects(history: History, scenario: sc.Scenario) -> list[Violation]:
     """Returns the violations of rule 2."""
-    out = []
+    violations = []
     limiter_of = {r.req: r.limiter for r in history.reqs}
-    seen: dict[int, list[tuple[int, int, str, int]]] = {}
+    earlier_executions: dict[int, list[tuple[int, int, str, int]]] = {}
     for req, srv, at, effect, group, window in history.executions:
         if effect == "pure":
             continue
-        earlier = seen.setdefault(req, [])
+        earlier = earlier_executions.setdefault(req, [])
         for srv0, at0, _, group0 in earlier:
             if effect == "side_effect" or group0 != group or at - at0 > window:
-                out.append(
+                violations.append(
                     Violation(
                         2,
                         req,
@@ -139,8 +139,8 @@
         earlier.append((srv, at, effect, group))
     # an attempt is in flight from its sending until its limiter has its outcome
     for req, limiter, at in history.overlaps:
-        out.append(Violation(2, req, limiter, at, "a second dispatch while one was out"))
-    return out
+        violations.append(Violation(2, req, limiter, at, "a second dispatch while one was out"))
+    return violations
 
 
 def check_leaving(history: History, scenario: sc.Scenario) -> list[Violation]:
@@ -149,12 +149,12 @@
     notices: dict[tuple[int, int], list[tuple[int, int]]] = {}
     for limiter, srv, at, until in history.leaving_notices:
         notices.setdefault((limiter, srv), []).append((at, until))
-    out = []
+    violations = []
     for req, n, limiter, srv, sent, _ in history.attempts:
         for at, until in notices.get((limiter, srv), ()):
             if at + grace < sent < until:
                 late = (sent - at) / TICKS_PER_MS
-                out.append(
+                violations.append(
                     Violation(
                         3,
                         req,
@@ -164,33 +164,36 @@
                     )
                 )
                 break
-    return out
+    return violations
 
 
 def check_ceilings(history: History, scenario: sc.Scenario) -> list[Violation]:
     """Returns the violations of rule 5, at most one per customer."""
-    out, level, last, broken = [], {}, {}, set()
+    violations, level, last_at, broken = [], {}, {}, set()
     plans = scenario.plans
     for customer, plan, at, units in history.usage:
         p = plans[plan]
         if p.ceiling_rate <= 0 or customer in broken:
             continue
         depth = p.ceiling_depth or p.ceiling_rate
-        held = level.get(customer, depth)
-        held = (
-            min(depth, held + p.ceiling_rate * (at - last.get(customer, at)) / TICKS_PER_SECOND)
+        remaining = level.get(customer, depth)
+        remaining = (
+            min(
+                depth,
+                remaining + p.ceiling_rate * (at - last_at.get(customer, at)) / TICKS_PER_SECOND,
+            )
             - units
         )
-        level[customer], last[customer] = held, at
-        if held < -p.ceiling_slack - 1e-9:
+        level[customer], last_at[customer] = remaining, at
+        if remaining < -p.ceiling_slack - 1e-9:
             broken.add(customer)
-            out.append(
+            violations.append(
                 Violation(
                     5,
                     -1,
                     -1,
                     at,
-                    f"customer {customer} of {p.name} {-held:.1f} units over its ceiling",
+                    f"customer {customer} of {p.name} {-remaining:.1f} units over its ceiling",
                 )
             )
-    return out
+    return violations
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -223,6 +223,7 @@
         )
 
     def receive(self, message: object) -> None:
+        """Handles an attempt that arrives or work that has finished."""
         if isinstance(message, Work):
             self.accept(message)
         elif (
@@ -265,6 +266,7 @@
             self.queue.append(work)
 
     def start(self, work: Work) -> None:
+        """Begins to execute an attempt; it ends after an exponentially distributed time."""
         fleet = self.fleet
         frontend = fleet.scenario.frontends[work.frontend]
         fleet.record_execution(work, self)
@@ -315,6 +317,7 @@
         self.down_until, self.slowdown = -1, 1.0
 
     def receive(self, message: object) -> None:
+        """Adds the amount of a call and replies with the total, unless the counter is down."""
         if not isinstance(message, CounterCall):
             return
         fleet, now = self.fleet, self.fleet.engine.now
@@ -347,12 +350,12 @@
 
     def entries(self) -> tuple[Endpoint, ...]:
         """Returns the full list, or its first part under the fault partial_lists."""
-        known = [
+        entries = [
             s.endpoint() for s in self.fleet.servers if s.state is not EndpointState.GONE or s.up
         ]
         if self.listed_share < 1.0:
-            known = known[: ceil(len(known) * self.listed_share)]
-        return tuple(known)
+            entries = entries[: ceil(len(entries) * self.listed_share)]
+        return tuple(entries)
 
     def publish(self, entries: tuple[Endpoint, ...], whole: bool) -> None:
         """Sends a change or the whole list to all live limiters, each with its own delay."""
@@ -386,6 +389,7 @@
         self.attempt_counts: dict[int, int] = {}  # attempts sent, by request
 
     def start(self) -> None:
+        """Starts the limiter with a new policy and the current endpoint list."""
         fleet = self.fleet
         self.alive, self.generation = True, self.generation + 1
         fleet.live_limiters = None
@@ -405,6 +409,7 @@
         self.pending, self.in_flight, self.counter_calls = {}, {}, {}
 
     def receive(self, message: object) -> None:
+        """Passes a message to the policy as an event; drops those to an earlier process."""
         lgen = getattr(message, "lgen", self.generation)
         if not self.alive or lgen != self.generation:
             if isinstance(message, ClientRequest):
@@ -552,7 +557,7 @@
             case LogMessage():
                 fleet.log_lines += 1
 
-    def record_answer(self, req_id: int, what: str) -> None:
+    def record_answer(self, req_id: int, answer: str) -> None:
         """Records a final answer; the history counts further answers as violations of rule 1."""
         req = self.fleet.req_rows.get(req_id)
         if req is None:
@@ -562,7 +567,7 @@
         self.pending.pop(req_id, None)
         req.answer_count += 1
         if req.answer_count == 1:
-            req.answer, req.answered_at = what, self.fleet.engine.now
+            req.answer, req.answered_at = answer, self.fleet.engine.now
             self.fleet.record_outcome(req)
 
 
@@ -588,6 +593,7 @@
         return self.traffic.rate(plan) * burst
 
     def receive(self, message: object) -> None:
+        """Sends the due requests of a plan, or a retry; none after the end of the run."""
         if self.fleet.engine.now >= self.fleet.scenario.seconds * TICKS_PER_SECOND:
             return None  # no new requests after the end; those accepted are still answered
         if isinstance(message, ClientRetry):
@@ -606,6 +612,7 @@
         self.fleet.engine.schedule_at(ceil(self.next_arrivals[plan]), self, plan)
 
     def send_new_request(self, plan: int) -> None:
+        """Sends a request of a random customer of the plan."""
         customer = self.traffic.draw_customer(plan)
         self.fleet.submit_request(plan, customer, self.traffic.draw_frontend(), False)
 
@@ -632,6 +639,7 @@
         self.fleet = fleet
 
     def receive(self, message: object) -> None:
+        """Records one sample and schedules the next one."""
         fleet = self.fleet
         up = [s for s in fleet.servers if s.up]
         fleet.history.load.append(
@@ -684,6 +692,7 @@
         self.live_limiters: tuple[list[Limiter], list[list[Limiter]]] | None = None
 
     def settings_for(self, limiter_index: int, zone: int) -> EngineSettings:
+        """Returns the engine settings of a limiter."""
         return engine_settings(sc.limiter_settings(self.scenario, limiter_index, zone), zone)
 
     # the network
@@ -943,15 +952,16 @@
         return self.fleet.rng.sample(among, k)
 
     def receive(self, message: object) -> None:
+        """Starts or ends a fault, or restarts or replaces a server."""
         fleet = self.fleet
-        what, n = message
-        if what == "back":
+        kind, n = message
+        if kind == "back":
             fleet.restart(fleet.servers[n])
             return None
-        if what == "leave":
+        if kind == "leave":
             fleet.replace(fleet.servers[n])
             return None
-        if what == "end":
+        if kind == "end":
             return self.end(fleet.scenario.faults[n])
         fault = fleet.scenario.faults[n]
         span = round(fault.for_s * TICKS_PER_SECOND)
--- a/loomstand/testing/emulator/runner.py
+++ b/loomstand/testing/emulator/runner.py
@@ -115,15 +115,17 @@
                 beyond += r.value * s.plans[r.plan].excess_cost
     plans = []
     for n, p in enumerate(s.plans):
-        mine = [r for r in taken if r.plan == n]
+        plan_requests = [r for r in taken if r.plan == n]
         plans.append(
             {
                 "plan": p.name,
                 "quota_per_s": p.rate * p.customers,
-                "asked_per_s": len(mine) / s.seconds,
-                "passed_per_s": sum(r.answer == PASSED for r in mine) / s.seconds,
-                "denied_inside": sum(r.answer == DENIED and r.within_quota for r in mine),
-                "passed_beyond": sum(r.answer == PASSED and not r.within_quota for r in mine),
+                "asked_per_s": len(plan_requests) / s.seconds,
+                "passed_per_s": sum(r.answer == PASSED for r in plan_requests) / s.seconds,
+                "denied_inside": sum(r.answer == DENIED and r.within_quota for r in plan_requests),
+                "passed_beyond": sum(
+                    r.answer == PASSED and not r.within_quota for r in plan_requests
+                ),
             }
         )
     g = (worth - beyond) / offered if offered else 0.0
@@ -144,7 +146,7 @@
         "rules": {str(rule): n for rule, n in verdict.by_rule().items()},
         "breaks": [msgspec.to_builtins(b) for b in verdict.first()],
         "policy_crashes": len(history.errors),
-        "crashes": [f"limiter {lim}: {what}" for lim, what in history.errors[:5]],
+        "crashes": [f"limiter {lim}: {error}" for lim, error in history.errors[:5]],
         "held": verdict.held and not history.errors,
         "falls": len(history.overload_crashes),
         "log_lines": fleet.log_lines,
@@ -178,13 +180,13 @@
         "runs": {},
         "series": {},
     }
-    for name, played in runs.items():
-        played.summary["policy"] = name
-        report["runs"][name] = played.summary
+    for name, policy_run in runs.items():
+        policy_run.summary["policy"] = name
+        report["runs"][name] = policy_run.summary
         report["series"][name] = {
-            "seconds": played.history.seconds,
-            "admitted": played.history.admitted,
-            "load": played.history.load,
+            "seconds": policy_run.history.seconds,
+            "admitted": policy_run.history.admitted,
+            "load": policy_run.history.load,
         }
     report["digest"] = digest(report)
     report["wall_s"] = {name: round(p.wall_s, 3) for name, p in runs.items()}
@@ -212,19 +214,19 @@
     Raises:
         ScenarioError: The text has no key or no value.
     """
-    key, sep, rest = text.partition("=")
-    if not sep or not key or not rest:
+    key, sep, values_text = text.partition("=")
+    if not sep or not key or not values_text:
         raise sc.ScenarioError(f"--set '{text}': wanted KEY=V1,V2,...")
-    out: list[object] = []
-    for v in rest.split(","):
+    values: list[object] = []
+    for v in values_text.split(","):
         try:
-            out.append(int(v))
+            values.append(int(v))
         except ValueError:
             try:
-                out.append(float(v))
+                values.append(float(v))
             except ValueError:
-                out.append(v)
-    return key, out
+                values.append(v)
+    return key, values
 
 
 def _run_point(args: tuple[dict, dict, int | None]) -> dict:
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -300,13 +300,13 @@
     Raises:
         ScenarioError: A part of a key before its last is not a table.
     """
-    out = msgspec.json.decode(msgspec.json.encode(table))
+    result = msgspec.json.decode(msgspec.json.encode(table))
     for key, value in sets.items():
-        place, *path = key.split(".")
-        here = out
-        for part in [place, *path][:-1]:
-            here = here.setdefault(part, {})
-            if not isinstance(here, dict):
+        first_part, *path = key.split(".")
+        node = result
+        for part in [first_part, *path][:-1]:
+            node = node.setdefault(part, {})
+            if not isinstance(node, dict):
                 raise ScenarioError(f"key '{key}': '{part}' is not a table")
-        here[[place, *path][-1]] = value
-    return out
+        node[[first_part, *path][-1]] = value
+    return result
--- a/loomstand/testing/rehearsal/checker.py
+++ b/loomstand/testing/rehearsal/checker.py
@@ -59,14 +59,16 @@
         return round((unix - self.began) * TICKS_PER_SECOND)
 
     def all(self, name: str) -> list[list]:
+        """Returns the rows of all events of one name, in order of time."""
         return self.rows.get(name, [])
 
     def path(self, limiter: int, server: int) -> tuple[str, str]:
+        """Returns the ends of the path from a limiter to a server."""
         return (SHARED if self.rehearsal.fleet.shared else f"l{limiter}", f"s{server}")
 
-    def delivery_time(self, path: tuple[str, str], way: str, unix: float) -> float:
+    def delivery_time(self, path: tuple[str, str], direction: str, unix: float) -> float:
         """The time at which data sent on a path could pass: at once, or at the end of a cut."""
-        for since, until in self.cuts.get((*path, way), ()):
+        for since, until in self.cuts.get((*path, direction), ()):
             if since <= unix < until:
                 return until
         return unix
@@ -80,6 +82,7 @@
 
     @property
     def resets(self) -> list[float]:
+        """Returns the Unix times of faults that reset connections."""
         return [row[0] for row in self.all("fault") if row[2] in ("reset", "vanish")]
 
     def ran_throughout(self, name: str, since: float, until: float) -> bool:
@@ -116,9 +119,9 @@
     open_cuts: dict[tuple[str, str, str], float] = {}
     for at, paths in events.all("cut"):
         for a, b, directions in paths:
-            for way in ("forth", "back"):
-                key = (a, b, way)
-                if way in directions:
+            for direction in ("forth", "back"):
+                key = (a, b, direction)
+                if direction in directions:
                     open_cuts.setdefault(key, at)
                 elif key in open_cuts:
                     events.cuts.setdefault(key, []).append(
@@ -332,9 +335,9 @@
 def totals_by_second(events: RehearsalEvents) -> list[SecondTotals]:
     """Totals by second of arrival since the first traffic."""
     rehearsal, n = events.rehearsal, len(events.rehearsal.frontends)
-    out = [SecondTotals([0.0] * n, [0.0] * n) for _ in range(int(rehearsal.seconds) + 1)]
+    totals = [SecondTotals([0.0] * n, [0.0] * n) for _ in range(int(rehearsal.seconds) + 1)]
     for r in events.history.reqs:
-        row = out[min(len(out) - 1, max(0, r.arrived // TICKS_PER_SECOND))]
+        row = totals[min(len(totals) - 1, max(0, r.arrived // TICKS_PER_SECOND))]
         row.taken += 1
         row.offered[r.frontend] += r.value if r.within_quota else 0.0
         if r.answer == PASSED:
@@ -350,10 +353,10 @@
             row.aborted += 1
         else:
             row.lost += 1
-    capacity = capacity_by_second(events, len(out))
-    for k, row in enumerate(out):
+    capacity = capacity_by_second(events, len(totals))
+    for k, row in enumerate(totals):
         row.best = best_worth(rehearsal, row.offered, capacity[k])
-    return out
+    return totals
 
 
 def capacity_by_second(events: RehearsalEvents, count: int) -> list[float]:
@@ -422,8 +425,8 @@
     if bound.what == "moves":
         return float(sum(since <= at - events.began < until for at, *_ in events.all("move")))
     if bound.what == "list_calls":
-        first = since or -60.0  # limiters may start a little before the traffic
-        return float(sum(first <= at - events.began < until for at, *_ in events.all("call")))
+        earliest = since or -60.0  # limiters may start a little before the traffic
+        return float(sum(earliest <= at - events.began < until for at, *_ in events.all("call")))
     if bound.what == "ready_s":
         waits = ready_after(events)
         return max(waits, default=0.0)
@@ -433,21 +436,21 @@
 def ready_after(events: RehearsalEvents) -> list[float]:
     """Seconds from each start of a limiter until it was ready."""
     ups = [(at, name) for at, name, _ in events.all("up")]
-    out = []
+    delays = []
     for at, name in events.all("ready"):
         starts = [t for t, started in ups if started == name and t <= at]
         if starts:
-            out.append(at - starts[-1])
-    return out
+            delays.append(at - starts[-1])
+    return delays
 
 
 def check_bounds(events: RehearsalEvents, totals: list[SecondTotals]) -> list[dict]:
     """Returns each bound with its figure and whether it is kept."""
-    out = []
+    results = []
     for bound in events.rehearsal.bounds:
         value = measure_bound(events, bound, totals)
         kept = (bound.at_least is None or value >= bound.at_least) and (
             bound.at_most is None or value <= bound.at_most
         )
-        out.append({**msgspec.to_builtins(bound), "value": round(value, 4), "kept": kept})
-    return out
+        results.append({**msgspec.to_builtins(bound), "value": round(value, 4), "kept": kept})
+    return results
--- a/loomstand/testing/rehearsal/child.py
+++ b/loomstand/testing/rehearsal/child.py
@@ -60,6 +60,7 @@
 
 
 def main() -> None:
+    """Runs the role named by the first argument; the first line of input is its configuration."""
     role = importlib.import_module(ROLES[sys.argv[1]])
     line = sys.stdin.buffer.raw.readline()  # unbuffered: `handle_commands` reads the rest
     if not line:
--- a/loomstand/testing/rehearsal/counter.py
+++ b/loomstand/testing/rehearsal/counter.py
@@ -32,13 +32,14 @@
     def data_received(self, data: bytes) -> None:
         self.raw += data
         while True:
-            head, found, rest = self.raw.partition(b"\r\n\r\n")
-            if not found or len(rest) < (length := content_length(head)):
+            head, separator, body = self.raw.partition(b"\r\n\r\n")
+            if not separator or len(body) < (length := content_length(head)):
                 return
-            self.raw = rest[length:]
+            self.raw = body[length:]
             self.call(head)
 
     def call(self, head: bytes) -> None:
+        """Adds to a total and schedules the answer."""
         counter, loop = self.counter, asyncio.get_running_loop()
         counter.count += 1
         if counter.silent:  # like a stopped machine: adds nothing, answers nothing
@@ -64,12 +65,14 @@
         self.silent, self.count = False, 0
 
     def sample(self) -> None:
+        """Records the number of calls once a second."""
         asyncio.get_running_loop().call_later(1.0, self.sample)
         if self.count:
             self.record("calls", self.count)
         self.count = 0
 
     def handle_command(self, command: dict) -> None:
+        """Applies or undoes a fault."""
         match command["do"]:
             case "counter_slow":
                 self.latency = self.base_latency * command["factor"]
--- a/loomstand/testing/rehearsal/discovery.py
+++ b/loomstand/testing/rehearsal/discovery.py
@@ -133,10 +133,12 @@
         self.wake_watches()
 
     def wake_watches(self) -> None:
+        """Wakes all watches, which then send what has changed."""
         self.update.set()
         self.update = asyncio.Event()
 
     def handle_command(self, command: dict) -> None:
+        """Publishes changed members, or applies or undoes a fault."""
         match command["do"]:
             case "list":
                 asyncio.get_running_loop().call_later(
--- a/loomstand/testing/rehearsal/driver.py
+++ b/loomstand/testing/rehearsal/driver.py
@@ -47,8 +47,8 @@
 
     def data_received(self, data: bytes) -> None:
         self.raw += data
-        head, found, body = self.raw.partition(b"\r\n\r\n")
-        if not found or len(body) < (length := content_length(head)):
+        head, separator, body = self.raw.partition(b"\r\n\r\n")
+        if not separator or len(body) < (length := content_length(head)):
             return
         self.raw = body[length:]
         if self.answer is not None and not self.answer.done():
@@ -79,9 +79,10 @@
         self.healthy, self.answered_at = driver.rehearsal.known, 0.0
 
     async def connect(self, timeout: float) -> ClientConnection:
+        """Opens a connection to the limiter. Raises OSError or TimeoutError."""
         loop = asyncio.get_running_loop()
-        made = loop.create_connection(ClientConnection, self.driver.host, self.port)
-        return (await asyncio.wait_for(made, timeout))[1]
+        connecting = loop.create_connection(ClientConnection, self.driver.host, self.port)
+        return (await asyncio.wait_for(connecting, timeout))[1]
 
     async def request(self, raw: bytes, timeout: float) -> tuple[int, bytes]:
         """Returns status and body; without an answer the status is BROKEN or NO_ANSWER."""
@@ -188,8 +189,8 @@
         first, size, candidates = self.limiters_for(customer, plan)
         limiter = candidates[self.rng.randrange(len(candidates))]
         bucket = self.quota[customer]
-        inside = refill(bucket, p.rate, p.burst, time.time()) >= 1.0
-        bucket[0] -= 1.0 if inside else 0.0
+        within_quota = refill(bucket, p.rate, p.burst, time.time()) >= 1.0
+        bucket[0] -= 1.0 if within_quota else 0.0
         self.next += 1
         req = (self.part + 1) * 10_000_000 + self.next
         method, retry_header = (
@@ -204,7 +205,7 @@
             "Content-Length: 0\r\n\r\n"
         ).encode()
         timeout = frontend.client_timeout_ms / 1000
-        self.record("sent", req, limiter, customer, plan, front, timeout, inside, retry, zone)
+        self.record("sent", req, limiter, customer, plan, front, timeout, within_quota, retry, zone)
         self.in_flight += 1
         status, body = BROKEN, b""
         if limiter != NO_LIMITER:
@@ -243,6 +244,7 @@
                     spawn(self.send_request(plan, customer, self.traffic.draw_frontend(), False))
 
     async def run(self, began: float) -> None:
+        """Runs the load from `began` (Unix s) and reports `done` after the last answer."""
         rehearsal = self.rehearsal
         for bucket in self.quota:
             bucket[1] = began
@@ -269,12 +271,14 @@
         send_message(done=True)
 
     async def record_lag(self) -> None:
+        """Records once a second by how many seconds requests were sent late at most."""
         while not self.over:
             await asyncio.sleep(1.0)
             self.record("lag", self.lag)
             self.lag = 0.0
 
     def handle_command(self, command: dict) -> None:
+        """Starts the load or changes the demand of a plan."""
         if command["do"] == "begin":
             spawn(self.run(command["at"]))
         elif command["do"] == "flood":
--- a/loomstand/testing/rehearsal/links.py
+++ b/loomstand/testing/rehearsal/links.py
@@ -44,12 +44,14 @@
         return True
 
     def forward(self, item: bytes | None) -> None:
+        """Passes bytes, or None for the end of input, to the peer after the delay of the link."""
         if self.link.delay:
             asyncio.get_running_loop().call_later(self.link.delay, self.enqueue, item)
         else:
             self.enqueue(item)
 
     def enqueue(self, item: bytes | None) -> None:
+        """Appends an item to those that wait for the peer and writes what may be written."""
         self.waiting.append(item)
         self.flush()
 
@@ -103,9 +105,11 @@
         self.accept_connections()
 
     def accept_connections(self) -> None:
+        """Accepts connections whenever the listener is readable."""
         asyncio.get_running_loop().add_reader(self.sock, self.accept)
 
     def accept(self) -> None:
+        """Accepts the connections in the backlog."""
         loop = asyncio.get_running_loop()
         for _ in range(BACKLOG):
             try:
@@ -116,34 +120,35 @@
             spawn(loop.connect_accepted_socket(lambda: LinkEnd(self, True), conn))
 
     def connect_target(self, link_end: LinkEnd) -> None:
+        """Connects the client's end of a connection to the target of the link."""
         spawn(self._connect_target(link_end))
 
     async def _connect_target(self, link_end: LinkEnd) -> None:
-        far = LinkEnd(self, False)
+        target_end = LinkEnd(self, False)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: far, *self.to)
+            await asyncio.get_running_loop().create_connection(lambda: target_end, *self.to)
         except OSError:
             if not self.cut:
                 abort(link_end)
             return
-        far.peer, link_end.peer = link_end, far
+        target_end.peer, link_end.peer = link_end, target_end
         if link_end.transport.is_closing():
-            far.transport.abort()
+            target_end.transport.abort()
         link_end.flush()
 
     def is_cut(self, forth: bool) -> bool:
         return forth in self.cut
 
-    def peer_closed(self, far: LinkEnd, error: Exception | None) -> None:
+    def peer_closed(self, link_end: LinkEnd, error: Exception | None) -> None:
         """Closes the other end of a closed connection, after the cut if that direction is cut."""
-        if self.is_cut(not far.forth):
-            self.pending_closes.append((far, error is not None))
+        if self.is_cut(not link_end.forth):
+            self.pending_closes.append((link_end, error is not None))
         else:
-            close(far, error is not None)
+            close(link_end, error is not None)
 
     def block(self, forth: bool, back: bool) -> None:
         """Cuts the given directions; new connections wait until `heal`."""
-        self.cut = {way for way, on in ((True, forth), (False, back)) if on}
+        self.cut = {direction for direction, is_cut in ((True, forth), (False, back)) if is_cut}
         if self.cut and not self.fillers:
             asyncio.get_running_loop().remove_reader(self.sock)
             self.sock.listen(0)
@@ -154,6 +159,7 @@
                 self.fillers.append(sock)
 
     def heal(self) -> None:
+        """Ends the cut: forwards waiting bytes and closes the connections that ended during it."""
         self.cut = set()
         if self.fillers:
             for sock in self.fillers:
@@ -164,12 +170,13 @@
         for link_end in list(self.ends):
             link_end.flush()
         closes, self.pending_closes = self.pending_closes, []
-        for far, reset in closes:
-            if far.peer is not None:
-                far.peer.flush()
-            close(far, reset)
+        for closing_end, reset in closes:
+            if closing_end.peer is not None:
+                closing_end.peer.flush()
+            close(closing_end, reset)
 
     def reset(self) -> None:
+        """Resets all connections."""
         for link_end in list(self.ends):
             abort(link_end)
         self.pending_closes = []
@@ -203,9 +210,11 @@
             asyncio.get_running_loop().call_later(self.delay, self.forward, data)
 
     def forward(self, data: bytes) -> None:
+        """Sends a datagram from the socket of the opposite relay."""
         self.relays[self.opposite].transport.sendto(data, self.to)
 
     def block(self, forth: bool, back: bool) -> None:
+        """Drops datagrams until `heal` if `forth` is set."""
         self.cut = forth  # datagrams are dropped; `back` is the other relay
 
     def heal(self) -> None:
@@ -216,6 +225,7 @@
 
 
 def close(link_end: LinkEnd, reset: bool) -> None:
+    """Closes a connection, with a reset if `reset` is set."""
     if reset:
         abort(link_end)
     elif link_end.transport is not None and not link_end.transport.is_closing():
--- a/loomstand/testing/rehearsal/report.py
+++ b/loomstand/testing/rehearsal/report.py
@@ -103,18 +103,18 @@
         )
     for b in report["bounds"]:
         span = f" {b['since']:g} to {b['until'] or report['seconds']:g} s"
-        wanted = [
+        limits = [
             f"{sign} {b[key]:g}"
             for key, sign in (("at_least", ">="), ("at_most", "<="))
             if b[key] is not None
         ]
         name = f"{b['what']} {b['frontend']}{b['zone']}".rstrip() + span
-        t.add_row(name, f"{b['value']:g}", ", ".join(wanted), "kept" if b["kept"] else "NOT KEPT")
+        t.add_row(name, f"{b['value']:g}", ", ".join(limits), "kept" if b["kept"] else "NOT KEPT")
     console.print(t)
     for b in report["breaks"]:
-        who = f"req {b['req']}, " if b["req"] >= 0 else ""
+        req = f"req {b['req']}, " if b["req"] >= 0 else ""
         console.print(
-            f"rule {b['rule']}: {who}limiter {b['limiter']}, {b['at'] / 10_000:.3f} s: {b['what']}"
+            f"rule {b['rule']}: {req}limiter {b['limiter']}, {b['at'] / 10_000:.3f} s: {b['what']}"
         )
     for line in report["crashes"]:
         console.print(f"crash: {line}")
@@ -140,7 +140,7 @@
     ax.set_xlabel("second of arrival")
     ax.set_ylabel("worth a second")
     ax.legend()
-    made = [save(fig, out / "worth.png")]
+    paths = [save(fig, out / "worth.png")]
     fig, axes = plt.subplots(
         len(report["zones"]), 1, figsize=(9, 2.2 * len(report["zones"])), squeeze=False
     )
@@ -149,10 +149,11 @@
         ax.plot([r[0] for r in rows], [r[2] for r in rows], "--", label="room")
         ax.set_title(f"zone {zone}", fontsize=9)
         ax.legend(fontsize=8)
-    return [*made, save(fig, out / "zones.png")]
+    return [*paths, save(fig, out / "zones.png")]
 
 
 def save(fig, path: Path) -> str:
+    """Writes a figure to an image file, closes it and returns the path."""
     from matplotlib import pyplot as plt
 
     fig.tight_layout()
--- a/loomstand/testing/rehearsal/runner.py
+++ b/loomstand/testing/rehearsal/runner.py
@@ -76,6 +76,7 @@
                 self.process.stdin.write(msgspec.json.encode(command) + b"\n")
 
     def signal(self, sig: int) -> None:
+        """Sends a signal to the process if it runs."""
         if self.alive:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(sig)
@@ -170,6 +171,7 @@
         return {"id": f"s{server}", "locality": zone, "phase": "active", "up_since_ms": up}
 
     def address(self, *pair: str) -> str:
+        """Returns host and port of the link of a path."""
         return f"{self.host}:{self.link_ports[pair]}"
 
     # starting
@@ -211,6 +213,7 @@
         await self.start_process(ManagedProcess(name, nodes_, start))
 
     async def start_limiter(self, n: int) -> None:
+        """Starts a limiter with its configuration file."""
         name, null = f"l{n}", asyncio.subprocess.DEVNULL
 
         async def start() -> asyncio.subprocess.Process:
@@ -228,7 +231,7 @@
             emulator_scenario.limiter_settings(rehearsal, n, zone_of(f, name))
         )
         conf["allowed"]["connect_timeout"] = f.connect_timeout_ms
-        known = [
+        known_members = [
             {**self.member(m), "host_port": self.address(name, f"s{m}")} for m in range(f.servers)
         ]
         self.starts[name] = self.starts.get(name, 0) + 1
@@ -239,15 +242,17 @@
             "counter": self.address(name, "counter"),
             "seed": f"{random.Random(f'{self.seed}-{name}-{self.starts[name]}').getrandbits(48):x}",
             "limits": {"sockets": f.sockets},
-            "known": {"revision": 1, "complete": True, "members": known} if rehearsal.known else {},
+            "known": {"revision": 1, "complete": True, "members": known_members}
+            if rehearsal.known
+            else {},
             "settings": conf,
         }
         if f.peers:
             config["peer"] = f"{self.host}:{self.peer_ports[n]}"
-            others = [m for m in range(f.limiters) if m != n]
+            other_limiters = [m for m in range(f.limiters) if m != n]
             config["peers"] = [
                 self.address(name, f"l{m}") if self.relays else f"{self.host}:{self.peer_ports[m]}"
-                for m in others
+                for m in other_limiters
             ]
         if self.plan:
             plan_path = self.out / "plan.toml"
@@ -259,6 +264,7 @@
         return path
 
     async def start_process(self, proc: ManagedProcess) -> None:
+        """Registers a process and starts it."""
         self.processes[proc.name] = proc
         await self.launch(proc)
 
@@ -293,6 +299,7 @@
             )
 
     def spawn(self, work) -> asyncio.Task:
+        """Starts a task and keeps a reference to it until it is done."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -445,6 +452,7 @@
             )
 
     async def start_limiter_and_wait(self, n: int) -> None:
+        """Starts a limiter and waits until it is ready."""
         await self.start_limiter(n)
         await self.wait_ready(n, START_TIMEOUT_SECONDS + self.rehearsal.seconds)
 
@@ -459,6 +467,7 @@
                 )
 
     async def sleep_until(self, second: float) -> None:
+        """Sleeps until a number of seconds after the first traffic."""
         await asyncio.sleep(max(0.0, self.began + second - time.time()))
 
     async def run_fault(self, n: int, fault: Fault) -> None:
@@ -494,12 +503,14 @@
         return [x for name in getattr(fault, key) for x in nodes(f, name)]
 
     def processes_of(self, fault: Fault) -> list[ManagedProcess]:
+        """Returns the processes that run the nodes of a fault, each once."""
         return [
             self.processes[name]
             for name in dict.fromkeys(self.rehearsal.process(x) for x in self.nodes_of(fault))
         ]
 
     def servers_of(self, fault: Fault) -> list[int]:
+        """Returns the indices of the servers among the nodes of a fault."""
         return [int(x[1:]) for x in self.nodes_of(fault) if x[0] == "s"]
 
     def command_stand_in(self, fault: Fault, on: bool) -> None:
@@ -561,6 +572,7 @@
         return self.paths_between(selected, set(self.nodes_of(fault, "other")) or ends - selected)
 
     def command_links(self, do: str, paths: list[tuple[str, str]], **arguments: object) -> None:
+        """Sends a command to the links of paths."""
         self.processes["links"].send_command(
             do=do, links=[self.paths[p] for p in paths], **arguments
         )
@@ -578,10 +590,12 @@
                         "to": {"forth" if to_selected else "back"},
                         "from": {"back" if to_selected else "forth"},
                     }[fault.way]
-        ways: dict[tuple[bool, bool], list[tuple[str, str]]] = {}
+        paths_by_directions: dict[tuple[bool, bool], list[tuple[str, str]]] = {}
         for pair, directions in blocked.items():
-            ways.setdefault(("forth" in directions, "back" in directions), []).append(pair)
-        for (forth, back), group in ways.items():
+            paths_by_directions.setdefault(
+                ("forth" in directions, "back" in directions), []
+            ).append(pair)
+        for (forth, back), group in paths_by_directions.items():
             if forth or back:
                 self.command_links("cut", group, forth=forth, back=back)
             else:
@@ -662,6 +676,7 @@
             self.spawn(self.publish_departure_later(fault, servers))
 
     async def publish_departure_later(self, fault: Fault, servers: list[int]) -> None:
+        """Publishes that servers have left, unless they run again by then."""
         await self.sleep_until(fault.at + fault.told_s)
         if fault.for_s <= 0 or fault.told_s < fault.for_s:
             self.publish_phase(servers, "left")
--- a/loomstand/testing/rehearsal/scenario.py
+++ b/loomstand/testing/rehearsal/scenario.py
@@ -196,26 +196,28 @@
                     f"key 'plans[{n}].spread': more than fleet.limiters, {fleet.limiters}"
                 )
         for n, fault in enumerate(self.faults):
-            where = f"key 'faults[{n}]"
+            prefix = f"key 'faults[{n}]"
             if fault.do in NEEDS_WHO and not fault.who:
-                raise ScenarioError(f"{where}.who': {fault.do} needs at least one node")
+                raise ScenarioError(f"{prefix}.who': {fault.do} needs at least one node")
             targets = {x for name in fault.who for x in nodes(fleet, name)}
             if fault.once and not (targets and targets <= set(nodes(fleet, "limiters"))):
-                raise ScenarioError(f"{where}.once': discovery sends lists only to limiters")
+                raise ScenarioError(f"{prefix}.once': discovery sends lists only to limiters")
             if fault.do == "flood" and fault.plan not in [p.name for p in self.plans]:
-                raise ScenarioError(f"{where}.plan': '{fault.plan}' is not a plan of this scenario")
+                raise ScenarioError(
+                    f"{prefix}.plan': '{fault.plan}' is not a plan of this scenario"
+                )
             for key in ("who", "other"):
                 for name in getattr(fault, key):
                     if not nodes(fleet, name):
-                        raise ScenarioError(f"{where}.{key}': there is no '{name}'")
+                        raise ScenarioError(f"{prefix}.{key}': there is no '{name}'")
             if fault.do in ("vanish", "kill", "stop", "term"):
                 processes = {self.process(x) for name in fault.who for x in nodes(fleet, name)}
                 chosen = {x for name in fault.who for x in nodes(fleet, name)}
-                for other in ("servers", "limiters"):
-                    for x in nodes(fleet, other):
+                for group in ("servers", "limiters"):
+                    for x in nodes(fleet, group):
                         if self.process(x) in processes and x not in chosen:
                             raise ScenarioError(
-                                f"{where}.who': {x} shares a process with it; set fleet.apart = "
+                                f"{prefix}.who': {x} shares a process with it; set fleet.apart = "
                                 "true"
                             )
         for n, bound in enumerate(self.bounds):
--- a/loomstand/testing/rehearsal/servers.py
+++ b/loomstand/testing/rehearsal/servers.py
@@ -61,8 +61,8 @@
         if not self.raw:
             self.since = time.time()
         self.raw += data
-        head, found, body = self.raw.partition(b"\r\n\r\n")
-        if not found or len(body) < (length := content_length(head)):
+        head, separator, body = self.raw.partition(b"\r\n\r\n")
+        if not separator or len(body) < (length := content_length(head)):
             return
         self.raw = body[length:]
         self.server.handle_request(self, head, self.since)
@@ -74,6 +74,7 @@
             self.attempt = None
 
     def answer(self, raw: bytes) -> None:
+        """Writes the answer to the current request."""
         self.attempt = None
         if not self.transport.is_closing():
             self.transport.write(raw)
@@ -107,12 +108,15 @@
         return self.booted
 
     def warmth(self) -> float:
+        """Returns the warmth of the server, 1 when fully warm."""
         return self.group.rehearsal.fleet.warmth(time.time() - self.booted) if self.booted else 1.0
 
     def slots(self) -> int:
+        """Returns the number of requests that the server runs at once."""
         return self.group.rehearsal.fleet.concurrency(self.warmth())
 
     def handle_request(self, connection: ServerConnection, head: bytes, since: float) -> None:
+        """Starts, queues or rejects a request; overload while cold crashes the server."""
         group, now, warmth = self.group, time.time(), self.warmth()
         id_, frontend = REQUEST_ID(head), REQUEST_CLASS(head)
         if id_ is None or frontend is None or frontend[1] not in group.frontends:
@@ -141,6 +145,7 @@
             self.queue.append(attempt)
 
     def start_work(self, attempt: Attempt) -> None:
+        """Runs an attempt; it ends after a random time around the work of its frontend."""
         group, frontend = self.group, self.group.rehearsal.frontends[attempt.frontend]
         group.record("run", attempt.id, self.index, attempt.frontend, attempt.since)
         self.working.add(attempt)
@@ -149,6 +154,7 @@
         asyncio.get_running_loop().call_later(work, self.finish_work, attempt)
 
     def finish_work(self, attempt: Attempt) -> None:
+        """Answers an attempt and starts queued ones."""
         if self.crashed:
             return
         self.working.discard(attempt)
@@ -194,6 +200,7 @@
         self.servers = {s["index"]: Server(s["index"], s["port"], self) for s in config["servers"]}
 
     def sample(self) -> None:
+        """Records the load of each server every 0.5 s."""
         asyncio.get_running_loop().call_later(0.5, self.sample)
         for s in self.servers.values():
             if not s.crashed:
@@ -202,6 +209,7 @@
                 s.opened = 0
 
     def handle_command(self, command: dict) -> None:
+        """Applies or undoes a fault of servers."""
         for index in command["servers"]:
             match command["do"]:
                 case "slow":
--- a/loomstand/testing/rehearsal/wire.py
+++ b/loomstand/testing/rehearsal/wire.py
@@ -25,6 +25,7 @@
 
 
 def free_port(host: str) -> int:
+    """Returns a port that is free now."""
     with socket.create_server((host, 0)) as sock:
         return sock.getsockname()[1]
 
--- a/loomstand/testing/soak/checks.py
+++ b/loomstand/testing/soak/checks.py
@@ -46,15 +46,15 @@
     """
     runs = runs_by_request(request_log)
     lost = []
-    for ask in request_log.requests.values():
-        reply = request_log.replies.get(ask.id)
+    for request in request_log.requests.values():
+        reply = request_log.replies.get(request.id)
         if reply is None or reply.status or reply.end not in NO_ANSWER:
             continue
-        if was_disturbed(ask.front[0], ask.sent, reply.at, False):
+        if was_disturbed(request.front[0], request.sent, reply.at, False):
             continue
-        seconds = reply.at - ask.sent
-        if ask.id in runs or seconds > LOSS_SLACK_SECONDS + LOAD_SLACK_SECONDS:
-            lost.append(f"LOST: {describe(ask, reply)}, sent on: {ask.id in runs}")
+        seconds = reply.at - request.sent
+        if request.id in runs or seconds > LOSS_SLACK_SECONDS + LOAD_SLACK_SECONDS:
+            lost.append(f"LOST: {describe(request, reply)}, sent on: {request.id in runs}")
     return lost
 
 
@@ -112,8 +112,10 @@
     return runs
 
 
-def describe(ask: ClientRequest, reply: Reply) -> str:
+def describe(request: ClientRequest, reply: Reply) -> str:
     """Returns a request and its result as one line."""
-    seconds = reply.at - ask.sent
-    where = f"{ask.id} {ask.method} at {ask.front[0]}, sent at {ask.sent:.3f}"
-    return f"{where}, {reply.end} after {seconds:.3f} s"
+    seconds = reply.at - request.sent
+    request_text = (
+        f"{request.id} {request.method} at {request.front[0]}, sent at {request.sent:.3f}"
+    )
+    return f"{request_text}, {reply.end} after {seconds:.3f} s"
--- a/loomstand/testing/soak/cluster.py
+++ b/loomstand/testing/soak/cluster.py
@@ -86,8 +86,8 @@
         for ip in self.proxy_ips:
             self._add_process("proxy", ip)
         self.servers = {
-            f"{service}-{number}": self._server(service, place, number)
-            for place, service in enumerate(SERVICES)
+            f"{service}-{number}": self._server(service, service_index, number)
+            for service_index, service in enumerate(SERVICES)
             for number in range(SERVERS_PER_SERVICE)
         }
         self.operator = Operator(self._streams(), self.rng, self.control_addresses)  # type: ignore[arg-type]
@@ -169,8 +169,8 @@
     def _streams(self) -> LoopbackStreams:
         return LoopbackStreams(self._ip(9, 0))
 
-    def _server(self, service: str, place: int, number: int) -> LoopbackServer:
-        address = (self._ip(3, 50 * place + number), SERVER_PORT)
+    def _server(self, service: str, service_index: int, number: int) -> LoopbackServer:
+        address = (self._ip(3, 50 * service_index + number), SERVER_PORT)
         rng = Random(self.rng.getrandbits(64))
         server = LoopbackServer(self.request_log, rng, address, service, ZONES[number % len(ZONES)])
         server.cores = [*self.control_addresses]
--- a/loomstand/testing/soak/loopback.py
+++ b/loomstand/testing/soak/loopback.py
@@ -35,12 +35,14 @@
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(within):
-                _, talk = await loop.create_connection(make, *address, local_addr=(self.host, 0))
+                _, connection = await loop.create_connection(
+                    make, *address, local_addr=(self.host, 0)
+                )
         except TimeoutError:
             raise
         except OSError as error:
             raise ConnectionRefusedError(str(error)) from error
-        return talk
+        return connection
 
     async def listen(
         self, loop: asyncio.AbstractEventLoop, make: Callable[[], HttpConnection], address: Address
@@ -73,8 +75,8 @@
             self.port.close()
         for task in list(self.tasks):
             task.cancel()
-        for talk in list(self.connections):
-            talk.transport.abort()
+        for connection in list(self.connections):
+            connection.transport.abort()
 
     async def drain_and_return(self, drain_seconds: float) -> tuple[str, float]:
         """Drains and leaves like a server before a planned stop, then starts as a new instance.
@@ -82,9 +84,9 @@
         Returns:
             The identifier of the old instance and the time of the acknowledgement of its draining.
         """
-        former = self.id
+        old_id = self.id
         acknowledged_at, _ = await self.drain()
         await asyncio.sleep(drain_seconds)
         await self.leave()
         self.start()
-        return former, acknowledged_at
+        return old_id, acknowledged_at
--- a/loomstand/testing/soak/run.py
+++ b/loomstand/testing/soak/run.py
@@ -196,8 +196,8 @@
         server = self.cluster.servers[name]
         if server.state == "draining":
             return
-        former, acknowledged_at = await server.drain_and_return(DRAIN_SECONDS + DRAIN_SLACK_SECONDS)
-        self.drains.append(Drain(former, acknowledged_at))
+        old_id, acknowledged_at = await server.drain_and_return(DRAIN_SECONDS + DRAIN_SLACK_SECONDS)
+        self.drains.append(Drain(old_id, acknowledged_at))
 
     # clients
 
@@ -210,7 +210,9 @@
         client = self.cluster.client()
         rng = client.rng
         while not self.is_over:
-            open_fronts = [front for front, talk in client.idle.items() if not talk.closed_reason]
+            open_fronts = [
+                front for front, connection in client.idle.items() if not connection.closed_reason
+            ]
             if open_fronts and rng.random() < REUSED_CONNECTION_SHARE:
                 front = rng.choice(open_fronts)
             else:
@@ -218,17 +220,17 @@
             is_idempotent = rng.random() < IDEMPOTENT_SHARE
             method, path = ("GET", "/a/x") if is_idempotent else ("POST", "/once/x")
             body = b"" if is_idempotent else b"body " * 20
-            ask = client.new_request(
+            request = client.new_request(
                 method, "town.example", path, "key-of-ann", body, is_idempotent
             )
             may_be_impatient = asyncio.get_running_loop().time() < self.impatient_until
             is_impatient = may_be_impatient and rng.random() < IMPATIENT_SHARE
             patience = rng.uniform(*PATIENCE_SECONDS) if is_impatient else inf
-            reply = await client.send_once(ask, front, TIMEOUT_SECONDS, patience)
+            reply = await client.send_once(request, front, TIMEOUT_SECONDS, patience)
             self.report.endings[ending(reply)] += 1
             await asyncio.sleep(rng.uniform(*THINK_SECONDS))
-        for talk in client.idle.values():
-            talk.transport.close()
+        for connection in client.idle.values():
+            connection.transport.close()
 
     # checks
 
@@ -259,21 +261,23 @@
         )
         replies = []
         for ip in cluster.proxy_ips:
-            ask = client.new_request(
+            request = client.new_request(
                 "GET", "town.example", f"/{newest}/x", "key-of-ann", idempotent=True
             )
-            reply = await client.send_once(ask, (ip, FRONT_PORT))
+            reply = await client.send_once(request, (ip, FRONT_PORT))
             if reply.status != HTTPStatus.OK:
                 faults.append(f"CONFIG: {ip} answers {ending(reply)} on the newest route {newest}")
         for _ in range(FINAL_REQUESTS):
             front = (self.rng.choice(cluster.proxy_ips), FRONT_PORT)
-            ask = client.new_request("GET", "town.example", "/a/x", "key-of-ann", idempotent=True)
-            replies.append(await client.send_once(ask, front))
+            request = client.new_request(
+                "GET", "town.example", "/a/x", "key-of-ann", idempotent=True
+            )
+            replies.append(await client.send_once(request, front))
         served = sum(reply.status == HTTPStatus.OK for reply in replies) / len(replies)
         if served < MIN_SERVED_SHARE:
             faults.append(f"RECOVER: {served:.2f} of the last requests were served")
-        for talk in client.idle.values():
-            talk.transport.close()
+        for connection in client.idle.values():
+            connection.transport.close()
         self.check_descriptors()
 
     def check_descriptors(self) -> None:
