--- a/tests/testing/rehearsal/test_rehearsal.py
+++ b/tests/testing/rehearsal/test_rehearsal.py
@@ -136,7 +136,7 @@
         ]
 
     assert broken_rules() == [set()] * 15
-    faulty.put_in("cold", monkeypatch.setattr)
+    faulty.inject_fault("cold", monkeypatch.setattr)
     assert broken_rules() == [{4}] * 15
 
 
