--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -172,7 +172,7 @@
     assert json.loads(capsys.readouterr().out)["in_force"] == "r2"
     assert {sent for _, sent in (*first.calls[:4], second.calls[0])} == {
         configuration("r2")
-    } and second.held == configuration("r2")
+    } and second.stored == configuration("r2")
     assert (
         len(start_registry.delays) == 3
         and start_registry.delays == sorted(start_registry.delays)
@@ -317,7 +317,7 @@
     waiting, due = (
         to_builtins(make_case(reports, hosts, seeds).to_message()) for hosts in ([], gone)
     )
-    registry.held = json.dumps({"case": waiting}).encode()
+    registry.stored = json.dumps({"case": waiting}).encode()
     assert main(["core", "rescue", "--at", registry.at, "--yes"]) == 1
     output = capsys.readouterr().out
     assert (
@@ -325,7 +325,7 @@
         and "(--gone 10.1.0.2)" in output
         and len(registry.calls) == 2
     )
-    registry.held = json.dumps({"case": due}).encode()
+    registry.stored = json.dumps({"case": due}).encode()
     args = ["core", "rescue", "--at", registry.at, "--gone", *gone]
     assert main(args) == 1  # a rescue is due, but not confirmed with `--yes`
     assert "`--yes` re-founds the store at 10.1.0.3, with r7" in capsys.readouterr().out
@@ -336,7 +336,7 @@
         "backup": "10.1.0.4",
         "voters": gone,
     }
-    plan = [(200, json.dumps(registry.status).encode()), (200, registry.held)]
+    plan = [(200, json.dumps(registry.status).encode()), (200, registry.stored)]
     registry.plan = [*plan, (200, json.dumps({"done": done}).encode())]
     assert main([*args, "--yes"]) == 0
     assert "founded: epoch 1000003, r7 in force, primary 10.1.0.3" in capsys.readouterr().out
@@ -350,7 +350,7 @@
         assert message in capsys.readouterr().err
     other, calls_before = start_registry(), len(registry.calls)
     registry.status["cores"].append(other.at)
-    other.status, other.held = (
+    other.status, other.stored = (
         registry.status | {"life": "y"},
         json.dumps({"case": waiting}).encode(),
     )
@@ -361,7 +361,7 @@
     serving = to_builtins(
         make_case([replace(reports[0], lease_seconds=1.0)], [], seeds).to_message()
     )
-    registry.held = other.held = json.dumps({"case": serving}).encode()
+    registry.stored = other.stored = json.dumps({"case": serving}).encode()
     assert main(args[:4]) == 0 and main([*args[:4], "--yes"]) == 1
 
 
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -23,10 +23,10 @@
     """Injects a fault into the limiter's classes by `patch`."""
     original_handle = DecisionEngine.handle
 
-    def handle(self, now, note):
-        if fault == "drain" and isinstance(note, EndpointsUpdated):
-            note.endpoints = tuple(replace(e, state=EndpointState.LIVE) for e in note.endpoints)
-        return original_handle(self, now, note)
+    def handle(self, now, event):
+        if fault == "drain" and isinstance(event, EndpointsUpdated):
+            event.endpoints = tuple(replace(e, state=EndpointState.LIVE) for e in event.endpoints)
+        return original_handle(self, now, event)
 
     if fault == "answers":  # rule 1: every twentieth passed request is never answered
         answer = limiter.Limiter.answer
--- a/tests/features/store.feature
+++ b/tests/features/store.feature
@@ -135,7 +135,7 @@
 
   Scenario: The primary leaves
     Given a core at work
-    When the primary is told to stop
+    When the primary is shut down
     Then a change is acknowledged within 0.5 s
     And nothing acknowledged is lost
 
--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -64,16 +64,16 @@
     return asyncio.sleep(5, b"")
 
 
-def outcomes(site):
+def outcomes(harness):
     """Returns a list that collects the outcomes of attempts as they are reported."""
-    seen, handle_event = [], site.limiter.handle_event
+    seen, handle_event = [], harness.limiter.handle_event
 
     def spy(event):
         if hasattr(event, "attempt"):
             seen.append(event.outcome)
         handle_event(event)
 
-    site.limiter.handle_event = spy
+    harness.limiter.handle_event = spy
     return seen
 
 
@@ -81,16 +81,16 @@
 async def test_a_request_is_forwarded_unchanged_and_connections_are_reused():
     body = bytes(range(256)) * 100
     async with (
-        LimiterHarness(lambda n, head, got: http_response(200, got)) as site,
-        HttpClient(site.port) as caller,
+        LimiterHarness(lambda n, head, received: http_response(200, received)) as harness,
+        HttpClient(harness.port) as client,
     ):
-        assert (await caller.send_request(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200
+        assert (await client.send_request(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200
         for n in range(3):
-            assert (await caller.send_request(request("book", f"r{n}", body=body)))[::2] == (
+            assert (await client.send_request(request("book", f"r{n}", body=body)))[::2] == (
                 200,
                 body,
             )
-        peer = site.servers[0]
+        peer = harness.servers[0]
         assert peer.connections == 1 and peer.bodies == [body] * 3
         first, *fields = peer.heads[1].lower().split(b"\r\n")
         assert (
@@ -98,44 +98,46 @@
         )
         wait = next(int(f.split()[1]) for f in fields if f.startswith(b"request-timeout-ms"))
         assert 900 < wait <= 1000
-        assert not site.limiter.requests and site.limiter.memory_budget.available > 90 << 20
+        assert not harness.limiter.requests and harness.limiter.memory_budget.available > 90 << 20
 
 
 @socket_test
 async def test_a_response_of_the_maximum_size_is_forwarded_and_a_longer_one_is_not():
     sizes = [300_000, 300_000, (96 << 20) // 64, (96 << 20) // 64 + 1, 3_000_000_000]
 
-    def play(n, head, body):
+    def respond(n, head, body):
         claims = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\nlong" % sizes[n]
         return http_response(200, b"a" * sizes[n]) if n < 4 else claims
 
-    async with LimiterHarness(play) as site, HttpClient(site.port) as caller:
-        got = [await caller.send_request(request("book", f"r{n}")) for n in range(5)]
-        assert [g[0] for g in got] == [200, 200, 200, 502, 502]
-        assert [len(g[2]) for g in got] == [*sizes[:3], 0, 0] and site.servers[0].connections == 2
+    async with LimiterHarness(respond) as harness, HttpClient(harness.port) as client:
+        replies = [await client.send_request(request("book", f"r{n}")) for n in range(5)]
+        assert [g[0] for g in replies] == [200, 200, 200, 502, 502]
+        assert [len(g[2]) for g in replies] == [*sizes[:3], 0, 0] and harness.servers[
+            0
+        ].connections == 2
         assert (
-            site.limiter.memory_budget.available >= (96 << 20) - 4 * INITIAL_RING_BYTES
+            harness.limiter.memory_budget.available >= (96 << 20) - 4 * INITIAL_RING_BYTES
         )  # and no ring buffer stays large
 
 
 @socket_test
 async def test_a_limiter_without_servers_is_not_ready():
-    async with LimiterHarness() as site, HttpClient(site.port) as caller:
-        site.limiter.is_ready = False
-        assert (await caller.send_request(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 503
-        assert (await caller.send_request(request()))[0] == 429
+    async with LimiterHarness() as harness, HttpClient(harness.port) as client:
+        harness.limiter.is_ready = False
+        assert (await client.send_request(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 503
+        assert (await client.send_request(request()))[0] == 429
 
 
 @socket_test
 async def test_rejected_and_refused_attempts_did_not_run_so_non_replayable_requests_are_retried():
-    turned = functools.partial(http_response, 503, b"", b"Not-Started: 1\r\n")
+    rejection = functools.partial(http_response, 503, b"", b"Not-Started: 1\r\n")
     async with (
-        LimiterHarness(lambda n, head, body: turned(), passes, passes) as site,
-        HttpClient(site.port) as caller,
+        LimiterHarness(lambda n, head, body: rejection(), passes, passes) as harness,
+        HttpClient(harness.port) as client,
     ):
-        site.servers[1].stop()  # refuses connections
-        got = [(await caller.send_request(request("book", f"r{n}")))[0] for n in range(6)]
-        assert set(got) <= {200, 429} and 200 in got
+        harness.servers[1].stop()  # refuses connections
+        replies = [(await client.send_request(request("book", f"r{n}")))[0] for n in range(6)]
+        assert set(replies) <= {200, 429} and 200 in replies
 
 
 @pytest.mark.parametrize(
@@ -149,24 +151,24 @@
 )
 @socket_test
 async def test_a_request_with_a_truncated_response_may_have_run_and_gets_a_502(cut):
-    async def play(n, head, body):
-        for writer in list(site.servers[0].open):
+    async def respond(n, head, body):
+        for writer in list(harness.servers[0].open):
             writer.write(cut)
             await writer.drain()
 
-    async with LimiterHarness(play) as site, HttpClient(site.port) as caller:
-        seen = outcomes(site)
-        assert (await caller.send_request(request("book")))[0] == 502
-        assert seen == [Outcome.CONNECTION_LOST] and len(site.servers[0].heads) == 1
+    async with LimiterHarness(respond) as harness, HttpClient(harness.port) as client:
+        seen = outcomes(harness)
+        assert (await client.send_request(request("book")))[0] == 502
+        assert seen == [Outcome.CONNECTION_LOST] and len(harness.servers[0].heads) == 1
 
 
 @socket_test
 async def test_a_connection_to_a_silent_server_is_closed_at_the_request_time_out():
-    async with LimiterHarness(silent) as site, HttpClient(site.port) as caller:
+    async with LimiterHarness(silent) as harness, HttpClient(harness.port) as client:
         began = time.monotonic()
-        assert (await caller.send_request(request("book", timeout=300)))[0] == 502
+        assert (await client.send_request(request("book", timeout=300)))[0] == 502
         assert time.monotonic() - began < 0.5
-        assert not site.limiter.pool.connections and not site.limiter.requests
+        assert not harness.limiter.pool.connections and not harness.limiter.requests
 
 
 @socket_test
@@ -177,7 +179,7 @@
         def ended(self, ending):
             ended.append(ending)
 
-    async with LimiterHarness(passes) as site:
+    async with LimiterHarness(passes) as harness:
         # A listener with a full backlog doesn't answer further connects.
         full = await asyncio.start_server(
             lambda r, w: None, HOST, 0, backlog=1, start_serving=False
@@ -185,7 +187,7 @@
         port = full.sockets[0].getsockname()[1]
         full.sockets[0]._sock.listen(0)
         hold = [await asyncio.open_connection(HOST, port)]
-        channel = SocketChannel(User(), site.limiter.memory_budget, 1 << 16)
+        channel = SocketChannel(User(), harness.limiter.memory_budget, 1 << 16)
         connect(loop, channel, (HOST, port), 0.1)
         await wait_until(lambda: ended)
         assert ended == [Ending.SILENT_CONNECT]
@@ -195,82 +197,84 @@
 
 @socket_test
 async def test_no_connection_is_reused_near_its_idle_close():
-    async with LimiterHarness(passes) as site, HttpClient(site.port) as caller:
-        await caller.send_request(request(id_="a"))
-        site.limiter.pool.max_idle_seconds = 0.05
+    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as client:
+        await client.send_request(request(id_="a"))
+        harness.limiter.pool.max_idle_seconds = 0.05
         await asyncio.sleep(0.06)
-        assert (await caller.send_request(request(id_="b")))[0] == 200
-        assert site.servers[0].connections == 2
+        assert (await client.send_request(request(id_="b")))[0] == 200
+        assert harness.servers[0].connections == 2
 
 
 @socket_test
 async def test_a_new_server_at_a_known_address_gets_new_connections():
-    async with LimiterHarness(passes) as site, HttpClient(site.port) as caller:
-        await wait_until(lambda: site.discovery.open)
-        await caller.send_request(request())
-        old, new = site.members[0], site.members[0] | {"id": "s9"}
-        site.send_watch_line(revision=5, complete=False, members=[old | {"phase": "leaving"}, new])
-        await wait_until(lambda: len(site.limiter.pool.addresses) == 2)
-        assert (await caller.send_request(request(id_="r2")))[0] == 200 and site.servers[
+    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as client:
+        await wait_until(lambda: harness.discovery.open)
+        await client.send_request(request())
+        old, new = harness.members[0], harness.members[0] | {"id": "s9"}
+        harness.send_watch_line(
+            revision=5, complete=False, members=[old | {"phase": "leaving"}, new]
+        )
+        await wait_until(lambda: len(harness.limiter.pool.addresses) == 2)
+        assert (await client.send_request(request(id_="r2")))[0] == 200 and harness.servers[
             0
         ].connections == 2
-        site.send_watch_line(revision=6, complete=False, members=[old | {"phase": "left"}])
+        harness.send_watch_line(revision=6, complete=False, members=[old | {"phase": "left"}])
         # Nothing is kept for the removed server.
-        await wait_until(lambda: list(site.limiter.servers.indices) == ["s9"])
-        assert list(site.limiter.pool.connections) == [
-            v for vs in site.limiter.pool.idle.values() for v in vs
+        await wait_until(lambda: list(harness.limiter.servers.indices) == ["s9"])
+        assert list(harness.limiter.pool.connections) == [
+            v for vs in harness.limiter.pool.idle.values() for v in vs
         ]
-        assert (await caller.send_request(request(id_="r3")))[0] == 200 and site.servers[
+        assert (await client.send_request(request(id_="r3")))[0] == 200 and harness.servers[
             0
         ].connections == 2
 
 
 @socket_test
 async def test_no_connection_with_unread_bytes_is_reused():
-    async with LimiterHarness(passes) as site, HttpClient(site.port) as caller:
-        await caller.send_request(request(id_="a"))
-        pool = site.limiter.pool
+    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as client:
+        await client.send_request(request(id_="a"))
+        pool = harness.limiter.pool
         send = pool.send
 
         def late(attempt):
             # An unrequested response arrives and is still unread.
-            for writer in list(site.servers[0].open)[:1]:
+            for writer in list(harness.servers[0].open)[:1]:
                 writer.write(http_response(200, b"another's"))
             time.sleep(0.01)
             send(attempt)
 
         pool.send = late
-        assert (await caller.send_request(request(id_="b")))[::2] == (200, b"yes")
-        assert site.servers[0].connections == 2
+        assert (await client.send_request(request(id_="b")))[::2] == (200, b"yes")
+        assert harness.servers[0].connections == 2
 
 
 @socket_test
 async def test_connections_idle_throughout_an_expired_attempt_are_not_reused():
-    play = lambda n, head, body: asyncio.sleep(0.1 if n < 2 else 3, http_response(200))  # noqa: E731
+    respond = lambda n, head, body: asyncio.sleep(0.1 if n < 2 else 3, http_response(200))  # noqa: E731
     async with (
-        LimiterHarness(play) as site,
-        HttpClient(site.port) as one,
-        HttpClient(site.port) as two,
+        LimiterHarness(respond) as harness,
+        HttpClient(harness.port) as one,
+        HttpClient(harness.port) as two,
     ):
         await asyncio.gather(
             one.send_request(request(id_="r1")), two.send_request(request(id_="r2"))
         )
-        assert len(site.limiter.pool.connections) == 2
+        assert len(harness.limiter.pool.connections) == 2
         assert (await one.send_request(request("book", "r3", timeout=200)))[0] == 502
-        assert not site.limiter.pool.connections
+        assert not harness.limiter.pool.connections
 
 
 @socket_test
 async def test_lack_of_sockets_is_reported_as_not_sent():
     async with (
-        LimiterHarness(silent) as site,
-        HttpClient(site.port) as one,
-        HttpClient(site.port) as two,
+        LimiterHarness(silent) as harness,
+        HttpClient(harness.port) as one,
+        HttpClient(harness.port) as two,
     ):
-        seen = outcomes(site)
-        site.limiter.sockets = 3  # two clients and one server
+        seen = outcomes(harness)
+        harness.limiter.sockets = 3  # two clients and one server
         first = asyncio.create_task(one.send_request(request(timeout=400)))
-        await wait_until(lambda: site.limiter.pool.connections)
+        await wait_until(lambda: harness.limiter.pool.connections)
         assert (await two.send_request(request(id_="r2")))[0] == 429
         assert set(seen) == {Outcome.NOT_SENT}
         await first
@@ -281,11 +285,11 @@
     def out_of_descriptors(*args):
         raise OSError(24, "too many open files")
 
-    async with LimiterHarness(passes) as site, HttpClient(site.port) as caller:
-        seen, real = outcomes(site), connect.__globals__["socket"].socket
+    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as client:
+        seen, real = outcomes(harness), connect.__globals__["socket"].socket
         connect.__globals__["socket"].socket = out_of_descriptors
         try:
-            assert (await caller.send_request(request()))[0] == 429
+            assert (await client.send_request(request()))[0] == 429
         finally:
             connect.__globals__["socket"].socket = real
         assert set(seen) == {Outcome.NOT_SENT}
@@ -310,69 +314,71 @@
 )
 @socket_test
 async def test_invalid_input_gets_a_4xx_and_frees_its_memory(raw, status, closes):
-    async with LimiterHarness(passes) as site, HttpClient(site.port) as caller:
-        assert (await caller.send_request(raw))[0] == status
+    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as client:
+        assert (await client.send_request(raw))[0] == status
         if closes:
-            assert await caller.is_closed()
-            caller.writer.close()
-            await wait_until(lambda: not site.limiter.listener.clients)
+            assert await client.is_closed()
+            client.writer.close()
+            await wait_until(lambda: not harness.limiter.listener.clients)
             assert (
-                site.limiter.memory_budget.available >= (96 << 20) - INITIAL_RING_BYTES
+                harness.limiter.memory_budget.available >= (96 << 20) - INITIAL_RING_BYTES
             )  # discovery's ring
         else:
-            assert (await caller.send_request(request()))[0] == 200
+            assert (await client.send_request(request()))[0] == 200
 
 
 @socket_test
 async def test_a_request_whose_client_disconnects_is_abandoned():
-    async with LimiterHarness(lambda n, head, body: asyncio.sleep(0.1, http_response(200))) as site:
-        async with HttpClient(site.port) as caller:
-            caller.writer.write(request())
-            await wait_until(lambda: site.servers[0].heads)
-        await wait_until(lambda: not site.limiter.listener.clients)
-        assert all(req.client is None for req in site.limiter.requests.values())
-        await wait_until(lambda: not site.limiter.requests)
+    async with LimiterHarness(
+        lambda n, head, body: asyncio.sleep(0.1, http_response(200))
+    ) as harness:
+        async with HttpClient(harness.port) as client:
+            client.writer.write(request())
+            await wait_until(lambda: harness.servers[0].heads)
+        await wait_until(lambda: not harness.limiter.listener.clients)
+        assert all(req.client is None for req in harness.limiter.requests.values())
+        await wait_until(lambda: not harness.limiter.requests)
         assert (
-            len(site.limiter.pool.connections) == 1
+            len(harness.limiter.pool.connections) == 1
         )  # the response arrived, so its connection is kept
 
 
 @socket_test
 async def test_pipelined_requests_are_answered_in_order():
-    play = lambda n, head, body: asyncio.sleep(0.02, http_response(200, b"%d" % n))  # noqa: E731
-    async with LimiterHarness(play) as site, HttpClient(site.port) as caller:
-        caller.writer.write(b"".join(request(id_=f"r{n}") for n in range(4)))
-        assert [(await caller.read_response())[2] for n in range(4)] == [b"0", b"1", b"2", b"3"]
+    respond = lambda n, head, body: asyncio.sleep(0.02, http_response(200, b"%d" % n))  # noqa: E731
+    async with LimiterHarness(respond) as harness, HttpClient(harness.port) as client:
+        client.writer.write(b"".join(request(id_=f"r{n}") for n in range(4)))
+        assert [(await client.read_response())[2] for n in range(4)] == [b"0", b"1", b"2", b"3"]
 
 
 @socket_test
 async def test_a_blocked_event_loop_shortens_the_remaining_time():
-    async with LimiterHarness(silent) as site, HttpClient(site.port) as caller:
-        caller.writer.write(request("book", timeout=400))
+    async with LimiterHarness(silent) as harness, HttpClient(harness.port) as client:
+        client.writer.write(request("book", timeout=400))
         await asyncio.sleep(0)  # the bytes are sent in this iteration
         sent = time.monotonic()
         time.sleep(0.2)  # blocks the event loop
-        assert (await caller.read_response())[0] in (429, 502)
+        assert (await client.read_response())[0] in (429, 502)
         assert time.monotonic() - sent < 0.55
 
 
 @socket_test
 async def test_idle_time_before_the_first_request_does_not_shorten_its_time_out():
     async with (
-        LimiterHarness(lambda n, head, body: asyncio.sleep(0.1, http_response(200))) as site,
-        HttpClient(site.port) as caller,
+        LimiterHarness(lambda n, head, body: asyncio.sleep(0.1, http_response(200))) as harness,
+        HttpClient(harness.port) as client,
     ):
         await asyncio.sleep(0.3)
-        assert (await caller.send_request(request(timeout=250)))[0] == 200
+        assert (await client.send_request(request(timeout=250)))[0] == 200
 
 
 @socket_test
 async def test_a_request_sent_with_the_connect_is_timed_from_the_connect():
-    async with LimiterHarness(silent) as site, HttpClient(site.port) as caller:
-        caller.writer.write(request("book", timeout=400))
+    async with LimiterHarness(silent) as harness, HttpClient(harness.port) as client:
+        client.writer.write(request("book", timeout=400))
         time.sleep(0.2)  # before the limiter polls the connection
         began = time.monotonic()
-        assert (await caller.read_response())[0] in (429, 502)
+        assert (await client.read_response())[0] in (429, 502)
         assert time.monotonic() - began < 0.35
 
 
@@ -387,35 +393,37 @@
     server = await asyncio.start_server(early, HOST, 0, limit=1 << 10)
     port = server.sockets[0].getsockname()[1]
     known = {"revision": 1, "complete": True, "members": [member("s9", port)]}
-    async with LimiterHarness(known=known) as site, HttpClient(site.port) as caller:
-        seen = outcomes(site)
-        assert (await caller.send_request(request("book", body=b"x" * 60_000)))[0] == 429
+    async with LimiterHarness(known=known) as harness, HttpClient(harness.port) as client:
+        seen = outcomes(harness)
+        assert (await client.send_request(request("book", body=b"x" * 60_000)))[0] == 429
         assert set(seen) == {Outcome.REJECTED}
     server.close()
 
 
 @socket_test
 async def test_excess_clients_replace_idle_ones_or_are_rejected():
-    async with LimiterHarness(silent) as site:
-        site.limiter.sockets = 2
+    async with LimiterHarness(silent) as harness:
+        harness.limiter.sockets = 2
         async with (
-            HttpClient(site.port) as idle,
-            HttpClient(site.port) as busy,
-            HttpClient(site.port) as third,
+            HttpClient(harness.port) as idle,
+            HttpClient(harness.port) as busy,
+            HttpClient(harness.port) as third,
         ):
             busy.writer.write(request())
             assert await idle.is_closed()
             third.writer.write(request(id_="r2"))
-            async with HttpClient(site.port) as fourth:
+            async with HttpClient(harness.port) as fourth:
                 assert (await fourth.send_request(request(id_="r3")))[
                     0
                 ] == 503 and await fourth.is_closed()
-            assert len(site.limiter.listener.clients) <= 3
+            assert len(harness.limiter.listener.clients) <= 3
 
 
 @socket_test
 async def test_closed_connections_are_freed_without_the_garbage_collector():
-    async with LimiterHarness(lambda n, head, body: None if n % 2 else http_response(200)) as site:
+    async with LimiterHarness(
+        lambda n, head, body: None if n % 2 else http_response(200)
+    ) as harness:
         gc.collect()
         gc.disable()
 
@@ -425,10 +433,12 @@
         before = live_objects()
         try:
             for n in range(6):
-                async with HttpClient(site.port) as caller:
-                    assert (await caller.send_request(request("book", f"r{n}")))[0] in (200, 502)
+                async with HttpClient(harness.port) as client:
+                    assert (await client.send_request(request("book", f"r{n}")))[0] in (200, 502)
             await wait_until(
-                lambda: not site.limiter.listener.clients and not site.limiter.pool.connections
+                lambda: (
+                    not harness.limiter.listener.clients and not harness.limiter.pool.connections
+                )
             )
             await wait_until(lambda: live_objects() == before)
         finally:
@@ -438,113 +448,115 @@
 @socket_test
 async def test_silent_and_stalled_clients_are_closed_in_favour_of_active_ones():
     def callers():
-        return HttpClient(site.port)
+        return HttpClient(harness.port)
 
     async with (
-        LimiterHarness(passes) as site,
-        callers() as caller,
+        LimiterHarness(passes) as harness,
+        callers() as client,
         callers() as half,
         callers() as mute,
     ):
-        await caller.send_request(request())
+        await client.send_request(request())
         half.writer.write(request()[:40])
-        await wait_until(lambda: [c.idle for c in site.limiter.listener.clients].count(False) == 1)
+        await wait_until(
+            lambda: [c.idle for c in harness.limiter.listener.clients].count(False) == 1
+        )
         await asyncio.sleep(0.3)  # longer than the connect time-out
-        site.limiter.sockets = 4  # all in use: three clients and one server
-        async with HttpClient(site.port) as first:
+        harness.limiter.sockets = 4  # all in use: three clients and one server
+        async with HttpClient(harness.port) as first:
             assert (await first.send_request(request(id_="r1")))[0] == 200
-            assert await mute.is_closed() and site.servers[0].connections == 1
-            assert (await caller.send_request(request(id_="r2")))[0] == 200
-            site.limiter.pool.close_idle = site.limiter.listener.close_idle = lambda *spared: False
-            async with HttpClient(site.port) as second:
+            assert await mute.is_closed() and harness.servers[0].connections == 1
+            assert (await client.send_request(request(id_="r2")))[0] == 200
+            harness.limiter.pool.close_idle = harness.limiter.listener.close_idle = lambda *_: False
+            async with HttpClient(harness.port) as second:
                 assert (await second.send_request(request(id_="r3")))[0] == 200
                 assert (await half.read_response())[0] == 408 and await half.is_closed()
 
 
 @socket_test
 async def test_clients_that_stay_after_one_request_are_closed_before_active_ones():
-    async with LimiterHarness(passes) as site, HttpClient(site.port) as usual:
-        site.limiter.listener.keep_alive_limit = 4
-        stay = [HttpClient(site.port) for _ in range(8)]
-        for n, caller in enumerate(stay):
-            await caller.__aenter__()
-            assert (await caller.send_request(request(id_=f"s{n}")))[0] == 200
+    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as usual:
+        harness.limiter.listener.keep_alive_limit = 4
+        stay = [HttpClient(harness.port) for _ in range(8)]
+        for n, client in enumerate(stay):
+            await client.__aenter__()
+            assert (await client.send_request(request(id_=f"s{n}")))[0] == 200
             assert (await usual.send_request(request(id_=f"u{n}")))[0] == 200  # now last
-            assert len(site.limiter.listener.clients) <= 4
+            assert len(harness.limiter.listener.clients) <= 4
         assert await stay[0].is_closed()
-        for caller in stay:
-            caller.writer.close()
+        for client in stay:
+            client.writer.close()
 
 
 @socket_test
 async def test_no_connection_with_an_unread_request_is_closed():
-    async with LimiterHarness(passes) as site, HttpClient(site.port) as caller:
-        await wait_until(lambda: site.limiter.listener.clients)
-        caller.writer.write(request())  # in the kernel, still unread
-        assert not site.limiter.listener.close_idle()
-        site.limiter.listener.stop()
-        assert (await caller.read_response())[0] == 200
+    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as client:
+        await wait_until(lambda: harness.limiter.listener.clients)
+        client.writer.write(request())  # in the kernel, still unread
+        assert not harness.limiter.listener.close_idle()
+        harness.limiter.listener.stop()
+        assert (await client.read_response())[0] == 200
 
 
 @socket_test
 async def test_a_client_that_stalls_within_a_request_is_closed():
-    async with LimiterHarness(passes) as site, HttpClient(site.port) as caller:
-        caller.writer.write(request()[:40])
-        await wait_until(lambda: any(not c.idle for c in site.limiter.listener.clients))
-        site.limiter.listener.sweep(0.0)
-        assert (await caller.read_response())[0] == 408
-        assert await caller.is_closed()
+    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as client:
+        client.writer.write(request()[:40])
+        await wait_until(lambda: any(not c.idle for c in harness.limiter.listener.clients))
+        harness.limiter.listener.sweep(0.0)
+        assert (await client.read_response())[0] == 408
+        assert await client.is_closed()
 
 
 @socket_test
 async def test_clients_that_send_slowly_or_linger_are_closed():
     async with (
-        LimiterHarness(passes) as site,
-        HttpClient(site.port) as drips,
-        HttpClient(site.port) as lingers,
+        LimiterHarness(passes) as harness,
+        HttpClient(harness.port) as slow_client,
+        HttpClient(harness.port) as idle_client,
     ):
-        assert (await lingers.send_request(b"nonsense\r\n\r\n"))[0] == 400
+        assert (await idle_client.send_request(b"nonsense\r\n\r\n"))[0] == 400
         for byte in request()[:6]:
-            drips.writer.write(bytes([byte]))
+            slow_client.writer.write(bytes([byte]))
             await asyncio.sleep(0.02)
-        listener = site.limiter.listener
+        listener = harness.limiter.listener
         assert len(listener.clients) == 2
         listener.sweep(0.08)  # only the first byte is older than 0.08 s
-        assert (await drips.read_response())[0] == 408
+        assert (await slow_client.read_response())[0] == 408
         await wait_until(lambda: listener.sweep(0.08) or not listener.clients)
 
 
 @socket_test
 async def test_without_arrival_times_each_request_has_its_full_time_out():
-    play = lambda n, head, body: asyncio.sleep(0.05, http_response(200))  # noqa: E731
+    respond = lambda n, head, body: asyncio.sleep(0.05, http_response(200))  # noqa: E731
     async with (
-        LimiterHarness(play, arrival_clock=ReadTimeClock()) as site,
-        HttpClient(site.port) as caller,
+        LimiterHarness(respond, arrival_clock=ReadTimeClock()) as harness,
+        HttpClient(harness.port) as client,
     ):
         for n in range(3):
-            assert (await caller.send_request(request(id_=f"r{n}", timeout=250)))[0] == 200
+            assert (await client.send_request(request(id_=f"r{n}", timeout=250)))[0] == 200
             await asyncio.sleep(0.15)
 
 
 @socket_test
 async def test_counter_calls_are_pipelined_and_late_responses_are_not_misassigned():
-    async def play(n, head, body):
+    async def respond(n, head, body):
         await asyncio.sleep(0.25 if n == 0 else 0)
         return http_response(503) if n == 2 else http_response(200, b"%d" % (100 + n))
 
-    async with LimiterHarness(counter=play) as site:
-        got = []
-        site.limiter.counter.silence_timeout = 1.0
-        site.limiter.counter_replied = lambda *call: got.append(call[:3])
+    async with LimiterHarness(counter=respond) as harness:
+        replies = []
+        harness.limiter.counter.silence_timeout = 1.0
+        harness.limiter.counter_replied = lambda *call: replies.append(call[:3])
         for n in range(3):
-            site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
-        await wait_until(lambda: len(got) == 3)
-        assert [g[1] for g in got] == [Outcome.NO_RESPONSE] * 3  # the first delays the others
+            harness.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
+        await wait_until(lambda: len(replies) == 3)
+        assert [g[1] for g in replies] == [Outcome.NO_RESPONSE] * 3  # the first delays the others
         await asyncio.sleep(0.25)
-        site.limiter.counter.call(IncrementCounter(7, 2.5, 10_000))
-        await wait_until(lambda: len(got) == 4)
-        assert got[3] == (7, Outcome.SUCCEEDED, 103.0) and site.counter.connections == 1
-        assert site.counter.heads[3].startswith(b"POST /counters/7?by=2.5&expire_ms=1000 ")
+        harness.limiter.counter.call(IncrementCounter(7, 2.5, 10_000))
+        await wait_until(lambda: len(replies) == 4)
+        assert replies[3] == (7, Outcome.SUCCEEDED, 103.0) and harness.counter.connections == 1
+        assert harness.counter.heads[3].startswith(b"POST /counters/7?by=2.5&expire_ms=1000 ")
 
 
 @pytest.mark.parametrize(
@@ -560,14 +572,14 @@
 async def test_after_an_invalid_counter_response_the_connection_is_replaced(invalid):
     async with LimiterHarness(
         counter=lambda n, head, body: http_response(200, b"4") if n else invalid
-    ) as site:
-        got = []
-        site.limiter.counter_replied = lambda *call: got.append(call[1:3])
+    ) as harness:
+        replies = []
+        harness.limiter.counter_replied = lambda *call: replies.append(call[1:3])
         for n in range(2):
-            site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
-            await wait_until(lambda: len(got) == n + 1)  # noqa: B023
+            harness.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
+            await wait_until(lambda: len(replies) == n + 1)  # noqa: B023
         first = (Outcome.SUCCEEDED, 3.0) if b"noise" in invalid else (Outcome.NO_RESPONSE, 0.0)
-        assert got == [first, (Outcome.SUCCEEDED, 4.0)] and site.counter.connections == 2
+        assert replies == [first, (Outcome.SUCCEEDED, 4.0)] and harness.counter.connections == 2
 
 
 @socket_test
@@ -575,52 +587,52 @@
     endless = b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n1"
     async with LimiterHarness(
         counter=lambda n, head, body: http_response(200, b"4") if n else endless
-    ) as site:
-        got = []
-        site.limiter.counter_replied = lambda *call: got.append(call[1:3])
+    ) as harness:
+        replies = []
+        harness.limiter.counter_replied = lambda *call: replies.append(call[1:3])
         for n in range(2):
-            site.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
-            await wait_until(lambda: len(got) == n + 1)  # noqa: B023
-        assert got == [(Outcome.NO_RESPONSE, 0.0), (Outcome.SUCCEEDED, 4.0)]
+            harness.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
+            await wait_until(lambda: len(replies) == n + 1)  # noqa: B023
+        assert replies == [(Outcome.NO_RESPONSE, 0.0), (Outcome.SUCCEEDED, 4.0)]
 
 
 @socket_test
 async def test_a_lost_counter_connection_is_no_response_and_a_refused_one_a_failed_connect():
-    async with LimiterHarness(counter=lambda n, head, body: None) as site:
-        got = []
-        site.limiter.counter_replied = lambda *call: got.append(call[1])
-        site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
-        await wait_until(lambda: got)
-        site.counter.stop()
-        await site.counter.server.wait_closed()
-        site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
-        await wait_until(lambda: len(got) == 2)
-        assert got == [Outcome.NO_RESPONSE, Outcome.CONNECT_FAILED]
+    async with LimiterHarness(counter=lambda n, head, body: None) as harness:
+        replies = []
+        harness.limiter.counter_replied = lambda *call: replies.append(call[1])
+        harness.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
+        await wait_until(lambda: replies)
+        harness.counter.stop()
+        await harness.counter.server.wait_closed()
+        harness.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
+        await wait_until(lambda: len(replies) == 2)
+        assert replies == [Outcome.NO_RESPONSE, Outcome.CONNECT_FAILED]
 
 
 @socket_test
 async def test_a_silent_counter_gets_few_connections():
-    async with LimiterHarness(counter=silent) as site:
-        counter, got = site.limiter.counter, []
-        site.limiter.counter_replied = lambda *call: got.append(call[1])
+    async with LimiterHarness(counter=silent) as harness:
+        counter, replies = harness.limiter.counter, []
+        harness.limiter.counter_replied = lambda *call: replies.append(call[1])
         counter.timeout, counter.silence_timeout = 0.01, 0.02
         for n in range(30):
             counter.call(IncrementCounter(n, 1.0, 10_000))
             await asyncio.sleep(0.02)
-        assert set(got) == {Outcome.NO_RESPONSE} and 2 <= site.counter.connections <= 6
+        assert set(replies) == {Outcome.NO_RESPONSE} and 2 <= harness.counter.connections <= 6
 
 
 @socket_test
 async def test_a_reload_moves_discovery_and_counter_without_losing_work():
     counter = lambda n, head, body: asyncio.sleep(0.05, http_response(200, b"7"))  # noqa: E731
     slow = lambda n, head, body: asyncio.sleep(0.2, http_response(200))  # noqa: E731
-    async with LimiterHarness(slow, counter=counter) as site, HttpClient(site.port) as caller:
-        limiter, got = site.limiter, []
-        await wait_until(lambda: site.discovery.open and limiter.counter.connection is None)
-        limiter.counter_replied = lambda *call: got.append(call[:3])
-        caller.writer.write(request())
+    async with LimiterHarness(slow, counter=counter) as harness, HttpClient(harness.port) as client:
+        limiter, replies = harness.limiter, []
+        await wait_until(lambda: harness.discovery.open and limiter.counter.connection is None)
+        limiter.counter_replied = lambda *call: replies.append(call[:3])
+        client.writer.write(request())
         limiter.counter.call(IncrementCounter(1, 1.0, 10_000))
-        await wait_until(lambda: site.counter.heads)
+        await wait_until(lambda: harness.counter.heads)
         new_discovery, new_counter = (
             StubServer(lambda n, head, body: WATCH_RESPONSE_HEAD),
             StubServer(counter),
@@ -634,11 +646,13 @@
         assert limiter.counter.connection is None or not limiter.counter.connection.is_open
         # The old connection's response arrives while the new one connects.
         limiter.counter.call(IncrementCounter(2, 1.0, 10_000))
-        await wait_until(lambda: len(got) >= 2 and new_discovery.heads and not site.discovery.open)
-        await wait_until(lambda: not site.counter.open)
-        assert sorted(got) == [(1, Outcome.SUCCEEDED, 7.0), (2, Outcome.SUCCEEDED, 7.0)]
-        assert (len(site.counter.heads), len(new_counter.heads)) == (1, 1)
-        assert (await caller.read_response())[0] == 200
+        await wait_until(
+            lambda: len(replies) >= 2 and new_discovery.heads and not harness.discovery.open
+        )
+        await wait_until(lambda: not harness.counter.open)
+        assert sorted(replies) == [(1, Outcome.SUCCEEDED, 7.0), (2, Outcome.SUCCEEDED, 7.0)]
+        assert (len(harness.counter.heads), len(new_counter.heads)) == (1, 1)
+        assert (await client.read_response())[0] == 200
         assert len(new_discovery.heads) == 1 and b"index=4 " in new_discovery.heads[0]
         new_discovery.stop()
         new_counter.stop()
@@ -646,25 +660,27 @@
 
 @socket_test
 async def test_queued_counter_calls_go_to_the_new_address():
-    async with LimiterHarness() as site:
-        got = []
-        site.limiter.counter_replied = lambda *call: got.append(call[1])
-        site.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))  # still connecting
-        other = StubServer(site.counter.respond)
-        site.limiter.counter.set_address((HOST, await other.start()))
-        await wait_until(lambda: got)
-        assert got == [Outcome.SUCCEEDED] and len(other.heads) == 1 and not site.counter.heads
+    async with LimiterHarness() as harness:
+        replies = []
+        harness.limiter.counter_replied = lambda *call: replies.append(call[1])
+        harness.limiter.counter.call(IncrementCounter(1, 1.0, 10_000))  # still connecting
+        other = StubServer(harness.counter.respond)
+        harness.limiter.counter.set_address((HOST, await other.start()))
+        await wait_until(lambda: replies)
+        assert (
+            replies == [Outcome.SUCCEEDED] and len(other.heads) == 1 and not harness.counter.heads
+        )
         other.stop()
 
 
 @socket_test
 async def test_the_watch_resumes_at_its_revision_and_is_replaced_when_silent():
-    async with LimiterHarness(passes, passes) as site:
-        limiter, discovery = site.limiter, site.discovery
+    async with LimiterHarness(passes, passes) as harness:
+        limiter, discovery = harness.limiter, harness.discovery
         await wait_until(lambda: discovery.open)
         assert b"GET /api/targets?stream=1&index=4 " in discovery.heads[0]
-        site.send_watch_line(
-            revision=6, complete=False, members=[site.members[0] | {"phase": "left"}]
+        harness.send_watch_line(
+            revision=6, complete=False, members=[harness.members[0] | {"phase": "left"}]
         )
         await wait_until(lambda: list(limiter.pool.addresses) == [1])
         discovery.abort_connections()
@@ -674,7 +690,7 @@
         limiter.watch.sweep()
         await wait_until(lambda: len(discovery.heads) == 3)
         await wait_until(lambda: discovery.open)
-        site.send_watch_line(revision=7, complete=True, members=[site.members[0]])
+        harness.send_watch_line(revision=7, complete=True, members=[harness.members[0]])
         await wait_until(
             lambda: list(limiter.servers.indices) == ["s0"] and len(limiter.pool.addresses) == 1
         )
@@ -682,12 +698,12 @@
 
 @socket_test
 async def test_a_watch_with_invalid_data_is_reopened():
-    async with LimiterHarness(passes) as site, HttpClient(site.port) as caller:
-        await wait_until(lambda: site.discovery.open)
-        for writer in site.discovery.open:
+    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as client:
+        await wait_until(lambda: harness.discovery.open)
+        for writer in harness.discovery.open:
             writer.write(watch_chunk(["no", "list"]))
-        await wait_until(lambda: len(site.discovery.heads) == 2)
-        assert (await caller.send_request(request()))[0] == 200
+        await wait_until(lambda: len(harness.discovery.heads) == 2)
+        assert (await client.send_request(request()))[0] == 200
 
 
 @socket_test
@@ -695,24 +711,24 @@
     monkeypatch.setattr("loomstand.limiter.limiter.LINGER_SECONDS", 0.2)
     slow = lambda n, head, body: asyncio.sleep(0.4, http_response(200))  # noqa: E731
     async with (
-        LimiterHarness(slow) as site,
-        HttpClient(site.port) as busy,
-        HttpClient(site.port) as idle,
+        LimiterHarness(slow) as harness,
+        HttpClient(harness.port) as busy,
+        HttpClient(harness.port) as idle,
     ):
         busy.writer.write(request())
-        await wait_until(lambda: site.servers[0].heads)
-        site.limiter.stop()
+        await wait_until(lambda: harness.servers[0].heads)
+        harness.limiter.stop()
         assert await idle.is_closed()
         async with HttpClient(
-            site.port
+            harness.port
         ) as late:  # new connections are accepted for `LINGER_SECONDS`
             status, head, _ = await late.send_request(request(id_="r2"))
             assert status == 200 and b"connection: close" in head.lower()
         status, head, _ = await busy.read_response()
         assert status == 200 and b"connection: close" in head.lower() and await busy.is_closed()
-        await wait_until(site.limiter.stopped.is_set)
+        await wait_until(harness.limiter.stopped.is_set)
         with pytest.raises(OSError):
-            await asyncio.open_connection(HOST, site.port)
+            await asyncio.open_connection(HOST, harness.port)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -720,15 +736,15 @@
 async def test_mixed_faults_leave_one_response_per_request_and_no_effect_twice(seed):
     rng = random.Random(seed)
     ran: dict[str, int] = {}  # deliveries that may have run
-    turned = http_response(503, b"", b"Not-Started: 1\r\n")
+    rejection = http_response(503, b"", b"Not-Started: 1\r\n")
 
-    async def play(n, head, body):
+    async def respond(n, head, body):
         kind, name = (
             rng.choice("pppptcesh"),
             re.search(rb"request-id: (\w+)", head.lower())[1].decode(),
         )
         if kind == "t":
-            return turned
+            return rejection
         ran[name] = ran.get(name, 0) + 1
         if kind in "se":
             await asyncio.sleep(0.6 if kind == "s" else 0.02)
@@ -744,12 +760,12 @@
             [http_response(200, b"1"), http_response(200, b"2.5"), http_response(503), None]
         )
 
-    async def client(site, n):
-        async with HttpClient(site.port) as caller:
+    async def send_requests(harness, n):
+        async with HttpClient(harness.port) as client:
             for k in range(8):
                 front, name = rng.choice(["look", "book"]), f"r{n}x{k}"
                 began = time.monotonic()
-                status, _, body = await caller.send_request(
+                status, _, body = await client.send_request(
                     request(front, name, timeout=300, body=b"b" * 100)
                 )
                 assert time.monotonic() - began < 0.5
@@ -758,20 +774,22 @@
                     assert ran.get(name, 0) <= 1
                     assert status != 429 or not ran.get(name)
 
-    async with LimiterHarness(play, play, play, counter=count) as site:
-        await asyncio.gather(*(client(site, n) for n in range(6)))
-        await wait_until(lambda: not site.limiter.requests)
-        assert len(site.limiter.pool.connections) == sum(map(len, site.limiter.pool.idle.values()))
+    async with LimiterHarness(respond, respond, respond, counter=count) as harness:
+        await asyncio.gather(*(send_requests(harness, n) for n in range(6)))
+        await wait_until(lambda: not harness.limiter.requests)
+        assert len(harness.limiter.pool.connections) == sum(
+            map(len, harness.limiter.pool.idle.values())
+        )
 
 
 @socket_test
 async def test_an_engine_failure_affects_one_request_only():
-    async with LimiterHarness(passes) as site, HttpClient(site.port) as caller:
-        handle = site.limiter.engine.handle
-        site.limiter.engine.handle = lambda now, event: 1 / 0
-        assert (await caller.send_request(request()))[0] == 502
-        site.limiter.engine.handle = handle
-        assert (await caller.send_request(request()))[0] == 200
+    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as client:
+        handle = harness.limiter.engine.handle
+        harness.limiter.engine.handle = lambda now, event: 1 / 0
+        assert (await client.send_request(request()))[0] == 502
+        harness.limiter.engine.handle = handle
+        assert (await client.send_request(request()))[0] == 200
 
 
 def test_the_program_reloads_at_sighup_and_stops_at_sigterm(tmp_path):
--- a/tests/limiter/test_parsers.py
+++ b/tests/limiter/test_parsers.py
@@ -62,7 +62,7 @@
 
 def parse_pieces(parser, pieces):
     """Feeds a parser; returns complete messages as (start, fields, body, close)."""
-    ring, got = Ring(MemoryBudget(1 << 20), MAX_MESSAGE_BYTES), []
+    ring, parsed = Ring(MemoryBudget(1 << 20), MAX_MESSAGE_BYTES), []
     for piece in pieces:
         while piece:
             space = ring.space()
@@ -71,9 +71,9 @@
             ring.wrote(n)
             while parser.step(ring):
                 start = parser.status if isinstance(parser, ResponseReceiver) else parser.target
-                got.append((start, dict(parser.fields), bytes(parser.body), parser.close))
+                parsed.append((start, dict(parser.fields), bytes(parser.body), parser.close))
                 parser.reset()
-    return got
+    return parsed
 
 
 @st.composite
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -416,10 +416,10 @@
 
 
 def failed_starts(seeds: range) -> list[int]:
-    """Returns the seeds of starts in which a limiter has no list in time, or asks discovery twice.
+    """Returns the seeds for which a limiter gets no list in time or queries discovery twice.
 
-    Of the three limiters that ask at once two die and one is cut off from discovery, each at a
-    random time between before it has the list and after it has forwarded the list.
+    Three limiters query discovery at the start. Two of them are killed and one is cut off from
+    discovery, each at a random time within 0.1 s: before, while or after it forwards the list.
     """
     failed = []
     for seed in seeds:
@@ -432,7 +432,7 @@
             (2, "is_cut_off", True),
         ):
             loop.call_later(rng.random() * 0.1, setattr, fleet[n], attribute, value)
-        # until the last limiter has started and has had its turn to ask discovery
+        # until the last limiter has started and its delay before querying discovery has passed
         loop.run(0.05 + 5 * WATCH_STAGGER_SECONDS + 2 * TICK_SECONDS)
         if any(m.listed_at is None for m in fleet[2:]) or any(m.discovery_calls > 1 for m in fleet):
             failed.append(seed)
--- a/tests/proxy/test_abandoned_requests.py
+++ b/tests/proxy/test_abandoned_requests.py
@@ -47,23 +47,23 @@
     """Sends idempotent requests whose clients disconnect while a server processes them."""
 
     async def disconnect(number: int) -> ClientRequest:
-        ask = cluster.client.new_request(
+        request = cluster.client.new_request(
             "GET", "town.example", "/patient/x", "key-of-ann", idempotent=True
         )
         front = cluster.routed_proxies[number % len(cluster.routed_proxies)]
         await cluster.new_client().send_once(
-            ask, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS
+            request, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS
         )
-        return ask
+        return request
 
     return list(await asyncio.gather(*(disconnect(number) for number in range(count))))
 
 
 def test_servers_stop_processing_requests_of_disconnected_clients(cluster):
     slow_servers(cluster)
-    asks = cluster.run(disconnect_early(cluster, 24))
+    requests = cluster.run(disconnect_early(cluster, 24))
     cluster.wait(4.0)
-    assert sum(bool(cluster.request_log.runs(ask.id)) for ask in asks) == len(asks)
+    assert sum(bool(cluster.request_log.runs(request.id)) for request in requests) == len(requests)
     assert cluster.request_log.runs_after_departure(MAX_RUN_AFTER_DISCONNECT_SECONDS) == []
 
 
@@ -85,16 +85,18 @@
     slow_servers(cluster)
 
     async def disconnect() -> ClientRequest:
-        ask = cluster.client.new_request("POST", "town.example", "/once/x", "key-of-ann", b"body")
+        request = cluster.client.new_request(
+            "POST", "town.example", "/once/x", "key-of-ann", b"body"
+        )
         front = cluster.routed_proxies[0]
         await cluster.new_client().send_once(
-            ask, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS
+            request, front, within=5.0, patience=CLIENT_TIMEOUT_SECONDS
         )
-        return ask
+        return request
 
-    ask = cluster.run(disconnect())
+    request = cluster.run(disconnect())
     cluster.wait(4.0)
-    (run,) = cluster.request_log.runs(ask.id)
+    (run,) = cluster.request_log.runs(request.id)
     assert run.ended - run.at > 1.0
 
 
@@ -104,13 +106,13 @@
         cluster.network.extra_delay_seconds[server.address[0]] = 0.1
 
     async def disconnect(method: str, path: str, idempotent: bool) -> ClientRequest:
-        ask = cluster.client.new_request(
+        request = cluster.client.new_request(
             method, "town.example", path, "key-of-ann", idempotent=idempotent
         )
         await cluster.new_client().send_once(
-            ask, cluster.routed_proxies[0], within=5.0, patience=0.05
+            request, cluster.routed_proxies[0], within=5.0, patience=0.05
         )
-        return ask
+        return request
 
     cluster.run(disconnect("GET", "/a/x", True))
     cluster.run(disconnect("POST", "/once/x", False))
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -42,10 +42,10 @@
 def send_request(cluster: Cluster, body: int = 0, path: str = "x") -> tuple[int, bool]:
     """Sends a request once; returns the status and whether the idle connection was reused."""
     idle = cluster.client.idle.get(cluster.front)
-    ask = cluster.client.new_request(
+    request = cluster.client.new_request(
         "POST", "town.example", f"/once/{path}", "key-of-ann", b"b" * body
     )
-    reply = cluster.run(cluster.client.send_once(ask, cluster.front))
+    reply = cluster.run(cluster.client.send_once(request, cluster.front))
     return reply.status, idle is not None and cluster.client.idle.get(cluster.front) is idle
 
 
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -25,16 +25,16 @@
 
 
 def inject_fault(
-    cluster: Cluster, fault: str, share: float = 1.0, few: int = 99, service: str = "alpha"
+    cluster: Cluster, fault: str, share: float = 1.0, server_count: int = 99, service: str = "alpha"
 ) -> None:
-    """Injects a fault into the first `few` servers of a service, for a share of the requests."""
+    """Injects a fault into a service's first `server_count` servers, for a share of requests."""
     servers = cluster.servers[service]
-    if few == 1:  # the most used server: at a low rate a proxy uses only some of them
+    if server_count == 1:  # the most used server: at a low rate a proxy uses only some of them
         cluster.run(send_gets(cluster, 6, name=service[0]))
         servers = sorted(
             servers, key=lambda s: -sum(r.server == s.id for r in cluster.request_log.arrivals)
         )
-    for server in servers[:few]:
+    for server in servers[:server_count]:
         server.fault, server.fault_share = fault, share
 
 
@@ -63,14 +63,17 @@
             return accepted[-1]
 
         await there.listen(loop, make, ("10.0.0.2", 80))
-        talk = await here.open(HttpConnection, ("10.0.0.2", 80), 1.0)
+        connection = await here.open(HttpConnection, ("10.0.0.2", 80), 1.0)
         await asyncio.sleep(0.1)
         accepted[0].transport.pause_reading()
         data = Random(3).randbytes(5 * WINDOW_BYTES)
         for at in range(0, len(data), 777):
-            talk.transport.write(data[at : at + 777])
+            connection.transport.write(data[at : at + 777])
         await asyncio.sleep(1.0)
-        assert talk.transport.get_write_buffer_size() == 4 * WINDOW_BYTES and not accepted[0].buffer
+        assert (
+            connection.transport.get_write_buffer_size() == 4 * WINDOW_BYTES
+            and not accepted[0].buffer
+        )
         network.cut("10.0.0.1", "10.0.0.2")
         accepted[0].transport.resume_reading()
         await asyncio.sleep(3.0)
@@ -78,7 +81,7 @@
         network.heal()
         await asyncio.sleep(10.0)
         assert bytes(accepted[0].buffer) == data
-        talk.transport.close()
+        connection.transport.close()
         await asyncio.sleep(0.1)
         assert accepted[0].closed_reason == "closed"
 
@@ -101,14 +104,14 @@
             return accepted[-1]
 
         await there.listen(asyncio.get_running_loop(), make, ("10.0.0.2", 80))
-        talk = await here.open(HttpConnection, ("10.0.0.2", 80), 1.0)
-        talk.transport.get_extra_info("reset_on_close")()
+        connection = await here.open(HttpConnection, ("10.0.0.2", 80), 1.0)
+        connection.transport.get_extra_info("reset_on_close")()
         network.cut("10.0.0.1", "10.0.0.2")
-        talk.transport.write(b"GET /a HTTP")
+        connection.transport.write(b"GET /a HTTP")
         await asyncio.sleep(0.1)
         network.heal()
-        talk.transport.write(b"/1.1")
-        talk.transport.abort()
+        connection.transport.write(b"/1.1")
+        connection.transport.abort()
         await asyncio.sleep(2.0)
         assert (bytes(accepted[0].buffer), accepted[0].closed_reason) == (b"", "reset")
 
@@ -128,7 +131,7 @@
             assert loop.time() < 0.02 and not tcp.transports
             return
         port = await Streams(tcp, "10.0.0.2", process).listen(loop, HttpConnection, address)
-        talk = await client.open(HttpConnection, address, 1.0)
+        connection = await client.open(HttpConnection, address, 1.0)
         if failure == "cut":
             network.cut("10.0.0.1", "10.0.0.2")
         else:
@@ -138,16 +141,16 @@
                 network.powered_off.add("10.0.0.2")
             tcp.process_ended(process)
         await asyncio.sleep(5.0)
-        assert bool(talk.closed_reason) == (failure == "kill")
+        assert bool(connection.closed_reason) == (failure == "kill")
         started_at = loop.time()
         with pytest.raises(ConnectionRefusedError if failure == "kill" else TimeoutError):
             await client.open(HttpConnection, address, 1.0)
         assert loop.time() - started_at < (0.02 if failure == "kill" else 1.01)
         network.heal()
         network.powered_off.clear()
-        talk.transport.write(b"x")  # a machine that was powered off has lost the connection
+        connection.transport.write(b"x")  # a machine that was powered off has lost the connection
         await asyncio.sleep(5.0)
-        assert bool(talk.closed_reason) == (failure != "cut")
+        assert bool(connection.closed_reason) == (failure != "cut")
 
     run_simulated(work)
 
@@ -165,17 +168,17 @@
         cluster.wait(0.5)
         for server in cluster.servers["alpha"]:
             server.kill()
-        ask, reply = cluster.run(pending)
+        request, reply = cluster.run(pending)
     else:
         inject_fault(cluster, fault)
-        ask, reply = cluster.run(cluster.send_once())
+        request, reply = cluster.run(cluster.send_once())
     assert reply.status in (502, 504), reply
-    assert len(cluster.request_log.runs(ask.id)) == arrival_counts(cluster)[ask.id] == 1
-    assert reply.at - ask.sent < (5.0 if fault == "silent" else 1.0)
+    assert len(cluster.request_log.runs(request.id)) == arrival_counts(cluster)[request.id] == 1
+    assert reply.at - request.sent < (5.0 if fault == "silent" else 1.0)
 
 
 def test_rejected_non_idempotent_request_is_retried_on_another_server(cluster):
-    inject_fault(cluster, "full", few=1)
+    inject_fault(cluster, "full", server_count=1)
     statuses = Counter(cluster.run(cluster.send_once())[1].status for _ in range(40))
     cluster.wait(0.1)
     assert statuses[200] >= 38  # the retry budget may not suffice for the first requests
@@ -212,19 +215,19 @@
     down(first)
     replies = [cluster.run(cluster.send_once()) for _ in range(20)]
     assert sum(reply.status == 200 for _, reply in replies) >= 19
-    assert all(reply.at - ask.sent < 0.5 for ask, reply in replies)
+    assert all(reply.at - request.sent < 0.5 for request, reply in replies)
     for server in rest:
         down(server)
-    ask, reply = cluster.run(cluster.send_once())
+    request, reply = cluster.run(cluster.send_once())
     assert reply.status == 503 and "retry-after" in reply.fields
-    assert reply.at - ask.sent < (
+    assert reply.at - request.sent < (
         0.1 if failure == "refused" else 1.0
-    ) and not cluster.request_log.runs(ask.id)
+    ) and not cluster.request_log.runs(request.id)
 
 
 @pytest.mark.parametrize("fault", ["close", "reset", "cut", "spoilt", "error"])
 def test_idempotent_request_is_retried_on_other_servers_up_to_the_limit(cluster, fault):
-    inject_fault(cluster, fault, few=1)
+    inject_fault(cluster, fault, server_count=1)
     assert cluster.run(send_gets(cluster, 60))[200] >= 58
     arrivals = arrival_counts(cluster)
     assert max(arrivals.values()) >= 2
@@ -239,7 +242,7 @@
     cluster.route("a", "alpha", maximum_attempts=1)
     assert cluster.run(cluster.replace())
     cluster.wait(0.5)
-    inject_fault(cluster, "close", few=1)
+    inject_fault(cluster, "close", server_count=1)
     cluster.run(send_gets(cluster, 40))
     assert max(arrival_counts(cluster).values()) == 1 and set(
         cluster.run(send_gets(cluster, 20))
@@ -270,9 +273,9 @@
     cluster.run(cluster.start())
     inject_fault(cluster, fault)
     for _ in range(12):
-        ask, reply = cluster.run(cluster.send_once())
+        request, reply = cluster.run(cluster.send_once())
         # a server whose responses all fail is ejected, so requests are rejected without an attempt
-        assert reply.status == (502 if cluster.request_log.runs(ask.id) else 503), reply
+        assert reply.status == (502 if cluster.request_log.runs(request.id) else 503), reply
     assert len(cluster.request_log.runs()) >= 3
     cluster.close()
 
@@ -437,11 +440,11 @@
 
 
 @pytest.mark.parametrize("fault", ["full", "error", "reset"])
-@pytest.mark.parametrize(("few", "share"), [(2, 1.0), (4, 0.5)])
-def test_retries_stay_within_the_budget_shared_by_all_proxies(fault, few, share):
+@pytest.mark.parametrize(("server_count", "share"), [(2, 1.0), (4, 0.5)])
+def test_retries_stay_within_the_budget_shared_by_all_proxies(fault, server_count, share):
     cluster = Cluster(1, proxies=4, servers=4)
     cluster.run(cluster.start())
-    inject_fault(cluster, fault, share, few)
+    inject_fault(cluster, fault, share, server_count)
     target = ("GET", "town.example", "/a/x", "key-of-ann")
     cluster.run(cluster.send_requests(cluster.client, 100, 14, *target, idempotent=True))
     request_times = sorted(
--- a/tests/proxy/test_unusual_faults.py
+++ b/tests/proxy/test_unusual_faults.py
@@ -141,15 +141,15 @@
         dropped = drop_connections(cluster, cluster.servers["alpha"])
         assert dropped >= 8
         replies = [cluster.run(cluster.send_once()) for _ in range(30)]
-        lost = [ask.id for ask, reply in replies if reply.status != 200]
+        lost = [request.id for request, reply in replies if reply.status != 200]
         # a proxy must assume that a lost request may have run, although it never does here
         assert {reply.status for _, reply in replies} <= {200, 502}
         lost_count += len(lost)
         cluster.wait(1.0)
         assert not any(cluster.request_log.runs(id_) for id_ in lost)
         assert all(
-            len(cluster.request_log.runs(ask.id)) == 1
-            for ask, reply in replies
+            len(cluster.request_log.runs(request.id)) == 1
+            for request, reply in replies
             if reply.status == 200
         )
     # after the first loss a proxy distrusts the idle connections to all servers of the service;
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -38,13 +38,13 @@
 )
 
 
-def run_stage(work: Callable[[UpstreamFixture], Any]) -> None:
+def run_with_fixture(work: Callable[[UpstreamFixture], Any]) -> None:
     async def run() -> None:
-        stage = await UpstreamFixture().open()
-        await work(stage)
-        stage.network.heal()
+        fixture = await UpstreamFixture().open()
+        await work(fixture)
+        fixture.network.heal()
         await asyncio.sleep(20.0)  # until delayed data has arrived
-        stage.check()
+        fixture.check()
 
     run_simulated(run)
 
@@ -55,24 +55,24 @@
 def interrupt_at_every_byte() -> None:
     for interruption in ("close", "reset", "half", "silence", "pause"):
 
-        async def work(stage: UpstreamFixture, interruption: str = interruption) -> None:
+        async def work(fixture: UpstreamFixture, interruption: str = interruption) -> None:
             for at in range(len(success_answer("r000"))):
                 id_ = f"r{at:03}"
                 raw = success_answer(id_)
                 steps = {"silence": [2.0, raw[at:]], "pause": [0.02, raw[at:]]}.get(
                     interruption, [interruption]
                 )
-                stage.scripts = [[raw[:at], *steps]]
-                stage.send(stage.request(id_), 0.2)
+                fixture.scripts = [[raw[:at], *steps]]
+                fixture.send(fixture.request(id_), 0.2)
                 await asyncio.sleep(0.25)
                 success = Outcome.SUCCEEDED if interruption == "pause" else None
                 failure = (
                     Outcome.NO_RESPONSE if interruption == "silence" else Outcome.CONNECTION_LOST
                 )
-                assert stage.outcomes[id_] == [success or failure], (interruption, at)
-                stage.scripts = []
+                assert fixture.outcomes[id_] == [success or failure], (interruption, at)
+                fixture.scripts = []
 
-        run_stage(work)
+        run_with_fixture(work)
 
 
 def test_interrupted_response_is_not_forwarded_and_does_not_prove_non_execution():
@@ -86,24 +86,24 @@
     one write with that request's own response if `ahead`, else shortly before it.
     """
 
-    async def work(stage: UpstreamFixture) -> None:
+    async def work(fixture: UpstreamFixture) -> None:
         size = len(make_response("r0000"))
         for at in range(size + 1):
             first, second = f"r{at:04}", f"n{at:04}"
             extra, own = make_response(first), success_answer(second)
-            stage.scripts = [
+            fixture.scripts = [
                 [success_answer(first), extra[:at]],
                 [extra[at:] + own] if ahead else [extra[at:], 0.01, own],
             ]
-            stage.send(stage.request(first))
+            fixture.send(fixture.request(first))
             await asyncio.sleep(0.008 if at % 2 else 0.02)
-            stage.send(stage.request(second))
+            fixture.send(fixture.request(second))
             await asyncio.sleep(0.1)
-            assert stage.outcomes[first] == [Outcome.SUCCEEDED]
-            assert set(stage.outcomes[second]) <= {Outcome.SUCCEEDED, Outcome.CONNECTION_LOST}
-            for connections in list(stage.pool.idle.values()):
+            assert fixture.outcomes[first] == [Outcome.SUCCEEDED]
+            assert set(fixture.outcomes[second]) <= {Outcome.SUCCEEDED, Outcome.CONNECTION_LOST}
+            for connections in list(fixture.pool.idle.values()):
                 for connection in list(connections):
-                    stage.pool.close(connection, Ending.IDLE)
+                    fixture.pool.close(connection, Ending.IDLE)
 
     return work
 
@@ -120,54 +120,56 @@
 @pytest.mark.parametrize("ahead", [True, False])
 @pytest.mark.parametrize("kind", SURPLUS)
 def test_fragmented_surplus_response_is_never_matched_with_the_next_request(kind, ahead):
-    run_stage(surplus_response(SURPLUS[kind], ahead=ahead))
+    run_with_fixture(surplus_response(SURPLUS[kind], ahead=ahead))
 
 
 NOT_EXECUTED = "Loomstand-Not-Executed: true"
 
 
-async def duplicate_rejection(stage: UpstreamFixture) -> None:
+async def duplicate_rejection(fixture: UpstreamFixture) -> None:
     size = len(encode_answer(503, "r0000", NOT_EXECUTED))
     for at in range(0, size + 1, 3):
-        id_, request = f"r{at:04}", stage.request(f"r{at:04}")
+        id_, request = f"r{at:04}", fixture.request(f"r{at:04}")
         raw = encode_answer(503, id_, NOT_EXECUTED)
-        stage.scripts = [["refuse", raw, raw[:at], 0.02, raw[at:]], [0.05, success_answer(id_)]]
-        stage.send(request)
+        fixture.scripts = [["refuse", raw, raw[:at], 0.02, raw[at:]], [0.05, success_answer(id_)]]
+        fixture.send(request)
         await asyncio.sleep(0.012)
-        stage.send(request)  # as if no other server had capacity
+        fixture.send(request)  # as if no other server had capacity
         await asyncio.sleep(0.2)
-        assert stage.outcomes[id_] == [Outcome.REJECTED, Outcome.SUCCEEDED]
+        assert fixture.outcomes[id_] == [Outcome.REJECTED, Outcome.SUCCEEDED]
 
 
 def test_duplicate_rejection_is_not_matched_with_the_second_attempt():
-    run_stage(duplicate_rejection)
+    run_with_fixture(duplicate_rejection)
 
 
 def not_executed_status(status: int) -> Callable[[UpstreamFixture], Any]:
-    async def work(stage: UpstreamFixture) -> None:
+    async def work(fixture: UpstreamFixture) -> None:
         for id_, lines in ("bare", []), ("with", [NOT_EXECUTED]):
             proof = status != 200 if lines else status == 421
             success = [STAMP] if status == 200 else []
-            stage.scripts = [
+            fixture.scripts = [
                 ["refuse"] * proof + [encode_answer(status, id_, *success, *lines, body=b"of bare")]
             ]
-            stage.send(stage.request(id_))
+            fixture.send(fixture.request(id_))
             await asyncio.sleep(0.1)
             expected = Outcome.REJECTED if proof else Outcome.CONNECTION_LOST
-            assert stage.outcomes[id_] == [Outcome.SUCCEEDED if success and not lines else expected]
+            assert fixture.outcomes[id_] == [
+                Outcome.SUCCEEDED if success and not lines else expected
+            ]
 
     return work
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503, 200])
 def test_not_executed_status_is_accepted_only_with_its_header_field(status):
-    run_stage(not_executed_status(status))
+    run_with_fixture(not_executed_status(status))
 
 
 # --- requests to servers
 
 
-async def expire_during_partition(stage: UpstreamFixture) -> None:
+async def expire_during_partition(fixture: UpstreamFixture) -> None:
     """Sends bodies below and above the window, partitions the link at several times, and heals it
     after the attempt has expired.
     """
@@ -176,105 +178,105 @@
     ):
         for after in (0.0, 0.001, 0.004, 0.006, 0.009, 0.013, 0.02):
             id_ = f"r{n}{after}"
-            stage.scripts = [[1.0, success_answer(id_)]]
-            stage.send(stage.request(id_, bytes(size)), 0.3)
+            fixture.scripts = [[1.0, success_answer(id_)]]
+            fixture.send(fixture.request(id_, bytes(size)), 0.3)
             await asyncio.sleep(after)
-            stage.network.cut(PROXY_IP, SERVER_IP)
+            fixture.network.cut(PROXY_IP, SERVER_IP)
             await asyncio.sleep(0.4)
-            expired_at = stage.loop.time()
-            stage.network.heal()
+            expired_at = fixture.loop.time()
+            fixture.network.heal()
             await asyncio.sleep(6.0)
-            assert stage.ran_at.get(id_, 0.0) < expired_at, (
-                f"{id_} ran after its expiry, with the outcomes {stage.outcomes[id_]}"
+            assert fixture.ran_at.get(id_, 0.0) < expired_at, (
+                f"{id_} ran after its expiry, with the outcomes {fixture.outcomes[id_]}"
             )
 
 
 def test_expired_request_is_not_delivered_after_a_partition_heals():
-    run_stage(expire_during_partition)
+    run_with_fixture(expire_during_partition)
 
 
 def test_connection_pending_at_the_deadline_sends_nothing_later():
-    async def work(stage: UpstreamFixture) -> None:
+    async def work(fixture: UpstreamFixture) -> None:
         for n in range(20):
-            stage.send(stage.request(f"r{n}"), 0.0005 * n)
+            fixture.send(fixture.request(f"r{n}"), 0.0005 * n)
             await asyncio.sleep(0.1)
-            assert len(stage.outcomes[f"r{n}"]) == 1
+            assert len(fixture.outcomes[f"r{n}"]) == 1
 
-    run_stage(work)
+    run_with_fixture(work)
 
 
-async def resume_after_deadline(stage: UpstreamFixture) -> None:
-    attempt = stage.send(stage.request("r"))
+async def resume_after_deadline(fixture: UpstreamFixture) -> None:
+    attempt = fixture.send(fixture.request("r"))
     attempt.timer.cancel()
-    attempt.expires_at = stage.now()  # as if the process had been suspended until after that
+    attempt.expires_at = fixture.now()  # as if the process had been suspended until after that
     await asyncio.sleep(0.5)
-    assert stage.outcomes == {"r": [Outcome.CONNECT_FAILED]} and stage.ran == []
+    assert fixture.outcomes == {"r": [Outcome.CONNECT_FAILED]} and fixture.ran == []
 
 
 def test_process_suspended_past_the_deadline_sends_nothing():
-    run_stage(resume_after_deadline)
+    run_with_fixture(resume_after_deadline)
 
 
-async def unresponsive_server(stage: UpstreamFixture) -> None:
-    stage.scripts = [
+async def unresponsive_server(fixture: UpstreamFixture) -> None:
+    fixture.scripts = [
         [0.05, success_answer("a")],
         [0.05, success_answer("b")],
         [],
         [success_answer("d")],
     ]
     for id_ in "ab":  # creates two idle connections
-        stage.send(stage.request(id_))
+        fixture.send(fixture.request(id_))
     await asyncio.sleep(0.2)
-    assert len(stage.connections) == 2
-    stage.process.frozen = True
-    stage.send(stage.request("c"), 0.2)
+    assert len(fixture.connections) == 2
+    fixture.process.frozen = True
+    fixture.send(fixture.request("c"), 0.2)
     await asyncio.sleep(0.3)
-    assert stage.outcomes["c"] == [Outcome.NO_RESPONSE]
-    stage.process.thaw()  # the server executes the requests in its buffers
+    assert fixture.outcomes["c"] == [Outcome.NO_RESPONSE]
+    fixture.process.thaw()  # the server executes the requests in its buffers
     await asyncio.sleep(0.1)
-    assert stage.ran == ["a", "b", "c"]
-    stage.send(stage.request("d"))
+    assert fixture.ran == ["a", "b", "c"]
+    fixture.send(fixture.request("d"))
     await asyncio.sleep(0.1)
-    assert stage.outcomes["d"] == [Outcome.SUCCEEDED] and len(stage.connections) == 3, (
+    assert fixture.outcomes["d"] == [Outcome.SUCCEEDED] and len(fixture.connections) == 3, (
         "reused a connection older than the timeout"
     )
 
 
 def test_timeout_closes_older_connections_and_late_execution_contradicts_no_outcome():
-    run_stage(unresponsive_server)
+    run_with_fixture(unresponsive_server)
 
 
 def early_response(status: int) -> Callable[[UpstreamFixture], Any]:
-    async def work(stage: UpstreamFixture) -> None:
-        stage.early, raw = (
+    async def work(fixture: UpstreamFixture) -> None:
+        fixture.early, raw = (
             True,
             success_answer("r") if status == 200 else encode_answer(503, "r", NOT_EXECUTED),
         )
-        stage.scripts = [[raw], [success_answer("n")]]
-        stage.send(stage.request("r", bytes(5 * WINDOW_BYTES)))
+        fixture.scripts = [[raw], [success_answer("n")]]
+        fixture.send(fixture.request("r", bytes(5 * WINDOW_BYTES)))
         await asyncio.sleep(0.2)
-        assert stage.outcomes["r"] == [Outcome.SUCCEEDED if status == 200 else Outcome.REJECTED]
-        assert "r" not in stage.ran and not stage.pool.connections
-        stage.send(stage.request("n"))
+        assert fixture.outcomes["r"] == [Outcome.SUCCEEDED if status == 200 else Outcome.REJECTED]
+        assert "r" not in fixture.ran and not fixture.pool.connections
+        fixture.send(fixture.request("n"))
         await asyncio.sleep(0.2)
-        assert stage.outcomes["n"] == [Outcome.SUCCEEDED] and len(stage.connections) == 2
+        assert fixture.outcomes["n"] == [Outcome.SUCCEEDED] and len(fixture.connections) == 2
 
     return work
 
 
 @pytest.mark.parametrize("status", [200, 503])
 def test_response_before_the_request_is_fully_sent_closes_the_connection(status):
-    run_stage(early_response(status))
+    run_with_fixture(early_response(status))
 
 
 def test_excessive_surplus_responses_do_not_hold_a_request():
-    async def work(stage: UpstreamFixture) -> None:
-        stage.scripts = [[success_answer("x") * 40 + success_answer("r")]]
-        stage.send(stage.request("r"))
+    async def work(fixture: UpstreamFixture) -> None:
+        fixture.scripts = [[success_answer("x") * 40 + success_answer("r")]]
+        fixture.send(fixture.request("r"))
         await asyncio.sleep(0.2)
-        assert stage.outcomes["r"] == [Outcome.CONNECTION_LOST]
+        assert fixture.outcomes["r"] == [Outcome.CONNECTION_LOST]
 
-    run_stage(work)
+    run_with_fixture(work)
 
 
 # --- the whole proxy, with random faults
@@ -343,11 +345,13 @@
 
     Returns the proxy, the proxy's request and the task that awaits the reply.
     """
-    ask = cluster.client.new_request("PUT", "town.example", "/once/x", "key-of-ann", b"body")
-    task = cluster.loop.create_task(cluster.client.send_once(ask, cluster.front))
+    client_request = cluster.client.new_request(
+        "PUT", "town.example", "/once/x", "key-of-ann", b"body"
+    )
+    task = cluster.loop.create_task(cluster.client.send_once(client_request, cluster.front))
     await asyncio.sleep(0.05)
     proxy = cluster.proxy(PROXY_IP)
-    (request,) = [r for r in proxy.requests.values() if r.request_id == ask.id.encode()]
+    (request,) = [r for r in proxy.requests.values() if r.request_id == client_request.id.encode()]
     assert any(request.attempts)
     return proxy, request, task
 
@@ -404,8 +408,12 @@
     for n in range(150):
         if n == 50:
             tasks.append(cluster.loop.create_task(cluster.disturb(0.0, "term", 0.3)))
-        ask = cluster.client.new_request("PUT", "town.example", "/once/x", "key-of-ann", b"body")
-        tasks.append(cluster.loop.create_task(cluster.client.send_once(ask, cluster.front, 2.0)))
+        client_request = cluster.client.new_request(
+            "PUT", "town.example", "/once/x", "key-of-ann", b"body"
+        )
+        tasks.append(
+            cluster.loop.create_task(cluster.client.send_once(client_request, cluster.front, 2.0))
+        )
         tasks.append(
             cluster.loop.create_task(
                 cluster.send_requests_in_mode(False, SEND_MODES[n % len(SEND_MODES)], 200, 100)
@@ -423,7 +431,7 @@
         await cluster.send_requests_in_mode(n % 2 == 0, "pipelined", 0, 100)
 
 
-def run_odd_cluster(work: Callable[[ScriptedCluster], Any]) -> None:
+def run_with_cluster(work: Callable[[ScriptedCluster], Any]) -> None:
     cluster = ScriptedCluster()
 
     async def run() -> None:
@@ -441,7 +449,7 @@
     "work", [requests_during_startup, requests_during_restart, pipelined_requests]
 )
 def test_each_request_is_answered_once_around(work):
-    run_odd_cluster(work)
+    run_with_cluster(work)
 
 
 # --- mutants without one of the safeguards
@@ -504,43 +512,43 @@
         UpstreamConnection,
         "response_received",
         match_by_position,
-        lambda: run_stage(SURPLUS_DUPLICATE),
+        lambda: run_with_fixture(SURPLUS_DUPLICATE),
     ),
     "match by position if the id is missing": (
         UpstreamConnection,
         "response_received",
         match_missing_id_by_position,
-        lambda: run_stage(SURPLUS_WITHOUT_ID),
+        lambda: run_with_fixture(SURPLUS_WITHOUT_ID),
     ),
     "reuse of idle connections after a timeout": (
         UpstreamPool,
         "give_up",
         keep_idle_connections,
-        lambda: run_stage(unresponsive_server),
+        lambda: run_with_fixture(unresponsive_server),
     ),
     "close without a reset": (
         SocketChannel,
         "discard_unsent",
         lambda channel: None,
-        lambda: run_stage(expire_during_partition),
+        lambda: run_with_fixture(expire_during_partition),
     ),
     "second attempt on the same connection": (
         UpstreamPool,
         "send",
         reuse_connection,
-        lambda: run_stage(duplicate_rejection),
+        lambda: run_with_fixture(duplicate_rejection),
     ),
     "a 503 without the header field is trusted": (
         upstream,
         "is_server_response",
         lambda *_: True,
-        lambda: run_stage(not_executed_status(503)),
+        lambda: run_with_fixture(not_executed_status(503)),
     ),
     "reuse of a connection after an early response": (
         UpstreamConnection,
         "finish_response",
         release_without_closing,
-        lambda: run_stage(early_response(503)),
+        lambda: run_with_fixture(early_response(503)),
     ),
     "a reset proves non-execution": (
         limiter_upstream,
@@ -552,13 +560,13 @@
         UpstreamConnection,
         "opened",
         ServerConnection.opened,
-        lambda: run_stage(resume_after_deadline),
+        lambda: run_with_fixture(resume_after_deadline),
     ),
     "handling of the next request while one is pending": (
         ClientConnection,
         "handle",
         handle_without_waiting,
-        lambda: run_odd_cluster(pipelined_requests),
+        lambda: run_with_cluster(pipelined_requests),
     ),
     "rejection of a pending request": (
         Proxy,
--- a/tests/registry/test_quota_grants.py
+++ b/tests/registry/test_quota_grants.py
@@ -204,7 +204,7 @@
     def run(self, length: float, faults: Faults) -> CreditSimulation:
         """Simulates `length` seconds. `faults` has times and kinds of faults, and the times at
         which all tenants exceed their quotas ("hot") or stop that ("cool"); with RANDOM_FAULTS all
-        of these are drawn.
+        of these are random.
         """
         self.faults = faults
         upcoming, next_toggle_at = list(faults), 2.0
@@ -393,8 +393,8 @@
 
 def test_credits_expire_without_an_answer_and_the_counter_reserves_them_longer():
     grants, credits = make_pair()
-    held = grants.buckets[NAME].outstanding["one"]
-    assert held == credits.tenants[NAME].granted >= 2
+    outstanding = grants.buckets[NAME].outstanding["one"]
+    assert outstanding == credits.tenants[NAME].granted >= 2
     credit = credits.tenants[NAME]
     lifetime = quota_credits.CREDIT_LIFETIME_SECONDS
     assert [credits.source(credit, t + lifetime) for t in (10.0, 10.1)] == [
@@ -402,7 +402,7 @@
         CreditSource.ISOLATED,
     ]
     grants.expire(10.0 + lifetime + 0.5, ["one"])
-    assert grants.buckets[NAME].outstanding["one"] == held
+    assert grants.buckets[NAME].outstanding["one"] == outstanding
     assert lifetime < quota_grants.CREDIT_RESERVATION_SECONDS
     grants.expire(10.1 + quota_grants.CREDIT_RESERVATION_SECONDS, ["one"])
     assert "one" not in grants.buckets[NAME].outstanding
--- a/tests/rpc/test_rpc.py
+++ b/tests/rpc/test_rpc.py
@@ -39,14 +39,14 @@
 
 async def faulty_answers_at_each_byte(pair: CallerAndServer) -> None:
     n = 0
-    for how in ANSWER_FAULTS:
+    for fault in ANSWER_FAULTS:
         for at in range(len(encode_item([1, True, {"n": 1000}]))):
             n += 1
             await pair.call(n + 20_000)  # the first call of the connection
-            pair.called.plays = [(how, at)]
-            got, other = await asyncio.gather(pair.call(n, 0.01), pair.call(n + 5000, 0.012))
-            if how in ("", "pause", "foreign", "twice", "late twice"):
-                assert got.is_ok() and other.is_ok(), (how, at)
+            pair.called.plays = [(fault, at)]
+            first, second = await asyncio.gather(pair.call(n, 0.01), pair.call(n + 5000, 0.012))
+            if fault in ("", "pause", "foreign", "twice", "late twice"):
+                assert first.is_ok() and second.is_ok(), (fault, at)
 
 
 def test_truncated_corrupt_duplicate_and_foreign_answers_give_the_right_answer_or_none():
@@ -176,7 +176,7 @@
     max_size=3,
 )
 PLAYS = st.lists(st.tuples(st.sampled_from(ANSWER_FAULTS), st.integers(0, 40)), max_size=16)
-# Keeps the drawn examples when names in the test change: without it Hypothesis takes the seed from
+# Keeps the random examples when names in the test change: without it Hypothesis takes the seed from
 # the source of the test.
 DRAWN_EXAMPLES_SEED = int(
     "ecd77ad2e1e1a5aa91722be86fa571064f278b39532f040e"
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -11,15 +11,15 @@
     """A registry that gives the scripted answers first, then stores and returns a configuration.
 
     Attributes:
-        held: The stored configuration as JSON.
+        stored: The stored configuration as JSON.
         plan: Scripted answers: status, body and optionally headers; status 0 for no answer.
         calls: Path and body of each call.
         status: The answer to status calls, or None.
         at: Its address, HOST:PORT.
     """
 
-    def __init__(self, held=b"", *plan):
-        self.held, self.plan, self.calls, self.closed = held, list(plan), [], threading.Event()
+    def __init__(self, stored=b"", *plan):
+        self.stored, self.plan, self.calls, self.closed = stored, list(plan), [], threading.Event()
         self.status = None
         outer = self
 
@@ -52,10 +52,10 @@
             code, answer, *headers = self.plan.pop(0)
             return code, answer, headers[0] if headers else {}
         if path.endswith("replace"):
-            if int(json.loads(body)["version"][1:]) > int(json.loads(self.held)["version"][1:]):
-                self.held = body
-            return 200, json.dumps({"version": json.loads(self.held)["version"]}).encode(), {}
-        return 200, json.dumps(self.status).encode() if path.endswith("status") else self.held, {}
+            if int(json.loads(body)["version"][1:]) > int(json.loads(self.stored)["version"][1:]):
+                self.stored = body
+            return 200, json.dumps({"version": json.loads(self.stored)["version"]}).encode(), {}
+        return 200, json.dumps(self.status).encode() if path.endswith("status") else self.stored, {}
 
     def close(self):
         self.closed.set()
--- a/tests/store/test_change_history.py
+++ b/tests/store/test_change_history.py
@@ -315,9 +315,9 @@
     async def send() -> int:
         body = system.body(version).replace(b"5000ms", more.encode() or b"5000ms")
         system.operator.core_index = system.core_ips.index(ip)
-        got = await system.operator.call("configuration.replace", body, 8.0)
-        assert got is not None
-        return got.status
+        response = await system.operator.call("configuration.replace", body, 8.0)
+        assert response is not None
+        return response.status
 
     return system.run(send())
 
--- a/tests/store/test_counting_lease.py
+++ b/tests/store/test_counting_lease.py
@@ -50,23 +50,23 @@
             )
             if rng.random() < 0.3:
                 ip = rng.choice(self.core_ips)
-            host, what = (
+            host, fault = (
                 which[ip],
                 rng.choice(("kill", "freeze", "leave", "cut", "half", "slow", "all")),
             )
-            if what == "all":
+            if fault == "all":
                 for store in self.stores.values():
                     store.kill()
-            elif what == "leave" and host.is_running:
+            elif fault == "leave" and host.is_running:
                 await asyncio.wait([asyncio.ensure_future(host.shut_down())], timeout=4.0)
-            elif what in ("cut", "half"):  # cuts to one or two machines, both ways or one way
+            elif fault in ("cut", "half"):  # cuts to one or two machines, both ways or one way
                 for other in rng.sample([i for i in self.core_ips if i != ip], rng.choice((1, 2))):
-                    self.network.cut(ip, other, what == "cut")
-            elif what == "slow":
+                    self.network.cut(ip, other, fault == "cut")
+            elif fault == "slow":
                 # delays packets in both directions, also within the machine
                 self.network.extra_delay_seconds[ip] = rng.choice((0.02, 0.05, 0.09))
             elif host.up:
-                (host.freeze if what == "freeze" else host.kill)()
+                (host.freeze if fault == "freeze" else host.kill)()
             await asyncio.sleep(rng.choice((0.02, 0.3, 0.9, 1.5, 2.5)))
             for machine in (*self.stores.values(), *self.registries.values()):
                 (machine.thaw if machine.up else machine.start)()
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "instead"),
+    ("step", "instead"),
     [
         ("restore", lambda self, *page: None),  # a restarted primary doesn't know the holder
         ("apply_handover", lambda self, *handover: None),  # nor does a new primary after a transfer
@@ -111,8 +111,8 @@
         ),  # the lease is freed before it expires
     ],
 )
-def test_without_one_step_of_the_protocol_two_registries_count(monkeypatch, what, instead):
-    monkeypatch.setattr(CountingLease, what, instead)
+def test_without_one_step_of_the_protocol_two_registries_count(monkeypatch, step, instead):
+    monkeypatch.setattr(CountingLease, step, instead)
     with pytest.raises(AssertionError, match="count at"):
         for seed in range(40):
             run_with_faults(seed)
@@ -125,7 +125,7 @@
     registry, store = core.registry(ip), next(s for s in core.stores.values() if serves(s))
     core.network.extra_delay_seconds[ip] = 0.09
 
-    async def ask() -> None:
+    async def request_lease() -> None:
         sent, registry.counting.lease.expires_at = registry.context.clock(), 0.0
         assert await registry.counting.request_lease(
             (store.host, registry.context.settings.store_address(ip)[1])
@@ -133,7 +133,7 @@
         assert registry.context.clock() > sent + 0.3
         assert sent < registry.counting.lease.expires_at <= sent + LEASE_SECONDS
 
-    core.run(ask())
+    core.run(request_lease())
     core.close()
 
 
@@ -151,12 +151,12 @@
         while store.replica.promised_epoch == view.epoch:
             await asyncio.sleep(0.001)
         core.stores[view.backup.address[0]].kill()
-        ask = {"epoch": 0, "asker": "the third one", "released": 0}
+        promise_request = {"epoch": 0, "asker": "the third one", "released": 0}
         assert core.counting_hosts() == [a] and store.replica.may_promise(
             store.clock(), 9, "the third one", 0
         )
-        assert not (await store.serve("promise", ask))["ok"]
-        assert (await store.serve("promise", ask | {"released": view.epoch}))["ok"]
+        assert not (await store.serve("promise", promise_request))["ok"]
+        assert (await store.serve("promise", promise_request | {"released": view.epoch}))["ok"]
         await leaving
 
     core.run(transfer())
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -56,25 +56,27 @@
             {"service_name": "beta", "weight": 10},
         ],
     }
-    found = [("services", name, {}) for name in ("alpha", "beta")]
-    found += [("tenants", "ann", {"api_keys": ["key"], "rate_per_s": 5})]
-    found += [("routes", f"r-{n}", spec | {"path_prefix": f"/r{n}/"}) for n in range(routes)]
-    return [{"resource_kind": k, "metadata": {"name": n}, "specification": s} for k, n, s in found]
+    entries = [("services", name, {}) for name in ("alpha", "beta")]
+    entries += [("tenants", "ann", {"api_keys": ["key"], "rate_per_s": 5})]
+    entries += [("routes", f"r-{n}", spec | {"path_prefix": f"/r{n}/"}) for n in range(routes)]
+    return [
+        {"resource_kind": k, "metadata": {"name": n}, "specification": s} for k, n, s in entries
+    ]
 
 
-def body(found: list[dict[str, Any]], version: int = 7) -> bytes:
-    return json.dumps({"version": f"r{version}", "resources": found}).encode()
+def body(entries: list[dict[str, Any]], version: int = 7) -> bytes:
+    return json.dumps({"version": f"r{version}", "resources": entries}).encode()
 
 
 @pytest.mark.parametrize("timeout", ["0ms", "0s", "0.0s"])
 def test_a_route_with_a_timeout_of_zero_is_refused(timeout):
-    found = resources(2)
-    assert parse_configuration(body(found)).routes[0].timeout_seconds == 5.0
-    found[3]["specification"]["timeout"] = timeout
+    entries = resources(2)
+    assert parse_configuration(body(entries)).routes[0].timeout_seconds == 5.0
+    entries[3]["specification"]["timeout"] = timeout
     with pytest.raises(
         ConfigurationError, match=r"resources\[3\] route r-0: specification.timeout: 0$"
     ):
-        parse_configuration(body(found))
+        parse_configuration(body(entries))
 
 
 # --- incremental parsing
@@ -111,17 +113,17 @@
 
     Each change is based on the previous one if `kept`, otherwise on the last valid one.
     """
-    reader, found = ConfigurationReader(), resources(4)
+    reader, entries = ConfigurationReader(), resources(4)
     for n, (at, name, value) in enumerate(steps):
-        changed = json.loads(json.dumps(found))
+        changed = json.loads(json.dumps(entries))
         changed[at]["specification"][name] = value
         if n % 4 == 3:
             changed.append(changed.pop(at))
         raw = body(changed, n)
-        mine, plain = outcome(reader.parse, raw), outcome(parse_configuration, raw)
-        assert repr(mine) == repr(plain)  # repr tells 1 from 1.0, which are equal
-        if kept or not isinstance(plain, str):
-            found = changed
+        incremental, full = outcome(reader.parse, raw), outcome(parse_configuration, raw)
+        assert repr(incremental) == repr(full)  # repr tells 1 from 1.0, which are equal
+        if kept or not isinstance(full, str):
+            entries = changed
 
 
 @given(st.lists(STEP, max_size=12), st.booleans())
@@ -141,15 +143,15 @@
 
 
 def test_a_change_of_one_route_parses_only_that_route(monkeypatch):
-    reads, found, before = [], resources(3000), reader_module.parse_resource
+    reads, entries, before = [], resources(3000), reader_module.parse_resource
     monkeypatch.setattr(
         reader_module, "parse_resource", lambda at, r: reads.append(at) or before(at, r)
     )
     reader = ConfigurationReader()
-    reader.parse(body(found, 1))
+    reader.parse(body(entries, 1))
     assert len(reads) == 3003
-    found[70]["specification"]["timeout"] = "4s"
-    assert reader.parse(body(found, 2)).routes[67].timeout_seconds == 4.0 and reads[3003:] == [70]
+    entries[70]["specification"]["timeout"] = "4s"
+    assert reader.parse(body(entries, 2)).routes[67].timeout_seconds == 4.0 and reads[3003:] == [70]
 
 
 # --- catch-up after hundreds of changes
@@ -230,9 +232,9 @@
 
 
 def catch_up_seconds(versions: int) -> float:
-    """Returns the seconds until a limiter that missed so many versions has the newest one.
+    """Returns the seconds until a limiter that missed `versions` versions has the newest one.
 
-    They are measured from the end of its partition; changes continue meanwhile.
+    They are measured from the end of its partition; changes continue during the measurement.
     """
     system = Cluster(5, proxies=2)
     system.run(system.start())
@@ -270,7 +272,7 @@
 class SlowRegistry:
     """A registry with a new configuration every 0.3 s, which takes 2 s to send one."""
 
-    async def call(self, address, op, said, within):
+    async def call(self, address, op, request, within):
         loop = asyncio.get_running_loop()
         if op == "ask":
             await asyncio.sleep(0.1)
@@ -285,29 +287,29 @@
 
 def fetched_versions() -> list[int]:
     async def work() -> list[int]:
-        got: list[int] = []
-        user = SimpleNamespace(
+        fetched: list[int] = []
+        listener = SimpleNamespace(
             update_instances=lambda *_: None,
             shared_clock_reading=lambda: None,
             update_clock=lambda *_: None,
-            apply_configuration=lambda version, data: got.append(version) or True,
+            apply_configuration=lambda version, data: fetched.append(version) or True,
         )
-        conf = SimpleNamespace(
+        proxy_settings = SimpleNamespace(
             seed_nodes=(("c1", 1),), node_name="f-1", registry_address=lambda ip: (ip, 1)
         )
-        made = sessions.Sessions(
-            conf, SlowRegistry(), asyncio.get_running_loop().time, Random(1), user
+        proxy_sessions = sessions.Sessions(
+            proxy_settings, SlowRegistry(), asyncio.get_running_loop().time, Random(1), listener
         )
-        made.start()
+        proxy_sessions.start()
         await asyncio.sleep(20.0)
-        return got
+        return fetched
 
     return run_simulated(work)
 
 
 def test_a_transfer_longer_than_the_interval_between_changes_still_completes(monkeypatch):
-    got = fetched_versions()
-    assert len(got) >= 5 and got == sorted(got)
+    fetched = fetched_versions()
+    assert len(fetched) >= 5 and fetched == sorted(fetched)
     monkeypatch.setattr(
         configuration_fetcher,
         "MAX_FETCH_TIMEOUT_SECONDS",
@@ -322,8 +324,8 @@
 def test_thousands_of_routes_are_acknowledged_compressed_and_in_force(monkeypatch):
     sent, answered = [], StoreClient.handle_configuration
 
-    async def fetch(self, said):
-        answer = await answered(self, said)
+    async def fetch(self, request):
+        answer = await answered(self, request)
         sent.append(len(answer.compressed_data or answer.data or b""))
         return answer
 
@@ -402,18 +404,20 @@
     assert next(Frames().feed(frame)).body["data"] == raw
 
     def write(folder: str) -> int:
-        rng, made = Random(3), LmdbDisk(tmp_path / folder)
+        rng, lmdb_disk = Random(3), LmdbDisk(tmp_path / folder)
         with asyncio.Runner() as runner:
             try:
                 for _ in range(24):
                     size = rng.choice((7000, rng.randrange(MAX_BODY_BYTES), MAX_BODY_BYTES))
                     runner.run(
-                        made.save({"configuration": raw[:size], "orders": raw[: 12 * MAX_ENTRIES]})
+                        lmdb_disk.save(
+                            {"configuration": raw[:size], "orders": raw[: 12 * MAX_ENTRIES]}
+                        )
                     )
-                    runner.run(made.save({"vote": raw[:300]}))
-                assert len(runner.run(made.load())["configuration"]) == size
+                    runner.run(lmdb_disk.save({"vote": raw[:300]}))
+                assert len(runner.run(lmdb_disk.load())["configuration"]) == size
             finally:
-                made.close()
+                lmdb_disk.close()
         return (tmp_path / folder / "data.mdb").stat().st_size
 
     assert write("one") < 64 << 20
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -198,12 +198,12 @@
         ready = await system.wait_until(
             lambda: bool(system.proxies[ip].programs) and system.proxy(ip).is_ready, 6.0
         )
-        held = system.proxy(ip).configuration.table.version
+        held_version = system.proxy(ip).configuration.table.version
         system.network.heal()
         recovery = await system.wait_until(
             lambda: system.proxy(ip).configuration.table.version == system.version, 3.0
         )
-        return ready, held, system.version, recovery
+        return ready, held_version, system.version, recovery
 
     result = system.run(scenario())
     system.close()
@@ -213,11 +213,11 @@
 def test_a_proxy_started_in_the_minority_partition_delays_readiness_with_an_old_version(
     monkeypatch,
 ):
-    ready, held, newest, recovery = start_in_minority_partition()
-    assert 3.0 <= ready <= 4.1 and held < newest and recovery < 2.0
+    ready, held_version, newest, recovery = start_in_minority_partition()
+    assert 3.0 <= ready <= 4.1 and held_version < newest and recovery < 2.0
     monkeypatch.setattr(ConfigurationCache, "is_current", lambda self, now: True)
-    ready, held, newest, _ = start_in_minority_partition()
-    assert ready < 1.0 and held < newest
+    ready, held_version, newest, _ = start_in_minority_partition()
+    assert ready < 1.0 and held_version < newest
 
 
 # --- faults at every step of a change
--- a/tests/store/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -30,18 +30,22 @@
 scenarios("../features/rescue.feature")
 
 
-async def ask(cluster: StoreCluster, gone=(), token=None, at: str = "") -> dict:
+async def request_rescue(cluster: StoreCluster, gone=(), token=None, at: str = "") -> dict:
     """Requests the rescue case, or with its token the rescue, at a running member."""
     host = at or next(h for h, m in cluster.machines.items() if m.is_running and h not in gone)
-    got = await cluster.client.call((host, PORT), "rescue", {"gone": [*gone], "token": token}, 5.0)
-    return got.ok
+    result = await cluster.client.call(
+        (host, PORT), "rescue", {"gone": [*gone], "token": token}, 5.0
+    )
+    return result.ok
 
 
 async def rescue(cluster: StoreCluster, gone=()) -> dict:
     """Requests a rescue until it succeeds, as lease grants may not have expired yet."""
     for _ in range(20):
-        case = (await ask(cluster, gone))["case"]
-        if not case["waits"] and "done" in (reply := await ask(cluster, gone, case["token"])):
+        case = (await request_rescue(cluster, gone))["case"]
+        if not case["waits"] and "done" in (
+            reply := await request_rescue(cluster, gone, case["token"])
+        ):
             return reply["done"]
         await asyncio.sleep(0.3)
     raise AssertionError(case)
@@ -49,14 +53,14 @@
 
 def obstacles(cluster: StoreCluster, gone=()) -> list[str]:
     """Returns the obstacles to a rescue, and checks that it is refused."""
-    case = cluster.run(ask(cluster, gone))["case"]
-    assert "no" in cluster.run(ask(cluster, gone, case["token"]))
+    case = cluster.run(request_rescue(cluster, gone))["case"]
+    assert "no" in cluster.run(request_rescue(cluster, gone, case["token"]))
     return case["waits"]
 
 
 @given("a core that lost the disks of the primary and the backup")
 def _(cluster):
-    _at_work(cluster)
+    _start_and_write(cluster)
     both = [cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")]
     for machine in both:
         machine.power_off(wipe=True)
@@ -65,7 +69,7 @@
     cluster.wait(5.0)
 
 
-def _at_work(cluster):
+def _start_and_write(cluster):
     cluster.start()
     cluster.wait(2.0)
     cluster.first = False
@@ -80,7 +84,7 @@
 
 @then("a rescue is due")
 def _(cluster):
-    case = cluster.run(ask(cluster))["case"]
+    case = cluster.run(request_rescue(cluster))["case"]
     assert case["waits"] == [] and case["version"] == f"r{cluster.acknowledged_version}"
     assert sum(m["lost"] for m in case["members"]) == 2 and len(case["reach"]) == 4
 
@@ -121,18 +125,18 @@
         reasons = (
             obstacles(cluster, gone)
             if missing
-            else cluster.run(ask(cluster, gone))["case"]["waits"]
+            else cluster.run(request_rescue(cluster, gone))["case"]["waits"]
         )
         assert sorted(w.split()[0] for w in reasons) == sorted(missing)
         assert all("doesn't answer" in w for w in reasons)
     there = next(h for h, m in cluster.machines.items() if m.is_running)
-    reasons = cluster.run(ask(cluster, [first, voter, there], at=there))["case"]["waits"]
+    reasons = cluster.run(request_rescue(cluster, [first, voter, there], at=there))["case"]["waits"]
     assert f"{there}: named as gone, and answers" in reasons
 
 
 @when("the voter starts again")
 def _(cluster):
-    _all_do(cluster, cluster.away[1:], Machine.start)
+    _run_on_all(cluster, cluster.away[1:], Machine.start)
 
 
 @then(parsers.parse('a rescue is refused with "{words}"'))
@@ -147,7 +151,7 @@
 
 @when("operators request a token, and then a stand-by is killed")
 def _(cluster):
-    cluster.case = cluster.run(ask(cluster))["case"]
+    cluster.case = cluster.run(request_rescue(cluster))["case"]
     assert cluster.case["waits"] == []
     next(m for m in cluster.machines.values() if m.host != cluster.case["chosen"]).kill()
 
@@ -156,37 +160,38 @@
 def _(cluster):
     for token in (cluster.case["token"], "3-0123456789ab"):
         assert (
-            "another one than that of this token" in cluster.run(ask(cluster, (), token))["no"][0]
+            "another one than that of this token"
+            in cluster.run(request_rescue(cluster, (), token))["no"][0]
         )
     assert cluster.find_primary() is None
 
 
 @when("two operators rescue the store at the same time through different machines")
 def _(cluster):
-    async def both() -> list[dict]:
-        token = (await ask(cluster))["case"]["token"]
-        return await asyncio.gather(*(ask(cluster, (), token, at) for at in HOSTS[1:3]))
+    async def rescue_twice() -> list[dict]:
+        token = (await request_rescue(cluster))["case"]["token"]
+        return await asyncio.gather(*(request_rescue(cluster, (), token, at) for at in HOSTS[1:3]))
 
-    cluster.replies = cluster.run(both())
+    cluster.replies = cluster.run(rescue_twice())
 
 
 @then("one of them founds a view that all members follow")
 def _(cluster):
     done = [reply["done"] for reply in cluster.replies if "done" in reply]
     assert len(done) == 1 and any("no" in reply for reply in cluster.replies)
-    _one_view(cluster, done[0]["epoch"])
+    _check_single_view(cluster, done[0]["epoch"])
 
 
 @then("all members follow one view")
 def _(cluster):
-    _one_view(cluster, cluster.done["epoch"])
+    _check_single_view(cluster, cluster.done["epoch"])
     view = cluster.primary().programs[0].replica.record.view
     assert (
         len(view.voters) == 3 and view.epoch > view.rescue_epoch == cluster.done["epoch"]
     )  # a returned member votes again, so the view changed after the rescue
 
 
-def _one_view(cluster, epoch):
+def _check_single_view(cluster, epoch):
     cluster.wait(1.0)
     views = {g.replica.newest_known_view().epoch for _, g in cluster.stores()}
     assert len(views) == 1 and views.pop() >= epoch and len(cluster.stores()) == 4
@@ -207,22 +212,22 @@
 
 @when("both start again")
 def _(cluster):
-    _all_do(cluster, cluster.away, Machine.start)
+    _run_on_all(cluster, cluster.away, Machine.start)
 
 
 @when("both thaw")
 def _(cluster):
-    _all_do(cluster, cluster.away, Machine.thaw)
+    _run_on_all(cluster, cluster.away, Machine.thaw)
 
 
-def _all_do(cluster, machines, what):
-    """Applies `what` to all machines at the same time."""
+def _run_on_all(cluster, machines, action):
+    """Applies `action` to all machines at the same time."""
 
-    async def all_() -> None:
+    async def run_actions() -> None:
         for machine in machines:
-            what(machine)
+            action(machine)
 
-    cluster.run(all_())
+    cluster.run(run_actions())
 
 
 @then("the old primary doesn't serve under its old view")
@@ -245,7 +250,7 @@
             """
 
     cluster = Cut()
-    _at_work(cluster)
+    _start_and_write(cluster)
     away = [cluster.machine_in_role("the primary"), cluster.machine_in_role("a voter")]
     left = [h for h in HOSTS if h not in (m.host for m in away)]
     cluster.network.partition([m.host for m in away], left)
@@ -253,8 +258,8 @@
     gone = [m.host for m in away]
 
     async def rescue_wrongly() -> None:
-        case = (await ask(cluster, gone, at=left[0]))["case"]
-        assert "done" in await ask(cluster, gone, case["token"], left[0])
+        case = (await request_rescue(cluster, gone, at=left[0]))["case"]
+        assert "done" in await request_rescue(cluster, gone, case["token"], left[0])
 
     cluster.run(rescue_wrongly())
     old = away[0].programs[0]
@@ -276,14 +281,14 @@
     replica.observe_view(View.from_row(new.to_row()))
     assert not replica.is_leader(5.1)
     record = replica.fencing_record()
-    again = Replica(
+    restarted = Replica(
         replica.member, replica.seeds, Record.from_pages(record.pages()), 9.0, Random(1)
     )
-    for peer in again.peers.by_address.values():
+    for peer in restarted.peers.by_address.values():
         peer.answered_at = 20.0
-    assert again.heartbeat(MEMBERS[2].address).requested_lease_epoch == 0
-    again.on_persisted(record)
-    assert again.fencing_record() is None and not again.may_promise(20.0, 9, "b", 0)
+    assert restarted.heartbeat(MEMBERS[2].address).requested_lease_epoch == 0
+    restarted.on_persisted(record)
+    assert restarted.fencing_record() is None and not restarted.may_promise(20.0, 9, "b", 0)
     later = View(EPOCH_RANGE + 7, MEMBERS[3], None, new.voters, (), EPOCH_RANGE)
     replica = member(MEMBERS[1])
     replica.on_persisted(replica.install(new))
@@ -372,13 +377,15 @@
         else:
             named.append(machine.host)
     await asyncio.sleep(rng.uniform(4.5, 6.0))
-    case = (await ask(cluster, named))["case"]
+    case = (await request_rescue(cluster, named))["case"]
     # versions that no reachable member holds can't be restored
     cluster.acknowledged_version = min(cluster.acknowledged_version, int(case["version"][1:]))
     cluster.sent += 100
     if rng.random() < 0.5:  # interrupts a first rescue
         first = cluster.machines[case["chosen"]]
-        first_rescue = asyncio.create_task(ask(cluster, named, case["token"], first.host))
+        first_rescue = asyncio.create_task(
+            request_rescue(cluster, named, case["token"], first.host)
+        )
         while all(g.replica.promised_epoch < EPOCH_RANGE for _, g in cluster.stores()):
             await asyncio.sleep(0.002)
         await asyncio.sleep(rng.uniform(0.0, 0.04))
@@ -391,13 +398,13 @@
         assert int((await rescue(cluster, named))["version"][1:]) >= cluster.acknowledged_version
     cluster.network.extra_delay_seconds = {h: rng.choice((0.0, 0.05)) for h in cluster.machines}
 
-    async def back(machine: Machine) -> None:
+    async def restart_with_old_disk(machine: Machine) -> None:
         await asyncio.sleep(rng.choice((0.0, rng.uniform(0.0, 3.0))))
         machine.power_off()
         machine.disk_state.pages = old[machine]
         machine.start()
 
-    await asyncio.gather(*map(back, old))
+    await asyncio.gather(*map(restart_with_old_disk, old))
     await asyncio.sleep(3.0)
     for operator in operators:
         operator.cancel()
@@ -425,11 +432,11 @@
         host.power_off(wipe=True)
     system.wait(1.0)
 
-    async def again() -> None:
+    async def restart_all() -> None:
         for host in system.stores.values():
             host.start()
 
-    system.run(again())
+    system.run(restart_all())
     system.wait(2.0)
     _, answer = _call_rescue(system, {})
     assert [r["given_back"] for r in answer["case"]["reach"]] == [f"r{system.version}"] * 3
@@ -439,17 +446,17 @@
 @pytest.fixture
 def system():
     made = Cluster(7, proxies=2)
-    made.back = made.run_in_background(made.check_versions_never_decrease())
+    made.rollback_check = made.run_in_background(made.check_versions_never_decrease())
     yield made
     made.close()
 
 
 def _call_rescue(system, body: dict, core: int = 0):
     call = post("system.rescue", json.dumps(body).encode())
-    got = system.run(
+    result = system.run(
         exchange(system.streams("10.8.0.1"), system.control_addresses[core], call, 5.0)
     )
-    return got.status, json.loads(got.body)
+    return result.status, json.loads(result.body)
 
 
 @given("a system at work whose core lost all disks")
@@ -461,11 +468,11 @@
         host.power_off(wipe=True)
     system.wait(1.0)
 
-    async def again() -> None:
+    async def restart_all() -> None:
         for host in hosts:
             host.start()
 
-    system.run(again())
+    system.run(restart_all())
 
 
 @then("requests are served throughout, and changes are refused")
@@ -475,9 +482,9 @@
             _, reply = system.run(system.send_once("once", at=ip))
             assert reply.status == 200
         system.wait(0.25)
-    held, system.held = system.version, system.versions[system.version]
+    version, system.limiter_data = system.version, system.versions[system.version]
     assert not system.run(system.replace(3.0))
-    assert {s.configuration.table.version for s in system.running_proxies()} == {held}
+    assert {s.configuration.table.version for s in system.running_proxies()} == {version}
 
 
 @when("operators review the rescue case and confirm it")
@@ -488,7 +495,7 @@
     ) == 1
     case = replies[0][1]["case"]
     assert case["waits"] == [] and case["epoch"] == 0 and not case["members"]
-    assert system.held.decode().startswith(f'{{"version": "{case["version"]}"')
+    assert system.limiter_data.decode().startswith(f'{{"version": "{case["version"]}"')
     system.token = case["token"]
     status, answer = _call_rescue(system, {"token": system.token}, 1)
     assert status == 200 and answer["done"]["version"] == case["version"], answer
@@ -496,10 +503,10 @@
 
 @then("the limiters' configuration is in force, and changes are acknowledged")
 def _(system):
-    assert system.run(system.operator.read(3.0)) == system.held
+    assert system.run(system.operator.read(3.0)) == system.limiter_data
     system.route("later", "beta")
     assert system.run(system.replace(2.0))
-    assert not system.back.done()
+    assert not system.rollback_check.done()
 
 
 @then("a repeated confirmation is refused")
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -76,12 +76,12 @@
             self.check_task.result()
 
     def start(self, *excluded: str) -> None:
-        async def all_() -> None:
+        async def start_all() -> None:
             for host, machine in self.machines.items():
                 if host not in excluded and not machine.up:
                     machine.start()
 
-        self.run(all_())
+        self.run(start_all())
 
     async def check_periodically(self) -> None:
         while True:
@@ -129,7 +129,7 @@
 
     def primary(self) -> Machine:
         found = self.find_primary()
-        assert found is not None, "nobody serves"
+        assert found is not None, "no store serves"
         return found
 
     def find_primary(self) -> Machine | None:
@@ -375,7 +375,7 @@
     disk_state.slower = 60.0 if fault == "is slow" else 1.0
 
 
-@when("the primary is told to stop")
+@when("the primary is shut down")
 def _(cluster, old):
     cluster.loop.create_task(old.shut_down())
 
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -134,7 +134,7 @@
 @then("all of these requests are served")
 def _(cluster):
     assert Counter(reply.status for reply in cluster.replies) == {200: len(cluster.replies)}
-    sent = {id_: ask.sent for id_, ask in cluster.request_log.requests.items()}
+    sent = {id_: request.sent for id_, request in cluster.request_log.requests.items()}
     assert all(
         reply.at - sent[reply.fields["loomstand-request-id"]] < 0.2 for reply in cluster.replies
     )
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -880,11 +880,11 @@
     streams: Streams, address: tuple[str, int], raw: bytes, seconds: float
 ) -> dict[str, Any]:
     """Sends data on a new connection; returns the answer after `seconds` and how it ended."""
-    talk = await streams.open(HttpConnection, address, 1.0)
-    talk.transport.write(raw)
+    connection = await streams.open(HttpConnection, address, 1.0)
+    connection.transport.write(raw)
     await asyncio.sleep(seconds)
-    result = {"answer": text(bytes(talk.buffer)), "end": talk.closed_reason}
-    talk.transport.abort()
+    result = {"answer": text(bytes(connection.buffer)), "end": connection.closed_reason}
+    connection.transport.abort()
     return result
 
 
--- a/tests/testing/simulation/test_bounds.py
+++ b/tests/testing/simulation/test_bounds.py
@@ -37,24 +37,24 @@
     return {figure.name: figure for figure in evaluate(history, BOUNDS)}
 
 
-def runs(many: int, since: float, until: float, tenant: str = "ann") -> list[Arrival]:
+def runs(count: int, since: float, until: float, tenant: str = "ann") -> list[Arrival]:
     """Returns evenly spaced arrivals, each 1 ms after its sending."""
-    step = (until - since) / many
-    at = [since + n * step for n in range(many)]
+    step = (until - since) / count
+    at = [since + n * step for n in range(count)]
     return [Arrival(f"{tenant}-{t}", tenant, "alpha", "i-1", "one", t, t + 0.001) for t in at]
 
 
 # --- quotas
 
 
-@pytest.mark.parametrize(("many", "broken"), [(97, False), (98, True)])
-def test_a_request_beyond_what_is_allowed_is_found_and_one_at_it_is_not(many, broken):
-    history = History(["one"], ended=30.0, changes=[FIRST], arrivals=runs(many, 10.0, 14.9))
+@pytest.mark.parametrize(("count", "broken"), [(97, False), (98, True)])
+def test_a_request_beyond_what_is_allowed_is_found_and_one_at_it_is_not(count, broken):
+    history = History(["one"], ended=30.0, changes=[FIRST], arrivals=runs(count, 10.0, 14.9))
     again = history.arrivals[3]  # neither a second run of a request nor a rejected one counts
     history.arrivals += [replace(again, at=again.at + 0.1), replace(again, id="x", ran=False)]
     figure = figures_by_name(history)[Q]
-    assert bool(figure.broken) is broken and figure.value == pytest.approx((many - 70) / 27)
-    assert figure.at == pytest.approx(10.0) and f"{many} where" in figure.who
+    assert bool(figure.broken) is broken and figure.value == pytest.approx((count - 70) / 27)
+    assert figure.at == pytest.approx(10.0) and f"{count} where" in figure.who
 
 
 @pytest.mark.parametrize(
@@ -194,10 +194,10 @@
 @pytest.mark.parametrize(("more", "broken"), [(76, 0), (77, 1)])
 def test_further_tries_beyond_the_budget_are_found(more, broken):
     """With 100 requests in the window before, 20 retries and the slack of 56 are allowed."""
-    asked = {"alpha": [5.0 + 0.01 * n for n in range(100)]}
+    request_times = {"alpha": [5.0 + 0.01 * n for n in range(100)]}
     first = [Arrival(f"r{n}", "", "alpha", "i-1", "one", 10.0, 10.0) for n in range(more)]
     again = [replace(run, at=12.0 + 0.01 * n) for n, run in enumerate(first)]
-    history = History(["one"], ended=30.0, request_times=asked, arrivals=first + again)
+    history = History(["one"], ended=30.0, request_times=request_times, arrivals=first + again)
     figure = figures_by_name(history)["further tries: share of the slack used"]
     assert figure.value == pytest.approx((more - 20) / 56) and bool(figure.broken) is bool(broken)
 
--- a/tests/testing/soak/test_checks.py
+++ b/tests/testing/soak/test_checks.py
@@ -26,16 +26,16 @@
     return planned_too
 
 
-def book(reply: Reply, *, ran: bool, ended: float = 0.0, left_at: float = 1e9) -> RequestLog:
+def build_log(reply: Reply, *, ran: bool, ended: float = 0.0, left_at: float = 1e9) -> RequestLog:
     """Log with one request, sent at 10 s, that a server started at 10.1 s if `ran` is set."""
     log = RequestLog()
-    ask = ClientRequest(
+    request = ClientRequest(
         "r1", "GET", "town.example", "/a/x", "", b"", True, 10.0, ("10.2.0.1", 80), left_at
     )
-    log.requests[ask.id] = ask
-    log.replies[ask.id] = reply
+    log.requests[request.id] = request
+    log.replies[request.id] = reply
     if ran:
-        log.arrivals.append(ServerArrival(10.1, "alpha", "i-1", ask.id, "", True, ended))
+        log.arrivals.append(ServerArrival(10.1, "alpha", "i-1", request.id, "", True, ended))
     return log
 
 
@@ -56,7 +56,7 @@
     ],
 )
 def test_a_connection_closed_in_place_of_an_answer_is_a_loss(reply, ran, lost):
-    log = book(reply, ran=ran)
+    log = build_log(reply, ran=ran)
     assert len(lost_requests(log, undisturbed)) == lost
     assert len(lost_requests(log, restarted)) == lost
     assert lost_requests(log, killed) == []
@@ -64,14 +64,14 @@
 
 @pytest.mark.parametrize(("ended", "late"), [(10.3, 0), (11.4, 0), (12.0, 1)])
 def test_a_run_long_after_its_client_left_is_found(ended, late):
-    log = book(Reply(0, "silent", at=10.2), ran=True, ended=ended, left_at=10.2)
+    log = build_log(Reply(0, "silent", at=10.2), ran=True, ended=ended, left_at=10.2)
     assert len(abandoned_runs(log, undisturbed)) == late
     assert abandoned_runs(log, killed) == []
 
 
 @pytest.mark.parametrize(("acknowledged_at", "late"), [(9.0, 0), (6.0, 1)])
 def test_an_arrival_long_after_a_drain_is_found(acknowledged_at, late):
-    log = book(Reply(200, at=10.2), ran=True)
+    log = build_log(Reply(200, at=10.2), ran=True)
     drains = [Drain("i-1", acknowledged_at)]
     assert len(late_arrivals(log, drains, undisturbed)) == late
     assert late_arrivals(log, drains, restarted) == []
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize(("ended", "needless"), [(0.0, 0), (15.5, 0), (12.0, 1)])
 def test_a_proxy_waits_beyond_its_grace_period_only_for_a_server_at_work(ended, needless):
-    log = book(Reply(0, "closed", at=16.0), ran=True, ended=ended)
+    log = build_log(Reply(0, "closed", at=16.0), ran=True, ended=ended)
     assert len(needless_overdue(log, "10.2.0.1", [16.0])) == needless
     assert len(needless_overdue(log, "10.2.0.2", [16.0])) == 1
     assert needless_overdue(log, "10.2.0.1", []) == []
