--- a/tests/admission/test_load_balancer.py
+++ b/tests/admission/test_load_balancer.py
@@ -103,7 +103,7 @@
 
 
 def test_a_small_window_grows_slowly() -> None:
-    """A window below one grew by its reciprocal on every fast answer."""
+    """Guards against a window below one that grows by its reciprocal on every fast answer."""
     load_balancer = single_engine(servers=1).admission.load_balancers[0]
     load_balancer.window.size = 0.5
     load_balancer.adjust_window(
@@ -113,7 +113,9 @@
 
 
 def test_low_value_requests_are_rejected_first_as_servers_fill() -> None:
-    """Requests of low value per duration occupied the servers while valuable ones were rejected."""
+    """Guards against requests of low value per duration that fill the servers while valuable ones
+    are rejected.
+    """
     plans = (replace(PLANS[2], value_factor=5.0), PLANS[2])
     engine = single_engine(plans=plans, servers=8)
     (
@@ -128,7 +130,9 @@
 
 
 def test_requests_possibly_over_quota_are_rejected_first_at_equal_value() -> None:
-    """A window at half of its usual size rejected first requests of all plans with quota left."""
+    """Guards against the rejection of first requests with quota left, of all plans, when the window
+    is at half of its usual size.
+    """
     free_excess = QuotaPlan(4.0, 8.0, 0, 0.1, 0.2, 0.0, 0.0, 0.0, 0.0)
     plans = (replace(free_excess, rate=0.4, burst=2.0, excess_cost=1.0), free_excess)
     engine = single_engine(plans=plans, servers=8)
@@ -147,7 +151,9 @@
 
 
 def test_slow_start_follows_the_peers_answers_not_the_attempts_sent() -> None:
-    """Peers were sent three times what they could handle, and servers in slow start as much."""
+    """Guards against slow-start budgets that count attempts: when peers were sent three times what
+    they could handle, so were servers in slow start.
+    """
     engine = single_engine(servers=2)
     now = 100 * S
     engine.handle(now, EndpointsUpdated((endpoint(2, started_at=now),), False))
@@ -165,7 +171,9 @@
 
 
 def test_slow_start_budgets_do_not_fall_with_requests_rejected_for_lack_of_budget() -> None:
-    """With half of the servers new, fewer answers lowered the budgets and these the answers."""
+    """Guards against a feedback loop when half of the servers are new: fewer answers lower the
+    budgets, and lower budgets the number of answers.
+    """
     load_balancer = single_engine(servers=6).admission.load_balancers[0]
     for n in range(400):
         load_balancer.loop.now = n * S // 10
@@ -180,7 +188,9 @@
 
 
 def test_a_server_that_fails_one_request_class_still_gets_the_others() -> None:
-    """Some servers answered a single request class with errors only."""
+    """Guards against the ejection of a server, for all classes, that answers a single request class
+    with errors only.
+    """
     engine = single_engine(servers=9)
     server = engine.admission.load_balancers[0].servers[0]
     for n in range(4):
--- a/tests/admission/test_rules.py
+++ b/tests/admission/test_rules.py
@@ -42,7 +42,7 @@
 )
 
 
-def play(stage: Stage, steps: list[tuple[str, int]], sets: int = 3) -> None:
+def play(harness: Stage, steps: list[tuple[str, int]], sets: int = 3) -> None:
     request_id = 0
     for step, n in steps:
         limiter = n % sets
@@ -52,48 +52,48 @@
                     request_id += 1
                     plan = 3 if step == "overload" else n // 7 % len(PLANS)
                     event = arrival(
-                        request_id, stage.now, n // 3 % 4, plan, 10 * plan + n // 5 % 2, sets
+                        request_id, harness.now, n // 3 % 4, plan, 10 * plan + n // 5 % 2, sets
                     )
-                    stage.open_requests[request_id] = (limiter, event, [])
-                    stage.handle_event(limiter, event)
+                    harness.open_requests[request_id] = (limiter, event, [])
+                    harness.handle_event(limiter, event)
                     limiter = (limiter + 1) % sets
             case "outcomes":
-                for key in list(stage.attempts)[: 1 + n % 9]:
-                    stage.end_attempt(key, OUTCOMES[n // 3 % len(OUTCOMES)])
+                for key in list(harness.attempts)[: 1 + n % 9]:
+                    harness.end_attempt(key, OUTCOMES[n // 3 % len(OUTCOMES)])
             case "counts":
-                while stage.counter_calls:
-                    stage.answer_counter_call(
-                        n % len(stage.counter_calls),
+                while harness.counter_calls:
+                    harness.answer_counter_call(
+                        n % len(harness.counter_calls),
                         COUNTER_OUTCOMES[n % len(COUNTER_OUTCOMES)],
                         n % 11 == 0,
                     )
             case "time":
-                stage.advance_clock(10 + n % (3 * S))
+                harness.advance_clock(10 + n % (3 * S))
             case "list":
-                server = n % len(stage.endpoints)
+                server = n % len(harness.endpoints)
                 phase = (EndpointState.LIVE, EndpointState.DRAINING, EndpointState.GONE)[n // 5 % 3]
-                stage.endpoints[server] = endpoint(
-                    server, phase, stage.now if phase is EndpointState.LIVE else 0, server % 2
+                harness.endpoints[server] = endpoint(
+                    server, phase, harness.now if phase is EndpointState.LIVE else 0, server % 2
                 )
-                for index in range(len(stage.engines)):
-                    stage.update_endpoints(index)
+                for index in range(len(harness.engines)):
+                    harness.update_endpoints(index)
             case "stall":  # a limiter gets no timer events for a while, then all at once
-                stage.stalled_limiter = limiter
-                stage.advance_clock(1 + n % (2 * S))
-                stage.stalled_limiter = None
+                harness.stalled_limiter = limiter
+                harness.advance_clock(1 + n % (2 * S))
+                harness.stalled_limiter = None
             case "empty":
-                stage.counter_totals.clear()
+                harness.counter_totals.clear()
             case "kill":
-                stage.kill(limiter)
-                stage.start(limiter)
+                harness.kill(limiter)
+                harness.start(limiter)
             case "disconnect":
-                if stage.open_requests:
-                    disconnected = list(stage.open_requests)[n % len(stage.open_requests)]
-                    owner = stage.open_requests[disconnected][0]
-                    stage.close_request(disconnected)
-                    stage.handle_event(owner, ClientDisconnected(disconnected))
-    stage.advance_clock(5 * S)
-    assert not stage.open_requests, "requests were lost"
+                if harness.open_requests:
+                    disconnected = list(harness.open_requests)[n % len(harness.open_requests)]
+                    owner = harness.open_requests[disconnected][0]
+                    harness.close_request(disconnected)
+                    harness.handle_event(owner, ClientDisconnected(disconnected))
+    harness.advance_clock(5 * S)
+    assert not harness.open_requests, "requests were lost"
 
 
 @settings(SEEDED, max_examples=150)
@@ -117,20 +117,20 @@
     """Rule 4 for the sum over all limiters, which get a new server's entry at the same time and an
     even rate of requests.
     """
-    stage = Stage(4, limiter_count=30)
+    harness = Stage(4, limiter_count=30)
     for request_id in range(1, 3001):
         if request_id == 1500:
-            stage.endpoints[4] = endpoint(4, started_at=stage.now)
+            harness.endpoints[4] = endpoint(4, started_at=harness.now)
             for n in range(30):
-                stage.update_endpoints(n)
-        event = arrival(request_id, stage.now, 0, 2, 0, 30)
-        stage.open_requests[request_id] = (request_id % 30, event, [])
-        stage.handle_event(request_id % 30, event)
-        stage.advance_clock(S // 100)
-        for key in [k for k, o in stage.attempts.items() if o[2] < stage.now - S // 10]:
-            stage.end_attempt(key, Outcome.SUCCEEDED)
-    start = stage.endpoints[4].started_at
-    cold_sends = [t for t, server in stage.sends if server == 4]
+                harness.update_endpoints(n)
+        event = arrival(request_id, harness.now, 0, 2, 0, 30)
+        harness.open_requests[request_id] = (request_id % 30, event, [])
+        harness.handle_event(request_id % 30, event)
+        harness.advance_clock(S // 100)
+        for key in [k for k, o in harness.attempts.items() if o[2] < harness.now - S // 10]:
+            harness.end_attempt(key, Outcome.SUCCEEDED)
+    start = harness.endpoints[4].started_at
+    cold_sends = [t for t, server in harness.sends if server == 4]
     for second in range(8):  # peers handle about 25 per second; the budget is checked over 1 s
         sent = sum(start + second * S <= t < start + (second + 1) * S for t in cold_sends)
         assert sent <= 1.2 * 3.0 * (0.2 + 0.08 * (second + 1)) * 25
--- a/tests/admission/test_tenant_limiter.py
+++ b/tests/admission/test_tenant_limiter.py
@@ -110,7 +110,9 @@
 
 
 def test_metering_replaces_totals_while_the_counter_is_down() -> None:
-    """With an unresponsive counter, a tenant well under its quota got a third of its burst."""
+    """Guards against an unresponsive counter that limits a tenant well under its quota to a third
+    of its burst.
+    """
     limiter = tenant_limiter(2.0, 6.0, sets=3, has_counter=True)
     limiter.loop.settings = replace(limiter.loop.settings, metering_period=S)
     limiter.loop.now, limiter.counter_client.consecutive_failures = 100 * S, 4
@@ -138,7 +140,7 @@
 
 
 def test_a_share_below_one_request_admits_at_random() -> None:
-    """With 100 limiters a share is tiny, and most of the quota stayed unused."""
+    """Guards against quota left unused: with 100 limiters, each share is far below one request."""
     limiter = tenant_limiter(1.0, 4.0, sets=100, has_counter=True)
     limiter.levels.requested_rate, limiter.levels.total_at, limiter.loop.now = (
         4 * limiter.levels.quota.rate,
@@ -150,7 +152,9 @@
 
 
 def test_a_tenant_with_high_demand_is_admitted_while_its_bucket_has_room() -> None:
-    """With 7 limiters and a burst of 6, most requests after a spike were rejected at random."""
+    """Guards against random rejection of most requests after a spike, seen with 7 limiters and a
+    burst of 6.
+    """
     limiter = tenant_limiter(1.4, 6.0, sets=7, has_counter=True)
     limiter.levels.requested_rate, limiter.levels.total_at, limiter.levels.fleet_level = (
         4 * limiter.levels.quota.rate,
@@ -165,7 +169,9 @@
 
 
 def test_a_new_tenants_retry_is_rejected_only_if_a_share_is_far_below_a_request() -> None:
-    """Three in four of the retries rejected like this arrived while the bucket had room."""
+    """Guards against needless rejections: three in four of the rejected retries arrived while the
+    bucket had room.
+    """
     assert tenant_limiter(1.4, 6.0, sets=7, has_counter=True).has_quota(1.0, True)
     assert not tenant_limiter(0.4, 2.0, sets=38, has_counter=True).has_quota(1.0, True)
 
