--- a/loomstand/failover/shedding_order.py
+++ b/loomstand/failover/shedding_order.py
@@ -13,9 +13,9 @@
 from math import exp
 
 # Demand is measured over two spans (0.6 s and 3 s, in ticks of 0.1 ms), and the larger result
-# counts. With 2 s alone, clients that moved to this limiter all at once got half as much again
-# admitted for 2 s. With 0.6 s alone, a limiter at 25 requests/s measures demand to within a third
-# only, and admitted the lowest rank whenever the demand of the others appeared to fall.
+# counts. A long span alone admits too much while clients move to this limiter all at once. The
+# short one alone measures demand at 25 requests/s to within a third only, and the lowest rank would
+# be admitted whenever the demand of the others appears to fall.
 DEMAND_SPANS = (6_000, 30_000)
 SHARE_UPDATE_INTERVAL = DEMAND_SPANS[0] // 5  # ticks
 
--- a/loomstand/proxy/policy_compiler.py
+++ b/loomstand/proxy/policy_compiler.py
@@ -39,12 +39,9 @@
 # While the servers are idle, 2 more requests can arrive by chance.
 WINDOW_HEADROOM = 2.0
 # Cost of a server in another zone relative to one in the local zone, and the local zone's share of
-# the servers that a limiter uses. Traffic between zones is the most expensive resource. On a quiet
-# day of the site `bureaus`, cost 1.4 with no local share spent 0.058 of the value on this traffic,
-# with 0.981 of the responses in time; 2.0 and 0.8: 0.016 and 0.985; 2.5 and 0.5: 0.022 and 0.984.
-# Under high load, which differs by zone, 2.0 and 0.8 restrict the busiest zone to its own servers.
-# Scores in scale-1 of the grown sites and scale-2 of the site `outlet`: 0.898 and 0.798 with 2.0
-# and 0.8; 0.900 and 0.813 with a local share of 0.67; 0.907 and 0.816 with 2.5 and 0.5.
+# the servers that a limiter uses. Traffic between zones is the most expensive resource: a low cost
+# without a local share increases it. Under high load, which differs by zone, a high local share
+# restricts the busiest zone to its own servers.
 REMOTE_ZONE_COST = 2.5
 LOCAL_ZONE_SHARE = 0.5
 COUNTER_TIMEOUT_MS = 300  # calls to a reachable counting registry take less than 5 ms
--- a/loomstand/registry/counters.py
+++ b/loomstand/registry/counters.py
@@ -8,9 +8,8 @@
 # Counters held at once: one minute of the intervals of 500 tenants, about 30 MB.
 MAX_COUNTERS = 200_000
 # Totals are marked incomplete for this time after the first increment, in which limiters that call
-# often repeat their sums. For a tenant at five times its quota, over six runs with the counting
-# registry killed or frozen, at most 279 of the 284 requests allowed in 5 s ran with 0 s, 281 with
-# 0.5 s, 274 with 0.7 s and 258 with 1.5 s.
+# often repeat their sums. After a failure of the counting registry, a shorter time lets a tenant
+# above its quota come closer to the permitted number of requests; a longer one admits fewer.
 INCOMPLETE_SECONDS = 0.7
 
 
--- a/loomstand/registry/operator_api.py
+++ b/loomstand/registry/operator_api.py
@@ -33,7 +33,7 @@
 READ_TIMEOUT_SECONDS = 0.8
 # Total size of the configurations that are being replaced: parsing one takes memory of 20 times
 # its size, and it is kept until the store has it. Without this limit, 8 concurrent ones of 8 MB
-# took the process to 330 MB of its 296 MB of memory; with it, to 201 MB.
+# exceed the process's 296 MB of memory.
 MAX_PENDING_BYTES = 12 << 20
 MILLISECONDS_PER_SECOND = 1000
 
--- a/loomstand/testing/fault_schedules/draw.py
+++ b/loomstand/testing/fault_schedules/draw.py
@@ -24,8 +24,8 @@
 RANDOM_SPREAD = 0.2  # relative random deviation of a number, in both directions
 # Standing days have 5 to 11 troubles, some of them configuration changes without effect.
 TROUBLES_PER_DAY = {"mild": 4, "usual": 6, "harsh": 8}
-# Random mixes per day, the best of which is used: 20 need 1/40 fewer days than 1 on four sites,
-# and 60 need no fewer than 20.
+# Random mixes per day, the best of which is used: with a single one, more days are needed; with
+# more than this, no fewer.
 MIX_CANDIDATES = 20
 MAX_SHARE = 0.9  # of the servers or machines that a trouble affects, unless the site has more
 # The meeting time is at least this fraction (1/4) of the fault period away from both of its ends;
@@ -129,8 +129,8 @@
     return days
 
 
-# A dense day is drawn again until it has at least half as many overlaps as troubles, which 2 of
-# 5,436 first draws lacked. The number is limited, since few kinds of short troubles may never have.
+# A dense day is drawn again until it has at least half as many overlaps as troubles. The number of
+# draws is limited, since a few kinds of short troubles may never overlap that often.
 MAX_DENSE_DRAWS = 20
 
 
