--- a/benchmarks/system_scale.py
+++ b/benchmarks/system_scale.py
@@ -116,7 +116,7 @@
 
 
 def build(n: int, seed: int) -> Cluster:
-    """Builds a cluster in the proportions of the grown sites, which not started."""
+    """Builds a cluster in the proportions of the grown sites, which isn't started."""
     cluster = Cluster(seed, CORES, n, max(1, round(n * SERVERS / 2)))
     cluster.use_default_configuration()
     del cluster.resources["tenants", "ann"]
--- a/loomstand/failover/engine_view.py
+++ b/loomstand/failover/engine_view.py
@@ -10,6 +10,7 @@
 from collections.abc import Iterable, Sequence
 from functools import lru_cache
 
+from loomstand.admission.concurrency_window import MIN_ATTEMPTS_PER_SERVER
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.settings import EngineSettings
 from loomstand.admission.ticks import TICKS_PER_SECOND
@@ -23,8 +24,6 @@
 ANSWERED_OUTCOMES = {Outcome.SUCCEEDED, Outcome.SERVER_ERROR, Outcome.REJECTED}
 # caused by the limiter itself, so no evidence about the server
 IGNORED_OUTCOMES = {Outcome.NOT_SENT, Outcome.CANCELLED}
-# in flight at once, from all limiters; the same as in `loomstand.admission.concurrency_window`
-MIN_ATTEMPTS_PER_SERVER = 5
 
 
 class FailoverPolicy:
