--- a/tests/alone.py
+++ b/tests/alone.py
@@ -22,6 +22,7 @@
     "test_failover_processes.py",
     "test_signals_at_start.py",
     "test_soak.py",
+    "test_wire.py",
 }
 SCOPE = "alone"
 
