--- a/tests/limiter/test_listener_close.py
+++ b/tests/limiter/test_listener_close.py
@@ -15,8 +15,9 @@
 import pytest
 
 from loomstand.limiter import event_loop
+from loomstand.testing.rehearsal.wire import free_port, own_host
 
-HOST = "127.0.0.1"
+HOST = own_host(6)
 ANSWER_SECONDS = 1.0
 
 
@@ -30,11 +31,6 @@
         self.transport.write(b"answer")
 
 
-def free_port() -> int:
-    with socket.create_server((HOST, 0)) as probe:
-        return probe.getsockname()[1]
-
-
 def connect_and_send(address: tuple[str, int]) -> socket.socket:
     """Returns a client socket with its request sent, possibly before it is accepted."""
     client = socket.create_connection(address)
@@ -57,7 +53,7 @@
 def test_a_client_that_connects_as_the_listener_closes_is_answered(clients):
     async def run() -> list[str]:
         loop = asyncio.get_running_loop()
-        address = (HOST, free_port())
+        address = (HOST, free_port(HOST))
         listener = await event_loop.listen(loop, AnswerProtocol, address, 10, 10)
         waiting = [connect_and_send(address) for _ in range(clients)]
         loop.call_at(loop.time(), listener.close)  # timers run after the accepts of an iteration
@@ -69,7 +65,7 @@
 def test_a_client_that_connects_after_the_close_is_refused_at_once():
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        address = (HOST, free_port())
+        address = (HOST, free_port(HOST))
         listener = await event_loop.listen(loop, AnswerProtocol, address, 10, 10)
         listener.close()
         await asyncio.sleep(0.01)
