--- a/loomstand/registry/counters.py
+++ b/loomstand/registry/counters.py
@@ -5,11 +5,12 @@
 
 from __future__ import annotations
 
-# Counters held at once: one minute of the intervals of 500 tenants, about 30 MB.
+# Maximum number of counters: the intervals of 500 tenants in one minute, about 30 MB.
 MAX_COUNTERS = 200_000
-# Totals are marked incomplete for this time after the first increment, in which limiters that call
-# often repeat their sums. After a failure of the counting registry, a shorter time lets a tenant
-# above its quota come closer to the permitted number of requests; a longer one admits fewer.
+# Time after the first increment in which totals are marked incomplete, as limiters are still
+# resending their sums; those that call often have done so by then. After a failure of the counting
+# registry, a tenant above its quota gets closer to the allowed number of requests with a shorter
+# time; fewer requests are admitted with a longer one.
 INCOMPLETE_SECONDS = 0.7
 
 
@@ -28,18 +29,20 @@
         Args:
             term: Number of this set of counters.
             is_successor: Whether another registry may have counted before, so that these counters
-                lack the sums that limiters have not repeated yet. False if all programs start
-                together: limiters have been without totals for long and needn't wait.
+                lack the sums that limiters haven't resent yet. False if all programs start
+                together: limiters then have no totals anyway, and needn't wait longer.
         """
         self.term = term
         self.complete_at: float | None = None if is_successor else 0.0
         self.sums: dict[int, tuple[float, float]] = {}
 
     def add(self, name: int, step: float, retention_seconds: float, now: float) -> float:
-        """Adds to a sum and keeps it for at least `retention_seconds` more.
+        """Adds `step` to the sum `name`, and keeps the sum for at least `retention_seconds` more.
+
+        At `MAX_COUNTERS` a new sum isn't stored.
 
         Returns:
-            The total.
+            The sum after the addition.
         """
         total, kept_until = self.sums.get(name, (0.0, 0.0))
         total = step if kept_until < now else total + step
@@ -48,7 +51,7 @@
         return total
 
     def is_incomplete(self, now: float) -> bool:
-        """Returns whether totals may be too low; the first call starts the time."""
+        """Returns whether totals may be too low; the first call starts `INCOMPLETE_SECONDS`."""
         if self.complete_at is None:
             self.complete_at = now + INCOMPLETE_SECONDS
         return now < self.complete_at
--- a/loomstand/registry/counting_lease.py
+++ b/loomstand/registry/counting_lease.py
@@ -1,6 +1,7 @@
-"""The registry's side of the counting lease: when it holds or requests it, and from which stores.
+"""The counting lease as known to a registry: who holds it, and when and where to request it.
 
-Pure: the clock's reading is an argument, in seconds.
+The holder is the only registry that counts quota use. The store's primary grants the lease
+(`store/counting_lease.py`). Pure: the clock's reading is an argument, in seconds.
 """
 
 from __future__ import annotations
@@ -14,17 +15,19 @@
 
 # Interval between renewals by the holder: a third of the lease's length.
 RENEWAL_INTERVAL_SECONDS = 0.4
-# A term that isn't reported for this time may be replaced by a lower one: the store was re-founded.
+# A term that isn't reported for this time may be replaced by a lower one, as operators may have
+# re-created the store.
 TERM_EXPIRY_SECONDS = 3.0
-# Delay after a failed request; stores delay their answer while there is no primary.
+# Delay after a failed request; stores also delay their answer while there is no primary.
 RETRY_SECONDS = 0.2
-# Largest step between two terms held by this registry in one epoch if no other registry counted in
-# between: another holder uses two numbers, one for its term and one for its release.
-MAX_OWN_TERM_STEPS = 3
+# Largest difference between the numbers of two terms of this registry, in one epoch, at which no
+# other registry can have held the lease in between: another holder raises the number twice more, at
+# the start and at the end of its term.
+MAX_OWN_TERM_DIFFERENCE = 3
 
 
 class CountingTerm(NamedTuple):
-    """A term of the counting lease; terms are totally ordered.
+    """A term of the counting lease; terms are ordered by epoch, then by number.
 
     Attributes:
         epoch: Epoch of the store's primary that granted the lease.
@@ -40,18 +43,19 @@
 
 @dataclass(slots=True)
 class CountingLease:
-    """The counting lease as one registry knows it.
+    """State of the counting lease at one registry.
 
     Attributes:
         host: This registry's IP address.
         incarnation: Random number drawn at this registry's start.
-        expires_at: Time at which this registry's lease ends.
+        expires_at: Time at which the lease expires if this registry holds it; else in the past.
         term: The newest term known.
         observed_at: Time of the last report of that term by a store or another registry.
-        holder: Host that holds the lease or has precedence for it; empty if any host may have it.
+        holder: Host that holds the lease or has priority for the next one; empty if any registry
+            may request it.
         last_holder: The last host that held the lease.
-        has_gap: Whether another registry may have counted since this one did, so that the counts
-            here are incomplete.
+        has_gap: Whether another registry may have counted since this registry did, so that the
+            counts here are incomplete.
         primary: Address of the store's primary, None if unknown.
         has_lost_primary: Whether the primary didn't answer, so that another store may be primary.
     """
@@ -103,17 +107,17 @@
         if holder and holder != self.host:
             return False
         is_same_epoch = term.epoch == self.term.epoch
-        steps = term.number - self.term.number
+        difference = term.number - self.term.number
         if self.holder == self.host:
-            return not is_same_epoch or steps <= MAX_OWN_TERM_STEPS
-        return term == self.term or (is_same_epoch and not self.holder and steps <= 1)
+            return not is_same_epoch or difference <= MAX_OWN_TERM_DIFFERENCE
+        return term == self.term or (is_same_epoch and not self.holder and difference <= 1)
 
     def may_request(self) -> bool:
-        """Returns whether this registry may request the lease: no other host holds it."""
+        """Returns whether this registry may request the lease, as no other host holds it."""
         return self.term != NO_TERM and self.holder in ("", self.host)
 
     def stores_to_ask(self, stores: list[Address]) -> list[Address]:
-        """Returns the primary, or all stores if it is unknown, as any may become primary."""
+        """Returns the primary, or all stores if the primary is unknown or doesn't answer."""
         if self.has_lost_primary or self.primary is None:
             return stores
         return [self.primary]
@@ -125,7 +129,10 @@
         )
 
     def extend(self, sent_at: float, lease_seconds: float) -> None:
-        """Extends the lease from the time the request was sent; the primary counts from later."""
+        """Extends the lease, measured from the time at which the request was sent.
+
+        The primary measures it from its response, so its lease ends later.
+        """
         self.expires_at = max(self.expires_at, sent_at + lease_seconds)
 
     def release(self) -> CountingLeaseRequest:
--- a/loomstand/registry/counting_service.py
+++ b/loomstand/registry/counting_service.py
@@ -32,10 +32,10 @@
 
 # Timeout of a lease request to a store.
 LEASE_TIMEOUT_SECONDS = 0.4
-# Sizes of the random numbers for the registry's incarnation and for each term of the counters.
+# Bits of the random numbers that identify this start of the registry, and each set of counters.
 INCARNATION_BITS = 32
 COUNTERS_TERM_BITS = 24
-# Error text for a limiter whose call needs another registry, which holds the lease.
+# Error text for a limiter that calls a registry without the lease.
 NOT_COUNTING = "another counts"
 
 
@@ -124,8 +124,8 @@
         """Applies changed quotas.
 
         Args:
-            tenants: The tenants of the configuration held.
-            is_change: Whether the previous quotas were known, or were known not to exist.
+            tenants: The tenants of the cached configuration.
+            is_change: Whether the previous quotas were known, or known not to exist.
         """
         self.quota_buckets.update_quotas(tenants)
         is_counting = is_change and self.lease.is_held(self._context.clock())
@@ -150,7 +150,7 @@
             self._term_changed.set()
 
     def _reset(self) -> None:
-        """Starts with new counters and grants, as another registry may have counted."""
+        """Replaces counters and grants by new ones, as another registry may have counted."""
         now = self._context.clock()
         counters_term = self._context.rng.getrandbits(COUNTERS_TERM_BITS)
         is_successor = now > self._started_at + STARTUP_SECONDS
--- a/loomstand/registry/quota_buckets.py
+++ b/loomstand/registry/quota_buckets.py
@@ -1,9 +1,9 @@
 """The tenants that are near their limit, which the counting registry reports to all limiters.
 
-A limiter learns of the usage at other limiters from the answers to its own calls, which it makes
-for its own requests. If each of many limiters gets few requests of a tenant, none has a recent
-total, and each admits its next request: 75 limiters admitted 1.33 requests each beyond a quota of
-498 requests in 5 s. Pure: the clock's reading is an argument, in seconds.
+A limiter learns of a tenant's usage at other limiters from the responses to its increments, which
+it sends for the requests that it gets itself. If each of many limiters gets few requests of a
+tenant, none has a recent total, and each admits its next request: 75 limiters exceeded a quota of
+498 requests in 5 s by 1.33 requests each. Pure: the clock's reading is an argument, in seconds.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 from loomstand.admission.identifiers import ATTEMPT_FACTOR, stable_digest
 from loomstand.config.configuration import Tenant
 
-# A bucket is near its limit above this share of its burst. A tenant at 0.6 of its quota, with a
-# burst of 10 requests, exceeds the share occasionally; the other half has room for the requests
-# that limiters admit until they are notified.
+# A bucket is near its limit above this share of its burst. A tenant that uses 0.6 of its quota and
+# has a burst of 10 requests exceeds the share occasionally; the rest of the burst has room for the
+# requests that limiters admit until they are notified.
 NEAR_LIMIT_SHARE = 0.5
-# Lowest bits of a counter's name, which hold the interval's slot; above is the tenant's digest.
+# Number of the lowest bits of a counter's name, which are the slot number of its interval. The bits
+# above are the digest of the tenant's name.
 INTERVAL_SLOT_BITS = 15
-# A total modulo this value is the usage; the part above counts attempts, admitted or not.
+# A total modulo this value is the usage; the quotient is the number of requests, admitted or not.
 USAGE_MODULUS = ATTEMPT_FACTOR * ATTEMPT_FACTOR
 
 
@@ -30,12 +31,12 @@
 
     Attributes:
         rate: Requests per second that leak from the bucket.
-        burst: Requests that fit into the bucket.
-        level: Requests in the bucket.
+        burst: Number of requests that fit into the bucket.
+        level: Number of requests in the bucket.
         updated_at: Time of the last update of `level`.
         counter_name: Name of the counter last reported to limiters, which names its interval.
         total: That counter's total as last reported to limiters.
-        changed_at_revision: The table's revision of that report.
+        changed_at_revision: Revision of `QuotaBuckets` at that report.
     """
 
     rate: float
@@ -47,7 +48,7 @@
     changed_at_revision: int = 0
 
     def add(self, requests: float, now: float) -> bool:
-        """Adds requests.
+        """Adds requests to the bucket, after it has leaked until now.
 
         Returns:
             Whether the bucket is near its limit with these requests.
@@ -62,7 +63,7 @@
     """The buckets of all tenants.
 
     Attributes:
-        revision: Number that grows with each total to be reported to limiters.
+        revision: Number that increases with each total to be reported to limiters.
         buckets: Buckets by the digest of the tenant's name.
     """
 
@@ -71,7 +72,7 @@
         self.buckets: dict[int, UsageBucket] = {}
 
     def update_quotas(self, tenants: Iterable[Tenant]) -> None:
-        """Applies changed quotas; the levels of existing buckets stay."""
+        """Applies changed quotas; existing buckets keep their levels."""
         buckets_before = self.buckets
         self.buckets = {}
         for tenant in tenants:
@@ -84,7 +85,7 @@
             self.buckets[digest] = bucket
 
     def reset(self) -> None:
-        """Empties the buckets for new counters: limiters repeat their sums."""
+        """Empties the buckets when counters are reset, as limiters then resend their sums."""
         for bucket in self.buckets.values():
             bucket.level = 0.0
 
@@ -95,11 +96,11 @@
 
         Args:
             counter_name: Name of the counter.
-            step: The increment.
+            step: The amount added to the counter.
             total: Total of the counter, including the step.
             now: The clock's reading.
             is_complete: Whether totals are complete. An incomplete total isn't reported: limiters
-                would take it for that of a counter that lost its state.
+                would conclude that the counter was reset.
 
         Returns:
             Whether all limiters must be notified.
@@ -107,10 +108,10 @@
         bucket = self.buckets.get(counter_name >> INTERVAL_SLOT_BITS)
         if bucket is None:
             return False
-        # a read without an increment returns the total to its caller and changes nothing for others
         usage = total % USAGE_MODULUS
-        is_same = counter_name == bucket.counter_name and usage == bucket.total % USAGE_MODULUS
-        if not bucket.add(step % USAGE_MODULUS, now) or is_same or not is_complete:
+        # a read without an increment, or a count of rejected requests, isn't reported to the others
+        is_unchanged = counter_name == bucket.counter_name and usage == bucket.total % USAGE_MODULUS
+        if not bucket.add(step % USAGE_MODULUS, now) or is_unchanged or not is_complete:
             return False
         self.revision += 1
         bucket.counter_name = counter_name
@@ -119,5 +120,5 @@
         return True
 
     def changed_since(self, revision: int) -> list[UsageBucket]:
-        """Returns the buckets whose total changed for limiters after that revision."""
+        """Returns the buckets with a total to be reported that changed after a revision."""
         return [bucket for bucket in self.buckets.values() if bucket.changed_at_revision > revision]
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -21,32 +21,35 @@
 from loomstand.config.settings import RuleBounds
 from loomstand.rpc.messages.quota_messages import CreditDemandRow, CreditGrantRow, CreditRequest
 
-# Share of its even part of the rate that a limiter admits while it can't reach the counting
-# registry: tenants under normal load use about 0.6 of their quota. The counting registry withholds
-# the same share for each limiter that doesn't call; with 60 % of the limiters killed, the others
-# keep 0.64 of the rate.
+# Share of its even part of a tenant's rate that a limiter admits while it is isolated, which means
+# without responses from the counting registry: tenants under normal load use about 0.6 of their
+# quota. The counting registry withholds the same share for each limiter that doesn't call; with
+# 60 % of the limiters killed, the others keep 0.64 of the rate.
 ISOLATED_SHARE = 0.6
-# Time after its last answered call for which a limiter admits on credits alone. The counting
-# registry treats a limiter as isolated after the same time without a call. Both count from the same
-# call, so credits and isolated share don't overlap.
+# Time after its last answered call from which a limiter is isolated; until then it only admits
+# requests by credits. The counting registry treats a limiter as isolated after the same time
+# without a call. Both measure from the same call, so credits and isolated share don't overlap.
 ISOLATION_SECONDS = 0.8
 # Time after the last answered call for which a limiter may use its credits, and the longer time for
 # which the counting registry reserves them.
 CREDIT_LIFETIME_SECONDS = 1.5
 CREDIT_RESERVATION_SECONDS = 2.5
-# Share of the allowed overshoot that is part of a bucket's depth.
+# Share of the allowed overshoot that is included in a bucket's depth.
 CHARGED_OVERSHOOT_SHARE = 0.3
-# Share of the allowed overshoot that is free when a registry starts counting, whatever its
-# predecessor granted: counting may move twice within a window. The rest covers requests that can't
-# be charged: those of isolated limiters that never report, and differences between clocks.
+# Share of the allowed overshoot that is free in a bucket when a registry starts counting, whatever
+# its predecessor granted. It is small, as counting may move twice within a window. The rest of the
+# overshoot covers requests that can't be charged: those of isolated limiters that never report, and
+# those due to differences between clocks.
 INITIAL_FREE_OVERSHOOT_SHARE = 0.3
-# Largest share of a bucket that limiters hold ahead of use, so that a burst at one limiter finds
-# free credits: without a maximum, a tenant at 25 requests/s of its 40 had 1 in 200 refused.
+# Largest share of a bucket that limiters hold ahead of use, so that free credits are left for a
+# burst at one limiter: without a maximum, a tenant that sent 25 requests/s of its 40 had 1 in 200
+# rejected.
 MAX_OUTSTANDING_SHARE = 0.6
-# A bucket with fewer credits per limiter can't be shared out ahead of use. It is *open* while less
-# than half full: each limiter then admits one request before it reports it.
+# A bucket with fewer credits per limiter is too small to be shared out ahead of use. It is *open*
+# while less than half full, so that each limiter may admit one request before it reports it, and
+# *closed* from then on.
 MIN_CREDITS_PER_LIMITER = 1.5
-# With less than 1 / SCARCE_DIVISOR of a bucket free, only a limiter without a credit gets one.
+# With less than 1 / SCARCE_DIVISOR of a bucket free, only limiters without a credit get credits.
 SCARCE_DIVISOR = 8
 
 
@@ -69,10 +72,10 @@
         rate: Requests per second that leak from it.
         depth: Requests that fit into it.
         initial_level: The level when a registry starts counting.
-        level: Requests charged and not leaked; never below the credits that limiters hold, as they
-            may be used at any time.
-        updated_at: The `leak_time` of the last update of the level.
-        outstanding: Credits held, by limiter name.
+        level: Requests charged that haven't leaked; never below the credits that limiters hold, as
+            they may be used at any time.
+        updated_at: `QuotaGrants.leak_time` at the last update of the level.
+        outstanding: Credits that limiters hold, by limiter name.
     """
 
     rate: float
@@ -82,16 +85,15 @@
     updated_at: float
     outstanding: dict[str, float] = field(default_factory=dict)
 
-    def leak(self, leak_time: float, unreported: float = 0.0, inherited: float = 0.0) -> None:
-        """Leaks up to a time, but not below the credits that limiters may hold.
+    def leak(self, leak_time: float, isolated_shares: float = 0.0, inherited: float = 0.0) -> None:
+        """Leaks until `leak_time`, but not below the credits that limiters may hold.
 
         Args:
-            leak_time: The time by which buckets leak, in seconds.
-            unreported: Credits that isolated limiters may hold in addition to `outstanding`.
-            inherited: Credits that may be left of an earlier counting registry's grants; the level
-                contains them from the start.
+            leak_time: Current `QuotaGrants.leak_time`, in seconds.
+            isolated_shares: See `UnreportedCredits`; the level is raised to contain them.
+            inherited: See `UnreportedCredits`; the initial level contains them.
         """
-        floor = min(self.depth, sum(self.outstanding.values()) + unreported)
+        floor = min(self.depth, sum(self.outstanding.values()) + isolated_shares)
         leaked_level = self.level - self.rate * (leak_time - self.updated_at)
         level = max(leaked_level, min(self.level, floor + inherited))
         self.level = max(level, floor)
@@ -102,11 +104,12 @@
     """Credits of one bucket that limiters may hold without having reported them.
 
     Attributes:
-        shares: Credits for the shares that isolated limiters use.
-        inherited: Credits that an earlier counting registry granted, in the time after a reset.
+        isolated_shares: Credits for the shares of the quota that isolated limiters use.
+        inherited: Credits that an earlier counting registry may have granted; 0 except for
+            `CREDIT_RESERVATION_SECONDS` after a reset.
     """
 
-    shares: float
+    isolated_shares: float
     inherited: float
 
 
@@ -120,7 +123,7 @@
     Attributes:
         incarnation: Random number that the limiter drew at its start.
         last_call_at: Time of its last call.
-        last_connected_at: Time of its last call in which it wasn't isolated.
+        last_connected_at: Time of its last call in which it didn't report isolation.
     """
 
     incarnation: int
@@ -132,15 +135,16 @@
     """All tenants' buckets, and the limiters that request credits.
 
     Attributes:
-        bounds: Limits of the rules for quotas.
+        bounds: Bounds of the rules, such as the allowed overshoot of a quota.
         term: Random number that changes with every reset.
         buckets: Buckets by the digest of the tenant's name.
         callers: Limiters that request credits, by name.
         limiter_count: Number of limiters that share the quotas.
         isolated_count: Number of these limiters that are treated as isolated.
-        leak_factor: Share of its rate at which a bucket leaks at present.
+        leak_factor: Current speed of `leak_time`, from 1 - `ISOLATED_SHARE` to 1.
         reset_at: Time of the last reset.
-        leak_time: Seconds by which buckets leak; it runs slower while limiters are isolated.
+        leak_time: Time by which buckets leak, in seconds; it runs slower than the clock while
+            limiters are isolated.
         updated_at: Time of the last update of `leak_time`.
     """
 
@@ -162,8 +166,8 @@
         Args:
             term: Number of the new term.
             now: The clock's reading.
-            is_unused: Whether there was no configuration until now, so that no credits were
-                granted. Buckets then start empty.
+            is_unused: Whether no credits can have been granted, as there was no configuration.
+                Buckets then start empty.
         """
         self.term = term
         self.callers = {}
@@ -216,10 +220,11 @@
 
         Args:
             now: The clock's reading.
-            limiter_names: Names of connected and silent limiters; `callers` are added to them.
+            limiter_names: Names of present and silent limiters; `callers` are added to them.
         """
         elapsed_seconds = max(0.0, now - self.updated_at)
-        all_isolated_seconds = max(0.0, elapsed_seconds - ISOLATION_SECONDS)  # without any call
+        # time in which all limiters may have been isolated, as none called
+        all_isolated_seconds = max(0.0, elapsed_seconds - ISOLATION_SECONDS)
         isolated_factor = 1.0 - ISOLATED_SHARE
         self.leak_time += (
             self.leak_factor * (elapsed_seconds - all_isolated_seconds)
@@ -238,7 +243,7 @@
     def unreported(self, bucket: CreditBucket) -> UnreportedCredits:
         """Returns the credits of a bucket that limiters may hold without having reported them.
 
-        Zero for a bucket too small to be shared out: the reserve would take all of it.
+        None are assumed for a bucket too small to be shared out: they would fill it.
         """
         if not self.isolated_count or self.is_small(bucket):
             return NO_UNREPORTED_CREDITS
@@ -254,7 +259,7 @@
         return bucket.depth < MIN_CREDITS_PER_LIMITER * self.limiter_count
 
     def release(self, limiter_name: str) -> None:
-        """Releases the credits of a limiter that ended its session: it admits no more requests."""
+        """Releases the credits of a limiter that deregistered, as it admits no more requests."""
         self.callers.pop(limiter_name, None)
         self._release_credits(limiter_name)
 
@@ -282,7 +287,7 @@
         name = request.limiter_name
         caller = self.callers.get(name)
         if caller is None or caller.incarnation != request.incarnation:
-            self._release_credits(name)  # credits of its previous incarnation are lost
+            self._release_credits(name)  # its previous incarnation can't use its credits any more
             caller = CallingLimiter(request.incarnation, now, now - 2 * ISOLATION_SECONDS)
             self.callers[name] = caller
         caller.last_call_at = now
@@ -308,16 +313,17 @@
         return CreditGrantRow(demand.tenant, self.grant(bucket, limiter_name, demand), 0)
 
     def is_closed(self, tenant_digest: int) -> bool:
-        """Returns whether a bucket is half full, so that no limiter admits before it reports."""
+        """Returns whether limiters must report each of a tenant's requests before they admit it."""
         bucket = self.buckets.get(tenant_digest)
         return bucket is not None and bucket.level >= self.closing_level(bucket)
 
     def closing_level(self, bucket: CreditBucket) -> float:
-        """Returns the level from which a small quota's bucket is closed.
+        """Returns the level from which a small bucket is closed: half its depth.
 
-        With no more limiters than `quota_slack` requests, a registry that starts counting doesn't
-        open the bucket: with 12 limiters and two moves of the counting lease, 48 requests ran at a
-        rate of 4 requests/s and a burst of 4.
+        If there are at most `quota_slack` limiters, it is at most half the initial level, so that
+        the bucket is closed when a registry starts counting. Without this limit, 48 requests ran at
+        a rate of 4 requests/s and a burst of 4, with 12 limiters and two moves of the counting
+        lease.
         """
         has_few_limiters = self.limiter_count <= self.bounds.quota_slack
         return min(bucket.depth, bucket.initial_level if has_few_limiters else inf) / 2
@@ -325,28 +331,35 @@
     def grant(self, bucket: CreditBucket, limiter_name: str, demand: CreditDemandRow) -> float:
         """Grants whole credits: with fractions at many limiters, none could admit a request.
 
-        - Less than 1/2 free: a limiter whose tenant is idle gets no credit while it holds one, nor
-          in the first `CREDIT_RESERVATION_SECONDS` after a reset.
-        - Less than 1/8 free: only a limiter without a credit gets some.
-        - More than `MAX_OUTSTANDING_SHARE` held: a limiter that holds a credit gets at most its
-          even part.
+        A limiter gets at most twice its even part of the free credits, or one credit if that is
+        more. Further limits depend on the bucket:
+
+        - If less than 1/2 is free, a limiter that hasn't recently received requests of the tenant
+          gets no credit while it holds one, nor in the first `CREDIT_RESERVATION_SECONDS` after a
+          reset.
+        - If less than 1/8 is free, only a limiter without a credit gets any.
+        - If all limiters together hold more than `MAX_OUTSTANDING_SHARE`, a limiter that holds a
+          credit gets at most enough to hold its even part of that share.
 
         Returns:
             The number of credits granted.
         """
-        held, wanted = demand.held, demand.wanted
-        free = bucket.depth - bucket.level
-        if free < 1 or (held >= 1 and free < bucket.depth / SCARCE_DIVISOR):
+        held_credits, wanted_credits = demand.held, demand.wanted
+        free_credits = bucket.depth - bucket.level
+        is_scarce = free_credits < bucket.depth / SCARCE_DIVISOR
+        if free_credits < 1 or (held_credits >= 1 and is_scarce):
             return 0.0
-        if not demand.is_active and free < bucket.depth / 2:
+        if not demand.is_active and free_credits < bucket.depth / 2:
             is_recently_reset = self.updated_at - self.reset_at <= CREDIT_RESERVATION_SECONDS
-            if held >= 1 or is_recently_reset:
+            if held_credits >= 1 or is_recently_reset:
                 return 0.0
-        if held >= 1:
+        if held_credits >= 1:
             max_outstanding = MAX_OUTSTANDING_SHARE * bucket.depth
             if sum(bucket.outstanding.values()) > max_outstanding:
-                wanted = max(0.0, min(wanted, max_outstanding / self.limiter_count - held))
-        granted = float(int(min(wanted, max(1.0, 2 * free / self.limiter_count))))
-        bucket.outstanding[limiter_name] = held + granted
+                max_credits = max_outstanding / self.limiter_count
+                wanted_credits = max(0.0, min(wanted_credits, max_credits - held_credits))
+        max_granted = max(1.0, 2 * free_credits / self.limiter_count)
+        granted = float(int(min(wanted_credits, max_granted)))
+        bucket.outstanding[limiter_name] = held_credits + granted
         bucket.level += granted
         return granted
--- a/loomstand/registry/shared_clock.py
+++ b/loomstand/registry/shared_clock.py
@@ -1,6 +1,6 @@
-"""The limiters' shared clock as a registry knows it; counting intervals are named by it.
+"""The limiters' shared clock as known to a registry; it determines the interval in counter names.
 
-Pure: readings of the steady clock are arguments, in seconds.
+Pure: readings of the monotonic clock are arguments, in seconds.
 """
 
 from __future__ import annotations
@@ -9,26 +9,27 @@
 
 # A step of the clock larger than this is reported to limiters.
 MIN_STEP_SECONDS = 0.005
-# Time for which a step is reported repeatedly: limiters give a delayed report less weight.
-STEP_REPEAT_SECONDS = 3.0
+# Time after a step for which it is reported repeatedly, as limiters give a delayed report less
+# weight.
+STEP_REPORT_SECONDS = 3.0
 # Limiters receive the clock in ticks of 0.1 ms.
 TICKS_PER_SECOND = 1e4
 
 
 @dataclass(slots=True)
 class SharedClock:
-    """The shared clock, as an offset from the steady clock of this process.
+    """The shared clock, as an offset from the monotonic clock of this process.
 
     Attributes:
-        offset_seconds: Shared clock minus steady clock.
-        is_known: Whether limiters use this clock. Before that, the offset is the time of day of
-            this machine at the start, which may be wrong.
-        stepped_at: Time of the last step, by the steady clock.
+        offset_seconds: Shared clock minus monotonic clock.
+        is_known: Whether limiters use this clock. Until then, the clock shows this machine's wall
+            clock time as read at the start, which may be wrong.
+        stepped_at: Time of the last step larger than `MIN_STEP_SECONDS`, by the monotonic clock.
     """
 
     offset_seconds: float
     is_known: bool = False
-    stepped_at: float = -STEP_REPEAT_SECONDS
+    stepped_at: float = -STEP_REPORT_SECONDS
 
     def read(self, now: float) -> float:
         """Returns the shared clock's reading, in seconds."""
@@ -58,4 +59,4 @@
 
     def has_recently_stepped(self, now: float) -> bool:
         """Returns whether the clock must still be reported to limiters after a step."""
-        return now - self.stepped_at < STEP_REPEAT_SECONDS
+        return now - self.stepped_at < STEP_REPORT_SECONDS
