--- a/loomstand/registry/change_notifier.py
+++ b/loomstand/registry/change_notifier.py
@@ -10,9 +10,9 @@
     """Waiting sessions, woken in the order in which they began to wait.
 
     Attributes:
-        system_state_revision: Number that grows when the system state reported to limiters changes:
-            the limiters, the registry that counts, the core machines, the shared clock, and whether
-            the configuration is current.
+        system_state_revision: Number that increases when the system state reported to limiters
+            changes: the limiters, the registry that counts, the core machines, the shared clock,
+            and whether the configuration is current.
         is_closed: Whether the registry is stopping, so that sessions no longer wait.
     """
 
@@ -48,16 +48,16 @@
         self.notify()
 
     async def wait_until(self, condition: Callable[[], bool], timeout_seconds: float) -> None:
-        """Waits until the condition holds or the time is over; each change rechecks it."""
+        """Waits until the condition holds or the timeout is over; each change rechecks it."""
         deadline = self._clock() + timeout_seconds
         while not condition():
-            left_seconds = deadline - self._clock()
-            if left_seconds <= 0 or self.is_closed:
+            remaining_seconds = deadline - self._clock()
+            if remaining_seconds <= 0 or self.is_closed:
                 return
             waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiters[waiter] = None
             try:
-                await asyncio.wait_for(waiter, left_seconds)
+                await asyncio.wait_for(waiter, remaining_seconds)
             except TimeoutError:
                 return
             finally:
--- a/loomstand/registry/instances.py
+++ b/loomstand/registry/instances.py
@@ -12,18 +12,19 @@
 from loomstand.rpc.messages.rows import InstanceRow
 
 READY = "ready"
-DRAINING = "draining"
-SILENT = "silent"
-GONE = "gone"
+DRAINING = "draining"  # gets no new requests, as it is about to end
+SILENT = "silent"  # missed several heartbeats
+GONE = "gone"  # has ended, or was silent for long
 STATES = (READY, DRAINING, SILENT, GONE)
 
 # Sequence of a server that is gone, higher than that of any of its heartbeats.
 GONE_SEQUENCE = 1 << 60
-# Heartbeats that a server may miss before it is marked silent: a heartbeat may try three registries
-# in a row with a timeout of 1 s each, which takes two heartbeat intervals. Marking a server silent
-# wrongly takes it out of use for 1 s; marking it late fails some requests.
+# Heartbeat intervals without a heartbeat after which a server is marked silent: a heartbeat may try
+# three registries in a row with a timeout of 1 s each, which takes two intervals of 1.5 s. A server
+# that is wrongly marked silent is out of use for 1 s; a delay in marking it fails some requests.
 MAX_MISSED_HEARTBEATS = 3.0
-# Time for which the row of a gone server is kept, so that its delayed calls are recognised.
+# Time after its last heartbeat at which a silent server is marked gone, and until which the row of
+# a gone server is kept, so that its delayed calls are recognised.
 GONE_RETENTION_SECONDS = 120.0
 MILLISECONDS_PER_SECOND = 1000
 
@@ -40,8 +41,8 @@
         slots: Number of requests that it serves concurrently.
         state: One of `STATES`.
         sequence: Number of its latest heartbeat.
-        slow_start_until: End of its slow start, by the steady clock of this process.
-        changed_at_revision: The table's revision of its last change.
+        slow_start_until: End of its slow start, by the monotonic clock of this process.
+        changed_at_revision: The table's revision at its last change.
     """
 
     id: str
@@ -76,7 +77,7 @@
 
     def to_row(self, now: float) -> InstanceRow:
         """Returns the server as a row of a message."""
-        left_seconds = self.slow_start_until - now
+        remaining_seconds = self.slow_start_until - now
         return InstanceRow(
             self.id,
             self.address,
@@ -85,7 +86,7 @@
             self.slots,
             self.state,
             self.sequence,
-            max(0, round(MILLISECONDS_PER_SECOND * left_seconds)),
+            max(0, round(MILLISECONDS_PER_SECOND * remaining_seconds)),
         )
 
     def differs(self, other: Instance) -> bool:
@@ -104,7 +105,7 @@
 
     Attributes:
         silent_after_seconds: Time after its last heartbeat at which a server is marked silent.
-        revision: Number that grows with every change to be reported to limiters.
+        revision: Number that increases with each change to be reported to limiters.
         by_id: Servers by id.
         last_heartbeat_at: By id, the time of the server's last call to any registry.
         id_by_address: By address, the id of the server that uses it.
@@ -125,11 +126,11 @@
         """
         current = self.by_id.get(instance.id)
         if current is not None and instance.sequence <= current.sequence:
-            return False  # a delayed call
+            return False  # delayed in the network
         if instance.state != SILENT:
             self._record_heartbeat_time(instance.id, heartbeat_at)
         if current is not None and not instance.differs(current):
-            # keeps the sequence, so that delayed calls are recognised
+            # records the sequence, so that delayed calls are recognised
             self.by_id[instance.id] = replace(current, sequence=instance.sequence)
             return False
         self.revision += 1
@@ -143,12 +144,12 @@
         )
 
     def _assign_address(self, instance: Instance) -> None:
-        holder = self.id_by_address.get(instance.address)
+        current_id = self.id_by_address.get(instance.address)
         if instance.state != GONE:
-            if holder is not None and holder != instance.id:
-                self.mark_gone(holder)  # its address is used by another server, so it has ended
+            if current_id is not None and current_id != instance.id:
+                self.mark_gone(current_id)  # another server has its address, so it has ended
             self.id_by_address[instance.address] = instance.id
-        elif holder == instance.id:
+        elif current_id == instance.id:
             del self.id_by_address[instance.address]
 
     def mark_gone(self, instance_id: str) -> bool:
@@ -182,7 +183,9 @@
         return True
 
     def expire(self, now: float) -> bool:
-        """Marks servers without heartbeats as silent or gone, and removes those gone for long.
+        """Updates the states of servers without heartbeats, and removes rows of gone servers.
+
+        A ready server becomes silent, and then gone. A draining server becomes gone directly.
 
         Returns:
             Whether a change must be reported to limiters.
@@ -217,7 +220,7 @@
         ]
 
     def rows(self, instance_ids: Iterable[str], now: float) -> list[InstanceRow]:
-        """Returns the rows of these servers, without unknown ones."""
+        """Returns the rows of the given servers; unknown servers are left out."""
         return [
             self.by_id[instance_id].to_row(now)
             for instance_id in instance_ids
@@ -225,7 +228,7 @@
         ]
 
     def ages(self, instance_ids: Iterable[str], now: float) -> dict[str, float]:
-        """Returns the seconds since the last heartbeat of each of these servers, by id."""
+        """Returns the seconds since the last heartbeat of each given server, by id."""
         return {
             instance_id: now - self.last_heartbeat_at.get(instance_id, now)
             for instance_id in instance_ids
--- a/loomstand/registry/limiter_sessions.py
+++ b/loomstand/registry/limiter_sessions.py
@@ -1,7 +1,7 @@
 """Limiters' sessions: each limiter long-polls the registry with the revisions that it knows.
 
-The answer comes at once if the registry has newer state, else at the next change, or without
-changes after a timeout.
+The registry responds at once if it has newer state, else at the next change, or without changes
+after a timeout.
 """
 
 from __future__ import annotations
@@ -25,22 +25,23 @@
 # Time for which a limiter's call waits for a change: half of the session timeout.
 SESSION_POLL_SECONDS = 0.6
 # A session id has a count in its upper bits and a random number in these lower bits, so that it
-# differs from the ids of sessions before this registry's start.
+# differs from the ids of sessions before this registry's start. The count starts at a random number
+# too, of `INITIAL_COUNT_BITS`.
 SESSION_ID_RANDOM_BITS = 16
 INITIAL_COUNT_BITS = 14
-# Revision of a limiter that opens a session and knows nothing yet.
+# Known revision of a limiter that opens a session, as it has no state of this registry.
 NO_REVISION = -1
 
 
 class SessionIdGenerator:
-    """Generator of session ids, which keep the frequent calls of a session short."""
+    """Generator of session ids, which the frequent calls contain in place of the limiter's name."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
         self._count = rng.getrandbits(INITIAL_COUNT_BITS)
 
     def next(self) -> int:
-        """Returns the id of a new session, which none had before this registry's start."""
+        """Returns the id of a new session."""
         self._count += 1
         return self._count << SESSION_ID_RANDOM_BITS | self._rng.getrandbits(SESSION_ID_RANDOM_BITS)
 
@@ -85,18 +86,24 @@
             )
         now = self._context.clock()
         # The end of a call isn't recorded for a limiter that deregistered while the call waited: it
-        # would make the limiter a member again.
+        # would make the limiter present again.
         if self._limiters.has_called(name):
             self._limiters.record_call(name, now)
         return self._response(request, name, is_new, now)
 
     def _open_session(self, request: SessionRequest) -> SessionRequest:
-        """Opens a session, and returns the request with its id and without known revisions."""
+        """Opens a session, and returns the request with the new id and no known revisions.
+
+        Raises:
+            CallRefusedError: The request continues a session that doesn't exist.
+        """
         name = request.limiter_name
         if name is None:
             raise CallRefusedError("no such session")
         previous_sessions = [
-            session_id for session_id, other in self._limiter_names.items() if other == name
+            session_id
+            for session_id, session_name in self._limiter_names.items()
+            if session_name == name
         ]
         for session_id in previous_sessions:
             del self._limiter_names[session_id]
@@ -159,7 +166,7 @@
         )
 
     async def handle_deregister(self, request: DeregisterRequest) -> Acknowledgement:
-        """Ends a limiter's session here, and forwards the request to the other registries."""
+        """Ends a limiter's session, and forwards the request to the other registries."""
         name = request.limiter_name
         self._limiters.deregister(name, self._context.clock())
         self._counting.grants.release(name)
--- a/loomstand/registry/limiters.py
+++ b/loomstand/registry/limiters.py
@@ -1,7 +1,8 @@
 """The limiters that a registry knows.
 
-A limiter is a member while it has a session with any registry; registries replicate their sessions
-to each other. Pure: the clock's reading is an argument, in seconds.
+A limiter is present while it has a session with any registry; registries replicate their sessions
+to each other. After a timeout the limiter is silent for a while, in which it may still use its
+quota share. Pure: the clock's reading is an argument, in seconds.
 """
 
 from __future__ import annotations
@@ -11,14 +12,16 @@
 from loomstand.rpc.messages.session_messages import LimiterSetRow
 
 # Time after a limiter's last call at which its session ends. A call ends within 0.6 s and the next
-# follows at once. A limiter that is cut off keeps using its quota share, so until this timeout
-# the limiters together exceed a quota by that share.
+# follows at once. A limiter that can't reach the registries keeps using its quota share, so until
+# this timeout the limiters together exceed a quota by that share.
 SESSION_TIMEOUT_SECONDS = 1.2
-# For a limiter that never called here, another registry's report is up to 1 s older.
+# Session timeout of a limiter that never called this registry: other registries report its calls up
+# to 1 s late.
 REPORTED_SESSION_TIMEOUT_SECONDS = 2.4
-# Time for which a silent limiter keeps its rank and quota share, as it may be cut off and still use
-# them. Network partitions of 20 s are common; a limiter that was killed has restarted or
-# deregistered by then. Limiters reduce their shares earlier (`proxy/quota_credits.py`).
+# Time after its last call for which a silent limiter keeps its rank and quota share, as it may be
+# partitioned from the registries and still use them. Network partitions of 20 s are common; a
+# limiter that was killed has restarted or deregistered by then. Limiters reduce their shares
+# earlier (`proxy/quota_credits.py`).
 SILENT_RETENTION_SECONDS = 30.0
 
 
@@ -26,16 +29,16 @@
     """Limiters by name.
 
     Attributes:
-        revision: Number that grows when the set of present or of silent limiters changes.
+        revision: Number that increases when the set of present or of silent limiters changes.
         last_contact_at: By name, the time of the limiter's last call to any registry.
         last_call_at: By name, the time of the limiter's last call to this registry.
         present: Names of the limiters with a session, sorted.
         silent: Names of the limiters whose session ended by timeout and whose rank is reserved,
             sorted.
         ranks: By name, the index of each present or silent limiter in the order of names.
-        next_expiry_at: Earliest time at which a session can end, whichever limiters call before.
-            It avoids a check of all sessions in each call, which took 0.4 ms at 1,000 limiters and
-            2 ms at 3,000.
+        next_expiry_at: Earliest time at which a session or the retention of a silent limiter can
+            end. It avoids a check of all sessions in each call, which took 0.4 ms at 1,000 limiters
+            and 2 ms at 3,000.
     """
 
     def __init__(self) -> None:
@@ -48,7 +51,7 @@
         self.next_expiry_at = 0.0
 
     def limiter_set(self, name: str) -> LimiterSetRow:
-        """Returns a limiter's rank, the number of limiters and the number of silent ones."""
+        """Returns a limiter's rank, the number of limiters and the number of silent limiters."""
         return LimiterSetRow(self.ranks.get(name, 0), len(self.ranks), len(self.silent))
 
     def session_digest(self) -> int:
@@ -65,14 +68,14 @@
 
     def record_call(self, name: str, now: float) -> None:
         """Records a limiter's call to this registry."""
-        is_member = (
+        is_present = (
             name in self.last_call_at
             and self.ranks.get(name) is not None
             and name not in self.silent
         )
         self.last_call_at[name] = now
         self.last_contact_at[name] = now
-        if not is_member or now > self.next_expiry_at:
+        if not is_present or now > self.next_expiry_at:
             self.expire(now)
 
     def record_report(self, name: str, last_contact_at: float, now: float) -> None:
@@ -96,8 +99,8 @@
     def expire(self, now: float) -> None:
         """Ends the sessions that timed out, and removes limiters silent for too long.
 
-        The times of calls only grow. Until `next_expiry_at`, therefore, only a call of a new or
-        silent limiter can change the result.
+        Later calls can only postpone the end of a session. So until `next_expiry_at`, only a call
+        of a new or silent limiter or a deregistration can change the result.
         """
         for name, last_contact_at in list(self.last_contact_at.items()):
             if now - last_contact_at > SILENT_RETENTION_SECONDS:
--- a/loomstand/registry/replication.py
+++ b/loomstand/registry/replication.py
@@ -1,8 +1,8 @@
 """Replication between registries: servers, limiters, the counting term and the shared clock.
 
 A change is broadcast at once. In regular rounds each registry sends the heartbeats received since
-the last round, and gets back which rows the other one lacks (anti-entropy). A registry that starts
-takes a snapshot from the others.
+the last round to each other registry, and gets back which rows that registry lacks (anti-entropy).
+A registry that starts applies snapshots of the others.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from loomstand.rpc.messages.rows import CountingTermRow, InstanceRow
 from loomstand.rpc.network import Address
 
-# Interval between two rounds. Without a round, a server that calls only one registry becomes silent
-# at the others after three heartbeat intervals, which is 4.5 s at an interval of 1.5 s.
+# Interval between two rounds. Without rounds, the other registries would mark a server that calls
+# only one registry silent after three heartbeat intervals, which is 4.5 s at an interval of 1.5 s.
 GOSSIP_INTERVAL_SECONDS = 1.0
-# Timeout of a broadcast, for which the answer to a drain or an end waits; servers and limiters wait
-# 1 s for that answer.
+# Timeout of a broadcast, which precedes the response to a server that drains or leaves and to a
+# limiter that deregisters; these wait 1 s for the response.
 BROADCAST_TIMEOUT_SECONDS = 0.35
-# Timeout of a snapshot request at the start.
+# Timeout of a snapshot request.
 SNAPSHOT_TIMEOUT_SECONDS = 0.5
 
 
@@ -53,14 +53,14 @@
         self._counting = counting
         # by id, the sequence of each server that called this registry since the last round
         self._unsent_sequences: dict[str, int] = {}
-        # By registry, the servers whose rows it hasn't acknowledged, for example while it was cut
-        # off; they are sent in the next rounds.
+        # By registry, the ids of the servers whose rows it hasn't acknowledged, for example during
+        # a network partition. The rows are sent again in the next rounds.
         self._pending: dict[Address, set[str]] = {}
 
     # calls of other registries
 
     async def handle_gossip(self, request: GossipRequest) -> GossipResponse:
-        """Applies another registry's message, and returns what this registry lacks."""
+        """Applies another registry's message, and returns which state this registry lacks."""
         now = self._context.clock()
         ages = request.instance_ages or {}
         for row in request.instances or ():
@@ -108,24 +108,24 @@
     # calls to other registries
 
     def record_heartbeat(self, instance: Instance) -> None:
-        """Notes a server's heartbeat, which is sent to the others in the next round."""
+        """Records a server's heartbeat, which is sent to the other registries in the next round."""
         self._unsent_sequences[instance.id] = max(
             instance.sequence, self._unsent_sequences.get(instance.id, 0)
         )
 
     async def broadcast(self, instance_id: str, timeout_seconds: float) -> bool:
-        """Sends a changed server to the other registries.
+        """Sends the row of a changed server to the other registries.
 
         Registries that don't answer get the row in a later round.
 
         Returns:
-            Whether more than half of the registries have the row now, including this one.
+            Whether more than half of all registries, including this one, have the row now.
         """
         rows = self._instances.rows([instance_id], self._context.clock())
         request = GossipRequest(instances=rows)
 
         async def send(registry: Address) -> bool:
-            """Sends the row to a registry, or adds it to a later round."""
+            """Sends the row to a registry; if that fails, adds it to the next round."""
             result = await self._call(registry, request, GossipResponse, timeout_seconds)
             if result.is_error():
                 self.add_pending(registry, [instance_id])
@@ -138,7 +138,7 @@
     async def call_others(
         self, request: Request, response_type: type[ResponseT], timeout_seconds: float
     ) -> list[Result[ResponseT, CallFailure]]:
-        """Calls all other registries concurrently, and returns their answers."""
+        """Calls all other registries concurrently, and returns their responses."""
         calls = (
             self._call(registry, request, response_type, timeout_seconds)
             for registry in self._context.other_registries()
@@ -146,11 +146,11 @@
         return await asyncio.gather(*calls)
 
     def add_pending(self, registry: Address, instance_ids: Iterable[str]) -> None:
-        """Adds these servers to the next round for a registry."""
+        """Includes the rows of these servers in the next round to a registry."""
         self._pending.setdefault(registry, set()).update(instance_ids)
 
     async def bootstrap(self) -> None:
-        """Applies the others' snapshots, instead of waiting for the next heartbeats."""
+        """Applies snapshots of the other registries, instead of waiting for heartbeats."""
         results = await self.call_others(
             SnapshotRequest(), SnapshotResponse, SNAPSHOT_TIMEOUT_SECONDS
         )
@@ -215,8 +215,8 @@
         repair = GossipRequest()
         if result.ok.unknown_instances:
             repair = self._with_rows(repair, result.ok.unknown_instances)
-        # some limiter has a session with only one of the two registries
         if not result.ok.has_same_limiters:
+            # some limiter has a session with only one of the two registries
             limiter_ages = self._limiters.session_ages(self._context.clock())
             repair = msgspec.structs.replace(repair, limiter_ages=limiter_ages)
         if repair != GossipRequest():
--- a/loomstand/registry/server_heartbeats.py
+++ b/loomstand/registry/server_heartbeats.py
@@ -1,8 +1,9 @@
-"""HTTP calls of servers: heartbeats, drains and ends.
+"""HTTP calls of servers: heartbeats, which may announce a drain, and the call to leave.
 
-After an acknowledged departure no proxy that is connected to the core may send requests to the
-server. A registry that is cut off from the others therefore acknowledges none, as proxies that only
-reach the others would still send there. The server then calls another registry.
+A drain or leave is a departure. After an acknowledged departure no proxy that is connected to the
+core may send requests to the server. A registry that is partitioned from the others therefore
+acknowledges no departure, as proxies that only reach the others would still send requests to the
+server. The server then calls another registry.
 """
 
 from __future__ import annotations
@@ -26,20 +27,24 @@
     Replication,
 )
 
-# Time for which an acknowledged departure isn't broadcast again. A server that leaves ends within
-# seconds; a later heartbeat of it is broadcast again.
+# Time for which an acknowledged departure isn't broadcast again when the server repeats its call;
+# later calls are broadcast again. A server that departs ends within seconds.
 DEPARTURE_RETENTION_SECONDS = 120.0
 NOT_REPLICATED = "too few registries are in reach to tell that the server leaves"
 
 
 class _HeartbeatParser:
-    """Parser of a heartbeat, with the field that it is at, for error messages."""
+    """Parser of a heartbeat.
+
+    Attributes:
+        field: The field being parsed, for error messages.
+    """
 
     def __init__(self) -> None:
         self.field = "body"
 
-    def read(self, instance_id: str, body: bytes, now: float) -> Instance:
-        """Parses a heartbeat; an error raised here concerns `field`."""
+    def parse(self, instance_id: str, body: bytes, now: float) -> Instance:
+        """Parses a heartbeat; errors of any type concern `field`."""
         heartbeat = json.loads(body)
         self.field = "address"
         address = str(heartbeat["address"])
@@ -71,20 +76,20 @@
         now: The clock's reading, in seconds.
 
     Raises:
-        BadRequestError: The heartbeat is invalid; the text names the field.
+        BadRequestError: The heartbeat is invalid; the error's text names the field.
     """
     if not instance_id:
         raise BadRequestError("of: a server's id is needed")
-    reader = _HeartbeatParser()
+    parser = _HeartbeatParser()
     try:
-        return reader.read(instance_id, body, now)
+        return parser.parse(instance_id, body, now)
     except (ValueError, KeyError, TypeError, UnitError, RecursionError) as error:
-        text = f"{reader.field}: {type(error).__name__}: {error}"
+        text = f"{parser.field}: {type(error).__name__}: {error}"
         raise BadRequestError(text) from None
 
 
 class ServerHeartbeats:
-    """Handlers of the servers' calls, which also replicate them to the other registries."""
+    """Handlers of the servers' calls, which also replicate changes to the other registries."""
 
     def __init__(
         self, context: RegistryContext, state: RegistryState, replication: Replication
@@ -92,11 +97,15 @@
         self._context = context
         self._instances = state.instances
         self._replication = replication
-        # by id, the time at which more than half of the registries had the server's departure
+        # by id, the time at which a server's departure was acknowledged
         self._acknowledged_at: dict[str, float] = {}
 
     async def handle_heartbeat(self, request: HttpRequest, body: bytes) -> HttpResponse:
-        """Applies a heartbeat; acknowledges a drain once a majority of the registries has it."""
+        """Applies a heartbeat; acknowledges a drain once a majority of the registries has it.
+
+        Raises:
+            BadRequestError: The heartbeat is invalid.
+        """
         instance = parse_heartbeat(request.query.get("of", ""), body, self._context.clock())
         now = self._context.clock()
         self._replication.record_heartbeat(instance)
@@ -111,29 +120,34 @@
         return EMPTY_RESPONSE
 
     async def handle_leave(self, request: HttpRequest, _body: bytes) -> HttpResponse:
-        """Marks a server as ended; acknowledges it once a majority of the registries has it."""
+        """Marks a server as gone; acknowledges this once a majority of the registries has it.
+
+        Raises:
+            BadRequestError: The request doesn't name a server.
+        """
         instance_id = request.query.get("of", "")
         if not instance_id:
             raise BadRequestError("of: a server's id is needed")
         if instance_id not in self._instances.by_id:
             return EMPTY_RESPONSE  # unknown here, so nothing to replicate
         if self._instances.mark_gone(instance_id):
-            self._acknowledged_at.pop(instance_id, None)  # that of its drain, if any
+            # the acknowledgement of an earlier drain doesn't cover this change
+            self._acknowledged_at.pop(instance_id, None)
             self._context.notifier.notify()
         return await self._acknowledge_departure(instance_id)
 
     async def _acknowledge_departure(self, instance_id: str) -> HttpResponse:
         """Acknowledges a server's departure if more than half of the registries have it."""
         now = self._context.clock()
-        self._forget_old_departures(now)
+        self._remove_old_departures(now)
         if instance_id not in self._acknowledged_at:
             if not await self._replication.broadcast(instance_id, BROADCAST_TIMEOUT_SECONDS):
                 return error_response(HTTPStatus.SERVICE_UNAVAILABLE, NOT_REPLICATED)
             self._acknowledged_at[instance_id] = now
         return EMPTY_RESPONSE
 
-    def _forget_old_departures(self, now: float) -> None:
+    def _remove_old_departures(self, now: float) -> None:
         for instance_id, acknowledged_at in list(self._acknowledged_at.items()):
             if now - acknowledged_at < DEPARTURE_RETENTION_SECONDS:
-                return  # the entries are in order of time
+                return  # the later entries are newer
             del self._acknowledged_at[instance_id]
