--- a/loomstand/registry/configuration_cache.py
+++ b/loomstand/registry/configuration_cache.py
@@ -13,23 +13,24 @@
 # one with thousands of routes, which 100 limiters fetch at once, to 1/20. Compressing 3 MB takes
 # 15 ms, once per version.
 MIN_COMPRESSED_BYTES = 2_000
-COMPRESSION_LEVEL = 1
-# Validity of the store's answer that there never was a configuration, and time after its start for
-# which a registry assumes that the whole system is starting with it.
+COMPRESSION_LEVEL = 1  # of zlib, the fastest
+# For this time after its start, a registry assumes that all other programs are starting too. For
+# the same time it relies on the store's report that no configuration was ever committed.
 STARTUP_SECONDS = 3.0
 
 
 class ConfigurationCache:
-    """The configuration held: its bytes, and the last parsed configuration.
+    """The cached configuration, and the result of the last parse.
 
     Attributes:
-        version: Its version, 0 if there is none.
-        data: Its bytes.
-        confirmed_empty_at: Time of the store's last report that there never was a configuration.
+        version: Version of the cached configuration, 0 if there is none.
+        data: Bytes of the cached configuration.
+        confirmed_empty_at: Time of the store's last report that no configuration was ever
+            committed.
         is_reported_current: Whether the store's last report, with a known primary, confirmed that
             the configuration is the newest.
-        report_expires_at: Time at which that report expires; it may be from before a freeze of this
-            process.
+        report_expires_at: Time at which that report expires. It matters after this process was
+            suspended, when `is_reported_current` may be outdated.
     """
 
     def __init__(self, now: float) -> None:
@@ -44,12 +45,12 @@
         self._compressed_data = b""
 
     def replace(self, version: int, data: bytes) -> None:
-        """Replaces the configuration held."""
+        """Replaces the cached configuration."""
         self.version = version
         self.data = data
 
     def is_current(self, now: float) -> bool:
-        """Returns whether the configuration held is known to be the newest."""
+        """Returns whether the cached configuration is known to be the newest."""
         return self.is_reported_current and now < self.report_expires_at
 
     def parse(self, data: bytes) -> Configuration:
@@ -67,12 +68,15 @@
         return len(self.data) >= MIN_COMPRESSED_BYTES
 
     def compressed(self) -> bytes:
-        """Returns the configuration compressed by zlib."""
+        """Returns the cached configuration, compressed by zlib."""
         if self._compressed_version != self.version:
             self._compressed_data = zlib.compress(self.data, COMPRESSION_LEVEL)
             self._compressed_version = self.version
         return self._compressed_data
 
     def was_recently_empty(self, now: float) -> bool:
-        """Returns whether there was no configuration, and so no quota, until just now."""
+        """Returns whether the store reported within `STARTUP_SECONDS` that it never had any.
+
+        Then no tenant had a quota either.
+        """
         return now - self.confirmed_empty_at < STARTUP_SECONDS
--- a/loomstand/registry/context.py
+++ b/loomstand/registry/context.py
@@ -45,8 +45,8 @@
     Attributes:
         settings: The machine's settings.
         network: Network for the calls to other programs.
-        clock: A steady clock, in seconds.
-        rng: Source of the random numbers that distinguish this start from others.
+        clock: A monotonic clock, in seconds.
+        rng: Source of the random numbers that distinguish this start of the registry from others.
         notifier: Wakes the sessions that wait for a change.
         core_hosts: IP addresses of the known core machines, sorted.
         tasks: The background tasks.
@@ -83,7 +83,7 @@
         ]
 
     def set_core_hosts(self, hosts: set[str]) -> None:
-        """Replaces the core machines; this one is always included."""
+        """Replaces the core machines; this machine is always included."""
         self.core_hosts = tuple(sorted({self.host, *hosts}))
 
 
--- a/loomstand/registry/http_responses.py
+++ b/loomstand/registry/http_responses.py
@@ -9,7 +9,7 @@
 
 
 class BadRequestError(Exception):
-    """An HTTP request is invalid; the response is 400 with this text."""
+    """An HTTP request is invalid; the response has status 400 and the error's text."""
 
 
 class HttpResponse(NamedTuple):
@@ -17,7 +17,7 @@
 
     Attributes:
         status: The HTTP status.
-        body: JSON, or empty.
+        body: A JSON document, or empty.
     """
 
     status: int
@@ -33,5 +33,5 @@
 
 
 def error_response(status: int, text: str) -> HttpResponse:
-    """Returns a response with the reason of an error."""
+    """Returns a JSON response with the text of an error."""
     return json_response(status, {"error": text})
--- a/loomstand/registry/http_routing.py
+++ b/loomstand/registry/http_routing.py
@@ -1,4 +1,4 @@
-"""A tree of matchers that finds the handler of an HTTP request. Pure."""
+"""A tree of matchers that finds the handler of an HTTP request. Pure: no I/O."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     mismatch_status: HTTPStatus = HTTPStatus.NOT_FOUND
 
     def match(self, request: HttpRequest) -> HandlerT | HTTPStatus:
-        """Returns the request's handler, or the status of the part that doesn't match."""
+        """Returns the request's handler, or an error status if a part of the request mismatches."""
         child = self.children.get(self.select(request) or "")
         if isinstance(child, RouteNode):
             return child.match(request)
--- a/loomstand/registry/operator_api.py
+++ b/loomstand/registry/operator_api.py
@@ -31,9 +31,9 @@
 
 # Timeout of a read of the configuration.
 READ_TIMEOUT_SECONDS = 0.8
-# Total size of the configurations that are being replaced: parsing one takes memory of 20 times
-# its size, and it is kept until the store has it. Without this limit, 8 concurrent ones of 8 MB
-# exceed the process's 296 MB of memory.
+# Maximum total size of the new configurations in calls that are in progress: a parsed configuration
+# takes memory of 20 times its size, and is kept until the store has written it. Without this limit,
+# 8 concurrent calls of 8 MB exceed the process's 296 MB of memory.
 MAX_PENDING_BYTES = 12 << 20
 MILLISECONDS_PER_SECOND = 1000
 
@@ -42,7 +42,7 @@
     """Handlers of the operators' calls.
 
     Attributes:
-        pending_bytes: Total size of the configurations that are being replaced.
+        pending_bytes: Total size of the new configurations in calls that are in progress.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.pending_bytes = 0
 
     async def handle_replace(self, _request: HttpRequest, body: bytes) -> HttpResponse:
-        """Replaces the configuration."""
+        """Replaces the configuration, unless too many large ones are being replaced already."""
         if self.pending_bytes and self.pending_bytes + len(body) > MAX_PENDING_BYTES:
             text = "busy with other large configurations"
             return error_response(HTTPStatus.SERVICE_UNAVAILABLE, text)
@@ -84,12 +84,12 @@
             return error_response(HTTPStatus.SERVICE_UNAVAILABLE, text)
         committed = f"r{result.ok.version}"
         if result.ok.has_conflict:
-            refused = f"r{configuration.version} was taken with another content"
-            return error_response(HTTPStatus.CONFLICT, f"{refused}; {committed} is in force")
+            conflict = f"r{configuration.version} was taken with another content"
+            return error_response(HTTPStatus.CONFLICT, f"{conflict}; {committed} is in force")
         return json_response(HTTPStatus.OK, {"version": committed})
 
     async def handle_read(self, _request: HttpRequest, _body: bytes) -> HttpResponse:
-        """Returns the committed configuration."""
+        """Returns the committed configuration, as read from the primary."""
         size_bytes = len(self._state.configuration.data)
         timeout_seconds = READ_TIMEOUT_SECONDS + transfer_seconds(size_bytes)
         result = await self._store_client.forward(ReadRequest(), ReadResponse, timeout_seconds)
@@ -104,7 +104,7 @@
         now = self._context.clock()
         configuration = self._state.configuration
         lease = self._counting.lease
-        lease_left_seconds = max(0.0, lease.expires_at - now)
+        lease_remaining_seconds = max(0.0, lease.expires_at - now)
         status = SystemStatus(
             node_name=self._context.settings.node_name,
             incarnation=self._incarnation,
@@ -113,8 +113,8 @@
             ),
             counting=CountingStatus(
                 holder=lease.last_holder or None,
-                is_local=lease_left_seconds > 0,
-                lease_left=f"{round(MILLISECONDS_PER_SECOND * lease_left_seconds)}ms",
+                is_local=lease_remaining_seconds > 0,
+                lease_left=f"{round(MILLISECONDS_PER_SECOND * lease_remaining_seconds)}ms",
             ),
             limiters=LimiterStatus(
                 present=list(self._state.limiters.present),
@@ -127,13 +127,14 @@
         return json_response(HTTPStatus.OK, msgspec.to_builtins(status))
 
     async def handle_rescue(self, _request: HttpRequest, body: bytes) -> HttpResponse:
-        """Inspects a lost store, or re-founds it."""
+        """Inspects a store that lost too many members, or re-creates it."""
         return await handle_rescue(self._context.network, self._context.local_store, body)
 
     def operator_addresses(self) -> list[str]:
-        """Returns the address at which each core machine serves this API.
+        """Returns the addresses at which the core machines serve this API.
 
-        The ports of seed nodes are known; the other machines are assumed to use this one's port.
+        The settings state the ports of seed nodes; other machines are assumed to use the port of
+        this machine.
         """
         ports = dict(self._context.settings.seed_nodes)
         own_address = self._context.settings.listen_addresses.control_plane
--- a/loomstand/registry/process.py
+++ b/loomstand/registry/process.py
@@ -11,19 +11,19 @@
 from loomstand.rpc.network import Network
 from loomstand.rpc.operator_http import OperatorHttpServer
 
-# Largest body of a request: a configuration of 24,000 routes. With it a registry or a limiter uses
-# 160 MB of about 300 MB of memory, the store's file 40 MB of its 256 MB disk, and it fits into an
-# RPC frame (rpc/frames.py).
+# Maximum size of a request body: a configuration of 24,000 routes. With such a configuration a
+# registry or a limiter uses 160 MB of about 300 MB of memory, and the store's file 40 MB of its 256
+# MB disk. It fits into an RPC frame (rpc/frames.py).
 MAX_BODY_BYTES = 8 << 20
 # File descriptors that aren't available to the HTTP server: 200 are reserved by the platform, the
-# rest is for RPC between the programs.
+# other 200 are for RPC between the programs.
 RESERVED_FILE_DESCRIPTORS = 400
-# Buffer size for HTTP requests, in bytes per MB of the memory limit: a quarter of it.
+# Size of all buffers for HTTP, in bytes per MB of the memory limit: a quarter of the limit.
 BUFFER_BYTES_PER_MB = 1 << 18
 
 
 class RegistryService(Registry):
-    """A registry that serves servers and operators by HTTP."""
+    """A registry with the HTTP server that servers and operators call."""
 
     def __init__(  # noqa: PLR0913 - the simulation passes the last three
         self,
@@ -40,10 +40,12 @@
         Args:
             settings: The machine's settings.
             network: Network for RPC between the programs.
-            arrival_clock: The event loop's selector, which records arrival times; None without one.
-            clock: A steady clock, in seconds; None for the event loop's.
-            wall_seconds: The time of day at the start, in seconds since the epoch; None to read it.
-            streams: Source of connections in place of real sockets; None for sockets.
+            arrival_clock: The event loop's selector, which records arrival times; None on an event
+                loop with another selector.
+            clock: A monotonic clock, in seconds; None for the event loop's clock.
+            wall_seconds: Wall clock time at the start, in seconds since the Unix epoch; None to
+                read it from the system.
+            streams: Source of simulated connections; None for sockets.
         """
         loop_clock = clock or asyncio.get_running_loop().time
         super().__init__(settings, network, loop_clock, wall_seconds)
@@ -57,7 +59,11 @@
         )
 
     async def run(self) -> None:
-        """Serves until `stop`."""
+        """Serves HTTP and RPC calls until `stop`.
+
+        Raises:
+            ValueError: The settings have no address for the HTTP server.
+        """
         address = self.context.settings.listen_addresses.control_plane
         if address is None:
             raise ValueError("listen_addresses.control_plane: not set")
--- a/loomstand/registry/program.py
+++ b/loomstand/registry/program.py
@@ -1,4 +1,4 @@
-"""The registry: it connects its parts and serves their calls."""
+"""The registry: creates and connects its parts, and routes calls to them."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
     Attributes:
         context: Dependencies shared by its parts.
-        state: Its soft state.
+        state: The registry's soft state.
         counting: Counters and credits for limiters, under the counting lease.
         replication: Replication with the other registries.
         store_client: Client of the store on this machine.
@@ -74,19 +74,20 @@
         Args:
             settings: The machine's settings.
             network: Network for the calls to and from other programs.
-            clock: A steady clock, in seconds.
-            wall_seconds: The time of day at the start, in seconds since the epoch; None to read it.
+            clock: A monotonic clock, in seconds.
+            wall_seconds: Wall clock time at the start, in seconds since the Unix epoch; None to
+                read it from the system.
         """
         incarnation = _incarnation(settings.ip_address, wall_seconds)
         rng = Random(incarnation)
         now = clock()
-        time_of_day = time.time() if wall_seconds is None else wall_seconds
+        wall_clock_seconds = time.time() if wall_seconds is None else wall_seconds
         self.context = RegistryContext(settings, network, clock, rng, ChangeNotifier(clock))
         self.context.set_core_hosts({host for host, _ in settings.seed_nodes})
         self.state = RegistryState(
             instances=InstanceTable(settings.heartbeat_seconds),
             limiters=LimiterTable(),
-            shared_clock=SharedClock(time_of_day - now),
+            shared_clock=SharedClock(wall_clock_seconds - now),
             configuration=ConfigurationCache(now),
         )
         session_ids = SessionIdGenerator(rng)
@@ -129,7 +130,7 @@
         return match_path({"/api/rpc": by_method})
 
     async def run(self) -> None:
-        """Serves until `stop`."""
+        """Serves RPC calls until `stop`."""
         settings = self.context.settings
         address = settings.registry_address(settings.ip_address)
         await self.context.network.listen(address, self.requests.serve)
@@ -145,15 +146,15 @@
             await self.context.tasks.close()
 
     def stop(self) -> None:
-        """Makes `run` end, after it has released the counting lease."""
+        """Makes `run` release the counting lease and return."""
         self.context.is_stopping = True
         self.context.notifier.close()
         self.counting.stop()
 
     def reload(self, settings: Settings) -> None:
-        """Logs that changed settings apply at the next start only.
+        """Logs that changed settings only apply at the next start.
 
-        The seed nodes are needed at the start only; afterwards the store reports the core machines.
+        The seed nodes are only needed at the start; afterwards the store reports the core machines.
         """
         logging.info("registry: settings_changed node=%s applies=next_start", settings.node_name)
 
--- a/loomstand/registry/request_router.py
+++ b/loomstand/registry/request_router.py
@@ -9,7 +9,7 @@
 
 
 class RequestRouter(request_router.RequestRouter):
-    """A table from operations to handlers; an invalid call is refused with the reason."""
+    """A router that refuses invalid calls with the reason."""
 
     def unknown_call(self, operation: str) -> str:
         """See the base class."""
--- a/loomstand/registry/rescue.py
+++ b/loomstand/registry/rescue.py
@@ -1,4 +1,7 @@
-"""The operators' call that inspects a lost store and re-founds it (docs/rescue.md)."""
+"""The operators' call that inspects a store that lost too many members, and re-creates it.
+
+See docs/rescue.md.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from loomstand.rpc.messages.rescue_messages import RescueRequest, RescueResponse
 from loomstand.rpc.network import Address, Network
 
-# Timeout of an inspection, and of a whole rescue at the chosen store.
+# Timeout of an inspection, or of a complete rescue at the chosen store.
 RESCUE_TIMEOUT_SECONDS = 5.0
 
 
@@ -35,8 +38,8 @@
     """Forwards an operator's call to the store on this machine.
 
     Returns:
-        The state of the store, or the view that was founded; 409 with the reasons if the token
-        isn't that of the present state.
+        The state of the store, or the new view; status 409 with the reasons if the token isn't
+        that of the store's current state.
     """
     try:
         request = parse_rescue(body)
--- a/loomstand/registry/store_client.py
+++ b/loomstand/registry/store_client.py
@@ -1,7 +1,8 @@
-"""The client of the store on this machine: its status, and the configuration that it commits.
+"""The client of the store on this machine, for its status and the committed configuration.
 
-The registry long-polls the store for changes, forwards operators' changes to it, and offers it a
-configuration that the store has lost. Limiters fetch the configuration from the registry.
+The registry long-polls the store for changes, forwards operators' changes to it, and offers its own
+configuration to a store that has lost that version. Limiters fetch the configuration from the
+registry.
 """
 
 from __future__ import annotations
@@ -34,22 +35,22 @@
 STATUS_TIMEOUT_SECONDS = 0.4
 # Time after which the store answers a long poll without a change.
 WAIT_SECONDS = 0.8
-# Validity of a report of the store: the length of the store's lease.
+# Validity of the store's report, its response to a long poll: the length of the store's lease.
 REPORT_LIFETIME_SECONDS = 1.2
-# Timeout of a change; operators wait 1 s for the answer.
+# Timeout of a configuration change; operators wait 1 s for the response.
 CHANGE_TIMEOUT_SECONDS = 0.95
-# Delay between two requests to a store that doesn't answer.
+# Delay between two long polls of a store that doesn't answer.
 RETRY_SECONDS = 0.1
-# With less time left before the deadline, no further store is tried.
+# Minimum time before the deadline for an attempt at another store.
 MIN_ATTEMPT_SECONDS = 0.05
-# Size from which the quotas of a configuration are read only after a delay, in which limiters fetch
-# it: parsing thousands of routes takes the registry longer than sending them.
+# Size from which a configuration is parsed for its quotas only after a delay, in which limiters
+# fetch it: parsing thousands of routes takes the registry longer than sending them.
 LARGE_CONFIGURATION_BYTES = 500_000
 LARGE_CONFIGURATION_DELAY_SECONDS = 0.2
 
 
 class StoreClient:
-    """Client of the stores, for the registry and its callers."""
+    """Calls the stores, for the registry itself and on behalf of its callers."""
 
     def __init__(
         self, context: RegistryContext, state: RegistryState, counting: CountingService
@@ -87,8 +88,8 @@
     ) -> Result[ResponseT, CallFailure]:
         """Sends a request for the primary to the store on this machine.
 
-        That store forwards it to the primary. If it can't have run there, the other stores are
-        tried until the timeout.
+        That store forwards the request to the primary. If this fails and the request can't have
+        run, the other stores are tried until the timeout.
 
         Returns:
             The response, or whether the request may have run.
@@ -100,20 +101,20 @@
         local_store = self._context.local_store
         result = await network.call(local_store, request.operation, body, timeout_seconds)
         for store in self._context.stores():
-            left_seconds = deadline - self._context.clock()
+            remaining_seconds = deadline - self._context.clock()
             if result.is_ok() or result.error is not CallFailure.NEVER_RAN:
                 break
-            if left_seconds < MIN_ATTEMPT_SECONDS:
+            if remaining_seconds < MIN_ATTEMPT_SECONDS:
                 break
             if store != local_store:
-                result = await network.call(store, request.operation, body, left_seconds)
+                result = await network.call(store, request.operation, body, remaining_seconds)
         if result.is_error():
             return Error(result.error)
         response = response_type.from_wire(result.ok)
         lease_seconds = response.lease_seconds if isinstance(response, ReadResponse) else None
         now = self._context.clock()
         if not freshness.remaining_seconds(lease_seconds, sent_at, now, timeout_seconds):
-            # this process was frozen, or the answer was delayed in a socket buffer
+            # this process was suspended, or the response was delayed in a socket buffer
             return Error(CallFailure.MAY_HAVE_RUN)
         return Ok(response)
 
@@ -175,7 +176,7 @@
         if status.version == 0 == configuration.version and status.is_ready and status.primary:
             configuration.confirmed_empty_at = self._context.clock()
         if status.version < configuration.version and not self._is_offering:
-            # the store has lost it, and may be asked by a rescue which configuration is left
+            # the store has lost this version, and a rescue keeps the newest that a store has
             self._is_offering = True
             self._context.tasks.spawn(self._offer())
         self._counting.observe_term(status.primary, status.counting_term)
@@ -210,10 +211,10 @@
         self._notifier.notify()
 
     def _update_quotas(self, is_change: bool) -> None:
-        """Applies the quotas of the configuration held.
+        """Applies the quotas of the cached configuration.
 
         Args:
-            is_change: Whether the previous configuration was known, or was known not to exist.
+            is_change: Whether the previous configuration was known, or known not to exist.
         """
         try:
             configuration = self._configuration.parse(self._configuration.data)
@@ -227,7 +228,7 @@
         self._counting.update_quotas(configuration.tenants or (), is_change)
 
     async def _offer(self) -> None:
-        """Offers the configuration held to the store on this machine.
+        """Offers the cached configuration to the store on this machine.
 
         The store doesn't know that this version was committed.
         """
--- a/loomstand/registry/system_status.py
+++ b/loomstand/registry/system_status.py
@@ -13,11 +13,11 @@
 
 
 class ConfigurationStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The configuration held.
+    """The configuration that the registry holds in memory.
 
     Attributes:
-        version: Its version.
-        is_current: Whether it is known to be the newest.
+        version: Version of this configuration.
+        is_current: Whether this configuration is known to be the newest.
     """
 
     version: str
@@ -30,7 +30,7 @@
     Attributes:
         holder: Host of the registry that counts, None if unknown.
         is_local: Whether the registry that answers holds the lease.
-        lease_left: Time left of its lease, such as `914ms`.
+        lease_left: Remaining time of that lease, such as `914ms`.
     """
 
     holder: str | None = msgspec.field(name="by")
@@ -59,8 +59,8 @@
         primary: Address of the view's primary, None if it isn't reachable.
         backup: Address of the view's backup, if there is one.
         is_ready: Whether the store knows the newest configuration.
-        conflict_count: Changes refused since the store's start, as their version was taken by
-            different content.
+        conflict_count: Number of changes refused since the store's start because their version
+            already has other content.
     """
 
     version: str
@@ -77,11 +77,11 @@
     Attributes:
         node_name: Name of the registry's node.
         incarnation: Text that identifies this start of the registry.
-        configuration: The configuration held.
+        configuration: The configuration that the registry holds.
         counting: The counting lease.
         limiters: The limiters.
         servers: Number of servers in each state, by service.
-        operator_addresses: Address of each core machine for operators' calls.
+        operator_addresses: Addresses at which the core machines serve operators' calls.
         store: Status of the store on this machine, None if it doesn't answer.
     """
 
