--- a/tests/registry/test_instances.py
+++ b/tests/registry/test_instances.py
@@ -1,4 +1,4 @@
-"""Heartbeats, drains and ends of servers while the registries are partitioned, and after."""
+"""Heartbeats, drains and ends of servers during a partition of the registries, and after it."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @pytest.fixture
 def cluster():
-    made = Cluster(11)
-    made.run(made.start())
-    yield made
-    made.close()
+    started = Cluster(11)
+    started.run(started.start())
+    yield started
+    started.close()
 
 
 def states(cluster: Cluster, id_: str) -> list[str]:
@@ -23,15 +23,24 @@
 
 
 def cut_off(cluster: Cluster) -> str:
-    """Cuts a registry's machine off from the other core machines; servers still reach it."""
+    """Partitions a registry's machine from the other core machines; servers still reach it.
+
+    Returns:
+        The machine's IP address.
+    """
     isolated = cluster.core_ips[1]
     cluster.network.partition([isolated], [ip for ip in cluster.core_ips if ip != isolated])
     return isolated
 
 
-async def leave_during_a_partition(cluster: Cluster, ends: bool) -> str:
-    """Drains a server, and ends it if `ends`. Both are acknowledged by a registry that can't reach
-    a third one. After the partition the server calls the same registry.
+async def depart_during_a_partition(cluster: Cluster, ends: bool) -> str:
+    """Drains a server, and ends it if `ends`.
+
+    The first registry acknowledges both, although the partition separates the second registry from
+    it. A server that only drains still calls the first registry after the partition.
+
+    Returns:
+        The server's id.
     """
     server = cluster.servers["alpha"][0]
     cut_off(cluster)
@@ -54,19 +63,19 @@
 def test_a_drain_or_an_end_missed_in_a_partition_is_replicated_within_two_rounds_after(
     cluster, ends
 ):
-    id_ = cluster.run(leave_during_a_partition(cluster, ends))
-    wanted = GONE if ends else DRAINING
+    id_ = cluster.run(depart_during_a_partition(cluster, ends))
+    expected_state = GONE if ends else DRAINING
     cluster.wait(0.5)
-    assert states(cluster, id_).count(wanted) == 2  # the third is cut off
+    assert states(cluster, id_).count(expected_state) == 2  # one of three is partitioned
     heal(cluster)
-    assert states(cluster, id_) == [wanted] * len(cluster.core_ips)
+    assert states(cluster, id_) == [expected_state] * len(cluster.core_ips)
 
 
 @pytest.mark.parametrize("ends", [False, True])
 def test_a_missed_drain_or_end_is_not_replicated_without_pending_rows(cluster, monkeypatch, ends):
-    """Mutation: a registry sends a change once, and not again to registries that missed it."""
+    """Mutation: a registry doesn't send a change again to registries that missed it."""
     monkeypatch.setattr(Replication, "add_pending", lambda *_: None)
-    id_ = cluster.run(leave_during_a_partition(cluster, ends))
+    id_ = cluster.run(depart_during_a_partition(cluster, ends))
     heal(cluster)
     assert states(cluster, id_).count(GONE if ends else DRAINING) == 2
 
@@ -75,7 +84,7 @@
 def test_a_registry_that_is_cut_off_acknowledges_no_drain_however_often_it_is_asked(cluster, times):
     """Proxies that only reach the other registries would still send requests to the server.
 
-    The server has to call a registry that can replicate the drain to them.
+    The server has to call a registry that can replicate the drain to the others.
     """
     server = cluster.servers["alpha"][0]
     isolated = cut_off(cluster)
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -48,7 +48,7 @@
 def test_a_gone_server_stays_gone_and_a_new_server_at_its_address_replaces_it():
     instances = InstanceTable(1.5)
     instances.apply(instance("i-1"), 0.0)
-    # uses the address of the old server, which sent no end
+    # uses the address of the first server, which ended without a call
     instances.apply(instance("i-2", service="b"), 3.0)
     states = {row.instance_id: row.state for row in instances.changed_since(0, 3.0)}
     assert states == {"i-1": GONE, "i-2": READY}
@@ -62,7 +62,7 @@
     assert not instances.expire(4.0)
     assert instances.expire(5.0) and instances.changed_since(0, 5.0)[0].state == SILENT
     other.apply(instance(sequence=3), 5.1)
-    assert not instances.apply_heartbeat("i-1", 3, 5.1)  # its row is needed
+    assert not instances.apply_heartbeat("i-1", 3, 5.1)  # it is silent here, so its row is needed
     for row in other.rows(["i-1"], 5.2):
         assert instances.apply(Instance.from_row(row, 5.2), 5.2)
     assert instances.changed_since(0, 5.2)[0].state == READY
@@ -82,9 +82,9 @@
     limiters.record_call("f-1", SESSION_TIMEOUT_SECONDS)
     limiters.expire(SESSION_TIMEOUT_SECONDS + 0.1)
     assert (limiters.present, limiters.silent) == (("f-1",), ("f-2",))
-    version = limiters.revision
+    revision = limiters.revision
     limiters.record_call("f-2", SESSION_TIMEOUT_SECONDS + 0.3)
-    assert limiters.present == ("f-1", "f-2") and limiters.revision > version
+    assert limiters.present == ("f-1", "f-2") and limiters.revision > revision
     limiters.deregister("f-1", SESSION_TIMEOUT_SECONDS + 0.4)  # its rank isn't reserved
     assert (limiters.present, limiters.silent) == (("f-2",), ())
     limiters.expire(SESSION_TIMEOUT_SECONDS + SILENT_RETENTION_SECONDS + 1)
@@ -103,29 +103,22 @@
 def test_a_tenant_near_its_limit_is_reported_only_after_an_increment():
     buckets, ann = QuotaBuckets(), stable_digest("ann")
     name, other = ann << INTERVAL_SLOT_BITS | 7, stable_digest("bob") << INTERVAL_SLOT_BITS | 7
+    attempt = ATTEMPT_FACTOR * ATTEMPT_FACTOR  # a request, whether or not it is admitted
+    admitted = 1.0 + attempt
     buckets.update_quotas([Tenant("ann", (), 1, 10.0, 10.0), Tenant("bob", (), 1, 0.0, 0.0)])
-    added = [
-        buckets.record(
-            name,
-            1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR,
-            n * (1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR),
-            0.01 * n,
-        )
-        for n in range(1, 7)
-    ]
-    assert added == [False] * 5 + [True]  # over half of the burst
-    assert [(b.counter_name, b.total) for b in buckets.changed_since(0)] == [
-        (name, 6 * (1.0 + ATTEMPT_FACTOR * ATTEMPT_FACTOR))
+    is_reported = [buckets.record(name, admitted, n * admitted, 0.01 * n) for n in range(1, 7)]
+    assert is_reported == [False] * 5 + [True]  # over half of the burst
+    assert [(bucket.counter_name, bucket.total) for bucket in buckets.changed_since(0)] == [
+        (name, 6 * admitted)
     ] and buckets.changed_since(buckets.revision) == []
-    assert not buckets.record(
-        name, 3.0 * ATTEMPT_FACTOR * ATTEMPT_FACTOR, 6 + 9 * ATTEMPT_FACTOR * ATTEMPT_FACTOR, 0.07
-    )  # attempts, not admitted requests
+    # requests that weren't admitted
+    assert not buckets.record(name, 3.0 * attempt, 6 + 9 * attempt, 0.07)
     buckets.update_quotas([Tenant("ann", (), 1, 10.0, 20.0)])
     assert not buckets.record(name, 1.0, 7.0, 0.08)  # a larger quota; the level stays
-    # totals are incomplete after a change of the counting registry
+    # totals are incomplete after another registry has started counting
     assert not buckets.record(name, 9.0, 17.0, 0.09, is_complete=False)
-    assert not buckets.record(other, 500.0, 500.0, 0.1)  # unlimited
-    # at its rate
+    assert not buckets.record(other, 500.0, 500.0, 0.1)  # a tenant without a quota
+    # a tenant that sends requests at its rate stays below its limit
     assert not any(buckets.record(name, 1.0, 8.0 + n, 1.0 + 0.1 * n) for n in range(50))
 
 
@@ -160,7 +153,7 @@
     )
     assert (
         view.update("two", [], is_new_session=True) == []
-    )  # restarted: the other still reports silent
+    )  # registry two restarted without rows; registry one still reports the server as silent
     assert (
         view.update("one", [], is_new_session=True) == ["i-1"]
         and view.instances["i-1"].availability == READY
