--- a/loomstand/registry/counting_service.py
+++ b/loomstand/registry/counting_service.py
@@ -120,15 +120,16 @@
             for bucket in self.quota_buckets.changed_since(revision)
         ]
 
-    def update_quotas(self, tenants: Iterable[Tenant], is_change: bool) -> None:
+    def update_quotas(self, tenants: Iterable[Tenant], is_previous_known: bool) -> None:
         """Applies changed quotas.
 
         Args:
             tenants: The tenants of the cached configuration.
-            is_change: Whether the previous quotas were known, or known not to exist.
+            is_previous_known: Whether the previous quotas were known, or known not to exist. Else
+                credits of a new tenant may have been granted before.
         """
         self.quota_buckets.update_quotas(tenants)
-        is_counting = is_change and self.lease.is_held(self._context.clock())
+        is_counting = is_previous_known and self.lease.is_held(self._context.clock())
         self.grants.update_quotas(tenants, is_counting)
 
     def expire(self, now: float) -> None:
--- a/loomstand/registry/quota_grants.py
+++ b/loomstand/registry/quota_grants.py
@@ -1,12 +1,12 @@
 """Grants of quota credits: what a limiter may admit is charged to the tenant's bucket before use.
 
-Shares that limiters compute by themselves add up to more than the quota as soon as limiters start,
-are cut off, or another registry counts. Therefore the counting registry keeps a leaky bucket per
-tenant and grants *credits* from it, one per request; a limiter admits no more requests than it
-holds credits. Whatever limiters do with their credits, and whichever of them are killed, no window
-gets more than `depth` + rate x window requests. A registry that starts counting doesn't know what
-its predecessor granted: its buckets start nearly full, and it grants at the tenant's rate. Pure:
-the clock's reading is an argument, in seconds.
+Shares that limiters compute by themselves add up to more than the quota whenever limiters start or
+are partitioned, or another registry takes over counting. Therefore the counting registry keeps a
+leaky bucket per tenant and grants *credits* from it, one per request; a limiter admits no more
+requests than it holds credits. Whatever limiters do with their credits, and whichever of them are
+killed, at most `depth` + rate x window requests are admitted in a window. A registry that starts
+counting doesn't know what its predecessor granted: its buckets start nearly full, and it grants
+credits at the tenant's rate. Pure: the clock's reading is an argument, in seconds.
 """
 
 from __future__ import annotations
@@ -54,12 +54,24 @@
 
 
 def bucket_depth(rate: float, burst: float, bounds: RuleBounds) -> float:
-    """Returns the depth of a tenant's bucket, in requests beyond its rate."""
+    """Returns the depth in requests of the bucket of a tenant.
+
+    Args:
+        rate: The tenant's rate, in requests per second.
+        burst: The tenant's burst, in requests.
+        bounds: Bounds of the rules.
+    """
     return max(1.0, burst) + CHARGED_OVERSHOOT_SHARE * allowed_overshoot(rate, burst, bounds)
 
 
 def allowed_overshoot(rate: float, burst: float, bounds: RuleBounds) -> float:
-    """Returns the requests that the rule allows in a window beyond rate x window + burst."""
+    """Returns the number of requests allowed in a window beyond rate x window + burst.
+
+    Args:
+        rate: The tenant's rate, in requests per second.
+        burst: The tenant's burst, in requests.
+        bounds: Bounds of the rules, with the length of the window.
+    """
     quota = rate * bounds.quota_window_seconds + burst
     return bounds.quota_overshoot * quota + bounds.quota_slack
 
--- a/loomstand/registry/store_client.py
+++ b/loomstand/registry/store_client.py
@@ -197,24 +197,24 @@
 
     def _replace_configuration(self, version: int, data: bytes) -> None:
         configuration = self._configuration
-        is_change = configuration.version > 0 or configuration.was_recently_empty(
+        is_previous_known = configuration.version > 0 or configuration.was_recently_empty(
             self._context.clock()
         )
         configuration.replace(version, data)
         logging.info("registry: configuration_held version=r%d bytes=%d", version, len(data))
         if len(data) < LARGE_CONFIGURATION_BYTES:
-            self._update_quotas(is_change)
+            self._update_quotas(is_previous_known)
         else:
             self._quota_timer = asyncio.get_running_loop().call_later(
-                LARGE_CONFIGURATION_DELAY_SECONDS, self._update_quotas, is_change
+                LARGE_CONFIGURATION_DELAY_SECONDS, self._update_quotas, is_previous_known
             )
         self._notifier.notify()
 
-    def _update_quotas(self, is_change: bool) -> None:
+    def _update_quotas(self, is_previous_known: bool) -> None:
         """Applies the quotas of the cached configuration.
 
         Args:
-            is_change: Whether the previous configuration was known, or known not to exist.
+            is_previous_known: Whether the previous configuration was known, or known not to exist.
         """
         try:
             configuration = self._configuration.parse(self._configuration.data)
@@ -225,7 +225,7 @@
                 error,
             )
             return
-        self._counting.update_quotas(configuration.tenants or (), is_change)
+        self._counting.update_quotas(configuration.tenants or (), is_previous_known)
 
     async def _offer(self) -> None:
         """Offers the cached configuration to the store on this machine.
