--- a/loomstand/membership/__init__.py
+++ b/loomstand/membership/__init__.py
@@ -1,5 +1,5 @@
 """Group membership of limiters, and the distribution of endpoint lists among them (docs/peers.md).
 
-`members` and `endpoint_lists` are pure, `messages` defines the datagrams, and `driver` sends and
-receives them. Only in use where a limiter's configuration has the key `peers`.
+`members` and `endpoint_lists` do no I/O, `messages` defines the datagrams, and `driver` sends and
+receives them. A limiter uses this package only if its configuration has the key `peers`.
 """
--- a/loomstand/membership/driver.py
+++ b/loomstand/membership/driver.py
@@ -1,6 +1,6 @@
 """Exchange of datagrams between limiters: connects membership and endpoint lists to the limiter.
 
-All decisions are made in the pure modules.
+Uses a UDP socket and timers; all decisions are made in `members` and `endpoint_lists`.
 """
 
 from __future__ import annotations
@@ -19,26 +19,41 @@
 from loomstand.membership.members import Membership, MemberState
 from loomstand.membership.messages import Part, Want
 
-# a starting limiter without a list requests one at every second tick
 TICK_SECONDS = 0.05
+# Ticks between two requests for an endpoint list of a limiter that is starting or has no list.
+REQUEST_INTERVAL_TICKS = 2
+# Time after the start in which a limiter requests endpoint lists even if it has one.
+STARTUP_SECONDS = 1.0
+LOG_INTERVAL_TICKS = 200  # between two log lines with the counts of events
 
 
 class Limiter(Protocol):
-    """The limiter, as far as this module uses it."""
+    """Interface of the limiter for this module.
+
+    Attributes:
+        loop: The limiter's event loop.
+    """
 
     loop: asyncio.AbstractEventLoop
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Writes a log line."""
 
-    def update_servers(self, list_: BackendList) -> None: ...
+    def update_servers(self, list_: BackendList) -> None:
+        """Applies an endpoint list or a change."""
 
 
 class DiscoveryWatch(Protocol):
-    """The watch on discovery, which can be on or off."""
+    """Interface of the connection to discovery, which receives its endpoint lists and changes.
+
+    Attributes:
+        revision: The revision after which discovery is asked for changes.
+    """
 
     revision: int
 
-    def set_active(self, on: bool) -> None: ...
+    def set_active(self, on: bool) -> None:
+        """Starts or stops watching discovery."""
 
 
 class PeerProtocol(asyncio.DatagramProtocol):
@@ -46,13 +61,20 @@
 
     Args:
         limiter: The limiter.
-        watch: Its watch on discovery.
-        limiter_id: Its number.
-        limiter_count: Number of limiters by the settings.
-        address: Where it receives datagrams, as HOST:PORT.
-        configured_addresses: Addresses of peers in its configuration.
-        initial_list: The endpoint list of its configuration.
-        seed: For random choices.
+        watch: The limiter's watch on discovery.
+        limiter_id: The limiter's number.
+        limiter_count: Number of limiters in the settings.
+        address: Address at which the limiter receives datagrams, as HOST:PORT.
+        configured_addresses: Addresses of peers in the limiter's configuration.
+        initial_list: The endpoint list of the limiter's configuration.
+        seed: Seed of the random generator.
+
+    Attributes:
+        members: The limiter's view of the group.
+        lists: The limiter's copy of the endpoint list.
+        transport: Transport of the UDP socket; None until it is open.
+        ticks: Number of ticks so far.
+        counts: Number of events of each kind since the last log line.
     """
 
     def __init__(
@@ -68,8 +90,8 @@
     ) -> None:
         now = limiter.loop.time()
         self.limiter, self.watch, self.address = limiter, watch, address
-        # Where the configuration names all peers, no address is announced: none has to be found,
-        # and an address may be valid for one pair of limiters only.
+        # If the configuration lists all peers, no address is announced: none has to be discovered,
+        # and an address may be valid between two particular limiters only.
         announced = (
             "" if len(set(configured_addresses) - {address}) >= limiter_count - 1 else address
         )
@@ -84,6 +106,7 @@
         self.ticks, self.counts = 0, Tally[str]()
 
     async def listen(self) -> None:
+        """Opens the socket and starts the timer."""
         await self.limiter.loop.create_datagram_endpoint(
             lambda: self, parse_host_port(self.address, "peer")
         )
@@ -93,27 +116,27 @@
         self.transport = transport
 
     def tick(self) -> None:
-        """Runs the timers, and schedules the next call."""
+        """Sends due messages, starts or stops the watch, and schedules the next tick."""
         if self.transport is None or self.transport.is_closing():
             return
         now = self.limiter.loop.time()
         self.members.revision, self.members.age = self.lists.revision, self.lists.age(now)
         self.members.tick(now)
-        # At a start, request a list from anyone: the limiter has none, or an old one of its
-        # configuration.
-        if self.ticks % 2 == 0 and (not self.lists.revision or now - self.lists.started_at < 1.0):
+        # A starting limiter has no list, or possibly an outdated one from its configuration.
+        needs_list = not self.lists.revision or now - self.lists.started_at < STARTUP_SECONDS
+        if self.ticks % REQUEST_INTERVAL_TICKS == 0 and needs_list:
             alive = [
-                p.address
-                for p in self.members.peers.values()
-                if p.address and p.state is MemberState.ALIVE
+                peer.address
+                for peer in self.members.peers.values()
+                if peer.address and peer.state is MemberState.ALIVE
             ]
             candidates = alive or self.members.configured_addresses
             for recipient in self.members.rng.sample(candidates, min(2, len(candidates))):
                 self.members.send(recipient, Want(*self.members.header()))
         self.watch.set_active(self.lists.should_watch(now, self.members.alive()))
         self.ticks += 1
-        if self.ticks % 200 == 0 and self.counts:
-            tally = ", ".join(f"{k} {n}" for k, n in sorted(self.counts.items()))
+        if self.ticks % LOG_INTERVAL_TICKS == 0 and self.counts:
+            tally = ", ".join(f"{event} {count}" for event, count in sorted(self.counts.items()))
             self.limiter.log(
                 f"peers: {len(self.members.alive())} alive, revision {self.lists.revision}; {tally}"
             )
@@ -122,7 +145,7 @@
         self.limiter.loop.call_later(TICK_SECONDS, self.tick)
 
     def flush(self) -> None:
-        """Sends the messages in the outbox, and logs changes of members' states."""
+        """Sends the messages in the outbox, and logs the members' state transitions."""
         outbox, self.members.outbox = self.members.outbox, []
         for recipient, message in outbox:
             address = (
@@ -131,15 +154,16 @@
                 else getattr(self.members.peers.get(recipient), "address", "")
             )
             if address and self.transport is not None and not self.transport.is_closing():
-                raw = messages.encode(message)
+                datagram = messages.encode(message)
                 self.counts["sent"] += 1
-                self.transport.sendto(raw, parse_host_port(address, "peers"))
+                self.transport.sendto(datagram, parse_host_port(address, "peers"))
         transitions, self.members.transitions = self.members.transitions, []
         for id_, old, new in transitions:
             if MemberState.SUSPECTED in (old, new) or new in (MemberState.DEAD, MemberState.LEFT):
                 self.limiter.log(f"peer {id_}: {old.name.lower()} to {new.name.lower()}")
 
     def datagram_received(self, raw: bytes, source: tuple[str, int]) -> None:
+        """Handles a datagram; an invalid one, or one from an unknown sender, is only logged."""
         now, address = self.limiter.loop.time(), f"{source[0]}:{source[1]}"
         try:
             message = messages.decode(raw)
@@ -179,7 +203,7 @@
         self.flush()
 
     def apply_from_peer(self, changes: BackendList, part: Part) -> None:
-        """Passes a peer's list or change to the limiter, and forwards a change."""
+        """Passes a list or change from a peer to the limiter; forwards it if it is a change."""
         self.watch.revision = max(self.watch.revision, changes.revision)
         self.counts["lists from peers"] += 1
         self.limiter.update_servers(changes)
@@ -187,7 +211,7 @@
             self.forward(part)
 
     def discovery_listed(self, received: BackendList) -> None:
-        """Applies a list from discovery, and forwards a change to peers."""
+        """Records a list or change from discovery, and forwards it to peers if it is a change."""
         part = self.lists.from_discovery(self.limiter.loop.time(), received)
         if part is not None:
             self.counts["lists from discovery"] += 1
@@ -196,12 +220,15 @@
             self.flush()
 
     def discovery_confirmed(self) -> None:
-        """Notes that discovery confirmed the list as unchanged."""
+        """Records that discovery confirmed the list as unchanged."""
         if self.lists.revision:
             self.lists.confirmed_at = self.limiter.loop.time()
 
     def forward(self, part: Part) -> None:
-        others = [p.id for p in self.members.peers.values() if p.state is MemberState.ALIVE]
+        """Sends a change to random peers, with this limiter as the sender."""
+        others = [
+            peer.id for peer in self.members.peers.values() if peer.state is MemberState.ALIVE
+        ]
         header = self.members.header()
         own_part = Part(
             *header,
@@ -216,9 +243,11 @@
             self.members.send(recipient, own_part)
 
     def leave(self) -> None:
+        """Announces that this limiter leaves the group; the socket stays open until `stop`."""
         self.members.leave()
         self.flush()
 
     def stop(self) -> None:
+        """Closes the socket and ends the timer."""
         if self.transport is not None:
             self.transport.close()
--- a/loomstand/membership/members.py
+++ b/loomstand/membership/members.py
@@ -1,15 +1,15 @@
-"""Group membership of limiters after SWIM (Das, Gupta and Motivala, 2002). Pure.
-
-In each period a limiter pings one other, in shuffled rounds. A member that does not answer is
-pinged through three others, then suspected, and dead when the suspicion lasted long enough for the
-member to refute it. A member that learns that it is suspected or dead raises its incarnation, which
-nobody else may do. A start takes its incarnation from the clock, so that a restart overrides the
-previous process. State updates are piggybacked on pings and acknowledgements, each often enough to
-reach all members. A limiter sends one ping and one acknowledgement per period whatever the size of
-the group, and four more messages for each member that does not answer.
-
-Times are seconds on the caller's monotonic clock; incarnations are Unix milliseconds. `outbox`
-holds the messages to send, each with a limiter's number or an address.
+"""Group membership of limiters by the SWIM protocol (Das, Gupta and Motivala, 2002).
+
+In each period a limiter pings one other member, in shuffled rounds. A member that does not answer
+is pinged through three others, and is then suspected. It is declared dead if it doesn't refute the
+suspicion in time. A member that learns that it is suspected or dead refutes this by a higher
+incarnation; no other member may raise it. A limiter's first incarnation is its start time, so that
+a restarted limiter overrides the state of its previous process. State updates are piggybacked on
+messages, each often enough to reach all members. A limiter sends one ping and one acknowledgement
+per period, regardless of the size of the group, and four more messages for each member that does
+not answer.
+
+No I/O; times are in seconds of the caller's monotonic clock, and incarnations in Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -22,22 +22,26 @@
 
 from loomstand.membership.messages import Ack, Check, MemberUpdate, Message, Ping
 
-# As in SWIM: a death is known to all members some log2(N) periods later, which is short compared
-# with the 6 s of an endpoint list.
+# Period of the pings, as in SWIM. A death is known to all N members about log2(N) periods later,
+# which is short compared with the 6 s after which a change of the endpoint list counts as known.
 PROBE_PERIOD_SECONDS = 1.0
-# for a direct answer; the rest of the period is for indirect ones
+# Time to wait for a direct answer; the rest of the period remains for indirect probes.
 DIRECT_TIMEOUT_SECONDS = 0.3 * PROBE_PERIOD_SECONDS
-INDIRECT_PROBES = 3  # members asked to ping it too, so that one lossy path raises no suspicion
-# In a message, about 1 KB. With six, news of 1,000 starting limiters took 90 s to reach all.
+# Members asked to ping a member that did not answer, so that a single lossy path causes no
+# suspicion.
+INDIRECT_PROBES = 3
+# Maximum number of updates in a message, about 1 KB. With 6 of them, it took 90 s until all of
+# 1,000 starting limiters knew each other.
 MAX_UPDATES = 40
 UPDATE_REPEAT_FACTOR = 3  # an update is sent this many times log2(N)
-# A suspicion lasts this many times log2(N) periods; a refutation takes about log2(N).
+# A suspicion lasts for this many times log2(N) periods; a refutation takes about log2(N) periods.
 SUSPICION_FACTOR = 3
-DEAD_RETENTION_SECONDS = 60.0  # so that outdated updates don't revive a dead member
+# Time for which a dead member is remembered, so that outdated updates don't revive it.
+DEAD_RETENTION_SECONDS = 60.0
 
 
 class MemberState(IntEnum):
-    """The state of a limiter. Of two with equal incarnations the greater one overrides."""
+    """The state of a limiter; of two states of one incarnation the greater one overrides."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -47,15 +51,26 @@
 
 @dataclass(slots=True)
 class Peer:
-    """What is known of another limiter."""
+    """Another limiter as known to this one.
+
+    Attributes:
+        id: Its number.
+        address: Its address for datagrams of peers; empty if unknown.
+        incarnation: Its latest known incarnation.
+        state: Its state in that incarnation.
+        state_since: Time at which this limiter recorded the state.
+        revision: Revision of its endpoint list in its latest message.
+        has_sent: Whether this limiter has received a message from it since it was last dead or had
+            left.
+    """
 
     id: int
     address: str
     incarnation: int = 0
     state: MemberState = MemberState.ALIVE
     state_since: float = 0.0
-    revision: int = 0  # of its endpoint list
-    has_sent: bool = False  # whether it has sent a message itself
+    revision: int = 0
+    has_sent: bool = False
 
 
 class Membership:
@@ -63,11 +78,28 @@
 
     Args:
         limiter_id: The limiter's number.
-        address: Its address for peers; empty to announce none.
-        incarnation: Its start time in Unix ms.
-        configured_addresses: The addresses of peers in its configuration.
-        seed: For random choices.
-        now: The time in seconds.
+        address: The limiter's address for peers; empty to announce none.
+        incarnation: The limiter's start time in Unix ms.
+        configured_addresses: The addresses of peers in the limiter's configuration.
+        seed: Seed of the random generator.
+        now: The current time.
+
+    Attributes:
+        peers: The other members, by number.
+        updates: By limiter, the update to send and the number of messages that still carry it.
+        ping_round: Members that are still to be pinged in this round.
+        pending_pings: By sequence number, the pinged member, the time of the ping, and whether
+            other members were asked to ping it.
+        relayed_pings: Pings sent for other members, by sequence number: the requesting member, the
+            sequence number of its ping, and the time.
+        seq: Sequence number of the last ping.
+        revision: Revision of the limiter's endpoint list, for messages; set by the owner.
+        age: Seconds since discovery confirmed that list, for messages; set by the owner.
+        next_ping_at: Time of the next ping.
+        outbox: Messages to send, each with the recipient's number or address; taken by the owner.
+        transitions: Members' state transitions, each with the previous and the new state; taken by
+            the owner.
+        has_left: Whether `leave` was called.
     """
 
     def __init__(
@@ -81,18 +113,14 @@
     ) -> None:
         self.limiter_id, self.address, self.incarnation = limiter_id, address, incarnation
         self.rng = Random(seed)
-        self.configured_addresses = [a for a in configured_addresses if a != address]
+        self.configured_addresses = [other for other in configured_addresses if other != address]
         self.peers: dict[int, Peer] = {}
-        self.updates: dict[
-            int, list
-        ] = {}  # by limiter: the update, and how often it is still to be sent
+        self.updates: dict[int, list] = {}
         self.ping_round: list[int] = []
-        # by sequence number: the pinged member, since when, whether others were asked to ping it
         self.pending_pings: dict[int, tuple[int, float, bool]] = {}
-        # pings made for others, by sequence number: who asked, with which number, when
         self.relayed_pings: dict[int, tuple[int, int, float]] = {}
         self.seq = self.revision = 0
-        self.age = -1.0  # of the endpoint list, for messages
+        self.age = -1.0
         self.next_ping_at = now
         self.outbox: list[tuple[int | str, Message]] = []
         self.transitions: list[tuple[int, MemberState, MemberState]] = []
@@ -102,7 +130,7 @@
     # queries
 
     def alive(self) -> list[int]:
-        """Returns the sorted numbers of the members that count as alive, including this one."""
+        """Returns the sorted numbers of the alive and suspected members, including this one."""
         alive = [
             p.id
             for p in self.peers.values()
@@ -116,7 +144,7 @@
         return source in self.configured_addresses or (peer is not None and peer.address == source)
 
     def suspicion_seconds(self) -> float:
-        """Returns how long a suspicion lasts before the member counts as dead."""
+        """Returns the time in seconds after which a suspected member is declared dead."""
         return SUSPICION_FACTOR * PROBE_PERIOD_SECONDS * max(1.0, log2(len(self.peers) + 2))
 
     # timer
@@ -124,19 +152,19 @@
     def tick(self, now: float) -> None:
         """Handles overdue answers and expired suspicions, and sends the next ping.
 
-        Must be called about ten times a second.
+        Must be called at least about ten times a second.
         """
-        for seq, (target, since, is_relayed) in list(self.pending_pings.items()):
+        for seq, (target, sent_at, is_relayed) in list(self.pending_pings.items()):
             peer = self.peers.get(target)
-            if now - since >= PROBE_PERIOD_SECONDS or peer is None:
+            if now - sent_at >= PROBE_PERIOD_SECONDS or peer is None:
                 del self.pending_pings[seq]
                 if peer is not None and peer.state is MemberState.ALIVE:
                     self.apply_update(
                         now,
                         MemberUpdate(target, peer.address, peer.incarnation, MemberState.SUSPECTED),
                     )
-            elif now - since >= DIRECT_TIMEOUT_SECONDS and not is_relayed:
-                self.pending_pings[seq] = (target, since, True)
+            elif now - sent_at >= DIRECT_TIMEOUT_SECONDS and not is_relayed:
+                self.pending_pings[seq] = (target, sent_at, True)
                 others = [
                     p.id
                     for p in self.peers.values()
@@ -145,7 +173,9 @@
                 for other in self.rng.sample(others, min(INDIRECT_PROBES, len(others))):
                     self.send(other, Check(*self.header(), seq, target))
         self.relayed_pings = {
-            seq: r for seq, r in self.relayed_pings.items() if now - r[2] < PROBE_PERIOD_SECONDS
+            seq: (requester, requester_seq, sent_at)
+            for seq, (requester, requester_seq, sent_at) in self.relayed_pings.items()
+            if now - sent_at < PROBE_PERIOD_SECONDS
         }
         for peer in list(self.peers.values()):
             if (
@@ -185,13 +215,16 @@
             for p in self.peers.values()
             if p.has_sent and p.state in (MemberState.ALIVE, MemberState.SUSPECTED)
         }
-        unreached = [a for a in self.configured_addresses if a not in live_addresses]
         # includes addresses of dead members, so that both sides notice when a partition heals
+        unreached = [
+            address for address in self.configured_addresses if address not in live_addresses
+        ]
         if unreached:
             self.seq += 1
             self.send(self.rng.choice(unreached), Ping(*self.header(), self.seq))
 
     def live_peer(self, id_: int) -> Peer | None:
+        """Returns the peer with this number if it is alive or suspected, otherwise None."""
         peer = self.peers.get(id_)
         return (
             peer
@@ -200,7 +233,7 @@
         )
 
     def leave(self) -> None:
-        """Announces to some members that this one leaves; they spread the update."""
+        """Announces to some members that this limiter leaves; they spread the update."""
         self.has_left = True
         self.spread(MemberUpdate(self.limiter_id, self.address, self.incarnation, MemberState.LEFT))
         alive = [p.id for p in self.peers.values() if p.state is MemberState.ALIVE]
@@ -210,12 +243,12 @@
     # messages
 
     def header(self) -> tuple[int, int, int, list[MemberUpdate], float]:
-        """Returns the fields of `Message` for the next message; counts its updates as sent."""
+        """Returns the common fields of the next message, and counts its updates as sent."""
         return self.limiter_id, self.incarnation, self.revision, self.next_updates(), self.age
 
     def next_updates(self) -> list[MemberUpdate]:
-        """Returns the updates that were sent least often."""
-        selected = sorted(self.updates.items(), key=lambda u: -u[1][1])[:MAX_UPDATES]
+        """Returns the updates with the most remaining repetitions, and counts them as sent."""
+        selected = sorted(self.updates.items(), key=lambda item: -item[1][1])[:MAX_UPDATES]
         for id_, update in selected:
             update[1] -= 1
             if update[1] <= 0:
@@ -223,17 +256,18 @@
         return [update[0] for _, update in selected]
 
     def spread(self, update: MemberUpdate) -> None:
-        """Sends an update along with the next messages."""
+        """Adds an update to the next messages; replaces an earlier one of the same limiter."""
         self.updates[update.id] = [
             update,
             ceil(UPDATE_REPEAT_FACTOR * log2(len(self.peers) + 2)) + 1,
         ]
 
     def send(self, recipient: int | str, message: Message) -> None:
+        """Adds a message to the outbox; `recipient` is a limiter's number or an address."""
         self.outbox.append((recipient, message))
 
     def receive(self, now: float, message: Message, source: str) -> None:
-        """Handles a message from a known address."""
+        """Handles a message; `source` is the sender's address."""
         self.update_sender(now, message, source)
         for update in message.updates:
             self.apply_update(now, update)
@@ -253,6 +287,7 @@
                 self.send(target, Ping(*self.header(), self.seq))
 
     def ping_answered(self, seq: int, target: int) -> None:
+        """Completes a ping that `target` answered; relays the answer if a member asked for it."""
         self.pending_pings.pop(seq, None)
         if seq in self.relayed_pings:
             requester, requester_seq, _ = self.relayed_pings.pop(seq)
@@ -269,13 +304,14 @@
         if peer is not None and message.incarnation == peer.incarnation:
             peer.has_sent, peer.revision = True, message.revision
             if peer.state is not MemberState.ALIVE and peer.state is not MemberState.LEFT:
-                # only the sender can refute its state: repeat the update, which reaches it too
+                # spread the update again, so that the sender receives it and can refute its state
                 self.spread(MemberUpdate(peer.id, peer.address, peer.incarnation, peer.state))
 
     def apply_update(self, now: float, update: MemberUpdate) -> None:
-        """Applies a state update by the rules that make all views converge.
+        """Applies a state update.
 
-        The higher incarnation overrides, and at equal incarnations the greater state.
+        A higher incarnation overrides a lower one, and a greater state overrides a lower one of the
+        same incarnation, so that the views of all members converge.
         """
         if update.id == self.limiter_id:
             if (
@@ -291,7 +327,7 @@
         known, state = self.peers.get(update.id), MemberState(update.state)
         if known is None:
             if state in (MemberState.DEAD, MemberState.LEFT):
-                return  # an unknown member
+                return  # a member unknown to this limiter need not be tracked
             self.peers[update.id] = Peer(update.id, update.address, update.incarnation, state, now)
             self.transitions.append((update.id, MemberState.DEAD, state))
         else:
--- a/loomstand/membership/messages.py
+++ b/loomstand/membership/messages.py
@@ -6,7 +6,8 @@
 
 from loomstand.config.limiter import BackendRecord
 
-# bytes: well under what loopback and networks that fragment can carry
+# Well below the maximum size of a UDP datagram of 64 KB; larger than an Ethernet frame, so networks
+# may fragment it.
 MAX_DATAGRAM_BYTES = 8192
 
 
@@ -15,9 +16,9 @@
 
     Attributes:
         id: The limiter's number.
-        address: Where it receives datagrams of peers.
+        address: Its address for datagrams of peers, as HOST:PORT; empty if not announced.
         incarnation: Its incarnation in Unix ms.
-        state: Number of its `loomstand.membership.members.MemberState`.
+        state: Value of its `loomstand.membership.members.MemberState`.
     """
 
     id: int
@@ -27,13 +28,13 @@
 
 
 class Message(msgspec.Struct, array_like=True, tag=True):
-    """The fields that all messages have.
+    """Base class of the messages, with their common fields.
 
     Attributes:
-        id: The sender's number.
+        id: Number of the sending limiter.
         incarnation: The sender's incarnation in Unix ms.
         revision: Revision of the sender's endpoint list; 0 for none.
-        updates: States of other limiters.
+        updates: States of limiters, including the sender.
         age: Seconds since discovery last confirmed the sender's list; below 0 if it never did.
     """
 
@@ -45,20 +46,35 @@
 
 
 class Ping(Message):
-    """Asks whether the recipient is alive."""
+    """Asks whether the recipient is alive.
+
+    Attributes:
+        seq: Sequence number, which the answer repeats.
+    """
 
     seq: int = 0
 
 
 class Ack(Message):
-    """Answers a ping; with `target` set, relays the answer of that limiter."""
+    """Answers a ping.
+
+    Attributes:
+        seq: Sequence number of the ping or `Check` that is answered.
+        target: Limiter whose answer is relayed in response to a `Check`; -1 if the sender itself
+            was pinged.
+    """
 
     seq: int = 0
     target: int = -1
 
 
 class Check(Message):
-    """Asks the recipient to ping limiter `target`, which did not answer the sender."""
+    """Asks the recipient to ping another limiter, which did not answer the sender.
+
+    Attributes:
+        seq: Sequence number of the unanswered ping.
+        target: Number of the limiter to ping.
+    """
 
     seq: int = 0
     target: int = -1
@@ -69,13 +85,13 @@
 
 
 class Part(Message):
-    """A part of an endpoint list as discovery sent it.
+    """A part of an endpoint list or of a change, as discovery sent it.
 
     Attributes:
         number: Number of the part, from 0.
-        count: Number of parts.
-        is_whole: Whether the parts make a whole list; else they are changes.
-        base_revision: The revision that changes apply to; 0 for a whole list.
+        count: Number of parts in total.
+        is_whole: Whether the parts make up a complete list; otherwise they are a change.
+        base_revision: The revision that a change applies to; not used for a complete list.
         servers: The servers of the part.
     """
 
@@ -95,7 +111,7 @@
     """Decodes a datagram.
 
     Raises:
-        msgspec.DecodeError: It is not a valid message (includes msgspec.ValidationError).
-        ConfigError: A server's address is not valid.
+        msgspec.DecodeError: The datagram is not a valid message, or a server's address in it is
+            invalid (`msgspec.ValidationError`).
     """
     return decoder.decode(raw)
