--- a/loomstand/proxy/counter_client.py
+++ b/loomstand/proxy/counter_client.py
@@ -90,29 +90,28 @@
             )
             if term is not None:
                 await self._replay_missing(name, term, retention_seconds)
-            if missing:  # the total is too low without it
+            if missing:  # the registry's total is too low without the earlier increments
                 result = await self._send(name, missing, retention_seconds)
                 if result.is_error() or result.ok.counting_term != term:
                     self.replay.mark_missing(name)
                     outcome = Outcome.NO_RESPONSE
-        if (
-            result.is_ok() and result.ok.is_incomplete
-        ):  # other limiters may not have replayed their increments yet
+        if result.is_ok() and result.ok.is_incomplete:
+            # other limiters may not have replayed their increments yet
             outcome = Outcome.NO_RESPONSE
         total = result.ok.total if outcome is Outcome.SUCCEEDED else 0.0
         self.on_reply(name, outcome, total, self._clock_ticks() - started_at)
 
     async def _replay_missing(self, name: int, term: int, retention_seconds: float) -> None:
         """Replays the sums of the tenant's other intervals, whose counters restarted empty."""
-        for other_name, added in self.replay.take_missing(name, term):
-            result = await self._send(other_name, added, retention_seconds)
+        for other_name, amount in self.replay.take_missing(name, term):
+            result = await self._send(other_name, amount, retention_seconds)
             if result.is_error():
                 self.replay.mark_missing(other_name)
 
     async def _send(
-        self, name: int, step: float, retention_seconds: float
+        self, name: int, amount: float, retention_seconds: float
     ) -> Result[IncrementResponse, CallFailure]:
         request = IncrementRequest(
-            counter_name=name, step=step, retention_seconds=retention_seconds
+            counter_name=name, step=amount, retention_seconds=retention_seconds
         )
         return await self._caller.call_counter(request, IncrementResponse, COUNTER_TIMEOUT_SECONDS)
--- a/loomstand/proxy/counter_replay.py
+++ b/loomstand/proxy/counter_replay.py
@@ -1,8 +1,10 @@
 """Tracks this limiter's increments for replay to a registry that has just started counting.
 
 Such a registry starts with empty counters, so each limiter replays its earlier increments. Counters
-belong to a counting term: a change of the term means that they restarted empty. Pure: no I/O;
-methods take the time, in seconds of a monotonic clock, as an argument.
+belong to a counting term: a change of the term means that they restarted empty. A tenant has one
+counter for each interval; the tenant's digest is the upper part of the counter's name.
+
+Pure: no I/O; methods take the time, in seconds of a monotonic clock, as an argument.
 """
 
 from __future__ import annotations
@@ -36,7 +38,8 @@
     Attributes:
         sums: The sums by counter name.
         counting_term: Counting term of the last response.
-        complete_terms: By tenant, the counting term under which all of its intervals were replayed.
+        complete_terms: By tenant digest, the counting term in which the sums of all of its
+            intervals were replayed.
     """
 
     def __init__(self) -> None:
@@ -47,7 +50,7 @@
     def record(
         self,
         counter_name: int,
-        step: float,
+        amount: float,
         retention_seconds: float,
         now: float,
         counting_term: int | None = None,
@@ -55,30 +58,30 @@
         """Records an increment that was, or may have been, applied.
 
         Args:
-            counter_name: The counter.
-            step: The increment.
-            retention_seconds: Minimum time for which the counter is kept.
-            now: Time in seconds of the monotonic clock.
+            counter_name: Name of the counter.
+            amount: The increment.
+            retention_seconds: Minimum time for which the registry keeps the counter.
+            now: The current time.
             counting_term: Counting term of the response; None if there was no response.
 
         Returns:
-            The sum added under other terms, which the caller must replay now; 0 if none.
+            The sum added in an earlier term, which the caller must replay now; 0 if none.
         """
         if counting_term is not None:
             self.counting_term = counting_term
         term = self.counting_term
-        local = self.sums.setdefault(counter_name, LocalSum(0.0, term, 0.0))
-        missing = local.added if local.counting_term != term else 0.0
-        local.added = local.added + step
-        local.counting_term = term
-        local.expires_at = now + retention_seconds
+        local_sum = self.sums.setdefault(counter_name, LocalSum(0.0, term, 0.0))
+        missing = local_sum.added if local_sum.counting_term != term else 0.0
+        local_sum.added = local_sum.added + amount
+        local_sum.counting_term = term
+        local_sum.expires_at = now + retention_seconds
         return missing
 
     def take_missing(self, counter_name: int, counting_term: int) -> list[tuple[int, float]]:
         """Returns the tenant's other counters with missing sums, and marks them as replayed.
 
-        Requests that limiters admitted while no registry counted may be missing from the last
-        interval only.
+        Requests that limiters admitted while no registry counted may belong to the previous
+        interval, so replaying the current interval's counter alone is not enough.
 
         Returns:
             Counter names and the sum that the caller must add to each.
@@ -88,22 +91,22 @@
             return []
         self.complete_terms[tenant] = counting_term
         missing = [
-            (name, local)
-            for name, local in self.sums.items()
-            if name >> INTERVAL_SLOT_BITS == tenant and local.counting_term != counting_term
+            (name, local_sum)
+            for name, local_sum in self.sums.items()
+            if name >> INTERVAL_SLOT_BITS == tenant and local_sum.counting_term != counting_term
         ]
-        for _, local in missing:
-            local.counting_term = counting_term
-        return [(name, local.added) for name, local in missing]
+        for _, local_sum in missing:
+            local_sum.counting_term = counting_term
+        return [(name, local_sum.added) for name, local_sum in missing]
 
     def mark_missing(self, counter_name: int) -> None:
         """Records that a replayed sum may not have been applied."""
         self.complete_terms.pop(counter_name >> INTERVAL_SLOT_BITS, None)
-        if counter_name in self.sums:  # else it has expired
+        if counter_name in self.sums:  # otherwise the counter has expired
             self.sums[counter_name].counting_term = UNKNOWN_TERM
 
     def remove_expired(self, now: float) -> None:
         """Removes the sums of expired counters."""
-        expired = [name for name, local in self.sums.items() if local.expires_at < now]
+        expired = [name for name, local_sum in self.sums.items() if local_sum.expires_at < now]
         for name in expired:
             del self.sums[name]
--- a/loomstand/proxy/credit_client.py
+++ b/loomstand/proxy/credit_client.py
@@ -13,13 +13,13 @@
 from loomstand.proxy.quota_credits import QuotaCredits
 from loomstand.rpc.messages.quota_messages import CreditResponse
 
-REQUEST_INTERVAL_SECONDS = 0.4  # maximum; half of the time after which a limiter is isolated
+MAX_REQUEST_INTERVAL_SECONDS = 0.4  # half of the time after which a limiter is isolated
 MIN_REQUEST_INTERVAL_SECONDS = 0.02
 RETRY_SECONDS = 0.1  # after a failed request
 
 
 class CreditClient:
-    """Requests credits when a tenant runs short, and periodically to keep the held ones valid.
+    """Requests credits when a tenant runs short, and periodically so that held credits stay valid.
 
     Attributes:
         credits: The credits held.
@@ -67,6 +67,6 @@
                 await self._wait_for_shortage()
 
     async def _wait_for_shortage(self) -> None:
-        timeout_seconds = REQUEST_INTERVAL_SECONDS - MIN_REQUEST_INTERVAL_SECONDS
+        timeout_seconds = MAX_REQUEST_INTERVAL_SECONDS - MIN_REQUEST_INTERVAL_SECONDS
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.is_short.wait(), timeout_seconds)
--- a/loomstand/proxy/quota_credits.py
+++ b/loomstand/proxy/quota_credits.py
@@ -95,18 +95,15 @@
 
     def count_request(self, now: float) -> None:
         """Adds a request to the smoothed rate."""
-        negative_elapsed = self.request_rate_at - now
-        self.request_rate = (
-            self.request_rate * exp(negative_elapsed / RATE_SMOOTHING_SECONDS)
-            + 1 / RATE_SMOOTHING_SECONDS
-        )
+        decay = exp((self.request_rate_at - now) / RATE_SMOOTHING_SECONDS)
+        self.request_rate = self.request_rate * decay + 1 / RATE_SMOOTHING_SECONDS
         self.request_rate_at = now
 
     def is_active(self, now: float) -> bool:
         """Returns whether requests arrived recently, so that held credits are likely to be used."""
         return self.request_rate > 0 and now - self.request_rate_at <= RATE_SMOOTHING_SECONDS
 
-    def target(self, now: float, limiter_count: int) -> float:
+    def target_credits(self, now: float, limiter_count: int) -> float:
         """Returns the number of credits that this limiter should hold."""
         decay = exp((self.request_rate_at - now) / RATE_SMOOTHING_SECONDS)
         minimum = max(MIN_TARGET_CREDITS, TARGET_DEPTH_SHARE * self.bucket_depth / limiter_count)
@@ -117,7 +114,7 @@
     """The credits of all tenants that have a quota.
 
     Attributes:
-        bounds: Limits set by the rules, which determine the depth of buckets.
+        bounds: Bounds of the rules from the settings file, which determine the depth of buckets.
         incarnation: Random identifier of this run of the limiter.
         tenants: Credits by the tenant's digest.
         limiter_count: Number of limiters that share the quotas.
@@ -163,7 +160,7 @@
         return now - self.last_answer_sent_at > ISOLATION_SECONDS
 
     def is_on_demand(self, credit: TenantCredits) -> bool:
-        """Returns whether the quota is too small to be granted to all limiters ahead of use."""
+        """Returns whether the quota is too small for credits to all limiters ahead of use."""
         return credit.bucket_depth < MIN_CREDITS_PER_LIMITER * self.limiter_count
 
     def admits_unreported(self, credit: TenantCredits, now: float) -> bool:
@@ -222,7 +219,9 @@
     def needs_request(self, tenant: int, now: float) -> bool:
         """Returns whether credits of a tenant should be requested without delay."""
         credit = self.tenants.get(tenant)
-        return credit is not None and (credit.unreported > 0 or self._wanted(credit, now) > 0)
+        return credit is not None and (
+            credit.unreported > 0 or self._credits_to_request(credit, now) > 0
+        )
 
     def build_request(self, limiter_name: str, now: float) -> CreditRequest:
         """Returns the next request for credits.
@@ -236,10 +235,12 @@
             if now - self.last_answer_sent_at > CREDIT_LIFETIME_SECONDS:
                 credit.granted = 0.0
             granted_before = credit.granted
-            # releases the rest, which other limiters may need
-            max_granted = max(MIN_TARGET_CREDITS, 2 * credit.target(now, self.limiter_count))
+            # credits beyond this number are released, as other limiters may need them
+            max_granted = max(
+                MIN_TARGET_CREDITS, 2 * credit.target_credits(now, self.limiter_count)
+            )
             credit.granted = min(granted_before, max_granted)
-            wanted = self._wanted(credit, now)
+            wanted = self._credits_to_request(credit, now)
             has_changed = credit.unreported or credit.granted != granted_before
             if not self.has_reported_all or wanted > 0 or has_changed:
                 demands.append(
@@ -308,9 +309,9 @@
         credit.isolated = min(max(1.0, share), accrued)
         credit.isolated_updated_at = now
 
-    def _wanted(self, credit: TenantCredits, now: float) -> float:
+    def _credits_to_request(self, credit: TenantCredits, now: float) -> float:
         """Returns the credits to request; 0 if enough are left or it is too early to retry."""
-        target = credit.target(now, self.limiter_count)
+        target = credit.target_credits(now, self.limiter_count)
         if self.is_on_demand(credit):
             is_idle = self.admits_unreported(credit, now) or not credit.is_active(now)
             target = 0.0 if is_idle else 1.0
