--- a/loomstand/proxy/client_limits.py
+++ b/loomstand/proxy/client_limits.py
@@ -39,12 +39,12 @@
         if self.idle_timeout_seconds >= previous:
             self.listener.idle_timeout_seconds = self.idle_timeout_seconds
         else:  # connections idle under the longer timeout may use it in full
-            self._loop.call_later(previous, self._shorten_idle, self.idle_timeout_seconds)
+            self._loop.call_later(previous, self._shorten_idle_timeout, self.idle_timeout_seconds)
         header_timeout = limits.header_timeout_seconds + TIMEOUT_MARGIN_SECONDS
         self.listener.header_timeout_seconds = header_timeout
         self.listener.max_header_bytes = limits.max_header_bytes
         self.listener.max_body_bytes = min(limits.max_body_bytes, self._max_body_bytes)
 
-    def _shorten_idle(self, seconds: float) -> None:
+    def _shorten_idle_timeout(self, seconds: float) -> None:
         """Applies a shorter idle timeout, unless it has been increased again since."""
         self.listener.idle_timeout_seconds = max(seconds, self.idle_timeout_seconds)
--- a/loomstand/proxy/configuration_fetcher.py
+++ b/loomstand/proxy/configuration_fetcher.py
@@ -16,8 +16,9 @@
 from loomstand.rpc.network import Address, Network
 
 FETCH_TIMEOUT_SECONDS = 0.8
-MAX_FETCH_TIMEOUT_SECONDS = 3.2  # after failed fetches
-# Maximum size of a frame, which no registry's configuration can exceed.
+MAX_FETCH_TIMEOUT_SECONDS = 3.2  # limit for the doubling after failed and slow fetches
+# Limit for a decompressed configuration: the maximum size of a frame, which no registry's
+# configuration can exceed.
 MAX_CONFIGURATION_BYTES = 16 << 20
 # Delay after which a second session may fetch the configuration as well. On links with 5% packet
 # loss, a single fetch delayed all sessions by its full timeout; responses normally take a few ms.
@@ -31,7 +32,8 @@
     Attributes:
         version: Version of the configuration in force; 0 before the first.
         data: Serialized configuration in force.
-        fetching_since: Start of the fetch in progress, in seconds by `clock`.
+        fetching_since: Start of the fetch in progress, in seconds by `clock`; a time in the past
+            if there is none.
         timeout_seconds: Timeout of the next fetch.
     """
 
--- a/loomstand/proxy/configuration_updates.py
+++ b/loomstand/proxy/configuration_updates.py
@@ -23,7 +23,8 @@
 
     Attributes:
         table: Routes and tenants of the configuration in force; None before the first.
-        current_at: Time from which the configuration counts as the newest; None if unknown.
+        current_at: Time from which the configuration counts as the newest; None before the first
+            report of a registry.
     """
 
     def __init__(self, policy: PolicyCompiler, quota_credits: QuotaCredits) -> None:
@@ -56,7 +57,7 @@
         )
         return configuration
 
-    def update_currency(self, is_current: bool, now: float) -> None:
+    def record_confirmation(self, is_current: bool, now: float) -> None:
         """Records whether a registry confirms that the configuration in force is the newest."""
         if self.current_at is None:
             if is_current:
--- a/loomstand/proxy/policy_compiler.py
+++ b/loomstand/proxy/policy_compiler.py
@@ -23,8 +23,9 @@
 # Value of a late response relative to one in time. The configuration doesn't state it; known sites
 # use 0.1 and 0.3.
 LATE_VALUE_SHARE = 0.15
-# Intervals for which a counter total remains valid for a tenant well below its quota. Use beyond
-# the quota violates a rule, so the last split of the quota applies as soon as one total is missing.
+# Quota intervals for which a counter total remains valid for a tenant well below its quota. Use
+# beyond the quota violates a rule, so as soon as one total is missing, a limiter admits at most its
+# part of the last split of the quota, and at most an even part.
 TOTAL_TRUST_INTERVALS = 1.5
 # The retry budget is a ratio and a slack per window, for each service and all limiters together.
 # Each limiter uses the first share of the ratio for the requests that it sends itself, and an even
@@ -35,8 +36,9 @@
 # If 60% of the limiters are killed and restarted at once, the total stays within the permitted
 # overshoot, and all of them can serve the waiting requests.
 INITIAL_BURST_SHARE = 0.5
-# A limiter's window is its part of the concurrency of its service's servers, about 3 requests.
-# While the servers are idle, 2 more requests can arrive by chance.
+# Requests in flight allowed beyond a limiter's concurrency window, which is its part of the
+# concurrency of its service's servers, about 3 requests. Even while the servers are idle, 2 more
+# requests can arrive by chance.
 WINDOW_HEADROOM = 2.0
 # Cost of a server in another zone relative to one in the local zone, and the local zone's share of
 # the servers that a limiter uses. Traffic between zones is the most expensive resource: a low cost
@@ -54,21 +56,23 @@
 LOWEST_PRIORITY = 8
 NEUTRAL_PRIORITY = 2  # corresponds to a value of 1
 ROUTE_PRIORITY_BASE = 2.0
-TENANT_PRIORITY_BASE = 1.1  # precedes the route's priority, but says little about value
+# Lower than that of routes: a tenant's priority takes precedence over the route's, but says little
+# about the value of a request.
+TENANT_PRIORITY_BASE = 1.1
 
 
 class PolicyCompiler:
     """Assigns the decision engine's indices and builds its settings.
 
     Attributes:
-        bounds: Limits set by the rules, such as the retry budget.
+        bounds: Bounds of the rules from the settings file, such as the retry budget.
         zones: Indices of the zones.
         services: Indices of the services.
         tenants: Indices of the tenants, which are also those of their plans.
         own_zone: Index of this proxy's zone.
         frontends: Indices of the request classes.
         digests: Digests of tenant names, by tenant index.
-        plan_by_digest: Plan indices of the configured tenants, by digest.
+        plan_by_digest: Plan indices of all tenants configured so far, by digest.
         frontend_by_route: Request class indices of the configured routes, by route name.
         configured_tenants: The configured tenants, by index.
     """
@@ -146,7 +150,10 @@
         return max(1.0, RETRY_SLACK_SHARE * self.bounds.budget_slack / limiter_count)
 
     def _plans(self, limiters: LimiterSetRow) -> tuple[QuotaPlan, ...]:
-        """Returns the plans by index; quotas exclude what silent limiters admit while isolated."""
+        """Returns the plans by index.
+
+        The quotas are reduced by the part that silent limiters may admit while they are isolated.
+        """
         scale = 1 - ISOLATED_SHARE * limiters.silent / limiters.total
         return tuple(
             quota_plan(self.configured_tenants.get(index), scale)
--- a/loomstand/proxy/program.py
+++ b/loomstand/proxy/program.py
@@ -151,7 +151,10 @@
             self.update_engine_settings()
 
     def update_tenant_totals(self, totals: Sequence[TenantTotalRow]) -> None:
-        """Applies totals of tenants near their limit; closed ones need a credit in advance."""
+        """Applies totals of tenants near their limit.
+
+        While a tenant's bucket is closed, a request of the tenant is admitted only with a credit.
+        """
         for row in totals:
             digest = row.counter_name >> INTERVAL_SLOT_BITS
             if row.is_closed:
@@ -164,7 +167,7 @@
 
     def update_clock(self, shared_clock: int | None, is_current: bool) -> None:
         """Applies a registry's clock, and whether the configuration in force is the newest."""
-        self.configuration.update_currency(is_current, self.loop.time())
+        self.configuration.record_confirmation(is_current, self.loop.time())
         if shared_clock is not None and self.shared_clock.observe(shared_clock, self.now()):
             offset_seconds = self.shared_clock.offset / TICKS_PER_SECOND
             logging.info("proxy: shared_clock_moved offset_s=%.3f", offset_seconds)
