--- a/loomstand/proxy/__init__.py
+++ b/loomstand/proxy/__init__.py
@@ -1,5 +1,7 @@
 """The proxy: the gateway's data plane.
 
+Towards the registries a proxy is a limiter: one of the processes that share the tenants' quotas.
+
 `program.Proxy` joins the modules of this package:
 
 - `admission_adapter`: connects clients' requests with the decision engine's events and actions
--- a/loomstand/proxy/admission_adapter.py
+++ b/loomstand/proxy/admission_adapter.py
@@ -51,19 +51,18 @@
 # File descriptors not available for connections: 200 reserved, the rest for registry sessions,
 # files, the event loop and error handling.
 RESERVED_FILE_DESCRIPTORS = 300
-# Values of the `Retry-After` header, in seconds, after a request whose body exceeded the memory for
-# buffers, ...
+# `Retry-After` of a request whose body exceeded the memory for buffers.
 MEMORY_RETRY_SECONDS = 0.15
-# ... and after a request received before the first configuration.
+# `Retry-After` of a request received before the first configuration.
 NO_CONFIGURATION_RETRY_SECONDS = 0.3
-MIN_QUOTA_RETRY_SECONDS = 0.05
+MIN_QUOTA_RETRY_SECONDS = 0.05  # minimum `Retry-After` of a request rejected by its quota
 # Bounds of the random `Retry-After` of a request rejected because the servers are full, as shares
 # of its route's latency target. By then the queue has advanced, and the random draw keeps clients
 # that were rejected together from retrying together.
 OVERLOAD_RETRY_SHARES = (0.35, 0.65)
 # After a restart of all programs, including the counting registry, credits arrive only at the
 # quota's rate. A request waits for a credit for this share of its route's latency target; a delay
-# below a quarter of the target costs no value.
+# below a quarter of the target doesn't reduce the value of its response.
 CREDIT_WAIT_SHARE = 0.2
 QUOTA_REASONS = {QUOTA_EXHAUSTED, QUOTA_PROBABLY_EXHAUSTED, RATE_LIMITED}
 # A request that fails within this many ticks of its deadline counts as timed out.
--- a/loomstand/proxy/endpoint_updates.py
+++ b/loomstand/proxy/endpoint_updates.py
@@ -63,7 +63,11 @@
         return tuple(changed)
 
     def mark_gone(self, endpoint_id: int) -> Endpoint | None:
-        """Marks a server as gone, as another has its address; returns the endpoint if changed."""
+        """Marks a server as gone, as another server has its address.
+
+        Returns:
+            The changed endpoint; None if the server was gone already.
+        """
         instance = self.view.instances.get(self.instance_ids[endpoint_id])
         if instance is None or instance.state == GONE:
             return None
--- a/loomstand/proxy/instance_view.py
+++ b/loomstand/proxy/instance_view.py
@@ -83,7 +83,7 @@
         Returns:
             Identifiers of the servers that are new or whose availability changed.
         """
-        before = self._withdraw_reports(registry) if is_new_session else {}
+        previous = self._withdraw_reports(registry) if is_new_session else {}
         for row in rows:
             instance = self.instances.get(row.instance_id)
             if instance is None:
@@ -92,21 +92,21 @@
                 instance = TrackedInstance(row.address, row.service, row.zone)
                 self.instances[row.instance_id] = instance
             was_listed = instance.sequence > UNKNOWN_SEQUENCE
-            before.setdefault(row.instance_id, instance.availability if was_listed else "")
+            previous.setdefault(row.instance_id, instance.availability if was_listed else "")
             instance.apply(registry, row)
         return [
             instance_id
-            for instance_id, availability in before.items()
+            for instance_id, availability in previous.items()
             if self.instances[instance_id].availability != availability
         ]
 
     def _withdraw_reports(self, registry: str) -> dict[str, str]:
         """Discards a registry's reports; returns the previous availability of these servers."""
-        before = {
+        previous = {
             instance_id: instance.availability
             for instance_id, instance in self.instances.items()
             if registry in instance.reported_states
         }
-        for instance_id in before:
+        for instance_id in previous:
             del self.instances[instance_id].reported_states[registry]
-        return before
+        return previous
--- a/loomstand/proxy/request.py
+++ b/loomstand/proxy/request.py
@@ -158,6 +158,6 @@
         super().__init__(request, number, endpoint_id, sent_at, expires_at)
         self.instance_id = instance_id.encode()
 
-    def raw(self, wait: int) -> bytes:
-        """Returns the encoded request; `wait` is the time limit for the response in ms."""
-        return self.request.encode_for(self.instance_id, wait)
+    def raw(self, timeout_ms: int) -> bytes:
+        """Returns the encoded request; `timeout_ms` is the time limit for the response in ms."""
+        return self.request.encode_for(self.instance_id, timeout_ms)
--- a/loomstand/proxy/sessions.py
+++ b/loomstand/proxy/sessions.py
@@ -1,7 +1,8 @@
 """This limiter's sessions with the registries, one for each core machine.
 
-In a session the limiter polls a registry for changes since the revisions that it already has. Calls
-the registries over the network, and owns the tasks of the sessions.
+Each core machine runs a registry and a store. In a session the limiter polls a registry for changes
+since the revisions that it already has. Calls the registries over the network, and owns the tasks
+of the sessions.
 """
 
 from __future__ import annotations
@@ -37,7 +38,8 @@
 # combined into one response. Without it, many changes at once, as at a restart of all programs,
 # cause one response per change to every limiter. The first change is not delayed.
 POLL_INTERVAL_SECONDS = 0.1
-ANSWER_VALIDITY_SECONDS = 2.0  # for which a registry's last response is considered
+# Time since a registry's last response for which its reports are considered.
+ANSWER_VALIDITY_SECONDS = 2.0
 DEREGISTER_TIMEOUT_SECONDS = 0.2
 # Initial and maximum backoff before the next call to a registry that failed.
 BACKOFF_SECONDS = (0.1, 0.5)
@@ -64,7 +66,10 @@
         """Called with the totals of tenants near their limit."""
 
     def update_clock(self, shared_clock: int | None, is_current: bool) -> None:
-        """Called with a registry's clock, and whether the held configuration is the newest."""
+        """Called with a registry's clock, and whether the configuration in force is the newest.
+
+        `shared_clock` is in ticks; None if the response doesn't state it.
+        """
 
     def apply_configuration(self, version: int, data: bytes) -> bool:
         """Puts a configuration into force; returns False if it is invalid."""
@@ -100,7 +105,7 @@
     """The sessions with all registries.
 
     Attributes:
-        configuration: Holds and fetches the configuration.
+        configuration: Holds the configuration in force and fetches newer ones.
         counters: By registry, the counting registry that it reported.
         limiter_sets: By registry, the limiter set that it reported.
         tasks: By address of a core machine, the task of its session.
@@ -246,7 +251,7 @@
             state.system_state_revision = response.system_state_revision
             state.is_current = bool(response.is_current)
             self._update_system(state.host, response)
-            # the held configuration is the newest only if it is not older than the registry's
+            # the configuration in force is the newest only if it is not older than the registry's
             clock = response.shared_clock
             self._listener.update_clock(
                 None if isinstance(clock, msgspec.UnsetType) else clock,
@@ -287,7 +292,7 @@
             )
 
     async def _offer_configuration(self, address: Address) -> None:
-        """Sends the held configuration to a registry that may have lost it."""
+        """Sends the configuration in force to a registry that may have lost it."""
         request = OfferRequest(version=self.configuration.version, data=self.configuration.data)
         result = await client.call(
             self._network, address, request, Acknowledgement, FETCH_TIMEOUT_SECONDS
--- a/loomstand/proxy/stale_connections.py
+++ b/loomstand/proxy/stale_connections.py
@@ -10,8 +10,9 @@
 
 from math import inf
 
-# A machine that dropped a connection resets it within a round trip, about 3 ms between zones, or
-# later on a busy CPU. A request that was executed takes longer.
+# Maximum time from sending a request to a reset that is attributed to a connection dropped earlier.
+# The server's machine resets such a connection within a round trip, about 3 ms between zones, or
+# later if its CPU is busy. Executing a request takes longer.
 MAX_RESET_DELAY_SECONDS = 0.03
 # Share of the idle time of a lost connection up to which others are still reused. It is less than 1
 # because the server may have dropped the first lost connection some time before its reuse.
@@ -46,6 +47,6 @@
             self.trusted_idle[service] = (trusted, now + LOSS_VALIDITY_SECONDS)
 
     def max_idle_seconds(self, service: str, now: float) -> float:
-        """Returns the maximum idle time of a reused connection; infinite if none was lost."""
+        """Returns the maximum idle time of a connection for reuse; infinite without a loss."""
         trusted, until = self.trusted_idle.get(service, (inf, -inf))
         return trusted if now < until else inf
--- a/loomstand/proxy/startup.py
+++ b/loomstand/proxy/startup.py
@@ -1,8 +1,8 @@
 """Queues requests that arrive while the proxy is starting.
 
 During startup the configuration, the servers' heartbeats and the first credits have not arrived
-yet. A request waits for them briefly, as after a restart of all proxies each would reject it. No
-sockets; owns timers.
+yet. A request waits for them briefly, as after a restart of all proxies every proxy would reject
+it. Uses timers, but no sockets.
 """
 
 from __future__ import annotations
@@ -83,7 +83,11 @@
         )
 
     def _lacks_credit(self, request: ProxyRequest) -> bool:
-        """Returns whether no credit is available for a request."""
+        """Returns whether no credit is available for a request.
+
+        Returns False if the request's tenant is not known yet, as the credit is checked again when
+        the request is admitted.
+        """
         if request.tenant is None:
             return False
         digest = stable_digest(request.tenant.name)
--- a/loomstand/proxy/upstream.py
+++ b/loomstand/proxy/upstream.py
@@ -24,8 +24,9 @@
 from loomstand.proxy.stale_connections import StaleConnections
 
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=([0-9]{1,6})").search
-# A server may close an idle connection while the next request is in transit, which loses a
-# non-idempotent request. The keep-alive timeout is stated in whole seconds, so it may be rounded.
+# Subtracted from the keep-alive timeout that a server states, which is in whole seconds and may be
+# rounded. If the server closes an idle connection while the next request is in transit, a
+# non-idempotent request is lost.
 IDLE_CLOSE_MARGIN_SECONDS = 1.0
 # Time for which a connection is kept if the server states no timeout; known servers keep them 10 s.
 DEFAULT_IDLE_SECONDS = 4.0
@@ -205,7 +206,7 @@
         """Records the loss of a reused connection, and closes older idle ones to the server.
 
         A server may drop many idle connections at once, so those that have been idle longer are not
-        reused. The request's retries are few, and use new connections only.
+        reused. As the number of retries is limited, the request is retried on new connections only.
         """
         request = attempt.request
         request.needs_new_connection = True
