--- a/tests/proxy/test_abandoned_requests.py
+++ b/tests/proxy/test_abandoned_requests.py
@@ -1,10 +1,10 @@
 """Clients that disconnect before the response, on simulated clusters.
 
-Guards against servers that keep processing requests of disconnected clients. If the decision engine
-doesn't cancel the attempts of such a request, the connection to the server stays open, and the
-server works until the deadline that it was given (0.7 s and more, with clients that time out after
-0.1 s): of 24 such requests, each of two proxies logged `requests=12 attempts=12 cancelled=0`, and
-`finished=12` a second later. A server stops within a millisecond once its connection is closed.
+Guards against servers that keep processing requests of disconnected clients. Unless the decision
+engine cancels the attempts of such a request, the connection to the server stays open, and the
+server works until the deadline that it was given: 0.7 s and more, with clients that time out after
+0.1 s. Proxies then log `cancelled=0`, and the attempts as finished a second later. A server stops
+within a millisecond once its connection is closed.
 """
 
 from __future__ import annotations
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -39,11 +39,11 @@
     cluster.wait(0.5)
 
 
-def send_request(cluster: Cluster, body: int = 0, path: str = "x") -> tuple[int, bool]:
+def send_request(cluster: Cluster, body_bytes: int = 0, path: str = "x") -> tuple[int, bool]:
     """Sends a request once; returns the status and whether the idle connection was reused."""
     idle = cluster.client.idle.get(cluster.front)
     request = cluster.client.new_request(
-        "POST", "town.example", f"/once/{path}", "key-of-ann", b"b" * body
+        "POST", "town.example", f"/once/{path}", "key-of-ann", b"b" * body_bytes
     )
     reply = cluster.run(cluster.client.send_once(request, cluster.front))
     return reply.status, idle is not None and cluster.client.idle.get(cluster.front) is idle
@@ -52,10 +52,10 @@
 def test_open_connection_uses_the_limits_of_the_newest_configuration(cluster):
     assert send_request(cluster) == (200, False)
     change_limits(cluster, max_header_bytes=8192, max_body_bytes=65536)
-    assert send_request(cluster, body=40_000, path="x" * 5000) == (200, True)
+    assert send_request(cluster, body_bytes=40_000, path="x" * 5000) == (200, True)
     change_limits(cluster, max_body_bytes=10_000)
-    assert send_request(cluster, body=9_000) == (200, True)
-    assert send_request(cluster, body=20_000)[0] == 413
+    assert send_request(cluster, body_bytes=9_000) == (200, True)
+    assert send_request(cluster, body_bytes=20_000)[0] == 413
 
 
 async def partial_header_duration(cluster: Cluster) -> float:
@@ -126,4 +126,4 @@
     monkeypatch.setattr(ClientConnection, "received", received)
     assert send_request(cluster) == (200, False)
     change_limits(cluster, max_header_bytes=8192, max_body_bytes=65536)
-    assert send_request(cluster, body=40_000, path="x" * 5000)[0] == 431
+    assert send_request(cluster, body_bytes=40_000, path="x" * 5000)[0] == 431
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -54,7 +54,7 @@
     async def work() -> None:
         network = SimNetwork(Random(1))
         tcp = TcpStack(network, Random(2))
-        here, there = (Streams(tcp, host, SimProcess()) for host in ("10.0.0.1", "10.0.0.2"))
+        client, server = (Streams(tcp, host, SimProcess()) for host in ("10.0.0.1", "10.0.0.2"))
         accepted: list[HttpConnection] = []
         loop = asyncio.get_running_loop()
 
@@ -62,8 +62,8 @@
             accepted.append(HttpConnection())
             return accepted[-1]
 
-        await there.listen(loop, make, ("10.0.0.2", 80))
-        connection = await here.open(HttpConnection, ("10.0.0.2", 80), 1.0)
+        await server.listen(loop, make, ("10.0.0.2", 80))
+        connection = await client.open(HttpConnection, ("10.0.0.2", 80), 1.0)
         await asyncio.sleep(0.1)
         accepted[0].transport.pause_reading()
         data = Random(3).randbytes(5 * WINDOW_BYTES)
@@ -96,15 +96,15 @@
     async def work() -> None:
         network = SimNetwork(Random(1))
         tcp = TcpStack(network, Random(2))
-        here, there = (Streams(tcp, host, SimProcess()) for host in ("10.0.0.1", "10.0.0.2"))
+        client, server = (Streams(tcp, host, SimProcess()) for host in ("10.0.0.1", "10.0.0.2"))
         accepted: list[HttpConnection] = []
 
         def make() -> HttpConnection:
             accepted.append(HttpConnection())
             return accepted[-1]
 
-        await there.listen(asyncio.get_running_loop(), make, ("10.0.0.2", 80))
-        connection = await here.open(HttpConnection, ("10.0.0.2", 80), 1.0)
+        await server.listen(asyncio.get_running_loop(), make, ("10.0.0.2", 80))
+        connection = await client.open(HttpConnection, ("10.0.0.2", 80), 1.0)
         connection.transport.get_extra_info("reset_on_close")()
         network.cut("10.0.0.1", "10.0.0.2")
         connection.transport.write(b"GET /a HTTP")
@@ -207,17 +207,17 @@
         # a request sent on a reused connection may have run, so it could not be answered with 503
         server.keep_alive_seconds = 0
 
-    def down(server: Server) -> None:
+    def take_down(server: Server) -> None:
         server.kill()
         if failure == "off":
             cluster.network.powered_off.add(server.address[0])
 
-    down(first)
+    take_down(first)
     replies = [cluster.run(cluster.send_once()) for _ in range(20)]
     assert sum(reply.status == 200 for _, reply in replies) >= 19
     assert all(reply.at - request.sent < 0.5 for request, reply in replies)
     for server in rest:
-        down(server)
+        take_down(server)
     request, reply = cluster.run(cluster.send_once())
     assert reply.status == 503 and "retry-after" in reply.fields
     assert reply.at - request.sent < (
@@ -357,10 +357,10 @@
             cluster.registries[first].kill()
             await cluster.wait_until(lambda: cluster.counting_hosts() not in ([], [first]), 2.0)
             cluster.registries[first].start()
-        calm = cluster.loop.create_task(
+        modest_requests = cluster.loop.create_task(
             cluster.send_requests(modest, 25, 19, *target, "/m/x", "key-of-modest", idempotent=True)
         )
-        flood = cluster.loop.create_task(
+        greedy_requests = cluster.loop.create_task(
             cluster.send_requests(
                 greedy, 200, 19, *target, "/a/x", "key-of-greedy", idempotent=True, tries=1
             )
@@ -369,7 +369,7 @@
         registry, store = cluster.core(counting := cluster.counting_host())
         if failure == "cut":
             cluster.network.cut(first, counting)
-        before.update(cluster.request_log.replies)
+        replied_before.update(cluster.request_log.replies)
         if failure == "frozen":
             registry.freeze()
         elif failure != "cut":
@@ -384,9 +384,9 @@
         (registry.thaw if registry.up else registry.start)()
         if failure == "machine":
             store.start()
-        await asyncio.gather(calm, flood)
+        await asyncio.gather(modest_requests, greedy_requests)
 
-    first, before = cluster.counting_host(), set[str]()
+    first, replied_before = cluster.counting_host(), set[str]()
     cluster.run(run_scenario())
     assert not quota_violations(cluster, "greedy", 40, 40) and not quota_violations(
         cluster, "modest", 40, 40
@@ -394,23 +394,25 @@
     ran = Counter(run.tenant for run in cluster.request_log.runs())
     assert ran["greedy"] >= 0.6 * 40 * 19  # most of the quota is usable
     modest_statuses = Counter(
-        cluster.request_log.replies[a.id].status
-        for a in cluster.request_log.requests.values()
-        if a.key == "key-of-modest"
+        cluster.request_log.replies[request.id].status
+        for request in cluster.request_log.requests.values()
+        if request.key == "key-of-modest"
     )
     statuses_before = Counter(
-        cluster.request_log.replies[a.id].status
-        for a in cluster.request_log.requests.values()
+        cluster.request_log.replies[request.id].status
+        for request in cluster.request_log.requests.values()
         # matched by id, as replies with status 429 to the other tenant are equal by value
-        if a.key == "key-of-modest" and a.id in before
+        if request.key == "key-of-modest" and request.id in replied_before
     )
     assert statuses_before[429] == 0 and sum(statuses_before.values()) > 150
     assert modest_statuses[429] <= 0.1 * modest_statuses[200]
     cluster.close()
 
 
-@pytest.mark.parametrize(("rate", "usual", "hot"), [(40, 24, 130), (5, 3, 40)])
-def test_tenant_with_a_traffic_surge_at_many_proxies_stays_within_its_quota(rate, usual, hot):
+@pytest.mark.parametrize(("rate", "usual_rate", "surge_rate"), [(40, 24, 130), (5, 3, 40)])
+def test_tenant_with_a_traffic_surge_at_many_proxies_stays_within_its_quota(
+    rate, usual_rate, surge_rate
+):
     """Each proxy receives at most about two of the tenant's requests per second, so it depends on
     the registry to report, unrequested, what the other proxies admit.
     """
@@ -421,14 +423,14 @@
     target, fronts = ("GET", "town.example", "/a/x", "key-of-greedy"), [*cluster.proxies]
     greedy, rng = cluster.new_client(), Random(3)
     greedy.front_addresses = lambda: [(rng.choice(fronts), FRONT_PORT)]
-    cluster.run(cluster.send_requests(greedy, usual, 6, *target, idempotent=True, tries=1))
+    cluster.run(cluster.send_requests(greedy, usual_rate, 6, *target, idempotent=True, tries=1))
     replies_before = cluster.request_log.replies.copy()
-    cluster.run(cluster.send_requests(greedy, hot, 8, *target, idempotent=True, tries=1))
+    cluster.run(cluster.send_requests(greedy, surge_rate, 8, *target, idempotent=True, tries=1))
     assert not quota_violations(cluster, "greedy", rate, rate)
     statuses = Counter(
         reply.status
-        for id, reply in cluster.request_log.replies.items()
-        if id not in replies_before
+        for id_, reply in cluster.request_log.replies.items()
+        if id_ not in replies_before
     )
     assert statuses[200] >= 0.9 * rate * 8  # the quota is usable
     # reporting doesn't cause rejections at the usual rate
@@ -448,7 +450,7 @@
     target = ("GET", "town.example", "/a/x", "key-of-ann")
     cluster.run(cluster.send_requests(cluster.client, 100, 14, *target, idempotent=True))
     request_times = sorted(
-        a.sent for a in cluster.request_log.requests.values() if a.path == "/a/x"
+        request.sent for request in cluster.request_log.requests.values() if request.path == "/a/x"
     )
     seen: set[str] = set()
     retry_times = [r.at for r in cluster.request_log.arrivals if r.id in seen or seen.add(r.id)]
--- a/tests/proxy/test_sessions.py
+++ b/tests/proxy/test_sessions.py
@@ -75,8 +75,8 @@
 
 def test_limiter_set_of_the_most_complete_registry_takes_precedence():
     """A registry that has just started doesn't know a limiter that can't reach it. If its report
-    replaced the others', the quota shares would grow and the quota would be exceeded, as in
-    scale-2 of the site `outlet`.
+    replaced those of other registries, the quota shares would grow and the quota would be
+    exceeded, which happened in the scenario `scale-2` of the site `outlet`.
     """
     responses = {
         "c1": [session_response(1, 3, 1)],
--- a/tests/proxy/test_unusual_faults.py
+++ b/tests/proxy/test_unusual_faults.py
@@ -69,12 +69,12 @@
 @pytest.mark.parametrize("fault", ["error", "reset"])
 def test_server_that_fails_half_of_its_requests_loses_most_traffic_within_seconds(cluster, fault):
     faulty = cluster.servers["alpha"][0]
-    both = start_flows(cluster, 80, 9.0)
+    flows = start_flows(cluster, 80, 9.0)
     cluster.wait(1.0)
     faulty.fault, faulty.fault_share = fault, 0.5
     cluster.wait(3.0)
     since = cluster.loop.time()
-    reads, writes = (cluster.run(flow) for flow in both)
+    reads, writes = (cluster.run(flow) for flow in flows)
     # some non-idempotent requests are lost, as they can't be retried
     assert success_ratio(reads) == 1.0 and success_ratio(writes) >= 0.92
     assert (
@@ -96,10 +96,10 @@
             server.start()
             await asyncio.sleep(1.2)
 
-    both = start_flows(cluster, 80, 9.0)
+    flows = start_flows(cluster, 80, 9.0)
     for n, server in enumerate(cluster.servers["alpha"][:2]):
         cluster.run_in_background(flap(server, 1.0 + 1.2 * n))
-    reads, writes = (cluster.run(flow) for flow in both)
+    reads, writes = (cluster.run(flow) for flow in flows)
     assert success_ratio(reads) == 1.0 and success_ratio(writes) >= 0.985
     cluster.wait(1.0)
     since = cluster.loop.time()
@@ -141,12 +141,12 @@
         dropped = drop_connections(cluster, cluster.servers["alpha"])
         assert dropped >= 8
         replies = [cluster.run(cluster.send_once()) for _ in range(30)]
-        lost = [request.id for request, reply in replies if reply.status != 200]
+        lost_ids = [request.id for request, reply in replies if reply.status != 200]
         # a proxy must assume that a lost request may have run, although it never does here
         assert {reply.status for _, reply in replies} <= {200, 502}
-        lost_count += len(lost)
+        lost_count += len(lost_ids)
         cluster.wait(1.0)
-        assert not any(cluster.request_log.runs(id_) for id_ in lost)
+        assert not any(cluster.request_log.runs(id_) for id_ in lost_ids)
         assert all(
             len(cluster.request_log.runs(request.id)) == 1
             for request, reply in replies
@@ -163,7 +163,7 @@
 @seeds
 def test_lossy_links_keep_proxies_ready_and_deliver_configuration_changes(cluster):
     cluster.network.loss_rate = 0.05
-    both, states = start_flows(cluster, 80, 9.0), []
+    flows, states = start_flows(cluster, 80, 9.0), []
 
     async def sample_states() -> None:
         while True:
@@ -186,7 +186,7 @@
             )
 
         assert cluster.run(cluster.wait_until(is_distributed, 2.5)) < 1.0
-    for flow in both:
+    for flow in flows:
         assert success_ratio(cluster.run(flow)) >= 0.99
     ready = sum(state == (True, 2, 0) for state in states)
     assert ready >= 0.97 * len(states) > 200, Counter(states)
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -82,8 +82,10 @@
 def surplus_response(
     make_response: Callable[[str], bytes], *, ahead: bool
 ) -> Callable[[UpstreamFixture], Any]:
-    """Splits a surplus response at each byte: its rest is sent in answer to the next request, in
-    one write with that request's own response if `ahead`, else shortly before it.
+    """Returns a check that splits a surplus response at each byte.
+
+    The first part is sent after the response to the first request, and the rest after the second
+    request arrived: in one write with that request's own response if `ahead`, else 10 ms before it.
     """
 
     async def work(fixture: UpstreamFixture) -> None:
@@ -145,17 +147,16 @@
 
 def not_executed_status(status: int) -> Callable[[UpstreamFixture], Any]:
     async def work(fixture: UpstreamFixture) -> None:
-        for id_, lines in ("bare", []), ("with", [NOT_EXECUTED]):
-            proof = status != 200 if lines else status == 421
+        for id_, header_lines in ("bare", []), ("with", [NOT_EXECUTED]):
+            proves_non_execution = status != 200 if header_lines else status == 421
             success = [STAMP] if status == 200 else []
-            fixture.scripts = [
-                ["refuse"] * proof + [encode_answer(status, id_, *success, *lines, body=b"of bare")]
-            ]
+            answer = encode_answer(status, id_, *success, *header_lines, body=b"of bare")
+            fixture.scripts = [["refuse"] * proves_non_execution + [answer]]
             fixture.send(fixture.request(id_))
             await asyncio.sleep(0.1)
-            expected = Outcome.REJECTED if proof else Outcome.CONNECTION_LOST
+            expected = Outcome.REJECTED if proves_non_execution else Outcome.CONNECTION_LOST
             assert fixture.outcomes[id_] == [
-                Outcome.SUCCEEDED if success and not lines else expected
+                Outcome.SUCCEEDED if success and not header_lines else expected
             ]
 
     return work
@@ -176,11 +177,11 @@
     for n, size in enumerate(
         (0, 100, WINDOW_BYTES - 400, WINDOW_BYTES, 3 * WINDOW_BYTES, 6 * WINDOW_BYTES)
     ):
-        for after in (0.0, 0.001, 0.004, 0.006, 0.009, 0.013, 0.02):
-            id_ = f"r{n}{after}"
+        for cut_after_seconds in (0.0, 0.001, 0.004, 0.006, 0.009, 0.013, 0.02):
+            id_ = f"r{n}{cut_after_seconds}"
             fixture.scripts = [[1.0, success_answer(id_)]]
             fixture.send(fixture.request(id_, bytes(size)), 0.3)
-            await asyncio.sleep(after)
+            await asyncio.sleep(cut_after_seconds)
             fixture.network.cut(PROXY_IP, SERVER_IP)
             await asyncio.sleep(0.4)
             expired_at = fixture.loop.time()
@@ -248,10 +249,8 @@
 
 def early_response(status: int) -> Callable[[UpstreamFixture], Any]:
     async def work(fixture: UpstreamFixture) -> None:
-        fixture.early, raw = (
-            True,
-            success_answer("r") if status == 200 else encode_answer(503, "r", NOT_EXECUTED),
-        )
+        fixture.early = True
+        raw = success_answer("r") if status == 200 else encode_answer(503, "r", NOT_EXECUTED)
         fixture.scripts = [[raw], [success_answer("n")]]
         fixture.send(fixture.request("r", bytes(5 * WINDOW_BYTES)))
         await asyncio.sleep(0.2)
@@ -448,7 +447,7 @@
 @pytest.mark.parametrize(
     "work", [requests_during_startup, requests_during_restart, pipelined_requests]
 )
-def test_each_request_is_answered_once_around(work):
+def test_each_request_is_answered_once(work):
     run_with_cluster(work)
 
 
@@ -472,11 +471,10 @@
 def match_missing_id_by_position(
     connection: Any, original: Any = UpstreamConnection.response_received
 ) -> None:
-    original(
-        connection
-    ) if b"loomstand-request-id" in connection.parser.fields else match_by_position(
-        connection, original
-    )
+    if b"loomstand-request-id" in connection.parser.fields:
+        original(connection)
+    else:
+        match_by_position(connection, original)
 
 
 def keep_idle_connections(pool: Any, attempt: Any, ending: Ending) -> None:
