--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -161,9 +161,13 @@
     return BackendList(revision=revision, complete=complete, backends=[server(i) for i in ids])
 
 
-def send_whole_list(lists: EndpointLists, to: EndpointLists, now: float) -> list:
+def send_whole_list(
+    sender: EndpointLists, recipient: EndpointLists, now: float
+) -> list[BackendList]:
     return [
-        changes for part in lists.whole_list() if (changes := to.from_peer(now, part)) is not None
+        changes
+        for part in sender.whole_list()
+        if (changes := recipient.from_peer(now, part)) is not None
     ]
 
 
@@ -259,7 +263,7 @@
 # limiter processes
 
 
-def cold_start(seconds: float, *faults: dict, limiters: int = 6, **over) -> Rehearsal:
+def cold_start(seconds: float, *faults: dict, limiters: int = 6, **overrides) -> Rehearsal:
     table = {
         "name": "cold",
         "seconds": seconds,
@@ -280,7 +284,7 @@
         ],
         "plans": [{"name": "basic", "rate": 10, "burst": 40, "customers": 20, "demand": 0.5}],
         "faults": list(faults),
-        **over,
+        **overrides,
     }
     return from_table(table, Rehearsal)
 
@@ -358,22 +362,10 @@
         self, number: int, fleet: list[SimulatedLimiter], loop: SimulatedLoop, rng: Random
     ) -> None:
         self.number, self.fleet, self.loop, self.rng = number, fleet, loop, rng
-        (
-            self.is_up,
-            self.is_cut_off,
-            self.waits,
-            self.revision,
-            self.listed_at,
-            self.discovery_calls,
-        ) = (
-            True,
-            False,
-            [],
-            0,
-            None,
-            0,
-        )
-        self.is_watching, self.log = False, lambda text: None
+        self.is_up, self.is_cut_off, self.is_watching = True, False, False
+        self.revision = self.discovery_calls = 0
+        self.listed_at: float | None = None
+        self.log = lambda text: None
         addresses = [f"127.0.0.1:{1000 + n}" for n in range(6)]
         self.peers = PeerProtocol(
             self,
@@ -406,8 +398,8 @@
     def is_closing(self) -> bool:
         return not self.is_up
 
-    def sendto(self, raw: bytes, to: tuple[str, int]) -> None:
-        recipient = self.fleet[to[1] - 1000]
+    def sendto(self, raw: bytes, address: tuple[str, int]) -> None:
+        recipient = self.fleet[address[1] - 1000]
         self.loop.call_later(self.rng.random() * 0.01, recipient.receive, raw, self.peers.address)
 
     def receive(self, raw: bytes, source: str) -> None:
