--- a/loomstand/proxy/admission_adapter.py
+++ b/loomstand/proxy/admission_adapter.py
@@ -297,18 +297,18 @@
                 return 0
         return request.route.max_attempts
 
-    def reject_request(self, act: Reject) -> None:
+    def reject_request(self, action: Reject) -> None:
         """Answers a request that the engine rejected.
 
         While the request may still run, the status must not imply that it was not executed.
         """
-        request = self.requests.get(act.request_id)
+        request = self.requests.get(action.request_id)
         if request is None or request.client is None:
             return
         if request.may_have_run or any(request.attempts):
             self._answer_possibly_run(request)
-        elif act.reason in QUOTA_REASONS:
-            seconds = max(MIN_QUOTA_RETRY_SECONDS, act.retry_after / TICKS_PER_SECOND)
+        elif action.reason in QUOTA_REASONS:
+            seconds = max(MIN_QUOTA_RETRY_SECONDS, action.retry_after / TICKS_PER_SECOND)
             self._answer_retry(request, TOO_MANY_REQUESTS, f"{seconds:.3f}")
         else:
             share = self.rng.uniform(*OVERLOAD_RETRY_SHARES)
@@ -316,16 +316,16 @@
             self._answer_retry(request, UNAVAILABLE, f"{seconds:.3f}")
         self.forget_request(request)
 
-    def abort(self, act: Abort) -> None:
+    def abort(self, action: Abort) -> None:
         """Answers a request that the engine aborted."""
-        request = self.requests.get(act.request_id)
+        request = self.requests.get(action.request_id)
         if request is not None and request.client is not None:
             self._answer_possibly_run(request)
             self.forget_request(request)
 
-    def increment_counter(self, act: IncrementCounter) -> None:
+    def increment_counter(self, action: IncrementCounter) -> None:
         """Increments a counter at the counting registry."""
-        self.counter_client.increment(act)
+        self.counter_client.increment(action)
 
     def _answer_possibly_run(self, request: ProxyRequest) -> None:
         """Answers a request that may have run, with a server's response if one was received."""
--- a/tests/proxy/test_upstream_answers.py
+++ b/tests/proxy/test_upstream_answers.py
@@ -499,8 +499,8 @@
     )
 
 
-def reject_unconditionally(proxy: Any, act: Any) -> None:
-    proxy.answer(proxy.requests[act.request_id], 503)
+def reject_unconditionally(proxy: Any, action: Any) -> None:
+    proxy.answer(proxy.requests[action.request_id], 503)
 
 
 SURPLUS_DUPLICATE = surplus_response(SURPLUS["duplicate"], ahead=True)
