--- a/loomstand/proxy/admission_adapter.py
+++ b/loomstand/proxy/admission_adapter.py
@@ -51,19 +51,18 @@
 # File descriptors not available for connections: 200 reserved, the rest for registry sessions,
 # files, the event loop and error handling.
 RESERVED_FILE_DESCRIPTORS = 300
-# Values of the `Retry-After` header, in seconds, after a request whose body exceeded the memory for
-# buffers, ...
+# `Retry-After` of a request whose body exceeded the memory for buffers.
 MEMORY_RETRY_SECONDS = 0.15
-# ... and after a request received before the first configuration.
+# `Retry-After` of a request received before the first configuration.
 NO_CONFIGURATION_RETRY_SECONDS = 0.3
-MIN_QUOTA_RETRY_SECONDS = 0.05
+MIN_QUOTA_RETRY_SECONDS = 0.05  # minimum `Retry-After` of a request rejected by its quota
 # Bounds of the random `Retry-After` of a request rejected because the servers are full, as shares
 # of its route's latency target. By then the queue has advanced, and the random draw keeps clients
 # that were rejected together from retrying together.
 OVERLOAD_RETRY_SHARES = (0.35, 0.65)
 # After a restart of all programs, including the counting registry, credits arrive only at the
 # quota's rate. A request waits for a credit for this share of its route's latency target; a delay
-# below a quarter of the target costs no value.
+# below a quarter of the target doesn't reduce the value of its response.
 CREDIT_WAIT_SHARE = 0.2
 QUOTA_REASONS = {QUOTA_EXHAUSTED, QUOTA_PROBABLY_EXHAUSTED, RATE_LIMITED}
 # A request that fails within this many ticks of its deadline counts as timed out.
@@ -298,18 +297,18 @@
                 return 0
         return request.route.max_attempts
 
-    def reject_request(self, act: Reject) -> None:
+    def reject_request(self, action: Reject) -> None:
         """Answers a request that the engine rejected.
 
         While the request may still run, the status must not imply that it was not executed.
         """
-        request = self.requests.get(act.request_id)
+        request = self.requests.get(action.request_id)
         if request is None or request.client is None:
             return
         if request.may_have_run or any(request.attempts):
             self._answer_possibly_run(request)
-        elif act.reason in QUOTA_REASONS:
-            seconds = max(MIN_QUOTA_RETRY_SECONDS, act.retry_after / TICKS_PER_SECOND)
+        elif action.reason in QUOTA_REASONS:
+            seconds = max(MIN_QUOTA_RETRY_SECONDS, action.retry_after / TICKS_PER_SECOND)
             self._answer_retry(request, TOO_MANY_REQUESTS, f"{seconds:.3f}")
         else:
             share = self.rng.uniform(*OVERLOAD_RETRY_SHARES)
@@ -317,16 +316,16 @@
             self._answer_retry(request, UNAVAILABLE, f"{seconds:.3f}")
         self.forget_request(request)
 
-    def abort(self, act: Abort) -> None:
+    def abort(self, action: Abort) -> None:
         """Answers a request that the engine aborted."""
-        request = self.requests.get(act.request_id)
+        request = self.requests.get(action.request_id)
         if request is not None and request.client is not None:
             self._answer_possibly_run(request)
             self.forget_request(request)
 
-    def increment_counter(self, act: IncrementCounter) -> None:
+    def increment_counter(self, action: IncrementCounter) -> None:
         """Increments a counter at the counting registry."""
-        self.counter_client.increment(act)
+        self.counter_client.increment(action)
 
     def _answer_possibly_run(self, request: ProxyRequest) -> None:
         """Answers a request that may have run, with a server's response if one was received."""
