--- a/loomstand/admission/actors.py
+++ b/loomstand/admission/actors.py
@@ -25,7 +25,7 @@
 
     Attributes:
         settings: The settings in force.
-        random: Draws a number from 0 up to 1.
+        random: Returns a random number in [0, 1).
         now: Reading of the common clock for the current event, in ticks.
         started_at: Reading at which the limiter started.
         ready: The receivers of the messages that are not yet delivered, in order.
--- a/loomstand/admission/admission_replies.py
+++ b/loomstand/admission/admission_replies.py
@@ -6,10 +6,10 @@
 
 
 class AdmissionReplies(Protocol):
-    """Receiver of a tenant's limiter's replies to admission requests."""
+    """Receives the replies of a tenant's limiter to requests for admission."""
 
     def post_admitted(self, request_id: int) -> None:
-        """Posts that a request is within the tenant's limits."""
+        """Posts the message that a request is within the tenant's limits."""
 
     def post_rejected(self, request_id: int, retry_after: int, reason: str) -> None:
-        """Posts that a request is rejected; see `Reject` for the arguments."""
+        """Posts the message that a request is rejected; see `Reject` for the arguments."""
--- a/loomstand/admission/concurrency_window.py
+++ b/loomstand/admission/concurrency_window.py
@@ -9,7 +9,7 @@
 
 from loomstand.admission.actors import ActorLoop
 from loomstand.admission.events import AttemptEnded
-from loomstand.admission.frontend_stats import DURATIONS, FrontendStats
+from loomstand.admission.frontend_stats import HISTOGRAM_CAPACITY, FrontendStats
 from loomstand.admission.histogram import Histogram
 from loomstand.admission.outcome import TIMED, Outcome
 from loomstand.admission.ticks import TICKS_PER_SECOND
@@ -69,7 +69,7 @@
         self.loop = loop
         self.size = 0.0
         self.in_flight: dict[tuple[int, int], int] = {}
-        self.durations = Histogram(DURATIONS)
+        self.durations = Histogram(HISTOGRAM_CAPACITY)
         self.best_value = 1e-9
 
     def pressure(self, value: float) -> float:
--- a/loomstand/admission/counter_calls.py
+++ b/loomstand/admission/counter_calls.py
@@ -58,14 +58,14 @@
         self._by_name: dict[int, deque[CounterCall]] = {}
 
     def make(self, caller: CounterUser, interval: int, amount: float) -> IncrementCounter:
-        """Returns the action that makes a call."""
+        """Records a call as in flight, and returns the action that makes it."""
         name = caller.tenant_digest << INTERVAL_BITS | interval & INTERVAL_MASK
         self._by_name.setdefault(name, deque()).append(CounterCall(caller, interval, amount))
         time_to_live = KEPT_INTERVALS * caller.interval_length + TICKS_PER_SECOND
         return IncrementCounter(name, amount, min(time_to_live, MAX_TIME_TO_LIVE))
 
     def take(self, name: int) -> CounterCall | None:
-        """Returns the oldest call of a name, None if none is in flight."""
+        """Removes and returns the oldest call in flight of a name; None if there is none."""
         calls = self._by_name.get(name)
         if calls is None:
             return None
--- a/loomstand/admission/events.py
+++ b/loomstand/admission/events.py
@@ -42,7 +42,7 @@
         units: Units of quota that it costs.
         limiter_set_size: Number of limiters that get the tenant's requests; 0 for all.
         is_retry: Whether the client marked it as a retry of a rejected request.
-        limiter_set_start: Number of the limiter at which that set begins.
+        limiter_set_start: Index of the first limiter of that set.
         service: Index of the service that is to answer it.
     """
 
@@ -150,7 +150,7 @@
         tenant: Index of the tenant.
         tenant_digest: The tenant's digest.
         limiter_set_size: Number of limiters that get the tenant's requests; 0 for all.
-        limiter_set_start: Number of the limiter at which that set begins.
+        limiter_set_start: Index of the first limiter of that set.
     """
 
     counter_name: int
--- a/loomstand/admission/frontend_stats.py
+++ b/loomstand/admission/frontend_stats.py
@@ -5,9 +5,9 @@
 from loomstand.admission.histogram import Histogram
 from loomstand.admission.settings import Frontend
 
-DURATIONS = 400  # about 10 s of answers, enough for the 0.98 quantile
-UNQUEUED_DURATIONS = 100
-EXECUTION_QUANTILE = 0.25
+HISTOGRAM_CAPACITY = 400  # answers, about those of 10 s, enough for the 0.98 quantile
+UNQUEUED_HISTOGRAM_CAPACITY = 100
+EXECUTION_QUANTILE = 0.25  # low, so that it hardly includes queueing
 
 
 class FrontendStats:
@@ -21,10 +21,10 @@
 
     def __init__(self, frontend: Frontend) -> None:
         self.frontend = frontend
-        self.durations = Histogram(DURATIONS)
-        self.unqueued_durations = Histogram(UNQUEUED_DURATIONS)
+        self.durations = Histogram(HISTOGRAM_CAPACITY)
+        self.unqueued_durations = Histogram(UNQUEUED_HISTOGRAM_CAPACITY)
 
     def execution_time(self) -> float:
         """Returns the estimated execution time of a request in ticks, without queueing."""
-        queued = self.durations.quantile(EXECUTION_QUANTILE, 0)
-        return min(self.unqueued_durations.quantile(EXECUTION_QUANTILE, 0), queued)
+        with_queueing = self.durations.quantile(EXECUTION_QUANTILE, 0)
+        return min(self.unqueued_durations.quantile(EXECUTION_QUANTILE, 0), with_queueing)
--- a/loomstand/admission/histogram.py
+++ b/loomstand/admission/histogram.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-# Bins double in width. The last one is read as 6.6 s to 13 s, beyond any client timeout seen.
+# Bins double in width. The last one, for all durations from 6.6 s, is read as ending at 13 s, which
+# exceeds client timeouts.
 _BINS = 18
 _MIN_QUANTILE_COUNT = 4  # fewer durations don't show a tail
 
@@ -34,11 +35,11 @@
         """Returns the `share` quantile in ticks, or `default` if there are too few durations."""
         if self.count < _MIN_QUANTILE_COUNT:
             return default
-        left = share * self.count
+        remaining = share * self.count
         for index, count in enumerate(self.bins):
-            if 0 < left <= count:
-                return (1 << index) / 2 * (1 + left / count)
-            left -= count
+            if 0 < remaining <= count:
+                return (1 << index) / 2 * (1 + remaining / count)
+            remaining -= count
         return default
 
 
@@ -46,14 +47,14 @@
     """An exponentially decaying rate of events.
 
     Args:
-        half_life: Ticks after which an event counts half.
-        time_unit: Ticks that the decayed sum is divided by to give the rate.
-        now: Reading of the clock at the start.
+        half_life: Ticks after which an event has half of its initial weight.
+        time_constant: The half-life divided by ln 2, in ticks.
+        now: Reading of the clock at the start, in ticks.
     """
 
-    def __init__(self, half_life: int, time_unit: int, now: int) -> None:
+    def __init__(self, half_life: int, time_constant: int, now: int) -> None:
         self.half_life = half_life
-        self.time_unit = time_unit
+        self.time_constant = time_constant
         self.sum = 0.0
         self.updated_at = now
 
@@ -62,4 +63,4 @@
         age = now - self.updated_at
         self.sum = self.sum * 0.5 ** (age / self.half_life) + events
         self.updated_at = now
-        return self.sum / self.time_unit
+        return self.sum / self.time_constant
--- a/loomstand/admission/pending_request.py
+++ b/loomstand/admission/pending_request.py
@@ -36,7 +36,7 @@
     Attributes:
         arrival: The event of its arrival.
         tenant_limiter: Its tenant's limiter.
-        target_at: Time until which an answer has its full value, in ticks of the common clock.
+        target_at: Reading of the common clock until which an answer has its full value, in ticks.
         value: Value of an answer until `target_at`.
         attempt_limit: Maximum number of attempts.
         attempts: The attempts so far.
--- a/loomstand/admission/quota.py
+++ b/loomstand/admission/quota.py
@@ -9,9 +9,10 @@
 from loomstand.admission.settings import EngineSettings, QuotaPlan
 from loomstand.admission.ticks import TICKS_PER_SECOND
 
-# A quota is strict if totals are trusted for less than the lifetime of a split. All limiters
-# together then stay within it even without totals: use beyond it by concurrent admissions stays in
-# the level, and intervals last at least 1 s, as usage reported at an interval's end is seen late.
+# After this many counting intervals, even shares replace a split of the rate by usage. A quota is
+# strict if totals are trusted for a shorter time. All limiters together then stay within it even
+# without totals: usage beyond the burst, by concurrent admissions, still counts in the bucket's
+# level, and intervals last at least 1 s, as usage reported at an interval's end is seen late.
 SPLIT_LIFETIME_INTERVALS = 3
 MIN_SHARE_UNITS = 1e-3  # units per interval: a limiter's share of the rate is never 0
 
@@ -22,7 +23,7 @@
     Attributes:
         plan: Index of the plan.
         limiter_set_size: Number of limiters that get the tenant's requests; 0 for all.
-        limiter_set_start: Number of the limiter at which that set begins.
+        limiter_set_start: Index of the first limiter of that set.
     """
 
     plan: int
@@ -37,7 +38,7 @@
     Attributes:
         limiter_set_size: How many limiters share the quota.
         rate: Units per tick over all limiters; 0 if there is no quota.
-        burst: Units that may be admitted at once: one request and the burst count beyond it.
+        burst: Units that may be admitted at once: the first request's, and those allowed beyond it.
         is_strict: Whether all limiters together stay within the quota even without totals.
         interval_length: Ticks in a counting interval: the time in which the burst refills.
         interval_offset: Ticks by which intervals are shifted, so that not all tenants' coincide.
--- a/loomstand/admission/quota_levels.py
+++ b/loomstand/admission/quota_levels.py
@@ -14,9 +14,10 @@
 
 # A tenant that requests at most this share of its quota is judged by the whole burst.
 MODERATE_DEMAND = 0.8
-# Weight of the previous request rate against a new total's: the interval divided by this number.
-KNOWN_DEMAND_DIVISOR = 2
-UNKNOWN_DEMAND_DIVISOR = 8
+# Smoothing of the request rate: the previous rate has the weight of a measurement over a counting
+# interval divided by the first number; the second one applies to the rate assumed before any total.
+PRIOR_RATE_DIVISOR = 2
+ASSUMED_RATE_DIVISOR = 8
 
 
 class QuotaLevels:
@@ -177,7 +178,14 @@
         self.split_at = now
 
     def apply_metering(self, percent: int, now: int, period: int, is_counter_down: bool) -> None:
-        """Applies a server's metering of the last period; a substitute if the counter is down."""
+        """Applies a server's metering, which replaces totals while the counter is down.
+
+        Args:
+            percent: Share of its burst that the tenant used in the last metering period.
+            now: The clock reading, in ticks.
+            period: The metering period, in ticks.
+            is_counter_down: Whether the counter is unavailable.
+        """
         quota = self.quota
         if not quota.rate or now - self.metered_at < period:
             return
@@ -188,6 +196,7 @@
             own = min(self.usage.previous.own, self.metered_units)
             self.split(own, self.metered_units, now)
             self.requested_rate = self.metered_units / quota.interval_length
+            # counts as a total that is older than one counting interval
             self.total_at = now - 2 * quota.interval_length
 
     def _set_levels(self, usage: IntervalUsage, others: float) -> None:
@@ -209,7 +218,7 @@
         elif self.demand_is_moderate():
             self.local_level = self.fleet_level
         else:
-            # an even share of the rest, else all limiters would use the same refilled unit
+            # an even share of the remaining burst: otherwise all would use the same refilled unit
             share_level = quota.burst - (quota.burst - self.fleet_level) / limiters
             self.local_level = max(self.fleet_level, min(self.local_level, share_level))
 
@@ -220,8 +229,8 @@
         span = length
         if interval == self.usage.interval:
             span = (now + quota.interval_offset) % length
-        is_known = bool(self.requested_rate)
-        known_span = length / (KNOWN_DEMAND_DIVISOR if is_known else UNKNOWN_DEMAND_DIVISOR)
-        known_rate = self.requested_rate or quota.rate / 2
-        requested = requests - 0.5 + known_rate * known_span
-        self.requested_rate = max(0.0, requested / (span + known_span))
+        has_prior_rate = bool(self.requested_rate)
+        prior_span = length / (PRIOR_RATE_DIVISOR if has_prior_rate else ASSUMED_RATE_DIVISOR)
+        prior_rate = self.requested_rate or quota.rate / 2
+        requested = requests - 0.5 + prior_rate * prior_span
+        self.requested_rate = max(0.0, requested / (span + prior_span))
--- a/loomstand/admission/rate_limit_bucket.py
+++ b/loomstand/admission/rate_limit_bucket.py
@@ -13,6 +13,8 @@
     The bucket is empty at the start, because the limiter may have used its share just before.
 
     Attributes:
+        limiters: Number of limiters that share the rate limit.
+        position: This limiter's position in their rotation, from 0.
         rate: Units per tick over all limiters; 0 if there is no rate limit.
         burst: This limiter's share of the burst, in units.
         unit: Units added per turn: the slack by which the limit may be exceeded, at most 1.
@@ -27,7 +29,14 @@
     def configure(
         self, plan: QuotaPlan | None, settings: EngineSettings, limiters: int, set_start: int
     ) -> None:
-        """Sets the parameters given by the plan and by the size and start of the tenant's set."""
+        """Sets the parameters for a plan and the set of limiters that get the tenant's requests.
+
+        Args:
+            plan: The tenant's plan, or None for no rate limit.
+            settings: The settings in force.
+            limiters: Number of limiters in the set.
+            set_start: Index of the first limiter of the set.
+        """
         self.limiters = limiters
         self.position = (
             (settings.limiter_index - set_start) % max(1, settings.limiter_count) % limiters
@@ -56,8 +65,8 @@
         if self.burst >= self.unit or not self.unit:
             return self.burst
         turns_since_own = (now * self.rate / self.unit - self.position) % self.limiters
-        held_by_all = (turns_since_own + 1) * self.unit
-        return self.unit if held_by_all <= self.burst * self.limiters else 0.0
+        units_since_own = (turns_since_own + 1) * self.unit
+        return self.unit if units_since_own <= self.burst * self.limiters else 0.0
 
     def refill(self, now: int, since: int) -> None:
         """Adds the units granted since a clock reading."""
--- a/loomstand/admission/settings.py
+++ b/loomstand/admission/settings.py
@@ -41,12 +41,12 @@
     ZONE = "hall"
     CELL = "pod"
 
-    def includes(self, one: Endpoint, other: Endpoint) -> bool:
+    def includes(self, first: Endpoint, second: Endpoint) -> bool:
         """Returns whether two servers share their record of executed requests."""
         if self is DeduplicationScope.ZONE:
-            return one.zone == other.zone
+            return first.zone == second.zone
         if self is DeduplicationScope.CELL:
-            return one.cell == other.cell
+            return first.cell == second.cell
         return True
 
 
@@ -118,7 +118,7 @@
     """All settings of one limiter's decision engine, replaced as a whole by `SettingsChanged`.
 
     Attributes:
-        limiter_index: This limiter's number among all limiters, from 0.
+        limiter_index: This limiter's index among all limiters, from 0.
         limiter_count: Number of limiters.
         zone: Index of this limiter's own zone.
         frontends: The request classes.
@@ -141,10 +141,11 @@
         overload_period: How long a server in slow start withstands that load, in ticks.
         response_slack: How late after a deadline an answer may be, in ticks. Not used by the engine
             today, which ends every request before its deadline.
-        total_trust_intervals: For how many quota intervals a total from the counter lets a tenant
-            well under its quota be judged by the whole burst. Below 3 the quota is strict: all
-            limiters together stay within it even without totals.
-        initial_burst_share: Share of its part of the burst that a tenant has when first seen.
+        total_trust_intervals: For how many counting intervals after a total from the counter a
+            tenant well under its quota is judged by the whole burst. Below 3 the quota is strict:
+            all limiters together stay within it even without totals.
+        initial_burst_share: Share of this limiter's part of the burst that a tenant may use when
+            it is first seen.
         retry_budget_ratio: Retries that a first attempt adds to the budget, by service.
         retry_budget_max: Maximum retries in the budget.
         retry_budget_initial: Retries in the budget at the start.
@@ -156,8 +157,8 @@
         retries_until_deadline: Whether an attempt without a response is replaced by a retry as long
             as the client waits, instead of only within the latency target.
         remote_zone_cost: Factor on the cost of a server in another zone.
-        clock_offset: How far the clock that names the counter's intervals is ahead of the limiter's
-            own, in ticks.
+        clock_offset: How far the clock that numbers the counting intervals is ahead of the
+            limiter's own, in ticks.
         local_zone_share: Share of the servers in use that are of the limiter's own zone; 0 to
             ignore zones.
         cancels_abandoned_attempts: Whether an idempotent request's attempt is cancelled when its
--- a/loomstand/admission/slow_start.py
+++ b/loomstand/admission/slow_start.py
@@ -7,7 +7,7 @@
 
 from loomstand.admission.histogram import DecayingRate
 
-# (half-life, half-life over ln 2) in ticks; the half-lives are 2 s, 16 s and 0.5 s.
+# (half-life, time constant) in ticks; the half-lives are 2 s, 16 s and 0.5 s.
 SHORT_TERM = (20_000, 28_854)
 LONG_TERM = (160_000, 230_831)
 RECENT_TERM = (5_000, 7_213)
--- a/loomstand/admission/ticks.py
+++ b/loomstand/admission/ticks.py
@@ -1,7 +1,8 @@
 """The engine's unit of time, and the conversion of milliseconds into it.
 
 All clock readings and durations inside `loomstand.admission` are whole ticks. A tick is 0.1 ms, the
-resolution of times in the operators' wire protocol. Pure.
+resolution of times in the operators' wire protocol. The common clock is the one whose readings are
+comparable between limiters. Pure.
 """
 
 from __future__ import annotations
