--- a/loomstand/admission/admission_control.py
+++ b/loomstand/admission/admission_control.py
@@ -39,10 +39,10 @@
 from loomstand.failover.engine_view import FailoverPolicy
 
 DEFAULT_SERVICE = 0  # index of the service that a zone plan applies to
-MANY_TENANTS = 1_000  # above this number, about 1 MB, idle tenants are evicted sooner
-COUNTS_PERIOD_TICKS = 5 * TICKS_PER_SECOND  # ticks between two log lines
+MANY_TENANTS = 1_000  # above this number (about 1 MB), idle tenants are evicted sooner
+COUNTS_PERIOD_TICKS = 5 * TICKS_PER_SECOND  # between two log lines with event counts
 FAST_QUANTILE = 0.25  # this quantile of durations is the least time that a retry needs
-# Names of counts in the log, in addition to the reasons of `Reject`.
+# Names of event counts in the log, in addition to the reasons of `Reject`.
 SENT_COUNT = "sent"
 ABORTED_COUNT = "aborted"
 
@@ -81,16 +81,16 @@
         value_factor = plan.value_factor if plan else 1.0
         now = self.loop.now
         time_left = event.deadline - now
-        age = max(0, frontend.client_timeout - time_left) if event.is_retry else 0
+        time_waited = max(0, frontend.client_timeout - time_left) if event.is_retry else 0
         pending = PendingRequest(
             arrival=event,
             tenant_limiter=tenant_limiter,
-            target_at=now + frontend.latency_target - age,
+            target_at=now + frontend.latency_target - time_waited,
             value=frontend.value * value_factor * event.units,
             attempt_limit=frontend.attempt_limit or self.loop.settings.attempt_limit,
         )
         self.pending[event.request_id] = pending
-        is_worthless = age > frontend.latency_target and frontend.late_value <= 0
+        is_worthless = time_waited > frontend.latency_target and frontend.late_value <= 0
         if time_left <= 0 or is_worthless:
             self.post_rejected(event.request_id, 0, EXPIRED)
         else:
@@ -143,8 +143,8 @@
         pending.is_answered = True
         effect = self.loop.settings.frontends[pending.arrival.frontend].effect
         # Only idempotent requests are cancelled: others might be left partly executed.
-        may_stop = self.loop.settings.cancels_abandoned_attempts and effect is Effect.IDEMPOTENT
-        if may_stop and pending.has_attempt_in_flight():
+        may_cancel = self.loop.settings.cancels_abandoned_attempts and effect is Effect.IDEMPOTENT
+        if may_cancel and pending.has_attempt_in_flight():
             self.loop.actions.append(CancelAttempt(event.request_id, pending.cancel_attempt()))
         self._remove_if_done(pending)
 
@@ -153,8 +153,8 @@
         load_balancer = self._load_balancer(pending.arrival.service)
         stats = load_balancer.stats[pending.arrival.frontend]
         now = self.loop.now
-        earliest = now + stats.durations.quantile(FAST_QUANTILE, 0)
-        is_worthless = earliest > pending.target_at and stats.frontend.late_value <= 0
+        earliest_answer_at = now + stats.durations.quantile(FAST_QUANTILE, 0)
+        is_worthless = earliest_answer_at > pending.target_at and stats.frontend.late_value <= 0
         is_over = now >= pending.arrival.deadline or len(pending.attempts) >= pending.attempt_limit
         may_retry = not is_worthless and not is_over
         server = load_balancer.pick_for_retry(pending) if may_retry else None
--- a/loomstand/admission/backend.py
+++ b/loomstand/admission/backend.py
@@ -14,12 +14,12 @@
 
 # Share of the requests that probe an ejected server: small, as all of them may fail.
 PROBE_SHARE = 1 / 60
-DURATIONS = 32  # capacity of the histogram: about 10 s of one server's answers
+HISTOGRAM_CAPACITY = 32  # answers, about those of one server in 10 s
 RECENT_OUTCOMES = 4  # kept for each request class
 MIN_FAILURES = 2  # among the recent outcomes, to eject the server
-# Ejection ends after 20 s without a failure: only idempotent requests probe an ejected server.
+# Ejection ends after 20 s without a failure: without idempotent requests, no probes are sent.
 EJECTION_TICKS = 200_000
-ANY_FRONTEND = -1  # key of the outcomes of all request classes: whether there was any reply
+ANY_FRONTEND = -1  # key for all request classes together, where any reply is a success
 REJECTION_WEIGHT = 0.2  # weight of one outcome in the moving average
 
 # Outcomes that say nothing about the server's health.
@@ -35,7 +35,7 @@
         ring_position: Its position on the ring, the same at all limiters.
         in_flight: This limiter's attempts in flight.
         durations: Histogram of its response times, in ticks.
-        recent_successes: Whether the last attempts succeeded, by request class.
+        recent_successes: Whether each of the last attempts succeeded, by request class.
         rejection_rates: Share of the attempts that it rejects, by request class.
         probe_share: Share of the idempotent requests that probe it while it is ejected.
         slow_start_budget: Requests that may be sent to it now, during slow start.
@@ -112,8 +112,8 @@
         """Returns whether one more request may be sent to it during slow start.
 
         Args:
-            peer_rate: Answers per tick of one of this limiter's servers at full capacity, to which
-                this limiter's share of the budget is proportional.
+            peer_rate: Answers per tick that this limiter gets from a server at full capacity; the
+                budget is proportional to it.
         """
         settings = self.loop.settings
         now = self.loop.now
@@ -126,7 +126,7 @@
     def _process_started(self, endpoint: Endpoint) -> None:
         """Resets all statistics, because the server's process has just started."""
         self.endpoint = endpoint
-        self.durations = Histogram(DURATIONS)
+        self.durations = Histogram(HISTOGRAM_CAPACITY)
         self.recent_successes = defaultdict(lambda: deque(maxlen=RECENT_OUTCOMES))
         self._failed_at = NEVER
         self.rejection_rates = {}
--- a/loomstand/admission/concurrency_window.py
+++ b/loomstand/admission/concurrency_window.py
@@ -15,21 +15,21 @@
 from loomstand.admission.ticks import TICKS_PER_SECOND
 
 PRIOR_DURATION = 2_000  # ticks: assumed response time before any is measured
-PRIOR_WEIGHT = 4  # of the assumed response time, in answers
-# From all limiters together. With 5 attempts at a server, most are executing and few are queued.
+PRIOR_WEIGHT = 4  # answers that the assumed response time counts as
+# Attempts of all limiters together. With 5 at a server, most are executing and few are queued.
 INITIAL_ATTEMPTS_PER_SERVER = 7
 MIN_ATTEMPTS_PER_SERVER = 5
-# Attempts in flight longer than this multiple of this quantile of durations don't count as load.
+# An attempt in flight longer than this multiple of this duration quantile doesn't count as load.
 UNRESPONSIVE_MULTIPLE = 10
 UNRESPONSIVE_QUANTILE = 0.9
-# Share of the window in use at which rejections start: above the random variation at one of many
-# limiters. Requests of tenants that may be over their quota are rejected first.
+# Share of the window in use at which rejections start: higher than random variation alone reaches
+# at one of many limiters. Requests of tenants that may be over their quota are rejected first.
 REJECTION_START = 0.6
 REJECTION_START_UNKNOWN = 0.45
 BEST_VALUE_DECAY = 0.999  # per request: halved after about 700 requests
-MIN_WINDOW = 1e-9
-# Answers are classed as fast or late by queueing time, not execution time: by its share of the
-# latency target less the execution time, which counts as at least a fifth of the target.
+MIN_WINDOW = 1e-9  # prevents division by zero
+# An answer is fast or late by its queueing time as a share of the longest one within the latency
+# target: the target less the execution time, which counts as at least a fifth of the target.
 FAST_WAITING_SHARE = 0.375
 LATE_WAITING_SHARE = 0.75
 MIN_EXECUTION_SHARE = 0.2
@@ -38,7 +38,7 @@
 # server is throttled or draining, and its own rejection rate lowers its load.
 NO_RESPONSE_WEIGHT = 0.3
 FAST_MEAN_SHARE = 0.3
-MAX_DECREASE_SHARE = 0.3  # largest decrease as a share of the window; never more than 1 attempt
+MAX_DECREASE_SHARE = 0.3  # of the window: largest decrease, which is never more than 1 attempt
 INCREASE = 0.1  # attempts per fast answer: one late answer in ten keeps the window constant
 MIN_GROWTH_USE = 0.4  # the window only grows while at least this share of it is in use
 
@@ -73,10 +73,10 @@
         self.best_value = 1e-9
 
     def pressure(self, value: float) -> float:
-        """Returns the share of the window in use; `value` is per tick of duration."""
+        """Returns the share of the window in use; `value` is a request's, per tick of duration."""
         self.best_value = max(value, self.best_value * BEST_VALUE_DECAY)
-        typical = self.durations.quantile(UNRESPONSIVE_QUANTILE, TICKS_PER_SECOND)
-        self._drop_sent_before(self.loop.now - UNRESPONSIVE_MULTIPLE * typical)
+        long_duration = self.durations.quantile(UNRESPONSIVE_QUANTILE, TICKS_PER_SECOND)
+        self._drop_sent_before(self.loop.now - UNRESPONSIVE_MULTIPLE * long_duration)
         size = self.size + self.loop.settings.window_headroom
         return (len(self.in_flight) + self.loop.random()) / max(MIN_WINDOW, size)
 
@@ -89,7 +89,7 @@
         """Returns an outcome's congestion signal, and records its duration."""
         target = stats.frontend.latency_target
         execution = max(MIN_EXECUTION_SHARE * target, stats.execution_time())
-        waiting = max(0.0, target - execution)
+        max_wait = max(0.0, target - execution)
         duration = event.duration
         outcome = event.outcome
         weight = 0.0
@@ -98,14 +98,14 @@
             weight = min(1.0, (mean / (FAST_MEAN_SHARE * target)) ** 2)
         elif outcome is Outcome.NO_RESPONSE:
             weight = NO_RESPONSE_WEIGHT
-        elif outcome is Outcome.SUCCEEDED and duration > execution + LATE_WAITING_SHARE * waiting:
+        elif outcome is Outcome.SUCCEEDED and duration > execution + LATE_WAITING_SHARE * max_wait:
             weight = 1.0
         if outcome in TIMED:
             if self.size <= min_size:
                 stats.unqueued_durations.add(duration)
             stats.durations.add(duration)
             self.durations.add(duration)
-        return QueueSignal(weight, duration < execution + FAST_WAITING_SHARE * waiting)
+        return QueueSignal(weight, duration < execution + FAST_WAITING_SHARE * max_wait)
 
     def adjust(self, signal: QueueSignal, min_size: float) -> None:
         """Shrinks the window by a signal's weight, or grows it after a fast answer."""
@@ -115,7 +115,7 @@
         elif signal.is_fast and len(self.in_flight) + 1 >= MIN_GROWTH_USE * self.size:
             self.size += INCREASE * min(1.0, self.size)
 
-    def _drop_sent_before(self, reading: float) -> None:
+    def _drop_sent_before(self, time: float) -> None:
         in_flight = self.in_flight
-        while in_flight and next(iter(in_flight.values())) < reading:
+        while in_flight and next(iter(in_flight.values())) < time:
             del in_flight[next(iter(in_flight))]
--- a/loomstand/admission/counter_client.py
+++ b/loomstand/admission/counter_client.py
@@ -15,16 +15,16 @@
 # Initial rate of all limiters together, then adapted to the counter's replies.
 INITIAL_CALLS_PER_SECOND = 300
 MIN_CALL_BURST = 2.0
-CALL_BURST_TICKS = 2_000  # the burst is the calls of 0.2 s
+CALL_BURST_TICKS = 2_000  # the burst is the number of calls in 0.2 s
 # Limit on waiting tenants: a call made after more than 2 s of waiting is too late to be of use.
 MIN_WAITING_TENANTS = 10
 WAITING_TICKS = 20_000
 # A quarter of the initial rate detects a counter that has recovered, without flooding it.
 MIN_RATE_SHARE = 1 / 4
 RATE_DECREASE = 0.7  # factor, applied once for all calls that were in flight together
-RATE_INCREASE = 1.15  # factor: about a quarter of the calls are slow when all limiters need more
-SLOW_REPLY_SHARE = 1 / 2  # share of the time-out
-FAST_REPLY_SHARE = 1 / 4
+RATE_INCREASE = 1.15  # factor: under high demand, about a quarter of the calls are then slow
+SLOW_REPLY_SHARE = 1 / 2  # of the time-out: replies that take longer lower the rate
+FAST_REPLY_SHARE = 1 / 4  # of the time-out: only shorter replies raise the rate
 
 
 class CounterClient(Actor):
@@ -62,8 +62,8 @@
     def request_call(self, caller: CounterUser) -> None:
         """Queues a tenant's limiter for a call, which is made as soon as the rate allows it.
 
-        The newest goes first: usage that has waited long is out of date, and is reported with the
-        limiter's next call.
+        The newest caller is served first: usage that has waited long is out of date, and is
+        reported with that limiter's next call.
         """
         self.waiting.pop(caller, None)
         self.waiting[caller] = None
@@ -78,7 +78,7 @@
             caller.post_report()
 
     def call(self, caller: CounterUser, interval: int, amount: float) -> None:
-        """Adds to the count of a tenant's interval, with a token taken before."""
+        """Adds to the count of a tenant's interval; a token was acquired for the call before."""
         self.loop.actions.append(self._calls.make(caller, interval, amount))
 
     def counter_replied(self, event: CounterReplied) -> None:
--- a/loomstand/admission/decision_engine.py
+++ b/loomstand/admission/decision_engine.py
@@ -41,7 +41,7 @@
         settings: The settings in force.
         seed: Seed of the random number generator.
         now: Reading of the common clock, in ticks.
-        failover: The zone plan's view of the default service's servers, or None without a plan.
+        failover: The zone plan's rules for the default service, or None without a plan.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self.loop = ActorLoop(settings, seed, now)
         self.counter_client = CounterClient(self.loop)
         self.admission = AdmissionControl(self.loop, self.counter_client, failover)
-        self._guided_balancer = self.admission.load_balancers[DEFAULT_SERVICE] if failover else None
+        self._zone_balancer = self.admission.load_balancers[DEFAULT_SERVICE] if failover else None
         admission = self.admission
         # Any: each handler takes its own class of event, which a mapping's type can't express
         self._handlers: dict[type, tuple[Actor, Callable[[Any], None]]] = {
@@ -68,12 +68,12 @@
         """Updates the state with an event and returns the actions to carry out, in order.
 
         Args:
-            now: Reading of the common clock, in ticks; never moves the engine's time backwards.
+            now: Reading of the common clock, in ticks; ignored if earlier than a previous one.
             event: What happened.
         """
         self.loop.now = max(self.loop.now, now)
-        if self._guided_balancer:
-            self._guided_balancer.apply_zone_changes()
+        if self._zone_balancer:
+            self._zone_balancer.apply_zone_changes()
         handler = self._handlers.get(type(event))
         if handler is not None:
             actor, method = handler
