--- a/loomstand/admission/load_balancer.py
+++ b/loomstand/admission/load_balancer.py
@@ -33,9 +33,9 @@
 from loomstand.failover.subset_selection import select_servers
 
 SUBSET_SERVERS = 6  # enough to have a choice; more during slow start
-MIN_LIMITERS_PER_SERVER = 4  # few limiters use larger subsets, up to all servers
+MIN_LIMITERS_PER_SERVER = 4  # if there are few limiters, each uses a larger subset, up to all
 SUBSET_REFRESH_TICKS = 20_000  # the subset is selected again after 2 s
-# ... or, if retries go on until the deadline, after 50 ms when a server in use is ejected.
+# With `retries_until_deadline`, also after 50 ms if a server of the subset is ejected.
 MIN_REFRESH_TICKS = 500
 # The more limiters share the servers, the less a limiter's own attempts show of their load, and the
 # more random its choice is: the exponent of the random factor is 1/2 with this many limiters.
@@ -44,10 +44,10 @@
 ATTEMPTED_COST = 100  # factor: a server that the request was already sent to is the last choice
 REJECTION_COST = 9  # factor of the rejection rate: a server that rejects looks idle
 MAX_LOAD = 2  # most attempts in flight at one server, in even shares of the window
-# An attempt times out after this multiple of this quantile, if another attempt can be in time.
+# An attempt times out after this multiple of this duration quantile, if a retry can be in time.
 TIMEOUT_MULTIPLE = 3
 TIMEOUT_QUANTILE = 0.97
-PRIOR_DURATION_SHARE = 1 / 4  # of the target: assumed response time before any is measured
+PRIOR_DURATION_SHARE = 1 / 4  # of the latency target: assumed response time before any is measured
 
 
 class LoadBalancer:
@@ -85,8 +85,8 @@
         servers_before = len(self.ring)
         if complete:
             listed = {endpoint.endpoint_id for endpoint in endpoints}
-            lost = [s.endpoint for s in self.servers.values() if s.endpoint_id not in listed]
-            endpoints = [*endpoints, *(replace(e, state=EndpointState.GONE) for e in lost)]
+            removed = [s.endpoint for s in self.servers.values() if s.endpoint_id not in listed]
+            endpoints = [*endpoints, *(replace(e, state=EndpointState.GONE) for e in removed)]
         for endpoint in endpoints:
             self._update_endpoint(endpoint)
         self._subset_at = NEVER
@@ -110,9 +110,9 @@
         """Applies losses and recoveries of zones: logs them, and scales the window at once."""
         if not self.failover:
             return
-        for line in self.failover.evaluate_zones(self.loop.now):
+        for message in self.failover.evaluate_zones(self.loop.now):
             self._subset_at = NEVER
-            self.loop.actions.append(LogMessage(line))
+            self.loop.actions.append(LogMessage(message))
         self.window.size *= self.failover.window_scale
 
     def select_subset(self) -> None:
@@ -124,12 +124,12 @@
         if failover:
             lost = [s for s in ring if failover.is_avoided(s.endpoint.zone)]
             ring = [s for s in ring if s not in lost] if lost else ring
-        live = len(ring)
-        usual = max(len(self.ring), failover.usual_server_count if failover else 0)
-        capacity = sum(s.capacity() for s in ring) if failover else live
-        enough = int(SUBSET_SERVERS * usual / max(1.0, capacity))
-        share = MIN_LIMITERS_PER_SERVER * usual // max(1, settings.limiter_count)
-        size = min(live, max(enough, share))
+        usable_count = len(ring)
+        usual_count = max(len(self.ring), failover.usual_server_count if failover else 0)
+        capacity = sum(s.capacity() for s in ring) if failover else usable_count
+        by_capacity = int(SUBSET_SERVERS * usual_count / max(1.0, capacity))
+        by_limiters = MIN_LIMITERS_PER_SERVER * usual_count // max(1, settings.limiter_count)
+        size = min(usable_count, max(by_capacity, by_limiters))
         self.subset, self.ejected = select_servers(ring, lost, settings, size, len(self.stats))
         self._subset_at = self.loop.now
 
@@ -194,12 +194,12 @@
             return False
         scope = frontend.deduplication_scope
         for attempt in (pending.attempts[number] for number in pending.possibly_executed):
-            before = self.servers.get(attempt.endpoint_id)
-            if before is None:
+            earlier = self.servers.get(attempt.endpoint_id)
+            if earlier is None:
                 return False
             if self.loop.now - attempt.sent_at >= frontend.deduplication_window:
                 return False
-            if not scope.includes(before.endpoint, server.endpoint):
+            if not scope.includes(earlier.endpoint, server.endpoint):
                 return False
         return True
 
@@ -211,14 +211,14 @@
         peer_rate = self.successes.add(0, self.loop.now) / max(1, len(servers))
         capacities = [s.capacity() for s in servers]
         if capacities and max(capacities) < 1.0:
-            # All are in slow start, so no rate was measured at full capacity. Use their latest rate
+            # All are in slow start, so no rate was measured at full capacity. Use their recent rate
             # per capacity, and at least one request at a time from all limiters that use a server.
             limiters = self.loop.settings.limiter_count
-            users = max(1.0, limiters * len(servers) / len(self.ring))
-            slowest = max(stats.frontend.latency_target for stats in self.stats)
-            duration = self.window.durations.mean(slowest, 1)
-            last = self.successes.recent_rate(self.loop.now) / sum(capacities)
-            peer_rate = max(last, 1 / duration / users)
+            limiters_per_server = max(1.0, limiters * len(servers) / len(self.ring))
+            longest_target = max(stats.frontend.latency_target for stats in self.stats)
+            duration = self.window.durations.mean(longest_target, 1)
+            recent_rate = self.successes.recent_rate(self.loop.now) / sum(capacities)
+            peer_rate = max(recent_rate, 1 / duration / limiters_per_server)
         return server.has_slow_start_budget(peer_rate)
 
     def _refresh_subset(self, frontend: int) -> None:
@@ -255,7 +255,7 @@
         max_load = self._max_load(servers)
         mean = self.window.durations.mean(PRIOR_DURATION, PRIOR_WEIGHT)
         best = None
-        least = 0.0
+        least_cost = 0.0
         for server in servers:
             if not self.is_safe_to_send(pending, server) or server.in_flight > max_load:
                 continue
@@ -272,9 +272,9 @@
                 cost *= settings.remote_zone_cost
             rejections = REJECTION_COST * server.rejection_rates.get(frontend, 0.0)
             cost *= (-log(1 - random())) ** randomness * (1 + rejections)
-            if (best is None or cost < least) and self.allows_slow_start(server):
+            if (best is None or cost < least_cost) and self.allows_slow_start(server):
                 best = server
-                least = cost
+                least_cost = cost
         return best
 
     def _max_load(self, servers: list[Backend]) -> float:
@@ -340,11 +340,11 @@
         is_last = len(pending.attempts) + 1 >= pending.attempt_limit
         if stats.frontend.effect is not Effect.IDEMPOTENT or is_last:
             return deadline
-        unknown = stats.frontend.latency_target * PRIOR_DURATION_SHARE
-        wait = TIMEOUT_MULTIPLE * stats.durations.quantile(TIMEOUT_QUANTILE, unknown)
-        in_time_at = deadline if self.loop.settings.retries_until_deadline else pending.target_at
-        if self.loop.now + wait + stats.durations.mean(unknown, 1) < in_time_at:
-            return min(deadline, self.loop.now + round(wait))
+        assumed = stats.frontend.latency_target * PRIOR_DURATION_SHARE
+        timeout = TIMEOUT_MULTIPLE * stats.durations.quantile(TIMEOUT_QUANTILE, assumed)
+        needed_by = deadline if self.loop.settings.retries_until_deadline else pending.target_at
+        if self.loop.now + timeout + stats.durations.mean(assumed, 1) < needed_by:
+            return min(deadline, self.loop.now + round(timeout))
         return deadline
 
 
--- a/loomstand/admission/tenant_limiter.py
+++ b/loomstand/admission/tenant_limiter.py
@@ -1,7 +1,7 @@
 """One tenant's limiter: admits requests within this limiter's share of the tenant's quota. Pure.
 
 The quota is a leaky bucket: one unit per emission interval, and a burst beyond that rate; a full
-bucket rejects at once (docs/design.md). Thousands of tenants are kept, so their size matters.
+bucket rejects at once (docs/design.md). The limiters of thousands of tenants must fit in memory.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 
 TOLERANCE_UNITS = 1e-9  # rounding error of sums of floats
 MAX_RETRY_AFTER = 1e9  # ticks; `EngineSettings.max_retry_after` limits it further
-# A rejection requests the running total, at most once while the quota refills this many units ...
+# A rejection requests the running total, at most once while the quota refills this many units.
 TOTAL_READ_UNITS = 0.5
-STRICT_TOTAL_READ_DIVISOR = 20  # ... or, for a strict quota, this fraction of its burst if more.
-# Usage is reported when it reaches half of an even share of the remaining burst ...
+STRICT_TOTAL_READ_DIVISOR = 20  # strict quotas: the burst divided by this, if that is more units
+# Usage is reported when it reaches half of an even share of the remaining burst.
 REPORT_DIVISOR = 2
-STRICT_REPORT_DIVISOR = 10  # ... which is taken as at least a tenth of a strict quota's burst.
+STRICT_REPORT_DIVISOR = 10  # strict quotas: what remains counts as at least a tenth of the burst
 MAX_TIMER_TICKS = 2_400 * TICKS_PER_SECOND  # 40 minutes
 # Consecutive failures: an overloaded counter fails some calls, an unavailable one fails all.
 COUNTER_DOWN_FAILURES = 4
-IDLE_INTERVALS = 10  # after which an unused tenant is evicted
-IDLE_INTERVALS_IF_MANY = 1  # ... when many tenants are kept
+IDLE_INTERVALS = 10  # an unused tenant is evicted after this many counting intervals
+IDLE_INTERVALS_IF_MANY = 1  # the same with more than `MANY_TENANTS` tenants
 
 
 class TenantLimiter(Actor):
@@ -50,7 +50,7 @@
     Attributes:
         tenant: Index of the tenant.
         tenant_digest: Its digest, the same at every limiter.
-        levels: Its quota and the usage of it.
+        levels: Its quota and how much of it is used.
         rate_limit: This limiter's share of its hard rate limit.
         concurrency_limit: Most of its requests in flight at all limiters; 0 for no limit.
         in_flight: Its requests in flight at this limiter.
@@ -119,9 +119,9 @@
             self._set_timer()
         # A new tenant with only a part of its burst gets the rest after the first total.
         needs_total = levels.total_at == NEVER and self.loop.settings.initial_burst_share < 1
-        least = quota.burst / STRICT_REPORT_DIVISOR if quota.is_strict else 0.0
-        room = max(quota.burst - levels.fleet_level, least)
-        reported_from = room / (REPORT_DIVISOR * quota.limiter_set_size)
+        min_remaining = quota.burst / STRICT_REPORT_DIVISOR if quota.is_strict else 0.0
+        remaining = max(quota.burst - levels.fleet_level, min_remaining)
+        reported_from = remaining / (REPORT_DIVISOR * quota.limiter_set_size)
         if needs_total or levels.usage.unreported_units >= reported_from:
             self._request_call()
 
@@ -141,8 +141,8 @@
             return fits and levels.local_level + units <= share + TOLERANCE_UNITS
         trusted_ticks = self.loop.settings.total_trust_intervals * quota.interval_length
         if levels.demand_is_moderate() and (is_small or total_age < trusted_ticks):
-            # Another limiter rejected this request: over quota, if an even share is far below one
-            # request, else for lack of server capacity.
+            # A retry was rejected by another limiter: for its quota, if an even share is far below
+            # one request, else for lack of server capacity.
             return fits and not (is_retry and self.is_usage_unknown())
         if is_small:
             return self._has_quota_by_chance(units, total_age, fits)
@@ -196,8 +196,8 @@
         """
         levels = self.levels
         quota = levels.quota
-        others = min(levels.requested_rate, quota.rate) * total_age
-        if levels.fleet_level + others + units + 1 <= quota.burst:
+        admitted_elsewhere = min(levels.requested_rate, quota.rate) * total_age
+        if levels.fleet_level + admitted_elsewhere + units + 1 <= quota.burst:
             return True
         if not quota.is_excess_free and self.loop.random() >= quota.rate / levels.requested_rate:
             return False
@@ -212,8 +212,8 @@
         age = self.loop.now - self._reported_at
         if age > units / quota.rate and not self.counter_client.waiting:
             self._request_call()
-        is_known = self.loop.now - levels.total_at <= quota.interval_length
-        reason = QUOTA_EXHAUSTED if is_known else QUOTA_PROBABLY_EXHAUSTED
+        is_recent = self.loop.now - levels.total_at <= quota.interval_length
+        reason = QUOTA_EXHAUSTED if is_recent else QUOTA_PROBABLY_EXHAUSTED
         retry_after = round(min(MAX_RETRY_AFTER, arrival.units / levels.share_rate))
         replies.post_rejected(arrival.request_id, retry_after, reason)
 
@@ -251,7 +251,7 @@
     # Reports to the counter.
 
     def post_report(self) -> None:
-        """Posts the message that a call may be made now."""
+        """Posts the message that a call to the counter may be made now."""
         self.post(self.report_usage)
 
     def report_usage(self) -> None:
@@ -266,8 +266,8 @@
         self._is_timer_set = False
         usage = self.levels.usage
         client = self.counter_client
-        has_turn = self.levels.quota.is_strict or not client.waiting
-        if usage.previous.own and has_turn and client.try_acquire():
+        may_call = self.levels.quota.is_strict or not client.waiting
+        if usage.previous.own and may_call and client.try_acquire():
             client.post(client.call, self, usage.interval - 1, 0.0)
 
     def _request_call(self) -> None:
@@ -289,7 +289,7 @@
     # Totals from the counter, or metering by the servers in place of them.
 
     def post_reply(self, interval: int, amount: float, reply: CounterReplied) -> None:
-        """Posts the reply to a call for an interval."""
+        """Posts the reply to a call that added `amount` to an interval's count."""
         self.post(self.counter_replied, interval, amount, reply)
 
     def counter_replied(self, interval: int, amount: float, reply: CounterReplied) -> None:
@@ -309,7 +309,7 @@
             self._apply_total(interval, 0.0, event.total)
 
     def usage_metered(self, percent: int) -> None:
-        """Applies a server's metering of the last period; a substitute if the counter is down."""
+        """Applies a server's metering, in percent of the burst, for use while the counter is down."""
         self.advance()
         is_down = self.counter_client.consecutive_failures >= COUNTER_DOWN_FAILURES
         period = self.loop.settings.metering_period
