--- a/loomstand/admission/tenant_limiter.py
+++ b/loomstand/admission/tenant_limiter.py
@@ -309,7 +309,7 @@
             self._apply_total(interval, 0.0, event.total)
 
     def usage_metered(self, percent: int) -> None:
-        """Applies a server's metering, in percent of the burst, for use while the counter is down."""
+        """Applies a server's metering, in percent of the burst; used while the counter is down."""
         self.advance()
         is_down = self.counter_client.consecutive_failures >= COUNTER_DOWN_FAILURES
         period = self.loop.settings.metering_period
