--- a/loomstand/failover/subset_selection.py
+++ b/loomstand/failover/subset_selection.py
@@ -14,17 +14,28 @@
 
 
 class Endpoint(Protocol):
+    """An endpoint list's entry of a server."""
+
     @property
-    def zone(self) -> int: ...
+    def zone(self) -> int:
+        """Index of the server's zone."""
 
 
 class Server(Protocol):
-    rejection_rates: dict[int, float]  # by frontend: share of the requests that the server rejects
+    """A server of the ring.
+
+    Attributes:
+        rejection_rates: Share of the requests that it rejects, by frontend.
+    """
+
+    rejection_rates: dict[int, float]
 
     @property
-    def endpoint(self) -> Endpoint: ...
+    def endpoint(self) -> Endpoint:
+        """Its entry in the endpoint list."""
 
-    def is_ejected(self, frontend: int) -> bool: ...
+    def is_ejected(self, frontend: int) -> bool:
+        """Returns whether its attempts for a frontend fail so often that it must not be used."""
 
 
 ServerT = TypeVar("ServerT", bound=Server)
@@ -35,9 +46,10 @@
 ) -> list[ServerT]:
     """Returns at most `max_count` servers of the ring in order of preference.
 
-    With `settings.local_zone_share`, every prefix of the list has that share of servers in the
-    limiter's own zone while there are any, as traffic between zones is expensive. The other servers
-    keep a little traffic, because their answers show when the own zone is the busier one.
+    Without `settings.local_zone_share`, limiters start at evenly spaced positions of the ring.
+    With it, every prefix of the list has that share of servers in the limiter's own zone while
+    there are any, as traffic between zones is expensive. The other servers keep a little traffic,
+    because their answers show when the limiter's own zone is the busier one.
     """
     if not settings.local_zone_share:
         first = settings.limiter_index * len(ring) // max(1, settings.limiter_count)
@@ -71,6 +83,13 @@
     The subset stays the same, so that outcomes accumulate quickly for its servers. Ejected servers
     are replaced by the next ones in order of preference, unless most are ejected: then the fault is
     not in the servers, and the subset is used as it is.
+
+    Args:
+        ring: The live servers outside lost zones.
+        lost: The live servers of lost zones.
+        settings: The engine's settings.
+        subset_size: Number of servers to use.
+        frontend_count: Number of frontends.
     """
     candidates = preferred_servers(ring, settings, 3 * subset_size)
     selected, ejected = list[list[ServerT]](), list[list[ServerT]]()
--- a/loomstand/failover/zone_loss_detector.py
+++ b/loomstand/failover/zone_loss_detector.py
@@ -2,8 +2,9 @@
 
 A zone is whole, doubtful (most of its servers in use stopped answering at the same time), lost or
 returning. A doubtful or lost zone receives probes only; a returning zone receives a growing share
-of its traffic. The time limits come from the settings: an answer is overdue after the frontend's
-response target, when it has no value any more; a zone returns over the warm-up time of a server.
+of its traffic. The time limits come from the settings: an answer is overdue after the longest
+latency target of a frontend, when it has lost its value; a zone returns over the slow-start period
+of a server.
 
 All times and durations are in ticks of 0.1 ms; the caller passes the clock readings in.
 """
@@ -14,13 +15,24 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-NEVER = -(1 << 60)
-# 10 s in ticks: long enough that a limiter of a few requests/s has used each of its servers
-IN_USE_PERIOD = 100_000
-MAX_BACKOFF = 8  # three doublings, after repeated losses or false alarms
+NEVER = -(1 << 60)  # a clock reading before all others, in ticks
+# A server counts as in use for 10 s after its last outcome: long enough that a limiter of a few
+# requests/s has used each of its servers.
+IN_USE_TICKS = 100_000
+MAX_BACKOFF = 8  # largest backoff factor, reached by three doublings
 
 
 class ZoneState(Enum):
+    """State of a zone, as observed by one limiter.
+
+    Attributes:
+        WHOLE: In normal use.
+        DOUBTFUL: Most of its servers in use stopped answering at the same time.
+        LOST: None of its servers answered while it was doubtful, most were silent during its
+            return, or the endpoint list has no server of it.
+        RETURNING: Its servers answer again, or are new; it receives a growing share of its traffic.
+    """
+
     WHOLE = "whole"
     DOUBTFUL = "doubtful"
     LOST = "lost"
@@ -29,71 +41,102 @@
 
 @dataclass(slots=True)
 class Transition:
-    """A change of a zone's state."""
+    """A change of a zone's state.
+
+    Attributes:
+        zone: Index of the zone.
+        old: The state before.
+        new: The state after.
+        reason: Why it changed, for the log.
+        server_share: The zone's part of all live servers, without those of other lost zones.
+    """
 
     zone: int
     old: ZoneState
     new: ZoneState
     reason: str
-    server_share: float  # the zone's part of all live servers that were not lost before
+    server_share: float
 
 
 @dataclass(slots=True)
 class ZoneHealth:
-    """What a limiter has observed of one zone."""
+    """What a limiter has observed of one zone; all times are in ticks.
+
+    Attributes:
+        live: Start time of each server that the endpoint list states as live.
+        in_flight: For each attempt in flight, when it was sent, when its answer is due, and its
+            server; the oldest first.
+        answered_at: When each server last answered.
+        failed_at: When an answer of each server was last missing.
+        last_answer_at: When any server of the zone last answered.
+        state: The zone's state.
+        state_since: When the state last changed.
+        doubt_backoff: Factor on the silence after which the zone is doubtful, raised by false
+            alarms.
+        return_backoff: Factor on the duration of the next return, raised by repeated losses.
+        stable_since: When the zone became whole, or `doubt_backoff` was last reduced.
+        lost_at: When the zone was last lost.
+        return_progress: Time that counts towards the end of the return.
+        progress_updated_at: When `return_progress` was last updated.
+        paused_until: Until when the return makes no progress.
+    """
 
-    # servers live by the endpoint list, with their start times
     live: dict[int, int] = field(default_factory=dict)
-    # attempts in flight: when sent, when due, server
     in_flight: dict[tuple[int, int], tuple[int, int, int]] = field(default_factory=dict)
-    answered_at: dict[int, int] = field(default_factory=dict)  # by server: its last answer
-    failed_at: dict[int, int] = field(default_factory=dict)  # by server: its last missing answer
+    answered_at: dict[int, int] = field(default_factory=dict)
+    failed_at: dict[int, int] = field(default_factory=dict)
     last_answer_at: int = NEVER
     state: ZoneState = ZoneState.WHOLE
     state_since: int = NEVER
-    doubt_backoff: int = 1  # factor on the time to the next doubt, raised by false alarms
-    return_backoff: int = 1  # factor on the time of the next return, raised by repeated losses
-    stable_since: int = NEVER  # when the zone became whole, or its doubt_backoff last fell
+    doubt_backoff: int = 1
+    return_backoff: int = 1
+    stable_since: int = NEVER
     lost_at: int = NEVER
-    return_progress: int = 0  # ticks
+    return_progress: int = 0
     progress_updated_at: int = 0
-    paused_until: int = NEVER  # the return makes no progress until then
+    paused_until: int = NEVER
 
 
 class ZoneLossDetector:
     """The states of all zones from one limiter's point of view.
 
+    Attributes:
+        zones: What was observed of each zone, by its index.
+        transitions: Changes of state that the caller has not yet taken over.
+        evaluated_at: When the states were last evaluated, in ticks.
+
     Args:
-        answer_timeout: The response target in ticks; the longest where frontends differ, as a zone
-            is not lost because one frontend is slow.
-        return_duration: How long a return takes, in ticks.
+        answer_timeout: The longest latency target of the frontends, in ticks: a zone is not lost
+            because one frontend is slow.
+        return_duration: How long a return takes, in ticks; at least four times `answer_timeout`
+            is used.
         initial_share: The share of its traffic that a returning zone receives at first.
     """
 
     def __init__(self, answer_timeout: int, return_duration: int, initial_share: float) -> None:
-        self.answer_timeout, self.return_duration, self.initial_share = (
-            answer_timeout,
-            max(return_duration, 4 * answer_timeout),
-            initial_share,
-        )
+        self.answer_timeout = answer_timeout
+        self.return_duration = max(return_duration, 4 * answer_timeout)
+        self.initial_share = initial_share
         self.zones: dict[int, ZoneHealth] = {}
         self.transitions: list[Transition] = []
         self.evaluated_at = NEVER
 
-    # observations
+    # Observations.
 
     def update_endpoints(self, now: int, servers: Iterable[tuple[int, int, int]]) -> None:
-        """Follows an endpoint list.
+        """Applies an endpoint list.
 
         Args:
             now: The time in ticks.
-            servers: For each live server its number, zone and start time (0: not recent).
+            servers: The index, zone and start time of each live server. The start time is in
+                ticks, and 0 if it is not recent.
         """
         by_zone: dict[int, dict[int, int]] = {}
         for server, zone_id, started_at in servers:
             by_zone.setdefault(zone_id, {})[server] = started_at
         for zone_id in by_zone.keys() | self.zones.keys():
-            zone, live = self.zones.setdefault(zone_id, ZoneHealth()), by_zone.get(zone_id, {})
+            zone = self.zones.setdefault(zone_id, ZoneHealth())
+            live = by_zone.get(zone_id, {})
             for server in zone.live.keys() - live.keys():
                 zone.answered_at.pop(server, None)
                 zone.failed_at.pop(server, None)
@@ -102,7 +145,8 @@
                 if zone.live.get(server, started_at) != started_at:
                     zone.answered_at.pop(server, None)
                     zone.failed_at.pop(server, None)
-            live_before, zone.live = zone.live, live
+            live_before = zone.live
+            zone.live = live
             if live_before and not live and zone.state is not ZoneState.LOST:
                 self.set_state(
                     now,
@@ -125,6 +169,7 @@
                 )
 
     def attempt_sent(self, now: int, key: tuple[int, int], zone_id: int, server: int) -> None:
+        """Records an attempt; `key` is its request's id and its number."""
         self.zones.setdefault(zone_id, ZoneHealth()).in_flight[key] = (
             now,
             now + self.answer_timeout,
@@ -140,15 +185,15 @@
         is_answered: bool,
         is_late: bool,
     ) -> None:
-        """Follows the end of an attempt.
+        """Records the end of an attempt.
 
         Args:
             now: The time in ticks.
-            key: The request and the number of its attempt.
+            key: The request's id and the number of the attempt.
             zone_id: The server's zone.
             server: The server.
-            is_answered: Whether the server sent anything.
-            is_late: Whether the attempt ended after the frontend's response target.
+            is_answered: Whether the server sent an answer of any kind.
+            is_late: Whether the attempt ended after the frontend's latency target.
         """
         zone = self.zones.setdefault(zone_id, ZoneHealth())
         zone.in_flight.pop(key, None)
@@ -160,32 +205,33 @@
             zone.answered_at[server] = zone.last_answer_at = now
         if zone.state is ZoneState.RETURNING and (is_late or not is_answered):
             self.advance_return(now, zone)
-            # answers are getting worse, so the share stops growing for a while
+            # answers become late or missing, so the zone's share stops growing for a while
             zone.paused_until = now + self.answer_timeout
         if is_answered and zone.state in (ZoneState.DOUBTFUL, ZoneState.LOST):
             self.on_recovery_answer(now, zone_id, zone)
 
     def on_recovery_answer(self, now: int, zone_id: int, zone: ZoneHealth) -> None:
+        """Makes a doubtful zone whole, or a lost one returning, after enough of it answered."""
         if zone.state is ZoneState.DOUBTFUL:
-            # the zone is reachable: the decision engine ejects single servers
+            # the zone is reachable; the decision engine ejects the servers that still fail
             zone.doubt_backoff = min(MAX_BACKOFF, 2 * zone.doubt_backoff)
             self.set_state(now, zone_id, ZoneState.WHOLE, "a server of the zone answered")
             return
-        answered = sum(at > zone.state_since for at in zone.answered_at.values())
+        answered = sum(time > zone.state_since for time in zone.answered_at.values())
         if answered >= min(2, len(zone.live)):
             self.set_state(
                 now, zone_id, ZoneState.RETURNING, f"{answered} servers of the zone answered"
             )
 
-    # evaluation
+    # Evaluation.
 
     def silent_servers(self, now: int, zone: ZoneHealth) -> tuple[set[int], set[int]]:
         """Returns the silent servers and all servers in use.
 
-        A server is silent if an answer has been overdue or missing since the zone's last answer.
-        Answers that were overdue before concern single servers: others have answered since.
+        A server is silent if an answer of it became overdue or was missing after the zone's last
+        answer. Earlier failures concern single servers, as another one has answered since.
         """
-        silent = {server for server, at in zone.failed_at.items() if at > zone.last_answer_at}
+        silent = {server for server, time in zone.failed_at.items() if time > zone.last_answer_at}
         for _, due, server in zone.in_flight.values():
             if due > now:
                 break  # the remaining attempts were sent later
@@ -193,11 +239,11 @@
                 silent.add(server)
         in_use = {server for _, _, server in zone.in_flight.values()}
         for times in (zone.answered_at, zone.failed_at):
-            in_use |= {server for server, at in times.items() if now - at < IN_USE_PERIOD}
+            in_use |= {server for server, time in times.items() if now - time < IN_USE_TICKS}
         return silent & zone.live.keys(), in_use & zone.live.keys()
 
     def evaluate(self, now: int) -> None:
-        """Updates the states of all zones, at most once in an eighth of the answer timeout."""
+        """Updates the states of all zones, at most once per eighth of the answer timeout."""
         if now - self.evaluated_at < self.answer_timeout // 8:
             return
         self.evaluated_at = now
@@ -226,7 +272,7 @@
                     self.set_state(now, zone_id, ZoneState.WHOLE, "the zone handled its full share")
 
     def advance_return(self, now: int, zone: ZoneHealth) -> None:
-        """Adds the time since the last update to the return, without the time it was paused."""
+        """Adds the time since the last update, except pauses, to the progress of a return."""
         if now > zone.paused_until:
             zone.return_progress += now - max(zone.progress_updated_at, zone.paused_until)
         zone.progress_updated_at = now
@@ -234,33 +280,44 @@
     def set_state(
         self, now: int, zone_id: int, new: ZoneState, reason: str, live_before: int = 0
     ) -> None:
-        """Changes a zone's state; `live_before` counts its servers where the list has none now."""
+        """Changes a zone's state and records the transition.
+
+        Args:
+            now: The time in ticks.
+            zone_id: Index of the zone.
+            new: The new state.
+            reason: Why it changes, for the log.
+            live_before: Its number of servers before, if the endpoint list has none of it now.
+        """
         zone = self.zones[zone_id]
-        own = live_before or len(zone.live)
-        others = sum(
+        own_count = live_before or len(zone.live)
+        other_count = sum(
             len(z.live)
             for z in self.zones.values()
             if z is not zone and z.state is not ZoneState.LOST
         )
         self.transitions.append(
-            Transition(zone_id, zone.state, new, reason, own / max(1, own + others))
+            Transition(
+                zone_id, zone.state, new, reason, own_count / max(1, own_count + other_count)
+            )
         )
-        zone.state, zone.state_since = new, now
-        zone.return_progress, zone.progress_updated_at, zone.paused_until = 0, now, NEVER
+        zone.state = new
+        zone.state_since = now
+        zone.return_progress = 0
+        zone.progress_updated_at = now
+        zone.paused_until = NEVER
         if new is ZoneState.WHOLE:
             zone.stable_since = now
         if new is ZoneState.LOST:
-            # each loss soon after the one before doubles the time of the next return
+            # a loss soon after the previous one doubles the duration of the next return
             is_repeated = now - zone.lost_at < 8 * self.return_duration * zone.return_backoff
-            zone.return_backoff, zone.lost_at = (
-                min(MAX_BACKOFF, 2 * zone.return_backoff) if is_repeated else 1,
-                now,
-            )
-            # attempts in flight end by their own expiry and give no further evidence
+            zone.return_backoff = min(MAX_BACKOFF, 2 * zone.return_backoff) if is_repeated else 1
+            zone.lost_at = now
+            # attempts in flight end by their own expiry; overdue answers to them no longer matter
             zone.in_flight.clear()
             zone.answered_at.clear()
 
-    # queries
+    # Queries.
 
     def is_avoided(self, zone_id: int) -> bool:
         """Returns whether the zone receives probes only. Never true of all zones at once."""
