--- a/loomstand/failover/engine_view.py
+++ b/loomstand/failover/engine_view.py
@@ -2,7 +2,7 @@
 
 The engine reports the endpoint list and the start and end of each attempt. It asks which zones to
 avoid, whether to admit a request, and which changes to log. Without a plan the engine has no such
-object and all zones count as whole.
+object and treats all zones as whole (`ZoneState.WHOLE`).
 """
 
 from __future__ import annotations
@@ -21,16 +21,28 @@
 # Share of the requests of rank 0 that probe a lost zone. At eight such requests/s the two answers
 # that show a healed partition arrive within 5 s, at the cost of a twentieth of these requests.
 LOST_ZONE_PROBE_SHARE = 1 / 20
+# Outcomes that show that the server is reachable.
 ANSWERED_OUTCOMES = {Outcome.SUCCEEDED, Outcome.SERVER_ERROR, Outcome.REJECTED}
-# caused by the limiter itself, so no evidence about the server
+# Outcomes that the limiter itself causes, which say nothing about the server.
 IGNORED_OUTCOMES = {Outcome.NOT_SENT, Outcome.CANCELLED}
 
 
 class FailoverPolicy:
     """Avoidance of lost zones and load shedding by the zone plan.
 
+    Attributes:
+        now: The time of the last `evaluate_zones`, in ticks.
+        detector: Detects the loss and the return of zones.
+        window_scale: Factor by which the last changes of zones enlarge or shrink the window.
+        window_controller: Adjusts the window to late answers.
+        usual_server_count: Number of live servers when all zones were last whole.
+        plan: The zone plan.
+        planned_demand: Mean number of requests executing at once by the plan; 0 if it has no zones.
+        order: Admits requests by rank.
+        rank: Returns the rank of a request from the indices of its frontend and plan.
+
     Args:
-        plan: The plan.
+        plan: The zone plan.
         settings: The engine's settings.
         names: The names of the settings' frontends, plans and zones, in their order.
         now: The time in ticks.
@@ -43,16 +55,15 @@
         names: tuple[Sequence[str], Sequence[str], Sequence[str]],
         now: int,
     ) -> None:
-        self.names, self.now = names, now
+        self.frontend_names, self.plan_names, self.zone_names = names
+        self.now = now
         answer_timeout = max(f.latency_target for f in settings.frontends)
         self.detector = ZoneLossDetector(
             answer_timeout, settings.slow_start_period, settings.slow_start_initial_capacity
         )
-        self.window_scale, self.window_controller, self.usual_server_count = (
-            1.0,
-            WindowController(),
-            0,
-        )
+        self.window_scale = 1.0
+        self.window_controller = WindowController()
+        self.usual_server_count = 0
         self.replace_plan(plan)
 
     def replace_plan(self, plan: ZonePlan) -> None:
@@ -64,7 +75,8 @@
         self.order = SheddingOrder(
             plan.rank_count(), plan.keep.share if plan.keep else 0.0, self.now
         )
-        frontend_names, plan_names, _ = self.names
+        frontend_names = self.frontend_names
+        plan_names = self.plan_names
 
         @lru_cache(1 << 10)
         def rank(frontend: int, plan_index: int, is_retry: bool, is_over_quota: bool) -> int:
@@ -73,10 +85,10 @@
 
         self.rank = rank
 
-    # reports of the engine
+    # Reports of the engine.
 
     def update_endpoints(self, now: int, servers: Iterable[tuple[int, int, int]]) -> None:
-        """Follows the live servers, each with its number, zone and start time."""
+        """Applies an endpoint list: the index, zone and start time of each live server."""
         live = list(servers)
         self.detector.update_endpoints(now, live)
         # A lost zone takes its limiters with it, so the remaining limiters need larger subsets: the
@@ -85,6 +97,7 @@
             self.usual_server_count = len(live)
 
     def attempt_sent(self, now: int, key: tuple[int, int], zone: int, server: int) -> None:
+        """Records an attempt; `key` is its request's id and its number."""
         self.detector.attempt_sent(now, key, zone, server)
 
     def attempt_ended(
@@ -96,6 +109,7 @@
         outcome: Outcome,
         is_late: bool,
     ) -> None:
+        """Records the outcome of an attempt; see `ZoneLossDetector.attempt_ended`."""
         if outcome in IGNORED_OUTCOMES:
             self.detector.zones[zone].in_flight.pop(key, None)
         else:
@@ -109,16 +123,17 @@
         The limiters of a lost zone count as lost with it, because their clients move to the others.
 
         Args:
-            lost_zone: Another zone that counts as lost.
+            lost_zone: Index of a zone that counts as lost in addition; -1 for none.
         """
         counts = {z.name: z.limiters for z in self.plan.zones}
-        total, remaining = sum(counts.values()), 0
-        for zone, name in enumerate(self.names[2]):
+        total = sum(counts.values())
+        remaining = 0
+        for zone, name in enumerate(self.zone_names):
             remaining += 0 if zone == lost_zone or self.is_avoided(zone) else counts.get(name, 0)
         return remaining / total if remaining else 1.0
 
     def min_window(self, limiters: int) -> float:
-        """Returns the smallest window: this limiter's part of five attempts for each server."""
+        """Returns the smallest window: this limiter's part of the minimum attempts per server."""
         live = sum(
             len(z.live) for zone, z in self.detector.zones.items() if not self.is_avoided(zone)
         )
@@ -130,6 +145,13 @@
         """Returns the window size after an answer.
 
         An answer from a lost zone changes nothing, as it says nothing about the other zones.
+
+        Args:
+            size: The size before.
+            min_size: The lower bound of the size.
+            zone: The zone that the answer came from.
+            lateness: How much the answer counts as late, from 0 to 1.
+            in_flight: The other attempts in flight.
         """
         if self.is_avoided(zone):
             return size
@@ -150,14 +172,14 @@
         """
         if not self.planned_demand:
             return float("inf")
-        names = self.names[2]
-        lost = {names[zone] for zone in range(len(names)) if self.is_avoided(zone)}
+        lost = {name for zone, name in enumerate(self.zone_names) if self.is_avoided(zone)}
         slots = sum(z.servers * z.slots for z in self.plan.zones if z.name not in lost)
         return sum(self.order.demand(self.now)) * slots * self.plan.fill / self.planned_demand
 
-    # queries of the engine
+    # Queries of the engine.
 
     def is_avoided(self, zone: int) -> bool:
+        """Returns whether the zone receives probes only; see `ZoneLossDetector.is_avoided`."""
         return self.detector.is_avoided(zone)
 
     def may_use_server(self, zone: int, capacity: float, draw: float) -> bool:
@@ -166,6 +188,11 @@
         A server that warms up is chosen in proportion to its capacity, so that all limiters
         together send it what it can handle. A server of a returning zone is chosen by the zone's
         share too, unless it warms up and the zone was not lost again soon after its last return.
+
+        Args:
+            zone: The server's zone.
+            capacity: The share of its capacity that the server has, less than 1 in slow start.
+            draw: A random number in [0, 1).
         """
         share = self.detector.traffic_share(zone)
         if capacity < 1.0 and share < 1.0 and self.detector.zones[zone].return_backoff == 1:
@@ -175,14 +202,15 @@
     def is_probe(self, zone: int, rank: int, probe_share: float, draw: float) -> bool:
         """Returns whether a request may probe an ejected server.
 
-        Only requests of rank 0 may: by the server's own probe share, or by a fixed one where its
-        zone is lost.
+        Only requests of rank 0 may: the server's own share of them, or a fixed share if its zone is
+        lost. `draw` is a random number in [0, 1).
         """
         return rank == 0 and draw < (
             LOST_ZONE_PROBE_SHARE if self.is_avoided(zone) else probe_share
         )
 
     def admits(self, now: int, rank: int, work: float, window: float, draw: float) -> bool:
+        """Records a request and returns whether it is admitted; see `SheddingOrder.admits`."""
         return self.order.admits(now, rank, work, window, draw)
 
     def evaluate_zones(self, now: int) -> list[str]:
@@ -192,9 +220,10 @@
         """
         self.now = now
         self.detector.evaluate(now)
-        self.window_scale, lines = 1.0, []
+        self.window_scale = 1.0
+        lines = []
+        zone_names = self.zone_names
         for change in self.detector.transitions:
-            zone_names = self.names[2]
             name = zone_names[change.zone] if change.zone < len(zone_names) else str(change.zone)
             lines.append(
                 f"{now / TICKS_PER_SECOND:.2f}: zone {name}: {change.old.value} to "
--- a/loomstand/failover/zone_plan.py
+++ b/loomstand/failover/zone_plan.py
@@ -22,22 +22,22 @@
 
 
 class ZoneCapacity(StrictStruct):
-    """What a zone contains."""
+    """The servers and limiters of a zone."""
 
     name: str
     servers: Annotated[int, Meta(ge=0)]
     slots: Annotated[int, Meta(ge=1)]  # requests that a server processes at once
-    limiters: Annotated[int, Meta(ge=0)] = 0  # located in the zone and lost with it
+    limiters: Annotated[int, Meta(ge=0)] = 0  # in the zone, so lost together with it
 
 
 class FrontendDemand(StrictStruct):
-    """The load on a frontend at the time that the plan is made for."""
+    """The load on a frontend that the plan is made for."""
 
     frontend: str
     rate: Positive  # requests/s over all zones
     work_ms: Positive  # processing time of a request at an idle server
     value: Positive = 1.0  # of a request, relative to others
-    plan: str = ""  # the customers' plan; empty for all customers
+    plan: str = ""  # quota plan of the customers; empty for all customers
 
 
 class SheddingRule(StrictStruct):
@@ -46,25 +46,26 @@
     name: str
     frontends: list[str] = msgspec.field(default_factory=list)
     plans: list[str] = msgspec.field(default_factory=list)
-    retries: bool = False  # only requests marked as a client's retry
+    retries: bool = False  # only requests that the client marked as retries
     beyond: bool = False  # only requests of customers over their quota
 
     def matches(self, frontend: str, plan: str, is_retry: bool, is_over_quota: bool) -> bool:
-        is_named = (not self.frontends or frontend in self.frontends) and (
+        """Returns whether a request of a frontend and a quota plan matches all keys of the rule."""
+        is_listed = (not self.frontends or frontend in self.frontends) and (
             not self.plans or plan in self.plans
         )
-        return is_named and (is_retry or not self.retries) and (is_over_quota or not self.beyond)
+        return is_listed and (is_retry or not self.retries) and (is_over_quota or not self.beyond)
 
 
 class ProtectedTraffic(SheddingRule):
-    """Selects the requests that must not be refused, and reserves a share of the window."""
+    """Selects the requests that must not be refused; `share` of the window is reserved for them."""
 
     name: str = "keep"
     share: Share = 0.2
 
 
 class ZonePlan(StrictStruct):
-    """A complete plan. Requests of the first entry of `refuse` are refused first."""
+    """A zone plan. Requests that match the first entry of `refuse` are refused first."""
 
     refuse: Annotated[list[SheddingRule], Meta(min_length=1)]
     keep: ProtectedTraffic | None = None
@@ -74,13 +75,13 @@
 
     def __post_init__(self) -> None:
         names = [z.name for z in self.zones]
-        for n, name in enumerate(names):
-            if name in names[:n]:
-                raise PlanError(f"key 'zones[{n}].name': '{name}' occurs twice")
+        for index, name in enumerate(names):
+            if name in names[:index]:
+                raise PlanError(f"key 'zones[{index}].name': '{name}' occurs twice")
         rule_names = [r.name for r in self.refuse]
-        for n, name in enumerate(rule_names):
-            if name in rule_names[:n]:
-                raise PlanError(f"key 'refuse[{n}].name': '{name}' occurs twice")
+        for index, name in enumerate(rule_names):
+            if name in rule_names[:index]:
+                raise PlanError(f"key 'refuse[{index}].name': '{name}' occurs twice")
 
     def rank_count(self) -> int:
         """Returns the number of ranks: those of `refuse`, unmatched requests and `keep`."""
@@ -95,9 +96,9 @@
         if self.keep is not None and self.keep.matches(frontend, plan, is_retry, is_over_quota):
             return len(self.refuse) + 1
         matching = (
-            n
-            for n, r in enumerate(self.refuse)
-            if r.matches(frontend, plan, is_retry, is_over_quota)
+            index
+            for index, rule in enumerate(self.refuse)
+            if rule.matches(frontend, plan, is_retry, is_over_quota)
         )
         return next(matching, len(self.refuse))
 
@@ -108,25 +109,25 @@
     Args:
         table: The table.
         frontends: The frontends that the plan may name; empty to allow any.
-        plans: The customers' plans that it may name; empty to allow any.
+        plans: The quota plans that it may name; empty to allow any.
 
     Raises:
         PlanError: The table is not a valid plan. The message names the key.
     """
     plan = convert_table(table, ZonePlan)
-    rules = [(f"refuse[{n}]", r) for n, r in enumerate(plan.refuse)]
+    rules = [(f"refuse[{index}]", rule) for index, rule in enumerate(plan.refuse)]
     rules += [("keep", plan.keep)] if plan.keep else []
     for path, rule in rules:
         for key, valid_names in (("frontends", frontends), ("plans", plans)):
-            for n, name in enumerate(getattr(rule, key)):
+            for index, name in enumerate(getattr(rule, key)):
                 if valid_names and name not in valid_names:
                     raise PlanError(
-                        f"key '{path}.{key}[{n}]': there is no '{name}' in the settings"
+                        f"key '{path}.{key}[{index}]': there is no '{name}' in the settings"
                     )
-    for n, d in enumerate(plan.demand):
-        if frontends and d.frontend not in frontends:
+    for index, entry in enumerate(plan.demand):
+        if frontends and entry.frontend not in frontends:
             raise PlanError(
-                f"key 'demand[{n}].frontend': there is no '{d.frontend}' in the settings"
+                f"key 'demand[{index}].frontend': there is no '{entry.frontend}' in the settings"
             )
     return plan
 
@@ -144,13 +145,19 @@
         raise PlanError(f"{path}: {error}") from None
 
 
-# forecast
-# ---------------------------------------------------------------------------------------
+# Forecast.
 
 
 @dataclass(slots=True, frozen=True)
 class RankForecast:
-    """Demand and admitted load of a rank, both in slots."""
+    """Demand and admitted load of a rank.
+
+    Attributes:
+        rank: The rank; 0 is refused first.
+        name: Name of the rule that selects its requests.
+        demand_slots: Mean number of slots that all its requests would occupy.
+        admitted_slots: Mean number of slots that its admitted requests occupy.
+    """
 
     rank: int
     name: str
@@ -165,17 +172,29 @@
 
 @dataclass(slots=True, frozen=True)
 class Forecast:
-    """The effects of the loss of a zone, or of none."""
+    """The effects of the loss of a zone, or the normal load if no zone is lost.
+
+    Attributes:
+        lost: Name of the lost zone; empty for none.
+        usable_slots: Slots of the remaining zones that the plan allows to fill.
+        demand_slots: Mean number of slots that all requests would occupy.
+        utilization: Share of the remaining zones' slots that the admitted load occupies.
+        moved_slots: Slots that the lost zone's load needs in each remaining zone, by zone name.
+        ranks: The forecast of each rank that has demand.
+        admitted_value_share: Share of the value of all requests that is admitted.
+        missing_servers: Servers to add for the requests that must not be refused.
+        missing_servers_for_all: Servers to add for all requests.
+    """
 
     lost: str
-    usable_slots: float  # of the remaining zones
+    usable_slots: float
     demand_slots: float
-    utilization: float  # share of the remaining slots in use by the admitted load
-    moved_slots: dict[str, float]  # of the lost zone's load, by remaining zone
+    utilization: float
+    moved_slots: dict[str, float]
     ranks: tuple[RankForecast, ...]
-    admitted_value_share: float  # share of the demanded value that is admitted
-    missing_servers: int  # for the requests that must not be refused
-    missing_servers_for_all: int  # for the whole demand
+    admitted_value_share: float
+    missing_servers: int
+    missing_servers_for_all: int
 
 
 def forecast(plan: ZonePlan, lost: str) -> Forecast:
@@ -193,11 +212,12 @@
     usable = slots * plan.fill
     demand = [0.0] * plan.rank_count()
     value = [0.0] * plan.rank_count()
-    for d in plan.demand:
-        rank = plan.rank(d.frontend, d.plan, False, False)
-        demand[rank] += d.rate * d.work_ms / 1000
-        value[rank] += d.rate * d.value
-    admitted, unassigned = [0.0] * plan.rank_count(), usable
+    for entry in plan.demand:
+        rank = plan.rank(entry.frontend, entry.plan, False, False)
+        demand[rank] += entry.rate * entry.work_ms / 1000
+        value[rank] += entry.rate * entry.value
+    admitted = [0.0] * plan.rank_count()
+    unassigned = usable
     for rank in reversed(range(plan.rank_count())):  # the last rank is assigned first
         limit = unassigned
         if plan.keep is not None and rank < plan.rank_count() - 1:
@@ -209,9 +229,9 @@
         unassigned -= admitted[rank]
     names = [r.name for r in plan.refuse] + ["the rest", plan.keep.name if plan.keep else "keep"]
     ranks = tuple(
-        RankForecast(n, names[n], demand[n], admitted[n])
-        for n in range(plan.rank_count())
-        if demand[n] > 0
+        RankForecast(rank, names[rank], demand[rank], admitted[rank])
+        for rank in range(plan.rank_count())
+        if demand[rank] > 0
     )
     total_slots = sum(z.servers * z.slots for z in plan.zones)
     moved = sum(demand) * (1 - slots / total_slots) if total_slots else 0.0
@@ -219,7 +239,7 @@
         {z.name: moved * z.servers * z.slots / slots for z in remaining_zones} if slots else {}
     )
     slots_per_server = plan.fill * max((z.slots for z in plan.zones), default=1)
-    # demand that must not be refused: of `keep`, or without it of the last rank that has any
+    # demand that must not be refused: of `keep`, else of the last rank that has any
     protected = demand[-1] if plan.keep else next((d for d in reversed(demand) if d), 0.0)
     return Forecast(
         lost=lost,
