--- a/tests/admission/test_decision_engine.py
+++ b/tests/admission/test_decision_engine.py
@@ -29,21 +29,21 @@
 
 
 @pytest.mark.parametrize(
-    ("limiters", "sets", "servers"), [(3, 255, 300), (380, 0, 1), (1, 1, 0), (0, 7, 9)]
+    ("limiters", "limiter_set_size", "servers"), [(3, 255, 300), (380, 0, 1), (1, 1, 0), (0, 7, 9)]
 )
 def test_unusual_sizes_and_clock_jumps_raise_no_error(
-    limiters: int, sets: int, servers: int
+    limiters: int, limiter_set_size: int, servers: int
 ) -> None:
     plans = (replace(PLANS[1], rate=1e-4, burst=2.0, rate_limit_burst=0.01), *PLANS[1:])
-    engine, now, answered = (
-        single_engine(servers=servers, limiter_count=limiters, plans=plans, limiter_index=2),
-        0,
-        0,
-    )
+    engine = single_engine(servers=servers, limiter_count=limiters, plans=plans, limiter_index=2)
+    now, answered = 0, 0
     for request_id in range(200):
         now += 1 if request_id % 9 else 700 * S
         actions = engine.handle(
-            now, arrival(request_id, now, request_id % 4, request_id % 4, request_id % 7, sets)
+            now,
+            arrival(
+                request_id, now, request_id % 4, request_id % 4, request_id % 7, limiter_set_size
+            ),
         )
         answered += len(actions_of_type(actions, SendAttempt)) + len(
             actions_of_type(actions, Reject)
--- a/tests/admission/test_load_balancer.py
+++ b/tests/admission/test_load_balancer.py
@@ -36,13 +36,14 @@
 
 @pytest.mark.parametrize("share", [0.1, 0.45, 0.67, 0.8])
 def test_the_window_grows_where_execution_takes_most_of_the_latency_target(share: float) -> None:
-    """Issue 26: with an execution time of 270 ms and a target of 400 ms, no answer takes less than
-    half of the target and some take over 0.8 of it on idle servers. The window stayed at its
-    minimum, half of the servers' slots.
+    """Guards against a window that stays at its minimum, half of the servers' slots (issue 26).
+
+    With an execution time of 270 ms and a target of 400 ms, no answer takes less than half of the
+    target and some take over 0.8 of it on idle servers.
     """
     engine, rng = single_engine(servers=4), Random(3)
     engine.admission.load_balancers[0].window.size = 5 * 4 / 3
-    now, in_flight, most = 0, [], 0
+    now, in_flight, max_in_flight = 0, [], 0
     for request_id in range(4000):
         now += S // 40
         for ends_at, action, duration in [o for o in in_flight if o[0] <= now]:
@@ -64,15 +65,15 @@
             wait = max(0.0, len(in_flight) - 20) / 20  # 20 attempts at once without queueing
             duration = int(share * S * (rng.uniform(0.9, 1.1) + wait))
             in_flight.append((now + duration, action, duration))
-        most = max(most, len(in_flight))
+        max_in_flight = max(max_in_flight, len(in_flight))
     concurrency = min(20, 40 * share)  # of the demand, up to the servers' capacity
-    assert most >= 0.8 * concurrency
+    assert max_in_flight >= 0.8 * concurrency
     assert engine.admission.load_balancers[0].window.size <= 60  # no queue as long as the target
 
 
 def test_a_server_in_slow_start_gets_its_share_of_the_peers_rate() -> None:
-    """Rule 4: at most overload multiple x slow-start capacity x a warm peer's rate at this limiter,
-    from a budget that starts empty.
+    """A server in slow start gets at most the overload multiple x its slow-start capacity x the
+    rate of a warm server at this limiter, from a budget that starts empty.
     """
     engine = single_engine(servers=2)
     now = 100 * S
@@ -184,7 +185,7 @@
     load_balancer.loop.now = 200 * S
     assert (
         load_balancer.successes.add(0, load_balancer.loop.now) < 0.05 * before
-    )  # a rate measured long ago no longer counts
+    )  # answers of long ago no longer count
 
 
 def test_a_server_that_fails_one_request_class_still_gets_the_others() -> None:
@@ -219,7 +220,7 @@
 
 
 def test_a_server_that_rejects_quickly_gets_less_and_does_not_shrink_the_window():
-    # One throttled server looked idle and drew most attempts, and its rejections shrank the window.
+    # Guards against a throttled server that looks idle, gets most attempts and shrinks the window.
     engine, sends, pending = single_engine(servers=4, limiter_count=1), [0] * 4, []
     load_balancer, before = (
         engine.admission.load_balancers[0],
@@ -263,7 +264,7 @@
 
 
 def test_attempts_without_a_response_do_not_fill_the_window():
-    # About 70 of 130 attempts in flight waited on connections that had become unresponsive.
+    # Guards against a window filled by attempts on unresponsive connections, 70 of 130 in one case.
     engine, sent = single_engine(servers=4, limiter_count=1), []
     for now in range(0, 40_000, 50):
         actions = engine.handle(now, arrival(now, now, frontend=1))
@@ -282,8 +283,8 @@
 
 
 def test_servers_that_all_start_at_once_are_used_during_slow_start():
-    """When all servers started at once, no peer had a measured rate, so no budget grew and nothing
-    was sent for the 10 s of slow start.
+    """Guards against budgets that don't grow when all servers start at once, as no server has a
+    measured rate: nothing was sent for the 10 s of slow start.
     """
     limiter_count, servers = 6, 4
     engines = [DecisionEngine(settings(n, limiter_count), n, 0) for n in range(limiter_count)]
@@ -315,10 +316,10 @@
         ):
             in_flight.append((now + S // 20, request_id % limiter_count, action))
             sent.append((now, action.endpoint_id))
-    assert sum(t > 6 * S for t, _ in sent) > 0.5 * 2 * 200  # of 200 per second
-    for server in range(
-        servers
-    ):  # 8 slots, 160 per second when warm: up to 3 times its capacity of that for 1 s
+    assert sum(t > 6 * S for t, _ in sent) > 0.5 * 2 * 200  # half of 200 per second for 2 s
+    # A warm server with 8 slots handles 160 per second; one in slow start may get at most 3 times
+    # its current share of that in any second.
+    for server in range(servers):
         for t in range(1, 8):
             last_second = sum(t * S - S < at <= t * S for at, s in sent if s == server)
             assert last_second <= 3.0 * (0.2 + 0.8 * (t - 1) / 10) * 160
--- a/tests/admission/test_rules.py
+++ b/tests/admission/test_rules.py
@@ -8,8 +8,7 @@
 
 from helpers import PLANS, S, arrival, endpoint
 from helpers import EngineHarness as Stage  # the name that the seeded functions use
-from hypothesis import HealthCheck, given, settings
-from hypothesis import Phase as Run
+from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
 from loomstand.admission.endpoints import EndpointState
@@ -17,7 +16,10 @@
 from loomstand.admission.outcome import Outcome
 
 SEEDED = settings(
-    derandomize=True, deadline=None, phases=[Run.generate], suppress_health_check=list(HealthCheck)
+    derandomize=True,
+    deadline=None,
+    phases=[Phase.generate],
+    suppress_health_check=list(HealthCheck),
 )
 OUTCOMES = (Outcome.SUCCEEDED,) * 6 + (
     Outcome.SERVER_ERROR,
@@ -114,8 +116,8 @@
 
 
 def test_many_limiters_share_a_cold_servers_budget() -> None:
-    """Rule 4 for the sum over all limiters, which get a new server's entry at the same time and an
-    even rate of requests.
+    """The slow-start limit on a server holds for the sum over all limiters, which get its entry at
+    the same time and an even rate of requests.
     """
     harness = Stage(4, limiter_count=30)
     for request_id in range(1, 3001):
@@ -130,11 +132,11 @@
         for key in [k for k, o in harness.attempts.items() if o[2] < harness.now - S // 10]:
             harness.end_attempt(key, Outcome.SUCCEEDED)
     start = harness.endpoints[4].started_at
-    cold_sends = [t for t, server in harness.sends if server == 4]
+    sent_at = [t for t, server in harness.sends if server == 4]
     for second in range(8):  # peers handle about 25 per second; the budget is checked over 1 s
-        sent = sum(start + second * S <= t < start + (second + 1) * S for t in cold_sends)
+        sent = sum(start + second * S <= t < start + (second + 1) * S for t in sent_at)
         assert sent <= 1.2 * 3.0 * (0.2 + 0.08 * (second + 1)) * 25
-    assert cold_sends
+    assert sent_at
 
 
 @settings(SEEDED, max_examples=30)
--- a/tests/admission/test_services.py
+++ b/tests/admission/test_services.py
@@ -108,19 +108,19 @@
                 10 * n + 5, AttemptEnded(n, 0, action.endpoint_id, outcome, 5, True, 0, 0.0)
             )
     servers = engine.admission.load_balancers[0].servers.values()
-    before = [v.is_ejected(1) for v in servers]
+    before = [s.is_ejected(1) for s in servers]
     added = replace(frontend(), attempt_limit=1)
     new_settings = replace(
         settings(limiter_count=1), frontends=(*FRONTENDS, added), plans=(*PLANS, plan(1.0, 2.0))
     )
     assert engine.handle(S, SettingsChanged(new_settings)) == []
-    assert [v.is_ejected(1) for v in servers] == before
+    assert [s.is_ejected(1) for s in servers] == before
     event = replace(arrival(20, S, plan=len(PLANS), tenant=5), frontend=len(FRONTENDS))
     server = actions_of_type(engine.handle(S, event), SendAttempt)[0].endpoint_id
     actions = engine.handle(S + 5, AttemptEnded(20, 0, server, Outcome.REJECTED, 5, False, 0, 0.0))
     assert actions_of_type(actions, Reject)[0].reason == "given up"  # the class's own attempt limit
     assert actions_of_type(engine.handle(S + 6, replace(event, request_id=21)), SendAttempt)
-    # its burst is used
+    # the tenant's burst is used up
     assert (
         actions_of_type(engine.handle(S + 6, replace(event, request_id=22)), Reject)[0].reason
         == "old total"
@@ -154,8 +154,8 @@
 def test_limiters_stay_within_the_quota_when_totals_stop(
     limiter_count: int, rate: int, burst: int, fraction: float
 ) -> None:
-    """A tenant requests up to 5 times its quota, unevenly over the limiters, and changes to others
-    when the counter stops replying for good.
+    """A tenant requests up to 5 times its quota, unevenly over the limiters, and moves to other
+    limiters when the counter stops replying for good.
     """
     rng, base_settings = (
         Random(1),
@@ -229,14 +229,14 @@
             0,
         )
         engine.handle(
-            0, EndpointsUpdated(tuple(endpoint(n, zone=h) for n, h in enumerate(zones)), True)
+            0, EndpointsUpdated(tuple(endpoint(n, zone=z) for n, z in enumerate(zones)), True)
         )
         send_request(engine, 1, 0)
         subset = engine.admission.load_balancers[0].subset[0]
-        assert len({v.endpoint_id for v in subset}) == 6
-        local.append(sum(v.endpoint.zone == zone for v in subset))
+        assert len({s.endpoint_id for s in subset}) == 6
+        local.append(sum(s.endpoint.zone == zone for s in subset))
         users.update(
-            v.endpoint_id for v in subset if v.endpoint.zone == zone or not local_zone_share
+            s.endpoint_id for s in subset if s.endpoint.zone == zone or not local_zone_share
         )
     assert (
         min(local) == max(local) == round(6 * local_zone_share)
@@ -244,7 +244,7 @@
         else sum(local) < 0.5 * 6 * 75
     )
     for zone in range(4):
-        by_server = [users[n] for n, h in enumerate(zones) if h == zone]
+        by_server = [users[n] for n, z in enumerate(zones) if z == zone]
         assert max(by_server) <= 2 * min(by_server)
 
 
@@ -256,7 +256,7 @@
         0,
     )
     engine.handle(
-        0, EndpointsUpdated(tuple(endpoint(n, zone=h) for n, h in enumerate(zones)), True)
+        0, EndpointsUpdated(tuple(endpoint(n, zone=z) for n, z in enumerate(zones)), True)
     )
     admitted = Counter()
     for request_id in range(400):
@@ -288,9 +288,8 @@
             )
         return n
 
-    assert [count_attempts(n, 1, Outcome.CONNECT_FAILED) for n in range(5)] == [
-        4
-    ] * 5  # costs nothing
+    # a retry after a failed connection costs nothing
+    assert [count_attempts(n, 1, Outcome.CONNECT_FAILED) for n in range(5)] == [4] * 5
     assert engine.admission.load_balancers[1].retry_budget.balance == pytest.approx(3.0 + 5 * 0.12)
     assert [count_attempts(10 + n, 1, Outcome.REJECTED) for n in range(3)] == [4, 1, 1]
     assert count_attempts(20, 1, Outcome.CONNECT_FAILED) == 4
--- a/tests/admission/test_tenant_limiter.py
+++ b/tests/admission/test_tenant_limiter.py
@@ -23,11 +23,13 @@
 
 
 def tenant_limiter(
-    rate: float, burst: float, sets: int = 1, has_counter: bool = False
+    rate: float, burst: float, limiter_set_size: int = 1, has_counter: bool = False
 ) -> TenantLimiter:
     loop = ActorLoop(settings(has_counter=has_counter), 1, 0)
     plan = QuotaPlan(rate, burst, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-    return TenantLimiter(loop, CounterClient(loop), arrival(1, 0, limiter_set_size=sets), plan)
+    return TenantLimiter(
+        loop, CounterClient(loop), arrival(1, 0, limiter_set_size=limiter_set_size), plan
+    )
 
 
 def count_admitted(engine: DecisionEngine, now: int, count: int, first_id: int) -> int:
@@ -64,7 +66,7 @@
     ],
 )
 def test_split_of_the_rate(own: float, total: float, share: float) -> None:
-    limiter = tenant_limiter(5.0, 10.0, sets=3)
+    limiter = tenant_limiter(5.0, 10.0, limiter_set_size=3)
     limiter.levels.split(own, total, 0)
     assert limiter.levels.share_rate * limiter.interval_length == pytest.approx(share)
 
@@ -72,14 +74,14 @@
 def test_shares_over_quota_sum_to_the_quota() -> None:
     shares = 0.0
     for own in (1.0, 5.0, 14.0):
-        limiter = tenant_limiter(5.0, 10.0, sets=3)
+        limiter = tenant_limiter(5.0, 10.0, limiter_set_size=3)
         limiter.levels.split(own, 20.0, 0)
         shares += limiter.levels.share_rate * limiter.interval_length
     assert shares == pytest.approx(10.0)
 
 
 def test_lost_counts_do_not_increase_a_share() -> None:
-    limiter = tenant_limiter(2.0, 4.0, sets=3, has_counter=True)
+    limiter = tenant_limiter(2.0, 4.0, limiter_set_size=3, has_counter=True)
     limiter.levels.usage.current.own = 3.0
     limiter.counter_replied(
         limiter.levels.usage.interval, 3.0, CounterReplied(1, Outcome.SUCCEEDED, 9.0, 10)
@@ -113,7 +115,7 @@
     """Guards against an unresponsive counter that limits a tenant well under its quota to a third
     of its burst.
     """
-    limiter = tenant_limiter(2.0, 6.0, sets=3, has_counter=True)
+    limiter = tenant_limiter(2.0, 6.0, limiter_set_size=3, has_counter=True)
     limiter.loop.settings = replace(limiter.loop.settings, metering_period=S)
     limiter.loop.now, limiter.counter_client.consecutive_failures = 100 * S, 4
     limiter.usage_metered(30)
@@ -141,7 +143,7 @@
 
 def test_a_share_below_one_request_admits_at_random() -> None:
     """Guards against quota left unused: with 100 limiters, each share is far below one request."""
-    limiter = tenant_limiter(1.0, 4.0, sets=100, has_counter=True)
+    limiter = tenant_limiter(1.0, 4.0, limiter_set_size=100, has_counter=True)
     limiter.levels.requested_rate, limiter.levels.total_at, limiter.loop.now = (
         4 * limiter.levels.quota.rate,
         0,
@@ -155,7 +157,7 @@
     """Guards against random rejection of most requests after a spike, seen with 7 limiters and a
     burst of 6.
     """
-    limiter = tenant_limiter(1.4, 6.0, sets=7, has_counter=True)
+    limiter = tenant_limiter(1.4, 6.0, limiter_set_size=7, has_counter=True)
     limiter.levels.requested_rate, limiter.levels.total_at, limiter.levels.fleet_level = (
         4 * limiter.levels.quota.rate,
         0,
@@ -163,7 +165,8 @@
     )
     limiter.loop.now = S // 2
     assert all(limiter.has_quota(1.0, False) for _ in range(100))
-    # 0.7 may have been admitted elsewhere since the total: one more and one in a race do not fit
+    # 0.7 units may have been admitted elsewhere since the total: this request and a concurrent one
+    # don't both fit
     limiter.levels.fleet_level = 4.5
     assert sum(limiter.has_quota(1.0, False) for _ in range(400)) < 150
 
@@ -172,16 +175,18 @@
     """Guards against needless rejections: three in four of the rejected retries arrived while the
     bucket had room.
     """
-    assert tenant_limiter(1.4, 6.0, sets=7, has_counter=True).has_quota(1.0, True)
-    assert not tenant_limiter(0.4, 2.0, sets=38, has_counter=True).has_quota(1.0, True)
+    assert tenant_limiter(1.4, 6.0, limiter_set_size=7, has_counter=True).has_quota(1.0, True)
+    assert not tenant_limiter(0.4, 2.0, limiter_set_size=38, has_counter=True).has_quota(1.0, True)
 
 
-@pytest.mark.parametrize(("seed", "sets"), [(0, 7), (1, 7), (2, 7), (3, 13), (4, 38), (5, 38)])
+@pytest.mark.parametrize(
+    ("seed", "limiter_set_size"), [(0, 7), (1, 7), (2, 7), (3, 13), (4, 38), (5, 38)]
+)
 def test_rate_limit_turns_hold_the_limit_through_restarts_and_start_soon(
-    seed: int, sets: int
+    seed: int, limiter_set_size: int
 ) -> None:
-    """With a continuous refill, no limiter held a whole unit for 2.1 s after a start; with more
-    limiters than units in the rate limit's burst, none ever did.
+    """Guards against a continuous refill: no limiter held a whole unit for 2.1 s after a start, and
+    with more limiters than units in the rate limit's burst, none ever did.
     """
     rng, plan = Random(seed), QuotaPlan(1.4, 6.0, 0, 1.0, 0.0, 1.0, 3.3, 14.0, 1.0)
     start = 17_961_586_410_000 + seed
@@ -191,15 +196,15 @@
         return TenantLimiter(
             loop,
             CounterClient(loop),
-            replace(arrival(1, now, limiter_set_size=sets), limiter_set_start=37),
+            replace(arrival(1, now, limiter_set_size=limiter_set_size), limiter_set_start=37),
             plan,
         )
 
-    limiters_in_set = [start_limiter((37 + n) % 40, start) for n in range(sets)]
-    assert sorted(a.rate_limit.position for a in limiters_in_set) == list(range(sets))
+    limiters_in_set = [start_limiter((37 + n) % 40, start) for n in range(limiter_set_size)]
+    assert sorted(a.rate_limit.position for a in limiters_in_set) == list(range(limiter_set_size))
     tokens, updated_at, first_grants = plan.rate_limit_burst, start, {}
     for now in range(start, start + 40 * S, 100):
-        n = rng.randrange(sets)
+        n = rng.randrange(limiter_set_size)
         if rng.random() < 0.002:
             limiters_in_set[n] = start_limiter(
                 (37 + n) % 40, now
@@ -216,13 +221,14 @@
                 )
                 first_grants.setdefault(limiter.rate_limit.position, now - start)
                 assert tokens >= -1.0 - 1e-6
-    assert len(first_grants) > sets / 2 and (
-        sets > 14 or sum(first_grants.values()) / sets < 0.2 * sets * S
+    assert len(first_grants) > limiter_set_size / 2 and (
+        limiter_set_size > 14
+        or sum(first_grants.values()) / limiter_set_size < 0.2 * limiter_set_size * S
     )
 
 
 def test_uncertain_requests_are_admitted_if_use_beyond_the_quota_is_free() -> None:
-    limiter = tenant_limiter(4.5, 8.0, sets=38, has_counter=True)
+    limiter = tenant_limiter(4.5, 8.0, limiter_set_size=38, has_counter=True)
     limiter.levels.quota = replace(limiter.levels.quota, is_excess_free=True)
     assert limiter.has_quota(1.0, True)
     limiter.levels.requested_rate, limiter.levels.total_at, limiter.levels.fleet_level = (
@@ -245,7 +251,7 @@
         engine.handle(1, arrival(n, 1, plan=1, tenant=n))
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    # 2,900 bytes per tenant with a dict and a deque each
+    # with a dict and a deque in each tenant's limiter, a tenant took 2,900 bytes
     assert len(engine.admission.tenants) == 501 and memory < 1300 * 500
 
 
