--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -34,7 +34,8 @@
 TARGET = 400 * MS
 
 
-def table(**over):
+def table(**changes):
+    """Returns a zone plan as a TOML table, with changed keys."""
     return {
         "refuse": [{"name": "cheap", "frontends": ["look"]}],
         "keep": {"frontends": ["book"], "share": 0.25},
@@ -43,15 +44,15 @@
             {"frontend": "look", "rate": 100, "work_ms": 270, "value": 1},
             {"frontend": "book", "rate": 100, "work_ms": 270, "value": 10},
         ],
-        **over,
+        **changes,
     }
 
 
-# the plan file
+# The plan file.
 
 
 @pytest.mark.parametrize(
-    "over, key",
+    "changes, key",
     [
         ({"refuse": []}, "refuse"),
         ({"refuse": [{"name": "x", "frontend": ["look"]}]}, r"refuse\[0\].frontend"),
@@ -64,9 +65,9 @@
         ({"demand": [{"frontend": "lock", "rate": 1, "work_ms": 1}]}, r"demand\[0\].frontend"),
     ],
 )
-def test_a_faulty_plan_names_its_key(over, key):
+def test_a_faulty_plan_names_its_key(changes, key):
     with pytest.raises(plans.PlanError, match=key):
-        plans.parse(table(**over), ["look", "book"], ["basic"])
+        plans.parse(table(**changes), ["look", "book"], ["basic"])
 
 
 def test_rank_is_the_first_matching_entry_and_protected_traffic_is_last():
@@ -84,13 +85,13 @@
     assert rank("book", "basic", True, True) == 4 == plan.rank_count() - 1
 
 
-# the forecast
+# The forecast.
 
 
 def test_forecast_of_a_zone_loss_against_values_computed_by_hand():
     """The demand is 54 of 96 slots. Without a zone 0.9 * 64 = 57.6 slots are usable, so everything
-    is admitted. With twice the rate of looks the demand is 81: 57.6 less 27 for book leaves 30.6 of
-    54 for looks.
+    is admitted. With twice the rate of `look` the demand is 81: 57.6 less 27 for `book` leaves 30.6
+    of the 54 for `look`.
     """
     plan = plans.parse(table())
     normal = plans.forecast(plan, "b")
@@ -137,7 +138,7 @@
         assert shares[-1] == 1.0 or demand[-1] == 0
 
 
-# load shedding
+# Load shedding.
 
 
 def test_protected_requests_are_admitted_and_rank_0_is_shed_first():
@@ -156,8 +157,8 @@
 
 
 def test_clients_that_move_all_at_once_do_not_overload_the_remaining_zones():
-    """Demand measured over 2 s only admitted half as much again for 2 s after such a move, then
-    half of the window.
+    """Guards against demand that is measured over a single span of 2 s: after such a move, 1.5
+    times the window was admitted for 2 s, and then half of it.
     """
     order, rng, now, peak = SheddingOrder(2, 0.0, 0), Random(1), 0, 0.0
     due_times: list[int] = []
@@ -172,11 +173,11 @@
 
 
 def test_window_shrinks_by_the_late_share_once_per_round():
-    """A decrease by one for each late answer halved a window of eight at each load peak."""
+    """Guards against a decrease by one per late answer: each load peak halved a window of eight."""
     controller, size = WindowController(), 8.0
     for _ in range(8):
         size = controller.update(size, 2.0, 1.0, 8)
-    assert 6.0 < size < 8.0  # one off for each late answer would give 1.0
+    assert 6.0 < size < 8.0  # a decrease by one for each late answer would give 1.0
     for _ in range(40):
         size = controller.update(size, 2.0, 1.0, 8)
     assert size == 2.0
@@ -185,18 +186,23 @@
     assert 8.0 <= size <= 9 / 0.8 + 0.1  # no growth beyond the window in use
 
 
-# loss detection
+# Loss detection.
 
 
 class SimulatedZones:
-    """Zones of servers, by default three of four, that one limiter sends 50 requests/s to."""
+    """Zones of servers to which one limiter sends requests; by default three zones of four servers.
+
+    Args:
+        seed: Seed of the random numbers.
+        rate: Requests per second.
+        zones: Number of zones.
+        servers: Number of servers in each zone.
+    """
 
     def __init__(self, seed: int = 1, rate: int = 50, zones: int = 3, servers: int = 4) -> None:
-        self.detector, self.rng, self.now = (
-            ZoneLossDetector(TARGET, 5 * S, 0.3),
-            Random(seed),
-            100 * S,
-        )
+        self.detector = ZoneLossDetector(TARGET, 5 * S, 0.3)
+        self.rng = Random(seed)
+        self.now = 100 * S
         self.zones, self.rate, self.request_id = zones, rate, 0
         self.started_at = {(z, n): 0 for z in range(zones) for n in range(servers)}
         self.dead: set[tuple[int, int]] = set()
@@ -363,11 +369,11 @@
     assert ZoneState.LOST not in [t[2] for t in simulated.transitions]
 
 
-# the decision engine with a zone plan
+# The decision engine with a zone plan.
 
 
-def engine_with_plan(**over) -> DecisionEngine:
-    engine_settings = settings(limiter_count=1, **over)
+def engine_with_plan(**changes) -> DecisionEngine:
+    engine_settings = settings(limiter_count=1, **changes)
     names = (["look", "book", "uniqued", "any"], ["a", "b", "c", "d"], ["east", "west"])
     plan = plans.parse(table(refuse=[{"name": "cheap", "frontends": ["look"]}]))
     engine = DecisionEngine(engine_settings, 7, 0, FailoverPolicy(plan, engine_settings, names, 0))
--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -1,4 +1,4 @@
-"""Zone loss with limiter processes: rules, counts and bounds, but not throughput."""
+"""Zone loss with limiter processes: checks rules, counts and bounds, but not throughput."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 INVALID_PLAN = '[[refuse]]\nname = "x"\nfrontends = ["lock"]\n'
 
 
-def three_zones(seconds: float, *faults: dict, **over) -> Rehearsal:
-    """Three half-loaded zones of one limiter and two servers; some customers have ceilings."""
+def three_zones(seconds: float, *faults: dict, **changes) -> Rehearsal:
+    """Three half-loaded zones, each of one limiter and two servers; one plan has a rate limit."""
     times = {"work_ms": 60, "response_target_ms": 300, "client_timeout_ms": 800}
     table = {
         "name": "trio",
@@ -55,7 +55,7 @@
             },
         ],
         "faults": list(faults),
-        **over,
+        **changes,
     }
     return from_table(table, Rehearsal)
 
@@ -90,19 +90,19 @@
 
 
 def test_partitioned_zone_serves_its_own_clients_and_both_sides_keep_the_ceilings(tmp_path):
-    cut = {"at": 2, "do": "cut", "who": ["zone:a"], "for_s": 4}
-    report, events = run_rehearsal(three_zones(9, cut), tmp_path)
+    partition = {"at": 2, "do": "cut", "who": ["zone:a"], "for_s": 4}
+    report, events = run_rehearsal(three_zones(9, partition), tmp_path)
     assert requests_run_in(events, 0, 3.5, 6.0) >= 20  # its own clients' requests
     assert requests_run_in(events, 1, 3.5, 6.0) >= 20
     assert {t[1] for t in transitions(report, "lost")} >= {"l1", "l2"}  # in the other zones
-    # the partitioned zone loses one or both of the others
+    # for the limiter of the partitioned zone, one or both of the other zones are lost
     assert {t[2] for t in transitions(report, "lost", "l0")} <= {"b", "c"}
 
 
 def test_zone_with_half_of_its_servers_slow_is_not_lost(tmp_path):
     slow = {"at": 1.5, "do": "slow", "who": ["s0"], "factor": 8, "for_s": 3}
-    over = {"fleet": {**to_table(three_zones(6))["fleet"], "apart": True}}
-    report, _ = run_rehearsal(three_zones(6, slow, **over), tmp_path)
+    changes = {"fleet": {**to_table(three_zones(6))["fleet"], "apart": True}}
+    report, _ = run_rehearsal(three_zones(6, slow, **changes), tmp_path)
     assert not transitions(report, "lost")
 
 
@@ -143,11 +143,11 @@
         **to_table(three_zones(1))["plans"][0],
         "customers": 60,
         "demand": 1.0,
-    }  # 600 requests/s at a capacity of 400
+    }  # 600 requests/s; the servers' capacity is 400
     book = {**to_table(three_zones(1))["frontends"][1], "share": 3.0}
     vanish = {"at": 2, "do": "vanish", "who": ["zone:a"], "for_s": 3, "told_s": 1}
-    over = {"plans": [full], "frontends": [to_table(three_zones(1))["frontends"][0], book]}
-    _, events = run_rehearsal(three_zones(6, vanish, **over), tmp_path)
+    changes = {"plans": [full], "frontends": [to_table(three_zones(1))["frontends"][0], book]}
+    _, events = run_rehearsal(three_zones(6, vanish, **changes), tmp_path)
     aborted = [r for r in events.history.reqs if r.answer == "aborted"]
     assert aborted and all(r.frontend == 1 for r in aborted)
     servers_by_request = {}
@@ -160,7 +160,7 @@
     denied = [r for r in events.history.reqs if r.answer == "denied" and r.arrived > 30_000]
     assert (
         sum(r.frontend == 0 for r in denied) / max(1, len(denied)) > 0.2
-    )  # a quarter of the requests are looks
+    )  # a quarter of the requests are of frontend `look`
 
 
 def test_an_invalid_plan_at_sighup_changes_nothing(tmp_path):
