--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -369,6 +369,11 @@
     assert ZoneState.LOST not in [t[2] for t in simulated.transitions]
 
 
+def test_failures_of_single_servers_do_not_make_a_zone_lost_with_a_seed_that_failed():
+    property_test = test_failures_of_single_servers_do_not_make_a_zone_lost
+    property_test.hypothesis.inner_test(seed=12680, rate=10)
+
+
 # The decision engine with a zone plan.
 
 
