--- a/loomstand/rpc/frames.py
+++ b/loomstand/rpc/frames.py
@@ -22,7 +22,7 @@
 from loomstand.rpc.errors import FrameError
 from loomstand.rpc.network import Body
 
-# The largest message is a configuration: one of thousands of routes takes a few MB.
+# The largest message is a configuration, which has a few MB if it has thousands of routes.
 MAX_FRAME_BYTES = 16 << 20
 _UINT32 = struct.Struct(">I")
 LENGTH_BYTES = _UINT32.size
@@ -75,7 +75,7 @@
 
 
 def encode_item(item: object) -> bytes:
-    """Encodes an item, which needn't be a valid frame, with its length and checksum."""
+    """Encodes an item with its length and checksum; tests also pass items that aren't frames."""
     encoded = cbor2.dumps(item)
     length = len(encoded) + CHECKSUM_BYTES
     return _UINT32.pack(length) + encoded + _UINT32.pack(crc32(encoded))
@@ -145,10 +145,10 @@
     except Exception as error:  # noqa: BLE001  # untrusted bytes: cbor2 raises errors of many types
         raise FrameError(f"item is not valid CBOR: {type(error).__name__}") from None
     if isinstance(decoded, list) and len(decoded) == ITEM_ELEMENTS:
-        number, kind, body = decoded
+        number, operation_or_outcome, body = decoded
         if isinstance(number, int) and isinstance(body, dict):
-            if isinstance(kind, str):
-                return CallFrame(number, kind, body)
-            if isinstance(kind, bool):
-                return AnswerFrame(number, kind, body)
+            if isinstance(operation_or_outcome, str):
+                return CallFrame(number, operation_or_outcome, body)
+            if isinstance(operation_or_outcome, bool):
+                return AnswerFrame(number, operation_or_outcome, body)
     raise FrameError("item is neither a call nor an answer")
--- a/loomstand/rpc/network.py
+++ b/loomstand/rpc/network.py
@@ -13,8 +13,8 @@
 from loomstand.rpc.errors import CallFailure
 
 # Lowest rate in bytes per second at which a call's body is assumed to be encoded, sent, decoded and
-# written, on a slow link with other calls in flight. Ten thousand routes are 3.4 MB; a usual
-# configuration adds 1 ms to a timeout.
+# written, on a slow link with other calls in flight. A configuration of ten thousand routes has
+# 3.4 MB and extends a timeout by 0.4 s; a usual one extends it by 1 ms.
 MIN_TRANSFER_BYTES_PER_SECOND = 8e6
 
 Address = tuple[str, int]
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -20,20 +20,23 @@
 from loomstand.rpc.network import Address
 
 # Share of the sockets that callers may keep open between calls; the rest is for new calls and, in a
-# registry, for limiters' sessions. With a sixth, the share that a limiter gives its clients, each
-# heartbeat needed a new connection beyond 616 servers per registry: the listener closed the
-# connection idle longest, which was the next one to be used.
+# registry, for limiters' sessions. The stand-alone limiter's share of a sixth is too small for more
+# than 616 servers per registry: the listener then closes the connection that has been idle longest,
+# which is the next one to be used, so that each heartbeat needs a new connection.
 KEEP_ALIVE_SHARE = 0.5
 # The listen backlog is a tenth of the sockets, and at least 8.
 MIN_BACKLOG = 8
 BACKLOG_DIVISOR = 10
-IDLE_TIMEOUT_SECONDS = 20.0  # of a connection without a call, after which it is closed
-MESSAGE_TIMEOUT_SECONDS = 10.0  # longest stall of a caller within a message
+# Time for which a connection may stay open without a call.
+IDLE_TIMEOUT_SECONDS = 20.0
+# Longest pause of a caller within a message, after which its connection is closed.
+MESSAGE_TIMEOUT_SECONDS = 10.0
+# Interval between two checks of all connections for these timeouts.
 SWEEP_INTERVAL_SECONDS = 1.0
-# Age in seconds from which connections that never sent a byte are the first to be closed if sockets
-# run short.
-SILENT_SECONDS = 1.0
-LOGGED_TARGET_BYTES = 80  # of the request target of a failed call
+# Age above which connections that never sent a byte are the first to be closed if sockets run out.
+UNUSED_CONNECTION_SECONDS = 1.0
+# Length to which the request target of a failed call is cut in the log.
+MAX_LOGGED_TARGET_BYTES = 80
 
 HttpHandler = Callable[[bytes, bytes, bytes], Awaitable[tuple[int, bytes]]]
 """Serves a call: takes method, target and body, returns status and body of the response."""
@@ -43,7 +46,7 @@
     """Answers each call with the handler's result; response bodies are JSON.
 
     State: its listener with the callers' connections, and a task for each call in progress. It also
-    manages sockets and buffers for the listener (`loomstand.limiter.protocols.Takes`).
+    manages sockets and buffers for the listener (`loomstand.limiter.protocols.ListenerOwner`).
     """
 
     def __init__(  # noqa: PLR0913, PLR0917  # the owning programs set its limits
@@ -59,11 +62,11 @@
 
         Args:
             handler: Serves the calls.
-            arrival_clock: The event loop's selector; None on an event loop with another selector.
+            arrival_clock: The event loop's selector; None if the loop has another kind of selector.
             memory_bytes: Memory in bytes for all buffers together.
             max_sockets: Maximum number of concurrent connections.
             max_body_bytes: Maximum size in bytes of a request body or response body.
-            streams: Accepts simulated connections in place of sockets.
+            streams: Accepts simulated connections in place of sockets; None for real sockets.
         """
         self.handler = handler
         self.loop = asyncio.get_running_loop()
@@ -79,17 +82,17 @@
     def _make_listener(
         self, max_sockets: int, max_body_bytes: int, streams: Streams | None
     ) -> ClientListener:
-        # The listener's declared type for its limiter is narrower than what it passes to it.
-        limiter: Any = self
+        # The declared type has wider parameters than the calls that the listener makes.
+        owner: Any = self
         listener = ClientListener(
-            limiter, max(MIN_BACKLOG, max_sockets // BACKLOG_DIVISOR), max_sockets
+            owner, max(MIN_BACKLOG, max_sockets // BACKLOG_DIVISOR), max_sockets
         )
         if streams is not None:
             listener.bind = streams.listen
         listener.keep_alive_limit = int(max_sockets * KEEP_ALIVE_SHARE)
         listener.idle_timeout_seconds = IDLE_TIMEOUT_SECONDS
         listener.max_body_bytes = max_body_bytes
-        listener.own_paths = False
+        listener.own_paths = False  # the handler gets the paths below `/-/` too
         return listener
 
     async def listen(self, address: Address) -> None:
@@ -113,9 +116,9 @@
 
     def free_socket(self, spared: ClientHandle | None = None) -> bool:
         """Closes an unused connection other than `spared`; returns whether there was one."""
-        return self.listener.close_silent(spared, SILENT_SECONDS) or self.listener.close_idle(
-            spared
-        )
+        return self.listener.close_silent(
+            spared, UNUSED_CONNECTION_SECONDS
+        ) or self.listener.close_idle(spared)
 
     def request_received(
         self, client: ClientConnection, parser: http_parser.RequestReceiver, at: float
@@ -129,8 +132,8 @@
         """
         del at
         pending = PendingCall(client)
-        holder: Any = client
-        holder.request = pending
+        untyped_client: Any = client  # its `request` is declared as the limiter's class of requests
+        untyped_client.request = pending
         task = self.loop.create_task(
             self.serve(pending, parser.method, parser.target, bytes(parser.body))
         )
@@ -144,7 +147,7 @@
         except Exception as error:  # noqa: BLE001  # the call gets status 500, other calls continue
             logging.error(
                 "rpc: operator call failed: target=%s error=%s: %s",
-                target[:LOGGED_TARGET_BYTES],
+                target[:MAX_LOGGED_TARGET_BYTES],
                 type(error).__name__,
                 error,
             )
--- a/loomstand/rpc/request_router.py
+++ b/loomstand/rpc/request_router.py
@@ -16,6 +16,8 @@
 
 
 class _Route(NamedTuple):
+    """How the calls of one operation are decoded and handled."""
+
     parse: Callable[[Body], Request]
     handle: Callable[[Any], Awaitable[Message]]
 
@@ -36,7 +38,11 @@
         self._routes[request_type.operation] = _Route(request_type.from_wire, handle)
 
     def check(self, request: Request) -> None:
-        """Raises CallRefusedError for requests not meant for this program; accepts all here."""
+        """Checks that a request is meant for this program; the base class accepts every request.
+
+        Raises:
+            CallRefusedError: The request is meant for another program; raised by subclasses only.
+        """
 
     def unknown_call(self, operation: str) -> str:
         """Returns the reason sent when a call of an unknown operation is refused."""
@@ -46,7 +52,7 @@
         """Answers a call.
 
         Raises:
-            CallRefusedError: The operation is unknown, or the program did nothing.
+            CallRefusedError: The operation is unknown, or the request was refused.
             MessageError: The body isn't a valid request of the operation.
         """
         route = self._routes.get(operation)
--- a/loomstand/rpc/start.py
+++ b/loomstand/rpc/start.py
@@ -1,7 +1,8 @@
 """Runs each program of the system: its settings, log, signals and event loop.
 
-The environment has the path of a program's settings file. Settings that can't be read or are
-invalid end the program at startup; at a later reload the program keeps its current ones.
+The environment variable `LOOMSTAND_CONFIG` has the path of a program's settings file. If the
+settings can't be read or are invalid, the program exits at startup; at a later reload it keeps its
+current settings.
 """
 
 from __future__ import annotations
@@ -20,7 +21,8 @@
 from loomstand.limiter.event_loop import ArrivalClockSelector
 
 SETTINGS_VARIABLE = "LOOMSTAND_CONFIG"
-SETTINGS_POLL_SECONDS = 1.0  # detects changes that come without SIGHUP
+# Interval at which the settings file is checked for changes that no SIGHUP announces.
+SETTINGS_POLL_SECONDS = 1.0
 
 
 class Program(Protocol):
@@ -64,8 +66,16 @@
         return FileStamp(status.st_mtime_ns, status.st_size)
 
 
-def run_program(make: ProgramFactory) -> None:
-    """Runs the program that `make` creates; invalid settings exit with a one-line message."""
+def run_program(make_program: ProgramFactory) -> None:
+    """Runs a program until it is stopped.
+
+    Args:
+        make_program: Creates the program.
+
+    Raises:
+        SystemExit: The settings are missing or invalid, or the program raised an OSError, such as
+            for an address that is in use. Its message is one line.
+    """
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
         sys.exit(f"{SETTINGS_VARIABLE}: not set; it names the settings file")
@@ -79,7 +89,7 @@
     arrival_clock = ArrivalClockSelector()
     with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(arrival_clock)) as runner:
         try:
-            runner.run(_serve(path, stamp, settings, arrival_clock, make))
+            runner.run(_serve(path, stamp, settings, arrival_clock, make_program))
         except OSError as error:
             sys.exit(f"{settings.node_name}: {error}")
 
@@ -89,10 +99,11 @@
     stamp: FileStamp | None,
     settings: Settings,
     arrival_clock: ArrivalClockSelector,
-    make: ProgramFactory,
+    make_program: ProgramFactory,
 ) -> None:
+    """Creates the program, installs its signal handlers and runs it."""
     loop = asyncio.get_running_loop()
-    program = await make(settings, arrival_clock)
+    program = await make_program(settings, arrival_clock)
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, program.stop)
     watcher = SettingsWatcher(path, program, stamp)
@@ -113,10 +124,17 @@
 
 
 class SettingsWatcher:
-    """Reloads a program's settings file when it changes. State: the stamp last seen."""
+    """Reloads a program's settings file when it changes. State: its stamp at the last read."""
 
     def __init__(self, path: str, program: Program, stamp: FileStamp | None) -> None:
-        """Creates a watcher; `stamp` is that of the file when the current settings were read."""
+        """Creates a watcher that doesn't poll yet.
+
+        Args:
+            path: Path of the settings file.
+            program: The program to which the settings belong.
+            stamp: The file's stamp when the program's current settings were read; None if the file
+                had none.
+        """
         self.path = path
         self.program = program
         self.last_stamp = stamp
--- a/loomstand/rpc/tcp_connection.py
+++ b/loomstand/rpc/tcp_connection.py
@@ -17,8 +17,8 @@
 from loomstand.rpc.frames import AnswerFrame, CallFrame, Frame, FrameDecoder, encode_frame
 from loomstand.rpc.network import Body, CallHandler
 
-# Milliseconds that sent bytes may stay unacknowledged before the kernel closes the connection:
-# longer than any call, so calls fail by their own timeouts first.
+# Time for which sent bytes may stay unacknowledged before the kernel closes the connection. It is
+# longer than the timeouts of frequent calls, so that these fail by their own timeouts first.
 UNACKNOWLEDGED_TIMEOUT_MS = 2000
 
 
@@ -110,7 +110,7 @@
         super().__init__(owner)
         self.pending_calls: dict[int, asyncio.Future[AnswerFrame | None]] = {}
         self.last_number = 0
-        self.unanswered_calls = 0  # consecutive
+        self.unanswered_calls = 0  # since the last answer
 
     async def call(self, operation: str, body: Body, deadline: float) -> AnswerFrame | None:
         """Sends a call and waits for its answer.
@@ -192,7 +192,8 @@
     async def serve_call(self, call: CallFrame) -> None:
         """Runs the handler of a call, and sends the answer.
 
-        If the handler fails unexpectedly no answer is sent: it isn't known what was executed.
+        If the handler raises an unexpected error, no answer is sent, as it isn't known how much of
+        the call was executed.
         """
         try:
             answer = AnswerFrame(call.number, True, await self.handler(call.operation, call.body))
--- a/loomstand/rpc/tcp_network.py
+++ b/loomstand/rpc/tcp_network.py
@@ -11,14 +11,14 @@
 from loomstand.rpc.network import Address, Body, CallHandler
 from loomstand.rpc.tcp_connection import ClientConnection, ServerConnection, TcpConnection
 
-# Limit in seconds for opening a connection. Within a region it takes 3 ms; if it takes longer than
-# this limit, the other machine is down or unreachable.
+# Timeout for opening a connection. Within a region it takes 3 ms, so a machine that doesn't accept
+# within this time is down or unreachable.
 CONNECT_TIMEOUT_SECONDS = 0.5
 # Consecutive calls without an answer after which a connection is replaced. During a network
 # partition TCP's retransmissions back off exponentially, so the old connection resumes only seconds
 # after the partition has healed; a new connection opens at once.
 MAX_UNANSWERED_CALLS = 2
-# Connections closed for invalid frames per log line; the first one is always logged.
+# One of this many connections closed for invalid frames is logged, beginning with the first.
 FRAME_ERRORS_PER_LOG_LINE = 100
 
 
