--- a/loomstand/rpc/messages/base.py
+++ b/loomstand/rpc/messages/base.py
@@ -38,7 +38,7 @@
         if _carries_bytes(type(self)):
             body = msgspec.to_builtins(self, builtin_types=_NATIVE_TYPES)
         else:
-            body = msgspec.to_builtins(self)  # half the time of the call with `builtin_types`
+            body = msgspec.to_builtins(self)  # takes half as long as with `builtin_types`
         return body
 
     @classmethod
@@ -49,7 +49,7 @@
             MessageError: A key is missing, or a value has the wrong type.
         """
         try:
-            return msgspec.convert(body, cls)  # accepts what programs of this release send
+            return msgspec.convert(body, cls)  # strict, as programs of this release send
         except msgspec.ValidationError:
             return cls._from_lenient_wire(body)
 
--- a/loomstand/rpc/messages/configuration_messages.py
+++ b/loomstand/rpc/messages/configuration_messages.py
@@ -91,7 +91,7 @@
         primary: Address of that view's primary, if it is reachable.
         backup: Address of that view's backup, if there is one.
         core_addresses: Addresses of the members that answered recently, this one included.
-        is_ready: Whether no newer committed configuration than the known one can exist.
+        is_ready: Whether the member is certain that no newer committed configuration exists.
         counting_term: The holder and term of the counting lease, as known to the member.
         conflict_count: Number of changes refused since the member's start because their version
             already has other content.
--- a/loomstand/rpc/messages/gossip_messages.py
+++ b/loomstand/rpc/messages/gossip_messages.py
@@ -28,13 +28,14 @@
 class GossipRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
     """A registry sends another one the state that it received from servers and limiters.
 
-    `recent_heartbeats`, `limiters_digest`, `clock_seconds` and `counting_term` are present in
-    periodic rounds; the other fields are present if the receiver lacks them.
+    `recent_heartbeats`, `limiters_digest`, `clock_seconds` and `counting_term` are present in the
+    periodic messages; the other fields are present if the receiver lacks their contents.
 
     Attributes:
-        recent_heartbeats: By instance id, the servers' heartbeats received since the last round.
+        recent_heartbeats: By instance id, the servers' heartbeats received since the last periodic
+            message.
         limiters_digest: Checksum of the names of the limiters with a session at the sender.
-        clock_seconds: The shared clock, in seconds.
+        clock_seconds: The sender's reading of the shared clock, in seconds.
         counting_term: The sender's term if it holds the counting lease, otherwise None.
         instances: Servers that changed, or that the receiver doesn't know.
         instance_ages: By instance id, the age of the latest heartbeat in seconds.
@@ -77,8 +78,9 @@
     Attributes:
         instances: The servers.
         instance_ages: By instance id, the age of the latest heartbeat in seconds.
-        clock_seconds: The shared clock, in seconds.
-        is_clock_set: Whether the shared clock was set by another program.
+        clock_seconds: The sender's reading of the shared clock, in seconds.
+        is_clock_set: Whether limiters use that clock; otherwise it is the sender's time of day,
+            which may be wrong.
     """
 
     instances: list[InstanceRow] = msgspec.field(name="rows")
--- a/loomstand/rpc/messages/quota_messages.py
+++ b/loomstand/rpc/messages/quota_messages.py
@@ -1,7 +1,7 @@
 """Messages by which limiters increment counters and get quota credits from the counting registry.
 
-A tenant is identified by the digest of its name; a counter's name is that digest with the slot
-number of the interval in its lowest bits.
+A tenant is identified by the digest of its name. Requests are counted by intervals: a counter's
+name is the tenant's digest with the interval's slot number in its lowest bits.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class IncrementRequest(Request, frozen=True, kw_only=True):
-    """Adds to a counter.
+    """A limiter adds to a counter.
 
     Attributes:
         counter_name: Name of the counter.
@@ -30,7 +30,7 @@
 
 
 class IncrementResponse(Message, frozen=True, kw_only=True):
-    """The counter's total.
+    """The counter's total after the step.
 
     Attributes:
         total: Sum over all limiters, this step included.
@@ -46,12 +46,13 @@
 
 
 class CreditDemandRow(Row, frozen=True, array_like=True):
-    """A limiter's state and demand of a tenant's credits.
+    """The credits of a tenant that a limiter holds, has used and requests.
 
     Attributes:
         tenant: Digest of the tenant's name.
         held: Credits that the limiter holds.
-        spent: Requests that the limiter admitted without a credit and hasn't reported before.
+        spent: Number of requests that the limiter admitted without a credit and reports here for
+            the first time.
         wanted: Credits that the limiter requests.
         is_active: 1 if the limiter recently received requests of the tenant, else 0.
     """
@@ -70,8 +71,8 @@
         limiter_name: Name of the limiter's node.
         incarnation: Random number that the limiter chose at its start.
         grant_term: Term of the grants that the limiter holds; -1 if it holds none.
-        is_isolated: Whether the limiter, for lack of answers, limits tenants by a local share of
-            their quota.
+        is_isolated: Whether the limiter gets no answers and therefore limits each tenant to a local
+            share of its quota.
         demands: Tenants for which the limiter reports or requests credits.
     """
 
@@ -89,7 +90,7 @@
     Attributes:
         tenant: Digest of the tenant's name.
         granted: Credits granted.
-        is_open: 1 if the limiter may admit a request before it reports it, else 0.
+        is_open: 1 if the limiter may admit a request before reporting it, else 0.
     """
 
     tenant: int
--- a/loomstand/rpc/messages/replication_messages.py
+++ b/loomstand/rpc/messages/replication_messages.py
@@ -1,7 +1,7 @@
 """Messages between stores: heartbeats, elections, writes and committed configurations.
 
-`recipient` in a request is the id of the member that it is meant for: a store with a different disk
-has a different id and refuses the request. It is absent if any member at that address may answer.
+`recipient` in a request is the id of the member that the request is meant for: a store with another
+disk has another id and refuses the request. It is absent if any member at the address may answer.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class ServingRow(Row, frozen=True, array_like=True):
-    """State of the serving primary and of the counting lease, sent in its heartbeats.
+    """The counting lease and the primary's own lease, sent in its heartbeats while it serves.
 
     Attributes:
-        number: Number of the counting lease's holder under this primary.
+        number: Number of the counting lease's term under this primary, as in `CountingTermRow`.
         holder: Host of the registry that holds the counting lease; empty if any may request it.
         lease_ms: Remaining milliseconds of the primary's lease at the time of sending.
     """
@@ -34,7 +34,7 @@
 
     Attributes:
         epoch: Epoch of the primary that granted the lease.
-        number: Number of the holder under that primary.
+        number: Number of the term under that primary, as in `CountingTermRow`.
         holder: Host of the registry that holds the lease; empty if none does.
         incarnation: Random number that the registry chose at its start.
         remaining_seconds: Remaining time of the holder's lease.
@@ -145,7 +145,7 @@
 
 
 class WriteRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
-    """A primary or candidate has the backup write a configuration.
+    """A primary or candidate asks the backup to write a configuration to its disk.
 
     Attributes:
         epoch: Epoch of the write.
@@ -195,11 +195,11 @@
 
 
 class InstallViewRequest(ViewMessage, Request, frozen=True, kw_only=True, omit_defaults=True):
-    """An elected primary has a member write its view; writing it also grants the lease.
+    """An elected primary asks a member to write its view to disk, which also grants the lease.
 
     Attributes:
         view: The view; a request with None has no effect.
-        recipient: Member id of the member that writes.
+        recipient: Member id of the member that is to write the view.
     """
 
     operation: ClassVar[str] = "install"
--- a/loomstand/rpc/messages/rescue_messages.py
+++ b/loomstand/rpc/messages/rescue_messages.py
@@ -46,13 +46,14 @@
 
 
 class RescueRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
-    """Operators ask for the state of a lost store, or have it re-created.
+    """Operators request a report on a lost store, or its re-creation.
 
     Attributes:
         gone_hosts: Hosts that, as operators confirm, will never return.
         token: Token of the `RescueCaseReport` that operators accept; None only asks for a report.
-        is_handed_on: Whether another store forwards the request to the store that it chose.
-        recipient: Member id of the chosen store.
+        is_handed_on: Whether another store has chosen the receiver to create the new view, and
+            forwards the request to it.
+        recipient: Member id of the chosen store; None if the request isn't forwarded.
     """
 
     operation: ClassVar[str] = "rescue"
--- a/loomstand/rpc/messages/rows.py
+++ b/loomstand/rpc/messages/rows.py
@@ -1,6 +1,6 @@
 """Values that several messages contain; on the wire each is a list of its fields in order.
 
-Fields that later releases append to a list are ignored; fields with a default may be absent.
+Elements that later releases append to a list are ignored; fields with a default may be absent.
 """
 
 from __future__ import annotations
@@ -34,7 +34,8 @@
         primary: The member that serves.
         backup: The member that acknowledges each write in addition to the primary, if there is one.
         voters: The members that elect the next primary.
-        former_voters: The voters before a membership change that isn't known to be complete.
+        former_voters: The voters before a membership change that may be incomplete; empty if there
+            is none.
         rescue_epoch: The epoch at which operators last re-created the store, 0 if never. A 0 is
             omitted on the wire, as earlier releases expect five elements.
     """
@@ -64,7 +65,7 @@
 
     Attributes:
         epoch: Epoch of the store's primary that granted the lease.
-        number: Number of the holder under that primary.
+        number: Number of the term under that primary; it grows with each change of the holder.
         holder: Host of the registry that holds the lease or has priority for the next one; empty if
             any registry may request it.
     """
@@ -83,7 +84,7 @@
         service: Name of the server's service.
         zone: Name of the server's zone.
         slots: Number of requests that the server handles concurrently.
-        state: `ready`, `draining`, `silent` or `gone`.
+        state: `ready`, `draining`, `silent` if its heartbeats are overdue, or `gone`.
         sequence: Number of its latest heartbeat; the row with the higher number is newer.
         slow_start_ms: Remaining milliseconds of its slow start.
     """
@@ -104,8 +105,9 @@
     Attributes:
         host: IP address of that registry.
         port: TCP port of that registry.
-        epoch: Epoch of the store's primary that granted the lease; -1 without a term.
-        number: Number of the holder under that primary; -1 without a term.
+        epoch: Epoch of the store's primary that granted the lease; -1 if no term is given.
+        number: Number of the term under that primary, as in `CountingTermRow`; -1 if no term is
+            given.
     """
 
     host: str
--- a/loomstand/rpc/messages/session_messages.py
+++ b/loomstand/rpc/messages/session_messages.py
@@ -1,8 +1,9 @@
 """Messages of a limiter's session with a registry.
 
-A limiter polls each registry with the revisions that it knows, and receives what is newer: servers,
-the system state, tenants near their limit, and the version of a newer configuration, which it
-fetches by a separate call.
+A limiter polls each registry with the revisions that it knows, and receives all newer data: the
+servers, the system state, the tenants near their limit, and the version of the configuration, which
+it fetches by a separate call. The shared clock, by which counting intervals are named, is the same
+at all registries and limiters.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class SessionRequest(Request, frozen=True, kw_only=True, omit_defaults=True):
-    """Opens a session, or asks for all that is newer than the limiter's state.
+    """Opens or continues a session, and asks for all data newer than the limiter's.
 
     A request with `limiter_name` and `shared_clock` opens a session; one with `session_id`
     continues a session.
@@ -25,7 +26,7 @@
         known_instances: Revision of the registry's table of servers known to the limiter.
         known_system_state_revision: Revision of the system state known to the limiter.
         known_configuration: Version of the limiter's configuration, 0 if it has none.
-        session_id: Number of the session, 0 to open one.
+        session_id: Number of the session to continue; 0 to open a session.
         limiter_name: Name of the limiter's node.
         shared_clock: The limiter's reading of the shared clock in ticks of 0.1 ms; None if it has
             none; absent when a session continues.
@@ -49,8 +50,8 @@
 
     Attributes:
         rank: The receiver's position in the order of the limiters' names.
-        total: Number of limiters, silent ones included.
-        silent: Number of silent limiters.
+        total: Number of limiters that have a rank, silent ones included.
+        silent: Number of limiters whose session has timed out and whose rank is kept for them.
     """
 
     rank: int
@@ -73,7 +74,7 @@
 
 
 class SessionResponse(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """All that is newer than the limiter's state; fields without news are absent.
+    """All data newer than the limiter's; fields that haven't changed are absent.
 
     `system_state_revision`, `limiters`, `counter`, `core_hosts`, `is_current` and `shared_clock`
     are present or absent together, and so are `instances_revision` and `instances`, and
