--- a/loomstand/config/configuration/checks.py
+++ b/loomstand/config/configuration/checks.py
@@ -1,7 +1,8 @@
 """Checks the constraints between the resources of one configuration. Pure.
 
-Names are unique within a kind, a host and path prefix belongs to one route, an API key to one
-tenant, limits occur at most once, and every service that a route names exists.
+Names are unique within a kind; each pair of host and path prefix belongs to one route, and each API
+key to one tenant; there is at most one resource with limits; every service that a route names
+exists.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
         routes: The routes so far.
         services: The services so far, by name.
         tenants: The tenants so far.
-        limits: The limits; None until they are added.
+        limits: The limits for clients; None until they are added.
     """
 
     def __init__(self) -> None:
@@ -32,8 +33,8 @@
         self.tenants: list[Tenant] = []
         self.limits: ClientLimits | None = None
         self._positions: dict[tuple[str, str], int] = {}  # by kind and name
-        self._service_names: list[str] = []  # of each route, also one with a traffic split
-        self._route_names: dict[tuple[str, str], str] = {}  # by host and path prefix
+        self._service_names: list[str] = []  # `service_name` of each route, or empty
+        self._route_names: dict[tuple[str, str], str] = {}  # a route's name by host and prefix
         self._key_owners: dict[str, str] = {}  # a tenant's name by API key
 
     def add(self, position: int, resource: ParsedResource) -> None:
@@ -50,10 +51,11 @@
             return
         kind = resource.kind
         name = resource.name
-        first = self._positions.setdefault((kind, name), position)
-        if first != position:
+        first_position = self._positions.setdefault((kind, name), position)
+        if first_position != position:
             location = resource_location(position, kind, name)
-            raise ConfigurationError(f"{location}metadata.name: given at resources[{first}] too")
+            problem = f"given at resources[{first_position}] too"
+            raise ConfigurationError(f"{location}metadata.name: {problem}")
         if isinstance(value, Route):
             self._add_route(value, resource.service_name)
         elif isinstance(value, Service):
@@ -68,7 +70,7 @@
             ConfigurationError: A service doesn't exist.
         """
         for route, service_name in zip(self.routes, self._service_names, strict=True):
-            # also checked if the route has a traffic split, which takes precedence over it
+            # `service_name` must exist even if a traffic split takes precedence over it
             if service_name and service_name not in self.services:
                 raise self._unknown_service(route, "service_name", service_name)
             for number, service in enumerate(route.traffic_split):
@@ -77,18 +79,18 @@
                     raise self._unknown_service(route, key, service.name)
 
     def _add_route(self, route: Route, service_name: str) -> None:
-        other = self._route_names.setdefault((route.host, route.path_prefix), route.name)
-        if other != route.name:
-            problem = f"host and prefix are those of route {other[:MAX_NAME_CHARACTERS]}"
+        owner = self._route_names.setdefault((route.host, route.path_prefix), route.name)
+        if owner != route.name:
+            problem = f"host and prefix are those of route {owner[:MAX_NAME_CHARACTERS]}"
             raise self._error("routes", route.name, "path_prefix", problem)
         self.routes.append(route)
         self._service_names.append(service_name)
 
     def _add_tenant(self, tenant: Tenant) -> None:
         for number, key in enumerate(tenant.api_keys):
-            other = self._key_owners.setdefault(key, tenant.name)
-            if other != tenant.name:
-                problem = f"tenant {other[:MAX_NAME_CHARACTERS]} has this key too"
+            owner = self._key_owners.setdefault(key, tenant.name)
+            if owner != tenant.name:
+                problem = f"tenant {owner[:MAX_NAME_CHARACTERS]} has this key too"
                 raise self._error("tenants", tenant.name, f"api_keys[{number}]", problem)
         self.tenants.append(tenant)
 
@@ -96,5 +98,6 @@
         return self._error("routes", route.name, key, f"unknown service {quote_value(service)}")
 
     def _error(self, kind: str, name: str, key: str, problem: str) -> ConfigurationError:
+        """Returns the error for a key in the specification of a resource that was added."""
         location = resource_location(self._positions[kind, name], kind, name)
         return ConfigurationError(f"{location}specification.{key}: {problem}")
--- a/loomstand/config/configuration/json_object.py
+++ b/loomstand/config/configuration/json_object.py
@@ -1,4 +1,4 @@
-"""Typed access to JSON: every value is checked when it is read; errors name its location. Pure.
+"""Typed access to JSON: each value is checked when it is read, and errors name its location. Pure.
 
 Unknown fields are ignored. A field that is absent or null gets its default; a field without a
 default is required.
@@ -14,7 +14,7 @@
 from loomstand.config.units import UnitError, parse_seconds, quote_value
 
 MAX_NUMBER = 2.0**63
-"""Far above any number in real configurations; sums of numbers up to it stay finite."""
+"""Far above any number in real configurations; sums of numbers up to this one stay finite."""
 
 # Characters that would end a header line or log line, or can't be encoded in UTF-8.
 _UNSAFE_CHARACTERS = re.compile("[\x00-\x1f\x7f-\x9f\u2028\u2029\ud800-\udfff]")
@@ -81,7 +81,7 @@
         return ConfigurationError(f"{self.location}{self.path}{key}: {problem}")
 
     def get(self, key: str, default: object = None) -> object:
-        """Returns an unchecked value; it is required if there is no default."""
+        """Returns an unchecked value, or the default; without a default the field is required."""
         value = self._values.get(key)
         if value is not None:
             return value
--- a/loomstand/config/configuration/reader.py
+++ b/loomstand/config/configuration/reader.py
@@ -12,16 +12,18 @@
 from loomstand.config.configuration.resources import ParsedResource, parse_resource
 from loomstand.config.units import UnitError, parse_version
 
-# Marshal distinguishes 1, 1.0 and true, which compare equal. Format 2 writes only values: later
-# formats write references to repeated objects, so the bytes of equal resources could differ.
+# Resources are compared by their marshalled bytes, as marshal distinguishes 1, 1.0 and true, which
+# compare equal. Format 2 writes only values: later formats write references to repeated objects, so
+# the bytes of equal resources could differ.
 _MARSHAL_FORMAT: Final = 2
 
 
 class ConfigurationReader:
     """Parses successive configurations.
 
-    A change usually alters few of thousands of routes, so a resource that is identical to one in
-    the previous configuration isn't parsed again. A resource of an unknown kind is cached as None.
+    A new configuration usually changes few of thousands of routes, so a resource that is identical
+    to one in the previous configuration isn't parsed again. The cache has None for a resource of an
+    unknown kind.
     """
 
     __slots__ = ("_previous",)
--- a/loomstand/config/configuration/resources.py
+++ b/loomstand/config/configuration/resources.py
@@ -1,7 +1,7 @@
 """Parses a single resource of a configuration: a route, service, tenant or limits. Pure.
 
-PROTOCOL.md, "The operator", defines the fields. Unknown kinds of resources are skipped, as later
-configurations may have some.
+PROTOCOL.md, "The operator", defines the fields. Resources of unknown kinds are skipped, as later
+releases may define further kinds.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 """Ten minutes: by PROTOCOL.md a route with a longer timeout is invalid."""
 
 DEFAULT_CONNECTION_LIMIT = 100
-"""For a service without a limit; a little below 110, the lowest limit found in a deployment."""
+"""For a service that sets no limit; a little below 110, the lowest limit of known deployments."""
 
 MAX_NAME_CHARACTERS = 60
 """Maximum number of characters of a resource's name in an error message."""
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ParsedResource:
-    """A parsed resource; it depends neither on other resources nor on its position.
+    """A parsed resource, which depends neither on other resources nor on its position in the list.
 
     Attributes:
         kind: The `resource_kind`.
@@ -84,7 +84,7 @@
 
 
 def _parse_route(name: str, specification: JsonObject) -> Route:
-    # Host headers are lower-cased as bytes, which affects ASCII letters only.
+    # Lower-cases ASCII letters only, as `RouteTable.find_route` does with a Host header's bytes.
     host = specification.get_name("host").encode().lower().decode()
     path_prefix = _parse_path_prefix(specification)
     idempotent = _parse_route_kind(specification)
@@ -127,7 +127,7 @@
     timeout_seconds = specification.get_seconds("timeout")
     if timeout_seconds > MAX_TIMEOUT_SECONDS:
         raise specification.error("timeout", "over ten minutes")
-    # No request can be served within 0 s; operators' test schedules send it as an invalid value.
+    # No request can be served within 0 s; operators' tests send it as an invalid value.
     if timeout_seconds <= 0:
         raise specification.error("timeout", "0")
     return timeout_seconds
@@ -136,20 +136,20 @@
 def _parse_traffic_split(specification: JsonObject) -> tuple[WeightedService, ...]:
     """Parses the services of a route; `traffic_split` takes precedence over `service_name`."""
     entries = specification.get_list("traffic_split", ())
-    single = specification.get_text("service_name", "")
+    service_name = specification.get_text("service_name", "")
     if not entries:
-        if not single:
+        if not service_name:
             raise specification.error("service_name", "missing, and there is no traffic_split")
-        return (WeightedService(single, 1.0),)
+        return (WeightedService(service_name, 1.0),)
     services = []
-    total = 0.0
+    total_weight = 0.0
     for number, entry in enumerate(entries):
         path = f"{specification.path}traffic_split[{number}]"
         fields = JsonObject(entry, specification.location, path)
         service = WeightedService(fields.get_name("service_name"), fields.get_number("weight"))
         services.append(service)
-        total += service.weight
-    if total <= 0:
+        total_weight += service.weight
+    if total_weight <= 0:
         raise specification.error("traffic_split", "the weights add up to 0")
     return tuple(services)
 
--- a/loomstand/config/limiter/addresses.py
+++ b/loomstand/config/limiter/addresses.py
@@ -32,12 +32,12 @@
     if not port.isascii() or not port.isdecimal():
         raise _not_an_address(text, key)
     try:
-        number = int(port)
+        port_number = int(port)
     except ValueError:  # more digits than int() accepts
         raise _not_an_address(text, key) from None
-    if not 0 < number <= _MAX_PORT:
+    if not 0 < port_number <= _MAX_PORT:
         raise _not_an_address(text, key)
-    return str(address), number
+    return str(address), port_number
 
 
 def _not_an_address(text: str, key: str) -> LimiterConfigError:
--- a/loomstand/config/limiter/backends.py
+++ b/loomstand/config/limiter/backends.py
@@ -1,4 +1,4 @@
-"""Servers as listed by discovery, the limiter's file and peers. Pure."""
+"""Servers as listed by discovery, by the limiter's file and by peers. Pure."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     Attributes:
         id: Identifier of the server.
         address: HOST:PORT, with a numeric host.
-        phase: `active` if the server accepts requests, `leaving` while it drains, `left` after.
+        phase: `active` if the server accepts requests, `leaving` while it drains, then `left`.
         zone: Zone of the server.
         kind: Kind of the server.
         pod: The cell within which servers discard repeated requests.
--- a/loomstand/config/limiter/engine_settings.py
+++ b/loomstand/config/limiter/engine_settings.py
@@ -1,6 +1,7 @@
 """Converts the operators' settings to those of the decision engine. Pure.
 
-This is the only conversion: the JSON file, the bench's wire protocol and the emulator use it.
+The settings of the JSON file, of the bench's wire protocol and of the emulator are all converted
+here.
 """
 
 from __future__ import annotations
--- a/loomstand/config/limiter/loader.py
+++ b/loomstand/config/limiter/loader.py
@@ -1,6 +1,6 @@
 """Loads and validates the limiter's own configuration: environment, JSON file and zone plan.
 
-Reads files. Keys of the JSON file are those of `LimiterFile`; an error names the key.
+This module reads files. The JSON file has the keys of `LimiterFile`; an error names the key.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 CONFIG_VARIABLE = "PROXY_CONFIG"
 """The environment variable with the path of the file."""
 
-_HEXADECIMAL = 16
+_HEXADECIMAL_BASE = 16
 
 
 class ResourceLimits(WireStruct):
@@ -51,7 +51,7 @@
         counter: HOST:PORT of the counter, required if the settings have a counter.
         seed: Seed of the random number generator, in hexadecimal digits.
         limits: Resource limits of the process.
-        known: The servers known before discovery answers.
+        known: The servers to use until discovery answers.
         plan: Path of a zone plan, if there is one.
         peer: HOST:PORT at which this limiter listens for the limiters in `peers`.
         peers: HOST:PORT of other limiters.
@@ -80,7 +80,7 @@
         counter_address: Address of the counter, if there is one.
         random_seed: Seed of the random number generator.
         limits: Resource limits of the process.
-        initial_backends: The servers known before discovery answers.
+        initial_backends: The servers to use until discovery answers.
         settings: The settings for admission decisions.
         zone_plan: The plan for the loss of a zone, if there is one.
         peer_address: HOST:PORT at which it listens for other limiters; empty without peers.
@@ -188,7 +188,7 @@
 
 def _parse_seed(text: str) -> int:
     try:
-        return int(text, _HEXADECIMAL)
+        return int(text, _HEXADECIMAL_BASE)
     except ValueError:
         raise LimiterConfigError(f"key 'seed': '{text}' is not in hex digits") from None
 
@@ -196,7 +196,15 @@
 def _resolve_address(
     environment: Mapping[str, str], variable: str, text: str, key: str, *, file_first: bool
 ) -> Address:
-    """Returns the address from a variable or a key of the file; an empty variable is ignored."""
+    """Returns the address from an environment variable or from the file.
+
+    Args:
+        environment: The environment variables.
+        variable: Name of the variable with the address; an empty variable is ignored.
+        text: The address in the file, or empty.
+        key: Key of the address in the file, for the error.
+        file_first: Whether an address in the file takes precedence.
+    """
     from_environment = environment.get(variable)
     if from_environment and not (file_first and text):
         return parse_host_port(from_environment, variable)
--- a/loomstand/config/limiter/wire_settings.py
+++ b/loomstand/config/limiter/wire_settings.py
@@ -40,7 +40,7 @@
         client_timeout_ms: Time that clients wait for a response.
         value: Value of a response within the latency target.
         deduplication_scope: The servers that discard repeats of a `token` request.
-        deduplication_window_ms: Time for which they discard repeats.
+        deduplication_window_ms: Time for which these servers discard repeats.
         late_value: Value of a response after the latency target.
         streams: Whether responses are streams.
     """
@@ -114,7 +114,7 @@
         may_probe: Whether servers may be sent health checks.
         may_hedge: Whether a second attempt may be sent while the first is in flight.
         may_send_retry_after: Whether a rejection may contain a time to retry after.
-        max_retry_after_ms: The longest such time.
+        max_retry_after_ms: The longest time that a rejection may give to retry after.
         idle_timeout_ms: Time after which an idle connection to a server is closed.
         connect_timeout_ms: Time within which a connection must be established.
     """
@@ -171,7 +171,7 @@
         initial_capacity_share: Share of its capacity that a server has at the start.
         drain_grace_ms: Time for which a draining server accepts requests.
         overload_multiple: Multiple of its capacity at which a server in slow start fails.
-        overload_window_ms: Time for which a server withstands that load.
+        overload_window_ms: Time for which a server in slow start withstands that load.
     """
 
     answer_slack_ms: Milliseconds = 0.0
--- a/loomstand/config/settings/fields.py
+++ b/loomstand/config/settings/fields.py
@@ -25,7 +25,7 @@
 ValueT = TypeVar("ValueT")
 DefaultT = TypeVar("DefaultT")
 
-_SECONDS = "_seconds"
+_SECONDS_SUFFIX = "_seconds"
 
 
 class SettingsFields:
@@ -64,10 +64,10 @@
         return self._parse(key, parse)
 
     def get_by_name(self, prefix: str) -> dict[str, str]:
-        """Returns the fields of a table whose keys are arbitrary names, by name.
+        """Returns the values of all keys that begin with the prefix, by the rest of the key.
 
         Raises:
-            SettingsError: A field is empty or given twice.
+            SettingsError: A value is empty, or a key is given twice.
         """
         keys = [key for key in self._values if key.startswith(prefix)]
         return {key.removeprefix(prefix): self._parse(key, parse_non_empty) for key in keys}
@@ -83,11 +83,12 @@
         """
         values: dict[str, object] = {}
         for field in fields(table):
-            key = prefix + field.name.removesuffix(_SECONDS)
+            key = prefix + field.name.removesuffix(_SECONDS_SUFFIX)
             values[field.name] = self.get(key, _parser_of(field.name, field.default), field.default)
         return table(**values)
 
     def _parse(self, key: str, parse: Callable[[str], ValueT]) -> ValueT:
+        """Parses the value of a key that is present."""
         if key in self._repeated:
             raise SettingsError(f"{key}: given twice")
         try:
@@ -117,4 +118,4 @@
         return parse_flag
     if isinstance(default, int):
         return parse_whole_number
-    return parse_seconds if name.endswith(_SECONDS) else parse_number
+    return parse_seconds if name.endswith(_SECONDS_SUFFIX) else parse_number
--- a/loomstand/config/settings/model.py
+++ b/loomstand/config/settings/model.py
@@ -25,7 +25,7 @@
     """Resource limits of the process (`self.limits`).
 
     Attributes:
-        cpu_share: Share of one core.
+        cpu_share: Share of one processor core that the process may use.
         cpu_cores: Speed of that core as a multiple of the reference core's speed.
         memory_mb: Memory in megabytes.
         file_descriptors: Number of open file descriptors.
@@ -73,7 +73,8 @@
         drain_seconds: Time after the acknowledgement of a drain from which no request may reach the
             drained server.
         grace_period_seconds: Time from SIGTERM to SIGKILL.
-        loss_slack_seconds: Time after its last byte from which a request counts as accepted.
+        loss_slack_seconds: Time after a request's last byte from which the request counts as
+            accepted.
         configuration_apply_seconds: Time within which an acknowledged version must be in force.
         rollback_slack_seconds: Time after which an older version must not be applied any more.
         stretch_limit_seconds: Maximum extension of `configuration_apply_seconds` while faults
@@ -84,7 +85,7 @@
         budget_window_seconds: Length of the window in which retries are counted.
         budget_slack: Retries allowed in a window in addition to the ratio.
         quota_window_seconds: Length of the window in which a tenant's requests are counted.
-        quota_overshoot: Share by which a tenant may exceed its quota.
+        quota_overshoot: Share of its quota by which a tenant may exceed it.
         quota_slack: Requests allowed in a window in addition to the overshoot.
         recovery_seconds: Time after the return of machines within which requests must be served
             again.
--- a/loomstand/config/toml_tables.py
+++ b/loomstand/config/toml_tables.py
@@ -21,15 +21,15 @@
 
 
 class StrictStruct(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A table of a file. Unknown keys are errors, so that misspelt ones are found."""
+    """A table of a file. An unknown key is an error, so that a misspelt key is found."""
 
 
 def parse_toml(raw: str | bytes, source: str) -> TomlTable:
-    """Parses a TOML text.
+    """Parses the text of a TOML document.
 
     Args:
         raw: The text.
-        source: Name of the source, for errors.
+        source: Where the text comes from, such as a path, for error messages.
 
     Raises:
         TableError: The text isn't valid TOML.
@@ -55,16 +55,17 @@
     return parse_toml(raw, path)
 
 
-def convert_table(table: TomlTable, kind: type[StructT]) -> StructT:
-    """Validates a table and converts it to a struct.
+def convert_table(table: TomlTable, struct_type: type[StructT]) -> StructT:
+    """Validates a table and converts it to a struct of the given type.
 
     Raises:
         TableError: A key is missing or unknown, or a value is invalid.
     """
     try:
-        return msgspec.convert(table, type=kind)
+        return msgspec.convert(table, type=struct_type)
     except msgspec.ValidationError as error:
-        if isinstance(error.__cause__, TableError):  # from a struct's own check, names the key
+        # An error raised by a struct's `__post_init__` names the key itself.
+        if isinstance(error.__cause__, TableError):
             raise TableError(str(error.__cause__)) from None
         key, problem = locate_error(error)
         raise TableError(f"key '{key or '(top)'}': {problem}") from None
--- a/loomstand/config/units.py
+++ b/loomstand/config/units.py
@@ -15,9 +15,9 @@
 """An IPv4 address and a port."""
 
 MAX_VERSION = 2**63 - 1
-"""The highest version of a configuration: a key on disk has eight bytes for it."""
+"""The highest version of a configuration; a key on disk has eight bytes for the version."""
 
-_MAX_VERSION_DIGITS = 4000  # below the limit above which int() raises ValueError
+_MAX_VERSION_DIGITS = 4000  # int() raises ValueError above 4,300 digits
 _MAX_PORT = 65535
 _MAX_PORT_DIGITS = 5
 _IPV4_PARTS = 4
@@ -62,7 +62,7 @@
     """Parses `true` or `false`.
 
     Raises:
-        UnitError: The text is neither of them.
+        UnitError: The text is neither `true` nor `false`.
     """
     if text not in ("true", "false"):
         raise UnitError(f"{quote_value(text)} is neither true nor false")
