--- a/loomstand/ctl/common.py
+++ b/loomstand/ctl/common.py
@@ -31,7 +31,11 @@
 
 
 def read_input(path: str) -> bytes:
-    """Returns the bytes of a file, or of standard input for `-`. Raises CommandError."""
+    """Returns the bytes of a file, or of standard input for `-`.
+
+    Raises:
+        CommandError: The file can't be read.
+    """
     try:
         if path == "-":
             return sys.stdin.buffer.read()
@@ -45,8 +49,8 @@
     """Parses the configuration in a file's bytes.
 
     Raises:
-        CommandError: The configuration is invalid; the message has the file, the place in it and
-            the reason.
+        CommandError: The configuration is invalid; the message names the file, the place in the
+            file and the reason.
     """
     try:
         return parse_configuration(raw)
@@ -69,6 +73,7 @@
 
 
 def pluralize(count: int, noun: str) -> str:
+    """Returns the count and the noun, with an `s` if the count isn't 1."""
     return f"{count} {noun}" if count == 1 else f"{count} {noun}s"
 
 
--- a/loomstand/ctl/days.py
+++ b/loomstand/ctl/days.py
@@ -19,16 +19,16 @@
 def days_draw(command: DaysDraw) -> int:
     """Runs `days draw`; returns the exit code."""
     try:
-        at = site.read(read_input(command.site))
+        site_file = site.read(read_input(command.site))
         kinds = tuple(kind for kind in command.kinds.split(",") if kind)
-        wish = draw.DrawOptions(
+        options = draw.DrawOptions(
             command.seed, command.severity, command.days, kinds, command.load, command.dense
         )
-        drawn = draw.draw(at, wish)
-        files = {write.file_name(day): write.day_text(day.fields) for day in drawn}
+        days = draw.draw(site_file, options)
+        files = {write.file_name(day): write.day_text(day.fields) for day in days}
     except ValueError as error:
         raise CommandError(f"{command.site}: {error}") from None
-    index = write.index(at, wish, drawn)
+    index = write.index(site_file, options, days)
     _write_files(command.out, files | {INDEX_FILE: json.dumps(index, indent=1) + "\n"})
     if command.json:
         print(json.dumps(index, indent=2))
@@ -36,23 +36,25 @@
     table = tables.make_table(
         "day", "based on", "closing", "overlap at", "faults", no_wrap=("closing", "overlap at")
     )
-    for n, day in enumerate(index["days"], 1):
-        meeting = "" if day["meeting_s"] is None else f"{day['meeting_s']:g} s"
+    for number, day in enumerate(index["days"], 1):
+        overlap = "" if day["meeting_s"] is None else f"{day['meeting_s']:g} s"
         counts = Counter(fault["kind"] for fault in day["troubles"])
         faults = ", ".join(
             kind if count == 1 else f"{kind} x {count}" for kind, count in counts.items()
         )
-        table.add_row(str(n), day["base"], day["closing"] or "none", meeting, single_line(faults))
+        table.add_row(
+            str(number), day["base"], day["closing"] or "none", overlap, single_line(faults)
+        )
     tables.make_console().print(table)
     pairs = index["pairs"]
-    by_day = f", all by day {pairs['all_met_by_day']}" if pairs["all_met_by_day"] else ""
-    print(f"{pluralize(len(drawn), 'day')} and {INDEX_FILE} in {single_line(command.out)}")
-    print(f"{pairs['met']} of {pairs['possible']} pairs of kinds occur together{by_day}")
+    all_met = f", all by day {pairs['all_met_by_day']}" if pairs["all_met_by_day"] else ""
+    print(f"{pluralize(len(days), 'day')} and {INDEX_FILE} in {single_line(command.out)}")
+    print(f"{pairs['met']} of {pairs['possible']} pairs of kinds occur together{all_met}")
     return 0
 
 
 def _write_files(directory: str, files: dict[str, str]) -> None:
-    """Writes the files into a directory, which is made if it doesn't exist.
+    """Writes the files into a directory, which is created if it doesn't exist.
 
     Raises:
         CommandError: A file exists with other contents, such as those of another draw, and nothing
--- a/loomstand/ctl/masks.py
+++ b/loomstand/ctl/masks.py
@@ -1,4 +1,4 @@
-"""Masking of API keys, so that a configuration can be shown and still be checked."""
+"""Masking of API keys, so that a configuration can be printed and the output still be checked."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     """Returns a JSON value with everything under `api_keys`, at any depth, replaced by masks."""
     count = 0
 
-    def walk(value: Any, in_keys: bool) -> Any:
+    def mask(node: Any, in_keys: bool) -> Any:
         nonlocal count
-        if isinstance(value, dict):
-            return {k: walk(v, in_keys or k == "api_keys") for k, v in value.items()}
-        if isinstance(value, list):
-            return [walk(v, in_keys) for v in value]
-        if not in_keys or value is None:
-            return value
+        if isinstance(node, dict):
+            return {key: mask(child, in_keys or key == "api_keys") for key, child in node.items()}
+        if isinstance(node, list):
+            return [mask(child, in_keys) for child in node]
+        if not in_keys or node is None:
+            return node
         count += 1
         return f"(masked {count})"
 
-    return walk(value, False)
+    return mask(value, False)
--- a/loomstand/ctl/rescue.py
+++ b/loomstand/ctl/rescue.py
@@ -1,4 +1,7 @@
-"""`core rescue`: re-founds a lost store at the operators' confirmation (docs/rescue.md)."""
+"""`core rescue`: re-creates a lost store after operators confirm it (docs/rescue.md).
+
+The output calls this re-founding.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +15,11 @@
 from loomstand.ctl.common import CommandError, single_line
 from loomstand.ctl.status import query_registries
 
-# Time without a byte of the response. The registry allows its store 5 s for a whole rescue.
+# Longest wait for the next byte of the response; the registry allows its store 5 s for a rescue.
 RESCUE_TIMEOUT_SECONDS = 6.0
 
-Case = dict[str, Any]  # the JSON of a `system.rescue` report or of its result
+Case = dict[str, Any]
+"""A report (`case`) or a result (`done`) in the JSON response to `system.rescue`."""
 
 
 def _call_rescue(address: Address, body: dict[str, Any]) -> Response:
@@ -25,54 +29,61 @@
 
 
 def _inspect(command: CoreRescue) -> tuple[dict[str, Case], dict[str, str]]:
-    """Returns, by address, the reports of the registries in reach and why the others failed."""
+    """Asks all registries for their reports on the store.
+
+    Returns:
+        By registry address, the reports; and by address of each registry without a report, the
+        reason.
+    """
     cases: dict[str, Case] = {}
-    failed: dict[str, str] = {}
-    for at, report in query_registries(command.at).items():
+    failures: dict[str, str] = {}
+    for address, report in query_registries(command.at).items():
         if "failed" in report:
-            failed[at] = report["failed"]
+            failures[address] = report["failed"]
             continue
         try:
-            response = _call_rescue(parse_address(at), {"gone": command.gone})
+            response = _call_rescue(parse_address(address), {"gone": command.gone})
             if response.status == 200:
-                cases[at] = json.loads(response.body)["case"]
-                _format_case(cases[at])  # only to check that all fields that are used exist
+                cases[address] = json.loads(response.body)["case"]
+                _format_case(cases[address])  # only to check that all fields that are used exist
             else:
-                failed[at] = response.error_text()
+                failures[address] = response.error_text()
         except CallError as error:
-            failed[at] = str(error)
+            failures[address] = str(error)
         except (ValueError, KeyError, TypeError, RecursionError):
-            cases.pop(at, None)
-            failed[at] = "its answer isn't understood"
-    return cases, failed
+            cases.pop(address, None)
+            failures[address] = "its answer isn't understood"
+    return cases, failures
 
 
 def rescue(command: CoreRescue) -> int:
     """Runs `core rescue`; returns the exit code."""
-    cases, failed = _inspect(command)
+    cases, failures = _inspect(command)
     if not cases:
         raise CommandError(
-            "no registry answers: " + "; ".join(f"{at}: {reason}" for at, reason in failed.items()),
+            "no registry answers: "
+            + "; ".join(f"{address}: {reason}" for address, reason in failures.items()),
             1,
         )
-    at, case = next(iter(cases.items()))
+    address, case = next(iter(cases.items()))
     obstacles = [str(reason) for reason in case["waits"]]
-    differ = len({other["token"] for other in cases.values()}) > 1
-    if differ:  # a network partition between core machines looks like the loss of some
+    cases_differ = len({other["token"] for other in cases.values()}) > 1
+    # A network partition between core machines looks to each side like the loss of the others.
+    if cases_differ:
         obstacles = [
             "the core machines don't see the same: restore the network between them, or retry"
         ]
-    done = _execute(command, at, case) if command.yes and not obstacles else None
-    serving = any(_is_serving(other) for other in cases.values())
+    result = _execute(command, address, case) if command.yes and not obstacles else None
+    is_serving = any(_is_serving(other) for other in cases.values())
     if command.json:
         print(
             json.dumps(
-                {"cases": cases, "failed": failed, "waits": obstacles, "done": done}, indent=2
+                {"cases": cases, "failed": failures, "waits": obstacles, "done": result}, indent=2
             )
         )
     else:
-        _print_rescue(cases if differ else {"": case}, failed, obstacles, done)
-    return 0 if done is not None or (serving and not command.yes) else 1
+        _print_rescue(cases if cases_differ else {"": case}, failures, obstacles, result)
+    return 0 if result is not None or (is_serving and not command.yes) else 1
 
 
 def _is_serving(case: Case) -> bool:
@@ -81,21 +92,29 @@
 
 
 def _print_rescue(
-    cases: dict[str, Case], failed: dict[str, str], obstacles: list[str], done: Case | None
+    cases: dict[str, Case], failures: dict[str, str], obstacles: list[str], result: Case | None
 ) -> None:
-    for at, case in cases.items():
-        if at:
-            print(f"report of {at}:")
+    """Prints the reports and the result.
+
+    Args:
+        cases: The reports by registry address; by the empty text if all registries report the same.
+        failures: By address of each registry without a report, the reason.
+        obstacles: Reasons that prevent a rescue.
+        result: The view that was created; None if there was no rescue.
+    """
+    for address, case in cases.items():
+        if address:
+            print(f"report of {address}:")
         for line in _format_case(case):
             print(single_line(line))
-    for at, reason in failed.items():
-        print(f"{at} gives no report: {single_line(reason)}")
+    for address, reason in failures.items():
+        print(f"{address} gives no report: {single_line(reason)}")
     for obstacle in obstacles:
         print(f"waits: {single_line(obstacle)}")
-    if done is not None:
+    if result is not None:
         print(
-            f"founded: epoch {done['epoch']}, {single_line(str(done['version']))} in force, "
-            f"{single_line(_format_members(done))}"
+            f"founded: epoch {result['epoch']}, {single_line(str(result['version']))} in force, "
+            f"{single_line(_format_members(result))}"
         )
         print("push the next configuration with a version well above all versions ever pushed")
     elif not obstacles:
@@ -105,36 +124,38 @@
         )
 
 
-def _format_members(done: Case) -> str:
-    voters = " ".join(map(str, done["voters"]))
-    return f"primary {done['primary']}, backup {done['backup'] or 'none'}, voters {voters}"
+def _format_members(result: Case) -> str:
+    voters = " ".join(map(str, result["voters"]))
+    return f"primary {result['primary']}, backup {result['backup'] or 'none'}, voters {voters}"
 
 
-def _execute(command: CoreRescue, at: str, case: Case) -> Case:
-    """Requests the rescue, once: its token can't be used again.
+def _execute(command: CoreRescue, address: str, case: Case) -> Case:
+    """Requests the rescue, without retries, as a token can't be used again.
 
     Raises:
         CommandError: The rescue was refused, or its outcome is unknown.
     """
     try:
-        response = _call_rescue(parse_address(at), {"gone": command.gone, "token": case["token"]})
+        response = _call_rescue(
+            parse_address(address), {"gone": command.gone, "token": case["token"]}
+        )
         if response.status != 200:
             raise CommandError(f"nothing was founded: {response.error_text()}", 1)
-        done: Case = json.loads(response.body)["done"]
+        result: Case = json.loads(response.body)["done"]
         # Only to check that all fields that are used exist.
-        int(done["epoch"]), done["version"], _format_members(done)
-        return done
+        int(result["epoch"]), result["version"], _format_members(result)
+        return result
     except CallError as error:
         raise CommandError(
             f"no clear response, the store may be re-founded nevertheless; check `status`: {error}",
             1,
         ) from None
     except (ValueError, KeyError, TypeError, RecursionError):
-        raise CommandError(f"{at} gave an invalid response; check `status`", 1) from None
+        raise CommandError(f"{address} gave an invalid response; check `status`", 1) from None
 
 
 def _format_case(case: Case) -> list[str]:
-    """Returns lines on the newest view, on what each member in reach holds and on possible loss."""
+    """Returns lines on the newest view, the versions of each member in reach, and possible loss."""
     epoch, gone = int(case["epoch"]), [str(host) for host in case["gone"]]
     lines = [
         f"the newest view known: epoch {epoch}"
--- a/loomstand/ctl/tables.py
+++ b/loomstand/ctl/tables.py
@@ -12,6 +12,7 @@
 
 
 def make_console() -> Console:
+    """Makes a console of OUTPUT_WIDTH columns that prints texts as they are, without markup."""
     return Console(width=OUTPUT_WIDTH, highlight=False, markup=False, emoji=False)
 
 
