--- a/loomstand/ctl/advice.py
+++ b/loomstand/ctl/advice.py
@@ -1,7 +1,4 @@
-"""Warnings on what is valid in a configuration but unwise.
-
-Pure functions without input or output.
-"""
+"""Warnings about parts of a configuration that are valid but probably not intended. Pure."""
 
 from __future__ import annotations
 
@@ -13,14 +10,17 @@
 from loomstand.config.configuration import Configuration, Route, Service, Tenant
 from loomstand.ctl.common import format_seconds
 
-_MAX_NAME_CHARS = 60  # of a resource's name; as in the errors of an invalid configuration
+_MAX_NAME_CHARS = 60  # of a resource's name, as in the errors for an invalid configuration
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationWarning:
-    """One line each for the place, the problem and the remedy; none contains an API key.
+    """A warning. The field names are printed as JSON keys; no field contains an API key.
 
-    The field names are printed as JSON keys.
+    Attributes:
+        place: The resource and the field, as in the errors for an invalid configuration.
+        what: The problem, in one line.
+        mend: The remedy, in one line.
     """
 
     place: str
@@ -29,7 +29,7 @@
 
 
 class _ResourcePlaces:
-    """Formats a resource's place as the errors of an invalid configuration do.
+    """Formats the place of a resource as in the errors for an invalid configuration.
 
     Attributes:
         specifications: By kind and name of a resource, its specification.
@@ -39,43 +39,45 @@
     def __init__(self, raw: bytes) -> None:
         self.specifications: dict[tuple[str, str], dict[str, Any]] = {}
         self.positions: dict[tuple[str, str], int] = {}
-        for n, resource in enumerate(json.loads(raw)["resources"]):
+        for position, resource in enumerate(json.loads(raw)["resources"]):
             key = (resource["resource_kind"], (resource.get("metadata") or {}).get("name") or "")
-            self.specifications[key], self.positions[key] = resource.get("specification") or {}, n
+            self.specifications[key] = resource.get("specification") or {}
+            self.positions[key] = position
 
     def place(self, kind: str, name: str, field: str = "") -> str:
+        """Returns the place of a resource, or of a field in its specification."""
         position = self.positions[kind, name]
         place = f"resources[{position}] {kind.removesuffix('s')} {name[:_MAX_NAME_CHARS]}"
         return f"{place}: specification.{field}" if field else place
 
 
 def find_warnings(config: Configuration) -> list[ConfigurationWarning]:
-    """Returns all warnings on a valid configuration, by kind of resource and in its order."""
+    """Returns all warnings about a valid configuration: routes, services, then tenants."""
     places = _ResourcePlaces(config.raw)
-    out: list[ConfigurationWarning] = []
+    warnings: list[ConfigurationWarning] = []
     for route in config.routes:
-        out += _check_route(route, places)
+        warnings += _check_route(route, places)
         if route.public and config.tenants is not None:
-            out.append(
+            warnings.append(
                 ConfigurationWarning(
                     places.place("routes", route.name, "public"),
                     "served without a key and without quotas, although tenants are configured",
                     "set it to false, unless requests without a key are intended",
                 )
             )
-    out += _check_nested_routes(config.routes, places)
+    warnings += _check_nested_routes(config.routes, places)
     used = {service for route in config.routes for service, _ in route.traffic_split}
     for service in config.services.values():
-        out += _check_service(service, service.name in used, places)
+        warnings += _check_service(service, service.name in used, places)
     for tenant in config.tenants or ():
-        out += _check_tenant(tenant, places)
+        warnings += _check_tenant(tenant, places)
     if config.tenants and sum(tenant.rate_per_second for tenant in config.tenants) == 0:
-        out.append(
+        warnings.append(
             ConfigurationWarning(
                 "tenants", "their quotas add up to 0: no tenant is limited", "set rate_per_s"
             )
         )
-    return out
+    return warnings
 
 
 def _check_route(route: Route, places: _ResourcePlaces) -> Iterator[ConfigurationWarning]:
@@ -111,7 +113,7 @@
             "keep it if that is intended, else set 1; a request that may have run is never "
             "repeated",
         )
-    if any(c in route.path_prefix for c in "?# "):
+    if any(character in route.path_prefix for character in "?# "):
         yield ConfigurationWarning(
             place("path_prefix"),
             "contains a character that can't occur in a path: no request matches it",
@@ -121,35 +123,37 @@
 
 
 def _check_split(route: Route, places: _ResourcePlaces) -> Iterator[ConfigurationWarning]:
-    specification, seen = places.specifications["routes", route.name], set[str]()
-    single = specification.get("service_name") or ""
-    if specification.get("traffic_split") and single:
-        unnamed = "" if single in dict(route.traffic_split) else ", which doesn't contain it"
+    specification = places.specifications["routes", route.name]
+    service_name = specification.get("service_name") or ""
+    if specification.get("traffic_split") and service_name:
+        in_split = service_name in dict(route.traffic_split)
+        addition = "" if in_split else ", which doesn't contain it"
         yield ConfigurationWarning(
             places.place("routes", route.name, "service_name"),
-            f"ignored, as traffic_split takes precedence{unnamed}",
+            f"ignored, as traffic_split takes precedence{addition}",
             "remove the one that isn't intended",
         )
-    for n, (service, weight) in enumerate(route.traffic_split):
-        place = places.place("routes", route.name, f"traffic_split[{n}]")
+    seen_services: set[str] = set()
+    for position, (service, weight) in enumerate(route.traffic_split):
+        place = places.place("routes", route.name, f"traffic_split[{position}]")
         if weight == 0:
             problem = f"weight 0: {service[:_MAX_NAME_CHARS]} gets no requests"
             yield ConfigurationWarning(place, problem, "set a weight, or remove the entry")
-        if service in seen:
+        if service in seen_services:
             yield ConfigurationWarning(
                 place,
                 f"{service[:_MAX_NAME_CHARS]} is listed again: its weights add up",
                 "merge its entries into one",
             )
-        seen.add(service)
+        seen_services.add(service)
 
 
 def _check_nested_routes(
     routes: tuple[Route, ...], places: _ResourcePlaces
 ) -> Iterator[ConfigurationWarning]:
-    """Warns of a route whose prefix lies within that of another of the same host and kind.
+    """Warns about routes whose prefix lies within that of another route of the same host and kind.
 
-    Nested routes of different kinds are common: they separate idempotent paths from the others.
+    Nested routes of different kinds are common, as they separate idempotent paths from others.
     """
     by_prefix = {(route.host, route.path_prefix): route for route in routes}
     for route in routes:
@@ -160,25 +164,25 @@
             end = route.path_prefix.rfind("/", 0, end - 1) + 1
         if outer is None or outer.idempotent != route.idempotent:
             continue
-        same = all(
-            getattr(route, f) == getattr(outer, f)
-            for f in Route.__slots__
-            if f not in ("name", "path_prefix")
+        is_redundant = all(
+            getattr(route, field) == getattr(outer, field)
+            for field in Route.__slots__
+            if field not in ("name", "path_prefix")
         )
         yield ConfigurationWarning(
             places.place("routes", route.name, "path_prefix"),
             f"overrides a part of route {outer.name[:_MAX_NAME_CHARS]}, of the same host and kind"
-            + (", with the same settings" if same else ""),
+            + (", with the same settings" if is_redundant else ""),
             "remove this route: the other serves its paths too"
-            if same
+            if is_redundant
             else "keep it if that is intended",
         )
 
 
 def _check_service(
-    service: Service, used: bool, places: _ResourcePlaces
+    service: Service, is_used: bool, places: _ResourcePlaces
 ) -> Iterator[ConfigurationWarning]:
-    if not used:
+    if not is_used:
         yield ConfigurationWarning(
             places.place("services", service.name),
             "no route uses it",
--- a/loomstand/ctl/calls.py
+++ b/loomstand/ctl/calls.py
@@ -1,5 +1,6 @@
-"""HTTP calls to registries, with the retries that the protocol asks of callers, and the commands
-`config push` and `config read`.
+"""HTTP calls to registries, with the retries that PROTOCOL.md requires of callers.
+
+Also has the commands `config push` and `config read`.
 """
 
 from __future__ import annotations
@@ -25,30 +26,32 @@
 
 Address = tuple[str, int]
 
-# The protocol sets these values, up to MAX_OTHER_CLIENT_ERRORS.
-READ_TIMEOUT_SECONDS = 1.0  # without a byte from the registry
-EXTRA_TIMEOUT_SECONDS_PER_MIB = 1.0  # of the request's body: "longer for large bodies"
-MAX_REDIRECTS = 2  # 307 responses that one attempt follows
-FINAL_STATUSES = (400, 409, 412, 413, 422)  # end a call at once
-NEXT_ADDRESS_STATUSES = (408, 429)  # the only 4xx that never end a call
-MAX_OTHER_CLIENT_ERRORS = 3  # any other 4xx ends a call at the third
+# The protocol sets the values from here to MAX_OTHER_CLIENT_ERRORS.
+READ_TIMEOUT_SECONDS = 1.0  # longest wait for the next byte from the registry
+# Added to the timeout for each MiB of the request's body; the protocol says "longer for large
+# bodies".
+EXTRA_TIMEOUT_SECONDS_PER_MIB = 1.0
+MAX_REDIRECTS = 2  # responses with status 307 that one attempt follows
+FINAL_STATUSES = (400, 409, 412, 413, 422)  # these end a call at once
+NEXT_ADDRESS_STATUSES = (408, 429)  # the only 4xx statuses that never end a call
+MAX_OTHER_CLIENT_ERRORS = 3  # responses with other 4xx statuses at which a call ends
 # Delay between attempts: short at first, as most failures concern a single registry; longer later,
-# so that many operators who wait for a start-up cause no load.
+# so that many operators who wait for the system to start cause little load.
 INITIAL_RETRY_DELAY_SECONDS = 0.1
 RETRY_DELAY_FACTOR = 1.6
 MAX_RETRY_DELAY_SECONDS = 2.0
 MAX_RESPONSE_BYTES = 64 << 20  # a registry accepts configurations of up to 8 MiB
-# A response that trickles in is abandoned after this many read timeouts.
+# Limit for the whole response, as a multiple of the read timeout: each byte extends the latter.
 MAX_RESPONSE_READ_TIMEOUTS = 10
 CHUNK_BYTES = 1 << 16
 
 
 class CallError(Exception):
-    """An attempt got no usable response; the registry may have executed the call all the same."""
+    """An attempt got no usable response; the registry may still have executed the call."""
 
 
 class CallRefusedError(CommandError):
-    """A registry refused the call without executing it, and every other one would refuse it too."""
+    """A registry refused the call without executing it, as every other registry would."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -83,10 +86,10 @@
 
     Args:
         address: The registry's address.
-        call: The name of the call.
+        call: Name of the operation.
         body: The request's body.
-        timeout_seconds: Time without a byte from the registry, READ_TIMEOUT_SECONDS if None;
-            extended for large bodies.
+        timeout_seconds: Longest wait for the next byte from the registry, READ_TIMEOUT_SECONDS if
+            None; extended for large bodies.
 
     Raises:
         CallError: There was no complete response in time, or too many or invalid redirects.
@@ -100,9 +103,9 @@
             body,
             timeout_seconds + EXTRA_TIMEOUT_SECONDS_PER_MIB * len(body) / (1 << 20),
         )
-        at = f"{target[0]}:{target[1]}"
+        target_text = f"{target[0]}:{target[1]}"
         if status != 307:
-            return Response(status, response_body, at)
+            return Response(status, response_body, target_text)
         try:
             parts = urlsplit(location)
             if parts.scheme != "http" or not parts.hostname:
@@ -110,40 +113,37 @@
             target = parts.hostname, parse_port(str(parts.port or 80))
         except (ValueError, UnitError):
             raise CallError(
-                f"{at} redirects to {single_line(location)[:100] or 'nowhere'}"
+                f"{target_text} redirects to {single_line(location)[:100] or 'nowhere'}"
             ) from None
         path = (parts.path or "/") + (f"?{parts.query}" if parts.query else "")
-    raise CallError(f"{at} redirects for the third time")
+    raise CallError(f"{target_text} redirects for the third time")
 
 
 def _exchange(
     address: Address, path: str, body: bytes, timeout_seconds: float
 ) -> tuple[int, str, bytes]:
     """Sends one HTTP request; returns the status, the Location header and the body."""
-    connection, at = (
-        http.client.HTTPConnection(*address, timeout=timeout_seconds),
-        f"{address[0]}:{address[1]}",
-    )
+    connection = http.client.HTTPConnection(*address, timeout=timeout_seconds)
+    address_text = f"{address[0]}:{address[1]}"
     try:
         connection.request(
             "POST", path, body, {"Content-Type": "application/json", "Connection": "close"}
         )
         response = connection.getresponse()
-        received, deadline = (
-            bytearray(),
-            time.monotonic() + MAX_RESPONSE_READ_TIMEOUTS * timeout_seconds,
-        )
+        response_body = bytearray()
+        deadline = time.monotonic() + MAX_RESPONSE_READ_TIMEOUTS * timeout_seconds
         while chunk := response.read1(CHUNK_BYTES):
-            received += chunk
-            if len(received) > MAX_RESPONSE_BYTES or time.monotonic() > deadline:
-                raise CallError(f"{at}: its answer is too long or too slow")
+            response_body += chunk
+            if len(response_body) > MAX_RESPONSE_BYTES or time.monotonic() > deadline:
+                raise CallError(f"{address_text}: its answer is too long or too slow")
         if response.length:
-            raise CallError(f"{at}: its answer is cut short")
-        return response.status, response.getheader("Location", ""), bytes(received)
+            raise CallError(f"{address_text}: its answer is cut short")
+        return response.status, response.getheader("Location", ""), bytes(response_body)
     except TimeoutError:
-        raise CallError(f"{at} doesn't answer in time") from None
+        raise CallError(f"{address_text} doesn't answer in time") from None
     except (OSError, http.client.HTTPException, ValueError) as error:
-        raise CallError(f"{at}: {single_line(str(error)) or type(error).__name__}") from None
+        problem = single_line(str(error)) or type(error).__name__
+        raise CallError(f"{address_text}: {problem}") from None
     finally:
         connection.close()
 
@@ -151,9 +151,15 @@
 def call_any(addresses: list[Address], call: str, body: bytes, within_seconds: float) -> Response:
     """Repeats a call unchanged, each attempt at the next address, until one returns status 200.
 
+    Args:
+        addresses: Addresses of registries, called in turn.
+        call: Name of the operation.
+        body: The request's body.
+        within_seconds: Time after which no further attempt begins.
+
     Raises:
         CallRefusedError: A registry refused the call.
-        CommandError: There was no clear answer in time.
+        CommandError: No attempt within the time returned status 200 or a refusal.
     """
     deadline, delay = time.monotonic() + within_seconds, INITIAL_RETRY_DELAY_SECONDS
     other_client_errors, attempt = 0, 0
@@ -161,21 +167,22 @@
         try:
             response = call_once(addresses[attempt % len(addresses)], call, body)
         except CallError as error:
-            last = str(error)
+            last_error = str(error)
         else:
             if response.status == 200:
                 return response
-            last = response.error_text()
+            last_error = response.error_text()
             if 400 <= response.status < 500 and response.status not in NEXT_ADDRESS_STATUSES:
                 other_client_errors += 1
                 if (
                     response.status in FINAL_STATUSES
                     or other_client_errors >= MAX_OTHER_CLIENT_ERRORS
                 ):
-                    raise CallRefusedError(f"refused: {last}", 1)
+                    raise CallRefusedError(f"refused: {last_error}", 1)
         if time.monotonic() + delay > deadline:
             raise CommandError(
-                f"no clear answer within {format_seconds(within_seconds)}; the last: {last}", 1
+                f"no clear answer within {format_seconds(within_seconds)}; the last: {last_error}",
+                1,
             )
         time.sleep(delay)
         delay, attempt = min(MAX_RETRY_DELAY_SECONDS, RETRY_DELAY_FACTOR * delay), attempt + 1
@@ -195,7 +202,7 @@
 
 
 def _acknowledged_version(response: Response) -> int | None:
-    """Returns the version in an acknowledgement, or None: not every gateway names one."""
+    """Returns the version in an acknowledgement; None without one, as not all gateways send it."""
     try:
         return parse_version(str(json.loads(response.body)["version"]))
     except (ValueError, KeyError, TypeError, RecursionError):
@@ -213,16 +220,16 @@
     try:
         response = call_any(command.at, "configuration.replace", raw, command.within)
     except CommandError as error:
-        unclear = (
+        hint = (
             ""
             if isinstance(error, CallRefusedError)
             else "; it may be in force all the same: push it again"
         )
         raise CommandError(
-            f"{format_version(pushed.version)} is not acknowledged: {error}{unclear}", 1
+            f"{format_version(pushed.version)} is not acknowledged: {error}{hint}", 1
         ) from None
     in_force, problem = _acknowledged_version(response), ""
-    # A registry acknowledges a push also if another operator has used the same version for other
+    # A registry acknowledges a push even if another operator has used the same version for other
     # contents. Only reading the configuration back shows the difference.
     try:
         read_back, _ = _read_configuration(command.at, command.within)
@@ -233,18 +240,18 @@
         print(f"acknowledged by {response.address}, but not read back: {error}", file=sys.stderr)
     if in_force is not None and in_force != pushed.version:
         problem = f"and {format_version(pushed.version)} is not, as it isn't higher"
-    text = format_version(pushed.version if in_force is None else in_force)
+    version_text = format_version(pushed.version if in_force is None else in_force)
     if command.json:
         report = {
             "pushed": format_version(pushed.version),
-            "in_force": text,
+            "in_force": version_text,
             "by": response.address,
             "wrong": problem,
         }
         print(json.dumps(report, indent=2))
     else:
         print(
-            f"{text} is in force"
+            f"{version_text} is in force"
             + (f" {problem}" if problem else f", acknowledged by {response.address}")
         )
     return 1 if problem else 0
@@ -253,7 +260,7 @@
 def config_read(command: ConfigRead) -> int:
     """Runs `config read`; returns the exit code."""
     config, address = _read_configuration(command.at, command.within)
-    if command.keys:  # byte for byte as the registry holds it
+    if command.keys:  # printed byte for byte as the registry stores it
         sys.stdout.flush()
         sys.stdout.buffer.write(config.raw)
         sys.stdout.buffer.flush()
--- a/loomstand/ctl/commands.py
+++ b/loomstand/ctl/commands.py
@@ -18,35 +18,37 @@
 
 PROGRAM = "loomstand.ctl"
 OUTPUT_WIDTH = 80  # columns
-# An error stays on one line, so that a log has it whole, however narrow the terminal is.
+# Error messages aren't wrapped at the width of the terminal, so that each is one line in a log.
 ERROR_WIDTH = 100_000  # columns
-# Longer than a failure in the system lasts: a takeover of the store takes 3 s, a start of all
-# processes about 10 s.
+# Longer than usual interruptions: another store takes over within 3 s, and all processes start
+# within about 10 s.
 DEFAULT_WITHIN_SECONDS = 20.0
 MAX_DAYS = 10_000  # far more than the bench can run
-# Relative to a standing day's requests, far above the loads in use; the inverse is the minimum.
+# Highest load relative to the requests of the site's own days; the lowest is its inverse. Both are
+# far beyond the loads in use.
 MAX_LOAD_FACTOR = 100
 
 
 def _parse_host_port(text: str) -> tuple[str, int]:
     """Parses HOST:PORT, where the host may be a name."""
-    host, colon, number = text.rpartition(":")
-    if not colon or not host or any(c in "/@[]" or c <= " " for c in host):
+    host, colon, port = text.rpartition(":")
+    is_host = host and not any(character in "/@[]" or character <= " " for character in host)
+    if not colon or not is_host:
         raise ValueError(f"{quote_value(text)} is not HOST:PORT such as 10.1.0.3:8783")
     try:
-        return host, parse_port(number)
+        return host, parse_port(port)
     except UnitError as error:
         raise ValueError(str(error)) from None
 
 
 def _parse_host(text: str) -> str:
-    if not text or any(c in ":/@[]" or c <= " " for c in text):
+    if not text or any(character in ":/@[]" or character <= " " for character in text):
         raise ValueError(f"{quote_value(text)} is not HOST such as 10.1.0.3")
     return text
 
 
 def _parse_duration(text: str) -> float:
-    """Parses a time with its unit; returns seconds."""
+    """Parses a time with its unit, such as `900ms`; returns seconds."""
     try:
         return parse_seconds(text)
     except UnitError as error:
@@ -77,39 +79,39 @@
     return f"Example:\n\n{lines}\n\nExit codes: {codes}."
 
 
-# Listed first in the usage: `--at` takes all arguments that follow it.
+# Positional arguments are listed first in the usage, as `--at` takes all arguments that follow it.
 ARGUMENTS = cappa.Group(-1, "Arguments")
-File = Annotated[
+FileArgument = Annotated[
     str, cappa.Arg(value_name="FILE", group=ARGUMENTS, help="a file, or `-` for standard input")
 ]
-At = Annotated[
+RegistryAddresses = Annotated[
     list[tuple[str, int]],
     cappa.Arg(
         long="--at",
         value_name="HOST:PORT",
         num_args=-1,
-        parse=lambda texts: [_parse_host_port(t) for t in texts],
+        parse=lambda texts: [_parse_host_port(text) for text in texts],
         required=True,
         help="addresses of one or more registries (`control_plane`), tried in this order",
     ),
 ]
-Gone = Annotated[
+GoneHosts = Annotated[
     list[str],
     cappa.Arg(
         long="--gone",
         value_name="HOST",
         num_args=-1,
-        parse=lambda texts: [_parse_host(t) for t in texts],
+        parse=lambda texts: [_parse_host(text) for text in texts],
         show_default=False,
         help="addresses, as shown, of core machines whose disks are permanently lost",
     ),
 ]
-Json = Annotated[bool, cappa.Arg(long="--json", show_default=False, help="print JSON")]
-Keys = Annotated[
+JsonFlag = Annotated[bool, cappa.Arg(long="--json", show_default=False, help="print JSON")]
+KeysFlag = Annotated[
     bool,
     cappa.Arg(long="--keys", show_default=False, help="print the stored bytes, API keys included"),
 ]
-Within = Annotated[
+RetrySeconds = Annotated[
     float,
     cappa.Arg(
         long="--within",
@@ -131,8 +133,8 @@
 )
 @dataclass
 class SettingsCheck:
-    file: File
-    json: Json = False
+    file: FileArgument
+    json: JsonFlag = False
 
 
 @cappa.command(name="settings", help="The settings file of a process.")
@@ -152,8 +154,8 @@
 )
 @dataclass
 class ConfigCheck:
-    file: File
-    json: Json = False
+    file: FileArgument
+    json: JsonFlag = False
 
 
 @cappa.command(
@@ -171,7 +173,7 @@
 class ConfigDiff:
     old: Annotated[str, cappa.Arg(value_name="OLD", group=ARGUMENTS, help="the old file, or `-`")]
     new: Annotated[str, cappa.Arg(value_name="NEW", group=ARGUMENTS, help="the new file, or `-`")]
-    json: Json = False
+    json: JsonFlag = False
 
 
 @cappa.command(
@@ -188,10 +190,10 @@
 )
 @dataclass
 class ConfigPush:
-    file: File
-    at: At
-    within: Within = DEFAULT_WITHIN_SECONDS
-    json: Json = False
+    file: FileArgument
+    at: RegistryAddresses
+    within: RetrySeconds = DEFAULT_WITHIN_SECONDS
+    json: JsonFlag = False
 
 
 @cappa.command(
@@ -206,9 +208,9 @@
 )
 @dataclass
 class ConfigRead:
-    at: At
-    within: Within = DEFAULT_WITHIN_SECONDS
-    keys: Keys = False
+    at: RegistryAddresses
+    within: RetrySeconds = DEFAULT_WITHIN_SECONDS
+    keys: KeysFlag = False
 
 
 @cappa.command(name="config", help="The configuration.")
@@ -228,8 +230,8 @@
 )
 @dataclass
 class Status:
-    at: At
-    json: Json = False
+    at: RegistryAddresses
+    json: JsonFlag = False
 
 
 @cappa.command(
@@ -250,13 +252,13 @@
 )
 @dataclass
 class CoreRescue:
-    at: At
-    gone: Gone = field(default_factory=list)
+    at: RegistryAddresses
+    gone: GoneHosts = field(default_factory=list)
     yes: Annotated[
         bool,
         cappa.Arg(long="--yes", show_default=False, help="re-found the store from the data shown"),
     ] = False
-    json: Json = False
+    json: JsonFlag = False
 
 
 @cappa.command(name="core", help="The core machines.")
@@ -332,7 +334,7 @@
             help="many faults of every kind at once, most of them from this group",
         ),
     ] = ""
-    json: Json = False
+    json: JsonFlag = False
 
 
 @cappa.command(name="days", help="Generated days for the bench (docs/almanac.md).")
@@ -341,7 +343,7 @@
     command: cappa.Subcommands[DaysDraw]
 
 
-Journal = Annotated[
+JournalDirectory = Annotated[
     str,
     cappa.Arg(long="--journal", value_name="DIR", help="directory in which ids are looked up"),
 ]
@@ -365,7 +367,7 @@
             value_name="ENTRY", group=ARGUMENTS, help="a file, or the id at the end of its name"
         ),
     ]
-    journal: Journal = "journal"
+    journal: JournalDirectory = "journal"
     site: Annotated[
         str | None,
         cappa.Arg(
@@ -385,7 +387,7 @@
             help="also draw a plot (needs matplotlib)",
         ),
     ] = None
-    json: Json = False
+    json: JsonFlag = False
 
 
 @cappa.command(
@@ -406,8 +408,8 @@
     new: Annotated[
         str, cappa.Arg(value_name="NEW", group=ARGUMENTS, help="the new entry: a file or an id")
     ]
-    journal: Journal = "journal"
-    json: Json = False
+    journal: JournalDirectory = "journal"
+    json: JsonFlag = False
 
 
 @cappa.command(
@@ -421,7 +423,7 @@
 )
 @dataclass
 class JournalList:
-    journal: Journal = "journal"
+    journal: JournalDirectory = "journal"
     site: Annotated[
         str | None,
         cappa.Arg(
@@ -434,7 +436,7 @@
             long="--verb", value_name="V", show_default=False, help="only entries of this verb"
         ),
     ] = None
-    json: Json = False
+    json: JsonFlag = False
 
 
 @cappa.command(name="journal", help="The bench's results in `journal/` (docs/almanac.md).")
@@ -466,9 +468,9 @@
     except CommandError as error:
         print(f"{PROGRAM}: {single_line(str(error))}", file=sys.stderr)
         return error.exit_code
-    except cappa.Exit as request:
-        return int(request.code or 0)
-    except BrokenPipeError:  # the reader closed the pipe, as in `... | head`
+    except cappa.Exit as exit_request:
+        return int(exit_request.code or 0)
+    except BrokenPipeError:  # the reader closed the pipe, as `head` does
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
     except KeyboardInterrupt:
--- a/loomstand/ctl/compare.py
+++ b/loomstand/ctl/compare.py
@@ -1,7 +1,4 @@
-"""Differences between two configurations. API keys are counted and never shown.
-
-Pure functions without input or output.
-"""
+"""Differences between two configurations. API keys are counted and never shown. Pure."""
 
 from __future__ import annotations
 
@@ -13,8 +10,9 @@
 from loomstand.ctl.common import format_number, format_seconds
 from loomstand.ctl.masks import is_masked
 
-Item = Route | Service | Tenant | ClientLimits
-# Names of fields in the configuration file where they differ from those in the code.
+Resource = Route | Service | Tenant | ClientLimits
+
+# Names of fields in the configuration file, where these differ from those in the code.
 _FILE_NAMES = {
     "idempotent": "route_kind",
     "max_attempts": "maximum_attempts",
@@ -34,7 +32,7 @@
         added: Names that only the new configuration has.
         removed: Names that only the old configuration has.
         changed: By name and by field, the old and the new value as text.
-        same: How many resources are equal.
+        same: Number of resources that are equal in both.
     """
 
     added: list[str]
@@ -50,8 +48,8 @@
     Attributes:
         old: The old version.
         new: The new version.
-        prevails: Whether the new version is the higher one.
-        keys: A sentence if requests begin or cease to need an API key, else empty.
+        prevails: Whether the new version is higher than the old one.
+        keys: A sentence if only one of the configurations requires API keys, else empty.
         routes: Changes to routes.
         services: Changes to services.
         tenants: Changes to tenants.
@@ -111,8 +109,9 @@
     return ResourceChanges(added, removed, changed, len(new) - len(added) - len(changed))
 
 
-def _field_changes(old: Item, new: Item) -> dict[str, list[Any]]:
-    out: dict[str, list[Any]] = {}
+def _field_changes(old: Resource, new: Resource) -> dict[str, list[Any]]:
+    """Returns, by field in the file, the old and the new value as text if they differ."""
+    changes: dict[str, list[Any]] = {}
     for field in fields(old):
         before, after = getattr(old, field.name), getattr(new, field.name)
         if field.name == "api_keys":
@@ -120,12 +119,12 @@
         else:
             texts = [_format_value(field.name, before), _format_value(field.name, after)]
         if texts and texts[0] != texts[1]:
-            out[_FILE_NAMES.get(field.name, field.name)] = texts
-    return out
+            changes[_FILE_NAMES.get(field.name, field.name)] = texts
+    return changes
 
 
 def _key_changes(before: set[str], after: set[str]) -> list[Any]:
-    """Returns how many keys there were and are, or nothing if they are the same.
+    """Returns the old and the new number of keys as text; an empty list if the keys are the same.
 
     A mask doesn't identify its key, so masked keys are compared by their number alone.
     """
@@ -142,7 +141,7 @@
 
 
 def _format_split(split: tuple[tuple[str, float], ...]) -> str:
-    """Formats the services with their weights, independent of the order of the entries."""
+    """Formats the services with their weights, independently of the order of the entries."""
     if len(split) == 1:
         return split[0][0]
     weights: dict[str, float] = {}
@@ -165,28 +164,27 @@
     return format_number(value) if isinstance(value, float) else str(value)
 
 
-def format_difference(found: Difference) -> list[str]:
+def format_difference(changes: Difference) -> list[str]:
     """Returns the difference as lines of text."""
-    out = [f"{found.old} -> {found.new}"]
+    lines = [f"{changes.old} -> {changes.new}"]
     for kind in ("routes", "services", "tenants"):
-        resources: ResourceChanges = getattr(found, kind)
+        resources: ResourceChanges = getattr(changes, kind)
         counts = [
             (len(resources.added), "added"),
             (len(resources.removed), "removed"),
             (len(resources.changed), "changed"),
         ]
-        out.append(
-            f"{kind}: "
-            + ", ".join(f"{n} {label}" for n, label in [*counts, (resources.same, "as before")])
-        )
-        out += [f"  + {name}" for name in resources.added]
-        out += [f"  - {name}" for name in resources.removed]
-        for name, changes in resources.changed.items():
-            out.append(f"  ~ {name}")
-            out += [
-                f"      {field}: {before} -> {after}" for field, (before, after) in changes.items()
+        counts.append((resources.same, "as before"))
+        lines.append(f"{kind}: " + ", ".join(f"{count} {label}" for count, label in counts))
+        lines += [f"  + {name}" for name in resources.added]
+        lines += [f"  - {name}" for name in resources.removed]
+        for name, fields_changed in resources.changed.items():
+            lines.append(f"  ~ {name}")
+            lines += [
+                f"      {field}: {before} -> {after}"
+                for field, (before, after) in fields_changed.items()
             ]
-    out += [
-        f"limits: {field}: {before} -> {after}" for field, (before, after) in found.limits.items()
+    lines += [
+        f"limits: {field}: {before} -> {after}" for field, (before, after) in changes.limits.items()
     ]
-    return [*out, *([found.keys] if found.keys else [])]
+    return [*lines, *([changes.keys] if changes.keys else [])]
--- a/loomstand/ctl/files.py
+++ b/loomstand/ctl/files.py
@@ -20,7 +20,7 @@
     to_json_data,
 )
 
-# Keys of the settings in `--json` where they differ from the names in the code (docs/ctl.md).
+# Keys in the output of `--json`, where these differ from the fields of `Settings` (docs/ctl.md).
 _JSON_NAMES = {
     "listen_addresses": "listen",
     "seed_nodes": "seeds",
@@ -48,23 +48,32 @@
 
 def _settings_json(settings: Settings) -> dict[str, Any]:
     """Returns the settings for JSON: times in seconds, bounds by their keys in the file."""
-    out = {_JSON_NAMES.get(name, name): value for name, value in to_json_data(settings).items()}
-    out["bounds"] = {n.removesuffix("_seconds"): value for n, value in out["bounds"].items()}
-    return out
+    data = {_JSON_NAMES.get(name, name): value for name, value in to_json_data(settings).items()}
+    bounds = data["bounds"]
+    data["bounds"] = {name.removesuffix("_seconds"): value for name, value in bounds.items()}
+    return data
 
 
 def _format_settings(settings: Settings) -> list[str]:
+    """Returns the settings as lines of text."""
     limits, listen, bounds = settings.limits, settings.listen_addresses, settings.bounds
-    listeners = [(n, a) for n in type(listen).__slots__ if (a := getattr(listen, n)) is not None]
-    bound_values = ((n, getattr(bounds, n)) for n in type(bounds).__slots__)
-    bound_texts = [f"{n.removesuffix('_seconds')} {_format_bound(n, v)}" for n, v in bound_values]
+    listeners = [
+        (name, address)
+        for name in type(listen).__slots__
+        if (address := getattr(listen, name)) is not None
+    ]
+    bound_values = ((name, getattr(bounds, name)) for name in type(bounds).__slots__)
+    bound_texts = [
+        f"{name.removesuffix('_seconds')} {_format_bound(name, value)}"
+        for name, value in bound_values
+    ]
     lines = [
         f"{settings.node_name}: role {settings.role}, "
         f"on a machine of class {settings.machine_class}",
         f"at {settings.ip_address} in zone {settings.zone}, region {settings.region}; "
         + ("its loss is counted" if settings.loss_counted else "its loss is not counted"),
         f"serves {', '.join(settings.serves) or 'no external interface'}",
-        *(f"listens at {format_address(a)} for {n}" for n, a in listeners),
+        *(f"listens at {format_address(address)} for {name}" for name, address in listeners),
         "internal calls: "
         f"registry {format_address(settings.registry_address(settings.ip_address))}, "
         f"store {format_address(settings.store_address(settings.ip_address))}",
@@ -88,8 +97,8 @@
         "bounds:",
     ]
     return lines + [
-        "  " + ", ".join(bound_texts[n : n + _BOUNDS_PER_LINE])
-        for n in range(0, len(bound_texts), _BOUNDS_PER_LINE)
+        "  " + ", ".join(bound_texts[start : start + _BOUNDS_PER_LINE])
+        for start in range(0, len(bound_texts), _BOUNDS_PER_LINE)
     ]
 
 
@@ -100,7 +109,7 @@
 
 
 def _summary(config: Configuration) -> dict[str, Any]:
-    """Returns the version and how many resources of each kind there are."""
+    """Returns the version and the number of resources of each kind."""
     tenants = len(config.tenants or ())
     return {
         "version": format_version(config.version),
@@ -149,13 +158,15 @@
     if command.old == command.new == "-":
         raise CommandError("standard input can't be both files")
     old, new = (check_configuration(path, read_input(path)) for path in (command.old, command.new))
-    found = difference(old, new)
-    ineffective = found.has_changes() and not found.prevails
+    changes = difference(old, new)
+    is_ineffective = changes.has_changes() and not changes.prevails
     if command.json:
-        print(json.dumps({**to_json_data(found), "differ": found.has_changes()}, indent=2))
+        print(json.dumps({**to_json_data(changes), "differ": changes.has_changes()}, indent=2))
     else:
-        for line in format_difference(found):
+        for line in format_difference(changes):
             print(line)
-        if ineffective:
-            print(f"{found.new} is not higher than {found.old}: pushing it would change nothing")
-    return 1 if ineffective else 0
+        if is_ineffective:
+            print(
+                f"{changes.new} is not higher than {changes.old}: pushing it would change nothing"
+            )
+    return 1 if is_ineffective else 0
--- a/loomstand/ctl/journal.py
+++ b/loomstand/ctl/journal.py
@@ -1,5 +1,6 @@
-"""`journal show`, `journal compare` and `journal list`: what runs of the bench lost, by cause
-(docs/almanac.md). Tables fit within 80 columns.
+"""`journal show`, `journal compare` and `journal list`: losses of the bench's runs, by cause.
+
+See docs/almanac.md. Tables fit within 80 columns.
 """
 
 from __future__ import annotations
@@ -17,16 +18,18 @@
 from loomstand.testing.fault_schedules.entry import Day, Entry
 from loomstand.testing.fault_schedules.losses import Change, Loss
 
-MAX_DETAILED_DAYS = 8  # a longer entry, such as that of a hunt, is printed without details
-MIN_SHOWN_LOSS = 0.0005  # smaller losses are left out: three digits would show them as 0
-MAX_SHOWN_CAUSES = 3  # of each day in `compare`
+MAX_DETAILED_DAYS = 8  # an entry of more days is printed without the details of each day
+MIN_SHOWN_LOSS = 0.0005  # smaller losses would be printed as 0.000 and are left out
+MAX_SHOWN_CAUSES = 3  # for each day in `journal compare`
+
 
+def _load_entry(path_or_id: str, journal: str) -> Entry:
+    """Returns the entry in a file, or the one with an id in the journal's directory.
 
-def _load_entry(text: str, journal: str) -> Entry:
-    """Returns the entry in the file `text`, or the one with this id in the journal. Raises
-    CommandError.
+    Raises:
+        CommandError: There is no such file or id, or the file has no valid entry.
     """
-    path = text if os.path.isfile(text) else _find_path(text, journal)
+    path = path_or_id if os.path.isfile(path_or_id) else _find_path(path_or_id, journal)
     try:
         return entry.read(read_input(path))
     except entry.EntryError as error:
@@ -34,6 +37,7 @@
 
 
 def _find_path(entry_id: str, journal: str) -> str:
+    """Returns the path of the only entry in the journal with this id at the end of its name."""
     stem = glob.escape(entry_id.removesuffix(".json"))
     paths = glob.glob(f"{stem}.json", root_dir=journal) or glob.glob(
         f"*-{stem}*.json", root_dir=journal
@@ -51,7 +55,8 @@
 ) -> tuple[tuple[str, ...], tuple[str, ...]]:
     """Returns the names of the classes of requests and of the zones, in the entry's order.
 
-    They come from the site file given, or else from the bench's arguments; empty without one.
+    They are read from the site file of `--site`, or else from the one among the bench's arguments;
+    both tuples are empty if there is none.
     """
     bench_files = [arg for arg in record.argv if arg.endswith(".toml") and os.path.isfile(arg)]
     paths = [command.site] if command.site else bench_files
@@ -61,7 +66,7 @@
         except site.SiteError as error:
             if command.site:
                 raise CommandError(f"{path}: {error}") from None
-            continue  # another kind of file, such as that of a day
+            continue  # not a site file but, for instance, the file of a day
         if site_file.name == record.site:
             return site_file.classes, site_file.zones
         if command.site:
@@ -75,14 +80,14 @@
 def journal_show(command: JournalShow) -> int:
     """Runs `journal show`; returns the exit code."""
     record = _load_entry(command.entry, command.journal)
-    labels = _class_and_zone_names(command, record)
+    names = _class_and_zone_names(command, record)
     if command.plot:
         _draw_plot(record, command.plot)
     totals = losses.of_entry(record)
     if command.json:
-        print(json.dumps(_entry_json(record, labels, totals), indent=2))
+        print(json.dumps(_entry_json(record, names, totals), indent=2))
     else:
-        _print_entry(record, labels, totals)
+        _print_entry(record, names, totals)
     return 0 if all(day.gate and not day.rules for day in record.days) else 1
 
 
@@ -97,8 +102,8 @@
         raise CommandError(f"{path}: can't be written ({error.strerror or error})") from None
 
 
-def _entry_json(record: Entry, labels: tuple, totals: list[Loss]) -> dict[str, Any]:
-    classes, zones = labels
+def _entry_json(record: Entry, names: tuple, totals: list[Loss]) -> dict[str, Any]:
+    classes, zones = names
     days = []
     for weight, day in zip(losses.weights(record), record.days, strict=True):
         days.append(
@@ -117,7 +122,7 @@
     }
 
 
-def _print_entry(record: Entry, labels: tuple, totals: list[Loss]) -> None:
+def _print_entry(record: Entry, names: tuple, totals: list[Loss]) -> None:
     print(single_line(f"{record.verb} {record.id} on {record.site}, {record.at}"))
     if record.why:
         print(
@@ -163,7 +168,7 @@
         print(f"{len(record.days)} days: `--json` has each in full")
         return
     for day in record.days:
-        _print_day(day, labels)
+        _print_day(day, names)
 
 
 def _format_score(record: Entry) -> str:
@@ -181,7 +186,7 @@
 
 
 def _verdicts(day: Day) -> list[str]:
-    """Returns the broken rules, the fault and a failed gate, as texts."""
+    """Returns a text for each broken rule, for the fault and for a failed gate."""
     broken = [f"{rule} broken" for rule in sorted(day.rules)]
     return (
         broken
@@ -190,29 +195,29 @@
     )
 
 
-def _print_day(day: Day, labels: tuple) -> None:
-    classes, zones = labels
+def _print_day(day: Day, names: tuple) -> None:
+    classes, zones = names
     seed = "" if day.seed is None else f", seed {day.seed}"
-    rows = {
+    items_by_label = {
         "earned": [f"{part.name} {part.earned:.3f} (weight {part.weight:g})" for part in day.parts],
         "lost": [
-            f"{_format_cause(x)} {x.worth:.3f}"
-            for x in losses.of_day(day)
-            if x.worth >= MIN_SHOWN_LOSS
+            f"{_format_cause(loss)} {loss.worth:.3f}"
+            for loss in losses.of_day(day)
+            if loss.worth >= MIN_SHOWN_LOSS
         ],
         "kinds": [f"{name} {share:.3f}" for name, share in losses.labelled(day.by_class, classes)],
         "zones": [f"{name} {share:.3f}" for name, share in losses.labelled(day.by_zone, zones)],
-        "wrong": [*_verdicts(day), *(f"floor not reached: {short}" for short in day.short)],
+        "wrong": [*_verdicts(day), *(f"floor not reached: {floor}" for floor in day.short)],
         "tries": [f"refused {day.refused:.3f}, failed {day.failed:.3f}"],
     }
     print()
     head = f"{day.name}{seed}: worth {day.worth:.3f} between {day.zero:g} and {day.one:g}"
     print(textwrap.fill(single_line(head), OUTPUT_WIDTH))
-    for head, items in rows.items():
+    for label, items in items_by_label.items():
         if items:
             print(
                 textwrap.fill(
-                    single_line(f"  {head:6} {', '.join(items)}"),
+                    single_line(f"  {label:6} {', '.join(items)}"),
                     OUTPUT_WIDTH,
                     subsequent_indent=" " * 9,
                 )
@@ -221,7 +226,7 @@
 
 def journal_compare(command: JournalCompare) -> int:
     """Runs `journal compare`; returns the exit code."""
-    old, new = (_load_entry(text, command.journal) for text in (command.old, command.new))
+    old, new = (_load_entry(name, command.journal) for name in (command.old, command.new))
     if old.site != new.site:
         raise CommandError(
             f"{single_line(old.id)} is of site {single_line(old.site)}, "
@@ -231,22 +236,23 @@
     if not changes:
         raise CommandError(f"{single_line(old.id)} and {single_line(new.id)} have no day in common")
     worse = any(
-        c.score <= -losses.NOISE or c.new.rules.keys() - c.old.rules.keys() for c in changes
+        change.score <= -losses.NOISE or change.new.rules.keys() - change.old.rules.keys()
+        for change in changes
     )
     if command.json:
         rows = [
             {
-                "day": c.name,
-                "same": c.same,
-                "score": [c.old.score, c.new.score],
-                "score_change": c.score,
-                "worth": [c.old.worth, c.new.worth],
-                "worth_change": c.worth,
-                "noise": c.noise,
-                "rules": [c.old.rules, c.new.rules],
-                "lost_more": dict(c.causes),
+                "day": change.name,
+                "same": change.same,
+                "score": [change.old.score, change.new.score],
+                "score_change": change.score,
+                "worth": [change.old.worth, change.new.worth],
+                "worth_change": change.worth,
+                "noise": change.noise,
+                "rules": [change.old.rules, change.new.rules],
+                "lost_more": dict(change.causes),
             }
-            for c in changes
+            for change in changes
         ]
         report = {"site": new.site, "old": old.id, "new": new.id, "worse": worse, "days": rows}
         print(json.dumps(report, indent=2))
@@ -260,23 +266,24 @@
     print(single_line(f"then {new.verb} {new.id}, {new.at}"))
     headers = ("day", "score", "then", "", "worth", "then", "lost more (+) or less (-) to")
     table = tables.make_table(*headers, right=("score", "then", "worth"))
-    for c in changes:
+    for change in changes:
         causes = [
             f"{cause} {value:+.3f}"
-            for cause, value in c.causes[:MAX_SHOWN_CAUSES]
+            for cause, value in change.causes[:MAX_SHOWN_CAUSES]
             if abs(value) >= MIN_SHOWN_LOSS
         ]
-        notes = [] if c.same else ["not the same day"]
-        notes += [f"{rule} broken" for rule in sorted(c.new.rules.keys() - c.old.rules.keys())]
-        notes += [f"{rule} kept" for rule in sorted(c.old.rules.keys() - c.new.rules.keys())]
-        verdict = "noise" if c.noise else "better" if c.score > 0 else "worse"
+        old_rules, new_rules = change.old.rules.keys(), change.new.rules.keys()
+        notes = [] if change.same else ["not the same day"]
+        notes += [f"{rule} broken" for rule in sorted(new_rules - old_rules)]
+        notes += [f"{rule} kept" for rule in sorted(old_rules - new_rules)]
+        verdict = "noise" if change.noise else "better" if change.score > 0 else "worse"
         table.add_row(
-            single_line(c.name),
-            f"{c.old.score:.3f}",
-            f"{c.new.score:.3f}",
+            single_line(change.name),
+            f"{change.old.score:.3f}",
+            f"{change.new.score:.3f}",
             verdict,
-            f"{c.old.worth:.3f}",
-            f"{c.new.worth:.3f}",
+            f"{change.old.worth:.3f}",
+            f"{change.new.worth:.3f}",
             single_line(", ".join([*notes, *causes])),
         )
     console = tables.make_console()
@@ -286,7 +293,7 @@
     )
     old_means, new_means = (
         losses.mean_worth_lost(days)
-        for days in ([c.old for c in changes], [c.new for c in changes])
+        for days in ([change.old for change in changes], [change.new for change in changes])
     )
     rows = [
         (cause, old_means.get(cause, 0.0), new_means.get(cause, 0.0))
@@ -298,7 +305,7 @@
                 single_line(cause), f"{before:.3f}", f"{after:.3f}", f"{after - before:+.3f}"
             )
     console.print(table)
-    unmatched = [len(e.days) - len(changes) for e in (old, new)]
+    unmatched = [len(record.days) - len(changes) for record in (old, new)]
     if any(unmatched):
         print(f"days in only one entry, left out: {unmatched[0]} and {unmatched[1]}")
     print(f"changes of a day's score below {losses.NOISE} are noise")
@@ -313,35 +320,38 @@
             f"{command.journal}: can't be read ({error.strerror or error})"
         ) from None
     entries, unreadable = [], []
-    foreign = 0
+    foreign_count = 0
     for name in names:
         try:
             entries.append(entry.read(read_input(os.path.join(command.journal, name))))
         except entry.ForeignError:
-            foreign += 1
+            foreign_count += 1
         except entry.EntryError as error:
             unreadable.append(f"{name}: {error}")
     selected = [
-        e for e in entries if command.site in (None, e.site) and command.verb in (None, e.verb)
+        record
+        for record in entries
+        if command.site in (None, record.site) and command.verb in (None, record.verb)
     ]
-    selected.sort(key=lambda e: e.at)
+    selected.sort(key=lambda record: record.at)
     rows = [
         {
-            "at": e.at,
-            "id": e.id,
-            "verb": e.verb,
-            "site": e.site,
-            "days": len(e.days),
-            "score": losses.score(e),
-            "gate": all(day.gate for day in e.days),
-            "why": e.why,
+            "at": record.at,
+            "id": record.id,
+            "verb": record.verb,
+            "site": record.site,
+            "days": len(record.days),
+            "score": losses.score(record),
+            "gate": all(day.gate for day in record.days),
+            "why": record.why,
         }
-        for e in selected
+        for record in selected
     ]
     if command.json:
         print(
             json.dumps(
-                {"entries": rows, "of_other_benches": foreign, "not_read": unreadable}, indent=2
+                {"entries": rows, "of_other_benches": foreign_count, "not_read": unreadable},
+                indent=2,
             )
         )
         return 0
@@ -359,6 +369,7 @@
                 + textwrap.shorten(single_line(row["why"]), OUTPUT_WIDTH - 4, placeholder=" ...")
             )
     print(
-        f"{len(rows)} shown; {foreign} of other benches, {len(unreadable)} without days or damaged"
+        f"{len(rows)} shown; {foreign_count} of other benches, "
+        f"{len(unreadable)} without days or damaged"
     )
     return 0
--- a/loomstand/ctl/status.py
+++ b/loomstand/ctl/status.py
@@ -14,15 +14,17 @@
 from loomstand.ctl.commands import Status
 from loomstand.ctl.common import single_line
 
-# Before a second query if versions differ: a change takes up to 0.3 s to reach all registries.
+# Delay before a second query if the registries have different versions: a change takes up to 0.3 s
+# to reach all of them.
 RECHECK_DELAY_SECONDS = 0.5
-MAX_REGISTRIES = 64  # that one command queries; a core has a handful
+MAX_REGISTRIES = 64  # that one command queries; a system has a handful of them
 
-# By address: a registry's status, or {"failed": reason}.
 Reports = dict[str, dict[str, Any]]
+"""By registry address, the registry's status, or {"failed": reason}."""
 
 
 def _query(address: Address) -> dict[str, Any]:
+    """Returns the status of one registry, or {"failed": reason}."""
     try:
         response = calls.call_once(address, "system.status")
         if response.status != 200:
@@ -43,26 +45,31 @@
     Ends when no report names a further registry, or at MAX_REGISTRIES.
     """
     reports: Reports = {}
-    new = dict.fromkeys(addresses)
-    while new and len(reports) < MAX_REGISTRIES:
-        with ThreadPoolExecutor(len(new)) as pool:
-            answers = dict(zip(map(format_address, new), pool.map(_query, new), strict=True))
+    unqueried = dict.fromkeys(addresses)
+    while unqueried and len(reports) < MAX_REGISTRIES:
+        with ThreadPoolExecutor(len(unqueried)) as pool:
+            answers = dict(
+                zip(map(format_address, unqueried), pool.map(_query, unqueried), strict=True)
+            )
         reports |= answers
         named = [core for report in answers.values() for core in report.get("cores", ())]
-        new = {}
+        unqueried = {}
         for core in named:
             try:
                 address = parse_address(core)
             except UnitError:
                 continue
-            if format_address(address) not in reports and len(reports) + len(new) < MAX_REGISTRIES:
-                new[address] = None
+            is_full = len(reports) + len(unqueried) >= MAX_REGISTRIES
+            if format_address(address) not in reports and not is_full:
+                unqueried[address] = None
     return _deduplicate(reports)
 
 
 def _deduplicate(reports: Reports) -> Reports:
-    """Keeps one report of a registry that was queried at two addresses, such as a host name and an
-    IP address. `life` identifies a registry's process.
+    """Keeps one report of each registry, as it may have been queried at two addresses.
+
+    These are for instance a host name and an IP address. The field `life` identifies the process of
+    a registry.
     """
     address_by_life: dict[str, str] = {}
     return {
@@ -73,7 +80,7 @@
 
 
 def find_problems(reports: Reports) -> list[str]:
-    """Returns what makes the exit code 1."""
+    """Returns the problems for which the exit code is 1, one line each."""
     answered = {address: report for address, report in reports.items() if "failed" not in report}
     if not answered:
         return ["no registry answers"]
@@ -106,10 +113,15 @@
 
 
 def _table_row(report: dict[str, Any]) -> list[str]:
-    """Returns a registry's row in the table; `?` marks a version that may not be the newest."""
+    """Returns a registry's cells in the table; `?` marks a version that may not be the newest."""
     config, counting, limiters = report["configuration"], report["counting"], report["limiters"]
-    states = [(state, int(n)) for by in report["servers"].values() for state, n in by.items()]
-    ready, servers = sum(n for state, n in states if state == "ready"), sum(n for _, n in states)
+    counts = [
+        (state, int(count))
+        for count_by_state in report["servers"].values()
+        for state, count in count_by_state.items()
+    ]
+    ready = sum(count for state, count in counts if state == "ready")
+    servers = sum(count for _, count in counts)
     present, missing = len(limiters["present"]), len(limiters["missing"])
     return [
         single_line(str(report["name"])),
@@ -121,9 +133,7 @@
 
 
 def _detail_lines(report: dict[str, Any]) -> list[str]:
-    """Returns what a registry reports on the store, missing limiters and the servers of each
-    service.
-    """
+    """Returns lines on the store, missing limiters and the servers of each service."""
     store, missing = report["store"], report["limiters"]["missing"]
     line = "store: no response"
     if store:
@@ -133,8 +143,8 @@
     lines = [line, *([f"limiters missing: {', '.join(map(str, missing))}"] if missing else [])]
     services = sorted(report["servers"].items())
     lines += [
-        f"{service}: " + ", ".join(f"{n} {state}" for state, n in by.items())
-        for service, by in services
+        f"{service}: " + ", ".join(f"{count} {state}" for state, count in count_by_state.items())
+        for service, count_by_state in services
     ]
     return [single_line(line) for line in lines]
 
