--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -23,6 +23,7 @@
 
 
 def load_config(path: str | None) -> LimiterConfig:
+    """Loads the limiter's configuration; an invalid one ends the command with a one-line error."""
     try:
         return load_limiter_config(os.environ, path)
     except LimiterConfigError as error:
@@ -51,8 +52,8 @@
 
     async def run() -> None:
         limiter = Limiter(config, arrival_clock)
-        for sig in (signal.SIGTERM, signal.SIGINT):
-            limiter.loop.add_signal_handler(sig, limiter.stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            limiter.loop.add_signal_handler(signal_number, limiter.stop)
         limiter.loop.add_signal_handler(signal.SIGHUP, reload, limiter)
         await limiter.run()
 
@@ -95,12 +96,12 @@
 
 
 def read_scenario_table(path: str) -> dict:
-    """Returns the scenario file's TOML table."""
-    from loomstand.testing.emulator import scenario as sc
+    """Returns the TOML table of a scenario; an invalid one ends the command with an error."""
+    from loomstand.testing.emulator import scenario as scenarios
 
     try:
-        return sc.read(path)
-    except sc.ScenarioError as error:
+        return scenarios.read(path)
+    except scenarios.ScenarioError as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -117,9 +118,9 @@
     from rich.progress import Progress
 
     from loomstand.testing.emulator import report, runner
-    from loomstand.testing.emulator import scenario as sc
+    from loomstand.testing.emulator import scenario as scenarios
 
-    scenario = sc.from_table(read_scenario_table(scenario_file))
+    scenario = scenarios.from_table(read_scenario_table(scenario_file))
     policies = runner.policies(scenario)
     with Progress(console=Console(stderr=True), transient=True) as bar:
         task = bar.add_task("simulated seconds", total=scenario.seconds * len(policies))
@@ -158,23 +159,23 @@
     from rich.progress import Progress
 
     from loomstand.testing.emulator import report, runner
-    from loomstand.testing.emulator import scenario as sc
+    from loomstand.testing.emulator import scenario as scenarios
 
     table = read_scenario_table(scenario_file)
     try:
-        key, vals = runner.parse_sweep(setting)
+        key, values = runner.parse_sweep(setting)
         with Progress(transient=True) as bar:
             bar.add_task(f"sweep of {key}", total=None)
-            results = runner.sweep(table, key, vals, seed, workers)
-    except sc.ScenarioError as error:
+            results = runner.sweep(table, key, values, seed, workers)
+    except scenarios.ScenarioError as error:
         raise click.ClickException(str(error)) from None
     points = []
-    for n, (value, result) in enumerate(zip(vals, results, strict=True)):
+    for number, (value, result) in enumerate(zip(values, results, strict=True)):
         result["swept"] = value
-        report.write(result, Path(out) / f"point-{n}")
-        points.append(f"point-{n}")
+        report.write(result, Path(out) / f"point-{number}")
+        points.append(f"point-{number}")
     (Path(out) / "sweep.json").write_text(
-        json.dumps({"key": key, "values": vals, "points": points})
+        json.dumps({"key": key, "values": values, "points": points})
     )
     report.sweep_table(key, results)
     report.plot(out)
@@ -194,7 +195,7 @@
 @click.argument("scenario_file", metavar="SCENARIO", type=click.Path(dir_okay=False))
 @click.option("--quick", is_flag=True, help="run the scenario's short form")
 @click.option("--seed", type=int, default=None, help="default: the scenario's")
-@click.option("--set", "sets", multiple=True, help="KEY=VALUE, e.g. fleet.limiters=6")
+@click.option("--set", "settings", multiple=True, help="KEY=VALUE, e.g. fleet.limiters=6")
 @click.option("--no-plan", is_flag=True, help="without the scenario's site plan")
 @click.option(
     "--out",
@@ -207,7 +208,7 @@
     scenario_file: str,
     quick: bool,
     seed: int | None,
-    sets: tuple[str, ...],
+    settings: tuple[str, ...],
     no_plan: bool,
     out: str | None,
     plot: bool,
@@ -227,7 +228,7 @@
     from loomstand.testing.rehearsal.runner import RehearsalError, run_rehearsal
 
     try:
-        overrides = {key: vals[0] for key, vals in map(parse_sweep, sets)}
+        overrides = {key: values[0] for key, values in map(parse_sweep, settings)}
         rehearsal = scenario.load(scenario_file, quick, overrides)
         plan = b"" if no_plan else scenario.plan_of(rehearsal, scenario_file)
     except ScenarioError as error:
@@ -245,7 +246,11 @@
                     signal.SIGTERM, asyncio.current_task().cancel
                 )
                 await run_rehearsal(
-                    rehearsal, seed, directory, plan, lambda s: bar.update(task, completed=s)
+                    rehearsal,
+                    seed,
+                    directory,
+                    plan,
+                    lambda seconds: bar.update(task, completed=seconds),
                 )
 
             try:
@@ -270,6 +275,7 @@
 
 
 def load_site_plan(path: str):
+    """Loads the plan of a site; an invalid one ends the command with an error."""
     from loomstand.failover import zone_plan as plans
 
     try:
@@ -300,7 +306,8 @@
     """
     from loomstand.failover.zone_plan import forecast
 
-    zone_plan, sufficient = load_site_plan(path), True
+    zone_plan = load_site_plan(path)
+    is_sufficient = True
     if not zone_plan.zones or not zone_plan.demand:
         raise click.ClickException(f"{path}: a forecast needs key 'zones' and key 'demand'")
     for lost_zone in ["", *(zone.name for zone in zone_plan.zones)]:
@@ -329,11 +336,11 @@
                 f"  {result.missing_servers_for_all} more servers would cover the whole demand"
             )
         if result.missing_servers:
-            sufficient = False
-            s = "" if result.missing_servers == 1 else "s"
+            is_sufficient = False
+            plural = "" if result.missing_servers == 1 else "s"
             click.echo(
-                f"  the fleet is too small for this loss: {result.missing_servers} more server{s} "
-                "needed"
+                "  the fleet is too small for this loss: "
+                f"{result.missing_servers} more server{plural} needed"
             )
-    if not sufficient:
+    if not is_sufficient:
         raise SystemExit(1)
