--- a/loomstand/ctl/calls.py
+++ b/loomstand/ctl/calls.py
@@ -41,7 +41,7 @@
 RETRY_DELAY_FACTOR = 1.6
 MAX_RETRY_DELAY_SECONDS = 2.0
 MAX_RESPONSE_BYTES = 64 << 20  # a registry accepts configurations of up to 8 MiB
-# Limit for the whole response, as a multiple of the read timeout: each byte extends the latter.
+# Timeout for the whole response, as a multiple of the read timeout, which each byte restarts.
 MAX_RESPONSE_READ_TIMEOUTS = 10
 CHUNK_BYTES = 1 << 16
 
@@ -51,7 +51,7 @@
 
 
 class CallRefusedError(CommandError):
-    """A registry refused the call without executing it, as every other registry would."""
+    """A registry refused the call without executing it, and every other registry would too."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/config/test_configuration.py
+++ b/tests/config/test_configuration.py
@@ -97,7 +97,7 @@
         ROUTE_LOCATION + "service_name: missing, and there is no traffic_split",
     ),
 ]
-RESOURCE_ERRORS = [  # path within `resources`, the value put there, and the message
+RESOURCE_ERRORS = [  # path within `resources`, the new value at this path, and the message
     ((3,), 1, "resources[3]: not an object"),
     ((3, "metadata"), None, "resources[3]: metadata: missing"),
     ((3, "metadata", "name"), " ", "resources[3] service: metadata.name: empty"),
@@ -161,12 +161,12 @@
         assert error_message(raw).startswith(message)
     for version, message in [(7, "not a text"), ("7", "'7' is not a version such as r12")]:
         assert error_message(changed_configuration("version", to=version)) == f"version: {message}"
-    for where, value, message in RESOURCE_ERRORS:
-        assert error_message(changed_configuration("resources", *where, to=value)) == message
-    for where, value, message in ROUTE_ERRORS:
-        field = "".join(f"[{key}]" if isinstance(key, int) else f".{key}" for key in where)
+    for path, value, message in RESOURCE_ERRORS:
+        assert error_message(changed_configuration("resources", *path, to=value)) == message
+    for path, value, message in ROUTE_ERRORS:
+        field = "".join(f"[{key}]" if isinstance(key, int) else f".{key}" for key in path)
         assert (
-            error_message(changed_configuration(*FIRST_ROUTE, *where, to=value))
+            error_message(changed_configuration(*FIRST_ROUTE, *path, to=value))
             == f"{ROUTE_LOCATION.removesuffix('.')}{field}: {message}"
         )
 
@@ -190,16 +190,21 @@
 )
 
 
-def paths_of_values(at, path=()):
-    """Yields the path of every value in a JSON document."""
+def paths_of_values(node, path=()):
+    """Yields the path of each value below a node of a JSON document; `path` is the node's path."""
     for key, value in (
-        at.items() if isinstance(at, dict) else enumerate(at) if isinstance(at, list) else ()
+        node.items()
+        if isinstance(node, dict)
+        else enumerate(node)
+        if isinstance(node, list)
+        else ()
     ):
         yield (*path, key)
         yield from paths_of_values(value, (*path, key))
 
 
 def parsed_or_refused(raw: bytes) -> None:
+    """Parses a configuration; an error, if any, must be one short line."""
     try:
         RouteTable.from_configuration(parse_configuration(raw))
     except ConfigurationError as error:
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -50,7 +50,7 @@
     assert (settings.bounds.drain_seconds, settings.bounds.retry_budget_ratio) == (
         2.5,
         0.2,
-    )  # not in this file
+    )  # the defaults, as the file lacks these fields
     assert (
         settings.registry_address("10.2.0.25") == ("10.2.0.25", 7340)
         and settings.store_address("10.2.0.25")[1] == 7341
--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -1,6 +1,4 @@
-"""The operators' command line. Commands run in this process, against stand-in registries on
-loopback addresses.
-"""
+"""The operators' command line, run in this process against stand-in registries on loopback."""
 
 from __future__ import annotations
 
@@ -59,10 +57,10 @@
 
 @pytest.fixture
 def start_registry(monkeypatch):
-    """Starts a stand-in registry; `delays` has the commands' delays, which don't pass."""
+    """Starts a stand-in registry; the commands' delays are recorded in `delays` and take no time."""
     delays, started = [], []
     monkeypatch.setattr(calls.time, "sleep", delays.append)
-    # long enough for a busy machine
+    # a timeout that isn't reached on a busy machine either
     monkeypatch.setattr(calls, "READ_TIMEOUT_SECONDS", 10.0)
 
     def start(*args):
@@ -266,7 +264,7 @@
     assert b"key-of-ann" not in b"".join(raw for _, raw in responses)
     registries = [start_registry() for _ in reports]
     for registry, report in zip(registries, reports, strict=True):
-        # each report names all registries, as the command is given only one address
+        # each report names all registries, as only one address is passed to the command
         registry.status = report | {"cores": [other.at for other in registries]}
     assert main(["status", "--at", registries[0].at]) == 0
     output = capsys.readouterr().out
--- a/tests/rpc/test_messages.py
+++ b/tests/rpc/test_messages.py
@@ -99,6 +99,7 @@
 
 
 def is_release(request: dict[str, Any]) -> bool:
+    """Whether the body of a `duty` request releases the counting lease."""
     return "back" in request
 
 
@@ -107,7 +108,7 @@
 
 
 def with_lists(body: Any) -> Any:
-    """Replaces tuples by lists, as both have the same wire format."""
+    """Replaces tuples with lists, as both have the same wire format."""
     if isinstance(body, dict):
         return {key: with_lists(value) for key, value in body.items()}
     return [with_lists(value) for value in body] if isinstance(body, list | tuple) else body
--- a/tests/rpc/test_rpc.py
+++ b/tests/rpc/test_rpc.py
@@ -27,6 +27,13 @@
 def paired(
     work: Callable[[CallerAndServer], Any], plays: list[tuple[str, int]] | None = None
 ) -> None:
+    """Runs `work` on a caller and a server, and then checks the results of all its calls.
+
+    Args:
+        work: The calls and faults.
+        plays: The faults of the server's answers, see `ScriptedConnection`.
+    """
+
     async def run() -> None:
         pair = await CallerAndServer(plays).open()
         await work(pair)
@@ -38,11 +45,12 @@
 
 
 async def faulty_answers_at_each_byte(pair: CallerAndServer) -> None:
+    """Two concurrent calls for each fault of an answer and each byte at which it can occur."""
     n = 0
     for fault in ANSWER_FAULTS:
         for at in range(len(encode_item([1, True, {"n": 1000}]))):
             n += 1
-            await pair.call(n + 20_000)  # the first call of the connection
+            await pair.call(n + 20_000)  # opens a connection if the last fault closed it
             pair.called.plays = [(fault, at)]
             first, second = await asyncio.gather(pair.call(n, 0.01), pair.call(n + 5000, 0.012))
             if fault in ("", "pause", "foreign", "twice", "late twice"):
@@ -84,6 +92,7 @@
 
 
 async def calls_during_partition(pair: CallerAndServer) -> None:
+    """Calls that time out in a network partition, which begins at another time in each round."""
     for n in range(40):
         await pair.call(5000 + n)
         partition_timer = pair.loop.call_later(
@@ -119,6 +128,7 @@
 
 
 async def cancelled_calls(pair: CallerAndServer) -> None:
+    """Two calls cancelled by their caller, after which the connection must still be usable."""
     task = pair.loop.create_task(pair.call(1, 1.0, 2.0))
     await asyncio.sleep(0.1)
     task.cancel()
@@ -157,6 +167,7 @@
     asyncio.run(run())
 
 
+# Seconds before a call, its duration and timeout in seconds, and the size of its body in bytes.
 CALLS = st.lists(
     st.tuples(
         st.sampled_from((0.0, 0.0, 0.01, 0.1)),
@@ -167,6 +178,7 @@
     min_size=1,
     max_size=16,
 )
+# Seconds before an event, its kind, and its duration in seconds.
 EVENTS = st.lists(
     st.tuples(
         st.floats(0.0, 0.6),
@@ -175,6 +187,7 @@
     ),
     max_size=3,
 )
+# The fault of an answer, and the byte at which it occurs.
 PLAYS = st.lists(st.tuples(st.sampled_from(ANSWER_FAULTS), st.integers(0, 40)), max_size=16)
 # Keeps the random examples when names in the test change: without it Hypothesis takes the seed from
 # the source of the test.
@@ -225,11 +238,11 @@
     paired(work, list(plays))
 
 
-# --- removing a defence makes its test fail
+# --- mutation tests: without a safeguard, the test that covers it fails
 
 
 def match_answers_by_order(connection: ClientConnection, data: bytes) -> None:
-    """Passes the next answer to the oldest call."""
+    """Passes an answer to the oldest pending call, whatever the answer's number is."""
     for frame in connection.decoder.feed(data):
         number, is_ok, body = frame.to_item()
         if connection.pending_calls:
@@ -240,6 +253,7 @@
 async def suppress_cancellation(
     network: Any, *arguments: Any, call: Any = tcp_network.TcpNetwork.call
 ) -> Any:
+    """Returns a failure to a cancelled caller instead of raising CancelledError."""
     try:
         return await call(network, *arguments)
     except asyncio.CancelledError:
