--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -57,7 +57,7 @@
 
 @pytest.fixture
 def start_registry(monkeypatch):
-    """Starts a stand-in registry; the commands' delays are recorded in `delays` and take no time."""
+    """Starts a stand-in registry; delays of commands are recorded in `delays` and take no time."""
     delays, started = [], []
     monkeypatch.setattr(calls.time, "sleep", delays.append)
     # a timeout that isn't reached on a busy machine either
