--- a/loomstand/testing/soak/__main__.py
+++ b/loomstand/testing/soak/__main__.py
@@ -10,13 +10,12 @@
 
 from loomstand.testing.soak.run import SoakOptions, run_seed
 
-LOOPBACK_NETWORKS = (
-    200  # values of the second octet, so that concurrent runs use different addresses
-)
+# Number of values of the second address octet; concurrent runs use different ones.
+LOOPBACK_NETWORKS = 200
 
 
 def seeds(text: str) -> range:
-    """Parses `1-50` or `7`."""
+    """Parses a range of seeds such as `1-50`, or a single seed such as `7`."""
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
 
@@ -25,7 +24,12 @@
     """Runs the seeds one after the other; exits with 1 if there were faults."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=seeds, default=range(1, 2), metavar="FIRST-LAST")
-    parser.add_argument("--seconds", type=float, default=12.0, help="of disturbances, a seed")
+    parser.add_argument(
+        "--seconds",
+        type=float,
+        default=12.0,
+        help="duration of the disturbances of each seed, in seconds",
+    )
     parser.add_argument("--proxies", type=int, default=4)
     parser.add_argument(
         "--keep", type=Path, help="folder for settings, logs and disks of each seed"
--- a/loomstand/testing/soak/checks.py
+++ b/loomstand/testing/soak/checks.py
@@ -8,13 +8,14 @@
 from loomstand.testing.simulation.http_log import ClientRequest, Reply, RequestLog, ServerArrival
 from loomstand.testing.soak.timing import GRACE_SECONDS
 
-# The limits of RULES.md are for machines without load; all processes of a run share one machine.
+# Added to each limit: the limits of RULES.md are for machines without load, but all processes of a
+# run share one machine.
 LOAD_SLACK_SECONDS = 1.0
-DEPARTURE_SECONDS = 0.5  # limit of GONE
-LOSS_SLACK_SECONDS = 0.2  # limit of LOST
-DRAIN_SECONDS = 2.5  # limit of DRAIN
-CONTACT_SECONDS = 3.0  # before an arrival: disturbances of the proxy in this time excuse it
-NO_ANSWER = {"closed", "reset"}
+DEPARTURE_SECONDS = 0.5  # GONE: a server may work on a request this long after its client left
+LOSS_SLACK_SECONDS = 0.2  # LOST: a request not yet forwarded may end this long after it was sent
+DRAIN_SECONDS = 2.5  # DRAIN: requests may reach a server this long after its draining
+CONTACT_SECONDS = 3.0  # DRAIN: a disturbance of the proxy this long before an arrival excuses it
+NO_ANSWER = {"closed", "reset"}  # endings of a connection that the proxy closed without an answer
 
 WasDisturbed = Callable[[str, float, float, bool], bool]
 """Whether the proxy at an address was disturbed in a span.
@@ -40,9 +41,9 @@
 def lost_requests(request_log: RequestLog, was_disturbed: WasDisturbed) -> list[str]:
     """LOST: a proxy that was running or stopping in order closed a connection without an answer.
 
-    A close counts if the request had been forwarded, or if it came more than `LOSS_SLACK_SECONDS`
-    (plus the slack for load) after the request was sent. Requests are skipped if the proxy was
-    killed or frozen in that time or the client left.
+    The request counts as lost if it had been forwarded, or if the connection was closed more than
+    `LOSS_SLACK_SECONDS` (plus the slack for load) after the request was sent. Requests whose proxy
+    was killed or frozen in that time, or whose client left, are skipped.
     """
     runs = runs_by_request(request_log)
     lost = []
@@ -54,7 +55,7 @@
             continue
         seconds = reply.at - request.sent
         if request.id in runs or seconds > LOSS_SLACK_SECONDS + LOAD_SLACK_SECONDS:
-            lost.append(f"LOST: {describe(request, reply)}, sent on: {request.id in runs}")
+            lost.append(f"LOST: {describe(request, reply)}, forwarded: {request.id in runs}")
     return lost
 
 
@@ -82,25 +83,30 @@
             continue
         if not was_disturbed(front, run.at - CONTACT_SECONDS, run.at, True):
             late.append(
-                f"DRAIN: {run.id} came {since:.2f} s after {run.server} said that it leaves"
+                f"DRAIN: {run.id} came {since:.2f} s after {run.server} announced its draining"
             )
     return late
 
 
-def needless_overdue(request_log: RequestLog, front: str, overdue_at: list[float]) -> list[str]:
-    """A proxy exceeded its grace period although no server was working for it at the end.
+def needless_overdue(request_log: RequestLog, proxy_ip: str, overdue_at: list[float]) -> list[str]:
+    """A proxy exceeded its grace period although it was not waiting for a server.
 
-    A proxy may wait for a server that works for it in the last sixth of the period.
+    It may wait for a server that still runs one of its requests in the last sixth of the period.
+
+    Args:
+        request_log: Log of the requests.
+        proxy_ip: Address of the proxy.
+        overdue_at: Times at which it exceeded the period, in seconds by the event loop's clock.
     """
     needless = []
     for moment in overdue_at:
         server_works = any(
             run.at < moment and (not run.ended or run.ended > moment - GRACE_SECONDS / 6)
             for run in request_log.runs()
-            if request_log.requests[run.id].front[0] == front
+            if request_log.requests[run.id].front[0] == proxy_ip
         )
         if not server_works:
-            needless.append(f"{front}: still there {GRACE_SECONDS:g} s after SIGTERM")
+            needless.append(f"{proxy_ip}: still running {GRACE_SECONDS:g} s after SIGTERM")
     return needless
 
 
--- a/loomstand/testing/soak/cluster.py
+++ b/loomstand/testing/soak/cluster.py
@@ -24,12 +24,12 @@
 SERVICES = ("alpha", "beta")
 SERVERS_PER_SERVICE = 4
 ZONES = ("east", "west")
-# The runs of a slow server outlast a client that disconnects by more than `LOAD_SLACK_SECONDS` of
-# the checks, and the target latency is long enough that no attempt times out before.
+# A slow server works on a request for longer than the `LOAD_SLACK_SECONDS` of the checks after the
+# client has disconnected; the target latency is long enough that no attempt times out before that.
 SLOW_SECONDS = 2.5
 PATIENT_TARGET = "4000ms"
 READINESS_PERIOD_SECONDS = 1.0
-MAX_READINESS_MISSES = 2  # failed readiness checks until a proxy gets no new connections
+MAX_READINESS_MISSES = 2  # a proxy gets no new connections after this many failed checks
 SETTINGS = """self.node_name={name}
 self.role=r
 self.machine_class=m
@@ -127,7 +127,7 @@
             await asyncio.sleep(0.2)
 
     async def watch_readiness(self) -> None:
-        """Updates `routed_proxies` by readiness checks like the platform, until it is cancelled."""
+        """Updates `routed_proxies` by readiness checks, as the platform does, until cancelled."""
         misses = dict.fromkeys(self.proxy_ips, 0)
         while True:
             answers = await asyncio.gather(*(self.is_ready(ip) for ip in self.proxy_ips))
@@ -158,7 +158,7 @@
         for server in self.servers.values():
             server.kill()
         await asyncio.gather(*(p.kill(restart=False) for p in self.processes.values()))
-        for process in self.processes.values():  # those that were being restarted
+        for process in self.processes.values():  # also those that were just being restarted
             while process.is_running:
                 await process.kill(restart=False)
                 await asyncio.sleep(0.05)
--- a/loomstand/testing/soak/processes.py
+++ b/loomstand/testing/soak/processes.py
@@ -18,7 +18,7 @@
 from loomstand.rpc.start import SETTINGS_VARIABLE
 
 PR_SET_PDEATHSIG = 1
-SIGNAL_MASKS = ("SigIgn:", "SigCgt:")  # of ignored and of caught signals in /proc/PID/status
+SIGNAL_MASKS = ("SigIgn:", "SigCgt:")  # ignored and caught signals, in /proc/PID/status
 SIGNAL_POLL_SECONDS = 0.01
 # Parts of log lines that indicate a fault of the programs themselves (docs/on-call.md).
 FAULT_WORDS = (
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disturbance:
-    """A span in which the run stopped or froze a process.
+    """A period in which the run had stopped or frozen a process.
 
     Attributes:
         began: In seconds by the event loop's clock.
@@ -68,8 +68,9 @@
         process: The current process, or the last one.
         disturbances: What the run did to it, in order.
         faults: Its faults, such as a wrong exit status.
-        overdue_at: Times of SIGKILL after it had exceeded its grace period, in seconds by the event
-            loop's clock.
+        overdue_at: Times at which it exceeded its grace period and got SIGKILL, in seconds by the
+            event loop's clock.
+        is_busy: Whether a stop with a restart, or a freeze, is in progress.
     """
 
     name: str
@@ -82,7 +83,7 @@
     disturbances: list[Disturbance] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
     overdue_at: list[float] = field(default_factory=list)
-    is_busy: bool = False  # a stop with a restart, or a freeze, is in progress
+    is_busy: bool = False
 
     @staticmethod
     def _now() -> float:
@@ -109,10 +110,9 @@
         return self.process is not None and self.process.returncode is None
 
     def handles(self, number: signal.Signals) -> bool:
-        """Returns whether the process catches or ignores a signal, also if it has exited.
+        """Returns whether the process catches or ignores a signal; True if it has exited.
 
-        Until the interpreter has run the first lines of the program, the default action of the
-        signal ends the process.
+        Until the program has installed its handlers, the default action of the signal ends it.
         """
         assert self.process is not None
         try:
@@ -167,8 +167,8 @@
         self.is_busy = True
         began = asyncio.get_running_loop().time()
         is_planned = number is signal.SIGTERM
-        is_starting = not self.handles(number)  # it has accepted no requests yet
-        # recorded at once: requests are checked against it before the restart is complete
+        is_starting = not self.handles(number)  # it cannot have accepted requests yet
+        # open-ended until the restart, as checks may read the disturbances before that
         self.disturbances.append(Disturbance(began, inf, is_planned))
         self.send(number)
         is_overdue = False
--- a/loomstand/testing/soak/run.py
+++ b/loomstand/testing/soak/run.py
@@ -28,17 +28,17 @@
 from loomstand.testing.soak.timing import GRACE_SECONDS
 
 IDEMPOTENT_SHARE = 0.6  # of the requests
-KEPT_ROUTES = 2  # added routes; beyond that a change may remove the oldest
+KEPT_ROUTES = 2  # with more added routes than this, a change may remove the oldest
 REMOVED_ROUTE_SHARE = 0.5  # of the changes that may remove a route
-DRAIN_SLACK_SECONDS = 0.3  # a server serves slightly longer than required
+DRAIN_SLACK_SECONDS = 0.3  # a draining server serves this much longer than required
 CLIENTS = 24  # concurrent, each with its own connections
-THINK_SECONDS = (0.0, 0.15)  # a client's pause between two requests
+THINK_SECONDS = (0.0, 0.15)  # range of a client's pause between two requests
 REUSED_CONNECTION_SHARE = 0.7  # of the requests, if there is an open connection
-TIMEOUT_SECONDS = 5.0  # timeout that clients send with a request
-PATIENCE_SECONDS = (0.01, 0.3)  # after which an impatient client disconnects
+TIMEOUT_SECONDS = 5.0  # of a request; clients send it with the request
+PATIENCE_SECONDS = (0.01, 0.3)  # an impatient client disconnects after a time in this range
 IMPATIENT_SHARE = 0.5  # of the requests, during the action HURRY
 CHANGE_TIMEOUT_SECONDS = 20.0  # for all attempts of the operator to send one change
-# After the last disturbance, for the core to catch up and for changes to come into force.
+# From the last disturbance to the final checks: the core catches up, changes come into force.
 CALM_SECONDS = 8.0
 FINAL_REQUESTS = 100
 MIN_SERVED_SHARE = 0.99  # of the final requests
--- a/loomstand/testing/soak/schedule.py
+++ b/loomstand/testing/soak/schedule.py
@@ -1,8 +1,8 @@
 """The schedule of disturbances of a soak run, drawn from a seed. Performs no I/O.
 
-Disturbances come in series that overlap. Those of core machines do not overlap, because the cluster
-tolerates the loss of only one at a time: each begins after the machine lost before has returned and
-caught up.
+Disturbances come in series that overlap. Disturbances of core machines do not overlap, because the
+cluster tolerates the loss of only one at a time: each begins after the machine that was lost before
+has returned and caught up.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from loomstand.testing.soak.timing import CATCH_UP_SECONDS, GRACE_SECONDS, START_SECONDS
 
-# Number of concurrent series of disturbances, under which the cluster still serves.
+# Number of series of disturbances in a run; they overlap while the cluster must serve requests.
 MIN_SERIES, MAX_SERIES = 4, 8
 MAX_GAP_SECONDS = 1.5  # between the steps of a series
 MAX_FREEZE_SECONDS = 1.5
-HANGUP_FIRST_SHARE = 0.3  # of the terminations that follow a SIGHUP within 0.2 s
-TERMINATED_TWICE_SHARE = 0.2
+HANGUP_FIRST_SHARE = 0.3  # of the terminations: a SIGHUP precedes them by up to 0.2 s
+TERMINATED_TWICE_SHARE = 0.2  # of the terminations: a second SIGTERM follows within 1 s
 
 
 class Action(Enum):
@@ -28,9 +28,9 @@
     TERMINATE = auto()  # SIGTERM, then restart
     KILL = auto()  # SIGKILL, then restart
     HANG_UP = auto()  # changes the settings file and sends SIGHUP
-    SIGNAL_TERMINATE = auto()  # another SIGTERM to a process that may be stopping
-    FREEZE = auto()  # SIGSTOP, SIGCONT after `seconds`
-    CHANGE = auto()  # the operator sends a configuration
+    SIGNAL_TERMINATE = auto()  # sends another SIGTERM to a process that may be stopping
+    FREEZE = auto()  # SIGSTOP, then SIGCONT after `seconds`
+    CHANGE = auto()  # the operator sends a changed configuration
     DRAIN = auto()  # a server drains, leaves and returns
     SLOW = auto()  # a server is slow for `seconds`
     HURRY = auto()  # clients disconnect early for `seconds`
@@ -157,7 +157,7 @@
 
 
 def _impatient_clients(rng: Random, shape: ClusterShape) -> Iterator[Step]:
-    """Impatient clients and slow servers at once, so that runs outlast their clients."""
+    """Makes servers slow while clients disconnect early, so that servers outlast their clients."""
     at = rng.uniform(0.0, 0.6 * shape.seconds)
     seconds = rng.uniform(1.0, 4.0)
     yield Step(at, "", Action.HURRY, seconds)
@@ -166,7 +166,7 @@
 
 
 def _core(rng: Random, shape: ClusterShape) -> Iterator[Step]:
-    """Disturbs core machines one after the other: one of its processes, or both at once."""
+    """Disturbs one core machine after the other: one or both of its processes at the same time."""
     at = rng.uniform(0.0, 3.0)
     while at < shape.seconds:
         machine = rng.choice(shape.core_machines)
