--- a/loomstand/testing/emulator/baselines.py
+++ b/loomstand/testing/emulator/baselines.py
@@ -1,16 +1,17 @@
 """Baseline policies for comparison with the decision engine, with its interface `handle`.
 
 `naive`: each limiter limits every customer to quota/N with its own bucket (burst/N, at least one
-unit) and sends each request once, to a random server listed as live. It uses no information about
-the fleet but the number N of limiters.
+unit) and sends each request once, to a random server listed as live. Besides the endpoint list, it
+knows only the number N of limiters.
 
 `oracle`: uses the true global state without delay: one bucket per customer over all limiters, and
 the load, slow start and health of every server. It sends to the least loaded server with capacity
 for the request, keeps cold servers below their overload threshold and retries requests that may run
-again. It is an upper bound that can't be deployed; G/oracle in a report is relative to it.
+again. It is an upper bound that can't be deployed; G/oracle in a report is the ratio of a policy's
+goodput G to that of the oracle.
 
-Both keep the rules by design, except that naive ignores slow start and may overload cold servers;
-the checker reports this.
+Both keep the rules of the checker by design, except that naive ignores slow start and may overload
+cold servers; the checker reports this.
 """
 
 from __future__ import annotations
@@ -46,11 +47,11 @@
     def __init__(
         self, fleet: Fleet, limiter_index: int, settings: EngineSettings, seed: int
     ) -> None:
-        self.s, self.rng = settings, Random(seed)
+        self.settings, self.rng = settings, Random(seed)
         self.share = 1 / max(1, settings.limiter_count)
-        self.buckets: dict[int, list[float]] = {}
-        self.live: list[int] = []
-        self.known: dict[int, EndpointState] = {}
+        self.buckets: dict[int, list[float]] = {}  # [level, time] by customer
+        self.live: list[int] = []  # servers listed as live
+        self.states: dict[int, EndpointState] = {}
         self.frontends: dict[int, int] = {}  # frontend by request, while its attempt is in flight
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -58,16 +59,16 @@
         match event:
             case EndpointsUpdated():
                 if event.complete:
-                    self.known = {}
+                    self.states = {}
                 for e in event.endpoints:
-                    self.known[e.endpoint_id] = e.state
+                    self.states[e.endpoint_id] = e.state
                 self.live = sorted(
-                    srv for srv, state in self.known.items() if state is EndpointState.LIVE
+                    srv for srv, state in self.states.items() if state is EndpointState.LIVE
                 )
             case RequestArrived():
-                if not 0 <= event.plan < len(self.s.plans) or not self.live:
+                if not 0 <= event.plan < len(self.settings.plans) or not self.live:
                     return [Reject(event.request_id)]
-                plan = self.s.plans[event.plan]
+                plan = self.settings.plans[event.plan]
                 depth = max(1.0, plan.burst * self.share)
                 bucket = self.buckets.setdefault(event.tenant, [depth, now])
                 if (
@@ -82,7 +83,7 @@
             case ClientDisconnected():
                 self.frontends.pop(event.request_id, None)
             case AttemptEnded() if event.request_id in self.frontends:
-                frontend = self.s.frontends[self.frontends.pop(event.request_id)]
+                frontend = self.settings.frontends[self.frontends.pop(event.request_id)]
                 if event.is_final:
                     return []
                 if event.outcome in NOT_RUN or frontend.effect is Effect.IDEMPOTENT:
@@ -97,7 +98,7 @@
     def __init__(
         self, fleet: Fleet, limiter_index: int, settings: EngineSettings, seed: int
     ) -> None:
-        self.fleet, self.s, self.limiter_index = fleet, settings, limiter_index
+        self.fleet, self.settings, self.limiter_index = fleet, settings, limiter_index
         # (arrival, servers tried, whether it may have run) by request
         self.jobs: dict[int, tuple[RequestArrived, list[int], bool]] = {}
 
@@ -105,9 +106,9 @@
         """Returns the actions for an event."""
         match event:
             case RequestArrived():
-                if not 0 <= event.plan < len(self.s.plans):
+                if not 0 <= event.plan < len(self.settings.plans):
                     return [Reject(event.request_id)]
-                plan = self.s.plans[event.plan]
+                plan = self.settings.plans[event.plan]
                 bucket = self.fleet.oracle_buckets.setdefault(event.tenant, [plan.burst, now])
                 refill(bucket, plan.rate, plan.burst, now, TICKS_PER_SECOND)
                 ceiling_bucket = None
@@ -136,9 +137,13 @@
                     return []
                 arrived, tried, may_have_run = job
                 may_have_run = may_have_run or event.outcome not in NOT_RUN
-                effect = self.s.frontends[arrived.frontend].effect
+                effect = self.settings.frontends[arrived.frontend].effect
                 may_retry = effect is Effect.IDEMPOTENT or not may_have_run
-                if may_retry and len(tried) < self.s.attempt_limit and now < arrived.deadline:
+                if (
+                    may_retry
+                    and len(tried) < self.settings.attempt_limit
+                    and now < arrived.deadline
+                ):
                     srv = self.pick(arrived, tried)
                     if srv is not None:
                         self.jobs[event.request_id] = (arrived, [*tried, srv], may_have_run)
--- a/loomstand/testing/emulator/checker.py
+++ b/loomstand/testing/emulator/checker.py
@@ -33,7 +33,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """One violation of a rule: its request and limiter (-1 if not applicable), time and details."""
+    """One violation of a rule.
+
+    Attributes:
+        rule: Number of the rule.
+        req: The request; -1 if the violation concerns none.
+        limiter: The limiter; -1 if the violation concerns none.
+        at: Time in ticks; -1 if unknown.
+        what: Description.
+    """
 
     rule: int
     req: int
@@ -49,22 +57,22 @@
     violations: list[Violation] = field(default_factory=list)
 
     @property
-    def held(self) -> bool:
+    def rules_kept(self) -> bool:
         """Whether no rule was violated."""
         return not self.violations
 
     def by_rule(self) -> dict[int, int]:
         """Returns the number of violations of each rule."""
         counts = dict.fromkeys(RULE_NAMES, 0)
-        for b in self.violations:
-            counts[b.rule] += 1
+        for violation in self.violations:
+            counts[violation.rule] += 1
         return counts
 
-    def first(self, most: int = 5) -> list[Violation]:
-        """Returns the first violations of each rule, at most `most`."""
+    def first(self, limit_per_rule: int = 5) -> list[Violation]:
+        """Returns the first violations of each rule, at most `limit_per_rule` of each."""
         violations: list[Violation] = []
         for rule in RULE_NAMES:
-            violations += [b for b in self.violations if b.rule == rule][:most]
+            violations += [v for v in self.violations if v.rule == rule][:limit_per_rule]
         return violations
 
 
--- a/loomstand/testing/emulator/engine.py
+++ b/loomstand/testing/emulator/engine.py
@@ -5,8 +5,9 @@
 `loomstand.admission.events`. Messages of the same time are delivered in the order in which they
 were scheduled, so that the same scenario and seed give the same history.
 
-`docs/lab.md` has the comparison with simpy, with figures: the model needs no process that waits for
-several things, and a heap of tuples costs less per event than a generator process.
+No simulation library is used: no part of the model has to wait for several events at a time, and a
+heap of tuples costs less per event than a generator process. `docs/lab.md` has the measurements, in
+comparison with simpy.
 """
 
 from __future__ import annotations
@@ -16,13 +17,20 @@
 
 
 class Actor(Protocol):
-    """A part of the model, which receives messages."""
+    """A part of the model that receives messages."""
 
     def receive(self, message: object) -> None: ...
 
 
 class Engine:
-    """The simulated clock and the heap of scheduled messages."""
+    """The simulated clock and the heap of scheduled messages.
+
+    Attributes:
+        heap: Scheduled messages as (time, sequence number, actor, message).
+        now: The simulated time, in ticks.
+        seq: Number of messages scheduled, which orders those of the same time.
+        events: Number of messages delivered.
+    """
 
     __slots__ = ("events", "heap", "now", "seq")
 
--- a/loomstand/testing/emulator/fleet.py
+++ b/loomstand/testing/emulator/fleet.py
@@ -53,15 +53,15 @@
 from loomstand.testing.emulator.traffic import Traffic, refill
 
 TICKS_PER_MS = TICKS_PER_SECOND // 1000
-# minimum delay of discovery behind a change: a watch is answered within a few round trips
+# minimum delay from a change to the list that has it: a watch is answered within a few round trips
 LIST_DELAY_TICKS = 50 * TICKS_PER_MS
 # every limiter receives the full list at this interval, as by polling discovery
 FULL_LIST_INTERVAL_TICKS = 10 * TICKS_PER_SECOND
 # time until a connection attempt into a partitioned zone fails: the default connect timeout
 CONNECT_TIMEOUT_TICKS = 250 * TICKS_PER_MS
 HEALTH_CHECK_TICKS = 2 * TICKS_PER_MS
-FAILING_WORK_SHARE = 0.1  # service time of a failing server's error response, relative to normal
-NO_END = 1 << 62  # end of a leaving notice while the server has not become live again
+FAILING_WORK_SHARE = 0.1  # service time of an error response, relative to the normal one
+NO_END = 1 << 62  # end of a leaving notice until the server is live again
 
 
 class Policy:
@@ -75,7 +75,8 @@
 PolicyMaker = Callable[["Fleet", int, EngineSettings, int], Policy]
 
 
-# messages between the parts; `lgen` is the generation of the limiter process that they are for
+# messages between the parts; `limiter_generation` identifies the process of the limiter that they
+# concern, as its next process must ignore them
 # ------------------------------------------------------------------------------------
 
 
@@ -86,7 +87,7 @@
     req: int
     attempt: int
     limiter: int
-    lgen: int
+    limiter_generation: int
     frontend: int
 
 
@@ -105,7 +106,7 @@
 
     req: int
     attempt: int
-    lgen: int
+    limiter_generation: int
     srv: int
     outcome: Outcome
 
@@ -116,7 +117,7 @@
 
     req: int
     attempt: int
-    lgen: int
+    limiter_generation: int
 
 
 @dataclass(slots=True)
@@ -124,19 +125,19 @@
     """A timer that a limiter's policy set."""
 
     tag: int
-    lgen: int
+    limiter_generation: int
 
 
 @dataclass(slots=True)
 class CounterCall:
-    """An increment, sent to the counter; `keep` is its time to live in ticks."""
+    """An increment, sent to the counter; `time_to_live` of the total is in ticks."""
 
     limiter: int
-    lgen: int
+    limiter_generation: int
     call: int
     name: int
-    step: float
-    keep: int
+    amount: float
+    time_to_live: int
 
 
 @dataclass(slots=True)
@@ -144,7 +145,7 @@
     """The counter's reply to an increment, or its timeout."""
 
     call: int
-    lgen: int
+    limiter_generation: int
     outcome: Outcome
     total: float
 
@@ -153,7 +154,7 @@
 class EndpointListMessage:
     """An endpoint list, sent by discovery to a limiter."""
 
-    lgen: int
+    limiter_generation: int
     listed: EndpointsUpdated
 
 
@@ -169,14 +170,14 @@
     """The disconnection of a request's client."""
 
     req: int
-    lgen: int
+    limiter_generation: int
 
 
 @dataclass(slots=True)
 class DeferredEvent:
     """An event that a limiter schedules for itself, to avoid a recursive call of its policy."""
 
-    lgen: int
+    limiter_generation: int
     event: Event
 
 
@@ -189,15 +190,13 @@
 
     def __init__(self, fleet: Fleet, index: int, zone: int, started_at: int) -> None:
         self.fleet, self.index, self.zone = fleet, index, zone
-        self.started_at, self.up, self.state, self.generation = (
-            started_at,
-            True,
-            EndpointState.LIVE,
-            0,
-        )
+        self.started_at, self.up, self.state = started_at, True, EndpointState.LIVE
+        self.generation = 0  # counts its crashes; work of earlier generations is dropped
         self.working: list[Work] = []
         self.queue: deque[Work] = deque()
-        self.slowdown, self.failing_until, self.collapsed = 1.0, -1, False
+        self.slowdown = 1.0  # factor of its service times
+        self.failing_until = -1  # in ticks: it responds with errors until then
+        self.crashed_by_overload = False  # it is not restarted then
         # arrival times within the last overload window, while the server is cold
         self.recent_arrivals: deque[int] = deque()
 
@@ -253,7 +252,7 @@
                 fleet.history.overload_crashes.append(
                     (self.index, now, float(len(self.recent_arrivals)), threshold)
                 )
-                self.collapsed = True
+                self.crashed_by_overload = True
                 fleet.crash(self, restart_after=-1)
                 return self.reply(work, Outcome.CONNECTION_LOST)
         # queue length in front of the attempt, plus one: the histogram starts at 1
@@ -292,7 +291,9 @@
         if delay is None:
             return  # lost by the network: the attempt ends by its time limit
         fleet.engine.schedule(
-            delay, limiter, AttemptReply(work.req, work.attempt, work.lgen, self.index, outcome)
+            delay,
+            limiter,
+            AttemptReply(work.req, work.attempt, work.limiter_generation, self.index, outcome),
         )
 
     def crash(self) -> None:
@@ -309,7 +310,10 @@
 
 
 class Counter:
-    """The shared counter, with its faults: latency, outage, data loss and partition."""
+    """The shared counter, with its faults: latency, outage, data loss and partition.
+
+    It does not respond until `down_until` in ticks; `slowdown` is the factor of its latency.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -317,13 +321,15 @@
         self.down_until, self.slowdown = -1, 1.0
 
     def receive(self, message: object) -> None:
-        """Adds the amount of a call and replies with the total, unless the counter is down."""
+        """Adds the amount of a call and sends the total, unless the counter is down."""
         if not isinstance(message, CounterCall):
             return
         fleet, now = self.fleet, self.fleet.engine.now
         if now < self.down_until:
             return
-        total = self.totals.add(message.limiter, message.name, message.step, now, message.keep)
+        total = self.totals.add(
+            message.limiter, message.name, message.amount, now, message.time_to_live
+        )
         limiter = fleet.limiters[message.limiter]
         reply_delay = fleet.delay(0, limiter.zone)
         if reply_delay is None:
@@ -337,12 +343,15 @@
         fleet.engine.schedule(
             reply_delay + took,
             limiter,
-            CounterReply(message.call, message.lgen, Outcome.SUCCEEDED, total),
+            CounterReply(message.call, message.limiter_generation, Outcome.SUCCEEDED, total),
         )
 
 
 class Discovery:
-    """Service discovery: sends each change, and at intervals the full list, to all limiters."""
+    """Service discovery: sends each change, and at intervals the full list, to all limiters.
+
+    The fault late_lists sets `extra_delay` in ticks, partial_lists sets `listed_share`.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -357,16 +366,16 @@
             entries = entries[: ceil(len(entries) * self.listed_share)]
         return tuple(entries)
 
-    def publish(self, entries: tuple[Endpoint, ...], whole: bool) -> None:
-        """Sends a change or the whole list to all live limiters, each with its own delay."""
+    def publish(self, entries: tuple[Endpoint, ...], complete: bool) -> None:
+        """Sends a change or the complete list to all live limiters, each with its own delay."""
         fleet = self.fleet
         for limiter in fleet.limiters:
             if limiter.alive:
-                lag = LIST_DELAY_TICKS + self.extra_delay + fleet.rng.randrange(LIST_DELAY_TICKS)
+                delay = LIST_DELAY_TICKS + self.extra_delay + fleet.rng.randrange(LIST_DELAY_TICKS)
                 fleet.engine.schedule(
-                    lag,
+                    delay,
                     limiter,
-                    EndpointListMessage(limiter.generation, EndpointsUpdated(entries, whole)),
+                    EndpointListMessage(limiter.generation, EndpointsUpdated(entries, complete)),
                 )
 
     def receive(self, message: object) -> None:
@@ -409,11 +418,11 @@
         self.pending, self.in_flight, self.counter_calls = {}, {}, {}
 
     def receive(self, message: object) -> None:
-        """Passes a message to the policy as an event; drops those to an earlier process."""
-        lgen = getattr(message, "lgen", self.generation)
-        if not self.alive or lgen != self.generation:
+        """Passes a message to the policy as an event; drops messages to an earlier process."""
+        limiter_generation = getattr(message, "limiter_generation", self.generation)
+        if not self.alive or limiter_generation != self.generation:
             if isinstance(message, ClientRequest):
-                message.req.orphaned = True  # the limiter stopped before the request arrived
+                message.req.orphaned = True  # the limiter had stopped when the request arrived
             return  # addressed to a process that has stopped
         fleet = self.fleet
         match message:
@@ -480,15 +489,15 @@
                 if message.listed.complete:
                     named = {e.endpoint_id for e in message.listed.endpoints}
                     for srv in live - named:
-                        fleet.record_leaving(self.index, srv)
+                        fleet.record_leaving_notice(self.index, srv)
                     live &= named
                 for entry in message.listed.endpoints:
                     if entry.state is EndpointState.LIVE:
                         live.add(entry.endpoint_id)
-                        fleet.record_live(self.index, entry.endpoint_id)
+                        fleet.record_live_notice(self.index, entry.endpoint_id)
                     else:
                         live.discard(entry.endpoint_id)
-                        fleet.record_leaving(self.index, entry.endpoint_id)
+                        fleet.record_leaving_notice(self.index, entry.endpoint_id)
                 self.handle_event(message.listed)
             case ClientDeparture():
                 if (req := self.pending.pop(message.req, None)) is not None:
@@ -536,7 +545,7 @@
             case SetTimer():
                 fleet.engine.schedule(action.delay, self, TimerExpiry(action.tag, self.generation))
             case IncrementCounter():
-                fleet.count(self, action)
+                fleet.send_increment(self, action)
             case CheckHealth():
                 srv = (
                     fleet.servers[action.endpoint_id]
@@ -595,7 +604,7 @@
     def receive(self, message: object) -> None:
         """Sends the due requests of a plan, or a retry; none after the end of the run."""
         if self.fleet.engine.now >= self.fleet.scenario.seconds * TICKS_PER_SECOND:
-            return None  # no new requests after the end; those accepted are still answered
+            return None  # requests accepted before are still answered
         if isinstance(message, ClientRetry):
             return self.fleet.submit_request(
                 message.plan, message.customer, self.traffic.draw_frontend(), True
@@ -660,7 +669,7 @@
         f = scenario.fleet
         self.zones = {z: n for n, z in enumerate(f.zones)}
         self.cut_zones: set[int] = set()
-        # a cold server crashes if it is overloaded for 1 s
+        # in ticks: a cold server crashes if it receives too many attempts within this time
         self.overload_window = max(1, round(1.0 * TICKS_PER_SECOND))
         self.mean_work_ms = sc.mean_work_ms(scenario)
         self.servers = [Server(self, n, n % len(f.zones), 0) for n in range(f.servers)]
@@ -672,10 +681,13 @@
             stable_digest(f"customer-{c}") for c in range(self.clients.traffic.customer_count)
         ]
         self.req_rows: dict[int, RequestRecord] = {}
+        # index in `history.attempts` by (request, attempt)
         self.attempt_rows: dict[tuple[int, int], int] = {}
+        # servers that discovery listed as live, by limiter
         self.listed_live: dict[int, set[int]] = {}
+        # index in `history.leaving_notices` by (limiter, server), while the notice holds
         self.leaving_rows: dict[tuple[int, int], int] = {}
-        self.next_req = self.next_call = 0
+        self.last_request_id = self.last_call_id = 0
         # [level, time] of each customer's bucket over all limiters
         self.quota_buckets: list[list[float]] = [
             [0.0, 0.0] for _ in range(self.clients.traffic.customer_count)
@@ -683,6 +695,7 @@
         self.plan_of = [n for n, p in enumerate(scenario.plans) for _ in range(p.customers)]
         for customer, plan in enumerate(self.plan_of):
             self.quota_buckets[customer][0] = scenario.plans[plan].burst
+        # (zone, share of the traffic sent to its limiters) during the fault shift_zone
         self.shift: tuple[int, float] | None = None
         self.oracle_buckets: dict[int, list[float]] = {}  # global buckets by customer
         self.oracle_ceilings: dict[int, list[float]] = {}  # global ceiling buckets by customer
@@ -698,15 +711,16 @@
     # the network
     # -----------------------------------------------------------------------------------------
 
-    def delay(self, a: int, b: int) -> int | None:
-        """Returns the one-way delay from zone a to zone b in ticks; None if the message is lost."""
+    def delay(self, from_zone: int, to_zone: int) -> int | None:
+        """Returns the one-way delay between two zones in ticks; None if the message is lost."""
         n = self.scenario.net
-        if a != b and (a in self.cut_zones or b in self.cut_zones):
+        if from_zone != to_zone and (from_zone in self.cut_zones or to_zone in self.cut_zones):
             return None
         if n.loss and self.rng.random() < n.loss:
             return None
-        base = n.delay_ms + (n.zone_delay_ms if a != b else 0.0) + self.rng.random() * n.jitter_ms
-        return max(1, round(base * TICKS_PER_MS))
+        zone_delay_ms = n.zone_delay_ms if from_zone != to_zone else 0.0
+        delay_ms = n.delay_ms + zone_delay_ms + self.rng.random() * n.jitter_ms
+        return max(1, round(delay_ms * TICKS_PER_MS))
 
     # actions of limiters
     # ------------------------------------------------------------------------------------
@@ -762,10 +776,10 @@
             return
         self.engine.schedule(delay, srv, work)
 
-    def count(self, limiter: Limiter, action: IncrementCounter) -> None:
+    def send_increment(self, limiter: Limiter, action: IncrementCounter) -> None:
         """Sends an increment to the counter and schedules its timeout."""
-        self.next_call += 1
-        call = self.next_call
+        self.last_call_id += 1
+        call = self.last_call_id
         limiter.counter_calls[call] = (action.counter_name, action.amount, self.engine.now)
         timeout = round(self.scenario.counter.timeout_ms * TICKS_PER_MS)
         self.engine.schedule(timeout, self, (limiter, call, limiter.generation))
@@ -786,9 +800,11 @@
 
     def receive(self, message: object) -> None:
         """Ends an increment that has reached its timeout as NO_RESPONSE."""
-        limiter, call, lgen = message
-        if limiter.generation == lgen and call in limiter.counter_calls:
-            self.engine.schedule(0, limiter, CounterReply(call, lgen, Outcome.NO_RESPONSE, 0.0))
+        limiter, call, limiter_generation = message
+        if limiter.generation == limiter_generation and call in limiter.counter_calls:
+            self.engine.schedule(
+                0, limiter, CounterReply(call, limiter_generation, Outcome.NO_RESPONSE, 0.0)
+            )
 
     def since_sent(self, req: int, attempt: int) -> int:
         """Returns the ticks since the limiter sent this attempt."""
@@ -806,13 +822,13 @@
         if req is not None:
             self.history.usage.append((req.customer, req.plan, self.engine.now, req.units))
 
-    def record_leaving(self, limiter: int, srv: int) -> None:
+    def record_leaving_notice(self, limiter: int, srv: int) -> None:
         """Records that a limiter was notified that a server is draining or gone."""
         if (limiter, srv) not in self.leaving_rows:
             self.leaving_rows[limiter, srv] = len(self.history.leaving_notices)
             self.history.leaving_notices.append([limiter, srv, self.engine.now, NO_END])
 
-    def record_live(self, limiter: int, srv: int) -> None:
+    def record_live_notice(self, limiter: int, srv: int) -> None:
         """Records that a limiter was notified that a server is live again, which ends its grace."""
         if (row := self.leaving_rows.pop((limiter, srv), None)) is not None:
             self.history.leaving_notices[row][3] = self.engine.now
@@ -823,7 +839,7 @@
     def submit_request(self, plan: int, customer: int, frontend: int, retry: bool) -> None:
         """Sends a client's request to a random live limiter of the customer's zone."""
         s, now = self.scenario, self.engine.now
-        # cached until a limiter starts or stops: a request must not cost O(limiters)
+        # cached until a limiter starts or stops, as filtering them per request costs O(limiters)
         if self.live_limiters is None:
             all_limiters = [lim for lim in self.limiters if lim.alive]
             self.live_limiters = (
@@ -842,10 +858,10 @@
         bucket = self.quota_buckets[customer]
         within_quota = refill(bucket, p.rate, p.burst, now, TICKS_PER_SECOND) >= 1.0
         bucket[0] -= 1.0 if within_quota else 0.0
-        self.next_req += 1
+        self.last_request_id += 1
         timeout = round(frontend_settings.client_timeout_ms * TICKS_PER_MS)
         req = RequestRecord(
-            self.next_req,
+            self.last_request_id,
             limiter.index,
             customer,
             plan,
@@ -893,11 +909,11 @@
         """Crashes a server and restarts it after `restart_after` ticks, unless that is negative."""
         srv.crash()
         if restart_after >= 0:
-            self.engine.schedule(restart_after, self.fault_timeline, ("back", srv.index))
+            self.engine.schedule(restart_after, self.fault_timeline, ("restart", srv.index))
 
     def restart(self, srv: Server) -> None:
         """Starts a stopped server, cold."""
-        if srv.collapsed:
+        if srv.crashed_by_overload:
             return  # a server that crashed by overload is not restarted
         srv.up, srv.started_at, srv.state = True, max(1, self.engine.now), EndpointState.LIVE
         self.discovery.publish((srv.endpoint(),), False)
@@ -911,7 +927,7 @@
         self.discovery.publish((srv.endpoint(), new.endpoint()), False)
 
     def run(self, tick: Callable[[float], None] | None = None) -> History:
-        """Simulates the whole scenario and returns its history.
+        """Simulates the scenario to its end and returns the history.
 
         Calls `tick(seconds)` after each simulated second, for a progress bar.
         """
@@ -945,20 +961,21 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
+        self.slowed_servers: list[Server] = []  # by the latest fault slow_servers
 
-    def pick(self, among: list, share: float) -> list:
-        """Returns a random sample of that share of `among`, at least one if the share is not 0."""
-        k = min(len(among), max(1, round(len(among) * share))) if share > 0 else 0
-        return self.fleet.rng.sample(among, k)
+    def pick(self, candidates: list, share: float) -> list:
+        """Returns a random share of the candidates, at least one if the share is not 0."""
+        count = min(len(candidates), max(1, round(len(candidates) * share))) if share > 0 else 0
+        return self.fleet.rng.sample(candidates, count)
 
     def receive(self, message: object) -> None:
         """Starts or ends a fault, or restarts or replaces a server."""
         fleet = self.fleet
         kind, n = message
-        if kind == "back":
+        if kind == "restart":
             fleet.restart(fleet.servers[n])
             return None
-        if kind == "leave":
+        if kind == "replace":
             fleet.replace(fleet.servers[n])
             return None
         if kind == "end":
@@ -984,11 +1001,11 @@
                     fleet.engine.schedule(
                         2 * round(fleet.scenario.fleet.drain_grace_ms * TICKS_PER_MS),
                         self,
-                        ("leave", srv.index),
+                        ("replace", srv.index),
                     )
             case "slow_servers":
-                self.hit = self.pick(up, fault.share)
-                for srv in self.hit:
+                self.slowed_servers = self.pick(up, fault.share)
+                for srv in self.slowed_servers:
                     srv.slowdown = fault.factor
             case "fail_servers":
                 for srv in self.pick(up, fault.share):
@@ -1024,7 +1041,7 @@
                 fleet.shift = (fleet.zones[fault.zone], fault.share)
 
     def end(self, fault: sc.Fault) -> None:
-        """Ends a fault that lasts for `for_s` seconds."""
+        """Ends a fault that has lasted for its `for_s` seconds."""
         fleet = self.fleet
         match fault.kind:
             case "kill_limiters":
@@ -1032,7 +1049,7 @@
                     if not lim.alive:
                         lim.start()
             case "slow_servers":
-                for srv in getattr(self, "hit", []):
+                for srv in self.slowed_servers:
                     srv.slowdown = 1.0
             case "cut_zone":
                 fleet.cut_zones.discard(fleet.zones[fault.zone])
--- a/loomstand/testing/emulator/history.py
+++ b/loomstand/testing/emulator/history.py
@@ -43,13 +43,13 @@
     reqs: list[RequestRecord] = field(default_factory=list)
     # [request, attempt, limiter, server, time sent, time of arrival at the server or -1]
     attempts: list[list[int]] = field(default_factory=list)
-    # (request, server, time, effect, deduplication group, deduplication window) of each attempt
-    # that a server began to execute
+    # (request, server, time, effect, deduplication group, deduplication window in ticks) of each
+    # attempt that a server began to execute
     executions: list[tuple[int, int, int, str, int, int]] = field(default_factory=list)
     # (request, limiter, time) of each attempt sent while another of its request was in flight
     overlaps: list[tuple[int, int, int]] = field(default_factory=list)
-    # [limiter, server, time, end]: from the notification of a limiter that a server is draining or
-    # gone to the one that it is live
+    # [limiter, server, time, end]: the time at which discovery notified the limiter that the server
+    # is draining or gone, and the time of the next notice that it is live
     leaving_notices: list[list[int]] = field(default_factory=list)
     # (server, time, attempts in the overload window, threshold) of each crash of a cold server
     overload_crashes: list[tuple[int, int, float, float]] = field(default_factory=list)
@@ -62,7 +62,7 @@
     admitted: list[list[float]] = field(default_factory=list)
     # per second: (requests in process or queued, capacity) of the running servers
     load: list[tuple[float, float]] = field(default_factory=list)
-    # (limiter, error) of each error that a policy raised
+    # (limiter, description) of each error that a policy raised
     errors: list[tuple[int, str]] = field(default_factory=list)
 
     def second_row(self, at: int) -> list[float]:
--- a/loomstand/testing/emulator/runner.py
+++ b/loomstand/testing/emulator/runner.py
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class PolicyRun:
-    """The result of one run of a scenario with one policy."""
+    """The result of one run of a scenario with one policy; `wall_s` is in seconds of real time."""
 
     policy: str
     history: History
@@ -83,7 +83,11 @@
 
 
 def summarise(fleet: Fleet, history: History, verdict: Verdict) -> dict:
-    """Returns the figures of a run as they stand in the report."""
+    """Returns the figures of a run for the report.
+
+    `G` is the goodput: the value of the requests within their quota that were served in time, less
+    the cost of those served beyond their quota, relative to the value offered within quotas.
+    """
     s = fleet.scenario
     taken = [r for r in history.reqs if not r.orphaned]
     counts = {
@@ -147,7 +151,7 @@
         "breaks": [msgspec.to_builtins(b) for b in verdict.first()],
         "policy_crashes": len(history.errors),
         "crashes": [f"limiter {lim}: {error}" for lim, error in history.errors[:5]],
-        "held": verdict.held and not history.errors,
+        "held": verdict.rules_kept and not history.errors,
         "falls": len(history.overload_crashes),
         "log_lines": fleet.log_lines,
     }
@@ -158,7 +162,13 @@
     seed: int | None = None,
     progress: Callable[[str, float], None] | None = None,
 ) -> dict:
-    """Runs the scenario's policy and each baseline with the same seed, and returns the report."""
+    """Runs the scenario's policy and each baseline with the same seed, and returns the report.
+
+    Args:
+        scenario: The scenario.
+        seed: Seed of the random numbers; None for the scenario's own.
+        progress: Called with the policy and the simulated time in seconds, once per such second.
+    """
     seed = scenario.seed if seed is None else seed
     runs: dict[str, PolicyRun] = {}
     for policy in policies(scenario):
@@ -237,7 +247,7 @@
 def sweep(
     table: dict, key: str, swept_values: list[object], seed: int | None, workers: int
 ) -> list[dict]:
-    """Runs the scenario once per value of `key`, in parallel processes.
+    """Runs the scenario once per value of `key`, in up to `workers` processes; returns the reports.
 
     Raises:
         ScenarioError: A value is not valid for the key; checked before the first run.
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -40,8 +40,8 @@
     response_target_ms: Positive = 300.0
     client_timeout_ms: Positive = 1000.0
     value: Positive = 1.0
-    group: Literal["all", "zone", "cell"] = "all"
-    repeat_window_ms: Seconds = 0.0
+    group: Literal["all", "zone", "cell"] = "all"  # servers that deduplicate together
+    repeat_window_ms: Seconds = 0.0  # deduplication window, for the effect `token`
     share: Positive = 1.0  # weight of its traffic, relative to the other frontends
     work_ms: Positive = 20.0  # mean service time at a warm server
 
@@ -72,12 +72,13 @@
     capacity: Annotated[int, Meta(ge=1)] = 8  # requests that a server processes concurrently
     queue: Count = 16  # further requests that it queues; it rejects those beyond
     cold_s: Seconds = 10.0  # duration of a new server's slow start
-    cold_from: Share = 0.3  # share of its capacity at its start
+    cold_from: Share = 0.3  # share of its capacity that a server has when it starts
     # a cold server crashes when it receives more than this multiple of its current capacity
     fall_multiple: Positive = 2.0
+    # a limiter may send attempts to a draining server for this long after it was notified
     drain_grace_ms: Seconds = 500.0
-    try_limit: Annotated[int, Meta(ge=1)] = 2
-    answer_slack_ms: Seconds = 50.0
+    try_limit: Annotated[int, Meta(ge=1)] = 2  # attempts per request
+    answer_slack_ms: Seconds = 50.0  # an answer may come this long after the client timeout
 
     def warmth(self, age_s: float) -> float:
         """Returns the share of its capacity that a server has at an age in seconds (slow start)."""
@@ -107,8 +108,8 @@
     """The shared counter."""
 
     present: bool = True
-    latency_ms: Seconds = 2.0
-    timeout_ms: Positive = 100.0
+    latency_ms: Seconds = 2.0  # mean time that the counter takes for a call
+    timeout_ms: Positive = 100.0  # of a call
     refresh_s: Positive = 1.0  # metering interval in the limiters' settings
 
 
@@ -124,8 +125,8 @@
 
 
 Kind = Literal[
-    # `share` of limiters, or all of `zone`, stop; they restart without state after
-    # `for_s` if above 0
+    # all limiters of `zone`, or `share` of all without a zone, stop; they restart without state
+    # after `for_s` if above 0
     "kill_limiters",
     "crash_servers",  # `share` of servers crash; they restart cold after `for_s` if above 0
     # `share` of servers drain; a cold server replaces each after twice the drain grace
@@ -142,7 +143,7 @@
     "counter_split",
     "late_lists",  # discovery's lists are delayed by `factor` seconds for `for_s`
     "partial_lists",  # discovery lists only `share` of the servers for `for_s`
-    "flood_plan",  # the customers of `plan` send `factor` times their demand for `for_s`
+    "flood_plan",  # the customers of `plan` send `factor` times their usual load for `for_s`
     "shift_zone",  # `share` of the traffic goes to limiters of `zone` for `for_s`
 ]
 
--- a/loomstand/testing/emulator/traffic.py
+++ b/loomstand/testing/emulator/traffic.py
@@ -1,7 +1,7 @@
 """Traffic model: arrival rates by plan, hot customers, frontends by their shares, quota buckets.
 
-Shared by the emulator's clients and the rehearsal's driver. It has no clock, and uses its caller's
-random number generator.
+Shared by the emulator's clients and the rehearsal's driver. The model has no clock and uses its
+caller's random number generator.
 """
 
 from __future__ import annotations
@@ -21,16 +21,19 @@
 
     def __init__(self, plans: list[Plan], frontends: list[Frontend], rng: Random) -> None:
         self.plans, self.rng = plans, rng
-        self.demand_factors = [1.0] * len(plans)  # of each plan's demand, for the fault flood_plan
+        self.demand_factors = [1.0] * len(plans)  # by plan; changed by the fault flood_plan
         total_share = sum(f.share for f in frontends)
         self.cumulative_shares = list(accumulate(f.share / total_share for f in frontends))
         self.first_customers: list[int] = []  # number of each plan's first customer
+        # by plan: running sums of its customers' demands, each a multiple of the plan's rate
         self.cumulative_weights: list[list[float]] = []
         self.customer_count = 0
         for plan in plans:
-            hot = round(plan.customers * plan.hot)
-            w = [plan.hot_demand if c < hot else plan.demand for c in range(plan.customers)]
-            self.cumulative_weights.append(list(accumulate(w)))
+            hot_customers = round(plan.customers * plan.hot)
+            weights = [
+                plan.hot_demand if c < hot_customers else plan.demand for c in range(plan.customers)
+            ]
+            self.cumulative_weights.append(list(accumulate(weights)))
             self.first_customers.append(self.customer_count)
             self.customer_count += plan.customers
 
@@ -40,8 +43,8 @@
 
     def draw_customer(self, plan: int) -> int:
         """Draws a customer of the plan, weighted by demand."""
-        w = self.cumulative_weights[plan]
-        return self.first_customers[plan] + bisect(w, self.rng.random() * w[-1])
+        weights = self.cumulative_weights[plan]
+        return self.first_customers[plan] + bisect(weights, self.rng.random() * weights[-1])
 
     def draw_frontend(self) -> int:
         """Draws a frontend, weighted by share."""
--- a/loomstand/testing/rehearsal/report.py
+++ b/loomstand/testing/rehearsal/report.py
@@ -32,7 +32,7 @@
         "seconds": rehearsal.seconds,
         "limiters": rehearsal.fleet.limiters,
         "servers": rehearsal.fleet.servers,
-        "held": verdict.held and not crashed,
+        "held": verdict.rules_kept and not crashed,
         "kept": all(b["kept"] for b in bounds),
         "reqs": len(events.history.reqs),
         "ran": len(events.history.executions),
--- a/tests/testing/emulator/test_emulator.py
+++ b/tests/testing/emulator/test_emulator.py
@@ -31,13 +31,13 @@
 
 
 def violated_rules(scenario: sc.Scenario, policy) -> set[int]:
-    played = runner.run_policy(
+    policy_run = runner.run_policy(
         scenario,
         "faulty",
         1,
         lambda fleet, index, settings, seed: policy(fleet, index, settings, seed),
     )
-    return {b.rule for b in played.verdict.violations}
+    return {b.rule for b in policy_run.verdict.violations}
 
 
 class FaultyAnswers(Naive):
@@ -98,10 +98,10 @@
 
 def test_rule_1_reports_requests_with_no_answer_or_two():
     scenario = small_scenario()
-    played = runner.run_policy(scenario, "faulty", 1, FaultyAnswers)
-    details = {b.what for b in played.verdict.violations if b.rule == 1}
+    policy_run = runner.run_policy(scenario, "faulty", 1, FaultyAnswers)
+    details = {b.what for b in policy_run.verdict.violations if b.rule == 1}
     assert {"no final answer", "2 final answers"} <= details
-    assert all(b.req > 0 and b.limiter >= 0 for b in played.verdict.violations)
+    assert all(b.req > 0 and b.limiter >= 0 for b in policy_run.verdict.violations)
 
 
 class Raising(Naive):
@@ -114,9 +114,9 @@
 
 
 def test_an_error_of_a_policy_is_recorded_and_fails_the_run():
-    played = runner.run_policy(small_scenario(), "faulty", 1, Raising)
-    assert played.history.errors and "made to fail" in played.history.errors[0][1]
-    assert not played.summary["held"]
+    policy_run = runner.run_policy(small_scenario(), "faulty", 1, Raising)
+    assert policy_run.history.errors and "made to fail" in policy_run.history.errors[0][1]
+    assert not policy_run.summary["held"]
 
 
 def test_rule_2_reports_a_repeated_non_idempotent_request():
@@ -235,8 +235,8 @@
     scenario = small_scenario(
         seconds=3, fleet={"limiters": 3, "servers": 6, "zones": ["a", "b"]}, faults=[fault]
     )
-    played = runner.run_policy(scenario, "brain", 3)
-    assert played.summary["held"], (played.summary["breaks"], played.summary["crashes"])
+    policy_run = runner.run_policy(scenario, "brain", 3)
+    assert policy_run.summary["held"], (policy_run.summary["breaks"], policy_run.summary["crashes"])
 
 
 def test_the_oracle_enforces_a_ceiling_below_the_quota():
@@ -255,8 +255,10 @@
             }
         ],
     )
-    played = runner.run_policy(scenario, "oracle", 1)
-    assert played.summary["held"] and played.summary["plans"][0]["passed_per_s"] <= 3 * 4 * 1.5
+    policy_run = runner.run_policy(scenario, "oracle", 1)
+    assert (
+        policy_run.summary["held"] and policy_run.summary["plans"][0]["passed_per_s"] <= 3 * 4 * 1.5
+    )
 
 
 def test_fleet_count_sums_the_counters_in_the_limiters_logs(tmp_path: Path):
