--- a/loomstand/testing/rehearsal/checker.py
+++ b/loomstand/testing/rehearsal/checker.py
@@ -1,10 +1,10 @@
 """Checks the events recorded by drivers and stand-ins against the five rules and the bounds.
 
 The rules are those of `loomstand/testing/emulator/checker.py` over the same History, which is built
-here from the event logs. Checks that only sockets allow are added: an answer that no server
-produced, a request lost by a limiter that kept running, a denial of a non-replayable request that
-ran. Where a fault delayed data, the time at which the data could pass counts: during a cut neither
-the limiter nor the checker learns anything over that path.
+here from the event logs. Further checks, possible only on sockets, find an answer that no server
+produced, a request lost by a limiter that kept running, and a denial of a non-idempotent request
+that ran. Where a fault delayed data, its delivery time is the time at which the data could pass: a
+limiter can't react to data that a cut holds back.
 """
 
 from __future__ import annotations
@@ -24,10 +24,12 @@
 TICKS_PER_SECOND = 10_000
 TICKS_PER_MS = TICKS_PER_SECOND // 1000
 SOCKET_SLACK_MS = 50  # PROTOCOL adds this to time limits on sockets
-CEILING_SLACK_SECONDS = 0.15  # PROTOCOL, see `SocketLimits`
-# a log line of the zone failover
+CEILING_SLACK_SECONDS = 0.15  # from PROTOCOL, see `SocketLimits`
+# (Unix s, zone, old state, new state) of the log lines of the zone failover
 ZONE_MOVES = re.compile(r": (\d+\.\d+): zone (\S+): (\w+) to (\w+)").findall
-SETTLE_SECONDS = 0.25  # from a command to its effect when many processes share the machine
+# from a command to a process until it has taken effect, when many processes share the machine
+SETTLE_SECONDS = 0.25
+NO_END = 1e18  # Unix s; end of a span that was still open at the end of the rehearsal
 
 
 @dataclass(slots=True)
@@ -38,11 +40,12 @@
         rehearsal: The scenario.
         rows: Events by name in order of time, each [Unix s, ...].
         began: Time of the first traffic, Unix s.
-        cuts: Spans (Unix s) in which a path (from, to) was cut in a direction, `forth` or `back`.
+        cuts: Spans (Unix s) in which a path was cut, by (from, to, direction); the direction is
+            `forth` or `back`.
         running: Spans (Unix s) in which a process existed; under "stopped NAME" those in which it
             was stopped by SIGSTOP.
         history: The events as the rules read them; times in ticks since the first traffic.
-        delayed: Dispatches that a cut may have delayed, by request and dispatch number, with the
+        delayed: Attempts that a cut may have delayed, by request and attempt number, with the
             start of the cut in ticks, which is the earliest possible time of sending.
     """
 
@@ -54,9 +57,9 @@
     history: History = field(default_factory=History)
     delayed: dict[tuple[int, int], int] = field(default_factory=dict)
 
-    def to_ticks(self, unix: float) -> int:
-        """Converts a Unix time to tenths of a millisecond since the first traffic."""
-        return round((unix - self.began) * TICKS_PER_SECOND)
+    def to_ticks(self, unix_seconds: float) -> int:
+        """Converts a Unix time to ticks (0.1 ms) since the first traffic."""
+        return round((unix_seconds - self.began) * TICKS_PER_SECOND)
 
     def all(self, name: str) -> list[list]:
         """Returns the rows of all events of one name, in order of time."""
@@ -66,22 +69,22 @@
         """Returns the ends of the path from a limiter to a server."""
         return (SHARED if self.rehearsal.fleet.shared else f"l{limiter}", f"s{server}")
 
-    def delivery_time(self, path: tuple[str, str], direction: str, unix: float) -> float:
+    def delivery_time(self, path: tuple[str, str], direction: str, unix_seconds: float) -> float:
         """The time at which data sent on a path could pass: at once, or at the end of a cut."""
         for since, until in self.cuts.get((*path, direction), ()):
-            if since <= unix < until:
+            if since <= unix_seconds < until:
                 return until
-        return unix
+        return unix_seconds
 
     def disturbed(self, path: tuple[str, str], since: float, until: float) -> bool:
         """Whether a fault cut or reset this path within a span, in either direction."""
         spans = self.cuts.get((*path, "forth"), []) + self.cuts.get((*path, "back"), [])
-        return any(a < until and since < b + SETTLE_SECONDS for a, b in spans) or any(
-            since - SETTLE_SECONDS < t < until for t in self.resets
-        )
+        return any(
+            cut_at < until and since < healed_at + SETTLE_SECONDS for cut_at, healed_at in spans
+        ) or any(since - SETTLE_SECONDS < reset_at < until for reset_at in self.reset_times)
 
     @property
-    def resets(self) -> list[float]:
+    def reset_times(self) -> list[float]:
         """Returns the Unix times of faults that reset connections."""
         return [row[0] for row in self.all("fault") if row[2] in ("reset", "vanish")]
 
@@ -93,7 +96,7 @@
 
 
 def read(rehearsal: Rehearsal, out: Path) -> RehearsalEvents:
-    """Reads the event logs in a rehearsal's folder. Skips a row that SIGKILL cut short."""
+    """Reads the event logs in a rehearsal's folder, except rows that SIGKILL left incomplete."""
     events = RehearsalEvents(rehearsal)
     for path in sorted((out / "trail").glob("*.jsonl")):
         for line in path.read_bytes().splitlines():
@@ -115,7 +118,6 @@
 
 def derive_spans(events: RehearsalEvents) -> None:
     """Derives the spans in which paths were cut, processes ran and processes were stopped."""
-    end = 1e18
     open_cuts: dict[tuple[str, str, str], float] = {}
     for at, paths in events.all("cut"):
         for a, b, directions in paths:
@@ -128,7 +130,7 @@
                         (open_cuts.pop(key), at + SETTLE_SECONDS)
                     )
     for key, since in open_cuts.items():
-        events.cuts.setdefault(key, []).append((since, end))
+        events.cuts.setdefault(key, []).append((since, NO_END))
     up: dict[str, float] = {}
     for at, event, name in sorted(
         [(r[0], "up", r[1]) for r in events.all("up")]
@@ -139,7 +141,7 @@
         elif name in up:
             events.running.setdefault(name, []).append((up.pop(name), at))
     for name, since in up.items():
-        events.running.setdefault(name, []).append((since, end))
+        events.running.setdefault(name, []).append((since, NO_END))
     stopped: dict[str, float] = {}
     for at, name, on in events.all("stopped"):
         if on:
@@ -149,7 +151,7 @@
                 (stopped.pop(name), at + SETTLE_SECONDS)
             )
     for name, since in stopped.items():
-        events.running.setdefault(f"stopped {name}", []).append((since, end))
+        events.running.setdefault(f"stopped {name}", []).append((since, NO_END))
 
 
 def build_history(events: RehearsalEvents) -> None:
@@ -157,36 +159,47 @@
     rehearsal, history = events.rehearsal, events.history
     zones = rehearsal.fleet.zones
     reqs: dict[int, RequestRecord] = {}
-    for at, req, limiter, customer, plan, front, timeout, inside, retry, zone in events.all("sent"):
-        value, sent = rehearsal.frontends[front].value, events.to_ticks(at)
+    for (
+        at,
+        req,
+        limiter,
+        customer,
+        plan,
+        frontend_index,
+        timeout,
+        within_quota,
+        retry,
+        zone,
+    ) in events.all("sent"):
+        value, sent = rehearsal.frontends[frontend_index].value, events.to_ticks(at)
         row = RequestRecord(
             req,
             limiter,
             customer,
             plan,
-            front,
+            frontend_index,
             sent,
             sent + round(timeout * TICKS_PER_SECOND),
             1.0,
             value,
-            inside,
+            within_quota,
             retry,
         )
         reqs[req] = row
         history.reqs.append(row)
         path, until = (f"clients:{zones[zone]}", f"l{limiter}"), at + timeout + 0.5
-        # no answer is required of a limiter that did not run throughout or was unreachable
+        # no answer is required if the limiter did not run all the time or was unreachable
         row.orphaned = not events.ran_throughout(f"l{limiter}", at, until) or events.disturbed(
             path, at, until
         )
-    for at, req, status, own in events.all("got"):
+    for at, req, status, body_matches in events.all("got"):
         row = reqs[req]
         final = {200: PASSED, 429: DENIED, 503: DENIED, 0: "broken", -1: ""}.get(status, ABORTED)
         row.answer, row.answered_at = final, events.to_ticks(at)
         row.answer_count = 0 if final in ("", "broken") else 1
         if final == PASSED:
             row.latency = row.answered_at - row.arrived
-            if not own:
+            if not body_matches:
                 history.errors.append(
                     (row.limiter, f"the answer to req {req} was not produced by a server for it")
                 )
@@ -194,10 +207,12 @@
     counted: set[int] = set()
     dispatch_counts: dict[tuple[int, int], int] = {}
     windows = [round(f.repeat_window_ms * TICKS_PER_MS) for f in rehearsal.frontends]
-    for at, req, server, front, since in events.all("run"):
-        frontend, now = rehearsal.frontends[front], events.to_ticks(at)
+    for at, req, server, frontend_index, since in events.all("run"):
+        frontend, now = rehearsal.frontends[frontend_index], events.to_ticks(at)
         group = zone_of(rehearsal.fleet, f"s{server}") if frontend.group == "zone" else 0
-        history.executions.append((req, server, now, frontend.effect, group, windows[front]))
+        history.executions.append(
+            (req, server, now, frontend.effect, group, windows[frontend_index])
+        )
         limiter = reqs[req].limiter if req in reqs else -1
         number = dispatch_counts.get((req, -1), 0)
         dispatch_counts[req, -1] = number + 1
@@ -214,9 +229,10 @@
 
 
 def cut_start(events: RehearsalEvents, path: tuple[str, str], arrived: float) -> float | None:
-    """The start of the cut that may have delayed a request which arrived at a server at a given
-    time, or None. A request that arrives right after a cut may also be new, so the caller considers
-    both times.
+    """Returns the start of the cut that may have delayed a request, or None.
+
+    A request that arrived at its server during a cut, or right after it, may have been sent before
+    the cut. It may also have been sent just before it arrived, so the caller considers both times.
     """
     for since, until in events.cuts.get((*path, "forth"), ()):
         if since <= arrived < until + SETTLE_SECONDS:
@@ -225,8 +241,8 @@
 
 
 def build_leaving_rows(events: RehearsalEvents) -> None:
-    """Derives the spans in which a limiter knew that a server is leaving or has left: from the list
-    that says so to the list that says that it is active.
+    """Derives the leaving notices of the History: the spans in which a limiter knew that a server
+    is leaving or has left, from the delivery of that list to the next list with it as active.
     """
     history, open_rows = events.history, {}
     for at, limiter, whole, rows in events.all("told"):
@@ -240,13 +256,14 @@
                 open_rows[key] = len(history.leaving_notices)
                 history.leaving_notices.append([limiter, server, when, 1 << 62])
             elif phase == "active" and key in open_rows:
-                # the time of sending, not of delivery: a limiter that received the list earlier
-                # than derived here must not appear late
+                # the time of sending, as the limiter may have received the list earlier than the
+                # delivery time derived here, and must not appear to violate rule 3
                 history.leaving_notices[open_rows.pop(key)][3] = events.to_ticks(at)
-    # a restarted limiter has only the lists since its start; its configuration may be older
+    # a notice ends with its process: the limiter's next process has only the lists since its start,
+    # and its configuration may be older than the notice
     for row in history.leaving_notices:
         for since, until in events.running.get(f"l{row[0]}", ()):
-            if events.to_ticks(since) <= row[2] and until < 1e17:
+            if events.to_ticks(since) <= row[2] and until < NO_END:
                 row[3] = (
                     min(row[3], events.to_ticks(until))
                     if events.to_ticks(until) > row[2]
@@ -274,8 +291,8 @@
     """Returns all violations of the five rules, including those that only sockets show."""
     limits = SocketLimits(events.rehearsal)
     verdict = rules.check(events.history, limits)
-    # a dispatch that a cut may have delayed breaks rule 3 only if it does so at every possible
-    # time of sending
+    # an attempt that a cut may have delayed violates rule 3 only if it does so both with its
+    # earliest possible time of sending and with the latest one, its arrival at the server
     rows = [
         [r, n, lim, srv, events.delayed[r, n], at]
         for r, n, lim, srv, _, at in events.history.attempts
@@ -285,8 +302,8 @@
     certain = {b.req for b in rules.check_leaving(early, limits)}
     doubtful = {r for r, _ in events.delayed} - certain
     verdict.violations = [b for b in verdict.violations if b.rule != 3 or b.req not in doubtful]
-    # rule 1 of the emulator covers requests without a final answer, so also a broken connection to
-    # a limiter that kept running
+    # rule 1 of the emulator also covers broken connections to a limiter that kept running: they are
+    # requests without a final answer
     ran: dict[int, list[int]] = {}
     for req, server, *_ in events.history.executions:
         ran.setdefault(req, []).append(server)
@@ -305,7 +322,7 @@
 
 
 def crashes(events: RehearsalEvents) -> list[str]:
-    """Limiters that exited although the rehearsal did not stop them."""
+    """Describes each exit of a limiter that the rehearsal had not requested."""
     return [
         f"{name} ended with exit code {code} at {at - events.began:.2f} s"
         for at, name, code, planned in events.all("down")
@@ -318,12 +335,14 @@
 
 @dataclass(slots=True)
 class SecondTotals:
-    """Requests that arrived in one second and their results. `offered` and `served` are the worth
-    within quotas by frontend; the others count requests.
+    """Requests that arrived in one second and their results.
+
+    The worth of requests is the sum of the values of those within their quota. Lists are by
+    frontend; the numbers count requests, except `best`.
     """
 
-    offered: list[float]
-    served: list[float]
+    offered: list[float]  # worth of all requests
+    served: list[float]  # worth of the requests served within the response target
     taken: int = 0
     passed: int = 0
     denied: int = 0
@@ -360,20 +379,29 @@
 
 
 def capacity_by_second(events: RehearsalEvents, count: int) -> list[float]:
-    """Slot-seconds of all servers in each second, from their samples (two a second)."""
+    """Slot-seconds of all servers in each second, from their samples (two per second)."""
     slots: list[dict[int, list[int]]] = [{} for _ in range(count)]
-    for at, server, _, _, room in events.all("load"):
+    for at, server, _, _, slot_count in events.all("load"):
         k = int(at - events.began)
         if at - events.began >= 0 and k < count:
-            slots[k].setdefault(server, []).append(room)
+            slots[k].setdefault(server, []).append(slot_count)
     # a server with one sample ran for half of the second
     return [
-        sum(sum(rooms) / max(2, len(rooms)) for rooms in by_server.values()) for by_server in slots
+        sum(sum(slot_counts) / max(2, len(slot_counts)) for slot_counts in by_server.values())
+        for by_server in slots
     ]
 
 
 def best_worth(rehearsal: Rehearsal, offered: list[float], slots: float) -> float:
-    """The worth that the slots can serve of the offered worth, in order of worth per work."""
+    """The worth that servers can serve at most of the offered worth of one second.
+
+    Requests with the highest value per work are served first.
+
+    Args:
+        rehearsal: The scenario.
+        offered: Worth by frontend.
+        slots: Slot-seconds of the servers.
+    """
     total = 0.0
     for n in sorted(
         range(len(offered)),
@@ -388,29 +416,33 @@
 
 
 def load_by_zone(events: RehearsalEvents) -> dict[str, list[tuple[float, float, float]]]:
-    """For each zone (second, requests running or queued, slots), means over the samples."""
+    """For each zone the rows (second, requests running or queued, slots), means of the samples."""
     rehearsal, count = events.rehearsal, int(events.rehearsal.seconds) + 1
     sums: dict[str, list[list[float]]] = {
         z: [[0.0, 0.0] for _ in range(count)] for z in rehearsal.fleet.zones
     }
-    for at, server, working, waiting, room in events.all("load"):
+    for at, server, working, waiting, slot_count in events.all("load"):
         k = int(at - events.began)
         if at >= events.began and k < count:
             row = sums[rehearsal.fleet.zones[zone_of(rehearsal.fleet, f"s{server}")]][k]
             row[0] += (working + waiting) / 2
-            row[1] += room / 2
+            row[1] += slot_count / 2
     return {z: [(float(k), a, b) for k, (a, b) in enumerate(rows)] for z, rows in sums.items()}
 
 
 def measure_bound(events: RehearsalEvents, bound: Bound, totals: list[SecondTotals]) -> float:
-    """The figure that a bound limits."""
+    """Returns the figure that a bound limits (see `Bound`)."""
     rehearsal = events.rehearsal
     since, until = bound.since, bound.until or rehearsal.seconds
     rows = totals[int(since) : max(int(since) + 1, int(until))]
-    front = [f.name for f in rehearsal.frontends].index(bound.frontend) if bound.frontend else -1
-    pick = (lambda xs: xs[front]) if front >= 0 else sum
+    frontend_index = (
+        [f.name for f in rehearsal.frontends].index(bound.frontend) if bound.frontend else -1
+    )
+    value_of = (lambda xs: xs[frontend_index]) if frontend_index >= 0 else sum
     if bound.what == "worth":
-        return sum(pick(r.served) for r in rows) / max(1e-9, sum(pick(r.offered) for r in rows))
+        return sum(value_of(r.served) for r in rows) / max(
+            1e-9, sum(value_of(r.offered) for r in rows)
+        )
     if bound.what == "of_best":
         return sum(sum(r.served) for r in rows) / max(1e-9, sum(r.best for r in rows))
     if bound.what == "ran":
@@ -420,21 +452,21 @@
             for at, _, server, _, _ in events.all("run")
             if zone < 0 or zone_of(rehearsal.fleet, f"s{server}") == zone
         ]
-        lo, hi = (bisect_right(times, events.began + t) for t in (since, until))
-        return float(hi - lo)
+        first, after_last = (bisect_right(times, events.began + t) for t in (since, until))
+        return float(after_last - first)
     if bound.what == "moves":
         return float(sum(since <= at - events.began < until for at, *_ in events.all("move")))
     if bound.what == "list_calls":
         earliest = since or -60.0  # limiters may start a little before the traffic
         return float(sum(earliest <= at - events.began < until for at, *_ in events.all("call")))
     if bound.what == "ready_s":
-        waits = ready_after(events)
+        waits = ready_delays(events)
         return max(waits, default=0.0)
     return float(sum(getattr(r, bound.what) for r in rows))
 
 
-def ready_after(events: RehearsalEvents) -> list[float]:
-    """Seconds from each start of a limiter until it was ready."""
+def ready_delays(events: RehearsalEvents) -> list[float]:
+    """Returns the seconds from each start of a limiter until it was ready."""
     ups = [(at, name) for at, name, _ in events.all("up")]
     delays = []
     for at, name in events.all("ready"):
--- a/loomstand/testing/rehearsal/report.py
+++ b/loomstand/testing/rehearsal/report.py
@@ -10,7 +10,7 @@
 from loomstand.testing.rehearsal import checker
 from loomstand.testing.rehearsal.scenario import Rehearsal
 
-# with a larger delay of an arrival the machine was too busy for a meaningful result
+# if a driver sent a request later than this, the machine was too busy for a meaningful result
 MAX_DRIVER_LAG_SECONDS = 0.25
 
 
@@ -42,11 +42,11 @@
         "crashes": crashed,
         "bounds": bounds,
         "driver_lag_s": round(lag, 3),
-        "ready_s": [round(t, 3) for t in sorted(checker.ready_after(events))],
+        "ready_s": [round(t, 3) for t in sorted(checker.ready_delays(events))],
         "calls_for_lists": [
             [round(at - events.began, 3), status] for at, _, status in events.all("call")
         ],
-        "opened": opened(events),
+        "opened": connections_by_second(events),
         "moves": [[round(at - events.began, 2), *more] for at, *more in events.all("move")],
         "series": [msgspec.to_builtins(row) for row in totals],
         "zones": zones,
@@ -55,30 +55,41 @@
     return report
 
 
-def opened(events: checker.RehearsalEvents) -> dict[str, list[int]]:
+def connections_by_second(events: checker.RehearsalEvents) -> dict[str, list[int]]:
     """New connections by second: to all servers together, and to the server with the most."""
     count = int(events.rehearsal.seconds) + 1
     by_second: list[dict[int, int]] = [{} for _ in range(count)]
-    for at, server, opened_ in events.all("opened"):
+    for at, server, opened_count in events.all("opened"):
         if 0 <= at - events.began < count:
             row = by_second[int(at - events.began)]
-            row[server] = row.get(server, 0) + opened_
+            row[server] = row.get(server, 0) + opened_count
     return {
         "all": [sum(row.values()) for row in by_second],
         "most": [max(row.values(), default=0) for row in by_second],
     }
 
 
-def worth(report: dict, since: float, until: float, front: int = -1) -> float:
-    """The share of the worth of requests that arrived in a span which was served in time."""
+def worth(report: dict, since: float, until: float, frontend_index: int = -1) -> float:
+    """Returns the share of the worth (the value of requests within quotas) that was served in time.
+
+    Args:
+        report: The report.
+        since: Start of the arrivals that count, in seconds from the first traffic.
+        until: Their end.
+        frontend_index: The frontend that counts; negative for all.
+    """
     rows = report["series"][int(since) : max(int(since) + 1, int(until))]
-    offered = sum(sum(r["offered"]) if front < 0 else r["offered"][front] for r in rows)
-    served = sum(sum(r["served"]) if front < 0 else r["served"][front] for r in rows)
+    offered = sum(
+        sum(r["offered"]) if frontend_index < 0 else r["offered"][frontend_index] for r in rows
+    )
+    served = sum(
+        sum(r["served"]) if frontend_index < 0 else r["served"][frontend_index] for r in rows
+    )
     return served / offered if offered else 0.0
 
 
 def passed(report: dict) -> bool:
-    """Whether no rule was broken, no limiter crashed and all bounds are kept."""
+    """Returns whether no rule was broken, no limiter crashed and all bounds are kept."""
     return report["held"] and report["kept"]
 
 
--- a/loomstand/testing/rehearsal/scenario.py
+++ b/loomstand/testing/rehearsal/scenario.py
@@ -24,19 +24,22 @@
     StrictStruct,
 )
 
-SHARED = "any"  # in place of the limiter on a path that all limiters share
+SHARED = "any"  # in place of the limiter, on a path that all limiters share
 
 
 class Frontend(emulator_scenario.Frontend):
-    """A frontend whose work is uniform between (1 - spread) and (1 + spread) times `work_ms`."""
+    """A frontend with uniformly distributed service times.
+
+    They lie between (1 - work_spread) and (1 + work_spread) times `work_ms`.
+    """
 
     work_spread: Share = 0.2
 
 
 class Plan(emulator_scenario.Plan):
-    """A plan with the size of the limiter set of each customer."""
+    """A quota plan, with the number of limiters that a customer's requests are distributed to."""
 
-    spread: Count = 0  # limiters in a customer's set; 0 for all of them
+    spread: Count = 0  # number of limiters in a customer's set; 0 for all limiters
 
 
 class Fleet(emulator_scenario.Fleet):
@@ -44,21 +47,22 @@
     consecutive numbers.
     """
 
-    connections: Count = 0  # limit of a server; 0 for none
-    peers: bool = False  # whether limiters exchange lists (docs/peers.md)
-    # whether all limiters use one path and so one address to each server; required by peers
+    connections: Count = 0  # maximum open connections of a server; 0 for no limit
+    peers: bool = False  # whether limiters exchange endpoint lists (docs/peers.md)
+    # whether all limiters reach a server over the same path, and so at the same address; required
+    # by `peers`, as the lists contain addresses
     shared: bool = False
     cold: bool = False  # whether servers have just started when the rehearsal begins
     apart: bool = False  # whether each server has its own process; otherwise one for each zone
-    sockets: Annotated[int, Meta(ge=48)] = 512  # limit of a limiter
+    sockets: Annotated[int, Meta(ge=48)] = 512  # maximum open sockets of a limiter
     connect_timeout_ms: Positive = 250.0
 
 
 class Discovery(StrictStruct):
     """How the stand-in for discovery behaves without faults."""
 
-    late_s: Seconds = 0.1  # from a change to its publication
-    bears: Seconds = 0.0  # accepted calls a second; others get 503; 0 for no limit
+    late_s: Seconds = 0.1  # time from a change to its publication
+    bears: Seconds = 0.0  # maximum calls per second, beyond which it answers 503; 0 for no limit
 
 
 class Load(StrictStruct):
@@ -72,26 +76,28 @@
 
 
 FaultKind = Literal[
-    # cuts `who` off, then SIGKILL; restarted cold after `for_s`; listed as left after `told_s`
+    # all paths of `who` are cut, then SIGKILL; restart, cold, after `for_s`; discovery lists the
+    # servers as left after `told_s`
     "vanish",
-    "kill",  # SIGKILL; started again after `for_s`
+    "kill",  # SIGKILL; restart after `for_s`
     "stop",  # SIGSTOP; SIGCONT after `for_s`
-    "term",  # SIGTERM; started again after `for_s`
-    "hup",  # SIGHUP to limiters, after `text`, if set, has been written to their plan file
-    "cut",  # no data between `who` and `other` for `for_s`, in both directions or one (`way`)
-    "reset",  # resets the connections on these paths
-    "delay",  # adds `factor` ms to these paths in each direction for `for_s`
-    "list",  # discovery publishes `phase` for the servers in `who`; `active` after `for_s`
-    "slow",  # the work of servers takes `factor` times as long for `for_s`
-    "fail",  # servers answer 500 to `share` of the requests they ran, for `for_s`
-    "counter_slow",  # `factor` times its latency for `for_s`
-    "counter_silent",
-    "counter_wipe",
-    "counter_split",  # into two parts with separate totals
-    "discovery_silent",
-    "discovery_late",  # `factor` seconds
-    "discovery_half",  # whole lists hold only `share` of the servers
-    "discovery_bears",  # `factor` calls a second
+    "term",  # SIGTERM; restart after `for_s`
+    "hup",  # SIGHUP to limiters; before that `text`, if set, is written to their site plan file
+    "cut",  # the network between `who` and `other` is down for `for_s`, in the directions of `way`
+    "reset",  # the connections between `who` and `other` are reset
+    # data between `who` and `other` is delayed by `factor` ms in each direction for `for_s`
+    "delay",
+    "list",  # discovery publishes `phase` for the servers in `who`, and `active` after `for_s`
+    "slow",  # servers take `factor` times as long for requests that start within `for_s`
+    "fail",  # servers answer 500 to `share` of the requests they have run, for `for_s`
+    "counter_slow",  # the counter takes `factor` times its latency for `for_s`
+    "counter_silent",  # the counter answers nothing for `for_s`
+    "counter_wipe",  # the counter loses all totals
+    "counter_split",  # the counter splits into two parts with separate totals for `for_s`
+    "discovery_silent",  # discovery answers nothing for `for_s`
+    "discovery_late",  # discovery publishes changes after `factor` seconds for `for_s`
+    "discovery_half",  # complete lists have only `share` of the servers for `for_s`
+    "discovery_bears",  # discovery accepts only `factor` calls per second for `for_s`
     "flood",  # the customers of `plan` send `factor` times the requests for `for_s`
 ]
 NEEDS_WHO = {
@@ -117,15 +123,15 @@
 
     at: Seconds
     do: FaultKind
-    # `told`: not before discovery has sent a list to each limiter of `who`
+    # `told`: the fault waits until discovery has sent a list to each limiter of `who`
     once: Literal["", "told"] = ""
     who: list[str] = msgspec.field(default_factory=list)
-    other: list[str] = msgspec.field(
-        default_factory=list
-    )  # the other ends of the paths; empty for all nodes except `who`
-    way: Literal["both", "to", "from"] = "both"  # the direction that is cut: to `who` or from it
+    # the other ends of the paths; empty for all nodes except `who`
+    other: list[str] = msgspec.field(default_factory=list)
+    way: Literal["both", "to", "from"] = "both"  # what is cut: data to `who`, from `who`, or both
     for_s: Seconds = 0.0
-    told_s: float = -1.0  # for `vanish`: seconds until discovery publishes it; negative for never
+    # for `vanish`: seconds until discovery publishes that the servers have left; negative for never
+    told_s: float = -1.0
     factor: Positive = 2.0
     share: Share = 0.5
     phase: Literal["active", "leaving", "left"] = "leaving"
@@ -134,24 +140,27 @@
 
 
 class Bound(StrictStruct):
-    """Limits on a figure of the rehearsal, measured over a span."""
+    """Limits on a figure of the rehearsal, measured over a span.
+
+    The worth of requests is the sum of the values of those within their quota.
+    """
 
     what: Literal[
-        "worth",
-        "of_best",
-        "passed",
+        "worth",  # worth served within the response target, as a share of the offered worth
+        "of_best",  # the same, as a share of the worth that the running servers could have served
+        "passed",  # number of requests with this answer, by time of arrival; also the next two
         "denied",
         "aborted",
-        "taken",
-        "ran",
-        "moves",
-        "ready_s",
-        "list_calls",
+        "taken",  # number of requests that arrived
+        "ran",  # number of attempts that servers began to execute
+        "moves",  # number of state changes of zones that limiters logged
+        "ready_s",  # longest time from a limiter's start until it was ready, in the whole rehearsal
+        "list_calls",  # number of calls to discovery
     ]
     since: Seconds = 0.0
     until: Seconds = 0.0  # 0 for the end
-    frontend: str = ""
-    zone: str = ""  # for `ran`: requests started by servers of this zone
+    frontend: str = ""  # for `worth`: only requests of this frontend
+    zone: str = ""  # for `ran`: only attempts at servers of this zone
     at_least: float | None = None
     at_most: float | None = None
 
@@ -166,7 +175,7 @@
     counter: emulator_scenario.Counter = msgspec.field(default_factory=emulator_scenario.Counter)
     discovery: Discovery = msgspec.field(default_factory=Discovery)
     load: Load = msgspec.field(default_factory=Load)
-    known: bool = True  # whether limiters start with a list of the servers
+    known: bool = True  # whether the configuration of limiters has a list of the servers
     plan: str = ""  # path of a site plan relative to the scenario file; empty for none
     frontends: Annotated[list[Frontend], Meta(min_length=1)] = msgspec.field(
         default_factory=lambda: [Frontend(name="look")]
@@ -176,24 +185,24 @@
     )
     faults: list[Fault] = msgspec.field(default_factory=list)
     bounds: list[Bound] = msgspec.field(default_factory=list)
-    quick: dict[str, object] = msgspec.field(
-        default_factory=dict
-    )  # values that --quick sets, with dotted keys for values in tables
+    # values that --quick sets, with dotted keys for values in tables
+    quick: dict[str, object] = msgspec.field(default_factory=dict)
 
     def __post_init__(self) -> None:
         fleet = self.fleet
         for kind in ("plans", "frontends"):
             names = [p.name for p in getattr(self, kind)]
             if len(set(names)) != len(names):
-                raise ScenarioError(f"key '{kind}': two have the same name")
+                raise ScenarioError(f"key '{kind}': two {kind} have the same name")
         if fleet.peers and not fleet.shared:
             raise ScenarioError(
-                "key 'fleet.shared': peers exchange lists, whose addresses must hold for all"
+                "key 'fleet.shared': must be true with fleet.peers, so that limiters exchange "
+                "addresses that are valid for all of them"
             )
         for n, plan in enumerate(self.plans):
             if plan.spread > fleet.limiters:
                 raise ScenarioError(
-                    f"key 'plans[{n}].spread': more than fleet.limiters, {fleet.limiters}"
+                    f"key 'plans[{n}].spread': exceeds fleet.limiters, {fleet.limiters}"
                 )
         for n, fault in enumerate(self.faults):
             prefix = f"key 'faults[{n}]"
@@ -217,8 +226,8 @@
                     for x in nodes(fleet, group):
                         if self.process(x) in processes and x not in chosen:
                             raise ScenarioError(
-                                f"{prefix}.who': {x} shares a process with it; set fleet.apart = "
-                                "true"
+                                f"{prefix}.who': {x} runs in the same process and is not in 'who'; "
+                                "set fleet.apart = true"
                             )
         for n, bound in enumerate(self.bounds):
             if bound.frontend and bound.frontend not in [f.name for f in self.frontends]:
@@ -261,7 +270,12 @@
 
 
 def load(path: str, quick: bool = False, sets: dict[str, object] | None = None) -> Rehearsal:
-    """Reads a scenario file. `quick` applies its table of that name, `sets` further dotted keys.
+    """Reads a scenario file.
+
+    Args:
+        path: The file.
+        quick: Whether to set the values of its table `quick`.
+        sets: Values to set after that, by dotted key.
 
     Raises:
         ScenarioError: The scenario is invalid; names the file and the key.
