--- a/loomstand/testing/rehearsal/child.py
+++ b/loomstand/testing/rehearsal/child.py
@@ -3,7 +3,7 @@
 `python -m loomstand.testing.rehearsal.child ROLE` reads its configuration from the first line of
 its standard input and prints one line when it is ready, which holds the time at which each server
 began to listen. Each further input line is a command. The process exits at the end of its input, so
-it does not outlive the rehearsal however that ends. All messages are JSON objects, one a line.
+it does not outlive the rehearsal however that ends. All messages are JSON objects, one per line.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class EventLog:
-    """Appends events to a file, one JSON array a line: [name, Unix time in s, ...].
+    """Appends events to a file, one JSON array per line: [name, Unix time in s, ...].
 
     Each event is written by one system call without a buffer, so SIGKILL loses no earlier event.
     """
@@ -36,6 +36,7 @@
         self.file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
 
     def __call__(self, name: str, *values: object, at: float | None = None) -> None:
+        """Appends an event at the Unix time `at`, by default now."""
         os.write(
             self.file,
             msgspec.json.encode([name, time.time() if at is None else at, *values]) + b"\n",
--- a/loomstand/testing/rehearsal/discovery.py
+++ b/loomstand/testing/rehearsal/discovery.py
@@ -1,8 +1,8 @@
-"""Stand-in for discovery: whole lists and watches as in PROTOCOL, with addresses for each limiter.
+"""Stand-in for discovery: complete lists and watches as in PROTOCOL, with each limiter's addresses.
 
 It can be late or silent, reject calls above a rate, and return only a share of the list. It sends a
 message on standard output when a limiter has been sent its first list on a watch. Events: `call`
-(limiter, status), `told` (limiter, whether a whole list was sent, [[server, phase, start in Unix
+(limiter, status), `told` (limiter, whether the list is complete, [[server, phase, start in Unix
 ms], ...]).
 """
 
@@ -35,13 +35,16 @@
         self.call_rate, self.tokens, self.refilled_at = config["bears"], config["bears"], 0.0
         self.addresses: list[list[str]] = config["addresses"]  # by limiter and server
         self.members = {n: dict(m) for n, m in enumerate(config["members"])}
-        self.changed = dict.fromkeys(self.members, 1)  # the revision of each member's last change
-        self.revision, self.silent, self.share = 1, False, 1.0
-        self.update = asyncio.Event()
-        self.informed: set[int] = set()  # limiters that were sent a list on a watch
+        self.last_changes = dict.fromkeys(self.members, 1)  # revision by member
+        self.revision, self.is_silent, self.published_share = 1, False, 1.0
+        self.change_event = asyncio.Event()  # set, and replaced, at each change
+        self.informed_limiters: set[int] = set()  # those that were sent a list on a watch
 
     def take_token(self) -> bool:
-        """Takes a token for a call. The bucket holds the tokens of one second."""
+        """Takes a token for a call from a bucket that holds the tokens of one second.
+
+        Returns whether the call is accepted; without a rate limit all are.
+        """
         now = asyncio.get_running_loop().time()
         self.tokens, self.refilled_at = (
             min(self.call_rate, self.tokens + self.call_rate * (now - self.refilled_at)),
@@ -52,21 +55,23 @@
         self.tokens -= (accepted := self.tokens >= 1)
         return accepted
 
-    def list_for(self, limiter: int, since: int, whole: bool) -> dict:
-        """A list of the members that changed after a revision, or a whole list.
+    def list_for(self, limiter: int, since: int, complete: bool) -> dict:
+        """Returns the members that changed after the revision `since`, or a complete list.
 
-        A whole list has the members that have not left, among the published share of all members.
+        A complete list has the published share of all members, without those that have left.
         """
-        candidates = range(ceil(len(self.members) * self.share)) if whole else self.members
+        candidates = (
+            range(ceil(len(self.members) * self.published_share)) if complete else self.members
+        )
         selected = [
             n
             for n in candidates
-            if (self.members[n]["phase"] != LEFT if whole else self.changed[n] > since)
+            if (self.members[n]["phase"] != LEFT if complete else self.last_changes[n] > since)
         ]
         rows = [(n, self.members[n]) for n in selected]
-        self.record("told", limiter, whole, [[n, m["phase"], m["up_since_ms"]] for n, m in rows])
+        self.record("told", limiter, complete, [[n, m["phase"], m["up_since_ms"]] for n, m in rows])
         members = [{**m, "host_port": self.addresses[limiter][n]} for n, m in rows]
-        return {"revision": self.revision, "complete": whole, "members": members}
+        return {"revision": self.revision, "complete": complete, "members": members}
 
     async def serve(
         self, limiter: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -75,7 +80,7 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
                 head, _ = await read_message(reader)
-                if self.silent:
+                if self.is_silent:
                     await reader.read()
                     break
                 watch, accepted = WATCH_CALL(head), self.take_token()
@@ -98,24 +103,27 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Sends changes after a revision, and heartbeats, until the client closes the watch."""
-        whole = not 0 < revision <= self.revision
+        """Sends changes after a revision, and heartbeats, until the client closes the watch.
+
+        A revision that discovery doesn't have gets a complete list first.
+        """
+        complete = not 0 < revision <= self.revision
         closed = asyncio.create_task(reader.read())
         try:
             while not closed.done():
-                update = self.update
-                if self.silent:
+                change_event = self.change_event
+                if self.is_silent:
                     pass
-                elif whole or revision < self.revision:
-                    writer.write(watch_chunk(self.list_for(limiter, revision, whole)))
-                    revision, whole = self.revision, False
-                    if limiter not in self.informed:
-                        self.informed.add(limiter)
+                elif complete or revision < self.revision:
+                    writer.write(watch_chunk(self.list_for(limiter, revision, complete)))
+                    revision, complete = self.revision, False
+                    if limiter not in self.informed_limiters:
+                        self.informed_limiters.add(limiter)
                         send_message(told=limiter)
                 else:
                     writer.write(HEARTBEAT)
                 await writer.drain()
-                waits = [asyncio.create_task(update.wait()), closed]
+                waits = [asyncio.create_task(change_event.wait()), closed]
                 await asyncio.wait(
                     waits, timeout=HEARTBEAT_SECONDS, return_when=asyncio.FIRST_COMPLETED
                 )
@@ -129,13 +137,13 @@
         for row in rows:
             n = row["server"]
             self.members[n].update({k: v for k, v in row.items() if k != "server"})
-            self.changed[n] = self.revision
+            self.last_changes[n] = self.revision
         self.wake_watches()
 
     def wake_watches(self) -> None:
         """Wakes all watches, which then send what has changed."""
-        self.update.set()
-        self.update = asyncio.Event()
+        self.change_event.set()
+        self.change_event = asyncio.Event()
 
     def handle_command(self, command: dict) -> None:
         """Publishes changed members, or applies or undoes a fault."""
@@ -145,12 +153,12 @@
                     self.delay_seconds, self.publish, command["rows"]
                 )
             case "discovery_silent":
-                self.silent = command["on"]
+                self.is_silent = command["on"]
                 self.wake_watches()
             case "discovery_late":
                 self.delay_seconds = command["s"]
             case "discovery_half":
-                self.share = command["share"]
+                self.published_share = command["share"]
             case "discovery_bears":
                 self.call_rate = command["bears"]
 
--- a/loomstand/testing/rehearsal/driver.py
+++ b/loomstand/testing/rehearsal/driver.py
@@ -6,9 +6,9 @@
 If none of the set answers, the customer uses a set that begins in the next zone.
 
 Events: `sent` (request, limiter, customer, plan, frontend, client timeout in s, whether within its
-quota, whether a retry, zone), `got` (request, status or 0 for a broken connection and -1 for no
-answer, whether the body belongs to the request), `front` (zone, limiter, whether it now gets
-requests), `lag` (largest delay of an arrival in s, once a second).
+quota, whether a retry, zone), `got` (request; status, or 0 for a broken connection and -1 for no
+answer; whether the body belongs to the request), `front` (zone, limiter, whether it now gets
+requests), `lag` (largest delay of an arrival behind its schedule in s, once a second).
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from loomstand.testing.rehearsal.scenario import Rehearsal, zone_of
 from loomstand.testing.rehearsal.wire import content_length
 
-LATE_ANSWER_SECONDS = 0.5  # a client waits this long after its timeout, to record late answers
+LATE_ANSWER_SECONDS = 0.5  # clients wait this long after their timeout, to record late answers
 MAX_REQUESTS = 500_000
 MAX_HEALTH_CHECKS_PER_SECOND = 200  # of all zones
 HEALTH_CHECK = b"GET /-/ready HTTP/1.1\r\nHost: front\r\n\r\n"
-BROKEN, NO_ANSWER = 0, -1  # in place of a status
-NO_LIMITER = -1  # no limiter of the set is healthy: the load balancer refuses the request
+BROKEN, NO_ANSWER = 0, -1  # in place of a status: broken connection, no answer in time
+NO_LIMITER = -1  # in place of a limiter: none of the set is healthy, so the request is refused
 
 
 class ClientConnection(asyncio.Protocol):
@@ -39,18 +39,18 @@
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.raw, self.used = b"", 0
+        self.buffer, self.request_count = b"", 0
         self.answer: asyncio.Future[tuple[int, bytes]] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.raw += data
-        head, separator, body = self.raw.partition(b"\r\n\r\n")
+        self.buffer += data
+        head, separator, body = self.buffer.partition(b"\r\n\r\n")
         if not separator or len(body) < (length := content_length(head)):
             return
-        self.raw = body[length:]
+        self.buffer = body[length:]
         if self.answer is not None and not self.answer.done():
             self.answer.set_result((int(head[9:12]), body[:length]))
 
@@ -58,88 +58,98 @@
         if self.answer is not None and not self.answer.done():
             self.answer.set_exception(ConnectionResetError())
 
-    async def request(self, raw: bytes, timeout: float) -> tuple[int, bytes]:
+    async def request(self, raw: bytes, timeout_seconds: float) -> tuple[int, bytes]:
         """Sends a request and returns status and body. Raises ConnectionResetError."""
         self.answer = asyncio.get_running_loop().create_future()
         self.transport.write(raw)
         try:
-            return await asyncio.wait_for(self.answer, timeout)
+            return await asyncio.wait_for(self.answer, timeout_seconds)
         finally:
-            self.used += 1
+            self.request_count += 1
             self.answer = None
 
 
 class LimiterPath:
-    """The connections and health of one limiter as seen by the clients of one zone."""
+    """The connections of the clients of one zone to one limiter, and whether it is healthy."""
 
     def __init__(self, driver: Driver, zone: int, limiter: int, port: int) -> None:
         self.driver, self.zone, self.limiter, self.port = driver, zone, limiter, port
         self.idle: list[ClientConnection] = []
-        # limiters that start with the traffic get requests once they are ready
+        # without an initial list, limiters start with the traffic and get requests once ready
         self.healthy, self.answered_at = driver.rehearsal.known, 0.0
 
-    async def connect(self, timeout: float) -> ClientConnection:
+    async def connect(self, timeout_seconds: float) -> ClientConnection:
         """Opens a connection to the limiter. Raises OSError or TimeoutError."""
         loop = asyncio.get_running_loop()
         connecting = loop.create_connection(ClientConnection, self.driver.host, self.port)
-        return (await asyncio.wait_for(connecting, timeout))[1]
+        return (await asyncio.wait_for(connecting, timeout_seconds))[1]
 
-    async def request(self, raw: bytes, timeout: float) -> tuple[int, bytes]:
-        """Returns status and body; without an answer the status is BROKEN or NO_ANSWER."""
-        end, conn = time.monotonic() + timeout, None
+    async def request(self, raw: bytes, timeout_seconds: float) -> tuple[int, bytes]:
+        """Sends a request and returns status and body.
+
+        Without an answer the status is BROKEN or NO_ANSWER.
+        """
+        deadline, connection = time.monotonic() + timeout_seconds, None
         try:
             while True:
-                while self.idle and conn is None:
+                while self.idle and connection is None:
                     idle = self.idle.pop()
-                    conn = None if idle.transport.is_closing() else idle
-                conn = conn or await self.connect(timeout)
+                    connection = None if idle.transport.is_closing() else idle
+                connection = connection or await self.connect(timeout_seconds)
                 try:
-                    answer = await conn.request(raw, end - time.monotonic())
+                    answer = await connection.request(raw, deadline - time.monotonic())
                 except ConnectionResetError:
-                    if conn.used == 1 or conn.raw:  # its first request, or a partial answer
-                        return BROKEN, b""
+                    if connection.request_count == 1 or connection.buffer:
+                        return BROKEN, b""  # not an idle connection, or part of the answer came
                     # the idle connection was closed while this request was sent: retry on a new one
-                    conn = None
-                    timeout = max(0.01, end - time.monotonic())
+                    connection = None
+                    timeout_seconds = max(0.01, deadline - time.monotonic())
                     self.idle.clear()
                     continue
-                if not conn.transport.is_closing():
-                    self.idle.append(conn)
+                if not connection.transport.is_closing():
+                    self.idle.append(connection)
                 return answer
         except TimeoutError:
-            if conn is not None:
-                conn.transport.abort()
+            if connection is not None:
+                connection.transport.abort()
             return NO_ANSWER, b""
         except OSError:
             return BROKEN, b""
 
-    async def check_health(self, interval: float, notice: float) -> None:
+    async def check_health(self, interval_seconds: float, notice_seconds: float) -> None:
         """Sends health checks while the driver runs.
 
         The limiter gets no more requests when it has answered none for `notice` seconds.
         """
-        await asyncio.sleep(interval * self.driver.rng.random())
+        await asyncio.sleep(interval_seconds * self.driver.rng.random())
         self.answered_at = time.monotonic()
-        while not self.driver.over:
+        while not self.driver.is_over:
             began = time.monotonic()
-            status, _ = await self.request(HEALTH_CHECK, min(notice, 1.0))
+            status, _ = await self.request(HEALTH_CHECK, min(notice_seconds, 1.0))
             now = time.monotonic()
             if status == 200:
                 self.answered_at = now
-            healthy = now - self.answered_at < notice
+            healthy = now - self.answered_at < notice_seconds
             if healthy != self.healthy and (status == 200 or not healthy):
                 self.healthy = healthy
                 self.driver.record("front", self.zone, self.limiter, healthy)
-            await asyncio.sleep(max(0.0, interval - (time.monotonic() - began)))
+            await asyncio.sleep(max(0.0, interval_seconds - (time.monotonic() - began)))
 
 
 class Driver:
-    """The customers whose number modulo the number of drivers is the number of this driver."""
+    """Generates the load of one driver process.
+
+    It sends the requests of the customers whose number modulo `driver_count` is `index`.
+    """
 
     def __init__(self, config: dict) -> None:
         self.rehearsal = rehearsal = msgspec.convert(config["rehearsal"], type=Rehearsal)
-        self.host, self.part, self.parts = config["host"], config["part"], rehearsal.load.drivers
-        self.rng = Random(f"{config['seed']}-{self.part}")
+        self.host, self.index, self.driver_count = (
+            config["host"],
+            config["part"],
+            rehearsal.load.drivers,
+        )
+        self.rng = Random(f"{config['seed']}-{self.index}")
         self.record = EventLog(config["trail"])
         self.limiter_paths = [
             [LimiterPath(self, z, n, port) for n, port in enumerate(row)]
@@ -147,13 +157,13 @@
         ]
         self.traffic = Traffic(rehearsal.plans, rehearsal.frontends, self.rng)
         plan_of = [n for n, p in enumerate(rehearsal.plans) for _ in range(p.customers)]
-        self.quota = [[rehearsal.plans[p].burst, 0.0] for p in plan_of]
+        self.quota_buckets = [[rehearsal.plans[p].burst, 0.0] for p in plan_of]
         self.zones = len(rehearsal.fleet.zones)
-        self.by_zone = [
+        self.limiters_by_zone = [
             [n for n in range(rehearsal.fleet.limiters) if zone_of(rehearsal.fleet, f"l{n}") == z]
             for z in range(self.zones)
         ]
-        self.next, self.over, self.lag = 0, False, 0.0
+        self.request_count, self.is_over, self.max_lag_seconds = 0, False, 0.0
         self.in_flight = 0
 
     def limiters_for(self, customer: int, plan: int) -> tuple[int, int, list[int]]:
@@ -167,7 +177,7 @@
         home = customer % self.zones
         for step in range(self.zones):
             zone = (home + step) % self.zones
-            in_zone = self.by_zone[zone]
+            in_zone = self.limiters_by_zone[zone]
             first = (
                 0
                 if size == n or not in_zone
@@ -182,17 +192,23 @@
                 break
         return first, size, [NO_LIMITER]
 
-    async def send_request(self, plan: int, customer: int, front: int, retry: bool) -> None:
+    async def send_request(
+        self, plan: int, customer: int, frontend_index: int, retry: bool
+    ) -> None:
         """Sends one request, records its answer, and may retry a denied one."""
         rehearsal = self.rehearsal
-        p, frontend, zone = rehearsal.plans[plan], rehearsal.frontends[front], customer % self.zones
+        p, frontend, zone = (
+            rehearsal.plans[plan],
+            rehearsal.frontends[frontend_index],
+            customer % self.zones,
+        )
         first, size, candidates = self.limiters_for(customer, plan)
         limiter = candidates[self.rng.randrange(len(candidates))]
-        bucket = self.quota[customer]
+        bucket = self.quota_buckets[customer]
         within_quota = refill(bucket, p.rate, p.burst, time.time()) >= 1.0
         bucket[0] -= 1.0 if within_quota else 0.0
-        self.next += 1
-        req = (self.part + 1) * 10_000_000 + self.next
+        self.request_count += 1
+        req = (self.index + 1) * 10_000_000 + self.request_count
         method, retry_header = (
             "POST" if frontend.effect == "side_effect" else "GET",
             "Client-Retry: 1\r\n" if retry else "",
@@ -204,13 +220,24 @@
             f"X-Call-Terms: units=1,spread={size},first={first}\r\n{retry_header}"
             "Content-Length: 0\r\n\r\n"
         ).encode()
-        timeout = frontend.client_timeout_ms / 1000
-        self.record("sent", req, limiter, customer, plan, front, timeout, within_quota, retry, zone)
+        timeout_seconds = frontend.client_timeout_ms / 1000
+        self.record(
+            "sent",
+            req,
+            limiter,
+            customer,
+            plan,
+            frontend_index,
+            timeout_seconds,
+            within_quota,
+            retry,
+            zone,
+        )
         self.in_flight += 1
         status, body = BROKEN, b""
         if limiter != NO_LIMITER:
             status, body = await self.limiter_paths[zone][limiter].request(
-                raw, timeout + LATE_ANSWER_SECONDS
+                raw, timeout_seconds + LATE_ANSWER_SECONDS
             )
         self.in_flight -= 1
         self.record("got", req, status, status != 200 or body.startswith(b"%d ran at " % req))
@@ -218,43 +245,44 @@
             status in (429, 503)
             and rehearsal.load.retry
             and self.rng.random() < rehearsal.load.retry
-            and not self.over
+            and not self.is_over
         ):
             await asyncio.sleep(
                 self.rng.expovariate(1000 / max(1.0, rehearsal.load.retry_after_ms))
             )
-            await self.send_request(plan, customer, front, True)
+            await self.send_request(plan, customer, frontend_index, True)
 
     async def generate_arrivals(self, plan: int, began: float) -> None:
         """Sends the requests of one plan at random times until the end of the rehearsal."""
         rehearsal, due = self.rehearsal, began
-        while self.next < MAX_REQUESTS:
-            rate = self.traffic.rate(plan) / self.parts
+        while self.request_count < MAX_REQUESTS:
+            rate = self.traffic.rate(plan) / self.driver_count
             due += self.rng.expovariate(max(rate, 0.1))
             if due >= began + rehearsal.seconds:
                 return
             wait = due - time.time()
             if wait > 0:
                 await asyncio.sleep(wait)
-            self.lag = max(self.lag, time.time() - due)
+            self.max_lag_seconds = max(self.max_lag_seconds, time.time() - due)
             if rate > 0:
                 customer = self.traffic.draw_customer(plan)
-                customer -= customer % self.parts - self.part  # a customer of this driver
+                customer -= customer % self.driver_count - self.index  # a customer of this driver
                 if customer < self.traffic.first_customers[plan] + rehearsal.plans[plan].customers:
                     spawn(self.send_request(plan, customer, self.traffic.draw_frontend(), False))
 
     async def run(self, began: float) -> None:
-        """Runs the load from `began` (Unix s) and reports `done` after the last answer."""
+        """Runs the load from `began` (Unix s) and sends `done` after the last answer."""
         rehearsal = self.rehearsal
-        for bucket in self.quota:
+        for bucket in self.quota_buckets:
             bucket[1] = began
         paths = [path for row in self.limiter_paths for path in row]
-        interval = max(
-            rehearsal.load.notice_s / 3, len(paths) * self.parts / MAX_HEALTH_CHECKS_PER_SECOND
+        interval_seconds = max(
+            rehearsal.load.notice_s / 3,
+            len(paths) * self.driver_count / MAX_HEALTH_CHECKS_PER_SECOND,
         )
-        notice = max(rehearsal.load.notice_s, 2 * interval)
+        notice_seconds = max(rehearsal.load.notice_s, 2 * interval_seconds)
         for path in paths:
-            spawn(path.check_health(interval, notice))
+            spawn(path.check_health(interval_seconds, notice_seconds))
         spawn(self.record_lag())
         await asyncio.gather(
             *(self.generate_arrivals(n, began) for n in range(len(rehearsal.plans)))
@@ -264,18 +292,18 @@
             + LATE_ANSWER_SECONDS
         )
         await asyncio.sleep(max(0.0, began + rehearsal.seconds - time.time()))
-        self.over = True
-        end = time.monotonic() + longest_wait + 0.5
-        while self.in_flight and time.monotonic() < end:
+        self.is_over = True
+        deadline = time.monotonic() + longest_wait + 0.5
+        while self.in_flight and time.monotonic() < deadline:
             await asyncio.sleep(0.02)
         send_message(done=True)
 
     async def record_lag(self) -> None:
-        """Records once a second by how many seconds requests were sent late at most."""
-        while not self.over:
+        """Records once a second the largest delay of an arrival in that second."""
+        while not self.is_over:
             await asyncio.sleep(1.0)
-            self.record("lag", self.lag)
-            self.lag = 0.0
+            self.record("lag", self.max_lag_seconds)
+            self.max_lag_seconds = 0.0
 
     def handle_command(self, command: dict) -> None:
         """Starts the load or changes the demand of a plan."""
--- a/loomstand/testing/rehearsal/links.py
+++ b/loomstand/testing/rehearsal/links.py
@@ -15,19 +15,22 @@
 from collections import deque
 
 BACKLOG = 256
-BACKLOG_FILLERS = 3  # connections: a backlog of 0 holds one; the others are a margin
+BACKLOG_FILLERS = 3  # connections; a backlog of 0 holds one, the others are a margin
 
 
 class LinkEnd(asyncio.Protocol):
-    """One of the two sockets of a forwarded connection; `forth` for the one facing the client."""
+    """One of the two sockets of a forwarded connection.
+
+    `forth` is the direction of the data that it reads: True for data from the client to the target.
+    """
 
     def __init__(self, link: Link, forth: bool) -> None:
         self.link, self.forth = link, forth
         self.transport: asyncio.Transport | None = None
         self.peer: LinkEnd | None = None
-        # read before the peer was connected or during a cut; None for the end of input
-        self.waiting: deque[bytes | None] = deque()
-        self.eof_sent = False  # whether its end of input has been forwarded
+        # data read before the peer was connected or during a cut; None for the end of input
+        self.pending: deque[bytes | None] = deque()
+        self.eof_sent = False  # whether the end of its input has been forwarded
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -45,33 +48,35 @@
 
     def forward(self, item: bytes | None) -> None:
         """Passes bytes, or None for the end of input, to the peer after the delay of the link."""
-        if self.link.delay:
-            asyncio.get_running_loop().call_later(self.link.delay, self.enqueue, item)
+        if self.link.delay_seconds:
+            asyncio.get_running_loop().call_later(self.link.delay_seconds, self.enqueue, item)
         else:
             self.enqueue(item)
 
     def enqueue(self, item: bytes | None) -> None:
         """Appends an item to those that wait for the peer and writes what may be written."""
-        self.waiting.append(item)
+        self.pending.append(item)
         self.flush()
 
     def flush(self) -> None:
         """Writes the waiting items to the peer unless the direction is cut."""
         if self.link.is_cut(self.forth) or self.peer is None or self.peer.transport is None:
             return
-        while self.waiting:
-            item = self.waiting.popleft()
+        while self.pending:
+            item = self.pending.popleft()
             target = self.peer.transport
             if target.is_closing():
                 continue
             if item is not None:
                 target.write(item)
             elif target.can_write_eof():
-                # the socket may be reset already without a report by the event loop yet
+                # the socket may have been reset before the event loop has reported it
                 with contextlib.suppress(OSError):
                     target.write_eof()
                 self.eof_sent = True
-                if self.peer.eof_sent:  # both directions have ended; asyncio would not close them
+                if (
+                    self.peer.eof_sent
+                ):  # asyncio does not close the sockets when both directions have ended
                     target.close()
                     self.transport.close()
 
@@ -79,7 +84,7 @@
         self.link.ends.discard(self)
         if self.peer is not None and self.peer.transport is not None:
             asyncio.get_running_loop().call_later(
-                self.link.delay, self.link.peer_closed, self.peer, error
+                self.link.delay_seconds, self.link.peer_closed, self.peer, error
             )
 
 
@@ -87,33 +92,34 @@
     """One path: its listener, its connections and its faults."""
 
     def __init__(self, spec: dict, host: str) -> None:
-        self.name, self.host, self.port, self.to = spec["name"], host, spec["port"], spec["to"]
+        self.name, self.host, self.port, self.target = spec["name"], host, spec["port"], spec["to"]
         self.ends: set[LinkEnd] = set()
-        self.cut: set[bool] = set()  # directions that are cut; True for forth
-        self.delay = 0.0
-        self.fillers: list[socket.socket] = []
-        self.sock: socket.socket | None = None
+        self.cut_directions: set[bool] = set()  # True for data from the client to the target
+        self.delay_seconds = 0.0
+        self.backlog_fillers: list[socket.socket] = []
+        self.listener: socket.socket | None = None
         # connections to close when the cut ends, and whether by a reset
         self.pending_closes: list[tuple[LinkEnd, bool]] = []
 
     async def listen(self) -> None:
-        self.sock = socket.socket()
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.sock.setblocking(False)
-        self.sock.bind((self.host, self.port))
-        self.sock.listen(BACKLOG)
+        """Starts to accept connections."""
+        self.listener = socket.socket()
+        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.listener.setblocking(False)
+        self.listener.bind((self.host, self.port))
+        self.listener.listen(BACKLOG)
         self.accept_connections()
 
     def accept_connections(self) -> None:
         """Accepts connections whenever the listener is readable."""
-        asyncio.get_running_loop().add_reader(self.sock, self.accept)
+        asyncio.get_running_loop().add_reader(self.listener, self.accept)
 
     def accept(self) -> None:
         """Accepts the connections in the backlog."""
         loop = asyncio.get_running_loop()
         for _ in range(BACKLOG):
             try:
-                conn, _ = self.sock.accept()
+                conn, _ = self.listener.accept()
             except OSError:
                 return
             conn.setblocking(False)
@@ -126,9 +132,9 @@
     async def _connect_target(self, link_end: LinkEnd) -> None:
         target_end = LinkEnd(self, False)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: target_end, *self.to)
+            await asyncio.get_running_loop().create_connection(lambda: target_end, *self.target)
         except OSError:
-            if not self.cut:
+            if not self.cut_directions:
                 abort(link_end)
             return
         target_end.peer, link_end.peer = link_end, target_end
@@ -137,35 +143,38 @@
         link_end.flush()
 
     def is_cut(self, forth: bool) -> bool:
-        return forth in self.cut
+        """Returns whether a direction is cut."""
+        return forth in self.cut_directions
 
     def peer_closed(self, link_end: LinkEnd, error: Exception | None) -> None:
-        """Closes the other end of a closed connection, after the cut if that direction is cut."""
+        """Closes the other end of a closed connection, after the end of a cut of that direction."""
         if self.is_cut(not link_end.forth):
             self.pending_closes.append((link_end, error is not None))
         else:
             close(link_end, error is not None)
 
     def block(self, forth: bool, back: bool) -> None:
-        """Cuts the given directions; new connections wait until `heal`."""
-        self.cut = {direction for direction, is_cut in ((True, forth), (False, back)) if is_cut}
-        if self.cut and not self.fillers:
-            asyncio.get_running_loop().remove_reader(self.sock)
-            self.sock.listen(0)
+        """Cuts the directions that are set; new connections wait until `heal`."""
+        self.cut_directions = {
+            direction for direction, is_cut in ((True, forth), (False, back)) if is_cut
+        }
+        if self.cut_directions and not self.backlog_fillers:
+            asyncio.get_running_loop().remove_reader(self.listener)
+            self.listener.listen(0)
             for _ in range(BACKLOG_FILLERS):
                 sock = socket.socket()
                 sock.setblocking(False)
                 sock.connect_ex((self.host, self.port))
-                self.fillers.append(sock)
+                self.backlog_fillers.append(sock)
 
     def heal(self) -> None:
         """Ends the cut: forwards waiting bytes and closes the connections that ended during it."""
-        self.cut = set()
-        if self.fillers:
-            for sock in self.fillers:
+        self.cut_directions = set()
+        if self.backlog_fillers:
+            for sock in self.backlog_fillers:
                 sock.close()
-            self.fillers = []
-            self.sock.listen(BACKLOG)
+            self.backlog_fillers = []
+            self.listener.listen(BACKLOG)
             self.accept_connections()
         for link_end in list(self.ends):
             link_end.flush()
@@ -183,42 +192,44 @@
 
 
 class Relay(asyncio.DatagramProtocol):
-    """Forwards the datagrams of one limiter to another. It sends them from the socket of the relay
+    """Forwards the datagrams of one limiter to another. They are sent from the socket of the relay
     for the opposite direction, so that they come from the address that the receiver has for the
     sender.
     """
 
     def __init__(self, spec: dict, host: str, relays: dict[str, Relay]) -> None:
-        self.name, self.host, self.port, self.to = (
+        self.name, self.host, self.port, self.target = (
             spec["name"],
             host,
             spec["port"],
             tuple(spec["to"]),
         )
         self.opposite, self.relays = spec["back"], relays
-        self.cut, self.delay = False, 0.0
+        self.is_blocked, self.delay_seconds = False, 0.0
         self.transport: asyncio.DatagramTransport | None = None
 
     async def listen(self) -> None:
+        """Starts to receive datagrams."""
         loop = asyncio.get_running_loop()
         self.transport, _ = await loop.create_datagram_endpoint(
             lambda: self, (self.host, self.port)
         )
 
     def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
-        if not self.cut:
-            asyncio.get_running_loop().call_later(self.delay, self.forward, data)
+        if not self.is_blocked:
+            asyncio.get_running_loop().call_later(self.delay_seconds, self.forward, data)
 
     def forward(self, data: bytes) -> None:
         """Sends a datagram from the socket of the opposite relay."""
-        self.relays[self.opposite].transport.sendto(data, self.to)
+        self.relays[self.opposite].transport.sendto(data, self.target)
 
     def block(self, forth: bool, back: bool) -> None:
         """Drops datagrams until `heal` if `forth` is set."""
-        self.cut = forth  # datagrams are dropped; `back` is the other relay
+        self.is_blocked = forth  # the relay of the opposite direction handles `back`
 
     def heal(self) -> None:
-        self.cut = False
+        """Forwards datagrams again."""
+        self.is_blocked = False
 
     def reset(self) -> None:
         """Does nothing: datagrams have no connections."""
@@ -233,7 +244,7 @@
 
 
 def abort(connection: LinkEnd) -> None:
-    """Closes a connection with a reset."""
+    """Closes a connection with a reset, also that of a server (`servers.ServerConnection`)."""
     if connection.transport is not None:
         sock = connection.transport.get_extra_info("socket")
         with contextlib.suppress(OSError):
@@ -274,6 +285,6 @@
                 case "reset":
                     link.reset()
                 case "delay":
-                    link.delay = command["s"]
+                    link.delay_seconds = command["s"]
 
     return handle_command
--- a/loomstand/testing/rehearsal/servers.py
+++ b/loomstand/testing/rehearsal/servers.py
@@ -1,10 +1,12 @@
 """Stand-in servers as in PROTOCOL, one process for each server or for all servers of a zone.
 
-A server has slots, a queue, a cold start and a connection limit, and can be slow or answer errors.
+A server has slots for concurrent requests, a queue, a slow start and a connection limit, and can be
+slow or answer with errors.
 Events: `run` (request, server, frontend, time of the first byte), `end` (request, server, `ran` or
-`failed`, whether the connection was still open), `gone` (request, server: the connection was closed
-while the request ran), `fall` (server, requests received, requests it can take); twice a second
-`load` (server, running, waiting, slots) and `opened` (server, new connections).
+`failed`, whether the connection was still open), `gone` (request, server; the connection was closed
+while the request ran), `fall` (server, requests received, limit; a cold server crashed because it
+received more requests than the limit in `COLD_WINDOW_SECONDS`); twice a second `load` (server,
+requests running, requests queued, slots) and `opened` (server, new connections).
 """
 
 from __future__ import annotations
@@ -30,12 +32,14 @@
 
 
 class Attempt:
-    """A request that a server runs or has queued."""
+    """A request that a server runs or has queued; `first_byte_at` is its arrival (Unix s)."""
 
-    __slots__ = ("connection", "frontend", "id", "since")
+    __slots__ = ("connection", "first_byte_at", "frontend", "id")
 
-    def __init__(self, id_: int, frontend: int, since: float, connection: ServerConnection) -> None:
-        self.id, self.frontend, self.since = id_, frontend, since
+    def __init__(
+        self, id_: int, frontend: int, first_byte_at: float, connection: ServerConnection
+    ) -> None:
+        self.id, self.frontend, self.first_byte_at = id_, frontend, first_byte_at
         self.connection: ServerConnection | None = connection
 
 
@@ -43,29 +47,29 @@
     """A connection to a server: one request at a time."""
 
     def __init__(self, server: Server) -> None:
-        self.server, self.raw, self.since = server, b"", 0.0
+        self.server, self.buffer, self.first_byte_at = server, b"", 0.0
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport, server = transport, self.server
-        server.opened += 1
+        server.new_connections += 1
         if server.crashed or (
             server.max_connections and len(server.connections) >= server.max_connections
         ):
-            abort(self)  # the connection limit is reached
+            abort(self)
             return
         server.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        if not self.raw:
-            self.since = time.time()
-        self.raw += data
-        head, separator, body = self.raw.partition(b"\r\n\r\n")
+        if not self.buffer:
+            self.first_byte_at = time.time()
+        self.buffer += data
+        head, separator, body = self.buffer.partition(b"\r\n\r\n")
         if not separator or len(body) < (length := content_length(head)):
             return
-        self.raw = body[length:]
-        self.server.handle_request(self, head, self.since)
+        self.buffer = body[length:]
+        self.server.handle_request(self, head, self.first_byte_at)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.server.connections.discard(self)
@@ -84,55 +88,61 @@
     """One stand-in server."""
 
     def __init__(self, index: int, port: int, group: ServerGroup) -> None:
-        self.index, self.port, self.booted, self.group = index, port, 0.0, group
-        self.max_connections, self.opened = group.rehearsal.fleet.connections, 0
+        self.index, self.port, self.started_at, self.group = index, port, 0.0, group
+        self.max_connections, self.new_connections = group.rehearsal.fleet.connections, 0
         self.connections: set[ServerConnection] = set()
         self.working: set[Attempt] = set()
         self.queue: deque[Attempt] = deque()
-        self.recent: deque[float] = deque()
+        self.recent_arrivals: deque[float] = deque()
         self.slowdown, self.failed_share, self.crashed = 1.0, 0.0, False
         self.listener: asyncio.AbstractServer | None = None
 
     async def listen(self, cold: bool) -> float:
-        """Listens and returns the start time (Unix s; 0 for long ago).
+        """Listens and returns the start time (Unix s; 0 for a server that is not cold).
 
         The start time of a cold server is the moment it listens, not that of its process: on a
         loaded machine Python may start so slowly that the server would be warm by its first
         request.
         """
         loop = asyncio.get_running_loop()
-        self.booted = time.time() if cold else 0.0
+        self.started_at = time.time() if cold else 0.0
         self.listener = await loop.create_server(
             lambda: ServerConnection(self), self.group.host, self.port
         )
-        return self.booted
+        return self.started_at
 
     def warmth(self) -> float:
-        """Returns the warmth of the server, 1 when fully warm."""
-        return self.group.rehearsal.fleet.warmth(time.time() - self.booted) if self.booted else 1.0
+        """Returns the share of its capacity that the server has now, by its slow start."""
+        return (
+            self.group.rehearsal.fleet.warmth(time.time() - self.started_at)
+            if self.started_at
+            else 1.0
+        )
 
     def slots(self) -> int:
         """Returns the number of requests that the server runs at once."""
         return self.group.rehearsal.fleet.concurrency(self.warmth())
 
-    def handle_request(self, connection: ServerConnection, head: bytes, since: float) -> None:
+    def handle_request(
+        self, connection: ServerConnection, head: bytes, first_byte_at: float
+    ) -> None:
         """Starts, queues or rejects a request; overload while cold crashes the server."""
         group, now, warmth = self.group, time.time(), self.warmth()
         id_, frontend = REQUEST_ID(head), REQUEST_CLASS(head)
         if id_ is None or frontend is None or frontend[1] not in group.frontends:
             connection.answer(http_response(404))
             return
-        attempt = Attempt(int(id_[1]), group.frontends[frontend[1]], since, connection)
+        attempt = Attempt(int(id_[1]), group.frontends[frontend[1]], first_byte_at, connection)
         if warmth < 1.0:
-            self.recent.append(now)
-            while self.recent[0] <= now - COLD_WINDOW_SECONDS:
-                self.recent.popleft()
+            self.recent_arrivals.append(now)
+            while self.recent_arrivals[0] <= now - COLD_WINDOW_SECONDS:
+                self.recent_arrivals.popleft()
             limit = (
                 group.rehearsal.fleet.overload_rate(warmth, group.mean_work_ms)
                 * COLD_WINDOW_SECONDS
             )
-            if len(self.recent) > max(2.0, limit):
-                group.record("fall", self.index, len(self.recent), limit)
+            if len(self.recent_arrivals) > max(2.0, limit):
+                group.record("fall", self.index, len(self.recent_arrivals), limit)
                 self.crash()
                 return
         if len(self.working) + len(self.queue) >= self.slots() + group.rehearsal.fleet.queue:
@@ -145,9 +155,9 @@
             self.queue.append(attempt)
 
     def start_work(self, attempt: Attempt) -> None:
-        """Runs an attempt; it ends after a random time around the work of its frontend."""
+        """Runs an attempt; it ends after a random time around the `work_ms` of its frontend."""
         group, frontend = self.group, self.group.rehearsal.frontends[attempt.frontend]
-        group.record("run", attempt.id, self.index, attempt.frontend, attempt.since)
+        group.record("run", attempt.id, self.index, attempt.frontend, attempt.first_byte_at)
         self.working.add(attempt)
         spread = frontend.work_spread
         work = frontend.work_ms / 1000 * self.slowdown * group.rng.uniform(1 - spread, 1 + spread)
@@ -205,8 +215,8 @@
         for s in self.servers.values():
             if not s.crashed:
                 self.record("load", s.index, len(s.working), len(s.queue), s.slots())
-                self.record("opened", s.index, s.opened)
-                s.opened = 0
+                self.record("opened", s.index, s.new_connections)
+                s.new_connections = 0
 
     def handle_command(self, command: dict) -> None:
         """Applies or undoes a fault of servers."""
@@ -223,7 +233,7 @@
 
     Keys of `config`: `rehearsal`, `host`, `seed`, `trail` (path of the event log) and `servers`,
     each with `index`, `port`, `cold` (whether it has just started). Sets the key `booted` to the
-    start times by index (Unix s, 0 for long ago).
+    start times by index (Unix s, 0 for servers that are not cold).
     """
     group = ServerGroup(config)
     config["booted"] = {
