--- a/loomstand/testing/rehearsal/runner.py
+++ b/loomstand/testing/rehearsal/runner.py
@@ -30,21 +30,24 @@
 
 # the largest rehearsals take about 10 s to start
 START_TIMEOUT_SECONDS = 30.0
-# for a limiter to exit after SIGTERM: the longest client timeout, and the margin of PROTOCOL
+# from SIGTERM to a limiter's exit: the longest client timeout plus the margin of PROTOCOL
 STOP_TIMEOUT_SECONDS = 4.0
 PR_SET_PDEATHSIG = 1
-MAX_RELAYED_LIMITERS = 24  # needs 552 relays; in larger fleets peers send to each other directly
-ROOT = Path(__file__).parents[3]
-# of a limiter: without PROXY_ variables, which would override its configuration file
+# One relay for each ordered pair, 552 for this number. In larger fleets peers send to each other
+# directly.
+MAX_RELAYED_LIMITERS = 24
+ROOT = Path(__file__).parents[3]  # of the repository
+# for all processes: without PROXY_ variables, which would override a limiter's configuration file
 ENVIRONMENT = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")} | {
     "PYTHONPATH": str(ROOT)
 }
+# command of the limiter under test; `--config FILE` is appended
 LIMITER = (sys.executable, "-m", "loomstand", "serve")
 LIBC = ctypes.CDLL(None, use_errno=True)
 
 
 class RehearsalError(RuntimeError):
-    """A process did not start, exited unexpectedly or missed a deadline; names the process."""
+    """A process did not start, exited unexpectedly or missed a deadline; the text names it."""
 
 
 def die_with_parent() -> None:
@@ -61,12 +64,16 @@
     start: Callable[[], object]  # coroutine function that starts the process
     process: asyncio.subprocess.Process | None = None
     planned: bool = False  # whether the rehearsal requested its exit
+    # set when a driver reports the end of its load
     done: asyncio.Event = field(default_factory=asyncio.Event)
-    started: asyncio.Event = field(default_factory=asyncio.Event)  # for the first time
-    received_list: asyncio.Event = field(default_factory=asyncio.Event)  # from discovery
+    # set at the first start
+    started: asyncio.Event = field(default_factory=asyncio.Event)
+    # set when discovery reports that it has sent a list to this limiter
+    received_list: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def alive(self) -> bool:
+        """Whether the process has started and not exited."""
         return self.process is not None and self.process.returncode is None
 
     def send_command(self, **command: object) -> None:
@@ -83,11 +90,12 @@
 
 
 class RehearsalRunner:
-    """The processes of one rehearsal. Their event logs, log output and configurations are written
-    to the folder `out`.
+    """The processes of one rehearsal, whose nodes are limiters `l0`, `l1`, ..., servers `s0`, ...,
+    the counter, discovery and the clients of each zone. Event logs, log output and configurations
+    are written to the folder `out`.
     """
 
-    count = 0
+    created = 0  # number of instances in this process
 
     def __init__(
         self,
@@ -104,23 +112,23 @@
             plan,
             program,
         )
-        RehearsalRunner.count += 1
+        RehearsalRunner.created += 1
         # differs from the addresses of other rehearsals in this process
-        self.host = wire.own_host(9 + RehearsalRunner.count % 240)
+        self.host = wire.own_host(9 + RehearsalRunner.created % 240)
         self.events_folder = out / "trail"
         self.events_folder.mkdir(parents=True, exist_ok=True)
         self.record = EventLog(str(self.events_folder / "stage.jsonl"))
         fleet = rehearsal.fleet
         self.limiters = nodes(fleet, "limiters")
         self.processes: dict[str, ManagedProcess] = {}
-        self.paths: dict[tuple[str, str], str] = {}  # (from, to) -> name of the link
-        self.starts: dict[str, int] = {}
-        # Unix s when each server began to listen; 0 for long ago
-        self.booted = [0.0] * fleet.servers
-        self.cold = [fleet.cold] * fleet.servers
-        self.began = 0.0
+        self.paths: dict[tuple[str, str], str] = {}  # name of the link by (from, to)
+        self.start_counts: dict[str, int] = {}  # starts of each limiter so far
+        # by server: Unix s at which it began to listen; 0 if it was warm from the start
+        self.server_started_at = [0.0] * fleet.servers
+        self.starts_cold = [fleet.cold] * fleet.servers  # by server, for its next start
+        self.began = 0.0  # Unix s of the first traffic
         self.failed: asyncio.Future[None] | None = None
-        self.cuts: list[Fault] = []  # in force now
+        self.active_cuts: list[Fault] = []  # faults `cut` and `vanish` in force now
         # indices of faults whose condition `once` has not been met yet
         self.awaited = {n for n, fault in enumerate(rehearsal.faults) if fault.once}
         self.tasks: set[asyncio.Task] = set()
@@ -129,7 +137,7 @@
     # ports and addresses
 
     def allocate_ports(self) -> None:
-        """Finds free ports for all listeners. Each path between two nodes has its own link."""
+        """Finds free ports for all listeners and for the link of each path between two nodes."""
         f = self.rehearsal.fleet
         limiters, servers = range(f.limiters), range(f.servers)
         callers = [SHARED] if f.shared else [f"l{n}" for n in limiters]
@@ -147,8 +155,7 @@
             for m in servers
             if f.shared
         }
-        # between peers: a relay for each pair, or the addresses of the peers in fleets that would
-        # need too many relays
+        # a relay for each ordered pair of peers, unless the fleet would need too many
         self.relays = [(f"l{n}", f"l{m}") for n in limiters for m in limiters if n != m and f.peers]
         if f.limiters > MAX_RELAYED_LIMITERS:
             self.relays = []
@@ -166,12 +173,12 @@
     def member(self, server: int) -> dict[str, object]:
         """The server's entry in the list of discovery."""
         f = self.rehearsal.fleet
-        up = round(self.booted[server] * 1000)
+        up = round(self.server_started_at[server] * 1000)
         zone = f.zones[zone_of(f, f"s{server}")]
         return {"id": f"s{server}", "locality": zone, "phase": "active", "up_since_ms": up}
 
     def address(self, *pair: str) -> str:
-        """Returns host and port of the link of a path."""
+        """Returns the address of the link of a path, as HOST:PORT."""
         return f"{self.host}:{self.link_ports[pair]}"
 
     # starting
@@ -190,7 +197,14 @@
     async def start_child(
         self, role: str, name: str, nodes_: list[str], config: Callable[[], dict]
     ) -> None:
-        """Starts a stand-in, the links or a driver; `config` is called at each start."""
+        """Starts a stand-in, the links or a driver.
+
+        Args:
+            role: Its role in `child.ROLES`.
+            name: Name of the process.
+            nodes_: The nodes that the process runs.
+            config: Returns its configuration; called at each start.
+        """
         command, pipe = (
             [sys.executable, "-m", "loomstand.testing.rehearsal.child", role],
             asyncio.subprocess.PIPE,
@@ -207,7 +221,7 @@
             if b"ready" not in line:
                 raise RehearsalError(f"{name} did not start; see {self.out / 'log' / name}")
             for m, at in msgspec.json.decode(line)["booted"].items():
-                self.booted[int(m)] = at
+                self.server_started_at[int(m)] = at
             return process
 
         await self.start_process(ManagedProcess(name, nodes_, start))
@@ -234,13 +248,14 @@
         known_members = [
             {**self.member(m), "host_port": self.address(name, f"s{m}")} for m in range(f.servers)
         ]
-        self.starts[name] = self.starts.get(name, 0) + 1
+        self.start_counts[name] = self.start_counts.get(name, 0) + 1
+        limiter_rng = random.Random(f"{self.seed}-{name}-{self.start_counts[name]}")
         config = {
             "name": name,
             "listen": f"{self.host}:{self.listen_ports[name]}",
             "discovery": self.address(name, "discovery"),
             "counter": self.address(name, "counter"),
-            "seed": f"{random.Random(f'{self.seed}-{name}-{self.starts[name]}').getrandbits(48):x}",
+            "seed": f"{limiter_rng.getrandbits(48):x}",
             "limits": {"sockets": f.sockets},
             "known": {"revision": 1, "complete": True, "members": known_members}
             if rehearsal.known
@@ -270,7 +285,7 @@
 
     async def launch(self, proc: ManagedProcess) -> None:
         """Starts a process and a task that detects its unexpected exit."""
-        # taken before the start: an event loop that starts many processes resumes late
+        # taken before the start: while many processes start, the event loop may resume late
         began = time.time()
         proc.process = await proc.start()
         proc.planned = False
@@ -281,7 +296,7 @@
     async def watch_process(
         self, proc: ManagedProcess, process: asyncio.subprocess.Process
     ) -> None:
-        """Reads a process's messages until it exits, and records the exit."""
+        """Reads the messages of a process until it exits, and records the exit."""
         if process.stdout is not None:
             while line := await process.stdout.readline():
                 message = msgspec.json.decode(line)
@@ -306,9 +321,9 @@
         return task
 
     async def start_all(self) -> None:
-        """Starts all processes and waits until each limiter is ready; limiters of scenarios without
-        an initial list start in `run`. Servers start before discovery and the limiters, whose lists
-        hold the start times of the servers.
+        """Starts all processes and waits until each limiter is ready. If the limiters have
+        no initial list, they start in `run` instead. Servers start before discovery and the
+        limiters, because the lists of both hold the start times of the servers.
         """
         self.failed = asyncio.get_running_loop().create_future()
         rehearsal, f = self.rehearsal, self.rehearsal.fleet
@@ -348,7 +363,11 @@
                 lambda group=group: {
                     "rehearsal": rehearsal_table,
                     "servers": [
-                        {"index": m, "port": self.listen_ports[f"s{m}"], "cold": self.cold[m]}
+                        {
+                            "index": m,
+                            "port": self.listen_ports[f"s{m}"],
+                            "cold": self.starts_cold[m],
+                        }
                         for m in group
                     ],
                 },
@@ -427,9 +446,9 @@
             driver.send_command(do="begin", at=self.began)
         if not rehearsal.known:  # all limiters start with the traffic and without a list
             for n in range(rehearsal.fleet.limiters):
-                self.spawn(self.guarded(self.start_limiter_and_wait(n)))
+                self.spawn(self.fail_on_error(self.start_limiter_and_wait(n)))
         for n, fault in enumerate(rehearsal.faults):
-            self.spawn(self.guarded(self.run_fault(n, fault)))
+            self.spawn(self.fail_on_error(self.run_fault(n, fault)))
         drivers_done = asyncio.gather(*(d.done.wait() for d in drivers))
         longest_timeout = max(g.client_timeout_ms for g in rehearsal.frontends) / 1000
         deadline = self.began + rehearsal.seconds + longest_timeout + 10
@@ -456,8 +475,8 @@
         await self.start_limiter(n)
         await self.wait_ready(n, START_TIMEOUT_SECONDS + self.rehearsal.seconds)
 
-    async def guarded(self, work) -> None:
-        """Awaits a coroutine; its exception fails the rehearsal."""
+    async def fail_on_error(self, work) -> None:
+        """Awaits a coroutine; an exception of it fails the rehearsal."""
         try:
             await work
         except Exception as error:
@@ -471,7 +490,11 @@
         await asyncio.sleep(max(0.0, self.began + second - time.time()))
 
     async def run_fault(self, n: int, fault: Fault) -> None:
-        """Applies a fault at its time and undoes it after its duration."""
+        """Applies a fault at its time and undoes it after its duration.
+
+        The methods `do_NAME` and `undo_NAME` apply and undo a fault of links, processes or lists;
+        the other faults are commands to a stand-in.
+        """
         await self.sleep_until(fault.at)
         since = fault.at
         if fault.once:
@@ -514,7 +537,7 @@
         return [int(x[1:]) for x in self.nodes_of(fault) if x[0] == "s"]
 
     def command_stand_in(self, fault: Fault, on: bool) -> None:
-        """Applies or undoes a fault that is a command to the stand-ins or drivers."""
+        """Commands the stand-ins or drivers to apply a fault, or to undo it if `on` is False."""
         rehearsal, factor = self.rehearsal, fault.factor
         match fault.do:
             case "counter_slow":
@@ -561,7 +584,10 @@
         ]
 
     def paths_of(self, fault: Fault) -> list[tuple[str, str]]:
-        """The paths that a fault on links affects. Clients of a zone are on its side of a cut."""
+        """The paths that a fault on links affects.
+
+        A cut that selects all limiters of a zone leaves the clients of the zone connected to them.
+        """
         selected = set(self.nodes_of(fault))
         f = self.rehearsal.fleet
         if fault.do == "cut" and not fault.other:
@@ -578,9 +604,9 @@
         )
 
     def apply_cuts(self, paths: list[tuple[str, str]]) -> None:
-        """Sends the links the directions that all cuts in force block together."""
+        """Sends to the links of the paths the directions that the active cuts block together."""
         blocked: dict[tuple[str, str], set[str]] = {p: set() for p in paths}
-        for fault in self.cuts:
+        for fault in self.active_cuts:
             selected = set(self.nodes_of(fault))
             for pair in self.paths_of(fault):
                 if pair in blocked:
@@ -603,11 +629,11 @@
         self.record("cut", [[*p, sorted(d)] for p, d in blocked.items()])
 
     async def do_cut(self, fault: Fault) -> None:
-        self.cuts.append(fault)
+        self.active_cuts.append(fault)
         self.apply_cuts(self.paths_of(fault))
 
     async def undo_cut(self, fault: Fault) -> None:
-        self.cuts = [cut for cut in self.cuts if cut is not fault]
+        self.active_cuts = [cut for cut in self.active_cuts if cut is not fault]
         self.apply_cuts(self.paths_of(fault))
 
     async def do_reset(self, fault: Fault) -> None:
@@ -631,14 +657,14 @@
         self.publish_phase(self.servers_of(fault), "active")
 
     async def restart(self, proc: ManagedProcess) -> None:
-        """Starts a process again after its exit. Its servers are cold; a limiter has only its
-        configuration.
+        """Starts a process again after its exit. Its servers start cold, and a limiter has no state
+        but its configuration.
         """
         if proc.process is not None:
             await proc.process.wait()
         for node in proc.nodes:
             if node[0] == "s":
-                self.cold[int(node[1:])] = True
+                self.starts_cold[int(node[1:])] = True
         await self.launch(proc)
         if proc.name in self.limiters:
             await self.wait_ready(int(proc.name[1:]), START_TIMEOUT_SECONDS)
@@ -667,8 +693,8 @@
             proc.signal(signal.SIGHUP)
 
     async def do_vanish(self, fault: Fault) -> None:
-        """Cuts the paths before SIGKILL, so that no peer sees the resets of the dying process."""
-        self.cuts.append(fault)
+        """Cuts the paths before SIGKILL, so that no peer sees the connections being reset."""
+        self.active_cuts.append(fault)
         self.apply_cuts(self.paths_of(fault))
         await asyncio.sleep(0.05)  # for the links to apply the cut
         await self.do_kill(fault)
@@ -676,7 +702,7 @@
             self.spawn(self.publish_departure_later(fault, servers))
 
     async def publish_departure_later(self, fault: Fault, servers: list[int]) -> None:
-        """Publishes that servers have left, unless they run again by then."""
+        """Publishes after `told_s` that servers have left, unless they have restarted by then."""
         await self.sleep_until(fault.at + fault.told_s)
         if fault.for_s <= 0 or fault.told_s < fault.for_s:
             self.publish_phase(servers, "left")
@@ -694,7 +720,7 @@
         self.publish_phase(self.servers_of(fault), "active")
 
     def publish_phase(self, servers: list[int], phase: str) -> None:
-        """Makes discovery publish a phase of servers."""
+        """Makes discovery publish that servers are in a phase, e.g. `leaving`."""
         if servers:
             rows = [{"server": m, **self.member(m), "phase": phase} for m in servers]
             self.processes["discovery"].send_command(do="list", rows=rows)
@@ -702,7 +728,7 @@
     # shutdown
 
     async def close(self) -> None:
-        """Stops every process and waits for it. Limiters receive SIGTERM first."""
+        """Stops every process and waits for it. Limiters receive SIGTERM before SIGKILL."""
         for task in list(self.tasks):
             if task.get_coro().__name__ != "watch_process":
                 task.cancel()
