--- a/loomstand/cli/main.py
+++ b/loomstand/cli/main.py
@@ -229,7 +229,7 @@
     try:
         overrides = {key: vals[0] for key, vals in map(parse_sweep, sets)}
         rehearsal = scenario.load(scenario_file, quick, overrides)
-        plan = b"" if no_plan else scenario.plan_of(rehearsal, scenario_file)
+        plan = b"" if no_plan else scenario.read_site_plan(rehearsal, scenario_file)
     except ScenarioError as error:
         raise click.ClickException(str(error)) from None
     seed = rehearsal.seed if seed is None else seed
--- a/loomstand/testing/emulator/scenario.py
+++ b/loomstand/testing/emulator/scenario.py
@@ -20,8 +20,13 @@
     RuleSettings,
     WireSettings,
 )
-from loomstand.config.toml_tables import StrictStruct, TableError, convert_table, parse_toml
-from loomstand.config.toml_tables import read_toml as table_of
+from loomstand.config.toml_tables import (
+    StrictStruct,
+    TableError,
+    convert_table,
+    parse_toml,
+    read_toml,
+)
 from loomstand.failover.zone_plan import ZonePlan
 
 T = TypeVar("T")
@@ -287,7 +292,7 @@
     Raises:
         ScenarioError: The file is not a valid scenario; the message names the file and the key.
     """
-    table = table_of(path)
+    table = read_toml(path)
     try:
         from_table(table)
     except ScenarioError as error:
--- a/loomstand/testing/rehearsal/checker.py
+++ b/loomstand/testing/rehearsal/checker.py
@@ -61,7 +61,7 @@
         """Converts a Unix time to ticks (0.1 ms) since the first traffic."""
         return round((unix_seconds - self.began) * TICKS_PER_SECOND)
 
-    def all(self, name: str) -> list[list]:
+    def rows_of(self, name: str) -> list[list]:
         """Returns the rows of all events of one name, in order of time."""
         return self.rows.get(name, [])
 
@@ -86,7 +86,7 @@
     @property
     def reset_times(self) -> list[float]:
         """Returns the Unix times of faults that reset connections."""
-        return [row[0] for row in self.all("fault") if row[2] in ("reset", "vanish")]
+        return [row[0] for row in self.rows_of("fault") if row[2] in ("reset", "vanish")]
 
     def ran_throughout(self, name: str, since: float, until: float) -> bool:
         """Whether a process ran for a whole span, without a restart or SIGSTOP."""
@@ -110,7 +110,7 @@
             events.rows.setdefault("move", []).append([float(at), path.name, zone, old, new])
     for rows in events.rows.values():
         rows.sort(key=lambda row: row[0])
-    events.began = events.all("began")[0][0] if events.all("began") else 0.0
+    events.began = events.rows_of("began")[0][0] if events.rows_of("began") else 0.0
     derive_spans(events)
     build_history(events)
     return events
@@ -119,7 +119,7 @@
 def derive_spans(events: RehearsalEvents) -> None:
     """Derives the spans in which paths were cut, processes ran and processes were stopped."""
     open_cuts: dict[tuple[str, str, str], float] = {}
-    for at, paths in events.all("cut"):
+    for at, paths in events.rows_of("cut"):
         for a, b, directions in paths:
             for direction in ("forth", "back"):
                 key = (a, b, direction)
@@ -133,8 +133,8 @@
         events.cuts.setdefault(key, []).append((since, NO_END))
     up: dict[str, float] = {}
     for at, event, name in sorted(
-        [(r[0], "up", r[1]) for r in events.all("up")]
-        + [(r[0], "down", r[1]) for r in events.all("down")]
+        [(r[0], "up", r[1]) for r in events.rows_of("up")]
+        + [(r[0], "down", r[1]) for r in events.rows_of("down")]
     ):
         if event == "up":
             up[name] = at
@@ -143,7 +143,7 @@
     for name, since in up.items():
         events.running.setdefault(name, []).append((since, NO_END))
     stopped: dict[str, float] = {}
-    for at, name, on in events.all("stopped"):
+    for at, name, on in events.rows_of("stopped"):
         if on:
             stopped[name] = at
         elif name in stopped:
@@ -170,7 +170,7 @@
         within_quota,
         retry,
         zone,
-    ) in events.all("sent"):
+    ) in events.rows_of("sent"):
         value, sent = rehearsal.frontends[frontend_index].value, events.to_ticks(at)
         row = RequestRecord(
             req,
@@ -192,7 +192,7 @@
         row.orphaned = not events.ran_throughout(f"l{limiter}", at, until) or events.disturbed(
             path, at, until
         )
-    for at, req, status, body_matches in events.all("got"):
+    for at, req, status, body_matches in events.rows_of("got"):
         row = reqs[req]
         final = {200: PASSED, 429: DENIED, 503: DENIED, 0: "broken", -1: ""}.get(status, ABORTED)
         row.answer, row.answered_at = final, events.to_ticks(at)
@@ -207,7 +207,7 @@
     counted: set[int] = set()
     dispatch_counts: dict[tuple[int, int], int] = {}
     windows = [round(f.repeat_window_ms * TICKS_PER_MS) for f in rehearsal.frontends]
-    for at, req, server, frontend_index, since in events.all("run"):
+    for at, req, server, frontend_index, since in events.rows_of("run"):
         frontend, now = rehearsal.frontends[frontend_index], events.to_ticks(at)
         group = zone_of(rehearsal.fleet, f"s{server}") if frontend.group == "zone" else 0
         history.executions.append(
@@ -223,7 +223,8 @@
             counted.add(req)
             history.usage.append((reqs[req].customer, reqs[req].plan, now, 1.0))
     history.overload_crashes += [
-        (s, events.to_ticks(at), float(sent), bears) for at, s, sent, bears in events.all("fall")
+        (s, events.to_ticks(at), float(sent), bears)
+        for at, s, sent, bears in events.rows_of("fall")
     ]
     build_leaving_rows(events)
 
@@ -245,7 +246,7 @@
     is leaving or has left, from the delivery of that list to the next list with it as active.
     """
     history, open_rows = events.history, {}
-    for at, limiter, whole, rows in events.all("told"):
+    for at, limiter, whole, rows in events.rows_of("told"):
         path = (f"l{limiter}", "discovery")
         when = events.to_ticks(events.delivery_time(path, "back", at))
         named = {server: phase for server, phase, _ in rows}
@@ -325,7 +326,7 @@
     """Describes each exit of a limiter that the rehearsal had not requested."""
     return [
         f"{name} ended with exit code {code} at {at - events.began:.2f} s"
-        for at, name, code, planned in events.all("down")
+        for at, name, code, planned in events.rows_of("down")
         if not planned and name[0] == "l" and name[1:].isdigit()
     ]
 
@@ -381,7 +382,7 @@
 def capacity_by_second(events: RehearsalEvents, count: int) -> list[float]:
     """Slot-seconds of all servers in each second, from their samples (two per second)."""
     slots: list[dict[int, list[int]]] = [{} for _ in range(count)]
-    for at, server, _, _, slot_count in events.all("load"):
+    for at, server, _, _, slot_count in events.rows_of("load"):
         k = int(at - events.began)
         if at - events.began >= 0 and k < count:
             slots[k].setdefault(server, []).append(slot_count)
@@ -421,7 +422,7 @@
     sums: dict[str, list[list[float]]] = {
         z: [[0.0, 0.0] for _ in range(count)] for z in rehearsal.fleet.zones
     }
-    for at, server, working, waiting, slot_count in events.all("load"):
+    for at, server, working, waiting, slot_count in events.rows_of("load"):
         k = int(at - events.began)
         if at >= events.began and k < count:
             row = sums[rehearsal.fleet.zones[zone_of(rehearsal.fleet, f"s{server}")]][k]
@@ -449,16 +450,18 @@
         zone = rehearsal.fleet.zones.index(bound.zone) if bound.zone else -1
         times = [
             at
-            for at, _, server, _, _ in events.all("run")
+            for at, _, server, _, _ in events.rows_of("run")
             if zone < 0 or zone_of(rehearsal.fleet, f"s{server}") == zone
         ]
         first, after_last = (bisect_right(times, events.began + t) for t in (since, until))
         return float(after_last - first)
     if bound.what == "moves":
-        return float(sum(since <= at - events.began < until for at, *_ in events.all("move")))
+        return float(sum(since <= at - events.began < until for at, *_ in events.rows_of("move")))
     if bound.what == "list_calls":
         earliest = since or -60.0  # limiters may start a little before the traffic
-        return float(sum(earliest <= at - events.began < until for at, *_ in events.all("call")))
+        return float(
+            sum(earliest <= at - events.began < until for at, *_ in events.rows_of("call"))
+        )
     if bound.what == "ready_s":
         waits = ready_delays(events)
         return max(waits, default=0.0)
@@ -467,9 +470,9 @@
 
 def ready_delays(events: RehearsalEvents) -> list[float]:
     """Returns the seconds from each start of a limiter until it was ready."""
-    ups = [(at, name) for at, name, _ in events.all("up")]
+    ups = [(at, name) for at, name, _ in events.rows_of("up")]
     delays = []
-    for at, name in events.all("ready"):
+    for at, name in events.rows_of("ready"):
         starts = [t for t, started in ups if started == name and t <= at]
         if starts:
             delays.append(at - starts[-1])
--- a/loomstand/testing/rehearsal/report.py
+++ b/loomstand/testing/rehearsal/report.py
@@ -21,7 +21,7 @@
     totals = checker.totals_by_second(events)
     bounds = checker.check_bounds(events, totals)
     crashed = checker.crashes(events)
-    lag = max((row[1] for row in events.all("lag")), default=0.0)
+    lag = max((row[1] for row in events.rows_of("lag")), default=0.0)
     runs: dict[int, int] = {}
     for req, *_ in events.history.executions:
         runs[req] = runs.get(req, 0) + 1
@@ -44,10 +44,10 @@
         "driver_lag_s": round(lag, 3),
         "ready_s": [round(t, 3) for t in sorted(checker.ready_delays(events))],
         "calls_for_lists": [
-            [round(at - events.began, 3), status] for at, _, status in events.all("call")
+            [round(at - events.began, 3), status] for at, _, status in events.rows_of("call")
         ],
         "opened": connections_by_second(events),
-        "moves": [[round(at - events.began, 2), *more] for at, *more in events.all("move")],
+        "moves": [[round(at - events.began, 2), *more] for at, *more in events.rows_of("move")],
         "series": [msgspec.to_builtins(row) for row in totals],
         "zones": zones,
     }
@@ -59,7 +59,7 @@
     """New connections by second: to all servers together, and to the server with the most."""
     count = int(events.rehearsal.seconds) + 1
     by_second: list[dict[int, int]] = [{} for _ in range(count)]
-    for at, server, opened_count in events.all("opened"):
+    for at, server, opened_count in events.rows_of("opened"):
         if 0 <= at - events.began < count:
             row = by_second[int(at - events.began)]
             row[server] = row.get(server, 0) + opened_count
--- a/loomstand/testing/rehearsal/scenario.py
+++ b/loomstand/testing/rehearsal/scenario.py
@@ -280,7 +280,7 @@
     Raises:
         ScenarioError: The scenario is invalid; names the file and the key.
     """
-    table = emulator_scenario.table_of(path)
+    table = emulator_scenario.read_toml(path)
     quick_values = table.get("quick", {})
     try:
         if quick and not isinstance(quick_values, dict):
@@ -295,7 +295,7 @@
         raise ScenarioError(f"{path}: {error}") from None
 
 
-def plan_of(rehearsal: Rehearsal, path: str) -> bytes:
+def read_site_plan(rehearsal: Rehearsal, path: str) -> bytes:
     """Reads the site plan of the scenario at `path`; empty if it has none. Raises ScenarioError."""
     if not rehearsal.plan:
         return b""
--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -77,7 +77,7 @@
 def requests_run_in(events, zone: int, since: float, until: float) -> int:
     return sum(
         since <= at - events.began < until
-        for at, _, server, *_ in events.all("run")
+        for at, _, server, *_ in events.rows_of("run")
         if scenario.zone_of(events.rehearsal.fleet, f"s{server}") == zone
     )
 
@@ -85,7 +85,7 @@
 def test_the_zone_loss_example_in_its_quick_form(tmp_path):
     path = str(EXAMPLES / "site-loss.toml")
     rehearsal = scenario.load(path, quick=True)
-    report, _ = run_rehearsal(rehearsal, tmp_path, scenario.plan_of(rehearsal, path))
+    report, _ = run_rehearsal(rehearsal, tmp_path, scenario.read_site_plan(rehearsal, path))
     assert report["kept"], report["bounds"]
 
 
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -314,7 +314,7 @@
         {"at": 2.0, "do": "kill", "who": ["l0", "l4", "l5"], "for_s": 1.0},
     ]
     _, events = run_rehearsal(cold_start(7, *faults, known=True), tmp_path)
-    late = [r for r in events.all("run") if r[2] == 1 and r[0] - events.began > 3.0 + 1.2]
+    late = [r for r in events.rows_of("run") if r[2] == 1 and r[0] - events.began > 3.0 + 1.2]
     # the restarted limiters learn of the drain from a peer: in their configuration s1 is active
     assert not late
 
@@ -326,7 +326,7 @@
         {"at": 0, "once": "told", "do": "cut", "who": ["l2"], "other": ["discovery"]},
     ]
     _, events = run_rehearsal(cold_start(9, *faults), tmp_path)
-    assert {name for _, name in events.all("ready")} >= {"l0", "l2", "l3", "l4", "l5"}
+    assert {name for _, name in events.rows_of("ready")} >= {"l0", "l2", "l3", "l4", "l5"}
 
 
 class SimulatedLoop:
@@ -463,7 +463,7 @@
         {"at": 2.0, "do": "list", "who": ["s0"], "phase": "leaving"},
     ]
     _, events = run_rehearsal(cold_start(10, *faults), tmp_path)
-    late = [r for r in events.all("run") if r[2] == 0 and r[0] - events.began > 8.5]
+    late = [r for r in events.rows_of("run") if r[2] == 0 and r[0] - events.began > 8.5]
     assert not late  # both halves know of the drain
     logs = "".join((tmp_path / "log" / f"l{n}").read_text() for n in range(6))
     assert "Traceback" not in logs and "failed on" not in logs
