--- a/loomstand/testing/bench_adapter/__main__.py
+++ b/loomstand/testing/bench_adapter/__main__.py
@@ -38,7 +38,7 @@
 from loomstand.admission.outcome import Outcome
 from loomstand.admission.ticks import ticks_rounded_down, ticks_rounded_up
 from loomstand.config.limiter import engine_settings
-from loomstand.testing.bench_adapter import wire as w
+from loomstand.testing.bench_adapter import wire
 
 OUTCOMES = {
     "served": Outcome.SUCCEEDED,
@@ -64,7 +64,7 @@
 class Instance:
     """One limiter: its decision engine and the indices of the names in its messages."""
 
-    def __init__(self, start: w.StartInstance, now: int) -> None:
+    def __init__(self, start: wire.StartInstance, now: int) -> None:
         settings = start.settings
         self.frontends = NameIndex([f.name for f in settings.frontends])
         self.plans = NameIndex([p.name for p in settings.plans])
@@ -76,10 +76,15 @@
             engine_settings(settings, self.zones.index_of(settings.zone)), start.seed, now
         )
 
-    def to_event(self, message: w.Event, sheets: dict[int, list[w.EndpointItem]]) -> Event | None:
-        """Returns the message as an event of the decision engine; None if it has none."""
+    def to_event(
+        self, message: wire.Event, sheets: dict[int, list[wire.EndpointItem]]
+    ) -> Event | None:
+        """Returns the message as an event of the decision engine.
+
+        Returns None for a message that the engine does not handle.
+        """
         match message:
-            case w.InboundRequest():
+            case wire.InboundRequest():
                 tenant = self.tenants.get(message.tenant)
                 if tenant is None:
                     tenant = self.tenants[message.tenant] = (
@@ -98,7 +103,7 @@
                     message.is_retry,
                     message.limiter_set_start,
                 )
-            case w.AttemptReturned():
+            case wire.AttemptReturned():
                 return AttemptEnded(
                     message.request_id,
                     message.attempt,
@@ -109,35 +114,36 @@
                     message.metered_use,
                     message.cost,
                 )
-            case w.CounterReply():
+            case wire.CounterReply():
                 return CounterReplied(
                     message.counter_name,
                     OUTCOMES[message.outcome],
                     message.total,
                     ticks_rounded_up(message.duration),
                 )
-            case w.TimerElapsed():
+            case wire.TimerElapsed():
                 return TimerFired(message.timer_tag)
-            case w.ClientVanished():
+            case wire.ClientVanished():
                 return ClientDisconnected(message.request_id)
-            case w.ResponseHeadReceived():
+            case wire.ResponseHeadReceived():
                 return ResponseStarted(message.request_id, message.attempt)
-            case w.HealthCheckDone():
+            case wire.HealthCheckDone():
                 return HealthCheckFinished(
                     self.servers.index_of(message.server),
                     OUTCOMES[message.outcome],
                     ticks_rounded_up(message.duration),
                 )
-            case w.EndpointListUpdate(scope="refused"):
+            case wire.EndpointListUpdate(scope="refused"):
                 return None
-            case w.EndpointListUpdate():
+            case wire.EndpointListUpdate():
                 if message.sheet not in sheets:
                     raise InvalidLineError(f"field 'sheet': no pool {message.sheet}")
                 endpoints = tuple(self.endpoint(item) for item in sheets[message.sheet])
                 return EndpointsUpdated(endpoints, message.scope != "changes")
         return None
 
-    def endpoint(self, item: w.EndpointItem) -> Endpoint:
+    def endpoint(self, item: wire.EndpointItem) -> Endpoint:
+        """Returns a server of an endpoint sheet as an endpoint of the decision engine."""
         return Endpoint(
             self.servers.index_of(item.server),
             ENDPOINT_STATES[item.phase],
@@ -187,12 +193,21 @@
 
 
 class Host:
-    """Reads batches, passes each event to its instance and writes one reply per batch."""
+    """Reads batches, passes each event to its instance and writes one reply per batch.
+
+    Attributes:
+        out: The output.
+        instances: The running instances by limiter id.
+        sheets: Endpoint sheets by number.
+        now: Time of the open batch in ticks; None if no batch is open.
+        batch: Number of the latest batch.
+        reply: Encoded lines of the reply to the open batch.
+    """
 
     def __init__(self, out: BinaryIO) -> None:
         self.out = out
         self.instances: dict[int, Instance] = {}
-        self.sheets: dict[int, list[w.EndpointItem]] = {}
+        self.sheets: dict[int, list[wire.EndpointItem]] = {}
         self.now: int | None = None
         self.batch = 0
         self.reply: list[bytes] = []
@@ -205,31 +220,31 @@
             UnknownNameError: The line names an unknown request class.
             msgspec.DecodeError: The line is not a valid message.
         """
-        message = w.line_decoder.decode(raw)
+        message = wire.line_decoder.decode(raw)
         match message:
-            case w.BeginBatch():
+            case wire.BeginBatch():
                 if self.now is not None:
                     raise InvalidLineError("a batch is still open")
                 self.now, self.batch = ticks_rounded_up(message.wall), message.batch
                 return
             case _ if self.now is None:
                 raise InvalidLineError("no batch is open")
-            case w.Flush():
+            case wire.Flush():
                 self.reply.append(msgspec.json.encode({"op": "ok", "batch": self.batch}))
                 self.out.write(b"\n".join(self.reply) + b"\n")
                 self.out.flush()
                 self.reply.clear()
                 self.now = None
-            case w.EndpointSheet():
+            case wire.EndpointSheet():
                 self.sheets[message.sheet] = message.items
-            case w.StartInstance():
+            case wire.StartInstance():
                 self.instances[message.limiter_id] = Instance(message, self.now)
-            case w.StopInstance():
+            case wire.StopInstance():
                 self.instances.pop(message.limiter_id, None)
-            case w.Event():
+            case wire.Event():
                 self.handle_event(message)
 
-    def handle_event(self, message: w.Event) -> None:
+    def handle_event(self, message: wire.Event) -> None:
         """Passes an event to its instance and appends the resulting actions to the reply."""
         instance = self.instances.get(message.limiter_id)
         if instance is None:
@@ -251,7 +266,10 @@
 
 
 def main() -> int:
-    """Handles standard input; returns 0 at its end, 1 after an invalid line."""
+    """Handles all lines of standard input.
+
+    Returns the exit status: 0 at the end of the input, 1 after an invalid line.
+    """
     host = Host(sys.stdout.buffer)
     for raw in sys.stdin.buffer:
         if not raw.strip():
@@ -270,7 +288,7 @@
 
 
 def message_name(raw: bytes) -> str:
-    """Returns how an error message names a line: by its op, if that can be read."""
+    """Returns the name of a line for an error message: its op, if that can be read."""
     try:
         return f"message '{msgspec.json.decode(raw)['op']}'"
     except Exception:
--- a/loomstand/testing/bench_adapter/wire.py
+++ b/loomstand/testing/bench_adapter/wire.py
@@ -41,7 +41,7 @@
 
 
 class BeginBatch(Message, tag="begin_batch"):
-    """Opens a batch at the time `wall`, which applies to all its lines."""
+    """Opens a batch, whose lines all have the time `wall`."""
 
     wall: float
     batch: int
@@ -76,7 +76,7 @@
 
 
 class EndpointListUpdate(Event, tag="registry"):
-    """A reply of discovery: a change of the list, the whole list, or a refusal."""
+    """A reply of discovery: changes of the list, the complete list, or a refusal."""
 
     scope: Literal["changes", "all", "remembered", "refused"]
     sheet: int = -1
