--- a/tests/testing/rehearsal/test_rehearsal.py
+++ b/tests/testing/rehearsal/test_rehearsal.py
@@ -58,8 +58,8 @@
     "cold": (
         4,
         {
-            # down for longer than limiters keep using a server found dead, then cold beyond the
-            # end of the run
+            # the server is down for longer than limiters go on using a server that they found
+            # dead; after its restart it is cold until the end of the run
             "seconds": 5,
             "fleet": {
                 "apart": True,
@@ -106,8 +106,8 @@
 
 
 def test_the_fault_of_cold_servers_is_reported_in_simulated_time_for_every_seed(monkeypatch):
-    """The same fleet in simulated time, where the speed of the machine does not matter; one of the
-    three servers crashes.
+    """Runs the same fleet in simulated time, where the speed of the machine does not matter; one of
+    the three servers crashes.
     """
     usual = to_builtins(small(**FAULTS["cold"][1]))
     emulator_fleet = {key: usual["fleet"][key] for key in emulator_scenario.Fleet.__struct_fields__}
@@ -226,7 +226,7 @@
     while not rows.exists() or "began" not in rows.read_text():
         assert run.poll() is None
         time.sleep(0.05)
-    if sig == signal.SIGTERM:  # a limiter that SIGSTOP has stopped is ended as well
+    if sig == signal.SIGTERM:  # a stopped limiter must exit as well
         os.kill(started_pids(tmp_path)[-1], signal.SIGSTOP)
     run.send_signal(sig)
     assert run.wait(10) != 0
--- a/tests/testing/soak/test_checks.py
+++ b/tests/testing/soak/test_checks.py
@@ -27,7 +27,7 @@
 
 
 def build_log(reply: Reply, *, ran: bool, ended: float = 0.0, left_at: float = 1e9) -> RequestLog:
-    """Log with one request, sent at 10 s, that a server started at 10.1 s if `ran` is set."""
+    """Builds a log with one request, sent at 10 s; a server starts it at 10.1 s if `ran` is set."""
     log = RequestLog()
     request = ClientRequest(
         "r1", "GET", "town.example", "/a/x", "", b"", True, 10.0, ("10.2.0.1", 80), left_at
--- a/tests/testing/soak/test_schedule.py
+++ b/tests/testing/soak/test_schedule.py
@@ -20,7 +20,7 @@
 
 
 def core_steps(steps: list[Step]) -> list[tuple[float, tuple[str, ...], float]]:
-    """Disturbances of core machines: start, machine and shortest duration in seconds."""
+    """Returns start, machine and shortest duration in seconds of disturbances of core machines."""
     return [
         (step.at, machine, step.seconds)
         for step in steps
