--- a/loomstand/testing/rehearsal/checker.py
+++ b/loomstand/testing/rehearsal/checker.py
@@ -207,7 +207,7 @@
     counted: set[int] = set()
     dispatch_counts: dict[tuple[int, int], int] = {}
     windows = [round(f.repeat_window_ms * TICKS_PER_MS) for f in rehearsal.frontends]
-    for at, req, server, frontend_index, since in events.rows_of("run"):
+    for at, req, server, frontend_index, first_byte_at in events.rows_of("run"):
         frontend, now = rehearsal.frontends[frontend_index], events.to_ticks(at)
         group = zone_of(rehearsal.fleet, f"s{server}") if frontend.group == "zone" else 0
         history.executions.append(
@@ -216,15 +216,17 @@
         limiter = reqs[req].limiter if req in reqs else -1
         number = dispatch_counts.get((req, -1), 0)
         dispatch_counts[req, -1] = number + 1
-        if (cut_began := cut_start(events, events.path(limiter, server), since)) is not None:
+        if (
+            cut_began := cut_start(events, events.path(limiter, server), first_byte_at)
+        ) is not None:
             events.delayed[req, number] = events.to_ticks(cut_began)
-        history.attempts.append([req, number, limiter, server, events.to_ticks(since), now])
+        history.attempts.append([req, number, limiter, server, events.to_ticks(first_byte_at), now])
         if req in reqs and req not in counted:
             counted.add(req)
             history.usage.append((reqs[req].customer, reqs[req].plan, now, 1.0))
     history.overload_crashes += [
-        (s, events.to_ticks(at), float(sent), bears)
-        for at, s, sent, bears in events.rows_of("fall")
+        (s, events.to_ticks(at), float(sent), limit)
+        for at, s, sent, limit in events.rows_of("fall")
     ]
     build_leaving_rows(events)
 
@@ -246,12 +248,12 @@
     is leaving or has left, from the delivery of that list to the next list with it as active.
     """
     history, open_rows = events.history, {}
-    for at, limiter, whole, rows in events.rows_of("told"):
+    for at, limiter, complete, rows in events.rows_of("told"):
         path = (f"l{limiter}", "discovery")
         when = events.to_ticks(events.delivery_time(path, "back", at))
         named = {server: phase for server, phase, _ in rows}
         for server in range(events.rehearsal.fleet.servers):
-            phase = named.get(server, "left" if whole else "")
+            phase = named.get(server, "left" if complete else "")
             key = (limiter, server)
             if phase in ("leaving", "left") and key not in open_rows:
                 open_rows[key] = len(history.leaving_notices)
--- a/loomstand/testing/rehearsal/driver.py
+++ b/loomstand/testing/rehearsal/driver.py
@@ -119,7 +119,7 @@
     async def check_health(self, interval_seconds: float, notice_seconds: float) -> None:
         """Sends health checks while the driver runs.
 
-        The limiter gets no more requests when it has answered none for `notice` seconds.
+        The limiter gets no more requests when it has answered none for `notice_seconds`.
         """
         await asyncio.sleep(interval_seconds * self.driver.rng.random())
         self.answered_at = time.monotonic()
