--- a/tests/alone.py
+++ b/tests/alone.py
@@ -48,18 +48,20 @@
                 self.workqueue.move_to_end(SCOPE)
             others = [work for other, work in self.assigned_work.items() if other is not node]
             if list(self.workqueue) == [SCOPE] and any(self._pending_of(work) for work in others):
-                return  # called again when another worker has completed a test
+                return  # `mark_test_complete` retries this when another worker completes a test
             with contextlib.suppress(OSError):  # the worker has just died; `remove_node` follows
                 super()._assign_work_unit(node)
 
         def _reschedule(self, node) -> None:
             if node.shutting_down or node not in self.registered_collections:
-                # an unregistered node replaces a worker that died; called again after collection
+                # An unregistered node replaces a worker that died; xdist calls this method again
+                # for it once it has collected the tests.
                 return
             while self.workqueue and list(self.workqueue) != [SCOPE]:
                 if self._pending_of(self.assigned_work[node]) > 2:
                     return
-                # at least two units: a worker holds its last test until it has another one
+                # A worker runs its last pending test only after it has got another one, so each
+                # worker needs at least two units.
                 self._assign_work_unit(node)
             if self.workqueue and node is self.last_worker():
                 self._assign_work_unit(node)
@@ -75,7 +77,7 @@
         def remove_node(self, node) -> str | None:
             """Returns the test during which a worker died, if any.
 
-            With `--max-worker-restart 0` the run ends then, so no work is reassigned. The base
+            No work is reassigned, as `--max-worker-restart 0` ends the run in this case. The base
             class also reassigns completed tests, and then waits for them forever.
             """
             units = self.assigned_work.pop(node)
--- a/tests/golden/make.py
+++ b/tests/golden/make.py
@@ -1,12 +1,13 @@
-"""Makes the fixtures beside this file: `python -m tests.golden.make`, from the root.
+"""Writes the fixtures of tests/test_golden_programs.py: `python -m tests.golden.make`, in the root.
 
-They were made by the code before its names were changed, and hold the messages, pages and
-responses of that version. They are not made again to get a pass: if a test against them fails, the
-programs behave differently, and may be incompatible with older programs or disks. The only reason
-to make them again is an intended change of behaviour that has an entry in the change log.
+The fixtures hold the messages, pages and responses of the code before its identifiers were renamed.
+Don't write them again to make a failing test pass: the failure means that the programs behave
+differently, and may be incompatible with older programs or disks. The only reason to write them
+again is an intended change of behaviour that has an entry in the change log.
 
-The files in `store-folder` are compacted copies that lmdb made of what the code wrote. The folder
-`older` has no pages of the change history and of the learner's copy, as older programs wrote none.
+The folders in `store-folder` are compacted copies, made by lmdb, of the databases that the code
+wrote. The folder `older` lacks the pages of the change history and of the learner's copy, which
+older programs did not write.
 """
 
 from __future__ import annotations
--- a/tests/golden/names.py
+++ b/tests/golden/names.py
@@ -1,7 +1,8 @@
-"""All imports of the golden tests from the code: a rename is followed here first.
+"""All names that the golden tests import from the code; a rename in the code is repeated here.
 
-`runs.py`, `pages.py` and the tests also use attributes, methods and keyword arguments of these,
-which follow a rename too. The fixtures hold bytes and texts, which a rename doesn't change.
+`runs.py`, `pages.py` and the tests also use attributes, methods and keyword arguments of these
+objects, which must follow a rename too. The fixtures hold bytes and texts, which a rename doesn't
+change.
 """
 
 from __future__ import annotations
--- a/tests/golden/pages.py
+++ b/tests/golden/pages.py
@@ -36,7 +36,7 @@
 
 
 def records() -> dict[str, names.Record]:
-    """Returns a record of every form; the data fits the change history, as a store writes them."""
+    """Returns a record of each form that a store writes; the change history fits the data."""
     one, two, three = _member(1), _member(2), _member(3)
     view = names.View(4, one, two, (one, two, three))
     changed = names.View(6, two, None, (one, two), (one, two, three))
@@ -69,7 +69,7 @@
 
 
 def other_pages() -> dict[str, bytes]:
-    """Returns the pages beside the record: the counting lease's and the learner's."""
+    """Returns the pages that are not of the record: the counting lease's and the learner's."""
     lease = names.CountingLease("10.1.0.1")
     first = lease.page("10.1.0.1")
     lease.number, lease.holder = 4, "10.1.0.1"
@@ -82,13 +82,13 @@
 
 
 def steps() -> dict[str, dict[str, str]]:
-    """Returns the pages that a change of the record writes, from each form to the next one."""
+    """Returns the pages that a store writes when its record changes from one form to the next."""
     forms = list(records().items())
     return {f"{a} -> {b}": to_hex(new.pages(old)) for (a, old), (b, new) in pairwise(forms)}
 
 
 def write_folder(pages: dict[str, bytes], folder: Path, work: Path) -> None:
-    """Writes a store's folder with these pages, by the code, and compacts it by lmdb."""
+    """Writes pages to the folder `work` as a store does, and a compacted copy of it to `folder`."""
 
     async def write() -> None:
         disk = names.LmdbDisk(work)
@@ -102,7 +102,7 @@
 
 
 async def read_folder(folder: Path) -> tuple[names.Record, dict[str, bytes]]:
-    """Returns the record of a folder and all its pages, as a store reads them at its start."""
+    """Returns the record in a folder and all its pages, as a store reads them when it starts."""
     disk = names.LmdbDisk(folder)
 
     def new() -> names.Record:
--- a/tests/golden/runs.py
+++ b/tests/golden/runs.py
@@ -25,9 +25,9 @@
 class Recorder:
     """Records examples of the exchanges of each role and call, and a digest of all bytes in order.
 
-    The examples are the first exchange of each shape (the keys of the request and of the answer,
-    and whether the call was refused), the second exchange of the call unless it is large, and its
-    last one. The call number is 1 in the examples; a real connection counts it up.
+    The examples of a call are its first exchange of each shape (the keys of the request and of the
+    answer, and whether the call was refused), its second exchange unless that is large, and its
+    last one. Each frame has the call number 1; a real connection numbers its calls.
     """
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
 
 @contextmanager
 def recording() -> Iterator[Recorder]:
-    """Records all calls of the simulated network, by wrapping its `call` and `listen`."""
+    """Records all calls over the simulated network; replaces its `call` and `listen` meanwhile."""
     recorder, network = Recorder(), names.MachineNetwork
     call, listen = network.call, network.listen
 
@@ -106,11 +106,17 @@
 
 
 class StoreCluster:
-    """Four core machines with a store each, and a client that calls them."""
+    """Four core machines with a store each, and a client that calls them.
+
+    Attributes:
+        is_first_start: Whether the settings of a store that starts say that this is the first start
+            of the whole system.
+        seeds: Hosts of the seed nodes in the settings.
+    """
 
     def __init__(self, seed: int, seeds: list[str] = HOSTS[:3]) -> None:
         self.loop, rng = names.VirtualLoop(), Random(seed)
-        self.network, self.first, self.seeds = names.SimNetwork(rng), True, seeds
+        self.network, self.is_first_start, self.seeds = names.SimNetwork(rng), True, seeds
         self.client_network = names.MachineNetwork(self.network, "10.9.0.1", names.SimProcess())
         self.machines = names.make_machines(
             self.network, rng, HOSTS, lambda host: [self.factory(host)]
@@ -119,28 +125,32 @@
     def factory(self, host: str) -> Callable[..., Any]:
         def make(network, disk, clock, rng):
             seeds = tuple((h, names.STORE_PORT) for h in self.seeds)
-            settings = names.StoreSettings((host, names.STORE_PORT), seeds, self.first)
+            settings = names.StoreSettings((host, names.STORE_PORT), seeds, self.is_first_start)
             return names.Store(settings, network, disk, clock, rng)
 
         return make
 
-    async def call(self, host: str, op: str, body: dict[str, Any], within: float = 1.0) -> Any:
-        got = await self.client_network.call((host, names.STORE_PORT), op, body, within)
-        return got.ok if got.is_ok() else None
+    async def call(
+        self, host: str, op: str, body: dict[str, Any], timeout_seconds: float = 1.0
+    ) -> Any:
+        address = (host, names.STORE_PORT)
+        result = await self.client_network.call(address, op, body, timeout_seconds)
+        return result.ok if result.is_ok() else None
 
     async def primary(self) -> str:
         for _ in range(200):
             for host, machine in self.machines.items():
-                if machine.up and (got := await self.call(host, "status", {})) and got["primary"]:
-                    return got["primary"][0]
+                status = await self.call(host, "status", {}) if machine.up else None
+                if status and status["primary"]:
+                    return status["primary"][0]
             await asyncio.sleep(0.05)
         raise AssertionError("no primary")
 
     async def put(self, version: int, data: bytes, op: str = "put") -> Any:
         for _ in range(100):
-            got = await self.call(await self.primary(), op, {"version": version, "data": data})
-            if got is not None:
-                return got
+            answer = await self.call(await self.primary(), op, {"version": version, "data": data})
+            if answer is not None:
+                return answer
             await asyncio.sleep(0.05)
         raise AssertionError("no store accepted the change")
 
@@ -150,7 +160,7 @@
         machine.start()
     await asyncio.sleep(1.0)
     await stores.put(1, b"one")
-    stores.first = False
+    stores.is_first_start = False
     await stores.put(3, b"three")
     # acknowledged as superseded, and kept in the change history
     await stores.put(2, b"two, too late")
@@ -163,8 +173,8 @@
         await stores.call(host, "held", {})
         await stores.call(host, "unheard-of", {})
     primary = await stores.primary()
-    registry = {"host": primary, "life": 7}
-    await stores.call(primary, "duty", registry)
+    claim = {"host": primary, "life": 7}
+    await stores.call(primary, "duty", claim)
     await stores.call(primary, "duty", {"host": "10.8.0.8", "life": 8})
     await asyncio.sleep(0.5)
     await stores.machines[primary].shut_down()  # transfers leadership
@@ -173,8 +183,8 @@
     stores.machines[primary].start()
     await asyncio.sleep(2.0)
     primary = await stores.primary()
-    await stores.call(primary, "duty", registry)
-    await stores.call(primary, "duty", registry | {"back": True})
+    await stores.call(primary, "duty", claim)
+    await stores.call(primary, "duty", claim | {"back": True})
     stores.machines[primary].power_off()  # a takeover
     await asyncio.sleep(4.0)
     await stores.put(6, b"six")
@@ -200,12 +210,12 @@
         if host != last:
             machine.power_off()
     await asyncio.sleep(4.0)
-    # the calls of a candidate for the next view
-    known = (await stores.call(last, "told", {}))["known"]
-    asked = {"epoch": known + 1, "asker": "00000000000000aa"}
-    await stores.call(last, "fetch", {"epoch": known + 7, "asker": "00000000000000ab"})
-    await stores.call(last, "promise", asked | {"released": 0})
-    await stores.call(last, "fetch", asked)
+    # the calls that a candidate for the next view makes
+    known_epoch = (await stores.call(last, "told", {}))["known"]
+    candidate = {"epoch": known_epoch + 1, "asker": "00000000000000aa"}
+    await stores.call(last, "fetch", {"epoch": known_epoch + 7, "asker": "00000000000000ab"})
+    await stores.call(last, "promise", candidate | {"released": 0})
+    await stores.call(last, "fetch", candidate)
 
 
 def stores_run() -> dict[str, Any]:
@@ -233,7 +243,7 @@
     cluster.use_default_configuration()
     cluster.tenant("ann", "key-of-ann", 12.0, 10.0)
     await cluster.start()
-    flow = cluster.run_in_background(
+    requests = cluster.run_in_background(
         cluster.send_requests(
             cluster.client, 30, 4.0, "GET", "town.example", "/a/x", "key-of-ann", idempotent=True
         )
@@ -247,7 +257,7 @@
     await cluster.servers["alpha"][1].drain()
     await cluster.servers["beta"][1].leave()
     await cluster.proxies["10.2.0.2"].terminate()  # sends the call `bye`
-    await flow
+    await requests
     counting = cluster.counting_host()
     for host in cluster.core(counting):  # a takeover, also of the counting lease
         host.power_off()
@@ -279,7 +289,10 @@
 
 
 def cluster_run() -> dict[str, Any]:
-    """Runs all programs: requests, a drain, a takeover, loss of the core; disks as before it."""
+    """Runs all programs: requests, a drain, a takeover and the loss of the core.
+
+    The disks in the result are those before the loss of the core.
+    """
     with recording() as recorder:
         cluster = names.Cluster(7)
         try:
@@ -301,22 +314,22 @@
     client_network = names.MachineNetwork(cluster.network, "10.9.0.1", names.SimProcess())
 
     async def call(port: int, op: str, body: dict[str, Any], ip: str = "") -> Any:
-        got = await client_network.call((ip or cluster.core_ips[0], port), op, body, 1.5)
-        return got.ok if got.is_ok() else None
+        result = await client_network.call((ip or cluster.core_ips[0], port), op, body, 1.5)
+        return result.ok if result.is_ok() else None
 
     store, registry, ip = names.STORE_PORT, names.REGISTRY_PORT, cluster.counting_host()
     await call(store, "put", {"version": 4, "data": b'{"version":"r4","resources":[]}'})
     await asyncio.sleep(1.0)
     await call(store, "wait", {"have": 4, "within": 0.2})  # without a mark
     told = await call(store, "told", {})
-    asked = {"epoch": told["known"], "asker": "00000000000000aa"}
-    await call(store, "keep", asked | {"version": 4, "data": b"no"})  # without orders
+    candidate = {"epoch": told["known"], "asker": "00000000000000aa"}
+    await call(store, "keep", candidate | {"version": 4, "data": b"no"})  # without orders
     await call(
         store, "lead", {"by": "00000000000000aa", "epoch": 1, "under": 0}
     )  # without the duty
     await call(store, "install", {"view": None})
     await call(store, "install", {"view": None, "to": "00000000000000aa"})  # for another disk
-    await call(store, "promise", asked | {"released": 0, "epoch": 0})
+    await call(store, "promise", candidate | {"released": 0, "epoch": 0})
     await call(store, "read", {"hops": 2})
     await call(registry, "fetch", {})
     for op in ("ask", "bye", "count", "grant", "offer", "unheard-of"):
@@ -324,24 +337,29 @@
     await call(registry, "ask", {"s": 1, "h": 0, "f": 0, "c": 0})
     await call(registry, "offer", {"version": 3, "data": b"lower"})
     await call(registry, "tell", {"hands": {"n-of-before": 0.25}})
-    named = {"name": "n-of-before", "h": 0, "f": -1, "c": 9, "clock": 1}
-    session = await call(registry, "ask", named, ip)
+    named_request = {"name": "n-of-before", "h": 0, "f": -1, "c": 9, "clock": 1}
+    session = await call(registry, "ask", named_request, ip)
     await call(registry, "ask", {"s": session["s"], "h": 0, "f": 0, "c": 4}, ip)
-    step = {"name": 7 << 40, "step": 2.0, "keep": 5.0}
+    increment = {"name": 7 << 40, "step": 2.0, "keep": 5.0}
     entry = [7 << 40, 0.0, 1.0, 2.0, 0.0]
-    lone = {"name": "n-of-before", "life": 3, "number": 0, "alone": True, "entries": [entry]}
+    grant_request = {
+        "name": "n-of-before",
+        "life": 3,
+        "number": 0,
+        "alone": True,
+        "entries": [entry],
+    }
     for host in (ip, *(other for other in cluster.core_ips if other != ip)):
-        await call(registry, "count", step, host)
-        await call(registry, "grant", lone, host)
+        await call(registry, "count", increment, host)
+        await call(registry, "grant", grant_request, host)
     for host in cluster.core(ip):
         host.power_off()
-    for _ in range(
-        40
-    ):  # the next counting registry reports at first that its totals are incomplete
+    # the next counting registry reports at first that its totals are incomplete
+    for _ in range(40):
         await asyncio.sleep(0.2)
         for other in cluster.core_ips:
             if other != ip:
-                await call(registry, "count", step, other)
+                await call(registry, "count", increment, other)
 
 
 def older_run() -> dict[str, Any]:
@@ -370,21 +388,21 @@
     return head.encode() + body
 
 
-def _without(whole: dict[str, Any], *where: str) -> dict[str, Any]:
-    changed = json.loads(json.dumps(whole))
-    at = changed
-    for key in where[:-1]:
-        at = at[key]
-    del at[where[-1]]
+def _without(document: dict[str, Any], *path: str) -> dict[str, Any]:
+    changed = json.loads(json.dumps(document))
+    parent = changed
+    for key in path[:-1]:
+        parent = parent[key]
+    del parent[path[-1]]
     return changed
 
 
-def _with(whole: dict[str, Any], value: Any, *where: str) -> dict[str, Any]:
-    changed = json.loads(json.dumps(whole))
-    at = changed
-    for key in where[:-1]:
-        at = at[key]
-    at[where[-1]] = value
+def _with(document: dict[str, Any], value: Any, *path: str) -> dict[str, Any]:
+    changed = json.loads(json.dumps(document))
+    parent = changed
+    for key in path[:-1]:
+        parent = parent[key]
+    parent[path[-1]] = value
     return changed
 
 
@@ -415,9 +433,9 @@
 async def _make_operator_calls(cluster: names.Cluster, calls: dict[str, Any]) -> None:
     rpc = "/api/rpc?call="
 
-    async def record_call(name: str, raw: bytes, within: float = 6.0, ip: str = "") -> Any:
-        at = (ip or cluster.core_ips[0], names.OPERATOR_PORT)
-        response = await names.exchange(cluster.operator.streams, at, raw, within)
+    async def record_call(name: str, raw: bytes, timeout_seconds: float = 6.0, ip: str = "") -> Any:
+        address = (ip or cluster.core_ips[0], names.OPERATOR_PORT)
+        response = await names.exchange(cluster.operator.streams, address, raw, timeout_seconds)
         assert response is not None, name
         shown = raw if len(raw) < 10_000 else raw[:200] + b"..."
         calls[name] = {
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -20,15 +20,15 @@
 
 
 class KnownFailure(NamedTuple):
-    """A line of the file."""
+    """A line of the file: a test's node id, the cause of its failure, and the issue's number."""
 
     test: str
     cause: str
     issue: str
 
 
-def read(text: str) -> dict[str, KnownFailure]:
-    """Returns the listed failures by test id.
+def read_known_failures(text: str) -> dict[str, KnownFailure]:
+    """Returns the listed failures by the node id of their test.
 
     Raises:
         ValueError: There are too many lines, or a line is invalid; the message names it.
@@ -110,7 +110,7 @@
         return
     try:
         config.pluginmanager.register(
-            KnownRedPlugin(read(Path(path).read_text())), "known-red-watch"
+            KnownRedPlugin(read_known_failures(Path(path).read_text())), "known-red-watch"
         )
     except (OSError, ValueError) as error:
         raise pytest.UsageError(f"{path}: {error}") from None
--- a/tests/test_ci.py
+++ b/tests/test_ci.py
@@ -10,7 +10,7 @@
 
 import pytest
 from alone import ALONE
-from known_red import read
+from known_red import read_known_failures
 
 HERE = Path(__file__).parent
 TESTS = """
@@ -95,7 +95,7 @@
 )
 def test_an_invalid_list_of_known_failures_is_refused(text, error):
     with pytest.raises(ValueError, match=error):
-        read(text)
+        read_known_failures(text)
 
 
 def test_an_invalid_file_ends_the_run_before_any_test(tmp_path):
@@ -108,7 +108,7 @@
 
 
 def test_every_file_whose_tests_use_sockets_or_processes_runs_alone():
-    """Except tests that start a program and wait for its end without a time limit."""
+    """Tests that start a program and wait for its end without a time limit need not run alone."""
     uses_sockets = re.compile(
         r"\b(Popen|start_server|create_server|ThreadingHTTPServer|StandIn|LimiterHarness)\(|from "
         r"rehearsals import"
@@ -150,8 +150,8 @@
 
 @pytest.mark.parametrize("simulated", [2, 14])
 def test_a_worker_that_dies_fails_the_run_with_the_name_of_its_test(simulated, tmp_path):
-    """When pytest-xdist replaces the worker and reassigns its tests, the run hangs or repeats the
-    test.
+    """If pytest-xdist replaced the worker and reassigned its tests, the run would hang or repeat
+    the test that killed the worker.
     """
     crashing = TIMED_TESTS.replace("    began", "    if n == %d: os._exit(3)\n    began")
     (tmp_path / "test_limiter_on_sockets.py").write_text(crashing % (6, 2))
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Checks that the current pages name only files, modules, classes and functions that exist.
+"""Checks that the documentation names only files, modules, classes and functions that exist.
 
 The pages are README.md, CONTRIBUTING.md and docs/, without the history in docs/standing.md. Each
 name in backticks is looked up in the tree, so that a rename without a change of the pages fails:
@@ -87,7 +87,7 @@
 
 
 class Tree(NamedTuple):
-    """What the code defines."""
+    """The names that the code defines."""
 
     modules: dict[str, set[str]]  # names defined at a module's top level, by its dotted name
     classes: dict[str, list[Class]]  # all classes of that name
--- a/tests/test_golden_programs.py
+++ b/tests/test_golden_programs.py
@@ -1,8 +1,8 @@
 """Golden tests of the programs: messages, stored pages and responses are the same to the byte.
 
-`golden/make.py` made the fixtures in `golden/`, with the code before its names were changed. The
-digest of a simulated run covers every byte of every message in order. It is the same for every hash
-seed; nothing is masked, as ids and clocks come from the seeds of the runs.
+`golden/make.py` wrote the fixtures in `golden/` with the code before its identifiers were renamed.
+The digest of a simulated run covers every byte of every message in order, and is the same for every
+hash seed. Nothing is masked: ids and clocks depend only on the random seeds of the runs.
 """
 
 from __future__ import annotations
@@ -90,8 +90,8 @@
                 assert names.encode_frame(item).hex() == frame, call
 
 
-# A gossip round that also reports a server that leaves: a shape that was possible before, but does
-# not occur in the former recording.
+# A gossip message that also reports a leaving server: this shape was possible before, but the
+# former recording has no example of it.
 NEW_SHAPE = ("registry tell", "ages,alive,clock,counts,crew,rows answered same,unknown")
 
 
@@ -168,8 +168,9 @@
 
 
 def test_the_older_forms_of_pages_are_decoded():
-    """Versions without rescues wrote views of five items; versions without a change history wrote
-    no page of it, and leave a page unchanged that doesn't fit their configuration.
+    """Releases without rescues write views of five items. Releases without a change history write
+    no page for it; after a newer release they leave its page as it is, so that it no longer fits
+    the configuration.
     """
     record = pages.records()["with a view"]
     current = pages.from_hex(load("pages")["records"]["with a view"])
@@ -244,7 +245,7 @@
 
 @pytest.mark.parametrize("name", ["primary", "third", "older"])
 def test_a_store_starts_on_an_older_folder(name, tmp_path):
-    """It reads its record, the primary's counting lease and the learner's copy from the disk."""
+    """The store reads its record, the counting lease and the learner's copy from the disk."""
     record, found = asyncio.run(pages.read_folder(copy_folder(name, tmp_path)))
     host = record.view.primary.address[0] if name == "primary" else "10.1.0.3"
     stores = runs.StoreCluster(3, ["10.1.0.1", "10.1.0.2", "10.1.0.3"])
