--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """Test harnesses for the decision engine and for a limiter on loopback sockets.
 
-`EngineHarness` runs several engines on a simulated clock and checks the five rules at each action;
-`LimiterHarness` runs one limiter against stub servers.
+`EngineHarness` runs several engines on a simulated clock and checks the rules of its docstring at
+each action; `LimiterHarness` runs one limiter on loopback sockets against stub servers.
 """
 
 from __future__ import annotations
@@ -55,6 +55,7 @@
 
 S = TICKS_PER_SECOND
 ActionType = TypeVar("ActionType")
+RESPONSE_SLACK = 80  # ticks
 NOT_RUN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -63,7 +64,16 @@
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL,
     late_value: float = 0.0,
 ) -> Frontend:
-    return Frontend(effect, deduplication_scope, 2 * S, S, 4 * S, 1.0, late_value, False)
+    return Frontend(
+        effect=effect,
+        deduplication_scope=deduplication_scope,
+        deduplication_window=2 * S,
+        latency_target=S,
+        client_timeout=4 * S,
+        value=1.0,
+        late_value=late_value,
+        is_streaming=False,
+    )
 
 
 FRONTENDS = (
@@ -72,37 +82,56 @@
     frontend(Effect.DEDUPLICATED, DeduplicationScope.ZONE),
     frontend(Effect.DEDUPLICATED, DeduplicationScope.ALL),
 )
+UNLIMITED_PLAN = QuotaPlan(
+    rate=0.0,
+    burst=0.0,
+    concurrency_limit=0,
+    value_factor=1.0,
+    excess_value=0.0,
+    excess_cost=1.0,
+    rate_limit=0.0,
+    rate_limit_burst=0.0,
+    rate_limit_slack=0.0,
+)
 PLANS = (
-    QuotaPlan(2.0, 4.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
-    QuotaPlan(5.0, 10.0, 0, 1.5, 0.0, 1.0, 10.0, 20.0, 2.0),
-    QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
-    QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 10.0, 12.0, 2.0),
+    replace(UNLIMITED_PLAN, rate=2.0, burst=4.0),
+    replace(
+        UNLIMITED_PLAN,
+        rate=5.0,
+        burst=10.0,
+        value_factor=1.5,
+        rate_limit=10.0,
+        rate_limit_burst=20.0,
+        rate_limit_slack=2.0,
+    ),
+    UNLIMITED_PLAN,
+    replace(UNLIMITED_PLAN, rate_limit=10.0, rate_limit_burst=12.0, rate_limit_slack=2.0),
 )
 
 
 def settings(limiter_index: int = 0, limiter_count: int = 3, **changes: object) -> EngineSettings:
     base = EngineSettings(
-        limiter_index,
-        limiter_count,
-        0,
-        FRONTENDS,
-        PLANS,
-        4,
-        True,
-        False,
-        False,
-        False,
-        0,
-        True,
-        500,
-        0,
-        1,
-        S,
-        10 * S,
-        0.2,
-        3.0,
-        S,
-        80,
+        limiter_index=limiter_index,
+        limiter_count=limiter_count,
+        zone=0,
+        frontends=FRONTENDS,
+        plans=PLANS,
+        attempt_limit=4,
+        can_cancel_attempts=True,
+        can_check_health=False,
+        can_hedge=False,
+        sends_retry_after=False,
+        max_retry_after=0,
+        has_counter=True,
+        counter_timeout=500,
+        metering_period=0,
+        max_request_units=1,
+        drain_grace_period=S,
+        slow_start_period=10 * S,
+        slow_start_initial_capacity=0.2,
+        overload_multiple=3.0,
+        overload_period=S,
+        response_slack=RESPONSE_SLACK,
     )
     return replace(base, **changes)
 
@@ -113,7 +142,15 @@
     started_at: int = 0,
     zone: int = 0,
 ) -> Endpoint:
-    return Endpoint(endpoint_id, state, zone, 0, endpoint_id % 2, 1.0, started_at)
+    return Endpoint(
+        endpoint_id=endpoint_id,
+        state=state,
+        zone=zone,
+        kind=0,
+        cell=endpoint_id % 2,
+        capacity_hint=1.0,
+        started_at=started_at,
+    )
 
 
 def arrival(
@@ -126,7 +163,15 @@
 ) -> RequestArrived:
     deadline = now + FRONTENDS[frontend].client_timeout
     return RequestArrived(
-        request_id, frontend, plan, tenant, 1000 + tenant, deadline, 1.0, limiter_set_size, False
+        request_id=request_id,
+        frontend=frontend,
+        plan=plan,
+        tenant=tenant,
+        tenant_digest=1000 + tenant,
+        deadline=deadline,
+        units=1.0,
+        limiter_set_size=limiter_set_size,
+        is_retry=False,
     )
 
 
@@ -142,7 +187,15 @@
 
 
 class EngineHarness:
-    """The engines of several limiters on a simulated clock, with checks of the five rules.
+    """The engines of several limiters on a simulated clock, with checks of five rules.
+
+    1. A request gets exactly one final answer, at its deadline plus the response slack at the
+       latest.
+    2. A request that may have been executed is sent again, or rejected so that the client may
+       retry, only if a second execution is harmless or prevented by deduplication.
+    3. A server gets no attempts once it has been listed as not live for the drain grace period.
+    4. A server in slow start gets no more load than its reduced capacity bears.
+    5. A tenant stays within its plan's rate limit.
 
     Attributes:
         now: The simulated time, in ticks.
@@ -306,7 +359,9 @@
         self.now = end
         for request_id, (_, event, _) in self.open_requests.items():
             # rule 1
-            assert self.now <= event.deadline + 80, f"{request_id} got no final answer in time"
+            assert self.now <= event.deadline + RESPONSE_SLACK, (
+                f"{request_id} got no final answer in time"
+            )
         for server, endpoint in self.endpoints.items():
             if endpoint.started_at and self.now - endpoint.started_at < 10 * S:
                 self.check_slow_start(server, endpoint.started_at)
@@ -346,7 +401,7 @@
         )
 
 
-# --- a limiter on loopback sockets, and the stub servers around it
+# --- a limiter on loopback sockets, and its stub servers
 
 
 HOST = own_host()
@@ -459,7 +514,7 @@
         self.reader, self.writer = await asyncio.open_connection(HOST, self.port)
         return self
 
-    async def __aexit__(self, *why: object) -> None:
+    async def __aexit__(self, *exc_info: object) -> None:
         self.writer.close()
 
     async def send_request(self, raw: bytes) -> tuple[int, bytes, bytes]:
@@ -473,7 +528,11 @@
         return int(head[9:12]), head, await self.reader.readexactly(length)
 
     async def is_closed(self) -> bool:
-        """Whether the limiter closes the connection without a reset, within 4 s."""
+        """Whether the limiter closes the connection, without a reset and sending no more data.
+
+        Raises:
+            TimeoutError: The connection is still open after 4 s.
+        """
         return await asyncio.wait_for(self.reader.read(1), 4) == b""
 
 
@@ -500,20 +559,17 @@
             member(f"s{n}", await server.start()) for n, server in enumerate(self.servers)
         ]
         raw = json.dumps(config_file(ports, self.members, **self.changes)).encode()
-        arrival_clock = (
-            self.arrival_clock or asyncio.get_running_loop()._selector
-        )  # an ArrivalClockSelector in these tests
-        self.limiter, self.port = (
-            Limiter(parse_limiter_config(raw, {}), arrival_clock),
-            ports["listen"],
-        )
+        # the loop of these tests has an ArrivalClockSelector
+        arrival_clock = self.arrival_clock or asyncio.get_running_loop()._selector
+        self.limiter = Limiter(parse_limiter_config(raw, {}), arrival_clock)
+        self.port = ports["listen"]
         self.task = asyncio.create_task(self.limiter.run())
         while not self.limiter.listener.server:
             assert not self.task.done(), self.task.exception()
             await asyncio.sleep(0.005)
         return self
 
-    async def __aexit__(self, *why: object) -> None:
+    async def __aexit__(self, *exc_info: object) -> None:
         self.limiter.listener.close()
         self.limiter.watch.stop()
         for client in list(self.limiter.listener.clients):
@@ -523,14 +579,14 @@
         self.limiter.stopped.set()
         await self.task
 
-    def send_watch_line(self, **list_: object) -> None:
-        """Sends an endpoint list to the limiter, as a line of the discovery watch."""
+    def send_watch_line(self, **fields: object) -> None:
+        """Sends an endpoint list with these fields to the limiter, as a line of the watch."""
         for writer in self.discovery.open:
-            writer.write(watch_chunk(list_))
+            writer.write(watch_chunk(fields))
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Waits until a condition holds, checking it 600 times every 5 ms at most."""
+    """Waits until a condition holds; checks it every 5 ms, and fails after 600 checks."""
     for _ in range(600):
         if condition():
             return
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -152,7 +152,7 @@
 
 
 class BenchSession:
-    """A simulated bench: sends lines to the adapter, reads its lines, and draws events by a seed.
+    """A simulated bench: sends lines to the adapter, reads its lines, and draws random events.
 
     Attributes:
         lines: All lines sent.
@@ -160,7 +160,7 @@
         running: Indices of the running limiters.
         open_requests: Limiter index by request number.
         attempt_numbers: Number of the last attempt by request number.
-        pending_attempts: Limiter index, request, attempt number, server and time sent.
+        pending_attempts: Limiter index, request number, attempt number, server and time sent.
         counter_calls: Unanswered calls to the counter: limiter index and line.
         timers: Due time, limiter index and tag.
     """
@@ -201,11 +201,11 @@
         limiter = line.get("limiter_id", -1)
         match line["op"]:
             case "attempt":
-                txn = line["txn"]
-                attempt_number = self.attempt_numbers.get(txn, -1) + 1
-                self.attempt_numbers[txn] = attempt_number
+                request_number = line["txn"]
+                attempt_number = self.attempt_numbers.get(request_number, -1) + 1
+                self.attempt_numbers[request_number] = attempt_number
                 self.pending_attempts.append(
-                    (limiter, txn, attempt_number, line["server"], self.wall)
+                    (limiter, request_number, attempt_number, line["server"], self.wall)
                 )
             case "overload_reply" | "error":
                 self.open_requests.pop(line["txn"], None)
@@ -275,7 +275,7 @@
         events += [self.arrival() for _ in range(rng.choice([0, 1, 1, 2, 6]))]
         for _ in range(rng.randrange(4)):
             if self.pending_attempts:
-                limiter, txn, attempt_number, server, at = self.pending_attempts.pop(
+                limiter, txn, attempt_number, server, sent_at = self.pending_attempts.pop(
                     rng.randrange(len(self.pending_attempts))
                 )
                 outcome = rng.choice(OUTCOMES[:1] * 8 + OUTCOMES)
@@ -294,7 +294,7 @@
                     "send_no": attempt_number,
                 }
                 event |= {
-                    "took": round(self.wall - at, 1),
+                    "took": round(self.wall - sent_at, 1),
                     "final": final,
                     "fleet_use": 1,
                     "cost": 0.0,
@@ -332,27 +332,27 @@
     bench = BenchSession(11)
     phases = {f"s{n}": "live" for n in range(4)}
 
-    def lists(
-        scope: str, pool: tuple[str, dict[str, Any]], *limiters: int
+    def list_events(
+        scope: str, pool_event: tuple[str, dict[str, Any]], *limiters: int
     ) -> list[tuple[str, dict[str, Any]]]:
-        sheet = pool[1]["sheet"]
-        return [pool] + [
+        sheet = pool_event[1]["sheet"]
+        return [pool_event] + [
             ("registry", {"limiter_id": n, "scope": scope, "sheet": sheet, "gen": sheet})
             for n in limiters
         ]
 
     bench.run_batch(*(bench.start(n, bench_settings(n)) for n in range(3)))
     bench.run_batch(bench.arrival())  # no server is known yet
-    bench.run_batch(*lists("all", bench.endpoint_sheet(phases), 0, 1, 2))
+    bench.run_batch(*list_events("all", bench.endpoint_sheet(phases), 0, 1, 2))
     for _ in range(60):
         bench.step()
     bench.run_batch(("registry", {"limiter_id": 0, "scope": "refused"}))
-    cold = bench.endpoint_sheet({"s4": "live"}, boot_time=round(bench.wall, 1))
-    bench.run_batch(*lists("changes", cold, 0, 1, 2))
+    cold_servers = bench.endpoint_sheet({"s4": "live"}, boot_time=round(bench.wall, 1))
+    bench.run_batch(*list_events("changes", cold_servers, 0, 1, 2))
     for _ in range(25):
         bench.step()
     bench.run_batch(
-        *lists("changes", bench.endpoint_sheet({"s0": "quiescing", "s1": "dead"}), 0, 1, 2)
+        *list_events("changes", bench.endpoint_sheet({"s0": "quiescing", "s1": "dead"}), 0, 1, 2)
     )
     for _ in range(25):
         bench.step()
@@ -361,13 +361,15 @@
     bench.run_batch(("down", {"limiter_id": 2}))
     for _ in range(10):
         bench.step()
-    other = bench_settings(
+    other_settings = bench_settings(
         2,
         specifics={"has_counter": False},
         allowed={"try_limit": 2, "retry_after": False},
         rules={"answer_slack": 20, "drain_grace": 0},
     )
-    bench.run_batch(bench.start(2, other), *lists("remembered", bench.endpoint_sheet(phases), 2))
+    bench.run_batch(
+        bench.start(2, other_settings), *list_events("remembered", bench.endpoint_sheet(phases), 2)
+    )
     for _ in range(60):
         bench.step()
     bench.wall += 11_000.0  # the adapter writes its counts to the journal
@@ -457,14 +459,17 @@
 
 
 def action_lines() -> dict[str, str]:
-    """Returns a line of each action, including those that the engine makes rarely or never."""
+    """Returns the line of each action, also of those that the engine makes rarely or never.
+
+    "broken" has the lines that the adapter writes when the engine raises an exception.
+    """
     start = adapter_wire.line_decoder.decode(
         json.dumps(
             {"op": "start", "limiter_id": 3, "entropy": 1, "conf": bench_settings(0)}
         ).encode()
     )
-    inst = adapter.Instance(start, 0)
-    inst.servers.index_of("s0")
+    instance = adapter.Instance(start, 0)
+    instance.servers.index_of("s0")
     actions = [
         SendAttempt(7, 0, 12_345),
         Reject(7, 250, "full"),
@@ -476,7 +481,7 @@
         LogMessage("a line"),
     ]
     lines = {
-        ACTIONS[type(action)]: text(msgspec.json.encode(inst.to_message(3, action)))
+        ACTIONS[type(action)]: text(msgspec.json.encode(instance.to_message(3, action)))
         for action in actions
     }
 
@@ -486,8 +491,8 @@
 
     out = io.BytesIO()
     host = adapter.Host(out)
-    inst.engine = FailingEngine()
-    host.instances[3] = inst
+    instance.engine = FailingEngine()
+    host.instances[3] = instance
     for line in (b'{"op":"begin_batch","wall":1,"batch":1}', b'{"op":"elapsed","limiter_id":3}'):
         host.handle_line(line)
     host.handle_line(b'{"op":"flush"}')
@@ -502,7 +507,7 @@
         messages.MemberUpdate(3, "10.0.0.3:7000", 2, 1),
         messages.MemberUpdate(4, "10.0.0.4:7000", 1, 0),
     ]
-    base = (1, 5, 42, updates)
+    common_fields = (1, 5, 42, updates)
     servers = [
         config.BackendRecord(id="s1", address="10.0.1.1:80", phase="active", zone="east", pod=1),
         config.BackendRecord(
@@ -515,22 +520,24 @@
         ),
     ]
     datagram_messages = [
-        messages.Ping(*base, age=0.25, seq=9),
-        messages.Ack(*base, age=-1.0, seq=9, target=4),
-        messages.Check(*base, seq=10, target=4),
+        messages.Ping(*common_fields, age=0.25, seq=9),
+        messages.Ack(*common_fields, age=-1.0, seq=9, target=4),
+        messages.Check(*common_fields, seq=10, target=4),
         messages.Want(1, 5, 0, [], age=3.5),
-        messages.Part(*base, number=1, count=3, is_whole=False, base_revision=41, servers=servers),
+        messages.Part(
+            *common_fields, number=1, count=3, is_whole=False, base_revision=41, servers=servers
+        ),
         messages.Ping(0, 0, 0, []),
         messages.Part(2, 1, 7, []),
     ]
     results: dict[str, Any] = {}
     for number, message in enumerate(datagram_messages):
-        raw = messages.encode(message)
-        decoded = messages.decode(raw)
+        encoded = messages.encode(message)
+        decoded = messages.decode(encoded)
         assert decoded == message and type(decoded) is type(message)
-        assert messages.encode(decoded) == raw
+        assert messages.encode(decoded) == encoded
         results[f"{number} {type(message).__name__}"] = {
-            "bytes": raw.hex(),
+            "bytes": encoded.hex(),
             "values": msgspec.to_builtins(decoded),
         }
     valid = messages.encode(datagram_messages[4])
@@ -548,9 +555,9 @@
         "a spoilt phase": valid.replace(b"active", b"asleep", 1),
         "not UTF-8": valid.replace(b"east", b"ea\xff\xfe", 1),
     }
-    for name, raw in invalid.items():
+    for name, encoded in invalid.items():
         try:
-            results[name] = msgspec.to_builtins(messages.decode(raw))
+            results[name] = msgspec.to_builtins(messages.decode(encoded))
         except (msgspec.DecodeError, config.LimiterConfigError, UnicodeDecodeError) as error:
             results[name] = f"{type(error).__name__}: {error}"
     return results | {"most bytes": messages.MAX_DATAGRAM_BYTES}
@@ -584,10 +591,10 @@
         return base | {"settings": base["settings"] | changes}
 
     grade = base["settings"]["grades"][0]
-    no_me = {k: v for k, v in base["settings"].items() if k != "me"}
+    without_me = {k: v for k, v in base["settings"].items() if k != "me"}
     invalid = {
         "no settings": {},
-        "no me": base | {"settings": no_me},
+        "no me": base | {"settings": without_me},
         "me too high": settings(me=1),
         "me below 0": settings(me=-1),
         "no grades": settings(grades=[]),
@@ -613,11 +620,11 @@
         | {"known": {"members": [{"id": "a", "host_port": "10.0.0.1:1", "phase": "x"}]}},
         "no plan there": base | {"plan": "there/is/none.json"},
     }
-    raws = {name: json.dumps(file).encode() for name, file in invalid.items()}
-    raws |= {"no JSON": b"{", "empty": b"", "a list": b"[]", "trailing": b"{} x"}
-    raws |= {"not UTF-8": b'{"name":"\xff"}'}
+    encoded_files = {name: json.dumps(file).encode() for name, file in invalid.items()}
+    encoded_files |= {"no JSON": b"{", "empty": b"", "a list": b"[]", "trailing": b"{} x"}
+    encoded_files |= {"not UTF-8": b'{"name":"\xff"}'}
     results: dict[str, Any] = {}
-    for name, raw in raws.items():
+    for name, raw in encoded_files.items():
         with pytest.raises(config.LimiterConfigError) as error:
             config.parse_limiter_config(raw, {})
         results[name] = str(error.value)
@@ -651,7 +658,11 @@
 
 
 def digest_of_decisions(seed: int, services: int, events: int = 20_000) -> dict[str, Any]:
-    """Drives three engines with drawn events; digests their actions after each fifth of them."""
+    """Drives three engines with drawn events; digests their actions after each fifth of the events.
+
+    Timers are kept as due time, number in order of creation, limiter index and tag; attempts as
+    limiter index, request id, attempt number, server, time sent and expiry.
+    """
     rng, now = Random(seed), 1000 * S
     engine_settings = helpers.settings(0)
     if services > 1:
@@ -710,12 +721,12 @@
                     counter_calls.append((n, action))
 
     def finish(index: int, outcome: Outcome) -> None:
-        n, request_id, number, server, since, _ = attempts.pop(index)
-        final = outcome is Outcome.SUCCEEDED or request_id not in open_requests
-        if final:
+        n, request_id, number, server, sent_at, _ = attempts.pop(index)
+        is_final = outcome is Outcome.SUCCEEDED or request_id not in open_requests
+        if is_final:
             open_requests.pop(request_id, None)
         handle_event(
-            n, AttemptEnded(request_id, number, server, outcome, now - since, final, 0, 0.0)
+            n, AttemptEnded(request_id, number, server, outcome, now - sent_at, is_final, 0, 0.0)
         )
 
     for n in range(3):
@@ -877,12 +888,12 @@
 
 
 async def send_and_read(
-    streams: Streams, address: tuple[str, int], raw: bytes, seconds: float
+    streams: Streams, address: tuple[str, int], raw: bytes, duration_seconds: float
 ) -> dict[str, Any]:
-    """Sends data on a new connection; returns the answer after `seconds` and how it ended."""
+    """Sends data on a new connection; returns the answer after the duration and how it ended."""
     connection = await streams.open(HttpConnection, address, 1.0)
     connection.transport.write(raw)
-    await asyncio.sleep(seconds)
+    await asyncio.sleep(duration_seconds)
     result = {"answer": text(bytes(connection.buffer)), "end": connection.closed_reason}
     connection.transport.abort()
     return result
@@ -937,7 +948,7 @@
 
     async def work(patch: pytest.MonkeyPatch) -> None:
         forwarded = ForwardedData(patch, HOST, "10.0.1.")
-        tcp = TcpStack(SimNetwork(Random(1)), Random(2))
+        tcp_stack = TcpStack(SimNetwork(Random(1)), Random(2))
         loop = asyncio.get_running_loop()
         members = [
             {"id": f"s{n}", "host_port": f"{ip}:80", "locality": "east"}
@@ -945,48 +956,53 @@
         ]
         file = helpers.config_file({"listen": 1, "discovery": 1, "counter": 1}, members)
         file |= {"listen": f"{HOST}:80", "discovery": f"{HOST}:81", "counter": ""}
-        more = {
+        other_settings = {
             "plans": [{"name": "basic"}, {"name": "small", "refill": 1.0, "store_size": 1.0}],
             "specifics": {"has_counter": False, "max_units": 4},
         }
-        file["settings"] |= more
+        file["settings"] |= other_settings
         file["settings"]["allowed"] |= {"retry_after": True, "max_retry_after": 3000}
         limiter = LoopClockLimiter(
             config.parse_limiter_config(json.dumps(file).encode(), {}), VirtualTurns()
         )
-        here = Streams(tcp, HOST, SimProcess())
-        limiter.listener.bind, limiter.pool.connect = here.listen, here.connect
+        limiter_streams = Streams(tcp_stack, HOST, SimProcess())
+        limiter.listener.bind, limiter.pool.connect = (
+            limiter_streams.listen,
+            limiter_streams.connect,
+        )
         for ip in SERVER_IPS:
-            await Streams(tcp, ip, SimProcess()).listen(loop, SimulatedServer, (ip, 80))
+            await Streams(tcp_stack, ip, SimProcess()).listen(loop, SimulatedServer, (ip, 80))
         await limiter.listener.listen((HOST, 80))
         loop.call_later(1.0, limiter.sweep)
-        client = Streams(tcp, "10.9.0.1", SimProcess())
+        client = Streams(tcp_stack, "10.9.0.1", SimProcess())
 
-        async def one(name: str, raw: bytes, seconds: float = 0.5, behaviour: str = "ok") -> None:
+        async def record(
+            name: str, raw: bytes, duration_seconds: float = 0.5, behaviour: str = "ok"
+        ) -> None:
             SimulatedServer.behaviour = behaviour
-            responses[name] = await send_and_read(client, (HOST, 80), raw, seconds) | {
+            responses[name] = await send_and_read(client, (HOST, 80), raw, duration_seconds) | {
                 "sent on": forwarded.take()
             }
 
         ready = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
-        await one("not ready", ready)
-        await one("no servers", helpers.request())
+        await record("not ready", ready)
+        await record("no servers", helpers.request())
         limiter.update_servers(limiter.config.initial_backends)
-        await one("ready", ready)
-        await one("ready by POST", ready.replace(b"GET", b"POST"))
-        await one("an own path that isn't", ready.replace(b"ready", b"other"))
-        await one("look", helpers.request())
-        await one("look with a body", helpers.request(body=b"some words"))
-        await one("book", helpers.request("book", extra="X-Other: 7\r\n"))
-        await one("book again", helpers.request("book", body=b"b", extra="Client-Retry: 1\r\n"))
-        await one("two at once", helpers.request(id_="r2") + helpers.request(id_="r3"))
-        await one("close", helpers.request(extra="Connection: close, X-Hop\r\nX-Hop: 1\r\n"))
-        await one("in chunks", helpers.request(), behaviour="chunks")
+        await record("ready", ready)
+        await record("ready by POST", ready.replace(b"GET", b"POST"))
+        await record("an own path that isn't", ready.replace(b"ready", b"other"))
+        await record("look", helpers.request())
+        await record("look with a body", helpers.request(body=b"some words"))
+        await record("book", helpers.request("book", extra="X-Other: 7\r\n"))
+        await record("book again", helpers.request("book", body=b"b", extra="Client-Retry: 1\r\n"))
+        await record("two at once", helpers.request(id_="r2") + helpers.request(id_="r3"))
+        await record("close", helpers.request(extra="Connection: close, X-Hop\r\nX-Hop: 1\r\n"))
+        await record("in chunks", helpers.request(), behaviour="chunks")
         small = helpers.request().replace(b"X-Tier: basic", b"X-Tier: small")
         small = small.replace(b"account=00000000", b"account=00000001")  # an account keeps its plan
         for n in range(4):
-            await one(f"small {n}", small, 0.1)
-        usual = helpers.request()
+            await record(f"small {n}", small, 0.1)
+        valid_request = helpers.request()
         for name, old, new in [
             ("no account", b"account=", b"a="),
             ("no id", b"Request-Id: r1\r\n", b""),
@@ -997,17 +1013,17 @@
             ("too many units", b"units=1,", b"units=9,"),
             ("a set out of range", b"spread=1,", b"spread=9,"),
         ]:
-            assert old in usual
-            await one(name, usual.replace(old, new))
+            assert old in valid_request
+            await record(name, valid_request.replace(old, new))
         for name, raw in MALFORMED.items():
-            await one(name, raw, 14.0 if name == "cut" else 0.5)
+            await record(name, raw, 14.0 if name == "cut" else 0.5)
         for behaviour in ("full", "busy", "error", "missing", "lost", "spoilt", "silent"):
             for front in ("look", "book"):
-                await one(f"{front}, {behaviour}", helpers.request(front), 2.5, behaviour)
-                await asyncio.sleep(20.0)  # until the servers' failures no longer count
+                await record(f"{front}, {behaviour}", helpers.request(front), 2.5, behaviour)
+                await asyncio.sleep(20.0)  # the limiter forgets the servers' failures
         limiter.stop()
-        await one("stopping", helpers.request())
-        await one("not ready as it stops", ready, 0.01)
+        await record("stopping", helpers.request())
+        await record("not ready as it stops", ready, 0.01)
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(time, "process_time", lambda: 0.0)
@@ -1043,14 +1059,18 @@
         forwarded = ForwardedData(patch, ip, "10.3.")
         client = cluster.streams("10.9.0.1")
 
-        def one(
-            name: str, raw: bytes, seconds: float = 0.5, trouble: str = "", port: int = FRONT_PORT
+        def record(
+            name: str,
+            raw: bytes,
+            duration_seconds: float = 0.5,
+            fault: str = "",
+            port: int = FRONT_PORT,
         ) -> None:
             for server in cluster.servers["alpha"]:
-                server.fault = trouble
-            responses[name] = cluster.run(send_and_read(client, (ip, port), raw, seconds)) | {
-                "sent on": forwarded.take()
-            }
+                server.fault = fault
+            responses[name] = cluster.run(
+                send_and_read(client, (ip, port), raw, duration_seconds)
+            ) | {"sent on": forwarded.take()}
 
         def readiness(path: str) -> bytes:
             return b"GET %b HTTP/1.1\r\nHost: a\r\n\r\n" % path.encode()
@@ -1060,8 +1080,8 @@
 
         cluster.run(start_proxy())
         cluster.wait(0.1)
-        one("no configuration", proxy_request(), 2.0)
-        one("not ready", readiness("/api/readiness"), port=READINESS_PORT)
+        record("no configuration", proxy_request(), 2.0)
+        record("not ready", readiness("/api/readiness"), port=READINESS_PORT)
         cluster.proxies[ip].kill()
         cluster.use_default_configuration()
         cluster.route("open", "alpha", public=True)
@@ -1075,27 +1095,27 @@
         cluster.tenant("poor", "key-of-poor", 1, 1)
         cluster.run(cluster.start())
         cluster.wait(5.0)
-        one("ready", readiness("/api/readiness"), port=READINESS_PORT)
-        one("another path", readiness("/api/other"), port=READINESS_PORT)
-        one("an own path of the other limiter", readiness("/-/ready"))
-        one("get", proxy_request())
-        one("post", proxy_request("/once/x", "POST", body=b"some words"))
-        one("public", proxy_request("/open/x", key="", Authorization=None))
+        record("ready", readiness("/api/readiness"), port=READINESS_PORT)
+        record("another path", readiness("/api/other"), port=READINESS_PORT)
+        record("an own path of the other limiter", readiness("/-/ready"))
+        record("get", proxy_request())
+        record("post", proxy_request("/once/x", "POST", body=b"some words"))
+        record("public", proxy_request("/open/x", key="", Authorization=None))
         hop = {"Connection": "X-Hop", "X-Hop": "1", "X-Other": "2", "Loomstand-Tenant-Name": "me"}
-        one("fields", proxy_request("/a/y", "PUT", body=b"b", **hop))
-        one("close", proxy_request(Connection="close"))
-        one("two at once", proxy_request() + proxy_request(**{"Loomstand-Request-Id": "r-2"}))
-        one("no key", proxy_request(Authorization=None))
-        one("another key", proxy_request(key="odd"))
-        one("no route", proxy_request("/z/x"))
-        one("another host", proxy_request(Host="other.example"))
-        one("no id", proxy_request(**{"Loomstand-Request-Id": None}))
-        one("a spoilt time", proxy_request(**{"Loomstand-Deadline-Remaining": "soon"}))
-        one("a service without servers", proxy_request("/nobody/x"), 2.0)
+        record("fields", proxy_request("/a/y", "PUT", body=b"b", **hop))
+        record("close", proxy_request(Connection="close"))
+        record("two at once", proxy_request() + proxy_request(**{"Loomstand-Request-Id": "r-2"}))
+        record("no key", proxy_request(Authorization=None))
+        record("another key", proxy_request(key="odd"))
+        record("no route", proxy_request("/z/x"))
+        record("another host", proxy_request(Host="other.example"))
+        record("no id", proxy_request(**{"Loomstand-Request-Id": None}))
+        record("a spoilt time", proxy_request(**{"Loomstand-Deadline-Remaining": "soon"}))
+        record("a service without servers", proxy_request("/nobody/x"), 2.0)
         for n in range(8):
-            one(f"poor {n}", proxy_request(key="key-of-poor"), 0.1)
+            record(f"poor {n}", proxy_request(key="key-of-poor"), 0.1)
         for name, raw in MALFORMED.items():
-            one(name, raw, 14.0 if name == "cut" else 0.5)
+            record(name, raw, 14.0 if name == "cut" else 0.5)
         for behaviour in (
             "full",
             "error",
@@ -1110,11 +1130,11 @@
         ):
             for path, method in (("/single/x", "GET"), ("/once/x", "POST"), ("/a/x", "GET")):
                 seconds = 3.2 if behaviour == "silent" else 0.6
-                one(
+                record(
                     f"{method} {path}, {behaviour}", proxy_request(path, method), seconds, behaviour
                 )
                 cluster.wait(3.0)
-        one("a short time", proxy_request("/short/x"), 2.0, "slow")
+        record("a short time", proxy_request("/short/x"), 2.0, "slow")
         cluster.loop.close()
     return responses
 
@@ -1128,7 +1148,9 @@
     common = {200, 400, 404, 408, 413, 429, 431, 502, 503}
     assert statuses("wire-limiter.json") >= common
     retry_later = [
-        one for one in load("wire-limiter.json").values() if "\r\nRetry-After: " in one["answer"]
+        response
+        for response in load("wire-limiter.json").values()
+        if "\r\nRetry-After: " in response["answer"]
     ]
     assert retry_later and retry_later[0]["answer"].startswith("HTTP/1.1 429 ")
     assert statuses("wire-proxy.json") >= common | {401, 500, 504}
