--- a/tests/configuration_samples.py
+++ b/tests/configuration_samples.py
@@ -1,4 +1,4 @@
-"""A settings file and a configuration, used by tests of several packages."""
+"""A settings file and a configuration that tests of several packages use."""
 
 from __future__ import annotations
 
@@ -62,7 +62,10 @@
 
 
 def changed_configuration(*where, to=None, gone=False) -> bytes:
-    """Returns the example configuration with one value replaced, or removed if `gone`."""
+    """Returns `CONFIG` with the value at the path `where` replaced by `to`, or removed if `gone`.
+
+    An index equal to the length of a list appends the value.
+    """
     document = deepcopy(DOCUMENT)
     parent = document
     for key in where[:-1]:
--- a/tests/golden/runs.py
+++ b/tests/golden/runs.py
@@ -36,6 +36,7 @@
         self.counts: dict[str, int] = {}
 
     def record_message(self, event: str, host: str, frame: bytes) -> None:
+        """Adds a message to the digest and to the totals."""
         self.digest.update(f"{event} {host} {len(frame)} ".encode() + frame)
         self.bytes += len(frame)
         self.messages += 1
@@ -43,6 +44,7 @@
     def record_exchange(
         self, port: int, call: str, request: bytes, answer: bytes, shape: str
     ) -> None:
+        """Counts an exchange, and keeps it if it is one of the examples of its call."""
         key = f"{ROLES[port]} {call}"
         self.counts[key] = count = self.counts.get(key, 0) + 1
         examples, example = (
@@ -138,6 +140,7 @@
         return result.ok if result.is_ok() else None
 
     async def primary(self) -> str:
+        """Returns the primary's host; waits until a running store names one."""
         for _ in range(200):
             for host, machine in self.machines.items():
                 status = await self.call(host, "status", {}) if machine.up else None
@@ -147,6 +150,7 @@
         raise AssertionError("no primary")
 
     async def put(self, version: int, data: bytes, op: str = "put") -> Any:
+        """Sends a change to the primary until it is answered, and returns the answer."""
         for _ in range(100):
             answer = await self.call(await self.primary(), op, {"version": version, "data": data})
             if answer is not None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -110,6 +110,7 @@
 
 
 def settings(limiter_index: int = 0, limiter_count: int = 3, **changes: object) -> EngineSettings:
+    """Returns settings of a small system; `changes` replace fields."""
     base = EngineSettings(
         limiter_index=limiter_index,
         limiter_count=limiter_count,
@@ -161,6 +162,7 @@
     tenant: int = 0,
     limiter_set_size: int = 3,
 ) -> RequestArrived:
+    """Returns the arrival of a request of one unit, at `now` in ticks."""
     deadline = now + FRONTENDS[frontend].client_timeout
     return RequestArrived(
         request_id=request_id,
@@ -176,7 +178,7 @@
 
 
 def single_engine(now: int = 0, servers: int = 3, **changes: object) -> DecisionEngine:
-    """The engine of one limiter, with servers that are past slow start."""
+    """Returns the engine of one limiter, which knows servers that are past slow start."""
     engine = DecisionEngine(settings(**changes), 7, now)
     engine.handle(now, EndpointsUpdated(tuple(endpoint(n) for n in range(servers)), True))
     return engine
@@ -233,42 +235,53 @@
         for n in range(limiter_count):
             self.start(n)
 
-    def start(self, n: int) -> None:
-        self.engines[n] = DecisionEngine(settings(n, **self.changes), n, self.now)
-        self.draining_since[n] = {}
-        self.update_endpoints(n)
-
-    def update_endpoints(self, n: int) -> None:
-        for e in self.endpoints.values():
-            if e.state is not EndpointState.LIVE:
-                self.draining_since[n].setdefault(e.endpoint_id, self.now)
+    def start(self, limiter_index: int) -> None:
+        self.engines[limiter_index] = DecisionEngine(
+            settings(limiter_index, **self.changes), limiter_index, self.now
+        )
+        self.draining_since[limiter_index] = {}
+        self.update_endpoints(limiter_index)
+
+    def update_endpoints(self, limiter_index: int) -> None:
+        """Sends a limiter the complete list of servers."""
+        for endpoint in self.endpoints.values():
+            if endpoint.state is not EndpointState.LIVE:
+                self.draining_since[limiter_index].setdefault(endpoint.endpoint_id, self.now)
             else:
-                self.draining_since[n].pop(e.endpoint_id, None)
-        self.handle_event(n, EndpointsUpdated(tuple(self.endpoints.values()), True))
+                self.draining_since[limiter_index].pop(endpoint.endpoint_id, None)
+        self.handle_event(limiter_index, EndpointsUpdated(tuple(self.endpoints.values()), True))
 
-    def kill(self, n: int) -> None:
+    def kill(self, limiter_index: int) -> None:
         """Drops the counter calls, timers, requests and attempts of a limiter that is killed."""
-        self.counter_calls = [c for c in self.counter_calls if c[0] != n]
-        self.timers = [t for t in self.timers if t[1] != n]
-        self.open_requests = {r: o for r, o in self.open_requests.items() if o[0] != n}
-        self.attempts = {k: o for k, o in self.attempts.items() if o[0] != n}
-
-    def handle_event(self, n: int, event: Event) -> None:
-        for action in self.engines[n].handle(self.now, event):
-            self.check_action(n, action)
+        self.counter_calls = [call for call in self.counter_calls if call[0] != limiter_index]
+        self.timers = [timer for timer in self.timers if timer[1] != limiter_index]
+        self.open_requests = {
+            request_id: record
+            for request_id, record in self.open_requests.items()
+            if record[0] != limiter_index
+        }
+        self.attempts = {
+            key: record for key, record in self.attempts.items() if record[0] != limiter_index
+        }
+
+    def handle_event(self, limiter_index: int, event: Event) -> None:
+        """Passes an event to a limiter, and checks and records its actions."""
+        for action in self.engines[limiter_index].handle(self.now, event):
+            self.check_action(limiter_index, action)
 
     def close_request(self, request_id: int) -> None:
         """Records the final answer of a request; rule 1: there is only one."""
         assert request_id in self.open_requests, f"{request_id} answered twice"
         del self.open_requests[request_id]
 
-    def check_action(self, n: int, action: Action) -> None:
+    def check_action(self, limiter_index: int, action: Action) -> None:
+        """Checks an action of a limiter against the rules, and records it."""
         match action:
             case SendAttempt(request_id, server, expires_at):
-                self.check_attempt(n, request_id, server)
+                self.check_attempt(limiter_index, request_id, server)
                 attempts = self.open_requests[request_id][2]
                 self.attempts[request_id, len(attempts)] = (
-                    n,
+                    limiter_index,
                     server,
                     self.now,
                     min(expires_at, self.open_requests[request_id][1].deadline),
@@ -289,15 +302,16 @@
                 self.close_request(request_id)
             case SetTimer(delay, tag):
                 assert delay > 0
-                self.timers.append((self.now + delay, n, tag))
+                self.timers.append((self.now + delay, limiter_index, tag))
             case IncrementCounter():
-                self.counter_calls.append((n, action))
+                self.counter_calls.append((limiter_index, action))
 
-    def check_attempt(self, n: int, request_id: int, server: int) -> None:
+    def check_attempt(self, limiter_index: int, request_id: int, server: int) -> None:
+        """Checks a new attempt against rules 1, 2, 3 and 5."""
         assert request_id in self.open_requests, f"{request_id} sent after its final answer"
         _, event, earlier = self.open_requests[request_id]
         assert self.now < event.deadline
-        draining_since = self.draining_since[n].get(server)
+        draining_since = self.draining_since[limiter_index].get(server)
         # rule 3
         assert draining_since is None or self.now <= draining_since + S, "sent to a draining server"
         frontend = FRONTENDS[event.frontend]
@@ -324,7 +338,8 @@
             self.rate_limit_buckets[event.tenant] = tokens, self.now
 
     def end_attempt(self, key: tuple[int, int], outcome: Outcome) -> None:
-        n, server, sent_at, _ = self.attempts.pop(key)
+        """Ends the attempt with this request id and attempt number, and tells its limiter."""
+        limiter_index, server, sent_at, _ = self.attempts.pop(key)
         request_id, attempt_number = key
         is_final = outcome is Outcome.SUCCEEDED or request_id not in self.open_requests
         if request_id in self.open_requests:
@@ -332,7 +347,7 @@
             if outcome is Outcome.SUCCEEDED:
                 self.close_request(request_id)
         self.handle_event(
-            n,
+            limiter_index,
             AttemptEnded(
                 request_id, attempt_number, server, outcome, self.now - sent_at, is_final, 0, 0.0
             ),
@@ -342,19 +357,21 @@
         """Advances the clock, fires due timers, expires attempts and checks client deadlines."""
         end = self.now + duration
         while True:
-            due_times = [t[0] for t in self.timers if t[1] != self.stalled_limiter] + [
-                o[3] for o in self.attempts.values()
+            due_times = [timer[0] for timer in self.timers if timer[1] != self.stalled_limiter] + [
+                attempt[3] for attempt in self.attempts.values()
             ]
             next_due = min(due_times, default=end + 1)
             if next_due > end:
                 break
             self.now = max(self.now, next_due)
             for due in [
-                t for t in self.timers if t[0] <= self.now and t[1] != self.stalled_limiter
+                timer
+                for timer in self.timers
+                if timer[0] <= self.now and timer[1] != self.stalled_limiter
             ]:
                 self.timers.remove(due)
                 self.handle_event(due[1], TimerFired(due[2]))
-            for key in [k for k, o in self.attempts.items() if o[3] <= self.now]:
+            for key in [key for key, attempt in self.attempts.items() if attempt[3] <= self.now]:
                 self.end_attempt(key, Outcome.NO_RESPONSE)
         self.now = end
         for request_id, (_, event, _) in self.open_requests.items():
@@ -372,13 +389,26 @@
         The limit is the server's share of what the busiest warm server got, over one second, and
         one request for each limiter.
         """
-        peers = [n for n in self.endpoints if not self.endpoints[n].started_at]
+        peers = [
+            endpoint_id
+            for endpoint_id in self.endpoints
+            if not self.endpoints[endpoint_id].started_at
+        ]
         peer_requests = max(
-            (sum(1 for t, s in self.sends if s == p and t > self.now - 4 * S) for p in peers),
+            (
+                sum(
+                    1
+                    for sent_at, recipient in self.sends
+                    if recipient == peer and sent_at > self.now - 4 * S
+                )
+                for peer in peers
+            ),
             default=0,
         )
         recent_requests = sum(
-            1 for t, s in self.sends if s == server and t > max(started_at, self.now - S)
+            1
+            for sent_at, recipient in self.sends
+            if recipient == server and sent_at > max(started_at, self.now - S)
         )
         capacity_share = 0.2 + 0.8 * (self.now - started_at) / (10 * S)
         assert recent_requests <= 3.0 * capacity_share * max(peer_requests, 4) / 2 + len(
@@ -386,7 +416,11 @@
         ), "too many requests to a server in slow start"
 
     def answer_counter_call(self, index: int, outcome: Outcome, is_emptied: bool) -> None:
-        n, call = self.counter_calls.pop(index)
+        """Ends a pending call to the counter, which first loses all its totals if `is_emptied`.
+
+        A call that succeeds or gets no response has been executed.
+        """
+        limiter_index, call = self.counter_calls.pop(index)
         if is_emptied:
             self.counter_totals.clear()
         if outcome in (Outcome.SUCCEEDED, Outcome.NO_RESPONSE):
@@ -394,7 +428,7 @@
                 self.counter_totals.get(call.counter_name, 0.0) + call.amount
             )
         self.handle_event(
-            n,
+            limiter_index,
             CounterReplied(
                 call.counter_name, outcome, self.counter_totals.get(call.counter_name, 0.0), 30
             ),
@@ -412,6 +446,7 @@
 
 
 def member(id_: str, port: int, phase: str = "active") -> dict[str, object]:
+    """Returns a server's entry in a limiter's configuration file or in an endpoint list."""
     return {
         "id": id_,
         "host_port": f"{HOST}:{port}",
@@ -422,6 +457,7 @@
 
 
 def config_file(ports: dict[str, int], members: list[dict], **changes: object) -> dict:
+    """Returns the content of a limiter's configuration file; `changes` replace top-level keys."""
     grades = [
         {"name": "look", "effect": "pure", "on_time": 500, "deadline": 1500, "points": 1},
         {"name": "book", "effect": "side_effect", "on_time": 500, "deadline": 1500, "points": 1},
@@ -495,6 +531,15 @@
 def request(
     front: str = "look", id_: str = "r1", timeout: int = 1000, body: bytes = b"", extra: str = ""
 ) -> bytes:
+    """Returns the bytes of a request to a limiter.
+
+    Args:
+        front: Name of the request class, which is also the path.
+        id_: The request id.
+        timeout: How long the client waits, in ms.
+        body: The body; a request with a body is a POST.
+        extra: Further header lines, each with its line end.
+    """
     method = "POST" if body or front == "book" else "GET"
     return (
         f"{method} /{front}?account=00000000b4d65521 HTTP/1.1\r\nHost: "
