--- a/tests/features/store.feature
+++ b/tests/features/store.feature
@@ -1,5 +1,5 @@
-Feature: The store of configuration
-  Four core machines; three of them are the seeds. A change is acknowledged once two disks have it.
+Feature: The replicated configuration store
+  Four core machines, three of which are seed nodes. A change is acknowledged once it is on two disks.
 
   Scenario: A start without faults
     Given a core that has just started
@@ -104,7 +104,7 @@
 
   Scenario: Only a voter without data is left, until the backup is back
     Given a core at work
-    When all are killed, the primary stays down, and the backup for 2.2 s
+    When all machines are killed, the primary stays down, and the backup restarts after 2.2 s
     Then a change is acknowledged within 3 s
     And nothing acknowledged is lost
 
--- a/tests/store/test_change_history.py
+++ b/tests/store/test_change_history.py
@@ -1,5 +1,6 @@
-"""The verdict on a configuration change by its version and content: the pure decision, and whole
-clusters whose answers get lost.
+"""Tests of the verdict on a configuration change, which depends on its version and content.
+
+They check the decision alone, and simulated clusters in which operators lose some answers.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_rescue import rescue
-from test_store import StoreCluster, _fault
+from test_store import StoreCluster, inject_fault
 
 from loomstand.rpc.messages.rows import ChangeHistoryRow
 from loomstand.store import change_history
@@ -32,15 +33,20 @@
 
 
 def served(sent: list[tuple[int, bytes]]):
-    """The verdicts of a single store that never fails, each with the change history after it."""
-    held, data, known = 0, b"", EMPTY_HISTORY
+    """Judges the changes as a single store does that never fails.
+
+    Yields the version, content and verdict of each change, and the committed version and the change
+    history after it.
+    """
+    committed, data, history = 0, b"", EMPTY_HISTORY
     for version, content in sent:
-        answer = known.judge(held, data, version, content)
-        if answer is Verdict.ACCEPT:
-            held, data, known = version, content, known.appended(version, digest(content))
-        elif answer is Verdict.SUPERSEDED:
-            known = known.with_superseded(version, digest(content))
-        yield version, content, answer, held, known
+        verdict = history.judge(committed, data, version, content)
+        if verdict is Verdict.ACCEPT:
+            committed, data = version, content
+            history = history.appended(version, digest(content))
+        elif verdict is Verdict.SUPERSEDED:
+            history = history.with_superseded(version, digest(content))
+        yield version, content, verdict, committed, history
 
 
 @given(ORDERS, st.sampled_from([1, 3, 1024]))
@@ -91,36 +97,34 @@
         assert Record.from_pages(malformed).history == EMPTY_HISTORY
     newer_page = Record("a", True, 3, None, 9, b"nine", 4).pages()["configuration"]
     mixed_pages = record.pages() | {"configuration": newer_page}
-    assert (
-        Record.from_pages(mixed_pages).history == EMPTY_HISTORY
-    )  # an earlier release wrote the configuration without the history
+    # an earlier release wrote the configuration without the history
+    assert Record.from_pages(mixed_pages).history == EMPTY_HISTORY
     del mixed_pages["orders"]
     assert Record.from_pages(mixed_pages).version == 9
 
 
 def test_the_committed_content_is_compared_as_json_and_older_ones_by_their_bytes():
-    one = b'{"version":"r7","resources":[{"a":1,"b":"\\u00e9"}]}'
+    committed = b'{"version":"r7","resources":[{"a":1,"b":"\\u00e9"}]}'
     reencoded = b'{ "resources": [{"b": "\xc3\xa9", "a": 1.0}], "version": "r7" }'
-    history = EMPTY_HISTORY.appended(7, digest(one))
+    history = EMPTY_HISTORY.appended(7, digest(committed))
     assert (
-        is_same_configuration(one, reencoded)
-        and history.judge(7, one, 7, reencoded) is Verdict.REPEATED
+        is_same_configuration(committed, reencoded)
+        and history.judge(7, committed, 7, reencoded) is Verdict.REPEATED
     )
-    assert history.judge(7, one, 7, one.replace(b"1", b"2")) is Verdict.CONFLICT
+    assert history.judge(7, committed, 7, committed.replace(b"1", b"2")) is Verdict.CONFLICT
     assert not is_same_configuration(b"[" * 100_000, b"[" * 100_001) and not is_same_configuration(
         b"{", b"["
     )
     assert history.appended(9, digest(b"{}")).judge(9, b"{}", 7, reencoded) is Verdict.CONFLICT
-    assert (
-        EMPTY_HISTORY.judge(7, one, 7, b"{}") is Verdict.CONFLICT
-    )  # committed, with an empty history
+    # the version is committed, although the history is empty
+    assert EMPTY_HISTORY.judge(7, committed, 7, b"{}") is Verdict.CONFLICT
 
 
 # --- whole clusters
 
 
 class Ledger:
-    """The changes that operators sent and their answers, which are checked as each one arrives.
+    """The changes that operators sent and their answers; each answer is checked when it arrives.
 
     Attributes:
         confirmed: The acknowledged content of each version.
@@ -139,9 +143,16 @@
     async def send_change(
         self, host: str, version: int, mark: str, lost: bool = False
     ) -> bool | None:
-        """Sends a change; True if acknowledged, False if refused, None if the outcome is unclear.
+        """Sends a change to a store.
+
+        Args:
+            host: The store's host.
+            version: The version of the change.
+            mark: Text that is part of the content.
+            lost: Whether to treat the outcome as unclear even if an answer arrived.
 
-        `lost`: treat the outcome as unclear even if an answer arrived.
+        Returns:
+            True if acknowledged, False if refused, None if the outcome is unclear.
         """
         cluster, data = self.cluster, f"{version} {mark}".encode()
         cluster.sent = max(cluster.sent, version)
@@ -153,42 +164,47 @@
         if answer.is_error() or lost:
             self.counts[None] += 1
             return None
-        good = "conflict" not in answer.ok
-        self.counts[good] += 1
-        if good:
+        is_acknowledged = "conflict" not in answer.ok
+        self.counts[is_acknowledged] += 1
+        if is_acknowledged:
             cluster.acknowledged_version = max(cluster.acknowledged_version, version)
             assert self.confirmed.setdefault(version, data) == data, (
-                f"two confirmed under r{version}"
+                f"two contents confirmed under r{version}"
             )
             assert (version, data) not in self.refused, f"r{version} refused, then confirmed"
             assert answer.ok["version"] >= version
         else:
             self.refused.add((version, data))
             assert self.confirmed.get(version) != data, f"r{version} confirmed, then refused"
-            assert len(cluster.contents[version]) > 1, f"r{version} has one content, and is refused"
-        return good
+            assert len(cluster.contents[version]) > 1, (
+                f"r{version} refused, but only one content was sent"
+            )
+        return is_acknowledged
 
     def check(self) -> None:
         for version, data in self.cluster.committed.items():
-            assert (version, data) not in self.refused, f"r{version} refused and in force"
+            assert (version, data) not in self.refused, f"r{version} refused, but committed"
             assert self.confirmed.get(version, data) == data, f"another r{version} was confirmed"
 
 
 async def run_operator(ledger: Ledger, rng: Random, mark: str, pause: float) -> None:
-    """Runs an operator that loses some answers and repeats changes, whatever their outcome."""
+    """Runs an operator that loses some answers and repeats changes, whatever their outcome.
+
+    The operator pauses up to `pause` seconds between changes.
+    """
     cluster = ledger.cluster
     while True:
         await asyncio.sleep(rng.uniform(0.0, pause))
         hosts = [h for h, m in cluster.machines.items() if m.up] or [*cluster.machines]
-        step = rng.random()
-        if ledger.sent and step < 0.4:
-            version, change_mark = rng.choice(ledger.sent[-12:] if step < 0.3 else ledger.sent)
+        choice = rng.random()
+        if ledger.sent and choice < 0.4:
+            version, change_mark = rng.choice(ledger.sent[-12:] if choice < 0.3 else ledger.sent)
         else:
             version, change_mark = (
                 max(1, cluster.sent + rng.choice((-2, -1, 0, 0, 1, 1, 1, 2))),
                 mark,
             )
-        if rng.random() < 0.2:  # to two machines concurrently
+        if rng.random() < 0.2:  # sends two changes to two machines concurrently
             other_mark, lost = rng.choice((change_mark, mark + "'")), rng.random() < 0.3
             concurrent_change = ledger.send_change(rng.choice(hosts), version, other_mark, lost)
             await asyncio.gather(
@@ -203,8 +219,8 @@
     for machine in cluster.machines.values():
         machine.start()
     await asyncio.sleep(1.5)
-    cluster.first = False
-    work = [
+    cluster.is_first_start = False
+    operators = [
         asyncio.create_task(run_operator(ledger, Random(rng.random()), f"op{n}", 0.25))
         for n in range(8)
     ]
@@ -218,15 +234,15 @@
         else:
             random_machine = rng.choice([*cluster.machines.values()])
             primary = cluster.find_primary() if rng.random() < 0.7 else None
-            await _fault(cluster, rng, primary or random_machine, True)
+            await inject_fault(cluster, rng, primary or random_machine, True)
         await asyncio.sleep(rng.choice((0.05, 0.5, 2.0, 4.0)))
-        for task in work:
+        for task in operators:
             assert not task.done() or task.result()
     await asyncio.sleep(4.0)
-    for task in work:
+    for task in operators:
         task.cancel()
     for version, mark in [*dict.fromkeys(ledger.sent)][-40:]:
-        # without faults each change gets a clear answer, the same from every machine
+        # without faults every machine gives the same clear answer to a repeated change
         for _ in range(20):
             answers = [await ledger.send_change(h, version, mark) for h in cluster.machines]
             if None not in answers:
@@ -254,17 +270,19 @@
 
 
 def drops_history_at_start(patch) -> None:
-    read = Record.from_pages
+    from_pages = Record.from_pages
     patch.setattr(
         Record,
         "from_pages",
-        staticmethod(lambda pages: read({k: v for k, v in pages.items() if k != "orders"})),
+        staticmethod(lambda pages: from_pages({k: v for k, v in pages.items() if k != "orders"})),
     )
 
 
 def drops_history_at_the_backup(patch) -> None:
-    keep = Replica.accept_write
-    patch.setattr(Replica, "accept_write", lambda self, *parts: keep(self, *parts[:4]))
+    accept_write = Replica.accept_write
+    patch.setattr(
+        Replica, "accept_write", lambda self, *arguments: accept_write(self, *arguments[:4])
+    )
 
 
 def drops_superseded_versions(patch) -> None:
@@ -276,7 +294,9 @@
     patch.setattr(
         ChangeHistory,
         "judge",
-        lambda *a: Verdict.SUPERSEDED if judge(*a) is Verdict.CONFLICT else judge(*a),
+        lambda *arguments: (
+            Verdict.SUPERSEDED if judge(*arguments) is Verdict.CONFLICT else judge(*arguments)
+        ),
     )
 
 
@@ -285,7 +305,9 @@
     patch.setattr(
         ChangeHistory,
         "judge",
-        lambda *a: Verdict.CONFLICT if judge(*a) is Verdict.SUPERSEDED else judge(*a),
+        lambda *arguments: (
+            Verdict.CONFLICT if judge(*arguments) is Verdict.SUPERSEDED else judge(*arguments)
+        ),
     )
 
 
@@ -309,11 +331,15 @@
 # --- through the registries, and after a rescue
 
 
-def replace_status(system: Cluster, ip: str, version: int, more: str = "") -> int:
-    """The status of a registry's answer to a change, which is repeated until it is clear."""
+def replace_status(system: Cluster, ip: str, version: int, timeout: str = "5000ms") -> int:
+    """Returns the status of a change that sends the configuration under a version.
+
+    The timeout replaces that of the routes. The operator repeats the call until the outcome is
+    clear.
+    """
 
     async def send() -> int:
-        body = system.body(version).replace(b"5000ms", more.encode() or b"5000ms")
+        body = system.body(version).replace(b"5000ms", timeout.encode())
         system.operator.core_index = system.core_ips.index(ip)
         response = await system.operator.call("configuration.replace", body, 8.0)
         assert response is not None
@@ -325,12 +351,12 @@
 def test_registries_refuse_another_content_after_takeover_restart_and_a_lost_disk():
     system = Cluster(3)
     system.run(system.start())
-    hosts, number = system.core_ips, system.version + 5
-    versions = (number, number + 4)
+    core_hosts, base_version = system.core_ips, system.version + 5
+    versions = (base_version, base_version + 4)
     assert (
-        replace_status(system, hosts[0], versions[0])
+        replace_status(system, core_hosts[0], versions[0])
         == 200
-        == replace_status(system, hosts[1], versions[1])
+        == replace_status(system, core_hosts[1], versions[1])
     )
 
     def check_answers() -> None:
@@ -338,13 +364,16 @@
             for version in versions:
                 assert replace_status(system, ip, version) == 200
                 assert replace_status(system, ip, version, "4000ms") == 409
-            assert replace_status(system, ip, number + 1) == 200  # lower, and never committed
-            assert replace_status(system, ip, number + 1, "4000ms") == 409
+            # a version below the committed one that was never committed itself
+            assert replace_status(system, ip, base_version + 1) == 200
+            assert replace_status(system, ip, base_version + 1, "4000ms") == 409
         assert json.loads(system.run(system.operator.read()))["version"] == f"r{versions[1]}"
 
     check_answers()
     for fault in ("kill", "power", "wipe"):
-        targets = [ip for ip in hosts if system.is_serving(ip)] if fault != "power" else hosts
+        targets = (
+            [ip for ip in core_hosts if system.is_serving(ip)] if fault != "power" else core_hosts
+        )
         assert targets
         for ip in targets:
             for host in system.core(ip):
@@ -366,7 +395,7 @@
     cluster = StoreCluster(5)
     cluster.start()
     cluster.wait(2.0)
-    cluster.first = False
+    cluster.is_first_start = False
     ledger = Ledger(cluster)
     for version in (2, 5, 7):
         assert cluster.run(ledger.send_change("10.1.0.1", version, "ann"))
@@ -386,30 +415,29 @@
 
 
 def second_term_accepts_other_content() -> bool | None:
-    """Whether another content of an acknowledged version is accepted by a primary in a second term.
+    """Whether a primary in its second term accepts another content of an acknowledged version.
 
-    The version was acknowledged by another primary, while this one was partitioned.
+    Another primary acknowledged the version between the two terms, while this one was partitioned.
     """
     cluster = StoreCluster(2, tuple(f"10.{zone}.0.1" for zone in range(1, 4)))
     ledger = Ledger(cluster)
     try:
         cluster.start()
         cluster.wait(2.0)
-        cluster.first = False
-        old = cluster.primary()
-        assert cluster.run(ledger.send_change(old.host, 9, "ann"))
-        rest = [h for h in cluster.machines if h != old.host]
-        cluster.network.partition([old.host], rest)
+        cluster.is_first_start = False
+        first_primary = cluster.primary()
+        assert cluster.run(ledger.send_change(first_primary.host, 9, "ann"))
+        others = [host for host in cluster.machines if host != first_primary.host]
+        cluster.network.partition([first_primary.host], others)
         cluster.wait(4.0)
-        assert cluster.run(
-            ledger.send_change(cluster.primary().host, 7, "ann")
-        )  # superseded by version 9, and acknowledged
+        # acknowledged, as version 9 supersedes it
+        assert cluster.run(ledger.send_change(cluster.primary().host, 7, "ann"))
         cluster.network.heal()
         cluster.wait(3.0)
         for _ in range(6):
-            if (now := cluster.primary()) is old:
-                return cluster.run(ledger.send_change(old.host, 7, "bob"))
-            now.power_off()
+            if (primary := cluster.primary()) is first_primary:
+                return cluster.run(ledger.send_change(first_primary.host, 7, "bob"))
+            primary.power_off()
             cluster.wait(4.0)
             cluster.start()
             cluster.wait(4.0)
@@ -422,10 +450,10 @@
     become_established = Replica.become_established
 
     def become_established_with_history(self, now):
-        before, done = self.history, become_established(self, now)
-        if done and before.entries:
-            self.history = before
-        return done
+        earlier_history, is_established = self.history, become_established(self, now)
+        if is_established and earlier_history.entries:
+            self.history = earlier_history
+        return is_established
 
     patch.setattr(Replica, "become_established", become_established_with_history)
 
@@ -433,5 +461,5 @@
 def test_a_primary_in_a_second_term_has_the_changes_acknowledged_in_between(monkeypatch):
     assert second_term_accepts_other_content() is False
     keeps_history_of_an_earlier_term(monkeypatch)
-    with pytest.raises(AssertionError, match="two confirmed under r7"):
+    with pytest.raises(AssertionError, match="two contents confirmed under r7"):
         second_term_accepts_other_content()
--- a/tests/store/test_disk.py
+++ b/tests/store/test_disk.py
@@ -1,4 +1,4 @@
-"""The store's disk after power failures that lose directory entries which weren't synced."""
+"""Tests of the store's disk after power failures, which lose unsynced directory entries."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def synced(monkeypatch):
-    """The names in each folder at its last sync, by folder."""
+    """Returns the names that each folder had at its last sync, by the folder's path."""
     names_by_folder: dict[str, set[str]] = {}
     os_fsync = os.fsync
 
@@ -95,7 +95,7 @@
 
 
 def test_a_missing_folder_sync_is_detected(tmp_path, synced, monkeypatch):
-    """Mutation check: without the sync of the folders the written pages are lost."""
+    """Mutation check: without the sync of the folders, a power failure loses the written pages."""
     monkeypatch.setattr(LmdbDisk, "_sync_directories", lambda _: None)
     run_with_disk(tmp_path / "store", load_and_save)
     lose_unsynced_names(tmp_path, synced)
--- a/tests/store/test_first_start.py
+++ b/tests/store/test_first_start.py
@@ -1,5 +1,6 @@
-"""The first start of the whole system: all machines start within 0.3 s of each other, in any order,
-and no seed listens yet.
+"""Tests of the first start of the whole system.
+
+All machines start within 0.3 s of each other, in any order, and no seed node listens yet.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from loomstand.proxy import sessions
 from loomstand.testing.simulation.cluster import Cluster
 
-START_SPREAD_SECONDS = 0.3  # between the first and the last machine's start, as documented
-READY_SECONDS = 4.0  # until all proxies are ready: traffic begins 10 s after the start
+START_SPREAD_SECONDS = 0.3  # documented bound between the first and the last machine's start
+READY_SECONDS = 4.0  # bound on the time until all proxies are ready; traffic begins after 10 s
 
 
 async def start_all(system: Cluster, seeds_last: bool) -> float:
@@ -24,16 +25,16 @@
     if seeds_last:
         for ip in system.core_ips[:3]:
             start_times |= dict.fromkeys(system.core(ip), START_SPREAD_SECONDS)
-    now = system.loop.time()
+    began_at = system.loop.time()
     for host, at in start_times.items():
         system.loop.call_later(at, host.start)
-    for server in (s for many in system.servers.values() for s in many):
+    for server in (s for service in system.servers.values() for s in service):
         system.loop.call_later(rng.uniform(0, START_SPREAD_SECONDS), server.start)
     await asyncio.sleep(START_SPREAD_SECONDS)
     assert await system.replace(20.0)
     while not all([await system.is_ready(ip) for ip in system.proxies]):
         await asyncio.sleep(0.1)
-    return system.loop.time() - now
+    return system.loop.time() - began_at
 
 
 @pytest.fixture(params=range(8))
@@ -56,9 +57,7 @@
 
 
 def test_a_long_pause_between_connection_attempts_of_a_proxy_is_detected(monkeypatch):
-    """Mutation check: a proxy pauses after a seed that doesn't listen yet as long as after a lost
-    machine.
-    """
+    """Mutation check: a proxy backs off for 8 s after a failed connection to a seed node."""
     monkeypatch.setattr(sessions, "BACKOFF_SECONDS", (8.0, 8.0))
     system = Cluster(1, proxies=3)
     assert system.run(start_all(system, True)) > READY_SECONDS
--- a/tests/store/test_many_changes.py
+++ b/tests/store/test_many_changes.py
@@ -1,4 +1,4 @@
-"""Hundreds of changes while a member is unavailable, and configurations of thousands of routes."""
+"""Tests of many changes while a member is unavailable, and of configurations with many routes."""
 
 from __future__ import annotations
 
@@ -101,17 +101,18 @@
 )
 
 
-def outcome(read, raw: bytes) -> Any:
+def outcome(parse, raw: bytes) -> Any:
+    """Returns the parsed configuration, or the text of the error."""
     try:
-        return read(raw)
-    except ConfigurationError as why:
-        return str(why)
+        return parse(raw)
+    except ConfigurationError as error:
+        return str(error)
 
 
-def compare(steps, kept: bool) -> None:
+def compare(steps, keeps_invalid: bool) -> None:
     """Compares incremental with full parsing over successive changes.
 
-    Each change is based on the previous one if `kept`, otherwise on the last valid one.
+    Each change is based on the last valid one, or with `keeps_invalid` on the previous one.
     """
     reader, entries = ConfigurationReader(), resources(4)
     for n, (at, name, value) in enumerate(steps):
@@ -121,8 +122,8 @@
             changed.append(changed.pop(at))
         raw = body(changed, n)
         incremental, full = outcome(reader.parse, raw), outcome(parse_configuration, raw)
-        assert repr(incremental) == repr(full)  # repr tells 1 from 1.0, which are equal
-        if kept or not isinstance(full, str):
+        assert repr(incremental) == repr(full)  # unlike ==, repr distinguishes 1 from 1.0
+        if keeps_invalid or not isinstance(full, str):
             entries = changed
 
 
@@ -143,9 +144,9 @@
 
 
 def test_a_change_of_one_route_parses_only_that_route(monkeypatch):
-    reads, entries, before = [], resources(3000), reader_module.parse_resource
+    reads, entries, parse_resource = [], resources(3000), reader_module.parse_resource
     monkeypatch.setattr(
-        reader_module, "parse_resource", lambda at, r: reads.append(at) or before(at, r)
+        reader_module, "parse_resource", lambda at, r: reads.append(at) or parse_resource(at, r)
     )
     reader = ConfigurationReader()
     reader.parse(body(entries, 1))
@@ -157,44 +158,47 @@
 # --- catch-up after hundreds of changes
 
 
-async def put_changes(cluster: StoreCluster, count: int, away: str) -> None:
-    """Sends changes one by one, at most eight per second, to any machine but `away`."""
+async def put_changes(cluster: StoreCluster, count: int, excluded_host: str) -> None:
+    """Sends changes one by one, with pauses of 0.1 s, to any machine but `excluded_host`."""
     for _ in range(count):
-        assert await cluster.put_within(6.0, (away,))
+        assert await cluster.put_within(6.0, (excluded_host,))
         await asyncio.sleep(0.1)
 
 
 async def outages_during_changes(cluster: StoreCluster, rng: Random) -> None:
+    """Makes one machine after the other miss over a hundred changes, each time in another way."""
     hosts = [*cluster.machines]
     for machine in cluster.machines.values():
         machine.start()
     await asyncio.sleep(1.5)
-    cluster.first = False
+    cluster.is_first_start = False
     for kind in ("power", "cut", "wipe", "freeze", "all"):
-        first = cluster.find_primary() if rng.random() < 0.6 else None
-        failed = first or cluster.machines[rng.choice(hosts)]
+        primary = cluster.find_primary() if rng.random() < 0.6 else None
+        failed_machine = primary or cluster.machines[rng.choice(hosts)]
         if kind in ("power", "wipe", "all"):
-            failed.power_off(wipe=kind == "wipe")
+            failed_machine.power_off(wipe=kind == "wipe")
         elif kind == "cut":
-            cluster.network.partition([failed.host], [h for h in hosts if h != failed.host])
+            cluster.network.partition(
+                [failed_machine.host], [h for h in hosts if h != failed_machine.host]
+            )
         else:
-            failed.freeze()
-        await put_changes(cluster, 105, failed.host)
-        if kind == "all":  # the machine that missed about a hundred changes restarts first
+            failed_machine.freeze()
+        await put_changes(cluster, 105, failed_machine.host)
+        if kind == "all":  # the machine that missed the changes restarts first
             for machine in cluster.machines.values():
                 machine.power_off()
-            failed.start()
+            failed_machine.start()
             await asyncio.sleep(1.0)
             assert cluster.find_primary() is None
             for machine in cluster.machines.values():
-                if machine is not failed:
+                if machine is not failed_machine:
                     machine.start()
         elif kind in ("power", "wipe"):
-            failed.start()
+            failed_machine.start()
         elif kind == "cut":
             cluster.network.heal()
         else:
-            failed.thaw()
+            failed_machine.thaw()
         await put_changes(cluster, 5, "")
     await asyncio.sleep(1.0)
     assert cluster.sent >= 550
@@ -223,10 +227,12 @@
 def test_without_commits_from_others_a_member_never_catches_up(monkeypatch):
     commit = Replica.commit
 
-    def behind(self, v, d):
-        return False if v > self.version + 90 and self.version else commit(self, v, d)
+    def skip_large_steps(self, version, data):
+        if version > self.version + 90 and self.version:
+            return False
+        return commit(self, version, data)
 
-    monkeypatch.setattr(Replica, "commit", behind)
+    monkeypatch.setattr(Replica, "commit", skip_large_steps)
     with pytest.raises(AssertionError):
         run_outages(0)
 
@@ -270,7 +276,7 @@
 
 
 class SlowRegistry:
-    """A registry with a new configuration every 0.3 s, which takes 2 s to send one."""
+    """A network to a registry that gets a configuration every 0.3 s and takes 2 s to send one."""
 
     async def call(self, address, op, request, within):
         loop = asyncio.get_running_loop()
@@ -322,11 +328,11 @@
 
 
 def test_thousands_of_routes_are_acknowledged_compressed_and_in_force(monkeypatch):
-    sent, answered = [], StoreClient.handle_configuration
+    sent_sizes, handle_configuration = [], StoreClient.handle_configuration
 
     async def fetch(self, request):
-        answer = await answered(self, request)
-        sent.append(len(answer.compressed_data or answer.data or b""))
+        answer = await handle_configuration(self, request)
+        sent_sizes.append(len(answer.compressed_data or answer.data or b""))
         return answer
 
     monkeypatch.setattr(StoreClient, "handle_configuration", fetch)
@@ -342,7 +348,7 @@
         )
     )
     size = len(system.versions[system.version])
-    assert size > 700_000 and max(sent) < size / 10
+    assert size > 700_000 and max(sent_sizes) < size / 10
     assert system.run(system.operator.read()) == system.versions[system.version]
     large = system.run(
         system.operator.call("configuration.replace", b" " * (MAX_BODY_BYTES + 1), 5.0)
@@ -354,26 +360,26 @@
 def test_large_changes_at_once_are_limited_by_their_size(monkeypatch):
     system = Cluster(4, proxies=1)
     system.run(system.start())
-    number, registry = system.version, system.registry(system.core_ips[0])
-    orders = [system.body(number + 1 + n) for n in range(8)]
+    version, registry = system.version, system.registry(system.core_ips[0])
+    bodies = [system.body(version + 1 + n) for n in range(8)]
 
-    async def at_once() -> list[int]:
+    async def send_all() -> list[int]:
         calls = (
-            registry.handle_http(b"POST", b"/api/rpc?call=configuration.replace", o) for o in orders
+            registry.handle_http(b"POST", b"/api/rpc?call=configuration.replace", raw)
+            for raw in bodies
         )
         return sorted(status for status, _ in await asyncio.gather(*calls))
 
-    assert system.run(at_once()) == [200] * 8 and registry.operator_api.pending_bytes == 0
-    monkeypatch.setattr(operator_api, "MAX_PENDING_BYTES", 3 * len(orders[0]) + 3)
+    assert system.run(send_all()) == [200] * 8 and registry.operator_api.pending_bytes == 0
+    monkeypatch.setattr(operator_api, "MAX_PENDING_BYTES", 3 * len(bodies[0]) + 3)
     assert (
-        system.run(at_once()) == [200] * 3 + [503] * 5 and registry.operator_api.pending_bytes == 0
+        system.run(send_all()) == [200] * 3 + [503] * 5 and registry.operator_api.pending_bytes == 0
     )
-    monkeypatch.setattr(
-        operator_api, "MAX_PENDING_BYTES", 10
-    )  # a single change above the limit is accepted, too
+    # a single change above the limit is accepted, too
+    monkeypatch.setattr(operator_api, "MAX_PENDING_BYTES", 10)
     assert (
         system.run(
-            registry.handle_http(b"POST", b"/api/rpc?call=configuration.replace", orders[7])
+            registry.handle_http(b"POST", b"/api/rpc?call=configuration.replace", bodies[7])
         )[0]
         == 200
     )
@@ -403,7 +409,7 @@
     )
     assert next(Frames().feed(frame)).body["data"] == raw
 
-    def write(folder: str) -> int:
+    def write_pages(folder: str) -> int:
         rng, lmdb_disk = Random(3), LmdbDisk(tmp_path / folder)
         with asyncio.Runner() as runner:
             try:
@@ -420,7 +426,7 @@
                 lmdb_disk.close()
         return (tmp_path / folder / "data.mdb").stat().st_size
 
-    assert write("one") < 64 << 20
+    assert write_pages("one") < 64 << 20
     monkeypatch.setattr(disk, "MAP_BYTES", 2 * MAX_BODY_BYTES)
     with pytest.raises(OSError, match="MAP_FULL"):
-        write("other")
+        write_pages("other")
--- a/tests/store/test_partitions.py
+++ b/tests/store/test_partitions.py
@@ -1,7 +1,7 @@
-"""Partitions, freezes and disk losses of core machines, in simulated control planes.
+"""Tests of partitions, freezes and disk losses of core machines in simulated control planes.
 
-Operators with long timeouts must not read outdated versions, get valid changes refused, or lose
-acknowledged changes.
+Operators whose calls have long timeouts must not read outdated versions, get valid changes refused,
+or lose acknowledged changes.
 """
 
 from __future__ import annotations
@@ -37,46 +37,50 @@
 # --- frozen while responding
 
 
-def reads_during_freeze(plane: ControlPlane, who: str, asked: str) -> list[int]:
-    """Returns versions read by operators while the primary's machine freezes during the request.
+def reads_during_freeze(plane: ControlPlane, processes: str, recipient: str) -> list[int]:
+    """Returns the versions that operators read while processes of the primary freeze.
 
-    The freezes begin 2 ms apart; while frozen, the other machines acknowledge another change.
+    The freeze begins 2 ms later in each run. During the freeze the other machines acknowledge
+    another change.
 
     Args:
         plane: The simulated control plane.
-        who: The processes that freeze on the primary's machine.
-        asked: Whether the primary's machine or another one gets the request.
+        processes: The processes that freeze on the primary's machine: "registry", "store", "both".
+        recipient: Whether the primary's machine ("itself") or "another" gets the request.
     """
 
-    async def one(ms: float) -> int:
-        first = plane.primary()
-        frozen = {"registry": [plane.registries[first]], "store": [plane.stores[first]]}
-        frozen["both"] = plane.hosts(first)
-        others = [ip for ip in plane.core_ips if ip != first]
-        late = plane.run_in_background(
-            plane.read_version(first if asked == "itself" else others[0])
+    async def read_during_freeze(delay_ms: float) -> int:
+        primary = plane.primary()
+        hosts_by_process = {
+            "registry": [plane.registries[primary]],
+            "store": [plane.stores[primary]],
+        }
+        hosts_by_process["both"] = plane.hosts(primary)
+        others = [ip for ip in plane.core_ips if ip != primary]
+        read = plane.run_in_background(
+            plane.read_version(primary if recipient == "itself" else others[0])
         )
-        await asyncio.sleep(ms / 1000)
-        for host in frozen[who]:
+        await asyncio.sleep(delay_ms / 1000)
+        for host in hosts_by_process[processes]:
             host.freeze()
         await asyncio.sleep(3.0)
         assert await plane.send_change(others[0], 1.0) == 200
         await asyncio.sleep(READ_STALENESS_SECONDS + 0.2)
-        for host in frozen[who]:
+        for host in hosts_by_process[processes]:
             host.thaw()
-        version = await late
+        version = await read
         await asyncio.sleep(2.5)
         return version
 
-    return [plane.run(one(ms / 2)) for ms in range(3, 34, 4)]
+    return [plane.run(read_during_freeze(half_ms / 2)) for half_ms in range(3, 34, 4)]
 
 
 @pytest.mark.parametrize(
-    "who, asked",
+    "processes, recipient",
     [("registry", "itself"), ("store", "itself"), ("both", "itself"), ("both", "another")],
 )
-def test_a_response_frozen_with_its_machine_is_not_sent_after_the_thaw(plane, who, asked):
-    assert any(reads_during_freeze(plane, who, asked))  # at least one read succeeded
+def test_a_response_frozen_with_its_machine_is_not_sent_after_the_thaw(plane, processes, recipient):
+    assert any(reads_during_freeze(plane, processes, recipient))  # at least one read succeeded
 
 
 def test_checking_the_lease_only_when_the_store_responds_is_not_enough(monkeypatch):
@@ -125,46 +129,54 @@
 # --- partitions
 
 
-def cuts(plane: ControlPlane, how: str) -> set[tuple[str, str]]:
-    """Returns the cut links, as source and destination; directions are those of the primary."""
-    first = plane.primary()
-    rest = [ip for ip in plane.core_ips if ip != first]
+def cuts(plane: ControlPlane, fault: str) -> set[tuple[str, str]]:
+    """Returns the links to cut, as source and destination, for a partition of the primary.
+
+    "inbound" and "outbound" are directions as the primary sees them.
+    """
+    primary = plane.primary()
+    others = [ip for ip in plane.core_ips if ip != primary]
     return {
         "isolated": {
-            (a, b) for a in plane.core_ips for b in plane.core_ips if (a == first) != (b == first)
+            (a, b)
+            for a in plane.core_ips
+            for b in plane.core_ips
+            if (a == primary) != (b == primary)
         },
-        "inbound": {(ip, first) for ip in rest},
-        "outbound": {(first, ip) for ip in rest},
-        "one link": {(first, rest[0]), (rest[0], first)},
-    }[how]
+        "inbound": {(ip, primary) for ip in others},
+        "outbound": {(primary, ip) for ip in others},
+        "one link": {(primary, others[0]), (others[0], primary)},
+    }[fault]
 
 
-@pytest.mark.parametrize("how", ["isolated", "inbound", "outbound", "one link"])
-def test_a_partition_of_twenty_seconds_serves_no_outdated_version_and_refuses_no_change(plane, how):
+@pytest.mark.parametrize("fault", ["isolated", "inbound", "outbound", "one link"])
+def test_a_partition_of_twenty_seconds_serves_no_outdated_version_and_refuses_no_change(
+    plane, fault
+):
     async def scenario() -> None:
-        first = plane.primary()
-        rest = [ip for ip in plane.core_ips if ip != first]
-        plane.network.blocked_links |= cuts(plane, how)
-        until, acknowledged = plane.loop.time() + 20.0, 0
-        late = []
-        while plane.loop.time() < until:
-            late += [
-                plane.run_in_background(plane.send_change(first)),
-                plane.run_in_background(plane.read_version(first)),
+        primary = plane.primary()
+        others = [ip for ip in plane.core_ips if ip != primary]
+        plane.network.blocked_links |= cuts(plane, fault)
+        end, acknowledged = plane.loop.time() + 20.0, 0
+        calls = []
+        while plane.loop.time() < end:
+            calls += [
+                plane.run_in_background(plane.send_change(primary)),
+                plane.run_in_background(plane.read_version(primary)),
             ]
-            # a repeated request to the partitioned machine
+            # repeats a change at the partitioned machine
             if plane.sent and plane.rng.random() < 0.5:
-                late.append(
+                calls.append(
                     plane.run_in_background(
-                        plane.send_change(first, version=plane.rng.choice([*plane.sent]))
+                        plane.send_change(primary, version=plane.rng.choice([*plane.sent]))
                     )
                 )
-            acknowledged += await plane.send_change(rest[-1], 1.0) == 200
-            await plane.read_version(rest[-1], 1.0)
+            acknowledged += await plane.send_change(others[-1], 1.0) == 200
+            await plane.read_version(others[-1], 1.0)
             await asyncio.sleep(0.25)
         assert acknowledged > 40  # of about 75 changes
         plane.network.heal()
-        await asyncio.gather(*late)
+        await asyncio.gather(*calls)
         await asyncio.sleep(1.5)
         await plane.check_recovered()
 
@@ -183,13 +195,13 @@
     system = Cluster(5, proxies=2, servers=2)
     system.run(system.start())
     ip = next(iter(system.proxies))
-    alone = next(c for c in system.core_ips if not system.is_serving(c))
+    minority = next(c for c in system.core_ips if not system.is_serving(c))
 
     async def scenario() -> tuple[float, int, int, float]:
-        rest = [c for c in system.core_ips if c != alone]
-        system.network.partition([alone], rest)
-        system.network.partition([ip], rest)
-        system.operator.cores = [(c, CONTROL_PORT) for c in rest]
+        majority = [c for c in system.core_ips if c != minority]
+        system.network.partition([minority], majority)
+        system.network.partition([ip], majority)
+        system.operator.cores = [(c, CONTROL_PORT) for c in majority]
         await asyncio.sleep(2.0)
         system.route("new", "alpha")
         assert await system.replace()
@@ -223,44 +235,48 @@
 # --- faults at every step of a change
 
 
-async def fault_during_change(plane: ControlPlane, how: str, ms: float) -> None:
+async def fault_during_change(plane: ControlPlane, fault: str, delay_ms: float) -> None:
     """Sends two changes and a read, fails the primary `ms` later, and repeats the change."""
-    first = plane.primary()
-    others = [ip for ip in plane.core_ips if ip != first]
-    late = [
-        plane.run_in_background(w)
-        for w in (plane.send_change(first), plane.read_version(first), plane.send_change(others[0]))
+    primary = plane.primary()
+    others = [ip for ip in plane.core_ips if ip != primary]
+    calls = [
+        plane.run_in_background(call)
+        for call in (
+            plane.send_change(primary),
+            plane.read_version(primary),
+            plane.send_change(others[0]),
+        )
     ]
     version = plane.version
-    await asyncio.sleep(ms / 1000)
-    if how in ("isolated", "inbound", "outbound"):
-        plane.network.blocked_links |= cuts(plane, how) if plane.primary() else set()
-    for host in plane.hosts(first):
-        if how == "frozen":
+    await asyncio.sleep(delay_ms / 1000)
+    if fault in ("isolated", "inbound", "outbound"):
+        plane.network.blocked_links |= cuts(plane, fault) if plane.primary() else set()
+    for host in plane.hosts(primary):
+        if fault == "frozen":
             host.freeze()
-        elif how == "wiped":
+        elif fault == "wiped":
             host.power_off(wipe=True)
-    until = plane.loop.time() + 5.0
+    deadline = plane.loop.time() + 5.0
     while await plane.send_change(others[-1], 1.0, version) != 200:
-        assert plane.loop.time() < until, "not acknowledged by the remaining machines"
+        assert plane.loop.time() < deadline, "not acknowledged by the remaining machines"
         await asyncio.sleep(0.1)
     await plane.send_change(others[0], 1.0)
     await asyncio.sleep(READ_STALENESS_SECONDS + 0.3)
     plane.network.heal()
-    for host in plane.hosts(first):
-        if how == "frozen":
+    for host in plane.hosts(primary):
+        if fault == "frozen":
             host.thaw()
-        elif how == "wiped":
+        elif fault == "wiped":
             host.start()
-    await asyncio.gather(*late)
-    await asyncio.sleep(4.0 if how == "wiped" else 1.0)
+    await asyncio.gather(*calls)
+    await asyncio.sleep(4.0 if fault == "wiped" else 1.0)
     await plane.check_recovered()
 
 
-@pytest.mark.parametrize("how", ["isolated", "inbound", "outbound", "frozen", "wiped"])
-def test_a_fault_of_the_primary_at_any_step_of_a_change(plane, how):
-    for ms in range(0, 26, 3):
-        plane.run(fault_during_change(plane, how, ms + 0.5))
+@pytest.mark.parametrize("fault", ["isolated", "inbound", "outbound", "frozen", "wiped"])
+def test_a_fault_of_the_primary_at_any_step_of_a_change(plane, fault):
+    for delay_ms in range(0, 26, 3):
+        plane.run(fault_during_change(plane, fault, delay_ms + 0.5))
 
 
 # --- random faults
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -1,4 +1,8 @@
-"""Disks that fail at first at the start keep their member; only proven damage makes a new one."""
+"""Tests of the recovery of a store's record from its disk at the start.
+
+A disk that can't be read at first keeps its member; only a database that is provably damaged is
+replaced by a new member.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +19,10 @@
 
 @pytest.fixture
 def start_with_failures(tmp_path, monkeypatch):
-    """Starts from the disk of member `old`; opening its database first fails with the given errors.
+    """Returns a function that recovers the record from a disk written by the member `old`.
 
-    The call returns the record, and how many of the errors weren't raised.
+    Opening the database fails with each given error in turn. The function returns the record, and
+    the number of errors that weren't raised.
     """
     monkeypatch.setattr(recovery, "RETRY_SECONDS", (0.0, 0.0))
     open_database = lmdb.open
@@ -97,7 +102,7 @@
     cluster = StoreCluster()
     cluster.start()
     cluster.wait(2.0)
-    cluster.first = False
+    cluster.is_first_start = False
     assert cluster.run(cluster.put_within(0.5))
     before = {m.host: store.replica.member for m, store in cluster.stores()}
     for machine in cluster.machines.values():
@@ -108,7 +113,7 @@
     assert not cluster.stores() and not cluster.run(cluster.put_within(2.0))
     for machine in cluster.machines.values():
         setattr(machine.disk_state, trouble, False)
-    assert cluster.run(cluster.put_within(4.5))  # the disks are read again within a second
+    assert cluster.run(cluster.put_within(4.5))  # stores retry the read within a second
     assert cluster.run(cluster.read_newest()) >= cluster.acknowledged_version
     assert {m.host: store.replica.member for m, store in cluster.stores()} == before
     cluster.close()
--- a/tests/store/test_replica_copies.py
+++ b/tests/store/test_replica_copies.py
@@ -1,4 +1,7 @@
-"""Number of synced copies of acknowledged versions during repairs, transfers and shutdowns."""
+"""Tests of the number of synced copies of acknowledged versions.
+
+They count the copies during repairs, transfers of roles and shutdowns.
+"""
 
 from __future__ import annotations
 
@@ -24,8 +27,9 @@
 
     Attributes:
         low_copy_seconds: Seconds with fewer than the given number of copies, by kind and number.
-            "synced" counts a copy on any page of a disk, "elected" only the records of the newest
-            view's primary and backup.
+            The kind "synced" counts a copy on any page of a disk, "elected" only the records of the
+            newest view's primary and backup.
+        counting: Whether copies are counted; the core must have started.
     """
 
     def __init__(self, seed: int = 1, hosts: int = 4) -> None:
@@ -40,7 +44,8 @@
         ]
 
     def copies(self) -> tuple[int, int]:
-        views = [s.replica.newest_known_view() for _, s in self.stores()]
+        """Returns the numbers of synced and of elected copies of the acknowledged version."""
+        views = [store.replica.newest_known_view() for _, store in self.stores()]
         view = max((v for v in views if v), key=lambda v: v.epoch, default=None)
         synced = elected = 0
         for machine in self.machines.values():
@@ -68,7 +73,7 @@
         for machine in self.machines.values():
             machine.start()
         await asyncio.sleep(2.0)
-        self.first = False
+        self.is_first_start = False
         assert await self.put_within(0.5)
         await asyncio.sleep(0.3)
         self.tasks = [self.loop.create_task(w) for w in (self.count(), self.send_changes())]
@@ -80,6 +85,7 @@
             await self.put_within(0.5)
 
     def finish(self) -> dict[tuple[str, int], float]:
+        """Ends the tasks, checks that nothing is lost, and returns `low_copy_seconds`, rounded."""
         for task in self.tasks:
             task.cancel()
         self.wait(4.0)
@@ -136,22 +142,24 @@
 
 async def replace_all(cluster: CopyCountingCluster) -> None:
     """Replaces each machine: starts a new one, shuts down the old one and loses its disk."""
-    old = [*cluster.machines]
-    new = [f"10.{host.split('.')[1]}.0.2" for host in old]
-    fresh = machines(cluster.network, cluster.rng, new, lambda h: [cluster.maker(h)])
-    for old_host, new_host in zip(old, new, strict=True):
-        cluster.seeds = [new_host, *[h for h in old if cluster.machines[h].up][:2]]
-        cluster.machines[new_host] = fresh[new_host]
-        fresh[new_host].start()
+    old_hosts = [*cluster.machines]
+    new_hosts = [f"10.{host.split('.')[1]}.0.2" for host in old_hosts]
+    new_machines = machines(
+        cluster.network, cluster.rng, new_hosts, lambda h: [cluster.store_factory(h)]
+    )
+    for old_host, new_host in zip(old_hosts, new_hosts, strict=True):
+        cluster.seeds = [new_host, *[h for h in old_hosts if cluster.machines[h].up][:2]]
+        cluster.machines[new_host] = new_machines[new_host]
+        new_machines[new_host].start()
         await asyncio.sleep(1.0)
         await cluster.machines[old_host].shut_down()
         cluster.machines[old_host].disk_state.wipe()
         await asyncio.sleep(3.0)
 
 
-# The operation, and the maximum seconds with fewer than three synced copies, with fewer than two
+# Each operation, and the maximum seconds with fewer than three synced copies, with fewer than two
 # synced copies, and with fewer than two copies on the view's primary and backup.
-STEPS = {
+OPERATIONS = {
     "the backup is wiped": (lambda w: wipe(w, "the backup"), 0.1, 0.0, 1.3),
     "the primary is wiped": (lambda w: wipe(w, "the primary"), 0.1, 0.0, 2.2),
     "the backup is killed": (lambda w: kill(w, "the backup"), 0.1, 0.0, 0.1),
@@ -163,57 +171,60 @@
 }
 
 
-@pytest.mark.parametrize("name", STEPS)
+@pytest.mark.parametrize("name", OPERATIONS)
 def test_how_long_fewer_copies_exist(name):
-    step, three, two, elected = STEPS[name]
+    operation, below_three, below_two, below_two_elected = OPERATIONS[name]
     cluster = CopyCountingCluster()
     cluster.run(cluster.start_counting())
-    cluster.run(step(cluster))
-    low = cluster.finish()
-    print(name, low)
-    assert low.get(("synced", 3), 0.0) <= three
-    assert low.get(("synced", 2), 0.0) <= two
-    assert low.get(("elected", 2), 0.0) <= elected
-    assert low.get(("elected", 1), 0.0) <= 0.02
+    cluster.run(operation(cluster))
+    low_copy_seconds = cluster.finish()
+    print(name, low_copy_seconds)
+    assert low_copy_seconds.get(("synced", 3), 0.0) <= below_three
+    assert low_copy_seconds.get(("synced", 2), 0.0) <= below_two
+    assert low_copy_seconds.get(("elected", 2), 0.0) <= below_two_elected
+    assert low_copy_seconds.get(("elected", 1), 0.0) <= 0.02
 
 
 # --- shutdown of a member with the only copy
 
 
-async def last_copy_leaves(cluster: CopyCountingCluster, after: float, away: float) -> None:
+async def last_copy_leaves(
+    cluster: CopyCountingCluster, loss_delay: float, restart_delay: float
+) -> None:
     """Shuts down the backup and loses the primary's disk at about the same time.
 
-    The primary's disk is lost `after` seconds after the backup's SIGTERM, right after an
-    acknowledgement. The backup's disk is lost when it exits. The primary's machine restarts with an
-    empty disk `away` seconds later.
+    The primary's disk is lost `loss_delay` seconds after the backup's SIGTERM (before it if
+    negative), right after an acknowledgement unless the delay is positive. The backup's disk is
+    lost when it exits. The primary's machine restarts with an empty disk `restart_delay` seconds
+    after the later of these two.
     """
-    first, backup = cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")
-    leaving = cluster.loop.create_task(backup.shut_down()) if after >= 0.0 else None
-    await asyncio.sleep(max(0.0, after))
-    assert after > 0.0 or await cluster.put_within(0.5)
-    first.power_off(wipe=True)
+    primary, backup = cluster.machine_in_role("the primary"), cluster.machine_in_role("the backup")
+    leaving = cluster.loop.create_task(backup.shut_down()) if loss_delay >= 0.0 else None
+    await asyncio.sleep(max(0.0, loss_delay))
+    assert loss_delay > 0.0 or await cluster.put_within(0.5)
+    primary.power_off(wipe=True)
     if leaving is None:
-        await asyncio.sleep(-after)
+        await asyncio.sleep(-loss_delay)
         leaving = cluster.loop.create_task(backup.shut_down())
-    back = cluster.loop.create_task(restart_later(first, away))
+    restart = cluster.loop.create_task(restart_later(primary, restart_delay))
     started_at = cluster.loop.time()
     await leaving
     assert (
         cluster.loop.time() - started_at <= 6.0 - graceful_shutdown.SAFETY_MARGIN_SECONDS + 0.3
     ), "a process runs longer than its grace period"
     backup.disk_state.wipe()
-    await back
+    await restart
     await asyncio.sleep(2.0)
 
 
-async def restart_later(machine: Machine, away: float) -> None:
-    await asyncio.sleep(away)
+async def restart_later(machine: Machine, delay_seconds: float) -> None:
+    await asyncio.sleep(delay_seconds)
     machine.start()
 
 
-# Seconds from the backup's SIGTERM to the loss of the primary's disk, and until the primary's
-# machine restarts, by seed.
-LEAVES = {
+# By seed: the seconds from the backup's SIGTERM to the loss of the primary's disk, and from the
+# later of these two to the restart of the primary's machine.
+SHUTDOWN_TIMINGS = {
     0: (0.0, 1.0),
     1: (0.002, 1.0),
     2: (0.02, 0.4),
@@ -221,16 +232,18 @@
     4: (-0.02, 1.0),
     5: (-0.5, 2.0),
 }
-# With a fourth machine, which takes over the roles: the loss comes during the change of voters.
-CHANGING = {50: (0.3041224113866523, 0.3), 69: (0.22451409671783917, 0.8)}
+# The same with a fourth machine, which takes over the roles; the loss is during that change.
+VOTER_CHANGE_TIMINGS = {50: (0.3041224113866523, 0.3), 69: (0.22451409671783917, 0.8)}
 
 
 def first_failing_seed(hosts: int) -> int | None:
     """Returns the first seed that loses an acknowledged version or stops serving, else None."""
-    for seed, (after, away) in (LEAVES | (CHANGING if hosts > 3 else {})).items():
+    for seed, (loss_delay, restart_delay) in (
+        SHUTDOWN_TIMINGS | (VOTER_CHANGE_TIMINGS if hosts > 3 else {})
+    ).items():
         cluster = CopyCountingCluster(seed, hosts)
         cluster.run(cluster.start_counting())
-        cluster.run(last_copy_leaves(cluster, after, away))
+        cluster.run(last_copy_leaves(cluster, loss_delay, restart_delay))
         try:
             cluster.finish()
         except AssertionError:
@@ -250,7 +263,7 @@
 def is_dispensable_regardless_of_votes(self: Replica, now: float) -> bool:
     """Mutant of `is_dispensable` that ignores votes.
 
-    A named member is dispensable if no stand-by is live and it doesn't have the data.
+    A member of the view is dispensable if no stand-by is live and the member lacks the data.
     """
     if self.newest_view is None or self.member.id not in self.newest_view.members():
         return True
@@ -288,8 +301,8 @@
     ],
 )
 def test_without_a_shutdown_rule_the_only_copy_is_lost(hosts, mutants, monkeypatch):
-    for (where, name), mutant in mutants.items():
-        monkeypatch.setattr(where, name, mutant)
+    for (owner, name), mutant in mutants.items():
+        monkeypatch.setattr(owner, name, mutant)
     assert first_failing_seed(hosts) is not None
 
 
@@ -319,39 +332,39 @@
     for task in cluster.tasks:
         task.cancel()
     cluster.run(lose_two_disks_with_all_power(cluster))
-    acked, cluster.acknowledged_version = cluster.acknowledged_version, 0
+    acknowledged, cluster.acknowledged_version = cluster.acknowledged_version, 0
     result = cluster.run(rescue(cluster))
     cluster.close()
-    return int(result["version"][1:]), acked
+    return int(result["version"][1:]), acknowledged
 
 
 def test_a_rescue_restores_the_third_copy_after_the_loss_of_both_disks_and_all_power(monkeypatch):
-    found, acked = rescue_after_loss()
-    assert found == acked > 0
+    restored, acknowledged = rescue_after_loss()
+    assert restored == acknowledged > 0
     monkeypatch.setattr(Learner, "next_copy", lambda self, replica: None)
-    found, acked = rescue_after_loss()
-    assert found < acked
+    restored, acknowledged = rescue_after_loss()
+    assert restored < acknowledged
 
 
 def test_a_learner_copies_only_committed_versions_that_its_disk_does_not_have():
     replica, learner = member(C), Learner()
-    assert learner.next_copy(replica) is None  # no committed version known
+    assert learner.next_copy(replica) is None  # no version is known to be committed
     replica.commit(8, b"eight")
     assert learner.next_copy(replica) == (8, b"eight")
-    again = Learner.from_pages(learner.pages(VersionedData(8, b"eight")))
-    assert again.copy == (8, b"eight") and again.next_copy(replica) is None
+    restarted_learner = Learner.from_pages(learner.pages(VersionedData(8, b"eight")))
+    assert restarted_learner.copy == (8, b"eight") and restarted_learner.next_copy(replica) is None
     replica.commit(9, bytes(MAX_COPY_BYTES + 1))
     assert learner.next_copy(replica) is None
-    started = member(C)
-    started.commit(6, b"six")  # an older version may be reported first
-    assert again.next_copy(started) is None
-    for broken in (
+    started_member = member(C)
+    started_member.commit(6, b"six")  # a started member may learn of an older version first
+    assert restarted_learner.next_copy(started_member) is None
+    for pages in (
         {},
         {COPY_PAGE: b"\xff"},
         {COPY_PAGE: cbor2.dumps(3)},
         {COPY_PAGE: cbor2.dumps(["x", 1])},
     ):
-        assert Learner.from_pages(broken) == Learner()
+        assert Learner.from_pages(pages) == Learner()
     for holder in (A, B):
         replica = member(holder)
         replica.commit(8, b"eight")
@@ -366,7 +379,7 @@
         replica, 14.9, 10.0, 6.0
     ) and graceful_shutdown.may_shut_down(replica, 15.0, 10.0, 6.0)
     record = Record("d", False)
-    # it isn't in any known view
+    # a member that isn't in any known view may exit at once
     assert graceful_shutdown.may_shut_down(
         Replica(replica.member, (), record, 0.0, Random(1)), 0.0, 0.0, 6.0
     )
--- a/tests/store/test_rescue.py
+++ b/tests/store/test_rescue.py
@@ -1,4 +1,7 @@
-"""Rescues by operators after losses that the store doesn't tolerate, and fencing of old members."""
+"""Tests of rescues by operators after losses that the store doesn't tolerate.
+
+They also check that members of the view before the rescue are fenced.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 from loomstand.testing.simulation.http_log import exchange, post
 from loomstand.testing.simulation.machine import Machine
 
-# step functions that both features use
+# makes the step functions and fixtures of test_store.py available to the scenarios here
 globals().update(
     {k: v for k, v in vars(test_store).items() if k.startswith(StepNamePrefix.step_def.value)}
 )
@@ -31,7 +34,14 @@
 
 
 async def request_rescue(cluster: StoreCluster, gone=(), token=None, at: str = "") -> dict:
-    """Requests the rescue case, or with its token the rescue, at a running member."""
+    """Requests the rescue case, or with its token the rescue, at a running member.
+
+    Args:
+        cluster: The simulated machines.
+        gone: Hosts that are named as gone.
+        token: The token of the rescue case; None to request the case.
+        at: The host that gets the request; a running one by default.
+    """
     host = at or next(h for h, m in cluster.machines.items() if m.is_running and h not in gone)
     result = await cluster.client.call(
         (host, PORT), "rescue", {"gone": [*gone], "token": token}, 5.0
@@ -40,7 +50,7 @@
 
 
 async def rescue(cluster: StoreCluster, gone=()) -> dict:
-    """Requests a rescue until it succeeds, as lease grants may not have expired yet."""
+    """Requests a rescue until it succeeds: it is refused until the lease grants have expired."""
     for _ in range(20):
         case = (await request_rescue(cluster, gone))["case"]
         if not case["waits"] and "done" in (
@@ -72,14 +82,14 @@
 def _start_and_write(cluster):
     cluster.start()
     cluster.wait(2.0)
-    cluster.first = False
+    cluster.is_first_start = False
     assert cluster.run(cluster.put_within(0.5))
     cluster.wait(0.3)
 
 
-@then(parsers.parse("nothing is acknowledged for {s:d} s"))
-def _(cluster, s):
-    assert not cluster.run(cluster.put_within(s))
+@then(parsers.parse("nothing is acknowledged for {seconds:d} s"))
+def _(cluster, seconds):
+    assert not cluster.run(cluster.put_within(seconds))
 
 
 @then("a rescue is due")
@@ -120,18 +130,20 @@
     "a rescue is refused for each member that is not named, and for one that is named and answers"
 )
 def _(cluster):
-    first, voter = (m.host for m in cluster.away)
-    for gone, missing in (([], [first, voter]), ([first], [voter]), ([first, voter], [])):
-        reasons = (
+    primary, voter = (m.host for m in cluster.away)
+    for gone, missing in (([], [primary, voter]), ([primary], [voter]), ([primary, voter], [])):
+        found = (
             obstacles(cluster, gone)
             if missing
             else cluster.run(request_rescue(cluster, gone))["case"]["waits"]
         )
-        assert sorted(w.split()[0] for w in reasons) == sorted(missing)
-        assert all("doesn't answer" in w for w in reasons)
-    there = next(h for h, m in cluster.machines.items() if m.is_running)
-    reasons = cluster.run(request_rescue(cluster, [first, voter, there], at=there))["case"]["waits"]
-    assert f"{there}: named as gone, and answers" in reasons
+        assert sorted(w.split()[0] for w in found) == sorted(missing)
+        assert all("doesn't answer" in w for w in found)
+    running_host = next(h for h, m in cluster.machines.items() if m.is_running)
+    found = cluster.run(request_rescue(cluster, [primary, voter, running_host], at=running_host))[
+        "case"
+    ]["waits"]
+    assert f"{running_host}: named as gone, and answers" in found
 
 
 @when("the voter starts again")
@@ -141,12 +153,12 @@
 
 @then(parsers.parse('a rescue is refused with "{words}"'))
 def _(cluster, words):
-    assert len(reasons := obstacles(cluster)) == 1 and words in reasons[0]
+    assert len(found := obstacles(cluster)) == 1 and words in found[0]
 
 
 @when("the primary loses power")
-def _(old):
-    old.power_off()
+def _(old_primary):
+    old_primary.power_off()
 
 
 @when("operators request a token, and then a stand-by is killed")
@@ -193,7 +205,7 @@
 
 def _check_single_view(cluster, epoch):
     cluster.wait(1.0)
-    views = {g.replica.newest_known_view().epoch for _, g in cluster.stores()}
+    views = {store.replica.newest_known_view().epoch for _, store in cluster.stores()}
     assert len(views) == 1 and views.pop() >= epoch and len(cluster.stores()) == 4
 
 
@@ -243,42 +255,48 @@
 
 
 def test_an_isolated_majority_named_as_gone_stops_serving_when_the_partition_ends():
-    class Cut(StoreCluster):
+    class UncheckedCluster(StoreCluster):
         def check(self) -> None:
             """Skips the check: two stores serve until the partition ends, as the hosts named as
             gone still run.
             """
 
-    cluster = Cut()
+    cluster = UncheckedCluster()
     _start_and_write(cluster)
-    away = [cluster.machine_in_role("the primary"), cluster.machine_in_role("a voter")]
-    left = [h for h in HOSTS if h not in (m.host for m in away)]
-    cluster.network.partition([m.host for m in away], left)
+    isolated = [cluster.machine_in_role("the primary"), cluster.machine_in_role("a voter")]
+    remaining_hosts = [h for h in HOSTS if h not in (m.host for m in isolated)]
+    cluster.network.partition([m.host for m in isolated], remaining_hosts)
     cluster.wait(2.0)
-    gone = [m.host for m in away]
+    isolated_hosts = [m.host for m in isolated]
 
     async def rescue_wrongly() -> None:
-        case = (await request_rescue(cluster, gone, at=left[0]))["case"]
-        assert "done" in await request_rescue(cluster, gone, case["token"], left[0])
+        case = (await request_rescue(cluster, isolated_hosts, at=remaining_hosts[0]))["case"]
+        assert "done" in await request_rescue(
+            cluster, isolated_hosts, case["token"], remaining_hosts[0]
+        )
 
     cluster.run(rescue_wrongly())
-    old = away[0].programs[0]
-    assert old.replica.lease_left(old.clock()) > 0.0
+    old_primary = isolated[0].programs[0]
+    assert old_primary.replica.lease_left(old_primary.clock()) > 0.0
     cluster.network.heal()
     cluster.wait(0.3)
-    serving = [g for _, g in cluster.stores() if g.replica.lease_left(g.clock()) > 0.0]
-    assert len(serving) == 1 and serving[0] is not old
-    assert all(m.programs[0].replica.record.promised_epoch >= EPOCH_RANGE for m in away)
+    serving = [
+        store for _, store in cluster.stores() if store.replica.lease_left(store.clock()) > 0.0
+    ]
+    assert len(serving) == 1 and serving[0] is not old_primary
+    assert all(m.programs[0].replica.record.promised_epoch >= EPOCH_RANGE for m in isolated)
     StoreCluster.check(cluster)
     cluster.close()
 
 
 def test_a_fenced_member_stays_fenced_after_a_restart():
-    new = View(EPOCH_RANGE, MEMBERS[1], MEMBERS[3], (MEMBERS[1], MEMBERS[3]), (), EPOCH_RANGE)
+    rescue_view = View(
+        EPOCH_RANGE, MEMBERS[1], MEMBERS[3], (MEMBERS[1], MEMBERS[3]), (), EPOCH_RANGE
+    )
     replica = member(MEMBERS[0])
     replica.on_grant("c", 3, 5.0)
     assert replica.is_leader(5.1) and replica.fencing_record() is None
-    replica.observe_view(View.from_row(new.to_row()))
+    replica.observe_view(View.from_row(rescue_view.to_row()))
     assert not replica.is_leader(5.1)
     record = replica.fencing_record()
     restarted = Replica(
@@ -289,15 +307,15 @@
     assert restarted.heartbeat(MEMBERS[2].address).requested_lease_epoch == 0
     restarted.on_persisted(record)
     assert restarted.fencing_record() is None and not restarted.may_promise(20.0, 9, "b", 0)
-    later = View(EPOCH_RANGE + 7, MEMBERS[3], None, new.voters, (), EPOCH_RANGE)
+    later_view = View(EPOCH_RANGE + 7, MEMBERS[3], None, rescue_view.voters, (), EPOCH_RANGE)
     replica = member(MEMBERS[1])
-    replica.on_persisted(replica.install(new))
-    replica.observe_view(later)  # same rescue: an ordinary view change fences no member
+    replica.on_persisted(replica.install(rescue_view))
+    replica.observe_view(later_view)  # same rescue: an ordinary view change fences no member
     assert replica.promised_epoch == EPOCH_RANGE
 
 
-def report(n: int, **more) -> MemberReport:
-    usual = {
+def report(n: int, **changes) -> MemberReport:
+    defaults = {
         "state": MemberState.HEALTHY,
         "is_founder": False,
         "uptime_seconds": 60.0,
@@ -306,14 +324,14 @@
         "view": VIEW,
     }
     versions = {"committed_version": 5, "offered_version": 0, "disk_version": 0}
-    return MemberReport(MEMBERS[n], **usual | versions | more)
+    return MemberReport(MEMBERS[n], **defaults | versions | changes)
 
 
 def test_obstacles_to_a_rescue_and_the_choice_of_the_founding_member():
     seeds = [m.address for m in MEMBERS[:3]]
     gone = {HOSTS[0], HOSTS[1]}
-    found = make_case([report(2), report(3, offered_version=6)], gone, seeds)
-    assert found.obstacles() == [] and found.chosen().member == MEMBERS[3]
+    case = make_case([report(2), report(3, offered_version=6)], gone, seeds)
+    assert case.obstacles() == [] and case.chosen().member == MEMBERS[3]
     assert (
         make_case([report(2, disk_version=6), report(3, offered_version=6)], gone, seeds)
         .chosen()
@@ -321,28 +339,30 @@
         == MEMBERS[3]
     )
     assert make_case([report(2), report(3)], gone, seeds).chosen().member == MEMBERS[2]
-    assert make_case([report(2), report(3)], gone, seeds).token() != found.token()
-    # a majority answers, but both members with the data are lost: no election can succeed
-    apart = View(3, MEMBERS[0], MEMBERS[3], MEMBERS[:3])
-    there = [report(1, view=apart), report(2, view=apart)]
-    assert make_case(there, {HOSTS[0], HOSTS[3]}, seeds).obstacles() == []
+    assert make_case([report(2), report(3)], gone, seeds).token() != case.token()
+    # a majority answers, but both members with the data are lost, so no election can succeed
+    lost_view = View(3, MEMBERS[0], MEMBERS[3], MEMBERS[:3])
+    remaining = [report(1, view=lost_view), report(2, view=lost_view)]
+    assert make_case(remaining, {HOSTS[0], HOSTS[3]}, seeds).obstacles() == []
     assert (
         "the store recovers"
-        in make_case([*there, report(3, view=apart)], {HOSTS[0]}, seeds).obstacles()[0]
+        in make_case([*remaining, report(3, view=lost_view)], {HOSTS[0]}, seeds).obstacles()[0]
     )
-    # an interrupted rescue: its promises have fenced the view, even with a majority
-    broken = [report(1, highest_epoch=EPOCH_RANGE + 4), report(2), report(3)]
-    assert make_case(broken, {HOSTS[0]}, seeds).obstacles() == []
-    for reports, words in (
+    # the promises of an interrupted rescue have fenced the view, although a majority answers
+    interrupted = [report(1, highest_epoch=EPOCH_RANGE + 4), report(2), report(3)]
+    assert make_case(interrupted, {HOSTS[0]}, seeds).obstacles() == []
+    for reports, expected_words in (
         ([report(2)], "two machines"),
         ([report(2), report(3, uptime_seconds=1.0)], "has run for less"),
         ([report(2), report(3, view=None, is_founder=True, highest_epoch=0)], ""),
         ([report(2, view=None, is_founder=True), report(3, view=None)], "first start"),
-        # named as gone, so its data is given up, too
+        # the member is named as gone, so its newer version is given up, too
         ([report(2), report(3), report(1, state=MemberState.UNHEALTHY, offered_version=9)], ""),
     ):
-        reasons = make_case(reports, gone, seeds).obstacles()
-        assert words in reasons[0] if words else reasons == [], reasons
+        actual_obstacles = make_case(reports, gone, seeds).obstacles()
+        assert (
+            expected_words in actual_obstacles[0] if expected_words else actual_obstacles == []
+        ), actual_obstacles
     unhealthy = [report(0, state=MemberState.UNHEALTHY), report(2), report(3)]
     assert "disk is in trouble" in make_case(unhealthy, {HOSTS[1]}, seeds).obstacles()[0]
 
@@ -351,67 +371,73 @@
 
 
 async def _rescue_with_faults(cluster: StoreCluster, rng: Random) -> None:
-    """Loses two voters during changes, rescues the store, and returns the old disks.
+    """Loses two voters during changes, rescues the store, and puts the old disks back.
 
-    One voter may be replaced by a new disk at once. The old disks return at random times, while
-    links are slow and changes continue.
+    One voter may restart with an empty disk at once. The old disks are put back at random times,
+    while links are slow and changes continue.
     """
     for machine in cluster.machines.values():
         machine.start()
     await asyncio.sleep(2.0)
-    cluster.first = False
-    operators = [asyncio.create_task(test_store._operate(cluster, n, rng)) for n in ("ann", "bob")]
+    cluster.is_first_start = False
+    operators = [
+        asyncio.create_task(test_store.run_operator(cluster, name, rng)) for name in ("ann", "bob")
+    ]
     await asyncio.sleep(rng.uniform(0.5, 3.0))
     lost = rng.sample(
         [m.address[0] for m in cluster.primary().programs[0].replica.record.view.voters], 2
     )
-    # not both: the return of an old disk loses the new one in its place
-    renewed = rng.choice([*lost, ""])
-    old, named = {}, []
+    # one at most, as the return of an old disk replaces the new one
+    host_with_new_disk = rng.choice([*lost, ""])
+    old_pages, gone = {}, []
     for machine in (cluster.machines[host] for host in lost):
         machine.power_off()
-        old[machine] = dict(machine.disk_state.pages)
-        if machine.host == renewed:
+        old_pages[machine] = dict(machine.disk_state.pages)
+        if machine.host == host_with_new_disk:
             machine.disk_state.wipe()
             machine.start()
         else:
-            named.append(machine.host)
+            gone.append(machine.host)
     await asyncio.sleep(rng.uniform(4.5, 6.0))
-    case = (await request_rescue(cluster, named))["case"]
-    # versions that no reachable member holds can't be restored
+    case = (await request_rescue(cluster, gone))["case"]
+    # a rescue can't restore versions that no reachable member has
     cluster.acknowledged_version = min(cluster.acknowledged_version, int(case["version"][1:]))
     cluster.sent += 100
     if rng.random() < 0.5:  # interrupts a first rescue
-        first = cluster.machines[case["chosen"]]
-        first_rescue = asyncio.create_task(
-            request_rescue(cluster, named, case["token"], first.host)
+        interrupted_machine = cluster.machines[case["chosen"]]
+        interrupted_rescue = asyncio.create_task(
+            request_rescue(cluster, gone, case["token"], interrupted_machine.host)
         )
-        while all(g.replica.promised_epoch < EPOCH_RANGE for _, g in cluster.stores()):
+        while all(store.replica.promised_epoch < EPOCH_RANGE for _, store in cluster.stores()):
             await asyncio.sleep(0.002)
         await asyncio.sleep(rng.uniform(0.0, 0.04))
-        first.kill()
-        first_rescue.cancel()
+        interrupted_machine.kill()
+        interrupted_rescue.cancel()
         await asyncio.sleep(0.1)
-        first.start()
+        interrupted_machine.start()
         await asyncio.sleep(4.5)
-    if cluster.find_primary() is None:  # otherwise all members already had the new view
-        assert int((await rescue(cluster, named))["version"][1:]) >= cluster.acknowledged_version
-    cluster.network.extra_delay_seconds = {h: rng.choice((0.0, 0.05)) for h in cluster.machines}
+    if cluster.find_primary() is None:  # else the members follow the view of the interrupted rescue
+        assert int((await rescue(cluster, gone))["version"][1:]) >= cluster.acknowledged_version
+    cluster.network.extra_delay_seconds = {
+        host: rng.choice((0.0, 0.05)) for host in cluster.machines
+    }
 
     async def restart_with_old_disk(machine: Machine) -> None:
         await asyncio.sleep(rng.choice((0.0, rng.uniform(0.0, 3.0))))
         machine.power_off()
-        machine.disk_state.pages = old[machine]
+        machine.disk_state.pages = old_pages[machine]
         machine.start()
 
-    await asyncio.gather(*map(restart_with_old_disk, old))
+    await asyncio.gather(*map(restart_with_old_disk, old_pages))
     await asyncio.sleep(3.0)
     for operator in operators:
         operator.cancel()
     cluster.network.extra_delay_seconds = {}
     assert await cluster.put_within(3.0)
     assert await cluster.read_newest() >= cluster.acknowledged_version
-    assert {g.replica.newest_known_view().rescue_epoch > 0 for _, g in cluster.stores()} == {True}
+    assert {
+        store.replica.newest_known_view().rescue_epoch > 0 for _, store in cluster.stores()
+    } == {True}
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -484,14 +510,14 @@
         system.wait(0.25)
     version, system.limiter_data = system.version, system.versions[system.version]
     assert not system.run(system.replace(3.0))
-    assert {s.configuration.table.version for s in system.running_proxies()} == {version}
+    assert {proxy.configuration.table.version for proxy in system.running_proxies()} == {version}
 
 
 @when("operators review the rescue case and confirm it")
 def _(system):
     replies = [_call_rescue(system, {}, n) for n in range(3)]
     assert {status for status, _ in replies} == {200} and len(
-        {s["case"]["token"] for _, s in replies}
+        {reply["case"]["token"] for _, reply in replies}
     ) == 1
     case = replies[0][1]["case"]
     assert case["waits"] == [] and case["epoch"] == 0 and not case["members"]
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,5 +1,7 @@
-"""The replicated configuration store under simulation: scenarios, the rules of one member, and
-random faults with the invariants checked throughout.
+"""Tests of the replicated configuration store in simulation.
+
+They run the scenarios of `features/store.feature`, the rules of a single member, and random faults
+while the invariants are checked.
 """
 
 from __future__ import annotations
@@ -32,7 +34,8 @@
     The invariants (`check`) are checked every 20 ms of simulated time.
 
     Attributes:
-        first: Whether the settings say that this is the first start of the whole system.
+        is_first_start: Whether the settings of a store that starts say that this is the first start
+            of the whole system.
         seeds: Hosts of the seed nodes in the settings.
         sent: The highest version sent in a change.
         acknowledged_version: The highest version acknowledged.
@@ -47,10 +50,12 @@
         self.loop = VirtualLoop()
         self.rng = Random(seed)
         self.network = SimNetwork(self.rng)
-        self.first = True
+        self.is_first_start = True
         self.seeds = [*hosts[:3]]
         self.client = MachineNetwork(self.network, OPERATOR, SimProcess())
-        self.machines = machines(self.network, self.rng, [*hosts], lambda h: [self.maker(h)])
+        self.machines = machines(
+            self.network, self.rng, [*hosts], lambda h: [self.store_factory(h)]
+        )
         self.sent = 0
         self.acknowledged_version = 0
         self.contents: dict[int, set[bytes]] = {}
@@ -59,13 +64,13 @@
         self.check_failure: AssertionError | None = None
         self.check_task = self.loop.create_task(self.check_periodically())
 
-    def maker(self, host: str):
-        def make(net, disk, clock, rng):
+    def store_factory(self, host: str):
+        def make_store(network, disk, clock, rng):
             seeds = tuple((h, PORT) for h in self.seeds)
-            settings = StoreSettings((host, PORT), seeds, self.first)
-            return CheckedStore(self, settings, net, disk, clock, rng)
+            settings = StoreSettings((host, PORT), seeds, self.is_first_start)
+            return CheckedStore(self, settings, network, disk, clock, rng)
 
-        return make
+        return make_store
 
     def run(self, work):
         return self.loop.run_until_complete(work)
@@ -115,7 +120,7 @@
         serving = [
             store for _, store in self.stores() if store.replica.lease_left(store.clock()) > 0.0
         ]
-        assert len(serving) <= 1, f"two serve at {self.loop.time()}"
+        assert len(serving) <= 1, f"two stores serve at {self.loop.time()} s"
         assert all(store.replica.version >= self.acknowledged_version for store in serving), (
             "an acknowledged version is lost"
         )
@@ -137,21 +142,24 @@
             (m for m, store in self.stores() if store.replica.lease_left(store.clock()) > 0.0), None
         )
 
-    def machine_in_role(self, words: str) -> Machine:
+    def machine_in_role(self, role: str) -> Machine:
         view = self.primary().programs[0].replica.record.view
         voters = [m.address[0] for m in view.voters]
-        named = {"the primary": view.primary.address[0], "the backup": view.backup.address[0]}
-        rest = [h for h in voters if h not in named.values()]
-        named |= {
-            "a voter": rest[0],
+        hosts_by_role = {
+            "the primary": view.primary.address[0],
+            "the backup": view.backup.address[0],
+        }
+        other_voters = [h for h in voters if h not in hosts_by_role.values()]
+        hosts_by_role |= {
+            "a voter": other_voters[0],
             "a stand-by": next(h for h in self.machines if h not in voters),
         }
-        return self.machines[named[words]]
+        return self.machines[hosts_by_role[role]]
 
-    async def put(self, host: str, version: int = 0, mark: str = "") -> bool:
+    async def put(self, host: str, version: int = 0, operator: str = "") -> bool:
         version = version or self.sent + 1
         self.sent = max(self.sent, version)
-        data = f"{version} {mark}".encode()
+        data = f"{version} {operator}".encode()
         self.contents.setdefault(version, set()).add(data)
         answer = await self.client.call(
             (host, PORT), "put", {"version": version, "data": data}, 1.0
@@ -165,21 +173,21 @@
         """Whether a change is acknowledged in time; each attempt is a new change to a random
         machine.
         """
-        until = self.loop.time() + seconds
-        while self.loop.time() < until:
+        deadline = self.loop.time() + seconds
+        while self.loop.time() < deadline:
             hosts = [h for h, m in self.machines.items() if m.up and h not in excluded]
             if await self.put(self.rng.choice(hosts)):
-                return self.loop.time() <= until
+                return self.loop.time() <= deadline
             await asyncio.sleep(0.02)
         return False
 
     async def read_newest(self) -> int:
         for _ in range(100):
             hosts = [h for h, m in self.machines.items() if m.up]
-            acked = self.acknowledged_version
+            acknowledged = self.acknowledged_version
             answer = await self.client.call((self.rng.choice(hosts), PORT), "read", {}, 1.0)
             if answer.is_ok():
-                assert answer.ok["version"] >= acked, "an acknowledged version is lost"
+                assert answer.ok["version"] >= acknowledged, "an acknowledged version is lost"
                 assert answer.ok["data"] in self.contents[answer.ok["version"]]
                 return answer.ok["version"]
             await asyncio.sleep(0.05)
@@ -199,14 +207,14 @@
 class CheckedStore(Store):
     """A store that has the invariants checked when it begins to serve, before any new change."""
 
-    def __init__(self, cluster: StoreCluster, *parts) -> None:
-        super().__init__(*parts)
+    def __init__(self, cluster: StoreCluster, *store_arguments) -> None:
+        super().__init__(*store_arguments)
         self.cluster = cluster
 
     def _become_serving(self) -> None:
-        before = self.replica.is_established
+        was_established = self.replica.is_established
         super()._become_serving()
-        if self.replica.is_established and not before:
+        if self.replica.is_established and not was_established:
             self.cluster.check_now()
 
 
@@ -227,11 +235,11 @@
     cluster.start(HOSTS[1])
 
 
-@given("a core at work", target_fixture="old")
+@given("a core at work", target_fixture="old_primary")
 def _(cluster):
     cluster.start()
     cluster.wait(2.0)
-    cluster.first = False
+    cluster.is_first_start = False
     assert cluster.run(cluster.put_within(0.5))
     return cluster.primary()
 
@@ -242,31 +250,31 @@
 
 
 @when("the primary is killed")
-def _(old):
-    old.kill()
+def _(old_primary):
+    old_primary.kill()
 
 
-async def _into_a_change(cluster, ms, then):
+async def _act_during_change(cluster, delay_ms, action):
     change = asyncio.create_task(cluster.put(cluster.primary().host))
-    await asyncio.sleep(ms / 1000)
-    then()
+    await asyncio.sleep(delay_ms / 1000)
+    action()
     return change
 
 
 @when(parsers.parse("the primary is killed {ms:d} ms into a change"))
-def _(cluster, old, ms):
-    cluster.run(_into_a_change(cluster, ms, old.kill))
+def _(cluster, old_primary, ms):
+    cluster.run(_act_during_change(cluster, ms, old_primary.kill))
 
 
 @when(parsers.parse("the primary is frozen {ms:d} ms into a change"), target_fixture="change")
-def _(cluster, old, ms):
-    return cluster.run(_into_a_change(cluster, ms, old.freeze))
+def _(cluster, old_primary, ms):
+    return cluster.run(_act_during_change(cluster, ms, old_primary.freeze))
 
 
 @when("the primary resumes")
-def _(cluster, old):
+def _(cluster, old_primary):
     cluster.run(asyncio.sleep(0))
-    cluster.loop.call_soon(old.thaw)
+    cluster.loop.call_soon(old_primary.thaw)
     cluster.check()
 
 
@@ -276,58 +284,58 @@
 
 
 @then("the old primary itself can't acknowledge a change")
-def _(cluster, old):
-    assert not old.programs[0].replica.can_write(old.programs[0].clock())
+def _(cluster, old_primary):
+    assert not old_primary.programs[0].replica.can_write(old_primary.programs[0].clock())
     cluster.wait(0.5)
-    assert not old.programs[0].replica.can_write(old.programs[0].clock())
+    assert not old_primary.programs[0].replica.can_write(old_primary.programs[0].clock())
 
 
 @when(
     parsers.re(
         "a change is acknowledged and all (machines lose power|processes are killed) for "
-        "(?P<s>.*) s"
+        "(?P<seconds>.*) s"
     )
 )
-def _(cluster, request, s, step_text="x"):
-    _all_down(cluster, float(s), None)
+def _(cluster, seconds):
+    _power_off_all(cluster, float(seconds), None)
 
 
 @when(
     parsers.parse(
-        "a change is acknowledged, all machines lose power for {s:g} s and the disk of {role} is "
-        "empty"
+        "a change is acknowledged, all machines lose power for {seconds:g} s and the disk of "
+        "{role} is empty"
     )
 )
-def _(cluster, s, role):
-    _all_down(cluster, s, cluster.machine_in_role(role))
+def _(cluster, seconds, role):
+    _power_off_all(cluster, seconds, cluster.machine_in_role(role))
 
 
-def _all_down(cluster, seconds, wiped):
-    async def down() -> None:
+def _power_off_all(cluster, off_seconds, wiped_machine):
+    async def power_off() -> None:
         assert await cluster.put_within(0.5)
         for machine in cluster.machines.values():
-            machine.power_off(wipe=machine is wiped)
+            machine.power_off(wipe=machine is wiped_machine)
 
-    cluster.run(down())
-    cluster.wait(seconds)
+    cluster.run(power_off())
+    cluster.wait(off_seconds)
     cluster.start()
 
 
 @when("the primary is partitioned from all others")
-def _(cluster, old):
-    cluster.network.partition([old.host], [h for h in HOSTS if h != old.host])
+def _(cluster, old_primary):
+    cluster.network.partition([old_primary.host], [h for h in HOSTS if h != old_primary.host])
 
 
 @when("the primary and the stand-by are partitioned from the others")
-def _(cluster, old):
-    side = [old.host, cluster.machine_in_role("a stand-by").host]
+def _(cluster, old_primary):
+    side = [old_primary.host, cluster.machine_in_role("a stand-by").host]
     cluster.network.partition(side, [h for h in HOSTS if h not in side])
 
 
 @when("the primary receives no messages")
-def _(cluster, old):
+def _(cluster, old_primary):
     for host in HOSTS:
-        cluster.network.cut(host, old.host, both=False)
+        cluster.network.cut(host, old_primary.host, both=False)
 
 
 @when("the partition heals")
@@ -336,18 +344,18 @@
 
 
 @then("the old primary acknowledges nothing")
-def _(cluster, old):
-    assert not cluster.run(cluster.put(old.host))
+def _(cluster, old_primary):
+    assert not cluster.run(cluster.put(old_primary.host))
 
 
-@then(parsers.parse("a change is acknowledged within {s:g} s"))
-def _(cluster, s):
-    assert cluster.run(cluster.put_within(s))
+@then(parsers.parse("a change is acknowledged within {seconds:g} s"))
+def _(cluster, seconds):
+    assert cluster.run(cluster.put_within(seconds))
 
 
-@then(parsers.parse("a change is acknowledged within {s:g} s by the others"))
-def _(cluster, old, s):
-    assert cluster.run(cluster.put_within(s, (old.host,)))
+@then(parsers.parse("a change is acknowledged within {seconds:g} s by the others"))
+def _(cluster, old_primary, seconds):
+    assert cluster.run(cluster.put_within(seconds, (old_primary.host,)))
 
 
 @then("nothing acknowledged is lost")
@@ -355,9 +363,9 @@
     assert cluster.run(cluster.read_newest()) >= cluster.acknowledged_version
 
 
-@then(parsers.parse("all machines hold the newest acknowledged version within {s:g} s"))
-def _(cluster, s):
-    cluster.wait(s)
+@then(parsers.parse("all machines hold the newest acknowledged version within {seconds:g} s"))
+def _(cluster, seconds):
+    cluster.wait(seconds)
     assert {store.replica.version for _, store in cluster.stores()} == {
         cluster.acknowledged_version
     }
@@ -376,15 +384,15 @@
 
 
 @when("the primary is shut down")
-def _(cluster, old):
-    cluster.loop.create_task(old.shut_down())
+def _(cluster, old_primary):
+    cluster.loop.create_task(old_primary.shut_down())
 
 
 @when("the machines are replaced by new ones one after the other")
 def _(cluster):
     new = [f"10.{zone}.0.2" for zone in range(1, 5)]
     cluster.old_hosts, cluster.seeds = [*HOSTS], new[:3]
-    new_machines = machines(cluster.network, cluster.rng, new, lambda h: [cluster.maker(h)])
+    new_machines = machines(cluster.network, cluster.rng, new, lambda h: [cluster.store_factory(h)])
     for old_host, new_host in zip(HOSTS, new, strict=True):
         # the seeds of a new machine: itself, up to two old machines that run, the first new one
         cluster.seeds = [new_host, *[h for h in HOSTS if cluster.machines[h].up][:2], *new[:1]][:3]
@@ -441,27 +449,32 @@
     "the backup receives nothing from the primary, and all power and the primary's disk are lost "
     "after an acknowledgement"
 )
-def _(cluster, old):
-    cluster.network.cut(old.host, cluster.machine_in_role("the backup").host)
+def _(cluster, old_primary):
+    cluster.network.cut(old_primary.host, cluster.machine_in_role("the backup").host)
 
     async def lose() -> None:
         assert await cluster.put_within(3.0)
         for machine in cluster.machines.values():
-            machine.power_off(wipe=machine is old)
+            machine.power_off(wipe=machine is old_primary)
 
     cluster.run(lose())
     cluster.network.heal()
     cluster.start()
 
 
-@when(parsers.parse("all are killed, the primary stays down, and the backup for {s:g} s"))
-def _(cluster, old, s):
+@when(
+    parsers.parse(
+        "all machines are killed, the primary stays down, and the backup restarts after "
+        "{seconds:g} s"
+    )
+)
+def _(cluster, old_primary, seconds):
     backup = cluster.machine_in_role("the backup")
     for machine in cluster.machines.values():
         machine.kill()
-    cluster.start(old.host, backup.host)
-    cluster.wait(s)
-    cluster.start(old.host)
+    cluster.start(old_primary.host, backup.host)
+    cluster.wait(seconds)
+    cluster.start(old_primary.host)
 
 
 # --- the rules of one member
@@ -472,11 +485,11 @@
 
 
 def member(own: Member, now: float = 0.0) -> Replica:
-    """A member in VIEW that holds version 7, started at `now`."""
+    """Returns a member in `VIEW` that has version 7 and started at `now`."""
     record = Record(own.id, True, 3, VIEW, 7, b"seven", 3)
     replica = Replica(own, tuple(m.address for m in MEMBERS[:3]), record, now, Random(1))
     for peer in replica.peers.by_address.values():
-        peer.answered_at = 1e9  # always reachable
+        peer.answered_at = 1e9  # keeps the peer reachable throughout the test
     return replica
 
 
@@ -537,7 +550,7 @@
         and replica.can_write(5.0 + LEASE_SECONDS - 0.01)
     )
     assert not replica.may_promise(5.0 + LEASE_SECONDS - 0.01, 4, "b", 0)
-    # it begins to change its own view: it still serves, but writes no changes
+    # a primary that begins to change its own view still serves, but writes no changes
     replica.promise(5.2, 4, "a", 0)
     assert replica.lease_left(5.3) > 0.0 and not replica.can_write(5.3)
     assert replica.lease_left(5.0 + LEASE_SECONDS) == 0.0 and not replica.can_write(
@@ -560,18 +573,20 @@
 # --- random faults
 
 
-async def _operate(cluster: StoreCluster, name: str, rng: Random) -> None:
-    """Sends changes to random machines; another operator may use the same version."""
+async def run_operator(cluster: StoreCluster, operator: str, rng: Random) -> None:
+    """Sends changes to random machines; another operator may send the same version."""
     while True:
         await asyncio.sleep(rng.uniform(0.02, 0.5))
         hosts = [h for h, m in cluster.machines.items() if m.up] or HOSTS
         version = max(1, cluster.sent + rng.choice((0, 1, 1, 1, 2)))
-        await cluster.put(rng.choice(hosts), version, name)
+        await cluster.put(rng.choice(hosts), version, operator)
 
 
-async def _fault(cluster: StoreCluster, rng: Random, machine: Machine, alone: bool) -> None:
-    """Applies a random fault to a machine, and ends it; wipes its disk only if `alone`."""
-    duration, others = (
+async def inject_fault(
+    cluster: StoreCluster, rng: Random, machine: Machine, may_wipe: bool
+) -> None:
+    """Applies a random fault to a machine for a random time; wipes its disk only if `may_wipe`."""
+    duration, other_hosts = (
         rng.choice((0.1, 0.6, 1.5, 3.0)),
         [h for h in cluster.machines if h != machine.host],
     )
@@ -588,7 +603,7 @@
         "leave",
         "wipe",
     )
-    kind = rng.choice(kinds if alone else kinds[:-1])
+    kind = rng.choice(kinds if may_wipe else kinds[:-1])
     disk_state = machine.disk_state
     if kind in ("kill", "power", "wipe"):
         machine.kill() if kind == "kill" else machine.power_off(wipe=kind == "wipe")
@@ -605,9 +620,9 @@
         await asyncio.sleep(duration)
         machine.start()
     elif kind in ("cut", "in", "out"):
-        for other in others:
-            ends = (machine.host, other) if kind == "out" else (other, machine.host)
-            cluster.network.cut(*ends, both=kind == "cut")
+        for other in other_hosts:
+            direction = (machine.host, other) if kind == "out" else (other, machine.host)
+            cluster.network.cut(*direction, both=kind == "cut")
         await asyncio.sleep(duration)
         cluster.network.heal()
     else:
@@ -620,10 +635,11 @@
 async def _run_random_faults(cluster: StoreCluster, rng: Random) -> None:
     for machine in cluster.machines.values():
         machine.start()
-    cluster.first = rng.random() < 0.5  # for stores that are created until it is cleared below
+    # applies to the stores that start before it is cleared below
+    cluster.is_first_start = rng.random() < 0.5
     await asyncio.sleep(1.5)
-    cluster.first = False
-    operators = [asyncio.create_task(_operate(cluster, n, rng)) for n in ("ann", "bob")]
+    cluster.is_first_start = False
+    operators = [asyncio.create_task(run_operator(cluster, n, rng)) for n in ("ann", "bob")]
     for _ in range(6):
         if rng.random() < 0.25:
             for machine in cluster.machines.values():
@@ -634,9 +650,11 @@
         else:
             # a disk is only lost while there is no other fault; other faults may coincide
             targets = rng.sample([*cluster.machines.values()], rng.choice((1, 1, 2)))
-            if rng.random() < 0.6 and (first := cluster.find_primary()):
-                targets = [first, *targets[1:]] if first not in targets[1:] else targets
-            await asyncio.gather(*(_fault(cluster, rng, m, len(targets) == 1) for m in targets))
+            if rng.random() < 0.6 and (primary := cluster.find_primary()):
+                targets = [primary, *targets[1:]] if primary not in targets[1:] else targets
+            await asyncio.gather(
+                *(inject_fault(cluster, rng, machine, len(targets) == 1) for machine in targets)
+            )
         await asyncio.sleep(rng.choice((0.05, 0.5, 2.0, 4.0)))
     await asyncio.sleep(5.0)
     for operator in operators:
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -1,4 +1,4 @@
-"""Tests of whole simulated clusters: the scenarios of `features/system.feature`, random faults."""
+"""Tests of whole simulated clusters: `features/system.feature`, and random faults."""
 
 from __future__ import annotations
 
@@ -32,25 +32,27 @@
 
 
 async def check_statuses(
-    cluster: Cluster, route: str, status: int, key: str = "key-of-ann", only: str = ""
+    cluster: Cluster, route: str, status: int, key: str = "key-of-ann", proxy_ip: str = ""
 ) -> None:
-    """Checks the status that each proxy, or the one at `only`, answers on a route."""
-    for ip in [only] if only else cluster.proxies:
+    """Checks the status of a response on a route by each proxy, or by the one at `proxy_ip`."""
+    for ip in [proxy_ip] if proxy_ip else cluster.proxies:
         _, reply = await cluster.send_once(route, key, ip)
         assert reply.status == status, (ip, reply)
 
 
-async def wait_for_newest(cluster: Cluster, within: float) -> float:
+async def wait_for_newest(cluster: Cluster, timeout_seconds: float) -> float:
+    """Returns the seconds until all proxies run with the newest configuration."""
     newest = cluster.version
     return await cluster.wait_until(
         lambda: (
             len(cluster.running_proxies()) == len(cluster.proxies)
             and all(
-                s.configuration.table is not None and s.configuration.table.version == newest
-                for s in cluster.running_proxies()
+                proxy.configuration.table is not None
+                and proxy.configuration.table.version == newest
+                for proxy in cluster.running_proxies()
             )
         ),
-        within,
+        timeout_seconds,
     )
 
 
@@ -69,7 +71,7 @@
 
 @given(parsers.parse("a flow of {rate:d} requests a second"))
 def _(cluster, rate):
-    """Half of the requests are not idempotent; half use kept connections, half new ones."""
+    """Half of the requests are not idempotent; half use persistent connections, half new ones."""
     for n, keep in enumerate((True, False)):
         client = cluster.new_client()
         client.keep_alive, client.chunked = keep, bool(n)
@@ -123,11 +125,11 @@
     assert cluster.run(cluster.operator.read(10.0)) == cluster.versions[cluster.version]
 
 
-@when(parsers.parse("a flow of {rate:d} requests a second lasts {s:d} s"))
-def _(cluster, rate, s):
+@when(parsers.parse("a flow of {rate:d} requests a second lasts {seconds:d} s"))
+def _(cluster, rate, seconds):
     request = ("GET", "town.example", "/b/x", "key-of-ann")
     cluster.replies = cluster.run(
-        cluster.send_requests(cluster.client, rate, s, *request, idempotent=True)
+        cluster.send_requests(cluster.client, rate, seconds, *request, idempotent=True)
     )
 
 
@@ -145,9 +147,9 @@
     cluster.run(add_route(cluster))
 
 
-@then(parsers.parse("within {s:g} s of the acknowledgement every proxy serves it"))
-def _(cluster, s):
-    cluster.wait(s)
+@then(parsers.parse("within {seconds:g} s of the acknowledgement every proxy serves it"))
+def _(cluster, seconds):
+    cluster.wait(seconds)
     cluster.run(check_statuses(cluster, NEW_ROUTE, 200))
 
 
@@ -157,9 +159,9 @@
     assert cluster.run(cluster.replace())
 
 
-@then(parsers.parse("within {s:g} s of the acknowledgement every proxy answers it with 404"))
-def _(cluster, s):
-    cluster.wait(s)
+@then(parsers.parse("within {seconds:g} s of the acknowledgement every proxy answers it with 404"))
+def _(cluster, seconds):
+    cluster.wait(seconds)
     cluster.run(check_statuses(cluster, NEW_ROUTE, 404))
 
 
@@ -169,9 +171,9 @@
     assert cluster.run(cluster.replace())
 
 
-@then(parsers.parse("within {s:g} s of the acknowledgement only the new API key is served"))
-def _(cluster, s):
-    cluster.wait(s)
+@then(parsers.parse("within {seconds:g} s of the acknowledgement only the new API key is served"))
+def _(cluster, seconds):
+    cluster.wait(seconds)
     cluster.run(check_statuses(cluster, "a", 401))
     cluster.run(check_statuses(cluster, "a", 200, "second-key-of-ann"))
 
@@ -217,15 +219,19 @@
     assert len(earlier) > 5
 
 
-@then(parsers.parse("no request reaches that server later than {s:g} s after the acknowledgement"))
-def _(cluster, s):
+@then(
+    parsers.parse(
+        "no request reaches that server later than {seconds:g} s after the acknowledgement"
+    )
+)
+def _(cluster, seconds):
     cluster.wait(5.0)
     delays = [
         run.at - cluster.acknowledged_at
         for run in cluster.request_log.arrivals
         if run.server == cluster.draining_server
     ]
-    assert max(delays) < s
+    assert max(delays) < seconds
 
 
 @then("at least 98.5 % of the requests succeed")
@@ -285,7 +291,7 @@
     proxy = cluster.proxy(first_proxy(cluster))
     cluster.run(cluster.wait_until(lambda: proxy.is_ready, 8.0))
     assert proxy.configuration.table.version == cluster.version
-    cluster.run(check_statuses(cluster, NEW_ROUTE, 200, only=first_proxy(cluster)))
+    cluster.run(check_statuses(cluster, NEW_ROUTE, 200, proxy_ip=first_proxy(cluster)))
 
 
 # --- the core is lost
@@ -311,9 +317,9 @@
     cluster.run(lose_core())
 
 
-@then(parsers.parse("every proxy has the configuration within {s:g} s"))
-def _(cluster, s):
-    cluster.run(wait_for_newest(cluster, s))
+@then(parsers.parse("every proxy has the configuration within {seconds:g} s"))
+def _(cluster, seconds):
+    cluster.run(wait_for_newest(cluster, seconds))
 
 
 @then("no proxy went back to an older configuration")
@@ -335,23 +341,23 @@
         host.power_off()
 
 
-@then(parsers.parse("it serves requests on older routes for {s:d} s"))
-def _(cluster, s):
-    for _ in range(10 * s):
-        cluster.run(check_statuses(cluster, "once", 200, only=first_proxy(cluster)))
+@then(parsers.parse("it serves requests on older routes for {seconds:d} s"))
+def _(cluster, seconds):
+    for _ in range(10 * seconds):
+        cluster.run(check_statuses(cluster, "once", 200, proxy_ip=first_proxy(cluster)))
         cluster.wait(0.1)
 
 
-@then(parsers.parse("every proxy serves requests on older routes for {s:d} s"))
-def _(cluster, s):
-    for _ in range(4 * s):
+@then(parsers.parse("every proxy serves requests on older routes for {seconds:d} s"))
+def _(cluster, seconds):
+    for _ in range(4 * seconds):
         cluster.run(check_statuses(cluster, "once", 200))
         cluster.wait(0.25)
 
 
 @then("it does not have the new route")
 def _(cluster):
-    cluster.run(check_statuses(cluster, NEW_ROUTE, 404, only=first_proxy(cluster)))
+    cluster.run(check_statuses(cluster, NEW_ROUTE, 404, proxy_ip=first_proxy(cluster)))
 
 
 @when("the partition is healed")
@@ -359,9 +365,9 @@
     cluster.network.heal()
 
 
-@then(parsers.parse("it has the newest configuration within {s:g} s"))
-def _(cluster, s):
-    cluster.run(wait_for_newest(cluster, s))
+@then(parsers.parse("it has the newest configuration within {seconds:g} s"))
+def _(cluster, seconds):
+    cluster.run(wait_for_newest(cluster, seconds))
     cluster.run(check_statuses(cluster, NEW_ROUTE, 200))
 
 
@@ -386,20 +392,19 @@
 
 @then("the requests it has accepted are answered completely, with Connection: close")
 def _(cluster):
-    late = [
-        cluster.run(cluster.send_once(at=first_proxy(cluster)))
-    ]  # a request sent before the platform has seen the 503
-    for request, reply in [*[cluster.run(accepted) for accepted in cluster.accepted], *late]:
+    # as a client does before the platform has seen the 503
+    late = cluster.run(cluster.send_once(at=first_proxy(cluster)))
+    for request, reply in [*[cluster.run(accepted) for accepted in cluster.accepted], late]:
         assert reply.status == 200, reply
         if reply.at > cluster.stop_requested_at:
             assert reply.fields["connection"] == "close" and reply.at - request.sent < 3.3
     cluster.run(asyncio.sleep(0))
 
 
-@then(parsers.parse("its process ends within {s:g} s"))
-def _(cluster, s):
+@then(parsers.parse("its process ends within {seconds:g} s"))
+def _(cluster, seconds):
     cluster.run(cluster.stop_task)
-    assert cluster.loop.time() - cluster.stop_requested_at < s
+    assert cluster.loop.time() - cluster.stop_requested_at < seconds
     replies = [reply for flow in cluster.flows for reply in cluster.run(flow)]
     assert all(reply.status in (200, 503) for reply in replies), Counter(
         (r.status, r.end) for r in replies
@@ -424,45 +429,58 @@
     cluster.run(restart_core())
 
 
-@then(parsers.parse("a change is acknowledged within {s:g} s"))
-def _(cluster, s):
+@then(parsers.parse("a change is acknowledged within {seconds:g} s"))
+def _(cluster, seconds):
     cluster.route(NEW_ROUTE, "beta")
-    assert cluster.run(cluster.replace(s))
+    assert cluster.run(cluster.replace(seconds))
 
 
-@when(parsers.parse("a proxy is suspended, a route is removed, and it is resumed after {s:d} s"))
-def _(cluster, s):
+@when(
+    parsers.parse("a proxy is suspended, a route is removed, and it is resumed after {seconds:d} s")
+)
+def _(cluster, seconds):
     async def suspend_and_resume():
         await add_route(cluster)
         await asyncio.sleep(1.0)
         cluster.proxies[first_proxy(cluster)].freeze()
         del cluster.resources["routes", NEW_ROUTE]
         assert await cluster.replace()
-        await asyncio.sleep(s)
+        await asyncio.sleep(seconds)
         cluster.proxies[first_proxy(cluster)].thaw()
 
     cluster.run(suspend_and_resume())
 
 
-@then(parsers.parse("it answers 404 on that route within {s:g} s"))
-def _(cluster, s):
-    cluster.wait(s)
-    cluster.run(check_statuses(cluster, NEW_ROUTE, 404, only=first_proxy(cluster)))
+@then(parsers.parse("it answers 404 on that route within {seconds:g} s"))
+def _(cluster, seconds):
+    cluster.wait(seconds)
+    cluster.run(check_statuses(cluster, NEW_ROUTE, 404, proxy_ip=first_proxy(cluster)))
     assert (first_proxy(cluster), FRONT_PORT) in cluster.routed_proxies
 
 
 # --- random faults
 
 
-KINDS = ["core", "proxy", "term", "leave", "server", "trouble", "alone", "freeze", "disk", "swap"]
+FAULT_KINDS = [
+    "core",
+    "proxy",
+    "term",
+    "leave",
+    "server",
+    "trouble",
+    "alone",
+    "freeze",
+    "disk",
+    "swap",
+]
 
 
 async def _run_random_faults(cluster: Cluster, rng: Random) -> None:
     await cluster.start()
-    acked, flows = cluster.version, []
-    for keep in (True, False):
+    acknowledged_version, flows = cluster.version, []
+    for keep_alive in (True, False):
         client = cluster.new_client()
-        client.keep_alive = client.chunked = keep
+        client.keep_alive = client.chunked = keep_alive
         for method, name, idempotent in (("GET", "a", True), ("POST", "once", False)):
             request = (
                 method,
@@ -478,17 +496,17 @@
             )
     faults = Faults(cluster, rng)
     for _ in range(5):
-        await faults.inject(KINDS)
+        await faults.inject(FAULT_KINDS)
         cluster.route(f"n{cluster.version}", rng.choice([*cluster.servers]))
         if await cluster.replace(6.0):
-            acked = cluster.version
+            acknowledged_version = cluster.version
         await asyncio.sleep(rng.choice((0.2, 1.0)))
     await asyncio.sleep(6.0)
     statuses = Counter([reply.status for flow in flows for reply in await flow])
     assert statuses[200] > 0.95 * sum(statuses.values()), statuses
-    read = await cluster.operator.read(8.0)
-    version = int(json.loads(read)["version"][1:])
-    assert version >= acked and read == cluster.versions[version]
+    configuration = await cluster.operator.read(8.0)
+    version = int(json.loads(configuration)["version"][1:])
+    assert version >= acknowledged_version and configuration == cluster.versions[version]
     cluster.version = version
     await wait_for_newest(cluster, APPLY_SECONDS)
     statuses = Counter([(await cluster.get(tries=1)).status for _ in range(30)])
