--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """Test harnesses for the decision engine and for a limiter on loopback sockets.
 
-`EngineHarness` runs several engines on a simulated clock and checks the five rules at each action;
-`LimiterHarness` runs one limiter against stub servers.
+`EngineHarness` runs several engines on a simulated clock and checks the rules of its docstring at
+each action; `LimiterHarness` runs one limiter on loopback sockets against stub servers.
 """
 
 from __future__ import annotations
@@ -55,6 +55,7 @@
 
 S = TICKS_PER_SECOND
 ActionType = TypeVar("ActionType")
+RESPONSE_SLACK = 80  # ticks
 NOT_RUN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -63,7 +64,16 @@
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL,
     late_value: float = 0.0,
 ) -> Frontend:
-    return Frontend(effect, deduplication_scope, 2 * S, S, 4 * S, 1.0, late_value, False)
+    return Frontend(
+        effect=effect,
+        deduplication_scope=deduplication_scope,
+        deduplication_window=2 * S,
+        latency_target=S,
+        client_timeout=4 * S,
+        value=1.0,
+        late_value=late_value,
+        is_streaming=False,
+    )
 
 
 FRONTENDS = (
@@ -72,37 +82,57 @@
     frontend(Effect.DEDUPLICATED, DeduplicationScope.ZONE),
     frontend(Effect.DEDUPLICATED, DeduplicationScope.ALL),
 )
+UNLIMITED_PLAN = QuotaPlan(
+    rate=0.0,
+    burst=0.0,
+    concurrency_limit=0,
+    value_factor=1.0,
+    excess_value=0.0,
+    excess_cost=1.0,
+    rate_limit=0.0,
+    rate_limit_burst=0.0,
+    rate_limit_slack=0.0,
+)
 PLANS = (
-    QuotaPlan(2.0, 4.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
-    QuotaPlan(5.0, 10.0, 0, 1.5, 0.0, 1.0, 10.0, 20.0, 2.0),
-    QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),
-    QuotaPlan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 10.0, 12.0, 2.0),
+    replace(UNLIMITED_PLAN, rate=2.0, burst=4.0),
+    replace(
+        UNLIMITED_PLAN,
+        rate=5.0,
+        burst=10.0,
+        value_factor=1.5,
+        rate_limit=10.0,
+        rate_limit_burst=20.0,
+        rate_limit_slack=2.0,
+    ),
+    UNLIMITED_PLAN,
+    replace(UNLIMITED_PLAN, rate_limit=10.0, rate_limit_burst=12.0, rate_limit_slack=2.0),
 )
 
 
 def settings(limiter_index: int = 0, limiter_count: int = 3, **changes: object) -> EngineSettings:
+    """Returns settings of a small system; `changes` replace fields."""
     base = EngineSettings(
-        limiter_index,
-        limiter_count,
-        0,
-        FRONTENDS,
-        PLANS,
-        4,
-        True,
-        False,
-        False,
-        False,
-        0,
-        True,
-        500,
-        0,
-        1,
-        S,
-        10 * S,
-        0.2,
-        3.0,
-        S,
-        80,
+        limiter_index=limiter_index,
+        limiter_count=limiter_count,
+        zone=0,
+        frontends=FRONTENDS,
+        plans=PLANS,
+        attempt_limit=4,
+        can_cancel_attempts=True,
+        can_check_health=False,
+        can_hedge=False,
+        sends_retry_after=False,
+        max_retry_after=0,
+        has_counter=True,
+        counter_timeout=500,
+        metering_period=0,
+        max_request_units=1,
+        drain_grace_period=S,
+        slow_start_period=10 * S,
+        slow_start_initial_capacity=0.2,
+        overload_multiple=3.0,
+        overload_period=S,
+        response_slack=RESPONSE_SLACK,
     )
     return replace(base, **changes)
 
@@ -113,7 +143,15 @@
     started_at: int = 0,
     zone: int = 0,
 ) -> Endpoint:
-    return Endpoint(endpoint_id, state, zone, 0, endpoint_id % 2, 1.0, started_at)
+    return Endpoint(
+        endpoint_id=endpoint_id,
+        state=state,
+        zone=zone,
+        kind=0,
+        cell=endpoint_id % 2,
+        capacity_hint=1.0,
+        started_at=started_at,
+    )
 
 
 def arrival(
@@ -124,14 +162,23 @@
     tenant: int = 0,
     limiter_set_size: int = 3,
 ) -> RequestArrived:
+    """Returns the arrival of a request of one unit, at `now` in ticks."""
     deadline = now + FRONTENDS[frontend].client_timeout
     return RequestArrived(
-        request_id, frontend, plan, tenant, 1000 + tenant, deadline, 1.0, limiter_set_size, False
+        request_id=request_id,
+        frontend=frontend,
+        plan=plan,
+        tenant=tenant,
+        tenant_digest=1000 + tenant,
+        deadline=deadline,
+        units=1.0,
+        limiter_set_size=limiter_set_size,
+        is_retry=False,
     )
 
 
 def single_engine(now: int = 0, servers: int = 3, **changes: object) -> DecisionEngine:
-    """The engine of one limiter, with servers that are past slow start."""
+    """Returns the engine of one limiter, which knows servers that are past slow start."""
     engine = DecisionEngine(settings(**changes), 7, now)
     engine.handle(now, EndpointsUpdated(tuple(endpoint(n) for n in range(servers)), True))
     return engine
@@ -142,7 +189,15 @@
 
 
 class EngineHarness:
-    """The engines of several limiters on a simulated clock, with checks of the five rules.
+    """The engines of several limiters on a simulated clock, with checks of five rules.
+
+    1. A request gets exactly one final answer, at its deadline plus the response slack at the
+       latest.
+    2. A request that may have been executed is sent again, or rejected so that the client may
+       retry, only if a second execution is harmless or prevented by deduplication.
+    3. A server gets no attempts once it has been listed as not live for the drain grace period.
+    4. A server in slow start gets no more load than its reduced capacity bears.
+    5. A tenant stays within its plan's rate limit.
 
     Attributes:
         now: The simulated time, in ticks.
@@ -180,42 +235,53 @@
         for n in range(limiter_count):
             self.start(n)
 
-    def start(self, n: int) -> None:
-        self.engines[n] = DecisionEngine(settings(n, **self.changes), n, self.now)
-        self.draining_since[n] = {}
-        self.update_endpoints(n)
-
-    def update_endpoints(self, n: int) -> None:
-        for e in self.endpoints.values():
-            if e.state is not EndpointState.LIVE:
-                self.draining_since[n].setdefault(e.endpoint_id, self.now)
+    def start(self, limiter_index: int) -> None:
+        self.engines[limiter_index] = DecisionEngine(
+            settings(limiter_index, **self.changes), limiter_index, self.now
+        )
+        self.draining_since[limiter_index] = {}
+        self.update_endpoints(limiter_index)
+
+    def update_endpoints(self, limiter_index: int) -> None:
+        """Sends a limiter the complete list of servers."""
+        for endpoint in self.endpoints.values():
+            if endpoint.state is not EndpointState.LIVE:
+                self.draining_since[limiter_index].setdefault(endpoint.endpoint_id, self.now)
             else:
-                self.draining_since[n].pop(e.endpoint_id, None)
-        self.handle_event(n, EndpointsUpdated(tuple(self.endpoints.values()), True))
+                self.draining_since[limiter_index].pop(endpoint.endpoint_id, None)
+        self.handle_event(limiter_index, EndpointsUpdated(tuple(self.endpoints.values()), True))
 
-    def kill(self, n: int) -> None:
+    def kill(self, limiter_index: int) -> None:
         """Drops the counter calls, timers, requests and attempts of a limiter that is killed."""
-        self.counter_calls = [c for c in self.counter_calls if c[0] != n]
-        self.timers = [t for t in self.timers if t[1] != n]
-        self.open_requests = {r: o for r, o in self.open_requests.items() if o[0] != n}
-        self.attempts = {k: o for k, o in self.attempts.items() if o[0] != n}
-
-    def handle_event(self, n: int, event: Event) -> None:
-        for action in self.engines[n].handle(self.now, event):
-            self.check_action(n, action)
+        self.counter_calls = [call for call in self.counter_calls if call[0] != limiter_index]
+        self.timers = [timer for timer in self.timers if timer[1] != limiter_index]
+        self.open_requests = {
+            request_id: record
+            for request_id, record in self.open_requests.items()
+            if record[0] != limiter_index
+        }
+        self.attempts = {
+            key: record for key, record in self.attempts.items() if record[0] != limiter_index
+        }
+
+    def handle_event(self, limiter_index: int, event: Event) -> None:
+        """Passes an event to a limiter, and checks and records its actions."""
+        for action in self.engines[limiter_index].handle(self.now, event):
+            self.check_action(limiter_index, action)
 
     def close_request(self, request_id: int) -> None:
         """Records the final answer of a request; rule 1: there is only one."""
         assert request_id in self.open_requests, f"{request_id} answered twice"
         del self.open_requests[request_id]
 
-    def check_action(self, n: int, action: Action) -> None:
+    def check_action(self, limiter_index: int, action: Action) -> None:
+        """Checks an action of a limiter against the rules, and records it."""
         match action:
             case SendAttempt(request_id, server, expires_at):
-                self.check_attempt(n, request_id, server)
+                self.check_attempt(limiter_index, request_id, server)
                 attempts = self.open_requests[request_id][2]
                 self.attempts[request_id, len(attempts)] = (
-                    n,
+                    limiter_index,
                     server,
                     self.now,
                     min(expires_at, self.open_requests[request_id][1].deadline),
@@ -236,15 +302,16 @@
                 self.close_request(request_id)
             case SetTimer(delay, tag):
                 assert delay > 0
-                self.timers.append((self.now + delay, n, tag))
+                self.timers.append((self.now + delay, limiter_index, tag))
             case IncrementCounter():
-                self.counter_calls.append((n, action))
+                self.counter_calls.append((limiter_index, action))
 
-    def check_attempt(self, n: int, request_id: int, server: int) -> None:
+    def check_attempt(self, limiter_index: int, request_id: int, server: int) -> None:
+        """Checks a new attempt against rules 1, 2, 3 and 5."""
         assert request_id in self.open_requests, f"{request_id} sent after its final answer"
         _, event, earlier = self.open_requests[request_id]
         assert self.now < event.deadline
-        draining_since = self.draining_since[n].get(server)
+        draining_since = self.draining_since[limiter_index].get(server)
         # rule 3
         assert draining_since is None or self.now <= draining_since + S, "sent to a draining server"
         frontend = FRONTENDS[event.frontend]
@@ -271,7 +338,8 @@
             self.rate_limit_buckets[event.tenant] = tokens, self.now
 
     def end_attempt(self, key: tuple[int, int], outcome: Outcome) -> None:
-        n, server, sent_at, _ = self.attempts.pop(key)
+        """Ends the attempt with this request id and attempt number, and tells its limiter."""
+        limiter_index, server, sent_at, _ = self.attempts.pop(key)
         request_id, attempt_number = key
         is_final = outcome is Outcome.SUCCEEDED or request_id not in self.open_requests
         if request_id in self.open_requests:
@@ -279,7 +347,7 @@
             if outcome is Outcome.SUCCEEDED:
                 self.close_request(request_id)
         self.handle_event(
-            n,
+            limiter_index,
             AttemptEnded(
                 request_id, attempt_number, server, outcome, self.now - sent_at, is_final, 0, 0.0
             ),
@@ -289,24 +357,28 @@
         """Advances the clock, fires due timers, expires attempts and checks client deadlines."""
         end = self.now + duration
         while True:
-            due_times = [t[0] for t in self.timers if t[1] != self.stalled_limiter] + [
-                o[3] for o in self.attempts.values()
+            due_times = [timer[0] for timer in self.timers if timer[1] != self.stalled_limiter] + [
+                attempt[3] for attempt in self.attempts.values()
             ]
             next_due = min(due_times, default=end + 1)
             if next_due > end:
                 break
             self.now = max(self.now, next_due)
             for due in [
-                t for t in self.timers if t[0] <= self.now and t[1] != self.stalled_limiter
+                timer
+                for timer in self.timers
+                if timer[0] <= self.now and timer[1] != self.stalled_limiter
             ]:
                 self.timers.remove(due)
                 self.handle_event(due[1], TimerFired(due[2]))
-            for key in [k for k, o in self.attempts.items() if o[3] <= self.now]:
+            for key in [key for key, attempt in self.attempts.items() if attempt[3] <= self.now]:
                 self.end_attempt(key, Outcome.NO_RESPONSE)
         self.now = end
         for request_id, (_, event, _) in self.open_requests.items():
             # rule 1
-            assert self.now <= event.deadline + 80, f"{request_id} got no final answer in time"
+            assert self.now <= event.deadline + RESPONSE_SLACK, (
+                f"{request_id} got no final answer in time"
+            )
         for server, endpoint in self.endpoints.items():
             if endpoint.started_at and self.now - endpoint.started_at < 10 * S:
                 self.check_slow_start(server, endpoint.started_at)
@@ -317,13 +389,26 @@
         The limit is the server's share of what the busiest warm server got, over one second, and
         one request for each limiter.
         """
-        peers = [n for n in self.endpoints if not self.endpoints[n].started_at]
+        peers = [
+            endpoint_id
+            for endpoint_id in self.endpoints
+            if not self.endpoints[endpoint_id].started_at
+        ]
         peer_requests = max(
-            (sum(1 for t, s in self.sends if s == p and t > self.now - 4 * S) for p in peers),
+            (
+                sum(
+                    1
+                    for sent_at, recipient in self.sends
+                    if recipient == peer and sent_at > self.now - 4 * S
+                )
+                for peer in peers
+            ),
             default=0,
         )
         recent_requests = sum(
-            1 for t, s in self.sends if s == server and t > max(started_at, self.now - S)
+            1
+            for sent_at, recipient in self.sends
+            if recipient == server and sent_at > max(started_at, self.now - S)
         )
         capacity_share = 0.2 + 0.8 * (self.now - started_at) / (10 * S)
         assert recent_requests <= 3.0 * capacity_share * max(peer_requests, 4) / 2 + len(
@@ -331,7 +416,11 @@
         ), "too many requests to a server in slow start"
 
     def answer_counter_call(self, index: int, outcome: Outcome, is_emptied: bool) -> None:
-        n, call = self.counter_calls.pop(index)
+        """Ends a pending call to the counter, which first loses all its totals if `is_emptied`.
+
+        A call that succeeds or gets no response has been executed.
+        """
+        limiter_index, call = self.counter_calls.pop(index)
         if is_emptied:
             self.counter_totals.clear()
         if outcome in (Outcome.SUCCEEDED, Outcome.NO_RESPONSE):
@@ -339,14 +428,14 @@
                 self.counter_totals.get(call.counter_name, 0.0) + call.amount
             )
         self.handle_event(
-            n,
+            limiter_index,
             CounterReplied(
                 call.counter_name, outcome, self.counter_totals.get(call.counter_name, 0.0), 30
             ),
         )
 
 
-# --- a limiter on loopback sockets, and the stub servers around it
+# --- a limiter on loopback sockets, and its stub servers
 
 
 HOST = own_host()
@@ -357,6 +446,7 @@
 
 
 def member(id_: str, port: int, phase: str = "active") -> dict[str, object]:
+    """Returns a server's entry in a limiter's configuration file or in an endpoint list."""
     return {
         "id": id_,
         "host_port": f"{HOST}:{port}",
@@ -367,6 +457,7 @@
 
 
 def config_file(ports: dict[str, int], members: list[dict], **changes: object) -> dict:
+    """Returns the content of a limiter's configuration file; `changes` replace top-level keys."""
     grades = [
         {"name": "look", "effect": "pure", "on_time": 500, "deadline": 1500, "points": 1},
         {"name": "book", "effect": "side_effect", "on_time": 500, "deadline": 1500, "points": 1},
@@ -440,6 +531,15 @@
 def request(
     front: str = "look", id_: str = "r1", timeout: int = 1000, body: bytes = b"", extra: str = ""
 ) -> bytes:
+    """Returns the bytes of a request to a limiter.
+
+    Args:
+        front: Name of the request class, which is also the path.
+        id_: The request id.
+        timeout: How long the client waits, in ms.
+        body: The body; a request with a body is a POST.
+        extra: Further header lines, each with its line end.
+    """
     method = "POST" if body or front == "book" else "GET"
     return (
         f"{method} /{front}?account=00000000b4d65521 HTTP/1.1\r\nHost: "
@@ -459,7 +559,7 @@
         self.reader, self.writer = await asyncio.open_connection(HOST, self.port)
         return self
 
-    async def __aexit__(self, *why: object) -> None:
+    async def __aexit__(self, *exc_info: object) -> None:
         self.writer.close()
 
     async def send_request(self, raw: bytes) -> tuple[int, bytes, bytes]:
@@ -473,7 +573,11 @@
         return int(head[9:12]), head, await self.reader.readexactly(length)
 
     async def is_closed(self) -> bool:
-        """Whether the limiter closes the connection without a reset, within 4 s."""
+        """Whether the limiter closes the connection, without a reset and sending no more data.
+
+        Raises:
+            TimeoutError: The connection is still open after 4 s.
+        """
         return await asyncio.wait_for(self.reader.read(1), 4) == b""
 
 
@@ -500,20 +604,17 @@
             member(f"s{n}", await server.start()) for n, server in enumerate(self.servers)
         ]
         raw = json.dumps(config_file(ports, self.members, **self.changes)).encode()
-        arrival_clock = (
-            self.arrival_clock or asyncio.get_running_loop()._selector
-        )  # an ArrivalClockSelector in these tests
-        self.limiter, self.port = (
-            Limiter(parse_limiter_config(raw, {}), arrival_clock),
-            ports["listen"],
-        )
+        # the loop of these tests has an ArrivalClockSelector
+        arrival_clock = self.arrival_clock or asyncio.get_running_loop()._selector
+        self.limiter = Limiter(parse_limiter_config(raw, {}), arrival_clock)
+        self.port = ports["listen"]
         self.task = asyncio.create_task(self.limiter.run())
         while not self.limiter.listener.server:
             assert not self.task.done(), self.task.exception()
             await asyncio.sleep(0.005)
         return self
 
-    async def __aexit__(self, *why: object) -> None:
+    async def __aexit__(self, *exc_info: object) -> None:
         self.limiter.listener.close()
         self.limiter.watch.stop()
         for client in list(self.limiter.listener.clients):
@@ -523,14 +624,14 @@
         self.limiter.stopped.set()
         await self.task
 
-    def send_watch_line(self, **list_: object) -> None:
-        """Sends an endpoint list to the limiter, as a line of the discovery watch."""
+    def send_watch_line(self, **fields: object) -> None:
+        """Sends an endpoint list with these fields to the limiter, as a line of the watch."""
         for writer in self.discovery.open:
-            writer.write(watch_chunk(list_))
+            writer.write(watch_chunk(fields))
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Waits until a condition holds, checking it 600 times every 5 ms at most."""
+    """Waits until a condition holds; checks it every 5 ms, and fails after 600 checks."""
     for _ in range(600):
         if condition():
             return
