--- a/loomstand/limiter/abandoned_requests.py
+++ b/loomstand/limiter/abandoned_requests.py
@@ -1,7 +1,8 @@
 """Counts requests whose clients disconnected before they received a response. No I/O.
 
-Cancelled attempts are counted apart from attempts that a server finished without a recipient. The
-log thus shows whether disconnections are detected and whether the cancellation reaches the servers.
+Cancelled attempts are counted separately from those that ended in another way, for instance with a
+response that no client received. The log thus shows whether disconnections are detected and whether
+cancellations take effect.
 """
 
 from __future__ import annotations
@@ -41,9 +42,9 @@
         """Returns the counts as a log line and resets them; None if all are 0."""
         if self == AbandonedRequests():
             return None
-        line = (
+        report = (
             f"clients_disconnected requests={self.requests} attempts={self.attempts}"
             f" cancelled={self.cancelled} finished={self.finished}"
         )
         self.requests = self.attempts = self.cancelled = self.finished = 0
-        return line
+        return report
--- a/loomstand/limiter/buffers.py
+++ b/loomstand/limiter/buffers.py
@@ -6,10 +6,14 @@
 
 
 class MemoryBudget:
-    """Memory budget in bytes, shared by all ring buffers and request bodies of a limiter."""
+    """Memory budget in bytes, shared by the buffers of many connections.
 
-    def __init__(self, total: int) -> None:
-        self.available = total
+    Attributes:
+        available: Number of bytes that are not reserved.
+    """
+
+    def __init__(self, total_bytes: int) -> None:
+        self.available = total_bytes
 
     def reserve(self, size: int) -> bool:
         """Reserves `size` bytes; returns False, with no effect, if fewer are available."""
@@ -24,12 +28,21 @@
 
 
 class Ring:
-    """FIFO ring buffer of bytes that grows up to `max_size` bytes, within the memory budget."""
+    """FIFO ring buffer of bytes that grows up to `max_size` bytes, within the memory budget.
+
+    Attributes:
+        memory_budget: The budget from which its memory is reserved.
+        max_size: Maximum size in bytes.
+        buffer: The allocated memory.
+        size: Size of the allocated memory in bytes.
+        head: Index of the first stored byte in `buffer`.
+        used: Number of stored bytes.
+    """
 
-    __slots__ = ("buf", "head", "max_size", "memory_budget", "size", "used")
+    __slots__ = ("buffer", "head", "max_size", "memory_budget", "size", "used")
 
     def __init__(self, memory_budget: MemoryBudget, max_size: int) -> None:
-        self.buf, self.size = bytearray(), 0
+        self.buffer, self.size = bytearray(), 0
         self.head = self.used = 0
         self.memory_budget, self.max_size = memory_budget, max_size
 
@@ -37,15 +50,18 @@
         return self.used
 
     def grow(self, needed: int) -> bool:
-        """Grows the buffer to hold `needed` bytes in total; returns False if a limit forbids it."""
+        """Grows the buffer to hold `needed` bytes in total.
+
+        Returns False if `max_size` or the memory budget forbids it.
+        """
         if needed <= self.size:
             return True
         size = min(self.max_size, max(INITIAL_RING_BYTES, 1 << (needed - 1).bit_length()))
         if size < needed or not self.memory_budget.reserve(size - self.size):
             return False
         data = self.peek()
-        self.buf = bytearray(size)
-        self.buf[: len(data)] = data
+        self.buffer = bytearray(size)
+        self.buffer[: len(data)] = data
         self.head, self.size = 0, size
         return True
 
@@ -58,65 +74,65 @@
             return memoryview(b"")
         tail = self.head + self.used
         if tail >= self.size:
-            return memoryview(self.buf)[tail - self.size : self.head]
-        return memoryview(self.buf)[tail:]
+            return memoryview(self.buffer)[tail - self.size : self.head]
+        return memoryview(self.buffer)[tail:]
 
-    def wrote(self, n: int) -> None:
-        """Appends the first `n` bytes of the range that `space` returned."""
-        self.used += n
+    def wrote(self, count: int) -> None:
+        """Appends the first `count` bytes of the range that `space` returned."""
+        self.used += count
 
     def put(self, data: bytes) -> bool:
         """Appends all of `data`; returns False, with nothing appended, if it doesn't fit."""
-        n = len(data)
-        if not self.grow(self.used + n):
+        length = len(data)
+        if not self.grow(self.used + length):
             return False
         tail = (self.head + self.used) % self.size if self.size else 0
-        first = min(n, self.size - tail)
-        self.buf[tail : tail + first] = data[:first]
-        if first < n:
-            self.buf[: n - first] = data[first:]
-        self.used += n
+        until_end = min(length, self.size - tail)
+        self.buffer[tail : tail + until_end] = data[:until_end]
+        if until_end < length:
+            self.buffer[: length - until_end] = data[until_end:]
+        self.used += length
         return True
 
-    def peek(self, n: int = -1) -> bytes:
-        """Returns a copy of the first `n` bytes, or of all if there are fewer or `n` is -1."""
-        n = self.used if n < 0 else min(n, self.used)
-        end = self.head + n
+    def peek(self, count: int = -1) -> bytes:
+        """Returns a copy of the first `count` bytes, or of all if there are fewer or it is -1."""
+        count = self.used if count < 0 else min(count, self.used)
+        end = self.head + count
         if end <= self.size:
-            return bytes(self.buf[self.head : end])
-        return bytes(self.buf[self.head :] + self.buf[: end - self.size])
+            return bytes(self.buffer[self.head : end])
+        return bytes(self.buffer[self.head :] + self.buffer[: end - self.size])
 
-    def skip(self, n: int) -> None:
-        """Removes the first `n` bytes; an empty buffer that has grown releases its memory."""
-        self.used -= n
+    def skip(self, count: int) -> None:
+        """Removes the first `count` bytes; an empty buffer that has grown releases its memory."""
+        self.used -= count
         if self.used:
-            self.head = (self.head + n) % self.size
+            self.head = (self.head + count) % self.size
         elif self.size > INITIAL_RING_BYTES:
             self.close()
         else:
             self.head = 0
 
-    def take(self, n: int) -> bytes:
-        """Removes and returns the first `n` bytes, or all if there are fewer."""
+    def take(self, count: int) -> bytes:
+        """Removes and returns the first `count` bytes, or all if there are fewer."""
         # Fast path for the usual case: one whole message in a contiguous range.
-        if n == self.used <= self.size - self.head and self.size <= INITIAL_RING_BYTES:
-            data = bytes(self.buf[self.head : self.head + n])
+        if count == self.used <= self.size - self.head and self.size <= INITIAL_RING_BYTES:
+            data = bytes(self.buffer[self.head : self.head + count])
             self.head = self.used = 0
             return data
-        data = self.peek(n)
+        data = self.peek(count)
         self.skip(len(data))
         return data
 
     def find(self, pattern: bytes, start: int = 0) -> int:
         """Returns the offset of the first `pattern` from offset `start` on; -1 if there is none."""
-        if self.head + self.used > self.size:
+        if self.head + self.used > self.size:  # wrapped around: makes the bytes contiguous
             data = self.peek()
-            self.buf[: len(data)] = data
+            self.buffer[: len(data)] = data
             self.head = 0
-        index = self.buf.find(pattern, self.head + start, self.head + self.used)
+        index = self.buffer.find(pattern, self.head + start, self.head + self.used)
         return index - self.head if index >= 0 else -1
 
     def close(self) -> None:
         """Discards the content and returns the memory to the budget."""
         self.memory_budget.release(self.size)
-        self.buf, self.size, self.head, self.used = bytearray(), 0, 0, 0
+        self.buffer, self.size, self.head, self.used = bytearray(), 0, 0, 0
--- a/loomstand/limiter/endings.py
+++ b/loomstand/limiter/endings.py
@@ -8,11 +8,11 @@
 
 
 class Ending(Enum):
-    """Why a connection ended or could not be established."""
+    """Reason why a connection ended or could not be established."""
 
     REFUSED = auto()  # connection refused, or no route
     SILENT_CONNECT = auto()  # connect timed out
-    NO_ROOM = auto()  # out of local descriptors or memory
+    NO_ROOM = auto()  # no descriptor or memory left on this machine
     CLOSED = auto()  # the peer closed its sending side
     RESET = auto()  # the connection was lost
     MALFORMED = auto()  # the peer sent an invalid message
@@ -21,12 +21,15 @@
     EXPIRED = auto()  # time-out on this side
     CALLED_OFF = auto()  # cancelled on this side
     IDLE = auto()  # closed by this side while idle
-    FINISHED = auto()  # closed by this side after the last message, by protocol
+    FINISHED = auto()  # closed by this side as intended, after the last message
     STOPPING = auto()  # this limiter is shutting down
 
 
 CONNECT_FAILURES = {Ending.REFUSED, Ending.SILENT_CONNECT}
+# Endings caused by this limiter; with these, a request that was not written is not a failure of the
+# server.
 LOCAL_FAILURES = {Ending.NO_ROOM, Ending.STOPPING, Ending.CALLED_OFF}
+# Outcomes of attempts that this limiter ended after the request had been written.
 LOCAL_ENDING_OUTCOMES = {Ending.EXPIRED: Outcome.NO_RESPONSE, Ending.CALLED_OFF: Outcome.CANCELLED}
 
 
@@ -44,7 +47,12 @@
 
 
 def counter_call_outcome(ending: Ending, written: bool) -> Outcome:
-    """Returns the outcome of a counter call; the counter may have applied it if `written`."""
+    """Returns the outcome of a counter call whose connection ended, or which timed out.
+
+    Args:
+        ending: Why it ended.
+        written: Whether the call was written, so that the counter may have applied it.
+    """
     return Outcome.NO_RESPONSE if written else Outcome.CONNECT_FAILED
 
 
@@ -63,7 +71,8 @@
 def counter_response_outcome(status: int) -> Outcome:
     """Returns the outcome of a counter call with a complete response of this HTTP status.
 
-    400, 404 and 503 prove that nothing was added; other errors leave it open.
+    400, 404 and 503 prove that nothing was added; with any other error, the increment may have been
+    applied.
     """
     if status == 200:
         return Outcome.SUCCEEDED
