--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -120,7 +120,7 @@
         elif close:
             self.channel.finish()
 
-    def next(self) -> None:
+    def resume(self) -> None:
         """Resumes reading and handles requests received during the previous one."""
         self.channel.resume_reading()
         self.handle_buffered()
--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -376,7 +376,7 @@
         client, request.client = request.client, None
         client.answer(status, body, extra)
         if client.channel.inbound.used:
-            self.loop.call_soon(client.next)
+            self.loop.call_soon(client.resume)
 
     def forget_request(self, request: RequestT) -> None:
         """Removes a request that has its response and no attempt in flight."""
--- a/loomstand/rpc/operator_http.py
+++ b/loomstand/rpc/operator_http.py
@@ -156,7 +156,7 @@
             return
         client.answer(status, answer, "Content-Type: application/json\r\n" if answer else "")
         if client.channel.inbound.used:
-            self.loop.call_soon(client.next)
+            self.loop.call_soon(client.resume)
 
     def client_disconnected(self, pending: PendingCall) -> None:
         """Called when the caller has disconnected: the call is served without a response."""
