--- a/loomstand/limiter/client_connection.py
+++ b/loomstand/limiter/client_connection.py
@@ -13,7 +13,21 @@
 
 
 class ClientConnection:
-    """A client's HTTP connection; processes one request at a time."""
+    """A client's HTTP connection; processes one request at a time.
+
+    Attributes:
+        listener: The listener that accepted the connection.
+        parser: Parses the requests.
+        channel: The buffered connection.
+        request: The request being processed, if any.
+        opened_at: Earliest loop time at which the first bytes can have arrived.
+        opened_iteration: Event loop iteration in which the connection was set up.
+        received_at: Earliest loop time at which the bytes read last can have arrived.
+        last_active_at: Loop time of the last response; `opened_at` before the first.
+        message_started_at: `received_at` of the first bytes of the current message; None between
+            messages.
+        is_surplus: Whether its request is rejected, as all sockets were in use when it was opened.
+    """
 
     __slots__ = (
         "channel",
@@ -44,15 +58,16 @@
         self.opened_at = self.received_at = self.last_active_at = (
             listener.limiter.arrival_clock.earliest_arrival
         )
-        # Start of the message being received; None if idle.
         self.message_started_at: float | None = None
         self.opened_iteration, self.is_surplus = 0, False
 
     def opened(self) -> None:
+        """Adds the established connection to those of the listener."""
         self.opened_iteration = self.listener.limiter.arrival_clock.count
         self.listener.add(self)
 
     def received(self) -> None:
+        """Handles newly received bytes, or leaves them buffered while a request is pending."""
         self.received_at = self.listener.limiter.arrival_clock.arrival_time(
             self.opened_iteration, self.opened_at
         )
@@ -62,7 +77,7 @@
                 self.parser,
                 self.listener,
             )
-            # The limits in force now; they may have changed since the connection was opened.
+            # Applies the current limits, which may have changed since the last message.
             parser.max_body_bytes, parser.max_head_bytes = (
                 listener.max_body_bytes,
                 listener.max_header_bytes,
@@ -91,7 +106,10 @@
             self.handle()
 
     def handle(self) -> None:
-        """Handles one complete request; the limiter handles all but the listener's own paths."""
+        """Handles one complete request.
+
+        The listener serves paths below `/-/` if `own_paths` is set; the limiter handles all others.
+        """
         limiter, parser = self.listener.limiter, self.parser
         if self.listener.own_paths and parser.target.startswith(b"/-/"):
             status = 404
@@ -105,11 +123,18 @@
         try:
             limiter.request_received(self, parser, self.received_at)
         except http_parser.Malformed as error:
-            # the message was complete, so its end is known and the connection stays usable
+            # The message was received in full, so the connection can be kept open.
             self.answer(error.status, f"{error}\n".encode())
 
     def answer(self, status: int, body: bytes = b"", extra: str = "", close: bool = False) -> None:
-        """Writes a complete response and resets the parser for the next request."""
+        """Writes a complete response and resets the parser for the next request.
+
+        Args:
+            status: HTTP status.
+            body: Response body.
+            extra: Further header lines, each terminated by CRLF.
+            close: Whether to close the connection even if the client didn't request it.
+        """
         close = close or self.parser.close or self.listener.stopping
         self.request = self.message_started_at = None
         self.last_active_at = self.listener.limiter.loop.time()
@@ -133,6 +158,7 @@
             self.answer(408, close=True)
 
     def ended(self, ending: Ending) -> None:
+        """Removes the ended connection from those of the listener."""
         self.listener.remove(self)
 
     @property
@@ -158,17 +184,34 @@
 
     @property
     def is_stalled(self) -> bool:
-        """Whether it is mid-message, has an unread response, or waits for the client to close."""
+        """Whether the client has yet to complete a message, read a response or close."""
         return self.request is None and not self.idle
 
     @property
     def is_closable(self) -> bool:
-        """Whether it can be closed: idle, with no unread bytes in the socket."""
+        """Whether no request is lost if it is closed: idle, without unread bytes in the socket."""
         return self.idle and not self.channel.unread
 
 
 class ClientListener:
-    """Accepts client connections and enforces limits on their number, size and time."""
+    """Accepts client connections and enforces limits on their number, size and time.
+
+    Attributes:
+        limiter: Handles the requests and manages the sockets.
+        accepts_per_iteration: Maximum number of connections accepted per event loop iteration.
+        sockets: The limit of sockets or descriptors from which `keep_alive_limit` is derived; also
+            the listen backlog.
+        keep_alive_limit: Number of connections above which a new one replaces an idle one.
+        idle_timeout_seconds: Time after which an idle connection is closed.
+        own_paths: Whether the listener serves paths below `/-/`, such as the readiness check.
+        max_body_bytes: Maximum size of a request body.
+        max_header_bytes: Maximum size of a request header.
+        header_timeout_seconds: Limit for a client to send a request header; the limit for the whole
+            message applies if it is shorter.
+        clients: The open connections, in order of their last responses.
+        server: The listening endpoint; None before `listen`.
+        stopping: Whether connections are closed after their next response.
+    """
 
     bind = staticmethod(event_loop.listen)  # replaceable, see `event_loop.Streams`
 
@@ -178,23 +221,26 @@
             accepts_per_iteration,
             sockets,
         )
-        # Protocol: client connections use at most a third of the descriptors. Clients that send one
-        # request and keep the connection open would use all of that, so half of it is reserved
-        # for active clients.
+        # By the protocol, client connections use at most a third of the descriptors. Clients that
+        # send one request and keep the connection open would use all of these, so half of them are
+        # reserved for active clients.
         self.keep_alive_limit = sockets // 6
         self.idle_timeout_seconds, self.own_paths = IDLE_TIMEOUT_SECONDS, True
         self.max_body_bytes, self.max_header_bytes = (
             http_parser.MAX_BODY_BYTES,
             http_parser.MAX_HEAD_BYTES,
         )
-        self.header_timeout_seconds = (
-            inf  # limit for receiving a request header; the sweep's limit applies if shorter
-        )
+        self.header_timeout_seconds = inf
         self.clients: dict[ClientConnection, None] = {}
         self.server: ListeningEndpoint | None = None
         self.stopping = False
 
     async def listen(self, address: tuple[str, int]) -> None:
+        """Starts to accept connections.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         loop = self.limiter.loop
         self.server = await self.bind(
             loop,
@@ -205,17 +251,18 @@
         )
 
     def add(self, client: ClientConnection) -> None:
+        """Adds a new connection; if there are too many, closes another one or rejects this one."""
         self.clients[client] = None
         shortage = -self.limiter.spare_sockets()
         if shortage <= 0:
             if len(self.clients) > self.keep_alive_limit:
                 self.close_idle(client)
         elif not self.limiter.free_socket(client):
-            # Rejected with 503 after its request is read: the client could not distinguish an
-            # earlier response from a lost one.
+            # Rejected with 503, but only after its request is read: the client could not
+            # distinguish an earlier response from a lost one.
             client.is_surplus = True
             self.limiter.endings["client surplus"] += 1
-            if shortage > self.accepts_per_iteration:
+            if shortage > self.accepts_per_iteration:  # too many to read a request from each
                 client.channel.stop(Ending.NO_ROOM)
 
     def answered(self, client: ClientConnection) -> None:
@@ -223,7 +270,7 @@
 
         Connections that sent one request and stay open therefore come first.
         """
-        if self.clients.pop(client, self) is None:
+        if self.clients.pop(client, self) is None:  # `self` if the connection has been removed
             self.clients[client] = None
 
     def close_idle(self, spared: ClientHandle | None = None) -> bool:
@@ -234,14 +281,14 @@
                 return True
         return False
 
-    def close_silent(self, spared: ClientHandle | None, within: float) -> bool:
-        """Closes the oldest connection without any request that is older than `within` seconds.
+    def close_silent(self, spared: ClientHandle | None, min_age_seconds: float) -> bool:
+        """Closes the oldest connection, other than `spared`, on which no request has arrived.
 
-        Returns whether there was one.
+        Returns whether there was one of at least this age.
         """
-        since = self.limiter.loop.time() - within
+        opened_before = self.limiter.loop.time() - min_age_seconds
         for client in self.clients:
-            if client.last_active_at > since:
+            if client.last_active_at > opened_before:
                 break
             if (
                 client.last_active_at == client.opened_at
@@ -252,13 +299,13 @@
                 return True
         return False
 
-    def close_stuck(self, within: float) -> bool:
-        """Closes the connection that has stalled longest, if for more than `within` seconds.
+    def close_stuck(self, min_stall_seconds: float) -> bool:
+        """Closes the connection that has stalled longest.
 
-        Returns whether there was one.
+        Returns whether there was one that has stalled for more than `min_stall_seconds`.
         """
-        since = self.limiter.loop.time() - within
-        stalled = [c for c in self.clients if c.state_since < since and c.is_stalled]
+        stalled_before = self.limiter.loop.time() - min_stall_seconds
+        stalled = [c for c in self.clients if c.state_since < stalled_before and c.is_stalled]
         if stalled:
             client = min(stalled, key=lambda c: c.state_since)
             client.close_stalled()
@@ -266,13 +313,14 @@
         return bool(stalled)
 
     def remove(self, client: ClientConnection) -> None:
+        """Removes an ended connection, and reports the disconnection if a request is pending."""
         self.clients.pop(client, None)
         if client.request is not None:
             request, client.request = client.request, None
             self.limiter.client_disconnected(request)
 
     def sweep(self, message_timeout_seconds: float) -> None:
-        """Closes connections that are stalled, linger, or have been idle for too long.
+        """Closes connections that have been stalled or idle for too long.
 
         Some clients send one request or none and never close their connection.
 
@@ -284,12 +332,12 @@
             if now - client.last_active_at > self.idle_timeout_seconds and client.is_closable:
                 client.channel.stop(Ending.IDLE)
                 continue
-            within = (
+            timeout_seconds = (
                 min(self.header_timeout_seconds, message_timeout_seconds)
                 if client.is_receiving_head
                 else message_timeout_seconds
             )
-            if now - client.state_since > within and client.is_stalled:
+            if now - client.state_since > timeout_seconds and client.is_stalled:
                 client.close_stalled()
 
     def stop(self) -> None:
--- a/loomstand/limiter/event_loop.py
+++ b/loomstand/limiter/event_loop.py
@@ -17,6 +17,7 @@
 from loomstand.limiter.endings import Ending
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a time-out of 0 s
+# Errors that mean a lack of local descriptors, memory or ports.
 RESOURCE_ERRNOS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 
 
@@ -45,7 +46,7 @@
         self.longest_iteration = max(
             iteration_seconds, wake_delay, self.longest_iteration * 0.5 ** (now - self.woke_at)
         )
-        # A wait longer than the iteration before it means that nothing was readable at its start.
+        # If `select` took longer than the iteration before it, nothing was readable at its start.
         self.earliest_arrival = now if now - select_started_at > iteration_seconds else self.woke_at
         self.woke_at = now
         self.count += 1
@@ -64,7 +65,7 @@
 
 
 class ReadTimeClock:
-    """Arrival clock for other event loops: bytes count as arriving when they are read."""
+    """Arrival clock for event loops with another selector: takes the read time as arrival time."""
 
     count, longest_iteration = 0, 0.0
 
@@ -80,6 +81,18 @@
     """One buffered connection.
 
     Calls `opened`, `received` and, once, `ended` of its user; none of them after `drop`.
+
+    Attributes:
+        user: The object that uses the connection; None once the connection is lost.
+        inbound: Received bytes that the user hasn't processed.
+        outbound: Bytes that the transport doesn't accept yet.
+        transport: The transport; None until the connection is established.
+        ending: Why the connection ended; None before.
+        cancel_connect: Cancels the pending connect, if any.
+        write_paused: Whether the transport has bytes that the kernel doesn't accept yet.
+        lingering: Whether `finish` was called: received bytes are discarded, and the connection
+            ends when the peer closes its side.
+        reading: Whether reading is not paused.
     """
 
     __slots__ = (
@@ -97,6 +110,15 @@
     def __init__(
         self, user: object, memory_budget: MemoryBudget, max_inbound: int, max_outbound: int = 0
     ) -> None:
+        """Creates an unconnected channel.
+
+        Args:
+            user: The object that uses the connection.
+            memory_budget: The budget for both buffers.
+            max_inbound: Maximum size of the receive buffer in bytes.
+            max_outbound: Maximum size of the send buffer in bytes; 0 for that of the receive
+                buffer.
+        """
         self.user = user
         self.inbound, self.outbound = (
             Ring(memory_budget, max_inbound),
@@ -104,7 +126,7 @@
         )
         self.transport: asyncio.Transport | None = None
         self.ending: Ending | None = None
-        self.cancel_connect: Callable[[], None] | None = None  # cancels a pending connect
+        self.cancel_connect: Callable[[], None] | None = None
         self.write_paused = self.lingering = False
         self.reading = True
 
@@ -123,7 +145,7 @@
         self.stop(
             Ending.OVERSIZED if self.inbound.size >= self.inbound.max_size else Ending.NO_ROOM
         )
-        return memoryview(bytearray(1))
+        return memoryview(bytearray(1))  # asyncio doesn't accept an empty buffer
 
     def buffer_updated(self, nbytes: int) -> None:
         if self.ending is None and not self.lingering:
@@ -158,6 +180,7 @@
         return True
 
     def flush(self) -> None:
+        """Writes queued bytes while the transport accepts them, then the end of stream if due."""
         while self.outbound.used and not self.write_paused and self.ending is None:
             self.transport.write(self.outbound.take(self.outbound.used))
         if self.lingering and self.written and self.ending is None:
@@ -171,7 +194,7 @@
     @property
     def unread(self) -> bool:
         """Whether the kernel holds unread bytes or an end of stream."""
-        # A simulated transport without a socket answers this itself.
+        # A simulated transport has no socket, and provides a function for this.
         if (query := self.transport.get_extra_info("unread")) is not None:
             return query()
         poll = select.poll()
@@ -202,7 +225,7 @@
             reset_on_close(self.transport)
 
     def finish(self) -> None:
-        """Closes the sending side after the queued bytes and discards what is still received."""
+        """Closes the sending side after the queued bytes; received bytes are discarded."""
         if self.ending is None and not self.lingering:
             self.lingering = True
             self.inbound.close()
@@ -229,15 +252,15 @@
 
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
     """Makes closing the transport discard unsent bytes and reset the connection (SO_LINGER 0)."""
-    # A simulated transport without a socket does this itself.
-    if (query := transport.get_extra_info("reset_on_close")) is not None:
-        query()
+    # A simulated transport has no socket, and provides a function for this.
+    if (set_reset_on_close := transport.get_extra_info("reset_on_close")) is not None:
+        set_reset_on_close()
     elif (sock := transport.get_extra_info("socket")) is not None:
         with suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
 
 
-def family(address: tuple[str, int]) -> socket.AddressFamily:
+def address_family(address: tuple[str, int]) -> socket.AddressFamily:
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
@@ -245,7 +268,7 @@
 
 
 class Streams(Protocol):
-    """Substitute for `connect` and `listen` where no real sockets are to be used."""
+    """Replacement for `connect` and `listen` on a network without real sockets."""
 
     def connect(
         self,
@@ -294,7 +317,7 @@
     Raises:
         OSError: The address can't be bound.
     """
-    sock = socket.create_server(address, family=family(address))
+    sock = socket.create_server(address, family=address_family(address))
     # asyncio uses the backlog as the number of connections to accept per iteration.
     server = await loop.create_server(protocol_factory, sock=sock, backlog=accepts_per_iteration)
     sock.listen(backlog)
@@ -307,7 +330,7 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, sock: socket.socket, server: asyncio.Server
     ) -> None:
-        """`server` accepts the connections of `sock`."""
+        """Creates the handle of a listening socket, from which `server` accepts connections."""
         self._loop = loop
         self._sock = sock
         self._server = server
@@ -335,10 +358,10 @@
     Its user gets `opened`, or `ended` if the connect fails or takes more than `within` seconds.
     """
 
-    async def run() -> None:
+    async def open_connection() -> None:
         sock = None
         try:
-            sock = socket.socket(family(address), socket.SOCK_STREAM)
+            sock = socket.socket(address_family(address), socket.SOCK_STREAM)
             sock.setblocking(False)
             await loop.sock_connect(sock, address)
             connected, sock = sock, None
@@ -354,7 +377,7 @@
         if channel.transport is None:
             channel.stop(Ending.SILENT_CONNECT)
 
-    task = loop.create_task(run())
+    task = loop.create_task(open_connection())
     timer = loop.call_later(within, on_timeout)
 
     def cancel() -> None:
