--- a/loomstand/limiter/counter.py
+++ b/loomstand/limiter/counter.py
@@ -8,16 +8,28 @@
 
 from loomstand.admission.actions import IncrementCounter
 from loomstand.admission.outcome import Outcome
+from loomstand.admission.ticks import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 from loomstand.limiter import http_parser
 from loomstand.limiter.endings import Ending, counter_call_outcome, counter_response_outcome
 from loomstand.limiter.event_loop import SocketChannel, connect
 from loomstand.limiter.protocols import CounterOwner
 
 TOTAL = re.compile(rb"\s*-?[0-9]+(?:\.[0-9]*)?(?:[eE][-+]?[0-9]{1,3})?\s*").fullmatch
+MAX_EXPIRY_MS = 60_000  # of a counter after its last use
+TIMER_TOLERANCE_SECONDS = 1e-4  # by which the event loop may run a timer too early
+# A call's time-out counts from its creation, the silence of the connection from its sending.
+SILENCE_TOLERANCE_SECONDS = 1e-3
 
 
 class Call:
-    """A pending counter call; `is_reported` is True once its outcome has been reported."""
+    """A counter call.
+
+    Attributes:
+        counter_name: Number of the counter, which is its name on the wire.
+        created_at: Loop time of the call.
+        is_written: Whether it was written to a connection, so that the counter may have applied it.
+        is_reported: Whether its outcome has been reported to the limiter.
+    """
 
     __slots__ = ("counter_name", "created_at", "is_reported", "is_written")
 
@@ -27,24 +39,36 @@
 
 
 class CounterConnection:
-    """A connection to the counter and its pending calls in the order in which they were sent."""
+    """A connection to the counter.
+
+    Attributes:
+        client: The client that owns the connection.
+        is_open: Whether the connection has been established.
+        parser: Parses the responses.
+        channel: The buffered connection.
+        calls: Calls sent without a response so far, in the order in which they were sent.
+        last_received_at: Loop time of the last bytes received, or of the last call sent while no
+            other was pending.
+    """
 
     __slots__ = ("calls", "channel", "client", "is_open", "last_received_at", "parser")
 
-    def __init__(self, counter: CounterClient) -> None:
-        self.client, self.is_open = counter, False
+    def __init__(self, client: CounterClient) -> None:
+        self.client, self.is_open = client, False
         self.parser = http_parser.ResponseReceiver()
         self.channel = SocketChannel(
-            self, counter.limiter.memory_budget, http_parser.MAX_MESSAGE_BYTES
+            self, client.limiter.memory_budget, http_parser.MAX_MESSAGE_BYTES
         )
         self.calls: deque[Call] = deque()
-        self.last_received_at = counter.limiter.loop.time()
+        self.last_received_at = client.limiter.loop.time()
 
     def opened(self) -> None:
+        """Sends the queued calls."""
         self.is_open = True
         self.client.flush()
 
     def received(self) -> None:
+        """Parses received responses; an invalid one ends the connection."""
         self.last_received_at = self.client.limiter.loop.time()
         self.client.silence_timeout = self.client.timeout
         try:
@@ -62,12 +86,26 @@
             self.channel.stop(Ending.MALFORMED)
 
     def ended(self, ending: Ending) -> None:
+        """Reports the calls whose responses can't be received any more."""
         self.client.limiter.endings[f"counter {ending.name.lower()}"] += 1
         self.client.connection_ended(self, ending)
 
 
 class CounterClient:
-    """Sends increments to the counter and reports their outcomes to the limiter."""
+    """Sends increments to the counter and reports their outcomes to the limiter.
+
+    Attributes:
+        limiter: Receives the outcomes.
+        address: Host and port of the counter.
+        timeout: Time-out of a call in seconds.
+        connect_timeout: Connect time-out in seconds.
+        silence_timeout: Seconds without a response after which a connection is replaced; doubled at
+            each consecutive replacement, up to four times the connect time-out.
+        connection: The current connection, open or connecting.
+        queue: Calls that haven't been sent, with their bytes.
+        pending: Calls whose outcomes haven't been reported, oldest first.
+        timer: Timer for the time-out of the oldest call.
+    """
 
     def __init__(
         self,
@@ -78,18 +116,17 @@
     ) -> None:
         self.limiter, self.address = limiter, address
         self.timeout, self.connect_timeout = timeout, connect_timeout
-        # Seconds without a response after which a connection is replaced; doubled at each
-        # consecutive replacement, up to four times the connect time-out.
         self.silence_timeout = timeout
         self.connection: CounterConnection | None = None
-        self.queue: deque[tuple[Call, bytes]] = deque()  # calls not sent yet
-        self.pending: deque[Call] = deque()  # calls without a reported outcome, oldest first
+        self.queue: deque[tuple[Call, bytes]] = deque()
+        self.pending: deque[Call] = deque()
         self.timer = None
 
     def call(self, action: IncrementCounter) -> None:
         """Queues an increment and sends it as soon as a connection is open."""
         loop = self.limiter.loop
-        expire_ms = max(1, min(60_000, -(-action.time_to_live // 10)))
+        time_to_live_ms = -(-action.time_to_live // TICKS_PER_MILLISECOND)  # rounded up
+        expire_ms = max(1, min(MAX_EXPIRY_MS, time_to_live_ms))
         raw = (
             b"POST /counters/%d?by=%.9g&expire_ms=%d HTTP/1.1\r\n"
             b"Host: counter\r\nContent-Length: 0\r\n\r\n"
@@ -105,6 +142,7 @@
             self.flush()
 
     def open_connection(self) -> None:
+        """Connects to the current address; queued calls are sent when the connection is open."""
         self.connection = CounterConnection(self)
         connect(self.limiter.loop, self.connection.channel, self.address, self.connect_timeout)
 
@@ -129,7 +167,8 @@
             if call.is_reported:
                 self.queue.popleft()
                 continue
-            # Calls that the socket's send buffer can't take stay queued, where they can be dropped.
+            # A call that the socket doesn't accept yet stays queued, where it can still expire
+            # without having been sent.
             if not connection.channel.written or not connection.channel.send(raw):
                 return
             self.queue.popleft()
@@ -139,9 +178,9 @@
             connection.calls.append(call)
 
     def restart_timer(self) -> None:
-        """Sets the single timer for the oldest call; none if no call is open.
+        """Sets the timer for the oldest pending call, if any.
 
-        A timer without a call would cost an iteration of the event loop.
+        Without a pending call, a timer would only cost an iteration of the event loop.
         """
         if self.timer is not None:
             self.timer.cancel()
@@ -154,7 +193,10 @@
     def on_timeout(self) -> None:
         """Reports calls that have timed out, and replaces a connection without responses."""
         now = self.limiter.loop.time()
-        while self.pending and now - self.pending[0].created_at >= self.timeout - 1e-4:
+        while (
+            self.pending
+            and now - self.pending[0].created_at >= self.timeout - TIMER_TOLERANCE_SECONDS
+        ):
             self.report(
                 self.pending[0], counter_call_outcome(Ending.EXPIRED, self.pending[0].is_written)
             )
@@ -163,10 +205,11 @@
             connection is not None
             and connection.is_open
             and connection.calls
-            and now - connection.last_received_at > self.silence_timeout - 1e-3
+            and now - connection.last_received_at > self.silence_timeout - SILENCE_TOLERANCE_SECONDS
         ):
-            # No responses, or one that never completes. A new connection shows whether the machine
-            # is reachable; if the machine has only stalled, its old connections stall as well.
+            # The counter sent no response, or none that is complete. A new connection shows whether
+            # its machine is reachable; if the machine has only stalled, the old connection has
+            # stalled as well.
             self.silence_timeout = min(2 * self.silence_timeout, 4 * self.connect_timeout)
             connection.channel.stop(Ending.STALLED)
         self.restart_timer()
@@ -190,9 +233,9 @@
             while self.pending and self.pending[0].is_reported:
                 self.pending.popleft()
             self.restart_timer()
-        # Ticks of 0.1 ms; never understates the duration.
-        elapsed = int((self.limiter.loop.time() - call.created_at) * 10_000) + 1
-        self.limiter.counter_replied(call.counter_name, outcome, total, elapsed)
+        # Rounded up, so that the duration is never understated.
+        elapsed_ticks = int((self.limiter.loop.time() - call.created_at) * TICKS_PER_SECOND) + 1
+        self.limiter.counter_replied(call.counter_name, outcome, total, elapsed_ticks)
 
     def connection_ended(self, connection: CounterConnection, ending: Ending) -> None:
         """Reports the calls of an ended connection, and queued ones if it was the current one."""
