--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -47,7 +47,7 @@
 SWEEPS_PER_CONNECTION_LOG = 10  # sweeps from one log line about connections to the next
 ACCEPT_ITERATIONS = 5  # event loop iterations within which an accepted connection is set up
 FINISH_POLL_SECONDS = 0.02  # between checks for pending responses during shutdown
-TICK_NANOSECONDS = 100_000  # per tick of the shared clock
+TICK_NANOSECONDS = 100_000  # duration of a tick of the shared clock, 0.1 ms
 
 
 class GatewayCore(Generic[RequestT]):
@@ -87,7 +87,7 @@
         memory_mb: int,
         sockets: int,
     ) -> None:
-        """Creates it on the running event loop.
+        """Creates the core on the running event loop.
 
         Args:
             log: Writes a log line.
@@ -98,7 +98,8 @@
         self.log = log
         self.loop = asyncio.get_running_loop()
         self.arrival_clock = arrival_clock or ReadTimeClock()
-        # Offset that makes `now` comparable between limiters; its clock never goes backwards.
+        # Makes `now` comparable between limiters, although it is read from the monotonic clock, which
+        # never goes backwards.
         self.clock_offset = time.time_ns() - time.monotonic_ns()
         # Half of the memory is for buffers, the rest for code and engine state. A response may take
         # a 64th of the buffers, as servers send responses above the body limit of the protocol. A
@@ -199,13 +200,13 @@
             spared: A client connection that stays open.
         """
         # An active client sends its request within a connect time-out of connecting.
-        listener, within = self.listener, self.pool.connect_timeout
-        idle = (
-            listener.close_silent(spared, within)
+        listener, connect_timeout = self.listener, self.pool.connect_timeout
+        return (
+            listener.close_silent(spared, connect_timeout)
             or self.pool.close_idle()
             or listener.close_idle(spared)
+            or listener.close_stuck(connect_timeout)
         )
-        return idle or listener.close_stuck(within)
 
     def stop(self) -> None:
         """Begins a graceful shutdown.
@@ -253,17 +254,19 @@
         Args:
             request: The request.
             client: The connection that gets the response.
-            timeout: Ticks after its sending at which it expires.
-            arrived_at: When it arrived, by the event loop's clock.
+            timeout: Time-out in ticks, counted from the sending.
+            arrived_at: Earliest loop time at which the request can have arrived.
         """
-        # The time-out counts from the sending, so delays of this event loop reduce the deadline
-        # rather than make the response late.
-        elapsed = (
+        # As the time-out counts from the sending, delays of this event loop, past or expected,
+        # shorten the remaining time rather than make the response late.
+        elapsed_seconds = (
             self.loop.time()
             - arrived_at
             + min(self.arrival_clock.longest_iteration, timeout / TICKS_PER_SECOND / 2)
         )
-        request.deadline = self.now() + timeout - int(max(0.0, elapsed) * TICKS_PER_SECOND) - 1
+        request.deadline = (
+            self.now() + timeout - int(max(0.0, elapsed_seconds) * TICKS_PER_SECOND) - 1
+        )
         self.last_request_id += 1
         request.id, request.client, client.request = self.last_request_id, client, request
         self.requests[request.id] = request
@@ -290,10 +293,16 @@
     def report_attempt(
         self, attempt: Attempt[RequestT], outcome: Outcome, metered: int = 0
     ) -> None:
-        """Reports an attempt's outcome to the engine, after any response to the client."""
+        """Reports an attempt's outcome to the engine, after any response to the client.
+
+        Args:
+            attempt: The attempt.
+            outcome: How it ended.
+            metered: See `AttemptEnded.metered_use`.
+        """
         request = attempt.request
         duration = max(0, self.now() - attempt.sent_at)
-        final = request.client is None
+        is_final = request.client is None
         if request.is_abandoned:
             self.abandoned.attempt_ended(outcome is Outcome.CANCELLED)
         self.handle_event(
@@ -303,7 +312,7 @@
                 attempt.endpoint_id,
                 outcome,
                 duration,
-                final,
+                is_final,
                 metered,
                 0.0,
             )
@@ -313,7 +322,14 @@
     def attempt_ended(
         self, attempt: Attempt[RequestT], outcome: Outcome, metered: int = 0, body: bytes = b""
     ) -> None:
-        """Passes on a successful response, if any, and reports the attempt."""
+        """Passes on a successful response, if any, and reports the attempt.
+
+        Args:
+            attempt: The attempt.
+            outcome: How it ended.
+            metered: See `AttemptEnded.metered_use`.
+            body: Body of a successful response.
+        """
         raise NotImplementedError
 
     # decision engine
@@ -397,7 +413,7 @@
         self.handle_event(CounterReplied(name, outcome, total, elapsed))
 
     def check_health(self, action: CheckHealth) -> None:
-        """Reports a health check as not sent; the protocol defines no path for one."""
+        """Reports a health check as not sent, as the protocol defines no path for health checks."""
         self.loop.call_soon(
             self.handle_event, HealthCheckFinished(action.endpoint_id, Outcome.NOT_SENT, 0)
         )
--- a/loomstand/limiter/limiter.py
+++ b/loomstand/limiter/limiter.py
@@ -10,7 +10,11 @@
 from loomstand.admission.events import EndpointsUpdated, RequestArrived
 from loomstand.admission.identifiers import NameIndex
 from loomstand.admission.outcome import Outcome
-from loomstand.admission.ticks import ticks_rounded_up
+from loomstand.admission.ticks import (
+    TICKS_PER_MILLISECOND,
+    TICKS_PER_SECOND,
+    ticks_rounded_up,
+)
 from loomstand.config.limiter import BackendList, LimiterConfig, engine_settings, parse_host_port
 from loomstand.limiter import http_parser
 from loomstand.limiter.client_connection import ClientConnection, ClientListener
@@ -32,7 +36,20 @@
 
 
 class Limiter(GatewayCore[AccountRequest]):
-    """A stand-alone limiter process. `run` serves until `stop` has completed."""
+    """A stand-alone limiter process. `run` serves until `stop` has completed.
+
+    Attributes:
+        config: The configuration read last.
+        zones: Indices of the zones.
+        kinds: Indices of the servers' machine types.
+        servers: Indices of the servers.
+        settings: Settings of the decision engine.
+        failover: Applies the zone plan; None without one.
+        names: Resolves the names in requests.
+        counter: Client of the counter service; None without one.
+        watch: The watch on the discovery service.
+        peers: Exchanges server lists with the other limiters; None without configured peers.
+    """
 
     def __init__(
         self, config: LimiterConfig, arrival_clock: ArrivalClockSelector | None = None
@@ -48,8 +65,9 @@
             NameIndex(),
         )
         self.settings = engine_settings(settings, self.zones.index_of(settings.zone))
-        # The process started at least its CPU time ago and has admitted nothing since.
-        started = self.now() - int(time.process_time() * 10_000)
+        # The engine's time begins with the process, which started at least its CPU time ago and has
+        # admitted nothing since.
+        started_at = self.now() - int(time.process_time() * TICKS_PER_SECOND)
         names = (
             [f.name for f in settings.frontends],
             [p.name for p in settings.plans],
@@ -59,8 +77,8 @@
         if config.zone_plan:
             from loomstand.failover.engine_view import FailoverPolicy
 
-            self.failover = FailoverPolicy(config.zone_plan, self.settings, names, started)
-        self.engine = DecisionEngine(self.settings, config.random_seed, started, self.failover)
+            self.failover = FailoverPolicy(config.zone_plan, self.settings, names, started_at)
+        self.engine = DecisionEngine(self.settings, config.random_seed, started_at, self.failover)
         self.names = NameLookup(
             [f.name for f in settings.frontends], [p.name for p in settings.plans], self.settings
         )
@@ -153,12 +171,12 @@
             and config.counter_address != old.counter_address
         ):
             self.counter.set_address(config.counter_address)
-        fixed = ["name", "listen_address", "limits", "settings"]
+        at_start_only = ["name", "listen_address", "limits", "settings"]
         if self.failover and config.zone_plan:
             self.failover.replace_plan(config.zone_plan)
         else:
-            fixed.append("zone_plan")
-        deferred = [f for f in fixed if getattr(config, f) != getattr(old, f)]
+            at_start_only.append("zone_plan")
+        deferred = [key for key in at_start_only if getattr(config, key) != getattr(old, key)]
         suffix = f"; {', '.join(deferred)}: only at the next start" if deferred else ""
         addresses = f"discovery at {config.discovery_address}, counter at {config.counter_address}"
         self.log(f"read its configuration again: {addresses}{suffix}")
@@ -176,22 +194,22 @@
     # discovery and peers
 
     def list_received(self, list_: BackendList) -> None:
-        """Handles a list or change from discovery itself, and shares it with the peers."""
+        """Applies a list or change from discovery, and shares it with the peers."""
         if self.peers is not None:
             self.peers.discovery_listed(list_)
         self.update_servers(list_)
 
     def heartbeat_received(self) -> None:
-        """Notes a heartbeat of discovery: the known list is current."""
+        """Handles a heartbeat of discovery, which confirms that the known list is current."""
         if self.peers is not None:
             self.peers.discovery_confirmed()
 
     def update_servers(self, list_: BackendList) -> None:
         """Applies a list or change of servers from discovery or a peer."""
         if list_.complete:
-            named = {backend.id for backend in list_.backends}
+            listed = {backend.id for backend in list_.backends}
             for name, endpoint_id in list(self.servers.indices.items()):
-                if name not in named:
+                if name not in listed:
                     self.pool.set_address(endpoint_id, None)
                     self.servers.forget(endpoint_id)
         entries = []
@@ -235,15 +253,24 @@
             client.answer(503)
             return
         timeout = min(
-            10 * request.timeout, self.settings.frontends[request.frontend].client_timeout
+            request.timeout_ms * TICKS_PER_MILLISECOND,
+            self.settings.frontends[request.frontend].client_timeout,
         )
         self.track_request(request, client, timeout, arrived_at)
-        customer, call_terms = (
-            (request.plan, *request.customer),
-            (request.units, request.set_size, request.retry, request.first),
-        )
+        customer, customer_digest = request.customer
         self.handle_event(
-            RequestArrived(request.id, request.frontend, *customer, request.deadline, *call_terms)
+            RequestArrived(
+                request_id=request.id,
+                frontend=request.frontend,
+                plan=request.plan,
+                tenant=customer,
+                tenant_digest=customer_digest,
+                deadline=request.deadline,
+                units=request.units,
+                limiter_set_size=request.limiter_set_size,
+                is_retry=request.is_retry,
+                limiter_set_start=request.limiter_set_start,
+            )
         )
 
     # servers
@@ -268,7 +295,7 @@
             self.answer(
                 request,
                 429,
-                extra=f"Retry-After: {action.retry_after / 10_000:.3f}\r\n"
+                extra=f"Retry-After: {action.retry_after / TICKS_PER_SECOND:.3f}\r\n"
                 if action.retry_after
                 else "",
             )
--- a/loomstand/limiter/request.py
+++ b/loomstand/limiter/request.py
@@ -15,7 +15,7 @@
 
 ACCOUNT = re.compile(rb"[?&]account=([0-9a-fA-F]{16})(?:&|$)").search
 DECIMAL = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?").fullmatch
-# Hop-by-hop fields, and fields that are regenerated when a request is forwarded.
+# Hop-by-hop fields, and fields that are generated anew when a request is forwarded.
 HOP_FIELDS = {
     b"connection",
     b"keep-alive",
@@ -27,11 +27,17 @@
     b"expect",
     b"content-length",
 }
-OWN_FIELDS = HOP_FIELDS | {b"request-timeout-ms"}
+REPLACED_FIELDS = HOP_FIELDS | {b"request-timeout-ms"}
 
 
 class NameLookup:
-    """Resolves names and terms of a request against the settings."""
+    """Resolves names and terms of a request against the settings.
+
+    Attributes:
+        frontends: Indices of the frontends by name.
+        plans: Indices of the plans by name.
+        settings: Settings of the decision engine.
+    """
 
     def __init__(self, frontends: list[str], plans: list[str], settings: EngineSettings) -> None:
         self.frontends = {name.encode(): n for n, name in enumerate(frontends)}
@@ -42,7 +48,14 @@
         self.terms, self.customer = lru_cache(1 << 8)(self.terms), lru_cache(1 << 10)(self.customer)
 
     def terms(self, raw: bytes) -> tuple[float, int, int]:
-        """Parses X-Call-Terms: units, size of the customer's limiter set, index of its first."""
+        """Parses the field X-Call-Terms.
+
+        Returns the request's units, the number of limiters that get the customer's requests, and
+        the index of the first of these limiters.
+
+        Raises:
+            Malformed: A value is invalid or out of range.
+        """
         pairs = dict(part.strip().partition(b"=")[::2] for part in raw.split(b","))
         units = pairs.get(b"units", b"1")
         spread, first = pairs.get(b"spread", b"0"), pairs.get(b"first", b"0")
@@ -63,7 +76,19 @@
 
 
 class Request:
-    """A request that awaits its response or has attempts in flight."""
+    """A request that awaits its response or has attempts in flight.
+
+    Attributes:
+        fields: Header fields with lower-case names.
+        body: The request body.
+        start_line: Method and target.
+        head: The forwarded head, cached; empty until it is first needed.
+        id: Number of the request; 0 until it is assigned.
+        deadline: Time of the shared clock at which it expires, in ticks.
+        client: Connection for the response; None once it is written or the client has disconnected.
+        attempts: Attempts by number; None for one that has ended.
+        is_abandoned: Whether its client disconnected before the response.
+    """
 
     __slots__ = (
         "attempts",
@@ -86,7 +111,7 @@
         self.deadline: int = 0
         self.client: ClientHandle | None = None
         self.attempts: list[Attempt[Any] | None] = []
-        self.is_abandoned = False  # whether its client disconnected before the response
+        self.is_abandoned = False
 
     def forwarded_head(self, omitted: Container[bytes]) -> bytes:
         """Returns the forwarded head without its final empty line; omits the fields `omitted`."""
@@ -103,9 +128,29 @@
 
 
 class AccountRequest(Request):
-    """A request of the account protocol, which names an account, a plan and a frontend."""
+    """A request to the stand-alone limiter, which names an account, a plan and a frontend.
+
+    Attributes:
+        frontend: Index of the frontend.
+        plan: Index of the customer's plan; -1 if the request names none.
+        units: Units of quota that the request costs.
+        limiter_set_size: Number of limiters that get the customer's requests; 0 for all.
+        limiter_set_start: Index of the first of these limiters.
+        customer: Number and digest of the account.
+        timeout_ms: Time-out stated by the client, in ms.
+        is_retry: Whether the client marked it as a retry.
+    """
 
-    __slots__ = ("customer", "first", "frontend", "plan", "retry", "set_size", "timeout", "units")
+    __slots__ = (
+        "customer",
+        "frontend",
+        "is_retry",
+        "limiter_set_size",
+        "limiter_set_start",
+        "plan",
+        "timeout_ms",
+        "units",
+    )
 
     def __init__(self, parser: RequestReceiver, names: NameLookup) -> None:
         """Validates the request.
@@ -126,20 +171,32 @@
         self.plan = -1 if tier is None else names.plans.get(tier, -1)
         if tier is not None and self.plan < 0:
             raise Malformed(400, "no such plan")
-        self.units, self.set_size, self.first = names.terms(fields.get(b"x-call-terms", b""))
+        self.units, self.limiter_set_size, self.limiter_set_start = names.terms(
+            fields.get(b"x-call-terms", b"")
+        )
         self.customer = names.customer(account[1])
-        self.timeout, self.retry = int(timeout_ms), fields.get(b"client-retry") == b"1"
+        self.timeout_ms, self.is_retry = int(timeout_ms), fields.get(b"client-retry") == b"1"
 
     def raw(self, timeout_ms: int) -> bytes:
         return b"%brequest-timeout-ms: %d\r\n\r\n%b" % (
-            self.forwarded_head(OWN_FIELDS),
+            self.forwarded_head(REPLACED_FIELDS),
             timeout_ms,
             self.body,
         )
 
 
 class Attempt(Generic[RequestT]):
-    """One sending of a request to a server."""
+    """One sending of a request to a server.
+
+    Attributes:
+        request: The request.
+        number: Index of the attempt in `request.attempts`.
+        endpoint_id: Index of the server.
+        sent_at: Time of its creation, in ticks of the shared clock.
+        expires_at: Time at which it expires, in ticks of the shared clock.
+        connection: The connection that carries it; None before and after.
+        timer: Timer of its expiry.
+    """
 
     __slots__ = ("connection", "endpoint_id", "expires_at", "number", "request", "sent_at", "timer")
 
