--- a/loomstand/limiter/gateway_core.py
+++ b/loomstand/limiter/gateway_core.py
@@ -98,8 +98,8 @@
         self.log = log
         self.loop = asyncio.get_running_loop()
         self.arrival_clock = arrival_clock or ReadTimeClock()
-        # Makes `now` comparable between limiters, although it is read from the monotonic clock, which
-        # never goes backwards.
+        # Difference between wall-clock time and the monotonic clock. It makes `now` comparable
+        # between limiters, without ever going backwards.
         self.clock_offset = time.time_ns() - time.monotonic_ns()
         # Half of the memory is for buffers, the rest for code and engine state. A response may take
         # a 64th of the buffers, as servers send responses above the body limit of the protocol. A
