--- a/loomstand/limiter/http_parser.py
+++ b/loomstand/limiter/http_parser.py
@@ -35,12 +35,16 @@
 
 
 def is_decimal(raw: bytes) -> bool:
-    """Whether this is a decimal integer of at most 9 digits."""
+    """Returns whether `raw` is a decimal integer of at most 9 digits."""
     return raw.isdigit() and len(raw) < 10
 
 
 class Malformed(Exception):
-    """Invalid HTTP message; `status` is the HTTP status for a response to it."""
+    """Invalid HTTP message.
+
+    Attributes:
+        status: HTTP status of the response to an invalid request.
+    """
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -48,10 +52,18 @@
 
 
 def read_head(raw: bytes) -> tuple[bytes, dict[bytes, bytes]]:
-    """Parses a message head; returns its start line and its fields with lower-case names."""
-    lines, start = raw.count(b"\r\n"), raw.find(b"\r\n")
-    pairs = FIELD(raw, start + 2)
-    if len(pairs) != lines - 1 or raw.count(b"\n") != lines or raw.count(b"\r") != lines:
+    """Parses a message head; returns its start line and its fields with lower-case names.
+
+    Raises:
+        Malformed: A field is invalid.
+    """
+    line_count, start_line_end = raw.count(b"\r\n"), raw.find(b"\r\n")
+    pairs = FIELD(raw, start_line_end + 2)
+    if (
+        len(pairs) != line_count - 1
+        or raw.count(b"\n") != line_count
+        or raw.count(b"\r") != line_count
+    ):
         raise Malformed(400, "bad field line")
     fields = {name.lower(): value.rstrip(b" \t") for name, value in pairs}
     if len(fields) != len(pairs):  # repeated fields: join their values
@@ -64,14 +76,25 @@
         fields = {name: b", ".join(values) for name, values in lists.items()}
         for length in lengths:
             fields[b"content-length"] = length
-    return raw[:start], fields
+    return raw[:start_line_end], fields
 
 
 class Receiver:
     """Parser of consecutive messages from a ring buffer.
 
-    `state` is a plain function, as a bound method would form a reference cycle and delay the
-    release of closed connections until garbage collection.
+    Attributes:
+        max_body_bytes: Maximum size of a body.
+        max_head_bytes: Maximum size of a head, and of a trailer.
+        state: Parses the next part of the message, and returns whether the part after it can be
+            parsed at once; None when the message is complete. It is a plain function, as a bound
+            method would form a reference cycle and delay the release of closed connections until
+            garbage collection.
+        search_from: Offset in the ring buffer from which to search for the end of the head.
+        fields: Header fields with lower-case names.
+        body: The body, or its chunks received so far.
+        remaining: Number of bytes of the body or chunk not taken yet; within a trailer, its number
+            of bytes so far.
+        close: Whether the connection is closed after the message.
     """
 
     __slots__ = (
@@ -104,7 +127,11 @@
         return self.state != Receiver.head
 
     def step(self, ring: Ring) -> bool:
-        """Parses the available bytes; returns whether a message is complete."""
+        """Parses the available bytes; returns whether a message is complete.
+
+        Raises:
+            Malformed: The message is invalid.
+        """
         while self.state is not None and self.state(self, ring):
             pass
         return self.state is None
@@ -114,7 +141,7 @@
         raise NotImplementedError
 
     def never_has_body(self) -> bool:
-        """Whether this message can't have a body."""
+        """Returns whether this message can't have a body."""
         return False
 
     def length_missing(self) -> None:
@@ -122,6 +149,7 @@
         self.state = None
 
     def head(self, ring: Ring) -> bool:
+        """State: awaits the end of the head, and parses it."""
         end = ring.find(b"\r\n\r\n", self.search_from)
         if end < 0 or end > self.max_head_bytes:
             if ring.used > self.max_head_bytes:
@@ -164,14 +192,17 @@
             self.length_missing()
 
     def sized_body(self, ring: Ring) -> bool:
+        """State: awaits a body of known length."""
         if ring.used < self.remaining:
-            # Grows once rather than by doubling; if it fails, the next read ends the connection.
+            # Grows the buffer once rather than by doubling. If that fails, the buffer becomes full,
+            # and the next read ends the connection.
             ring.grow(self.remaining)
             return False
         self.body, self.state = ring.take(self.remaining), None
         return False
 
     def chunk_size(self, ring: Ring) -> bool:
+        """State: awaits the line with the size of the next chunk."""
         line = self.take_line(ring)
         if line is None:
             return False
@@ -185,6 +216,7 @@
         return True
 
     def chunk(self, ring: Ring) -> bool:
+        """State: takes the bytes of a chunk as they arrive."""
         piece = ring.take(self.remaining)
         self.body += piece
         self.remaining -= len(piece)
@@ -194,6 +226,7 @@
         return True
 
     def chunk_end(self, ring: Ring) -> bool:
+        """State: awaits the line end after a chunk."""
         line = self.take_line(ring)
         if line is None:
             return False
@@ -203,6 +236,7 @@
         return True
 
     def trailer(self, ring: Ring) -> bool:
+        """State: skips the lines of the trailer up to its empty last line."""
         line = self.take_line(ring)
         if line is None:
             return False
@@ -222,7 +256,7 @@
 
 
 class RequestReceiver(Receiver):
-    """Parser of requests."""
+    """Parser of requests; also sets `method` and `target`."""
 
     __slots__ = ("method", "target")
 
@@ -234,13 +268,14 @@
             ) and not line.endswith((b"HTTP/1.0", b"HTTP/1.1"))
             raise Malformed(505 if is_unsupported_version else 400, "bad request line")
         self.method, self.target, minor = match.groups()
-        if self.method in (b"HEAD", b"CONNECT", b"TRACE"):  # their responses are framed differently
+        # Responses to these methods are framed differently.
+        if self.method in (b"HEAD", b"CONNECT", b"TRACE"):
             raise Malformed(501, "method not taken")
         self.close = minor == b"0"
 
 
 class ResponseReceiver(Receiver):
-    """Parser of responses."""
+    """Parser of responses; also sets `status`."""
 
     __slots__ = ("status",)
     # Few distinct response heads occur; 256 cached ones take 2 MiB at most.
@@ -261,13 +296,13 @@
             self.state = Receiver.head
 
     def length_missing(self) -> None:
-        # Its end would be that of the connection, so a truncated body would seem complete.
+        # Such a response ends with the connection, so a truncated body would seem complete.
         raise Malformed(502, "response without a length")
 
 
 def format_response(status: int, body: bytes = b"", extra: str = "", close: bool = False) -> bytes:
-    """Formats a response; `extra` holds complete header lines."""
+    """Formats a response; `extra` holds further header lines, each terminated by CRLF."""
     end = "Connection: close\r\n\r\n" if close else "\r\n"
-    first = f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\n"
-    head = f"{first}Content-Length: {len(body)}\r\n{extra}{end}"
+    status_line = f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\n"
+    head = f"{status_line}Content-Length: {len(body)}\r\n{extra}{end}"
     return head.encode("latin-1") + body
--- a/loomstand/limiter/protocols.py
+++ b/loomstand/limiter/protocols.py
@@ -30,7 +30,13 @@
 
 
 class Owner(Protocol):
-    """What every component needs: event loop, memory budget and counts of connection endings."""
+    """What every component needs of the limiter.
+
+    Attributes:
+        loop: The event loop.
+        memory_budget: Memory budget for buffers and bodies.
+        endings: Counts of connection endings by kind, for the log.
+    """
 
     loop: asyncio.AbstractEventLoop
     memory_budget: MemoryBudget
@@ -38,7 +44,7 @@
 
 
 class WatchOwner(Owner, Protocol):
-    """What the discovery watch needs of the limiter."""
+    """What the discovery watch needs of the limiter; see `Limiter`."""
 
     def log(self, text: str) -> None: ...
 
@@ -48,13 +54,13 @@
 
 
 class CounterOwner(Owner, Protocol):
-    """What the counter client needs of the limiter."""
+    """What the counter client needs of the limiter; see `GatewayCore`."""
 
     def counter_replied(self, name: int, outcome: Outcome, total: float, elapsed: int) -> None: ...
 
 
 class ConnectionOwner(Owner, Protocol):
-    """What components with many connections need of the limiter."""
+    """What components with many connections need of the limiter; see `GatewayCore`."""
 
     max_response_bytes: int
 
@@ -64,7 +70,7 @@
 
 
 class PoolOwner(ConnectionOwner, Protocol[AttemptT_contra]):
-    """What the connection pool to servers needs of the limiter."""
+    """What the connection pool to servers needs of the limiter; see `GatewayCore`."""
 
     def now(self) -> int: ...
 
@@ -74,7 +80,7 @@
 
 
 class ListenerOwner(ConnectionOwner, Protocol):
-    """What the client listener needs of the limiter."""
+    """What the client listener needs of the limiter; see `GatewayCore` and `Limiter`."""
 
     is_ready: bool
 
@@ -90,7 +96,7 @@
 
 
 class ClientHandle(Protocol):
-    """A client connection, as seen by a request and the limiter."""
+    """A client connection, as used by a request and the limiter; see `ClientConnection`."""
 
     request: TrackedRequest | None
 
@@ -102,13 +108,13 @@
 
 
 class TrackedRequest(Protocol):
-    """A request, as seen by its client connection."""
+    """A request, as used by its client connection; see `request.Request`."""
 
     client: ClientHandle | None
 
 
 class AttemptConnection(Protocol):
-    """A connection to a server, as seen by an attempt."""
+    """A connection to a server, as used by an attempt; see `upstream.ServerConnection`."""
 
     attempt: Any
     channel: Any  # the connection's `event_loop.SocketChannel`
--- a/loomstand/limiter/upstream.py
+++ b/loomstand/limiter/upstream.py
@@ -13,7 +13,8 @@
 from loomstand.limiter.protocols import PoolOwner
 from loomstand.limiter.request import Attempt, RequestT
 
-TOO_LONG_STATUSES = (413, 431)  # of `Malformed`, for a body or head above its size limit
+# Values of `Malformed.status` for a body or head above its size limit.
+TOO_LONG_STATUSES = (413, 431)
 
 
 class ServerConnection(Generic[RequestT]):
@@ -27,7 +28,7 @@
         channel: The buffered connection.
         attempt: The attempt in flight, if any.
         idle_at: Loop time of its last use; 0 if unused.
-        idle_timeout_seconds: Idle time-out that the server announced.
+        idle_timeout_seconds: Idle time-out that the server announced; infinite if none.
     """
 
     __slots__ = (
@@ -66,13 +67,13 @@
     def write(self) -> None:
         """Sends the attempt's request with its remaining time."""
         limiter, attempt = self.pool.limiter, self.attempt
-        left_ms = max(1, (attempt.expires_at - limiter.now()) // TICKS_PER_MILLISECOND)
-        self.sent = self.channel.send(attempt.raw(left_ms))
+        remaining_ms = max(1, (attempt.expires_at - limiter.now()) // TICKS_PER_MILLISECOND)
+        self.sent = self.channel.send(attempt.raw(remaining_ms))
         if not self.sent:
             limiter.loop.call_soon(self.channel.stop, Ending.NO_ROOM)
 
     def received(self) -> None:
-        """Parses received bytes."""
+        """Parses received bytes; invalid ones end the connection."""
         attempt, parser = self.attempt, self.parser
         if attempt is None:  # bytes without a request
             self.channel.stop(Ending.MALFORMED)
@@ -92,16 +93,21 @@
         status, fields, body, close = parser.status, parser.fields, parser.body, parser.close
         self.finish_response(close)
         used = fields.get(b"x-ratelimit-used", b"")
-        metered = int(used) + 1 if http_parser.is_decimal(used) else 0
+        metered = int(used) + 1 if http_parser.is_decimal(used) else 0  # 0: not stated
         self.pool.limiter.attempt_ended(
             attempt, response_outcome(status, fields.get(b"not-started") == b"1"), metered, body
         )
 
     def finish_response(self, close: bool) -> None:
-        """Ends the attempt, and keeps the connection for the next one or closes it."""
+        """Ends the attempt, and keeps the connection for the next one or closes it.
+
+        Args:
+            close: Whether the server closes the connection after the response.
+        """
         self.attempt = None
         self.parser.reset()
-        # Surplus bytes, or a response before the whole request was sent: don't reuse.
+        # A connection is not reused after surplus bytes, or after a response that was received
+        # before the whole request was sent.
         if close or self.channel.inbound.used or not self.channel.written:
             self.pool.close(self, Ending.FINISHED)
         else:
@@ -130,8 +136,8 @@
         max_idle_seconds: Idle time after which a connection isn't reused, whatever the server
             announced.
         addresses: Host and port by server index.
-        idle: Connections without an attempt, in order of last use. By server index rather than
-            address, as another server may take over an address.
+        idle: Connections without an attempt by server index, in order of last use. The key isn't
+            the address, as another server may take over an address.
         connections: All connections, open or connecting.
     """
 
@@ -150,8 +156,8 @@
         """
         self.limiter = limiter
         self.connect_timeout = connect_timeout
-        # A connection isn't reused shortly before the server's idle close, as a request could cross
-        # the close on the network. The connect time-out bounds how long a request travels: a server
+        # A connection isn't reused shortly before the server's idle close, as the request could be
+        # in transit when the server closes. The connect time-out bounds the transit time: a server
         # that can't be reached within it counts as unavailable.
         self.max_idle_seconds = max(0.0, idle_close - connect_timeout)
         self.addresses: dict[int, tuple[str, int]] = {}
@@ -225,8 +231,8 @@
         if connection is None or connection.attempt is not attempt:
             return
         if ending is Ending.EXPIRED and connection.sent:
-            seconds = (limiter.now() - attempt.sent_at) / TICKS_PER_SECOND
-            sent_at = limiter.loop.time() - seconds
+            elapsed_seconds = (limiter.now() - attempt.sent_at) / TICKS_PER_SECOND
+            sent_at = limiter.loop.time() - elapsed_seconds
             idle = self.idle.get(attempt.endpoint_id, ())
             for other in [other for other in idle if other.idle_at < sent_at]:
                 self.close(other, Ending.IDLE)
