--- a/tests/limiter/test_limiter_on_sockets.py
+++ b/tests/limiter/test_limiter_on_sockets.py
@@ -57,10 +57,12 @@
 
 
 def passes(n, head, body):
+    """Stub server that responds to every request with 200."""
     return http_response(200, b"yes")
 
 
 def silent(n, head, body):
+    """Stub server that doesn't respond within any time-out of these tests."""
     return asyncio.sleep(5, b"")
 
 
@@ -90,14 +92,15 @@
                 200,
                 body,
             )
-        peer = harness.servers[0]
-        assert peer.connections == 1 and peer.bodies == [body] * 3
-        first, *fields = peer.heads[1].lower().split(b"\r\n")
+        server = harness.servers[0]
+        assert server.connections == 1 and server.bodies == [body] * 3
+        start_line, *fields = server.heads[1].lower().split(b"\r\n")
         assert (
-            first == b"post /book?account=00000000b4d65521 http/1.1" and b"request-id: r1" in fields
+            start_line == b"post /book?account=00000000b4d65521 http/1.1"
+            and b"request-id: r1" in fields
         )
-        wait = next(int(f.split()[1]) for f in fields if f.startswith(b"request-timeout-ms"))
-        assert 900 < wait <= 1000
+        timeout_ms = next(int(f.split()[1]) for f in fields if f.startswith(b"request-timeout-ms"))
+        assert 900 < timeout_ms <= 1000
         assert not harness.limiter.requests and harness.limiter.memory_budget.available > 90 << 20
 
 
@@ -106,13 +109,13 @@
     sizes = [300_000, 300_000, (96 << 20) // 64, (96 << 20) // 64 + 1, 3_000_000_000]
 
     def respond(n, head, body):
-        claims = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\nlong" % sizes[n]
-        return http_response(200, b"a" * sizes[n]) if n < 4 else claims
+        truncated = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\nlong" % sizes[n]
+        return http_response(200, b"a" * sizes[n]) if n < 4 else truncated
 
     async with LimiterHarness(respond) as harness, HttpClient(harness.port) as client:
         replies = [await client.send_request(request("book", f"r{n}")) for n in range(5)]
-        assert [g[0] for g in replies] == [200, 200, 200, 502, 502]
-        assert [len(g[2]) for g in replies] == [*sizes[:3], 0, 0] and harness.servers[
+        assert [reply[0] for reply in replies] == [200, 200, 200, 502, 502]
+        assert [len(reply[2]) for reply in replies] == [*sizes[:3], 0, 0] and harness.servers[
             0
         ].connections == 2
         assert (
@@ -141,7 +144,7 @@
 
 
 @pytest.mark.parametrize(
-    "cut",
+    "truncated",
     [
         b"",
         b"HTTP/1.1 200 OK\r\n",
@@ -150,10 +153,10 @@
     ],
 )
 @socket_test
-async def test_a_request_with_a_truncated_response_may_have_run_and_gets_a_502(cut):
+async def test_a_request_with_a_truncated_response_may_have_run_and_gets_a_502(truncated):
     async def respond(n, head, body):
         for writer in list(harness.servers[0].open):
-            writer.write(cut)
+            writer.write(truncated)
             await writer.drain()
 
     async with LimiterHarness(respond) as harness, HttpClient(harness.port) as client:
@@ -165,9 +168,9 @@
 @socket_test
 async def test_a_connection_to_a_silent_server_is_closed_at_the_request_time_out():
     async with LimiterHarness(silent) as harness, HttpClient(harness.port) as client:
-        began = time.monotonic()
+        sent_at = time.monotonic()
         assert (await client.send_request(request("book", timeout=300)))[0] == 502
-        assert time.monotonic() - began < 0.5
+        assert time.monotonic() - sent_at < 0.5
         assert not harness.limiter.pool.connections and not harness.limiter.requests
 
 
@@ -180,18 +183,18 @@
             ended.append(ending)
 
     async with LimiterHarness(passes) as harness:
-        # A listener with a full backlog doesn't answer further connects.
+        # A listener with a full backlog doesn't respond to further connects.
         full = await asyncio.start_server(
             lambda r, w: None, HOST, 0, backlog=1, start_serving=False
         )
         port = full.sockets[0].getsockname()[1]
         full.sockets[0]._sock.listen(0)
-        hold = [await asyncio.open_connection(HOST, port)]
+        _, backlog_writer = await asyncio.open_connection(HOST, port)
         channel = SocketChannel(User(), harness.limiter.memory_budget, 1 << 16)
         connect(loop, channel, (HOST, port), 0.1)
         await wait_until(lambda: ended)
         assert ended == [Ending.SILENT_CONNECT]
-        hold[0][1].close()
+        backlog_writer.close()
         full.close()
 
 
@@ -219,10 +222,12 @@
             0
         ].connections == 2
         harness.send_watch_line(revision=6, complete=False, members=[old | {"phase": "left"}])
-        # Nothing is kept for the removed server.
+        # The limiter keeps neither an index nor a connection of the removed server.
         await wait_until(lambda: list(harness.limiter.servers.indices) == ["s9"])
         assert list(harness.limiter.pool.connections) == [
-            v for vs in harness.limiter.pool.idle.values() for v in vs
+            connection
+            for connections in harness.limiter.pool.idle.values()
+            for connection in connections
         ]
         assert (await client.send_request(request(id_="r3")))[0] == 200 and harness.servers[
             0
@@ -236,14 +241,14 @@
         pool = harness.limiter.pool
         send = pool.send
 
-        def late(attempt):
-            # An unrequested response arrives and is still unread.
+        def send_after_unrequested_response(attempt):
+            # The bytes are still unread when the pool looks for a connection.
             for writer in list(harness.servers[0].open)[:1]:
                 writer.write(http_response(200, b"another's"))
             time.sleep(0.01)
             send(attempt)
 
-        pool.send = late
+        pool.send = send_after_unrequested_response
         assert (await client.send_request(request(id_="b")))[::2] == (200, b"yes")
         assert harness.servers[0].connections == 2
 
@@ -253,14 +258,15 @@
     respond = lambda n, head, body: asyncio.sleep(0.1 if n < 2 else 3, http_response(200))  # noqa: E731
     async with (
         LimiterHarness(respond) as harness,
-        HttpClient(harness.port) as one,
-        HttpClient(harness.port) as two,
+        HttpClient(harness.port) as first_client,
+        HttpClient(harness.port) as second_client,
     ):
         await asyncio.gather(
-            one.send_request(request(id_="r1")), two.send_request(request(id_="r2"))
+            first_client.send_request(request(id_="r1")),
+            second_client.send_request(request(id_="r2")),
         )
         assert len(harness.limiter.pool.connections) == 2
-        assert (await one.send_request(request("book", "r3", timeout=200)))[0] == 502
+        assert (await first_client.send_request(request("book", "r3", timeout=200)))[0] == 502
         assert not harness.limiter.pool.connections
 
 
@@ -268,16 +274,16 @@
 async def test_lack_of_sockets_is_reported_as_not_sent():
     async with (
         LimiterHarness(silent) as harness,
-        HttpClient(harness.port) as one,
-        HttpClient(harness.port) as two,
+        HttpClient(harness.port) as first_client,
+        HttpClient(harness.port) as second_client,
     ):
         seen = outcomes(harness)
         harness.limiter.sockets = 3  # two clients and one server
-        first = asyncio.create_task(one.send_request(request(timeout=400)))
+        first_reply = asyncio.create_task(first_client.send_request(request(timeout=400)))
         await wait_until(lambda: harness.limiter.pool.connections)
-        assert (await two.send_request(request(id_="r2")))[0] == 429
+        assert (await second_client.send_request(request(id_="r2")))[0] == 429
         assert set(seen) == {Outcome.NOT_SENT}
-        await first
+        await first_reply
 
 
 @socket_test
@@ -322,7 +328,7 @@
             await wait_until(lambda: not harness.limiter.listener.clients)
             assert (
                 harness.limiter.memory_budget.available >= (96 << 20) - INITIAL_RING_BYTES
-            )  # discovery's ring
+            )  # the connection to discovery keeps a buffer
         else:
             assert (await client.send_request(request()))[0] == 200
 
@@ -356,10 +362,10 @@
     async with LimiterHarness(silent) as harness, HttpClient(harness.port) as client:
         client.writer.write(request("book", timeout=400))
         await asyncio.sleep(0)  # the bytes are sent in this iteration
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         time.sleep(0.2)  # blocks the event loop
         assert (await client.read_response())[0] in (429, 502)
-        assert time.monotonic() - sent < 0.55
+        assert time.monotonic() - sent_at < 0.55
 
 
 @socket_test
@@ -377,9 +383,9 @@
     async with LimiterHarness(silent) as harness, HttpClient(harness.port) as client:
         client.writer.write(request("book", timeout=400))
         time.sleep(0.2)  # before the limiter polls the connection
-        began = time.monotonic()
+        unblocked_at = time.monotonic()
         assert (await client.read_response())[0] in (429, 502)
-        assert time.monotonic() - began < 0.35
+        assert time.monotonic() - unblocked_at < 0.35
 
 
 @socket_test
@@ -447,17 +453,14 @@
 
 @socket_test
 async def test_silent_and_stalled_clients_are_closed_in_favour_of_active_ones():
-    def callers():
-        return HttpClient(harness.port)
-
     async with (
         LimiterHarness(passes) as harness,
-        callers() as client,
-        callers() as half,
-        callers() as mute,
+        HttpClient(harness.port) as client,
+        HttpClient(harness.port) as stalled_client,
+        HttpClient(harness.port) as silent_client,
     ):
         await client.send_request(request())
-        half.writer.write(request()[:40])
+        stalled_client.writer.write(request()[:40])
         await wait_until(
             lambda: [c.idle for c in harness.limiter.listener.clients].count(False) == 1
         )
@@ -465,26 +468,28 @@
         harness.limiter.sockets = 4  # all in use: three clients and one server
         async with HttpClient(harness.port) as first:
             assert (await first.send_request(request(id_="r1")))[0] == 200
-            assert await mute.is_closed() and harness.servers[0].connections == 1
+            assert await silent_client.is_closed() and harness.servers[0].connections == 1
             assert (await client.send_request(request(id_="r2")))[0] == 200
             harness.limiter.pool.close_idle = harness.limiter.listener.close_idle = lambda *_: False
             async with HttpClient(harness.port) as second:
                 assert (await second.send_request(request(id_="r3")))[0] == 200
-                assert (await half.read_response())[0] == 408 and await half.is_closed()
+                assert (await stalled_client.read_response())[0] == 408
+                assert await stalled_client.is_closed()
 
 
 @socket_test
 async def test_clients_that_stay_after_one_request_are_closed_before_active_ones():
-    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as usual:
+    async with LimiterHarness(passes) as harness, HttpClient(harness.port) as active_client:
         harness.limiter.listener.keep_alive_limit = 4
-        stay = [HttpClient(harness.port) for _ in range(8)]
-        for n, client in enumerate(stay):
+        idle_clients = [HttpClient(harness.port) for _ in range(8)]
+        for n, client in enumerate(idle_clients):
             await client.__aenter__()
             assert (await client.send_request(request(id_=f"s{n}")))[0] == 200
-            assert (await usual.send_request(request(id_=f"u{n}")))[0] == 200  # now last
+            # Now the active client has the most recent response of all.
+            assert (await active_client.send_request(request(id_=f"u{n}")))[0] == 200
             assert len(harness.limiter.listener.clients) <= 4
-        assert await stay[0].is_closed()
-        for client in stay:
+        assert await idle_clients[0].is_closed()
+        for client in idle_clients:
             client.writer.close()
 
 
@@ -551,7 +556,8 @@
         for n in range(3):
             harness.limiter.counter.call(IncrementCounter(n, 1.0, 10_000))
         await wait_until(lambda: len(replies) == 3)
-        assert [g[1] for g in replies] == [Outcome.NO_RESPONSE] * 3  # the first delays the others
+        # The delayed first response delays the others.
+        assert [reply[1] for reply in replies] == [Outcome.NO_RESPONSE] * 3
         await asyncio.sleep(0.25)
         harness.limiter.counter.call(IncrementCounter(7, 2.5, 10_000))
         await wait_until(lambda: len(replies) == 4)
@@ -641,7 +647,7 @@
             "discovery_address": (HOST, await new_discovery.start()),
             "counter_address": (HOST, await new_counter.start()),
         }
-        for _ in range(2):  # the second reload changes nothing
+        for _ in range(2):  # the second reload has the same addresses
             limiter.reload(msgspec.structs.replace(limiter.config, **addresses))
         assert limiter.counter.connection is None or not limiter.counter.connection.is_open
         # The old connection's response arrives while the new one connects.
@@ -739,20 +745,22 @@
     rejection = http_response(503, b"", b"Not-Started: 1\r\n")
 
     async def respond(n, head, body):
-        kind, name = (
+        # p: success, t: rejection, c: connection closed, e: error, s: late success, h: half of a
+        # response
+        fault, name = (
             rng.choice("pppptcesh"),
             re.search(rb"request-id: (\w+)", head.lower())[1].decode(),
         )
-        if kind == "t":
+        if fault == "t":
             return rejection
         ran[name] = ran.get(name, 0) + 1
-        if kind in "se":
-            await asyncio.sleep(0.6 if kind == "s" else 0.02)
+        if fault in "se":
+            await asyncio.sleep(0.6 if fault == "s" else 0.02)
         return {
             "c": None,
             "e": http_response(500),
             "h": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
-        }.get(kind, http_response(200, name.encode()))
+        }.get(fault, http_response(200, name.encode()))
 
     async def count(n, head, body):
         await asyncio.sleep(rng.choice([0, 0, 0, 0.15]))
@@ -763,14 +771,14 @@
     async def send_requests(harness, n):
         async with HttpClient(harness.port) as client:
             for k in range(8):
-                front, name = rng.choice(["look", "book"]), f"r{n}x{k}"
-                began = time.monotonic()
+                frontend, name = rng.choice(["look", "book"]), f"r{n}x{k}"
+                sent_at = time.monotonic()
                 status, _, body = await client.send_request(
-                    request(front, name, timeout=300, body=b"b" * 100)
+                    request(frontend, name, timeout=300, body=b"b" * 100)
                 )
-                assert time.monotonic() - began < 0.5
+                assert time.monotonic() - sent_at < 0.5
                 assert status in (200, 429, 502) and (status != 200 or body == name.encode())
-                if front == "book":
+                if frontend == "book":  # not idempotent
                     assert ran.get(name, 0) <= 1
                     assert status != 429 or not ran.get(name)
 
@@ -795,8 +803,8 @@
 def test_the_program_reloads_at_sighup_and_stops_at_sigterm(tmp_path):
     file = tmp_path / "limiter.json"
     ports = {"listen": free_port(), "discovery": free_port(), "counter": free_port()}
-    good = json.dumps(config_file(ports, [member("s0", free_port())]))
-    file.write_text(good)
+    valid = json.dumps(config_file(ports, [member("s0", free_port())]))
+    file.write_text(valid)
     env = os.environ | {"PROXY_DISCOVERY": f"{HOST}:{ports['discovery']}"}
     run = [sys.executable, "-m", "loomstand"]
     serve = subprocess.Popen(
@@ -807,15 +815,15 @@
         with socket.create_connection((HOST, ports["listen"]), 5) as sock:
             sock.sendall(b"GET /-/ready HTTP/1.1\r\n\r\n")
             assert sock.recv(100).startswith(b"HTTP/1.1 200 ")
-            for text, says in (
+            for text, expected in (
                 ("{", "the one held stands"),
                 (file.read_text(), "read its configuration"),
             ):
                 file.write_text(text.replace(str(ports["discovery"]), str(other := free_port())))
                 serve.send_signal(signal.SIGHUP)
-                assert says in (line := serve.stderr.readline())
-                file.write_text(good)
-            assert str(other) in line  # from the file, not from the environment
+                assert expected in (log_line := serve.stderr.readline())
+                file.write_text(valid)
+            assert str(other) in log_line  # from the file, not from the environment
             serve.terminate()
             assert sock.recv(100) == b""
         assert serve.wait(10) == 0
@@ -830,13 +838,15 @@
     """Guards against synchronized reconnects: 28 limiters that started within one second and were
     rejected by discovery reconnected at the same times.
     """
-    waits: dict[int, list[float]] = {}
+    delays_by_seed: dict[int, list[float]] = {}
     for seed in (1, 2):
-        delays = waits.setdefault(seed, [])
-        loop = SimpleNamespace(call_later=lambda wait, _, delays=delays: delays.append(wait))
+        delays = delays_by_seed.setdefault(seed, [])
+        loop = SimpleNamespace(call_later=lambda delay, _, delays=delays: delays.append(delay))
         limiter = SimpleNamespace(config=SimpleNamespace(seed=seed), loop=loop, endings=Counter())
         watch = Watch(limiter, (HOST, 1), 0, 0.25, seed)
         for _ in range(8):
             watch.ended(Ending.MALFORMED)
-    assert all(abs(a - b) > 1e-3 for a, b in zip(waits[1], waits[2], strict=True))
-    assert all(0.05 <= w[0] <= 0.15 and min(w[5:]) >= 1.0 and max(w) <= 3.0 for w in waits.values())
+    delay_pairs = zip(delays_by_seed[1], delays_by_seed[2], strict=True)
+    assert all(abs(a - b) > 1e-3 for a, b in delay_pairs)
+    for delays in delays_by_seed.values():
+        assert 0.05 <= delays[0] <= 0.15 and min(delays[5:]) >= 1.0 and max(delays) <= 3.0
