--- a/loomstand/testing/simulation/loop.py
+++ b/loomstand/testing/simulation/loop.py
@@ -35,9 +35,9 @@
     def thaw(self) -> None:
         """Continues the process; its deferred callbacks run in their order."""
         self.frozen = False
-        parked, self.deferred = self.deferred, []
-        for gate in parked:
-            asyncio.get_running_loop().call_soon(gate, context=_NO_PROCESS)
+        deferred, self.deferred = self.deferred, []
+        for process_callback in deferred:
+            asyncio.get_running_loop().call_soon(process_callback, context=_NO_PROCESS)
 
 
 @dataclass(slots=True, eq=False)
@@ -99,16 +99,16 @@
         super().__init__(self._virtual_selector)
         # Keeps tasks of killed processes until the loop closes, so that garbage collection doesn't
         # unwind them while others still run.
-        self.made: set[asyncio.Task[Any]] = set()
+        self.unfinished_tasks: set[asyncio.Task[Any]] = set()
 
-        def make(loop: Any, coro: Any, **kwargs: Any) -> asyncio.Task[Any]:
+        def create_task(loop: Any, coro: Any, **kwargs: Any) -> asyncio.Task[Any]:
             task = asyncio.Task(coro, loop=loop, **kwargs)
             task._log_destroy_pending = False  # type: ignore[attr-defined]
-            self.made.add(task)
-            task.add_done_callback(self.made.discard, context=contextvars.Context())
+            self.unfinished_tasks.add(task)
+            task.add_done_callback(self.unfinished_tasks.discard, context=contextvars.Context())
             return task
 
-        self.set_task_factory(make)
+        self.set_task_factory(create_task)
 
     def time(self) -> float:
         return self._virtual_selector.now
@@ -120,9 +120,9 @@
             return asyncio.Handle(callback, args, self, context)
         if process is None:
             return super().call_soon(callback, *args, context=context)
-        gate = _ProcessCallback(process, callback, args, context)
-        gate.handle = super().call_soon(gate, context=_NO_PROCESS)
-        return gate.handle
+        process_callback = _ProcessCallback(process, callback, args, context)
+        process_callback.handle = super().call_soon(process_callback, context=_NO_PROCESS)
+        return process_callback.handle
 
     def call_at(
         self, when: float, callback: Any, *args: Any, context: Any = None
@@ -131,17 +131,18 @@
         process = context.get(CURRENT_PROCESS)
         if process is None:
             return super().call_at(when, callback, *args, context=context)
-        gate = _ProcessCallback(process, callback, args, context)
-        gate.handle = timer = super().call_at(when, gate, context=_NO_PROCESS)
+        process_callback = _ProcessCallback(process, callback, args, context)
+        timer = super().call_at(when, process_callback, context=_NO_PROCESS)
+        process_callback.handle = timer
         return timer
 
     def close(self) -> None:
         """Closes the loop and all unfinished coroutines, also those of killed processes."""
         super().close()
-        for task in self.made:
+        for task in self.unfinished_tasks:
             with contextlib.suppress(RuntimeError):
                 task.get_coro().close()  # type: ignore[union-attr]
-        self.made.clear()
+        self.unfinished_tasks.clear()
 
 
 def run_simulated(work: Callable[[], Coroutine[Any, Any, T]]) -> T:
--- a/loomstand/testing/simulation/machine.py
+++ b/loomstand/testing/simulation/machine.py
@@ -27,15 +27,15 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A host with its disk; each start makes its programs by the factories."""
+    """A host with its disk; each start creates its programs with the factories."""
 
     host: str
     network: SimNetwork
     rng: Random
     factories: list[ProgramFactory]
     disk_state: DiskState
-    clock_offset: float = 0.0  # s, of its monotonic clock to the loop's
-    clock_rate: float = 1.0  # of its monotonic clock to the loop's
+    clock_offset: float = 0.0  # seconds that its monotonic clock shows at time 0 of the loop
+    clock_rate: float = 1.0  # seconds of its monotonic clock per second of the loop
     process: SimProcess | None = None
     programs: list[Any] = field(default_factory=list)
 
@@ -55,29 +55,35 @@
         process = self.process = SimProcess()
         loop = asyncio.get_running_loop()
 
-        def begin() -> None:
+        def start_programs() -> None:
             self.programs = []
-            for make in self.factories:
+            for factory in self.factories:
                 clock = lambda: loop.time() * self.clock_rate + self.clock_offset  # noqa: E731
                 seeded = Random(self.rng.getrandbits(64))
                 network = MachineNetwork(self.network, self.host, process)
-                program = make(network, SimDisk(self.disk_state), clock, seeded)
+                program = factory(network, SimDisk(self.disk_state), clock, seeded)
                 self.programs.append(program)
-                loop.create_task(program.run()).add_done_callback(_ended)
+                loop.create_task(program.run()).add_done_callback(_raise_failure)
 
-        process.context().run(begin)
+        process.context().run(start_programs)
 
     def kill(self) -> None:
         """Kills its process: its ports refuse calls, its disk keeps what was written."""
         if self.process is not None:
             self.process.alive = False
-        for address in [
-            a for a, at in self.network.listeners.items() if at.process is self.process
-        ]:
+        own_addresses = [
+            address
+            for address, listener in self.network.listeners.items()
+            if listener.process is self.process
+        ]
+        for address in own_addresses:
             del self.network.listeners[address]
 
     def power_off(self, wipe: bool = False) -> None:
-        """As `kill`, but the machine no longer answers, and a write in progress may be lost."""
+        """Kills the process and turns the machine off: it no longer answers.
+
+        A write in progress may be lost. With `wipe` the disk is erased, too.
+        """
         self.kill()
         self.network.powered_off.add(self.host)
         self.disk_state.power_off()
@@ -104,7 +110,7 @@
             self.power_off()
 
 
-def _ended(task: asyncio.Task[None]) -> None:
+def _raise_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and (error := task.exception()):
         raise error
 
--- a/loomstand/testing/simulation/network.py
+++ b/loomstand/testing/simulation/network.py
@@ -1,8 +1,9 @@
-"""The simulated network between all machines: reachability, delay and loss, and calls as over TCP.
+"""The simulated network between all machines: reachability, delay and loss, and calls on it.
 
-A call first needs a connection to the process that listens now: one round trip. A port without a
-listener refuses it at once; a machine that is off or partitioned doesn't answer. Bytes on a blocked
-link are lost, or held until the link is healed; the call has usually timed out by then.
+Calls fail as over TCP. A call needs a connection to the process that listens at the time, which
+takes one round trip. A port without a listener refuses the connection at once; a machine that is
+off or partitioned doesn't answer. Bytes on a blocked link are lost, or held until the link is
+healed; the call has usually timed out by then.
 """
 
 from __future__ import annotations
@@ -18,13 +19,14 @@
 from loomstand.rpc.errors import CallFailure, CallRefusedError
 from loomstand.testing.simulation.loop import CURRENT_PROCESS, SimProcess
 
-LINK_DELAY_SECONDS = (0.0005, 0.004)  # one way: within a region, and between neighbouring regions
+# One-way delay, lowest and highest: within a region, and between neighbouring regions.
+LINK_DELAY_SECONDS = (0.0005, 0.004)
 Body = dict[str, Any]
 
 
 @dataclass(slots=True)
 class Listener:
-    """A listening port: its process and the handler of its calls."""
+    """A listening port: its process and the handler of the calls to it."""
 
     process: SimProcess
     serve: CallHandler
@@ -37,17 +39,18 @@
     rng: Random
     listeners: dict[Address, Listener] = field(default_factory=dict)
     powered_off: set[str] = field(default_factory=set)  # hosts without power
-    # (from, to): all bytes are lost or held
+    # (from, to): all bytes on these links are lost or held
     blocked_links: set[tuple[str, str]] = field(default_factory=set)
-    # added one way, to and from a host
+    # by host: added to the one-way delay of all bytes to and from it
     extra_delay_seconds: dict[str, float] = field(default_factory=dict)
-    # share of call messages lost; a stream segment is delayed by a retransmission
+    # share of call messages that are lost, and of stream segments that are retransmitted instead
     loss_rate: float = 0.0
+    # (from, to, future completed when the link is healed)
     held_transfers: list[tuple[str, str, asyncio.Future[None]]] = field(default_factory=list)
 
-    def cut(self, one: str, other: str, both: bool = True) -> None:
-        """Blocks the link between two hosts; without `both` only from `one` to `other`."""
-        self.blocked_links |= {(one, other), (other, one)} if both else {(one, other)}
+    def cut(self, source: str, target: str, both: bool = True) -> None:
+        """Blocks the link between two hosts; without `both` only from `source` to `target`."""
+        self.blocked_links |= {(source, target), (target, source)} if both else {(source, target)}
 
     def partition(self, *sides: list[str]) -> None:
         """Blocks all links between the sides, in both directions."""
@@ -58,39 +61,39 @@
 
     def heal(self, only: set[tuple[str, str]] | None = None) -> None:
         """Unblocks all links, or only those given; held bytes are delivered."""
-        ends = set(self.blocked_links) if only is None else only
-        self.blocked_links -= ends
-        healed = [h for h in self.held_transfers if only is None or h[:2] in ends]
+        links = set(self.blocked_links) if only is None else only
+        self.blocked_links -= links
+        healed = [held for held in self.held_transfers if only is None or held[:2] in links]
         self.held_transfers = (
-            [] if only is None else [h for h in self.held_transfers if h[:2] not in ends]
+            [] if only is None else [held for held in self.held_transfers if held[:2] not in links]
         )
         for *_, unblocked in healed:
             if not unblocked.done():
                 unblocked.set_result(None)
 
-    def is_reachable(self, one: str, other: str) -> bool:
-        """Returns whether bytes from `one` to `other` arrive: link open, both machines on."""
+    def is_reachable(self, source: str, target: str) -> bool:
+        """Returns whether bytes from `source` arrive at `target`: link open, both machines on."""
         return (
-            (one, other) not in self.blocked_links
-            and one not in self.powered_off
-            and other not in self.powered_off
+            (source, target) not in self.blocked_links
+            and source not in self.powered_off
+            and target not in self.powered_off
         )
 
-    async def deliver(self, one: str, other: str) -> bool:
+    async def deliver(self, source: str, target: str) -> bool:
         """Waits for the transfer of bytes from one host to another; returns whether they arrive."""
         low, high = LINK_DELAY_SECONDS
         await asyncio.sleep(
             self.rng.uniform(low, high)
-            + self.extra_delay_seconds.get(one, 0.0)
-            + self.extra_delay_seconds.get(other, 0.0)
+            + self.extra_delay_seconds.get(source, 0.0)
+            + self.extra_delay_seconds.get(target, 0.0)
         )
-        if self.is_reachable(one, other):
+        if self.is_reachable(source, target):
             return self.rng.random() >= self.loss_rate
-        if (one, other) in self.blocked_links and self.rng.random() < 0.5:
+        if (source, target) in self.blocked_links and self.rng.random() < 0.5:
             unblocked = asyncio.get_running_loop().create_future()
-            self.held_transfers.append((one, other, unblocked))
+            self.held_transfers.append((source, target, unblocked))
             await unblocked
-            return self.is_reachable(one, other)
+            return self.is_reachable(source, target)
         return False
 
 
@@ -114,20 +117,24 @@
         answer: asyncio.Future[Result[Body, CallFailure]] = loop.create_future()
         sent: list[bool] = []  # not empty once the request is being transferred
         # transfers go on when the caller is frozen or killed
-        run = loop.create_task(
-            self._run(address, op, body, sent, answer), context=_WIRE_CONTEXT.copy()
+        transfer = loop.create_task(
+            self._transfer_call(address, op, body, sent, answer), context=_WIRE_CONTEXT.copy()
         )
         try:
             async with asyncio.timeout(within):
                 return await answer
         except TimeoutError:
             self.connected_processes.pop(address, None)
-            del run  # the transfer goes on, and the request may still arrive
+            del transfer  # it goes on, and the request may still arrive
             return Error(CallFailure.MAY_HAVE_RUN if sent else CallFailure.NEVER_RAN)
 
-    async def _run(
+    async def _transfer_call(
         self, address: Address, op: str, body: Body, sent: list[bool], answer: Any
     ) -> None:
+        """Connects if necessary, sends the request, and completes `answer` when the result arrives.
+
+        `answer` isn't completed when bytes are lost.
+        """
         listener = self.network.listeners.get(address)
         if (
             self.connected_processes.get(address) is not (listener.process if listener else None)
@@ -153,11 +160,11 @@
             return None
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[Result[Body, CallFailure]] = loop.create_future()
-        served = loop.create_task(
+        serving = loop.create_task(
             _serve(listener.serve, op, body, reply), context=listener.process.context()
         )
         result = await reply
-        del served
+        del serving
         if listener.process.alive and await self.network.deliver(address[0], self.host):
             _complete(answer, result)
 
--- a/loomstand/testing/simulation/sim_disk.py
+++ b/loomstand/testing/simulation/sim_disk.py
@@ -16,8 +16,8 @@
     rng: Random
     pages: dict[str, bytes] = field(default_factory=dict)
     slower: float = 1.0  # factor on the latency of a commit
-    refuses: bool = False
-    hangs: bool = False
+    refuses: bool = False  # writes fail
+    hangs: bool = False  # reads and writes don't complete
     is_unreadable: bool = False  # opening it fails
     write_count: int = 0
     # counts power losses and wipes; a write that began before one of them is dropped
@@ -41,6 +41,7 @@
     write_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     async def load(self) -> dict[str, bytes]:
+        """Returns all pages. Raises OSError if the disk can't be opened."""
         while self.disk_state.hangs:
             await asyncio.sleep(0.05)
         if self.disk_state.is_unreadable:
@@ -48,6 +49,7 @@
         return dict(self.disk_state.pages)
 
     async def save(self, pages: dict[str, bytes]) -> None:
+        """Commits pages. Raises OSError if the disk refuses writes."""
         disk_state, generation = self.disk_state, self.disk_state.generation
         async with self.write_lock:
             if disk_state.refuses:
@@ -62,6 +64,7 @@
             await self._wait(1.0 - share)
 
     async def _wait(self, share: float) -> None:
+        """Waits for a share of the latency of a commit, and as long as the disk hangs."""
         await asyncio.sleep(COMMIT_SECONDS * share * self.disk_state.slower)
         while self.disk_state.hangs:
             await asyncio.sleep(0.05)
--- a/loomstand/testing/simulation/stream_network.py
+++ b/loomstand/testing/simulation/stream_network.py
@@ -17,7 +17,7 @@
     on_established: Callable[[], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the stream: the connection is established."""
+        """Called by the transport when the connection is established."""
         super().connection_made(transport)
         if self.on_established is not None:
             self.on_established()
@@ -27,7 +27,7 @@
     """The `TcpNetwork` of one process on a host."""
 
     def __init__(self, streams: Streams) -> None:
-        """Opens and accepts connections by `streams`."""
+        """Opens and accepts connections through `streams`."""
         super().__init__()
         self.streams = streams
 
--- a/loomstand/testing/simulation/streams.py
+++ b/loomstand/testing/simulation/streams.py
@@ -1,9 +1,9 @@
 """Simulated TCP: transports for asyncio protocols such as `event_loop.SocketChannel`.
 
 Each end of a connection belongs to the kernel of its machine; callbacks of the protocol run in its
-process. Bytes arrive complete and in order, at times split into pieces. Segments on a blocked link
-are sent again with exponential backoff until they arrive or the sender's kernel drops the
-connection; resets are sent once. A write waits while the receiver's window is full.
+process. Bytes arrive complete and in order; some writes are split into two segments. Segments on a
+blocked link are sent again with exponential backoff until they arrive or the sender's kernel drops
+the connection; resets are sent once. A write waits while the receiver's window is full.
 """
 
 from __future__ import annotations
@@ -26,9 +26,11 @@
 
 Address = tuple[str, int]
 WINDOW_BYTES = 16384  # receive window: unread bytes that an end accepts
-# until a blocked segment is sent again: data at first, SYN at first, at most
-RETRANSMIT_SECONDS = 0.2, 1.0, 3.0
-SPLIT_SHARE = 0.15  # of the writes, delivered in two pieces
+# Delay until a blocked segment is sent again; it doubles with each retransmission.
+INITIAL_RETRANSMIT_SECONDS = 0.2
+SYN_RETRANSMIT_SECONDS = 1.0  # initial delay of a SYN
+MAX_RETRANSMIT_SECONDS = 3.0
+SPLIT_SHARE = 0.15  # share of the writes that are sent in two segments
 # Belongs to no process: kernels go on when processes are frozen or killed.
 _KERNEL_CONTEXT = contextvars.Context()
 
@@ -39,7 +41,7 @@
     SYN = auto()
     SYN_ACK = auto()
     DATA = auto()
-    WINDOW_UPDATE = auto()  # by the bytes that the receiving process has read
+    WINDOW_UPDATE = auto()  # carries the number of bytes that the receiving process has read
     FIN = auto()
     RST = auto()
 
@@ -49,19 +51,19 @@
     """A listener of the simulated network that accepts streams."""
 
     protocol_factory: Callable[[], asyncio.BaseProtocol] = field(kw_only=True)
+    network: SimNetwork = field(kw_only=True)
 
     def close(self) -> None:
         """Stops listening: new connections are refused."""
-        for address in [a for a, at in self.network.listeners.items() if at is self]:
+        for address in [a for a, other in self.network.listeners.items() if other is self]:
             del self.network.listeners[address]
 
-    network: SimNetwork = field(kw_only=True)
-
 
 @dataclass(slots=True)
 class TcpStack:
-    """All simulated TCP connections. `transports` holds each end until its process and kernel have
-    both closed it.
+    """All simulated TCP connections.
+
+    `transports` contains each end of a connection until its process and its kernel have closed it.
     """
 
     network: SimNetwork
@@ -96,32 +98,35 @@
         self.protocol: Any = None
         self.peer: SimTransport | None = None
         self.on_refused: Callable[[], None] | None = None  # set until the connection is established
-        # segments in transit to the other end
+        # segments in transit to the other end: time of arrival, kind, and data
         self.in_transit: deque[tuple[float, SegmentKind, Any]] = deque()
         self.timer: asyncio.TimerHandle | None = None
-        self.last_arrival_at, self.retransmit_delay = 0.0, RETRANSMIT_SECONDS[0]
+        self.last_arrival_at, self.retransmit_delay = 0.0, INITIAL_RETRANSMIT_SECONDS
         # sending
-        # bytes not yet given to the kernel; bytes that the other end still accepts
-        self.buffer, self.send_window = bytearray(), WINDOW_BYTES
-        # EOF is requested by the process, FIN is sent by the kernel
-        self.write_paused = self.eof_requested = self.fin_sent = False
+        self.buffer = bytearray()  # written by the process, not yet taken by the kernel
+        self.send_window = WINDOW_BYTES  # bytes that the other end still accepts
+        self.write_paused = False
+        self.eof_requested = False  # by the process
+        self.fin_sent = False  # by the kernel
         # receiving
         self.received: deque[bytes] = deque()  # by the kernel, not yet read by the process
-        self.remote_end: SegmentKind | None = None
+        self.received_close: SegmentKind | None = None  # FIN or RST once it has arrived
         self.reading, self.delivery_scheduled, self.eof_delivered = True, False, False
+        # closing
         self.resets_on_close = False  # close sends a reset, as with SO_LINGER 0
-        # by the process; `loss_notified` once `connection_lost` was called
-        self.closing = self.closed = self.loss_notified = False
+        self.closing = False  # the process has called `close`; data is still to be sent
+        self.closed = False  # the process has no access any more
+        self.loss_notified = False  # `connection_lost` was called
         self.discarded = False  # the kernel has dropped the connection
         tcp.transports.add(self)
 
-    # the process's side
+    # --- calls by the process
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         if name == "reset_on_close":
             return self.set_reset_on_close
         if name == "unread":
-            return lambda: bool(self.received) or self.remote_end is not None
+            return lambda: bool(self.received) or self.received_close is not None
         return (self.remote_host, 0) if name == "peername" else default
 
     def set_reset_on_close(self) -> None:
@@ -182,8 +187,10 @@
             self.flush()
 
     def abort(self) -> None:
-        """Closes as a socket does: the kernel still sends what it has; unread bytes turn the close
-        into a reset.
+        """Closes the connection as closing a socket does.
+
+        Bytes that the kernel has taken are still sent. If received bytes are unread, the kernel
+        sends a reset.
         """
         self.buffer.clear()
         if not self.closed:
@@ -196,9 +203,9 @@
             del self.buffer[: len(piece)]
             self.send_window -= len(piece)
             if len(piece) > 1 and self.tcp.rng.random() < SPLIT_SHARE:
-                cut = self.tcp.rng.randrange(1, len(piece))
-                self.send_segment(SegmentKind.DATA, piece[:cut])
-                piece = piece[cut:]
+                split_at = self.tcp.rng.randrange(1, len(piece))
+                self.send_segment(SegmentKind.DATA, piece[:split_at])
+                piece = piece[split_at:]
             self.send_segment(SegmentKind.DATA, piece)
         if self.buffer:
             return
@@ -218,7 +225,7 @@
             self.finish_close(error)
 
     def finish_close(self, error: Exception | None) -> None:
-        """Closes the connection for the process; unread bytes turn the close into a reset."""
+        """Closes the connection for the process, by a reset if received bytes are unread."""
         self.closed = True
         if not self.discarded:
             if self.received or self.resets_on_close:
@@ -266,16 +273,16 @@
                 self.protocol.data_received(data)
             if not self.discarded:
                 self.send_segment(SegmentKind.WINDOW_UPDATE, len(data))
-        if self.remote_end is None or self.closed or self.received or not self.reading:
+        if self.received_close is None or self.closed or self.received or not self.reading:
             return
-        if self.remote_end is SegmentKind.RST:
+        if self.received_close is SegmentKind.RST:
             self.fail(ConnectionResetError("reset"))
         elif not self.eof_delivered:
             self.eof_delivered = True
             if not self.protocol.eof_received():
                 self.close()
 
-    # the kernel's side
+    # --- segments, handled by the kernel
 
     def send_segment(self, kind: SegmentKind, data: Any = b"") -> None:
         """Puts a segment in transit, behind those sent before."""
@@ -286,7 +293,7 @@
             + network.extra_delay_seconds.get(self.remote_host, 0.0)
         )
         if network.loss_rate and network.rng.random() < network.loss_rate:
-            delay += RETRANSMIT_SECONDS[0]
+            delay += INITIAL_RETRANSMIT_SECONDS
         self.last_arrival_at = max(self.last_arrival_at, self.loop.time() + delay)
         self.in_transit.append((self.last_arrival_at, kind, data))
         self.arm_timer()
@@ -299,18 +306,18 @@
             )
 
     def transmit(self) -> None:
-        """Delivers the segments that are due; on a blocked link tries again later."""
+        """Delivers the segments that are due; on a blocked link it tries again later."""
         self.timer, now, network = None, self.loop.time(), self.tcp.network
         if not network.is_reachable(self.host, self.remote_host):
-            # a reset is sent once, and ends the retransmission of all else
+            # a reset is sent once, and after it no other segment is retransmitted
             if self.host in network.powered_off or any(
                 kind is SegmentKind.RST for _, kind, _ in self.in_transit
             ):
                 self.in_transit.clear()
             self.arm_timer(now + self.retransmit_delay * (0.8 + 0.4 * self.tcp.rng.random()))
-            self.retransmit_delay = min(RETRANSMIT_SECONDS[2], 2 * self.retransmit_delay)
+            self.retransmit_delay = min(MAX_RETRANSMIT_SECONDS, 2 * self.retransmit_delay)
             return
-        self.retransmit_delay = RETRANSMIT_SECONDS[0]
+        self.retransmit_delay = INITIAL_RETRANSMIT_SECONDS
         while self.in_transit and self.in_transit[0][0] <= now:
             _, kind, data = self.in_transit.popleft()
             if kind is SegmentKind.SYN:
@@ -322,13 +329,13 @@
 
     def open_at_listener(self, address: Address) -> None:
         """Handles a SYN that has arrived: the listener accepts it, or it is reset."""
-        port, tcp = self.tcp.network.listeners.get(address), self.tcp
-        is_accepted = isinstance(port, StreamListener) and port.process.alive
+        listener, tcp = self.tcp.network.listeners.get(address), self.tcp
+        is_accepted = isinstance(listener, StreamListener) and listener.process.alive
         accepting_end = SimTransport(
-            tcp, address[0], port.process if is_accepted else None, self.host
+            tcp, address[0], listener.process if is_accepted else None, self.host
         )
         self.peer, accepting_end.peer = accepting_end, self
-        if self.discarded:  # the client has closed it since
+        if self.discarded:  # the client has closed the connection since
             is_accepted = False
         accepting_end.send_segment(SegmentKind.SYN_ACK if is_accepted else SegmentKind.RST)
         if not is_accepted:
@@ -336,7 +343,7 @@
             return
 
         def accept() -> None:
-            accepting_end.protocol = port.protocol_factory()
+            accepting_end.protocol = listener.protocol_factory()
             accepting_end.establish()
 
         self.loop.call_soon(accept, context=accepting_end.context)
@@ -347,7 +354,7 @@
             if kind not in (SegmentKind.RST, SegmentKind.WINDOW_UPDATE):
                 self.send_segment(SegmentKind.RST)
         elif kind is SegmentKind.RST:
-            self.discarded, self.remote_end = True, SegmentKind.RST
+            self.discarded, self.received_close = True, SegmentKind.RST
             self.in_transit.clear()
             if self.on_refused is not None:
                 self.loop.call_soon(self.on_refused, context=self.context)
@@ -360,9 +367,9 @@
             if not self.closed:
                 self.loop.call_soon(self.flush, context=self.context)
         elif kind is SegmentKind.FIN:
-            self.remote_end = SegmentKind.FIN
+            self.received_close = SegmentKind.FIN
             self.schedule_delivery()
-        elif self.closed:  # no process is left to read it
+        elif self.closed:  # the process doesn't read any more
             self.reset()
         else:
             self.received.append(data)
@@ -370,8 +377,10 @@
         self.discard_if_done()
 
     def reset(self) -> None:
-        """Resets the connection, once, behind the segments in transit. Segments that met a blocked
-        link are dropped with all later ones, so that no byte is read beyond a gap.
+        """Sends a reset after the segments in transit; later calls have no effect.
+
+        If a blocked link has already delayed the first of them, all are dropped, so that the other
+        end reads no byte beyond a gap.
         """
         if not self.discarded:
             if self.in_transit and self.in_transit[0][0] <= self.loop.time():
@@ -394,11 +403,11 @@
         self.discard_if_done()
 
     def discard_if_done(self) -> None:
-        """Drops the transport once both sides have closed."""
+        """Drops the transport once both ends have closed the connection."""
         if (
             self.closed
             and not self.in_transit
-            and (self.discarded or (self.fin_sent and self.remote_end is SegmentKind.FIN))
+            and (self.discarded or (self.fin_sent and self.received_close is SegmentKind.FIN))
         ):
             self.discarded = True
             self.tcp.transports.discard(self)
@@ -415,7 +424,7 @@
             self.tcp.process_ended(self.process)
 
     def power_off(self, wipe: bool = False) -> None:
-        """Powers off without closing connections: peers notice when they write to it later."""
+        """Powers off without closing connections: a peer notices only when it writes."""
         self.network.powered_off.add(self.host)
         super().power_off(wipe)
 
@@ -438,14 +447,17 @@
     process: SimProcess
 
     async def listen(
-        self, loop: Any, make: Callable[[], Any], address: Address, *bounds: int
+        self, loop: Any, make: Callable[[], Any], address: Address, *limits: int
     ) -> StreamListener:
-        """Accepts connections to an address with protocols that `make` creates."""
-        port = StreamListener(
+        """Accepts connections to an address with protocols that `make` creates.
+
+        `limits` (accepts per iteration, backlog) have no effect.
+        """
+        listener = StreamListener(
             self.process, _refuse_call, protocol_factory=make, network=self.tcp.network
         )
-        self.tcp.network.listeners[address] = port
-        return port
+        self.tcp.network.listeners[address] = listener
+        return listener
 
     def dial(self, protocol: Any, address: Address, refused: Callable[[], None]) -> SimTransport:
         """Sends a SYN; `protocol.connection_made` is called once the connection is established."""
@@ -453,7 +465,7 @@
         end.protocol, end.on_refused, end.retransmit_delay = (
             protocol,
             refused,
-            RETRANSMIT_SECONDS[1],
+            SYN_RETRANSMIT_SECONDS,
         )
         end.send_segment(SegmentKind.SYN, address)
         return end
@@ -489,13 +501,13 @@
         """
         established: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-        def done(error: Exception | None = None) -> None:
+        def complete(error: Exception | None = None) -> None:
             if not established.done():
                 established.set_exception(error) if error else established.set_result(None)
 
         protocol = make()
-        made, protocol.on_established = protocol, done
-        end = self.dial(made, address, lambda: done(ConnectionRefusedError(address)))
+        protocol.on_established = complete
+        end = self.dial(protocol, address, lambda: complete(ConnectionRefusedError(address)))
         try:
             async with asyncio.timeout(within):
                 await established
@@ -504,7 +516,7 @@
             end.in_transit.clear()
             end.discard_if_done()
             raise
-        return made
+        return protocol
 
 
 async def _refuse_call(op: str, body: dict[str, Any]) -> dict[str, Any]:
