--- a/loomstand/testing/simulation/bounds.py
+++ b/loomstand/testing/simulation/bounds.py
@@ -1,8 +1,9 @@
 """Compares the `History` of a simulated day with the bounds of the rules, without I/O.
 
-Times are seconds on the virtual clock; limiters and core machines are named by their addresses. A
+Times are seconds on the virtual clock. A limiter is a machine that runs a proxy; limiters and core
+machines are named by their addresses. Bounds such as `contact` are fields of `RuleBounds`. A
 limiter is *in touch* once its own faults and those of the core ended at least `contact` ago
-(RULES).
+(RULES.md).
 """
 
 from __future__ import annotations
@@ -16,78 +17,68 @@
 from loomstand.config.settings import RuleBounds
 
 CORE = "core"  # kind of a fault of the core, which affects every limiter
-SMALL_QUOTA_REQUESTS = 60  # a window; below, leeway is mostly `quota_slack`: 6 of 26
+# Requests per window, rate x window + burst. The leeway of a smaller quota is mostly `quota_slack`:
+# of a quota of 60, it is 20 of 26 requests.
+SMALL_QUOTA_REQUESTS = 60
 
 
 @dataclass(slots=True, frozen=True)
 class FaultSpan:
-    """A fault of these machines from its begin to its end. `core`: a fault of the core, which
-    affects every limiter; `majority_connected`: more than half of the core ran and was connected
-    all the time. `kind` is cut, started, slow or core, and groups the figures of limiters by their
-    last fault.
-    """
+    """A fault of some machines and the time for which it lasted."""
 
-    kind: str
+    kind: str  # cut, started, slow or core; groups the figures of limiters by their last fault
     description: str
     hosts: frozenset[str]
     begun: float
     ended: float = inf
-    core: bool = False
-    majority_connected: bool = True
+    core: bool = False  # a fault of the core, which affects every limiter
+    majority_connected: bool = True  # more than half of the core ran and was connected throughout
 
 
 @dataclass(slots=True, frozen=True)
 class AppliedChange:
-    """A change applied at a limiter, by its process of that number. With `server` "" the
-    configuration version `value` came into force; else the limiter began (`value` 1) or ended (0)
-    to use that server.
-    """
+    """A change that a limiter applied: to the configuration version, or to its use of a server."""
 
     at: float
     host: str
-    process_number: int
-    server: str
-    value: int
+    process_number: int  # number of the limiter's process, unique among all starts of all limiters
+    server: str  # instance id; empty for a change of the version
+    value: int  # the version; with a server 1 if the limiter uses it from now on, else 0
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationChange:
-    """A version of the configuration. `acked` is inf where no acknowledgement came; `quotas` by
-    tenant: rate in requests a second and burst.
-    """
+    """A version of the configuration that an operator sent."""
 
     version: int
     sent: float
-    acked: float
-    quotas: Mapping[str, tuple[float, float]]
+    acked: float  # inf if no acknowledgement came
+    quotas: Mapping[str, tuple[float, float]]  # by tenant: rate in requests a second, and burst
 
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """A drain of a server that the core machine `by` acknowledged. The server exits at `left`;
-    limiters that list it later break no rule.
-    """
+    """An acknowledged drain of a server."""
 
     server: str
     acked: float
-    by: str
-    left: float = inf
+    acked_by: str  # the core machine that acknowledged it
+    # time at which the server exits; a limiter that still lists it afterwards violates no rule
+    exits_at: float = inf
 
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """The arrival at a server of a request that a client had sent to the limiter `front`; `ran`:
-    the server ran it and didn't reject it.
-    """
+    """The arrival of a client's request at a server."""
 
     id: str
     tenant: str
     service: str
     server: str
-    front: str
-    sent: float
+    front: str  # the limiter that the client sent it to
+    sent: float  # time at which the client sent it
     at: float
-    ran: bool = True
+    ran: bool = True  # the server ran it; otherwise it rejected it
 
 
 @dataclass(slots=True)
@@ -104,27 +95,25 @@
     arrivals: list[Arrival] = field(default_factory=list)
     # by service: times at which clients sent requests
     request_times: dict[str, list[float]] = field(default_factory=dict)
-    # (from, to): no store served as primary
+    # (from, to): times in which no store served as primary
     primary_gaps: list[tuple[float, float]] = field(default_factory=list)
-    # observations of two counting registries
+    # times at which two registries were counting
     double_counting_times: list[float] = field(default_factory=list)
-    # rules broken that hold in every run, from the request log
+    # violations of the rules that hold in every run, from the request log
     violations: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True, frozen=True)
 class Figure:
-    """The worst measurement of one kind in a day: `value` and the bound `allowed` at that time
-    (inf: no bound). `many` is the number of measurements, `broken` that of those over their bound.
-    """
+    """The worst measurement of one kind in a day."""
 
     name: str
     value: float
-    allowed: float
+    allowed: float  # the bound of this measurement; inf for none
     at: float
-    who: str
-    many: int
-    broken: int
+    who: str  # what was measured, for example a tenant, or a change at a limiter
+    many: int  # number of measurements
+    broken: int  # number of measurements over their bounds
 
 
 class WorstFigure:
@@ -159,24 +148,24 @@
         + acknowledgement_times(history, bounds)
         + longest_without_primary(history)
     )
-    twins = WorstFigure("moments with two counters")
-    twins.add(
+    double_counting = WorstFigure("moments with two counters")
+    double_counting.add(
         len(history.double_counting_times),
         0,
         next(iter(history.double_counting_times), history.begun),
         "",
     )
-    faults = WorstFigure("rules broken by any answer")
-    faults.add(len(history.violations), 0, history.begun, "; ".join(history.violations[:3]))
-    return figures + twins.figure() + faults.figure()
+    violations = WorstFigure("rules broken by any answer")
+    violations.add(len(history.violations), 0, history.begun, "; ".join(history.violations[:3]))
+    return figures + double_counting.figure() + violations.figure()
 
 
 # --- quotas
 
 
 def quota(history: History, bounds: RuleBounds) -> list[Figure]:
-    """QUOTA. The value is the used share of the leeway: 0 at rate x window + burst, 1 at the
-    bound. Small quotas are a figure of their own, as most of their leeway is slack.
+    """Rule QUOTA: the share of the leeway that tenants used, 0 at rate x window + burst, 1 at the
+    bound. Small quotas have a figure of their own, as most of their leeway is slack.
     """
     large, small = (
         WorstFigure("quota: share of the leeway used"),
@@ -192,7 +181,7 @@
         # counted only in a window that contains both its sending and its arrival
         if run.at - run.sent <= window:
             by_tenant.setdefault(run.tenant, []).append(run)
-    versions = [*in_force(history, bounds)]
+    versions = [*versions_in_force(history, bounds)]
     for tenant, runs in by_tenant.items():
         sent, arrived_at = sorted(r.sent for r in runs), sorted(r.at for r in runs)
         for start in sent:
@@ -203,33 +192,36 @@
                 if since <= start + window and start < until
                 for rate, burst in [quotas.get(tenant, (0.0, 0.0))]
             ]
-            most = max(limits, default=inf)
-            if most < inf:
-                leeway = bounds.quota_overshoot * most + bounds.quota_slack
-                allowed = f"{most + leeway:.1f} are allowed"
-                subject = f"{tenant}: {count} where {allowed} and {most:.0f} the quota"
-                (large if most >= SMALL_QUOTA_REQUESTS else small).add(
-                    (count - most) / leeway, 1.0, start, subject
+            limit = max(limits, default=inf)
+            if limit < inf:
+                leeway = bounds.quota_overshoot * limit + bounds.quota_slack
+                allowed = f"{limit + leeway:.1f} are allowed"
+                subject = f"{tenant}: {count} where {allowed} and {limit:.0f} the quota"
+                (large if limit >= SMALL_QUOTA_REQUESTS else small).add(
+                    (count - limit) / leeway, 1.0, start, subject
                 )
     return large.figure() + small.figure()
 
 
-def in_force(
+def versions_in_force(
     history: History, bounds: RuleBounds
 ) -> Iterator[tuple[float, float, Mapping[str, tuple[float, float]]]]:
-    """Yields the time span of each version in which a window may begin under its quotas. A version
-    may be in force once it is sent; it is superseded when all limiters were in touch for
-    `configuration_apply` after a higher one was acknowledged.
+    """Yields, for each version, the span of time in which it may be in force, and its quotas.
+
+    A version may be in force once it is sent. It is superseded when all limiters have been in touch
+    for `configuration_apply` after a higher version was acknowledged.
     """
     until = inf
     for change in sorted(history.changes, key=lambda c: -c.version):
         yield change.sent, until, change.quotas
         if change.acked < inf:
-            until = min(until, bound_from(history, change.acked, bounds))
+            until = min(until, applied_everywhere_at(history, change.acked, bounds))
 
 
-def bound_from(history: History, acked: float, bounds: RuleBounds) -> float:
-    """Returns when all limiters have been in touch for `configuration_apply` after `acked`."""
+def applied_everywhere_at(history: History, acked: float, bounds: RuleBounds) -> float:
+    """Returns the first time at which all limiters have been in touch for `configuration_apply`
+    after `acked`.
+    """
     at = acked + bounds.configuration_apply_seconds
     calm = bounds.configuration_apply_seconds + bounds.contact_seconds
     for span in sorted(history.spans, key=lambda s: s.begun):
@@ -244,8 +236,8 @@
 def disturbing_span(
     history: History, host: str, since: float, until: float, bounds: RuleBounds
 ) -> FaultSpan | None:
-    """Returns the fault of a limiter or the core that ended last, among those active within
-    `contact` before `since` or until `until`.
+    """Returns the fault of a limiter or the core that ended last, among those that were active
+    between `contact` before `since` and `until`.
     """
     near = [
         s
@@ -258,10 +250,20 @@
 
 
 class PropagationDelays:
-    """Propagation delays of one kind of change, by the last fault of the limiter."""
+    """Propagation delays of one kind of change, by the kind of the last fault of the limiter.
 
-    def __init__(self, name: str, within: float, history: History, bounds: RuleBounds) -> None:
-        self.name, self.within, self.history, self.bounds = name, within, history, bounds
+    `bound_seconds` is the longest delay that is allowed without faults.
+    """
+
+    def __init__(
+        self, name: str, bound_seconds: float, history: History, bounds: RuleBounds
+    ) -> None:
+        self.name, self.bound_seconds, self.history, self.bounds = (
+            name,
+            bound_seconds,
+            history,
+            bounds,
+        )
         self.kinds: dict[str, WorstFigure] = {}
 
     def add(
@@ -275,14 +277,14 @@
         span = disturbing_span(self.history, host, acked, applied_at, self.bounds)
         if span is not None and span.ended >= applied_at > acked:
             return  # applied during the fault
-        kind, since, limit = "connected", acked, acked + self.within
+        kind, since, limit = "connected", acked, acked + self.bound_seconds
         if span is not None:
             kind, since = span.kind, max(acked, span.ended)
             limit = max(limit, span.ended + self.bounds.contact_seconds)
         if span is not None and span.kind == CORE and span.majority_connected:
-            limit = min(limit, acked + self.within + self.bounds.stretch_limit_seconds)
-            # the stretch limit holds for faults of the core: a limiter that was cut off itself has
-            # `contact` from the end of its own fault
+            limit = min(limit, acked + self.bound_seconds + self.bounds.stretch_limit_seconds)
+            # the stretch limit only covers faults of the core: a limiter that had a fault of its
+            # own has `contact` from the end of that fault
             near = (
                 s
                 for s in self.history.spans
@@ -308,19 +310,21 @@
 
 
 def changes_by_host(
-    applied_changes: Iterable[AppliedChange], server: bool
+    applied_changes: Iterable[AppliedChange], of_servers: bool
 ) -> dict[str, list[AppliedChange]]:
-    """Groups changes by limiter, in order of time: of servers if `server`, else of versions."""
+    """Groups changes by limiter, in order of time: those of servers with `of_servers`, else those
+    of versions.
+    """
     by_host: dict[str, list[AppliedChange]] = {}
     for applied in applied_changes:
-        if bool(applied.server) is server:
+        if bool(applied.server) is of_servers:
             by_host.setdefault(applied.host, []).append(applied)
     return by_host
 
 
 def configuration_propagation(history: History, bounds: RuleBounds) -> list[Figure]:
-    """CONFIG: from the acknowledgement of a version until it or a later one is in force at each
-    limiter. A limiter that starts must also apply what was acknowledged before.
+    """Rule CONFIG: the time from the acknowledgement of a version until it or a later one is in
+    force at each limiter. A limiter that starts must also apply the versions acknowledged before.
     """
     delays = PropagationDelays(
         "version in force", bounds.configuration_apply_seconds, history, bounds
@@ -336,18 +340,23 @@
             s for s in history.spans if s.kind == "started" and host in s.hosts and s.ended < inf
         ]
         for begun, start in [(s.begun, s.ended) for s in starts]:
-            before = [c for c in history.changes if c.acked <= start]
-            if before:
-                newest = max(before, key=lambda c: c.version)
-                later = [w for w in host_changes if w.at >= start]
+            acked_before = [c for c in history.changes if c.acked <= start]
+            if acked_before:
+                newest = max(acked_before, key=lambda c: c.version)
+                later = [applied for applied in host_changes if applied.at >= start]
                 # where another fault ended earlier, the process started within this span
                 within = [
-                    w for w in host_changes if begun < w.at < start and w.value >= newest.version
+                    applied
+                    for applied in host_changes
+                    if begun < applied.at < start and applied.value >= newest.version
                 ]
-                if within and all(w.process_number == within[-1].process_number for w in later):
+                if within and all(
+                    applied.process_number == within[-1].process_number for applied in later
+                ):
                     later = [replace(within[-1], at=start)]
                 applied_at = min(
-                    (w.at for w in later if w.value >= newest.version), default=history.ended
+                    (applied.at for applied in later if applied.value >= newest.version),
+                    default=history.ended,
                 )
                 delays.add(host, start, applied_at, f"r{newest.version}")
     return delays.figures()
@@ -356,28 +365,35 @@
 def first_applied_at(
     host_changes: list[AppliedChange], change: ConfigurationChange, ended: float
 ) -> float:
-    """Returns when a limiter first applied that version or a later one; later processes are
-    measured from their starts.
+    """Returns when a limiter first applied that version or a later one, in any of its processes;
+    `ended` if it never did.
     """
-    return min((w.at for w in host_changes if w.value >= change.version), default=ended)
+    return min(
+        (applied.at for applied in host_changes if applied.value >= change.version), default=ended
+    )
 
 
 def drains(history: History, bounds: RuleBounds) -> list[Figure]:
-    """DRAIN at the limiters: from the acknowledgement until each has ended to use the server."""
+    """Rule DRAIN at limiters: the time from the acknowledgement of a drain until each limiter has
+    stopped using the server.
+    """
     delays = PropagationDelays("drain known", bounds.drain_seconds, history, bounds)
     changes = changes_by_host(history.applied_changes, True)
     for drain in history.drains:
         unbounded = is_acknowledged_by_disturbed_core(history, drain, bounds)
         for host in history.limiters:
-            host_changes = [w for w in changes.get(host, []) if w.server == drain.server]
-            applied_at = drain.acked if any(w.at <= drain.acked for w in host_changes) else -inf
-            for applied, after in zip_longest(host_changes, host_changes[1:]):
+            host_changes = [
+                applied for applied in changes.get(host, []) if applied.server == drain.server
+            ]
+            was_known = any(applied.at <= drain.acked for applied in host_changes)
+            applied_at = drain.acked if was_known else -inf
+            for applied, next_change in zip_longest(host_changes, host_changes[1:]):
                 # in use until the next change, the end of the process, or the end of the day
                 if applied.value:
-                    until = after.at if after is not None else history.ended
+                    until = next_change.at if next_change is not None else history.ended
                     applied_at = max(applied_at, min(until, process_end(history, host, applied.at)))
             if applied_at > -inf:
-                applied_at = min(drain.left, max(applied_at, drain.acked))
+                applied_at = min(drain.exits_at, max(applied_at, drain.acked))
                 delays.add(host, drain.acked, applied_at, drain.server, unbounded)
     return delays.figures()
 
@@ -391,24 +407,26 @@
 
 
 def is_acknowledged_by_disturbed_core(history: History, drain: Drain, bounds: RuleBounds) -> bool:
-    """Returns whether the core machine that acknowledged a drain was out of touch: then no bound
-    holds for it.
+    """Returns whether the core machine that acknowledged a drain had a fault then or up to
+    `contact` before; no bound holds for such a drain.
     """
     return any(
-        s.core and drain.by in s.hosts and s.begun <= drain.acked < s.ended + bounds.contact_seconds
+        s.core
+        and drain.acked_by in s.hosts
+        and s.begun <= drain.acked < s.ended + bounds.contact_seconds
         for s in history.spans
     )
 
 
 def arrivals_after_drain(history: History, bounds: RuleBounds) -> list[Figure]:
-    """DRAIN at the servers: requests that arrive after the drain was acknowledged."""
+    """Rule DRAIN at servers: the arrivals of requests after the drain was acknowledged."""
     delays = PropagationDelays("arrival after a drain", bounds.drain_seconds, history, bounds)
     drained = {drain.server: drain for drain in history.drains}
     for run in history.arrivals:
         drain = drained.get(run.server)
         if drain is None or run.at <= drain.acked:
             continue
-        # requests held by a link or a frozen process aren't late (Held up)
+        # a request that a slow link or a frozen process delayed isn't late ("Held up" in RULES.md)
         delayed_by_fault = any(
             run.front in s.hosts and s.begun <= run.at < s.ended + bounds.contact_seconds
             for s in history.spans
@@ -423,11 +441,11 @@
     return delays.figures()
 
 
-# --- the rest
+# --- retries, acknowledgements and primaries
 
 
 def budget(history: History, bounds: RuleBounds) -> list[Figure]:
-    """BUDGET. The value is the share of `budget_slack` that retries used beyond the retry ratio."""
+    """Rule BUDGET: the share of `budget_slack` that retries beyond the retry ratio used."""
     worst, window = (
         WorstFigure("further tries: share of the slack used"),
         bounds.budget_window_seconds,
@@ -453,8 +471,10 @@
 
 
 def acknowledgement_times(history: History, bounds: RuleBounds) -> list[Figure]:
-    """Acks: seconds from the sending of a change to its acknowledgement, without faults from
-    `contact` before until it, or until `acknowledge` after the sending if none came.
+    """The time from the sending of a change to its acknowledgement.
+
+    Only changes without a fault are measured, from `contact` before the sending to the
+    acknowledgement or, if none came, to `acknowledge` after the sending.
     """
     worst = WorstFigure("acknowledgement of a change in settled times")
     for change in history.changes:
@@ -474,8 +494,9 @@
 
 
 def longest_without_primary(history: History) -> list[Figure]:
-    """The longest time without a serving primary; counted from the end of faults that left no
-    connected majority of the core.
+    """The longest time without a serving primary.
+
+    It counts from the end of faults during which no majority of the core was connected.
     """
     worst = WorstFigure("without a serving primary")
     for since, until in history.primary_gaps:
--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -30,7 +30,7 @@
 ZONES = "east", "west"
 CONTROL_PORT, FRONT_PORT, READINESS_PORT, SERVER_PORT = 8783, 8782, 8789, 8080
 WALL_CLOCK_START_SECONDS = 1.8e9  # wall clock when the loop's clock is 0
-READINESS_PERIOD_SECONDS = 1.0  # between two readiness checks of the platform
+READINESS_PERIOD_SECONDS = 1.0  # period of the platform's readiness checks
 SETTINGS = """
 self.node_name={name}
 self.role=r
@@ -76,7 +76,7 @@
         network: Any,
         rng: Random,
         streams: Streams,
-        wall: float,
+        wall_seconds: float,
         request_log: RequestLog,
         applied_changes: list[AppliedChange],
         process_number: int,
@@ -84,28 +84,24 @@
         """Creates a proxy that appends each change it applies to `applied_changes`.
 
         Args:
-            settings: Of this proxy.
-            network: Of its process.
-            rng: Random generator of its own.
+            settings: Settings of this proxy.
+            network: Network of its process, for calls.
+            rng: Random generator that no other program uses.
             streams: Connections of its process.
-            wall: Wall clock of its machine at its start, in seconds.
-            request_log: Takes internal errors as violations.
-            applied_changes: Shared by all proxies.
-            process_number: Of this start, unique among the starts of all proxies.
+            wall_seconds: Wall clock of its machine when the proxy starts.
+            request_log: Log to which internal errors are added as violations.
+            applied_changes: List that all proxies share.
+            process_number: Number of this process, unique among all starts of all proxies.
         """
-        self.wall, self.faults, self.applied_changes, self.process_number = (
-            wall,
-            request_log.violations,
-            applied_changes,
-            process_number,
-        )
+        self.wall_seconds, self.violations = wall_seconds, request_log.violations
+        self.applied_changes, self.process_number = applied_changes, process_number
         super().__init__(settings, network, rng, VirtualTurns(), streams)  # type: ignore[arg-type]
-        self.log = self.record_fault
+        self.log = self.record_internal_error
         self.endpoints.endpoint = self.endpoint  # type: ignore[method-assign]
 
     def start_engine(self) -> DecisionEngine:
-        if "engine" not in self.__dict__:  # at its start: by the wall clock of its machine
-            self.epoch = int((self.wall - self.loop.time()) * 1e9)
+        if "engine" not in self.__dict__:  # the first call, when the proxy starts
+            self.epoch = int((self.wall_seconds - self.loop.time()) * 1e9)
         return super().start_engine()
 
     def now(self) -> int:
@@ -126,20 +122,22 @@
         return EndpointUpdates.endpoint(self.endpoints, endpoint_id, instance)
 
     def record_change(self, server: str, value: int) -> None:
-        """Records that this proxy applied a change of a version (no server) or of a server."""
+        """Records a change that this proxy applied, of a server or, if `server` is empty, of the
+        version.
+        """
         self.applied_changes.append(
             AppliedChange(
                 self.loop.time(), self.settings.ip_address, self.process_number, server, value
             )
         )
 
-    def record_fault(self, text: str) -> None:
+    def record_internal_error(self, text: str) -> None:
         """Records a log line that reports an internal error."""
         if "failed on" in text:
-            self.faults.append(text)
+            self.violations.append(text)
 
     def on_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        self.faults.append(f"{context.get('message')}: {context.get('exception')!r}")
+        self.violations.append(f"{context.get('message')}: {context.get('exception')!r}")
 
 
 class ProgramRunner:
@@ -166,10 +164,11 @@
         self.owners = self.request_log.owners
         self.network = SimNetwork(Random(self.rng.getrandbits(64)))
         self.tcp = TcpStack(self.network, Random(self.rng.getrandbits(64)))
-        self.first = True
-        self.applied_changes: list[AppliedChange] = []  # at proxies, over all their restarts
+        self.first = True  # whether machines that start are on their first start
+        self.applied_changes: list[AppliedChange] = []  # by proxies, including restarted ones
         self.proxy_starts = 0
-        self.clock_offsets: dict[str, float] = {}  # s, of the wall clocks of machines
+        # by machine: seconds that its wall clock is ahead
+        self.clock_offsets: dict[str, float] = {}
         self.core_ips = [f"10.1.0.{n + 1}" for n in range(cores)]
         self.control_addresses = [(ip, CONTROL_PORT) for ip in self.core_ips]
         self.registries = {
@@ -183,20 +182,20 @@
         self.versions: dict[int, bytes] = {}
         self.version, self.resources = 0, dict[tuple[str, str], dict[str, Any]]()
         self.routed_proxies: list[Address] = []  # proxies that get new connections
-        self.background: list[asyncio.Task[Any]] = []
+        self.background_tasks: list[asyncio.Task[Any]] = []
 
     def on_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         self.request_log.violations.append(
             f"{context.get('message')}: {context.get('exception')!r}"
         )
 
-    def make_host(self, ip: str, make: ProgramFactory) -> Host:
+    def make_host(self, ip: str, factory: ProgramFactory) -> Host:
         """Creates a machine that runs one program, and the random generators it uses."""
         host = Host(
             ip,
             self.network,
             Random(self.rng.getrandbits(64)),
-            [make],
+            [factory],
             DiskState(Random(self.rng.getrandbits(64))),
             self.rng.uniform(0, 1e4),
         )
@@ -251,13 +250,13 @@
         def make(network: Any, disk: Any, clock: Any, rng: Random) -> Any:
             streams = Streams(self.tcp, ip, network.process)
             self.proxy_starts += 1
-            wall = self.wall_clock(ip, rng)
+            wall_seconds = self.wall_clock(ip, rng)
             proxy = SimProxy(
                 self.settings(ip),
                 network,
                 rng,
                 streams,
-                wall,
+                wall_seconds,
                 self.request_log,
                 self.applied_changes,
                 self.proxy_starts,
@@ -312,7 +311,7 @@
         return self.loop.run_until_complete(work)
 
     def wait(self, seconds: float) -> None:
-        """Advances the simulation by a time."""
+        """Advances the simulation by some seconds."""
         self.run(asyncio.sleep(seconds))
 
     async def wait_until(self, condition: Callable[[], bool], within: float) -> float:
@@ -330,13 +329,13 @@
     def run_in_background(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Runs a coroutine beside the test; `close` raises its failure."""
         task = self.loop.create_task(work)
-        self.background.append(task)
+        self.background_tasks.append(task)
         return task
 
     def close(self) -> None:
         """Raises failures of background tasks, checks the request log and closes the loop."""
         try:
-            for task in self.background:
+            for task in self.background_tasks:
                 if task.done() and not task.cancelled():
                     task.result()
             self.request_log.check()
@@ -346,10 +345,12 @@
     # start and observation
 
     async def start(self) -> None:
-        """Starts all, sends the first configuration and waits until all proxies are ready."""
+        """Starts all machines and servers, sends the first configuration and waits until all
+        proxies are ready.
+        """
         for host in (*self.stores.values(), *self.registries.values(), *self.proxies.values()):
             host.start()
-        for server in (s for many in self.servers.values() for s in many):
+        for server in (s for servers in self.servers.values() for s in servers):
             server.start()
         self.run_in_background(self.run_readiness_checks())
         await asyncio.sleep(0.5)
@@ -358,7 +359,7 @@
         self.first = False
 
     async def run_readiness_checks(self) -> None:
-        """Checks readiness each second; a proxy that fails two checks gets no new connections.
+        """Checks readiness each second; after two failed checks a proxy gets no new connections.
 
         If fewer than half are ready, all get connections, unless none is ready.
         """
@@ -369,7 +370,7 @@
 
         while True:
             await asyncio.gather(*(check(ip) for ip in self.proxies))
-            ready = [ip for ip, n in misses.items() if n < 2]
+            ready = [ip for ip, missed in misses.items() if missed < 2]
             if 2 * len(ready) < len(misses):
                 ready = [*misses] if ready else []
             self.routed_proxies = [(ip, FRONT_PORT) for ip in ready]
@@ -414,7 +415,7 @@
         store = self.stores[ip].programs[0]
         try:
             return store.replica.lease_left(store.clock()) > 0.0
-        except CallRefusedError:  # it is still reading its disk
+        except CallRefusedError:  # the store is still reading its disk
             return False
 
     def core(self, ip: str) -> tuple[Host, Host]:
@@ -438,18 +439,18 @@
     def use_default_configuration(self) -> None:
         self.begin_draft([*self.servers])
 
-    async def replace(self, lasts: float = 5.0) -> bool:
-        """Sends `resources` as the next version; returns whether it was acknowledged."""
+    async def replace(self, within: float = 5.0) -> bool:
+        """Sends `resources` as the next version; returns whether it was acknowledged in time."""
         if not self.resources:
             self.use_default_configuration()
         self.version += self.rng.choice((1, 1, 3))
         self.versions[self.version] = body = self.body(self.version)
-        return await self.operator.replace(body, lasts)
+        return await self.operator.replace(body, within)
 
     # requests
 
     async def get(self, name: str = "a", key: str = "key-of-ann", **more: Any) -> Any:
-        """Sends an idempotent GET request with retries; returns the last reply."""
+        """Sends a GET request on the route `name`, with retries; returns the last reply."""
         return await self.client.send_with_retries(
             "GET", "town.example", f"/{name}/x?n=1", key, idempotent=True, **more
         )
@@ -457,7 +458,11 @@
     async def send_once(
         self, name: str = "once", key: str = "key-of-ann", at: str = "", **more: Any
     ) -> Any:
-        """Sends a POST request once; returns the request and its reply."""
+        """Sends a POST request on the route `name` once; returns the request and its reply.
+
+        It is sent to the proxy with the address `at`, or else to a random one that gets new
+        connections.
+        """
         request = self.client.new_request(
             "POST", "town.example", f"/{name}/x", key, b"body " * 20, **more
         )
--- a/loomstand/testing/simulation/configuration_draft.py
+++ b/loomstand/testing/simulation/configuration_draft.py
@@ -10,14 +10,14 @@
     """Routes of the host `town.example`, services and tenants, edited by tests."""
 
     resources: dict[tuple[str, str], dict[str, Any]]
-    owners: dict[str, str]  # tenant by key, also of keys that were replaced
+    owners: dict[str, str]  # tenant by API key, including keys that were replaced
 
     def service(self, name: str) -> None:
         """Adds a service."""
         self.resources["services", name] = {"health_check_path": "/health", "connection_limit": 130}
 
-    def route(self, name: str, service: str, kind: str = "idempotent", **more: Any) -> None:
-        """Adds or changes the route under /NAME/."""
+    def route(self, name: str, service: str, kind: str = "idempotent", **fields: Any) -> None:
+        """Adds or changes the route with the path prefix /NAME/; `fields` override its defaults."""
         self.resources["routes", name] = {
             "host": "town.example",
             "path_prefix": f"/{name}/",
@@ -28,10 +28,13 @@
             "service_name": service,
             "maximum_attempts": 3,
             "public": False,
-        } | more
+        } | fields
 
     def tenant(self, name: str, key: str, rate: float = 0, burst: float = 0) -> None:
-        """Adds or changes a tenant with one key."""
+        """Adds or changes a tenant with one API key.
+
+        `rate` is in requests a second, `burst` in requests; a rate of 0 sets no quota.
+        """
         self.resources["tenants", name] = {
             "api_keys": [key],
             "priority": 1,
--- a/loomstand/testing/simulation/control_plane.py
+++ b/loomstand/testing/simulation/control_plane.py
@@ -2,7 +2,7 @@
 
     python -m loomstand.testing.simulation.control_plane 1000 300
 
-runs 300 seeds from 1000 on; the exit status is 1 if one breaks a rule.
+runs 300 seeds from 1000 on; the exit status is 1 if a check fails for one of them.
 """
 
 from __future__ import annotations
@@ -18,13 +18,14 @@
 from loomstand.testing.simulation.http_log import Message, exchange, post
 from loomstand.testing.simulation.streams import Host
 
-CALL_TIMEOUT_SECONDS = 30.0  # long, so that late answers are checked too
-# age that a version may have when its answer arrives: forwarding, and the way back
+CALL_TIMEOUT_SECONDS = 30.0  # long, so that late answers are checked, too
+# An answer may contain a version that was superseded up to this long before the answer arrives: the
+# core machine may have forwarded the read, and the answer takes time on its way back.
 READ_STALENESS_SECONDS = LEASE_SECONDS + 0.1
 
 
 class ControlPlane(Cluster):
-    """Core machines without proxies, and the versions that operators sent and had acknowledged."""
+    """Core machines without proxies; records the versions that were sent and acknowledged."""
 
     def __init__(self, seed: int, cores: int = 3) -> None:
         super().__init__(seed, cores, proxies=0, servers=0)
@@ -89,6 +90,7 @@
         return version
 
     def primary(self) -> str:
+        """Returns the core machine whose store serves as primary, or an empty string."""
         return next((ip for ip in self.core_ips if self.is_serving(ip)), "")
 
     async def check_recovered(self) -> None:
@@ -104,7 +106,9 @@
 
 
 class CoreFaults:
-    """Random faults of core machines while changes are in progress; one disk at a time is lost."""
+    """Random faults of core machines while changes are in progress; at most one disk is lost at a
+    time.
+    """
 
     def __init__(self, plane: ControlPlane, rng: Random) -> None:
         self.plane, self.rng, self.machine_count = plane, rng, len(plane.core_ips)
@@ -124,7 +128,7 @@
                 )
             plane.run_in_background(plane.read_version(rng.choice(plane.core_ips)))
 
-    def machine(self) -> str:
+    def draw_machine(self) -> str:
         """Draws a core machine, with probability 1/2 the one whose store is primary."""
         primary = self.plane.primary()
         return (
@@ -133,8 +137,8 @@
 
     async def inject(self) -> None:
         """Injects one random fault and ends it."""
-        plane, rng, ip = self.plane, self.rng, self.machine()
-        lasts = rng.choice((0.3, 1.2, 2.0, 4.0))
+        plane, rng, ip = self.plane, self.rng, self.draw_machine()
+        seconds = rng.choice((0.3, 1.2, 2.0, 4.0))
         hosts = plane.hosts(ip)
         hosts = rng.choice((hosts, hosts, hosts[:1], hosts[1:]))
         kind = rng.choice(
@@ -146,9 +150,9 @@
                 "freeze",
                 "freeze",
                 "cut",
-                "deaf",
-                "dumb",
-                "third",
+                "cut incoming",
+                "cut outgoing",
+                "cut from two",
                 "leave",
             )
             + ("exchange",) * (len(plane.core_ips) > 3)
@@ -156,23 +160,23 @@
         if kind in ("kill", "freeze"):
             for host in hosts:
                 host.kill() if kind == "kill" else host.freeze()
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(seconds)
             for host in hosts:
                 host.start() if kind == "kill" else host.thaw()
         elif kind in ("power", "wipe"):
             for host in plane.hosts(ip):
                 host.power_off(wipe=kind == "wipe")
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(seconds)
             for host in plane.hosts(ip):
                 host.start()
-            # at least `catch_up`, after which another disk may be lost
+            # the bound `catch_up`: until then a second lost disk isn't tolerated
             await asyncio.sleep(4.0 * (kind == "wipe"))
-        elif kind in ("cut", "deaf", "dumb", "third"):
-            for other in plane.core_ips[: 2 if kind == "third" else None]:
+        elif kind.startswith("cut"):
+            for other in plane.core_ips[: 2 if kind == "cut from two" else None]:
                 if other != ip:
-                    ends = (other, ip) if kind == "deaf" else (ip, other)
-                    plane.network.cut(*ends, both=kind in ("cut", "third"))
-            await asyncio.sleep(lasts)
+                    link = (other, ip) if kind == "cut incoming" else (ip, other)
+                    plane.network.cut(*link, both=kind in ("cut", "cut from two"))
+            await asyncio.sleep(seconds)
             plane.network.heal()
         elif kind == "leave":
             await asyncio.gather(*(host.terminate() for host in plane.hosts(ip)))
@@ -203,7 +207,7 @@
     plane = ControlPlane(seed, 3 + seed % 2)
     faults = CoreFaults(plane, Random(seed))
 
-    async def day() -> None:
+    async def run() -> None:
         await plane.start()
         operators = plane.run_in_background(faults.send_operations())
         for _ in range(steps):
@@ -214,8 +218,8 @@
         await plane.check_recovered()
 
     try:
-        plane.run(day())
-        for task in plane.background:
+        plane.run(run())
+        for task in plane.background_tasks:
             if task.done() and not task.cancelled():
                 task.result()
     finally:
@@ -224,7 +228,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs the seeds and prints the broken ones; returns 1 if there are any, else 0."""
+    """Runs the seeds and prints those with a failed check; returns 1 if there are any, else 0."""
     first_seed, count = int(arguments[0]), int(arguments[1])
     broken, reads, acked = list[int](), 0, 0
     for seed in range(first_seed, first_seed + count):
--- a/loomstand/testing/simulation/faults.py
+++ b/loomstand/testing/simulation/faults.py
@@ -18,7 +18,7 @@
 from loomstand.testing.simulation.streams import Host
 from loomstand.testing.simulation.workload import Server
 
-LIMITERS = [
+LIMITER_FAULTS = [
     "proxy",
     "herd",
     "herd",
@@ -30,9 +30,9 @@
     "slow_proxy",
     "step",
 ]
-# Of dense days, on which several faults overlap.
-DENSE = [*LIMITERS, "roll", "roll", "herd", "step", "part"]
-CORES = [
+# Faults of limiters on dense days, on which several faults overlap.
+DENSE_DAY_FAULTS = [*LIMITER_FAULTS, "roll", "roll", "herd", "step", "part"]
+CORE_FAULTS = [
     "core",
     "core",
     "registry",
@@ -45,7 +45,7 @@
     "all_core",
     "lossy",
 ]
-SERVERS = ["server", "trouble", "swap", "wave", "wave", "leave", "leave", "release"]
+SERVER_FAULTS = ["server", "trouble", "swap", "wave", "wave", "leave", "leave", "release"]
 ROLL_GAP_SECONDS = 0.7  # between two steps of a rolling restart
 STOP_TIMEOUT_SECONDS = 6.0  # after which a program that was asked to stop is killed
 # from the acknowledgement of a drain until the server exits; more than the bound `drain`
@@ -53,20 +53,20 @@
 
 
 class Faults:
-    """Faults of one cluster. `lasts`: the durations to draw from, in seconds."""
+    """Injects faults into one cluster; `durations`, in seconds, are those to draw from."""
 
     def __init__(
         self,
         cluster: Cluster,
         rng: Random,
         history: History | None = None,
-        lasts: tuple[float, ...] = (0.3, 1.0, 3.0),
+        durations: tuple[float, ...] = (0.3, 1.0, 3.0),
     ) -> None:
-        self.cluster, self.rng, self.durations = cluster, rng, lasts
+        self.cluster, self.rng, self.durations = cluster, rng, durations
         self.history = History([*cluster.proxies]) if history is None else history
 
     async def inject(self, kinds: list[str]) -> None:
-        """Runs one fault of the kinds, from its begin to its end."""
+        """Draws one of the kinds, injects the fault and waits for its end."""
         await getattr(self, self.rng.choice(kinds))()
 
     @asynccontextmanager
@@ -78,8 +78,9 @@
         core: bool = False,
         majority_connected: bool = True,
     ) -> AsyncIterator[None]:
-        """Records a fault that lasts as long as the block; one cut short by the end of the day has
-        no end.
+        """Records a fault that lasts as long as the block.
+
+        The end of a fault that is active at the end of the day isn't recorded.
         """
         begun, where = self.cluster.loop.time(), frozenset(hosts)
         spans, n = self.history.spans, len(self.history.spans)
@@ -94,6 +95,7 @@
         )
 
     async def wait_fault_duration(self) -> None:
+        """Waits for a random one of the durations."""
         await asyncio.sleep(self.rng.choice(self.durations))
 
     def draw_proxies(self, low: float, high: float) -> list[str]:
@@ -118,10 +120,10 @@
 
     # power
 
-    async def take_down(self, hosts: list[Host], off: bool, wipe: bool = False) -> None:
-        """Kills hosts or cuts their power, and starts them again after the drawn duration."""
+    async def take_down(self, hosts: list[Host], power_off: bool, wipe: bool = False) -> None:
+        """Kills hosts or cuts their power, and starts them again after a random duration."""
         for host in hosts:
-            host.power_off(wipe) if off else host.kill()
+            host.power_off(wipe) if power_off else host.kill()
         await self.wait_fault_duration()
         self.start_again(hosts)
 
@@ -208,7 +210,7 @@
     # processes and disks
 
     async def freeze_hosts(self, hosts: list[Host]) -> None:
-        """Freezes the processes of hosts for the drawn duration."""
+        """Freezes the processes of hosts for a random duration."""
         for host in hosts:
             host.freeze()
         await self.wait_fault_duration()
@@ -244,7 +246,7 @@
     # links
 
     async def block_links(self, pairs: set[tuple[str, str]]) -> None:
-        """Blocks links, each from the first to the second host of a pair."""
+        """Blocks links, each from the first to the second host of a pair, for a random duration."""
         self.cluster.network.blocked_links |= pairs
         await self.wait_fault_duration()
         self.cluster.network.heal(pairs)
@@ -269,7 +271,7 @@
             await self.block_links(self.links_between(ips, remote_ips))
 
     async def cut(self) -> None:
-        """Partitions the core in two; limiters reach one side, or both."""
+        """Partitions the core in two parts; each limiter reaches one of them, or all reach both."""
         cores, side = list(self.cluster.core_ips), [self.draw_core()]
         if len(cores) == 4 and self.rng.random() < 0.4:
             side.append(self.rng.choice([ip for ip in cores if ip not in side]))
@@ -297,10 +299,11 @@
         ip = self.draw_core() if core else self.rng.choice([*self.cluster.proxies])
         all_ips = [*self.cluster.proxies, *self.cluster.core_ips, *self.server_ips()]
         async with self.span(CORE if core else "cut", "alone", [ip], core):
-            await self.block_links({p for o in all_ips if o != ip for p in ((ip, o), (o, ip))})
+            others = [other for other in all_ips if other != ip]
+            await self.block_links({(ip, o) for o in others} | {(o, ip) for o in others})
 
     async def slow_down(self, ips: list[str]) -> None:
-        """Delays all bytes to and from machines."""
+        """Delays all bytes to and from machines for a random duration."""
         delay = self.rng.choice((0.02, 0.1, 0.4))
         self.cluster.network.extra_delay_seconds |= dict.fromkeys(ips, delay)
         await self.wait_fault_duration()
@@ -357,7 +360,7 @@
         server.fault = ""
 
     async def wave(self) -> None:
-        """Half of the servers of a service reject, fail or reset their requests."""
+        """Makes half of a service's servers reject, fail or reset a random share of requests."""
         servers = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
         faulty, fault, share = (
             servers[::2],
@@ -371,7 +374,7 @@
             server.fault = ""
 
     async def swap(self) -> None:
-        """Two servers of different services end and start with each other's address."""
+        """Kills two servers of different services and starts each with the other's address."""
         alpha, beta = self.cluster.servers["alpha"][0], self.cluster.servers["beta"][0]
         alpha.kill()
         beta.kill()
@@ -386,15 +389,15 @@
 
     async def drain_and_replace(self, server: Server) -> None:
         """Drains a server and replaces it by a new instance."""
-        id_ = server.id
-        at, core = await server.drain()
-        self.history.drains.append(Drain(id_, at, core[0], at + DRAIN_TO_EXIT_SECONDS))
+        old_id = server.id
+        acked, core = await server.drain()
+        self.history.drains.append(Drain(old_id, acked, core[0], acked + DRAIN_TO_EXIT_SECONDS))
         await asyncio.sleep(DRAIN_TO_EXIT_SECONDS)
         await server.leave()
         server.start()
 
     async def release(self) -> None:
-        """Replaces up to three servers of a service, starting one a second."""
+        """Replaces up to three servers of a service, with one second between the drains."""
         servers = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
         leaving = []
         for server in servers[:3]:
--- a/loomstand/testing/simulation/http_log.py
+++ b/loomstand/testing/simulation/http_log.py
@@ -1,7 +1,7 @@
 """HTTP messages on simulated streams, and the log of all requests of a run.
 
 Messages are parsed and encoded here, independently of the parsers under test. `violations` of a
-`RequestLog` lists broken rules that hold in every run.
+`RequestLog` lists violations of the rules that hold in every run.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 
 from loomstand.testing.simulation.streams import Address, SimTransport, Streams
 
-NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # the request wasn't run and won't be
+# With these statuses a server or proxy guarantees that the request isn't and won't be executed.
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 Fields = dict[str, str]
 
 
@@ -23,7 +24,7 @@
 class Message:
     """A complete HTTP message."""
 
-    start: bytes
+    start: bytes  # request line or status line, without its CRLF
     fields: Fields
     body: bytes
 
@@ -33,7 +34,7 @@
 
 
 class ConnectionBrokenError(Exception):
-    """The connection ended within a message, or the bytes are no HTTP message."""
+    """The connection ended within a message, or the bytes aren't an HTTP message."""
 
 
 class HttpConnection(asyncio.Protocol):
@@ -88,6 +89,7 @@
         return bool(self.closed_reason)
 
     async def read_line(self) -> bytes:
+        """Reads up to the next CRLF, which is left out."""
         while (end := self.buffer.find(b"\r\n")) < 0:
             await self.wait_for_data()
         line = bytes(self.buffer[:end])
@@ -105,7 +107,7 @@
         """Reads the next message.
 
         Raises:
-            ConnectionBrokenError: The connection ended before, or the bytes are no message.
+            ConnectionBrokenError: The connection ended before, or the bytes aren't a message.
         """
         start, fields = await self.read_line(), Fields()
         while line := await self.read_line():
@@ -126,10 +128,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One try of a client's request; `sent` and `front` are when and to which proxy it was sent.
-
-    `left_at` is when the client closed its connection without an answer.
-    """
+    """One try of a client's request."""
 
     id: str
     method: str
@@ -138,9 +137,9 @@
     key: str
     body: bytes
     idempotent: bool
-    sent: float = 0.0
-    front: Address = ("", 0)
-    left_at: float = inf
+    sent: float = 0.0  # time at which it was sent
+    front: Address = ("", 0)  # address of the proxy that it was sent to
+    left_at: float = inf  # time at which the client closed its connection without an answer
 
 
 @dataclass(slots=True)
@@ -156,18 +155,15 @@
 
 @dataclass(slots=True)
 class ServerArrival:
-    """The arrival of a request at a server, which ran or rejected it.
-
-    `ended` is when the server stopped work on it.
-    """
+    """The arrival of a request at a server, which ran or rejected it."""
 
-    at: float
+    at: float  # time at which the server ran or rejected it
     service: str
     server: str
     id: str
     tenant: str
     ran: bool
-    ended: float = 0.0
+    ended: float = 0.0  # time at which the server stopped work on it
 
 
 @dataclass(slots=True)
@@ -178,7 +174,7 @@
     replies: dict[str, Reply] = field(default_factory=dict)
     arrivals: list[ServerArrival] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
-    # tenant by key, also of keys that were replaced
+    # tenant by API key, including keys that were replaced
     owners: dict[str, str] = field(default_factory=dict)
 
     def runs(self, id_: str = "") -> list[ServerArrival]:
@@ -190,36 +186,40 @@
         return [run for run in self.runs() if run.ended > self.requests[run.id].left_at + seconds]
 
     def record_arrival(self, run: ServerArrival, message: Message) -> None:
-        """Records an arrival at a server and compares it with the sent request (UNASKED)."""
+        """Records an arrival at a server and compares it with the sent request (rule UNASKED)."""
         self.arrivals.append(run)
         request = self.requests.get(run.id)
         if request is None:
-            self.violations.append(f"{run.id}: no client sent this")
+            self.violations.append(f"{run.id}: arrived at a server, but no client sent it")
             return
         method, target, _ = message.start.decode("latin-1").split(" ")
         if (method, target, message.body) != (request.method, request.path, request.body):
-            self.violations.append(f"{run.id}: changed on its way: {message.start!r}")
+            self.violations.append(
+                f"{run.id}: changed between client and server: {message.start!r}"
+            )
         field_values = " ".join(message.fields.values())
         if "authorization" in message.fields or (request.key and request.key in field_values):
             self.violations.append(f"{run.id}: the API key was forwarded")
         if run.ran and run.tenant != self.owners.get(request.key, ""):
-            self.violations.append(f"{run.id}: ran for {run.tenant!r}")
+            self.violations.append(
+                f"{run.id}: ran for {run.tenant!r}, not the tenant of its API key"
+            )
 
     def record_reply(self, request: ClientRequest, reply: Reply) -> None:
-        """Records a reply at a client and checks that it belongs to the request (MIXED)."""
+        """Records a reply at a client and checks that it belongs to the request (rule MIXED)."""
         self.replies[request.id] = reply
         reply_id = reply.fields.get("loomstand-request-id", request.id)
         if reply_id != request.id:
-            self.violations.append(f"{request.id}: the answer to {reply_id}")
+            self.violations.append(f"{request.id}: received the answer to {reply_id}")
         if 200 <= reply.status < 300:
             stamp = reply.fields.get("loomstand-response-stamp", "")
             if stamp != stamp_of(request.id, reply.body):
                 self.violations.append(
-                    f"{request.id}: a success with {reply.body[:40]!r}, stamped {stamp!r}"
+                    f"{request.id}: a success with {reply.body[:40]!r}, wrong stamp {stamp!r}"
                 )
 
     def check(self) -> None:
-        """Asserts that no rule is broken (MIXED, UNASKED, TWICE, REFUSED)."""
+        """Asserts that none of the rules MIXED, UNASKED, TWICE and REFUSED is violated."""
         ran: dict[str, int] = {}
         for run in self.runs():
             ran[run.id] = ran.get(run.id, 0) + 1
@@ -228,7 +228,9 @@
             if not request.idempotent and times > 1:
                 self.violations.append(f"{id_}: ran {times} times")
             if reply is not None and reply.status in NOT_EXECUTED_STATUSES:
-                self.violations.append(f"{id_}: answered {reply.status}, and ran")
+                self.violations.append(
+                    f"{id_}: answered {reply.status}, which rules out execution, but ran"
+                )
         assert self.violations == []
 
 
--- a/loomstand/testing/simulation/hunt.py
+++ b/loomstand/testing/simulation/hunt.py
@@ -17,7 +17,7 @@
 from loomstand.testing.simulation.bounds import Figure, History, evaluate
 from loomstand.testing.simulation.scenario import Day, Setup
 
-NARRATIVE_SECONDS = 12.0  # printed before and after the worst moment
+NARRATIVE_SECONDS = 12.0  # events are printed from this long before to after the worst moment
 
 
 def run_day(arguments: tuple[int, Setup]) -> tuple[int, list[Figure]]:
@@ -28,7 +28,9 @@
 
 
 def worst_by_name(days: Iterable[tuple[int, list[Figure]]]) -> list[tuple[Figure, int, int]]:
-    """Returns the worst figure of each name, the seed of its day, and how many days broke it."""
+    """Returns the worst figure of each name, the seed of its day, and the number of days over its
+    bound.
+    """
     worst: dict[str, tuple[Figure, int, int]] = {}
     for seed, figures in days:
         for figure in figures:
@@ -87,7 +89,7 @@
 
 
 def plot(path: str, days: list[tuple[int, list[Figure]]]) -> None:
-    """Plots each figure over its allowed value by day, to an image file."""
+    """Plots the ratio of each day's figures to their bounds, to an image file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -110,7 +112,7 @@
     figure.savefig(path)
 
 
-def whole(text: str) -> int:
+def positive_integer(text: str) -> int:
     """Parses a positive integer argument."""
     if (number := int(text)) < 1:
         raise argparse.ArgumentTypeError(f"{text}: must be 1 or more")
@@ -122,25 +124,37 @@
     parser = argparse.ArgumentParser(
         prog="python -m loomstand.testing.simulation.hunt", description=__doc__
     )
-    parser.add_argument("--days", type=whole, default=20, help="how many to play")
+    parser.add_argument("--days", type=positive_integer, default=20, help="number of days")
+    parser.add_argument(
+        "--seed",
+        type=int,
+        default=1,
+        help="seed of the first day; each further day has the next seed",
+    )
+    parser.add_argument("--limiters", type=positive_integer, default=12)
+    parser.add_argument(
+        "--quotas", type=float, default=1.0, help="factor on the rates of tenants, for larger sites"
+    )
+    parser.add_argument(
+        "--dense", action="store_true", help="overlapping faults that follow within seconds"
+    )
     parser.add_argument(
-        "--seed", type=int, default=1, help="of the first day; the others follow by one"
+        "--jobs", type=positive_integer, default=4, help="number of parallel processes"
     )
-    parser.add_argument("--limiters", type=whole, default=12)
+    parser.add_argument("--json", metavar="FILE", help="file for the figures of all days")
     parser.add_argument(
-        "--quotas", type=float, default=1.0, help="times the usual ones, as sites grow"
+        "--plot", metavar="PNG", help="image file for the ratios of figures to their bounds"
     )
     parser.add_argument(
-        "--dense", action="store_true", help="several faults at once, within seconds"
+        "--day",
+        type=int,
+        metavar="SEED",
+        help="simulate only the day with this seed, and print the events around its worst figure",
     )
-    parser.add_argument("--jobs", type=whole, default=4, help="processes side by side")
-    parser.add_argument("--json", metavar="FILE", help="all days' figures")
-    parser.add_argument("--plot", metavar="PNG", help="each day's worst over its allowed")
-    parser.add_argument("--day", type=int, metavar="SEED", help="this one alone, with what went on")
     arguments = parser.parse_args(argv)
     for path in (arguments.json, arguments.plot):  # before all days are simulated
         if path and not Path(path).resolve().parent.is_dir():
-            parser.error(f"{path}: its folder isn't there")
+            parser.error(f"{path}: its directory doesn't exist")
     setup = Setup(limiters=arguments.limiters, quotas=arguments.quotas, dense=arguments.dense)
     if arguments.day is not None:
         history, bounds = Day(arguments.day, setup).simulate()
--- a/loomstand/testing/simulation/scenario.py
+++ b/loomstand/testing/simulation/scenario.py
@@ -1,5 +1,5 @@
 """A random day of a simulated cluster: tenants at or above their quotas, concurrent faults, and the
-history of what was observed.
+history of the observations.
 """
 
 from __future__ import annotations
@@ -13,43 +13,48 @@
 from loomstand.config.settings import RuleBounds
 from loomstand.testing.simulation.bounds import Arrival, ConfigurationChange, History
 from loomstand.testing.simulation.cluster import Cluster
-from loomstand.testing.simulation.faults import CORES, DENSE, LIMITERS, SERVERS, Faults
+from loomstand.testing.simulation.faults import (
+    CORE_FAULTS,
+    DENSE_DAY_FAULTS,
+    LIMITER_FAULTS,
+    SERVER_FAULTS,
+    Faults,
+)
 
-OBSERVATION_PERIOD_SECONDS = 0.01  # between two observations of who serves and who counts
-# Without faults at the end: longer than every bound, so that what isn't in force by then is late.
+OBSERVATION_PERIOD_SECONDS = 0.01  # of the serving primary and the counting registries
+# Time without faults at the end of a day: longer than every bound, so that a change that isn't in
+# force by then is late.
 FINAL_CALM_SECONDS = 6.0
 # Durations of faults: from hardly noticeable to the usual 10 s of a partition.
 FAULT_SECONDS = (0.3, 1.0, 2.0, 4.0, 10.0)
-# Requests a second, and burst (requests) over rate. One of 12 limiters gets 0.1 to 4 requests a
-# second of a tenant, so that both small and large shares of a quota occur.
+# Rates in requests a second, and ratios of the burst in requests to the rate. One of 12 limiters
+# gets 0.1 to 4 requests a second of a tenant, so that small and large shares of a quota occur.
 TENANT_RATES, BURST_TO_RATE = (1.0, 4.0, 12.0, 30.0, 50.0), (0.5, 1.0, 2.0)
-HOT_LOAD_FACTOR = 8.0  # on the request rate of a hot tenant
+HOT_LOAD_FACTOR = 8.0  # factor on the request rate of a tenant while it is hot
 
 
 @dataclass(slots=True, frozen=True)
 class Setup:
-    """The size of a day: `length` in seconds; `cores` 0 draws 3 or 4; `quotas` is a factor on
-    the rates of tenants. `dense`: faults follow within seconds and overlap, with up to two hot
-    tenants and frequent changes of quotas.
-    """
+    """The size of a day."""
 
     limiters: int = 12
-    cores: int = 0
-    length: float = 36.0
-    servers: int = 5
-    quotas: float = 1.0
+    cores: int = 0  # core machines; with 0, 3 or 4 are drawn
+    length: float = 36.0  # seconds with faults
+    servers: int = 5  # servers per service
+    quotas: float = 1.0  # factor on the rates of tenants
+    # faults follow within seconds and overlap, with up to two hot tenants and frequent changes
     dense: bool = False
 
 
 @dataclass(slots=True)
 class Load:
-    """The load of a tenant: rates in requests a second, and the API key of its clients."""
+    """The load of a tenant; rates are in requests a second."""
 
     name: str
-    rate: float
-    normal_rate: float
-    key: str = ""
-    hot: bool = False
+    rate: float  # initial quota
+    normal_rate: float  # rate at which its clients send while it isn't hot
+    key: str = ""  # API key of its clients
+    hot: bool = False  # whether its clients send at a multiple of the normal rate
 
 
 class Day:
@@ -97,7 +102,7 @@
         until = history.begun + self.setup.length
         observation = cluster.loop.create_task(self.observe())
         client_tasks = [
-            cluster.loop.create_task(self.clients(load, until + FINAL_CALM_SECONDS))
+            cluster.loop.create_task(self.send_requests(load, until + FINAL_CALM_SECONDS))
             for load in self.loads
         ]
         await asyncio.gather(*self.activities(until))
@@ -110,32 +115,36 @@
         """Returns the activities, which run concurrently."""
         rng = self.rng
         if self.setup.dense:
-            return self.dense(until)
-        # A third of the days has no faults of limiters or none of the core: bounds for connected
-        # limiters are only tested without faults.
-        activities = [self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVERS))]
+            return self.dense_activities(until)
+        # A third of the days has no faults of limiters or none of the core, because the bounds for
+        # connected limiters only apply without them.
+        activities = [self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVER_FAULTS))]
         activities += [
             self.repeat(until, 1.0, 4.0, self.change_configuration),
             self.repeat(until, 0.5, 4.0, self.raise_load),
         ]
         if (fault_draw := rng.random()) < 0.83:
             gap = rng.choice((1.0, 3.0, 9.0))
-            activities.append(self.repeat(until, 0.2, gap, lambda: self.faults.inject(LIMITERS)))
+            activities.append(
+                self.repeat(until, 0.2, gap, lambda: self.faults.inject(LIMITER_FAULTS))
+            )
         if not 0.66 < fault_draw < 0.83:
             gap = rng.choice((3.0, 9.0, 15.0))
-            activities.append(self.repeat(until, 0.2, gap, lambda: self.faults.inject(CORES)))
+            activities.append(self.repeat(until, 0.2, gap, lambda: self.faults.inject(CORE_FAULTS)))
         return activities
 
-    def dense(self, until: float) -> list[Coroutine[Any, Any, None]]:
+    def dense_activities(self, until: float) -> list[Coroutine[Any, Any, None]]:
         """Returns the activities of a day with overlapping faults."""
         activities = [
             self.repeat(until, 0.0, 1.0, self.raise_load),
             self.repeat(until, 0.0, 1.0, self.raise_load),
         ]
         for gap in (0.5, 1.0, 2.0):
-            activities.append(self.repeat(until, 0.0, gap, lambda: self.faults.inject(DENSE)))
-        activities.append(self.repeat(until, 0.5, 4.0, lambda: self.faults.inject(CORES)))
-        activities.append(self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVERS)))
+            activities.append(
+                self.repeat(until, 0.0, gap, lambda: self.faults.inject(DENSE_DAY_FAULTS))
+            )
+        activities.append(self.repeat(until, 0.5, 4.0, lambda: self.faults.inject(CORE_FAULTS)))
+        activities.append(self.repeat(until, 0.5, 3.0, lambda: self.faults.inject(SERVER_FAULTS)))
         return [*activities, self.repeat(until, 0.3, 2.0, self.change_configuration)]
 
     async def repeat(
@@ -155,7 +164,7 @@
 
     # clients
 
-    async def clients(self, load: Load, until: float) -> None:
+    async def send_requests(self, load: Load, until: float) -> None:
         """Sends requests of one tenant, each to a random limiter that gets new connections."""
         client, rng, tasks = self.cluster.new_client(), Random(self.rng.getrandbits(32)), []
         while self.cluster.loop.time() < until:
@@ -193,7 +202,7 @@
         return {name: (spec["rate_per_s"], spec["burst_size"]) for name, spec in named.items()}
 
     async def change_configuration(self) -> None:
-        """Changes the configuration: a quota, a key that is replaced, or a new route."""
+        """Changes a quota, replaces an API key, or adds a route."""
         cluster, rng, load = self.cluster, self.rng, self.rng.choice(self.loads)
         change, spec = (
             rng.choice(("quota", "quota", "key", "route")),
@@ -201,8 +210,8 @@
         )
         if change == "quota":
             factor = rng.choice((0.4, 0.7, 1.5, 2.5))
-            most = max(TENANT_RATES) * self.setup.quotas
-            rate = min(1.2 * most, max(1.0, round(spec["rate_per_s"] * factor)))
+            highest = max(TENANT_RATES) * self.setup.quotas
+            rate = min(1.2 * highest, max(1.0, round(spec["rate_per_s"] * factor)))
             cluster.tenant(load.name, load.key, rate, round(rate * rng.choice(BURST_TO_RATE)))
             load.normal_rate = rate * rng.uniform(0.8, 1.4)
         elif change == "key":
@@ -211,8 +220,8 @@
         else:
             cluster.route(f"n{cluster.version}", rng.choice([*cluster.servers]))
         sent = cluster.loop.time()
-        done = await cluster.replace(6.0)
-        acked = cluster.loop.time() if done else float("inf")
+        acknowledged = await cluster.replace(6.0)
+        acked = cluster.loop.time() if acknowledged else float("inf")
         self.history.changes.append(
             ConfigurationChange(cluster.version, sent, acked, self.quotas())
         )
--- a/loomstand/testing/simulation/workload.py
+++ b/loomstand/testing/simulation/workload.py
@@ -31,13 +31,22 @@
 
 
 class Server:
-    """A server of a service. `fault` is the fault that its requests meet: "" or one of
-
-    `full` (Not-Executed), `error` (its own 500), `bare` (a success without its stamp); and, after
-    the run: `close`, `silent`, `reset`, `cut` (within the answer), `spoilt` (malformed bytes),
-    `surplus` (a second answer at once), `late` (the second answer comes in place of the next one),
-    `slow` (`slow_seconds` more). `refuses` resets new connections. `dark` reads requests, but
-    neither runs nor answers them.
+    """A server of a service, with a fault that affects a share of its requests.
+
+    `fault` is empty or one of:
+
+        full: rejects the request with a 503 marked as not executed.
+        dark: reads the request, but neither runs nor answers it.
+        slow: takes `slow_seconds` longer to run it.
+        error: runs it and answers 500.
+        bare: answers without the response stamp.
+        silent: runs it, but doesn't answer.
+        close, reset: runs it, then closes or resets the connection instead of answering.
+        cut: closes the connection within the answer.
+        spoilt: inserts malformed bytes into the answer.
+        surplus: sends a second answer at once.
+        late: sends a second answer to the previous request before the answer.
+        refuses: resets new connections; affects all of them.
     """
 
     def __init__(
@@ -53,12 +62,12 @@
         self.tcp, self.request_log, self.rng, self.cores = tcp, request_log, rng, cores
         self.address, self.service, self.zone = address, service, zone
         self.slots, self.queue, self.work_seconds, self.keep_alive_seconds = 8, 8, (0.005, 0.02), 10
-        # `fault_method`: the fault only hits requests of this method; "" for all
+        # `fault_method`: the fault only affects requests with this method; empty for all
         self.fault, self.fault_share, self.fault_method = "", 1.0, ""
         self.id, self.state, self.sequence, self.core_index = "", "ready", 0, 0
         self.process: SimProcess | None = None
         self.port: StreamListener | None = None
-        self.busy, self.waiting, self.last = 0, 0, ""
+        self.busy, self.waiting = 0, 0  # requests that run and that wait for a slot
         # time and core machine of the last acknowledged call
         self.last_acknowledgement: tuple[float, Address] | None = None
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -153,14 +162,14 @@
         connection.transport.close()
 
     async def handle_request(self, connection: ServerHttpConnection, message: Message) -> None:
-        """Rejects a request, or runs it and answers; `fault` may change both."""
+        """Rejects a request, or runs it and answers; the fault may change either."""
         loop, fields = asyncio.get_running_loop(), message.fields
         id_ = fields.get("loomstand-request-id", "")
         method = message.start.split(b" ")[0].decode()
-        hit = self.fault_method in ("", method) and self.rng.random() < self.fault_share
-        fault = self.fault if hit else ""
-        wait = int(fields.get("loomstand-deadline-remaining", 60_000)) / 1000
-        until = loop.time() + wait
+        has_fault = self.fault_method in ("", method) and self.rng.random() < self.fault_share
+        fault = self.fault if has_fault else ""
+        remaining = int(fields.get("loomstand-deadline-remaining", 60_000)) / 1000
+        deadline = loop.time() + remaining
         run = ServerArrival(
             loop.time(), self.service, self.id, id_, fields.get("loomstand-tenant-name", ""), False
         )
@@ -176,10 +185,10 @@
             self.send_response(connection, 503 if id_ else 400, id_, b"full", not_executed=True)
             return
         self.waiting += 1
-        while self.busy >= self.slots and not connection.closed_reason and loop.time() < until:
+        while self.busy >= self.slots and not connection.closed_reason and loop.time() < deadline:
             await asyncio.sleep(0.002)
         self.waiting -= 1
-        if loop.time() >= until or connection.closed_reason:
+        if loop.time() >= deadline or connection.closed_reason:
             self.request_log.record_arrival(run, message)
             self.send_response(connection, 503, id_, b"", not_executed=True)
             return
@@ -187,20 +196,20 @@
         run.ran, run.at = True, loop.time()
         self.request_log.record_arrival(run, message)
         try:
-            work = self.rng.uniform(*self.work_seconds) + (
+            run_seconds = self.rng.uniform(*self.work_seconds) + (
                 self.slow_seconds if fault == "slow" else 0.0
             )
-            if await connection.closed_within(max(0.0, min(work, until - loop.time()))):
+            if await connection.closed_within(max(0.0, min(run_seconds, deadline - loop.time()))):
                 return  # the proxy has closed the connection
         finally:
             self.busy -= 1
             run.ended = loop.time()
-        await self.answer(connection, id_, fault, b"504" if loop.time() >= until else b"")
+        await self.answer(connection, id_, fault, loop.time() >= deadline)
 
     async def answer(
-        self, connection: ServerHttpConnection, id_: str, fault: str, late: bytes
+        self, connection: ServerHttpConnection, id_: str, fault: str, is_late: bool
     ) -> None:
-        """Sends the response of a request that ran, changed by `fault`."""
+        """Sends the response of a request that ran, changed by `fault`; 504 if `is_late`."""
         body = b"%s %d " % (id_.encode(), self.rng.getrandbits(32)) + b"x" * self.rng.randrange(300)
         if fault == "close":
             connection.transport.abort()
@@ -217,8 +226,8 @@
             raw = self.encode_response(200, id_, body)
             at = self.rng.choice((0, 3, raw.index(b"Content-Length") + 16))
             connection.transport.write(raw[:at] + b"\x00\xff spoilt\r\n" + raw[at:])
-        elif late or fault == "error":
-            self.send_response(connection, 504 if late else 500, id_, body)
+        elif is_late or fault == "error":
+            self.send_response(connection, 504 if is_late else 500, id_, body)
         elif fault == "bare":
             connection.transport.write(self.encode_response(200, id_, body, stamp=False))
         elif fault == "late" and connection.previous_duplicate:
@@ -278,7 +287,7 @@
 
 
 class Client:
-    """Sends requests, on kept connections or on a new one each."""
+    """Sends requests, with `keep_alive` on idle connections, otherwise each on a new one."""
 
     def __init__(
         self,
@@ -348,7 +357,7 @@
         request.sent, request.front = loop.time(), front
         if connection is not None and connection.buffer:
             self.request_log.violations.append(
-                f"{request.id}: {bytes(connection.buffer[:60])!r} where nothing was asked"
+                f"{request.id}: {bytes(connection.buffer[:60])!r} on an idle connection"
             )
         if connection is not None and connection.closed_reason:
             connection = None
@@ -363,7 +372,7 @@
                     or "content-length" not in message.fields
                 ):
                     self.request_log.violations.append(
-                        f"{request.id}: no answer: {message.start!r}"
+                        f"{request.id}: not an HTTP response: {message.start!r}"
                     )
                 reply = Reply(message.status, "", message.fields, message.body)
         except ConnectionBrokenError as error:
@@ -390,7 +399,10 @@
     async def send_with_retries(
         self, *request_arguments: Any, within: float = 5.0, tries: int = 3, **more: Any
     ) -> Reply:
-        """Sends a request with retries, each with its own id; returns the last reply."""
+        """Sends a request with retries, each with its own id; returns the last reply.
+
+        `within` is the number of seconds until the deadline of all tries.
+        """
         loop = asyncio.get_running_loop()
         until = loop.time() + within
         for n in range(tries):
@@ -406,24 +418,24 @@
                 or reply.end == "refused"
             ):
                 break
-            wait = float(reply.fields.get("retry-after", 0.05))
-            wait = min(wait, (until - loop.time()) / 3)
-            if until - loop.time() - wait < 0.05:
+            delay = float(reply.fields.get("retry-after", 0.05))
+            delay = min(delay, (until - loop.time()) / 3)
+            if until - loop.time() - delay < 0.05:
                 break
-            await asyncio.sleep(wait)
+            await asyncio.sleep(delay)
         return reply
 
 
 class Operator:
-    """Sends and reads configurations; after a failure goes on to the next core machine."""
+    """Sends and reads configurations; after a failure it tries the next core machine."""
 
     def __init__(self, streams: Streams, rng: Random, cores: list[Address]) -> None:
         self.streams, self.rng, self.cores, self.core_index = streams, rng, cores, 0
 
-    async def call(self, call: str, body: bytes, lasts: float) -> Message | None:
-        """Returns the answer, or None if none came within `lasts` seconds."""
+    async def call(self, call: str, body: bytes, within: float) -> Message | None:
+        """Returns the answer, or None if none came within `within` seconds."""
         loop = asyncio.get_running_loop()
-        until, pause = loop.time() + lasts, 0.05
+        until, pause = loop.time() + within, 0.05
         while loop.time() < until:
             core = self.cores[self.core_index % len(self.cores)]
             answer = await exchange(self.streams, core, post(call, body), 1.0)
@@ -434,12 +446,12 @@
             pause = min(1.0, 1.5 * pause)
         return None
 
-    async def replace(self, body: bytes, lasts: float = 5.0) -> bool:
+    async def replace(self, body: bytes, within: float = 5.0) -> bool:
         """Sends a configuration; returns whether it was acknowledged."""
-        answer = await self.call("configuration.replace", body, lasts)
+        answer = await self.call("configuration.replace", body, within)
         return answer is not None and answer.status == 200
 
-    async def read(self, lasts: float = 5.0) -> bytes:
-        """Reads the configuration; returns no bytes if the call fails."""
-        answer = await self.call("configuration.read", b"", lasts)
+    async def read(self, within: float = 5.0) -> bytes:
+        """Reads the configuration; returns an empty string if the call fails."""
+        answer = await self.call("configuration.read", b"", within)
         return answer.body if answer is not None and answer.status == 200 else b""
--- a/loomstand/testing/simulation/wrong_answers.py
+++ b/loomstand/testing/simulation/wrong_answers.py
@@ -1,7 +1,7 @@
 """Scripted servers and clients that send wrong, late, duplicate and truncated messages.
 
-`UpstreamFixture` tests the connections of a proxy to one server, without the admission engine;
-`ScriptedCluster` a whole proxy.
+Tests use `UpstreamFixture` for a proxy's connections to one server, without the admission engine,
+and `ScriptedCluster` for a complete proxy.
 """
 
 from __future__ import annotations
@@ -45,42 +45,42 @@
 
 
 class ScriptedServerConnection(HttpConnection):
-    """A server connection that answers each complete request by a script.
+    """A server connection that answers each complete request by a script of the fixture.
 
     The steps of a script are bytes to send, seconds to wait, "reset", "close" or "half" (closes the
-    sending side). A request runs unless its script begins with "refuse". With `early` of the
-    fixture the connection answers once a header block is complete.
+    sending side). A request runs unless its script begins with "refuse". If `early` of the fixture
+    is set, the next script runs as soon as a header block is complete, without the body.
     """
 
-    def __init__(self, stage: UpstreamFixture) -> None:
+    def __init__(self, fixture: UpstreamFixture) -> None:
         super().__init__()
-        self.stage = stage
+        self.fixture = fixture
         self.task = asyncio.get_running_loop().create_task(
-            self.serve(), context=stage.process.context()
+            self.serve(), context=fixture.process.context()
         )
 
     async def serve(self) -> None:
-        """Reads requests and acts on the script of each until the connection ends."""
+        """Reads requests and runs the script of each until the connection ends."""
         try:
             while True:
                 while b"\r\n\r\n" not in self.buffer:
                     await self.wait_for_data()
-                if self.stage.early:
-                    await self.act(self.stage.scripts.pop(0))
-                    self.stage.early = False
+                if self.fixture.early:
+                    await self.run_script(self.fixture.scripts.pop(0))
+                    self.fixture.early = False
                     continue
                 message = await self.read_message()
-                script = self.stage.scripts.pop(0) if self.stage.scripts else []
+                script = self.fixture.scripts.pop(0) if self.fixture.scripts else []
                 if script[:1] == ["refuse"]:
                     del script[0]
                 else:
-                    self.stage.ran.append(message.fields["loomstand-request-id"])
-                    self.stage.ran_at[self.stage.ran[-1]] = self.stage.loop.time()
-                await self.act(script)
+                    self.fixture.ran.append(message.fields["loomstand-request-id"])
+                    self.fixture.ran_at[self.fixture.ran[-1]] = self.fixture.loop.time()
+                await self.run_script(script)
         except ConnectionBrokenError:
             pass
 
-    async def act(self, script: list[Any]) -> None:
+    async def run_script(self, script: list[Any]) -> None:
         """Runs the steps of a script."""
         for step in script:
             if isinstance(step, bytes):
@@ -99,8 +99,9 @@
 
 
 class UpstreamFixture:
-    """A pool of connections to one server; in place of the proxy it records the outcomes of each
-    request.
+    """A proxy's pool of connections to one server.
+
+    The fixture replaces the proxy: it records the outcomes of each request's attempts.
     """
 
     def __init__(self) -> None:
@@ -114,10 +115,11 @@
         )
         self.process, self.own_process = SimProcess(), SimProcess()
         self.scripts: list[list[Any]] = []
-        self.early = False
-        self.ran: list[str] = []
+        self.early = False  # see `ScriptedServerConnection`
+        self.ran: list[str] = []  # ids of the requests that the server ran
         self.ran_at: dict[str, float] = {}
         self.outcomes: dict[str, list[Outcome]] = {}
+        # by request id: status, body and further header lines of the response
         self.bodies: dict[str, tuple[int, bytes, str]] = {}
         self.connections: list[ScriptedServerConnection] = []
         self.pool = UpstreamPool(self, 0.25, 60.0)  # type: ignore[arg-type]
@@ -184,8 +186,8 @@
         outcome, and that a success has the complete response to its own request.
         """
         for id_, outcomes in self.outcomes.items():
-            proved = sum(o in NOT_RUN_OUTCOMES for o in outcomes)
-            assert self.ran.count(id_) <= len(outcomes) - proved, (id_, outcomes)
+            not_run_count = sum(outcome in NOT_RUN_OUTCOMES for outcome in outcomes)
+            assert self.ran.count(id_) <= len(outcomes) - not_run_count, (id_, outcomes)
             if Outcome.SUCCEEDED in outcomes:
                 _, body, extra = self.bodies[id_]
                 assert body == b"of " + id_.encode() and f"loomstand-request-id: {id_}\r\n" in extra
@@ -197,8 +199,9 @@
 
 
 class ScriptedServer(Server):
-    """A server whose requests meet the faults of `script` in order: a fault each, and the byte of
-    the response at which it happens.
+    """A server that applies the next fault of `script` to each request.
+
+    A fault is one of ANSWER_FAULTS and the byte of the response at which it happens.
     """
 
     script: list[tuple[str, int]]
@@ -206,7 +209,7 @@
     async def handle_request(self, connection: Any, message: Message) -> None:
         connection.script = scripted_fault, at = self.script.pop(0) if self.script else ("", 0)
         id_ = message.fields["loomstand-request-id"]
-        # its sending side was closed after the previous response: it neither runs nor answers
+        # the server has closed its sending side, so it neither runs nor answers the request
         if connection.transport.eof_requested:
             self.request_log.record_arrival(
                 ServerArrival(self.now(), self.service, self.id, id_, "", False), message
@@ -233,12 +236,12 @@
         connection.transport.reset()
         connection.transport.fail(ConnectionResetError())
 
-    async def answer(self, connection: Any, id_: str, fault: str, late: bytes) -> None:
+    async def answer(self, connection: Any, id_: str, fault: str, is_late: bool) -> None:
         (scripted_fault, at), body = (
             connection.script,
             b"%s of %s" % (id_.encode(), self.id.encode()),
         )
-        raw = self.encode_response(504 if late else 200, id_, body)
+        raw = self.encode_response(504 if is_late else 200, id_, body)
         extra = {
             "again": raw,
             "nobody": self.encode_response(503, "", b"", not_executed=True),
@@ -283,8 +286,15 @@
         return server
 
     async def send_requests_in_mode(self, idempotent: bool, mode: str, at: int, size: int) -> None:
-        """Sends a request of a client in the given mode; the replies are checked by their ids."""
-        many = 2 if mode == "pipelined" else 1
+        """Sends a request of a client and checks the reply.
+
+        Args:
+            idempotent: Whether the request and its route are idempotent.
+            mode: One of SEND_MODES.
+            at: Where the request is interrupted, in 1/400 of its bytes.
+            size: Size of the body in bytes.
+        """
+        count = 2 if mode == "pipelined" else 1
         requests = [
             self.client.new_request(
                 "PUT",
@@ -294,7 +304,7 @@
                 bytes(size),
                 idempotent,
             )
-            for _ in range(many)
+            for _ in range(count)
         ]
         raw = b"".join(self.client.encode_request(request, 2.0) for request in requests)
         at = len(raw) * at // 400
@@ -325,9 +335,12 @@
             pass
 
     async def disturb(self, after: float, disturbance: str, lasts: float) -> None:
-        """Injects a disturbance `after` seconds, ends it after `lasts` more seconds."""
+        """Waits `after` seconds, then injects a disturbance that lasts `lasts` seconds."""
         await asyncio.sleep(after)
-        host, servers = self.proxies[PROXY_IP], [s for many in self.servers.values() for s in many]
+        host, servers = (
+            self.proxies[PROXY_IP],
+            [s for group in self.servers.values() for s in group],
+        )
         server, server_ips = servers[int(after * 1000) % 2], [s.address[0] for s in servers]
         if disturbance in ("cut", "deaf", "dumb"):
             pairs = {(ip, PROXY_IP) for ip in server_ips} if disturbance != "deaf" else set()
@@ -355,21 +368,39 @@
             host.start()
 
 
+# Each happens at a byte of the response. An entry that is listed twice is drawn twice as often.
 ANSWER_FAULTS = [
     "",
     "",
-    "unread",
-    "refuses twice",
-    "again",
-    "nobody",
-    "bare",
-    "instead",
-    "reset",
-    "half",
-    "close",
-    "pause",
-    "long pause",
-    "silent",
+    "unread",  # resets the connection without running the request
+    "refuses twice",  # rejects the request twice, the second rejection in two pieces
+    "again",  # sends the response twice, the second one in two pieces
+    "nobody",  # adds a rejection without a request id, in two pieces
+    "bare",  # adds a 429 without a request id, in two pieces
+    "instead",  # sends a rejection without a request id instead of the response
+    "reset",  # resets the connection within the response
+    "half",  # closes the sending side within the response
+    "close",  # closes the connection within the response
+    "pause",  # waits 0.02 s within the response
+    "long pause",  # waits 3 s within the response
+    "silent",  # runs the request, but sends no response
+]
+SEND_MODES = [
+    "whole",  # in one write
+    "whole",
+    "pieces",  # in two writes
+    "pipelined",  # two requests in one write
+    "half",  # in one write, then closes the sending side
+    "breaks",  # sends only a part, then closes the connection
+    "leaves",  # in one write, then closes the connection
+]
+DISTURBANCES = [
+    "cut",  # blocks the links between the proxy and all servers
+    "deaf",  # blocks the links from the proxy to all servers
+    "dumb",  # blocks the links from all servers to the proxy
+    "away",  # blocks the link between the client and the proxy
+    "freeze",  # freezes the proxy
+    "server freezes",
+    "server dies",
+    "term",  # stops the proxy as on SIGTERM
 ]
-SEND_MODES = ["whole", "whole", "pieces", "pipelined", "half", "breaks", "leaves"]
-DISTURBANCES = ["cut", "deaf", "dumb", "away", "freeze", "server freezes", "server dies", "term"]
--- a/loomstand/testing/simulation/wrong_calls.py
+++ b/loomstand/testing/simulation/wrong_calls.py
@@ -20,21 +20,22 @@
 CALLER_IP, SERVER_ADDRESS = "10.0.0.1", ("10.0.0.2", 7340)
 ANSWER_FAULTS = [
     "",
-    "pause",
-    "reset",
-    "close",
-    "half",
-    "spoilt",
-    "foreign",
-    "no answer",
-    "twice",
-    "late twice",
+    "pause",  # waits 0.02 s within the answer
+    "reset",  # resets the connection within the answer
+    "close",  # closes the connection within the answer
+    "half",  # closes the sending side within the answer
+    "spoilt",  # inverts one bit
+    "foreign",  # sends an answer with the number of no call before its own
+    "no answer",  # sends a frame that isn't an answer
+    "twice",  # sends a second answer with the same number at once
+    "late twice",  # sends a second answer with the same number after 0.1 s
 ]
 
 
 class ScriptedConnection(ServerConnection):
-    """A server connection that sends its answers by `owner.plays`: one of ANSWER_FAULTS for
-    each, and the byte at which it happens.
+    """A server connection that applies the next fault of `owner.plays` to each answer.
+
+    A fault is one of ANSWER_FAULTS and the byte of the answer at which it happens.
     """
 
     def __init__(self, owner: Any, handler: Any) -> None:
@@ -42,7 +43,7 @@
         self.answer_lock, self.eof_sent, self.checksum_sent = asyncio.Lock(), False, False
 
     async def serve_call(self, call: CallFrame) -> None:
-        """Runs a call and answers it by the next entry of `plays`."""
+        """Runs a call and answers it with the next fault of `plays`."""
         number = call.number
         try:
             raw = encode_item([number, True, await self.handler(call.operation, call.body)])
@@ -50,9 +51,8 @@
             raw = encode_item([number, False, {}])
         fault, at = self.owner.plays.pop(0) if self.owner.plays else ("", 0)
         async with self.answer_lock:
-            if (
-                not self.checksum_sent
-            ):  # the first frame may be of a peer that doesn't send checksums yet
+            # a receiver requires checksums only after the first frame that has one
+            if not self.checksum_sent:
                 self.checksum_sent, fault = True, "" if fault == "spoilt" else fault
             await self.send_answer(number, raw, fault, at % len(raw))
 
@@ -90,7 +90,7 @@
 
 
 class ScriptedNetwork(StreamNetwork):
-    """A `StreamNetwork` that answers calls by `plays`."""
+    """A `StreamNetwork` that answers calls with the faults of `plays`."""
 
     plays: list[tuple[str, int]]
 
@@ -100,7 +100,10 @@
 
 
 class CallerAndServer:
-    """A caller, and a server that records the calls that it ran."""
+    """A caller, and a server that records the calls that it ran.
+
+    `plays` are the faults of the server's answers.
+    """
 
     def __init__(self, plays: list[tuple[str, int]] | None = None) -> None:
         self.network, self.loop = SimNetwork(Random(1)), asyncio.get_running_loop()
