--- a/loomstand/testing/fault_schedules/dense.py
+++ b/loomstand/testing/fault_schedules/dense.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Way:
-    """One way in which a kind of trouble occurs, with the ranges of its fields.
+    """A variant of a kind of trouble, with the ranges of its fields.
 
     Ranges go from the mildest value of standing days, or the mildest that has an effect, to at
     least twice the strongest of them.
@@ -50,7 +50,7 @@
     count: tuple[int, int] | None = None
     on: str = ""
     contract: str = ""  # drawn only for a site with this contract
-    # limit per day, so that permanent removals leave enough servers and machines
+    # limits troubles that remove servers or machines permanently, so that enough of them remain
     max_per_day: int = 1000
 
     def draw(self, rng: Random) -> Trouble:
@@ -79,7 +79,8 @@
     "shared_key",
 )
 SERVER_FAILURES = ("errors", "shed", "busy", "hang", "reset", "mute", "slow")
-ONE_MACHINE = (1, 1)  # store machine: the bench would run faults of more of them one after another
+# Of store machines: the bench would run faults of several of them one after another.
+ONE_MACHINE = (1, 1)
 
 WAYS = (
     Way("config_change", True, (CONFIG_CHANGES,)),
@@ -242,13 +243,15 @@
     "all": (),
 }
 AIMED_SHARE = 0.75
-# Troubles per ten seconds of the day; other drawn days and standing days have one to three.
+# Troubles per ten seconds of a day; days that aren't dense have one to three.
 RATE = {"mild": 3.0, "usual": 5.0, "harsh": 8.0}
-DAY_LENGTHS_SECONDS = (32, 60)  # the bench runs a day of 60 s in 30 s
-# Seconds at the end of the day without new troubles; the last ones still run when the closing
-# fault comes.
+# Shortest and longest day; the bench needs 30 s to run a day of 60 s.
+DAY_LENGTHS_SECONDS = (32, 60)
+# Seconds at the end of the day in which no trouble begins; the last ones may still be active when
+# the closing fault occurs.
 QUIET = 3.0
-CHANGE_INTERVAL_SECONDS = (0.1, 0.4)  # between two configuration changes, for the aim "changes"
+# Shortest and longest average interval between configuration changes, for the aim "changes".
+CHANGE_INTERVAL_SECONDS = (0.1, 0.4)
 CLUSTERED_SHARE = 0.7  # of the troubles start near a cluster time
 CLUSTER_INTERVAL_SECONDS = 7.0  # average distance of cluster times
 CLUSTER_RADIUS_SECONDS = 1.0  # largest distance of a trouble from its cluster time
@@ -283,7 +286,7 @@
     """
     available = ways(site, only)
     aimed = [[way for way in available if way.kind == kind] for kind in AIMS[aim]]
-    aimed = [found for found in aimed if found]
+    aimed = [variants for variants in aimed if variants]
     kinds = sorted({way.kind for way in available})
     length = rng.randint(*DAY_LENGTHS_SECONDS)
     end = to_centiseconds(length - QUIET)
@@ -297,7 +300,7 @@
             way = rng.choice(rng.choice(aimed))
         else:
             kind = rng.choice(kinds)
-            way = rng.choice([one for one in available if one.kind == kind])
+            way = rng.choice([variant for variant in available if variant.kind == kind])
         draw_counts[way] += 1
         if draw_counts[way] > way.max_per_day:
             continue
@@ -317,7 +320,10 @@
 
 
 def _within(site: Site, trouble: Trouble, at: int, end: int) -> tuple[Trouble, int, int]:
-    """The trouble from `at` on, shortened to end by `end` if its fields have a duration."""
+    """The trouble with its start and end, shortened to end by `end` if it has the field `for_s`.
+
+    `at` and `end` are hundredths of a second.
+    """
     fields = dict(trouble.fields)
     if "for_s" in fields:
         fields["for_s"] = max(0.1, min(fields["for_s"], (end - at) / 100))
--- a/loomstand/testing/fault_schedules/draw.py
+++ b/loomstand/testing/fault_schedules/draw.py
@@ -1,4 +1,4 @@
-"""Draws the troubles of each day, with strength and time, from one Random made of the seed."""
+"""Draws the troubles of each day, their strengths and times, from one random generator."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 # Random mixes per day, the best of which is used: with a single one, more days are needed; with
 # more than this, no fewer.
 MIX_CANDIDATES = 20
-MAX_SHARE = 0.9  # of the servers or machines that a trouble affects, unless the site has more
+MAX_SHARE = 0.9  # of the servers or machines, unless the site lists a trouble with a larger share
 # The meeting time is at least this fraction (1/4) of the fault period away from both of its ends;
 # nearer, all troubles would begin or end at once.
 MEETING_MARGIN_DIVISOR = 4
@@ -67,7 +67,7 @@
     """A drawn day."""
 
     name: str
-    base: str  # name of the standing day that its traffic and marks are copied from
+    base: str  # name of the standing day from which everything but the troubles is copied
     # time at which all its troubles overlap, in hundredths of a second; None: independent times
     meeting: int | None
     placed: tuple[Placed, ...]
@@ -109,7 +109,7 @@
         _shuffled_cycles(site.bases, rng),
         _shuffled_cycles((*site.closings, None), rng),
     )
-    ways = {kind: _shuffled_cycles(site.kinds[kind], rng) for kind in kinds}
+    variants = {kind: _shuffled_cycles(site.kinds[kind], rng) for kind in kinds}
     days: list[DrawnDay] = []
     for covering, mix in mixes(kinds, TROUBLES_PER_DAY[options.severity], rng):
         if len(days) == options.days or (options.days is None and not covering):
@@ -119,7 +119,8 @@
         meeting = rng.randint(site.lead + margin, site.quiet - margin) if has_meeting else None
         factor = SEVERITY_FACTORS[options.severity]
         placed = [
-            _place(site, _scaled(site, next(ways[kind]), factor, rng), meeting, rng) for kind in mix
+            _place(site, _scaled(site, next(variants[kind]), factor, rng), meeting, rng)
+            for kind in mix
         ]
         placed.sort(key=lambda p: (p.at, p.trouble.kind))
         name = f"{site.name}-{options.severity}-{options.seed}-{len(days) + 1:02d}"
@@ -142,9 +143,10 @@
     days = []
     for n in range(DEFAULT_DENSE_DAYS if options.days is None else options.days):
         for _ in range(MAX_DENSE_DRAWS):
-            length, found = dense.troubles(site, options.dense, options.severity, tuple(kinds), rng)
-            placed = [Placed(*one) for one in sorted(found, key=lambda one: (one[1], one[0].kind))]
-            if sum(one.meets(other) for one, other in combinations(placed, 2)) >= len(placed) / 2:
+            length, drawn = dense.troubles(site, options.dense, options.severity, tuple(kinds), rng)
+            drawn.sort(key=lambda drawn_trouble: (drawn_trouble[1], drawn_trouble[0].kind))
+            placed = [Placed(trouble, at, until) for trouble, at, until in drawn]
+            if sum(a.meets(b) for a, b in combinations(placed, 2)) >= len(placed) / 2:
                 break
         name = f"{site.name}-{options.dense}-{options.severity}-{options.seed}-{n + 1:02d}"
         base, closing = next(bases), dense.closing(next(closings), rng)
@@ -156,7 +158,7 @@
 
 
 def mixes(kinds: list[str], size: int, rng: Random) -> Iterator[tuple[bool, tuple[str, ...]]]:
-    """Yields mixes without end: whether the mix has new pairs of kinds, and its kinds.
+    """Yields mixes of `size` kinds without end: whether a mix has new pairs, and its kinds.
 
     Mixes are chosen greedily until every two kinds have been in one mix, then at random.
     """
@@ -175,12 +177,12 @@
 
 def _greedy_mix(kinds: list[str], size: int, open_pairs: set[Pair], rng: Random) -> tuple[str, ...]:
     """Starts with the kind in most open pairs, then adds kinds with most open pairs in the mix."""
-    left = rng.sample(kinds, len(kinds))  # the random order decides ties
-    mix = [max(left, key=lambda kind: sum(kind in two for two in open_pairs))]
+    remaining = rng.sample(kinds, len(kinds))  # the random order decides ties
+    mix = [max(remaining, key=lambda kind: sum(kind in two for two in open_pairs))]
     while len(mix) < size:
-        left.remove(mix[-1])
+        remaining.remove(mix[-1])
         mix.append(
-            max(left, key=lambda kind: sum(pair(kind, taken) in open_pairs for taken in mix))
+            max(remaining, key=lambda kind: sum(pair(kind, chosen) in open_pairs for chosen in mix))
         )
     return tuple(mix)
 
@@ -198,25 +200,25 @@
 def _scaled(site: Site, trouble: Trouble, factor: float, rng: Random) -> Trouble:
     """The trouble with its numbers scaled by severity, short enough for the fault period."""
     fields = dict(trouble.fields)
-    # in steps, x is the number of items per step and count the number of steps
-    by_steps = trouble.is_planned and "gap_s" in fields
+    # in a stepwise operation, x is the number of items per step and count the number of steps
+    is_stepwise = trouble.is_planned and "gap_s" in fields
     for key in sorted(fields.keys() & {"share", "x", "for_s", "gap_s", "count"}):
         value, scale = fields[key], factor * rng.uniform(1 - RANDOM_SPREAD, 1 + RANDOM_SPREAD)
         if key == "share" or (key == "x" and value < 1):
             fields[key] = _round_to_3_digits(min(value * scale, max(value, MAX_SHARE)))
-        elif key == "x" and not by_steps:
-            fields[key] = _round_to_3_digits(1 + (value - 1) * scale)  # 1 has no effect
+        elif key == "x" and not is_stepwise:
+            fields[key] = _round_to_3_digits(1 + (value - 1) * scale)  # a factor of 1 has no effect
         elif key == "for_s":
             fields[key] = to_centiseconds(value * scale) / 100
         elif key == "gap_s":
             fields[key] = max(MIN_DURATION_CENTISECONDS, to_centiseconds(value / scale)) / 100
-        elif by_steps:
+        elif is_stepwise:
             fields[key] = max(1, round(value * scale))
         # Any other count is a number of machines, which the site's `tolerate` limits.
-    varied = Trouble(trouble.kind, trouble.is_planned, fields)
-    room = site.quiet - site.lead
+    scaled = Trouble(trouble.kind, trouble.is_planned, fields)
+    period = site.quiet - site.lead
     if "for_s" in fields or (
-        not trouble.is_planned and to_centiseconds(DEFAULT_DURATION_SECONDS) > room
+        not trouble.is_planned and to_centiseconds(DEFAULT_DURATION_SECONDS) > period
     ):
         fields["for_s"] = (
             min(
@@ -224,18 +226,18 @@
                     to_centiseconds(fields.get("for_s", DEFAULT_DURATION_SECONDS)),
                     MIN_DURATION_CENTISECONDS,
                 ),
-                room,
+                period,
             )
             / 100
         )
-    elif by_steps and duration(varied, site.things, site.config_delay) > room:
-        gap = min(to_centiseconds(fields["gap_s"]), room)
+    elif is_stepwise and duration(scaled, site.things, site.config_delay) > period:
+        gap = min(to_centiseconds(fields["gap_s"]), period)
         fields["gap_s"] = gap / 100
         if "count" in fields:
-            fields["count"] = min(fields["count"], room // gap)
-        else:  # fewer steps need more per step
-            fields["x"] = ceil(fields.get("share", 1.0) * site.things / (room // gap))
-    return varied
+            fields["count"] = min(fields["count"], period // gap)
+        else:  # with fewer steps, each has more items
+            fields["x"] = ceil(fields.get("share", 1.0) * site.things / (period // gap))
+    return scaled
 
 
 def _round_to_3_digits(value: float) -> float:
@@ -270,6 +272,6 @@
         ]
     if "traffic" in base:
         day["traffic"] = [
-            line | {"per_s": _round_to_3_digits(line["per_s"] * load)} for line in base["traffic"]
+            flow | {"per_s": _round_to_3_digits(flow["per_s"] * load)} for flow in base["traffic"]
         ]
     return day
--- a/loomstand/testing/fault_schedules/entry.py
+++ b/loomstand/testing/fault_schedules/entry.py
@@ -46,8 +46,9 @@
     worth: float  # after prices
     zero: float  # worth that scores 0
     one: float  # worth that scores 1
-    gate: bool
-    served: float  # as refused and failed, a share of the requests owed
+    gate: bool  # whether the day passed the bench's gate
+    # shares of the requests owed
+    served: float
     refused: float
     failed: float
     fault: str | None
--- a/loomstand/testing/fault_schedules/losses.py
+++ b/loomstand/testing/fault_schedules/losses.py
@@ -16,7 +16,7 @@
 WORST_DAYS_WEIGHT = 0.3
 WORST_DAY_COUNT = 2
 FRESH_DAY_PREFIX = "fresh-"  # such a day is drawn for the run, and counts for the gate only
-ROUNDING = "rounding"  # the entry's numbers have four digits
+ROUNDING = "rounding"  # cause of the remaining difference, as the entry's numbers have four digits
 PART, PRICE, VERDICT = "part", "price", "verdict"
 
 
@@ -58,20 +58,22 @@
 
     Their worth adds up to `1 - worth` of the day, their score to `1 - score`.
     """
-    found = [(p.name, PART, p.weight * (1 - p.earned)) for p in day.parts]
-    found += [(p.name, PRICE, p.worth) for p in day.prices]
-    found.append((ROUNDING, PART, 1 - day.worth - sum(worth for *_, worth in found)))
+    causes = [(p.name, PART, p.weight * (1 - p.earned)) for p in day.parts]
+    causes += [(p.name, PRICE, p.worth) for p in day.prices]
+    causes.append((ROUNDING, PART, 1 - day.worth - sum(worth for *_, worth in causes)))
     verdicts = [f"rule {rule}" for rule in sorted(day.rules)] + (["fault"] if day.fault else [])
-    lack = 1 - day.score
-    # A broken rule costs the score that the worth would give; other causes share the rest.
-    taken = max(0.0, _score_by_worth(day) - day.score) if verdicts else 0.0
-    lack -= taken
-    # The score is the worth scaled and clamped between the day's marks, so a cause has the same
-    # part of both losses.
-    total = sum(worth for *_, worth in found if worth > 0)
-    scale = lack / total if total else 0.0
-    losses = [Loss(cause, kind, worth, scale * max(worth, 0.0)) for cause, kind, worth in found]
-    losses += [Loss(verdict, VERDICT, 0.0, taken / len(verdicts)) for verdict in verdicts]
+    lost_score = 1 - day.score
+    # Broken rules and faults cost the score that the worth would give; other causes share the rest.
+    lost_to_verdicts = max(0.0, _score_by_worth(day) - day.score) if verdicts else 0.0
+    lost_score -= lost_to_verdicts
+    # The score is the worth scaled and clamped between the day's marks `zero` and `one`, so a cause
+    # has the same share of both losses.
+    total = sum(worth for *_, worth in causes if worth > 0)
+    scale = lost_score / total if total else 0.0
+    losses = [Loss(cause, kind, worth, scale * max(worth, 0.0)) for cause, kind, worth in causes]
+    losses += [
+        Loss(verdict, VERDICT, 0.0, lost_to_verdicts / len(verdicts)) for verdict in verdicts
+    ]
     return sorted(losses, key=lambda loss: (-loss.worth, -loss.score, loss.cause))
 
 
@@ -87,17 +89,17 @@
 
     Weights add up to 1: if a slot has no day, the others have larger weights.
     """
-    every = range(len(entry.days))
-    counted = [n for n in every if not _is_fresh(entry, entry.days[n])] or list(every)
+    indexes = range(len(entry.days))
+    counted = [n for n in indexes if not _is_fresh(entry, entry.days[n])] or list(indexes)
     slots = [day.slot if day.slot in SLOT_WEIGHTS else "trouble" for day in entry.days]
-    out = [0.0] * len(entry.days)
+    weights = [0.0] * len(entry.days)
     for n in counted:
-        out[n] = SLOT_WEIGHTS[slots[n]] / sum(slots[m] == slots[n] for m in counted)
+        weights[n] = SLOT_WEIGHTS[slots[n]] / sum(slots[m] == slots[n] for m in counted)
     worst = sorted(counted, key=lambda n: entry.days[n].score)[:WORST_DAY_COUNT]
     for n in worst:
-        out[n] += WORST_DAYS_WEIGHT / len(worst)
-    total = sum(out)
-    return [weight / total for weight in out]
+        weights[n] += WORST_DAYS_WEIGHT / len(worst)
+    total = sum(weights)
+    return [weight / total for weight in weights]
 
 
 def _is_fresh(entry: Entry, day: Day) -> bool:
@@ -141,21 +143,19 @@
 
     The mean isn't weighted, because the weights of days differ between entries.
     """
-    out: dict[str, float] = {}
+    means: dict[str, float] = {}
     for day in days:
         for loss in of_day(day):
-            out[loss.cause] = out.get(loss.cause, 0.0) + loss.worth / len(days)
-    return out
+            means[loss.cause] = means.get(loss.cause, 0.0) + loss.worth / len(days)
+    return means
 
 
 def labelled(shares: Iterable[float | None], names: tuple[str, ...]) -> list[tuple[str, float]]:
     """The shares earned by request kind or zone, the lowest first.
 
-    An item without a name is called by its number.
+    An item without a name is given its number.
     """
-    called = [
-        (names[n] if n < len(names) else f"#{n + 1}", share) for n, share in enumerate(shares)
-    ]
+    named = [(names[n] if n < len(names) else f"#{n + 1}", share) for n, share in enumerate(shares)]
     return sorted(
-        ((name, share) for name, share in called if share is not None), key=lambda row: row[1]
+        ((name, share) for name, share in named if share is not None), key=lambda row: row[1]
     )
--- a/loomstand/testing/fault_schedules/plots.py
+++ b/loomstand/testing/fault_schedules/plots.py
@@ -8,12 +8,12 @@
 from loomstand.testing.fault_schedules.entry import Entry
 from loomstand.testing.fault_schedules.losses import of_day, of_entry
 
-# Causes with their own colour; matplotlib's palette has ten, of which one is for all others.
+# Causes with a colour of their own; matplotlib's palette has ten, one of which is for all others.
 MAX_CAUSES = 9
 
 
 def bars(entry: Entry, path: str) -> None:
-    """Writes the plot of an entry as a PNG file.
+    """Plots an entry as stacked bars, one for each day, to a PNG file.
 
     Raises:
         ImportError: matplotlib isn't installed.
--- a/loomstand/testing/fault_schedules/site.py
+++ b/loomstand/testing/fault_schedules/site.py
@@ -47,7 +47,7 @@
     first: int  # earliest start of a planned operation
     quiet: int  # latest end of any trouble; the rest of the day is for the recovery
     config_delay: int  # longest time until a configuration change is in force
-    things: int  # the larger of the numbers of servers and machines; used for shares
+    things: int  # the larger of the numbers of servers and machines, to which shares refer
     kinds: dict[str, tuple[Trouble, ...]]  # in the order of the file
     bases: tuple[dict[str, Any], ...]  # standing days with faults, as in the file
     closings: tuple[dict[str, Any], ...]  # different faults that end standing days
@@ -57,7 +57,7 @@
 
 
 def to_centiseconds(value: float) -> int:
-    """Seconds as hundredths of a second."""
+    """Converts seconds to whole hundredths of a second."""
     return round(100 * value)
 
 
@@ -95,48 +95,49 @@
     if not 0 <= lead < length:
         raise SiteError(f"lead_s {lead:g} is not within length_s {length:g}")
     days = _tables(table, "day")
-    line_counts = Counter((k, w) for _, w, k, _ in _standing_troubles(days))
+    entry_counts = Counter((kind, where) for _, where, kind, _ in _standing_troubles(days))
     kinds: dict[str, list[Trouble]] = {}
     listed = [
         (_string(t, "kind", f"troubles[{n}]"), t) for n, t in enumerate(_tables(table, "troubles"))
     ]
-    for n, (kind, line) in enumerate(listed):
-        _check_numbers(line, f"troubles[{n}]")
+    for n, (kind, fields) in enumerate(listed):
+        _check_numbers(fields, f"troubles[{n}]")
         kinds.setdefault(kind, []).append(
-            Trouble(kind, _is_planned(kind, listed, line_counts), _variant_fields(line))
+            Trouble(kind, _is_planned(kind, listed, entry_counts), _variant_fields(fields))
         )
     if not kinds:
         raise SiteError("troubles: the site lists none")
-    for place, _, kind, line in _standing_troubles(days):  # variants that only standing days have
-        _check_numbers(line, place)
-        seen = kinds.get(kind)
-        if seen is not None and str(line.get("how", "")) not in {t.how for t in seen}:
-            seen.append(Trouble(kind, seen[0].is_planned, _variant_fields(line)))
+    # variants of the listed kinds that only standing days have
+    for place, _, kind, fields in _standing_troubles(days):
+        _check_numbers(fields, place)
+        variants = kinds.get(kind)
+        if variants is not None and str(fields.get("how", "")) not in {t.how for t in variants}:
+            variants.append(Trouble(kind, variants[0].is_planned, _variant_fields(fields)))
     bases = tuple(day for day in days if day.get("faults"))
     if not bases:
         raise SiteError("day: no standing day has faults, so there is no base for a drawn day")
     for n, day in enumerate(bases):
         _string(day, "slot", f"day[{n}]"), _string(day, "name", f"day[{n}]")
-        for line in _tables(day, "traffic"):
-            _number(line, "per_s", f"day {day['name']}: traffic")
+        for flow in _tables(day, "traffic"):
+            _number(flow, "per_s", f"day {day['name']}: traffic")
     closings = {
         str(sorted(c.items())): c for day in days if isinstance(c := day.get("closing"), dict)
     }
     for closing in closings.values():
         _string(closing, "kind", "closing"), _number({"down_s": 1.0} | closing, "down_s", "closing")
     ends = [
-        line["at"] + line.get("for_s", DEFAULT_DURATION_SECONDS)
-        for _, where, _, line in _standing_troubles(days)
+        fields["at"] + fields.get("for_s", DEFAULT_DURATION_SECONDS)
+        for _, where, _, fields in _standing_troubles(days)
         if where == "faults"
     ]
-    starts = [line["at"] for _, where, _, line in _standing_troubles(days) if where == "plan"]
+    starts = [fields["at"] for _, where, _, fields in _standing_troubles(days) if where == "plan"]
     quiet = min(max(ends), length)
     if quiet - lead < MIN_FAULT_PERIOD_SECONDS:
         raise SiteError(
             f"day: the standing days' faults end at {quiet:g}, too near to lead_s {lead:g}"
         )
     groups = [s.get("servers", []) for s in _tables(table, "services")]
-    servers = sum(int(z.get("count", 0)) for group in groups for z in group)
+    servers = sum(int(zone.get("count", 0)) for group in groups for zone in group)
     machines = sum(int(m.get("count", 0)) for m in _tables(table, "machines"))
     bounds = table.get("bounds", {})
     return Site(
@@ -156,44 +157,45 @@
     )
 
 
-def _is_planned(kind: str, listed: list[tuple[str, dict]], line_counts: Counter) -> bool:
-    """Whether a kind is a planned operation: where most of its lines in standing days are.
+def _is_planned(kind: str, listed: list[tuple[str, dict]], entry_counts: Counter) -> bool:
+    """Whether a kind is a planned operation: standing days list it under `plan` more often than
+    under `faults`.
 
-    A kind that no standing day has is a fault if one of its lines has a duration (`for_s`), as is
-    true of all kinds in standing days.
+    A kind that no standing day has is a fault if one of its entries in the list of troubles has a
+    duration (`for_s`): in standing days faults have one and planned operations don't.
     """
-    plan, faults = line_counts[kind, "plan"], line_counts[kind, "faults"]
+    plan, faults = entry_counts[kind, "plan"], entry_counts[kind, "faults"]
     if plan or faults:
         return plan > faults
-    return not any("for_s" in line for other, line in listed if other == kind)
+    return not any("for_s" in fields for other, fields in listed if other == kind)
 
 
 def _standing_troubles(days: list[dict]) -> Iterator[tuple[str, str, str, dict]]:
-    """The troubles of all standing days, as place, list (`plan` or `faults`), kind and line."""
+    """The troubles of all standing days: place, list (`plan` or `faults`), kind and fields."""
     for n, day in enumerate(days):
         for where in ("plan", "faults"):
-            for line in _tables(day, where):
+            for fields in _tables(day, where):
                 place = f"day[{n}].{where}"
-                _number(line, "at", place)
-                yield place, where, _string(line, "kind", place), line
+                _number(fields, "at", place)
+                yield place, where, _string(fields, "kind", place), fields
 
 
-def _variant_fields(line: dict) -> dict[str, Any]:
-    return {key: value for key, value in line.items() if key not in ("kind", "at")}
+def _variant_fields(fields: dict) -> dict[str, Any]:
+    return {key: value for key, value in fields.items() if key not in ("kind", "at")}
 
 
-def _check_numbers(line: dict, place: str) -> None:
-    """Raises SiteError unless the numbers that are used are above 0."""
+def _check_numbers(fields: dict, place: str) -> None:
+    """Raises SiteError unless the numbers that the drawing uses are above 0."""
     for key in ("share", "x", "for_s", "gap_s", "count"):
-        if key in line and _number(line, key, place) <= 0:
+        if key in fields and _number(fields, key, place) <= 0:
             raise SiteError(f"{place}: {key} is not above 0")
 
 
 def _tables(table: dict, key: str) -> list[dict]:
-    found = table.get(key, [])
-    if not isinstance(found, list) or not all(isinstance(one, dict) for one in found):
+    value = table.get(key, [])
+    if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
         raise SiteError(f"{key}: not a list of tables")
-    return found
+    return value
 
 
 def _string(table: dict, key: str, place: str) -> str:
--- a/loomstand/testing/fault_schedules/write.py
+++ b/loomstand/testing/fault_schedules/write.py
@@ -43,15 +43,15 @@
     """Returns a day as a `[[day]]` table, with one line per table of a list, as in site files."""
     lines = ["[[day]]"]
     for key, value in day.items():
-        if isinstance(value, list) and value and all(isinstance(one, dict) for one in value):
-            lines += [f"{_key(key)} = [", *(f"  {toml(one)}," for one in value), "]"]
+        if isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
+            lines += [f"{_key(key)} = [", *(f"  {toml(item)}," for item in value), "]"]
         else:
             lines.append(f"{_key(key)} = {toml(value)}")
     return "\n".join(lines) + "\n"
 
 
 def index(site: Site, options: DrawOptions, days: list[DrawnDay]) -> dict[str, Any]:
-    """Returns the index: the troubles of each day and the pairs of kinds that overlap.
+    """Returns the contents of the index file: the days' troubles and the pairs that overlap.
 
     Times are seconds from the start of traffic.
     """
@@ -59,12 +59,12 @@
     possible: list[Pair] = [pair(*two) for two in combinations(kinds, 2)]
     overlapping_pairs: set[Pair] = set()
     rows = []
-    all_met = None
+    all_met_by_day = None
     for n, day in enumerate(days, 1):
         new = sorted(day.overlapping_pairs() - overlapping_pairs)
         overlapping_pairs |= day.overlapping_pairs()
-        if all_met is None and len(overlapping_pairs) == len(possible):
-            all_met = n
+        if all_met_by_day is None and len(overlapping_pairs) == len(possible):
+            all_met_by_day = n
         rows.append(
             {
                 "file": file_name(day),
@@ -98,7 +98,7 @@
         "pairs": {
             "possible": len(possible),
             "met": len(overlapping_pairs),
-            "all_met_by_day": all_met,
+            "all_met_by_day": all_met_by_day,
             "never_met": sorted(set(possible) - overlapping_pairs),
         },
         "days": rows,
