--- a/loomstand/testing/model_checker/__main__.py
+++ b/loomstand/testing/model_checker/__main__.py
@@ -81,16 +81,16 @@
     )
     if options.mutate:
         code, bounds = MUTANTS[options.mutate].code, MUTANTS[options.mutate].bounds
-    found = search(StateSpace(code, bounds), options.states, options.seconds)
-    states_per_second = found.states / max(found.seconds, 1e-9)
-    extent = "all" if found.is_complete else "not all"
-    print(f"{found.states} states, {found.transitions} transitions, depth {found.depth}", end="")
-    print(f", {found.seconds:.1f} s, {states_per_second:.0f} states/s, {extent} in bounds")
-    for i, line in enumerate(found.trace):
+    result = search(StateSpace(code, bounds), options.states, options.seconds)
+    states_per_second = result.states / max(result.seconds, 1e-9)
+    extent = "all" if result.is_complete else "not all"
+    print(f"{result.states} states, {result.transitions} transitions, depth {result.depth}", end="")
+    print(f", {result.seconds:.1f} s, {states_per_second:.0f} states/s, {extent} in bounds")
+    for i, line in enumerate(result.trace):
         print(f"{i + 1:3d}  {line}")
-    if found.violation:
-        print(f"broken: {found.violation}")
-    return int(bool(found.violation))
+    if result.violation:
+        print(f"broken: {result.violation}")
+    return int(bool(result.violation))
 
 
 if __name__ == "__main__":
--- a/loomstand/testing/model_checker/member.py
+++ b/loomstand/testing/model_checker/member.py
@@ -34,9 +34,9 @@
 from loomstand.store.timing import GRANT_SECONDS, LEASE_SECONDS, LONG_AGO
 from loomstand.store.views import Member, View
 
-# No time of it has passed in any state, so a shutdown at its end isn't explored.
+# In every state a shutdown has just begun, so an exit after the grace period isn't explored.
 GRACE_PERIOD_SECONDS = 6.0
-# After one tick a grant is still valid, after two it has expired, for granter and holder alike.
+# After one tick a grant is still valid, after two it has expired, for its granter and its holder.
 TICK_SECONDS = GRANT_SECONDS / 2
 STATUS_DEFAULTS = {
     "state": 0,
@@ -47,7 +47,7 @@
     "version": 0,
     "known": [],
 }
-RNG = Random(1)  # the constructor needs one; no code driven here draws from it
+RNG = Random(1)  # required by the constructor of Replica; no code driven here draws from it
 
 
 class Message(NamedTuple):
@@ -60,13 +60,24 @@
     disk_id: str  # member id the call is addressed to; an answer repeats it
     body: bytes
     sent: float = 0.0  # seconds at which the call was sent, by the caller's clock
-    is_awaited: bool = True  # False once the caller has restarted and ignores the answer
+    is_awaited: bool = True  # False once the caller has restarted, so that it ignores the answer
 
 
 class PendingOperation(NamedTuple):
     """The operation that a primary or candidate has under way.
 
     An election if there is an `action`, else a change or a repeated write to the backup.
+
+    Stages of an election:
+        promise: The own promise is written.
+        poll: Other members are asked for promises.
+        fetch: Other members are asked for the configuration.
+        own, owning: The write of the configuration to the own disk waits, is in progress.
+        backup: Other members are asked to be the backup.
+        install, installing: The write of the view to the own disk waits, is in progress.
+        stand: The members of the view are asked for leases.
+
+    A change has only the stage `put`, a repeated write only `settle`.
     """
 
     stage: str
@@ -75,7 +86,8 @@
     base: View | None = None
     # members that promised; for a put or a repeated write, "own" and "kept" for the disks written
     ids: frozenset[str] = frozenset()
-    asked: tuple[Member, ...] = ()  # members asked for the data, or to be the backup, in order
+    # members asked for the configuration or, from the stage backup on, to be the backup, in order
+    asked: tuple[Member, ...] = ()
     configuration: VersionedData = NO_CONFIGURATION
     released_epoch: int = 0
     case: RescueCase | None = None  # set for a rescue only
@@ -84,7 +96,7 @@
 class MemberSnapshot(NamedTuple):
     """All of a member's state that affects its decisions.
 
-    Expired times are replaced by one value, so that equivalent states compare equal.
+    Expired times are replaced by `LONG_AGO`, so that equivalent states compare equal.
     """
 
     member_index: int
@@ -95,16 +107,20 @@
     newest_view: View | None
     granted_to: str = ""
     grant_ends_at: float = LONG_AGO
+    # grants that the member holds: id of the granter, epoch, time of the request
     grants: tuple[tuple[str, int, float], ...] = ()
     replicated_epoch: int = 0
     is_established: bool = False
     version: int = 0
     data: bytes = b""
+    # the record being written, and the continuation of `MemberDriver.write`
     pending_write: tuple[Record, tuple[Any, ...]] | None = None
     operation: PendingOperation | None = None
     copy: VersionedData = NO_CONFIGURATION  # the learner's copy on disk (`store.learner`)
 
 
+# the name of a method of MemberDriver and its arguments; but "deliver" with the number of the
+# message, and "start" for `start_election`
 Event = tuple[Any, ...]
 # ("committed", version, data) by a primary, ("copied", version, data) by a learner,
 # ("violated", invariant)
@@ -132,9 +148,9 @@
         else LONG_AGO
     )
     grants = tuple(
-        (i, e, s - TICK_SECONDS)
-        for i, e, s in snapshot.grants
-        if s - TICK_SECONDS + LEASE_SECONDS > 0.0
+        (member_id, epoch, sent_at - TICK_SECONDS)
+        for member_id, epoch, sent_at in snapshot.grants
+        if sent_at - TICK_SECONDS + LEASE_SECONDS > 0.0
     )
     started_at = (
         snapshot.started_at - TICK_SECONDS
@@ -182,7 +198,9 @@
         replica.newest_view = snapshot.newest_view
         replica.granted_to = snapshot.granted_to
         replica.grant_ends_at = snapshot.grant_ends_at
-        replica.grants.by_member = {i: Grant(e, s) for i, e, s in snapshot.grants}
+        replica.grants.by_member = {
+            member_id: Grant(epoch, sent_at) for member_id, epoch, sent_at in snapshot.grants
+        }
         replica.replicated_epoch = snapshot.replicated_epoch
         replica.is_established = snapshot.is_established
         replica.version = snapshot.version
@@ -216,9 +234,9 @@
         is_valid = replica.grant_ends_at > 0.0
         grants = tuple(
             sorted(
-                (i, e, s)
-                for i, (e, s) in replica.grants.by_member.items()
-                if s + LEASE_SECONDS > 0.0
+                (member_id, epoch, sent_at)
+                for member_id, (epoch, sent_at) in replica.grants.by_member.items()
+                if sent_at + LEASE_SECONDS > 0.0
             )
         )
         return MemberSnapshot(
@@ -248,9 +266,9 @@
     # --- disk
 
     def persist(self, change: Callable[[], Record], *then: Any) -> None:
-        """Decides a change now that reaches the disk with `write`, as `ReplicaIO.persist` does.
+        """Computes a record now, which `write` puts on the disk, as `ReplicaIO.persist` does.
 
-        A change that alters no page completes at once. `then` is the continuation of `write`.
+        A record that alters no page completes at once. `then` is the continuation of `write`.
         """
         record = change()
         self.pending_write = (record, then)
@@ -323,15 +341,15 @@
                 )
             )
         if call.is_awaited:
-            mine, other = self.snapshot.member_index, call.sender
+            own_index = self.snapshot.member_index
             self.sent_messages.append(
-                Message(call.op, True, mine, other, call.disk_id, body, call.sent)
+                Message(call.op, True, own_index, call.sender, call.disk_id, body, call.sent)
             )
 
-    def deliver(self, m: Message) -> None:
+    def deliver(self, message: Message) -> None:
         """Handles a call or an answer that arrives."""
-        body = cbor2.loads(m.body)
-        (self.on_answer if m.is_answer else self.on_call)(m, body)
+        body = cbor2.loads(message.body)
+        (self.on_answer if message.is_answer else self.on_call)(message, body)
 
     def on_call(self, m: Message, body: dict[str, Any]) -> None:
         """Handles a call; an answer that depends on a disk write is sent after the write."""
@@ -340,11 +358,11 @@
             answer = replica.on_heartbeat(
                 0.0, HeartbeatRequest.from_wire(body | STATUS_DEFAULTS)
             ).to_wire()
-            kept = {k: answer[k] for k in ("member", "view", "granted")}
+            relevant = {k: answer[k] for k in ("member", "view", "granted")}
             if answer["granted"] or (
                 replica.newest_view and replica.newest_view.epoch > body["ask"]
             ):
-                self.reply(m, cbor2.dumps(kept | {"ask": body["ask"]}))
+                self.reply(m, cbor2.dumps(relevant | {"ask": body["ask"]}))
             return
         replica.check_recipient(m.disk_id)
         if m.op == "lead":
@@ -381,7 +399,7 @@
                     m.body,
                 )
             case "fetch":
-                held = {
+                answer = {
                     "epoch": body["epoch"],
                     "version": replica.record.version,
                     "data": replica.record.data,
@@ -390,7 +408,7 @@
                     lambda: replica.read_for_candidate(body["epoch"], body["asker"]),
                     "answer",
                     m,
-                    cbor2.dumps(held),
+                    cbor2.dumps(answer),
                 )
             case "install":
                 view = View.from_page(body["view"])
@@ -447,13 +465,18 @@
             if replica.member.id not in base.members():
                 raise CallRefusedError("not a member of the view")
             action = with_voters_of(action, base)
-        by, under = release or ("", 0)
-        ids = frozenset({replica.member.id, by} - {""})
-        self.operation = PendingOperation("promise", epoch, action, base, ids, released_epoch=under)
+        releasing_id, released_epoch = release or ("", 0)
+        ids = frozenset({replica.member.id, releasing_id} - {""})
+        self.operation = PendingOperation(
+            "promise", epoch, action, base, ids, released_epoch=released_epoch
+        )
         if self.election_rules().next_epoch(epoch - 1) is None:
             raise CallRefusedError("the view was given up")
         self.persist(
-            lambda: replica.promise(0.0, epoch, replica.member.id, under), "work", "promise", epoch
+            lambda: replica.promise(0.0, epoch, replica.member.id, released_epoch),
+            "work",
+            "promise",
+            epoch,
         )
 
     def rescue(self, case: RescueCase, epoch: int) -> None:
@@ -470,7 +493,7 @@
         )
 
     def hear_newest_view(self, view: View) -> None:
-        """Learns the newest view at its start, before it asks for a lease."""
+        """Learns the newest view after a restart, before the member asks for a lease."""
         self.replica.observe_view(view)
         record = self.replica.fencing_record()
         if record is not None:
@@ -527,29 +550,29 @@
         if self.election_rules().is_outdated(self.replica):
             self.operation = None
         elif self.election_rules().is_won(self.replica, operation.ids):
-            held = self.election_rules().own_configuration(self.replica)
-            if held is not None:
-                self.on_configuration(held)
+            own_configuration = self.election_rules().own_configuration(self.replica)
+            if own_configuration is not None:
+                self.on_configuration(own_configuration)
             else:
                 self.operation = operation._replace(stage="fetch")
                 self.read_configuration()
 
     def read_configuration(self) -> None:
-        """Asks the next member that may hold the configuration; the previous ones didn't answer."""
+        """Asks the next member that may have the configuration; the previous ones didn't answer."""
         operation = self.operation
         assert operation is not None
-        rest = [m for m in self.election_rules().sources() if m not in operation.asked]
-        if not rest:
+        sources = [m for m in self.election_rules().sources() if m not in operation.asked]
+        if not sources:
             raise CallRefusedError("no source is left to ask")
-        self.operation = operation._replace(asked=(*operation.asked, rest[0]))
-        self.ask(rest[0], "fetch", epoch=operation.epoch, asker=self.replica.member.id)
+        self.operation = operation._replace(asked=(*operation.asked, sources[0]))
+        self.ask(sources[0], "fetch", epoch=operation.epoch, asker=self.replica.member.id)
 
-    def on_configuration(self, held: VersionedData) -> None:
-        """Takes the configuration that was read as a source for the new view."""
-        found = self.election_rules().newest_configuration(self.replica, held)
-        assert found is not None
+    def on_configuration(self, configuration: VersionedData) -> None:
+        """Determines the new view's configuration from the one that was read, and writes it."""
+        newest = self.election_rules().newest_configuration(self.replica, configuration)
+        assert newest is not None
         assert self.operation is not None
-        self.operation = self.operation._replace(stage="own", asked=(), configuration=found)
+        self.operation = self.operation._replace(stage="own", asked=(), configuration=newest)
         self.write_next()
 
     def write_next(self) -> None:
@@ -642,15 +665,15 @@
             or self.pending_write is not None
         ):
             raise CallRefusedError("not the leader, no backup, or a disk write is pending")
-        held = replica.record.configuration
+        configuration = replica.record.configuration
         self.operation = PendingOperation(
-            "settle", view.epoch, configuration=held, ids=frozenset({"own"})
+            "settle", view.epoch, configuration=configuration, ids=frozenset({"own"})
         )
         body = {
             "epoch": view.epoch,
             "asker": replica.member.id,
-            "version": held[0],
-            "data": held[1],
+            "version": configuration.version,
+            "data": configuration.data,
         }
         self.ask(view.backup, "keep", **body)
 
@@ -678,11 +701,11 @@
 
     def write_copy(self) -> None:
         """Writes the copy that the learner asks for."""
-        held = self.code.learner(self.copy).next_copy(self.replica)
-        if held is None or self.pending_write is not None:
+        next_copy = self.code.learner(self.copy).next_copy(self.replica)
+        if next_copy is None or self.pending_write is not None:
             raise CallRefusedError("no copy to write, or a disk write is pending")
-        self.copy = held
-        self.effects.append(("copied", *held))
+        self.copy = next_copy
+        self.effects.append(("copied", *next_copy))
 
     def shut_down(self, remaining_members: tuple[Member, ...]) -> None:
         """Shuts down if the code allows it; `remaining_members` answer and aren't stopping."""
@@ -723,7 +746,7 @@
 
     def possible_actions(self, members: tuple[Member, ...]) -> list[Action]:
         """All results of `next_action` for any set of reachable members and any elapsed time."""
-        replica, found = self.replica, {}
+        replica, actions = self.replica, {}
         others = [m for m in members if m.id != replica.member.id]
         is_valid = replica.lease_left(0.0) > 0.0 or replica.is_leader(0.0)
         now = 0.0 if is_valid else 100.0
@@ -743,5 +766,5 @@
             action = next_action(replica, now)
             if action is not None:
                 key = (action.kind, action.voters, action.former_voters)
-                found[key] = replace(action, reason="")
-        return list(found.values())
+                actions[key] = replace(action, reason="")
+        return list(actions.values())
--- a/loomstand/testing/model_checker/mutants.py
+++ b/loomstand/testing/model_checker/mutants.py
@@ -1,4 +1,7 @@
-"""Mutants of the store, each without one protocol step; the model checker must detect them all."""
+"""Mutants of the store, each without one step of the protocol.
+
+The model checker must detect all of them.
+"""
 
 from __future__ import annotations
 
--- a/loomstand/testing/model_checker/state_space.py
+++ b/loomstand/testing/model_checker/state_space.py
@@ -94,6 +94,14 @@
     stopped: tuple[int, ...] = ()  # those of them that have shut down permanently
 
 
+class SnapshotFacts(NamedTuple):
+    """The properties of a member's snapshot that the invariants refer to."""
+
+    lease_seconds: float  # left of the member's lease
+    version: int  # committed version
+    views: tuple[View, ...]  # views that the member knows
+
+
 class InvariantError(Exception):
     """An invariant is violated; the message starts with its letter."""
 
@@ -119,15 +127,14 @@
     numbers: dict[MemberSnapshot | Message, int] = field(default_factory=dict)
     # outcome by snapshot and event, None for a refused event
     outcomes: dict[tuple[int, Event], Outcome | None] = field(default_factory=dict)
-    # by snapshot: seconds left of the lease, committed version, known views
-    facts: list[tuple[float, int, tuple[View, ...]]] = field(default_factory=list)
-    # by snapshot, members and members that aren't stopping
+    facts: list[SnapshotFacts] = field(default_factory=list)  # by snapshot
+    # by snapshot, members, and members that aren't stopping
     own_events: dict[tuple[int, tuple[Member, ...], tuple[Member, ...]], list[Event]] = field(
         default_factory=dict
     )
     # by snapshot: the snapshot one tick later
     ticked: dict[int, int] = field(default_factory=dict)
-    # by snapshot and message
+    # by snapshot and message: the result of `is_obsolete`
     obsolete: dict[tuple[int, int], bool] = field(default_factory=dict)
 
     # --- numbers of snapshots and messages
@@ -140,7 +147,9 @@
             self.snapshots.append(snapshot)
             replica = MemberDriver(self.code, self.seeds(), snapshot).replica
             views = {v for v in (snapshot.record.view, snapshot.newest_view) if v is not None}
-            self.facts.append((replica.lease_left(0.0), snapshot.version, tuple(views)))
+            self.facts.append(
+                SnapshotFacts(replica.lease_left(0.0), snapshot.version, tuple(views))
+            )
         return found
 
     def message_number(self, message: Message) -> int:
@@ -192,10 +201,10 @@
             except CallRefusedError:
                 self.outcomes[key] = None
             else:
-                out = tuple(self.message_number(m) for m in driver.sent_messages)
+                sent = tuple(self.message_number(m) for m in driver.sent_messages)
                 self.outcomes[key] = (
                     self.snapshot_number(driver.to_snapshot()),
-                    out,
+                    sent,
                     tuple(driver.effects),
                 )
         return self.outcomes[key]
@@ -210,21 +219,21 @@
         key = (number, members, staying)
         if key in self.own_events:
             return self.own_events[key]
-        snapshot, found = self.snapshots[number], list[Event]()
+        snapshot, events = self.snapshots[number], list[Event]()
         me, view, operation = (
             members[snapshot.member_index],
             snapshot.record.view,
             snapshot.operation,
         )
         if snapshot.pending_write is None:
-            found += self._actions(snapshot, staying)
+            events += self._actions(snapshot, staying)
         if operation and operation.stage == "backup":
-            found += [("backup", m) for m in staying if m != me and m not in operation.asked]
+            events += [("backup", m) for m in staying if m != me and m not in operation.asked]
         if operation and operation.stage == "fetch":
-            found.append(("read_configuration",))
+            events.append(("read_configuration",))
         if view is not None and view.primary.id == me.id:
-            found += self._heartbeats(snapshot, view)
-        self.own_events[key] = [e for e in found if self.step(number, e) is not None]
+            events += self._heartbeats(snapshot, view)
+        self.own_events[key] = [e for e in events if self.step(number, e) is not None]
         return self.own_events[key]
 
     def _actions(self, snapshot: MemberSnapshot, staying: tuple[Member, ...]) -> list[Event]:
@@ -259,46 +268,46 @@
 
     @staticmethod
     def backup_change(view: View) -> Action:
-        """The action of `ConfigurationService` when the backup doesn't write."""
+        """The action of `ConfigurationService` when the backup doesn't acknowledge a write."""
         return change_view("", view)
 
     def is_obsolete(self, snapshot: int, number: int) -> bool:
         """Whether a message can no longer affect a member, by the code under test."""
         key = (snapshot, number)
-        found = self.obsolete.get(key)
-        if found is None:
-            message, c = self.messages[number], self.snapshots[snapshot]
+        is_obsolete = self.obsolete.get(key)
+        if is_obsolete is None:
+            message = self.messages[number]
             if message.op in ("beat", "install") and message.is_answer:
                 has_expired = message.sent + LEASE_SECONDS <= 0.0
-                found = not message.is_awaited or (
+                is_obsolete = not message.is_awaited or (
                     has_expired and self.step(snapshot, ("deliver", number)) == (snapshot, (), ())
                 )
             elif message.op == "beat":
                 # a lease granted in the answer would have expired
-                found = message.sent + LEASE_SECONDS <= 0.0
+                is_obsolete = message.sent + LEASE_SECONDS <= 0.0
             else:
-                found = self._is_stale(snapshot, c, message, number)
-            self.obsolete[key] = found
-        return found
+                is_obsolete = self._is_stale(snapshot, message, number)
+            self.obsolete[key] = is_obsolete
+        return is_obsolete
 
-    def _is_stale(self, snapshot: int, c: MemberSnapshot, message: Message, number: int) -> bool:
+    def _is_stale(self, snapshot: int, message: Message, number: int) -> bool:
         """Whether a message without a time limit can no longer affect a member."""
-        body = cbor2.loads(message.body)
+        receiver, body = self.snapshots[snapshot], cbor2.loads(message.body)
         epoch = body["view"][0] if message.op == "install" else body["epoch"]
         if message.is_answer and not message.is_awaited:
             return True
-        if c.pending_write is not None:  # refused only until the write is on disk
+        if receiver.pending_write is not None:  # refused only until the write is on disk
             return False
         outcome = self.step(snapshot, ("deliver", number))
-        if outcome is None and message.disk_id != c.record.id and not message.is_answer:
+        if outcome is None and message.disk_id != receiver.record.id and not message.is_answer:
             return True
         has_no_effect = outcome is None or outcome == (snapshot, (), ())
         # promised epochs never decrease, and those on disk survive a restart, so no operation of an
         # earlier epoch can start any more
         is_outdated = (
-            epoch <= c.record.promised_epoch
+            epoch <= receiver.record.promised_epoch
             if not message.is_answer
-            else epoch < c.record.promised_epoch
+            else epoch < receiver.record.promised_epoch
         )
         return has_no_effect and is_outdated and (outcome is None or message.is_answer)
 
@@ -361,7 +370,7 @@
         yield from self._commit_news(state, i, number)
         if self.bounds.learners:
             yield from self._apply(state, i, ("write_copy",))
-        lease_seconds = self.facts[number][0]
+        lease_seconds = self.facts[number].lease_seconds
         if state.remaining.reads and lease_seconds > 0.0:
             fewer = state._replace(
                 remaining=state.remaining._replace(reads=state.remaining.reads - 1)
@@ -389,9 +398,8 @@
         without = state._replace(fresh=rest)
         at = self.messages[number].receiver
         if self.step(state.snapshots[at], ("deliver", number)) is None:
-            if (
-                self.snapshots[state.snapshots[at]].pending_write is not None
-            ):  # the message waits for the pending write
+            # the message waits for a pending write
+            if self.snapshots[state.snapshots[at]].pending_write is not None:
                 yield (
                     ("{} waits", (number,)),
                     without._replace(delayed=tuple(sorted({*state.delayed, number}))),
@@ -427,9 +435,10 @@
             and event[1].former_voters
             and len(event[1].former_voters) <= len(event[1].voters)
         ):
+            # voters that no view has yet
             is_new_set = all(
-                v.voters != event[1].voters for c in state.snapshots for v in self.facts[c][2]
-            )  # voters that no view has yet
+                v.voters != event[1].voters for c in state.snapshots for v in self.facts[c].views
+            )
             if is_new_set:
                 return (
                     state._replace(remaining=left._replace(changes=left.changes - 1))
@@ -440,7 +449,7 @@
 
     def _puts(self, state: SystemState, i: int, number: int) -> Iterator[tuple[Label, SystemState]]:
         """Configuration changes that are sent to a member whose lease is valid."""
-        if not self.facts[number][0] or self.snapshots[number].pending_write is not None:
+        if not self.facts[number].lease_seconds or self.snapshots[number].pending_write is not None:
             return
         for v in range(self.bounds.versions):
             # two contents suffice, since only equality matters: the first put takes content 0, a
@@ -479,10 +488,11 @@
             old_id = snapshot.record.id
             disk_id = old_id if self.code.reuses_disk_id else old_id + "'"
             fewer = left._replace(wipes=left.wipes - 1, faults=left.faults - 1)
-            aside = ((i, snapshot.record),) if left.rescues else ()
-            lost = state._replace(remaining=fewer, lost_disks=state.lost_disks + aside)
+            # kept only if a later rescue may let the disk return
+            lost_disk = ((i, snapshot.record),) if left.rescues else ()
+            after = state._replace(remaining=fewer, lost_disks=state.lost_disks + lost_disk)
             yield from self._restart(
-                lost, i, Record(disk_id, False), "has lost its disk and starts", True
+                after, i, Record(disk_id, False), "has lost its disk and starts", True
             )
 
     def _shutdowns(
@@ -525,29 +535,29 @@
             MemberDriver(self.code, self.seeds(), self.snapshots[c]).replica
             for c in state.snapshots
         ]
-        found = make_case(
-            (MemberReport.of(t, 0.0, NO_CONFIGURATION) for t in replicas),
+        case = make_case(
+            (MemberReport.of(r, 0.0, NO_CONFIGURATION) for r in replicas),
             (),
             [m.address for m in self.seeds()],
         )
-        chosen = found.chosen()
-        if chosen is None or found.obstacles():
+        chosen = case.chosen()
+        if chosen is None or case.obstacles():
             return
         # a version that no reachable member holds is lost
         committed = tuple(
-            d if v < found.newest_version() else None for v, d in enumerate(state.committed)
+            data if v < case.newest_version() else None for v, data in enumerate(state.committed)
         )
         after = state._replace(
             remaining=state.remaining._replace(rescues=state.remaining.rescues - 1),
             committed=committed,
         )
-        i = next(i for i, t in enumerate(replicas) if t.member == chosen.member)
-        yield from self._apply(after, i, ("rescue", found, EPOCH_RANGE))
+        i = next(i for i, r in enumerate(replicas) if r.member == chosen.member)
+        yield from self._apply(after, i, ("rescue", case, EPOCH_RANGE))
 
     def _restart(
         self, state: SystemState, i: int, record: Record, words: str, empty: bool = False
     ) -> Iterator[tuple[Label, SystemState]]:
-        """A restart; answers to earlier calls are lost, also those that wait for a write."""
+        """A restart; the member ignores answers to its earlier calls, also those not sent yet."""
         snapshots, delayed = list(state.snapshots), list[int]()
         for k, number in enumerate(snapshots):
             match self.snapshots[number].pending_write:
@@ -565,7 +575,7 @@
             delayed.append(number)
         after = state._replace(snapshots=tuple(snapshots), delayed=tuple(sorted({*delayed})))
         label = ("{} " + words, (self.snapshots[state.snapshots[i]].record.id,))
-        views = (v for c in after.snapshots for v in self.facts[c][2])
+        views = (v for c in after.snapshots for v in self.facts[c].views)
         view = newest_view(*views) if self.bounds.rescues else None
         if view is None:
             yield label, self._drop_obsolete(after)
@@ -579,19 +589,19 @@
         outcome = self.step(state.snapshots[i], event)
         if outcome is None:
             return
-        before, words = state.snapshots[i], "{}: {}"
+        before, form = state.snapshots[i], "{}: {}"
         while True:
-            number, out, effects = outcome
-            after = self._apply_outcome(state, i, number, out, effects)
+            number, sent, effects = outcome
+            after = self._apply_outcome(state, i, number, sent, effects)
             if (
                 self.snapshots[number].pending_write is None
                 or self.snapshots[number].pending_write
                 == self.snapshots[state.snapshots[i]].pending_write
             ):
-                yield (words, (before, event)), after
+                yield (form, (before, event)), after
                 return
             if state.remaining.faults and "slow" in self.bounds.fault_kinds:
-                yield (words + ", its write slow", (before, event)), self._spend_fault(after)
+                yield (form + ", its write slow", (before, event)), self._spend_fault(after)
             outcome = self.step(number, ("write",))
             assert outcome is not None
             state = after
@@ -601,7 +611,7 @@
         state: SystemState,
         i: int,
         number: int,
-        out: tuple[int, ...],
+        sent: tuple[int, ...],
         effects: tuple[Effect, ...],
     ) -> SystemState:
         snapshots = (*state.snapshots[:i], number, *state.snapshots[i + 1 :])
@@ -617,14 +627,14 @@
                 if committed[version - 1] not in (None, data):
                     raise InvariantError(f"(c) version {version} has two committed contents")
                 committed = (*committed[: version - 1], data, *committed[version:])
-        if state.partitioned >= 0 and out:
-            out = tuple(
+        if state.partitioned >= 0 and sent:
+            sent = tuple(
                 n
-                for n in out
+                for n in sent
                 if state.partitioned not in (self.messages[n].sender, self.messages[n].receiver)
             )
         return self._drop_obsolete(
-            state._replace(snapshots=snapshots, fresh=state.fresh + out, committed=committed)
+            state._replace(snapshots=snapshots, fresh=state.fresh + sent, committed=committed)
         )
 
     def _drop_obsolete(self, state: SystemState) -> SystemState:
@@ -701,17 +711,21 @@
         self._check_reads(state)
         if state.stopping:
             self._check_survivors(state)
-        serving = [f for i, f in enumerate(facts) if f[0] > 0.0 and i not in state.stopped]
+        serving = [
+            fact
+            for i, fact in enumerate(facts)
+            if fact.lease_seconds > 0.0 and i not in state.stopped
+        ]
         if len(serving) > 1:
             raise InvariantError("(b) two members serve")
         newest = max(
             (v + 1 for v, data in enumerate(state.committed) if data is not None), default=0
         )
-        if serving and serving[0][1] < newest:
+        if serving and serving[0].version < newest:
             raise InvariantError(f"(a) version {newest} was committed and is lost")
         views: dict[int, View] = {}
-        for known in (f[2] for f in facts):
-            for view in known:
+        for fact in facts:
+            for view in fact.views:
                 if views.setdefault(view.epoch, view) != view:
                     raise InvariantError(f"(b) two views of epoch {view.epoch}")
         for c in state.snapshots:
@@ -720,7 +734,7 @@
                 raise InvariantError(f"(d) a new disk votes as {record.id}")
 
     def _check_reads(self, state: SystemState) -> None:
-        leases = [self.facts[number][0] for number in state.snapshots]
+        leases = [self.facts[number].lease_seconds for number in state.snapshots]
         for read in state.pending_reads:
             is_other_serving = any(
                 lease_seconds > 0.0 and i != read.member_index
@@ -746,8 +760,10 @@
         The view tolerates one such loss, so no disk may be lost on top of it.
         """
         view, _ = self._survivors(state)
-        names = replace(view, former_voters=()).members() if view else {}
-        return any(self.snapshots[state.snapshots[i]].record.id in names for i in state.stopped)
+        member_ids = replace(view, former_voters=()).members() if view else {}
+        return any(
+            self.snapshots[state.snapshots[i]].record.id in member_ids for i in state.stopped
+        )
 
     def _check_survivors(self, state: SystemState) -> None:
         view, ids = self._survivors(state)
