--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -179,7 +179,7 @@
         self.proxies = {ip: self.make_host(ip, self.proxy_factory(ip)) for ip in self.proxies}
         self.loop.set_exception_handler(self.on_loop_exception)
         self.run(self.create_workload(servers))
-        self.versions: dict[int, bytes] = {}
+        self.versions: dict[int, bytes] = {}  # bodies that were sent, by version
         self.version, self.resources = 0, dict[tuple[str, str], dict[str, Any]]()
         self.routed_proxies: list[Address] = []  # proxies that get new connections
         self.background_tasks: list[asyncio.Task[Any]] = []
--- a/loomstand/testing/simulation/http_log.py
+++ b/loomstand/testing/simulation/http_log.py
@@ -44,7 +44,8 @@
     on_established: Callable[[], None] | None = None
 
     def __init__(self) -> None:
-        self.buffer, self.closed_reason = bytearray(), ""
+        self.buffer = bytearray()
+        self.closed_reason = ""  # "closed" or "reset" once the connection has ended
         self.waiter: asyncio.Future[None] | None = None
 
     def connection_made(self, transport: Any) -> None:
--- a/loomstand/testing/simulation/hunt.py
+++ b/loomstand/testing/simulation/hunt.py
@@ -80,7 +80,8 @@
             )
         )
     lines += [
-        (d.acked, f"drain of {d.server} acknowledged by {d.by}", d.acked) for d in history.drains
+        (d.acked, f"drain of {d.server} acknowledged by {d.acked_by}", d.acked)
+        for d in history.drains
     ]
     lines += [(a, f"no primary until {b:.2f}", b) for a, b in history.primary_gaps]
     for at, text, until in sorted(lines):
--- a/tests/testing/simulation/test_bounds.py
+++ b/tests/testing/simulation/test_bounds.py
@@ -30,7 +30,7 @@
 BOUNDS = Cluster(1, 1, 1, 1).settings("10.1.0.1").bounds
 ANN = {"ann": (10.0, 20.0)}  # quota of a window: 50 + 20 requests; with the leeway 97
 FIRST = ConfigurationChange(1, 0.0, 0.1, ANN)
-Q, SMALL = "quota: share of the leeway used", "quota, small: share of the leeway used"
+QUOTA_FIGURE = "quota: share of the leeway used"
 
 
 def figures_by_name(history: History) -> dict[str, Figure]:
@@ -52,7 +52,7 @@
     history = History(["one"], ended=30.0, changes=[FIRST], arrivals=runs(count, 10.0, 14.9))
     again = history.arrivals[3]  # neither a second run of a request nor a rejected one counts
     history.arrivals += [replace(again, at=again.at + 0.1), replace(again, id="x", ran=False)]
-    figure = figures_by_name(history)[Q]
+    figure = figures_by_name(history)[QUOTA_FIGURE]
     assert bool(figure.broken) is broken and figure.value == pytest.approx((count - 70) / 27)
     assert figure.at == pytest.approx(10.0) and f"{count} where" in figure.who
 
@@ -80,18 +80,20 @@
     higher = ConfigurationChange(2, 10.0, float("inf"), {"ann": (20.0, 20.0)})
     for at, broken in ((2.0, True), (8.0, False)):
         history = History(["one"], changes=[FIRST, higher], arrivals=runs(130, at, at + 4.5))
-        assert bool(figures_by_name(history)[Q].broken) is broken
+        assert bool(figures_by_name(history)[QUOTA_FIGURE].broken) is broken
 
 
 # --- propagation of changes
 
 
-def figures_of_change(known: float, *spans: FaultSpan, acked: float = 10.0) -> dict[str, Figure]:
-    """Returns the figures of a version and a drain, acknowledged at `acked`, applied at `known`."""
+def figures_of_change(
+    applied_at: float, *spans: FaultSpan, acked: float = 10.0
+) -> dict[str, Figure]:
+    """Returns the figures of a version and a drain, acknowledged and applied at these times."""
     applied_changes = [AppliedChange(1.0, "one", 1, "", 1), AppliedChange(1.0, "one", 1, "i-1", 1)]
     applied_changes += [
-        AppliedChange(known, "one", 1, "", 2),
-        AppliedChange(known, "one", 1, "i-1", 0),
+        AppliedChange(applied_at, "one", 1, "", 2),
+        AppliedChange(applied_at, "one", 1, "i-1", 0),
     ]
     drain = Drain("i-1", acked, "core")
     history = History(
@@ -106,15 +108,17 @@
     return figures_by_name(history)
 
 
-@pytest.mark.parametrize("known", [12.49, 12.51])
-def test_a_change_applied_later_than_its_bound_is_found(known):
+@pytest.mark.parametrize("applied_at", [12.49, 12.51])
+def test_a_change_applied_later_than_its_bound_is_found(applied_at):
     for name in ("version in force, connected", "drain known, connected"):
-        figure = figures_of_change(known)[name]
-        assert figure.value == pytest.approx(known - 10.0) and bool(figure.broken) is (known > 12.5)
+        figure = figures_of_change(applied_at)[name]
+        assert figure.value == pytest.approx(applied_at - 10.0) and bool(figure.broken) is (
+            applied_at > 12.5
+        )
 
 
 @pytest.mark.parametrize(
-    ("span", "known", "name", "value", "broken"),
+    ("span", "applied_at", "name", "value", "broken"),
     [
         # the delay counts from the end of the fault; the bound is `contact`
         (FaultSpan("cut", "", frozenset(["one"]), 8.0, 18.0), 20.9, "cut", 2.9, 0),
@@ -141,16 +145,18 @@
         ),
     ],
 )
-def test_the_delay_counts_from_the_end_of_a_fault(span, known, name, value, broken):
-    figure = figures_of_change(known, span)[f"version in force, {name}"]
+def test_the_delay_counts_from_the_end_of_a_fault(span, applied_at, name, value, broken):
+    figure = figures_of_change(applied_at, span)[f"version in force, {name}"]
     assert figure.value == pytest.approx(value) and figure.broken == broken
 
 
-@pytest.mark.parametrize(("known", "broken"), [(20.9, 0), (23.5, 1)])
-def test_the_cores_stretch_does_not_bind_a_limiter_that_was_cut_off_until_its_end(known, broken):
+@pytest.mark.parametrize(("applied_at", "broken"), [(20.9, 0), (23.5, 1)])
+def test_the_cores_stretch_does_not_bind_a_limiter_that_was_cut_off_until_its_end(
+    applied_at, broken
+):
     cut = FaultSpan("cut", "", frozenset(["one"]), 8.0, 20.4)
     core = FaultSpan(CORE, "", frozenset(["core"]), 20.45, 20.5, True)
-    assert figures_of_change(known, cut, core)["version in force, core"].broken == broken
+    assert figures_of_change(applied_at, cut, core)["version in force, core"].broken == broken
     assert (
         figures_of_change(20.9, core, replace(core, begun=9.0, ended=9.1))[
             "version in force, core"
@@ -188,7 +194,7 @@
     assert figures_by_name(history)["arrival after a drain, core"].broken == 0
 
 
-# --- the rest
+# --- retries, acknowledgements and primaries
 
 
 @pytest.mark.parametrize(("more", "broken"), [(76, 0), (77, 1)])
@@ -222,7 +228,10 @@
 def test_a_day_is_the_same_twice():
     setup = Setup(limiters=4, length=6.0, servers=3)
     one, other = (hunt.run_day((3, setup)) for _ in range(2))
-    assert one == other and {f.name for f in one[1]} >= {Q, "version in force, connected"}
+    assert one == other and {f.name for f in one[1]} >= {
+        QUOTA_FIGURE,
+        "version in force, connected",
+    }
     assert hunt.run_day((4, setup))[1] != one[1]
 
 
@@ -242,20 +251,44 @@
         return [partition()]
 
 
-@pytest.mark.parametrize("held", [True, False])
-def test_a_share_that_is_not_held_for_a_silent_limiter_breaks_the_quota(held, monkeypatch):
+@pytest.mark.parametrize("is_held", [True, False])
+def test_a_share_that_is_not_held_for_a_silent_limiter_breaks_the_quota(is_held, monkeypatch):
     """Credits alone keep the quota, so they are disabled as well; their own safeguards are tested
     in tests/registry/test_quota_grants.py.
     """
-    if not held:
+    if not is_held:
         monkeypatch.setattr(limiters, "SILENT_RETENTION_SECONDS", limiters.SESSION_TIMEOUT_SECONDS)
         monkeypatch.setattr(QuotaCredits, "may_admit", lambda *_: True)
     history, bounds = PartitionedDay(5, Setup(limiters=8, length=11.0, servers=3)).simulate()
-    quota = {figure.name: figure for figure in evaluate(history, bounds)}[Q]
-    assert bool(quota.broken) is not held, quota
+    quota = {figure.name: figure for figure in evaluate(history, bounds)}[QUOTA_FIGURE]
+    assert bool(quota.broken) is not is_held, quota
     assert all(f.broken == 0 for f in evaluate(history, bounds) if "quota" not in f.name)
 
 
+def test_the_narrative_lists_faults_changes_and_drains_around_the_worst_figure(capsys):
+    span = FaultSpan("cut", "limiters cut off", frozenset(["one"]), 8.0, 9.0)
+    history = History(
+        ["one"],
+        0.0,
+        60.0,
+        [span],
+        changes=[FIRST],
+        drains=[Drain("i-1", 10.0, "core")],
+        arrivals=runs(98, 10.0, 14.9),
+        primary_gaps=[(11.0, 12.0)],
+    )
+    hunt.print_narrative(history, evaluate(history, BOUNDS))
+    printed = capsys.readouterr().out
+    for text in (
+        "around 10.00 s: quota: share of the leeway used",
+        "8.00  limiters cut off: one, until 9.00",
+        "0.00  r1 sent, acknowledged at 0.10, ann 10/s and 20",
+        "10.00  drain of i-1 acknowledged by core",
+        "11.00  no primary until 12.00",
+    ):
+        assert text in printed
+
+
 def test_of_many_days_the_worst_is_named_with_its_seed():
     def figure(value: float, broken: int = 0) -> Figure:
         return Figure("quota", value, 1.0, 0.0, "ann", 9, broken)
@@ -276,13 +309,13 @@
 # --- a counter that moves
 
 
-@pytest.mark.parametrize("known", [True, False])
-def test_a_counter_that_moves_gives_no_second_burst(known, monkeypatch):
+@pytest.mark.parametrize("has_safeguards", [True, False])
+def test_a_counter_that_moves_gives_no_second_burst(has_safeguards, monkeypatch):
     """A random day in which the counting lease moves while a tenant is hot."""
-    if not known:
+    if not has_safeguards:
         monkeypatch.setattr(CounterReplay, "record", lambda *_: 0.0)
         monkeypatch.setattr(counters, "INCOMPLETE_SECONDS", 0.0)
         monkeypatch.setattr(QuotaCredits, "may_admit", lambda *_: True)
     history, bounds = Day(1072, Setup(length=6.0)).simulate()
-    quota = {figure.name: figure for figure in evaluate(history, bounds)}[Q]
-    assert bool(quota.broken) is not known, quota
+    quota = {figure.name: figure for figure in evaluate(history, bounds)}[QUOTA_FIGURE]
+    assert bool(quota.broken) is not has_safeguards, quota
