--- a/loomstand/testing/simulation/faults.py
+++ b/loomstand/testing/simulation/faults.py
@@ -1,9 +1,7 @@
 """Random faults of a simulated cluster; each has ended when its method returns.
 
-Kinds of limiters: proxy, herd, term, part, freeze_proxy, slow_proxy, step, roll. Of the core: core,
-registry, freeze_core, cut, disk, step_core, slow_core, all_core, lossy. Of servers: server,
-trouble, wave, swap, leave, release. `alone` partitions one machine from all others, `freeze`
-freezes processes. All but faults of servers record a span in the history.
+Each kind of fault is a method of `Faults`, and the lists below contain names of methods. Faults of
+limiters and of the core record a span in the history, faults of servers don't.
 """
 
 from __future__ import annotations
@@ -19,33 +17,49 @@
 from loomstand.testing.simulation.workload import Server
 
 LIMITER_FAULTS = [
-    "proxy",
-    "herd",
-    "herd",
-    "term",
-    "part",
-    "part",
-    "part",
-    "freeze_proxy",
-    "slow_proxy",
-    "step",
+    "kill_proxy",
+    "kill_many_proxies",
+    "kill_many_proxies",
+    "terminate_proxy",
+    "cut_off_limiters",
+    "cut_off_limiters",
+    "cut_off_limiters",
+    "freeze_proxies",
+    "slow_proxy_links",
+    "step_proxy_clocks",
 ]
 # Faults of limiters on dense days, on which several faults overlap.
-DENSE_DAY_FAULTS = [*LIMITER_FAULTS, "roll", "roll", "herd", "step", "part"]
+DENSE_DAY_FAULTS = [
+    *LIMITER_FAULTS,
+    "roll_proxies",
+    "roll_proxies",
+    "kill_many_proxies",
+    "step_proxy_clocks",
+    "cut_off_limiters",
+]
 CORE_FAULTS = [
-    "core",
-    "core",
-    "registry",
-    "freeze_core",
-    "cut",
-    "cut",
-    "disk",
-    "step_core",
-    "slow_core",
-    "all_core",
-    "lossy",
+    "kill_core_machine",
+    "kill_core_machine",
+    "kill_registry",
+    "freeze_core_machine",
+    "partition_core",
+    "partition_core",
+    "disturb_disk",
+    "step_core_clock",
+    "slow_core_links",
+    "kill_all_core",
+    "lose_messages",
+]
+SERVER_FAULTS = [
+    "kill_server",
+    "disturb_server",
+    "swap_server_addresses",
+    "disturb_half_of_service",
+    "disturb_half_of_service",
+    "drain_server",
+    "drain_server",
+    "release_service",
 ]
-SERVER_FAULTS = ["server", "trouble", "swap", "wave", "wave", "leave", "leave", "release"]
 ROLL_GAP_SECONDS = 0.7  # between two steps of a rolling restart
 STOP_TIMEOUT_SECONDS = 6.0  # after which a program that was asked to stop is killed
 # from the acknowledgement of a drain until the server exits; more than the bound `drain`
@@ -133,23 +147,23 @@
             if not host.up:
                 host.start()
 
-    async def proxy(self) -> None:
+    async def kill_proxy(self) -> None:
         """Kills a proxy or cuts its power."""
         ip = self.rng.choice([*self.cluster.proxies])
         async with self.span("started", "killed", [ip]):
             await self.take_down([self.cluster.proxies[ip]], self.rng.random() < 0.5)
 
-    async def herd(self) -> None:
+    async def kill_many_proxies(self) -> None:
         """Kills 30 to 60 % of the proxies at once."""
         ips = self.draw_proxies(0.3, 0.6)
         async with self.span("started", "killed together", ips):
             await self.take_down([self.cluster.proxies[ip] for ip in ips], False)
 
-    async def term(self) -> None:
+    async def terminate_proxy(self) -> None:
         """Stops a proxy as on SIGTERM and starts it again."""
         await self.restart([self.rng.choice([*self.cluster.proxies])], "told to stop")
 
-    async def roll(self) -> None:
+    async def roll_proxies(self) -> None:
         """Restarts most limiters, two at a time."""
         ips, rolls = self.draw_proxies(0.6, 1.0), []
         for n in range(0, len(ips), 2):
@@ -167,7 +181,7 @@
                 host.kill()
             self.start_again(hosts)
 
-    async def step(self) -> None:
+    async def step_proxy_clocks(self) -> None:
         """Steps the wall clock of some proxies and restarts them, as programs read it at start."""
         ips = self.draw_proxies(0.1, 0.3)
         async with self.span("started", "clock step", ips):
@@ -179,7 +193,7 @@
         offset = self.rng.choice((-1600.0, -3.0, 2.0, 1600.0))
         self.cluster.clock_offsets |= dict.fromkeys(ips, offset)
 
-    async def core(self) -> None:
+    async def kill_core_machine(self) -> None:
         """Kills both programs of a core machine, cuts its power or wipes its disk."""
         ip, wipe = self.draw_core(), self.rng.random() < 0.25
         async with self.span(
@@ -187,20 +201,20 @@
         ):
             await self.take_down([*self.cluster.core(ip)], wipe or self.rng.random() < 0.5, wipe)
 
-    async def step_core(self) -> None:
+    async def step_core_clock(self) -> None:
         """Steps the wall clock of a core machine and restarts its programs."""
         ip = self.draw_core()
         async with self.span(CORE, "core clock step", [ip], True):
             self.shift_clocks([ip])
             await self.take_down([*self.cluster.core(ip)], False)
 
-    async def registry(self) -> None:
+    async def kill_registry(self) -> None:
         """Kills a registry, which loses its counts; the store on the same machine goes on."""
         ip = self.draw_core()
         async with self.span(CORE, "registry killed", [ip], True):
             await self.take_down([self.cluster.registries[ip]], False)
 
-    async def all_core(self) -> None:
+    async def kill_all_core(self) -> None:
         """Kills all programs of the core at once."""
         async with self.span(CORE, "all of the core killed", self.cluster.core_ips, True, False):
             await self.take_down(
@@ -217,23 +231,23 @@
         for host in hosts:
             host.thaw()
 
-    async def freeze_proxy(self) -> None:
+    async def freeze_proxies(self) -> None:
         ips = self.draw_proxies(0.0, 0.2)
         async with self.span("slow", "frozen", ips):
             await self.freeze_hosts([self.cluster.proxies[ip] for ip in ips])
 
-    async def freeze_core(self) -> None:
+    async def freeze_core_machine(self) -> None:
         """Freezes the registry, the store or both on a core machine."""
         ip = self.draw_core()
         hosts = self.rng.choice(([0], [1], [0, 1]))
         async with self.span(CORE, "core processes frozen", [ip], True):
             await self.freeze_hosts([self.cluster.core(ip)[n] for n in hosts])
 
-    async def freeze(self) -> None:
+    async def freeze_processes(self) -> None:
         """Freezes proxies or, with probability 0.7, processes of a core machine."""
-        await (self.freeze_proxy if self.rng.random() < 0.3 else self.freeze_core)()
+        await (self.freeze_proxies if self.rng.random() < 0.3 else self.freeze_core_machine)()
 
-    async def disk(self) -> None:
+    async def disturb_disk(self) -> None:
         """Makes the disk of a store hang, refuse writes or write slowly."""
         ip, fault = self.draw_core(), self.rng.choice(("hangs", "refuses", "slower"))
         disk_state = self.cluster.stores[ip].disk_state
@@ -261,7 +275,7 @@
             (forward | backward, forward | backward, forward | backward, forward, backward)
         )
 
-    async def part(self) -> None:
+    async def cut_off_limiters(self) -> None:
         """Cuts limiters off from the core; with probability 1/2 from servers, too."""
         ips = self.draw_proxies(0.1, 0.3)
         remote_ips = list(self.cluster.core_ips)
@@ -270,7 +284,7 @@
         async with self.span("cut", "limiters cut off", ips):
             await self.block_links(self.links_between(ips, remote_ips))
 
-    async def cut(self) -> None:
+    async def partition_core(self) -> None:
         """Partitions the core in two parts; each limiter reaches one of them, or all reach both."""
         cores, side = list(self.cluster.core_ips), [self.draw_core()]
         if len(cores) == 4 and self.rng.random() < 0.4:
@@ -293,7 +307,7 @@
             else:
                 await self.block_links(pairs)
 
-    async def alone(self) -> None:
+    async def isolate_machine(self) -> None:
         """Partitions one machine from all others."""
         core = self.rng.random() < 0.4
         ip = self.draw_core() if core else self.rng.choice([*self.cluster.proxies])
@@ -311,17 +325,17 @@
             # another fault may have ended it
             self.cluster.network.extra_delay_seconds.pop(ip, None)
 
-    async def slow_proxy(self) -> None:
+    async def slow_proxy_links(self) -> None:
         ips = self.draw_proxies(0.05, 0.3)
         async with self.span("slow", "slow links", ips):
             await self.slow_down(ips)
 
-    async def slow_core(self) -> None:
+    async def slow_core_links(self) -> None:
         ip = self.draw_core()
         async with self.span(CORE, "core links slow", [ip], True):
             await self.slow_down([ip])
 
-    async def lossy(self) -> None:
+    async def lose_messages(self) -> None:
         """Makes all links lose 2 or 10 % of the call messages and delay as many segments."""
         hosts = [*self.cluster.core_ips, *self.cluster.proxies]
         async with self.span("slow", "all links lossy", hosts, True, False):
@@ -341,14 +355,14 @@
         servers = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
         return self.rng.choice([s for s in servers if s.state == "ready"] or servers)
 
-    async def server(self) -> None:
+    async def kill_server(self) -> None:
         """Kills a server and starts it again."""
         server = self.draw_server()
         server.kill()
         await self.wait_fault_duration()
         server.start()
 
-    async def trouble(self) -> None:
+    async def disturb_server(self) -> None:
         """Makes a server apply a random fault to 30 % or all of its requests."""
         server = self.draw_server()
         fault_names = "full error close silent reset cut spoilt surplus late slow bare dark refuses"
@@ -359,7 +373,7 @@
         await self.wait_fault_duration()
         server.fault = ""
 
-    async def wave(self) -> None:
+    async def disturb_half_of_service(self) -> None:
         """Makes half of a service's servers reject, fail or reset a random share of requests."""
         servers = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
         faulty, fault, share = (
@@ -373,7 +387,7 @@
         for server in faulty:
             server.fault = ""
 
-    async def swap(self) -> None:
+    async def swap_server_addresses(self) -> None:
         """Kills two servers of different services and starts each with the other's address."""
         alpha, beta = self.cluster.servers["alpha"][0], self.cluster.servers["beta"][0]
         alpha.kill()
@@ -383,7 +397,7 @@
         alpha.start()
         beta.start()
 
-    async def leave(self) -> None:
+    async def drain_server(self) -> None:
         """Drains a server and replaces it by a new instance."""
         await self.drain_and_replace(self.draw_server())
 
@@ -396,7 +410,7 @@
         await server.leave()
         server.start()
 
-    async def release(self) -> None:
+    async def release_service(self) -> None:
         """Replaces up to three servers of a service, with one second between the drains."""
         servers = self.cluster.servers[self.rng.choice([*self.cluster.servers])]
         leaving = []
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -454,7 +454,18 @@
 # --- random faults
 
 
-KINDS = ["core", "proxy", "term", "leave", "server", "trouble", "alone", "freeze", "disk", "swap"]
+KINDS = [
+    "kill_core_machine",
+    "kill_proxy",
+    "terminate_proxy",
+    "drain_server",
+    "kill_server",
+    "disturb_server",
+    "isolate_machine",
+    "freeze_processes",
+    "disturb_disk",
+    "swap_server_addresses",
+]
 
 
 async def _run_random_faults(cluster: Cluster, rng: Random) -> None:
