--- a/loomstand/testing/simulation/cluster.py
+++ b/loomstand/testing/simulation/cluster.py
@@ -51,7 +51,7 @@
 """
 
 
-class VirtualTurns:
+class VirtualArrivalClock:
     """Stands in for `ArrivalClockSelector`: bytes count as received when they are read."""
 
     count, longest_iteration = 0, 0.0
@@ -95,7 +95,7 @@
         """
         self.wall_seconds, self.violations = wall_seconds, request_log.violations
         self.applied_changes, self.process_number = applied_changes, process_number
-        super().__init__(settings, network, rng, VirtualTurns(), streams)  # type: ignore[arg-type]
+        super().__init__(settings, network, rng, VirtualArrivalClock(), streams)  # type: ignore[arg-type]
         self.log = self.record_internal_error
         self.endpoints.endpoint = self.endpoint  # type: ignore[method-assign]
 
@@ -228,7 +228,7 @@
                 RegistryService(
                     self.settings(ip),
                     network,
-                    VirtualTurns(),
+                    VirtualArrivalClock(),
                     clock=clock,
                     wall_seconds=self.wall_clock(ip, rng),
                     streams=streams,
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -54,7 +54,12 @@
 from loomstand.membership import messages
 from loomstand.testing.bench_adapter import __main__ as adapter
 from loomstand.testing.bench_adapter import wire as adapter_wire
-from loomstand.testing.simulation.cluster import FRONT_PORT, READINESS_PORT, Cluster, VirtualTurns
+from loomstand.testing.simulation.cluster import (
+    FRONT_PORT,
+    READINESS_PORT,
+    Cluster,
+    VirtualArrivalClock,
+)
 from loomstand.testing.simulation.http_log import HttpConnection
 from loomstand.testing.simulation.loop import SimProcess, run_simulated
 from loomstand.testing.simulation.network import SimNetwork
@@ -952,7 +957,7 @@
         file["settings"] |= more
         file["settings"]["allowed"] |= {"retry_after": True, "max_retry_after": 3000}
         limiter = LoopClockLimiter(
-            config.parse_limiter_config(json.dumps(file).encode(), {}), VirtualTurns()
+            config.parse_limiter_config(json.dumps(file).encode(), {}), VirtualArrivalClock()
         )
         here = Streams(tcp, HOST, SimProcess())
         limiter.listener.bind, limiter.pool.connect = here.listen, here.connect
