--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -462,16 +462,16 @@
 
 
 FAULT_KINDS = [
-    "core",
-    "proxy",
-    "term",
-    "leave",
-    "server",
-    "trouble",
-    "alone",
-    "freeze",
-    "disk",
-    "swap",
+    "kill_core_machine",
+    "kill_proxy",
+    "terminate_proxy",
+    "drain_server",
+    "kill_server",
+    "disturb_server",
+    "isolate_machine",
+    "freeze_processes",
+    "disturb_disk",
+    "swap_server_addresses",
 ]
 
 
