--- a/loomstand/store/configuration_service.py
+++ b/loomstand/store/configuration_service.py
@@ -32,7 +32,7 @@
 # Limit for acknowledging or refusing a change; the registry's own timeout is 0.1 s longer.
 CHANGE_SECONDS = 0.85
 
-# A primary gets this much less time for a forwarded change, to leave time for its response.
+# A forwarded change has a timeout shorter by this, which leaves time to return the response.
 FORWARDING_MARGIN_SECONDS = 0.05
 
 # Limit for forwarding one request: stores with outdated views could otherwise forward in a cycle.
--- a/loomstand/store/counting_lease.py
+++ b/loomstand/store/counting_lease.py
@@ -29,12 +29,12 @@
 # The primary measures a granted span longer by this factor: clock rates may differ by 4 %.
 CLOCK_RATE_MARGIN = GRANT_SECONDS / LEASE_SECONDS
 
-# A new primary reserves the lease for the previous holder, which has the counts, if that recently
-# requested it: its next request is in progress or follows within 0.2 s.
+# A new primary reserves the lease for the previous holder, which has the counts, if that registry
+# recently requested it: the registry's next request is in progress or follows within 0.2 s.
 PREFER_LAST_HOLDER_SECONDS = 0.5
 
 # The registry on the primary's machine is preferred, as its requests cause no traffic between
-# zones. When both start together, it looks for its store every 0.1 s.
+# zones. When both start together, the registry looks for the store every 0.1 s.
 PREFER_LOCAL_SECONDS = 0.15
 
 # Age limit of a recent request; a registry without the lease requests it twice in that time.
@@ -61,7 +61,7 @@
         local_host: The host of this store.
         number: Number of the term under the primary of `epoch`, see `HolderPage`.
         holder: Host that holds the lease or is preferred for it; empty if any registry may get it.
-        incarnation: Start number of the holder, from its request.
+        incarnation: Random number that the holder chose at its start, from its request.
         granted_until: Time until which no registry but the holder gets the lease.
         prefer_holder_until: Time until which the lease is reserved for the holder, which has the
             counts.
@@ -184,7 +184,7 @@
         Args:
             now: Monotonic time in seconds.
             host: The registry's host.
-            incarnation: Start number of the registry.
+            incarnation: Random number that the registry chose at its start.
             primary_lease_seconds: Remaining lease of this member as primary.
 
         Returns:
--- a/loomstand/store/counting_lease_service.py
+++ b/loomstand/store/counting_lease_service.py
@@ -30,7 +30,7 @@
     UNREACHABLE_AFTER_SECONDS,
 )
 
-# Limit for holding a request until this store serves; the registry's timeout is 0.4 s.
+# Limit for delaying a request until this store serves; the registry's timeout is 0.4 s.
 REQUEST_WAIT_SECONDS = 0.35
 
 
@@ -132,7 +132,7 @@
         )
 
     def on_status(self, status: HeartbeatRequest | HeartbeatResponse, sent_at: float) -> None:
-        """Records from a heartbeat whether the newest primary serves and which registry counts.
+        """Records from a heartbeat whether the newest primary serves, and the holder of the lease.
 
         Args:
             status: A heartbeat or the response to one.
--- a/loomstand/store/disk.py
+++ b/loomstand/store/disk.py
@@ -15,16 +15,17 @@
 
 from loomstand.store.pages import Pages
 
-# Size of the memory map, which limits the file: half of the disk. A write needs contiguous space
-# for the old value, the new one and those freed by the last two writes: with configurations of up
-# to 8 MB the file grew to 40 MB. The file itself only grows as needed.
+# Size of the memory map and thus the maximum size of the file: half of a disk of 256 MB. A write
+# needs contiguous space for the new value, while the old value and the space freed by the last two
+# writes stay occupied: with configurations of up to 8 MB the file grew to 40 MB. The file itself
+# only grows as needed.
 MAP_BYTES = 128 * 2**20
 
 # Each page is stored after its CRC-32.
 CHECKSUM_BYTES = 4
 
-# The errors of lmdb for bytes that aren't a database, or a torn one. Its other errors, such as an
-# I/O error or a full disk, don't prove that the data is damaged.
+# The errors by which lmdb reports a file that isn't a database or is damaged. Other lmdb errors,
+# such as an I/O error or a full disk, don't prove that the data is damaged.
 DAMAGE_ERRORS = (
     lmdb.InvalidError,
     lmdb.CorruptedError,
@@ -85,8 +86,8 @@
     def _open(self) -> lmdb.Environment:
         if self._environment is None:
             self.folder.mkdir(parents=True, exist_ok=True)
-            # no locks: they have no effect on the disks that the system runs on, and this process
-            # is the only one that opens the database
+            # file locks have no effect on the disks that the system runs on, and no other process
+            # opens the database
             environment = lmdb.open(str(self.folder), map_size=MAP_BYTES, lock=False, max_readers=4)
             try:
                 self._sync_directories()
@@ -100,8 +101,8 @@
         """Syncs the folder and its parent.
 
         lmdb syncs the contents of its file but not its directory entry: after a power failure a new
-        file could be missing, with all acknowledged writes in it. Done at each opening, as the
-        process that created the file may have ended before this sync.
+        file could be missing, with all acknowledged writes in it. The directories are synced at
+        each opening, as the process that created the file may have ended before it synced them.
         """
         for folder in (self.folder, self.folder.parent):
             descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
--- a/loomstand/store/graceful_shutdown.py
+++ b/loomstand/store/graceful_shutdown.py
@@ -11,8 +11,9 @@
 # in progress, and the exit of the interpreter.
 SAFETY_MARGIN_SECONDS = 1.0
 
-# Share of the grace period during which the store waits for others to take over roles whose data
-# they also hold; after that a restart is the shorter interruption.
+# Share of the grace period during which the store waits for other members to take over its roles,
+# even if they have its data and don't need its vote. After that an exit, followed by a restart,
+# interrupts the service for less time than further waiting.
 HANDOVER_SHARE = 0.5
 
 
--- a/loomstand/store/learner.py
+++ b/loomstand/store/learner.py
@@ -7,10 +7,10 @@
 adds no traffic between machines, and no acknowledgement waits for it. This module decides what to
 write; `dissemination` writes it.
 
-The copy isn't a vote: elections read the configuration from the view's primary or backup. It counts
-where both disks are lost: a rescue (`rescue`) finds it even after a power failure of all machines.
-As it may be outdated after a restart, it isn't reported to registries. Earlier releases ignore the
-page.
+Elections don't use the copy: they read the configuration from the view's primary or backup. The
+copy is for the loss of both disks: a rescue (`rescue`) finds it even after a power failure of all
+machines. As the copy may be outdated after a restart, it isn't reported to registries. Earlier
+releases ignore the page.
 """
 
 from __future__ import annotations
--- a/loomstand/store/member_report.py
+++ b/loomstand/store/member_report.py
@@ -1,4 +1,4 @@
-"""Report of the versions that one member holds, collected for a rescue; only values."""
+"""Report of the versions that one member holds, which a rescue collects from all members."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
     @property
     def is_best_committed(self) -> bool:
-        """Whether the highest version is known to the member as committed."""
+        """Whether the highest version is known as committed or was offered, not just on disk."""
         return self.best_version in (self.committed_version, self.offered_version)
 
     @staticmethod
--- a/loomstand/store/peers.py
+++ b/loomstand/store/peers.py
@@ -76,7 +76,7 @@
     avoided_until: dict[str, float] = field(default_factory=dict)
 
     def add(self, now: float, addresses: Iterable[Address]) -> None:
-        """Adds addresses of stores, or renews them."""
+        """Adds addresses of stores; for a known address, records that it was listed again."""
         for address in addresses:
             if address != self.own_member.address:
                 self.by_address.setdefault(address, Peer()).named_at = now
@@ -174,7 +174,8 @@
         """Returns the members that may be the backup, best first.
 
         Members that recently failed to write come last. Otherwise the order is: members that have
-        the data by view `base`, voters, members of other networks (other first two address octets).
+        the data by view `base`, voters, members of another network. Addresses of one network agree
+        in the first two octets.
         """
         electors = base.electors() if base else {}
         own_network = self.own_member.address[0].rsplit(".", 2)[0]
--- a/loomstand/store/replica.py
+++ b/loomstand/store/replica.py
@@ -337,7 +337,8 @@
             return True
         if now < self.grant_ends_at and self.granted_to != candidate_id:
             return False
-        # a grant that this voter gave before its restart isn't on disk and may be valid until then
+        # a grant from before this member's start isn't on disk; it has expired GRANT_SECONDS after
+        # the start
         return view.primary.id == candidate_id or now >= self.started_at + GRANT_SECONDS
 
     def promise(self, now: float, epoch: int, candidate_id: str, released_epoch: int) -> Record:
--- a/loomstand/store/rescue.py
+++ b/loomstand/store/rescue.py
@@ -86,7 +86,7 @@
     # --- obstacles
 
     def obstacles(self) -> list[str]:
-        """Returns the reasons against a rescue; empty if it is due and all losses are confirmed."""
+        """Returns the reasons against a rescue; empty if it is due and each loss is confirmed."""
         serving = [
             f"{report.host} serves: nothing is lost"
             for report in self.reports
@@ -113,7 +113,7 @@
             return []
         ids = {r.member.id for r in self.reports if r.state is MemberState.HEALTHY}
         sources = [m for m in self._view_members() if view.has_data(m.id) and m.id in ids]
-        # an interrupted rescue has fenced the view
+        # true after an interrupted rescue: its promises keep the view from serving
         is_fenced = self.highest_epoch() // EPOCH_RANGE > view.rescue_epoch // EPOCH_RANGE
         if not view.has_quorum(ids) or not sources or is_fenced:
             return []
--- a/loomstand/store/rescue_election_rules.py
+++ b/loomstand/store/rescue_election_rules.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RescueElectionRules(ElectionRules):
-    """An election that needs the promises of all reachable members, instead of lost electors.
+    """Rules that need the promises of all reachable members, as a quorum of electors is lost.
 
     As all of them must promise, two concurrent rescues among the same members can't both succeed:
     one of them lacks a promise, or its writes are refused. A reachable member with a valid grant
@@ -56,7 +56,7 @@
         return self.configuration
 
     def may_be_backup(self, member: Member, promised_ids: Collection[str]) -> bool:
-        """Whether the member promised: a disk that just came back may still have a valid grant."""
+        """Whether the member promised; one that just came back may have given a valid grant."""
         return member.id in promised_ids
 
     def new_view(
--- a/loomstand/store/timing.py
+++ b/loomstand/store/timing.py
@@ -9,13 +9,14 @@
 # Measured by the voter from receiving that heartbeat; longer, as two clock rates may differ by 4 %.
 GRANT_SECONDS = 1.25
 
-# A peer without a response for this long counts as unreachable: three heartbeats.
+# A peer that hasn't responded for this long counts as unreachable: three heartbeat intervals.
 UNREACHABLE_AFTER_SECONDS = 0.8
 
-# A voter without a response for this long is replaced; a restart takes less.
+# A voter that hasn't responded for this long is replaced; a restart takes less time.
 REPLACE_VOTER_AFTER_SECONDS = 2.5
 
-# An address not listed for this long is dropped, unless it is of a seed or a member of the view.
+# An address that neither the settings nor a member's message has listed for this long is dropped.
+# The addresses of the seeds and of the view's members are kept.
 FORGET_ADDRESS_AFTER_SECONDS = 30.0
 
 # Time for which a founder waits for all seeds; afterwards a majority of them is enough.
@@ -24,7 +25,7 @@
 # Interval between two voters' candidacies: two rounds of calls and their writes on a slow link.
 CANDIDACY_SPACING_SECONDS = 0.6
 
-# Time from the end of its grant until the backup of the last view becomes a candidate.
+# Delay from the end of the backup's grant to the primary until the backup becomes a candidate.
 FIRST_CANDIDATE_DELAY_SECONDS = 0.2
 
 # A failed election is retried after this delay plus a random part of the spread, so that two
--- a/loomstand/store/views.py
+++ b/loomstand/store/views.py
@@ -133,7 +133,7 @@
 
     @staticmethod
     def from_page(page: list[object] | None) -> View | None:
-        """The view of a page.
+        """The view encoded in a page, None if the page has none.
 
         Raises:
             ValueError: The page doesn't encode a view.
