--- a/loomstand/store/change_history.py
+++ b/loomstand/store/change_history.py
@@ -15,9 +15,10 @@
 
 from loomstand.rpc.messages.rows import ChangeHistoryRow
 
-# The newest versions are kept: more than a day of hundreds of changes, and over a minute and a half
-# of ten changes a second, while an operator repeats a change with an unclear outcome for seconds.
-# Each entry adds 12 bytes to each write. A dropped version is treated as one never acknowledged.
+# Number of versions that are kept, the newest ones. They cover more than a day at hundreds of
+# changes per day, and over 90 s at ten changes per second; an operator repeats a change with an
+# unknown outcome only for seconds. Each entry adds 12 bytes to each write. A dropped version is
+# treated as one that was never acknowledged.
 MAX_ENTRIES = 1024
 
 # Two contents have the same 8 bytes of digest by chance with a probability of 1 in 10**19.
@@ -25,7 +26,7 @@
 
 
 class Verdict(Enum):
-    """How a change is answered."""
+    """How the primary responds to a change."""
 
     ACCEPT = "its version is higher than the committed one: written, then acknowledged"
     REPEATED = "it was accepted before: acknowledged again"
@@ -46,15 +47,15 @@
     return sha256(data).digest()[:DIGEST_BYTES]
 
 
-def is_same_configuration(one: bytes, other: bytes) -> bool:
+def is_same_configuration(first: bytes, second: bytes) -> bool:
     """Whether two configurations are equal as JSON values.
 
     The order of keys, whitespace, the escaping of characters, and 1.0 for 1 don't matter; the order
     of lists does. Used for the committed configuration, whose bytes are known: a tool that reads it
-    and sends it back re-encoded must not be refused. Other data than JSON is compared by its bytes.
+    and sends it back re-encoded must not be refused. Data that isn't JSON is compared by its bytes.
     """
     try:
-        return one == other or _canonical_json(one) == _canonical_json(other)
+        return first == second or _canonical_json(first) == _canonical_json(second)
     except (ValueError, RecursionError):
         return False
 
@@ -72,8 +73,8 @@
 class ChangeHistory:
     """Versions with the digests of their contents, in ascending order.
 
-    The last entry is the configuration that the history is written with. It may not be acknowledged
-    yet: then its sender has no answer, and gets one when it repeats the change.
+    The last entry is the configuration that the history is written with. Its change is possibly not
+    acknowledged yet; the sender then gets the acknowledgement by repeating the change.
 
     Attributes:
         entries: Pairs of a version and the digest of its content.
@@ -83,8 +84,8 @@
 
     def content_digest(self, version: int) -> bytes | None:
         """The digest of the content of a version, None if the version isn't in the history."""
-        for known_version, content_digest in reversed(self.entries):
-            if known_version == version:
+        for entry_version, content_digest in reversed(self.entries):
+            if entry_version == version:
                 return content_digest
         return None
 
@@ -108,7 +109,7 @@
         return bool(self.entries) and self.entries[-1] == (version, content_digest)
 
     def appended(self, version: int, content_digest: bytes) -> ChangeHistory:
-        """The history with a version added that is committed and the highest."""
+        """The history with a committed version appended, which is higher than all others."""
         older = tuple(entry for entry in self.entries if entry[0] < version)
         return ChangeHistory((*older, (version, content_digest))[-MAX_ENTRIES:])
 
@@ -135,8 +136,8 @@
         if row is None:
             return EMPTY_HISTORY
         entries = [
-            (int(number), bytes(row.digests[i * DIGEST_BYTES : (i + 1) * DIGEST_BYTES]))
-            for i, number in enumerate(row.versions)
+            (int(entry_version), bytes(row.digests[i * DIGEST_BYTES : (i + 1) * DIGEST_BYTES]))
+            for i, entry_version in enumerate(row.versions)
         ]
         history = ChangeHistory(tuple(entries[-MAX_ENTRIES:]))
         is_complete = len(row.digests) == DIGEST_BYTES * len(row.versions)
--- a/loomstand/store/election.py
+++ b/loomstand/store/election.py
@@ -48,6 +48,13 @@
 
 
 class _BackupChoice(NamedTuple):
+    """The result of the search for a backup.
+
+    Attributes:
+        is_sufficient: Whether a backup wrote the configuration, or the store needs none.
+        backup: That backup, None if there is none.
+    """
+
     is_sufficient: bool
     backup: Member | None
 
@@ -210,12 +217,12 @@
         It is read from the base's backup, or else from its primary, unless this member has it.
         """
         replica = self.io.replica
-        found = self.rules.own_configuration(replica)
+        configuration = self.rules.own_configuration(replica)
         replica.inherited_history = EMPTY_HISTORY
         for member in self.rules.sources():
-            if found is None:
-                found = await self._read_from(member, epoch)
-        return self.rules.newest_configuration(replica, found)
+            if configuration is None:
+                configuration = await self._read_from(member, epoch)
+        return self.rules.newest_configuration(replica, configuration)
 
     async def _read_from(self, member: Member, epoch: int) -> VersionedData | None:
         replica = self.io.replica
--- a/loomstand/store/election_rules.py
+++ b/loomstand/store/election_rules.py
@@ -76,13 +76,19 @@
         return [member for member in data_members if member is not None]
 
     def newest_configuration(
-        self, replica: Replica, found: VersionedData | None
+        self, replica: Replica, configuration: VersionedData | None
     ) -> VersionedData | None:
-        """The newest configuration that the base may have committed; `found` is the one read."""
-        if found is not None and replica.version > found.version:
+        """The newest configuration that the base may have committed, None if it is unknown.
+
+        Args:
+            replica: The candidate's replica.
+            configuration: The one from `own_configuration` or read from a member of `sources`, None
+                if there is none.
+        """
+        if configuration is not None and replica.version > configuration.version:
             # committed, but lost from the disks of both primary and backup
             return VersionedData(replica.version, replica.data)
-        return found
+        return configuration
 
     def may_be_backup(self, member: Member, promised_ids: Collection[str]) -> bool:  # noqa: ARG002
         """Whether the member may be the backup, given the promises; a rescue is stricter."""
--- a/loomstand/store/leadership.py
+++ b/loomstand/store/leadership.py
@@ -113,7 +113,7 @@
             failure = await self._io.replicate(view.backup, view.epoch, record.configuration)
             if failure is CallFailure.REFUSED:
                 # the backup has a later write of this epoch or a higher promise, or its disk failed
-                return await self.elect(change_view("its backup doesn't follow", view))
+                return await self.elect(change_view("the backup refused the write", view))
             if failure is not None:
                 return False
         if not replica.is_leader(self._io.clock()) or replica.record is not record:
@@ -166,4 +166,4 @@
                 return
             if handover is not None:
                 self._counting_leases.lease.apply_handover(self._io.clock(), handover)
-            await self.elect(take_over("its primary leaves", base), transfer)
+            await self.elect(take_over("the primary is leaving", base), transfer)
--- a/loomstand/store/record.py
+++ b/loomstand/store/record.py
@@ -63,10 +63,10 @@
         pages: Pages = {}
         if previous is None or (previous.id, previous.is_founder) != (self.id, self.is_founder):
             pages[MEMBER_PAGE] = cbor2.dumps([self.id, self.is_founder])
-        if previous is None or _vote(previous) != _vote(self):
+        if previous is None or _vote_fields(previous) != _vote_fields(self):
             view = self.view.to_page() if self.view else None
             pages[VOTE_PAGE] = cbor2.dumps([self.promised_epoch, view])
-        if previous is None or _written(previous) != _written(self):
+        if previous is None or _configuration_fields(previous) != _configuration_fields(self):
             pages[CONFIGURATION_PAGE] = cbor2.dumps([self.written_epoch, self.version, self.data])
         if self.history != (previous.history if previous is not None else EMPTY_HISTORY):
             row = self.history.to_row()
@@ -91,11 +91,11 @@
         )
 
 
-def _vote(record: Record) -> tuple[int, View | None]:
+def _vote_fields(record: Record) -> tuple[int, View | None]:
     return record.promised_epoch, record.view
 
 
-def _written(record: Record) -> tuple[int, int, bytes]:
+def _configuration_fields(record: Record) -> tuple[int, int, bytes]:
     return record.written_epoch, record.version, record.data
 
 
--- a/loomstand/store/recovery.py
+++ b/loomstand/store/recovery.py
@@ -33,10 +33,10 @@
 ) -> Recovered | None:
     """Reads the disk; an empty disk gets a new record.
 
-    A disk that fails temporarily keeps its member: wiping it would lose its data and its vote for
-    good, and if all members restarted while their disks fail, every copy would be lost. So reading
-    is retried without limit. Until it succeeds the other members treat this one as unreachable, and
-    replace it as a voter.
+    A disk that can't be read for a time isn't treated as empty: a new record would lose the
+    member's data and its vote for good, and if all members restarted while their disks fail, every
+    copy would be lost. So the read is retried without limit. Until it succeeds the other members
+    treat this one as unreachable, and replace it as a voter.
 
     Args:
         disk: The disk.
@@ -47,13 +47,13 @@
         The contents of the disk, None if `stopped` was set first.
     """
     backoff_seconds, max_backoff_seconds = RETRY_SECONDS
-    logged = ""
+    logged_error = ""
     while not stopped.is_set():
         try:
             return await _load(disk, new_record)
         except OSError as error:
-            if str(error) != logged:
-                logged = str(error)
+            if str(error) != logged_error:
+                logged_error = str(error)
                 logging.warning("store: disk unavailable, left unchanged, error=%r", str(error))
         await asyncio.sleep(backoff_seconds)
         backoff_seconds = min(max_backoff_seconds, 2 * backoff_seconds)
--- a/loomstand/store/status_board.py
+++ b/loomstand/store/status_board.py
@@ -49,7 +49,7 @@
         self._io = io
         self._counting_leases = counting_leases
         self._revision = first_revision
-        self._shown: tuple[Any, ...] = ()
+        self._last_snapshot: tuple[Any, ...] = ()
         self.changed = asyncio.Event()
         self.conflict_count = 0
 
@@ -98,7 +98,7 @@
         """Wakes waiting registries if the status has changed."""
         replica = self._io.replica
         now = self._io.clock()
-        shown = (
+        snapshot = (
             replica.version,
             self._is_ready(),
             replica.lease_left(now) > 0.0,
@@ -106,8 +106,8 @@
             self.known_primary(),
             replica.peers.recent_addresses(now),
         )
-        if shown != self._shown:
-            self._shown = shown
+        if snapshot != self._last_snapshot:
+            self._last_snapshot = snapshot
             self._revision += 1
             self.changed.set()
             self.changed = asyncio.Event()
