--- a/loomstand/testing/fault_schedules/__init__.py
+++ b/loomstand/testing/fault_schedules/__init__.py
@@ -1,1 +1,1 @@
-"""Days of our own for the bench, and what its entries say was lost where (docs/almanac.md)."""
+"""Generates fault schedules for the bench, and analyses its journal entries (docs/almanac.md)."""
--- a/loomstand/testing/fault_schedules/dense.py
+++ b/loomstand/testing/fault_schedules/dense.py
@@ -1,6 +1,6 @@
-"""Dense days: many troubles of every kind that the contracts in force allow, several at once and
-more than once. Pure; the day is drawn from one Random. What a kind and its fields mean is the
-bench's list of kinds.
+"""Draws dense days: many troubles of each kind that the site's contracts allow, many at once.
+
+The meaning of the kinds and their fields is defined by the bench's list of kinds.
 """
 
 from __future__ import annotations
@@ -10,37 +10,51 @@
 from random import Random
 from typing import Any
 
-from loomstand.testing.fault_schedules.site import Site, Trouble, hundredths, span
+from loomstand.testing.fault_schedules.site import Site, Trouble, duration, to_centiseconds
 
-# A choice from each group, in the order in which the bench reads them.
-WHO = ("", "", "leader", "leader", "reader", "seed")
-AFTER = ("", "", "meet", "race", "hard", "drain", "race drain", "meet drain", "meet hard")
-CUT = ("", "", "reset", "refuse")
+# Groups of `how` words. One is chosen from each, in the order in which the bench reads them; a
+# repeated entry is chosen more often.
+MEMBER_CHOICES = ("", "", "leader", "leader", "reader", "seed")
+FOLLOW_UP_CHOICES = (
+    "",
+    "",
+    "meet",
+    "race",
+    "hard",
+    "drain",
+    "race drain",
+    "meet drain",
+    "meet hard",
+)
+CUT_CHOICES = ("", "", "reset", "refuse")
 
-Hows = tuple[tuple[str, ...], ...]
+HowGroups = tuple[tuple[str, ...], ...]
 Range = tuple[float, float]
 
 
 @dataclass(frozen=True, slots=True)
 class Way:
-    """A kind with the spans of its figures: from the mildest that standing days show, or that is a
-    trouble at all, to twice the strongest of them and more.
+    """One way in which a kind of trouble occurs, with the ranges of its fields.
+
+    Ranges go from the mildest value of standing days, or the mildest that has an effect, to at
+    least twice the strongest of them.
     """
 
     kind: str
-    planned: bool
-    hows: Hows = ()
+    is_planned: bool
+    hows: HowGroups = ()
     share: Range | None = None
     x: Range | None = None
     for_s: Range | None = None
     gap_s: Range | None = None
     count: tuple[int, int] | None = None
     on: str = ""
-    contract: str = ""  # it is drawn only where this one is in force
-    # in a day: of what takes servers or machines away for good little is left otherwise
-    most: int = 1000
+    contract: str = ""  # drawn only for a site with this contract
+    # limit per day, so that permanent removals leave enough servers and machines
+    max_per_day: int = 1000
 
-    def drawn(self, rng: Random) -> Trouble:
+    def draw(self, rng: Random) -> Trouble:
+        """Draws a trouble with values within the ranges."""
         fields: dict[str, Any] = {"on": self.on} if self.on else {}
         if self.count is not None:
             fields["count"] = rng.randint(*self.count)
@@ -49,11 +63,11 @@
                 fields[key] = round(rng.uniform(*within), 2)
         if how := " ".join(filter(None, (rng.choice(group) for group in self.hows))):
             fields["how"] = how
-        return Trouble(self.kind, self.planned, fields)
+        return Trouble(self.kind, self.is_planned, fields)
 
 
-CHANGES = ("route", "weights", "timeout", "tenant", "quota", "idle")
-BAD = (
+CONFIG_CHANGES = ("route", "weights", "timeout", "tenant", "quota", "idle")
+BAD_CONFIGS = (
     "cut_short",
     "unknown_service",
     "same_place",
@@ -64,18 +78,18 @@
     "stale_match",
     "shared_key",
 )
-SICK = ("errors", "shed", "busy", "hang", "reset", "mute", "slow")
-ONE = (1, 1)  # of the machines that count: more would wait their turn, by the bench's page
+SERVER_FAILURES = ("errors", "shed", "busy", "hang", "reset", "mute", "slow")
+ONE_MACHINE = (1, 1)  # store machine: the bench would run faults of more of them one after another
 
 WAYS = (
-    Way("config_change", True, (CHANGES,)),
+    Way("config_change", True, (CONFIG_CHANGES,)),
     Way("config_race", True, count=(1, 4), gap_s=(0.1, 1.2)),
-    Way("bad_config", True, (BAD,), count=(1, 4), gap_s=(0.1, 1.0)),
+    Way("bad_config", True, (BAD_CONFIGS,), count=(1, 4), gap_s=(0.1, 1.0)),
     Way("revoke", True, count=(1, 3), gap_s=(0.3, 1.5)),
     Way("release", True, share=(0.3, 0.6), x=(1, 3), gap_s=(0.4, 1.2)),
-    Way("scale_in", True, (("", "", "spot"),), share=(0.08, 0.2), most=2),
+    Way("scale_in", True, (("", "", "spot"),), share=(0.08, 0.2), max_per_day=2),
     Way("roll_term", True, (("", "busy"),), share=(0.4, 1.0), x=(1, 3), gap_s=(0.4, 1.2)),
-    Way("roll_term", True, (("remove",),), share=(0.1, 0.3), gap_s=(0.4, 1.2), most=1),
+    Way("roll_term", True, (("remove",),), share=(0.1, 0.3), gap_s=(0.4, 1.2), max_per_day=1),
     Way(
         "roll_term", True, (("", "busy", "remove"),), share=(0.3, 1.0), gap_s=(0.7, 4.0), on="core"
     ),
@@ -90,13 +104,13 @@
         (("gone", "dark gone"), ("", "", "across")),
         (0.1, 0.2),
         for_s=(2, 6),
-        most=1,
+        max_per_day=1,
     ),
     Way("srv_slow", False, share=(0.1, 0.2), x=(3, 6), for_s=(2, 6)),
     Way(
         "srv_grey",
         False,
-        (SICK, ("", "one_zone")),
+        (SERVER_FAILURES, ("", "one_zone")),
         (0.1, 0.2),
         (0.3, 0.6),
         (2, 6),
@@ -115,29 +129,40 @@
     Way("idle_race", False, share=(0.3, 0.6), x=(200, 500), for_s=(3, 6), contract="pool"),
     Way("answer_lost", False, (("", "reset"),), (0.3, 0.7), (0.02, 0.08), (3, 8)),
     Way("garble", False, (("", "extra", "late", "extra late"),), (0.3, 0.7), (0.02, 0.05), (3, 8)),
-    Way("node_kill", False, (("", "power"), AFTER), (0.1, 0.5), None, (0.5, 4)),
-    Way("node_kill", False, (("", "power"), WHO, AFTER), None, None, (0.5, 9), None, ONE, "core"),
+    Way("node_kill", False, (("", "power"), FOLLOW_UP_CHOICES), (0.1, 0.5), None, (0.5, 4)),
+    Way(
+        "node_kill",
+        False,
+        (("", "power"), MEMBER_CHOICES, FOLLOW_UP_CHOICES),
+        None,
+        None,
+        (0.5, 9),
+        None,
+        ONE_MACHINE,
+        "core",
+    ),
     Way("herd_kill", False, (("", "power"),), (0.3, 0.8), None, (0.5, 3)),
     Way("herd_kill", False, (("", "power", "taken"),), None, None, (0.5, 2), None, None, "core"),
     Way("after_ack_kill", False, (("", "timed"), ("", "kill")), None, None, (0.5, 4), None, (1, 2)),
     Way("after_ack_kill", False, (("taken",),), None, None, (0.5, 4)),
     Way("after_ack_wipe", False, (("", "", "timed"),), None, None, (0.5, 4)),
-    Way("disk_slow", False, (WHO,), None, (10, 60), (3, 7), None, ONE),
-    Way("disk_stall", False, (WHO,), None, None, (1, 5), None, ONE),
+    Way("disk_slow", False, (MEMBER_CHOICES,), None, (10, 60), (3, 7), None, ONE_MACHINE),
+    Way("disk_stall", False, (MEMBER_CHOICES,), None, None, (1, 5), None, ONE_MACHINE),
     Way("clock_step", False, (("back", "ahead"),), (0.2, 0.6), (500, 4000), (2, 8)),
     Way(
         "core_cut",
         False,
-        (WHO, CUT, ("", "one_way", "seeds", "both"), AFTER),
+        (MEMBER_CHOICES, CUT_CHOICES, ("", "one_way", "seeds", "both"), FOLLOW_UP_CHOICES),
         for_s=(2, 22),
-        count=ONE,
+        count=ONE_MACHINE,
     ),
-    Way("node_cut", False, (("", "servers"), CUT), (0.1, 0.5), None, (2, 8)),
+    Way("node_cut", False, (("", "servers"), CUT_CHOICES), (0.1, 0.5), None, (2, 8)),
     Way("node_slow", False, share=(0.1, 0.3), x=(3, 7), for_s=(2, 6)),
     Way("lossy", False, x=(0.01, 0.05), for_s=(2, 6)),
 )
 
-# The kinds of which three quarters of a day's troubles are, for each of the operators' points.
+# By aim, the kinds from which AIMED_SHARE of a day's troubles are drawn. A kind that is listed
+# twice is drawn twice as often.
 AIMS: dict[str, tuple[str, ...]] = {
     "cut": (
         "core_cut",
@@ -216,16 +241,17 @@
     ),
     "all": (),
 }
-AIMED = 0.75
-# Troubles of a day for each ten seconds of it; hunted and standing days hold one to three.
+AIMED_SHARE = 0.75
+# Troubles per ten seconds of the day; other drawn days and standing days have one to three.
 RATE = {"mild": 3.0, "usual": 5.0, "harsh": 8.0}
-LENGTHS = (32, 60)  # seconds; the bench played a day of 60 in half a minute
-# seconds at the end without new troubles, the closing fault finds the last of them under way
+DAY_LENGTHS_SECONDS = (32, 60)  # the bench runs a day of 60 s in 30 s
+# Seconds at the end of the day without new troubles; the last ones still run when the closing
+# fault comes.
 QUIET = 3.0
-EVERY = (0.1, 0.4)  # seconds between two of the changes of a day of many changes
-TOGETHER = 0.7  # of the troubles begin at one of the day's moments, within NEAR of it
-MOMENTS = 7.0  # seconds between two moments, about
-NEAR = 1.0
+CHANGE_INTERVAL_SECONDS = (0.1, 0.4)  # between two configuration changes, for the aim "changes"
+CLUSTERED_SHARE = 0.7  # of the troubles start near a cluster time
+CLUSTER_INTERVAL_SECONDS = 7.0  # average distance of cluster times
+CLUSTER_RADIUS_SECONDS = 1.0  # largest distance of a trouble from its cluster time
 
 CLOSINGS: tuple[dict[str, Any] | None, ...] = (
     None,
@@ -241,7 +267,7 @@
 
 
 def ways(site: Site, only: tuple[str, ...] = ()) -> list[Way]:
-    """Those whose contract is in force, of these kinds if any are named."""
+    """The ways whose contract the site has, limited to the kinds in `only` unless it is empty."""
     allowed = (way for way in WAYS if not way.contract or way.contract in site.contracts)
     return [way for way in allowed if not only or way.kind in only]
 
@@ -249,50 +275,56 @@
 def troubles(
     site: Site, aim: str, severity: str, only: tuple[str, ...], rng: Random
 ) -> tuple[int, list[tuple[Trouble, int, int]]]:
-    """A day's length in seconds, and its troubles with their start and end in hundredths of a
-    second.
+    """Draws a dense day.
+
+    Returns:
+        The day's length in seconds, and its troubles with their start and end in hundredths of a
+        second.
     """
-    open_ = ways(site, only)
-    aimed = [[way for way in open_ if way.kind == kind] for kind in AIMS[aim]]
+    available = ways(site, only)
+    aimed = [[way for way in available if way.kind == kind] for kind in AIMS[aim]]
     aimed = [found for found in aimed if found]
-    kinds = sorted({way.kind for way in open_})
-    length = rng.randint(*LENGTHS)
-    end = hundredths(length - QUIET)
-    moments = [rng.randint(0, end) for _ in range(max(2, round(length / MOMENTS)))]
+    kinds = sorted({way.kind for way in available})
+    length = rng.randint(*DAY_LENGTHS_SECONDS)
+    end = to_centiseconds(length - QUIET)
+    cluster_times = [
+        rng.randint(0, end) for _ in range(max(2, round(length / CLUSTER_INTERVAL_SECONDS)))
+    ]
     placed: list[tuple[Trouble, int, int]] = []
-    drawn = Counter[Way]()
+    draw_counts = Counter[Way]()
     for _ in range(round(RATE[severity] * length / 10)):
-        if aimed and rng.random() < AIMED:
+        if aimed and rng.random() < AIMED_SHARE:
             way = rng.choice(rng.choice(aimed))
         else:
             kind = rng.choice(kinds)
-            way = rng.choice([one for one in open_ if one.kind == kind])
-        drawn[way] += 1
-        if drawn[way] > way.most:
+            way = rng.choice([one for one in available if one.kind == kind])
+        draw_counts[way] += 1
+        if draw_counts[way] > way.max_per_day:
             continue
         at = rng.randint(0, end)
-        if rng.random() < TOGETHER:
-            at = rng.choice(moments) + hundredths(rng.uniform(-NEAR, NEAR))
-        placed.append(_within(site, way.drawn(rng), min(max(at, 0), end), end))
+        if rng.random() < CLUSTERED_SHARE:
+            at = rng.choice(cluster_times) + to_centiseconds(
+                rng.uniform(-CLUSTER_RADIUS_SECONDS, CLUSTER_RADIUS_SECONDS)
+            )
+        placed.append(_within(site, way.draw(rng), min(max(at, 0), end), end))
     if aim == "changes" and (not only or "config_change" in only):
-        at, every = 0.0, rng.uniform(*EVERY)
-        while hundredths(at) < end:
-            change = Trouble("config_change", True, {"how": rng.choice(CHANGES)})
-            placed.append((change, hundredths(at), hundredths(at)))
-            at += every * rng.uniform(0.5, 1.5)
+        at, interval = 0.0, rng.uniform(*CHANGE_INTERVAL_SECONDS)
+        while to_centiseconds(at) < end:
+            change = Trouble("config_change", True, {"how": rng.choice(CONFIG_CHANGES)})
+            placed.append((change, to_centiseconds(at), to_centiseconds(at)))
+            at += interval * rng.uniform(0.5, 1.5)
     return length, placed
 
 
 def _within(site: Site, trouble: Trouble, at: int, end: int) -> tuple[Trouble, int, int]:
-    """The trouble from `at` on, over by the end of the time for troubles where its fields can say
-    so.
-    """
+    """The trouble from `at` on, shortened to end by `end` if its fields have a duration."""
     fields = dict(trouble.fields)
     if "for_s" in fields:
         fields["for_s"] = max(0.1, min(fields["for_s"], (end - at) / 100))
-    trouble = Trouble(trouble.kind, trouble.planned, fields)
-    return trouble, at, at + span(trouble, site.things, site.settles)
+    trouble = Trouble(trouble.kind, trouble.is_planned, fields)
+    return trouble, at, at + duration(trouble, site.things, site.config_delay)
 
 
-def closing(turn: dict[str, Any] | None, rng: Random) -> dict[str, Any] | None:
-    return None if turn is None else turn | {"down_s": round(rng.uniform(0.4, 2.0), 2)}
+def closing(fault: dict[str, Any] | None, rng: Random) -> dict[str, Any] | None:
+    """The closing fault with a random downtime."""
+    return None if fault is None else fault | {"down_s": round(rng.uniform(0.4, 2.0), 2)}
--- a/loomstand/testing/fault_schedules/draw.py
+++ b/loomstand/testing/fault_schedules/draw.py
@@ -1,4 +1,4 @@
-"""Which troubles meet on which day, how strong, and when. Pure: one Random, made from the seed."""
+"""Draws the troubles of each day, with strength and time, from one Random made of the seed."""
 
 from __future__ import annotations
 
@@ -10,57 +10,71 @@
 from typing import Any
 
 from loomstand.testing.fault_schedules import dense
-from loomstand.testing.fault_schedules.site import FOR_S, Site, Trouble, hundredths, span
-
-# How strong troubles are beside the site's own figures. Standing days go from 0.6 of them
-# (scale_in) to 1.8 (node_cut); the outer two with the spread below span the same.
-SEVERITY = {"mild": 0.6, "usual": 1.0, "harsh": 1.5}
-SPREAD = 0.2  # of a figure, to both sides
-# Troubles of one day. Standing days hold 5 to 11, some of them changes that ask for nothing.
-SIZE = {"mild": 4, "usual": 6, "harsh": 8}
-# mixes tried for a day: on the four sites a fortieth fewer days than one try; 60 spare no more
-TRIES = 20
-MOST_SHARE = 0.9  # of things that a trouble strikes, unless the site itself says more
-# a meeting keeps off this part of the time for faults at both ends, else all begin or end at once
-EDGE = 4
-DENSE_DAYS = 10  # unless a number is wished
-LEAST = 10  # hundredths of a second; a shorter trouble would be none
+from loomstand.testing.fault_schedules.site import (
+    DEFAULT_DURATION_SECONDS,
+    Site,
+    Trouble,
+    duration,
+    to_centiseconds,
+)
+
+# Factors on the numbers of the site's list of troubles. Standing days range from 0.6 of these
+# (scale_in) to 1.8 (node_cut); the outer factors with the spread below cover the same range.
+SEVERITY_FACTORS = {"mild": 0.6, "usual": 1.0, "harsh": 1.5}
+RANDOM_SPREAD = 0.2  # relative random deviation of a number, in both directions
+# Standing days have 5 to 11 troubles, some of them configuration changes without effect.
+TROUBLES_PER_DAY = {"mild": 4, "usual": 6, "harsh": 8}
+# Random mixes per day, the best of which is used: 20 need 1/40 fewer days than 1 on four sites,
+# and 60 need no fewer than 20.
+MIX_CANDIDATES = 20
+MAX_SHARE = 0.9  # of the servers or machines that a trouble affects, unless the site has more
+# The meeting time is at least this fraction (1/4) of the fault period away from both of its ends;
+# nearer, all troubles would begin or end at once.
+MEETING_MARGIN_DIVISOR = 4
+DEFAULT_DENSE_DAYS = 10
+MIN_DURATION_CENTISECONDS = 10  # a shorter trouble has no effect
 
 Pair = tuple[str, str]
 
 
 @dataclass(frozen=True, slots=True)
 class DrawOptions:
+    """Options for drawing days."""
+
     seed: int = 0
     severity: str = "usual"
-    days: int | None = None  # none: until every two kinds have met
-    kinds: tuple[str, ...] = ()  # none: all that the site lists
-    load: float = 1.0  # times the requests of the standing day
-    dense: str = ""  # an aim of `dense.AIMS`; none: a few troubles of the site's own list
+    days: int | None = None  # None: until every two kinds have overlapped
+    kinds: tuple[str, ...] = ()  # empty: all that the site lists
+    load: float = 1.0  # factor on the request rate of the standing day
+    dense: str = ""  # a key of `dense.AIMS`; empty: a few troubles of the site's list
 
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """A trouble of a day with its time, in hundredths of a second from the start of traffic."""
+    """A trouble with its start and end, in hundredths of a second from the start of traffic."""
 
     trouble: Trouble
     at: int
     until: int
 
     def meets(self, other: Placed) -> bool:
+        """Whether the two troubles overlap in time."""
         return self.at <= other.until and other.at <= self.until
 
 
 @dataclass(frozen=True, slots=True)
-class Drawn:
+class DrawnDay:
+    """A drawn day."""
+
     name: str
-    base: str  # the standing day whose traffic and marks it has
-    meeting: int | None  # the moment within all its troubles; none where each has a time of its own
+    base: str  # name of the standing day that its traffic and marks are copied from
+    # time at which all its troubles overlap, in hundredths of a second; None: independent times
+    meeting: int | None
     placed: tuple[Placed, ...]
-    fields: dict[str, Any]  # the day as a site file has it
+    fields: dict[str, Any]  # the day in the form of a site file
 
-    def met(self) -> set[Pair]:
-        """Kinds whose troubles overlap in time, each pair in the order of the alphabet."""
+    def overlapping_pairs(self) -> set[Pair]:
+        """Pairs of kinds whose troubles overlap in time, each pair in alphabetical order."""
         return {
             pair(a.trouble.kind, b.trouble.kind)
             for a, b in combinations(self.placed, 2)
@@ -69,80 +83,89 @@
 
 
 def pair(a: str, b: str) -> Pair:
+    """The two kinds in alphabetical order."""
     return (a, b) if a < b else (b, a)
 
 
-def kinds_of(site: Site, wish: DrawOptions) -> list[str]:
-    """What is drawn from. Raises ValueError for a wished kind that isn't there."""
-    there = {way.kind for way in dense.ways(site)} if wish.dense else set(site.kinds)
-    for kind in wish.kinds:
-        if kind not in there:
-            raise ValueError(f"{kind} is not among the site's troubles: {', '.join(sorted(there))}")
-    return sorted(wish.kinds or there)
-
-
-def draw(site: Site, wish: DrawOptions) -> list[Drawn]:
-    """The days. Raises ValueError for a kind that the site doesn't list."""
-    kinds = kinds_of(site, wish)
-    if wish.dense:
-        return _dense(site, wish, kinds)
-    # A text as seed gives the same numbers in every process.
-    rng = Random(f"{site.name} {wish.seed} {wish.severity} {','.join(kinds)}")
-    bases, closings = _turns(site.bases, rng), _turns((*site.closings, None), rng)
-    ways = {kind: _turns(site.kinds[kind], rng) for kind in kinds}
-    days: list[Drawn] = []
-    for covering, mix in mixes(kinds, SIZE[wish.severity], rng):
-        if len(days) == wish.days or (wish.days is None and not covering):
+def selected_kinds(site: Site, options: DrawOptions) -> list[str]:
+    """The kinds to draw from. Raises ValueError for a requested kind that the site lacks."""
+    available = {way.kind for way in dense.ways(site)} if options.dense else set(site.kinds)
+    for kind in options.kinds:
+        if kind not in available:
+            raise ValueError(
+                f"{kind} is not among the site's troubles: {', '.join(sorted(available))}"
+            )
+    return sorted(options.kinds or available)
+
+
+def draw(site: Site, options: DrawOptions) -> list[DrawnDay]:
+    """Draws the days. Raises ValueError for a requested kind that the site lacks."""
+    kinds = selected_kinds(site, options)
+    if options.dense:
+        return _draw_dense(site, options, kinds)
+    # A string as seed gives the same numbers in every process.
+    rng = Random(f"{site.name} {options.seed} {options.severity} {','.join(kinds)}")
+    bases, closings = (
+        _shuffled_cycles(site.bases, rng),
+        _shuffled_cycles((*site.closings, None), rng),
+    )
+    ways = {kind: _shuffled_cycles(site.kinds[kind], rng) for kind in kinds}
+    days: list[DrawnDay] = []
+    for covering, mix in mixes(kinds, TROUBLES_PER_DAY[options.severity], rng):
+        if len(days) == options.days or (options.days is None and not covering):
             break
-        edge = (site.quiet - site.lead) // EDGE
-        together = covering or rng.random() < 0.5
-        meeting = rng.randint(site.lead + edge, site.quiet - edge) if together else None
-        factor = SEVERITY[wish.severity]
+        margin = (site.quiet - site.lead) // MEETING_MARGIN_DIVISOR
+        has_meeting = covering or rng.random() < 0.5
+        meeting = rng.randint(site.lead + margin, site.quiet - margin) if has_meeting else None
+        factor = SEVERITY_FACTORS[options.severity]
         placed = [
-            _place(site, _varied(site, next(ways[kind]), factor, rng), meeting, rng) for kind in mix
+            _place(site, _scaled(site, next(ways[kind]), factor, rng), meeting, rng) for kind in mix
         ]
         placed.sort(key=lambda p: (p.at, p.trouble.kind))
-        name = f"{site.name}-{wish.severity}-{wish.seed}-{len(days) + 1:02d}"
+        name = f"{site.name}-{options.severity}-{options.seed}-{len(days) + 1:02d}"
         base = next(bases)
-        fields = _fields(base, name, placed, next(closings), wish.load, rng)
-        days.append(Drawn(name, base["name"], meeting, tuple(placed), fields))
+        fields = _day_fields(base, name, placed, next(closings), options.load, rng)
+        days.append(DrawnDay(name, base["name"], meeting, tuple(placed), fields))
     return days
 
 
-# Draws of a dense day until it has several troubles at once, half as many meetings as troubles: 2
-# first draws of 5,436 hadn't. A few kinds that are short may never.
-DRAWS = 20
+# A dense day is drawn again until it has at least half as many overlaps as troubles, which 2 of
+# 5,436 first draws lacked. The number is limited, since few kinds of short troubles may never have.
+MAX_DENSE_DRAWS = 20
 
 
-def _dense(site: Site, wish: DrawOptions, kinds: list[str]) -> list[Drawn]:
-    rng = Random(f"{site.name} dense {wish.dense} {wish.seed} {wish.severity} {','.join(kinds)}")
-    bases, closings = _turns(site.bases, rng), _turns(dense.CLOSINGS, rng)
+def _draw_dense(site: Site, options: DrawOptions, kinds: list[str]) -> list[DrawnDay]:
+    rng = Random(
+        f"{site.name} dense {options.dense} {options.seed} {options.severity} {','.join(kinds)}"
+    )
+    bases, closings = _shuffled_cycles(site.bases, rng), _shuffled_cycles(dense.CLOSINGS, rng)
     days = []
-    for n in range(DENSE_DAYS if wish.days is None else wish.days):
-        for _ in range(DRAWS):
-            length, found = dense.troubles(site, wish.dense, wish.severity, tuple(kinds), rng)
+    for n in range(DEFAULT_DENSE_DAYS if options.days is None else options.days):
+        for _ in range(MAX_DENSE_DRAWS):
+            length, found = dense.troubles(site, options.dense, options.severity, tuple(kinds), rng)
             placed = [Placed(*one) for one in sorted(found, key=lambda one: (one[1], one[0].kind))]
             if sum(one.meets(other) for one, other in combinations(placed, 2)) >= len(placed) / 2:
                 break
-        name = f"{site.name}-{wish.dense}-{wish.severity}-{wish.seed}-{n + 1:02d}"
+        name = f"{site.name}-{options.dense}-{options.severity}-{options.seed}-{n + 1:02d}"
         base, closing = next(bases), dense.closing(next(closings), rng)
-        fields = _fields(base, name, placed, closing, wish.load, rng)
+        fields = _day_fields(base, name, placed, closing, options.load, rng)
         days.append(
-            Drawn(name, base["name"], None, tuple(placed), fields | {"length_s": float(length)})
+            DrawnDay(name, base["name"], None, tuple(placed), fields | {"length_s": float(length)})
         )
     return days
 
 
 def mixes(kinds: list[str], size: int, rng: Random) -> Iterator[tuple[bool, tuple[str, ...]]]:
-    """Without end: whether the mix has pairs that no mix before had, and its kinds. First,
-    greedily, until every two kinds have been in one mix; then by lot.
+    """Yields mixes without end: whether the mix has new pairs of kinds, and its kinds.
+
+    Mixes are chosen greedily until every two kinds have been in one mix, then at random.
     """
     size = min(size, len(kinds))
-    still = {pair(*two) for two in combinations(kinds, 2)}
-    while still:
-        tried = [_greedy(kinds, size, still, rng) for _ in range(TRIES)]
-        best = max(tried, key=lambda mix: len(still.intersection(_pairs(mix))))
-        still.difference_update(_pairs(best))
+    open_pairs = {pair(*two) for two in combinations(kinds, 2)}
+    while open_pairs:
+        candidates = [_greedy_mix(kinds, size, open_pairs, rng) for _ in range(MIX_CANDIDATES)]
+        best = max(candidates, key=lambda mix: len(open_pairs.intersection(_pairs(mix))))
+        open_pairs.difference_update(_pairs(best))
         yield True, best
     if len(kinds) == 1:
         yield True, tuple(kinds)
@@ -150,15 +173,15 @@
         yield False, tuple(rng.sample(kinds, size))
 
 
-def _greedy(kinds: list[str], size: int, still: set[Pair], rng: Random) -> tuple[str, ...]:
-    """Begins with the kind that has most pairs to go; then adds the one with most among those
-    taken.
-    """
-    left = rng.sample(kinds, len(kinds))  # ties fall by lot
-    mix = [max(left, key=lambda kind: sum(kind in two for two in still))]
+def _greedy_mix(kinds: list[str], size: int, open_pairs: set[Pair], rng: Random) -> tuple[str, ...]:
+    """Starts with the kind in most open pairs, then adds kinds with most open pairs in the mix."""
+    left = rng.sample(kinds, len(kinds))  # the random order decides ties
+    mix = [max(left, key=lambda kind: sum(kind in two for two in open_pairs))]
     while len(mix) < size:
         left.remove(mix[-1])
-        mix.append(max(left, key=lambda kind: sum(pair(kind, taken) in still for taken in mix)))
+        mix.append(
+            max(left, key=lambda kind: sum(pair(kind, taken) in open_pairs for taken in mix))
+        )
     return tuple(mix)
 
 
@@ -166,77 +189,87 @@
     return [pair(*two) for two in combinations(mix, 2)]
 
 
-def _turns(things: tuple[Any, ...], rng: Random) -> Iterator[Any]:
-    """Each thing once in a random order, then each once more in another, without end."""
+def _shuffled_cycles(items: tuple[Any, ...], rng: Random) -> Iterator[Any]:
+    """Yields all items in a random order, then again in another one, without end."""
     while True:
-        yield from rng.sample(things, len(things))
+        yield from rng.sample(items, len(items))
 
 
-def _varied(site: Site, trouble: Trouble, factor: float, rng: Random) -> Trouble:
-    """The trouble with its figures by severity, short enough to fit between the lead and the
-    end.
-    """
+def _scaled(site: Site, trouble: Trouble, factor: float, rng: Random) -> Trouble:
+    """The trouble with its numbers scaled by severity, short enough for the fault period."""
     fields = dict(trouble.fields)
-    by_steps = trouble.planned and "gap_s" in fields  # then x is so many at a time, count so many
+    # in steps, x is the number of items per step and count the number of steps
+    by_steps = trouble.is_planned and "gap_s" in fields
     for key in sorted(fields.keys() & {"share", "x", "for_s", "gap_s", "count"}):
-        own, strong = fields[key], factor * rng.uniform(1 - SPREAD, 1 + SPREAD)
-        if key == "share" or (key == "x" and own < 1):
-            fields[key] = _short(min(own * strong, max(own, MOST_SHARE)))
+        value, scale = fields[key], factor * rng.uniform(1 - RANDOM_SPREAD, 1 + RANDOM_SPREAD)
+        if key == "share" or (key == "x" and value < 1):
+            fields[key] = _round_to_3_digits(min(value * scale, max(value, MAX_SHARE)))
         elif key == "x" and not by_steps:
-            fields[key] = _short(1 + (own - 1) * strong)  # of a factor, 1 is no trouble
+            fields[key] = _round_to_3_digits(1 + (value - 1) * scale)  # 1 has no effect
         elif key == "for_s":
-            fields[key] = hundredths(own * strong) / 100
+            fields[key] = to_centiseconds(value * scale) / 100
         elif key == "gap_s":
-            fields[key] = max(LEAST, hundredths(own / strong)) / 100
+            fields[key] = max(MIN_DURATION_CENTISECONDS, to_centiseconds(value / scale)) / 100
         elif by_steps:
-            fields[key] = max(1, round(own * strong))
-        # Any other count is of machines, which the site's `tolerate` bounds.
-    varied = Trouble(trouble.kind, trouble.planned, fields)
+            fields[key] = max(1, round(value * scale))
+        # Any other count is a number of machines, which the site's `tolerate` limits.
+    varied = Trouble(trouble.kind, trouble.is_planned, fields)
     room = site.quiet - site.lead
-    if "for_s" in fields or (not trouble.planned and hundredths(FOR_S) > room):
-        fields["for_s"] = min(max(hundredths(fields.get("for_s", FOR_S)), LEAST), room) / 100
-    elif by_steps and span(varied, site.things, site.settles) > room:
-        gap = min(hundredths(fields["gap_s"]), room)
+    if "for_s" in fields or (
+        not trouble.is_planned and to_centiseconds(DEFAULT_DURATION_SECONDS) > room
+    ):
+        fields["for_s"] = (
+            min(
+                max(
+                    to_centiseconds(fields.get("for_s", DEFAULT_DURATION_SECONDS)),
+                    MIN_DURATION_CENTISECONDS,
+                ),
+                room,
+            )
+            / 100
+        )
+    elif by_steps and duration(varied, site.things, site.config_delay) > room:
+        gap = min(to_centiseconds(fields["gap_s"]), room)
         fields["gap_s"] = gap / 100
         if "count" in fields:
             fields["count"] = min(fields["count"], room // gap)
-        else:  # so many more at a time
+        else:  # fewer steps need more per step
             fields["x"] = ceil(fields.get("share", 1.0) * site.things / (room // gap))
     return varied
 
 
-def _short(value: float) -> float:
+def _round_to_3_digits(value: float) -> float:
     return float(f"{value:.3g}")
 
 
 def _place(site: Site, trouble: Trouble, meeting: int | None, rng: Random) -> Placed:
-    """A time within the day, and such that the meeting lies within the trouble."""
-    low = site.first if trouble.planned else site.lead
-    takes = min(span(trouble, site.things, site.settles), site.quiet - site.lead)
-    high = site.quiet - takes
+    """Places the trouble at a random time, such that it includes the meeting time, if any."""
+    low = site.first if trouble.is_planned else site.lead
+    length = min(duration(trouble, site.things, site.config_delay), site.quiet - site.lead)
+    high = site.quiet - length
     if meeting is not None:
-        low, high = max(low, meeting - takes), min(high, meeting)
+        low, high = max(low, meeting - length), min(high, meeting)
     at = rng.randint(low, high)
-    return Placed(trouble, at, at + takes)
+    return Placed(trouble, at, at + length)
 
 
-def _fields(
+def _day_fields(
     base: dict, name: str, placed: list[Placed], closing: dict | None, load: float, rng: Random
 ) -> dict[str, Any]:
-    """The day as a site file has it: what it doesn't draw is the standing day's."""
+    """The day in the form of a site file; what isn't drawn is copied from the standing day."""
     day = {k: v for k, v in base.items() if k not in ("closing", "plan", "faults")}
     day |= {"name": name, "seed": rng.randrange(1, 2**28)}
     if closing is not None:
-        down = closing.get("down_s", 1.0) * rng.uniform(1 - SPREAD, 1 + SPREAD)
-        day["closing"] = closing | {"down_s": hundredths(down) / 100}
+        down = closing.get("down_s", 1.0) * rng.uniform(1 - RANDOM_SPREAD, 1 + RANDOM_SPREAD)
+        day["closing"] = closing | {"down_s": to_centiseconds(down) / 100}
     for where in ("plan", "faults"):
         day[where] = [
             {"at": p.at / 100, "kind": p.trouble.kind, **p.trouble.fields}
             for p in placed
-            if p.trouble.planned == (where == "plan")
+            if p.trouble.is_planned == (where == "plan")
         ]
     if "traffic" in base:
         day["traffic"] = [
-            line | {"per_s": _short(line["per_s"] * load)} for line in base["traffic"]
+            line | {"per_s": _round_to_3_digits(line["per_s"] * load)} for line in base["traffic"]
         ]
     return day
--- a/loomstand/testing/fault_schedules/entry.py
+++ b/loomstand/testing/fault_schedules/entry.py
@@ -1,4 +1,4 @@
-"""An entry that a verb of the bench left in `journal/`, checked. Nothing of it is ever written."""
+"""Reads and checks the entries that the bench's commands write to `journal/`."""
 
 from __future__ import annotations
 
@@ -9,153 +9,161 @@
 
 
 class EntryError(ValueError):
-    """The entry can't be used; the message says why."""
+    """The entry is invalid; the message says why."""
 
 
 class ForeignError(EntryError):
-    """A sound entry, but of another bench: its days don't tell what the worth is made of."""
+    """A valid entry of another bench, whose days don't say how their worth is composed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """A share of the worth owed that was earned, and what it weighs in the day's worth."""
+    """A component of a day's worth."""
 
     name: str
-    weight: float
-    earned: float
+    weight: float  # in the day's worth
+    earned: float  # share of the worth owed, from 0 to 1
 
 
 @dataclass(frozen=True, slots=True)
 class Price:
+    """A cost that is deducted from a day's worth."""
+
     name: str
-    amount: float  # in the unit that the name says
-    worth: float  # taken off the day's worth
+    amount: float  # in the unit given by the name
+    worth: float  # deducted from the day's worth
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
+    """The results of one day."""
+
     name: str
-    digest: str  # the same for the same day
+    digest: str  # identifies the day's content
     slot: str
-    seed: int | None  # none: the bench keeps it to itself
+    seed: int | None  # None if the bench doesn't disclose it
     score: float
-    worth: float  # less prices
-    zero: float  # the day's marks
-    one: float
+    worth: float  # after prices
+    zero: float  # worth that scores 0
+    one: float  # worth that scores 1
     gate: bool
-    served: float  # shares of the requests owed
+    served: float  # as refused and failed, a share of the requests owed
     refused: float
     failed: float
     fault: str | None
-    rules: dict[str, int]  # broken, how often
-    short: tuple[str, ...]  # floors not reached
+    rules: dict[str, int]  # violations by broken rule
+    short: tuple[str, ...]  # minimum values that weren't reached
     parts: tuple[Part, ...]
     prices: tuple[Price, ...]
-    by_class: tuple[float | None, ...]  # in the site's order; none: nothing was asked
+    by_class: tuple[float | None, ...]  # in the order of the site; None: without requests
     by_zone: tuple[float | None, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
+    """A journal entry of the bench: one run of a command."""
+
     id: str
     at: str
     verb: str
     site: str
     why: str
-    score: float | None  # as the bench says it; none for other verbs than score
+    score: float | None  # as the bench computed it; None unless the command is score
     argv: tuple[str, ...]
     days: tuple[Day, ...]
 
 
 def read(raw: bytes) -> Entry:
-    """An entry with a day at least. Raises EntryError."""
+    """Reads an entry with at least one day. Raises EntryError if it is invalid."""
     try:
-        told = json.loads(raw)
+        record = json.loads(raw)
     except (ValueError, RecursionError):
         raise EntryError("damaged: not JSON") from None
-    if not isinstance(told, dict) or not isinstance(told.get("days"), list):
+    if not isinstance(record, dict) or not isinstance(record.get("days"), list):
         raise EntryError("not an entry of a bench's journal")
-    days = told["days"]
+    days = record["days"]
     if not days:
-        raise EntryError(f"it holds no days: {told.get('error') or 'no reason is given'}")
+        raise EntryError(f"it holds no days: {record.get('error') or 'no reason is given'}")
     if not all(isinstance(day, dict) and "parts" in day and "prices" in day for day in days):
         raise ForeignError("an entry of another bench: its days don't name parts and prices")
-    at, argv = told.get("at"), told.get("argv")
+    at, argv = record.get("at"), record.get("argv")
     if not isinstance(at, list) or not at or not isinstance(argv, list):
         raise EntryError("damaged: at or argv")
-    site = told.get("site") or ", ".join(sorted({str(day.get("site", "unknown")) for day in days}))
+    site = record.get("site") or ", ".join(
+        sorted({str(day.get("site", "unknown")) for day in days})
+    )
     return Entry(
-        _text(told, "id"),
+        _string(record, "id"),
         str(at[0]),
-        _text(told, "cmd"),
+        _string(record, "cmd"),
         str(site),
-        str(told.get("why") or ""),
-        None if told.get("score") is None else _figure(told["score"], "score"),
+        str(record.get("why") or ""),
+        None if record.get("score") is None else _number(record["score"], "score"),
         tuple(map(str, argv)),
         tuple(_day(day, f"days[{n}]") for n, day in enumerate(days)),
     )
 
 
-def _day(told: dict[str, Any], place: str) -> Day:
-    def figure(key: str) -> float:
-        return _figure(told.get(key), f"{place}.{key}")
+def _day(record: dict[str, Any], place: str) -> Day:
+    def number(key: str) -> float:
+        return _number(record.get(key), f"{place}.{key}")
 
-    rules = told.get("rules")
-    if not isinstance(rules, dict) or not isinstance(told.get("gate"), bool):
+    rules = record.get("rules")
+    if not isinstance(rules, dict) or not isinstance(record.get("gate"), bool):
         raise EntryError(f"damaged: {place}: rules or gate")
     return Day(
-        _text(told, "name", place),
-        str(told.get("day", "")),
-        _text(told, "slot", place),
-        None if told.get("seed") is None else int(figure("seed")),
-        figure("score"),
-        figure("G"),
-        figure("naive"),
-        figure("top"),
-        told["gate"],
-        figure("served"),
-        figure("refused"),
-        figure("failed"),
-        None if told.get("fault") is None else str(told["fault"]),
-        {str(rule): int(_figure(n, f"{place}.rules")) for rule, n in rules.items()},
-        tuple(map(str, _list(told, "short", place))),
-        tuple(Part(*row) for row in _rows(told, "parts", place)),
-        tuple(Price(*row) for row in _rows(told, "prices", place)),
-        _shares(told, "by_class", place),
-        _shares(told, "by_zone", place),
+        _string(record, "name", place),
+        str(record.get("day", "")),
+        _string(record, "slot", place),
+        None if record.get("seed") is None else int(number("seed")),
+        number("score"),
+        number("G"),
+        number("naive"),
+        number("top"),
+        record["gate"],
+        number("served"),
+        number("refused"),
+        number("failed"),
+        None if record.get("fault") is None else str(record["fault"]),
+        {str(rule): int(_number(n, f"{place}.rules")) for rule, n in rules.items()},
+        tuple(map(str, _list(record, "short", place))),
+        tuple(Part(*row) for row in _rows(record, "parts", place)),
+        tuple(Price(*row) for row in _rows(record, "prices", place)),
+        _shares(record, "by_class", place),
+        _shares(record, "by_zone", place),
     )
 
 
-def _rows(told: dict, key: str, place: str) -> list[tuple[str, float, float]]:
+def _rows(record: dict, key: str, place: str) -> list[tuple[str, float, float]]:
     out = []
-    for row in _list(told, key, place):
+    for row in _list(record, key, place):
         if not isinstance(row, list) or len(row) != 3 or not isinstance(row[0], str):
-            raise EntryError(f"damaged: {place}.{key}: not rows of a name and two figures")
-        out.append((row[0], _figure(row[1], f"{place}.{key}"), _figure(row[2], f"{place}.{key}")))
+            raise EntryError(f"damaged: {place}.{key}: not rows of a name and two numbers")
+        out.append((row[0], _number(row[1], f"{place}.{key}"), _number(row[2], f"{place}.{key}")))
     return out
 
 
-def _shares(told: dict, key: str, place: str) -> tuple[float | None, ...]:
+def _shares(record: dict, key: str, place: str) -> tuple[float | None, ...]:
     return tuple(
-        None if v is None else _figure(v, f"{place}.{key}") for v in _list(told, key, place)
+        None if v is None else _number(v, f"{place}.{key}") for v in _list(record, key, place)
     )
 
 
-def _list(told: dict, key: str, place: str) -> list:
-    found = told.get(key) or []
+def _list(record: dict, key: str, place: str) -> list:
+    found = record.get(key) or []
     if not isinstance(found, list):
         raise EntryError(f"damaged: {place}.{key}: not a list")
     return found
 
 
-def _text(told: dict, key: str, place: str = "the entry") -> str:
-    value = told.get(key)
+def _string(record: dict, key: str, place: str = "the entry") -> str:
+    value = record.get(key)
     if not isinstance(value, str):
-        raise EntryError(f"damaged: {place}: {key} is missing or not a text")
+        raise EntryError(f"damaged: {place}: {key} is missing or not a string")
     return value
 
 
-def _figure(value: Any, place: str) -> float:
+def _number(value: Any, place: str) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value):
-        raise EntryError(f"damaged: {place} is missing or not a figure")
+        raise EntryError(f"damaged: {place} is missing or not a number")
     return value
--- a/loomstand/testing/fault_schedules/losses.py
+++ b/loomstand/testing/fault_schedules/losses.py
@@ -1,5 +1,6 @@
-"""What was lost where, by the figures of an entry. Pure; all that is lost is shared out and nothing
-twice.
+"""Attributes the losses of a journal entry's days to causes.
+
+The parts of all causes add up to the total loss of a day.
 """
 
 from __future__ import annotations
@@ -9,98 +10,107 @@
 
 from loomstand.testing.fault_schedules.entry import Day, Entry
 
-NOISE = 0.03  # a change under it says nothing, by the bench's page
-# What slots weigh in a site's score, and its two worst days together, by the rules' page.
-SLOTS = {"scale": 0.4, "trouble": 0.2, "quiet": 0.1}
-WORST = 0.3
-WORST_DAYS = 2
-FRESH = "fresh-"  # a day drawn just now counts for the gate alone
-REST = "rounding"  # the entry's figures have four digits
+NOISE = 0.03  # smallest significant change of a score, by the bench's documentation
+# Weights in a site's score, by the bench's rules: of each slot, and of the two worst days together.
+SLOT_WEIGHTS = {"scale": 0.4, "trouble": 0.2, "quiet": 0.1}
+WORST_DAYS_WEIGHT = 0.3
+WORST_DAY_COUNT = 2
+FRESH_DAY_PREFIX = "fresh-"  # such a day is drawn for the run, and counts for the gate only
+ROUNDING = "rounding"  # the entry's numbers have four digits
 PART, PRICE, VERDICT = "part", "price", "verdict"
 
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """What one cause took. Worth: of the day's worth, which lacks `1 - worth`. Score: of the day's
-    score, which lacks `1 - score`.
+    """The loss due to one cause.
+
+    `worth` is its part of the day's lost worth (`1 - worth`), and `score` its part of the day's
+    lost score (`1 - score`).
     """
 
     cause: str
-    kind: str  # of PART, PRICE, VERDICT
+    kind: str  # PART, PRICE or VERDICT
     worth: float
     score: float
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A day in two entries. Differences are the second's less the first's."""
+    """The change of a day between two entries; differences are new minus old."""
 
     name: str
-    same: bool  # the same day, by its digest
+    same: bool  # whether both are the same day, by its digest
     old: Day
     new: Day
     worth: float
     score: float
-    # worth lost more, the largest first; they add up to `-worth`
+    # additional worth lost by cause, the largest change first; they add up to `-worth`
     causes: tuple[tuple[str, float], ...]
 
     @property
     def noise(self) -> bool:
+        """Whether the change isn't significant."""
         return abs(self.score) < NOISE and bool(self.old.rules) == bool(self.new.rules)
 
 
 def of_day(day: Day) -> list[Loss]:
-    """By cause, the largest first. Worth adds up to `1 - worth` and score to `1 - score`."""
+    """The losses of a day by cause, the largest first.
+
+    Their worth adds up to `1 - worth` of the day, their score to `1 - score`.
+    """
     found = [(p.name, PART, p.weight * (1 - p.earned)) for p in day.parts]
     found += [(p.name, PRICE, p.worth) for p in day.prices]
-    found.append((REST, PART, 1 - day.worth - sum(worth for *_, worth in found)))
+    found.append((ROUNDING, PART, 1 - day.worth - sum(worth for *_, worth in found)))
     verdicts = [f"rule {rule}" for rule in sorted(day.rules)] + (["fault"] if day.fault else [])
     lack = 1 - day.score
-    # A broken rule takes what the worth would have scored; only the rest is for the other causes.
-    taken = max(0.0, _marked(day) - day.score) if verdicts else 0.0
+    # A broken rule costs the score that the worth would give; other causes share the rest.
+    taken = max(0.0, _score_by_worth(day) - day.score) if verdicts else 0.0
     lack -= taken
-    # The marks stretch the worth and cut it off, so a cause has the same part of either.
-    whole = sum(worth for *_, worth in found if worth > 0)
-    scale = lack / whole if whole else 0.0
+    # The score is the worth scaled and clamped between the day's marks, so a cause has the same
+    # part of both losses.
+    total = sum(worth for *_, worth in found if worth > 0)
+    scale = lack / total if total else 0.0
     losses = [Loss(cause, kind, worth, scale * max(worth, 0.0)) for cause, kind, worth in found]
     losses += [Loss(verdict, VERDICT, 0.0, taken / len(verdicts)) for verdict in verdicts]
     return sorted(losses, key=lambda loss: (-loss.worth, -loss.score, loss.cause))
 
 
-def _marked(day: Day) -> float:
-    """Where the worth lies between the marks."""
+def _score_by_worth(day: Day) -> float:
+    """The score by the worth alone: its position between the marks, from 0 to 1."""
     if day.one <= day.zero:
         return day.score
     return min(1.0, max(0.0, (day.worth - day.zero) / (day.one - day.zero)))
 
 
 def weights(entry: Entry) -> list[float]:
-    """What each day weighs in the score. They add up to 1: where a slot has no day, the others
-    weigh more.
+    """The weight of each day in the score.
+
+    Weights add up to 1: if a slot has no day, the others have larger weights.
     """
     every = range(len(entry.days))
-    counted = [n for n in every if not _fresh(entry, entry.days[n])] or list(every)
-    slots = [day.slot if day.slot in SLOTS else "trouble" for day in entry.days]
+    counted = [n for n in every if not _is_fresh(entry, entry.days[n])] or list(every)
+    slots = [day.slot if day.slot in SLOT_WEIGHTS else "trouble" for day in entry.days]
     out = [0.0] * len(entry.days)
     for n in counted:
-        out[n] = SLOTS[slots[n]] / sum(slots[m] == slots[n] for m in counted)
-    worst = sorted(counted, key=lambda n: entry.days[n].score)[:WORST_DAYS]
+        out[n] = SLOT_WEIGHTS[slots[n]] / sum(slots[m] == slots[n] for m in counted)
+    worst = sorted(counted, key=lambda n: entry.days[n].score)[:WORST_DAY_COUNT]
     for n in worst:
-        out[n] += WORST / len(worst)
-    whole = sum(out)
-    return [weight / whole for weight in out]
+        out[n] += WORST_DAYS_WEIGHT / len(worst)
+    total = sum(out)
+    return [weight / total for weight in out]
 
 
-def _fresh(entry: Entry, day: Day) -> bool:
-    return entry.verb == "score" and day.name.startswith(FRESH)
+def _is_fresh(entry: Entry, day: Day) -> bool:
+    return entry.verb == "score" and day.name.startswith(FRESH_DAY_PREFIX)
 
 
 def score(entry: Entry) -> float:
+    """The score of an entry by the weights of its days."""
     return sum(weight * day.score for weight, day in zip(weights(entry), entry.days, strict=True))
 
 
 def of_entry(entry: Entry) -> list[Loss]:
-    """By cause over all days, each as much as it weighs; what took most of the score first."""
+    """The weighted losses of all days by cause, the largest loss of score first."""
     totals: dict[tuple[str, str], list[float]] = {}
     for weight, day in zip(weights(entry), entry.days, strict=True):
         for loss in of_day(day):
@@ -112,7 +122,7 @@
 
 
 def changes(old: Entry, new: Entry) -> list[Change]:
-    """The days that both have, by their names, in the second's order."""
+    """The changes of days that are in both entries, by name, in the order of the new entry."""
     before = {day.name: day for day in old.days}
     return [_change(before[day.name], day) for day in new.days if day.name in before]
 
@@ -127,8 +137,9 @@
 
 
 def mean_worth_lost(days: list[Day]) -> dict[str, float]:
-    """Worth lost to each cause, the plain mean of the days: their weights would differ between
-    entries.
+    """The mean worth lost by cause.
+
+    The mean isn't weighted, because the weights of days differ between entries.
     """
     out: dict[str, float] = {}
     for day in days:
@@ -138,8 +149,9 @@
 
 
 def labelled(shares: Iterable[float | None], names: tuple[str, ...]) -> list[tuple[str, float]]:
-    """Kinds of request or zones with their share earned, the worst first; without names, by
-    number.
+    """The shares earned by request kind or zone, the lowest first.
+
+    An item without a name is called by its number.
     """
     called = [
         (names[n] if n < len(names) else f"#{n + 1}", share) for n, share in enumerate(shares)
--- a/loomstand/testing/fault_schedules/plots.py
+++ b/loomstand/testing/fault_schedules/plots.py
@@ -1,5 +1,6 @@
-"""What was lost on each day, as stacked bars. matplotlib is imported only when a plot is asked
-for.
+"""Plots the losses of each day as stacked bars.
+
+matplotlib is optional, so it is imported only when a plot is requested.
 """
 
 from __future__ import annotations
@@ -7,13 +8,16 @@
 from loomstand.testing.fault_schedules.entry import Entry
 from loomstand.testing.fault_schedules.losses import of_day, of_entry
 
-# causes with a colour of their own; matplotlib's palette has ten, the last is for all others
-MOST = 9
+# Causes with their own colour; matplotlib's palette has ten, of which one is for all others.
+MAX_CAUSES = 9
 
 
 def bars(entry: Entry, path: str) -> None:
-    """Writes a PNG. Raises ImportError without matplotlib, OSError where the file can't be
-    written.
+    """Writes the plot of an entry as a PNG file.
+
+    Raises:
+        ImportError: matplotlib isn't installed.
+        OSError: The file can't be written.
     """
     import matplotlib
 
@@ -21,7 +25,7 @@
     from matplotlib import pyplot as plt
 
     causes = sorted(of_entry(entry), key=lambda loss: -loss.worth)
-    named = [loss.cause for loss in causes[:MOST] if loss.worth > 0]
+    named = [loss.cause for loss in causes[:MAX_CAUSES] if loss.worth > 0]
     lost = [{loss.cause: max(loss.worth, 0.0) for loss in of_day(day)} for day in entry.days]
     rows = [(cause, [day.get(cause, 0.0) for day in lost]) for cause in named]
     rows.append(("other", [sum(v for c, v in day.items() if c not in named) for day in lost]))
--- a/loomstand/testing/fault_schedules/write.py
+++ b/loomstand/testing/fault_schedules/write.py
@@ -1,5 +1,6 @@
-"""A drawn day as TOML, and the index of all. Only what a day holds is written: texts, figures,
-truth, lists and tables on one line.
+"""Writes drawn days as TOML, and their index as JSON.
+
+Only the types in days are supported: strings, numbers, booleans, lists and inline tables.
 """
 
 from __future__ import annotations
@@ -9,14 +10,14 @@
 from itertools import combinations
 from typing import Any
 
-from loomstand.testing.fault_schedules.draw import Drawn, DrawOptions, Pair, kinds_of, pair
+from loomstand.testing.fault_schedules.draw import DrawnDay, DrawOptions, Pair, pair, selected_kinds
 from loomstand.testing.fault_schedules.site import Site
 
 _BARE = re.compile(r"[A-Za-z0-9_-]+")
 
 
 def toml(value: Any) -> str:
-    """A value on one line. Raises ValueError for what TOML can't hold so."""
+    """Returns a value as TOML on one line. Raises ValueError for an unsupported type."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, int | float):
@@ -39,7 +40,7 @@
 
 
 def day_text(day: dict[str, Any]) -> str:
-    """A `[[day]]`; lists of tables have a line for each, as in the site's file."""
+    """Returns a day as a `[[day]]` table, with one line per table of a list, as in site files."""
     lines = ["[[day]]"]
     for key, value in day.items():
         if isinstance(value, list) and value and all(isinstance(one, dict) for one in value):
@@ -49,19 +50,20 @@
     return "\n".join(lines) + "\n"
 
 
-def index(site: Site, wish: DrawOptions, days: list[Drawn]) -> dict[str, Any]:
-    """What each day mixes and which pairs of kinds met. Times in seconds from the start of
-    traffic.
+def index(site: Site, options: DrawOptions, days: list[DrawnDay]) -> dict[str, Any]:
+    """Returns the index: the troubles of each day and the pairs of kinds that overlap.
+
+    Times are seconds from the start of traffic.
     """
-    kinds = kinds_of(site, wish)
+    kinds = selected_kinds(site, options)
     possible: list[Pair] = [pair(*two) for two in combinations(kinds, 2)]
-    met: set[Pair] = set()
+    overlapping_pairs: set[Pair] = set()
     rows = []
     all_met = None
     for n, day in enumerate(days, 1):
-        new = sorted(day.met() - met)
-        met |= day.met()
-        if all_met is None and len(met) == len(possible):
+        new = sorted(day.overlapping_pairs() - overlapping_pairs)
+        overlapping_pairs |= day.overlapping_pairs()
+        if all_met is None and len(overlapping_pairs) == len(possible):
             all_met = n
         rows.append(
             {
@@ -76,33 +78,33 @@
                     {
                         "kind": p.trouble.kind,
                         "how": p.trouble.how,
-                        "planned": p.trouble.planned,
+                        "planned": p.trouble.is_planned,
                         "at_s": p.at / 100,
                         "until_s": p.until / 100,
                     }
                     for p in day.placed
                 ],
-                "pairs_met": len(day.met()),
+                "pairs_met": len(day.overlapping_pairs()),
                 "pairs_new": new,
             }
         )
     return {
         "site": site.name,
-        "severity": wish.severity,
-        "seed": wish.seed,
-        "load": wish.load,
-        "dense": wish.dense,
+        "severity": options.severity,
+        "seed": options.seed,
+        "load": options.load,
+        "dense": options.dense,
         "kinds": kinds,
         "pairs": {
             "possible": len(possible),
-            "met": len(met),
+            "met": len(overlapping_pairs),
             "all_met_by_day": all_met,
-            "never_met": sorted(set(possible) - met),
+            "never_met": sorted(set(possible) - overlapping_pairs),
         },
         "days": rows,
     }
 
 
-def file_name(day: Drawn) -> str:
-    """The day's name as a file's, whatever characters the site's name has."""
+def file_name(day: DrawnDay) -> str:
+    """Returns the file name of a day, without characters of the name that files can't have."""
     return re.sub(r"[^A-Za-z0-9._-]", "_", day.name).lstrip(".") + ".toml"
